--- a/calicomast/daemon/node.py
+++ b/calicomast/daemon/node.py
@@ -18,6 +18,7 @@
 from calicomast.fronts.resp.front import RespFront
 from calicomast.membership.discovery import Discovery
 from calicomast.membership.listing import Listing
+from calicomast.membership.watch_schedule import WatchSchedule
 from calicomast.net.address import Address, write_address
 from calicomast.net.hosts import Hosts
 from calicomast.policy import Gateway
@@ -146,13 +147,16 @@
             return EurekaSource(config.registry, self.listing, self.listed, self.core.list_failed, own,
                                 by_name,
                                 self.core.clock, belief=belief)
-        grace = config.settings.rules.drain_grace
+        if config.settings.discovery == "ask":
+            schedule = WatchSchedule.for_polled_service()
+        else:
+            schedule = WatchSchedule.for_agent(config.settings.rules.drain_grace)
         if config.trust is not None:
             from calicomast.membership.judge import Judge
 
             judge = Judge(config.trust, self.listing, self.listed, self.core.clock, belief)
-            return JudgedDiscovery(config.discovery, version, judge, self.core.list_failed, grace)
-        return Discovery(config.discovery, version, self.listed, self.core.list_failed, grace)
+            return JudgedDiscovery(config.discovery, version, judge, self.core.list_failed, schedule)
+        return Discovery(config.discovery, version, self.listed, self.core.list_failed, schedule)
 
     def listed(self, listing: Listing) -> None:
         self.listed_at = time.monotonic()
@@ -388,8 +392,8 @@
     """Discovery whose lists are not taken at their word: not on the platform, whose agents do not lie."""
 
     def __init__(self, address: Address, version: int, judge: Judge, failed: Callable[[], None],
-                 grace: float) -> None:
-        super().__init__(address, version, judge.hear_listing, failed, grace)
+                 schedule: WatchSchedule) -> None:
+        super().__init__(address, version, judge.hear_listing, failed, schedule)
         self.judge, self.belief = judge, judge.belief
 
     async def close(self) -> None:
--- a/calicomast/membership/discovery.py
+++ b/calicomast/membership/discovery.py
@@ -1,9 +1,6 @@
-"""Discovery: the whole list of hosts once, then a watch for its changes.
+"""Discovery's HTTP calls: the complete list of hosts once, then a watch for its changes.
 
-A host that drains may get nothing new once the grace is over, and the grace runs from when the agent beside
-this gateway knew of it, whether or not a watch was open and heard it. So the times of a watch that dies add
-up to less than the grace: how long it is held, how late its answer may be, after what silence another call
-is made.
+`watch_schedule` says when.
 """
 
 from __future__ import annotations
@@ -11,51 +8,47 @@
 import asyncio
 import json
 import logging
+import math
+import random
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any
+from enum import Enum, auto
 
 import aiohttp
 
 from calicomast.membership.listing import Listing, read_list
+from calicomast.membership.watch_schedule import WatchPacer, WatchSchedule
 from calicomast.net.address import Address
 
-ANSWER = 2.0  # s after which a call for the whole list is given up
+REJECTION_STATUSES = (429, 503)  # of a service that has no capacity for the call
 MOST_LIST = 1024 * 1024  # bytes of an answer: one without end must not fill the memory
-PAUSE = 0.05  # s after the first failure before the next try; doubles up to `Pace.again`
 
 log = logging.getLogger(__name__)
 
 
-@dataclass(frozen=True, slots=True)
-class Pace:
-    """Times in seconds. Their sum is what a change is heard late by when a watch dies at the worst time."""
+class CallResult(Enum):
+    """How a call of discovery ended."""
 
-    wait: float  # that discovery may hold a watch open
-    late: float  # past that, after which a watch is taken to have died
-    again: float  # without an answer to a call for the whole list, after which another is made beside it
-
-    @classmethod
-    def within(cls, grace: float) -> Pace:
-        """0.85 of the grace in all; bounded, so that a short one costs few calls, a long one no patience."""
-        return cls(min(2.0, max(0.1, 0.5 * grace)), min(1.0, max(0.05, 0.2 * grace)),
-                   min(0.5, max(0.05, 0.15 * grace)))
+    ANSWERED = auto()
+    REJECTED = auto()  # for want of capacity
+    FAILED = auto()
 
 
 class Discovery:
-    """`told` gets each list, `failed` hears of each call that failed. `grace`: s that a host may get new
-    requests after it was told to drain."""
+    """`told` gets each list, `failed` hears of each call that failed."""
 
     def __init__(self, address: Address, version: int, told: Callable[[Listing], None],
-                 failed: Callable[[], None], grace: float) -> None:
+                 failed: Callable[[], None], schedule: WatchSchedule) -> None:
         host, port = address
-        self.pace, self.trouble = Pace.within(grace), ""
+        self.schedule = schedule
+        self.pacer = WatchPacer(schedule, random.Random())
+        self.trouble = ""
         self.taken = 0  # answers
         self.url = f"http://{f'[{host}]' if ':' in host else host}:{port}/v1/endpoints"
         self.version, self.told, self.failed = version, told, failed
         self.session: aiohttp.ClientSession | None = None
         self.watching: asyncio.Task[None] | None = None
-        self.fetching: set[asyncio.Task[None]] = set()
+        self.overdue_watch: asyncio.Task[CallResult] | None = None
+        self.fetching: set[asyncio.Task[CallResult]] = set()
 
     async def get(self, params: dict[str, int], limit: float) -> None:
         if self.session is None:
@@ -78,7 +71,7 @@
         self.version, self.taken = listing.hosts.version, self.taken + 1
         self.told(listing)
 
-    async def attempt(self, params: dict[str, int], limit: float) -> bool:
+    async def attempt(self, params: dict[str, int], limit: float) -> CallResult:
         try:
             await self.get(params, limit)
         except Exception as err:  # whatever it is, the watch must outlive it
@@ -87,45 +80,83 @@
                 log.warning("discovery: %s; the last list stays", told)
             self.trouble = told
             self.failed()
-            return False
+            if isinstance(err, aiohttp.ClientResponseError) and err.status in REJECTION_STATUSES:
+                return CallResult.REJECTED
+            return CallResult.FAILED
         self.trouble = ""
-        return True
-
-    async def whole(self) -> bool:
-        """The whole list. The agent answers at once or, while discovery is down, never, not even after its
-        return: while nothing comes another call is made beside those out. A late answer counts too."""
-        calls, now = set[asyncio.Task[bool]](), asyncio.get_running_loop().time
-        again = now()
+        return CallResult.ANSWERED
+
+    def call(self, params: dict[str, int], limit: float) -> asyncio.Task[CallResult]:
+        return asyncio.get_running_loop().create_task(self.attempt(params, limit))
+
+    async def complete_list(self) -> CallResult:
+        """Request the complete list. While discovery is down an agent never answers a call, not even after
+        discovery's return, so another call is made beside one that takes long. A late answer counts too, also
+        that of a watch that is overdue."""
+        loop = asyncio.get_running_loop()
+        calls = set[asyncio.Task[CallResult]]()
+        result = CallResult.FAILED
+        next_call = loop.time()
         try:
-            while True:
-                if now() >= again:
-                    calls.add(asyncio.get_running_loop().create_task(self.attempt({}, ANSWER)))
-                    again = now() + self.pace.again
-                ended, calls = await asyncio.wait(calls, timeout=max(0.0, again - now()),
-                                                  return_when=asyncio.FIRST_COMPLETED)
-                if any(call.result() for call in ended):
-                    return True
-                if not calls:
-                    return False
+            while calls or next_call <= loop.time():
+                if next_call <= loop.time():
+                    calls.add(self.call({}, self.schedule.call_timeout))
+                    next_call = loop.time() + self.schedule.hedge_after
+                timeout = None if next_call == math.inf else max(0.0, next_call - loop.time())
+                watch = {self.overdue_watch} if self.overdue_watch is not None else set()
+                ended, _ = await asyncio.wait(
+                    calls | watch, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
+                )
+                calls -= ended
+                if ended & watch:
+                    self.overdue_watch = None
+                for call in ended:
+                    result = call.result()
+                    if result is CallResult.ANSWERED:
+                        return result
+            return result
         finally:
             for call in calls:
                 call.cancel()
 
+    async def watch_changes(self) -> CallResult:
+        """Hold one watch. One that is overdue stays open as `overdue_watch` while its answer would count."""
+        schedule = self.schedule
+        wait = self.pacer.next_wait()
+        params = {"index": self.version, "wait": int(wait * 1000)}
+        watch = self.overdue_watch = self.call(params, wait + schedule.overdue + schedule.late_answer)
+        await asyncio.wait({watch}, timeout=wait + schedule.overdue if schedule.late_answer else None)
+        if not watch.done():
+            return CallResult.FAILED
+        self.overdue_watch = None
+        return watch.result()
+
     async def run(self) -> None:
-        pause, whole, pace = PAUSE, True, self.pace
+        """Request the complete list, then watch; at once after each answer: past 200 ms it is a new watch.
+
+        After a failure the complete list comes first again; after a rejection by a service that is polled the
+        same call, which may cost the service less.
+        """
+        is_listed = False
         while True:
-            if whole:
-                done = await self.whole()
-            else:  # at once after the last answer: past 200 ms it would be a new watch
-                done = await self.attempt({"index": self.version, "wait": int(pace.wait * 1000)},
-                                          pace.wait + pace.late)
-            if done:
-                pause, whole = PAUSE, False
-            elif whole:
-                await asyncio.sleep(pause)
-                pause = min(max(PAUSE, pace.again), 2 * pause)
+            result = await (self.watch_changes() if is_listed else self.complete_list())
+            if result is CallResult.ANSWERED:
+                self.end_overdue_watch()
+                self.pacer.on_answer()
+                is_listed = True
+            elif result is CallResult.REJECTED and self.schedule.is_polled:
+                self.pacer.on_rejection()
+                await asyncio.sleep(self.pacer.next_backoff())
             else:
-                whole = True
+                self.pacer.on_failure()
+                if not is_listed:
+                    await asyncio.sleep(self.pacer.next_backoff())
+                is_listed = False
+
+    def end_overdue_watch(self) -> None:
+        if self.overdue_watch is not None:
+            self.overdue_watch.cancel()
+            self.overdue_watch = None
 
     def watch(self, on: bool) -> None:
         if on and self.watching is None:
@@ -133,9 +164,10 @@
         elif not on and self.watching is not None:
             self.watching.cancel()
             self.watching = None
+            self.end_overdue_watch()
 
     def fetch(self) -> None:
-        task: asyncio.Task[Any] = asyncio.get_running_loop().create_task(self.attempt({}, ANSWER))
+        task = self.call({}, self.schedule.call_timeout)
         self.fetching.add(task)
         task.add_done_callback(self.fetching.discard)
 
--- /dev/null
+++ b/tests/membership/test_polled_discovery.py
@@ -0,0 +1,146 @@
+"""Discovery that many gateways poll and that sheds load, on real sockets."""
+
+import asyncio
+import copy
+import random
+from contextlib import AsyncExitStack
+
+import pytest
+from netkit import SERVED, SETTINGS, Node, StubDiscovery, StubHost, command, entry, on_loop
+
+from calicomast.membership.watch_schedule import WatchPacer, WatchSchedule
+from calicomast.standins.discovery import CallCapacity
+
+GATEWAYS = 6
+DRAIN_GRACES_S = [0.3, 0.5, 2.0]
+SILENT_WATCH_S = 6.0  # after which a change that a silent watch missed counts as known
+AFTER_WAIT_S = 2.0  # or this long after the time for which the watch could be held, if that is later
+ANSWER_S = 1.4  # that a service which is not overloaded takes to answer a call
+
+
+def polled_settings(drain_grace_s):
+    settings = copy.deepcopy(SETTINGS)
+    settings["registry_mode"] = "on_request"
+    settings["rules"]["drain_grace"] = int(drain_grace_s * 1e9)
+    return settings
+
+
+async def until_all(nodes, condition):
+    """Wait until the condition holds at all gateways."""
+    while not all(condition(node.node.hosts.pools) for node in nodes):
+        await asyncio.sleep(0.01)
+
+
+async def start_fleet(stack, service, hosts, tmp_path, drain_grace_s):
+    """Gateways that know two hosts and poll a service whose list names a third one; once all have read it."""
+    nodes = []
+    for number in range(GATEWAYS):
+        folder = tmp_path / str(number)
+        folder.mkdir()
+        node = Node(*hosts[:2], path=folder, settings=polled_settings(drain_grace_s), service=service)
+        nodes.append(await stack.enter_async_context(node))
+    await until_all(nodes, lambda known: "h3" in known)
+    return nodes
+
+
+async def open_service(stack):
+    """A service that bears three calls a second and lets none wait for over two seconds."""
+    hosts = [await stack.enter_async_context(StubHost()) for _ in range(3)]
+    service = await stack.enter_async_context(StubDiscovery())
+    service.servers = [entry(host, f"h{number}") for number, host in enumerate(hosts, 1)]
+    service.capacity = CallCapacity(call_s=0.33, rejection_s=0.1, max_wait_s=2.0)
+    return service, hosts
+
+
+@pytest.mark.parametrize("drain_grace_s", DRAIN_GRACES_S)
+@on_loop
+async def test_gateways_hear_a_drain_when_their_watches_fall_silent_and_the_service_sheds_load(
+    drain_grace_s, tmp_path
+):
+    async with AsyncExitStack() as stack:
+        service, hosts = await open_service(stack)
+        nodes = await start_fleet(stack, service, hosts, tmp_path, drain_grace_s)
+        service.silence_watches()
+        service.change([entry(hosts[0], "h1", "draining")])
+        await until_all(nodes, lambda known: "h1" not in known)
+        before = len(hosts[0].commands)
+        for number, node in enumerate(nodes):
+            assert await node.ask(command(b"r%d" % number)) == SERVED
+        assert len(hosts[0].commands) == before
+
+
+@on_loop
+async def test_gateways_hear_a_drain_when_the_service_comes_back_from_a_silence(tmp_path):
+    async with AsyncExitStack() as stack:
+        service, hosts = await open_service(stack)
+        nodes = await start_fleet(stack, service, hosts, tmp_path, 0.5)
+        service.silence_watches()
+        service.silent = True
+        while not service.calls.empty():
+            service.calls.get_nowait()
+        for _ in range(2 * GATEWAYS):
+            await service.calls.get()  # it is called while it is silent
+        service.silent = False
+        service.change([entry(hosts[0], "h1", "draining")])
+        await until_all(nodes, lambda known: "h1" not in known)
+
+
+@on_loop
+async def test_a_late_answer_to_a_watch_counts_while_the_complete_list_is_requested(tmp_path):
+    async with AsyncExitStack() as stack:
+        service, hosts = await open_service(stack)
+        service.capacity = None
+        nodes = await start_fleet(stack, service, hosts, tmp_path, 0.5)
+        service.lag = 1.0  # past the time for which the watch is held: the answer is overdue
+        schedule = nodes[0].node.discovery.schedule
+        assert schedule.overdue < service.lag < schedule.overdue + schedule.late_answer
+        service.held = asyncio.Event()  # the complete lists that are requested meanwhile never come
+        service.change([entry(hosts[0], "h1", "draining")])
+        await until_all(nodes, lambda known: "h1" not in known)
+
+
+def test_a_watch_of_a_polled_service_leaves_time_for_a_second_call_before_a_missed_change_counts():
+    schedule = WatchSchedule.for_polled_service()
+    pacer = WatchPacer(schedule, random.Random(1))
+    for _ in range(20):
+        wait = pacer.next_wait()
+        counts_after = max(SILENT_WATCH_S, wait + AFTER_WAIT_S)
+        assert wait + schedule.overdue + ANSWER_S < counts_after
+        pacer.on_rejection()
+    assert pacer.next_wait() <= schedule.max_wait
+
+
+def test_watches_grow_with_rejections_and_shrink_again_with_answers():
+    schedule = WatchSchedule.for_polled_service()
+    pacer = WatchPacer(schedule, random.Random(1))
+    pacer.on_rejection()
+    assert pacer.next_wait() > schedule.wait
+    for _ in range(100):
+        pacer.on_answer()
+    assert pacer.next_wait() <= schedule.wait
+
+
+def test_backoff_doubles_up_to_its_limit_and_is_not_the_same_at_two_gateways():
+    schedule = WatchSchedule.for_polled_service()
+    for is_rejected, limit in ((False, schedule.max_backoff), (True, schedule.max_rejection_backoff)):
+        one, other = (WatchPacer(schedule, random.Random(seed)) for seed in (1, 2))
+        drawn = []
+        for _ in range(10):
+            for pacer in (one, other) if is_rejected else ():
+                pacer.on_rejection()
+            drawn.append((one.next_backoff(), other.next_backoff()))
+        assert all(a != b for a, b in drawn)
+        assert all(max(pair) <= limit for pair in drawn)
+        assert min(drawn[-1]) > (1 - schedule.jitter) * limit * 0.99
+        one.on_answer()
+        assert one.next_backoff() <= schedule.first_backoff
+
+
+def test_backoff_is_short_again_when_a_service_that_rejected_calls_falls_silent():
+    schedule = WatchSchedule.for_polled_service()
+    pacer = WatchPacer(schedule, random.Random(1))
+    for _ in range(10):
+        pacer.on_rejection()
+        pacer.next_backoff()
+    pacer.on_failure()
+    assert pacer.next_backoff() <= schedule.max_backoff
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -98,17 +98,22 @@
 
 
 class Node:
-    """A gateway with a counter and discovery of its own and the given hosts, named h1, h2 and so on."""
+    """A gateway with a counter of its own and the given hosts, named h1, h2 and so on.
 
-    def __init__(self, *hosts, path, settings=None):
+    Its discovery is one of its own, unless it polls `service`, which others poll as well.
+    """
+
+    def __init__(self, *hosts, path, settings=None, service=None):
         self.hosts, self.path, self.settings = hosts, path, settings
-        self.counter, self.discovery, self.writers = StubCounter(), StubDiscovery(), []
+        self.counter, self.discovery, self.writers = StubCounter(), service or StubDiscovery(), []
+        self.is_discovery_shared = service is not None
 
     async def __aenter__(self):
         await self.counter.__aenter__()
-        await self.discovery.__aenter__()
         listed = [entry(h, f"h{n}") for n, h in enumerate(self.hosts, 1)]
-        self.discovery.servers = listed
+        if not self.is_discovery_shared:
+            await self.discovery.__aenter__()
+            self.discovery.servers = listed
         file = self.path / "config.json"
         file.write_text(json.dumps(told(listed, self.discovery.port, self.counter.port, self.settings)))
         self.node = GatewayNode(read_config({"RELAY_CONFIG": str(file)}))
@@ -135,5 +140,6 @@
         self.node.hosts.close()
         self.node.counter.close()
         await self.node.discovery.close()
-        await self.discovery.__aexit__()
+        if not self.is_discovery_shared:
+            await self.discovery.__aexit__()
         await self.counter.__aexit__()
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -7,9 +7,10 @@
 from netkit import PATIENCE, SERVED, Node, StubHost, command, entry, on_loop
 
 from calicomast import interface as api
-from calicomast.membership import discovery
-from calicomast.membership.discovery import Pace
+from calicomast.membership import watch_schedule
+from calicomast.membership.discovery import CallResult
 from calicomast.membership.listing import read_list
+from calicomast.membership.watch_schedule import WatchSchedule
 
 
 @on_loop
@@ -107,8 +108,11 @@
 
 @on_loop
 async def test_silent_discovery_is_asked_again_while_the_last_list_serves(tmp_path, monkeypatch):
-    monkeypatch.setattr(discovery, "ANSWER", 0.2)
-    monkeypatch.setattr(discovery.Pace, "within", lambda grace: Pace(wait=0.1, late=0.2, again=0.1))
+    schedule = WatchSchedule(
+        is_polled=False, wait=0.1, max_wait=0.1, overdue=0.2, late_answer=0.0, hedge_after=0.1,
+        call_timeout=0.2, first_backoff=0.05, max_backoff=0.1, max_rejection_backoff=0.1,
+        jitter=0.0)
+    monkeypatch.setattr(WatchSchedule, "for_agent", lambda drain_grace: schedule)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
@@ -125,15 +129,16 @@
 
 @pytest.mark.parametrize("grace", [0.3, 0.5, 0.7, 1.0, 2.0, 4.0, 60.0])
 def test_what_a_dead_watch_can_miss_is_heard_before_the_grace_of_a_drain_is_over(grace):
-    pace = Pace.within(grace)
-    assert pace.wait + pace.late + pace.again < grace
-    assert min(pace.wait, pace.late, pace.again) >= 0.04  # s; a list is not asked for in a busy loop
-    assert max(pace.wait, pace.late, pace.again) <= 2.0
+    schedule = WatchSchedule.for_agent(grace)
+    assert schedule.wait + schedule.overdue + schedule.hedge_after < grace
+    # s; a list is not asked for in a busy loop
+    assert min(schedule.wait, schedule.overdue, schedule.hedge_after) >= 0.04
+    assert max(schedule.wait, schedule.overdue, schedule.hedge_after) <= 2.0
 
 
 @on_loop
 async def test_a_silent_discovery_is_asked_again_beside_the_call_that_it_never_answers(tmp_path, monkeypatch):
-    monkeypatch.setattr(discovery, "ANSWER", 10.0 * PATIENCE)
+    monkeypatch.setattr(watch_schedule, "AGENT_CALL_TIMEOUT_S", 10.0 * PATIENCE)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
@@ -181,7 +186,8 @@
         node.node.discovery.version = 9
         node.node.discovery.fetch()
         (fetching,) = node.node.discovery.fetching
-        assert await fetching and node.node.discovery.version == 1
+        assert await fetching is CallResult.ANSWERED
+        assert node.node.discovery.version == 1
 
 
 @on_loop
