--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -109,9 +109,8 @@
 @on_loop
 async def test_silent_discovery_is_asked_again_while_the_last_list_serves(tmp_path, monkeypatch):
     schedule = WatchSchedule(
-        is_polled=False, wait=0.1, max_wait=0.1, overdue=0.2, late_answer=0.0, hedge_after=0.1,
-        call_timeout=0.2, first_backoff=0.05, max_backoff=0.1, max_rejection_backoff=0.1,
-        jitter=0.0)
+        is_polled=False, wait=0.1, overdue=0.2, late_answer=0.0, hedge_after=0.1,
+        call_timeout=0.2, first_backoff=0.05, max_backoff=0.1, jitter=0.0)
     monkeypatch.setattr(WatchSchedule, "for_agent", lambda drain_grace: schedule)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
