--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 .PHONY: demo test lint bench clean
 
 demo: $(VENV)/ready
-	$(BIN)/python -m calicomast demo
+	$(BIN)/python -m apigateway demo
 
 # Side by side: each test has ports, folders and processes of its own, and waits for events. Four: some start a dozen
 # gateways, and what asks them should not want for a core.
--- /dev/null
+++ b/apigateway/__main__.py
@@ -0,0 +1,8 @@
+"""`python -m apigateway`."""
+
+import sys
+
+from apigateway.cli.main import main
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/calicomast/adapter.py
+++ b/apigateway/adapter.py
@@ -1,6 +1,6 @@
 """Wire adapter: reads batches on standard input, hands events to one Gateway per instance, writes actions.
 
-It translates only. Run as `python -m calicomast.adapter`.
+It translates only. Run as `python -m apigateway.adapter`.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 import traceback
 from typing import Any, TextIO
 
-from calicomast import interface as api
-from calicomast.policy import Gateway
-from calicomast.settings import NS, flag, read_report, read_settings, seconds
+from apigateway import messages
+from apigateway.platform_settings import NS, flag, read_report, read_settings, seconds
+from apigateway.policy import Gateway
 
 STATE = {"U": "up", "L": "leaving", "D": "down"}
 RESULT = {"GOOD": "ok", "BAD": "error", "FULL": "full", "LATE": "timeout", "NOCONN": "connect_failed",
@@ -43,43 +43,43 @@
     return read_report(pair.split(":", 1) for pair in f.get("server_stats", "").split(",") if ":" in pair)
 
 
-def _host(f: dict[str, str]) -> api.Host:
-    return api.Host(id=f["host"], zone=f.get("zone", ""), cell=int(f.get("unit_group", 0)),
+def _host(f: dict[str, str]) -> messages.Host:
+    return messages.Host(id=f["host"], zone=f.get("zone", ""), cell=int(f.get("unit_group", 0)),
                     weight=float(f.get("heft", 1)), kind=f.get("flavor", ""), state=STATE[f["availability"]],
                     started=seconds(f.get("ready_at", "0")))
 
 
-def _work_item(f: dict[str, str]) -> api.Request:
+def _work_item(f: dict[str, str]) -> messages.Request:
     marks = int(f.get("marks", 0))
-    return api.Request(id=f["txn"], left=seconds(f["patience_left"]), customer=f["customer"], plan=f["tier"],
+    return messages.Request(id=f["txn"], left=seconds(f["patience_left"]), customer=f["customer"], plan=f["tier"],
                        cls=f["type"], units=float(f["cost_units"]), first=int(float(f.get("first", 0))),
                        spread=int(float(f["n_entries"])), repeat=bool(marks & 2), write=bool(marks & 4))
 
 
-def _outcome(f: dict[str, str]) -> api.Outcome:
-    return api.Outcome(id=f["txn"], attempt=int(f["attempt"]), host=f["host"], result=RESULT[f["reason"]],
+def _outcome(f: dict[str, str]) -> messages.Outcome:
+    return messages.Outcome(id=f["txn"], attempt=int(f["attempt"]), host=f["host"], result=RESULT[f["reason"]],
                        elapsed=seconds(f.get("time_taken", "0")), final=flag(f, "terminal"),
                        used=int(float(f.get("fleet_use", 0))), actual=float(f.get("actual", 0)),
                        report=_stats(f))
 
 
-def _memo(f: dict[str, str]) -> api.Message:
-    return api.Message(sender=int(f["from"]), data=bytes.fromhex(f["octets"].strip("-")))
+def _memo(f: dict[str, str]) -> messages.Message:
+    return messages.Message(sender=int(f["from"]), data=bytes.fromhex(f["octets"].strip("-")))
 
 
 READERS = {
     "WORK_ITEM": _work_item,
     "REPORT_BACK": _outcome,
-    "ADDED": lambda f: api.Counted(name=int(f["entry_name"]), result=RESULT[f["reason"]],
+    "ADDED": lambda f: messages.Counted(name=int(f["entry_name"]), result=RESULT[f["reason"]],
                                    total=float(f.get("now_at", 0)),
                                    elapsed=seconds(f.get("time_taken", "0"))),
-    "PING_RESULT": lambda f: api.Probed(host=f["host"], result=RESULT[f["reason"]],
+    "PING_RESULT": lambda f: messages.Probed(host=f["host"], result=RESULT[f["reason"]],
                                         elapsed=seconds(f.get("time_taken", "0")),
                                         report=_stats(f)),
-    "DUE": lambda f: api.Timer(label=int(f["label"])),
-    "BEGUN": lambda f: api.Began(id=f["txn"], attempt=int(f["attempt"]), host=f["host"],
+    "DUE": lambda f: messages.Timer(label=int(f["label"])),
+    "BEGUN": lambda f: messages.Began(id=f["txn"], attempt=int(f["attempt"]), host=f["host"],
                                  elapsed=seconds(f.get("time_taken", "0"))),
-    "DROPPED": lambda f: api.Gone(id=f["txn"]),
+    "DROPPED": lambda f: messages.Gone(id=f["txn"]),
     "MEMO": _memo,
 }
 
@@ -89,18 +89,18 @@
 
 
 WRITERS = {
-    api.Send: lambda i, a: f"ASSIGN i={i} txn={a.id} timeout={_ns(a.timeout)} host={a.host}",
-    api.Refuse: lambda i, a: f"DECLINE i={i} txn={a.id} hold_off={_ns(a.retry_after)}",
-    api.Fail: lambda i, a: f"DROP_REQUEST i={i} txn={a.id}",
-    api.Cancel: lambda i, a: f"REVOKE i={i} txn={a.id} attempt={a.attempt}",
-    api.Count: lambda i, a: f"CHARGE_COUNTER i={i} entry_name={a.name} by={a.amount:.7g} "
+    messages.Send: lambda i, a: f"ASSIGN i={i} txn={a.id} timeout={_ns(a.timeout)} host={a.host}",
+    messages.Refuse: lambda i, a: f"DECLINE i={i} txn={a.id} hold_off={_ns(a.retry_after)}",
+    messages.Fail: lambda i, a: f"DROP_REQUEST i={i} txn={a.id}",
+    messages.Cancel: lambda i, a: f"REVOKE i={i} txn={a.id} attempt={a.attempt}",
+    messages.Count: lambda i, a: f"CHARGE_COUNTER i={i} entry_name={a.name} by={a.amount:.7g} "
                             f"forget_after={_ns(a.lifetime)}",
-    api.SetTimer: lambda i, a: f"AFTER i={i} sleep_for={_ns(a.delay)} label={a.label}",
-    api.Probe: lambda i, a: f"TOUCH i={i} host={a.host}",
-    api.Close: lambda i, a: f"RELEASE i={i} host={a.host}",
-    api.Fetch: lambda i, a: f"PULL i={i}",
-    api.Watch: lambda i, a: f"WATCH i={i} active={int(a.on)}",
-    api.Log: lambda i, a: f"REMARK i={i} words={a.text}",
+    messages.SetTimer: lambda i, a: f"AFTER i={i} sleep_for={_ns(a.delay)} label={a.label}",
+    messages.Probe: lambda i, a: f"TOUCH i={i} host={a.host}",
+    messages.Close: lambda i, a: f"RELEASE i={i} host={a.host}",
+    messages.Fetch: lambda i, a: f"PULL i={i}",
+    messages.Watch: lambda i, a: f"WATCH i={i} active={int(a.on)}",
+    messages.Log: lambda i, a: f"REMARK i={i} words={a.text}",
 }
 
 
@@ -127,7 +127,7 @@
         self.line = line.rstrip("\r\n")
         return self.line
 
-    def _hosts(self, count: int) -> tuple[api.Host, ...]:
+    def _hosts(self, count: int) -> tuple[messages.Host, ...]:
         hosts = []
         for _ in range(count):
             line = self._next() or ""
@@ -147,12 +147,12 @@
                 seed = int(f["nonce64"])
                 options = {k: v for k, v in f.items() if k not in ("i", "nonce64")}
                 settings = read_settings(_tree(options))
-                event: api.Event | None = None
+                event: messages.Event | None = None
             elif word == "DETACH":
                 self.gateways.pop(inst, None)
                 return
             elif word == "TARGETS":
-                event = api.HostList(mode=f["mode"], version=int(f.get("index", 0)),
+                event = messages.HostList(mode=f["mode"], version=int(f.get("index", 0)),
                                      hosts=self._hosts(int(f.get("rows_in", 0))))
             elif word in READERS:
                 event = READERS[word](f)
@@ -215,7 +215,7 @@
             while self._batch():
                 pass
         except WireError as err:
-            print(f"calicomast: line {self.line_no}: {err}: {self.line[:200]}", file=sys.stderr)
+            print(f"api-gateway: line {self.line_no}: {err}: {self.line[:200]}", file=sys.stderr)
             return 1
         return 0
 
--- a/calicomast/cli/ask.py
+++ b/apigateway/cli/ask.py
@@ -6,8 +6,8 @@
 import os
 from typing import Any
 
-from calicomast.daemon.handover import question
-from calicomast.daemon.settings import Settings
+from apigateway.daemon.handover import question
+from apigateway.daemon.settings import Settings
 
 
 async def ask(settings: Settings, what: str) -> dict[str, dict[str, Any]]:
--- a/calicomast/cli/check.py
+++ b/apigateway/cli/check.py
@@ -1,23 +1,23 @@
-"""`calicomast check FILE`."""
+"""`api-gateway check FILE`."""
 
 from __future__ import annotations
 
 import importlib
 import sys
 
-from calicomast.checked import Faulty
-from calicomast.daemon.config import ConfigError
-from calicomast.daemon.serve import OK, UNUSABLE, read
-from calicomast.net.address import write_address
+from apigateway.config_validation import Faulty
+from apigateway.daemon.config import ConfigError
+from apigateway.daemon.serve import OK, UNUSABLE, read
+from apigateway.upstream.address import write_address
 
 
 def check(path: str) -> int:
     try:
         told, config = read(path)
         if told.plugins or told.records.file:
-            importlib.import_module("calicomast.daemon.plugins").check(path, told, config.settings)
+            importlib.import_module("apigateway.daemon.plugins").check(path, told, config.settings)
         if config.grpc or told.ratelimit.token_keys or told.ask.address:
-            importlib.import_module("calicomast.daemon.ratelimit").build(path, told, config)
+            importlib.import_module("apigateway.daemon.ratelimit").build(path, told, config)
     except (Faulty, ConfigError) as err:
         print(err, file=sys.stderr)
         return UNUSABLE
--- a/calicomast/cli/experiment.py
+++ b/apigateway/cli/experiment.py
@@ -1,11 +1,11 @@
-"""`calicomast experiment`."""
+"""`api-gateway experiment`."""
 
 from __future__ import annotations
 
 import argparse
 import sys
 
-from calicomast.checked import Faulty
+from apigateway.config_validation import Faulty
 
 OK, FAILED, UNUSABLE = 0, 1, 2
 
@@ -16,9 +16,9 @@
     from rich.progress import Progress
     from rich.table import Table
 
-    from calicomast.tools.experiment import report
-    from calicomast.tools.experiment.plan import read_experiment
-    from calicomast.tools.experiment.run import play_all
+    from apigateway.tools.experiment import report
+    from apigateway.tools.experiment.plan import read_experiment
+    from apigateway.tools.experiment.run import play_all
 
     try:
         experiment = read_experiment(told.file, told.seeds)
--- a/calicomast/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -1,4 +1,4 @@
-"""`calicomast hosts FILE`: what a gateway believes of its hosts, or what the registry tells."""
+"""`api-gateway hosts FILE`: what a gateway believes of its hosts, or what the registry tells."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 import time
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.checked import Faulty
-from calicomast.cli.ask import ask, headed
-from calicomast.daemon.handover import HandOverFailed
-from calicomast.daemon.node import described
-from calicomast.daemon.serve import FAILED, OK, UNUSABLE
-from calicomast.daemon.settings import Settings, read_settings, to_registry
-from calicomast.membership.listing import Listing
+from apigateway import messages
+from apigateway.cli.ask import ask, headed
+from apigateway.config_validation import Faulty
+from apigateway.daemon.handover import HandOverFailed
+from apigateway.daemon.node import described
+from apigateway.daemon.serve import FAILED, OK, UNUSABLE
+from apigateway.daemon.settings import Settings, read_settings, to_registry
+from apigateway.membership.listing import Listing
 
 COLUMNS = ("id", "address", "zone", "cell", "kind", "state", "doubt")
 CHOICE = ("subset", "out", "load", "report", "sound")  # what the gateway that runs takes it for
@@ -29,7 +29,7 @@
         print(err, file=sys.stderr)
         return UNUSABLE
     except (HandOverFailed, OSError) as err:
-        print(f"calicomast: {err}", file=sys.stderr)
+        print(f"api-gateway: {err}", file=sys.stderr)
         return FAILED
     if as_json:
         print(json.dumps(told.get("", told), indent=1))
@@ -42,10 +42,10 @@
     registry = to_registry(settings)
     if registry is None:
         raise OSError("the file names no registry: hosts.source is not eureka")
-    from calicomast.membership.eureka.source import EurekaSource, resolve
+    from apigateway.membership.eureka.source import EurekaSource, resolve
 
     by_name = resolve if registry.terms.address == "name" else None
-    source = EurekaSource(registry, Listing(api.HostList("cached", 0, ()), {}), lambda _: None, lambda: None,
+    source = EurekaSource(registry, Listing(messages.HostList("cached", 0, ()), {}), lambda _: None, lambda: None,
                           (),
                           by_name)
     try:
--- a/calicomast/cli/load.py
+++ b/apigateway/cli/load.py
@@ -1,28 +1,28 @@
-"""`calicomast load plan` and `run`."""
+"""`api-gateway load plan` and `run`."""
 
 from __future__ import annotations
 
 import argparse
 import sys
 
-from calicomast.checked import Faulty
+from apigateway.config_validation import Faulty
 
 OK, UNUSABLE = 0, 2
 
 
 def run(told: argparse.Namespace) -> int:
-    from calicomast.tools.load.plan import plan, text
-    from calicomast.tools.load.scenario import read_scenario
-    from calicomast.tools.load.schedule import TooMany
+    from apigateway.tools.load.plan import plan, text
+    from apigateway.tools.load.scenario import read_scenario
+    from apigateway.tools.load.schedule import TooMany
 
     try:
         scenario = read_scenario(told.file)
         if told.act == "run":
             if not scenario.targets.gateways:
-                print(f"calicomast: {told.file}: targets.gateways: none to send to; name them",
+                print(f"api-gateway: {told.file}: targets.gateways: none to send to; name them",
                       file=sys.stderr)
                 return UNUSABLE
-            from calicomast.tools.load.run import run as play
+            from apigateway.tools.load.run import run as play
 
             return play(scenario, told.json)
         print(text(plan(scenario), told.json))
@@ -30,6 +30,6 @@
         print(err, file=sys.stderr)
         return UNUSABLE
     except TooMany as err:
-        print(f"calicomast: {told.file}: {err}", file=sys.stderr)
+        print(f"api-gateway: {told.file}: {err}", file=sys.stderr)
         return UNUSABLE
     return OK
--- a/calicomast/cli/main.py
+++ b/apigateway/cli/main.py
@@ -1,4 +1,4 @@
-"""`python -m calicomast`, or `calicomast`: parses, calls, prints."""
+"""`python -m apigateway`, or `api-gateway`: parses, calls, prints."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import sys
 from collections.abc import Sequence
 
-from calicomast import __version__
+from apigateway import __version__
 
 # libraries that only some installations have, and their extra
 NEEDS = {"msgspec": "daemon", "rich": "tools", "hdrh": "load", "wasmtime": "plugins", "h2": "grpc",
@@ -17,7 +17,7 @@
 
 def parser() -> argparse.ArgumentParser:
     top = argparse.ArgumentParser(
-        prog="calicomast", description="An api gateway whose quotas hold over all gateways by leases on a "
+        prog="api-gateway", description="An api gateway whose quotas hold over all gateways by leases on a "
                                        "counter.",
         epilog="Exit codes: 0 done, 1 failed, 2 settings or arguments that cannot be used, 75 try again.")
     commands = top.add_subparsers(dest="command", required=True, metavar="COMMAND")
@@ -181,7 +181,7 @@
         extra = NEEDS.get((err.name or "").partition(".")[0])
         if extra is None:
             raise
-        print(f"calicomast: {told.command} needs {err.name}: pip install 'calicomast[{extra}]'",
+        print(f"api-gateway: {told.command} needs {err.name}: pip install 'apigateway[{extra}]'",
               file=sys.stderr)
         return 1
 
@@ -189,38 +189,38 @@
 def run(told: argparse.Namespace) -> int:
     # Each command imports what it needs and no more: a start loads none of the tools.
     if told.command == "serve":
-        from calicomast.daemon import early
+        from apigateway.daemon import pending_signals
 
-        early.listen()  # before what takes long to load
-        from calicomast.daemon.serve import serve
+        pending_signals.listen()  # before what takes long to load
+        from apigateway.daemon.serve import serve
 
         return serve(told.file, told.take_over, told.workers)
     if told.command == "check":
-        from calicomast.cli.check import check
+        from apigateway.cli.check import check
 
         return check(told.file)
     if told.command == "hosts":
-        from calicomast.cli.hosts import hosts
+        from apigateway.cli.hosts import hosts
 
         return hosts(told.file, told.registry, told.json)
     if told.command == "plugin":
-        from calicomast.cli import plugin as plugins
+        from apigateway.cli import plugin as plugins
 
         return plugins.run(told)
     if told.command == "ratelimit":
-        from calicomast.cli import ratelimit as limits
+        from apigateway.cli import ratelimit as limits
 
         return limits.run(told)
     if told.command == "load":
-        from calicomast.cli import load
+        from apigateway.cli import load
 
         return load.run(told)
     if told.command == "experiment":
-        from calicomast.cli import experiment
+        from apigateway.cli import experiment
 
         return experiment.run(told)
     if told.command == "demo":
-        demo = importlib.import_module("calicomast.tools.demo")
+        demo = importlib.import_module("apigateway.tools.demo")
         return int(demo.main(told.seconds, told.seed, told.keep, told.registry, told.plugin, told.grpc))
-    print(f"calicomast {__version__}")
+    print(f"api-gateway {__version__}")
     return 0
--- a/calicomast/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -1,4 +1,4 @@
-"""`calicomast plugin ...`."""
+"""`api-gateway plugin ...`."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import sys
 from typing import Any
 
-from calicomast.checked import Faulty
-from calicomast.cli.ask import ask, headed
-from calicomast.daemon.handover import HandOverFailed
-from calicomast.daemon.serve import FAILED, OK, UNUSABLE
-from calicomast.daemon.settings import read_settings
-from calicomast.tools import plugin as tool
+from apigateway.cli.ask import ask, headed
+from apigateway.config_validation import Faulty
+from apigateway.daemon.handover import HandOverFailed
+from apigateway.daemon.serve import FAILED, OK, UNUSABLE
+from apigateway.daemon.settings import read_settings
+from apigateway.tools import plugin as tool
 
 
 def run(told: argparse.Namespace) -> int:
@@ -35,7 +35,7 @@
         print(err, file=sys.stderr)
         return UNUSABLE
     except (HandOverFailed, OSError) as err:
-        print(f"calicomast: {err}", file=sys.stderr)
+        print(f"api-gateway: {err}", file=sys.stderr)
         return FAILED
 
 
--- a/calicomast/cli/ratelimit.py
+++ b/apigateway/cli/ratelimit.py
@@ -1,4 +1,4 @@
-"""`calicomast ratelimit ask` and `status`."""
+"""`api-gateway ratelimit ask` and `status`."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 import sys
 from typing import Any
 
-from calicomast.checked import Faulty
-from calicomast.cli.ask import ask as ask_gateway
-from calicomast.cli.ask import headed
-from calicomast.daemon.handover import HandOverFailed
-from calicomast.daemon.serve import FAILED, OK, UNUSABLE
-from calicomast.daemon.settings import read_settings
-from calicomast.net.address import Address, read_address
+from apigateway.cli.ask import ask as ask_gateway
+from apigateway.cli.ask import headed
+from apigateway.config_validation import Faulty
+from apigateway.daemon.handover import HandOverFailed
+from apigateway.daemon.serve import FAILED, OK, UNUSABLE
+from apigateway.daemon.settings import read_settings
+from apigateway.upstream.address import Address, read_address
 
 OVER = 3  # exit code: it was asked, and said that it is over the limit
 METHOD = "/envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit"
@@ -39,7 +39,7 @@
         print(err, file=sys.stderr)
         return UNUSABLE
     except (HandOverFailed, OSError) as err:
-        print(f"calicomast: {err}", file=sys.stderr)
+        print(f"api-gateway: {err}", file=sys.stderr)
         return FAILED
     if as_json:
         print(json.dumps(told.get("", told), indent=1))
@@ -81,7 +81,7 @@
             raise ValueError("no descriptor: say KEY=VALUE, once or more")
         context = secure(told)
     except (ValueError, OSError) as err:
-        print(f"calicomast: {err}", file=sys.stderr)
+        print(f"api-gateway: {err}", file=sys.stderr)
         return UNUSABLE
     from envoy.service.ratelimit.v3 import rls_pb2 as pb
 
@@ -92,9 +92,9 @@
             descriptor.entries.add(key=key, value=value)
     status, text, message = asyncio.run(call(address, context, told.name, request, told.timeout))
     if status:
-        from calicomast.net.rpc import NAMES
+        from apigateway.upstream.rpc import NAMES
 
-        print(f"calicomast: {told.address}: {NAMES.get(status, status)}: {text}", file=sys.stderr)
+        print(f"api-gateway: {told.address}: {NAMES.get(status, status)}: {text}", file=sys.stderr)
         return FAILED
     response = pb.RateLimitResponse.FromString(message)
     if told.json:
@@ -128,7 +128,7 @@
 
 async def call(address: Address, context: ssl.SSLContext | None, name: str, request: Any,
                timeout: float) -> tuple[int, str, bytes]:
-    from calicomast.asking.client import Channel
+    from apigateway.external_ratelimit.client import Channel
 
     channel, answer = Channel(address, context, name), asyncio.get_running_loop().create_future()
 
--- a/calicomast/core/door.py
+++ b/apigateway/core/admission.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from calicomast.core.ports import Scheduler
+from apigateway.core.interfaces import Scheduler
 
 BEAT = 0.02  # s
 QUIET = 2.0  # s without any shedding, after which an overload is over for the log
--- a/calicomast/core/ports.py
+++ b/apigateway/core/interfaces.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from calicomast import interface as api
+from apigateway import messages
 
 Address = tuple[str, int]
 Counted = Callable[[int, str, float, float], None]  # name, result (of COUNT_RESULTS), total, elapsed in s
@@ -30,9 +30,9 @@
     """Where a check's answer goes: one of `granted`, `denied`, `refused` (no room here) and `failed`,
     once."""
 
-    def granted(self, told: api.Granted) -> None: ...
+    def granted(self, told: messages.Granted) -> None: ...
 
-    def denied(self, told: api.Denied) -> None: ...
+    def denied(self, told: messages.Denied) -> None: ...
 
 
 class Order(Protocol):
@@ -111,16 +111,16 @@
     """Operators' plug-ins. What they say is within the rules already; the core asks, and takes no other
     word."""
 
-    def taken(self, request: api.Request) -> tuple[Hooked, api.Request | api.Barred]:
+    def taken(self, request: messages.Request) -> tuple[Hooked, messages.Request | messages.Barred]:
         """Before the module hears of a request: what it is to hear."""
 
 
 class Outer(Protocol):
     """A service that is asked about some requests before the module hears of them. It can only tighten."""
 
-    def wanted(self, request: api.Request) -> bool: ...
+    def wanted(self, request: messages.Request) -> bool: ...
 
-    def ask(self, request: api.Request, left: float, decided: Callable[[bool, float], None]) -> Any:
+    def ask(self, request: messages.Request, left: float, decided: Callable[[bool, float], None]) -> Any:
         """`left`: s that the request has. `decided` is called once, with whether it may go on, else the
         seconds until it may come again. What it returns is for `call_off`; None: it is decided already."""
 
@@ -151,7 +151,7 @@
 class Module(Protocol):
     """The decision module: no clock, no I/O."""
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]: ...
+    def handle(self, now: float, event: messages.Event) -> list[messages.Action]: ...
 
 
 Addresses = Mapping[str, Address]
--- a/calicomast/core/life.py
+++ b/apigateway/core/request_lifecycle.py
@@ -15,9 +15,9 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from calicomast import interface as api
-from calicomast.core.budget import Budget
-from calicomast.core.ports import (
+from apigateway import messages
+from apigateway.core.budget import Budget
+from apigateway.core.interfaces import (
     Addresses,
     Attempt,
     CheckPlace,
@@ -35,7 +35,7 @@
 )
 
 if TYPE_CHECKING:
-    from calicomast.core.door import Door
+    from apigateway.core.admission import Door
 
 WAY_BACK = 0.03  # s before the client gives up by which the module is to be done
 GUARD = 0.01  # s before that by which a request without an answer is failed, whatever the module does
@@ -92,7 +92,7 @@
     """`settings` and `module` are the deployment's; `max_open` requests may be in work at once and
     `most_held` bytes of their bodies be held, over all fronts together."""
 
-    def __init__(self, settings: api.Settings, module: Module, hosts: Hosts, counter: Counter | None,
+    def __init__(self, settings: messages.Settings, module: Module, hosts: Hosts, counter: Counter | None,
                  loop: Scheduler, max_open: int, most_held: float,
                  clock: Callable[[], float] | None = None) -> None:
         self.settings, self.module, self.hosts, self.counter = settings, module, hosts, counter
@@ -104,16 +104,16 @@
         self.loop, self.clock = loop, clock or Clock()
         self.open, self.held = Budget(max_open), Budget(most_held)
         self.works: dict[str, Work] = {}
-        self.events: deque[api.Event] = deque()
+        self.events: deque[messages.Event] = deque()
         self.feeding = self.ready = self.stopping = False
         self.done = asyncio.Event()  # stopping, and nothing is in work
         self.actions: dict[type, Callable[[Any], None]] = {
-            api.Send: self.send, api.Refuse: self.refuse, api.Fail: self.fail, api.Cancel: self.cancel,
-            api.Granted: self.granted, api.Denied: self.denied,
-            api.Count: self.count, api.SetTimer: self.set_timer, api.Probe: self.probe,
-            api.Close: lambda a: self.hosts.close_idle(a.host), api.Fetch: lambda _: self.fetch(),
-            api.Watch: lambda a: self.watch(a.on),
-            api.Log: lambda a: log.info("module: %s", a.text)}
+            messages.Send: self.send, messages.Refuse: self.refuse, messages.Fail: self.fail, messages.Cancel: self.cancel,
+            messages.Granted: self.granted, messages.Denied: self.denied,
+            messages.Count: self.count, messages.SetTimer: self.set_timer, messages.Probe: self.probe,
+            messages.Close: lambda a: self.hosts.close_idle(a.host), messages.Fetch: lambda _: self.fetch(),
+            messages.Watch: lambda a: self.watch(a.on),
+            messages.Log: lambda a: log.info("module: %s", a.text)}
 
     # Fronts
 
@@ -126,7 +126,7 @@
         self.open.leave(front)
         self.held.leave(front)
 
-    def take(self, front: object, request: api.Request, order: Order, place: Place) -> None:
+    def take(self, front: object, request: messages.Request, order: Order, place: Place) -> None:
         """From here on `place` gets exactly one answer, at once where there is no room. `request.left` is how
         long its client waits, less WAY_BACK. Raises InWork, and then nothing was taken."""
         if request.id in self.works:
@@ -155,7 +155,7 @@
             self.feed(request)
         else:
             event = request if self.hooks is None else self.asked(self.hooks, work, request)
-            if self.outer is not None and isinstance(event, api.Request) and self.outer.wanted(event):
+            if self.outer is not None and isinstance(event, messages.Request) and self.outer.wanted(event):
                 self.ask(self.outer, work, event)
             else:
                 self.feed(event)
@@ -163,17 +163,17 @@
             left = work.deadline + WAY_BACK - GUARD - time.monotonic()
             work.guard = self.loop.call_later(max(0.0, left), self.overdue, work)
 
-    def check(self, front: object, check: api.Check, place: CheckPlace) -> None:
+    def check(self, front: object, check: messages.Check, place: CheckPlace) -> None:
         """As `take`, for units that no host is asked for. Neither plug-ins nor an outer service are asked
         about it."""
         self.take(front, check, NOTHING, place)
 
-    def give_back(self, check: api.Check, told: api.Granted) -> None:
+    def give_back(self, check: messages.Check, told: messages.Granted) -> None:
         """What a check was granted was not used: another of the same question was denied."""
-        kind = api.Unreserve if isinstance(check, api.Reserve) else api.GiveBack
+        kind = messages.Unreserve if isinstance(check, messages.Reserve) else messages.GiveBack
         self.feed(kind(check.customer, check.units, told.window))
 
-    def ask(self, outer: Outer, work: Work, request: api.Request) -> None:
+    def ask(self, outer: Outer, work: Work, request: messages.Request) -> None:
         """The module hears of it once the outer service has let it pass, or has failed to say anything and
         settings let it pass then. Until that it holds its place, and its guard answers it in time."""
 
@@ -185,7 +185,7 @@
                 left = work.deadline - time.monotonic()
                 self.feed(replace(request, left=left))
             else:
-                self.feed(api.Barred(work.id, wait))
+                self.feed(messages.Barred(work.id, wait))
 
         try:
             work.asked = outer.ask(request, request.left, decided)
@@ -198,7 +198,7 @@
         """Whether this id may be running: a refusal, which says that it did not run, would not be true."""
         return id in self.works or (write and self.marks is not None and self.marks.held(id))
 
-    def asked(self, hooks: Hooks, work: Work, request: api.Request) -> api.Request | api.Barred:
+    def asked(self, hooks: Hooks, work: Work, request: messages.Request) -> messages.Request | messages.Barred:
         """What the plug-ins make of a request; the request itself where they raise."""
         try:
             work.hooked, event = hooks.taken(request)
@@ -212,14 +212,14 @@
         work = place.token
         if work is not None and not work.over:
             self.finish(work, "gone")
-            self.feed(api.Gone(work.id))
+            self.feed(messages.Gone(work.id))
 
     # Events
 
-    def feed(self, event: api.Event) -> None:
+    def feed(self, event: messages.Event) -> None:
         """Hands events over one after another: what an action causes at once waits its turn. But the end of a
         request goes before all that waits, so that nothing is decided for it any more."""
-        if isinstance(event, api.Gone):
+        if isinstance(event, messages.Gone):
             self.events.appendleft(event)
         else:
             self.events.append(event)
@@ -232,12 +232,12 @@
         finally:
             self.feeding = False
 
-    def handle(self, event: api.Event) -> None:
+    def handle(self, event: messages.Event) -> None:
         try:
             actions = self.module.handle(self.clock(), event)
         except Exception:  # one request must not take the others along
             log.exception("the module failed on %s", type(event).__name__)
-            if isinstance(event, api.Request | api.Barred | api.Outcome) and event.id in self.works:
+            if isinstance(event, messages.Request | messages.Barred | messages.Outcome) and event.id in self.works:
                 self.abandon(self.works[event.id])
             return
         for action in actions:
@@ -251,7 +251,7 @@
         self.finish(work, "failed")
         for attempt in list(work.live.values()):
             self.hosts.give_up(attempt, "cancelled")
-        self.feed(api.Gone(work.id))
+        self.feed(messages.Gone(work.id))
 
     def overdue(self, work: Work) -> None:
         """Guards the client's deadline against a module that says nothing."""
@@ -296,7 +296,7 @@
 
     # Membership
 
-    def listed(self, hosts: api.HostList, addresses: Addresses) -> None:
+    def listed(self, hosts: messages.HostList, addresses: Addresses) -> None:
         """The module hears of it between new hosts and those that go: what ends with a host that goes is then
         not sent there once more."""
         up = {h.id for h in hosts.hosts if h.state == "up"}
@@ -310,7 +310,7 @@
 
     def list_failed(self) -> None:
         if self.settings.discovery == "ask" and self.membership is not None:
-            self.feed(api.HostList("failed", self.membership.version, ()))
+            self.feed(messages.HostList("failed", self.membership.version, ()))
 
     def fetch(self) -> None:
         if self.membership is not None:
@@ -322,31 +322,31 @@
 
     # Actions
 
-    def refuse(self, action: api.Refuse) -> None:
+    def refuse(self, action: messages.Refuse) -> None:
         work = self.works.get(action.id)
         if work is not None:
             if self.door is not None and action.retry_after > 0:
                 self.door.told(work.customer, action.retry_after)
             self.finish(work, "refused", action.retry_after)
 
-    def fail(self, action: api.Fail) -> None:
+    def fail(self, action: messages.Fail) -> None:
         work = self.works.get(action.id)
         if work is not None:
             self.finish(work, "failed")
 
-    def granted(self, action: api.Granted) -> None:
+    def granted(self, action: messages.Granted) -> None:
         work = self.works.get(action.id)
         if work is not None:
             self.finish(work, "granted", action)
 
-    def denied(self, action: api.Denied) -> None:
+    def denied(self, action: messages.Denied) -> None:
         work = self.works.get(action.id)
         if work is not None:
             if self.door is not None and action.retry_after > 0:
                 self.door.told(work.customer, action.retry_after)
             self.finish(work, "denied", action)
 
-    def send(self, action: api.Send) -> None:
+    def send(self, action: messages.Send) -> None:
         work = self.works.get(action.id)
         if work is None:
             return
@@ -358,7 +358,7 @@
         if work.hooked is not None and left > 0 and not unable:
             left = self.told(work, action.host)
         if left <= 0 or unable:
-            self.feed(api.Outcome(work.id, number, action.host, "moot", 0.0, work.over))
+            self.feed(messages.Outcome(work.id, number, action.host, "moot", 0.0, work.over))
             return
         wait = min(left, action.timeout) if action.timeout > 0 else left
         attempt = self.hosts.attempt(action.host, work.order.payload(wait), self.attempt_done, (work, number))
@@ -383,30 +383,30 @@
         elif result == "ok" and not over:
             self.finish(work, "served", attempt.value)
         self.forget(work)
-        self.feed(api.Outcome(work.id, number, attempt.host, result, attempt.elapsed(), work.over,
+        self.feed(messages.Outcome(work.id, number, attempt.host, result, attempt.elapsed(), work.over,
                               used=attempt.used, report=attempt.report))
 
-    def cancel(self, action: api.Cancel) -> None:
+    def cancel(self, action: messages.Cancel) -> None:
         work = self.works.get(action.id)
         if work is not None and action.attempt in work.live:
             self.hosts.give_up(work.live[action.attempt], "cancelled")
 
-    def probe(self, action: api.Probe) -> None:
+    def probe(self, action: messages.Probe) -> None:
         self.hosts.probe(action.host, self.probed)
 
     def probed(self, attempt: Attempt) -> None:
-        self.feed(api.Probed(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
+        self.feed(messages.Probed(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
 
-    def count(self, action: api.Count) -> None:
+    def count(self, action: messages.Count) -> None:
         if self.counter is None:
             self.loop.call_soon(self.counted, action.name, "connect_failed", 0.0, 0.0)
         else:
             self.counter.add(action.name, action.amount, action.lifetime, self.counted)
 
     def counted(self, name: int, result: str, total: float, elapsed: float) -> None:
-        self.feed(api.Counted(name, result, total, elapsed))
+        self.feed(messages.Counted(name, result, total, elapsed))
 
-    def set_timer(self, action: api.SetTimer) -> None:
+    def set_timer(self, action: messages.SetTimer) -> None:
         self.loop.call_later(action.delay, self.due, action.label, self.clock() + action.delay)
 
     def due(self, label: int, at: float) -> None:
@@ -416,7 +416,7 @@
         if left > 0:
             self.loop.call_later(left + 0.001, self.due, label, at)
         else:
-            self.feed(api.Timer(label))
+            self.feed(messages.Timer(label))
 
     # The end
 
--- a/calicomast/counting/client.py
+++ b/apigateway/counter/client.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from time import monotonic
 
-from calicomast.net.address import Address
+from apigateway.upstream.address import Address
 
 LINES = 4  # connections, so that a part that is slow does not hold up the names of the others
 KEEP_ALIVE = 2.0  # s without a call after which a `ping`, which costs nothing, keeps a connection open
--- a/calicomast/daemon/choice.py
+++ b/apigateway/daemon/choice.py
@@ -1,10 +1,10 @@
-"""What the decision module takes each host's load for, from what, and how old: for `calicomast hosts`."""
+"""What the decision module takes each host's load for, from what, and how old: for `api-gateway hosts`."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from calicomast.policy import REPORT_AGE, Fleet
+from apigateway.policy.gateway import REPORT_AGE, Fleet
 
 
 def taken_for(fleet: Fleet, host: str, now: float) -> dict[str, Any]:
--- a/calicomast/daemon/config.py
+++ b/apigateway/daemon/config.py
@@ -8,15 +8,15 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from calicomast import interface as api
-from calicomast.membership.listing import Listing, read_list
-from calicomast.net.address import Address, read_address
-from calicomast.settings import read_settings, seconds
+from apigateway import messages
+from apigateway.membership.listing import Listing, read_list
+from apigateway.platform_settings import read_settings, seconds
+from apigateway.upstream.address import Address, read_address
 
 if TYPE_CHECKING:
-    from calicomast.membership.belief import Trust
-    from calicomast.membership.eureka.registration import Own
-    from calicomast.membership.eureka.source import Registry
+    from apigateway.membership.belief import Trust
+    from apigateway.membership.eureka.registration import Own
+    from apigateway.membership.eureka.source import Registry
 
 
 # s: the platform's SIGKILL comes no sooner after SIGTERM than the longest deadline, or LONGEST where that is
@@ -38,7 +38,7 @@
     memory: int  # bytes past which the process is killed
     sockets: int  # file descriptors that the process may hold
     known: Listing  # the hosts as this gateway last had them; it may be old
-    settings: api.Settings
+    settings: messages.Settings
     connect_timeout: float
     idle_close: float  # hosts close a connection that has stood idle for this long
     max_open: int  # requests in work at once
--- a/calicomast/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -11,25 +11,25 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any, Protocol
 
-from calicomast import interface as api
-from calicomast.core.life import Clock, Core
-from calicomast.counting.client import Counter
-from calicomast.daemon.config import Config
-from calicomast.fronts.resp.front import RespFront
-from calicomast.membership.discovery import Discovery
-from calicomast.membership.listing import Listing
-from calicomast.membership.watch_schedule import WatchSchedule
-from calicomast.net.address import Address, write_address
-from calicomast.net.hosts import Hosts
-from calicomast.policy import Gateway
+from apigateway import messages
+from apigateway.core.request_lifecycle import Clock, Core
+from apigateway.counter.client import Counter
+from apigateway.daemon.config import Config
+from apigateway.frontends.resp.front import RespFront
+from apigateway.membership.discovery import Discovery
+from apigateway.membership.listing import Listing
+from apigateway.membership.watch_schedule import WatchSchedule
+from apigateway.policy import Gateway
+from apigateway.upstream.address import Address, write_address
+from apigateway.upstream.hosts import Hosts
 
 if TYPE_CHECKING:
-    from calicomast.core.door import Door
-    from calicomast.daemon.ratelimit import Built, RateLimits
-    from calicomast.fronts.grpc.front import GrpcFront
-    from calicomast.hooks.live import Hooks as Plugins
-    from calicomast.membership.judge import Judge
-    from calicomast.overload import Gate
+    from apigateway.core.admission import Door
+    from apigateway.daemon.ratelimit import Built, RateLimits
+    from apigateway.frontends.grpc.front import GrpcFront
+    from apigateway.membership.judge import Judge
+    from apigateway.plugins.live import Hooks as Plugins
+    from apigateway.policy.overload_gate import Gate
 
 OWN_MEMORY = 40 * 1024 * 1024  # bytes that the program takes itself, with some to spare
 LEAST_HELD = 4 * 1024 * 1024  # bytes of bodies, and as many of half commands, that there is always room for
@@ -93,7 +93,7 @@
         return Gateway(self.config.settings, self.config.seed, self.clock())
 
     def made(self, built: Built) -> RateLimits:
-        module = importlib.import_module("calicomast.daemon.ratelimit")  # only where settings want it
+        module = importlib.import_module("apigateway.daemon.ratelimit")  # only where settings want it
         limits: RateLimits = module.RateLimits(self, built)
         return limits
 
@@ -115,8 +115,8 @@
     def door(self, config: Config) -> Door | None:
         if config.overload is None:
             return None
-        from calicomast.core.door import Door
-        from calicomast.overload import Gate
+        from apigateway.core.admission import Door
+        from apigateway.policy.overload_gate import Gate
 
         limits = config.settings.limits
         terms = (*config.overload, limits.max_retry_after if limits.retry_after else 0.0)
@@ -132,12 +132,12 @@
 
     def source(self, config: Config, version: int) -> Source:
         if config.hosts_file is not None:
-            from calicomast.membership.file import HostsInFile  # the platform's `run` does without
+            from apigateway.membership.file import HostsInFile  # the platform's `run` does without
 
             return HostsInFile(config.hosts_file, self.listed, self.core.list_failed)
         belief = getattr(getattr(self, "discovery", None), "belief", None)  # goes on, with its doubts and age
         if config.discovery is None:
-            from calicomast.membership.eureka.source import EurekaSource, resolve
+            from apigateway.membership.eureka.source import EurekaSource, resolve
 
             assert config.registry is not None
             own = {config.listen, *config.more}
@@ -152,7 +152,7 @@
         else:
             schedule = WatchSchedule.for_agent(config.settings.rules.drain_grace)
         if config.trust is not None:
-            from calicomast.membership.judge import Judge
+            from apigateway.membership.judge import Judge
 
             judge = Judge(config.trust, self.listing, self.listed, self.core.clock, belief)
             return JudgedDiscovery(config.discovery, version, judge, self.core.list_failed, schedule)
@@ -169,7 +169,7 @@
 
     def leave(self, zones: tuple[str, ...]) -> None:
         """Nothing new goes to hosts of these zones from now on, as long as there are others."""
-        self.core.feed(api.Leave(zones))
+        self.core.feed(messages.Leave(zones))
         known = {host.zone for host in self.listing.hosts.hosts}
         if known and known <= set(zones):
             log.warning("sites.leave names all zones of the list (%s): none is left", " ".join(sorted(known)))
@@ -275,7 +275,7 @@
     # What it believes
 
     def hosts_believed(self) -> dict[str, Any]:
-        """For `calicomast hosts`. Times in seconds."""
+        """For `api-gateway hosts`. Times in seconds."""
         belief = getattr(self.discovery, "belief", None)
         if belief is not None:
             age = self.core.clock() - belief.heard_at
@@ -285,7 +285,7 @@
             age = time.monotonic() - self.listed_at
             hosts = [described(host, self.listing.addresses.get(host.id))
                      for host in self.listing.hosts.hosts]
-        from calicomast.daemon.choice import taken_for  # only who is asked needs it
+        from apigateway.daemon.choice import taken_for  # only who is asked needs it
 
         told = {"source": self.source_name(), "age": age if age < float("inf") else None, "hosts": hosts}
         if isinstance(self.core.module, Gateway):
@@ -297,11 +297,11 @@
         return told
 
     def plugins_told(self) -> dict[str, Any]:
-        """For `calicomast plugin status`."""
+        """For `api-gateway plugin status`."""
         return self.plugins.told() if self.plugins is not None else {"plugins": [], "records": None}
 
     def limits_told(self) -> dict[str, Any]:
-        """For `calicomast ratelimit status`."""
+        """For `api-gateway ratelimit status`."""
         return self.limits.told() if self.limits is not None else {"listeners": [], "tokens": None,
                                                                    "outer": None}
 
@@ -318,11 +318,11 @@
         stores fill no further: from now on the successor's do."""
         for front in self.fronts:
             front.pause()
-        self.core.feed(api.Retire(True))
+        self.core.feed(messages.Retire(True))
 
     async def resume(self, sockets: Mapping[Address, socket.socket]) -> None:
         """The successor failed: goes on as before."""
-        self.core.feed(api.Retire(False))
+        self.core.feed(messages.Retire(False))
         await self.listen(sockets)
 
     def begin(self, listing: Listing) -> None:
@@ -339,7 +339,7 @@
         if judge is not None:  # through its belief, or what it tells later would not be a change
             judge.drain(h.id for h in late)
         else:
-            self.listed(Listing(api.HostList("delta", self.listing.hosts.version, tuple(late)), {}))
+            self.listed(Listing(messages.HostList("delta", self.listing.hosts.version, tuple(late)), {}))
         self.discovery.fetch()
 
     # The end
@@ -401,7 +401,7 @@
         await super().close()
 
 
-def described(host: api.Host, address: Address | None, doubt: str = "",
+def described(host: messages.Host, address: Address | None, doubt: str = "",
               since: float | None = None) -> dict[str, Any]:
     return {"id": host.id, "address": write_address(address) if address else "", "zone": host.zone,
             "cell": host.cell,
@@ -416,7 +416,7 @@
     hosts = {h.id: h for h in old.hosts.hosts} | {h.id: h for h in new.hosts.hosts}
     kept = tuple(h for h in hosts.values() if h.state != "down")
     addresses = {**old.addresses, **new.addresses}
-    return Listing(api.HostList("full", new.hosts.version, kept),
+    return Listing(messages.HostList("full", new.hosts.version, kept),
                    {h.id: addresses[h.id] for h in kept if h.id in addresses})
 
 
--- a/calicomast/daemon/platform.py
+++ b/apigateway/daemon/platform.py
@@ -1,4 +1,4 @@
-"""One gateway as the platform runs it: `python -m calicomast.net`, RELAY_CONFIG names its configuration."""
+"""One gateway as the platform runs it: `python -m apigateway.daemon`, RELAY_CONFIG names its configuration."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 import uvloop
 
-from calicomast.daemon import early
-from calicomast.daemon.config import Config, ConfigError, read_config
-from calicomast.daemon.logs import start_log
-from calicomast.daemon.node import GatewayNode
+from apigateway.daemon import pending_signals
+from apigateway.daemon.config import Config, ConfigError, read_config
+from apigateway.daemon.logs import start_log
+from apigateway.daemon.node import GatewayNode
 
 
 async def serve(config: Config) -> None:
@@ -26,7 +26,7 @@
     port = await node.start()
     gc.freeze()  # what the start made stays for good: no collection need look at it again
     logging.getLogger(__name__).info("%s listens on %s:%d", config.name, config.listen[0], port)
-    if early.told_to_reload():
+    if pending_signals.told_to_reload():
         reload(node)
     await told.wait()
     await node.stop()
@@ -45,6 +45,6 @@
     try:
         uvloop.run(serve(read_config()))
     except (ConfigError, OSError) as err:
-        print(f"calicomast: {err}", file=sys.stderr)
+        print(f"api-gateway: {err}", file=sys.stderr)
         return 2
     return 0
--- a/calicomast/daemon/plugins.py
+++ b/apigateway/daemon/plugins.py
@@ -8,15 +8,15 @@
 import os
 from dataclasses import dataclass
 
-from calicomast import interface as api
-from calicomast.checked import Fault, Faulty
-from calicomast.daemon.node import GatewayNode
-from calicomast.daemon.settings import Settings
-from calicomast.hooks.live import Hooks, SwapRefused
-from calicomast.hooks.load import Place, load
-from calicomast.hooks.records import Recorder
-from calicomast.hooks.settings import RecordsPart
-from calicomast.hooks.version import Version
+from apigateway import messages
+from apigateway.config_validation import Fault, Faulty
+from apigateway.daemon.node import GatewayNode
+from apigateway.daemon.settings import Settings
+from apigateway.plugins.live import Hooks, SwapRefused
+from apigateway.plugins.load import Place, load
+from apigateway.plugins.records import Recorder
+from apigateway.plugins.settings import RecordsPart
+from apigateway.plugins.version import Version
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
     return bool(settings.plugins or settings.records.file)
 
 
-def build(path: str, settings: Settings, module: api.Settings, old: Hooks | None = None,
+def build(path: str, settings: Settings, module: messages.Settings, old: Hooks | None = None,
           records: RecordsPart | None = None) -> Built:
     """`records`: as they were, with `old`. Raises Faulty; nothing of the new is left then."""
     place = Place(path, module, settings.gateway.seed)
@@ -62,7 +62,7 @@
     return "; ".join(parts)
 
 
-def check(path: str, settings: Settings, module: api.Settings) -> None:
+def check(path: str, settings: Settings, module: messages.Settings) -> None:
     """Loads and proves all, and lets it go again. Raises Faulty."""
     load(settings.plugins, settings.hooks, Place(path, module, settings.gateway.seed)).close()
 
--- a/calicomast/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -11,18 +11,18 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from calicomast.checked import Fault, Faulty
-from calicomast.daemon.config import Config
-from calicomast.daemon.settings import Settings, mapping_of
-from calicomast.fronts.grpc.mapping import Mapping
-from calicomast.fronts.grpc.tokens import Keys, Redeemed, Tokens, rotated
-from calicomast.net.address import Address, read_address
+from apigateway.config_validation import Fault, Faulty
+from apigateway.daemon.config import Config
+from apigateway.daemon.settings import Settings, mapping_of
+from apigateway.frontends.grpc.mapping import Mapping
+from apigateway.frontends.grpc.tokens import Keys, Redeemed, Tokens, rotated
+from apigateway.upstream.address import Address, read_address
 
 if TYPE_CHECKING:
-    from calicomast.asking.outer import Asked, Outer
-    from calicomast.daemon.node import GatewayNode
-    from calicomast.fronts.grpc.front import GrpcFront
-    from calicomast.fronts.grpc.settings import RateLimitPart
+    from apigateway.daemon.node import GatewayNode
+    from apigateway.external_ratelimit.outer import Asked, Outer
+    from apigateway.frontends.grpc.front import GrpcFront
+    from apigateway.frontends.grpc.settings import RateLimitPart
 
 MOST_KEY = 4096  # bytes of a file with a key for tokens
 LEAST_KEY = 16
@@ -151,8 +151,8 @@
     part = settings.ask
     if not part.address:
         return None
-    from calicomast.asking.choice import Terms
-    from calicomast.asking.outer import Asked
+    from apigateway.external_ratelimit.choice import Terms
+    from apigateway.external_ratelimit.outer import Asked
 
     context, before = None, len(files.digests)
     if part.tls.on:
@@ -222,7 +222,7 @@
                 self.outer.close()
             self.outer = None
         elif self.outer is None:
-            from calicomast.asking.outer import Outer
+            from apigateway.external_ratelimit.outer import Outer
 
             self.outer = Outer(built.asked, node.config.name)
         else:
@@ -240,7 +240,7 @@
         self.fronts = [served for served in self.fronts if served.front is not front]
 
     def told(self) -> dict[str, Any]:
-        """For `calicomast ratelimit status`."""
+        """For `api-gateway ratelimit status`."""
         return {"listeners": [served.told() for served in self.fronts],
                 "tokens": dict(self.tokens.counts) if self.tokens is not None else None,
                 "outer": self.outer.told() if self.outer is not None else None}
@@ -254,11 +254,11 @@
     """One listener with its services."""
 
     def __init__(self, node: GatewayNode, address: Address, most: int, most_partial: int) -> None:
-        from calicomast.fronts.grpc.front import GrpcFront
-        from calicomast.fronts.grpc.health import Health
-        from calicomast.fronts.grpc.mapping import Mapping
-        from calicomast.fronts.grpc.reflection import Reflection
-        from calicomast.fronts.grpc.service import METHOD, NAME, RateLimit, Terms
+        from apigateway.frontends.grpc.front import GrpcFront
+        from apigateway.frontends.grpc.health import Health
+        from apigateway.frontends.grpc.mapping import Mapping
+        from apigateway.frontends.grpc.reflection import Reflection
+        from apigateway.frontends.grpc.service import METHOD, NAME, RateLimit, Terms
 
         self.node, core = node, node.core
         self.front = GrpcFront(core, address, most, most_partial)
@@ -271,7 +271,7 @@
                   {**self.health.streams(), **reflection.streams()})
 
     def take_up(self, built: Built, tokens: Tokens | None) -> None:
-        from calicomast.fronts.grpc.service import Terms
+        from apigateway.frontends.grpc.service import Terms
 
         part = built.part
         self.service.terms = Terms(built.mapping, part.patience, part.unmapped, part.override,
--- a/calicomast/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -1,4 +1,4 @@
-"""`calicomast serve`: a gateway from our own settings file, its start, reloads, hand-over and end."""
+"""`api-gateway serve`: a gateway from our own settings file, its start, reloads, hand-over and end."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 import msgspec
 import uvloop
 
-from calicomast.checked import Faulty
-from calicomast.daemon import early
-from calicomast.daemon.config import Config, ConfigError, read_config
-from calicomast.daemon.handover import Busy, HandOverFailed, Heir, Keeper
-from calicomast.daemon.lock import Lock, Locked
-from calicomast.daemon.logs import Seldom, start_log
-from calicomast.daemon.node import GatewayNode, Source
-from calicomast.daemon.notify import Notifier
-from calicomast.daemon.settings import Settings, changed, read_settings, taken_up, to_config
-from calicomast.daemon.sockets import bind, named, passed
-from calicomast.daemon.workers import given, own_share, shared, supervise
-from calicomast.fronts.resp.front import RespFront
-from calicomast.membership.listing import read_list, write_list
-from calicomast.net.address import Address, read_address, write_address
+from apigateway.config_validation import Faulty
+from apigateway.daemon import pending_signals
+from apigateway.daemon.config import Config, ConfigError, read_config
+from apigateway.daemon.handover import Busy, HandOverFailed, Heir, Keeper
+from apigateway.daemon.lock import Lock, Locked
+from apigateway.daemon.logs import Seldom, start_log
+from apigateway.daemon.node import GatewayNode, Source
+from apigateway.daemon.notify import Notifier
+from apigateway.daemon.settings import Settings, changed, read_settings, taken_up, to_config
+from apigateway.daemon.sockets import bind, named, passed
+from apigateway.daemon.workers import given, own_share, shared, supervise
+from apigateway.frontends.resp.front import RespFront
+from apigateway.membership.listing import read_list, write_list
+from apigateway.upstream.address import Address, read_address, write_address
 
 if TYPE_CHECKING:
-    from calicomast.daemon.ratelimit import Built
-    from calicomast.fronts.grpc.front import GrpcFront
-    from calicomast.membership.eureka.registration import Registration
+    from apigateway.daemon.ratelimit import Built
+    from apigateway.frontends.grpc.front import GrpcFront
+    from apigateway.membership.eureka.registration import Registration
 
 OK, FAILED, UNUSABLE, TRY_AGAIN = 0, 1, 2, 75  # exit codes; the last as in sysexits.h
 # s that a successor waits for a line to the counter; a counter that is away stops no hand-over
@@ -97,7 +97,7 @@
         self.loop.add_signal_handler(signal.SIGHUP, self.hup)
         try:
             if await self.start(take_over):  # else it was told to stop before it served
-                if early.told_to_reload():
+                if pending_signals.told_to_reload():
                     self.hup()
                 await self.told.wait()
                 await self.stop()
@@ -129,7 +129,7 @@
             self.plugins().start(self.node, plugins, self.settings.hooks.tick)
         self.node.prepare()
         if self.config.own is not None and self.config.registry is not None:
-            from calicomast.membership.eureka.registration import Registration
+            from apigateway.membership.eureka.registration import Registration
 
             registry = self.config.registry
             self.registration = Registration(registry.urls, self.config.own, registry.user, registry.password,
@@ -166,7 +166,7 @@
     @staticmethod
     def plugins() -> ModuleType:
         """Imported where there are any: a daemon without them holds none of it."""
-        return importlib.import_module("calicomast.daemon.plugins")
+        return importlib.import_module("apigateway.daemon.plugins")
 
     async def build_plugins(self, settings: Settings) -> Any:
         """Loaded and proved beside the loop; None where settings name none. Raises Faulty."""
@@ -181,7 +181,7 @@
         Faulty."""
         if not (config.grpc or settings.ratelimit.token_keys or settings.ask.address):
             return None
-        module = importlib.import_module("calicomast.daemon.ratelimit")
+        module = importlib.import_module("apigateway.daemon.ratelimit")
         built: Built | None = await asyncio.to_thread(module.build, self.path, settings, config)
         return built
 
@@ -251,7 +251,7 @@
         elif hasattr(self, "node"):
             self.reloading = self.loop.create_task(self.reload())
         else:  # the settings were read before
-            early.note()
+            pending_signals.note()
 
     async def reload(self) -> None:
         try:
@@ -335,7 +335,7 @@
             self.node.reload(config)
         reread = ""
         if limits is not None:
-            module = importlib.import_module("calicomast.daemon.ratelimit")
+            module = importlib.import_module("apigateway.daemon.ratelimit")
             reread = module.compared(limits.built, built_limits)
         self.node.swap(config, fronts, gone, source, limits, built_limits)
         for address in gone:
@@ -413,11 +413,11 @@
         return int(uvloop.run(run(settings, config)))
     except (Faulty, ConfigError) as err:
         for line in str(err).splitlines():
-            print(f"calicomast: {line}", file=sys.stderr)
+            print(f"api-gateway: {line}", file=sys.stderr)
         return UNUSABLE
     except Busy as err:
-        print(f"calicomast: {err}; try again", file=sys.stderr)
+        print(f"api-gateway: {err}; try again", file=sys.stderr)
         return TRY_AGAIN
     except (OSError, Locked, HandOverFailed, ValueError) as err:
-        print(f"calicomast: {err}", file=sys.stderr)
+        print(f"api-gateway: {err}", file=sys.stderr)
         return FAILED
--- a/calicomast/daemon/settings.py
+++ b/apigateway/daemon/settings.py
@@ -14,20 +14,20 @@
 
 import msgspec
 
-from calicomast import interface as api
-from calicomast.asking.settings import AskPart
-from calicomast.checked import Faulty, Part, Path, Reader, read_toml
-from calicomast.daemon.config import Config
-from calicomast.fronts.grpc.mapping import TAKEN, BadRule, Mapping, Rule
-from calicomast.fronts.grpc.settings import RateLimitPart, RulePart
-from calicomast.hooks.settings import HooksPart, PluginPart, RecordsPart
-from calicomast.membership.belief import Trust
-from calicomast.membership.file import read_hosts
-from calicomast.membership.listing import Listing
-from calicomast.net.address import Address, read_address
+from apigateway import messages
+from apigateway.config_validation import Faulty, Part, Path, Reader, read_toml
+from apigateway.daemon.config import Config
+from apigateway.external_ratelimit.settings import AskPart
+from apigateway.frontends.grpc.mapping import TAKEN, BadRule, Mapping, Rule
+from apigateway.frontends.grpc.settings import RateLimitPart, RulePart
+from apigateway.membership.belief import Trust
+from apigateway.membership.file import read_hosts
+from apigateway.membership.listing import Listing
+from apigateway.plugins.settings import HooksPart, PluginPart, RecordsPart
+from apigateway.upstream.address import Address, read_address
 
 if TYPE_CHECKING:
-    from calicomast.membership.eureka.source import Registry
+    from apigateway.membership.eureka.source import Registry
 
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=3600)]
 Span = Annotated[float, msgspec.Meta(ge=0, le=3600)]  # s; 0 where it is allowed to be none
@@ -428,14 +428,14 @@
 def to_config(path: str, told: Settings, span: int = 1) -> Config:
     """Reads the file of hosts too, if they come from one. `span`: gateways that clients know as one. Raises
     checked.Faulty."""
-    known, file = Listing(api.HostList("cached", 0, ()), {}), None
+    known, file = Listing(messages.HostList("cached", 0, ()), {}), None
     if told.hosts.source == "file":
         file = os.path.join(os.path.dirname(os.path.abspath(path)), told.hosts.file)
         known = read_hosts(file, "cached")
     listeners = [read_address(listener.address) for listener in told.listeners]
     registry, own = to_registry(told), None
     if told.register.on:
-        from calicomast.membership.eureka.registration import Own
+        from apigateway.membership.eureka.registration import Own
 
         part, port = told.register, listeners[0][1]
         own = Own(part.app, part.id or f"{told.gateway.name}:{port}", part.host_name or part.ip, part.ip,
@@ -458,8 +458,8 @@
 def to_registry(told: Settings) -> Registry | None:
     if told.hosts.source != "eureka" and not told.register.on:
         return None
-    from calicomast.membership.eureka.mapping import Terms
-    from calicomast.membership.eureka.source import Registry
+    from apigateway.membership.eureka.mapping import Terms
+    from apigateway.membership.eureka.source import Registry
 
     part = told.eureka
     terms = Terms(part.zone_key, part.cell_key, part.kind_key, part.weight_key, part.default_zone,
@@ -470,27 +470,27 @@
                     Trust(**msgspec.to_builtins(told.trust)))
 
 
-def to_module(told: Settings) -> api.Settings:
+def to_module(told: Settings) -> messages.Settings:
     """What the decision module is told."""
     limits, rules = told.limits, told.rules
-    return api.Settings(
+    return messages.Settings(
         index=told.gateway.index, gateways=told.gateway.gateways, zone=told.gateway.zone,
-        classes={name: api.ServiceClass(name, c.aim, c.deadline, c.effect, c.scope, c.memory, c.worth, 0.0,
+        classes={name: messages.ServiceClass(name, c.aim, c.deadline, c.effect, c.scope, c.memory, c.worth, 0.0,
                                         False, 0.0)
                  for name, c in told.classes.items()},
-        plans={name: api.Plan(name, p.rate, p.burst, p.open_limit, p.price, p.over_worth, p.over_cost,
+        plans={name: messages.Plan(name, p.rate, p.burst, p.open_limit, p.price, p.over_worth, p.over_cost,
                               p.ceiling_rate,
                               p.ceiling_burst, p.ceiling_slack) for name, p in told.plans.items()},
-        limits=api.Limits(limits.cancel, limits.second_copies, False, False, limits.retry_after,
+        limits=messages.Limits(limits.cancel, limits.second_copies, False, False, limits.retry_after,
                           limits.max_attempts,
                           limits.max_retry_after, limits.connect_timeout),
-        rules=api.Rules(0.0, rules.drain_grace, rules.cold_share, rules.cold_time, rules.fall_multiple,
+        rules=messages.Rules(0.0, rules.drain_grace, rules.cold_share, rules.cold_time, rules.fall_multiple,
                         rules.fall_time, 0.0),
         prices={"cross_zone": told.hosts.cross_zone}, counter=bool(told.counter.address),
         counter_price=told.counter.price, counter_timeout=told.counter.timeout, meter_period=0.0,
         settles=False, most_units=limits.max_units, discovery="push", reports=tuple(told.hosts.reports),
         weights="none", most_accounts=limits.max_customers or room_for_customers(limits),
-        routes={name: api.Route(name, tuple(r.kinds), r.fallback) for name, r in told.routes.items()})
+        routes={name: messages.Route(name, tuple(r.kinds), r.fallback) for name, r in told.routes.items()})
 
 
 # A reload
--- a/calicomast/daemon/sockets.py
+++ b/apigateway/daemon/sockets.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Iterable, Mapping
 
-from calicomast.net.address import Address, write_address
+from apigateway.upstream.address import Address, write_address
 
 FIRST = 3  # descriptor of the first socket that is passed in
 
--- a/calicomast/daemon/workers.py
+++ b/apigateway/daemon/workers.py
@@ -24,15 +24,15 @@
 
 import msgspec
 
-from calicomast.checked import Faulty
-from calicomast.daemon.handover import HandOverFailed, Heir, Keeper
-from calicomast.daemon.inflight import InFlight, size
-from calicomast.daemon.lock import Lock
-from calicomast.daemon.notify import Notifier
-from calicomast.daemon.settings import Settings, read_settings
-from calicomast.daemon.sockets import bind
-from calicomast.daemon.tending import Care, Tended
-from calicomast.net.address import Address, read_address, write_address
+from apigateway.config_validation import Faulty
+from apigateway.daemon.handover import HandOverFailed, Heir, Keeper
+from apigateway.daemon.inflight import InFlight, size
+from apigateway.daemon.lock import Lock
+from apigateway.daemon.notify import Notifier
+from apigateway.daemon.settings import Settings, read_settings
+from apigateway.daemon.sockets import bind
+from apigateway.daemon.tending import Care, Tended
+from apigateway.upstream.address import Address, read_address, write_address
 
 # In the environment: "2/4"; descriptors "5,6"; the marks (inflight.py): their descriptor, the first of the
 # regions of these workers, how many regions there are, "7,0,4".
@@ -137,7 +137,7 @@
         for name in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(name, self.told.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.hup)
-        folder = tempfile.mkdtemp(prefix="calicomast-")
+        folder = tempfile.mkdtemp(prefix="apigateway-")
         try:
             state = self.settings.daemon.state
             if self.take_over:
@@ -150,7 +150,7 @@
                     if address not in self.sockets:
                         self.sockets[address] = bind(address)
                 if self.marks < 0:
-                    self.marks = os.memfd_create("calicomast-marks", os.MFD_CLOEXEC)
+                    self.marks = os.memfd_create("apigateway-in-flight", os.MFD_CLOEXEC)
                 self.regions = max(self.regions, self.base + self.count)
                 os.ftruncate(self.marks, size(self.regions))
             now = self.loop.time()
@@ -295,7 +295,7 @@
         worker.killed = False
         worker.tended.started(self.loop.time())
         worker.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "calicomast", "serve", self.path, *(["--take-over"] if take_over else []),
+            sys.executable, "-m", "apigateway", "serve", self.path, *(["--take-over"] if take_over else []),
             env=environment,
             pass_fds=numbers + ([self.marks] if self.marks >= 0 else []))
         wait = self.loop.create_task(self.wait(worker, worker.process))
--- a/calicomast/standins/checks.py
+++ b/apigateway/emulators/checks.py
@@ -11,8 +11,8 @@
 import grpc
 from envoy.service.ratelimit.v3 import rls_pb2 as pb
 
-from calicomast.standins.clients import Customer
-from calicomast.standins.ledger import Ledger
+from apigateway.emulators.clients import Customer
+from apigateway.emulators.ledger import Ledger
 
 METHOD = "/envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit"
 OK, OVER = pb.RateLimitResponse.OK, pb.RateLimitResponse.OVER_LIMIT
--- a/calicomast/standins/counter.py
+++ b/apigateway/emulators/counter.py
@@ -5,8 +5,8 @@
 import asyncio
 import time
 
-from calicomast.standins.listener import Listener
-from calicomast.standins.script import Script
+from apigateway.emulators.listener import Listener
+from apigateway.emulators.script import Script
 
 MOST_LIFE = 60.0  # s
 
--- a/calicomast/standins/crowd.py
+++ b/apigateway/emulators/crowd.py
@@ -10,11 +10,11 @@
 from types import TracebackType
 from typing import Any, Self
 
-from calicomast.standins.clients import Client, Customer, Traffic
-from calicomast.standins.fleet import Fleet, Gateway, Shape
-from calicomast.standins.hosts import Command, StandInHost
-from calicomast.standins.ledger import Verdict
-from calicomast.standins.relay import Links
+from apigateway.emulators.clients import Client, Customer, Traffic
+from apigateway.emulators.fleet import Fleet, Gateway, Shape
+from apigateway.emulators.hosts import Command, StandInHost
+from apigateway.emulators.ledger import Verdict
+from apigateway.emulators.relay import Links
 
 LOOK = 0.05  # s between two looks at what hosts hold
 STEP = 0.01  # s between two looks at whether something has come about
--- a/calicomast/standins/discovery.py
+++ b/apigateway/emulators/discovery.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from calicomast.standins.ledger import Ledger
+from apigateway.emulators.ledger import Ledger
 
 Entry = dict[str, Any]
 
--- a/calicomast/standins/eureka.py
+++ b/apigateway/emulators/eureka.py
@@ -16,8 +16,8 @@
 
 from aiohttp import web
 
-from calicomast.standins.ledger import Ledger
-from calicomast.standins.script import Script
+from apigateway.emulators.ledger import Ledger
+from apigateway.emulators.script import Script
 
 Told = dict[str, Any]
 PORT_KEYS = ("port", "securePort")
--- a/calicomast/standins/fleet.py
+++ b/apigateway/emulators/fleet.py
@@ -12,14 +12,14 @@
 from pathlib import Path
 from typing import Any, Self
 
-from calicomast.standins.clients import Kind as Used
-from calicomast.standins.counter import StandInCounter
-from calicomast.standins.discovery import StandInDiscovery
-from calicomast.standins.eureka import StandInEureka, instance
-from calicomast.standins.hosts import Command, StandInHost, fields
-from calicomast.standins.ledger import Ceiling, Kind, Ledger, Terms
-from calicomast.standins.ports import free_port
-from calicomast.standins.relay import Links
+from apigateway.emulators.clients import Kind as Used
+from apigateway.emulators.counter import StandInCounter
+from apigateway.emulators.discovery import StandInDiscovery
+from apigateway.emulators.eureka import StandInEureka, instance
+from apigateway.emulators.hosts import Command, StandInHost, fields
+from apigateway.emulators.ledger import Ceiling, Kind, Ledger, Terms
+from apigateway.emulators.ports import free_port
+from apigateway.emulators.relay import Links
 
 UNKNOWN_WORK = 0.05  # s of a request whose class the shape does not know
 READY_WAIT = 20.0  # s for a gateway to say that it listens
@@ -133,7 +133,7 @@
         self.listens.clear()
         environment["PYTHONPATH"] = os.pathsep.join([str(root), environment.get("PYTHONPATH", "")])
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "calicomast", "serve", str(self.file), *arguments,
+            sys.executable, "-m", "apigateway", "serve", str(self.file), *arguments,
             stderr=asyncio.subprocess.PIPE, env=environment)
         self.reading = asyncio.get_running_loop().create_task(self.read(self.process))
         try:
--- a/calicomast/standins/hosts.py
+++ b/apigateway/emulators/hosts.py
@@ -10,9 +10,9 @@
 
 import hiredis
 
-from calicomast.standins.ledger import Ledger
-from calicomast.standins.listener import Listener
-from calicomast.standins.script import Script, Step
+from apigateway.emulators.ledger import Ledger
+from apigateway.emulators.listener import Listener
+from apigateway.emulators.script import Script, Step
 
 VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 BUSY = b"-BUSY\r\n"
--- a/calicomast/standins/ratelimit.py
+++ b/apigateway/emulators/ratelimit.py
@@ -17,8 +17,8 @@
 from envoy.service.ratelimit.v3 import rls_pb2 as pb
 from hyperframe.frame import GoAwayFrame
 
-from calicomast.standins.listener import Listener
-from calicomast.standins.script import Script, Step
+from apigateway.emulators.listener import Listener
+from apigateway.emulators.script import Script, Step
 
 OK, OVER = pb.RateLimitResponse.OK, pb.RateLimitResponse.OVER_LIMIT
 LAST = 2 ** 31 - 1
--- a/calicomast/asking/client.py
+++ b/apigateway/external_ratelimit/client.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 from time import monotonic
 
-from calicomast.asking.wire import ClientSession, Over
-from calicomast.net.address import Address, write_address
-from calicomast.net.rpc import DEADLINE_EXCEEDED, RESOURCE_EXHAUSTED, UNAVAILABLE
+from apigateway.external_ratelimit.wire import ClientSession, Over
+from apigateway.upstream.address import Address, write_address
+from apigateway.upstream.rpc import DEADLINE_EXCEEDED, RESOURCE_EXHAUSTED, UNAVAILABLE
 
 CONNECT = 1.0  # s for a connection, TLS included
 PAUSE, MOST_PAUSE = 0.05, 5.0  # s between tries of one
--- a/calicomast/asking/outer.py
+++ b/apigateway/external_ratelimit/outer.py
@@ -17,11 +17,11 @@
 
 from envoy.service.ratelimit.v3 import rls_pb2 as pb
 
-from calicomast import interface as api
-from calicomast.asking.choice import Ask, Choice, Terms
-from calicomast.asking.client import Channel, Question
-from calicomast.net.address import Address, write_address
-from calicomast.net.rpc import NAMES, OK
+from apigateway import messages
+from apigateway.external_ratelimit.choice import Ask, Choice, Terms
+from apigateway.external_ratelimit.client import Channel, Question
+from apigateway.upstream.address import Address, write_address
+from apigateway.upstream.rpc import NAMES, OK
 
 METHOD = "/envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit"
 TAKEN = re.compile(r"\{([^{}]*)\}")
@@ -53,7 +53,7 @@
 class Waiting:
     """One request, until it is decided."""
 
-    request: api.Request
+    request: messages.Request
     ask: Ask
     decided: Decided
     batch: Batch | None = None
@@ -91,10 +91,10 @@
 
     # core.ports.Outer
 
-    def wanted(self, request: api.Request) -> bool:
+    def wanted(self, request: messages.Request) -> bool:
         return self.choice.wanted(request.plan, request.cls)
 
-    def ask(self, request: api.Request, left: float, decided: Decided) -> Waiting | None:
+    def ask(self, request: messages.Request, left: float, decided: Decided) -> Waiting | None:
         """`decided` is called once, and never before this returned, unless it is called off. None: nobody is
         asked, and it was called already."""
         told = self.choice.choose(monotonic(), left)
@@ -139,7 +139,7 @@
             self.counts["questions"] += 1
             batch.question = self.channel.ask(METHOD, request.SerializeToString(), timeout, told)
 
-    def describe(self, request: Any, one: api.Request) -> None:
+    def describe(self, request: Any, one: messages.Request) -> None:
         values = {"customer": one.customer, "plan": one.plan, "class": one.cls, "units": f"{one.units:g}",
                   "gateway": self.gateway}
         descriptor = request.descriptors.add()
@@ -204,7 +204,7 @@
                 log.warning("the outer service at %s fails (%s): %s", where, self.last, mode)
 
     def told(self) -> dict[str, Any]:
-        """For `calicomast ratelimit status`."""
+        """For `api-gateway ratelimit status`."""
         return {"address": write_address(self.asked.address), "state": self.choice.state,
                 "failing": self.asked.terms.failing, "out": self.choice.out, "turns": self.choice.turns,
                 "last": self.last if self.choice.state != "well" else "", "counts": dict(self.counts)}
@@ -220,7 +220,7 @@
         log.exception("request %s: what it was told could not be taken", waiting.request.id)
 
 
-def hits(request: api.Request) -> int:
+def hits(request: messages.Request) -> int:
     """Whole hits of a request's units: what is begun counts."""
     return max(1, math.ceil(request.units))
 
--- a/calicomast/asking/settings.py
+++ b/apigateway/external_ratelimit/settings.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from calicomast.checked import Part
+from apigateway.config_validation import Part
 
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=3600)]
 Entry = Annotated[str, msgspec.Meta(pattern=r"^[^=]+=.+$", max_length=256)]
--- a/calicomast/asking/wire.py
+++ b/apigateway/external_ratelimit/wire.py
@@ -14,7 +14,7 @@
 import h2.exceptions
 import h2.settings
 
-from calicomast.net.rpc import (
+from apigateway.upstream.rpc import (
     INTERNAL,
     OK,
     UNAVAILABLE,
--- a/calicomast/fronts/grpc/front.py
+++ b/apigateway/frontends/grpc/front.py
@@ -11,11 +11,11 @@
 from time import monotonic
 from typing import Protocol
 
-from calicomast.core.life import Core
-from calicomast.fronts.grpc.wire import Call, Event, Gone, Heard, Opened, Session
-from calicomast.net import looks
-from calicomast.net.address import Address
-from calicomast.net.rpc import INTERNAL, UNAVAILABLE, UNIMPLEMENTED
+from apigateway.core.request_lifecycle import Core
+from apigateway.frontends.grpc.wire import Call, Event, Gone, Heard, Opened, Session
+from apigateway.upstream import looks
+from apigateway.upstream.address import Address
+from apigateway.upstream.rpc import INTERNAL, UNAVAILABLE, UNIMPLEMENTED
 
 IDLE = 120.0  # s without a call after which a connection is closed
 ENDING = 0.5  # s that a client has to close a connection that has come to its end
--- a/calicomast/fronts/grpc/health.py
+++ b/apigateway/frontends/grpc/health.py
@@ -7,8 +7,8 @@
 
 from grpc_health.v1 import health_pb2 as pb
 
-from calicomast.fronts.grpc.front import Flow, Method, Streams
-from calicomast.net.rpc import INTERNAL, NOT_FOUND
+from apigateway.frontends.grpc.front import Flow, Method, Streams
+from apigateway.upstream.rpc import INTERNAL, NOT_FOUND
 
 CHECK, WATCH, LIST = (f"/grpc.health.v1.Health/{name}" for name in ("Check", "Watch", "List"))
 SERVING, NOT_SERVING = pb.HealthCheckResponse.SERVING, pb.HealthCheckResponse.NOT_SERVING
--- a/calicomast/fronts/grpc/reflection.py
+++ b/apigateway/frontends/grpc/reflection.py
@@ -9,8 +9,8 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, text_format
 from grpc_reflection.v1alpha import reflection_pb2 as pb
 
-from calicomast.fronts.grpc.front import Flow, Streams
-from calicomast.net.rpc import INTERNAL, NOT_FOUND, UNIMPLEMENTED
+from apigateway.frontends.grpc.front import Flow, Streams
+from apigateway.upstream.rpc import INTERNAL, NOT_FOUND, UNIMPLEMENTED
 
 PATHS = tuple(f"/grpc.reflection.{v}.ServerReflection/ServerReflectionInfo" for v in ("v1", "v1alpha"))
 V1, ALPHA = "grpc.reflection.v1", "grpc.reflection.v1alpha"
--- a/calicomast/fronts/grpc/service.py
+++ b/apigateway/frontends/grpc/service.py
@@ -16,11 +16,11 @@
 
 from envoy.service.ratelimit.v3 import rls_pb2 as pb
 
-from calicomast import interface as api
-from calicomast.core.life import WAY_BACK, Core, InWork
-from calicomast.fronts.grpc.mapping import Mapping, Whose
-from calicomast.fronts.grpc.tokens import Purpose, Tokens
-from calicomast.net.rpc import (
+from apigateway import messages
+from apigateway.core.request_lifecycle import WAY_BACK, Core, InWork
+from apigateway.frontends.grpc.mapping import Mapping, Whose
+from apigateway.frontends.grpc.tokens import Purpose, Tokens
+from apigateway.upstream.rpc import (
     FAILED_PRECONDITION,
     INTERNAL,
     INVALID_ARGUMENT,
@@ -63,7 +63,7 @@
 
 
 @functools.lru_cache(maxsize=1024)  # a plan's, or of a limit that descriptors bring
-def limit_told(plan: api.Plan) -> Any:
+def limit_told(plan: messages.Plan) -> Any:
     """A plan's rate as so many requests a unit of time: the shortest in which it is whole, nearly."""
     limit = UNIT(name=plan.name)
     for unit, seconds in UNITS:
@@ -74,7 +74,7 @@
     return limit
 
 
-def own_plan(plan: api.Plan, hits: int, seconds: float) -> api.Plan:
+def own_plan(plan: messages.Plan, hits: int, seconds: float) -> messages.Plan:
     """A plan for the limit that a descriptor brings, `hits` in so many seconds. Where the unit is long what
     may come at once is less, so that its window is one that the counter knows to its end. A limit of none
     is a store into which nothing fits."""
@@ -89,19 +89,19 @@
 
     __slots__ = ("question", "token", "check", "plan", "worth", "told")
 
-    def __init__(self, question: Question, check: api.Check, plan: api.Plan, worth: float) -> None:
+    def __init__(self, question: Question, check: messages.Check, plan: messages.Plan, worth: float) -> None:
         self.question, self.check, self.plan, self.worth = question, check, plan, worth
         self.token: Any = None
-        self.told: api.Granted | api.Denied | str | None = None
+        self.told: messages.Granted | messages.Denied | str | None = None
 
-    def answer(self, told: api.Granted | api.Denied | str) -> None:
+    def answer(self, told: messages.Granted | messages.Denied | str) -> None:
         self.told = told
         self.question.one_more()
 
-    def granted(self, told: api.Granted) -> None:
+    def granted(self, told: messages.Granted) -> None:
         self.answer(told)
 
-    def denied(self, told: api.Denied) -> None:
+    def denied(self, told: messages.Denied) -> None:
         self.answer(told)
 
     def refused(self, wait: float) -> None:
@@ -115,9 +115,9 @@
 
     @property
     def code(self) -> Code:
-        if isinstance(self.told, api.Granted):
+        if isinstance(self.told, messages.Granted):
             return OK
-        return OVER if isinstance(self.told, api.Denied) and self.told.over else UNKNOWN
+        return OVER if isinstance(self.told, messages.Denied) and self.told.over else UNKNOWN
 
 
 class Question:
@@ -161,7 +161,7 @@
     def give_back(self) -> None:
         for parts in self.parts:
             for part in parts:
-                if isinstance(part.told, api.Granted):
+                if isinstance(part.told, messages.Granted):
                     self.service.core.give_back(part.check, part.told)
 
     def tell(self) -> None:
@@ -189,7 +189,7 @@
                 describe(status, parts)
         if overall == OVER:
             waits = [part.told.retry_after for parts in self.parts for part in parts
-                     if isinstance(part.told, api.Denied) and part.told.over]
+                     if isinstance(part.told, messages.Denied) and part.told.over]
             if waits and max(waits) > 0:
                 response.response_headers_to_add.add(key=WAIT_HEADER, value=str(math.ceil(max(waits) * 1000)))
         elif service.terms.tokens is not None:
@@ -200,7 +200,7 @@
         given = []
         for parts in self.parts:
             check = parts[-1].check if parts else None
-            if isinstance(check, api.Reserve) and check.units > 0:
+            if isinstance(check, messages.Reserve) and check.units > 0:
                 given.append(tokens.give(Purpose(check.customer, check.plan, check.cls, check.units)))
                 response.response_headers_to_add.add(key=TOKEN_HEADER, value=given[-1])
             else:
@@ -214,10 +214,10 @@
 
 def describe(status: Any, parts: tuple[Part, ...]) -> None:
     """The limit that leaves least, of those that a descriptor was checked by."""
-    least: tuple[float, Part, api.Granted | api.Denied] | None = None
+    least: tuple[float, Part, messages.Granted | messages.Denied] | None = None
     for part in parts:
         told = part.told
-        if part.plan.rate and isinstance(told, api.Granted | api.Denied):
+        if part.plan.rate and isinstance(told, messages.Granted | messages.Denied):
             left = told.remaining / part.worth
             if least is None or left < least[0]:
                 least = left, part, told
@@ -299,7 +299,7 @@
         failed(status, text)
 
     def part(self, question: Question, whose: Whose, left: float, hits: int) -> Part:
-        kind = api.Reserve if whose.token and self.terms.tokens is not None else api.Check
+        kind = messages.Reserve if whose.token and self.terms.tokens is not None else messages.Check
         check = kind(next(self.ids), left, whose.customer, whose.plan, whose.cls, hits * whose.units,
                      whose.first, whose.spread)
         return Part(question, check, self.core.settings.plans[whose.plan], whose.units)
@@ -309,7 +309,7 @@
         """The check of a limit that the descriptor brings: a store of its own, by the same leases. It counts
         hits, whatever they are worth."""
         plan = own_plan(self.core.settings.plans[whose.plan], most, seconds)
-        check = api.Limited(next(self.ids), left, f"{whose.customer}/{most}/{seconds}", whose.plan, whose.cls,
+        check = messages.Limited(next(self.ids), left, f"{whose.customer}/{most}/{seconds}", whose.plan, whose.cls,
                             float(hits), whose.first, whose.spread, limit=plan)
         return Part(question, check, plan, 1.0)
 
--- a/calicomast/fronts/grpc/wire.py
+++ b/apigateway/frontends/grpc/wire.py
@@ -19,7 +19,7 @@
 import h2.settings
 from hyperframe.frame import GoAwayFrame, PingFrame
 
-from calicomast.net.rpc import (
+from apigateway.upstream.rpc import (
     RESOURCE_EXHAUSTED,
     UNIMPLEMENTED,
     Messages,
--- a/calicomast/fronts/resp/command.py
+++ b/apigateway/frontends/resp/command.py
@@ -8,9 +8,9 @@
 import re
 from typing import NamedTuple
 
-from calicomast import interface as api
-from calicomast.core.life import MOST_LEFT, WAY_BACK
-from calicomast.net.framing import MOST_BODY, bulk
+from apigateway import messages
+from apigateway.core.request_lifecycle import MOST_LEFT, WAY_BACK
+from apigateway.upstream.framing import MOST_BODY, bulk
 
 # The protocol's forms: int() and float() take blanks, signs, `1_0`, `0x1` and more besides.
 WHOLE, DECIMAL = re.compile(rb"[0-9]{1,9}"), re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
@@ -54,8 +54,8 @@
             len(self.parts), len(verb), verb, len(customer), customer, len(name), name, len(told), told, body)
 
 
-def read_command(settings: api.Settings, command: object, kept: Kept,
-                 span: int = 1) -> tuple[api.Request, Command]:
+def read_command(settings: messages.Settings, command: object, kept: Kept,
+                 span: int = 1) -> tuple[messages.Request, Command]:
     """`kept`: terms that were checked before, by the same settings. `span`: gateways that clients know as
     one,
     so that `first` and `spread` tell so many times as many. Raises BadRequest."""
@@ -91,8 +91,8 @@
 Kept = dict[tuple[bool, bytes], Terms]
 
 
-def read_request(settings: api.Settings, command: list[bytes], write: bool, kept: Kept,
-                 span: int) -> api.Request:
+def read_request(settings: messages.Settings, command: list[bytes], write: bool, kept: Kept,
+                 span: int) -> messages.Request:
     _, customer, name, told = command[:4]
     if not (CUSTOMER.fullmatch(customer) and int(customer, 16) < MOST_CUSTOMERS and NAME.fullmatch(name)):
         raise BadRequest("odd customer or id")
@@ -105,11 +105,11 @@
                 kept.clear()
             kept[key] = terms
     cls, plan, left, units, first, spread, repeat = terms
-    return api.Request(name.decode(), left - WAY_BACK, customer.decode().lower(), plan, cls, units, first,
+    return messages.Request(name.decode(), left - WAY_BACK, customer.decode().lower(), plan, cls, units, first,
                        spread, repeat, write)
 
 
-def read_terms(settings: api.Settings, terms: bytes, write: bool, span: int) -> Terms:
+def read_terms(settings: messages.Settings, terms: bytes, write: bool, span: int) -> Terms:
     """Raises BadRequest."""
     pairs = [term.split(b"=", 1) for term in terms.split(b",")]
     try:
--- a/calicomast/fronts/resp/front.py
+++ b/apigateway/frontends/resp/front.py
@@ -8,15 +8,15 @@
 from time import monotonic
 from typing import TYPE_CHECKING, Any
 
-from calicomast import interface as api
-from calicomast.core.life import Core, InWork
-from calicomast.fronts.resp.command import BadRequest, Kept, read_command
-from calicomast.fronts.resp.server import FAILED, ClientServer, Slot
-from calicomast.net.address import Address
+from apigateway import messages
+from apigateway.core.request_lifecycle import Core, InWork
+from apigateway.frontends.resp.command import BadRequest, Kept, read_command
+from apigateway.frontends.resp.server import FAILED, ClientServer, Slot
+from apigateway.upstream.address import Address
 
 if TYPE_CHECKING:
-    from calicomast.core.door import Door
-    from calicomast.fronts.resp.outline import Outline, Outliner
+    from apigateway.core.admission import Door
+    from apigateway.frontends.resp.outline import Outline, Outliner
 
 PONG = b"+PONG\r\n"
 LOOK = 0.005  # s between looks for the rest of half commands at the end
@@ -121,7 +121,7 @@
             slot.reply(FAILED)
 
     def outlines(self) -> Outliner:
-        from calicomast.fronts.resp.outline import Outliner  # only where overload is on
+        from apigateway.frontends.resp.outline import Outliner  # only where overload is on
 
         self.outliner = Outliner(self.core.settings)
         return self.outliner
@@ -131,14 +131,14 @@
         wait = door.turned_away(seen.worth, seen.customer, seen.left, slot.client.came)
         return -1.0 if wait >= 0 and self.core.in_work(seen.id, seen.write) else wait
 
-    def redeemed(self, request: api.Request, terms: bytes, slot: Slot) -> api.Request:
+    def redeemed(self, request: messages.Request, terms: bytes, slot: Slot) -> messages.Request:
         """With a token that stands for its units it takes none; with any other it is a request as ever."""
         text = (b"," + terms).partition(b",tok=")[2].partition(b",")[0].decode("ascii", "replace")
         purpose = (request.customer, request.plan, request.cls, request.units)
         slot.paid = self.tokens.take(text, purpose)
         if slot.paid is None:
             return request
-        return api.Paid(request.id, request.left, request.customer, request.plan, request.cls, request.units,
+        return messages.Paid(request.id, request.left, request.customer, request.plan, request.cls, request.units,
                         request.first, request.spread, request.repeat, request.write, request.route)
 
     def unpaid(self, slot: Slot) -> None:
--- a/calicomast/fronts/resp/outline.py
+++ b/apigateway/frontends/resp/outline.py
@@ -6,10 +6,10 @@
 import re
 from typing import NamedTuple
 
-from calicomast import interface as api
-from calicomast import overload
-from calicomast.core.life import WAY_BACK
-from calicomast.fronts.resp.command import decimal
+from apigateway import messages
+from apigateway.core.request_lifecycle import WAY_BACK
+from apigateway.frontends.resp.command import decimal
+from apigateway.policy import overload_gate
 
 # Class, plan, the time that a client waits, units: in the order in which clients write.
 TERMS = re.compile(rb"c=([^,]{1,64}),t=([^,]{1,64}),d=([0-9]{1,9}),(?:[^u][^,]*,)?"
@@ -20,13 +20,13 @@
 class Outline(NamedTuple):
     customer: str
     id: str
-    worth: int  # its step (overload.step)
+    worth: int  # its step (overload_gate.step)
     left: float  # s
     write: bool
 
 
 class Outliner:
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: messages.Settings) -> None:
         self.settings = settings
         # class, plan and units: the step of their worth
         self.kept: dict[tuple[bytes, bytes, bytes], int] = {}
@@ -54,10 +54,10 @@
         except (KeyError, ValueError):  # reading it in full will say what is odd
             return None
 
-    def request(self, request: api.Request) -> Outline:
+    def request(self, request: messages.Request) -> Outline:
         """The same of one that was read in full."""
         return Outline(request.customer, request.id, self.worth(request.cls, request.plan, request.units),
                        request.left + WAY_BACK, request.write)
 
     def worth(self, cls: str, plan: str, units: float) -> int:
-        return overload.step(self.settings.classes[cls].worth * self.settings.plans[plan].price * units)
+        return overload_gate.step(self.settings.classes[cls].worth * self.settings.plans[plan].price * units)
--- a/calicomast/fronts/resp/server.py
+++ b/apigateway/frontends/resp/server.py
@@ -13,8 +13,8 @@
 from time import monotonic
 from typing import Any
 
-from calicomast.net import looks
-from calicomast.net.framing import NO_MESSAGE, Framing, FramingError, bulk
+from apigateway.upstream import looks
+from apigateway.upstream.framing import NO_MESSAGE, Framing, FramingError, bulk
 
 MOST_PENDING = 512  # commands of one connection in work; past that it is not read
 IDLE = 2.2  # s without a command in work, or with half a one, after which a connection is closed
--- a/calicomast/membership/belief.py
+++ b/apigateway/membership/belief.py
@@ -26,9 +26,9 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field, replace
 
-from calicomast import interface as api
-from calicomast.membership.listing import Listing
-from calicomast.net.address import Address
+from apigateway import messages
+from apigateway.membership.listing import Listing
+from apigateway.upstream.address import Address
 
 RANK = {"up": 0, "leaving": 1, "down": 2}
 
@@ -50,7 +50,7 @@
     """A host as a source tells it. `stamp` orders news of one host (milliseconds of whatever clock; 0: no
     order)."""
 
-    host: api.Host
+    host: messages.Host
     address: Address
     stamp: int = 0
 
@@ -240,7 +240,7 @@
         if not hosts:
             return None
         self.version += 1
-        return Listing(api.HostList("delta", self.version, tuple(hosts)), addresses)
+        return Listing(messages.HostList("delta", self.version, tuple(hosts)), addresses)
 
 
 def alone(entries: Iterable[Entry]) -> dict[str, Entry]:
--- a/calicomast/membership/discovery.py
+++ b/apigateway/membership/discovery.py
@@ -15,9 +15,9 @@
 
 import aiohttp
 
-from calicomast.membership.listing import Listing, read_list
-from calicomast.membership.watch_schedule import WatchPacer, WatchSchedule
-from calicomast.net.address import Address
+from apigateway.membership.listing import Listing, read_list
+from apigateway.membership.watch_schedule import WatchPacer, WatchSchedule
+from apigateway.upstream.address import Address
 
 REJECTION_STATUSES = (429, 503)  # of a service that has no capacity for the call
 MOST_LIST = 1024 * 1024  # bytes of an answer: one without end must not fill the memory
--- a/calicomast/membership/eureka/mapping.py
+++ b/apigateway/membership/eureka/mapping.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from calicomast import interface as api
-from calicomast.membership.belief import Entry
-from calicomast.membership.eureka.model import Instance, Odd
-from calicomast.net.address import Address
+from apigateway import messages
+from apigateway.membership.belief import Entry
+from apigateway.membership.eureka.model import Instance, Odd
+from apigateway.upstream.address import Address
 
 STATES = {"up": "up", "draining": "leaving", "gone": "down"}
 DEFAULT_STATES = {"UP": "up", "STARTING": "draining", "DOWN": "draining", "OUT_OF_SERVICE": "draining",
@@ -54,7 +54,7 @@
     if instance.overridden != "UNKNOWN":
         state = max(state, told.states.get(instance.overridden, "draining"), key=WORST.index)
     started = (instance.service_up or instance.registered) / 1000
-    return Entry(api.Host(instance.id, instance.metadata.get(told.zone) or told.default_zone, cell, weight,
+    return Entry(messages.Host(instance.id, instance.metadata.get(told.zone) or told.default_zone, cell, weight,
                           instance.metadata.get(told.kind,
                                                 ""), STATES[state], started), address, instance.dirty)
 
--- a/calicomast/membership/eureka/replica.py
+++ b/apigateway/membership/eureka/replica.py
@@ -13,7 +13,7 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from calicomast.membership.eureka.model import Instance
+from apigateway.membership.eureka.model import Instance
 
 # s between whole lists that a hash asks for, doubling while they do not help
 WHOLE_LEAST, WHOLE_MOST = 30.0, 600.0
--- a/calicomast/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -12,13 +12,13 @@
 
 import aiohttp
 
-from calicomast.membership.belief import Belief, Trust
-from calicomast.membership.eureka.mapping import Terms, read_entries
-from calicomast.membership.eureka.model import Answer, Instance, Odd, read_json, read_xml
-from calicomast.membership.eureka.replica import Replica
-from calicomast.membership.judge import Judge
-from calicomast.membership.listing import Listing
-from calicomast.net.address import Address
+from apigateway.membership.belief import Belief, Trust
+from apigateway.membership.eureka.mapping import Terms, read_entries
+from apigateway.membership.eureka.model import Answer, Instance, Odd, read_json, read_xml
+from apigateway.membership.eureka.replica import Replica
+from apigateway.membership.judge import Judge
+from apigateway.membership.listing import Listing
+from apigateway.upstream.address import Address
 
 BACKOFF_MOST = 30.0  # s between polls while no registry answers
 PATHS = {"apps": "apps", "app": "apps/{}", "vip": "vips/{}", "svip": "svips/{}"}
--- a/calicomast/membership/file.py
+++ b/apigateway/membership/file.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from calicomast import interface as api
-from calicomast.checked import Faulty, Reader, read_toml
-from calicomast.membership.listing import Listing
-from calicomast.net.address import read_address
+from apigateway import messages
+from apigateway.config_validation import Faulty, Reader, read_toml
+from apigateway.membership.listing import Listing
+from apigateway.upstream.address import read_address
 
 LOOK = 0.5  # s between looks at the file
 STATE = {"up": "up", "draining": "leaving"}
@@ -55,13 +55,13 @@
         if host.id in addresses:
             reader.contradiction((*at, "id"), host.id, "stands twice", "give each host an id of its own")
         addresses[host.id] = address
-        hosts.append(api.Host(host.id, host.zone, host.cell, host.weight, host.kind, STATE[host.state],
+        hosts.append(messages.Host(host.id, host.zone, host.cell, host.weight, host.kind, STATE[host.state],
                               host.started))
     if told is not None and not told.hosts:
         reader.contradiction(("hosts",), None, "none", "add one [[hosts]] with id and address")
     if reader.faults:
         raise Faulty(reader.faults)
-    return Listing(api.HostList(mode, version, tuple(hosts)), addresses)
+    return Listing(messages.HostList(mode, version, tuple(hosts)), addresses)
 
 
 class HostsInFile:
--- a/calicomast/membership/judge.py
+++ b/apigateway/membership/judge.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import replace
 
-from calicomast.membership.belief import Belief, Entry, Trust
-from calicomast.membership.listing import Listing
+from apigateway.membership.belief import Belief, Entry, Trust
+from apigateway.membership.listing import Listing
 
 LEAST = 0.01  # s between two looks at what time has changed
 
--- a/calicomast/membership/listing.py
+++ b/apigateway/membership/listing.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.net.address import Address, read_address, write_address
+from apigateway import messages
+from apigateway.upstream.address import Address, read_address, write_address
 
 STATE = {"up": "up", "draining": "leaving", "removed": "down"}
 
@@ -16,16 +16,16 @@
 class Listing:
     """A list as the decision module takes it, and where each host listens."""
 
-    hosts: api.HostList
+    hosts: messages.HostList
     addresses: dict[str, Address]
 
 
-def read_entry(told: dict[str, Any]) -> tuple[api.Host, Address | None]:
+def read_entry(told: dict[str, Any]) -> tuple[messages.Host, Address | None]:
     state, started = STATE[told["state"]], float(told.get("started_ms") or 0) / 1000
     weight, cell = float(told.get("weight", 1.0)), int(told.get("cell", 0))
     if not (isinstance(told["id"], str) and 0 <= weight < math.inf and 0 <= started < math.inf):
         raise ValueError("id, weight or start out of range")
-    host = api.Host(id=told["id"], zone=str(told.get("zone", "")), cell=cell, weight=weight,
+    host = messages.Host(id=told["id"], zone=str(told.get("zone", "")), cell=cell, weight=weight,
                     kind=str(told.get("kind", "")), state=state, started=started)
     return host, read_address(told["addr"]) if told.get("addr") else None
 
@@ -33,7 +33,7 @@
 def read_list(told: dict[str, Any], mode: str | None = None) -> Listing:
     """Raises ValueError if `told` is not a list of hosts in discovery's form. An entry that cannot be read is
     left out; the others, drains among them, are heard all the same."""
-    hosts: list[api.Host] = []
+    hosts: list[messages.Host] = []
     addresses: dict[str, Address] = {}
     try:
         kind = mode or ("full" if told["full"] else "delta")
@@ -51,7 +51,7 @@
             addresses[host.id] = address
     if entries and not hosts:
         raise ValueError("not a list of hosts: no entry can be read")
-    return Listing(api.HostList(kind, version, tuple(hosts)), addresses)
+    return Listing(messages.HostList(kind, version, tuple(hosts)), addresses)
 
 
 def write_list(listing: Listing) -> dict[str, Any]:
--- a/calicomast/settings.py
+++ b/apigateway/platform_settings.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from calicomast import interface as api
+from apigateway import messages
 
 EFFECT = {"pure": "safe", "token": "keyed", "side_effect": "unsafe"}
 DISCOVERY = {"pushed": "push", "on_request": "ask"}
@@ -39,13 +39,13 @@
     return float(node.get(name, 0))
 
 
-def read_settings(t: dict[str, Any]) -> api.Settings:
-    classes = {c["name"]: api.ServiceClass(
+def read_settings(t: dict[str, Any]) -> messages.Settings:
+    classes = {c["name"]: messages.ServiceClass(
         name=c["name"], aim=seconds(c["slo"]), deadline=seconds(c["deadline"]), effect=EFFECT[c["effect"]],
         scope=c.get("dedup_scope", "all"), memory=seconds(c.get("memory_span", "0")), worth=float(c["gain"]),
         late_worth=_num(c, "late_value"), stream=flag(c, "streaming"), aim_stretch=_num(c, "aim_stretch"),
     ) for c in _items(t["services"])}
-    plans = {p["name"]: api.Plan(
+    plans = {p["name"]: messages.Plan(
         name=p["name"], rate=_num(p, "rate"), burst=_num(p, "most_at_once"),
         open_limit=int(_num(p, "parallel")), price=float(p.get("value_factor", 1)),
         over_worth=_num(p, "beyond_earns"), over_cost=_num(p, "over_cost"), ceiling_rate=_num(p, "cap_rate"),
@@ -53,16 +53,16 @@
     ) for p in _items(t["plans"])}
     lim, rules, spec = t["limits"], t["rules"], t["specifics"]
     names = t.get("reporting", {}).get("names", "")
-    return api.Settings(
+    return messages.Settings(
         index=int(t["index"]), gateways=int(t["group_size"]), zone=t["locality"],
         classes=classes, plans=plans,
-        limits=api.Limits(
+        limits=messages.Limits(
             cancel=flag(lim, "cancel"), second_copies=flag(lim, "second_copies"),
             probes=flag(lim, "probes"), peers=flag(lim, "peers"), retry_after=flag(lim, "retry_after"),
             max_attempts=int(lim["max_attempts"]),
             max_retry_after=seconds(lim.get("max_retry_after", "0")),
             connect_timeout=seconds(lim.get("connect_timeout", "0"))),
-        rules=api.Rules(
+        rules=messages.Rules(
             answer_slack=seconds(rules["answer_slack"]), drain_grace=seconds(rules["drain_grace"]),
             cold_share=float(rules["start_capacity"]), cold_time=seconds(rules["cold"]),
             fall_multiple=float(rules["fall_multiple"]), fall_time=seconds(rules["tip_after"]),
--- a/calicomast/hooks/abi.py
+++ b/apigateway/plugins/abi.py
@@ -7,7 +7,7 @@
 
 import struct
 
-from calicomast.hooks.terms import ANSWER, ATTEMPT, OUTCOMES, REQUEST, TICK, PluginFailed, Proposal, View
+from apigateway.plugins.terms import ANSWER, ATTEMPT, OUTCOMES, REQUEST, TICK, PluginFailed, Proposal, View
 
 VERSION = 1
 MODULE = "calicomast"  # of the imports
--- a/calicomast/hooks/apart.py
+++ b/apigateway/plugins/apart.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.hooks.terms import Budget, PluginFailed
+from apigateway import messages
+from apigateway.plugins.terms import Budget, PluginFailed
 
 LONGEST = 20.0  # s for all modules of one load
 
@@ -33,7 +33,7 @@
     settings: Mapping[str, Any]
     budget: Budget
     seed: int
-    gateway: api.Settings
+    gateway: messages.Settings
 
 
 def tried(trials: Sequence[Trial], longest: float = LONGEST) -> list[str]:
@@ -56,7 +56,7 @@
     environment = os.environ | {"PYTHONPATH": os.pathsep.join(
         [place] + [p for p in [os.environ.get("PYTHONPATH")] if p])}
     try:
-        ended = subprocess.run([sys.executable, "-m", "calicomast.hooks.apart"],
+        ended = subprocess.run([sys.executable, "-m", "apigateway.plugins.apart"],
                                input=b"".join(map(pickle.dumps, trials)),
                                capture_output=True, timeout=longest, env=environment)
         out, how = ended.stdout, f"exit code {ended.returncode}"
@@ -68,8 +68,8 @@
 
 def main() -> None:
     """One line for each trial on stdin: `good`, or why not."""
-    from calicomast.hooks.load import prove
-    from calicomast.hooks.wasm import BadModule, WasmPlugin
+    from apigateway.plugins.load import prove
+    from apigateway.plugins.wasm import BadModule, WasmPlugin
 
     stream = io.BytesIO(sys.stdin.buffer.read())
     while stream.tell() < len(stream.getbuffer()):
--- a/calicomast/hooks/guard.py
+++ b/apigateway/plugins/guard.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from calicomast.hooks.terms import Budget
+from apigateway.plugins.terms import Budget
 
 IN, OUT, TRIAL = "in", "out", "on trial"
 
--- a/calicomast/hooks/language/__init__.py
+++ b/apigateway/plugins/language/__init__.py
@@ -6,7 +6,7 @@
 after at most as many steps as it has nodes.
 """
 
-from calicomast.hooks.language.compiler import Compiled, compile_text
-from calicomast.hooks.language.parser import LanguageError
+from apigateway.plugins.language.compiler import Compiled, compile_text
+from apigateway.plugins.language.parser import LanguageError
 
 __all__ = ["Compiled", "LanguageError", "compile_text"]
--- a/calicomast/hooks/language/compiler.py
+++ b/apigateway/plugins/language/compiler.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from calicomast.hooks.language.library import FUNCTIONS, RunError, bounded
-from calicomast.hooks.language.parser import LanguageError, Node, parse
+from apigateway.plugins.language.library import FUNCTIONS, RunError, bounded
+from apigateway.plugins.language.parser import LanguageError, Node, parse
 
 Run = Callable[[Any], Any]
 
--- a/calicomast/hooks/live.py
+++ b/apigateway/plugins/live.py
@@ -8,11 +8,11 @@
 from dataclasses import replace
 from typing import Any, Protocol
 
-from calicomast import interface as api
-from calicomast.hooks.proposals import Standing
-from calicomast.hooks.records import Recorder
-from calicomast.hooks.terms import ANSWER, ATTEMPT, REQUEST, PluginFailed, View
-from calicomast.hooks.version import Version
+from apigateway import messages
+from apigateway.plugins.proposals import Standing
+from apigateway.plugins.records import Recorder
+from apigateway.plugins.terms import ANSWER, ATTEMPT, REQUEST, PluginFailed, View
+from apigateway.plugins.version import Version
 
 NOTICED = 0.001  # s that plug-ins took, from which on the module is told that less time is left
 
@@ -88,7 +88,7 @@
         except Exception:
             log.exception("plug-ins: tick")
 
-    def taken(self, request: api.Request) -> tuple[Hooked, api.Request | api.Barred]:
+    def taken(self, request: messages.Request) -> tuple[Hooked, messages.Request | messages.Barred]:
         """The request as the decision module is to hear of it, or that it is barred."""
         version, began = self.version, time.monotonic()
         standing = Standing()
@@ -98,7 +98,7 @@
         version.begin()
         wait = version.ask(REQUEST, view, standing, began) if version.by_phase[REQUEST] else None
         if wait is not None:
-            return hooked, api.Barred(request.id, wait)
+            return hooked, messages.Barred(request.id, wait)
         spent = time.monotonic() - began
         if spent > NOTICED or standing.route:
             request = replace(request, route=standing.route, left=request.left - (spent if spent > NOTICED
--- a/calicomast/hooks/load.py
+++ b/apigateway/plugins/load.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.checked import Fault, Faulty, Reader, read_toml
-from calicomast.hooks.proposals import Allowance
-from calicomast.hooks.rules import RuleFault, RulesPlugin
-from calicomast.hooks.settings import HooksPart, PluginPart, RuleFile, RulePart
-from calicomast.hooks.terms import ANSWER, ATTEMPT, OUTCOMES, REQUEST, Budget, Plugin, PluginFailed, View
-from calicomast.hooks.version import Seat, Version
+from apigateway import messages
+from apigateway.config_validation import Fault, Faulty, Reader, read_toml
+from apigateway.plugins.proposals import Allowance
+from apigateway.plugins.rules import RuleFault, RulesPlugin
+from apigateway.plugins.settings import HooksPart, PluginPart, RuleFile, RulePart
+from apigateway.plugins.terms import ANSWER, ATTEMPT, OUTCOMES, REQUEST, Budget, Plugin, PluginFailed, View
+from apigateway.plugins.version import Seat, Version
 
 MOST_PLUGINS = 64
 MOST_PROOFS = 12  # requests that each plug-in is proved with
@@ -32,7 +32,7 @@
     """Where plug-ins serve. `path`: the settings file, for faults; files are named beside it."""
 
     path: str
-    settings: api.Settings
+    settings: messages.Settings
     seed: int = 0
 
     def allowance(self, hooks: HooksPart) -> Allowance:
@@ -107,12 +107,12 @@
             except RuleFault as err:
                 raise Bad(err.key, err.value, err.reason, "mend the rule", self.path if part.file
                           else "") from err
-        from calicomast.hooks.wasm import BadModule, WasmPlugin  # the engine: only where a module is loaded
+        from apigateway.plugins.wasm import BadModule, WasmPlugin  # the engine: only where a module is loaded
 
         try:
             return WasmPlugin(part.name, self.raw, part.settings, self.budget, self.seed)
         except BadModule as err:
-            raise Bad("file", part.file, str(err), "`calicomast plugin check` says more") from err
+            raise Bad("file", part.file, str(err), "`api-gateway plugin check` says more") from err
         except PluginFailed as err:
             raise Bad("file", part.file, f"its start failed ({err})", "mend the module") from err
 
@@ -135,7 +135,7 @@
     return Source(part, budget_of(part), raw, rules, seed, path)
 
 
-def proofs(settings: api.Settings) -> list[View]:
+def proofs(settings: messages.Settings) -> list[View]:
     """Requests of each class and plan that the gateway has."""
     made: list[View] = []
     for cls in settings.classes.values():
@@ -146,7 +146,7 @@
     return made[:MOST_PROOFS]
 
 
-def prove(plugin: Plugin, settings: api.Settings) -> None:
+def prove(plugin: Plugin, settings: messages.Settings) -> None:
     """Its own self-test, then a call of each phase for each kind of request. Raises PluginFailed."""
     plugin.prove()
     for number, view in enumerate(proofs(settings)):
@@ -169,8 +169,8 @@
         return {}
     if importlib.util.find_spec("wasmtime") is None:  # told plainly, not as a module that ended its process
         return dict.fromkeys(modules,
-                             "needs wasmtime, which is not installed: pip install 'calicomast[plugins]'")
-    from calicomast.hooks.apart import Trial, tried
+                             "needs wasmtime, which is not installed: pip install 'apigateway[plugins]'")
+    from apigateway.plugins.apart import Trial, tried
 
     told = tried([Trial(one.part.name, one.raw, one.part.settings, one.budget, one.seed, place.settings)
                   for one in modules.values()])
@@ -226,7 +226,7 @@
     kept = {number: before[one.part.name] for number, one in read.items()
             if one.part.name in before and before[one.part.name].digest == one.digest}
     for number, why in apart({n: one for n, one in read.items() if n not in kept}, place).items():
-        fault(number, Bad("file", read.pop(number).part.file, why, "`calicomast plugin check` says the same"))
+        fault(number, Bad("file", read.pop(number).part.file, why, "`api-gateway plugin check` says the same"))
     for number, one in read.items():
         seat = kept.get(number) or attempted(number, lambda one=one: seated(one, place))  # type: ignore[misc]
         seats += [seat] if seat is not None else []
--- a/calicomast/hooks/proposals.py
+++ b/apigateway/plugins/proposals.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from calicomast.hooks.terms import ATTEMPT, REQUEST, TICK, Proposal
+from apigateway.plugins.terms import ATTEMPT, REQUEST, TICK, Proposal
 
 MOST_PROPOSALS = 64  # of one call; the rest is dropped unread
 MOST_VALUE = 128  # characters of a tag's value
--- a/calicomast/hooks/records.py
+++ b/apigateway/plugins/records.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterator
 from typing import Any
 
-from calicomast.hooks.proposals import Standing
-from calicomast.hooks.terms import View
+from apigateway.plugins.proposals import Standing
+from apigateway.plugins.terms import View
 
 ROTATED = ".1"
 
--- a/calicomast/hooks/rules.py
+++ b/apigateway/plugins/rules.py
@@ -7,18 +7,18 @@
 from operator import attrgetter
 from typing import Any
 
-from calicomast.hooks.language.compiler import NUMBER, TAGS, TEXT, TRUTH, Compiled, Run, compile_text
-from calicomast.hooks.language.library import RunError, text
-from calicomast.hooks.language.parser import LanguageError
-from calicomast.hooks.memory import Counters, Ration
-from calicomast.hooks.proposals import KEY
-from calicomast.hooks.settings import RulePart
-from calicomast.hooks.terms import ANSWER, ATTEMPT, REQUEST, TICK, Budget, PluginFailed, Proposal, View
+from apigateway.plugins.language.compiler import NUMBER, TAGS, TEXT, TRUTH, Compiled, Run, compile_text
+from apigateway.plugins.language.library import RunError, text
+from apigateway.plugins.language.parser import LanguageError
+from apigateway.plugins.memory import Counters, Ration
+from apigateway.plugins.proposals import KEY
+from apigateway.plugins.settings import RulePart
+from apigateway.plugins.terms import ANSWER, ATTEMPT, REQUEST, TICK, Budget, PluginFailed, Proposal, View
 
 MOST_RULES = 200
 MOST_LINE = 200  # characters of a log line
 
-log = logging.getLogger("calicomast.plugin")
+log = logging.getLogger("apigateway.plugin")
 
 
 def field(name: str, kind: str) -> tuple[str, Run]:
--- a/calicomast/hooks/settings.py
+++ b/apigateway/plugins/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from calicomast.checked import Part
+from apigateway.config_validation import Part
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[a-z][a-z0-9_-]{0,31}$")]
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=2000)]
--- a/calicomast/hooks/testkit.py
+++ b/apigateway/plugins/testkit.py
@@ -17,13 +17,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.checked import Faulty, Part, Reader, read_toml
-from calicomast.hooks.load import Place, load
-from calicomast.hooks.proposals import Standing
-from calicomast.hooks.settings import HooksPart, PluginPart
-from calicomast.hooks.terms import ANSWER, ATTEMPT, REQUEST, View
-from calicomast.hooks.version import Seat, Version
+from apigateway import messages
+from apigateway.config_validation import Faulty, Part, Reader, read_toml
+from apigateway.plugins.load import Place, load
+from apigateway.plugins.proposals import Standing
+from apigateway.plugins.settings import HooksPart, PluginPart
+from apigateway.plugins.terms import ANSWER, ATTEMPT, REQUEST, View
+from apigateway.plugins.version import Seat, Version
 
 CLASSES = {"roster-read": "safe", "shift-update": "keyed", "staff-notice": "unsafe"}
 PLANS = ("basic", "standard", "enterprise")
@@ -57,18 +57,18 @@
 
 
 def settings(classes: Mapping[str, str] | None = None, plans: Sequence[str] = PLANS,
-             routes: Mapping[str, Sequence[str]] | None = None, max_wait: float = 2.0) -> api.Settings:
+             routes: Mapping[str, Sequence[str]] | None = None, max_wait: float = 2.0) -> messages.Settings:
     """A gateway's: classes with their effects, plans, routes with their kinds of hosts."""
-    return api.Settings(
+    return messages.Settings(
         0, 1, "a",
-        {name: api.ServiceClass(name, 1.0, 3.0, effect, "all", 6.0 * (effect == "keyed"), 1.0, 0.0, False,
+        {name: messages.ServiceClass(name, 1.0, 3.0, effect, "all", 6.0 * (effect == "keyed"), 1.0, 0.0, False,
                                 0.0)
          for name, effect in (classes or CLASSES).items()},
-        {name: api.Plan(name, 10.0, 100.0, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0) for name in plans},
-        api.Limits(True, False, False, False, True, 3, max_wait), api.Rules(0.0, 2.0, 0.15, 17.0, 2.0, 2.0,
+        {name: messages.Plan(name, 10.0, 100.0, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0) for name in plans},
+        messages.Limits(True, False, False, False, True, 3, max_wait), messages.Rules(0.0, 2.0, 0.15, 17.0, 2.0, 2.0,
                                                                             0.0),
         {}, False, 0.0, 0.08, 0.0, False, 1.0, "push", (), "none",
-        {name: api.Route(name, tuple(kinds), True) for name, kinds in (routes or {}).items()})
+        {name: messages.Route(name, tuple(kinds), True) for name, kinds in (routes or {}).items()})
 
 
 class PluginFile(Part, frozen=True, kw_only=True):
@@ -115,7 +115,7 @@
         self.version, self.now, self.requests = version, now, 0
 
     @classmethod
-    def load(cls, path: str, place: api.Settings | None = None) -> Kit:
+    def load(cls, path: str, place: messages.Settings | None = None) -> Kit:
         """From a file or folder as of `read_plugins`. Raises Faulty."""
         if os.path.isdir(path):
             path = os.path.join(path, "plugin.toml")
--- a/calicomast/hooks/version.py
+++ b/apigateway/plugins/version.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from calicomast.hooks.guard import Guard
-from calicomast.hooks.proposals import Allowance, Allowed, Standing, judge
-from calicomast.hooks.terms import PHASES, REQUEST, TICK, Budget, Plugin, PluginFailed, Proposal, View
+from apigateway.plugins.guard import Guard
+from apigateway.plugins.proposals import Allowance, Allowed, Standing, judge
+from apigateway.plugins.terms import PHASES, REQUEST, TICK, Budget, Plugin, PluginFailed, Proposal, View
 
 log = logging.getLogger(__name__)
 
--- a/calicomast/hooks/wasm.py
+++ b/apigateway/plugins/wasm.py
@@ -18,17 +18,17 @@
 import wasmtime
 from wasmtime import FuncType, ValType
 
-from calicomast.hooks import abi
-from calicomast.hooks.memory import MOST_NAME, Counters, Keys, Ration
-from calicomast.hooks.rules import MOST_LINE, cleaned
-from calicomast.hooks.terms import PHASES, Budget, PluginFailed, Proposal, View
+from apigateway.plugins import abi
+from apigateway.plugins.memory import MOST_NAME, Counters, Keys, Ration
+from apigateway.plugins.rules import MOST_LINE, cleaned
+from apigateway.plugins.terms import PHASES, Budget, PluginFailed, Proposal, View
 
 STEP = 0.005  # s between epochs: a call's wall time is bounded to that grain
 IDLE = 200  # epochs without a call, after which the clock rests
 MOST_STACK = 256 * 1024  # bytes
 MOST_SETTING = 4096  # bytes of a setting's name, a key, a text of the log
 
-log = logging.getLogger("calicomast.plugin")
+log = logging.getLogger("apigateway.plugin")
 
 I32, I64, F64 = ValType.i32(), ValType.i64(), ValType.f64()
 REASONS = {wasmtime.TrapCode.OUT_OF_FUEL: "fuel", wasmtime.TrapCode.INTERRUPT: "time",
@@ -395,7 +395,7 @@
     def host_setting_number(self, address: int, length: int) -> float:
         value = self.found(address, length)
         if isinstance(value, datetime.date):
-            from calicomast.hooks.language.compiler import moment
+            from apigateway.plugins.language.compiler import moment
 
             return moment(value)
         return float(value) if isinstance(value, int | float) else math.nan
--- a/calicomast/policy.py
+++ b/apigateway/policy/gateway.py
@@ -1,4 +1,4 @@
-"""The decisions of calicomast. Types, events and actions: interface.py in this folder.
+"""The decisions of the gateway. Types, events and actions: messages.py.
 
 Gateway(settings, seed, now).handle(now, event) -> actions. No clock, no I/O. What a gateway may do by itself
 is its part of an amount for all; what is less than one is kept as credit or drawn as a chance.
@@ -16,12 +16,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.names import Forgotten, stable_hash
-from calicomast.routing import subset
-from calicomast.routing.doubt import Doubt
-from calicomast.routing.sites import Sites
-from calicomast.routing.size import Size
+from apigateway import messages
+from apigateway.hashing import Forgotten, stable_hash
+from apigateway.routing import subset
+from apigateway.routing.doubt import Doubt
+from apigateway.routing.sites import Sites
+from apigateway.routing.size import Size
 
 TICK = 0.02  # s; coarsest delay of a check on held requests and copies; far under any aim
 ALLOW, CHARGE_AT = 0.5, 0.5  # part of the even room passed uncharged; part of that which is then charged
@@ -84,7 +84,7 @@
 
 
 class Account:
-    def __init__(self, req: api.Request, plan: api.Plan, born: float, now: float, rng: random.Random) -> None:
+    def __init__(self, req: messages.Request, plan: messages.Plan, born: float, now: float, rng: random.Random) -> None:
         self.name, self.plan, self.spread, self.open_here = req.customer, plan, req.spread, 0
         self.thin = 0 < plan.burst < self.spread  # an even part of the burst is less than a unit
         self.length = plan.burst / plan.rate if plan.rate else 1.0
@@ -197,7 +197,7 @@
 
 
 class Counter:
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: messages.Settings) -> None:
         self.on, self.timeout, self.price = settings.counter, settings.counter_timeout, settings.counter_price
         self.fails, self.retry_at = int(not self.on), 0.0
         self.slow = 0.5 * settings.gateways / (settings.gateways + CROWD_OF)  # many start as in a crowd
@@ -230,7 +230,7 @@
 
 
 class Server:
-    def __init__(self, host: api.Host, now: float, credit: float, out: dict) -> None:
+    def __init__(self, host: messages.Host, now: float, credit: float, out: dict) -> None:
         self.host, self.up, self.out = host, host.state == "up", out  # attempts out: when sent
         self.others, self.others_at, self.ratio = 0.0, -math.inf, 1.0  # ratio: time against the fleet's
         self.gone_at = math.inf
@@ -257,14 +257,14 @@
     def resting(self, now: float, keys: tuple[str, ...]) -> bool:
         return any(now < self.rests.get(key, (0, 0.0))[1] for key in keys)
 
-    def warmth(self, now: float, rules: api.Rules) -> float:
+    def warmth(self, now: float, rules: messages.Rules) -> float:
         age = max(0.0, now - self.host.started)
         cold = 0 < self.host.started and age < rules.cold_time
         return rules.cold_share + (1 - rules.cold_share) * age / rules.cold_time if cold else 1.0
 
 
 class Fleet:
-    def __init__(self, settings: api.Settings, rng: random.Random) -> None:
+    def __init__(self, settings: messages.Settings, rng: random.Random) -> None:
         self.set, self.rng = settings, rng
         self.doubt, self.sites, self.size = Doubt(), Sites(), Size(LIMIT_MOST)
         self.servers: dict[str, Server] = {}
@@ -284,7 +284,7 @@
         # unsound or cold, for want of a place, or as not allowed; taken outside the subset.
         self.moved_by = dict.fromkeys(("report", "mean", "doubted", "busy", "barred", "outside"), 0)
 
-    def listed(self, now: float, event: api.HostList) -> None:
+    def listed(self, now: float, event: messages.HostList) -> None:
         if event.mode not in ("delta", "failed"):
             named = {h.id for h in event.hosts}
             for name, server in self.servers.items():
@@ -470,7 +470,7 @@
         self.out -= s.out.pop(key, None) is not None
         self.moved(s)
 
-    def answered(self, now: float, event: api.Outcome, cls: api.ServiceClass | None,
+    def answered(self, now: float, event: messages.Outcome, cls: messages.ServiceClass | None,
                  keys: tuple[str, ...]) -> None:
         s = self.servers.get(event.host)
         if s is None:  # gone for longer than anything there could matter
@@ -519,9 +519,9 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    req: api.Request
-    cls: api.ServiceClass
-    plan: api.Plan
+    req: messages.Request
+    cls: messages.ServiceClass
+    plan: messages.Plan
     acct: Account
     arrived: float
     deadline: float
@@ -595,7 +595,7 @@
 
 
 class Gateway:
-    def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
+    def __init__(self, settings: messages.Settings, seed: int, now: float) -> None:
         self.set, self.born, self.rng = settings, now, random.Random(seed)
         self.reach = max(TICK, settings.limits.connect_timeout)  # s until a repeat is at its host
         self.fleet, self.counter = Fleet(settings, self.rng), Counter(settings)
@@ -613,37 +613,37 @@
         self.ranks: deque[float] = deque(maxlen=64)  # values of the latest requests
         self.levels: dict[tuple[str, str], Levels] = {}  # by class and plan
         self.retired_at = math.inf  # since when another process fills this gateway's part of the ceilings
-        self.out: list[api.Action] = []
+        self.out: list[messages.Action] = []
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now: float, event: messages.Event) -> list[messages.Action]:
         self.out = []
         match event:
-            case api.Request():
+            case messages.Request():
                 self.request(now, event)
-            case api.Outcome():
+            case messages.Outcome():
                 self.outcome(now, event)
-            case api.Counted():
+            case messages.Counted():
                 self.counted(now, event)
-            case api.Timer():
+            case messages.Timer():
                 self.tick(now)
-            case api.HostList():
+            case messages.HostList():
                 self.fleet.listed(now, event)
                 if event.mode == "failed":
                     self.watch_at = now + 1.0
                 elif event.mode == "cached" and self.set.discovery == "ask":
-                    self.out.append(api.Watch(True))
-            case api.Began() if event.id in self.jobs:
+                    self.out.append(messages.Watch(True))
+            case messages.Began() if event.id in self.jobs:
                 self.jobs[event.id].streaming = True
-            case api.Gone() if event.id in self.jobs:
+            case messages.Gone() if event.id in self.jobs:
                 self.close(now, self.jobs[event.id])
-            case api.Barred():
-                self.out.append(api.Refuse(event.id, self.told_wait(event.wait)))
-            case api.GiveBack():
+            case messages.Barred():
+                self.out.append(messages.Refuse(event.id, self.told_wait(event.wait)))
+            case messages.GiveBack():
                 self.give_back(now, event)
-            case api.Leave():
+            case messages.Leave():
                 self.fleet.sites.left = frozenset(event.zones)
                 self.fleet.settle(now)
-            case api.Retire():
+            case messages.Retire():
                 self.retired_at = now if event.on else math.inf
         self.drain_queue(now)
         while self.due and self.due[0][1] not in self.jobs:
@@ -652,20 +652,20 @@
         at = min(self.due[0][0] if self.due else math.inf, self.watch_at, trial)
         if at < self.timer_at:  # what is due next; nothing when idle
             self.timer_at = at
-            self.out.append(api.SetTimer(max(0.0, at - now), 0))
+            self.out.append(messages.SetTimer(max(0.0, at - now), 0))
         return self.out
 
-    def request(self, now: float, req: api.Request) -> None:
+    def request(self, now: float, req: messages.Request) -> None:
         cls, plan = self.set.classes[req.cls], self.set.plans[req.plan]
         kind = type(req)
-        if kind is api.Limited:
+        if kind is messages.Limited:
             plan = req.limit
         acct = self.accounts.pop(req.customer, None)
         if acct is None:
             if 0 < self.set.most_accounts <= len(self.accounts) and not self.forget_one(now):
                 wait = self.told_wait(1.0)
-                self.out.append(api.Denied(req.id, False, wait, 0.0, 0.0) if isinstance(req, api.Check)
-                                else api.Refuse(req.id, wait))
+                self.out.append(messages.Denied(req.id, False, wait, 0.0, 0.0) if isinstance(req, messages.Check)
+                                else messages.Refuse(req.id, wait))
                 return
             acct = Account(req, plan, self.born, min(now, self.retired_at), self.rng)
             acct.known = self.forgotten is None or not self.forgotten.has(now, req.customer)
@@ -680,8 +680,8 @@
             keys = self.levels[req.cls, req.plan] = Levels(("host", "class " + cls.name, "plan " + plan.name))
         job = self.jobs[req.id] = Job(req, cls, plan, acct, now, now + req.left, worth,
                                       worth / max(self.fleet.mean[cls.name], 1e-6), keys)
-        if kind is not api.Request:
-            job.check, job.paid = isinstance(req, api.Check), kind is api.Paid
+        if kind is not messages.Request:
+            job.check, job.paid = isinstance(req, messages.Check), kind is messages.Paid
         route = self.set.routes.get(req.route) if req.route else None
         if route and not (route.fallback and all(s.host.kind not in route.kinds for s in self.fleet.up)):
             job.kinds = route.kinds
@@ -826,9 +826,9 @@
 
     def count(self, name: int, amount: float, life: float, call: Call) -> None:
         self.calls.setdefault(name, []).append(call)
-        self.out.append(api.Count(name, amount, min(60.0, max(life, 1.0))))
+        self.out.append(messages.Count(name, amount, min(60.0, max(life, 1.0))))
 
-    def counted(self, now: float, event: api.Counted) -> None:
+    def counted(self, now: float, event: messages.Counted) -> None:
         if event.name not in self.calls:
             return
         call, *rest = self.calls.pop(event.name)
@@ -926,7 +926,7 @@
         call = Call(acct, "slot" if job else "void", epoch, job=job)
         self.count(stable_hash("open", acct.name, epoch), amount, 2 * OPEN_EPOCH, call)
 
-    def slot_counted(self, now: float, event: api.Counted, call: Call) -> None:
+    def slot_counted(self, now: float, event: messages.Counted, call: Call) -> None:
         job, acct, ok = call.job, call.acct, event.result == "ok"
         if ok and (job.done or event.total > acct.plan.open_limit % acct.spread):
             self.count_open(acct, call.window, -1)
@@ -960,10 +960,10 @@
             acct.ahead -= units
         else:
             acct.cap -= units  # spent before sending
-            if type(job.req) is api.Reserve:
+            if type(job.req) is messages.Reserve:
                 acct.ahead += units
         if job.check:
-            self.out.append(api.Granted(job.req.id, *self.left(now, job), acct.k))
+            self.out.append(messages.Granted(job.req.id, *self.left(now, job), acct.k))
             self.close(now, job)
             return
         if not self.queue.live and self.fleet.room(now) and self.send(now, job):  # the usual case
@@ -1001,7 +1001,7 @@
         unused = min(acct.plan.burst, acct.hold(now) - acct.total + acct.lease - acct.uncharged)
         return max(0.0, unused - self.kept(job)), acct.start + acct.length - now
 
-    def give_back(self, now: float, event: api.GiveBack) -> None:
+    def give_back(self, now: float, event: messages.GiveBack) -> None:
         acct = self.accounts.get(event.customer)
         if acct is None:  # forgotten since, and its ceiling's store was full then
             return
@@ -1011,19 +1011,19 @@
             acct.used -= event.units
         sent = acct.cap + acct.ahead
         acct.fill(event.units)
-        if type(event) is api.Unreserve:  # what is sent on was never charged with it
+        if type(event) is messages.Unreserve:  # what is sent on was never charged with it
             acct.ahead = sent - acct.cap
 
     def refuse(self, now: float, job: Job, wait: float) -> None:
         if job.check:
-            self.out.append(api.Denied(job.req.id, job.over, self.told_wait(wait), *self.left(now, job)))
+            self.out.append(messages.Denied(job.req.id, job.over, self.told_wait(wait), *self.left(now, job)))
             self.close(now, job)
             return
         ran = job.cls.effect != "safe" and (job.cls.effect, job.cls.scope) != ("keyed", "all")
         if not (ran and (job.ran or job.live)):
-            self.out.append(api.Refuse(job.req.id, self.told_wait(wait)))
+            self.out.append(messages.Refuse(job.req.id, self.told_wait(wait)))
         else:
-            self.out.append(api.Fail(job.req.id))
+            self.out.append(messages.Fail(job.req.id))
         self.close(now, job)
 
     def told_wait(self, wait: float) -> float:
@@ -1037,7 +1037,7 @@
         elif job.stage == "ceiling":
             job.acct.promised -= job.req.units
         self.jobs.pop(job.req.id, None)
-        self.out += [api.Cancel(job.req.id, number) for number in job.live if self.set.limits.cancel]
+        self.out += [messages.Cancel(job.req.id, number) for number in job.live if self.set.limits.cancel]
         if job.slot > 0:
             self.count_open(job.acct, job.slot, -1)
         job.acct.open_here -= job.slot < 0
@@ -1067,7 +1067,7 @@
         s = self.choose(now, job) if self.set.limits.second_copies or not job.live else None
         if s is None:
             return False
-        self.out.append(api.Send(job.req.id, s.host.id))
+        self.out.append(messages.Send(job.req.id, s.host.id))
         job.live[job.sends] = (s.host.id, now)
         self.fleet.sent(s, (job.req.id, job.sends), now)
         job.sends += 1
@@ -1104,7 +1104,7 @@
             trials = [at for s in self.fleet.resting if s.up for _, at in s.rests.values() if at > now]
             self.trial_at = min(trials, default=0.0)
 
-    def outcome(self, now: float, event: api.Outcome) -> None:
+    def outcome(self, now: float, event: messages.Outcome) -> None:
         job = self.jobs.get(event.id)
         self.fleet.answered(now, event, job.cls if job else None, job.keys if job else ("host",))
         if job is None:
@@ -1147,7 +1147,7 @@
             self.timer_at = math.inf
         if now >= self.watch_at:
             self.watch_at = math.inf
-            self.out.append(api.Watch(True))
+            self.out.append(messages.Watch(True))
         while self.due and self.due[0][0] <= now + 1e-6:
             name = heapq.heappop(self.due)[1]
             if name in self.jobs:
@@ -1196,4 +1196,4 @@
         elif not self.fleet.clear():
             return  # all are slow: another one would wait as long, and the work done at this host is lost
         elif self.set.limits.cancel and job.sends < self.set.limits.max_attempts and self.choose(now, job):
-            self.out.append(api.Cancel(job.req.id, late[0]))  # its outcome starts the next attempt
+            self.out.append(messages.Cancel(job.req.id, late[0]))  # its outcome starts the next attempt
--- a/calicomast/model/baselines.py
+++ b/apigateway/simulation/baselines.py
@@ -10,10 +10,10 @@
 import random
 from typing import TYPE_CHECKING
 
-from calicomast import interface as api
+from apigateway import messages
 
 if TYPE_CHECKING:
-    from calicomast.model.world import World
+    from apigateway.simulation.world import World
 
 NAMES = ("random", "robin", "two", "best", "quota")
 AGAIN = ("connect_failed", "full", "error", "reset")
@@ -35,44 +35,44 @@
         self.world, self.rng = world, rng
         self.way, _, age = policy.partition(":")
         self.age = float(age or 0)
-        self.up: dict[str, api.Host] = {}
+        self.up: dict[str, messages.Host] = {}
         self.turn = rng.randrange(1 << 20)
         self.effects: dict[str, tuple[str, set[str]]] = {}
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now: float, event: messages.Event) -> list[messages.Action]:
         match event:
-            case api.HostList():
+            case messages.HostList():
                 for host in event.hosts:
                     if host.state == "up":
                         self.up[host.id] = host
                     else:
                         self.up.pop(host.id, None)
-            case api.Request():
+            case messages.Request():
                 if self.way == "quota" and not self.world.judge.room(event.customer, event.plan, self.age):
-                    return [api.Refuse(event.id, 0.0)]
+                    return [messages.Refuse(event.id, 0.0)]
                 self.effects[event.id] = event.cls, set()
                 return self.send(event.id)
-            case api.Outcome(final=False) if event.id in self.effects:
+            case messages.Outcome(final=False) if event.id in self.effects:
                 if event.result not in AGAIN:
                     return self.end(event.id)
                 cls = self.world.classes[self.effects[event.id][0]]
                 ran = event.result in ("error", "reset") and cls.effect != "safe"
                 return self.end(event.id) if ran else self.send(event.id)
-            case api.Outcome() | api.Gone():
+            case messages.Outcome() | messages.Gone():
                 self.effects.pop(event.id, None)
         return []
 
-    def end(self, request: str) -> list[api.Action]:
+    def end(self, request: str) -> list[messages.Action]:
         del self.effects[request]
-        return [api.Fail(request)]
+        return [messages.Fail(request)]
 
-    def send(self, request: str) -> list[api.Action]:
+    def send(self, request: str) -> list[messages.Action]:
         tried = self.effects[request][1]
         if len(tried) >= self.world.scenario.max_attempts or len(tried) >= len(self.up):
             return self.end(request)
         host = self.choose(tried)
         tried.add(host)
-        return [api.Send(request, host)]
+        return [messages.Send(request, host)]
 
     def choose(self, tried: set[str]) -> str:
         names = [name for name in self.up if name not in tried]
--- a/calicomast/model/counter.py
+++ b/apigateway/simulation/counter.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from calicomast.model.clock import Clock
-from calicomast.model.scenario import Counting
+from apigateway.simulation.clock import Clock
+from apigateway.simulation.scenario import Counting
 
 MOST_LATE = 2.0  # s; calls that would wait longer are turned away
 
--- a/calicomast/model/demand.py
+++ b/apigateway/simulation/demand.py
@@ -8,14 +8,14 @@
 import random
 from dataclasses import dataclass, field
 
-from calicomast import interface as api
-from calicomast.model.scenario import Scenario, Work
+from apigateway import messages
+from apigateway.simulation.scenario import Scenario, Work
 
 
 @dataclass(slots=True)
 class Customer:
     name: str
-    plan: api.Plan
+    plan: messages.Plan
     rate: float  # tries a second, without retries
     first: int
     spread: int
@@ -73,7 +73,7 @@
         self.asked = 0
         self.works = list(itertools.accumulate(w.share for w in scenario.works))
 
-    def settle(self, plan: api.Plan, rate: float) -> None:
+    def settle(self, plan: messages.Plan, rate: float) -> None:
         c, left, number = self.scenario.customers, rate, 0
         gateways = self.scenario.gateways
         while left > 0 and (plan.rate or number < c.count):
--- a/calicomast/model/faults.py
+++ b/apigateway/simulation/faults.py
@@ -5,13 +5,13 @@
 import dataclasses
 from typing import TYPE_CHECKING, TypeVar
 
-from calicomast.model import links
-from calicomast.model.machine import Machine
-from calicomast.model.node import Node
-from calicomast.model.scenario import Fault
+from apigateway.simulation import links
+from apigateway.simulation.machine import Machine
+from apigateway.simulation.node import Node
+from apigateway.simulation.scenario import Fault
 
 if TYPE_CHECKING:
-    from calicomast.model.world import World
+    from apigateway.simulation.world import World
 
 T = TypeVar("T")
 MODES = {"hang": "hang", "err": "err", "full": "full"}
--- a/calicomast/model/judge.py
+++ b/apigateway/simulation/judge.py
@@ -6,13 +6,13 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from calicomast import interface as api
-from calicomast.model.clock import Clock
-from calicomast.model.demand import Customer
-from calicomast.model.figures import Figures
+from apigateway import messages
+from apigateway.simulation.clock import Clock
+from apigateway.simulation.demand import Customer
+from apigateway.simulation.figures import Figures
 
 if TYPE_CHECKING:
-    from calicomast.model.node import Attempt
+    from apigateway.simulation.node import Attempt
 
 MARGIN = 0.15  # s by which a ceiling's slack is wider, for what is on its way
 LATE = 0.05  # s that each time limit is longer
@@ -45,8 +45,8 @@
 
 
 class Judge:
-    def __init__(self, clock: Clock, figures: Figures, rules: api.Rules,
-                 plans: Mapping[str, api.Plan]) -> None:
+    def __init__(self, clock: Clock, figures: Figures, rules: messages.Rules,
+                 plans: Mapping[str, messages.Plan]) -> None:
         self.clock, self.figures, self.rules, self.plans = clock, figures, rules, plans
         self.quotas: dict[str, Store] = {}
         self.ceilings: dict[str, Store] = {}
@@ -58,7 +58,7 @@
         if len(attempt.trying.live) > 1:
             self.figures.broken(f"two at once: {attempt.trying.id} at {attempt.host}")
 
-    def began(self, attempt: Attempt, customer: Customer, cls: api.ServiceClass) -> bool | None:
+    def began(self, attempt: Attempt, customer: Customer, cls: messages.ServiceClass) -> bool | None:
         """An attempt's last byte has come to a host. Whether its try is inside its quota, which counts what
         is sent on; None: an earlier attempt of it came before."""
         trying, now = attempt.trying, self.clock.now
--- a/calicomast/model/links.py
+++ b/apigateway/simulation/links.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from calicomast.model.clock import Clock
+from apigateway.simulation.clock import Clock
 
 
 @dataclass(frozen=True, slots=True)
--- a/calicomast/model/machine.py
+++ b/apigateway/simulation/machine.py
@@ -8,10 +8,10 @@
 from collections import deque
 from collections.abc import Callable
 
-from calicomast import interface as api
-from calicomast.model.clock import Clock
-from calicomast.model.links import Place
-from calicomast.model.scenario import Machines
+from apigateway import messages
+from apigateway.simulation.clock import Clock
+from apigateway.simulation.links import Place
+from apigateway.simulation.scenario import Machines
 
 STEP = 0.25  # s; how often the speed of a host that warms up is taken anew
 
@@ -47,8 +47,8 @@
 class Machine:
     """`cores` may differ from the spec's. What it can do is shared evenly by what it works on."""
 
-    def __init__(self, clock: Clock, spec: Machines, host: api.Host, cores: float, speed: float, load: Load,
-                 rules: api.Rules, rng: random.Random, fell: Callable[[str, float], None]) -> None:
+    def __init__(self, clock: Clock, spec: Machines, host: messages.Host, cores: float, speed: float, load: Load,
+                 rules: messages.Rules, rng: random.Random, fell: Callable[[str, float], None]) -> None:
         self.told_fall = fell
         self.clock, self.spec, self.host, self.cores, self.load = clock, spec, host, cores, load
         self.rules, self.rng, self.base = rules, rng, speed
@@ -210,7 +210,7 @@
         self.turn += 1
         self.account()
 
-    def restart(self, host: api.Host) -> None:
+    def restart(self, host: messages.Host) -> None:
         """It is back, with nothing in it."""
         self.host, self.mode, self.dark, self.fell = host, "up", False, False
         self.arrived.clear()
--- a/calicomast/model/node.py
+++ b/apigateway/simulation/node.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
 
-from calicomast import interface as api
-from calicomast.model.clock import START
-from calicomast.model.links import Place
-from calicomast.model.machine import Machine, Task
+from apigateway import messages
+from apigateway.simulation.clock import START
+from apigateway.simulation.links import Place
+from apigateway.simulation.machine import Machine, Task
 
 if TYPE_CHECKING:
-    from calicomast.model.world import World
+    from apigateway.simulation.world import World
 
 WAY_BACK = 0.03  # s before the client gives up by which an attempt ends, as in a real core
 CONNECT = 0.25  # s; a connection that does not come up by then is given up
@@ -27,7 +27,7 @@
 
     __slots__ = ("id", "size", "deadline", "answer", "sends", "live", "over", "attempts")
 
-    def __init__(self, request: api.Request, size: float, deadline: float,
+    def __init__(self, request: messages.Request, size: float, deadline: float,
                  answer: Callable[[str, float], None]) -> None:
         self.id, self.size, self.deadline, self.answer = request.id, size, deadline, answer
         self.sends, self.over = 0, False
@@ -62,17 +62,17 @@
         self.tries: dict[str, Trying] = {}
         self.idle: dict[str, list[float]] = {}  # connections at rest at each host: since when
         self.version = 0
-        self.told: dict[str, api.Host] = {}  # what it has heard of the hosts
+        self.told: dict[str, messages.Host] = {}  # what it has heard of the hosts
         self.drains: dict[str, float] = {}  # hosts that it was told drain or are gone: when
         self.attempts_made = 0
 
     # Its life
 
-    def start(self, known: tuple[api.Host, ...]) -> None:
+    def start(self, known: tuple[messages.Host, ...]) -> None:
         """`known`: the list as it last had it."""
         self.alive, self.life = True, self.life + 1
         self.module, self.tries, self.idle = self.make(), {}, {}
-        self.feed(api.HostList("cached", 1, known))
+        self.feed(messages.HostList("cached", 1, known))
 
     def die(self) -> None:
         """All connections end: its hosts drop what waits, its clients are told."""
@@ -83,7 +83,7 @@
             self.back(trying, "lost", 0.0)
         self.tries, self.idle = {}, {}
 
-    def listed(self, host: api.Host) -> None:
+    def listed(self, host: messages.Host) -> None:
         if host.state != "up":
             self.drains.setdefault(host.id, self.world.clock.now)
         else:
@@ -91,24 +91,24 @@
         self.told[host.id] = host
         if self.alive:
             self.version += 1
-            self.feed(api.HostList("delta", self.version, (host,)))
+            self.feed(messages.HostList("delta", self.version, (host,)))
 
     # Clients
 
-    def take(self, request: api.Request, size: float, answer: Callable[[str, float], None]) -> None:
+    def take(self, request: messages.Request, size: float, answer: Callable[[str, float], None]) -> None:
         """`answer` gets "served", "refused" or "failed", and for a refusal when to come back."""
         left = request.left - WAY_BACK
         trying = Trying(request, size, self.world.clock.now + left, answer)
         self.tries[request.id] = trying
         self.world.clock.after(left + WAY_BACK - 0.01, self.overdue, trying)
-        self.feed(api.Request(request.id, left, request.customer, request.plan, request.cls, request.units,
+        self.feed(messages.Request(request.id, left, request.customer, request.plan, request.cls, request.units,
                               request.first, request.spread, request.repeat, request.write))
 
     def overdue(self, trying: Trying) -> None:
         if not trying.over and self.alive:
             self.world.figures.add("no decision")
             self.finish(trying, "failed", 0.0)
-            self.feed(api.Gone(trying.id))
+            self.feed(messages.Gone(trying.id))
 
     def back(self, trying: Trying, answer: str, wait: float) -> None:
         if not trying.over:
@@ -131,29 +131,29 @@
             return
         for action in self.module.handle(self.world.clock.now, event):
             kind = type(action)
-            if kind is api.Send:
+            if kind is messages.Send:
                 self.send(action)
-            elif kind is api.SetTimer:
+            elif kind is messages.SetTimer:
                 self.world.clock.after(action.delay + 1e-6, self.timer, self.life, action.label)
-            elif kind is api.Count:
+            elif kind is messages.Count:
                 self.count(action)
-            elif kind is api.Refuse or kind is api.Fail:
+            elif kind is messages.Refuse or kind is messages.Fail:
                 trying = self.tries.get(action.id)
                 if trying is not None:
-                    wait = action.retry_after if kind is api.Refuse else 0.0
-                    self.finish(trying, "refused" if kind is api.Refuse else "failed", wait)
-            elif kind is api.Cancel:
+                    wait = action.retry_after if kind is messages.Refuse else 0.0
+                    self.finish(trying, "refused" if kind is messages.Refuse else "failed", wait)
+            elif kind is messages.Cancel:
                 self.cancel(action)
-            elif kind is api.Probe:
+            elif kind is messages.Probe:
                 self.probe(action.host)
 
     def timer(self, life: int, label: int) -> None:
         if life == self.life:
-            self.feed(api.Timer(label))
+            self.feed(messages.Timer(label))
 
     # Hosts
 
-    def send(self, action: api.Send) -> None:
+    def send(self, action: messages.Send) -> None:
         trying, world = self.tries.get(action.id), self.world
         if trying is None or trying.over:
             return
@@ -230,7 +230,7 @@
         self.forget(trying)
         self.world.figures.add("outcome " + result)
         final = over or result == "ok"
-        self.feed(api.Outcome(trying.id, attempt.number, attempt.host, result, now - attempt.since, final,
+        self.feed(messages.Outcome(trying.id, attempt.number, attempt.host, result, now - attempt.since, final,
                               report=report or {}))
 
     def give_up(self, attempt: Attempt) -> None:
@@ -251,7 +251,7 @@
         attempt.over = False
         self.ended(attempt, "timeout", life)
 
-    def cancel(self, action: api.Cancel) -> None:
+    def cancel(self, action: messages.Cancel) -> None:
         trying = self.tries.get(action.id)
         attempt = trying.live.get(action.attempt) if trying is not None else None
         if attempt is not None and not attempt.over:
@@ -282,11 +282,11 @@
             return
         if result != "timeout":
             self.world.probes_over.add(key)
-        self.feed(api.Probed(host, result, self.world.clock.now - since, report))
+        self.feed(messages.Probed(host, result, self.world.clock.now - since, report))
 
     # The counter
 
-    def count(self, action: api.Count) -> None:
+    def count(self, action: messages.Count) -> None:
         world, since, life = self.world, self.world.clock.now, self.life
         world.figures.add("counter calls")
         timeout = world.scenario.counting.timeout
@@ -295,7 +295,7 @@
         def told(result: str, total: float) -> None:
             if open_[0] and life == self.life:
                 open_[0] = False
-                self.feed(api.Counted(action.name, result, total, world.clock.now - since))
+                self.feed(messages.Counted(action.name, result, total, world.clock.now - since))
 
         def late() -> None:
             if open_[0]:
--- a/calicomast/model/scenario.py
+++ b/apigateway/simulation/scenario.py
@@ -4,20 +4,20 @@
 
 from dataclasses import dataclass, field
 
-from calicomast import interface as api
-from calicomast.model.links import Distances
+from apigateway import messages
+from apigateway.simulation.links import Distances
 
-READ = api.ServiceClass("read", 2.0, 5.0, "safe", "all", 0.0, 1.0, 0.0, False, 0.0)
-UPDATE = api.ServiceClass("update", 2.5, 6.0, "keyed", "cell", 6.0, 5.0, 0.0, False, 0.0)
-NOTICE = api.ServiceClass("notice", 1.5, 5.0, "unsafe", "all", 0.0, 3.0, 0.0, False, 0.0)
-FREE = api.Plan("free", 0.0, 0.0, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)  # no quota
+READ = messages.ServiceClass("read", 2.0, 5.0, "safe", "all", 0.0, 1.0, 0.0, False, 0.0)
+UPDATE = messages.ServiceClass("update", 2.5, 6.0, "keyed", "cell", 6.0, 5.0, 0.0, False, 0.0)
+NOTICE = messages.ServiceClass("notice", 1.5, 5.0, "unsafe", "all", 0.0, 3.0, 0.0, False, 0.0)
+FREE = messages.Plan("free", 0.0, 0.0, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)  # no quota
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
     """Requests of a class: `share` of all, work drawn from an exponential around `mean` core seconds."""
 
-    cls: api.ServiceClass = READ
+    cls: messages.ServiceClass = READ
     share: float = 1.0
     mean: float = 0.2
 
@@ -48,7 +48,7 @@
     """Who asks. Those of a plan make up its `share` of the load; `heavy` of them ask for `heavy_times` their
     quota, the others for `calm` of it, in the mean."""
 
-    plans: tuple[api.Plan, ...] = (FREE,)
+    plans: tuple[messages.Plan, ...] = (FREE,)
     shares: tuple[float, ...] = (1.0,)
     count: int = 400  # of a plan without a quota
     spread: tuple[float, float] = (0.5, 1.0)  # gateways that one comes through, of all
@@ -133,15 +133,15 @@
     probes: bool = True
     retry_after: bool = False
     max_attempts: int = 6
-    rules: api.Rules = api.Rules(0.01, 2.0, 0.15, 17.0, 2.0, 2.0, 0.0)
+    rules: messages.Rules = messages.Rules(0.01, 2.0, 0.15, 17.0, 2.0, 2.0, 0.0)
 
-    def settings(self, index: int) -> api.Settings:
+    def settings(self, index: int) -> messages.Settings:
         """What gateway `index` is told."""
         m = self.machines
-        return api.Settings(
+        return messages.Settings(
             index=index, gateways=self.gateways, zone=self.zones[index % len(self.zones)],
             classes={w.cls.name: w.cls for w in self.works}, plans={p.name: p for p in self.customers.plans},
-            limits=api.Limits(True, False, self.probes, False, self.retry_after, self.max_attempts, 2.0),
+            limits=messages.Limits(True, False, self.probes, False, self.retry_after, self.max_attempts, 2.0),
             rules=self.rules, prices={"cross_zone": 0.005, "probe": 0.01}, counter=self.counting.on,
             counter_price=0.01, counter_timeout=self.counting.timeout, meter_period=0.0, settles=False,
             most_units=1.0, discovery="push", reports=m.reports, weights="nominal" if m.weights else "none")
--- a/calicomast/model/world.py
+++ b/apigateway/simulation/world.py
@@ -6,17 +6,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.model import baselines, faults
-from calicomast.model.clock import START, Clock, stream
-from calicomast.model.counter import Counter
-from calicomast.model.demand import Ask, Demand
-from calicomast.model.figures import Figures
-from calicomast.model.judge import Judge
-from calicomast.model.links import Links, Place
-from calicomast.model.machine import Load, Machine
-from calicomast.model.node import Attempt, Module, Node
-from calicomast.model.scenario import Scenario
+from apigateway import messages
+from apigateway.simulation import baselines, faults
+from apigateway.simulation.clock import START, Clock, stream
+from apigateway.simulation.counter import Counter
+from apigateway.simulation.demand import Ask, Demand
+from apigateway.simulation.figures import Figures
+from apigateway.simulation.judge import Judge
+from apigateway.simulation.links import Links, Place
+from apigateway.simulation.machine import Load, Machine
+from apigateway.simulation.node import Attempt, Module, Node
+from apigateway.simulation.scenario import Scenario
 
 KEPT = 40  # states of each host that are kept for those that see old ones
 LOOK = 0.05  # s between them
@@ -27,7 +27,7 @@
     baseline. The same scenario and seed play the same, whatever was played before."""
 
     def __init__(self, scenario: Scenario, seed: int,
-                 make: Callable[[api.Settings, int, float], Module]) -> None:
+                 make: Callable[[messages.Settings, int, float], Module]) -> None:
         self.scenario, self.seed, self.make = scenario, seed, make
         self.clock = Clock()
         self.rng = stream(seed, "world")
@@ -71,7 +71,7 @@
         spec, rng = self.scenario.machines, stream(self.seed, "machine", self.born)
         big = rng.random() < spec.big
         cores = spec.cores * (2 if big else 1)
-        host = api.Host(f"h{self.born}", zone, cell, 2.0 if big and spec.weights else 1.0, "k", "up", started)
+        host = messages.Host(f"h{self.born}", zone, cell, 2.0 if big and spec.weights else 1.0, "k", "up", started)
         speed = math.exp(spec.speed_cv * rng.gauss(0, 1) - spec.speed_cv ** 2 / 2)
         machine = Machine(self.clock, spec, host, cores, speed, self.load, self.scenario.rules, rng,
                           self.judge.fell)
@@ -79,7 +79,7 @@
         self.born += 1
         return machine
 
-    def tell(self, host: api.Host, sure: bool = False) -> None:
+    def tell(self, host: messages.Host, sure: bool = False) -> None:
         """The list has changed: each gateway hears of it in its own time. `sure`: nobody misses it."""
         listing = self.scenario.listing
         for node in self.nodes:
@@ -136,7 +136,7 @@
         left = spec.patience * cls.deadline
         name = f"{ask.number}.{ask.tries}"
         self.open[name] = ask
-        request = api.Request(name, left, customer.name, customer.plan.name, cls.name, 1.0, customer.first,
+        request = messages.Request(name, left, customer.name, customer.plan.name, cls.name, 1.0, customer.first,
                               customer.spread, ask.tries > 1, cls.effect != "safe")
 
         def answer(what: str, wait: float) -> None:
--- a/calicomast/tools/demo.py
+++ b/apigateway/tools/demo.py
@@ -1,4 +1,4 @@
-"""`calicomast demo`: an installation of stand-ins and three real gateways, some trouble, and what came of
+"""`api-gateway demo`: an installation of stand-ins and three real gateways, some trouble, and what came of
 it."""
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from rich.live import Live
 from rich.table import Table
 
-from calicomast.checked import Faulty
-from calicomast.daemon.handover import question
-from calicomast.hooks.records import read_records
-from calicomast.hooks.testkit import read_plugins
-from calicomast.standins.clients import Client, Customer, Traffic
-from calicomast.standins.fleet import Class, Fleet, Plan, Shape
-from calicomast.standins.ledger import Attempt, Ledger, Verdict
-from calicomast.standins.script import Step
+from apigateway.config_validation import Faulty
+from apigateway.daemon.handover import question
+from apigateway.emulators.clients import Client, Customer, Traffic
+from apigateway.emulators.fleet import Class, Fleet, Plan, Shape
+from apigateway.emulators.ledger import Attempt, Ledger, Verdict
+from apigateway.emulators.script import Step
+from apigateway.plugins.records import read_records
+from apigateway.plugins.testkit import read_plugins
 
 SHAPE = Shape(
     classes={"roster-read": Class("safe", 1.0, 3.0, 1.0, 0.06, 0.41),
@@ -190,7 +190,7 @@
 
 def split(demo: Demo) -> None:
     """Half of each customer's requests come as checks, at any of the gateways: so its set is all of them."""
-    from calicomast.standins.checks import Checks
+    from apigateway.emulators.checks import Checks
 
     halved = [replace(c, rate=c.rate / 2, first=0, spread=SHAPE.gateways) for c in demo.traffic.customers]
     demo.traffic.customers = demo.asking = halved
@@ -260,7 +260,7 @@
     addresses = ", ".join(f"127.0.0.1:{gateway.port}" for gateway in fleet.gateways)
     if fleet.shape.grpc:
         console.print("The rate limit service: "
-                      f"calicomast ratelimit ask 127.0.0.1:{fleet.gateways[0].checks} --domain roster "
+                      f"api-gateway ratelimit ask 127.0.0.1:{fleet.gateways[0].checks} --domain roster "
                       "customer=00000000000000ff plan=basic", soft_wrap=True)
     console.print(f"The gateways stay up: {addresses}. Try one:\n"
                   f"  redis-cli -p {port} API.READ 00000000000000ff request-1 "
@@ -286,7 +286,7 @@
     try:
         plugged(plugins)
     except (Faulty, OSError) as err:
-        console.print(f"calicomast: {err}", soft_wrap=True)
+        console.print(f"api-gateway: {err}", soft_wrap=True)
         return 2
-    with tempfile.TemporaryDirectory(prefix="calicomast-") as folder:
+    with tempfile.TemporaryDirectory(prefix="apigateway-") as folder:
         return int(uvloop.run(demo(seconds, seed, keep, source, plugins, console, Path(folder), grpc)))
--- a/calicomast/tools/experiment/plan.py
+++ b/apigateway/tools/experiment/plan.py
@@ -1,6 +1,6 @@
 """A file of experiments: cases, what is swept, seeds, to the plays that it asks for.
 
-A table in the file has the fields of a dataclass of calicomast/model/scenario.py; what it leaves out keeps
+A table in the file has the fields of a dataclass of apigateway/simulation/scenario.py; what it leaves out keeps
 the default there.
 """
 
@@ -17,11 +17,11 @@
 
 import msgspec
 
-from calicomast.checked import Fault as Wrong
-from calicomast.checked import Faulty, Reader, read_toml, shown
-from calicomast.model import baselines
-from calicomast.model.faults import KINDS
-from calicomast.model.scenario import Scenario
+from apigateway.config_validation import Fault as Wrong
+from apigateway.config_validation import Faulty, Reader, read_toml, shown
+from apigateway.simulation import baselines
+from apigateway.simulation.faults import KINDS
+from apigateway.simulation.scenario import Scenario
 
 MOST_PLAYS = 10_000
 COLUMNS = ("in_aim", "refused", "p50_ms", "p99_ms", "idle_waiting", "connections_each", "probes_each",
--- a/calicomast/tools/experiment/report.py
+++ b/apigateway/tools/experiment/report.py
@@ -6,7 +6,7 @@
 import statistics
 from typing import Any
 
-from calicomast.tools.experiment.plan import Experiment
+from apigateway.tools.experiment.plan import Experiment
 
 VERSION = 1
 Row = dict[str, Any]
--- a/calicomast/tools/experiment/run.py
+++ b/apigateway/tools/experiment/run.py
@@ -10,28 +10,28 @@
 from multiprocessing import get_context
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.model.node import Module
-from calicomast.model.world import World
-from calicomast.tools.experiment.plan import MODULE, Play
+from apigateway import messages
+from apigateway.simulation.node import Module
+from apigateway.simulation.world import World
+from apigateway.tools.experiment.plan import MODULE, Play
 
 SHOWN_RULES = 3  # broken rules of a play that are told
 
 
-def module(policy: str) -> Callable[[api.Settings, int, float], Module]:
+def module(policy: str) -> Callable[[messages.Settings, int, float], Module]:
     """What makes the decision modules: the program's own, or the class `Gateway` of a file."""
     path = policy.partition(":")[2] if policy.startswith(MODULE + ":") else ""
     if not path:
-        from calicomast.policy import Gateway
+        from apigateway.policy import Gateway
 
         return Gateway
-    spec = importlib.util.spec_from_file_location("calicomast_other_policy", path)
+    spec = importlib.util.spec_from_file_location("apigateway_other_policy", path)
     if spec is None or spec.loader is None:
         raise FileNotFoundError(path)
     made = importlib.util.module_from_spec(spec)
     sys.modules[spec.name] = made  # its dataclasses look themselves up there
     spec.loader.exec_module(made)
-    other: Callable[[api.Settings, int, float], Module] = made.Gateway
+    other: Callable[[messages.Settings, int, float], Module] = made.Gateway
     return other
 
 
--- a/calicomast/tools/load/plan.py
+++ b/apigateway/tools/load/plan.py
@@ -6,8 +6,8 @@
 from collections import Counter
 from typing import Any
 
-from calicomast.tools.load.scenario import Scenario
-from calicomast.tools.load.schedule import US, Due, digest, schedule
+from apigateway.tools.load.scenario import Scenario
+from apigateway.tools.load.schedule import US, Due, digest, schedule
 
 BARS = " ▁▂▃▄▅▆▇█"
 WIDTH = 60  # columns of the plot
--- a/calicomast/tools/load/run.py
+++ b/apigateway/tools/load/run.py
@@ -1,4 +1,4 @@
-"""`calicomast load run`: plays a scenario and tells what became of it."""
+"""`api-gateway load run`: plays a scenario and tells what became of it."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 import uvloop
 
-from calicomast.tools.load.record import report, text, void
-from calicomast.tools.load.scenario import Scenario, addresses
-from calicomast.tools.load.schedule import schedule
-from calicomast.tools.load.send import Sender
+from apigateway.tools.load.record import report, text, void
+from apigateway.tools.load.scenario import Scenario, addresses
+from apigateway.tools.load.schedule import schedule
+from apigateway.tools.load.send import Sender
 
 OK, VOID = 0, 1
 
--- a/calicomast/tools/load/scenario.py
+++ b/apigateway/tools/load/scenario.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from calicomast.checked import Faulty, Part, Reader, read_toml
-from calicomast.net.address import Address, read_address
-from calicomast.tools.load.shapes import AnyShape
+from apigateway.config_validation import Faulty, Part, Reader, read_toml
+from apigateway.tools.load.shapes import AnyShape
+from apigateway.upstream.address import Address, read_address
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9_.-]{1,64}$")]
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
--- a/calicomast/tools/load/schedule.py
+++ b/apigateway/tools/load/schedule.py
@@ -16,8 +16,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from calicomast.tools.load.scenario import PlanPart, Scenario, SpellPart
-from calicomast.tools.load.shapes import Shape
+from apigateway.tools.load.scenario import PlanPart, Scenario, SpellPart
+from apigateway.tools.load.shapes import Shape
 
 US = 1_000_000
 STEP, STEPS = 0.001, 1_000_000  # s, of the integral for even arrivals; longer where there would be more
--- a/calicomast/tools/load/send.py
+++ b/apigateway/tools/load/send.py
@@ -12,10 +12,10 @@
 
 import hiredis
 
-from calicomast.net.address import Address
-from calicomast.tools.load.record import Record
-from calicomast.tools.load.scenario import ClassPart
-from calicomast.tools.load.schedule import US, Due
+from apigateway.tools.load.record import Record
+from apigateway.tools.load.scenario import ClassPart
+from apigateway.tools.load.schedule import US, Due
+from apigateway.upstream.address import Address
 
 NEAR = 0.0015  # s before something is due from which on the loop is not left to its timer, which ticks in ms
 AT_ONCE = 64  # requests begun in one turn of the loop, so that answers are read between
--- a/calicomast/tools/plugin.py
+++ b/apigateway/tools/plugin.py
@@ -1,4 +1,4 @@
-"""What `calicomast plugin` does: skeletons, checks, runs over recorded requests, the cost of a call."""
+"""What `api-gateway plugin` does: skeletons, checks, runs over recorded requests, the cost of a call."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.checked import Faulty
-from calicomast.hooks.load import Place, load, proofs
-from calicomast.hooks.records import read_records, view_of
-from calicomast.hooks.settings import HooksPart, PluginPart
-from calicomast.hooks.terms import ANSWER, ATTEMPT, PHASES, TICK, View
-from calicomast.hooks.testkit import Kit, Told, read_plugins, settings
-from calicomast.hooks.version import Seat
-from calicomast.tools.skeletons import skeleton
+from apigateway import messages
+from apigateway.config_validation import Faulty
+from apigateway.plugins.load import Place, load, proofs
+from apigateway.plugins.records import read_records, view_of
+from apigateway.plugins.settings import HooksPart, PluginPart
+from apigateway.plugins.terms import ANSWER, ATTEMPT, PHASES, TICK, View
+from apigateway.plugins.testkit import Kit, Told, read_plugins, settings
+from apigateway.plugins.version import Seat
+from apigateway.tools.skeletons import skeleton
 
 NAME = re.compile(r"[a-z][a-z0-9_-]{0,31}")
 
@@ -50,7 +50,7 @@
 
 
 def build(path: str) -> str:
-    from calicomast.hooks.wasm import BadModule, assembled
+    from apigateway.plugins.wasm import BadModule, assembled
 
     if not path.endswith(".wat"):
         raise Unusable(f"{path}: name a .wat file")
@@ -66,7 +66,7 @@
     return f"{out}: {len(made)} bytes"
 
 
-def read(path: str) -> tuple[str, list[PluginPart], HooksPart, api.Settings | None]:
+def read(path: str) -> tuple[str, list[PluginPart], HooksPart, messages.Settings | None]:
     """The file, its plug-ins, and what its gateway tells the decision module where it is a gateway's."""
     if os.path.isdir(path):
         path = os.path.join(path, "plugin.toml")
@@ -76,13 +76,13 @@
     except Faulty as err:
         if not any(fault.key in ("listeners", "classes", "plans", "gateway") for fault in err.faults):
             raise
-    from calicomast.daemon.settings import read_settings, to_module
+    from apigateway.daemon.settings import read_settings, to_module
 
     whole = read_settings(path)
     return path, whole.plugins, whole.hooks, to_module(whole)
 
 
-def loaded(path: str, place: api.Settings | None = None) -> Kit:
+def loaded(path: str, place: messages.Settings | None = None) -> Kit:
     file, plugins, hooks, own = read(path)
     if not plugins:
         raise Unusable(f"{file}: names no plug-in")
@@ -128,7 +128,7 @@
     place = settings({view.cls: "unsafe" if view.write else "safe" for _, _, view in told} or None,
                      sorted({view.plan for _, _, view in told}) or ("basic",))
     if gateway is not None:
-        from calicomast.daemon.settings import read_settings, to_module
+        from apigateway.daemon.settings import read_settings, to_module
 
         place = to_module(read_settings(gateway))
     kit, report = loaded(path, place), Report()
--- a/calicomast/tools/skeletons.py
+++ b/apigateway/tools/skeletons.py
@@ -1,8 +1,8 @@
-"""What `calicomast plugin new` writes: a plug-in that works, its settings, a test."""
+"""What `api-gateway plugin new` writes: a plug-in that works, its settings, a test."""
 
 from __future__ import annotations
 
-SETTINGS = """# For a gateway's settings (its file beside them), `calicomast plugin` and `demo --plugin`.
+SETTINGS = """# For a gateway's settings (its file beside them), `api-gateway plugin` and `demo --plugin`.
 [[plugins]]
 name = "{name}"
 file = "{file}"
@@ -46,7 +46,7 @@
 
 TEST = """from pathlib import Path
 
-from calicomast.hooks.testkit import Kit
+from apigateway.plugins.testkit import Kit
 
 
 def test_it_marks_requests():
--- a/calicomast/net/hosts.py
+++ b/apigateway/upstream/hosts.py
@@ -19,9 +19,9 @@
 
 import hiredis
 
-from calicomast.net.address import Address
-from calicomast.net.framing import MOST_BODY, NO_MESSAGE, Framing, FramingError
-from calicomast.settings import read_report
+from apigateway.platform_settings import read_report
+from apigateway.upstream.address import Address
+from apigateway.upstream.framing import MOST_BODY, NO_MESSAGE, Framing, FramingError
 
 REST = 0.02  # s after an answer in which what came behind it, a second copy or noise, can still show itself
 IDLE_MARGIN = 0.1  # part of the hosts' idle time by which a connection is closed before them
--- a/benchmarks/check_cost.py
+++ b/benchmarks/check_cost.py
@@ -32,12 +32,12 @@
 from grpc_servers import CLIENT, METHOD  # noqa: E402
 from request_cost import FastHost, cpu, memory  # noqa: E402
 
-from calicomast.standins.counter import StandInCounter  # noqa: E402
-from calicomast.standins.ports import free_port  # noqa: E402
+from apigateway.emulators.counter import StandInCounter  # noqa: E402
+from apigateway.emulators.ports import free_port  # noqa: E402
 
 ECHO = """
 import asyncio, sys, uvloop
-from calicomast.fronts.grpc.front import GrpcFront
+from apigateway.frontends.grpc.front import GrpcFront
 class Core:
     def join(self, front): pass
     def leave(self, front): pass
@@ -70,7 +70,7 @@
                     '[classes.read]\neffect = "safe"\naim = 1.0\ndeadline = 3.0\n' + PLANS
                     + RULE * bool(grpc))
     program = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "calicomast", "serve", str(file), cwd=ROOT,
+        sys.executable, "-B", "-m", "apigateway", "serve", str(file), cwd=ROOT,
         stderr=asyncio.subprocess.PIPE)
     assert program.stderr is not None
     for _ in range(1 + bool(grpc)):
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -3,7 +3,7 @@
     python benchmarks/fleet_processes.py [--gateways 200] [--hosts 50] [--load 0.4] [--seconds 12]
                                          [--json FILE]
 
-Real: each gateway is `calicomast serve` in a process of its own, with relays between zones and hosts;
+Real: each gateway is `api-gateway serve` in a process of its own, with relays between zones and hosts;
 clients, hosts and relays share one process, which bounds the load that can be played. Model: the same
 numbers, the same distribution of work, hosts that work on as many requests at once as they have cores. Not
 the same: which request comes when.
@@ -27,13 +27,13 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from calicomast import interface as api  # noqa: E402
-from calicomast.model.scenario import FREE, Customers, Fault, Listing, Machines, Scenario, Work  # noqa: E402
-from calicomast.model.world import World  # noqa: E402
-from calicomast.policy import Gateway  # noqa: E402
-from calicomast.standins.crowd import Crowd, customers, exponential  # noqa: E402
-from calicomast.standins.fleet import Class, Plan, Shape  # noqa: E402
-from calicomast.standins.ledger import report  # noqa: E402
+from apigateway import messages  # noqa: E402
+from apigateway.emulators.crowd import Crowd, customers, exponential  # noqa: E402
+from apigateway.emulators.fleet import Class, Plan, Shape  # noqa: E402
+from apigateway.emulators.ledger import report  # noqa: E402
+from apigateway.policy import Gateway  # noqa: E402
+from apigateway.simulation.scenario import FREE, Customers, Fault, Listing, Machines, Scenario, Work  # noqa: E402
+from apigateway.simulation.world import World  # noqa: E402
 
 MEAN, CORES, QUEUE = 0.2, 4, 48  # s of work; of a host
 AIM, DEADLINE = 2.0, 5.0  # s
@@ -87,7 +87,7 @@
 
 def model(args: argparse.Namespace, away: float) -> dict[str, Any]:
     """`away`: s after which the last killed gateway was back, one after another from AWAY on; 0: none was."""
-    read = api.ServiceClass("read", AIM, DEADLINE, "safe", "all", 0.0, 1.0, 0.0, False, 0.0)
+    read = messages.ServiceClass("read", AIM, DEADLINE, "safe", "all", 0.0, 1.0, 0.0, False, 0.0)
     machines = Machines(count=args.hosts, cores=CORES, slots=CORES, queue=QUEUE, speed_cv=0.0, thrash=0.0,
                         report_period=0.02, report_delay=0.0, reports=("inflight", "queue", "util"),
                         handshake=0.0)
--- a/benchmarks/grpc_servers.py
+++ b/benchmarks/grpc_servers.py
@@ -26,7 +26,7 @@
 
 from request_cost import cpu, memory  # noqa: E402
 
-from calicomast.standins.ports import free_port  # noqa: E402
+from apigateway.emulators.ports import free_port  # noqa: E402
 
 METHOD = "/envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit"
 COMMON = """
--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -23,9 +23,9 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from calicomast.standins.clients import Client, Customer, Traffic  # noqa: E402
-from calicomast.standins.fleet import Class, Fleet, Gateway, Plan, Shape  # noqa: E402
-from calicomast.standins.ledger import report  # noqa: E402
+from apigateway.emulators.clients import Client, Customer, Traffic  # noqa: E402
+from apigateway.emulators.fleet import Class, Fleet, Gateway, Plan, Shape  # noqa: E402
+from apigateway.emulators.ledger import report  # noqa: E402
 
 SHAPE = Shape(classes={"read": Class("safe", 1.0, 3.0, 1.0, 0.005, 0.6),
                        "note": Class("unsafe", 1.0, 3.0, 1.0, 0.005, 0.4)},
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -32,14 +32,14 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from calicomast import interface as api  # noqa: E402
-from calicomast.membership.eureka.source import EurekaSource, Registry  # noqa: E402
-from calicomast.membership.listing import Listing  # noqa: E402
-from calicomast.standins.clients import Client, Customer, Traffic  # noqa: E402
-from calicomast.standins.eureka import StandInEureka, instance  # noqa: E402
-from calicomast.standins.fleet import Class, Fleet, Plan, Shape  # noqa: E402
-from calicomast.standins.ledger import report  # noqa: E402
-from calicomast.standins.script import Step  # noqa: E402
+from apigateway import messages  # noqa: E402
+from apigateway.emulators.clients import Client, Customer, Traffic  # noqa: E402
+from apigateway.emulators.eureka import StandInEureka, instance  # noqa: E402
+from apigateway.emulators.fleet import Class, Fleet, Plan, Shape  # noqa: E402
+from apigateway.emulators.ledger import report  # noqa: E402
+from apigateway.emulators.script import Step  # noqa: E402
+from apigateway.membership.eureka.source import EurekaSource, Registry  # noqa: E402
+from apigateway.membership.listing import Listing  # noqa: E402
 
 SHAPE = Shape(classes={"read": Class("safe", 1.0, 3.0, 1.0, 0.01, 0.6),
                        "note": Class("unsafe", 1.0, 3.0, 1.0, 0.01, 0.4)},
@@ -48,7 +48,7 @@
               cold_time=0.0, extra={"trust": "calm_time = 0.0", "daemon": "log_lines = 10000"})
 
 
-NOTHING = Listing(api.HostList("cached", 0, ()), {})
+NOTHING = Listing(messages.HostList("cached", 0, ()), {})
 
 
 # Cost
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -34,18 +34,18 @@
 
 CHILD = r"""
 import collections, random, sys, time
-from calicomast import interface as api
-from calicomast import policy
-from calicomast.policy import Gateway
+from apigateway import messages
+from apigateway.policy import gateway as policy
+from apigateway.policy import Gateway
 
 def settings(refused):
     classes = {
-        "read": api.ServiceClass("read", 1.0, 3.0, "safe", "all", 0.0, 1.0, 0.0, False, 0.0),
-        "note": api.ServiceClass("note", 1.0, 3.0, "unsafe", "all", 0.0, 3.0, 0.0, False, 0.0)}
+        "read": messages.ServiceClass("read", 1.0, 3.0, "safe", "all", 0.0, 1.0, 0.0, False, 0.0),
+        "note": messages.ServiceClass("note", 1.0, 3.0, "unsafe", "all", 0.0, 3.0, 0.0, False, 0.0)}
     rate, burst = (0.001, 1.0) if refused else (1000.0, 100000.0)
-    plans = {"p": api.Plan("p", rate, burst, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)}
-    return api.Settings(0, 1, "a", classes, plans, api.Limits(True, False, False, False, True, 3, 2.0),
-                        api.Rules(0.0, 2.0, 0.15, 17.0, 2.0, 2.0, 0.0), {"cross_zone": 0.02}, True, 0.01,
+    plans = {"p": messages.Plan("p", rate, burst, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)}
+    return messages.Settings(0, 1, "a", classes, plans, messages.Limits(True, False, False, False, True, 3, 2.0),
+                        messages.Rules(0.0, 2.0, 0.15, 17.0, 2.0, 2.0, 0.0), {"cross_zone": 0.02}, True, 0.01,
                         0.08, 0.0,
                         False, 1.0, "push", ("inflight", "queue"), "none")
 
@@ -53,7 +53,7 @@
             queued=0):
     rng, now = random.Random(1), 1000.0
     gateway = Gateway(settings(refused), 1, now)
-    listed = tuple(api.Host(f"h{n}", "ab"[n % 2], n % 4, 1.0, "k", "up", 0.0) for n in range(hosts))
+    listed = tuple(messages.Host(f"h{n}", "ab"[n % 2], n % 4, 1.0, "k", "up", 0.0) for n in range(hosts))
     dead = {f"h{n}" for n in range(0, hosts, 2)} if silent else set()
     out, totals = collections.deque(), collections.Counter()
     most = max(2, hosts // 3)
@@ -62,27 +62,27 @@
         queue = [event]
         while queue:
             for act in gateway.handle(now, queue.pop(0)):
-                if type(act) is api.Send:
+                if type(act) is messages.Send:
                     out.append(act)
-                elif type(act) is api.Count:
+                elif type(act) is messages.Count:
                     totals[act.name] += act.amount
-                    queue.append(api.Counted(act.name, "ok", totals[act.name], 0.001))
-                elif type(act) is api.Cancel:
-                    queue.append(api.Outcome(act.id, act.attempt, "h0", "moot", 0.1, False))
+                    queue.append(messages.Counted(act.name, "ok", totals[act.name], 0.001))
+                elif type(act) is messages.Cancel:
+                    queue.append(messages.Outcome(act.id, act.attempt, "h0", "moot", 0.1, False))
 
     def answer():
         act = out.popleft()
         bad = act.host in dead
-        feed(api.Outcome(act.id, 0, act.host, "reset" if bad else "ok", 0.05, not bad,
+        feed(messages.Outcome(act.id, 0, act.host, "reset" if bad else "ok", 0.05, not bad,
                          report={"inflight": 1.0 + rng.random()}))
 
-    feed(api.HostList("full", 1, listed))
+    feed(messages.HostList("full", 1, listed))
     number = 0
 
     def ask():
         nonlocal number
         number += 1
-        feed(api.Request(f"r{number}", 3.0, f"{number % customers:016x}", "p", "note" if number % 10 == 0 else
+        feed(messages.Request(f"r{number}", 3.0, f"{number % customers:016x}", "p", "note" if number % 10 == 0 else
                          "read", 1.0, 0, 1))
 
     if queued:
@@ -121,20 +121,20 @@
     # Bytes that one account, host or request in work takes, by the allocator.
     import tracemalloc
     gateway, now = Gateway(settings(False), 1, 1000.0), 1000.0
-    hosts = tuple(api.Host(f"h{n}", "a", 0, 1.0, "k", "up", 0.0) for n in range(count if what == "host" else
+    hosts = tuple(messages.Host(f"h{n}", "a", 0, 1.0, "k", "up", 0.0) for n in range(count if what == "host" else
     10))
     if what != "host":
-        gateway.handle(now, api.HostList("full", 1, hosts))
+        gateway.handle(now, messages.HostList("full", 1, hosts))
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     if what == "host":
-        gateway.handle(now, api.HostList("full", 1, hosts))
+        gateway.handle(now, messages.HostList("full", 1, hosts))
     for n in range(count if what != "host" else 0):
         now += 0.00001
         customer = f"{n if what == 'account' else 1:016x}"
-        for act in gateway.handle(now, api.Request(f"r{n}", 3.0, customer, "p", "read", 1.0, 0, 1)):
-            if type(act) is api.Send and what == "account":
-                gateway.handle(now, api.Outcome(act.id, 0, act.host, "ok", 0.01, True))
+        for act in gateway.handle(now, messages.Request(f"r{n}", 3.0, customer, "p", "read", 1.0, 0, 1)):
+            if type(act) is messages.Send and what == "account":
+                gateway.handle(now, messages.Outcome(act.id, 0, act.host, "ok", 0.01, True))
     most = len(gateway.jobs) if what == "request" else count
     return (tracemalloc.get_traced_memory()[0] - before) / max(1, most)
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -31,7 +31,7 @@
 from request_cost import FastHost, cpu, memory  # noqa: E402
 from workers import LOAD as CLOSED  # noqa: E402
 
-from calicomast.standins.ports import free_port  # noqa: E402
+from apigateway.emulators.ports import free_port  # noqa: E402
 
 SENDERS, CONNECTIONS = 3, 8
 AIM = 1.0  # s
@@ -110,7 +110,7 @@
         "[plans.basic]\nrate = 1000000.0\nburst = 1000000.0\n"
         "[plans.gold]\nrate = 1000000.0\nburst = 1000000.0\nprice = 3.0\n")
     program = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "calicomast", "serve", str(folder / "gateway.toml"), cwd=ROOT,
+        sys.executable, "-B", "-m", "apigateway", "serve", str(folder / "gateway.toml"), cwd=ROOT,
         stderr=asyncio.subprocess.PIPE)
     assert program.stderr is not None
     while b"listens on" not in (line := await program.stderr.readline()):
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -34,8 +34,8 @@
 
 from request_cost import FastHost, Program, cpu, load  # noqa: E402
 
-from calicomast.hooks.testkit import module  # noqa: E402
-from calicomast.standins.ports import free_port  # noqa: E402
+from apigateway.emulators.ports import free_port  # noqa: E402
+from apigateway.plugins.testkit import module  # noqa: E402
 
 HOSTS, WARM = 9, 1000
 EXAMPLE = ROOT / "examples" / "plugins" / "districts"
@@ -71,7 +71,7 @@
         f'[[listeners]]\naddress = "127.0.0.1:{port}"\n[classes.read]\neffect = "safe"\n'
         f"aim = 1.0\ndeadline = 3.0\n"
         f"[plans.p]\nrate = 100000.0\nburst = 1000000.0\n{plugins}")
-    return Program(name, [sys.executable, "-B", "-m", "calicomast", "serve", str(place / "gateway.toml")],
+    return Program(name, [sys.executable, "-B", "-m", "apigateway", "serve", str(place / "gateway.toml")],
                    ROOT,
                    {}, port)
 
@@ -150,12 +150,12 @@
 sys.path.insert(0, {root!r})
 def held():
     return next(int(l.split()[1]) for l in open("/proc/self/status") if l.startswith("VmRSS"))
-import msgspec, calicomast.checked
+import msgspec, apigateway.config_validation
 before = held()
-from calicomast.hooks.load import Place, load
-from calicomast.hooks.live import Hooks
-from calicomast.hooks.settings import HooksPart, PluginPart
-from calicomast.hooks.testkit import settings
+from apigateway.plugins.load import Place, load
+from apigateway.plugins.live import Hooks
+from apigateway.plugins.settings import HooksPart, PluginPart
+from apigateway.plugins.testkit import settings
 def parts(turn):
     return [PluginPart(name=f"p{{n}}", file={file!r}, settings={{"district": {{"a": f"{{turn}}"}}}})
             for n in range({count})]
@@ -183,12 +183,12 @@
 
 def inside(count: int, kind: str, requests: int = 20_000) -> float:
     """us that the plug-ins' own code takes for one request: taken, one attempt, answered."""
-    from calicomast import interface as api
-    from calicomast.hooks.live import Hooks
-    from calicomast.hooks.load import Place
-    from calicomast.hooks.load import load as load_plugins
-    from calicomast.hooks.settings import BudgetPart, HooksPart, PluginPart
-    from calicomast.hooks.testkit import settings
+    from apigateway import messages
+    from apigateway.plugins.live import Hooks
+    from apigateway.plugins.load import Place
+    from apigateway.plugins.load import load as load_plugins
+    from apigateway.plugins.settings import BudgetPart, HooksPart, PluginPart
+    from apigateway.plugins.testkit import settings
 
     file = str(EXAMPLE / ("rules.toml" if kind == "rules" else "districts.wat"))
     table = {f"{n:016x}": f"d{n % 7}" for n in range(1, 98)}
@@ -196,7 +196,7 @@
              for n in range(count)]
     hooks = Hooks(load_plugins(parts, HooksPart(), Place("/", settings())), time.time,
                   asyncio.new_event_loop(), 1.0)
-    asked = [api.Request(f"r{n}", 3.0, f"{n + 1:016x}", "basic", "roster-read", 1.0, 0, 1) for n in range(97)]
+    asked = [messages.Request(f"r{n}", 3.0, f"{n + 1:016x}", "basic", "roster-read", 1.0, 0, 1) for n in range(97)]
     began = time.perf_counter()
     for n in range(requests):
         hooked, _ = hooks.taken(asked[n % 97])
--- a/benchmarks/ratelimit_mixed.py
+++ b/benchmarks/ratelimit_mixed.py
@@ -25,11 +25,11 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from calicomast.standins.checks import Checks  # noqa: E402
-from calicomast.standins.clients import Client, Customer, Traffic  # noqa: E402
-from calicomast.standins.fleet import Class, Fleet, Plan, Shape  # noqa: E402
-from calicomast.standins.ledger import Attempt  # noqa: E402
-from calicomast.standins.script import Step  # noqa: E402
+from apigateway.emulators.checks import Checks  # noqa: E402
+from apigateway.emulators.clients import Client, Customer, Traffic  # noqa: E402
+from apigateway.emulators.fleet import Class, Fleet, Plan, Shape  # noqa: E402
+from apigateway.emulators.ledger import Attempt  # noqa: E402
+from apigateway.emulators.script import Step  # noqa: E402
 
 RATE, BURST, CEILING, CEILING_BURST, ASKED = 8.0, 16.0, 16.0, 32.0, 48.0  # units a second, units
 CUSTOMERS = [f"{n:016x}" for n in range(1, 5)]
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -3,7 +3,7 @@
     python benchmarks/request_cost.py --before REV [--rounds 5] [--requests 20000] [--hosts 9]
         [--customers 97] [--held 0] [--json FILE]
 
-Three programs in turn on one core: this tree's `python -m calicomast.net`, that of REV (checked out into a
+Three programs in turn on one core: this tree's `python -m apigateway.daemon`, that of REV (checked out into a
 folder of its own), and a relay on the same loop that only passes bytes from a client to a host and back. Load
 and hosts are this process, on other cores. Each round is a closed loop of so many requests over 24
 connections; CPU is what the kernel booked to the program. Prints medians and ratios. With `--held N` so many
@@ -33,11 +33,11 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from calicomast.standins.counter import StandInCounter  # noqa: E402
-from calicomast.standins.discovery import StandInDiscovery  # noqa: E402
-from calicomast.standins.hosts import VALUE  # noqa: E402
-from calicomast.standins.platform import SETTINGS, configuration, entry  # noqa: E402
-from calicomast.standins.ports import free_port  # noqa: E402
+from apigateway.emulators.counter import StandInCounter  # noqa: E402
+from apigateway.emulators.discovery import StandInDiscovery  # noqa: E402
+from apigateway.emulators.hosts import VALUE  # noqa: E402
+from apigateway.emulators.platform import SETTINGS, configuration, entry  # noqa: E402
+from apigateway.emulators.ports import free_port  # noqa: E402
 
 CONNECTIONS, WARM = 24, 2000
 CUSTOMERS, HELD = 97, 0
@@ -235,7 +235,7 @@
                     "limits": {"cores": 1.0, "memory_mb": 2000, "sockets": 1024 + 4 * fleet}}
                 file = folder / f"{name}.json"
                 file.write_text(json.dumps(told))
-                programs.append(Program(name, [sys.executable, "-B", "-m", "calicomast.net"], tree,
+                programs.append(Program(name, [sys.executable, "-B", "-m", "apigateway.daemon"], tree,
                                         {"RELAY_CONFIG": str(file)}, port))
                 await programs[-1].ready(True)
             port = free_port()
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -30,7 +30,7 @@
 from plots import Line, draw  # noqa: E402
 from request_cost import FastHost, cpu, memory  # noqa: E402
 
-from calicomast.standins.ports import free_port  # noqa: E402
+from apigateway.emulators.ports import free_port  # noqa: E402
 
 HOSTS, LISTED, REPLACED, LINES, EACH = 60, 30, 10, 16, 200
 rng = random.Random(1)
@@ -105,7 +105,7 @@
                 "deadline = 3.0\n[plans.p]\nrate = 20.0\nburst = 40.0\n")
     (folder / "gateway.toml").write_text(settings)
     program = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "calicomast", "serve", str(folder / "gateway.toml"), cwd=ROOT,
+        sys.executable, "-B", "-m", "apigateway", "serve", str(folder / "gateway.toml"), cwd=ROOT,
         stderr=asyncio.subprocess.PIPE)
     assert program.stderr is not None
     while b"listens on" not in await program.stderr.readline():
--- a/benchmarks/workers.py
+++ b/benchmarks/workers.py
@@ -31,8 +31,8 @@
 
 from request_cost import FastHost  # noqa: E402
 
-from calicomast.standins.counter import StandInCounter  # noqa: E402
-from calicomast.standins.ports import free_port  # noqa: E402
+from apigateway.emulators.counter import StandInCounter  # noqa: E402
+from apigateway.emulators.ports import free_port  # noqa: E402
 
 HOSTS, CONNECTIONS = 9, 48
 RATE, BURST = 200.0, 400.0
@@ -90,7 +90,7 @@
             "[plans.free]\nrate = 1000000.0\nburst = 1000000.0\n"
             f"[plans.held]\nrate = {RATE}\nburst = {BURST}\n")
         program = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "calicomast", "serve", str(folder / "gateway.toml"), "--workers",
+            sys.executable, "-B", "-m", "apigateway", "serve", str(folder / "gateway.toml"), "--workers",
             str(workers), cwd=ROOT, stderr=asyncio.subprocess.PIPE)
         assert program.stderr is not None
         while b" listen on " not in (line := await program.stderr.readline()) and (
--- a/calicomast/tools/experiment/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""`calicomast experiment`: plays of the fleet's model, over cases, sweeps and seeds."""
--- a/examples/plugins/districts/districts.wat
+++ b/examples/plugins/districts/districts.wat
@@ -1,5 +1,5 @@
 ;; Tags each request with its employer's district, from the table `district` of the plug-in's settings.
-;; The engine assembles this text itself; `calicomast plugin build` makes a .wasm of it.
+;; The engine assembles this text itself; `api-gateway plugin build` makes a .wasm of it.
 (module
   (import "calicomast" "setting" (func $setting (param i32 i32 i32 i32) (result i32)))
   (import "calicomast" "count" (func $count (param i32 i32 f64)))
--- a/tests/core/test_door.py
+++ b/tests/core/test_admission.py
@@ -5,7 +5,7 @@
 import pytest
 from test_life import Scheduler
 
-from calicomast.core.door import BEAT, QUANTUM, QUIET, Door
+from apigateway.core.admission import BEAT, QUANTUM, QUIET, Door
 
 
 class Gate:
--- a/tests/daemon/test_inflight.py
+++ b/tests/daemon/test_inflight.py
@@ -6,8 +6,8 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast.daemon import inflight
-from calicomast.daemon.inflight import FULL, HELD, InFlight, size
+from apigateway.daemon import inflight
+from apigateway.daemon.inflight import FULL, HELD, InFlight, size
 
 
 def memory(count):
