--- a/tests/daemon/test_lifecycle.py
+++ b/tests/daemon/test_lifecycle.py
@@ -11,9 +11,9 @@
 from netkit import SERVED, Held, StubCounter, StubDiscovery, StubHost, command, entry, on_loop, told
 from rig import PROGRAM, ROOT, Site, free_port
 
-from calicomast.daemon.lock import Lock, Locked
-from calicomast.daemon.notify import Notifier
-from calicomast.daemon.sockets import bind, named
+from apigateway.daemon.lock import Lock, Locked
+from apigateway.daemon.notify import Notifier
+from apigateway.daemon.sockets import bind, named
 
 
 class Manager:
@@ -65,7 +65,7 @@
 
 @on_loop
 async def test_it_is_ready_only_once_it_has_hosts(tmp_path):
-    from calicomast.standins.discovery import StandInDiscovery
+    from apigateway.emulators.discovery import StandInDiscovery
 
     async with Site(tmp_path) as site, StandInDiscovery() as discovery:
         discovery.silent = True
@@ -80,7 +80,7 @@
 
 @on_loop
 async def test_a_stop_before_it_is_ready_ends_it(tmp_path):
-    from calicomast.standins.discovery import StandInDiscovery
+    from apigateway.emulators.discovery import StandInDiscovery
 
     async with Site(tmp_path) as site, StandInDiscovery() as discovery:
         discovery.silent = True
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -10,11 +10,10 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast import __version__
-from calicomast import interface as api
-from calicomast.checked import MOST_BYTES, Faulty
-from calicomast.daemon.serve import in_force
-from calicomast.daemon.settings import (
+from apigateway import __version__, messages
+from apigateway.config_validation import MOST_BYTES, Faulty
+from apigateway.daemon.serve import in_force
+from apigateway.daemon.settings import (
     LIVE,
     CounterPart,
     Settings,
@@ -24,7 +23,7 @@
     to_config,
     to_module,
 )
-from calicomast.membership.file import read_hosts
+from apigateway.membership.file import read_hosts
 
 ROOT = Path(__file__).resolve().parents[2]
 GOOD = """
@@ -55,7 +54,7 @@
         assert told[part] == default[part], part
     config = to_config(str(ROOT / "deploy" / "gateway.toml"),
                        read_settings(str(ROOT / "deploy" / "gateway.toml")))
-    assert isinstance(config.settings, api.Settings) and len(config.known.hosts.hosts) == 1
+    assert isinstance(config.settings, messages.Settings) and len(config.known.hosts.hosts) == 1
 
 
 def test_every_key_stands_in_the_file_in_deploy():
@@ -175,14 +174,14 @@
                        TREES | st.dictionaries(st.sampled_from(["rate", "index", "address", "aim", "x"]),
                                                TREES)))
 def test_no_tree_gets_past_the_check_by_an_exception(tree):
-    from calicomast.checked import Reader
-    from calicomast.daemon.settings import check
+    from apigateway.config_validation import Reader
+    from apigateway.daemon.settings import check
     reader = Reader("f")
     told = reader.read(tree, Settings)
     if told is not None:
         check(reader, told, False)
     if not reader.faults:
-        assert isinstance(to_module(told), api.Settings)
+        assert isinstance(to_module(told), messages.Settings)
 
 
 def test_a_reload_tells_what_it_takes_up_and_what_it_does_not(tmp_path):
@@ -239,11 +238,11 @@
 
 def test_check_and_version_on_the_command_line(tmp_path):
     def run(*arguments):
-        return subprocess.run([sys.executable, "-B", "-m", "calicomast", *arguments], cwd=ROOT,
+        return subprocess.run([sys.executable, "-B", "-m", "apigateway", *arguments], cwd=ROOT,
                               capture_output=True,
                               text=True, timeout=60)
 
-    assert run("version").stdout == f"calicomast {__version__}\n"
+    assert run("version").stdout == f"api-gateway {__version__}\n"
     assert f'version = "{__version__}"' in (ROOT / "pyproject.toml").read_text()
     good = run("check", "deploy/gateway.toml")
     assert good.returncode == 0 and "1 hosts" in good.stdout
@@ -251,16 +250,16 @@
     bad = run("check", str(tmp_path / "bad.toml"))
     assert bad.returncode == 2 and bad.stderr.count("\n") == 3 and "did you mean `linger`" in bad.stderr
     served = run("serve", str(tmp_path / "bad.toml"))
-    assert served.returncode == 2 and "calicomast: " in served.stderr
+    assert served.returncode == 2 and "api-gateway: " in served.stderr
     assert run("nonsense").returncode == 2 and "usage" in run("--help").stdout
 
 
 def test_the_platforms_program_loads_none_of_it():
-    code = ("import sys, calicomast.daemon.platform; "
+    code = ("import sys, apigateway.daemon.platform; "
             "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'rich', 'wasmtime') or "
-            "m.startswith(('calicomast.hooks', 'calicomast.cli', "
-            "'calicomast.standins', 'calicomast.tools', 'calicomast.checked', "
-            "'calicomast.overload', 'calicomast.core.door', 'calicomast.fronts.resp.outline', "
-            "'calicomast.daemon.serve', 'calicomast.daemon.settings', 'calicomast.membership.file'))])")
+            "m.startswith(('apigateway.plugins', 'apigateway.cli', "
+            "'apigateway.emulators', 'apigateway.tools', 'apigateway.config_validation', "
+            "'apigateway.policy.overload_gate', 'apigateway.core.admission', 'apigateway.frontends.resp.outline', "
+            "'apigateway.daemon.serve', 'apigateway.daemon.settings', 'apigateway.membership.file'))])")
     ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert ended.stdout == "[]\n", ended.stderr
--- a/tests/daemon/test_tending.py
+++ b/tests/daemon/test_tending.py
@@ -3,7 +3,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast.daemon.tending import Care, Tended
+from apigateway.daemon.tending import Care, Tended
 
 CARE = Care(watchdog=10.0, patience=60.0, rest=0.2, most_rest=1.0, steady=10.0, crashes=5)
 
--- a/tests/standins/test_ledger.py
+++ b/tests/emulators/test_ledger.py
@@ -4,7 +4,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast.standins.ledger import RULES, Ceiling, Kind, Ledger, Terms, report
+from apigateway.emulators.ledger import RULES, Ceiling, Kind, Ledger, Terms, report
 
 TERMS = Terms({"read": Kind("safe"), "write": Kind("keyed", "cell", 6.0), "note": Kind("unsafe")},
               {"big": Ceiling(10.0, 20.0)}, drain_grace=2.0, fall_multiple=2.0, fall_time=2.0)
--- a/tests/standins/test_script.py
+++ b/tests/emulators/test_script.py
@@ -1,6 +1,6 @@
 import pytest
 
-from calicomast.standins.script import Script, Step
+from apigateway.emulators.script import Script, Step
 
 
 def kinds(script, *times):
--- a/tests/standins/test_standins.py
+++ b/tests/emulators/test_standins.py
@@ -7,13 +7,13 @@
 import pytest
 from netkit import command, on_loop, read_reply
 
-from calicomast.standins.clients import Client, Order
-from calicomast.standins.counter import StandInCounter
-from calicomast.standins.discovery import StandInDiscovery
-from calicomast.standins.hosts import StandInHost
-from calicomast.standins.ledger import RULES, Kind, Ledger, Terms
-from calicomast.standins.listener import Listener
-from calicomast.standins.script import Script, Step
+from apigateway.emulators.clients import Client, Order
+from apigateway.emulators.counter import StandInCounter
+from apigateway.emulators.discovery import StandInDiscovery
+from apigateway.emulators.hosts import StandInHost
+from apigateway.emulators.ledger import RULES, Kind, Ledger, Terms
+from apigateway.emulators.listener import Listener
+from apigateway.emulators.script import Script, Step
 
 TERMS = Terms({"read": Kind("safe"), "note": Kind("unsafe")})
 
@@ -149,7 +149,7 @@
 @pytest.mark.parametrize("answers, broken", [(0, {RULES[0], RULES[1]}), (2, {RULES[0], RULES[1]})])
 @on_loop
 async def test_the_ledger_finds_a_rogue_out(answers, broken, monkeypatch):
-    monkeypatch.setattr("calicomast.standins.clients.GIVE_UP", 0.0)
+    monkeypatch.setattr("apigateway.emulators.clients.GIVE_UP", 0.0)
     ledger = Ledger(TERMS)
     async with StandInHost(name="h1", work=lambda _: 0.2, ledger=ledger) as one, \
             StandInHost(name="h2", work=lambda _: 0.2, ledger=ledger) as two, Rogue([one, two],
--- a/tests/experiment/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from calicomast.checked import Faulty
-from calicomast.cli.main import main
-from calicomast.tools.experiment import report
-from calicomast.tools.experiment.plan import read_experiment
+from apigateway.cli.main import main
+from apigateway.config_validation import Faulty
+from apigateway.tools.experiment import report
+from apigateway.tools.experiment.plan import read_experiment
 
 SMALL = """
 name = "small"
@@ -99,13 +99,13 @@
 
 def test_a_module_of_a_file_of_its_own_is_played_and_its_broken_rules_told(tmp_path, capsys):
     (tmp_path / "other.py").write_text(
-        "from calicomast import interface as api\n"
+        "from apigateway import messages\n"
         "class Gateway:\n"
         "    def __init__(self, settings, seed, now): self.hosts = []\n"
         "    def handle(self, now, event):\n"
-        "        if isinstance(event, api.HostList): self.hosts += [h.id for h in event.hosts]\n"
-        "        send = isinstance(event, api.Request)\n"
-        "        return [api.Send(event.id, self.hosts[0])] * 2 if send else []\n")
+        "        if isinstance(event, messages.HostList): self.hosts += [h.id for h in event.hosts]\n"
+        "        send = isinstance(event, messages.Request)\n"
+        "        return [messages.Send(event.id, self.hosts[0])] * 2 if send else []\n")
     path = written(tmp_path / "e.toml", SMALL,
                    ('"module", "two:0.5"', f'"module:{tmp_path}/other.py", "random"'))
     assert main(["experiment", path, "--processes", "2"]) == 1
--- a/tests/asking/test_asking_choice.py
+++ b/tests/external_ratelimit/test_asking_choice.py
@@ -6,7 +6,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast.asking.choice import LEAST, Ask, Choice, Terms, Unasked
+from apigateway.external_ratelimit.choice import LEAST, Ask, Choice, Terms, Unasked
 
 TERMS = Terms(frozenset({"gold"}), frozenset({"note"}), failures=3, rest=1.0, most_rest=4.0, trials=2,
               steady=10.0)
--- a/tests/asking/test_asking_wire.py
+++ b/tests/external_ratelimit/test_asking_wire.py
@@ -11,9 +11,9 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast.asking.wire import ClientSession, Over
-from calicomast.fronts.grpc.wire import Call, Gone, Session
-from calicomast.net import rpc
+from apigateway.external_ratelimit.wire import ClientSession, Over
+from apigateway.frontends.grpc.wire import Call, Gone, Session
+from apigateway.upstream import rpc
 
 PATH = "/a.B/C"
 
--- a/tests/asking/test_outer.py
+++ b/tests/external_ratelimit/test_outer.py
@@ -6,10 +6,10 @@
 import pytest
 from netkit import SERVED, SETTINGS, Node, StubHost, command, on_loop, terms
 
-from calicomast.asking.choice import Terms
-from calicomast.asking.outer import Asked, Outer
-from calicomast.standins.ratelimit import StandInRateLimit
-from calicomast.standins.script import Step
+from apigateway.emulators.ratelimit import StandInRateLimit
+from apigateway.emulators.script import Step
+from apigateway.external_ratelimit.choice import Terms
+from apigateway.external_ratelimit.outer import Asked, Outer
 
 CONF = SETTINGS | {"plans": [*SETTINGS["plans"], {"name": "quota", "rate": 0.01, "most_at_once": 5.0}]}
 ENTRIES = (("customer", "{customer}"), ("class", "{class}"), ("by", "{gateway}:{units}"))
--- a/tests/faults/test_fronts.py
+++ b/tests/faults/test_fronts.py
@@ -6,10 +6,10 @@
 
 from netkit import SERVED, StubCounter, StubDiscovery, StubHost, command, entry, on_loop, read_reply, told
 
-from calicomast import interface as api
-from calicomast.daemon.config import read_config
-from calicomast.daemon.node import GatewayNode
-from calicomast.fronts.resp.server import Slot
+from apigateway import messages
+from apigateway.daemon.config import read_config
+from apigateway.daemon.node import GatewayNode
+from apigateway.frontends.resp.server import Slot
 
 
 class TwoFronts:
@@ -52,7 +52,7 @@
     """A decision module that sends each request on at once."""
 
     def handle(self, now, event):
-        return [api.Send(event.id, "h1")] if isinstance(event, api.Request) else []
+        return [messages.Send(event.id, "h1")] if isinstance(event, messages.Request) else []
 
 
 @on_loop
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -11,12 +11,12 @@
 from netkit import SERVED, Node, StubHost, command, entry, on_loop
 from rig import TERMS, Load, Site, free_port
 
-from calicomast import interface as api
-from calicomast.daemon.handover import Channel
-from calicomast.membership.belief import Entry, Trust
-from calicomast.membership.judge import Judge
-from calicomast.membership.listing import Listing, read_list
-from calicomast.standins.ledger import Ledger
+from apigateway import messages
+from apigateway.daemon.handover import Channel
+from apigateway.emulators.ledger import Ledger
+from apigateway.membership.belief import Entry, Trust
+from apigateway.membership.judge import Judge
+from apigateway.membership.listing import Listing, read_list
 
 
 async def hand(site):
@@ -193,9 +193,9 @@
 @on_loop
 async def test_a_drain_taken_over_through_a_belief_is_mended_by_its_source():
     told = []
-    judge = Judge(Trust(calm_time=0.0), Listing(api.HostList("cached", 0, ()), {}), told.append,
+    judge = Judge(Trust(calm_time=0.0), Listing(messages.HostList("cached", 0, ()), {}), told.append,
                   lambda: 100.0)
-    up = [Entry(api.Host("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
+    up = [Entry(messages.Host("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
     judge.hear(up, whole=True)
     judge.drain(["h1", "unknown"])
     assert told[-1].hosts.hosts[0].state == "leaving"
--- a/tests/faults/test_links.py
+++ b/tests/faults/test_links.py
@@ -11,12 +11,12 @@
 import pytest
 from netkit import on_loop
 
-from calicomast.standins.clients import Customer
-from calicomast.standins.crowd import Crowd
-from calicomast.standins.fleet import Class, Plan, Shape
-from calicomast.standins.ledger import report
-from calicomast.standins.relay import SOUND, Relay, Weather
-from calicomast.standins.script import Script, Step
+from apigateway.emulators.clients import Customer
+from apigateway.emulators.crowd import Crowd
+from apigateway.emulators.fleet import Class, Plan, Shape
+from apigateway.emulators.ledger import report
+from apigateway.emulators.relay import SOUND, Relay, Weather
+from apigateway.emulators.script import Script, Step
 
 CLASSES = {"read": Class("safe", 1.0, 3.0, 1.0, 0.02, 0.5),
            "update": Class("keyed", 1.2, 3.0, 5.0, 0.02, 0.3, "cell", 4.0),
@@ -156,7 +156,7 @@
         await play.served(150, task)
         assert tries() - before < 20
         asked = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "calicomast", "hosts", str(play.fleet.gateways[0].file),
+            sys.executable, "-m", "apigateway", "hosts", str(play.fleet.gateways[0].file),
             cwd=Path(__file__).resolve().parents[2], stdout=asyncio.subprocess.PIPE)
         assert b"site c: " in (await asked.communicate())[0]
         play.links.between(SOUND)
--- a/tests/faults/test_plugins.py
+++ b/tests/faults/test_plugins.py
@@ -11,14 +11,14 @@
 from netkit import SERVED, command, on_loop, read_reply
 from rig import TERMS, Load, Site
 
-from calicomast.daemon.handover import question
-from calicomast.hooks.records import read_records
-from calicomast.hooks.testkit import module, says
-from calicomast.hooks.wasm import assembled
-from calicomast.standins.clients import Client, Customer, Traffic
-from calicomast.standins.fleet import Class, Fleet, Plan, Shape
-from calicomast.standins.ledger import Ledger, report
-from calicomast.standins.script import Step
+from apigateway.daemon.handover import question
+from apigateway.emulators.clients import Client, Customer, Traffic
+from apigateway.emulators.fleet import Class, Fleet, Plan, Shape
+from apigateway.emulators.ledger import Ledger, report
+from apigateway.emulators.script import Step
+from apigateway.plugins.records import read_records
+from apigateway.plugins.testkit import module, says
+from apigateway.plugins.wasm import assembled
 
 BUSY = b"-BUSY\r\n"
 
--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -11,9 +11,9 @@
 from netkit import command, on_loop, read_reply
 from rig import PROGRAM, ROOT, TERMS, Load, Site
 
-from calicomast.standins.eureka import StandInEureka, instance
-from calicomast.standins.ledger import Ledger
-from calicomast.standins.script import Step
+from apigateway.emulators.eureka import StandInEureka, instance
+from apigateway.emulators.ledger import Ledger
+from apigateway.emulators.script import Step
 
 
 class RegistrySite(Site):
@@ -237,7 +237,7 @@
 
 @on_loop
 async def test_the_platforms_program_loads_no_registry():
-    code = ("import sys, calicomast.daemon.platform; "
+    code = ("import sys, apigateway.daemon.platform; "
             "print([m for m in sys.modules if 'eureka' in m or 'belief' in m or 'defusedxml' in m])")
     program = await asyncio.create_subprocess_exec(sys.executable, "-c", code, cwd=ROOT,
                                                    stdout=subprocess.PIPE)
--- a/tests/faults/test_reload.py
+++ b/tests/faults/test_reload.py
@@ -9,8 +9,8 @@
 from netkit import SERVED, command, on_loop, read_reply
 from rig import TERMS, Load, Site, free_port
 
-from calicomast.standins.counter import StandInCounter
-from calicomast.standins.ledger import Ledger
+from apigateway.emulators.counter import StandInCounter
+from apigateway.emulators.ledger import Ledger
 
 
 def replaced(site, text):
--- a/tests/faults/test_workers.py
+++ b/tests/faults/test_workers.py
@@ -10,12 +10,12 @@
 from netkit import SERVED, VALUE, command, on_loop, read_reply, terms
 from rig import PROGRAM, ROOT, TERMS, Load, Site
 
-from calicomast.daemon.settings import read_settings
-from calicomast.daemon.workers import Share, shared
-from calicomast.standins.clients import Client, Customer, Kind, Traffic
-from calicomast.standins.ledger import Ceiling, Ledger, report
-from calicomast.standins.ledger import Kind as Class
-from calicomast.standins.ledger import Terms as LedgerTerms
+from apigateway.daemon.settings import read_settings
+from apigateway.daemon.workers import Share, shared
+from apigateway.emulators.clients import Client, Customer, Kind, Traffic
+from apigateway.emulators.ledger import Ceiling, Ledger, report
+from apigateway.emulators.ledger import Kind as Class
+from apigateway.emulators.ledger import Terms as LedgerTerms
 
 
 def children(program):
@@ -323,8 +323,8 @@
 def test_a_set_of_gateways_that_clients_know_as_one_spans_all_its_workers():
     from netkit import SETTINGS
 
-    from calicomast.fronts.resp.command import BadRequest, read_command
-    from calicomast.settings import read_settings as platform
+    from apigateway.frontends.resp.command import BadRequest, read_command
+    from apigateway.platform_settings import read_settings as platform
 
     settings = platform(SETTINGS)
     parts = [b"API.READ", b"00000000b4d65521", b"r1", terms(spread="1", first="0")]
--- a/tests/fronts/test_bytes.py
+++ b/tests/frontends/test_bytes.py
@@ -5,10 +5,10 @@
 from hypothesis import strategies as st
 from netkit import SETTINGS
 
-from calicomast.fronts.resp import command as commands
-from calicomast.fronts.resp.command import KEPT_TERMS, BadRequest, read_command
-from calicomast.net.framing import MOST_BODY, NO_MESSAGE, Framing, FramingError
-from calicomast.settings import read_settings
+from apigateway.frontends.resp import command as commands
+from apigateway.frontends.resp.command import KEPT_TERMS, BadRequest, read_command
+from apigateway.platform_settings import read_settings
+from apigateway.upstream.framing import MOST_BODY, NO_MESSAGE, Framing, FramingError
 
 
 class Long(Framing):
--- a/tests/fronts/test_early.py
+++ b/tests/frontends/test_early.py
@@ -6,9 +6,9 @@
 import pytest
 from netkit import SERVED, Node, StubHost, command, on_loop, read_reply, terms, write
 
-from calicomast.core import door as doors
-from calicomast.core.door import Door
-from calicomast.overload import MOST_STEP, Gate
+from apigateway.core import admission as door as doors
+from apigateway.core.admission import Door
+from apigateway.policy.overload_gate import MOST_STEP, Gate
 
 
 class Scripted(Gate):
@@ -166,9 +166,9 @@
 def test_an_outline_says_what_reading_it_in_full_does(text):
     from netkit import SETTINGS
 
-    from calicomast.fronts.resp.command import BadRequest, read_command
-    from calicomast.fronts.resp.outline import Outliner
-    from calicomast.settings import read_settings
+    from apigateway.frontends.resp.command import BadRequest, read_command
+    from apigateway.frontends.resp.outline import Outliner
+    from apigateway.platform_settings import read_settings
 
     told = read_settings(SETTINGS)
     parts = [b"API.READ", b"00000000B4D65521", b"id-1", text]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,18 +1,18 @@
 """A scripted world for one or several gateways: it answers nothing by itself."""
 
-from calicomast import interface as api
-from calicomast.policy import Gateway
+from apigateway import messages
+from apigateway.policy import Gateway
 
-READ = api.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 1.0, 0.0, False, 0.0)
-WRITE = api.ServiceClass("write", 1.0, 3.0, "keyed", "zone", 1.0, 3.0, 0.0, False, 0.0)
-CELL = api.ServiceClass("cellwrite", 1.0, 3.0, "keyed", "cell", 5.0, 3.0, 0.0, False, 0.0)
-NOTE = api.ServiceClass("note", 1.0, 3.0, "unsafe", "all", 5.0, 2.0, 0.0, False, 0.0)
+READ = messages.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 1.0, 0.0, False, 0.0)
+WRITE = messages.ServiceClass("write", 1.0, 3.0, "keyed", "zone", 1.0, 3.0, 0.0, False, 0.0)
+CELL = messages.ServiceClass("cellwrite", 1.0, 3.0, "keyed", "cell", 5.0, 3.0, 0.0, False, 0.0)
+NOTE = messages.ServiceClass("note", 1.0, 3.0, "unsafe", "all", 5.0, 2.0, 0.0, False, 0.0)
 
 
 def plan(name="p", **kw):
     base = dict(rate=2.0, burst=8.0, open_limit=0, price=1.0, over_worth=0.0, over_cost=1.0,
                 ceiling_rate=0.0, ceiling_burst=0.0, ceiling_slack=0.0)
-    return api.Plan(name, **{**base, **kw})
+    return messages.Plan(name, **{**base, **kw})
 
 
 def settings(plans=None, limits=None, rules=None, **kw):
@@ -22,15 +22,15 @@
                fall_time=2.0, ask_within=10.0)
     base = dict(index=0, gateways=2, zone="z1", classes={c.name: c for c in (READ, WRITE, CELL, NOTE)},
                 plans={p.name: p for p in (plans or [plan()])},
-                limits=api.Limits(**{**lim, **(limits or {})}),
-                rules=api.Rules(**{**rul, **(rules or {})}), prices={"cross_zone": 0.02}, counter=True,
+                limits=messages.Limits(**{**lim, **(limits or {})}),
+                rules=messages.Rules(**{**rul, **(rules or {})}), prices={"cross_zone": 0.02}, counter=True,
                 counter_price=0.01, counter_timeout=0.05, meter_period=0.0, settles=False, most_units=4.0,
                 discovery="push", reports=("queue",), weights="none")
-    return api.Settings(**{**base, **kw})
+    return messages.Settings(**{**base, **kw})
 
 
 def host(name, zone="z1", cell=0, state="up", started=0.0):
-    return api.Host(name, zone, cell, 1.0, "k", state, started)
+    return messages.Host(name, zone, cell, 1.0, "k", state, started)
 
 
 class World:
@@ -41,37 +41,37 @@
         self.counts = {}
         self.mode = "answer"  # or "silent", "refuse", "hold"
         listed = tuple(hosts if hosts is not None else [host("h1"), host("h2")])
-        self.do(api.HostList("cached", 1, listed))
+        self.do(messages.HostList("cached", 1, listed))
 
     def do(self, event):
         """Hands one event over, answers counter calls as `mode` says, returns all actions."""
         acts = self.gw.handle(self.now, event)
         self.log += [(self.now, a) for a in acts]
-        for call in [a for a in acts if isinstance(a, api.Count)]:
+        for call in [a for a in acts if isinstance(a, messages.Count)]:
             if self.mode == "answer":
                 total = self.counts[call.name] = self.counts.get(call.name, 0) + call.amount
-                acts = acts + self.do(api.Counted(call.name, "ok", total, 0.002))
+                acts = acts + self.do(messages.Counted(call.name, "ok", total, 0.002))
             elif self.mode == "silent":
                 self.now += 0.05
-                acts = acts + self.do(api.Counted(call.name, "timeout", 0, 0.05))
+                acts = acts + self.do(messages.Counted(call.name, "timeout", 0, 0.05))
             elif self.mode == "refuse":
-                acts = acts + self.do(api.Counted(call.name, "full", 0, 0.001))
+                acts = acts + self.do(messages.Counted(call.name, "full", 0, 0.001))
         return acts
 
     def ask(self, customer="c", plan="p", cls="read", units=1, spread=2, left=3.0):
         self.ids += 1
         name = f"r{self.ids}"
-        return name, self.do(api.Request(name, left, customer, plan, cls, units, 0, spread))
+        return name, self.do(messages.Request(name, left, customer, plan, cls, units, 0, spread))
 
     def wait(self, seconds, step=0.02):
         acts, end = [], self.now + seconds
         while self.now < end - 1e-9:
             self.now = min(end, self.now + step)
-            acts += self.do(api.Timer(0))
+            acts += self.do(messages.Timer(0))
         return acts
 
     def end(self, send, result="ok", attempt=0, final=None, elapsed=0.05, **kw):
-        return self.do(api.Outcome(send.id, attempt, send.host, result, elapsed,
+        return self.do(messages.Outcome(send.id, attempt, send.host, result, elapsed,
                                    result == "ok" if final is None else final, **kw))
 
 
--- a/tests/load/test_scenario.py
+++ b/tests/load/test_scenario.py
@@ -7,8 +7,8 @@
 import pytest
 from rig import ROOT
 
-from calicomast.checked import Faulty
-from calicomast.tools.load.scenario import read_scenario
+from apigateway.config_validation import Faulty
+from apigateway.tools.load.scenario import read_scenario
 
 GOOD = """
 [classes.read]
@@ -62,7 +62,7 @@
 
 
 def command(*arguments):
-    return subprocess.run([sys.executable, "-B", "-m", "calicomast", "load", *arguments], cwd=ROOT,
+    return subprocess.run([sys.executable, "-B", "-m", "apigateway", "load", *arguments], cwd=ROOT,
                           capture_output=True, text=True, timeout=60)
 
 
--- a/tests/load/test_schedule.py
+++ b/tests/load/test_schedule.py
@@ -10,8 +10,8 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast.tools.load.plan import plan
-from calicomast.tools.load.scenario import (
+from apigateway.tools.load.plan import plan
+from apigateway.tools.load.scenario import (
     ClassPart,
     PlanPart,
     RunPart,
@@ -21,8 +21,8 @@
     TargetsPart,
     read_scenario,
 )
-from calicomast.tools.load.schedule import US, TooMany, digest, drawn, even, poisson, schedule
-from calicomast.tools.load.shapes import (
+from apigateway.tools.load.schedule import US, TooMany, digest, drawn, even, poisson, schedule
+from apigateway.tools.load.shapes import (
     AnyShape,
     BuildUp,
     Burst,
--- a/tests/load/test_sending.py
+++ b/tests/load/test_sending.py
@@ -15,11 +15,11 @@
 from netkit import StubHost, on_loop
 from rig import PROGRAM, ROOT, Site, free_port
 
-from calicomast.standins.script import Step
-from calicomast.tools.load.record import OUTCOMES, Record, beyond, percentiles, report, text, void
-from calicomast.tools.load.scenario import ClassPart
-from calicomast.tools.load.schedule import US, Due
-from calicomast.tools.load.send import Sender
+from apigateway.emulators.script import Step
+from apigateway.tools.load.record import OUTCOMES, Record, beyond, percentiles, report, text, void
+from apigateway.tools.load.scenario import ClassPart
+from apigateway.tools.load.schedule import US, Due
+from apigateway.tools.load.send import Sender
 
 VALUE = b"$5\r\nvalue\r\n"
 
@@ -220,7 +220,7 @@
                 class Loop:
                     create_connection = staticmethod(fails)
 
-                monkeypatch.setattr("calicomast.tools.load.send.asyncio.get_running_loop", lambda: Loop)
+                monkeypatch.setattr("apigateway.tools.load.send.asyncio.get_running_loop", lambda: Loop)
                 try:
                     await real(target, asked)
                 finally:
@@ -283,7 +283,7 @@
             assert told["due"] == sum(told["counts"].values()) > 0 and not told["void"]
             assert told.get("stopped", False) is (seconds > 10) and told["counts"]["served"] > 0
         file.write_text(scenario.format(1.0, 1).replace("\"127.0.0.1:1\"", ""))
-        ended = await asyncio.to_thread(subprocess.run, [sys.executable, "-m", "calicomast", "load", "run",
+        ended = await asyncio.to_thread(subprocess.run, [sys.executable, "-m", "apigateway", "load", "run",
                                                          str(file)], cwd=ROOT, capture_output=True, text=True)
         assert ended.returncode == 2 and "none to send to" in ended.stderr
 
--- a/tests/membership/test_belief.py
+++ b/tests/membership/test_belief.py
@@ -6,13 +6,13 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast import interface as api
-from calicomast.membership.belief import Belief, Entry, Trust
-from calicomast.membership.listing import Listing
+from apigateway import messages
+from apigateway.membership.belief import Belief, Entry, Trust
+from apigateway.membership.listing import Listing
 
 
 def entry(id, state="up", stamp=0, port=None, started=0.0):
-    return Entry(api.Host(id, "a", 0, 1.0, "", state, started), ("127.0.0.1", port or 1000 + int(id[1:])),
+    return Entry(messages.Host(id, "a", 0, 1.0, "", state, started), ("127.0.0.1", port or 1000 + int(id[1:])),
                  stamp)
 
 
@@ -142,8 +142,8 @@
 
 def test_a_list_from_before_is_believed_until_told_otherwise():
     belief = Belief()
-    host = api.Host("h1", "a", 0, 1.0, "", "up", 0.0)
-    belief.start(0.0, Listing(api.HostList("cached", 7, (host,)), {"h1": ("127.0.0.1", 1001)}))
+    host = messages.Host("h1", "a", 0, 1.0, "", "up", 0.0)
+    belief.start(0.0, Listing(messages.HostList("cached", 7, (host,)), {"h1": ("127.0.0.1", 1001)}))
     assert belief.hear(1.0, [entry("h1")], whole=True) is None
     assert belief.hear(2.0, [entry("h2")], whole=True).hosts.version == 8
 
--- a/tests/membership/test_eureka_model.py
+++ b/tests/membership/test_eureka_model.py
@@ -6,8 +6,9 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast.membership.eureka.mapping import DEFAULT_STATES, Terms, read_entries, read_entry
-from calicomast.membership.eureka.model import (
+from apigateway.emulators.eureka import StandInEureka, instance
+from apigateway.membership.eureka.mapping import DEFAULT_STATES, Terms, read_entries, read_entry
+from apigateway.membership.eureka.model import (
     Instance,
     Odd,
     read_applications,
@@ -15,8 +16,7 @@
     read_json,
     read_xml,
 )
-from calicomast.membership.eureka.replica import WHOLE_LEAST, Replica, hashcode
-from calicomast.standins.eureka import StandInEureka, instance
+from apigateway.membership.eureka.replica import WHOLE_LEAST, Replica, hashcode
 
 ONE = instance("node7", 8080, zone="east", cell="2", weight="1.5")
 
--- a/tests/membership/test_eureka_source.py
+++ b/tests/membership/test_eureka_source.py
@@ -8,16 +8,16 @@
 import pytest
 from netkit import on_loop
 
-from calicomast import interface as api
-from calicomast.membership.belief import Trust
-from calicomast.membership.eureka.mapping import Terms
-from calicomast.membership.eureka.registration import Own, Registration
-from calicomast.membership.eureka.source import EurekaSource, Registry
-from calicomast.membership.listing import Listing
-from calicomast.standins.eureka import StandInEureka, instance
-from calicomast.standins.script import Script, Step
+from apigateway import messages
+from apigateway.emulators.eureka import StandInEureka, instance
+from apigateway.emulators.script import Script, Step
+from apigateway.membership.belief import Trust
+from apigateway.membership.eureka.mapping import Terms
+from apigateway.membership.eureka.registration import Own, Registration
+from apigateway.membership.eureka.source import EurekaSource, Registry
+from apigateway.membership.listing import Listing
 
-NOTHING = Listing(api.HostList("cached", 0, ()), {})
+NOTHING = Listing(messages.HostList("cached", 0, ()), {})
 
 
 class Watched:
@@ -294,7 +294,7 @@
 
 @on_loop
 async def test_a_registry_that_is_away_holds_up_neither_the_work_nor_the_end(monkeypatch):
-    monkeypatch.setattr("calicomast.membership.eureka.registration.ENDING", 0.05)
+    monkeypatch.setattr("apigateway.membership.eureka.registration.ENDING", 0.05)
     async with StandInEureka(script=Script([Step("error", count=4)])) as registry:
         own = Registration((registry.url, registry.url), OWN)
         own.start()
--- a/tests/membership/test_judge.py
+++ b/tests/membership/test_judge.py
@@ -4,13 +4,13 @@
 from netkit import command, on_loop
 from rig import Site
 
-from calicomast import interface as api
-from calicomast.membership.belief import Entry, Trust
-from calicomast.membership.judge import Judge
-from calicomast.membership.listing import Listing, read_list
-from calicomast.standins.discovery import StandInDiscovery
+from apigateway import messages
+from apigateway.emulators.discovery import StandInDiscovery
+from apigateway.membership.belief import Entry, Trust
+from apigateway.membership.judge import Judge
+from apigateway.membership.listing import Listing, read_list
 
-NOTHING = Listing(api.HostList("cached", 0, ()), {})
+NOTHING = Listing(messages.HostList("cached", 0, ()), {})
 
 
 def listing(*ids, full=True, state="up"):
@@ -32,7 +32,7 @@
 @on_loop
 async def test_a_belief_goes_on_with_its_doubts_and_its_age():
     first = Judge(Trust(), NOTHING, lambda _: None, lambda: 100.0)
-    first.hear([Entry(api.Host(f"h{n}", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", n)) for n in range(4)],
+    first.hear([Entry(messages.Host(f"h{n}", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", n)) for n in range(4)],
                whole=True)
     first.hear([], whole=True)
     second = Judge(Trust(doubt_time=5.0), NOTHING, lambda _: None, lambda: 200.0, first.belief)
--- a/tests/membership/test_polled_discovery.py
+++ b/tests/membership/test_polled_discovery.py
@@ -8,8 +8,8 @@
 import pytest
 from netkit import SERVED, SETTINGS, Node, StubDiscovery, StubHost, command, entry, on_loop
 
-from calicomast.membership.watch_schedule import WatchPacer, WatchSchedule
-from calicomast.standins.discovery import CallCapacity
+from apigateway.emulators.discovery import CallCapacity
+from apigateway.membership.watch_schedule import WatchPacer, WatchSchedule
 
 GATEWAYS = 6
 DRAIN_GRACES_S = [0.3, 0.5, 2.0]
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -8,15 +8,15 @@
 
 import uvloop
 
-from calicomast.daemon.config import read_config
-from calicomast.daemon.node import GatewayNode
-from calicomast.standins.counter import StandInCounter as StubCounter
-from calicomast.standins.discovery import StandInDiscovery as StubDiscovery
-from calicomast.standins.hosts import VALUE
-from calicomast.standins.hosts import StandInHost as StubHost
-from calicomast.standins.platform import SETTINGS
-from calicomast.standins.platform import configuration as told
-from calicomast.standins.platform import entry as platform_entry
+from apigateway.daemon.config import read_config
+from apigateway.daemon.node import GatewayNode
+from apigateway.emulators.counter import StandInCounter as StubCounter
+from apigateway.emulators.discovery import StandInDiscovery as StubDiscovery
+from apigateway.emulators.hosts import VALUE
+from apigateway.emulators.hosts import StandInHost as StubHost
+from apigateway.emulators.platform import SETTINGS
+from apigateway.emulators.platform import configuration as told
+from apigateway.emulators.platform import entry as platform_entry
 
 __all__ = ["SETTINGS", "VALUE", "told", "StubCounter", "StubDiscovery", "StubHost"]
 
--- a/tests/hooks/test_decided.py
+++ b/tests/plugins/test_decided.py
@@ -7,11 +7,11 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast.hooks import abi
-from calicomast.hooks.guard import IN, OUT, TRIAL, Guard
-from calicomast.hooks.memory import MOST_COUNTERS, Counters, Keys, Ration
-from calicomast.hooks.proposals import FIXED, MOST_PROPOSALS, REASONS, Allowance, Standing, judge, weight
-from calicomast.hooks.terms import (
+from apigateway.plugins import abi
+from apigateway.plugins.guard import IN, OUT, TRIAL, Guard
+from apigateway.plugins.memory import MOST_COUNTERS, Counters, Keys, Ration
+from apigateway.plugins.proposals import FIXED, MOST_PROPOSALS, REASONS, Allowance, Standing, judge, weight
+from apigateway.plugins.terms import (
     ANSWER,
     ATTEMPT,
     PHASES,
--- a/tests/hooks/test_language.py
+++ b/tests/plugins/test_language.py
@@ -4,10 +4,10 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast.hooks.language import LanguageError, compile_text
-from calicomast.hooks.language.library import MOST_LENGTH, RunError
-from calicomast.hooks.rules import FIELDS
-from calicomast.hooks.terms import View
+from apigateway.plugins.language import LanguageError, compile_text
+from apigateway.plugins.language.library import MOST_LENGTH, RunError
+from apigateway.plugins.rules import FIELDS
+from apigateway.plugins.terms import View
 
 SETTINGS = {"district": {"a": "kochi", "b": "thrissur"}, "weight": {"a": 2, "b": 3.5}, "from": 1.5,
             "on": True,
--- a/tests/hooks/test_modules.py
+++ b/tests/plugins/test_modules.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from calicomast.hooks.terms import ANSWER, ATTEMPT, REQUEST, TICK, Budget, PluginFailed, View
-from calicomast.hooks.testkit import module, says
-from calicomast.hooks.wasm import BadModule, WasmPlugin, assembled
+from apigateway.plugins.terms import ANSWER, ATTEMPT, REQUEST, TICK, Budget, PluginFailed, View
+from apigateway.plugins.testkit import module, says
+from apigateway.plugins.wasm import BadModule, WasmPlugin, assembled
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples" / "plugins"
 BUDGET = Budget(fuel=50_000, memory=1024 * 1024)
@@ -193,7 +193,7 @@
 def test_log_lines_are_rationed_and_cannot_forge_others(caplog):
     plugin = made('(data (i32.const 0) "a\\nb")' + on(
         "request", "(call $log (i32.const 0) (i32.const 3)) (i64.const 0)"))
-    with caplog.at_level(logging.INFO, "calicomast.plugin"):
+    with caplog.at_level(logging.INFO, "apigateway.plugin"):
         for _ in range(20):
             plugin.call(REQUEST, VIEW)
     assert [r.getMessage() for r in caplog.records] == ["p: a?b"] * 5 and plugin.ration.dropped == 15
--- a/tests/hooks/test_tools.py
+++ b/tests/plugins/test_tools.py
@@ -7,9 +7,9 @@
 import pytest
 from rig import ROOT
 
-from calicomast.cli.main import main
-from calicomast.hooks.testkit import Kit, settings
-from calicomast.tools.skeletons import skeleton
+from apigateway.cli.main import main
+from apigateway.plugins.testkit import Kit, settings
+from apigateway.tools.skeletons import skeleton
 
 EXAMPLES = ROOT / "examples" / "plugins"
 FORMS = ["wat", "rules"]
@@ -174,26 +174,26 @@
 
 
 def test_the_demo_names_tags_and_refusals_of_plug_ins():
-    ended = subprocess.run([sys.executable, "-m", "calicomast", "demo", "--seconds", "4", "--plugin",
+    ended = subprocess.run([sys.executable, "-m", "apigateway", "demo", "--seconds", "4", "--plugin",
                             str(EXAMPLES / "districts"), "--plugin", str(EXAMPLES / "calendar")], cwd=ROOT,
                            capture_output=True, text=True, timeout=120)
     assert ended.returncode == 0 and "BROKEN" not in ended.stdout, ended.stdout + ended.stderr
     assert "tagged district=ernakulam" in ended.stdout and "refused by calendar: shift-update" in ended.stdout
-    ended = subprocess.run([sys.executable, "-m", "calicomast", "demo", "--plugin", "nowhere"], cwd=ROOT,
+    ended = subprocess.run([sys.executable, "-m", "apigateway", "demo", "--plugin", "nowhere"], cwd=ROOT,
                            capture_output=True, text=True, timeout=60)
     assert ended.returncode == 2 and "nowhere" in ended.stdout
 
 
 def test_what_is_off_is_not_imported():
-    code = ("import sys, calicomast.daemon.serve, calicomast.daemon.node; "
-            "print(sorted(m for m in sys.modules if m.startswith(('calicomast.hooks', 'wasmtime'))))")
+    code = ("import sys, apigateway.daemon.serve, apigateway.daemon.node; "
+            "print(sorted(m for m in sys.modules if m.startswith(('apigateway.plugins', 'wasmtime'))))")
     ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert ended.stdout == "['calicomast.hooks', 'calicomast.hooks.settings']\n", ended.stderr  # shapes alone
+    assert ended.stdout == "['apigateway.plugins', 'apigateway.plugins.settings']\n", ended.stderr  # shapes alone
 
 
 def test_rules_need_no_engine(tmp_path):
     folder = example("districts", "rules", tmp_path)
-    code = (f"import sys; from calicomast.hooks.testkit import Kit; Kit.load({str(folder)!r}); "
+    code = (f"import sys; from apigateway.plugins.testkit import Kit; Kit.load({str(folder)!r}); "
             "print('wasmtime' in sys.modules)")
     ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert ended.stdout == "False\n", ended.stderr
--- a/tests/ratelimit/test_daemon.py
+++ b/tests/ratelimit/test_daemon.py
@@ -1,4 +1,4 @@
-"""The rate limit service of a gateway as an operator runs it: `calicomast serve` in a process of its own,
+"""The rate limit service of a gateway as an operator runs it: `api-gateway serve` in a process of its own,
 asked by foreign clients (grpcio, with the messages, health and reflection of the package registry)."""
 
 import asyncio
@@ -18,9 +18,9 @@
 from netkit import command, on_loop, read_reply, terms
 from rig import PROGRAM, ROOT, TERMS, Load, Site, free_port
 
-from calicomast.standins.checks import Checks
-from calicomast.standins.ledger import Ledger
-from calicomast.standins.ratelimit import StandInRateLimit
+from apigateway.emulators.checks import Checks
+from apigateway.emulators.ledger import Ledger
+from apigateway.emulators.ratelimit import StandInRateLimit
 
 NAME = "envoy.service.ratelimit.v3.RateLimitService"
 RULE = """[[ratelimit.rules]]
@@ -381,16 +381,16 @@
         assert code == 1 and "DEADLINE_EXCEEDED" in err
         for odd in (["nowhere", "a=b"], [at[2], "novalue"], [at[2]]):
             code, _, err = await run("ratelimit", "ask", *odd)
-            assert code == 2 and err.startswith("calicomast: ")
+            assert code == 2 and err.startswith("api-gateway: ")
 
 
 @on_loop
 async def test_a_gateway_without_it_loads_nothing_of_it():
     code = ("import sys; {}; print([m for m in sys.modules if m.split('.')[0] in ('h2', 'hpack', 'envoy', "
             "'google', 'grpc', 'grpc_health', 'grpc_reflection') or 'ratelimit' in m "
-            "or m in ('calicomast.net.rpc', 'calicomast.fronts.grpc.front', 'calicomast.fronts.grpc.tokens')"
-            " or m.startswith('calicomast.asking.') and m != 'calicomast.asking.settings'])")
-    for what in ("import calicomast.daemon.platform", "import calicomast.daemon.serve"):
+            "or m in ('apigateway.upstream.rpc', 'apigateway.frontends.grpc.front', 'apigateway.frontends.grpc.tokens')"
+            " or m.startswith('apigateway.external_ratelimit.') and m != 'apigateway.external_ratelimit.settings'])")
+    for what in ("import apigateway.daemon.platform", "import apigateway.daemon.serve"):
         program = await asyncio.create_subprocess_exec(sys.executable, "-c", code.format(what), cwd=ROOT,
                                                        stdout=subprocess.PIPE)
         assert (await program.communicate())[0] == b"[]\n", what
--- a/tests/ratelimit/test_mapping.py
+++ b/tests/ratelimit/test_mapping.py
@@ -6,7 +6,15 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast.fronts.grpc.mapping import MOST_CUSTOMERS, MOST_ENTRIES, BadRule, Mapping, Rule, hashed, valid
+from apigateway.frontends.grpc.mapping import (
+    MOST_CUSTOMERS,
+    MOST_ENTRIES,
+    BadRule,
+    Mapping,
+    Rule,
+    hashed,
+    valid,
+)
 
 PLANS, CLASSES = ["basic", "gold"], ["read", "write"]
 HEX = "00000000000000ff"
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -8,11 +8,11 @@
 from envoy.service.ratelimit.v3 import rls_pb2 as pb
 from netkit import SERVED, SETTINGS, Node, StubHost, command, on_loop, terms
 
-from calicomast import interface as api
-from calicomast.fronts.grpc.front import GrpcFront
-from calicomast.fronts.grpc.mapping import Mapping, Rule
-from calicomast.fronts.grpc.service import METHOD, RateLimit, Terms
-from calicomast.standins.script import Step
+from apigateway import messages
+from apigateway.emulators.script import Step
+from apigateway.frontends.grpc.front import GrpcFront
+from apigateway.frontends.grpc.mapping import Mapping, Rule
+from apigateway.frontends.grpc.service import METHOD, RateLimit, Terms
 
 CONF = SETTINGS | {"plans": [*SETTINGS["plans"], {"name": "quota", "rate": 0.01, "most_at_once": 20.0}]}
 A, B, C = "00000000000000aa", "00000000000000bb", "00000000000000cc"
@@ -168,7 +168,7 @@
         handle = core.module.handle
 
         def slow(now, event):  # a module that says nothing of checks yet
-            if type(event) is api.Check:
+            if type(event) is messages.Check:
                 held.append(event)
                 return []
             return handle(now, event)
@@ -206,14 +206,14 @@
     async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Asking(node) as asking:
         core, held = node.node.core, []
         handle = core.module.handle
-        core.module.handle = lambda now, event: (held.append(event) or [] if type(event) is api.Check
+        core.module.handle = lambda now, event: (held.append(event) or [] if type(event) is messages.Check
                                                  else handle(now, event))
         call = asyncio.ensure_future(asking.ask(A))
         while not held:
             await asyncio.sleep(0)
         core.module.handle = handle
         asking.front.finish()
-        core.granted(api.Granted(held[0].id, 4.0, 1.0, 7))
+        core.granted(messages.Granted(held[0].id, 4.0, 1.0, 7))
         assert (await call).overall_code == OK
         await asking.front.drained()
 
--- a/tests/ratelimit/test_tokens.py
+++ b/tests/ratelimit/test_tokens.py
@@ -6,7 +6,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast.fronts.grpc.tokens import Keys, Purpose, Redeemed, Token, rotated
+from apigateway.frontends.grpc.tokens import Keys, Purpose, Redeemed, Token, rotated
 
 OLD, NEW, OTHER = b"old key " * 4, b"new key " * 4, b"other key" * 4
 PURPOSE = Purpose("00000000000000ff", "basic", "read", 2.0)
--- a/tests/ratelimit/test_tokens_used.py
+++ b/tests/ratelimit/test_tokens_used.py
@@ -6,8 +6,8 @@
 from netkit import SERVED, Node, StubHost, command, on_loop, terms
 from test_service import CONF, OK, Asking, until_over
 
-from calicomast.fronts.grpc.mapping import Mapping, Rule
-from calicomast.fronts.grpc.tokens import Keys, Redeemed, Tokens
+from apigateway.frontends.grpc.mapping import Mapping, Rule
+from apigateway.frontends.grpc.tokens import Keys, Redeemed, Tokens
 
 A, B = "00000000000000aa", "00000000000000bb"
 KEY, OTHER = b"k" * 32, b"o" * 32
@@ -130,7 +130,7 @@
 async def test_a_token_of_another_gateway_is_none_here_and_one_of_a_worker_beside_it_is(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
         async with Tokened(node, index=5, span=2) as asking:
-            from calicomast.fronts.grpc.tokens import Purpose
+            from apigateway.frontends.grpc.tokens import Purpose
 
             purpose = Purpose(A, "quota", "read", 1.0)
             beside, other = [Keys([KEY]).give(purpose, number, asking.now + 5, os.urandom(8))
--- a/tests/ratelimit/test_wire.py
+++ b/tests/ratelimit/test_wire.py
@@ -8,9 +8,9 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast.fronts.grpc import wire
-from calicomast.fronts.grpc.wire import Call, Done, Gone, Heard, Opened, Session
-from calicomast.net import rpc
+from apigateway.frontends.grpc import wire
+from apigateway.frontends.grpc.wire import Call, Done, Gone, Heard, Opened, Session
+from apigateway.upstream import rpc
 
 PATH = b"/envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit"
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""Gateways as an operator runs them: `calicomast serve` in processes of their own, among stand-ins on
+"""Gateways as an operator runs them: `api-gateway serve` in processes of their own, among stand-ins on
 loopback."""
 
 import asyncio
@@ -9,15 +9,15 @@
 
 from netkit import read_reply
 
-from calicomast.standins.clients import Client, Customer, Kind, Traffic
-from calicomast.standins.counter import StandInCounter
-from calicomast.standins.hosts import StandInHost
-from calicomast.standins.ledger import Kind as Class
-from calicomast.standins.ledger import Terms, report
-from calicomast.standins.ports import free_port
+from apigateway.emulators.clients import Client, Customer, Kind, Traffic
+from apigateway.emulators.counter import StandInCounter
+from apigateway.emulators.hosts import StandInHost
+from apigateway.emulators.ledger import Kind as Class
+from apigateway.emulators.ledger import Terms, report
+from apigateway.emulators.ports import free_port
 
 ROOT = Path(__file__).resolve().parent.parent
-PROGRAM = [sys.executable, "-B", "-m", "calicomast"]
+PROGRAM = [sys.executable, "-B", "-m", "apigateway"]
 
 CLASSES = """
 [classes.read]
--- a/tests/model/test_crowds.py
+++ b/tests/simulation/test_crowds.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from calicomast import interface as api
-from calicomast.model.clock import START
-from calicomast.model.scenario import READ, Customers, Fault, Listing, Machines, Scenario, Work
-from calicomast.model.world import World
-from calicomast.policy import Gateway
+from apigateway import messages
+from apigateway.policy import Gateway
+from apigateway.simulation.clock import START
+from apigateway.simulation.scenario import READ, Customers, Fault, Listing, Machines, Scenario, Work
+from apigateway.simulation.world import World
 
 READS = (Work(READ, 1.0, 0.2),)
 CROWD = Scenario(gateways=60, load=0.5, length=6.0, warm_up=2.0, works=READS, machines=Machines(count=20),
@@ -43,12 +43,12 @@
 def test_all_that_start_at_once_with_one_list_and_one_seed_do_not_pick_the_same_host(starts):
     """The seeds are the same on purpose: no gateway may count on its own being another's."""
     picked, scenario = Counter(), replace(CROWD, gateways=200, machines=Machines(count=50))
-    hosts = tuple(api.Host(f"h{n}", "abc"[n % 3], n // 6, 1.0, "k", "up", 0.0) for n in range(50))
+    hosts = tuple(messages.Host(f"h{n}", "abc"[n % 3], n // 6, 1.0, "k", "up", 0.0) for n in range(50))
     for index in range(200):
         gateway = Gateway(scenario.settings(index), 7, 1000.0)
-        gateway.handle(1000.0, api.HostList("cached", 1, hosts))
-        for act in gateway.handle(1000.0 + starts, api.Request("r", 4.0, "c", "free", "read", 1.0, 0, 9)):
-            if isinstance(act, api.Send):
+        gateway.handle(1000.0, messages.HostList("cached", 1, hosts))
+        for act in gateway.handle(1000.0 + starts, messages.Request("r", 4.0, "c", "free", "read", 1.0, 0, 9)):
+            if isinstance(act, messages.Send):
                 picked[act.host] += 1
     assert sum(picked.values()) == 200 and max(picked.values()) <= 16 and len(picked) >= 35
 
--- a/tests/model/test_model.py
+++ b/tests/simulation/test_model.py
@@ -5,13 +5,14 @@
 
 import pytest
 
-from calicomast import interface as api
-from calicomast.model import baselines
-from calicomast.model.clock import START
-from calicomast.model.faults import KINDS
-from calicomast.model.judge import Store
-from calicomast.model.links import Place
-from calicomast.model.scenario import (
+from apigateway import messages
+from apigateway.policy import Gateway
+from apigateway.simulation import baselines
+from apigateway.simulation.clock import START
+from apigateway.simulation.faults import KINDS
+from apigateway.simulation.judge import Store
+from apigateway.simulation.links import Place
+from apigateway.simulation.scenario import (
     FREE,
     NOTICE,
     READ,
@@ -23,8 +24,7 @@
     Scenario,
     Work,
 )
-from calicomast.model.world import World
-from calicomast.policy import Gateway
+from apigateway.simulation.world import World
 
 SMALL = Scenario(gateways=12, load=0.6, length=8.0, warm_up=2.0, machines=Machines(count=9),
                  customers=Customers(count=60))
@@ -77,7 +77,7 @@
 def test_the_module_breaks_no_rule_whatever_fails(what):
     size = 0.5 if what == "slow" else 2.0
     fault = Fault(what, 2.0, 3.0, part=0.34, size=size, lose=0.3, over=3.0, back=1.5, zone="a", cold=True)
-    quota = api.Plan("q", 3.0, 8.0, 0, 1.0, 0.0, 0.5, 6.0, 12.0, 1.2)
+    quota = messages.Plan("q", 3.0, 8.0, 0, 1.0, 0.0, 0.5, 6.0, 12.0, 1.2)
     customers = Customers((FREE, quota), (0.5, 0.5), count=40, heavy=0.2, retries=2)
     _, figures = play(replace(SMALL, load=0.45, faults=(fault,), customers=customers))
     assert figures["broken"] == 0 and figures["firsts"] > 300
@@ -91,14 +91,14 @@
         self.how, self.hosts, self.tries = how, [], {}
 
     def handle(self, now, event):
-        if isinstance(event, api.HostList):
+        if isinstance(event, messages.HostList):
             self.hosts += [h.id for h in event.hosts if h.state == "up"]
-        if isinstance(event, api.Request):
+        if isinstance(event, messages.Request):
             self.tries[event.id] = 0
-            one = [api.Send(event.id, self.hosts[0])]
+            one = [messages.Send(event.id, self.hosts[0])]
             return [] if self.how == "silent" else one * (2 if self.how == "two at once" else 1)
-        if isinstance(event, api.Outcome) and not event.final and self.how == "twice" and event.attempt < 2:
-            return [api.Send(event.id, self.hosts[1])]
+        if isinstance(event, messages.Outcome) and not event.final and self.how == "twice" and event.attempt < 2:
+            return [messages.Send(event.id, self.hosts[1])]
         return []
 
 
@@ -134,7 +134,7 @@
 
 
 def test_links_lose_and_delay_what_they_are_told_to():
-    from calicomast.model.links import Fault as LinkFault
+    from apigateway.simulation.links import Fault as LinkFault
     world = World(SMALL, 1, Gateway)
     here, there, got = Place("g1", "a"), Place("h1", "b"), []
     world.links.faults = [LinkFault("a", "h1", delay=1.0, one_way=True), LinkFault("g1", "h2", lose=1.0)]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,7 +1,7 @@
 import io
 import re
 
-from calicomast.adapter import Adapter
+from apigateway.adapter import Adapter
 
 OPTIONS = (
     "group_size=1 index=0 limits.cancel=true limits.second_copies=true limits.max_attempts=3 locality=a "
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -8,7 +8,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast import interface as api
+from apigateway import messages
 
 HOSTS = [host(f"h{n}") for n in range(4)]
 CEILED = dict(rate=3.0, burst=6.0, ceiling_rate=4.0, ceiling_burst=8.0, ceiling_slack=0.0)
@@ -21,22 +21,22 @@
 def check(w, customer="c", units=1.0, left=3.0, spread=1):
     """The one answer, where it comes at once."""
     w.ids += 1
-    acts = w.do(api.Check(f"k{w.ids}", left, customer, "p", "read", units, 0, spread))
-    assert not of(acts, api.Send) + of(acts, api.Refuse) + of(acts, api.Fail)
-    told = of(acts, api.Granted) + of(acts, api.Denied)
+    acts = w.do(messages.Check(f"k{w.ids}", left, customer, "p", "read", units, 0, spread))
+    assert not of(acts, messages.Send) + of(acts, messages.Refuse) + of(acts, messages.Fail)
+    told = of(acts, messages.Granted) + of(acts, messages.Denied)
     assert len(told) <= 1 and all(one.id == f"k{w.ids}" for one in told)
     return told[0] if told else None
 
 
 def passed(w, customer="c", units=1.0):
-    return isinstance(check(w, customer, units), api.Granted)
+    return isinstance(check(w, customer, units), messages.Granted)
 
 
 def test_a_check_spends_units_tells_what_is_left_and_is_denied_beyond_them():
     w = world()
     told = [check(w) for _ in range(12)]
-    granted = [one for one in told if isinstance(one, api.Granted)]
-    denied = [one for one in told if isinstance(one, api.Denied)]
+    granted = [one for one in told if isinstance(one, messages.Granted)]
+    denied = [one for one in told if isinstance(one, messages.Denied)]
     # a new one is in the middle of a window
     assert 8 <= len(granted) <= 10 and told[:len(granted)] == granted
     assert len(granted) + len(denied) == 12
@@ -50,7 +50,7 @@
     w = world()
     taken = 0
     for n in range(20):
-        taken += passed(w) if n % 2 else len(of(w.ask("c", spread=1)[1], api.Send) or []) > 0
+        taken += passed(w) if n % 2 else len(of(w.ask("c", spread=1)[1], messages.Send) or []) > 0
     assert 8 <= taken <= 10
 
 
@@ -71,7 +71,7 @@
 
 def test_a_check_out_of_time_is_denied_but_not_over():
     told = check(world(), left=0.01)
-    assert isinstance(told, api.Denied) and not told.over
+    assert isinstance(told, messages.Denied) and not told.over
 
 
 def test_while_the_counter_is_silent_a_check_is_answered_in_its_time_and_one_that_left_is_not():
@@ -80,29 +80,29 @@
     first = [check(w, spread=2) for _ in range(8)]
     waiting = [job.req.id for job in w.gw.jobs.values()]
     assert None in first and waiting
-    w.do(api.Gone(waiting[0]))
+    w.do(messages.Gone(waiting[0]))
     acts = w.wait(1.0)
-    answered = [a.id for a in of(acts, api.Granted) + of(acts, api.Denied)]
+    answered = [a.id for a in of(acts, messages.Granted) + of(acts, messages.Denied)]
     assert sorted(answered) == sorted(waiting[1:]) and not w.gw.jobs
     # The counter's answer comes after all that: what it granted is a lease, and spent by whoever is next.
-    call = next(act for _, act in w.log if isinstance(act, api.Count))
+    call = next(act for _, act in w.log if isinstance(act, messages.Count))
     w.mode = "answer"
-    w.do(api.Counted(call.name, "ok", call.amount, 0.3))
+    w.do(messages.Counted(call.name, "ok", call.amount, 0.3))
     assert w.gw.accounts["c"].lease > 0 and passed(w)
 
 
 def test_what_is_given_back_can_be_spent_again_in_its_window_only():
     w = world()
-    told = [one for one in (check(w) for _ in range(12)) if isinstance(one, api.Granted)]
+    told = [one for one in (check(w) for _ in range(12)) if isinstance(one, messages.Granted)]
     assert not passed(w)
-    w.do(api.GiveBack("c", 3.0, told[-1].window))
+    w.do(messages.GiveBack("c", 3.0, told[-1].window))
     assert sum(passed(w) for _ in range(6)) == 3
     w.now += 8.0
     assert passed(w)
     lease = w.gw.accounts["c"].lease
-    w.do(api.GiveBack("c", 3.0, told[-1].window))
+    w.do(messages.GiveBack("c", 3.0, told[-1].window))
     assert w.gw.accounts["c"].lease == lease
-    w.do(api.GiveBack("nobody", 3.0, 1))
+    w.do(messages.GiveBack("nobody", 3.0, 1))
 
 
 def test_a_ceiling_that_is_given_back_is_never_fuller_than_its_burst():
@@ -110,7 +110,7 @@
     w.now += 2.0  # the store is empty at a start
     told = check(w)
     for _ in range(5):
-        w.do(api.GiveBack("c", 4.0, told.window))
+        w.do(messages.GiveBack("c", 4.0, told.window))
     assert w.gw.accounts["c"].cap <= 8.0
 
 
@@ -118,13 +118,13 @@
     w = world(gateways=8, plans=[plan(rate=1000.0, burst=1000.0)])
     w.gw.pass_share, w.gw.fleet.pressure, w.gw.fleet.answer_at = 0.1, 1.0, w.now
     told = [check(w, f"c{n}") for n in range(200)]
-    shed = [one for one in told if isinstance(one, api.Denied)]
+    shed = [one for one in told if isinstance(one, messages.Denied)]
     assert len(shed) > 100 and not any(one.over for one in shed)
 
 
 def test_a_plan_with_open_attempts_only_has_no_quota_to_tell_of():
     told = check(world([plan(rate=0.0, burst=0.0, open_limit=4)]))
-    assert isinstance(told, api.Granted) and told.remaining == float("inf") and told.reset == 0.0
+    assert isinstance(told, messages.Granted) and told.remaining == float("inf") and told.reset == 0.0
 
 
 @pytest.mark.parametrize("first", range(0, 2000, 250))
@@ -150,14 +150,14 @@
             if rng.random() < 0.5:
                 w.ids += 1
                 asked[w, f"k{w.ids}"] = units
-                w.do(api.Check(f"k{w.ids}", 3.0, "c", "p", "read", units, 0, count))
+                w.do(messages.Check(f"k{w.ids}", 3.0, "c", "p", "read", units, 0, count))
             else:
                 name, acts = w.ask("c", units=units, spread=count)
                 asked[w, name] = units
-                for send in of(acts, api.Send):
+                for send in of(acts, messages.Send):
                     w.end(send, elapsed=0.001)
         times = [(at, asked[w, act.id]) for w in worlds for at, act in w.log
-                 if isinstance(act, api.Granted | api.Send)]
+                 if isinstance(act, messages.Granted | messages.Send)]
         times.sort()
         for i, (start, _) in enumerate(times):
             used = 0.0
@@ -180,20 +180,20 @@
         if what == "check":
             w.ids += 1
             asked[f"k{w.ids}"] = w.now
-            w.do(api.Check(f"k{w.ids}", 1.0, name, "p", "read", amount, 0, 2))
+            w.do(messages.Check(f"k{w.ids}", 1.0, name, "p", "read", amount, 0, 2))
         elif what == "ask":
             w.ask(name, spread=2)
         elif what == "gone" and asked:
             gone.add(next(reversed(asked)))
-            w.do(api.Gone(next(reversed(asked))))
+            w.do(messages.Gone(next(reversed(asked))))
         elif what == "back":
-            w.do(api.GiveBack(name, amount, window))
+            w.do(messages.GiveBack(name, amount, window))
         elif what == "wait":
             w.wait(amount / 3)
-        told = [a for _, a in w.log if isinstance(a, api.Granted)]
+        told = [a for _, a in w.log if isinstance(a, messages.Granted)]
         window = told[-1].window if told else 0
     w.wait(1.2)
-    answered = [a.id for _, a in w.log if isinstance(a, api.Granted | api.Denied)]
+    answered = [a.id for _, a in w.log if isinstance(a, messages.Granted | messages.Denied)]
     assert len(answered) == len(set(answered)) and set(answered) <= set(asked)
     assert set(asked) - set(answered) <= gone
     assert READ.deadline > 1.0 and not [job for job in w.gw.jobs.values() if job.check]
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -8,8 +8,8 @@
 from hypothesis import settings as tries
 from hypothesis import strategies as st
 
-from calicomast import interface as api
-from calicomast.policy import COMPARED, TICK
+from apigateway import messages
+from apigateway.policy.gateway import COMPARED, TICK
 
 BIG = plan(rate=100000.0, burst=400000.0)
 
@@ -61,9 +61,9 @@
 
     def acts(self, acts):
         for act in acts:
-            if isinstance(act, api.Send):
+            if isinstance(act, messages.Send):
                 self.allowed(act)
-            elif isinstance(act, api.Refuse | api.Fail):
+            elif isinstance(act, messages.Refuse | messages.Fail):
                 assert act.id not in self.over, "answered twice"
                 self.over.add(act.id)
 
@@ -87,18 +87,18 @@
 @tries(max_examples=120, deadline=None, database=None)
 @given(st.integers(3, 3 * COMPARED), st.integers(1, 4), STEPS)
 def test_each_host_that_is_chosen_was_allowed_and_the_index_is_true(count, gateways, steps):
-    routes = {"batch": api.Route("batch", ("slow",), False)}
-    hosts = [api.Host(f"h{n}", "z12"[n % 2:][:2], n % 3, 1.0, "k" if n % 4 else "slow", "up",
+    routes = {"batch": messages.Route("batch", ("slow",), False)}
+    hosts = [messages.Host(f"h{n}", "z12"[n % 2:][:2], n % 3, 1.0, "k" if n % 4 else "slow", "up",
                       1000.0 if n % 5 == 0 else 0.0) for n in range(count)]
     w = world(hosts, gateways, routes=routes)
     oracle = Oracle(w.conf)
-    oracle.listed(api.HostList("cached", 1, tuple(hosts)))
+    oracle.listed(messages.HostList("cached", 1, tuple(hosts)))
     for number, (what, value) in enumerate(steps):
         rng = random.Random(value)
         if what in ("ask", "burst"):
             for k in range(20 if what == "burst" else 1):
                 id = f"q{number}-{k}"
-                req = api.Request(id, 3.0, f"c{value % 7}", "p", rng.choice(["read", "write", "cellwrite",
+                req = messages.Request(id, 3.0, f"c{value % 7}", "p", rng.choice(["read", "write", "cellwrite",
                                                                              "note"]),
                                   1.0, 0, 1, route=rng.choice(["", "", "batch"]))
                 oracle.requests[id] = req
@@ -106,26 +106,26 @@
         elif what == "end" and oracle.out:
             (id, attempt), at = rng.choice(sorted(oracle.out.items()))
             result = rng.choice(["ok"] * 5 + ["error", "timeout", "reset", "full", "connect_failed"])
-            event = api.Outcome(id, attempt, at, result, 0.05, result == "ok",
+            event = messages.Outcome(id, attempt, at, result, 0.05, result == "ok",
                                 report={"inflight": rng.random() * 8} if result == "ok" else {})
             if result == "ok":
                 oracle.over.add(id)
             oracle.outcome(event, w.now)
             oracle.acts(w.do(event))
         elif what == "wait":
-            oracle.acts([a for a in w.wait(value % 40 / 100) if not isinstance(a, api.Cancel)])
+            oracle.acts([a for a in w.wait(value % 40 / 100) if not isinstance(a, messages.Cancel)])
         elif what in ("list", "delta"):
             some = rng.sample(hosts, rng.randint(1, count))
-            states = [api.Host(h.id, h.zone, h.cell, 1.0, h.kind, rng.choice(["up", "up", "leaving", "down"]),
+            states = [messages.Host(h.id, h.zone, h.cell, 1.0, h.kind, rng.choice(["up", "up", "leaving", "down"]),
                                h.started) for h in some]
-            event = api.HostList("full" if what == "list" else "delta", number + 2, tuple(states))
+            event = messages.HostList("full" if what == "list" else "delta", number + 2, tuple(states))
             oracle.listed(event)
             oracle.acts(w.do(event))
         index_is_true(w.gw.fleet, w.now)
 
 
 def ask(w, count, cls="read", left=3.0):
-    return [s for _ in range(count) for s in of(w.ask(cls=cls, left=left, spread=1)[1], api.Send)]
+    return [s for _ in range(count) for s in of(w.ask(cls=cls, left=left, spread=1)[1], messages.Send)]
 
 
 def many(count, started=0.0, **kw):
@@ -139,7 +139,7 @@
     waiting = w.gw.queue.live
     assert waiting
     for send in out[:waiting]:
-        assert len(of(w.end(send), api.Send)) == 1  # each place that is left is taken at once
+        assert len(of(w.end(send), messages.Send)) == 1  # each place that is left is taken at once
     assert not w.gw.queue.live
 
 
@@ -181,22 +181,22 @@
     left = ["h1", "h501", "h999"]
     states = [host(f"h{n}", "z1", n % 5, state="up" if f"h{n}" in left else "leaving") for n in range(1000)]
     for version in range(20):
-        w.do(api.HostList("full", version + 2, tuple(states if version % 2 == 0 else many(1000))))
-    w.do(api.HostList("full", 99, tuple(states)))
+        w.do(messages.HostList("full", version + 2, tuple(states if version % 2 == 0 else many(1000))))
+    w.do(messages.HostList("full", 99, tuple(states)))
     assert {s.host for s in ask(w, 30)} <= set(left) and len(w.gw.fleet.up) == 3
 
 
 def test_a_fleet_under_ever_new_names_is_forgotten_at_once():
     w = world(many(10))
     for turn in range(5):
-        w.do(api.HostList("full", turn + 2, tuple(host(f"t{turn}-{n}") for n in range(1000))))
+        w.do(messages.HostList("full", turn + 2, tuple(host(f"t{turn}-{n}") for n in range(1000))))
         for send in ask(w, 100):
-            for again in of(w.end(send, "error"), api.Send):
+            for again in of(w.end(send, "error"), messages.Send):
                 w.end(again, attempt=1)
         w.now += 100.0
-    w.do(api.HostList("full", 99, tuple(many(3))))
+    w.do(messages.HostList("full", 99, tuple(many(3))))
     w.now += 100.0
-    w.do(api.HostList("full", 100, tuple(many(3))))
+    w.do(messages.HostList("full", 100, tuple(many(3))))
     assert len(w.gw.fleet.servers) == 3 and len(w.gw.fleet.doubt.hosts) <= 3
 
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -3,17 +3,17 @@
 
 import pytest
 
-from calicomast import interface as api
+from apigateway import messages
 
 ROOT = Path(__file__).resolve().parent.parent
 
 
 def test_module_stays_within_its_limits():
-    lines = (ROOT / "calicomast" / "policy.py").read_text().splitlines()
+    lines = (ROOT / "apigateway" / "policy" / "gateway.py").read_text().splitlines()
     named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     assert sum(1 for file in named for ln in (ROOT / file).read_text().splitlines() if ln.strip()) <= 1200
     assert all(len(ln) <= 110 for ln in lines)
-    assert "interface.py" in "".join(lines[:3])
+    assert "messages.py" in "".join(lines[:3])
 
 
 def test_readme_example_runs():
@@ -25,13 +25,13 @@
 
 
 @pytest.mark.parametrize("make", [
-    lambda: api.Plan("p", -1.0, 8.0, 0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0),
-    lambda: api.Plan("p", 1.0, 0.0, 0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0),
-    lambda: api.ServiceClass("c", 1.0, 2.0, "sometimes", "all", 0.0, 1.0, 0.0, False, 0.0),
-    lambda: api.Request("r", 1.0, "c", "p", "c", -1.0, 0, 1),
-    lambda: api.Request("r", 1.0, "c", "p", "c", 1.0, 0, 0),
-    lambda: api.Host("h", "z", 0, 1.0, "k", "maybe", 0.0),
-    lambda: api.Outcome("r", 0, "h", "fine", 0.1, True),
+    lambda: messages.Plan("p", -1.0, 8.0, 0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0),
+    lambda: messages.Plan("p", 1.0, 0.0, 0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0),
+    lambda: messages.ServiceClass("c", 1.0, 2.0, "sometimes", "all", 0.0, 1.0, 0.0, False, 0.0),
+    lambda: messages.Request("r", 1.0, "c", "p", "c", -1.0, 0, 1),
+    lambda: messages.Request("r", 1.0, "c", "p", "c", 1.0, 0, 0),
+    lambda: messages.Host("h", "z", 0, 1.0, "k", "maybe", 0.0),
+    lambda: messages.Outcome("r", 0, "h", "fine", 0.1, True),
 ])
 def test_types_reject_what_makes_no_sense(make):
     with pytest.raises(ValueError):
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -7,8 +7,8 @@
 import pytest
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, roomy, terms
 
-from calicomast import interface as api
-from calicomast.fronts.resp import server as clients
+from apigateway import messages
+from apigateway.frontends.resp import server as clients
 
 
 @pytest.mark.parametrize("bad", [
@@ -331,8 +331,8 @@
     """It waits for whatever the module waits for, or between two attempts; `first` turned it away."""
     async with StubHost(b"-BUSY\r\n") as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         core = node.node.core
-        begins = [api.Send("r1", first)] if first else []
-        core.module = Waiting(Request=begins, Timer=[api.Send("r1", "h2")])
+        begins = [messages.Send("r1", first)] if first else []
+        core.module = Waiting(Request=begins, Timer=[messages.Send("r1", "h2")])
         _, writer = await node.connect()
         writer.write(command())
         while await core.module.seen.get() != ("Outcome" if first else "Request"):
@@ -340,9 +340,9 @@
         writer.close()
         while await core.module.seen.get() != "Gone":
             pass
-        core.feed(api.Timer(0))  # the module did not hear of it in time
+        core.feed(messages.Timer(0))  # the module did not hear of it in time
         assert not core.works and not node.node.hosts.open - len(node.node.hosts.conns)
-        core.module = Waiting(Request=[api.Send("r2", "h2")])
+        core.module = Waiting(Request=[messages.Send("r2", "h2")])
         assert await node.ask(command(b"r2")) == SERVED
         assert [c[2] for c in two.commands] == [b"r2"]
 
@@ -362,7 +362,7 @@
                 await asyncio.sleep(0)
             node.node.hosts.listed("h1", full.getsockname())
             node.node.hosts.connect_timeout = 60.0
-            core.module = Waiting(Request=[api.Send("r1", "h1")])
+            core.module = Waiting(Request=[messages.Send("r1", "h1")])
             _, writer = await node.connect()
             writer.write(command())
             while await core.module.seen.get() != "Request":
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -6,7 +6,7 @@
 import pytest
 from netkit import SERVED, SETTINGS, Node, StubCounter, StubHost, command, on_loop, terms
 
-from calicomast.counting.client import LINES
+from apigateway.counter.client import LINES
 
 
 @on_loop
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -6,11 +6,11 @@
 import pytest
 from netkit import PATIENCE, SERVED, Node, StubHost, command, entry, on_loop
 
-from calicomast import interface as api
-from calicomast.membership import watch_schedule
-from calicomast.membership.discovery import CallResult
-from calicomast.membership.listing import read_list
-from calicomast.membership.watch_schedule import WatchSchedule
+from apigateway import messages
+from apigateway.membership import watch_schedule
+from apigateway.membership.discovery import CallResult
+from apigateway.membership.listing import read_list
+from apigateway.membership.watch_schedule import WatchSchedule
 
 
 @on_loop
@@ -88,11 +88,11 @@
         class Sender:
             def handle(self, now, event):
                 seen.append(type(event))
-                if isinstance(event, api.Outcome):
+                if isinstance(event, messages.Outcome):
                     seen.append(event.result)
                     done.set()
-                    return [api.Fail(event.id)]
-                return [api.Send(event.id, "h1")] if isinstance(event, api.Request) else []
+                    return [messages.Fail(event.id)]
+                return [messages.Send(event.id, "h1")] if isinstance(event, messages.Request) else []
 
         node.node.core.module = Sender()
         asked = asyncio.create_task(node.ask(command()))
@@ -102,7 +102,7 @@
         seen.clear()
         node.node.listed(read_list({"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]}))
         await done.wait()
-        assert seen == [api.HostList, api.Outcome, "connect_failed"]
+        assert seen == [messages.HostList, messages.Outcome, "connect_failed"]
         assert (await asked).startswith(b"-ERR") and not host.commands
 
 
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -8,8 +8,8 @@
 import pytest
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, terms, write
 
-from calicomast import interface as api
-from calicomast.core import life as gateway
+from apigateway import messages
+from apigateway.core import request_lifecycle as life as gateway
 
 
 @on_loop
@@ -96,7 +96,7 @@
         for n in range(300):
             delay = 0.0101 + n * 0.00037
             due[n] = node.node.core.clock() + delay
-            node.node.core.set_timer(api.SetTimer(delay, n))
+            node.node.core.set_timer(messages.SetTimer(delay, n))
         await clocked.done.wait()
         assert clocked.early == []
 
@@ -150,11 +150,11 @@
             results = []
 
             def handle(self, now, event):
-                if isinstance(event, api.Request):
-                    return [api.Send(event.id, "h1"), api.Send(event.id, "h2")]
-                if isinstance(event, api.Outcome):
+                if isinstance(event, messages.Request):
+                    return [messages.Send(event.id, "h1"), messages.Send(event.id, "h2")]
+                if isinstance(event, messages.Outcome):
                     self.results.append(event.result)
-                    return [api.Fail(event.id)]
+                    return [messages.Fail(event.id)]
                 return []
 
         node.node.core.module = Doubler()
@@ -173,9 +173,9 @@
             module, tried, came = node.node.core.module.handle, [], []
 
             def handle(now, event):
-                came.extend([event] * isinstance(event, api.Request))
+                came.extend([event] * isinstance(event, messages.Request))
                 actions = module(now, event)
-                tried.extend(a for a in actions if isinstance(a, api.Send) and a.host == "h2")
+                tried.extend(a for a in actions if isinstance(a, messages.Send) and a.host == "h2")
                 return actions
 
             node.node.core.module.handle = handle
--- a/tests/test_net_hosts.py
+++ b/tests/test_net_hosts.py
@@ -11,9 +11,9 @@
 import pytest
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, roomy, terms, write
 
-from calicomast import interface as api
-from calicomast.net import hosts
-from calicomast.net.hosts import Attempt
+from apigateway import messages
+from apigateway.upstream import hosts
+from apigateway.upstream.hosts import Attempt
 
 
 @on_loop
@@ -51,13 +51,13 @@
 
         class Watcher:
             def handle(self, now, event):
-                if isinstance(event, api.Probed):
+                if isinstance(event, messages.Probed):
                     seen.append(event)
                     done.set()
                 return []
 
         node.node.core.module = Watcher()
-        node.node.core.probe(api.Probe("h1"))
+        node.node.core.probe(messages.Probe("h1"))
         await done.wait()
         assert host.commands == [[b"INFO", b"load"]]
         assert seen[0].result == "ok" and seen[0].report == {"inflight": 7.0}
@@ -130,16 +130,16 @@
     async with StubHost(None) as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         class Mover:
             def handle(self, now, event):
-                if isinstance(event, api.Request):
-                    return [api.Send(event.id, "h1")]
-                return [api.Send(event.id, "h2")] if getattr(event, "result", "") == "cancelled" else []
+                if isinstance(event, messages.Request):
+                    return [messages.Send(event.id, "h1")]
+                return [messages.Send(event.id, "h2")] if getattr(event, "result", "") == "cancelled" else []
 
         node.node.core.module = Mover()
         asked = asyncio.create_task(node.ask(command()))
         await one.arrived.get()
         (attempt,) = node.node.core.works["r1"].live.values()
         ended = socket.socket(fileno=os.dup(attempt.conn.descriptor))
-        node.node.core.cancel(api.Cancel("r1", 0))
+        node.node.core.cancel(messages.Cancel("r1", 0))
         with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
             ended.send(b"x")
         ended.close()
@@ -204,7 +204,7 @@
 async def test_an_answer_that_cannot_be_handled_ends_its_attempt(tmp_path, monkeypatch):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         with monkeypatch.context() as patch:
-            patch.setattr("calicomast.net.hosts.read_reply", lambda *_: 1 / 0)
+            patch.setattr("apigateway.upstream.hosts.read_reply", lambda *_: 1 / 0)
             assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
         assert not node.node.hosts.conns
         assert await node.ask(command(b"r2")) == SERVED
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -22,12 +22,12 @@
     told,
 )
 
-from calicomast.counting.client import LINES
-from calicomast.daemon.config import read_config
+from apigateway.counter.client import LINES
+from apigateway.daemon.config import read_config
 
 ROOT = Path(__file__).resolve().parent.parent
 PING = b"*1\r\n$4\r\nPING\r\n"
-PROGRAM = [sys.executable, "-B", "-m", "calicomast.net"]
+PROGRAM = [sys.executable, "-B", "-m", "apigateway.daemon"]
 
 
 def spoilt(**kw):
@@ -47,7 +47,7 @@
         env["RELAY_CONFIG"] = str(tmp_path / "config.json")
     ended = subprocess.run(PROGRAM, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
     assert ended.returncode != 0
-    assert ended.stderr.startswith("calicomast: ") and ended.stderr.count("\n") == 1 and word in ended.stderr
+    assert ended.stderr.startswith("api-gateway: ") and ended.stderr.count("\n") == 1 and word in ended.stderr
 
 
 @pytest.mark.parametrize("longest, finish", [(0.3, 0.7), (1.8, 2.2), (3.0, 3.4), (6.0, 3.4), (60.0, 3.4)])
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -7,7 +7,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast.overload import LATE_FOR, LEAST, MOST_BACK, MOST_STEP, WINDOW, Gate, step
+from apigateway.policy.overload_gate import LATE_FOR, LEAST, MOST_BACK, MOST_STEP, WINDOW, Gate, step
 
 AIM, MOST, BEAT = 0.015, 0.2, 0.02
 SERVED, REFUSED = 500e-6, 50e-6  # s of the core: 2,000 a second are its peak
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -9,8 +9,8 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast import interface as api
-from calicomast import policy
+from apigateway import messages
+from apigateway.policy import gateway as policy
 
 
 class Plain:
@@ -41,9 +41,9 @@
 
     def __init__(self, number, lane, value, beyond):
         self.lane, self.value, self.beyond, self.done = lane, value, beyond, False
-        self.cls = api.ServiceClass(lane, 1, 3, "safe", "all", 0, 1, 0, False, 0)
+        self.cls = messages.ServiceClass(lane, 1, 3, "safe", "all", 0, 1, 0, False, 0)
         self.kinds, self.avoid = (), set()
-        self.ran, self.live, self.req = [], {}, api.Request(f"r{number}", 3, "c", "p", lane, 1, 0, 1)
+        self.ran, self.live, self.req = [], {}, messages.Request(f"r{number}", 3, "c", "p", lane, 1, 0, 1)
 
 
 def drained(queue, send):
@@ -109,13 +109,13 @@
 def waiting_world(monkeypatch, held):
     """A gateway whose hosts are all full, with so many that wait."""
     monkeypatch.setattr(policy, "QUEUE_LEAST", held + 100)
-    plan = api.Plan("p", 1e6, 1e6, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)
+    plan = messages.Plan("p", 1e6, 1e6, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)
     w = World(module_settings(gateways=1, plans=[plan]), [host(f"h{n}") for n in range(4)])
     out = []
     for _ in range(held):
         name, acts = w.ask(spread=1)
-        assert not of(acts, api.Refuse)
-        out += of(acts, api.Send)
+        assert not of(acts, messages.Refuse)
+        out += of(acts, messages.Send)
     return w, out
 
 
@@ -137,25 +137,25 @@
     out, answered = deque(out), set()
     while len(answered) < 5_000:  # all free at once
         send = out.popleft()
-        out += of(w.end(send), api.Send)
+        out += of(w.end(send), messages.Send)
         answered.add(send.id)
     assert w.gw.queue.live == held - len(answered) - len(out)
-    acts = w.do(api.HostList("full", 2, ()))  # all gone
-    assert not of(acts, api.Send)
+    acts = w.do(messages.HostList("full", 2, ()))  # all gone
+    assert not of(acts, messages.Send)
     for send in out:  # each ends as its host does
         acts += w.end(send, "reset")
     acts += w.wait(3.0)
-    refused = [a.id for a in of(acts, api.Refuse)]
-    assert not of(acts, api.Send) and len(refused) == len(set(refused)) == held - len(answered)
+    refused = [a.id for a in of(acts, messages.Refuse)]
+    assert not of(acts, messages.Send) and len(refused) == len(set(refused)) == held - len(answered)
     assert not answered & set(refused) and not w.gw.jobs and not w.gw.queue.live
-    w.do(api.HostList("full", 3, (host("h9"),)))  # and what comes then is served
+    w.do(messages.HostList("full", 3, (host("h9"),)))  # and what comes then is served
     name, acts = w.ask(spread=1)
-    assert [a.id for a in of(acts, api.Send)] == [name]
+    assert [a.id for a in of(acts, messages.Send)] == [name]
     assert w.gw.queue.size <= policy.FREED_AT_ONCE
 
 
 def test_the_worthiest_go_first_and_of_equals_the_latest(monkeypatch):
     w, out = waiting_world(monkeypatch, 60)
     late = [w.ask(spread=1)[0] for _ in range(3)]
-    sent = [of(w.end(send), api.Send)[0].id for send in out[:3]]
+    sent = [of(w.end(send), messages.Send)[0].id for send in out[:3]]
     assert sent == late[::-1]
--- a/tests/test_reserved.py
+++ b/tests/test_reserved.py
@@ -8,7 +8,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from calicomast import interface as api
+from apigateway import messages
 
 HOSTS = [host(f"h{n}") for n in range(4)]
 CEILED = dict(rate=3.0, burst=6.0, ceiling_rate=4.0, ceiling_burst=8.0, ceiling_slack=0.0)
@@ -22,45 +22,45 @@
     """What became of it at once: Granted, Denied, Send, Refuse, or None."""
     w.ids += 1
     acts = w.do(kind(f"k{w.ids}", 3.0, customer, "p", "read", units, 0, spread, **kw))
-    told = of(acts, api.Granted | api.Denied | api.Send | api.Refuse)
-    for send in of(acts, api.Send):
+    told = of(acts, messages.Granted | messages.Denied | messages.Send | messages.Refuse)
+    for send in of(acts, messages.Send):
         w.end(send, elapsed=0.001)
     return told[0] if told else None
 
 
 def test_a_request_that_was_paid_for_takes_none_of_the_quota():
     w = world()
-    while isinstance(ask(w, api.Reserve), api.Granted):
+    while isinstance(ask(w, messages.Reserve), messages.Granted):
         pass
-    assert isinstance(ask(w, api.Request), api.Refuse)
-    assert all(isinstance(ask(w, api.Paid), api.Send) for _ in range(20))
-    assert isinstance(ask(w, api.Request), api.Refuse)  # and gives none of it back
+    assert isinstance(ask(w, messages.Request), messages.Refuse)
+    assert all(isinstance(ask(w, messages.Paid), messages.Send) for _ in range(20))
+    assert isinstance(ask(w, messages.Request), messages.Refuse)  # and gives none of it back
 
 
 def test_under_a_ceiling_it_waits_for_what_is_sent_on_however_much_was_granted_before():
     w = world([plan(**CEILED)])
     w.now += 10.0  # both stores are full: 8 units, 4 a second more
-    granted = sum(isinstance(ask(w, api.Reserve), api.Granted) for _ in range(6))
+    granted = sum(isinstance(ask(w, messages.Reserve), messages.Granted) for _ in range(6))
     w.now += 2.0  # what is granted may be 8 again; nothing was sent on yet
-    granted += sum(isinstance(ask(w, api.Reserve), api.Granted) for _ in range(6))
+    granted += sum(isinstance(ask(w, messages.Reserve), messages.Granted) for _ in range(6))
     assert granted >= 10
-    sent = sum(isinstance(ask(w, api.Paid), api.Send) for _ in range(granted))
+    sent = sum(isinstance(ask(w, messages.Paid), messages.Send) for _ in range(granted))
     assert sent == 8  # all of them at once are held to one burst
-    assert isinstance(ask(w, api.Request), api.Refuse)  # and nobody else may follow them
+    assert isinstance(ask(w, messages.Request), messages.Refuse)  # and nobody else may follow them
     w.now += 1.0
-    assert [isinstance(ask(w, api.Paid), api.Send) for _ in range(5)] == [True] * 4 + [False]
+    assert [isinstance(ask(w, messages.Paid), messages.Send) for _ in range(5)] == [True] * 4 + [False]
 
 
 def test_what_is_given_back_of_a_reserve_was_never_charged_to_what_is_sent_on():
     w = world([plan(**CEILED)])
     w.now += 10.0
     for _ in range(3):
-        told = ask(w, api.Reserve)
-        w.do(api.Unreserve("c", 1.0, told.window))
+        told = ask(w, messages.Reserve)
+        w.do(messages.Unreserve("c", 1.0, told.window))
     acct = w.gw.accounts["c"]
     assert acct.cap == pytest.approx(8.0) and acct.ahead == pytest.approx(0.0)
-    told = ask(w, api.Check)
-    w.do(api.GiveBack("c", 1.0, told.window))
+    told = ask(w, messages.Check)
+    w.do(messages.GiveBack("c", 1.0, told.window))
     assert acct.cap == pytest.approx(8.0) and acct.ahead == pytest.approx(0.0)
 
 
@@ -68,8 +68,8 @@
     w = world([plan(**CEILED)])
     for _ in range(40):
         w.now += 0.1
-        ask(w, api.Check)
-        ask(w, api.Request)
+        ask(w, messages.Check)
+        ask(w, messages.Request)
         assert w.gw.accounts["c"].ahead == 0.0
 
 
@@ -103,31 +103,31 @@
             for w in worlds:
                 w.now = now
             w, units = rng.choice(worlds), rng.choice([1.0, 1.0, 2.0])
-            kind = rng.choice([api.Check, api.Reserve, api.Reserve, api.Request, api.Paid])
-            if kind is api.Paid:
+            kind = rng.choice([messages.Check, messages.Reserve, messages.Reserve, messages.Request, messages.Paid])
+            if kind is messages.Paid:
                 if not purses:
                     continue
                 units = purses.pop(rng.randrange(len(purses)))
             w.ids += 1
             asked[w, f"k{w.ids}"] = kind, units
             acts = w.do(kind(f"k{w.ids}", 3.0, "c", "p", "read", units, 0, count))
-            for send in of(acts, api.Send):
+            for send in of(acts, messages.Send):
                 w.end(send, elapsed=0.001)
-            if kind is api.Reserve:
-                for told in of(acts, api.Granted):
+            if kind is messages.Reserve:
+                for told in of(acts, messages.Granted):
                     if rng.random() < 0.1:
-                        w.do(api.Unreserve("c", units, told.window))
+                        w.do(messages.Unreserve("c", units, told.window))
                         asked[w, told.id] = None, 0.0
                     else:
                         purses.append(units)
         granted, sent = [], []
         for w in worlds:
             for at, act in w.log:
-                if isinstance(act, api.Granted | api.Send):
+                if isinstance(act, messages.Granted | messages.Send):
                     kind, units = asked[w, act.id]
-                    if kind in (api.Check, api.Reserve, api.Request):
+                    if kind in (messages.Check, messages.Reserve, messages.Request):
                         granted.append((at, units))
-                    if kind in (api.Check, api.Request, api.Paid):
+                    if kind in (messages.Check, messages.Request, messages.Paid):
                         sent.append((at, units))
         for times in (granted, sent):
             assert over(sorted(times), 8.0, 4.0) <= 1e-6, number
@@ -143,34 +143,34 @@
         w.counts = totals
     passed = 0
     for n in range(60):
-        told = ask(worlds[n % gateways], api.Limited, "c/4/8", spread=gateways, limit=own)
-        passed += isinstance(told, api.Granted)
+        told = ask(worlds[n % gateways], messages.Limited, "c/4/8", spread=gateways, limit=own)
+        passed += isinstance(told, messages.Granted)
     assert 3 <= passed <= 6  # one that is new stands in the middle of a window
-    assert sum(isinstance(ask(worlds[0], api.Check, spread=gateways), api.Granted) for _ in range(10)) == 10
+    assert sum(isinstance(ask(worlds[0], messages.Check, spread=gateways), messages.Granted) for _ in range(10)) == 10
 
 
 def test_a_limit_into_which_nothing_fits():
     w = world()
     none = plan(rate=1e-9, burst=1e-9)
-    assert not any(isinstance(ask(w, api.Limited, "c/0/1", limit=none), api.Granted) for _ in range(5))
-    assert isinstance(ask(w, api.Limited, "c/0/1", units=0.0, limit=none), api.Granted)
-    assert isinstance(ask(w, api.Check), api.Granted)
+    assert not any(isinstance(ask(w, messages.Limited, "c/0/1", limit=none), messages.Granted) for _ in range(5))
+    assert isinstance(ask(w, messages.Limited, "c/0/1", units=0.0, limit=none), messages.Granted)
+    assert isinstance(ask(w, messages.Check), messages.Granted)
 
 
 def test_a_check_without_its_limit_is_none():
     with pytest.raises(ValueError):
-        api.Limited("k", 1.0, "c", "p", "read", 1.0, 0, 1)
+        messages.Limited("k", 1.0, "c", "p", "read", 1.0, 0, 1)
 
 
 @seed(14)
 @settings(max_examples=200, deadline=None, database=None)
-@given(st.lists(st.tuples(st.sampled_from([api.Check, api.Reserve, api.Request, api.Paid, "back", "wait"]),
+@given(st.lists(st.tuples(st.sampled_from([messages.Check, messages.Reserve, messages.Request, messages.Paid, "back", "wait"]),
                           st.sampled_from([0.0, 0.5, 1.0, 3.0])), max_size=60))
 def test_both_stores_are_those_of_a_plain_account(steps):
     """The gap between them, kept as one figure, against two stores that are kept apart."""
     w = world([plan(rate=100.0, burst=200.0, ceiling_rate=100.0, ceiling_burst=200.0)])
     w.now += 10.0
-    ask(w, api.Check, units=0.0)
+    ask(w, messages.Check, units=0.0)
     acct = w.gw.accounts["c"]
     full, rate, a, b, at, purse = 200.0, 100.0, acct.cap, acct.cap, w.now, []
     for kind, amount in steps:
@@ -183,18 +183,18 @@
         if kind == "back":
             if purse:
                 told, units = purse.pop()
-                w.do(api.Unreserve("c", units, told.window))
+                w.do(messages.Unreserve("c", units, told.window))
                 a = min(full, a + units)
             continue
-        if units > w.conf.most_units and kind in (api.Request, api.Paid):
+        if units > w.conf.most_units and kind in (messages.Request, messages.Paid):
             units = w.conf.most_units
         told = ask(w, kind, units=units)
-        if isinstance(told, api.Granted | api.Send):
-            if kind is not api.Paid:
+        if isinstance(told, messages.Granted | messages.Send):
+            if kind is not messages.Paid:
                 a -= units
-            if kind is not api.Reserve:
+            if kind is not messages.Reserve:
                 b -= units
-            if kind is api.Reserve:
+            if kind is messages.Reserve:
                 purse.append((told, units))
         assert min(a, b) >= -1e-6
         acct.ceiling_room(w.now)
@@ -211,9 +211,9 @@
             w.now += 10.0
         sent = 0
         for n in range(60):
-            kind = api.Request if first[n % 2] == 2 else api.Check
-            told = ask(worlds[n % 3 if kind is api.Check else n % 2], kind, spread=first[n % 2])
-            sent += isinstance(told, api.Granted | api.Send)
+            kind = messages.Request if first[n % 2] == 2 else messages.Check
+            told = ask(worlds[n % 3 if kind is messages.Check else n % 2], kind, spread=first[n % 2])
+            sent += isinstance(told, messages.Granted | messages.Send)
         assert 6 <= sent <= 8
 
 
@@ -225,8 +225,8 @@
     w.now += 10.0
     begun, names = w.now, [w.ask(spread=16)[0] for _ in range(12)]  # 2 units, 4 a second, a wait of 0.3 s
     w.wait(1.0, step=0.005)
-    sent = [at - begun for at, act in w.log if isinstance(act, api.Send) and act.id in names]
-    refused = [at - begun for at, act in w.log if isinstance(act, api.Refuse) and act.id in names]
+    sent = [at - begun for at, act in w.log if isinstance(act, messages.Send) and act.id in names]
+    refused = [at - begun for at, act in w.log if isinstance(act, messages.Refuse) and act.id in names]
     assert len(sent) == 3 and sent[:2] == [0.0, 0.0] and 0.24 < sent[2] < 0.3
     assert len(refused) == 9 and max(refused) == 0.0
     assert all(a.promised == 0.0 for a in w.gw.accounts.values())
--- a/tests/tools/test_demo.py
+++ b/tests/tools/test_demo.py
@@ -7,14 +7,14 @@
 from rich.console import Console
 from rig import ROOT
 
-from calicomast.standins.ledger import Verdict
-from calicomast.tools import demo
+from apigateway.emulators.ledger import Verdict
+from apigateway.tools import demo
 
 
 @pytest.mark.parametrize("source", ["discovery", "eureka"])
 def test_the_demo_ends_by_itself_with_the_rules_kept(source):
     arguments = ["demo", "--seconds", "6", "--registry", source]
-    ended = subprocess.run([sys.executable, "-B", "-m", "calicomast", *arguments], cwd=ROOT,
+    ended = subprocess.run([sys.executable, "-B", "-m", "apigateway", *arguments], cwd=ROOT,
                            capture_output=True, text=True, timeout=120)
     assert ended.returncode == 0, ended.stdout + ended.stderr
     for text in ("falls silent", "drains", "is killed", "returns", "comes back, cold", "no request lost",
@@ -24,7 +24,7 @@
 
 
 def test_with_the_rate_limit_service_both_spend_of_one_ceiling():
-    ended = subprocess.run([sys.executable, "-B", "-m", "calicomast", "demo", "--seconds", "6", "--grpc"],
+    ended = subprocess.run([sys.executable, "-B", "-m", "apigateway", "demo", "--seconds", "6", "--grpc"],
                            cwd=ROOT, capture_output=True, text=True, timeout=120)
     assert ended.returncode == 0, ended.stdout + ended.stderr
     rows = {row.split("│")[1].strip(): row.split("│")[2].strip()
