--- a/apigateway/adapter.py
+++ b/apigateway/adapter.py
@@ -15,8 +15,17 @@
 from apigateway.policy import Gateway
 
 STATE = {"U": "up", "L": "leaving", "D": "down"}
-RESULT = {"GOOD": "ok", "BAD": "error", "FULL": "full", "LATE": "timeout", "NOCONN": "connect_failed",
-          "RST": "reset", "CXL": "cancelled", "NOP": "moot"}
+RESULT = {
+    "GOOD": "ok",
+    "BAD": "error",
+    "FULL": "full",
+    "LATE": "timeout",
+    "NOCONN": "connect_failed",
+    "RST": "reset",
+    "CXL": "cancelled",
+    "NOP": "moot",
+}
+
 
 class WireError(Exception):
     """A line that does not follow the wire; `inst` is the instance it named, if any."""
@@ -44,23 +53,45 @@
 
 
 def _host(f: dict[str, str]) -> messages.Host:
-    return messages.Host(id=f["host"], zone=f.get("zone", ""), cell=int(f.get("unit_group", 0)),
-                    weight=float(f.get("heft", 1)), kind=f.get("flavor", ""), state=STATE[f["availability"]],
-                    started=seconds(f.get("ready_at", "0")))
+    return messages.Host(
+        id=f["host"],
+        zone=f.get("zone", ""),
+        cell=int(f.get("unit_group", 0)),
+        weight=float(f.get("heft", 1)),
+        kind=f.get("flavor", ""),
+        state=STATE[f["availability"]],
+        started=seconds(f.get("ready_at", "0")),
+    )
 
 
 def _work_item(f: dict[str, str]) -> messages.Request:
     marks = int(f.get("marks", 0))
-    return messages.Request(id=f["txn"], left=seconds(f["patience_left"]), customer=f["customer"], plan=f["tier"],
-                       cls=f["type"], units=float(f["cost_units"]), first=int(float(f.get("first", 0))),
-                       spread=int(float(f["n_entries"])), repeat=bool(marks & 2), write=bool(marks & 4))
+    return messages.Request(
+        id=f["txn"],
+        left=seconds(f["patience_left"]),
+        customer=f["customer"],
+        plan=f["tier"],
+        cls=f["type"],
+        units=float(f["cost_units"]),
+        first=int(float(f.get("first", 0))),
+        spread=int(float(f["n_entries"])),
+        repeat=bool(marks & 2),
+        write=bool(marks & 4),
+    )
 
 
 def _outcome(f: dict[str, str]) -> messages.Outcome:
-    return messages.Outcome(id=f["txn"], attempt=int(f["attempt"]), host=f["host"], result=RESULT[f["reason"]],
-                       elapsed=seconds(f.get("time_taken", "0")), final=flag(f, "terminal"),
-                       used=int(float(f.get("fleet_use", 0))), actual=float(f.get("actual", 0)),
-                       report=_stats(f))
+    return messages.Outcome(
+        id=f["txn"],
+        attempt=int(f["attempt"]),
+        host=f["host"],
+        result=RESULT[f["reason"]],
+        elapsed=seconds(f.get("time_taken", "0")),
+        final=flag(f, "terminal"),
+        used=int(float(f.get("fleet_use", 0))),
+        actual=float(f.get("actual", 0)),
+        report=_stats(f),
+    )
 
 
 def _memo(f: dict[str, str]) -> messages.Message:
@@ -70,15 +101,22 @@
 READERS = {
     "WORK_ITEM": _work_item,
     "REPORT_BACK": _outcome,
-    "ADDED": lambda f: messages.Counted(name=int(f["entry_name"]), result=RESULT[f["reason"]],
-                                   total=float(f.get("now_at", 0)),
-                                   elapsed=seconds(f.get("time_taken", "0"))),
-    "PING_RESULT": lambda f: messages.Probed(host=f["host"], result=RESULT[f["reason"]],
-                                        elapsed=seconds(f.get("time_taken", "0")),
-                                        report=_stats(f)),
+    "ADDED": lambda f: messages.Counted(
+        name=int(f["entry_name"]),
+        result=RESULT[f["reason"]],
+        total=float(f.get("now_at", 0)),
+        elapsed=seconds(f.get("time_taken", "0")),
+    ),
+    "PING_RESULT": lambda f: messages.Probed(
+        host=f["host"],
+        result=RESULT[f["reason"]],
+        elapsed=seconds(f.get("time_taken", "0")),
+        report=_stats(f),
+    ),
     "DUE": lambda f: messages.Timer(label=int(f["label"])),
-    "BEGUN": lambda f: messages.Began(id=f["txn"], attempt=int(f["attempt"]), host=f["host"],
-                                 elapsed=seconds(f.get("time_taken", "0"))),
+    "BEGUN": lambda f: messages.Began(
+        id=f["txn"], attempt=int(f["attempt"]), host=f["host"], elapsed=seconds(f.get("time_taken", "0"))
+    ),
     "DROPPED": lambda f: messages.Gone(id=f["txn"]),
     "MEMO": _memo,
 }
@@ -93,8 +131,9 @@
     messages.Refuse: lambda i, a: f"DECLINE i={i} txn={a.id} hold_off={_ns(a.retry_after)}",
     messages.Fail: lambda i, a: f"DROP_REQUEST i={i} txn={a.id}",
     messages.Cancel: lambda i, a: f"REVOKE i={i} txn={a.id} attempt={a.attempt}",
-    messages.Count: lambda i, a: f"CHARGE_COUNTER i={i} entry_name={a.name} by={a.amount:.7g} "
-                            f"forget_after={_ns(a.lifetime)}",
+    messages.Count: lambda i, a: (
+        f"CHARGE_COUNTER i={i} entry_name={a.name} by={a.amount:.7g} forget_after={_ns(a.lifetime)}"
+    ),
     messages.SetTimer: lambda i, a: f"AFTER i={i} sleep_for={_ns(a.delay)} label={a.label}",
     messages.Probe: lambda i, a: f"TOUCH i={i} host={a.host}",
     messages.Close: lambda i, a: f"RELEASE i={i} host={a.host}",
@@ -152,8 +191,11 @@
                 self.gateways.pop(inst, None)
                 return
             elif word == "TARGETS":
-                event = messages.HostList(mode=f["mode"], version=int(f.get("index", 0)),
-                                     hosts=self._hosts(int(f.get("rows_in", 0))))
+                event = messages.HostList(
+                    mode=f["mode"],
+                    version=int(f.get("index", 0)),
+                    hosts=self._hosts(int(f.get("rows_in", 0))),
+                )
             elif word in READERS:
                 event = READERS[word](f)
             else:
--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -45,9 +45,9 @@
     from apigateway.membership.eureka.source import EurekaSource, resolve
 
     by_name = resolve if registry.terms.address == "name" else None
-    source = EurekaSource(registry, Listing(messages.HostList("cached", 0, ()), {}), lambda _: None, lambda: None,
-                          (),
-                          by_name)
+    source = EurekaSource(
+        registry, Listing(messages.HostList("cached", 0, ()), {}), lambda _: None, lambda: None, (), by_name
+    )
     try:
         for _ in registry.urls:
             if await source.poll():
@@ -55,9 +55,12 @@
         else:
             raise OSError("no registry answers")
         found = [described(k.entry.host, k.entry.address) for k in source.belief.known.values()]
-        return {"source": f"registry {source.url}", "age": time.time() - source.belief.heard_at,
-                "hosts": found,
-                "left out": list(source.odd)}
+        return {
+            "source": f"registry {source.url}",
+            "age": time.time() - source.belief.heard_at,
+            "hosts": found,
+            "left out": list(source.odd),
+        }
     finally:
         await source.close()
 
@@ -73,22 +76,29 @@
 def table(told: dict[str, Any]) -> str:
     age = "never heard" if told["age"] is None else f"heard {told['age']:.1f} s ago"
     rows = [COLUMNS + CHOICE * any(host.get("choice") for host in told["hosts"])]
-    rows += [(*(str(host[name]) for name in COLUMNS), *chosen(host.get("choice") or {}))[:len(rows[0])]
-             for host in told["hosts"]]
+    rows += [
+        (*(str(host[name]) for name in COLUMNS), *chosen(host.get("choice") or {}))[: len(rows[0])]
+        for host in told["hosts"]
+    ]
     widths = [max(len(row[n]) for row in rows) for n in range(len(rows[0]))]
-    lines = ["  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
-             for row in rows]
+    lines = [
+        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows
+    ]
     left = [f"left out: {text}" for text in told.get("left out", ())]
     left += [f"sites left by the settings: {', '.join(told['left'])}"] if told.get("left") else []
     moved = [moves(told["choices"])] if told.get("choices") else []
-    moved += [f"site {zone}: {site['silent']} of {site['hosts']} hosts silent since its last answer, for "
-              f"{site['for']:.1f} s; gets {site['part']:.2f} of its part"
-              for zone, site in told.get("sites", {}).items()]
+    moved += [
+        f"site {zone}: {site['silent']} of {site['hosts']} hosts silent since its last answer, for "
+        f"{site['for']:.1f} s; gets {site['part']:.2f} of its part"
+        for zone, site in told.get("sites", {}).items()
+    ]
     return "\n".join([f"{told['source']}, {age}, {len(told['hosts'])} hosts", *lines, *moved, *left])
 
 
 def moves(counts: dict[str, int]) -> str:
     """What moved this gateway's choices since its start."""
-    return (f"choices: {counts['report']} by a fresh report, {counts['mean']} by the mean of all, "
-            f"{counts['outside']} outside the subset; drawn and passed over: {counts['doubted']} in doubt or "
-            f"cold, {counts['busy']} without a place, {counts['barred']} not allowed")
+    return (
+        f"choices: {counts['report']} by a fresh report, {counts['mean']} by the mean of all, "
+        f"{counts['outside']} outside the subset; drawn and passed over: {counts['doubted']} in doubt or "
+        f"cold, {counts['busy']} without a place, {counts['barred']} not allowed"
+    )
--- a/apigateway/cli/load.py
+++ b/apigateway/cli/load.py
@@ -19,8 +19,9 @@
         scenario = read_scenario(told.file)
         if told.act == "run":
             if not scenario.targets.gateways:
-                print(f"api-gateway: {told.file}: targets.gateways: none to send to; name them",
-                      file=sys.stderr)
+                print(
+                    f"api-gateway: {told.file}: targets.gateways: none to send to; name them", file=sys.stderr
+                )
                 return UNUSABLE
             from apigateway.tools.load.run import run as play
 
--- a/apigateway/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -55,18 +55,23 @@
     if not told["plugins"]:
         return "no plug-ins"
     lines = [f"version {told['version']}, {told['requests']} requests in work on it"]
-    lines += [f"  version {n}: {count} requests still end on it" for n,
-              count in told["older versions"].items()]
+    lines += [
+        f"  version {n}: {count} requests still end on it" for n, count in told["older versions"].items()
+    ]
     for one in told["plugins"]:
         calls = sum(one["calls"].values())
-        lines.append(f"{one['name']} ({one['kind']} {one['digest']}): {one['state']}"
-                     + (f", back in {one['back in']:.1f} s" if one["back in"] else "")
-                     + f", {calls} calls, {one['cpu'] / max(calls, 1) * 1e6:.0f} us each")
+        lines.append(
+            f"{one['name']} ({one['kind']} {one['digest']}): {one['state']}"
+            + (f", back in {one['back in']:.1f} s" if one["back in"] else "")
+            + f", {calls} calls, {one['cpu'] / max(calls, 1) * 1e6:.0f} us each"
+        )
         for word in ("allowed", "denied", "failed", "not asked", "counters"):
             if one[word]:
                 lines.append(f"  {word}: " + ", ".join(f"{k} {v:g}" for k, v in sorted(one[word].items())))
     if told["records"]:
         one = told["records"]
-        lines.append(f"records: {one['file']}, {one['written']} written, {one['dropped']} dropped, "
-                     f"{one['failed']} failed")
+        lines.append(
+            f"records: {one['file']}, {one['written']} written, {one['dropped']} dropped, "
+            f"{one['failed']} failed"
+        )
     return "\n".join(lines)
--- a/apigateway/cli/ratelimit.py
+++ b/apigateway/cli/ratelimit.py
@@ -51,16 +51,20 @@
 def lines(told: dict[str, Any]) -> str:
     out = []
     for one in told["listeners"]:
-        out.append(f"listener {one['address']}{' (TLS)' if one['tls'] else ''}: {one['connections']} "
-                   f"connections, {one['handshakes failed']} handshakes failed; "
-                   + listed(one["answers"], "nothing asked yet"))
+        out.append(
+            f"listener {one['address']}{' (TLS)' if one['tls'] else ''}: {one['connections']} "
+            f"connections, {one['handshakes failed']} handshakes failed; "
+            + listed(one["answers"], "nothing asked yet")
+        )
     if told["tokens"] is not None:
         out.append("tokens: " + listed(told["tokens"], "none given yet"))
     outer = told["outer"]
     if outer is not None:
         why = f" ({outer['last']})" if outer["last"] else ""
-        out.append(f"outer service {outer['address']}: {outer['state']}{why}, {outer['out']} questions out, "
-                   f"taken to fail {outer['turns']} times; " + listed(outer["counts"], "nothing asked yet"))
+        out.append(
+            f"outer service {outer['address']}: {outer['state']}{why}, {outer['out']} questions out, "
+            f"taken to fail {outer['turns']} times; " + listed(outer["counts"], "nothing asked yet")
+        )
     return "\n".join(out) or "no rate limit service here, and no outer one"
 
 
@@ -126,8 +130,9 @@
     return context
 
 
-async def call(address: Address, context: ssl.SSLContext | None, name: str, request: Any,
-               timeout: float) -> tuple[int, str, bytes]:
+async def call(
+    address: Address, context: ssl.SSLContext | None, name: str, request: Any, timeout: float
+) -> tuple[int, str, bytes]:
     from apigateway.external_ratelimit.client import Channel
 
     channel, answer = Channel(address, context, name), asyncio.get_running_loop().create_future()
@@ -147,9 +152,11 @@
         text = f"  {', '.join(f'{key}={value}' for key, value in one)}: {CODES.get(status.code, status.code)}"
         if status.HasField("current_limit"):
             limit = status.current_limit
-            text += (f"; {limit.requests_per_unit} a {UNITS[limit.unit]} ({limit.name}), "
-                     f"{status.limit_remaining} left, window turns in "
-                     f"{status.duration_until_reset.ToNanoseconds() / 1e9:.1f} s")
+            text += (
+                f"; {limit.requests_per_unit} a {UNITS[limit.unit]} ({limit.name}), "
+                f"{status.limit_remaining} left, window turns in "
+                f"{status.duration_until_reset.ToNanoseconds() / 1e9:.1f} s"
+            )
         out.append(text)
     out += [f"  {header.key}: {header.value}" for header in response.response_headers_to_add]
     return "\n".join(out)
--- a/apigateway/config_validation.py
+++ b/apigateway/config_validation.py
@@ -54,7 +54,7 @@
 
 def shown(value: object) -> str:
     text = re.sub(r"//[^/@\s]*@", "//(hidden)@", repr(value).replace("\n", " "))  # credentials in an address
-    return text if len(text) <= MOST_SHOWN else text[:MOST_SHOWN - 3] + "..."
+    return text if len(text) <= MOST_SHOWN else text[: MOST_SHOWN - 3] + "..."
 
 
 def read_toml(path: str) -> dict[str, Any]:
@@ -85,8 +85,14 @@
 
 Path = tuple[str | int, ...]
 
-IN_WORDS = {"`float`": "a number", "`int`": "a whole number", "`str`": "text", "`bool`": "true or false",
-            "`array`": "a list", "`object`": "a table"}
+IN_WORDS = {
+    "`float`": "a number",
+    "`int`": "a whole number",
+    "`str`": "text",
+    "`bool`": "true or false",
+    "`array`": "a list",
+    "`object`": "a table",
+}
 
 
 def written(path: Path) -> str:
@@ -144,8 +150,12 @@
         known = {field.encode_name: field for field in msgspec.structs.fields(kind)}
         for name in tree.keys() - known.keys():
             near = difflib.get_close_matches(str(name), known, 1, 0.6)
-            self.fault((*path, name), tree[name], "unknown key",
-                       f"did you mean `{near[0]}`?" if near else f"known here: {', '.join(known)}")
+            self.fault(
+                (*path, name),
+                tree[name],
+                "unknown key",
+                f"did you mean `{near[0]}`?" if near else f"known here: {', '.join(known)}",
+            )
         for name, field in known.items():
             if name in tree:
                 self.value(tree[name], field.type, (*path, name), field)
--- a/apigateway/core/admission.py
+++ b/apigateway/core/admission.py
@@ -2,7 +2,7 @@
 
 Clients that send without end would keep the loop reading: in one turn it reads for a while only, and what was
 read beyond that waits, connection by connection, while answers of hosts are read between. How long commands
-wait so is the lag; and by how much the loop comes late to a beat, whatever kept it. """
+wait so is the lag; and by how much the loop comes late to a beat, whatever kept it."""
 
 from __future__ import annotations
 
@@ -101,9 +101,15 @@
             self.tight_at = now
             if not self.since:
                 self.since, self.before = now, (gate.shed, gate.passed)
-                log.warning("overload: requests wait %.0f ms for the core; what is worth least is "
-                            "turned away", gate.lag * 1000)
+                log.warning(
+                    "overload: requests wait %.0f ms for the core; what is worth least is turned away",
+                    gate.lag * 1000,
+                )
         elif self.since and now - self.tight_at > QUIET:
-            log.warning("overload over after %.1f s: %d turned away, %d passed",
-                        self.tight_at - self.since, gate.shed - self.before[0], gate.passed - self.before[1])
+            log.warning(
+                "overload over after %.1f s: %d turned away, %d passed",
+                self.tight_at - self.since,
+                gate.shed - self.before[0],
+                gate.passed - self.before[1],
+            )
             self.since = 0.0
--- a/apigateway/core/request_lifecycle.py
+++ b/apigateway/core/request_lifecycle.py
@@ -73,8 +73,21 @@
 class Work:
     """A request that was taken: where its answer goes, what goes to hosts, and what is out for it."""
 
-    __slots__ = ("id", "place", "order", "front", "deadline", "guard", "sends", "live", "over", "hooked",
-                 "mark", "customer", "asked")
+    __slots__ = (
+        "id",
+        "place",
+        "order",
+        "front",
+        "deadline",
+        "guard",
+        "sends",
+        "live",
+        "over",
+        "hooked",
+        "mark",
+        "customer",
+        "asked",
+    )
 
     def __init__(self, id: str, place: Place, order: Order, front: object, deadline: float) -> None:
         self.id, self.place, self.order, self.front, self.deadline = id, place, order, front, deadline
@@ -92,9 +105,17 @@
     """`settings` and `module` are the deployment's; `max_open` requests may be in work at once and
     `most_held` bytes of their bodies be held, over all fronts together."""
 
-    def __init__(self, settings: messages.Settings, module: Module, hosts: Hosts, counter: Counter | None,
-                 loop: Scheduler, max_open: int, most_held: float,
-                 clock: Callable[[], float] | None = None) -> None:
+    def __init__(
+        self,
+        settings: messages.Settings,
+        module: Module,
+        hosts: Hosts,
+        counter: Counter | None,
+        loop: Scheduler,
+        max_open: int,
+        most_held: float,
+        clock: Callable[[], float] | None = None,
+    ) -> None:
         self.settings, self.module, self.hosts, self.counter = settings, module, hosts, counter
         self.membership: Membership | None = None
         self.hooks: Hooks | None = None
@@ -108,12 +129,20 @@
         self.feeding = self.ready = self.stopping = False
         self.done = asyncio.Event()  # stopping, and nothing is in work
         self.actions: dict[type, Callable[[Any], None]] = {
-            messages.Send: self.send, messages.Refuse: self.refuse, messages.Fail: self.fail, messages.Cancel: self.cancel,
-            messages.Granted: self.granted, messages.Denied: self.denied,
-            messages.Count: self.count, messages.SetTimer: self.set_timer, messages.Probe: self.probe,
-            messages.Close: lambda a: self.hosts.close_idle(a.host), messages.Fetch: lambda _: self.fetch(),
+            messages.Send: self.send,
+            messages.Refuse: self.refuse,
+            messages.Fail: self.fail,
+            messages.Cancel: self.cancel,
+            messages.Granted: self.granted,
+            messages.Denied: self.denied,
+            messages.Count: self.count,
+            messages.SetTimer: self.set_timer,
+            messages.Probe: self.probe,
+            messages.Close: lambda a: self.hosts.close_idle(a.host),
+            messages.Fetch: lambda _: self.fetch(),
             messages.Watch: lambda a: self.watch(a.on),
-            messages.Log: lambda a: log.info("module: %s", a.text)}
+            messages.Log: lambda a: log.info("module: %s", a.text),
+        }
 
     # Fronts
 
@@ -198,7 +227,9 @@
         """Whether this id may be running: a refusal, which says that it did not run, would not be true."""
         return id in self.works or (write and self.marks is not None and self.marks.held(id))
 
-    def asked(self, hooks: Hooks, work: Work, request: messages.Request) -> messages.Request | messages.Barred:
+    def asked(
+        self, hooks: Hooks, work: Work, request: messages.Request
+    ) -> messages.Request | messages.Barred:
         """What the plug-ins make of a request; the request itself where they raise."""
         try:
             work.hooked, event = hooks.taken(request)
@@ -237,7 +268,10 @@
             actions = self.module.handle(self.clock(), event)
         except Exception:  # one request must not take the others along
             log.exception("the module failed on %s", type(event).__name__)
-            if isinstance(event, messages.Request | messages.Barred | messages.Outcome) and event.id in self.works:
+            if (
+                isinstance(event, messages.Request | messages.Barred | messages.Outcome)
+                and event.id in self.works
+            ):
                 self.abandon(self.works[event.id])
             return
         for action in actions:
@@ -383,8 +417,18 @@
         elif result == "ok" and not over:
             self.finish(work, "served", attempt.value)
         self.forget(work)
-        self.feed(messages.Outcome(work.id, number, attempt.host, result, attempt.elapsed(), work.over,
-                              used=attempt.used, report=attempt.report))
+        self.feed(
+            messages.Outcome(
+                work.id,
+                number,
+                attempt.host,
+                result,
+                attempt.elapsed(),
+                work.over,
+                used=attempt.used,
+                report=attempt.report,
+            )
+        )
 
     def cancel(self, action: messages.Cancel) -> None:
         work = self.works.get(action.id)
--- a/apigateway/daemon/choice.py
+++ b/apigateway/daemon/choice.py
@@ -20,6 +20,12 @@
     told = 0.5 ** (age / REPORT_AGE) if known else 0.0
     load = len(server.out) + told * server.others + (1 - told) * fleet.mean_held()
     rests = [key for key, (_, until) in server.rests.items() if until > now]
-    return {"near": server.near, "out": len(server.out), "load": round(load, 2), "told": round(told, 3),
-            "age": round(age, 3) if known else None,
-            "sound": round(fleet.doubt.sound(host, ("host",), now), 3), "rests": rests}
+    return {
+        "near": server.near,
+        "out": len(server.out),
+        "load": round(load, 2),
+        "told": round(told, 3),
+        "age": round(age, 3) if known else None,
+        "sound": round(fleet.doubt.sound(host, ("host",), now), 3),
+        "rests": rests,
+    }
--- a/apigateway/daemon/config.py
+++ b/apigateway/daemon/config.py
@@ -75,12 +75,16 @@
             listen=read_address(env.get("RELAY_LISTEN") or told["listen"]),
             discovery=read_address((not again and env.get("RELAY_DISCOVERY")) or told["discovery"]),
             counter=read_address(counter) if counter else None,
-            seed=int(told["seed"], 16), memory=int(told["limits"]["memory_mb"]) * 1024 * 1024,
+            seed=int(told["seed"], 16),
+            memory=int(told["limits"]["memory_mb"]) * 1024 * 1024,
             sockets=int(told["limits"]["sockets"]),
-            known=read_list(told["known"], "cached"), settings=settings,
-            connect_timeout=seconds(limits["connect_timeout"]), idle_close=seconds(limits["idle_close"]),
+            known=read_list(told["known"], "cached"),
+            settings=settings,
+            connect_timeout=seconds(limits["connect_timeout"]),
+            idle_close=seconds(limits["idle_close"]),
             max_open=int(limits["max_open"]),
-            finish=min(LONGEST, max(c.deadline for c in settings.classes.values())) + KILL - SPARE)
+            finish=min(LONGEST, max(c.deadline for c in settings.classes.values())) + KILL - SPARE,
+        )
     except KeyError as err:
         raise ConfigError(f"{path}: missing or unknown {err}") from err
     except (OSError, ValueError, TypeError, AttributeError) as err:
--- a/apigateway/daemon/handover.py
+++ b/apigateway/daemon/handover.py
@@ -120,8 +120,15 @@
     # What it answers to whoever asks, `{"ask": NAME}`: the gateway's own state, for the command line.
     questions: dict[str, Callable[[], dict[str, Any]]]
 
-    def __init__(self, path: str, offer: Offer, pause: Callable[[], Awaitable[None]],
-                 resume: Callable[[], Awaitable[None]], done: Callable[[], None], wait: float) -> None:
+    def __init__(
+        self,
+        path: str,
+        offer: Offer,
+        pause: Callable[[], Awaitable[None]],
+        resume: Callable[[], Awaitable[None]],
+        done: Callable[[], None],
+        wait: float,
+    ) -> None:
         self.path, self.offer, self.wait = path, offer, wait
         self.pause, self.resume, self.done = pause, resume, done
         self.questions = {}
--- a/apigateway/daemon/lock.py
+++ b/apigateway/daemon/lock.py
@@ -26,8 +26,10 @@
             except BlockingIOError as err:
                 holder = os.read(descriptor, 32).decode("ascii", "replace").strip()
                 os.close(descriptor)
-                raise Locked(f"{folder}: in use by process {holder or 'unknown'}; "
-                             "`serve --take-over` takes over from it") from err
+                raise Locked(
+                    f"{folder}: in use by process {holder or 'unknown'}; "
+                    "`serve --take-over` takes over from it"
+                ) from err
         self.descriptor = descriptor
 
     def sign(self) -> None:
--- a/apigateway/daemon/logs.py
+++ b/apigateway/daemon/logs.py
@@ -26,8 +26,7 @@
 
 
 def start_log(most: int = MOST_LINES) -> Seldom:
-    logging.basicConfig(stream=sys.stderr, level=logging.INFO,
-                        format="%(asctime)s %(levelname)s %(message)s")
+    logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     seldom = Seldom(most)
     logging.getLogger().handlers[0].addFilter(seldom)
     return seldom
--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -72,8 +72,16 @@
         settings = config.settings
         self.counter = Counter(config.counter, settings.counter_timeout) if config.counter else None
         self.clock = Clock()  # one for the module's birth and all its events
-        self.core = Core(settings, self.module(), self.hosts, self.counter, self.loop, config.max_open,
-                         self.most_held, self.clock)
+        self.core = Core(
+            settings,
+            self.module(),
+            self.hosts,
+            self.counter,
+            self.loop,
+            config.max_open,
+            self.most_held,
+            self.clock,
+        )
         self.listing = config.known  # the whole list as it is now
         self.listed_at = time.monotonic()
         self.known = asyncio.Event()  # there are hosts
@@ -83,8 +91,9 @@
         self.limits = self.made(limits) if limits is not None else None
         if self.limits is not None:
             self.limits.take_up(limits)
-        self.fronts = [self.front(address, config, self.limits, limits)
-                       for address in (config.listen, *config.more)]
+        self.fronts = [
+            self.front(address, config, self.limits, limits) for address in (config.listen, *config.more)
+        ]
         self.core.membership = self.discovery = self.source(config, config.known.hosts.version)
         self.plugins: Plugins | None = None
         self.endings: set[asyncio.Task[None]] = set()  # what a reload replaced, until it has ended
@@ -97,8 +106,9 @@
         limits: RateLimits = module.RateLimits(self, built)
         return limits
 
-    def front(self, address: Address, config: Config, limits: RateLimits | None = None,
-              built: Built | None = None) -> RespFront | GrpcFront:
+    def front(
+        self, address: Address, config: Config, limits: RateLimits | None = None, built: Built | None = None
+    ) -> RespFront | GrpcFront:
         if address in config.grpc:
             assert limits is not None and built is not None
             return limits.front(address, self.room // 2, self.most_held, built)
@@ -144,9 +154,16 @@
             if config.own is not None:
                 own.add((config.own.ip, config.own.port))
             by_name = resolve if config.registry.terms.address == "name" else None
-            return EurekaSource(config.registry, self.listing, self.listed, self.core.list_failed, own,
-                                by_name,
-                                self.core.clock, belief=belief)
+            return EurekaSource(
+                config.registry,
+                self.listing,
+                self.listed,
+                self.core.list_failed,
+                own,
+                by_name,
+                self.core.clock,
+                belief=belief,
+            )
         if config.settings.discovery == "ask":
             schedule = WatchSchedule.for_polled_service()
         else:
@@ -232,8 +249,15 @@
 
     # Reload of our own settings: what is built is swapped in here, and cannot fail any more
 
-    def swap(self, config: Config, added: Sequence[RespFront | GrpcFront], gone: set[Address],
-             source: Source | None, limits: RateLimits | None = None, built: Built | None = None) -> None:
+    def swap(
+        self,
+        config: Config,
+        added: Sequence[RespFront | GrpcFront],
+        gone: set[Address],
+        source: Source | None,
+        limits: RateLimits | None = None,
+        built: Built | None = None,
+    ) -> None:
         old, self.config = self.config, config
         if config.counter != old.counter and self.counter and config.counter:
             self.counter.move(config.counter)
@@ -279,12 +303,15 @@
         belief = getattr(self.discovery, "belief", None)
         if belief is not None:
             age = self.core.clock() - belief.heard_at
-            hosts = [described(k.entry.host, k.entry.address, k.doubt, self.core.clock() - k.since)
-                     for k in belief.known.values()]
+            hosts = [
+                described(k.entry.host, k.entry.address, k.doubt, self.core.clock() - k.since)
+                for k in belief.known.values()
+            ]
         else:
             age = time.monotonic() - self.listed_at
-            hosts = [described(host, self.listing.addresses.get(host.id))
-                     for host in self.listing.hosts.hosts]
+            hosts = [
+                described(host, self.listing.addresses.get(host.id)) for host in self.listing.hosts.hosts
+            ]
         from apigateway.daemon.choice import taken_for  # only who is asked needs it
 
         told = {"source": self.source_name(), "age": age if age < float("inf") else None, "hosts": hosts}
@@ -302,8 +329,11 @@
 
     def limits_told(self) -> dict[str, Any]:
         """For `api-gateway ratelimit status`."""
-        return self.limits.told() if self.limits is not None else {"listeners": [], "tokens": None,
-                                                                   "outer": None}
+        return (
+            self.limits.told()
+            if self.limits is not None
+            else {"listeners": [], "tokens": None, "outer": None}
+        )
 
     def source_name(self) -> str:
         if self.config.hosts_file is not None:
@@ -391,8 +421,14 @@
 class JudgedDiscovery(Discovery):
     """Discovery whose lists are not taken at their word: not on the platform, whose agents do not lie."""
 
-    def __init__(self, address: Address, version: int, judge: Judge, failed: Callable[[], None],
-                 schedule: WatchSchedule) -> None:
+    def __init__(
+        self,
+        address: Address,
+        version: int,
+        judge: Judge,
+        failed: Callable[[], None],
+        schedule: WatchSchedule,
+    ) -> None:
         super().__init__(address, version, judge.hear_listing, failed, schedule)
         self.judge, self.belief = judge, judge.belief
 
@@ -401,12 +437,19 @@
         await super().close()
 
 
-def described(host: messages.Host, address: Address | None, doubt: str = "",
-              since: float | None = None) -> dict[str, Any]:
-    return {"id": host.id, "address": write_address(address) if address else "", "zone": host.zone,
-            "cell": host.cell,
-            "kind": host.kind, "state": {"leaving": "draining", "down": "gone"}.get(host.state, host.state),
-            "doubt": doubt, "since": since}
+def described(
+    host: messages.Host, address: Address | None, doubt: str = "", since: float | None = None
+) -> dict[str, Any]:
+    return {
+        "id": host.id,
+        "address": write_address(address) if address else "",
+        "zone": host.zone,
+        "cell": host.cell,
+        "kind": host.kind,
+        "state": {"leaving": "draining", "down": "gone"}.get(host.state, host.state),
+        "doubt": doubt,
+        "since": since,
+    }
 
 
 def merged(old: Listing, new: Listing) -> Listing:
@@ -416,7 +459,7 @@
     hosts = {h.id: h for h in old.hosts.hosts} | {h.id: h for h in new.hosts.hosts}
     kept = tuple(h for h in hosts.values() if h.state != "down")
     addresses = {**old.addresses, **new.addresses}
-    return Listing(messages.HostList("full", new.hosts.version, kept),
-                   {h.id: addresses[h.id] for h in kept if h.id in addresses})
-
-
+    return Listing(
+        messages.HostList("full", new.hosts.version, kept),
+        {h.id: addresses[h.id] for h in kept if h.id in addresses},
+    )
--- a/apigateway/daemon/platform.py
+++ b/apigateway/daemon/platform.py
@@ -1,4 +1,4 @@
-"""One gateway as the platform runs it: `python -m apigateway.daemon`, RELAY_CONFIG names its configuration."""
+"""One gateway as the platform runs it: `python -m apigateway.daemon`, with RELAY_CONFIG."""
 
 from __future__ import annotations
 
--- a/apigateway/daemon/plugins.py
+++ b/apigateway/daemon/plugins.py
@@ -33,8 +33,13 @@
     return bool(settings.plugins or settings.records.file)
 
 
-def build(path: str, settings: Settings, module: messages.Settings, old: Hooks | None = None,
-          records: RecordsPart | None = None) -> Built:
+def build(
+    path: str,
+    settings: Settings,
+    module: messages.Settings,
+    old: Hooks | None = None,
+    records: RecordsPart | None = None,
+) -> Built:
     """`records`: as they were, with `old`. Raises Faulty; nothing of the new is left then."""
     place = Place(path, module, settings.gateway.seed)
     version = load(settings.plugins, settings.hooks, place, old.version if old is not None else None)
@@ -48,8 +53,17 @@
             recorder = Recorder(file, part.only, part.max_mb * 1024 * 1024, part.waiting)
         except OSError as err:
             drop(version, old)
-            raise Faulty([Fault(path, "records.file", repr(part.file), f"cannot be written ({err.strerror})",
-                                "check the path and its rights")]) from err
+            raise Faulty(
+                [
+                    Fault(
+                        path,
+                        "records.file",
+                        repr(part.file),
+                        f"cannot be written ({err.strerror})",
+                        "check the path and its rights",
+                    )
+                ]
+            ) from err
     return Built(version, recorder, False, status)
 
 
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -1,6 +1,6 @@
 """The rate limit service and the outer service as the daemon has them: built from settings beside the loop,
 taken up whole on a reload. Imported only where settings have a listener that speaks gRPC, keys for tokens, or
-an outer service; each of them loads what it needs and no more. """
+an outer service; each of them loads what it needs and no more."""
 
 from __future__ import annotations
 
@@ -76,8 +76,12 @@
         try:
             context.load_cert_chain(self.place(cert), self.place(key), password=lambda: b"")
         except (ssl.SSLError, OSError, ValueError) as err:
-            self.fault(f"{at}.cert", cert, f"is no certificate with the key {key!r} ({told(err)})",
-                       "give a PEM chain and its key without a password")
+            self.fault(
+                f"{at}.cert",
+                cert,
+                f"is no certificate with the key {key!r} ({told(err)})",
+                "give a PEM chain and its key without a password",
+            )
 
     def authority(self, context: ssl.SSLContext, key: str, name: str) -> None:
         if self.read(key, name) is None:
@@ -119,8 +123,12 @@
     for number, name in enumerate(names):
         data = files.read(f"ratelimit.token_keys[{number}]", name, MOST_KEY)
         if data is not None and len(data.strip()) < LEAST_KEY:
-            files.fault(f"ratelimit.token_keys[{number}]", name, f"holds less than {LEAST_KEY} bytes",
-                        "make one by: head -c 32 /dev/urandom | base64")
+            files.fault(
+                f"ratelimit.token_keys[{number}]",
+                name,
+                f"holds less than {LEAST_KEY} bytes",
+                "make one by: head -c 32 /dev/urandom | base64",
+            )
         elif data is not None:
             found.append(data.strip())
     if len(found) < len(names) or not names:
@@ -166,10 +174,29 @@
         if part.tls.cert:
             files.pair(context, "ask.tls", part.tls.cert, part.tls.key)
     entries = tuple((key, value) for key, _, value in (entry.partition("=") for entry in part.entries))
-    terms = Terms(frozenset(part.plans), frozenset(part.classes), part.timeout, part.share, part.failing,
-                  part.failures, part.rest, part.most_rest, part.trials, part.steady, part.max_waiting)
-    return Asked(read_address(part.address), terms, part.domain, entries, part.batch, part.tls.name, context,
-                 ("on" if part.tls.on else "", *files.digests[before:]))
+    terms = Terms(
+        frozenset(part.plans),
+        frozenset(part.classes),
+        part.timeout,
+        part.share,
+        part.failing,
+        part.failures,
+        part.rest,
+        part.most_rest,
+        part.trials,
+        part.steady,
+        part.max_waiting,
+    )
+    return Asked(
+        read_address(part.address),
+        terms,
+        part.domain,
+        entries,
+        part.batch,
+        part.tls.name,
+        context,
+        ("on" if part.tls.on else "", *files.digests[before:]),
+    )
 
 
 def compared(old: Built | None, new: Built | None) -> str:
@@ -241,9 +268,11 @@
 
     def told(self) -> dict[str, Any]:
         """For `api-gateway ratelimit status`."""
-        return {"listeners": [served.told() for served in self.fronts],
-                "tokens": dict(self.tokens.counts) if self.tokens is not None else None,
-                "outer": self.outer.told() if self.outer is not None else None}
+        return {
+            "listeners": [served.told() for served in self.fronts],
+            "tokens": dict(self.tokens.counts) if self.tokens is not None else None,
+            "outer": self.outer.told() if self.outer is not None else None,
+        }
 
     def close(self) -> None:
         if self.outer is not None:
@@ -267,19 +296,26 @@
         self.health = Health((NAME,), lambda: core.ready and not core.stopping and not front.ended)
         front.ending = self.health.changed
         reflection = Reflection((NAME, "grpc.health.v1.Health"))
-        front.use({METHOD: self.service.call, **self.health.methods()},
-                  {**self.health.streams(), **reflection.streams()})
+        front.use(
+            {METHOD: self.service.call, **self.health.methods()},
+            {**self.health.streams(), **reflection.streams()},
+        )
 
     def take_up(self, built: Built, tokens: Tokens | None) -> None:
         from apigateway.frontends.grpc.service import Terms
 
         part = built.part
-        self.service.terms = Terms(built.mapping, part.patience, part.unmapped, part.override,
-                                   part.max_descriptors, tokens)
+        self.service.terms = Terms(
+            built.mapping, part.patience, part.unmapped, part.override, part.max_descriptors, tokens
+        )
         self.front.context = built.context
 
     def told(self) -> dict[str, Any]:
         front = self.front
-        return {"address": f"{front.address[0]}:{front.port}", "tls": front.context is not None,
-                "connections": len(front.connections), "handshakes failed": front.shaken,
-                "answers": dict(self.service.counts)}
+        return {
+            "address": f"{front.address[0]}:{front.port}",
+            "tls": front.context is not None,
+            "connections": len(front.connections),
+            "handshakes failed": front.shaken,
+            "answers": dict(self.service.counts),
+        }
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -56,8 +56,9 @@
         return settings, to_config(path, settings, span)
     settings = read_settings(path, beside=True)
     more = tuple(read_address(listener.address) for listener in settings.listeners)
-    return settings, replace(read_config(again=again), more=more, linger=settings.daemon.linger,
-                             finish=settings.daemon.finish)
+    return settings, replace(
+        read_config(again=again), more=more, linger=settings.daemon.linger, finish=settings.daemon.finish
+    )
 
 
 def in_force(old: Settings, new: Settings) -> Settings:
@@ -132,8 +133,9 @@
             from apigateway.membership.eureka.registration import Registration
 
             registry = self.config.registry
-            self.registration = Registration(registry.urls, self.config.own, registry.user, registry.password,
-                                             registry.timeout)
+            self.registration = Registration(
+                registry.urls, self.config.own, registry.user, registry.password, registry.timeout
+            )
             self.registration.start()
         if not await self.able(self.settings.daemon.handover_wait if take_over else None):
             return False
@@ -149,8 +151,14 @@
                 raise
         if self.lock is not None:
             self.lock.sign()
-            self.keeper = Keeper(os.path.join(state, "handover"), self.offer, self.node.pause, self.resume,
-                                 self.succeeded, self.settings.daemon.handover_wait)
+            self.keeper = Keeper(
+                os.path.join(state, "handover"),
+                self.offer,
+                self.node.pause,
+                self.resume,
+                self.succeeded,
+                self.settings.daemon.handover_wait,
+            )
             self.keeper.questions["hosts"] = self.node.hosts_believed
             self.keeper.questions["plugins"] = self.node.plugins_told
             self.keeper.questions["ratelimit"] = self.node.limits_told
@@ -173,8 +181,9 @@
         if not (settings.plugins or settings.records.file):
             return None
         old = self.node.plugins if hasattr(self, "node") else None
-        return await asyncio.to_thread(self.plugins().build, self.path, settings, self.config.settings, old,
-                                       self.settings.records)
+        return await asyncio.to_thread(
+            self.plugins().build, self.path, settings, self.config.settings, old, self.settings.records
+        )
 
     async def build_limits(self, settings: Settings, config: Config) -> Built | None:
         """The rate limit service, and an outer one, beside the loop; None where settings want neither. Raises
@@ -277,8 +286,11 @@
         moved = {*self.config.grpc} ^ {*config.grpc}
         both = {self.config.listen, *self.config.more} & {config.listen, *config.more}
         for address in moved & both:
-            log.error("%s: listeners: %s: its protocol changes by a restart or a hand-over only", self.path,
-                      write_address(address))
+            log.error(
+                "%s: listeners: %s: its protocol changes by a restart or a hand-over only",
+                self.path,
+                write_address(address),
+            )
             return "refused, the old settings stay"
         try:
             built_limits = await self.build_limits(settings, config)
@@ -289,12 +301,22 @@
             return "refused, the old settings stay"
         live, restart = changed(self.settings, settings)
         if not os.environ.get("RELAY_CONFIG"):
-            config = replace(self.config, more=config.more, listen=config.listen, grpc=config.grpc,
-                             hosts_file=config.hosts_file,
-                             discovery=config.discovery, registry=config.registry, trust=config.trust,
-                             counter=config.counter if self.config.counter else None,
-                             max_open=config.max_open, overload=config.overload,
-                             linger=config.linger, finish=config.finish, leave=config.leave)
+            config = replace(
+                self.config,
+                more=config.more,
+                listen=config.listen,
+                grpc=config.grpc,
+                hosts_file=config.hosts_file,
+                discovery=config.discovery,
+                registry=config.registry,
+                trust=config.trust,
+                counter=config.counter if self.config.counter else None,
+                max_open=config.max_open,
+                overload=config.overload,
+                linger=config.linger,
+                finish=config.finish,
+                leave=config.leave,
+            )
         addresses = [config.listen, *config.more]
         built: dict[Address, socket.socket] = {}
         fronts: list[RespFront | GrpcFront] = []
@@ -364,7 +386,11 @@
         """Where the list comes from now on, if from elsewhere."""
         old = self.config
         same = (config.hosts_file, config.discovery, config.registry, config.trust) == (
-            old.hosts_file, old.discovery, old.registry, old.trust)
+            old.hosts_file,
+            old.discovery,
+            old.registry,
+            old.trust,
+        )
         beside = bool(os.environ.get("RELAY_CONFIG"))
         return None if same or beside else self.node.source(config, self.node.discovery.version)
 
--- a/apigateway/daemon/settings.py
+++ b/apigateway/daemon/settings.py
@@ -222,9 +222,27 @@
 
 
 # What a reload takes up. All else holds from the next start on, or the next hand-over.
-LIVE = ("listeners", "sites", "hosts.source", "hosts.file", "hosts.discovery", "eureka", "trust",
-        "counter.address", "limits.max_open", "overload", "plugins", "hooks", "records",
-        "ratelimit", "ask", "daemon.linger", "daemon.finish", "daemon.handover_wait", "daemon.log_lines")
+LIVE = (
+    "listeners",
+    "sites",
+    "hosts.source",
+    "hosts.file",
+    "hosts.discovery",
+    "eureka",
+    "trust",
+    "counter.address",
+    "limits.max_open",
+    "overload",
+    "plugins",
+    "hooks",
+    "records",
+    "ratelimit",
+    "ask",
+    "daemon.linger",
+    "daemon.finish",
+    "daemon.handover_wait",
+    "daemon.log_lines",
+)
 # what may be told beside the platform's RELAY_CONFIG
 BESIDE = ("listeners", "daemon", "plugins", "hooks", "records")
 
@@ -235,8 +253,9 @@
     reader = Reader(path)
     if beside:
         for name in [name for name in tree if name in Settings.__struct_fields__ and name not in BESIDE]:
-            reader.fault((name,), None, "is told by RELAY_CONFIG",
-                         f"beside it only {', '.join(BESIDE)} go here")
+            reader.fault(
+                (name,), None, "is told by RELAY_CONFIG", f"beside it only {', '.join(BESIDE)} go here"
+            )
         tree.setdefault("listeners", [])
     settings = reader.read(tree, Settings)
     if settings is not None:
@@ -253,41 +272,67 @@
         path = ("listeners", number, "address")
         address = check_address(reader, path, listener.address)
         if address is not None and address[1] and address in addresses:
-            reader.contradiction(path, listener.address, f"is also that of {addresses[address]}",
-                                 "give each its own port")
+            reader.contradiction(
+                path, listener.address, f"is also that of {addresses[address]}", "give each its own port"
+            )
         elif address is not None:
             addresses[address] = f"listeners[{number}]"
         if beside and listener.protocol != "resp":
-            reader.fault(("listeners", number, "protocol"), listener.protocol, "beside RELAY_CONFIG there is "
-                         "nothing to say whose a check is", "let it be \"resp\"")
+            reader.fault(
+                ("listeners", number, "protocol"),
+                listener.protocol,
+                "beside RELAY_CONFIG there is nothing to say whose a check is",
+                'let it be "resp"',
+            )
     if beside:
         return
-    for name, what in (("listeners", "one [[listeners]]"), ("plans", "[plans.NAME] with rate and burst"),
-                       ("classes", "[classes.NAME] with effect, aim and deadline")):
+    for name, what in (
+        ("listeners", "one [[listeners]]"),
+        ("plans", "[plans.NAME] with rate and burst"),
+        ("classes", "[classes.NAME] with effect, aim and deadline"),
+    ):
         if not getattr(told, name):
             reader.contradiction((name,), None, "none", f"add {what}")
     if told.gateway.index >= told.gateway.gateways:
-        reader.contradiction(("gateway", "index"), told.gateway.index, f"of {told.gateway.gateways} gateways",
-                             "they are numbered from 0")
+        reader.contradiction(
+            ("gateway", "index"),
+            told.gateway.index,
+            f"of {told.gateway.gateways} gateways",
+            "they are numbered from 0",
+        )
     if told.gateway.gateways > 1 and not told.counter.address:
-        reader.contradiction(("counter", "address"), told.counter.address, "several gateways cannot hold a "
-                                                                           "quota "
-                             "without a counter", "name the counter that they share")
+        reader.contradiction(
+            ("counter", "address"),
+            told.counter.address,
+            "several gateways cannot hold a quota without a counter",
+            "name the counter that they share",
+        )
     if told.workers.count > 1 and not told.counter.address:
-        reader.contradiction(("workers", "count"), told.workers.count,
-                             "several workers cannot hold a quota without a counter", "name the counter")
+        reader.contradiction(
+            ("workers", "count"),
+            told.workers.count,
+            "several workers cannot hold a quota without a counter",
+            "name the counter",
+        )
     if told.counter.address:
         check_address(reader, ("counter", "address"), told.counter.address)
     if told.hosts.source == "discovery":
         check_address(reader, ("hosts", "discovery"), told.hosts.discovery)
     check_eureka(reader, told)
     if told.limits.max_customers > room_for_customers(told.limits):
-        reader.contradiction(("limits", "max_customers"), told.limits.max_customers,
-                             f"in limits.memory_mb is room for {room_for_customers(told.limits)}",
-                             "let it be fewer, or memory_mb more")
+        reader.contradiction(
+            ("limits", "max_customers"),
+            told.limits.max_customers,
+            f"in limits.memory_mb is room for {room_for_customers(told.limits)}",
+            "let it be fewer, or memory_mb more",
+        )
     if told.overload.turn < told.overload.lag:
-        reader.contradiction(("overload", "turn"), told.overload.turn,
-                             f"is shorter than the lag aimed at, {told.overload.lag}", "let it be longer")
+        reader.contradiction(
+            ("overload", "turn"),
+            told.overload.turn,
+            f"is shorter than the lag aimed at, {told.overload.lag}",
+            "let it be longer",
+        )
     for name, cls in told.classes.items():
         check_class(reader, ("classes", name), cls, told.daemon.finish)
     for name, plan in told.plans.items():
@@ -300,25 +345,41 @@
     part, bad = told.ratelimit, reader.contradiction
     serves = [n for n, listener in enumerate(told.listeners) if listener.protocol == "grpc"]
     if serves and not part.rules:
-        bad(("listeners", serves[0], "protocol"), "grpc", "no rule says whose a check is",
-            "add [[ratelimit.rules]] with domain, entries, customer, plan and class")
+        bad(
+            ("listeners", serves[0], "protocol"),
+            "grpc",
+            "no rule says whose a check is",
+            "add [[ratelimit.rules]] with domain, entries, customer, plan and class",
+        )
     try:
         mapping_of(part, told.plans, told.classes, told.gateway.gateways)
     except BadRule as err:
         number = err.args[1]
         rule = msgspec.to_builtins(part.rules[number])
-        bad(("ratelimit", "rules", number, err.key), rule[err.key], str(err.args[0]),
-            "mend the rule: docs/operate/ratelimit.md")
+        bad(
+            ("ratelimit", "rules", number, err.key),
+            rule[err.key],
+            str(err.args[0]),
+            "mend the rule: docs/operate/ratelimit.md",
+        )
     for number, rule in enumerate(part.rules):
         if rule.token and not part.token_keys:
-            bad(("ratelimit", "rules", number, "token"), True, "there is no key to sign tokens with",
-                "name files with keys in ratelimit.token_keys")
+            bad(
+                ("ratelimit", "rules", number, "token"),
+                True,
+                "there is no key to sign tokens with",
+                "name files with keys in ratelimit.token_keys",
+            )
     if bool(part.tls.cert) != bool(part.tls.key):
         what = "key" if part.tls.cert else "cert"
         bad(("ratelimit", "tls", what), "", "a certificate and its key go together", "name both files")
     elif part.tls.client_ca and not part.tls.cert:
-        bad(("ratelimit", "tls", "client_ca"), part.tls.client_ca,
-            "without TLS no client shows a certificate", "name cert and key")
+        bad(
+            ("ratelimit", "tls", "client_ca"),
+            part.tls.client_ca,
+            "without TLS no client shows a certificate",
+            "name cert and key",
+        )
 
 
 def check_ask(reader: Reader, told: Settings) -> None:
@@ -330,13 +391,21 @@
     for what, known in (("plans", told.plans), ("classes", told.classes)):
         for name in getattr(part, what):
             if name not in known:
-                bad(("ask", what), name, f"there is no such one of [{what}]",
-                    f"known: {', '.join(known) or 'none'}")
+                bad(
+                    ("ask", what),
+                    name,
+                    f"there is no such one of [{what}]",
+                    f"known: {', '.join(known) or 'none'}",
+                )
     for entry in part.entries:
         odd = [name for name in TAKEN.findall(entry.partition("=")[2]) if name not in ASK_FIELDS]
         if odd:
-            bad(("ask", "entries"), entry, f"{{{odd[0]}}} is nothing of a request",
-                f"known: {', '.join(ASK_FIELDS)}")
+            bad(
+                ("ask", "entries"),
+                entry,
+                f"{{{odd[0]}}} is nothing of a request",
+                f"known: {', '.join(ASK_FIELDS)}",
+            )
     if part.most_rest < part.rest:
         bad(("ask", "most_rest"), part.most_rest, f"is shorter than rest = {part.rest}", "let it be longer")
     if not part.tls.on and (part.tls.ca or part.tls.cert or part.tls.key or part.tls.name):
@@ -346,13 +415,24 @@
         bad(("ask", "tls", what), "", "a certificate and its key go together", "name both files")
 
 
-def mapping_of(part: RateLimitPart, plans: Iterable[str], classes: Iterable[str], gateways: int,
-               span: int = 1) -> Mapping:
+def mapping_of(
+    part: RateLimitPart, plans: Iterable[str], classes: Iterable[str], gateways: int, span: int = 1
+) -> Mapping:
     """The rules, compiled. `span`: gateways that clients, and so the rules, know as one. Raises BadRule."""
 
     def rule(told: RulePart) -> Rule:
-        return Rule(told.domain, tuple(told.entries), told.customer, told.plan, told.cls, told.units,
-                    told.first * span, told.spread * span or gateways, told.named, told.token)
+        return Rule(
+            told.domain,
+            tuple(told.entries),
+            told.customer,
+            told.plan,
+            told.cls,
+            told.units,
+            told.first * span,
+            told.spread * span or gateways,
+            told.named,
+            told.token,
+        )
 
     return Mapping([rule(told) for told in part.rules], plans, classes, gateways)
 
@@ -372,19 +452,27 @@
 
 def check_eureka(reader: Reader, told: Settings) -> None:
     if (told.hosts.source == "eureka" or told.register.on) and not told.eureka.urls:
-        reader.contradiction(("eureka", "urls"), None, "no registry to ask",
-                             "add urls = [\"http://HOST:PORT/eureka\"]")
+        reader.contradiction(
+            ("eureka", "urls"), None, "no registry to ask", 'add urls = ["http://HOST:PORT/eureka"]'
+        )
     if told.eureka.by != "apps" and not told.eureka.name:
-        reader.contradiction(("eureka", "name"), told.eureka.name, f"no name of the {told.eureka.by}",
-                             "name it, or ask by apps")
+        reader.contradiction(
+            ("eureka", "name"),
+            told.eureka.name,
+            f"no name of the {told.eureka.by}",
+            "name it, or ask by apps",
+        )
     if told.register.on and not told.register.ip:
-        reader.contradiction(("register", "ip"), told.register.ip, "no address at which others reach this "
-                                                                   "gateway",
-                             "name it")
+        reader.contradiction(
+            ("register", "ip"), told.register.ip, "no address at which others reach this gateway", "name it"
+        )
     if told.register.renew * 2 > told.register.duration:
-        reader.contradiction(("register", "duration"), told.register.duration, f"one lost renewal (every "
-                             f"{told.register.renew} s) may end it", "let it be twice as long as renew, or "
-                                                                     "more")
+        reader.contradiction(
+            ("register", "duration"),
+            told.register.duration,
+            f"one lost renewal (every {told.register.renew} s) may end it",
+            "let it be twice as long as renew, or more",
+        )
 
 
 def check_class(reader: Reader, at: Path, cls: ClassPart, finish: float) -> None:
@@ -392,15 +480,26 @@
     if cls.aim > cls.deadline:
         bad((*at, "aim"), cls.aim, f"is after the deadline of {cls.deadline}", "aim at or before it")
     elif cls.deadline > finish:
-        bad((*at, "deadline"), cls.deadline, f"is longer than daemon.finish = {finish}: a stop would fail "
-                                             f"what it "
-            "has taken", "let daemon.finish be as long as the longest deadline")
+        bad(
+            (*at, "deadline"),
+            cls.deadline,
+            f"is longer than daemon.finish = {finish}: a stop would fail what it has taken",
+            "let daemon.finish be as long as the longest deadline",
+        )
     elif cls.effect == "keyed" and not cls.memory:
-        bad((*at, "memory"), cls.memory, "a keyed class whose repeats nobody drops",
-            "say for how long hosts drop a repeat, or make it unsafe")
+        bad(
+            (*at, "memory"),
+            cls.memory,
+            "a keyed class whose repeats nobody drops",
+            "say for how long hosts drop a repeat, or make it unsafe",
+        )
     elif cls.effect != "keyed" and cls.memory:
-        bad((*at, "memory"), cls.memory, f"a class that is {cls.effect} has no repeats to drop",
-            "leave it out, or make it keyed")
+        bad(
+            (*at, "memory"),
+            cls.memory,
+            f"a class that is {cls.effect} has no repeats to drop",
+            "leave it out, or make it keyed",
+        )
     elif cls.effect != "keyed" and cls.scope != "all":
         bad((*at, "scope"), cls.scope, f"a class that is {cls.effect} has no scope", "leave it out")
 
@@ -408,14 +507,26 @@
 def check_plan(reader: Reader, at: Path, plan: PlanPart, most_units: float) -> None:
     bad = reader.contradiction
     if plan.rate and plan.burst < most_units:
-        bad((*at, "burst"), plan.burst, f"the largest request ({most_units} units) never fits",
-            "a rate needs a burst of at least limits.max_units")
+        bad(
+            (*at, "burst"),
+            plan.burst,
+            f"the largest request ({most_units} units) never fits",
+            "a rate needs a burst of at least limits.max_units",
+        )
     elif plan.ceiling_rate and plan.ceiling_rate < plan.rate:
-        bad((*at, "ceiling_rate"), plan.ceiling_rate, f"lies under the quota's rate of {plan.rate}",
-            "a ceiling lies at or over the quota")
+        bad(
+            (*at, "ceiling_rate"),
+            plan.ceiling_rate,
+            f"lies under the quota's rate of {plan.rate}",
+            "a ceiling lies at or over the quota",
+        )
     elif plan.ceiling_rate and plan.ceiling_burst < plan.burst:
-        bad((*at, "ceiling_burst"), plan.ceiling_burst, f"lies under the quota's burst of {plan.burst}",
-            "a ceiling lies at or over the quota")
+        bad(
+            (*at, "ceiling_burst"),
+            plan.ceiling_burst,
+            f"lies under the quota's burst of {plan.burst}",
+            "a ceiling lies at or over the quota",
+        )
     elif plan.ceiling_burst and not plan.ceiling_rate:
         bad((*at, "ceiling_rate"), plan.ceiling_rate, "a ceiling's burst without its rate", "add the rate")
     elif not (plan.rate or plan.open_limit):
@@ -438,21 +549,42 @@
         from apigateway.membership.eureka.registration import Own
 
         part, port = told.register, listeners[0][1]
-        own = Own(part.app, part.id or f"{told.gateway.name}:{port}", part.host_name or part.ip, part.ip,
-                  port,
-                  part.vip, part.renew, part.duration, part.metadata)
+        own = Own(
+            part.app,
+            part.id or f"{told.gateway.name}:{port}",
+            part.host_name or part.ip,
+            part.ip,
+            port,
+            part.vip,
+            part.renew,
+            part.duration,
+            part.metadata,
+        )
     return Config(
         grpc=frozenset(read_address(one.address) for one in told.listeners if one.protocol == "grpc"),
-        registry=registry, own=own, trust=Trust(**msgspec.to_builtins(told.trust)),
-        name=told.gateway.name, listen=listeners[0], more=tuple(listeners[1:]),
+        registry=registry,
+        own=own,
+        trust=Trust(**msgspec.to_builtins(told.trust)),
+        name=told.gateway.name,
+        listen=listeners[0],
+        more=tuple(listeners[1:]),
         discovery=read_address(told.hosts.discovery) if told.hosts.source == "discovery" else None,
-        hosts_file=file, counter=read_address(told.counter.address) if told.counter.address else None,
+        hosts_file=file,
+        counter=read_address(told.counter.address) if told.counter.address else None,
         seed=told.gateway.seed or random.SystemRandom().getrandbits(63),
-        memory=told.limits.memory_mb * 1024 * 1024, sockets=told.limits.sockets, known=known,
-        settings=to_module(told), connect_timeout=told.limits.connect_timeout,
-        idle_close=told.hosts.idle_close, max_open=told.limits.max_open, linger=told.daemon.linger,
-        finish=told.daemon.finish, span=span, leave=tuple(told.sites.leave),
-        overload=(told.overload.lag, told.overload.turn) if told.overload.on else None)
+        memory=told.limits.memory_mb * 1024 * 1024,
+        sockets=told.limits.sockets,
+        known=known,
+        settings=to_module(told),
+        connect_timeout=told.limits.connect_timeout,
+        idle_close=told.hosts.idle_close,
+        max_open=told.limits.max_open,
+        linger=told.daemon.linger,
+        finish=told.daemon.finish,
+        span=span,
+        leave=tuple(told.sites.leave),
+        overload=(told.overload.lag, told.overload.turn) if told.overload.on else None,
+    )
 
 
 def to_registry(told: Settings) -> Registry | None:
@@ -462,35 +594,92 @@
     from apigateway.membership.eureka.source import Registry
 
     part = told.eureka
-    terms = Terms(part.zone_key, part.cell_key, part.kind_key, part.weight_key, part.default_zone,
-                  part.address,
-                  part.secure, msgspec.to_builtins(part.states))
-    return Registry(tuple(part.urls), part.by, part.name, part.form, part.poll, part.timeout,
-                    part.max_answer_mb * 1024 * 1024, part.user, part.password, part.delta, terms,
-                    Trust(**msgspec.to_builtins(told.trust)))
+    terms = Terms(
+        part.zone_key,
+        part.cell_key,
+        part.kind_key,
+        part.weight_key,
+        part.default_zone,
+        part.address,
+        part.secure,
+        msgspec.to_builtins(part.states),
+    )
+    return Registry(
+        tuple(part.urls),
+        part.by,
+        part.name,
+        part.form,
+        part.poll,
+        part.timeout,
+        part.max_answer_mb * 1024 * 1024,
+        part.user,
+        part.password,
+        part.delta,
+        terms,
+        Trust(**msgspec.to_builtins(told.trust)),
+    )
 
 
 def to_module(told: Settings) -> messages.Settings:
     """What the decision module is told."""
     limits, rules = told.limits, told.rules
     return messages.Settings(
-        index=told.gateway.index, gateways=told.gateway.gateways, zone=told.gateway.zone,
-        classes={name: messages.ServiceClass(name, c.aim, c.deadline, c.effect, c.scope, c.memory, c.worth, 0.0,
-                                        False, 0.0)
-                 for name, c in told.classes.items()},
-        plans={name: messages.Plan(name, p.rate, p.burst, p.open_limit, p.price, p.over_worth, p.over_cost,
-                              p.ceiling_rate,
-                              p.ceiling_burst, p.ceiling_slack) for name, p in told.plans.items()},
-        limits=messages.Limits(limits.cancel, limits.second_copies, False, False, limits.retry_after,
-                          limits.max_attempts,
-                          limits.max_retry_after, limits.connect_timeout),
-        rules=messages.Rules(0.0, rules.drain_grace, rules.cold_share, rules.cold_time, rules.fall_multiple,
-                        rules.fall_time, 0.0),
-        prices={"cross_zone": told.hosts.cross_zone}, counter=bool(told.counter.address),
-        counter_price=told.counter.price, counter_timeout=told.counter.timeout, meter_period=0.0,
-        settles=False, most_units=limits.max_units, discovery="push", reports=tuple(told.hosts.reports),
-        weights="none", most_accounts=limits.max_customers or room_for_customers(limits),
-        routes={name: messages.Route(name, tuple(r.kinds), r.fallback) for name, r in told.routes.items()})
+        index=told.gateway.index,
+        gateways=told.gateway.gateways,
+        zone=told.gateway.zone,
+        classes={
+            name: messages.ServiceClass(
+                name, c.aim, c.deadline, c.effect, c.scope, c.memory, c.worth, 0.0, False, 0.0
+            )
+            for name, c in told.classes.items()
+        },
+        plans={
+            name: messages.Plan(
+                name,
+                p.rate,
+                p.burst,
+                p.open_limit,
+                p.price,
+                p.over_worth,
+                p.over_cost,
+                p.ceiling_rate,
+                p.ceiling_burst,
+                p.ceiling_slack,
+            )
+            for name, p in told.plans.items()
+        },
+        limits=messages.Limits(
+            limits.cancel,
+            limits.second_copies,
+            False,
+            False,
+            limits.retry_after,
+            limits.max_attempts,
+            limits.max_retry_after,
+            limits.connect_timeout,
+        ),
+        rules=messages.Rules(
+            0.0,
+            rules.drain_grace,
+            rules.cold_share,
+            rules.cold_time,
+            rules.fall_multiple,
+            rules.fall_time,
+            0.0,
+        ),
+        prices={"cross_zone": told.hosts.cross_zone},
+        counter=bool(told.counter.address),
+        counter_price=told.counter.price,
+        counter_timeout=told.counter.timeout,
+        meter_period=0.0,
+        settles=False,
+        most_units=limits.max_units,
+        discovery="push",
+        reports=tuple(told.hosts.reports),
+        weights="none",
+        most_accounts=limits.max_customers or room_for_customers(limits),
+        routes={name: messages.Route(name, tuple(r.kinds), r.fallback) for name, r in told.routes.items()},
+    )
 
 
 # A reload
--- a/apigateway/daemon/workers.py
+++ b/apigateway/daemon/workers.py
@@ -67,8 +67,12 @@
         return None
     number, _, count = told.partition("/")
     marks = tuple(int(n) for n in env.get(MARKS, "").split(",") if n)
-    return Share(int(number), int(count), tuple(int(n) for n in env.get(LISTENERS, "").split(",") if n),
-                 (marks[0], marks[1], marks[2]) if marks else None)
+    return Share(
+        int(number),
+        int(count),
+        tuple(int(n) for n in env.get(LISTENERS, "").split(",") if n),
+        (marks[0], marks[1], marks[2]) if marks else None,
+    )
 
 
 def shared(settings: Settings, share: Share) -> Settings:
@@ -82,9 +86,17 @@
         listeners = [replace(one, address=moved(one.address, number)) for one in listeners]
     state = os.path.join(settings.daemon.state, f"worker-{number}") if settings.daemon.state else ""
     return replace(
-        settings, listeners=listeners, daemon=replace(settings.daemon, state=state),
-        gateway=replace(gateway, name=f"{gateway.name}.{number}", index=gateway.index * count + number,
-                        gateways=gateway.gateways * count, seed=gateway.seed + number if gateway.seed else 0))
+        settings,
+        listeners=listeners,
+        daemon=replace(settings.daemon, state=state),
+        gateway=replace(
+            gateway,
+            name=f"{gateway.name}.{number}",
+            index=gateway.index * count + number,
+            gateways=gateway.gateways * count,
+            seed=gateway.seed + number if gateway.seed else 0,
+        ),
+    )
 
 
 def moved(address: str, by: int) -> str:
@@ -193,8 +205,9 @@
 
     def keep(self, state: str) -> None:
         wait = self.settings.daemon.handover_wait * self.count
-        self.keeper = Keeper(os.path.join(state, "handover"), self.offer, self.nothing, self.nothing,
-                             self.succeeded, wait)
+        self.keeper = Keeper(
+            os.path.join(state, "handover"), self.offer, self.nothing, self.nothing, self.succeeded, wait
+        )
         for name in ("hosts", "plugins", "ratelimit"):  # the workers know
             self.keeper.questions[name] = lambda: {"workers": self.count}
         self.keeper.open()
@@ -223,8 +236,9 @@
             for number in numbers:
                 os.close(number)
             count = known.get("workers", "no")
-            raise HandOverFailed(f"what runs there has {count} workers, and here are {self.count}: that "
-                                 "needs a restart")
+            raise HandOverFailed(
+                f"what runs there has {count} workers, and here are {self.count}: that needs a restart"
+            )
         self.lock = Lock(state, numbers.pop())
         wanted = {listener.address for listener in self.settings.listeners}
         for name, number in zip(names, numbers, strict=True):
@@ -272,8 +286,10 @@
                 worker.killed = True
                 self.send(worker, signal.SIGKILL)
             elif worker.process is not None and not worker.killed and self.fat(worker.process.pid):
-                log.error("worker %d holds more than limits.memory_mb: it is to finish, and is made anew",
-                          worker.number)
+                log.error(
+                    "worker %d holds more than limits.memory_mb: it is to finish, and is made anew",
+                    worker.number,
+                )
                 worker.killed = True
                 self.send(worker, signal.SIGTERM)
 
@@ -287,17 +303,30 @@
 
     async def start(self, worker: Worker, take_over: bool = False) -> None:
         numbers = [sock.fileno() for sock in self.sockets.values()]
-        environment = {name: value for name, value in os.environ.items()
-                       if name not in ("LISTEN_FDS", "LISTEN_PID", "WATCHDOG_PID")}
-        environment |= {WORKER: f"{worker.number}/{self.count}", LISTENERS: ",".join(map(str, numbers)),
-                        MARKS: f"{self.marks},{self.base},{self.regions}" if self.marks >= 0 else "",
-                        "NOTIFY_SOCKET": worker.path, "WATCHDOG_USEC": str(int(self.care.watchdog * 1e6))}
+        environment = {
+            name: value
+            for name, value in os.environ.items()
+            if name not in ("LISTEN_FDS", "LISTEN_PID", "WATCHDOG_PID")
+        }
+        environment |= {
+            WORKER: f"{worker.number}/{self.count}",
+            LISTENERS: ",".join(map(str, numbers)),
+            MARKS: f"{self.marks},{self.base},{self.regions}" if self.marks >= 0 else "",
+            "NOTIFY_SOCKET": worker.path,
+            "WATCHDOG_USEC": str(int(self.care.watchdog * 1e6)),
+        }
         worker.killed = False
         worker.tended.started(self.loop.time())
         worker.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "apigateway", "serve", self.path, *(["--take-over"] if take_over else []),
+            sys.executable,
+            "-m",
+            "apigateway",
+            "serve",
+            self.path,
+            *(["--take-over"] if take_over else []),
             env=environment,
-            pass_fds=numbers + ([self.marks] if self.marks >= 0 else []))
+            pass_fds=numbers + ([self.marks] if self.marks >= 0 else []),
+        )
         wait = self.loop.create_task(self.wait(worker, worker.process))
         self.waits.add(wait)
         wait.add_done_callback(self.waits.discard)
@@ -316,12 +345,16 @@
             worker.tended.handed()
             return
         again = worker.tended.ended(self.loop.time())
-        log.error("worker %d ended (%s)%s", worker.number, f"signal {-code}" if code < 0
-                  else f"exit code {code}",
-                  f"; again in {worker.tended.start_at - self.loop.time():.1f} s" if again else "")
+        log.error(
+            "worker %d ended (%s)%s",
+            worker.number,
+            f"signal {-code}" if code < 0 else f"exit code {code}",
+            f"; again in {worker.tended.start_at - self.loop.time():.1f} s" if again else "",
+        )
         if not again:
-            log.error("worker %d ended %d times in a row: given up, all end", worker.number,
-                      worker.tended.in_row)
+            log.error(
+                "worker %d ended %d times in a row: given up, all end", worker.number, worker.tended.in_row
+            )
             self.failed = True
             self.told.set()
 
@@ -332,8 +365,11 @@
                 worker.tended.sign(self.loop.time(), "READY=1" in lines)
         if not self.told_ready and all(one.tended.ready for one in self.workers):
             self.told_ready = True
-            log.info("%d workers listen on %s", self.count,
-                     ", ".join(listener.address for listener in self.settings.listeners))
+            log.info(
+                "%d workers listen on %s",
+                self.count,
+                ", ".join(listener.address for listener in self.settings.listeners),
+            )
             self.notifier.ready(f"{self.count} workers serve", main=self.take_over)
 
     @staticmethod
@@ -358,9 +394,13 @@
             log.info("reload: refused, the old settings stay")
             return
         if (new.listeners, new.workers, new.daemon.state) != (
-                self.settings.listeners, self.settings.workers, self.settings.daemon.state):
-            log.error("%s: listeners, workers and daemon.state need a restart where there are workers",
-                      self.path)
+            self.settings.listeners,
+            self.settings.workers,
+            self.settings.daemon.state,
+        ):
+            log.error(
+                "%s: listeners, workers and daemon.state need a restart where there are workers", self.path
+            )
             log.info("reload: refused, the old settings stay")
             return
         self.settings = new
--- a/apigateway/emulators/checks.py
+++ b/apigateway/emulators/checks.py
@@ -22,20 +22,26 @@
     """Asks gateways, by name, in `domain`, with a customer's id and plan as entries. Answers are counted as
     ok, over, and failed with its gRPC status."""
 
-    def __init__(self, ledger: Ledger, gateways: Mapping[str, tuple[str, int]],
-                 domain: str = "roster") -> None:
+    def __init__(
+        self, ledger: Ledger, gateways: Mapping[str, tuple[str, int]], domain: str = "roster"
+    ) -> None:
         self.ledger, self.domain = ledger, domain
-        self.channels = {name: grpc.aio.insecure_channel(f"{host}:{port}")
-                         for name, (host, port) in gateways.items()}
-        self.calls = {name: channel.unary_unary(METHOD, pb.RateLimitRequest.SerializeToString,
-                                                pb.RateLimitResponse.FromString)
-                      for name, channel in self.channels.items()}
+        self.channels = {
+            name: grpc.aio.insecure_channel(f"{host}:{port}") for name, (host, port) in gateways.items()
+        }
+        self.calls = {
+            name: channel.unary_unary(
+                METHOD, pb.RateLimitRequest.SerializeToString, pb.RateLimitResponse.FromString
+            )
+            for name, channel in self.channels.items()
+        }
         self.counts: Counter[str] = Counter()
         self.failures: list[str] = []
         self.latency: list[float] = []  # s, of what was answered
 
-    async def ask(self, gateway: str, customer: str, plan: str, hits: int = 1,
-                  timeout: float = 1.0) -> pb.RateLimitResponse | None:
+    async def ask(
+        self, gateway: str, customer: str, plan: str, hits: int = 1, timeout: float = 1.0
+    ) -> pb.RateLimitResponse | None:
         """None: nobody could say."""
         loop = asyncio.get_running_loop()
         request = pb.RateLimitRequest(domain=self.domain, hits_addend=hits)
--- a/apigateway/emulators/clients.py
+++ b/apigateway/emulators/clients.py
@@ -36,12 +36,18 @@
     again: bool = False
 
     def message(self) -> bytes:
-        terms = (f"c={self.cls},t={self.plan},d={int(self.wait * 1000)},units={self.units:g},"
-                 f"spread={self.spread},first={self.first}")
+        terms = (
+            f"c={self.cls},t={self.plan},d={int(self.wait * 1000)},units={self.units:g},"
+            f"spread={self.spread},first={self.first}"
+        )
         terms += f",k={self.id}" * (self.effect == "keyed") + ",r=1" * self.again
         write = self.effect != "safe"
-        parts = [b"API.WRITE" if write else b"API.READ", self.customer.encode(), self.id.encode(),
-                 terms.encode()]
+        parts = [
+            b"API.WRITE" if write else b"API.READ",
+            self.customer.encode(),
+            self.id.encode(),
+            terms.encode(),
+        ]
         parts += [b"BODY"] * write
         return b"*%d\r\n%s" % (len(parts), b"".join(bulk(part) for part in parts))
 
@@ -150,8 +156,9 @@
         return answer
 
     async def on(self, line: Line, order: Order) -> Answer:
-        self.ledger.asked(order.id, line.gateway, order.wait, order.customer, order.plan, order.cls,
-                          order.units)
+        self.ledger.asked(
+            order.id, line.gateway, order.wait, order.customer, order.plan, order.cls, order.units
+        )
         return await line.ask(order.message(), order.wait + GIVE_UP)
 
     def close(self) -> None:
@@ -183,8 +190,14 @@
     refuses comes once more, after the time that it was told; whom it does not reach tries another gateway of
     its set."""
 
-    def __init__(self, client: Client, customers: Sequence[Customer], kinds: Sequence[Kind], seed: int = 1,
-                 retries: float = 0.5) -> None:
+    def __init__(
+        self,
+        client: Client,
+        customers: Sequence[Customer],
+        kinds: Sequence[Kind],
+        seed: int = 1,
+        retries: float = 0.5,
+    ) -> None:
         self.client, self.customers, self.kinds, self.retries = client, customers, kinds, retries
         self.rng = random.Random(seed)
         self.names = list(client.gateways)
@@ -195,9 +208,18 @@
 
     def order(self, customer: Customer, kind: Kind, again: bool = False) -> Order:
         self.ids += 1
-        return Order(f"{self.prefix}{self.ids:08x}", customer.id, customer.plan, kind.name, kind.effect,
-                     kind.wait,
-                     1.0, customer.spread, customer.first, again)
+        return Order(
+            f"{self.prefix}{self.ids:08x}",
+            customer.id,
+            customer.plan,
+            kind.name,
+            kind.effect,
+            kind.wait,
+            1.0,
+            customer.spread,
+            customer.first,
+            again,
+        )
 
     async def one(self, customer: Customer, kind: Kind) -> None:
         loop = asyncio.get_running_loop()
--- a/apigateway/emulators/crowd.py
+++ b/apigateway/emulators/crowd.py
@@ -20,22 +20,43 @@
 STEP = 0.01  # s between two looks at whether something has come about
 
 
-def customers(gateways: int, plans: Sequence[str], rate: float, count: int, seed: int = 1,
-              spread: tuple[int, int] = (2, 6)) -> list[Customer]:
+def customers(
+    gateways: int,
+    plans: Sequence[str],
+    rate: float,
+    count: int,
+    seed: int = 1,
+    spread: tuple[int, int] = (2, 6),
+) -> list[Customer]:
     """`count` of them, `rate` requests a second in all, shared unevenly; each comes through some gateways in
     a row."""
     rng = random.Random(f"customers/{seed}")
     pulls = [rng.lognormvariate(0.0, 0.7) for _ in range(count)]
     total = sum(pulls)
-    return [Customer(f"{n:016x}", plans[n % len(plans)], rate * pull / total, rng.randrange(gateways),
-                     min(gateways, rng.randint(*spread))) for n, pull in enumerate(pulls)]
+    return [
+        Customer(
+            f"{n:016x}",
+            plans[n % len(plans)],
+            rate * pull / total,
+            rng.randrange(gateways),
+            min(gateways, rng.randint(*spread)),
+        )
+        for n, pull in enumerate(pulls)
+    ]
 
 
 class Crowd:
     """`async with` starts it, and ends it whatever happens. `rate`: requests a second, over all customers."""
 
-    def __init__(self, folder: Path, shape: Shape, people: Sequence[Customer], links: bool = True,
-                 seed: int = 1, work: Any = None) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        shape: Shape,
+        people: Sequence[Customer],
+        links: bool = True,
+        seed: int = 1,
+        work: Any = None,
+    ) -> None:
         self.links = Links(seed) if links else None
         self.fleet = Fleet(shape, folder, work=work, links=self.links)
         self.people, self.seed = people, seed
@@ -50,8 +71,9 @@
         self.traffic = Traffic(self.client, self.people, self.fleet.shape.used(), seed=self.seed, retries=1.0)
         return self
 
-    async def __aexit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                        trace: TracebackType | None) -> None:
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/apigateway/emulators/eureka.py
+++ b/apigateway/emulators/eureka.py
@@ -45,9 +45,17 @@
     Lies: `hashcode` (told in place of the right one), `lost` (deltas that are told empty), `endless` (bytes
     of an answer without end), `clock` (s that its clock is ahead)."""
 
-    def __init__(self, base: str = "/eureka/v2", script: Script | None = None, retention: float = 180.0,
-                 protect: bool = False, lag: float = 0.0, gateway: str = "", ledger: Ledger | None = None,
-                 clock: Callable[[], float] = time.time) -> None:
+    def __init__(
+        self,
+        base: str = "/eureka/v2",
+        script: Script | None = None,
+        retention: float = 180.0,
+        protect: bool = False,
+        lag: float = 0.0,
+        gateway: str = "",
+        ledger: Ledger | None = None,
+        clock: Callable[[], float] = time.time,
+    ) -> None:
         self.base, self.script, self.retention = base, script or Script(), retention
         self.protect, self.lag = protect, lag
         self.gateway, self.ledger, self.real = gateway, ledger, clock
@@ -134,19 +142,28 @@
 
     def replicate(self, replicated: bool, what: str, *told: Any) -> None:
         if self.peer is not None and not replicated:
-            asyncio.get_running_loop().call_later(self.lag, lambda: getattr(self.peer, what)(*told,
-                                                                                             replicated=True))
+            asyncio.get_running_loop().call_later(
+                self.lag, lambda: getattr(self.peer, what)(*told, replicated=True)
+            )
 
     # As it is written
 
     def written(self, key: tuple[str, str], action: str = "") -> Told:
         lease = self.leases[key]
-        told = {**lease.told, "app": key[0], "status": lease.status, "overriddenstatus": lease.override
-                or "UNKNOWN",
-                "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": int(lease.duration),
-                              "registrationTimestamp": int(lease.registered * 1000),
-                              "lastRenewalTimestamp": int(lease.renewed * 1000), "evictionTimestamp": 0,
-                              "serviceUpTimestamp": int(lease.up_at * 1000)}}
+        told = {
+            **lease.told,
+            "app": key[0],
+            "status": lease.status,
+            "overriddenstatus": lease.override or "UNKNOWN",
+            "leaseInfo": {
+                "renewalIntervalInSecs": 30,
+                "durationInSecs": int(lease.duration),
+                "registrationTimestamp": int(lease.registered * 1000),
+                "lastRenewalTimestamp": int(lease.renewed * 1000),
+                "evictionTimestamp": 0,
+                "serviceUpTimestamp": int(lease.up_at * 1000),
+            },
+        }
         return {**told, "actionType": action} if action else told
 
     def hash(self) -> str:
@@ -160,8 +177,16 @@
         apps: dict[str, list[Told]] = {}
         for told in instances:
             apps.setdefault(str(told["app"]), []).append(told)
-        return {"applications": {"versions__delta": "1", "apps__hashcode": self.hash(), "application": [
-            {"name": name, "instance": told[0] if len(told) == 1 else told} for name, told in apps.items()]}}
+        return {
+            "applications": {
+                "versions__delta": "1",
+                "apps__hashcode": self.hash(),
+                "application": [
+                    {"name": name, "instance": told[0] if len(told) == 1 else told}
+                    for name, told in apps.items()
+                ],
+            }
+        }
 
     def whole(self, wanted: Callable[[Told], bool] = lambda _: True) -> list[Told]:
         return [told for key in self.leases if wanted(told := self.written(key))]
@@ -214,17 +239,18 @@
             self.tell_ledger(instances, asked_by(request) or self.gateway)
         return await self.send(request, body, xml, kind, step.kind == "half")
 
-    async def send(self, request: web.Request, body: bytes, xml: bool, kind: str,
-                   half: bool) -> web.StreamResponse:
+    async def send(
+        self, request: web.Request, body: bytes, xml: bool, kind: str, half: bool
+    ) -> web.StreamResponse:
         headers = {"Content-Type": "application/xml" if xml else "application/json"}
         if self.etags and kind != "delta":
-            headers["ETag"] = f'"{hash(body) & 0xffffffff:x}"'
+            headers["ETag"] = f'"{hash(body) & 0xFFFFFFFF:x}"'
             if request.headers.get("If-None-Match") == headers["ETag"]:
                 return web.Response(status=304)
         if half:
             answer = web.StreamResponse(headers=headers | {"Content-Length": str(len(body))})
             await answer.prepare(request)
-            await answer.write(body[:len(body) // 2])
+            await answer.write(body[: len(body) // 2])
             if request.transport is not None:
                 request.transport.abort()
             return answer
@@ -264,8 +290,10 @@
 
     def xml(self, tree: Told) -> str:
         applications = tree["applications"]
-        parts = ["<applications><versions__delta>1</versions__delta>"
-                 f"<apps__hashcode>{applications['apps__hashcode']}</apps__hashcode>"]
+        parts = [
+            "<applications><versions__delta>1</versions__delta>"
+            f"<apps__hashcode>{applications['apps__hashcode']}</apps__hashcode>"
+        ]
         for app in applications["application"]:
             told = app["instance"] if isinstance(app["instance"], list) else [app["instance"]]
             inner = "".join(f"<instance>{''.join(self.elements(one))}</instance>" for one in told)
@@ -277,8 +305,9 @@
             if name in PORT_KEYS and isinstance(value, dict):
                 yield f'<{name} enabled="{value["@enabled"]}">{value["$"]}</{name}>'
             elif isinstance(value, dict):
-                inner = "".join(f"<{k}>{escape(str(v))}</{k}>" for k, v in value.items()
-                                if not k.startswith("@"))
+                inner = "".join(
+                    f"<{k}>{escape(str(v))}</{k}>" for k, v in value.items() if not k.startswith("@")
+                )
                 kind = f' class="{escape(str(value["@class"]))}"' if "@class" in value else ""
                 yield f"<{name}{kind}>{inner}</{name}>"
             else:
@@ -333,18 +362,36 @@
         return ""
 
 
-def instance(id: str, port: int, app: str = "ROSTER", status: str = "UP", duration: int = 90,
-             ip: str = "127.0.0.1",
-             **metadata: str) -> Told:
+def instance(
+    id: str,
+    port: int,
+    app: str = "ROSTER",
+    status: str = "UP",
+    duration: int = 90,
+    ip: str = "127.0.0.1",
+    **metadata: str,
+) -> Told:
     """An instance as a client would register it, oddities included."""
     stamp = str(int(time.time() * 1000))
-    return {"instanceId": id, "hostName": f"{id}.rota.example.org", "app": app, "ipAddr": ip,
-            "status": status,
-            "overriddenstatus": "UNKNOWN", "port": {"$": port, "@enabled": "true"},
-            "securePort": {"$": 443, "@enabled": "false"}, "countryId": 1,
-            "dataCenterInfo": {"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo",
-                               "name": "MyOwn"},
-            "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": duration},
-            "metadata": metadata or {"@class": "java.util.Collections$EmptyMap"}, "vipAddress": app.lower(),
-            "secureVipAddress": app.lower(), "isCoordinatingDiscoveryServer": "false",
-            "lastUpdatedTimestamp": stamp, "lastDirtyTimestamp": stamp}
+    return {
+        "instanceId": id,
+        "hostName": f"{id}.rota.example.org",
+        "app": app,
+        "ipAddr": ip,
+        "status": status,
+        "overriddenstatus": "UNKNOWN",
+        "port": {"$": port, "@enabled": "true"},
+        "securePort": {"$": 443, "@enabled": "false"},
+        "countryId": 1,
+        "dataCenterInfo": {
+            "@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo",
+            "name": "MyOwn",
+        },
+        "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": duration},
+        "metadata": metadata or {"@class": "java.util.Collections$EmptyMap"},
+        "vipAddress": app.lower(),
+        "secureVipAddress": app.lower(),
+        "isCoordinatingDiscoveryServer": "false",
+        "lastUpdatedTimestamp": stamp,
+        "lastDirtyTimestamp": stamp,
+    }
--- a/apigateway/emulators/fleet.py
+++ b/apigateway/emulators/fleet.py
@@ -69,10 +69,15 @@
     grpc: str = ""  # a class: each gateway has the rate limit service too, and its checks are of that class
 
     def terms(self) -> Terms:
-        return Terms({name: Kind(c.effect, c.scope, c.memory) for name, c in self.classes.items()},
-                     {name: Ceiling(p.ceiling_rate, p.ceiling_burst, self.ceiling_slack)
-                      for name, p in self.plans.items() if p.ceiling_rate},
-                     drain_grace=self.drain_grace)
+        return Terms(
+            {name: Kind(c.effect, c.scope, c.memory) for name, c in self.classes.items()},
+            {
+                name: Ceiling(p.ceiling_rate, p.ceiling_burst, self.ceiling_slack)
+                for name, p in self.plans.items()
+                if p.ceiling_rate
+            },
+            drain_grace=self.drain_grace,
+        )
 
     def used(self) -> list[Used]:
         return [Used(name, c.effect, c.share, c.deadline) for name, c in self.classes.items()]
@@ -97,34 +102,43 @@
         counter = links.counter[self.name].port if links is not None else self.fleet.counter.port
         tables = {
             "gateway": f'name = "{self.name}"\nindex = {self.number}\ngateways = {shape.gateways}\n'
-                       f'zone = "{self.zone}"\nseed = {self.number + 1}',
+            f'zone = "{self.zone}"\nseed = {self.number + 1}',
             "limits": "max_attempts = 6",
             "rules": f"drain_grace = {shape.drain_grace}\ncold_share = {shape.cold_share}\n"
-                     f"cold_time = {shape.cold_time}",
+            f"cold_time = {shape.cold_time}",
             "hosts": f'source = "{self.fleet.source}"\ndiscovery = "127.0.0.1:{self.discovery.port}"\n'
-                     'reports = ["inflight", "queue", "util"]',
+            'reports = ["inflight", "queue", "util"]',
             "eureka": f'urls = ["{self.fleet.registry.url}"]\nname = "roster"\npoll = {self.fleet.poll}\n'
-                      f'user = "{self.name}"\npassword = "none"',
+            f'user = "{self.name}"\npassword = "none"',
             "counter": f'address = "127.0.0.1:{counter}"',
-            "daemon": f'state = "{self.fleet.folder / self.name}"'}
+            "daemon": f'state = "{self.fleet.folder / self.name}"',
+        }
         for name, c in shape.classes.items():
             tables[f"classes.{name}"] = (
                 f'effect = "{c.effect}"\naim = {c.aim}\ndeadline = {c.deadline}\nworth = {c.worth}\n'
-                + (f'scope = "{c.scope}"\nmemory = {c.memory}' if c.effect == "keyed" else ""))
+                + (f'scope = "{c.scope}"\nmemory = {c.memory}' if c.effect == "keyed" else "")
+            )
         for name, p in shape.plans.items():
             tables[f"plans.{name}"] = (
                 f"rate = {p.rate}\nburst = {p.burst}\nprice = {p.price}\nceiling_rate = {p.ceiling_rate}\n"
-                f"ceiling_burst = {p.ceiling_burst}\nceiling_slack = {shape.ceiling_slack * p.ceiling_burst}")
+                f"ceiling_burst = {p.ceiling_burst}\nceiling_slack = {shape.ceiling_slack * p.ceiling_burst}"
+            )
         for name, text in shape.extra.items():
             tables[name] = tables.get(name, "") + "\n" + text
         records = f'[records]\nfile = "{self.name}.records"\n' if shape.plugins else ""
         listener = f'[[listeners]]\naddress = "127.0.0.1:{self.port}"\n'
         if shape.grpc:
             listener += f'[[listeners]]\nprotocol = "grpc"\naddress = "127.0.0.1:{self.checks}"\n'
-            records += (f'[[ratelimit.rules]]\ndomain = "roster"\nentries = ["customer", "plan"]\n'
-                        f'customer = "{{customer}}"\nplan = "{{plan}}"\nclass = "{shape.grpc}"\n')
-        self.file.write_text(listener + "".join(f"[{name}]\n{text}\n" for name, text in tables.items())
-                             + shape.plugins + records)
+            records += (
+                f'[[ratelimit.rules]]\ndomain = "roster"\nentries = ["customer", "plan"]\n'
+                f'customer = "{{customer}}"\nplan = "{{plan}}"\nclass = "{shape.grpc}"\n'
+            )
+        self.file.write_text(
+            listener
+            + "".join(f"[{name}]\n{text}\n" for name, text in tables.items())
+            + shape.plugins
+            + records
+        )
 
     async def start(self, *arguments: str) -> None:
         """Until it says that it listens. Raises RuntimeError with its last lines if it does not."""
@@ -133,8 +147,15 @@
         self.listens.clear()
         environment["PYTHONPATH"] = os.pathsep.join([str(root), environment.get("PYTHONPATH", "")])
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "apigateway", "serve", str(self.file), *arguments,
-            stderr=asyncio.subprocess.PIPE, env=environment)
+            sys.executable,
+            "-m",
+            "apigateway",
+            "serve",
+            str(self.file),
+            *arguments,
+            stderr=asyncio.subprocess.PIPE,
+            env=environment,
+        )
         self.reading = asyncio.get_running_loop().create_task(self.read(self.process))
         try:
             async with asyncio.timeout(READY_WAIT):
@@ -170,8 +191,15 @@
     `poll` seconds and where each host is registered and renewed for as long as its process lives. `links`:
     gateways reach hosts (named by discovery) and the counter through relays, which can be faulty."""
 
-    def __init__(self, shape: Shape, folder: Path, work: Callable[[Command], float] | None = None,
-                 source: str = "discovery", poll: float = 0.5, links: Links | None = None) -> None:
+    def __init__(
+        self,
+        shape: Shape,
+        folder: Path,
+        work: Callable[[Command], float] | None = None,
+        source: str = "discovery",
+        poll: float = 0.5,
+        links: Links | None = None,
+    ) -> None:
         self.links = links
         self.shape, self.folder, self.source, self.poll = shape, folder, source, poll
         self.ledger = Ledger(shape.terms())
@@ -179,10 +207,20 @@
         self.registry = StandInEureka(ledger=self.ledger)
         self.renewing: asyncio.Task[None] | None = None
         count = len(shape.zones)
-        self.hosts = [StandInHost(name=f"h{n}", zone=shape.zones[n % count], cell=n % count,
-                                  cores=shape.cores,
-                                  queue=shape.queue, work=work or self.work, cold_share=shape.cold_share,
-                                  cold_time=shape.cold_time, ledger=self.ledger) for n in range(shape.hosts)]
+        self.hosts = [
+            StandInHost(
+                name=f"h{n}",
+                zone=shape.zones[n % count],
+                cell=n % count,
+                cores=shape.cores,
+                queue=shape.queue,
+                work=work or self.work,
+                cold_share=shape.cold_share,
+                cold_time=shape.cold_time,
+                ledger=self.ledger,
+            )
+            for n in range(shape.hosts)
+        ]
         self.gateways = [Gateway(self, n) for n in range(shape.gateways)]
 
     def work(self, command: Command) -> float:
@@ -211,8 +249,9 @@
         return told
 
     def register(self, host: StandInHost) -> None:
-        self.registry.register(instance(host.name, host.port, zone=host.zone, cell=str(host.cell),
-                                        kind="std"))
+        self.registry.register(
+            instance(host.name, host.port, zone=host.zone, cell=str(host.cell), kind="std")
+        )
 
     async def renew(self) -> None:
         """Each host that is there renews, also one that answers nothing."""
@@ -241,7 +280,7 @@
             gateway.write()
         try:  # a few at a time: each start takes a core for a while
             for first in range(0, len(self.gateways), STARTING):
-                group = self.gateways[first:first + STARTING]
+                group = self.gateways[first : first + STARTING]
                 await asyncio.gather(*(gateway.start() for gateway in group))
         except BaseException:  # nothing is left behind by a start that fails or is interrupted
             await self.__aexit__()
--- a/apigateway/emulators/hosts.py
+++ b/apigateway/emulators/hosts.py
@@ -79,10 +79,22 @@
     cold after `restart`: its answers are then made for each id, with a load report, and told to the
     ledger."""
 
-    def __init__(self, answer: Answer = VALUE, *, name: str = "h1", zone: str = "a", cell: int = 0,
-                 script: Script | None = None, work: Callable[[Command], float] | None = None, cores: int = 2,
-                 queue: int = 32, cold_share: float = 0.2, cold_time: float = 10.0,
-                 ledger: Ledger | None = None, address: str = "127.0.0.1") -> None:
+    def __init__(
+        self,
+        answer: Answer = VALUE,
+        *,
+        name: str = "h1",
+        zone: str = "a",
+        cell: int = 0,
+        script: Script | None = None,
+        work: Callable[[Command], float] | None = None,
+        cores: int = 2,
+        queue: int = 32,
+        cold_share: float = 0.2,
+        cold_time: float = 10.0,
+        ledger: Ledger | None = None,
+        address: str = "127.0.0.1",
+    ) -> None:
         super().__init__(address)
         self.answer, self.name, self.zone, self.cell = answer, name, zone, cell
         self.script, self.work, self.cores, self.queue = script or Script(), work, cores, queue
@@ -100,8 +112,16 @@
 
     def entry(self, state: str = "up") -> dict[str, Any]:
         """This host in discovery's form."""
-        return {"id": self.name, "addr": f"{self.address}:{self.port}", "zone": self.zone, "kind": "std",
-                "cell": self.cell, "state": state, "weight": 1.0, "started_ms": int(self.started * 1000)}
+        return {
+            "id": self.name,
+            "addr": f"{self.address}:{self.port}",
+            "zone": self.zone,
+            "kind": "std",
+            "cell": self.cell,
+            "state": state,
+            "weight": 1.0,
+            "started_ms": int(self.started * 1000),
+        }
 
     def warmth(self) -> float:
         age = time.time() - self.started
@@ -148,9 +168,15 @@
         number = -1
         if self.ledger is not None and isinstance(command, list) and command[0].startswith(b"API."):
             told = fields(command)
-            number = self.ledger.arrived(self.name, command[2].decode(), told.get("c", ""), self.cell,
-                                         self.zone,
-                                         first, self.work(command) if self.work else 0.0)
+            number = self.ledger.arrived(
+                self.name,
+                command[2].decode(),
+                told.get("c", ""),
+                self.cell,
+                self.zone,
+                first,
+                self.work(command) if self.work else 0.0,
+            )
 
         def ended(how: str, value: bytes) -> None:
             if self.ledger is not None and number >= 0:
@@ -221,8 +247,9 @@
             if place.over:  # its client has gone: what waits is dropped, what runs goes on
                 continue
             self.running += 1
-            asyncio.get_running_loop().call_later(seconds / self.warmth(), self.worked, place, command,
-                                                  self.life)
+            asyncio.get_running_loop().call_later(
+                seconds / self.warmth(), self.worked, place, command, self.life
+            )
 
     def worked(self, place: Place, command: Command, life: int) -> None:
         if life == self.life:
--- a/apigateway/emulators/ledger.py
+++ b/apigateway/emulators/ledger.py
@@ -118,8 +118,9 @@
 
     # Clients
 
-    def asked(self, id: str, gateway: str, wait: float, customer: str, plan: str, cls: str,
-              units: float) -> None:
+    def asked(
+        self, id: str, gateway: str, wait: float, customer: str, plan: str, cls: str, units: float
+    ) -> None:
         """The request's last byte is written. Asked again on a new connection it stays one request."""
         if id in self.tries:
             self.tries[id].broken = math.nan
@@ -176,8 +177,10 @@
         for attempt in sorted(self.attempts, key=lambda a: a.last):
             by_id[attempt.id].append(attempt)
         parts = (self.lost(by_id), self.twice(by_id), self.drains(), self.cold(), self.ceilings(by_id))
-        return tuple(Verdict(rule, checked, tuple(breaches))
-                     for rule, (checked, breaches) in zip(RULES, parts, strict=True))
+        return tuple(
+            Verdict(rule, checked, tuple(breaches))
+            for rule, (checked, breaches) in zip(RULES, parts, strict=True)
+        )
 
     def excused(self, t: Try) -> bool:
         """Its gateway was killed while it held the request, or was dead when it was asked: a client may write
@@ -206,8 +209,11 @@
             tries = by_id.get(t.id, ())
             if kind == "served" and value not in [a.value for a in tries if a.how == "answered"]:
                 bad.append(f"{name}: served with what no host made for it")
-            bad += [f"{name}: sent to {a.host} {a.first - when:.3f} s after its answer"
-                    for a in tries if a.first > when + MARGIN]
+            bad += [
+                f"{name}: sent to {a.host} {a.first - when:.3f} s after its answer"
+                for a in tries
+                if a.first > when + MARGIN
+            ]
         return checked, bad
 
     def twice(self, by_id: dict[str, list[Attempt]]) -> tuple[int, list[str]]:
@@ -262,16 +268,21 @@
             sent = [a for a in self.attempts if a.host == host and start <= a.last < until]
             largest = max((a.work for a in sent), default=0.0)
 
-            def could(t: float, start: float = start, share: float = share, seconds: float = seconds,
-                      cores: int = cores) -> float:
+            def could(
+                t: float,
+                start: float = start,
+                share: float = share,
+                seconds: float = seconds,
+                cores: int = cores,
+            ) -> float:
                 """Seconds of work that the host can have done from its start to `t`."""
                 age = min(max(0.0, t - start), seconds)
                 warm = max(0.0, t - start - seconds)
-                return cores * (share * age + (1 - share) * age ** 2 / 2 / seconds + warm)
+                return cores * (share * age + (1 - share) * age**2 / 2 / seconds + warm)
 
             for n, last in enumerate(sent):
                 began = max(start, last.last - terms.fall_time)
-                work = sum(a.work for a in sent[:n + 1] if a.last > began)
+                work = sum(a.work for a in sent[: n + 1] if a.last > began)
                 most = terms.fall_multiple * (could(began + terms.fall_time) - could(began)) + largest
                 if work > most + 1e-9:
                     bad.append(f"{host}: {work:.2f} s of work within {terms.fall_time} s, at most {most:.2f}")
@@ -282,8 +293,11 @@
         """The store of each customer under a ceiling starts full. A request takes its units with its first
         attempt, a check when it is granted."""
         stores = self.stores(by_id)
-        bad = [f"{customer}: {-store:.1f} units beyond its ceiling, {slack:.1f} allowed"
-               for customer, (store, slack) in stores.items() if store < -slack - 1e-9]
+        bad = [
+            f"{customer}: {-store:.1f} units beyond its ceiling, {slack:.1f} allowed"
+            for customer, (store, slack) in stores.items()
+            if store < -slack - 1e-9
+        ]
         return len(stores), bad
 
     def stores(self, by_id: dict[str, list[Attempt]]) -> dict[str, tuple[float, float]]:
--- a/apigateway/emulators/ratelimit.py
+++ b/apigateway/emulators/ratelimit.py
@@ -21,15 +21,20 @@
 from apigateway.emulators.script import Script, Step
 
 OK, OVER = pb.RateLimitResponse.OK, pb.RateLimitResponse.OVER_LIMIT
-LAST = 2 ** 31 - 1
+LAST = 2**31 - 1
 
 
 class StandInRateLimit(Listener):
     """`limits`: hits left by customer, the value of the entry `key`; others have no limit. `questions` are
     those whose answer was decided, in order. With `reset_s` an answer of OVER_LIMIT names that time."""
 
-    def __init__(self, limits: dict[str, int] | None = None, key: str = "customer", most_streams: int = 100,
-                 reset_s: float = 0.0) -> None:
+    def __init__(
+        self,
+        limits: dict[str, int] | None = None,
+        key: str = "customer",
+        most_streams: int = 100,
+        reset_s: float = 0.0,
+    ) -> None:
         super().__init__()
         self.limits, self.key, self.most_streams = dict(limits or {}), key, most_streams
         self.reset_s = reset_s
@@ -66,13 +71,17 @@
 class Served:
     """One connection."""
 
-    def __init__(self, service: StandInRateLimit, reader: asyncio.StreamReader,
-                 writer: asyncio.StreamWriter) -> None:
+    def __init__(
+        self, service: StandInRateLimit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.service, self.reader, self.writer = service, reader, writer
-        self.conn = h2.connection.H2Connection(h2.config.H2Configuration(client_side=False,
-                                                                         header_encoding=None))
-        self.conn.local_settings = h2.settings.Settings(client=False, initial_values={
-            h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: service.most_streams})
+        self.conn = h2.connection.H2Connection(
+            h2.config.H2Configuration(client_side=False, header_encoding=None)
+        )
+        self.conn.local_settings = h2.settings.Settings(
+            client=False,
+            initial_values={h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: service.most_streams},
+        )
         self.data: dict[int, bytearray] = {}
         self.last = LAST  # stream that is looked at
         self.tasks: set[asyncio.Task[None]] = set()
@@ -138,8 +147,9 @@
         elif step.kind == "busy":  # never looked at
             self.conn.reset_stream(number, h2.errors.ErrorCodes.REFUSED_STREAM)
         elif step.kind == "error":
-            self.conn.send_headers(number, [*head, ("grpc-status", "13"), ("grpc-message", "it failed")],
-                                   end_stream=True)
+            self.conn.send_headers(
+                number, [*head, ("grpc-status", "13"), ("grpc-message", "it failed")], end_stream=True
+            )
         elif step.kind == "goaway":  # this one, and what follows it, was not looked at
             self.last = max(0, number - 2)
             self.writer.write(self.conn.data_to_send())
--- a/apigateway/emulators/relay.py
+++ b/apigateway/emulators/relay.py
@@ -64,7 +64,7 @@
             self.held.append(data)
             return
         if weather.kind == "cut" and self.there and self.passed + len(data) > weather.after:
-            self.write(data[:max(0, weather.after - self.passed)])
+            self.write(data[: max(0, weather.after - self.passed)])
             self.abort()
             return
         late = weather.seconds + weather.jitter * relay.rng.random() if weather.kind == "delay" else 0.0
--- a/apigateway/emulators/script.py
+++ b/apigateway/emulators/script.py
@@ -7,8 +7,20 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-KINDS = ("answer", "stall", "silent", "reset", "spoilt", "busy", "error", "half", "slow",
-         "over", "odd", "goaway")  # the last three of a rate limit service
+KINDS = (
+    "answer",
+    "stall",
+    "silent",
+    "reset",
+    "spoilt",
+    "busy",
+    "error",
+    "half",
+    "slow",
+    "over",
+    "odd",
+    "goaway",
+)  # the last three of a rate limit service
 
 
 @dataclass(frozen=True, slots=True)
--- a/apigateway/external_ratelimit/choice.py
+++ b/apigateway/external_ratelimit/choice.py
@@ -4,7 +4,7 @@
 Its word can only tighten: what it lets through the decision module decides as ever. A service that fails, by
 a row of failures or by a share of them, is left alone for a rest that doubles; then single questions try it,
 and it is asked about all only after so many good answers in a row, so that one that comes and goes is not
-leant on. """
+leant on."""
 
 from __future__ import annotations
 
--- a/apigateway/external_ratelimit/client.py
+++ b/apigateway/external_ratelimit/client.py
@@ -98,8 +98,9 @@
 class Channel:
     """`context`: TLS, as `name`. At most `most` questions wait for a connection or a stream."""
 
-    def __init__(self, address: Address, context: ssl.SSLContext | None = None, name: str = "",
-                 most: int = 1000) -> None:
+    def __init__(
+        self, address: Address, context: ssl.SSLContext | None = None, name: str = "", most: int = 1000
+    ) -> None:
         self.address, self.context, self.name, self.most = address, context, name, most
         self.line: Line | None = None
         self.lines: set[Line] = set()  # that are up, those that take no more among them
@@ -209,8 +210,9 @@
             loop = asyncio.get_running_loop()
             name = self.name or self.address[0] if self.context is not None else None
             async with asyncio.timeout(CONNECT):
-                _, line = await loop.create_connection(lambda: Line(self), *self.address, ssl=self.context,
-                                                       server_hostname=name)
+                _, line = await loop.create_connection(
+                    lambda: Line(self), *self.address, ssl=self.context, server_hostname=name
+                )
         except (OSError, TimeoutError, ssl.SSLError) as err:
             self.failures += 1
             self.why = f"{write_address(self.address)}: {err or 'no connection in time'}"
--- a/apigateway/external_ratelimit/outer.py
+++ b/apigateway/external_ratelimit/outer.py
@@ -124,7 +124,7 @@
     def send(self) -> None:
         fresh, self.fresh = [one for one in self.fresh if not one.over], []
         for n in range(0, len(fresh), self.asked.batch):
-            batch = Batch(fresh[n:n + self.asked.batch])
+            batch = Batch(fresh[n : n + self.asked.batch])
             request = pb.RateLimitRequest(domain=self.asked.domain)
             for waiting in batch.waiting:
                 waiting.batch = batch
@@ -140,8 +140,13 @@
             batch.question = self.channel.ask(METHOD, request.SerializeToString(), timeout, told)
 
     def describe(self, request: Any, one: messages.Request) -> None:
-        values = {"customer": one.customer, "plan": one.plan, "class": one.cls, "units": f"{one.units:g}",
-                  "gateway": self.gateway}
+        values = {
+            "customer": one.customer,
+            "plan": one.plan,
+            "class": one.cls,
+            "units": f"{one.units:g}",
+            "gateway": self.gateway,
+        }
         descriptor = request.descriptors.add()
         for key, value in self.asked.entries:
             descriptor.entries.add(key=key, value=TAKEN.sub(lambda found: values[found[1]], value))
@@ -199,15 +204,24 @@
             if self.state == "well":
                 log.warning("the outer service at %s answers again", where)
             elif before == "well":
-                mode = ("own quotas alone decide" if self.asked.terms.failing == "own"
-                        else "what it is to be asked about is refused")
+                mode = (
+                    "own quotas alone decide"
+                    if self.asked.terms.failing == "own"
+                    else "what it is to be asked about is refused"
+                )
                 log.warning("the outer service at %s fails (%s): %s", where, self.last, mode)
 
     def told(self) -> dict[str, Any]:
         """For `api-gateway ratelimit status`."""
-        return {"address": write_address(self.asked.address), "state": self.choice.state,
-                "failing": self.asked.terms.failing, "out": self.choice.out, "turns": self.choice.turns,
-                "last": self.last if self.choice.state != "well" else "", "counts": dict(self.counts)}
+        return {
+            "address": write_address(self.asked.address),
+            "state": self.choice.state,
+            "failing": self.asked.terms.failing,
+            "out": self.choice.out,
+            "turns": self.choice.turns,
+            "last": self.last if self.choice.state != "well" else "",
+            "counts": dict(self.counts),
+        }
 
     def close(self) -> None:
         self.channel.close()
@@ -230,6 +244,9 @@
     for header in response.response_headers_to_add:
         if header.key.lower() == WAIT and header.value.isdigit():
             return int(header.value) / 1000
-    over = [one.duration_until_reset for one in response.statuses
-            if one.code == NO and one.HasField("duration_until_reset")]
+    over = [
+        one.duration_until_reset
+        for one in response.statuses
+        if one.code == NO and one.HasField("duration_until_reset")
+    ]
     return max((one.seconds + one.nanos / 1e9 for one in over), default=0.0)
--- a/apigateway/external_ratelimit/settings.py
+++ b/apigateway/external_ratelimit/settings.py
@@ -28,7 +28,8 @@
     classes: list[str] = []
     domain: Annotated[str, msgspec.Meta(min_length=1, max_length=256)] = "calicomast"
     entries: Annotated[list[Entry], msgspec.Meta(min_length=1, max_length=16)] = msgspec.field(
-        default_factory=lambda: list(ENTRIES))
+        default_factory=lambda: list(ENTRIES)
+    )
     timeout: Annotated[float, msgspec.Meta(ge=0.005, le=60)] = 0.1
     share: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.25
     failing: Literal["own", "refuse"] = "own"
--- a/apigateway/external_ratelimit/wire.py
+++ b/apigateway/external_ratelimit/wire.py
@@ -55,12 +55,20 @@
     no more calls; `over`: it is to be closed."""
 
     def __init__(self, authority: str, scheme: str = "http") -> None:
-        told = h2.config.H2Configuration(client_side=True, header_encoding=None,
-                                         validate_outbound_headers=False, normalize_outbound_headers=False)
+        told = h2.config.H2Configuration(
+            client_side=True,
+            header_encoding=None,
+            validate_outbound_headers=False,
+            normalize_outbound_headers=False,
+        )
         self.conn = h2.connection.H2Connection(told)
-        self.conn.local_settings = h2.settings.Settings(client=True, initial_values={
-            h2.settings.SettingCodes.ENABLE_PUSH: 0,
-            h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MOST_HEADERS})
+        self.conn.local_settings = h2.settings.Settings(
+            client=True,
+            initial_values={
+                h2.settings.SettingCodes.ENABLE_PUSH: 0,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MOST_HEADERS,
+            },
+        )
         self.conn.max_inbound_frame_size = self.conn.local_settings.max_frame_size
         self.conn.initiate_connection()
         self.sieve = Sieve()
@@ -78,20 +86,28 @@
         """Calls that it takes now."""
         if self.closing or self.over:
             return 0
-        return max(0, min(self.conn.remote_settings.max_concurrent_streams, 2 ** 31) - len(self.out))
+        return max(0, min(self.conn.remote_settings.max_concurrent_streams, 2**31) - len(self.out))
 
     # Out
 
     def ask(self, path: str, message: bytes, timeout: float) -> int:
         """The call's stream; there has to be `room`. `timeout` in seconds is told to the server."""
         number = self.conn.get_next_available_stream_id()
-        self.conn.send_headers(number, [
-            (b":method", b"POST"), (b":scheme", self.scheme), (b":path", path.encode()),
-            (b":authority", self.authority), (b"te", b"trailers"), (b"content-type", b"application/grpc"),
-            (b"grpc-timeout", write_timeout(timeout))])
+        self.conn.send_headers(
+            number,
+            [
+                (b":method", b"POST"),
+                (b":scheme", self.scheme),
+                (b":path", path.encode()),
+                (b":authority", self.authority),
+                (b"te", b"trailers"),
+                (b"content-type", b"application/grpc"),
+                (b"grpc-timeout", write_timeout(timeout)),
+            ],
+        )
         self.out[number] = Out(left=framed(message))
         self.pour(number)
-        if number > 2 ** 30:  # streams are numbered to 2^31 at most
+        if number > 2**30:  # streams are numbered to 2^31 at most
             self.closing = True
         return number
 
@@ -130,8 +146,9 @@
                 case h2.events.DataReceived():
                     self.data(event, told)
                 case h2.events.ResponseReceived():
-                    self.headers(event.stream_id or 0, event.headers or (), event.stream_ended is not None,
-                                 told)
+                    self.headers(
+                        event.stream_id or 0, event.headers or (), event.stream_ended is not None, told
+                    )
                 case h2.events.TrailersReceived():
                     self.headers(event.stream_id or 0, event.headers or (), True, told)
                 case h2.events.StreamEnded():
@@ -164,8 +181,9 @@
             self.call_off(number)
             told.append(Over(number, err.status, str(err)))
 
-    def headers(self, number: int, headers: Iterable[tuple[bytes, bytes]], ended: bool,
-                told: list[Over]) -> None:
+    def headers(
+        self, number: int, headers: Iterable[tuple[bytes, bytes]], ended: bool, told: list[Over]
+    ) -> None:
         found = dict(headers)
         status = found.get(b":status", b"200")
         if status != b"200":
--- a/apigateway/frontends/grpc/front.py
+++ b/apigateway/frontends/grpc/front.py
@@ -263,8 +263,9 @@
             if context is None:
                 await loop.connect_accepted_socket(lambda: Connection(self), sock)
             else:
-                await loop.connect_accepted_socket(lambda: Connection(self), sock, ssl=context,
-                                                   ssl_handshake_timeout=HANDSHAKE)
+                await loop.connect_accepted_socket(
+                    lambda: Connection(self), sock, ssl=context, ssl_handshake_timeout=HANDSHAKE
+                )
         except (OSError, TimeoutError) as err:  # ssl.SSLError is one
             self.shaken += 1
             log.info("a TLS handshake failed: %s", err)
--- a/apigateway/frontends/grpc/health.py
+++ b/apigateway/frontends/grpc/health.py
@@ -69,8 +69,13 @@
         for watcher in list(self.watchers):
             watcher.tell()
 
-    def check(self, message: bytes, timeout: float | None, answered: Callable[[bytes], None],
-              failed: Callable[[int, str], None]) -> None:
+    def check(
+        self,
+        message: bytes,
+        timeout: float | None,
+        answered: Callable[[bytes], None],
+        failed: Callable[[int, str], None],
+    ) -> None:
         try:
             service = pb.HealthCheckRequest.FromString(message).service
         except Exception:
@@ -82,8 +87,13 @@
         else:
             answered(pb.HealthCheckResponse(status=status).SerializeToString())
 
-    def list(self, message: bytes, timeout: float | None, answered: Callable[[bytes], None],
-             failed: Callable[[int, str], None]) -> None:
+    def list(
+        self,
+        message: bytes,
+        timeout: float | None,
+        answered: Callable[[bytes], None],
+        failed: Callable[[int, str], None],
+    ) -> None:
         response = pb.HealthListResponse()
         for service in self.services:
             status = self.status(service)
--- a/apigateway/frontends/grpc/mapping.py
+++ b/apigateway/frontends/grpc/mapping.py
@@ -3,7 +3,7 @@
 A descriptor is a list of (key, value) entries in a domain
 (envoy/extensions/common/ratelimit/v3/ratelimit.proto). A rule names a domain and some entries; it matches
 where each of them is found, in whatever order, and the descriptor may have more. Of the rules that match the
-longest goes: most entries, then most characters that are no wildcard, then the first in the file. """
+longest goes: most entries, then most characters that are no wildcard, then the first in the file."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 Entries = Sequence[tuple[str, str]]
 CUSTOMER = re.compile(r"[0-9a-f]{16}")
-MOST_CUSTOMERS = 2 ** 33
+MOST_CUSTOMERS = 2**33
 TAKEN = re.compile(r"\{([^{}]*)\}")  # {KEY}: the value of that entry
 MOST_ENTRIES, MOST_TEXT = 32, 1024  # of a descriptor; characters of a value
 
@@ -65,8 +65,9 @@
 
 
 class Compiled:
-    def __init__(self, rule: Rule, place: int, plans: Iterable[str], classes: Iterable[str],
-                 gateways: int) -> None:
+    def __init__(
+        self, rule: Rule, place: int, plans: Iterable[str], classes: Iterable[str], gateways: int
+    ) -> None:
         self.rule, self.plans = rule, frozenset(plans)
         self.wanted: list[tuple[str, re.Pattern[str] | None]] = []
         exact = 0
@@ -129,8 +130,9 @@
 class Mapping:
     """All rules. Raises BadRule, with the rule's place as `args[1]`."""
 
-    def __init__(self, rules: Sequence[Rule], plans: Iterable[str], classes: Iterable[str],
-                 gateways: int) -> None:
+    def __init__(
+        self, rules: Sequence[Rule], plans: Iterable[str], classes: Iterable[str], gateways: int
+    ) -> None:
         plans, classes = list(plans), list(classes)
         self.by: dict[str, list[Compiled]] = {}
         for place, rule in enumerate(rules):
--- a/apigateway/frontends/grpc/service.py
+++ b/apigateway/frontends/grpc/service.py
@@ -2,7 +2,7 @@
 
 Knows messages and the core, no socket. Any descriptor over its limit makes the answer OVER_LIMIT; then what
 the others were granted is given back, since the caller will not go on. A descriptor that brings a limit of
-its own is two checks where settings allow it: one of the customer's plan, one of that limit. """
+its own is two checks where settings allow it: one of the customer's plan, one of that limit."""
 
 from __future__ import annotations
 
@@ -30,15 +30,14 @@
 
 NAME = "envoy.service.ratelimit.v3.RateLimitService"
 METHOD = f"/{NAME}/ShouldRateLimit"
-OK, OVER, UNKNOWN = (pb.RateLimitResponse.OK, pb.RateLimitResponse.OVER_LIMIT,
-                     pb.RateLimitResponse.UNKNOWN)
+OK, OVER, UNKNOWN = (pb.RateLimitResponse.OK, pb.RateLimitResponse.OVER_LIMIT, pb.RateLimitResponse.UNKNOWN)
 UNIT = pb.RateLimitResponse.RateLimit
 UNITS = ((UNIT.SECOND, 1), (UNIT.MINUTE, 60), (UNIT.HOUR, 3600), (UNIT.DAY, 86400))
 # A descriptor's own limit: its unit's number there, and seconds. What is told in longer ones is not taken: no
 # count of it would be known for so long.
 OWN_UNITS = {1: 1, 2: 60, 3: 3600, 4: 86400}
 COUNTED_FOR = 20.0  # s; a window as long as this is known at the counter for as long as it matters
-MOST_HITS = 2 ** 32 - 1
+MOST_HITS = 2**32 - 1
 NONE = 1e-9  # units, and units a second, that stand for none
 TOKENS = "tokens"  # in the answer's metadata: one for each descriptor, empty where there is none
 TOKEN_HEADER, WAIT_HEADER = "x-calicomast-token", "retry-after-ms"
@@ -80,8 +79,9 @@
     is a store into which nothing fits."""
     rate = hits / seconds if hits else NONE
     burst = max(1.0, min(hits, rate * COUNTED_FOR)) if hits else NONE
-    return replace(plan, rate=rate, burst=burst, open_limit=0, ceiling_rate=0.0, ceiling_burst=0.0,
-                   ceiling_slack=0.0)
+    return replace(
+        plan, rate=rate, burst=burst, open_limit=0, ceiling_rate=0.0, ceiling_burst=0.0, ceiling_slack=0.0
+    )
 
 
 class Part:
@@ -167,9 +167,14 @@
     def tell(self) -> None:
         service, nobodys = self.service, self.service.nobodys
         # Of a descriptor's checks any that is over makes it so; one that nobody could decide says no more.
-        codes = [parts[0].code if len(parts) == 1 else
-                 max((part.code for part in parts), key=RANK.__getitem__) if parts else nobodys
-                 for parts in self.parts]
+        codes = [
+            parts[0].code
+            if len(parts) == 1
+            else max((part.code for part in parts), key=RANK.__getitem__)
+            if parts
+            else nobodys
+            for parts in self.parts
+        ]
         if OVER in codes:
             overall = OVER
         elif UNKNOWN in codes:  # shed, out of time, no room: nobody can say
@@ -188,8 +193,12 @@
             if parts:
                 describe(status, parts)
         if overall == OVER:
-            waits = [part.told.retry_after for parts in self.parts for part in parts
-                     if isinstance(part.told, messages.Denied) and part.told.over]
+            waits = [
+                part.told.retry_after
+                for parts in self.parts
+                for part in parts
+                if isinstance(part.told, messages.Denied) and part.told.over
+            ]
             if waits and max(waits) > 0:
                 response.response_headers_to_add.add(key=WAIT_HEADER, value=str(math.ceil(max(waits) * 1000)))
         elif service.terms.tokens is not None:
@@ -243,8 +252,9 @@
     def nobodys(self) -> Code:
         return OVER if self.terms.unmapped == "over" else OK
 
-    def call(self, message: bytes, timeout: float | None, answered: Answered,
-             failed: Failed) -> Question | None:
+    def call(
+        self, message: bytes, timeout: float | None, answered: Answered, failed: Failed
+    ) -> Question | None:
         """The question, for `gone`; None: it was answered at once."""
         terms = self.terms
         try:
@@ -274,8 +284,12 @@
             settings = self.core.settings
             if (settings.index - whose.first) % settings.gateways >= whose.spread:
                 # It has no part of that customer's quota and ceiling to spend.
-                self.no(failed, FAILED_PRECONDITION, f"this gateway, {settings.index}, is none of the "
-                                                     f"{whose.spread} from {whose.first} of that customer")
+                self.no(
+                    failed,
+                    FAILED_PRECONDITION,
+                    f"this gateway, {settings.index}, is none of the "
+                    f"{whose.spread} from {whose.first} of that customer",
+                )
                 return None
             # A request that sets none counts one; a descriptor of its own may say 0, which spends nothing.
             own = descriptor.HasField("hits_addend")
@@ -284,12 +298,17 @@
             if descriptor.HasField("limit") and terms.override != "ignore":
                 seconds = OWN_UNITS.get(descriptor.limit.unit)
                 if terms.override == "refuse" or seconds is None:
-                    self.no(failed, INVALID_ARGUMENT,
-                            "limits of a descriptor's own are not taken here" if seconds else
-                            "a descriptor's own limit: SECOND, MINUTE, HOUR or DAY only")
+                    self.no(
+                        failed,
+                        INVALID_ARGUMENT,
+                        "limits of a descriptor's own are not taken here"
+                        if seconds
+                        else "a descriptor's own limit: SECOND, MINUTE, HOUR or DAY only",
+                    )
                     return None
-                parts.insert(0, self.limited(question, whose, left, hits, descriptor.limit.requests_per_unit,
-                                             seconds))
+                parts.insert(
+                    0, self.limited(question, whose, left, hits, descriptor.limit.requests_per_unit, seconds)
+                )
             question.parts.append(tuple(parts))
         question.ask()
         return None if question.over else question
@@ -300,17 +319,35 @@
 
     def part(self, question: Question, whose: Whose, left: float, hits: int) -> Part:
         kind = messages.Reserve if whose.token and self.terms.tokens is not None else messages.Check
-        check = kind(next(self.ids), left, whose.customer, whose.plan, whose.cls, hits * whose.units,
-                     whose.first, whose.spread)
+        check = kind(
+            next(self.ids),
+            left,
+            whose.customer,
+            whose.plan,
+            whose.cls,
+            hits * whose.units,
+            whose.first,
+            whose.spread,
+        )
         return Part(question, check, self.core.settings.plans[whose.plan], whose.units)
 
-    def limited(self, question: Question, whose: Whose, left: float, hits: int, most: int,
-                seconds: float) -> Part:
+    def limited(
+        self, question: Question, whose: Whose, left: float, hits: int, most: int, seconds: float
+    ) -> Part:
         """The check of a limit that the descriptor brings: a store of its own, by the same leases. It counts
         hits, whatever they are worth."""
         plan = own_plan(self.core.settings.plans[whose.plan], most, seconds)
-        check = messages.Limited(next(self.ids), left, f"{whose.customer}/{most}/{seconds}", whose.plan, whose.cls,
-                            float(hits), whose.first, whose.spread, limit=plan)
+        check = messages.Limited(
+            next(self.ids),
+            left,
+            f"{whose.customer}/{most}/{seconds}",
+            whose.plan,
+            whose.cls,
+            float(hits),
+            whose.first,
+            whose.spread,
+            limit=plan,
+        )
         return Part(question, check, plan, 1.0)
 
 
--- a/apigateway/frontends/grpc/tokens.py
+++ b/apigateway/frontends/grpc/tokens.py
@@ -2,7 +2,7 @@
 
 Pure: keys, times and random bytes are given. A token says nothing that it could be taken apart for; what it
 is good for goes into its authentication code (HMAC-SHA256, RFC 2104, cut to 16 bytes) and has to be told
-again with it. """
+again with it."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
             return None
         number, gateway, until, name = HEAD.unpack_from(data)
         key = self.by.get(number)
-        if key is None or not hmac.compare_digest(code(key, data[:HEAD.size], purpose), data[HEAD.size:]):
+        if key is None or not hmac.compare_digest(code(key, data[: HEAD.size], purpose), data[HEAD.size :]):
             return None
         return Token(number, gateway, until / 1000, name)
 
@@ -116,8 +116,14 @@
     """Keys and what was used of them, for the fronts of one gateway. `now` in s of Unix time; `random` gives
     so many bytes."""
 
-    def __init__(self, keys: Keys, redeemed: Redeemed, seconds: float, now: Callable[[], float],
-                 random: Callable[[int], bytes]) -> None:
+    def __init__(
+        self,
+        keys: Keys,
+        redeemed: Redeemed,
+        seconds: float,
+        now: Callable[[], float],
+        random: Callable[[int], bytes],
+    ) -> None:
         self.keys, self.redeemed, self.seconds, self.now, self.random = keys, redeemed, seconds, now, random
         self.counts: Counter[str] = Counter()
 
--- a/apigateway/frontends/grpc/wire.py
+++ b/apigateway/frontends/grpc/wire.py
@@ -3,7 +3,7 @@
 Frames, header compression and flow control are h2's. Here is what gRPC makes of them (net/rpc.py, its "gRPC
 over HTTP2" page): calls of one message and one answer, and, for the paths that are told, streams of either
 side. Everything that a client may send without end is bounded: streams at once, headers, a message, halves of
-messages together, what waits for a window that it does not open. """
+messages together, what waits for a window that it does not open."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 MOST_WAITING = 1024 * 1024  # bytes of answers of one connection that wait for windows
 # What h2 raises for a stream that it has closed, or closed and forgotten.
 CALLED_OFF = (h2.exceptions.NoSuchStreamError, h2.exceptions.StreamIDTooLowError)
-LAST, LAST_WORD = 2 ** 31 - 1, b"the last"
+LAST, LAST_WORD = 2**31 - 1, b"the last"
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"  # RFC 9113, 3.4
 HEADERS = [(b":status", b"200"), (b"content-type", b"application/grpc")]
 
@@ -101,13 +101,20 @@
     def __init__(self, streaming: Container[str] = ()) -> None:
         self.streaming = streaming
         # What a client may not say in headers h2 still checks; ours are written here.
-        told = h2.config.H2Configuration(client_side=False, header_encoding=None,
-                                         validate_outbound_headers=False,
-                                         normalize_outbound_headers=False)
+        told = h2.config.H2Configuration(
+            client_side=False,
+            header_encoding=None,
+            validate_outbound_headers=False,
+            normalize_outbound_headers=False,
+        )
         self.conn = h2.connection.H2Connection(told)
-        self.conn.local_settings = h2.settings.Settings(client=False, initial_values={
-            h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: MOST_STREAMS,
-            h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MOST_HEADERS})
+        self.conn.local_settings = h2.settings.Settings(
+            client=False,
+            initial_values={
+                h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: MOST_STREAMS,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MOST_HEADERS,
+            },
+        )
         self.conn.max_inbound_frame_size = self.conn.local_settings.max_frame_size
         self.conn.initiate_connection()
         self.sieve = Sieve(PREFACE)
@@ -299,8 +306,11 @@
 
     def refuse(self, number: int, status: int, text: str) -> None:
         with suppress(*CALLED_OFF):  # called off in what was read with it
-            self.conn.send_headers(number, [
-                *HEADERS, (b"grpc-status", b"%d" % status), (b"grpc-message", quoted(text))], end_stream=True)
+            self.conn.send_headers(
+                number,
+                [*HEADERS, (b"grpc-status", b"%d" % status), (b"grpc-message", quoted(text))],
+                end_stream=True,
+            )
 
     def stop_reading(self, number: int) -> None:
         """What still comes on it is not wanted (RFC 9113, 8.1: a whole answer, then NO_ERROR)."""
--- a/apigateway/frontends/resp/command.py
+++ b/apigateway/frontends/resp/command.py
@@ -14,7 +14,7 @@
 
 # The protocol's forms: int() and float() take blanks, signs, `1_0`, `0x1` and more besides.
 WHOLE, DECIMAL = re.compile(rb"[0-9]{1,9}"), re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
-CUSTOMER, MOST_CUSTOMERS = re.compile(rb"[0-9a-fA-F]{16}"), 2 ** 33
+CUSTOMER, MOST_CUSTOMERS = re.compile(rb"[0-9a-fA-F]{16}"), 2**33
 NAME = re.compile(rb"[!-~]{1,64}")  # ids and keys
 
 
@@ -51,11 +51,22 @@
         verb, customer, name = self.parts[:3]
         body = bulk(self.parts[4]) if len(self.parts) > 4 else b""
         return b"*%d\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n%s" % (
-            len(self.parts), len(verb), verb, len(customer), customer, len(name), name, len(told), told, body)
-
-
-def read_command(settings: messages.Settings, command: object, kept: Kept,
-                 span: int = 1) -> tuple[messages.Request, Command]:
+            len(self.parts),
+            len(verb),
+            verb,
+            len(customer),
+            customer,
+            len(name),
+            name,
+            len(told),
+            told,
+            body,
+        )
+
+
+def read_command(
+    settings: messages.Settings, command: object, kept: Kept, span: int = 1
+) -> tuple[messages.Request, Command]:
     """`kept`: terms that were checked before, by the same settings. `span`: gateways that clients know as
     one,
     so that `first` and `spread` tell so many times as many. Raises BadRequest."""
@@ -91,8 +102,9 @@
 Kept = dict[tuple[bool, bytes], Terms]
 
 
-def read_request(settings: messages.Settings, command: list[bytes], write: bool, kept: Kept,
-                 span: int) -> messages.Request:
+def read_request(
+    settings: messages.Settings, command: list[bytes], write: bool, kept: Kept, span: int
+) -> messages.Request:
     _, customer, name, told = command[:4]
     if not (CUSTOMER.fullmatch(customer) and int(customer, 16) < MOST_CUSTOMERS and NAME.fullmatch(name)):
         raise BadRequest("odd customer or id")
@@ -105,8 +117,18 @@
                 kept.clear()
             kept[key] = terms
     cls, plan, left, units, first, spread, repeat = terms
-    return messages.Request(name.decode(), left - WAY_BACK, customer.decode().lower(), plan, cls, units, first,
-                       spread, repeat, write)
+    return messages.Request(
+        name.decode(),
+        left - WAY_BACK,
+        customer.decode().lower(),
+        plan,
+        cls,
+        units,
+        first,
+        spread,
+        repeat,
+        write,
+    )
 
 
 def read_terms(settings: messages.Settings, terms: bytes, write: bool, span: int) -> Terms:
@@ -128,7 +150,11 @@
     if write == (cls.effect == "safe") or keyless:
         raise BadRequest("class does not go with this command")
     gateways = settings.gateways // span
-    if not (0 < units <= settings.most_units and 1 <= spread <= gateways and first < gateways
-            and left <= MOST_LEFT):
+    if not (
+        0 < units <= settings.most_units
+        and 1 <= spread <= gateways
+        and first < gateways
+        and left <= MOST_LEFT
+    ):
         raise BadRequest("field out of range")
     return Terms(cls.name, plan, left, units, first * span, spread * span, fields.get(b"r") == b"1")
--- a/apigateway/frontends/resp/front.py
+++ b/apigateway/frontends/resp/front.py
@@ -28,8 +28,7 @@
     """One listener. `span`: gateways that clients know as one. At most `most` connections and `most_partial`
     bytes of half commands on all of them."""
 
-    def __init__(self, core: Core, most: int, most_partial: int, address: Address,
-                 span: int = 1) -> None:
+    def __init__(self, core: Core, most: int, most_partial: int, address: Address, span: int = 1) -> None:
         self.core, self.address, self.port = core, address, address[1]
         self.server = ClientServer(self, most, most_partial)
         self.kept: Kept = {}
@@ -138,8 +137,19 @@
         slot.paid = self.tokens.take(text, purpose)
         if slot.paid is None:
             return request
-        return messages.Paid(request.id, request.left, request.customer, request.plan, request.cls, request.units,
-                        request.first, request.spread, request.repeat, request.write, request.route)
+        return messages.Paid(
+            request.id,
+            request.left,
+            request.customer,
+            request.plan,
+            request.cls,
+            request.units,
+            request.first,
+            request.spread,
+            request.repeat,
+            request.write,
+            request.route,
+        )
 
     def unpaid(self, slot: Slot) -> None:
         """It was not taken, or refused: its token stands again, unless an attempt was sent."""
--- a/apigateway/frontends/resp/outline.py
+++ b/apigateway/frontends/resp/outline.py
@@ -12,8 +12,10 @@
 from apigateway.policy import overload_gate
 
 # Class, plan, the time that a client waits, units: in the order in which clients write.
-TERMS = re.compile(rb"c=([^,]{1,64}),t=([^,]{1,64}),d=([0-9]{1,9}),(?:[^u][^,]*,)?"
-                   rb"units=([0-9.]{1,19})(?:,|$)")
+TERMS = re.compile(
+    rb"c=([^,]{1,64}),t=([^,]{1,64}),d=([0-9]{1,9}),(?:[^u][^,]*,)?"
+    rb"units=([0-9.]{1,19})(?:,|$)"
+)
 MOST_KEPT = 512
 
 
@@ -49,15 +51,21 @@
                 if len(self.kept) >= MOST_KEPT:
                     self.kept.clear()
                 self.kept[cls, plan, units] = worth
-            return Outline(customer.decode().lower(), id.decode(), worth, int(left) / 1000,
-                           verb == b"API.WRITE")
+            return Outline(
+                customer.decode().lower(), id.decode(), worth, int(left) / 1000, verb == b"API.WRITE"
+            )
         except (KeyError, ValueError):  # reading it in full will say what is odd
             return None
 
     def request(self, request: messages.Request) -> Outline:
         """The same of one that was read in full."""
-        return Outline(request.customer, request.id, self.worth(request.cls, request.plan, request.units),
-                       request.left + WAY_BACK, request.write)
+        return Outline(
+            request.customer,
+            request.id,
+            self.worth(request.cls, request.plan, request.units),
+            request.left + WAY_BACK,
+            request.write,
+        )
 
     def worth(self, cls: str, plan: str, units: float) -> int:
         return overload_gate.step(self.settings.classes[cls].worth * self.settings.plans[plan].price * units)
--- a/apigateway/membership/belief.py
+++ b/apigateway/membership/belief.py
@@ -102,8 +102,9 @@
                 self.known.setdefault(host.id, Known(entry, entry, now))
         self.version = max(self.version, listing.hosts.version)
 
-    def hear(self, now: float, entries: Iterable[Entry], gone: Collection[str] = (),
-             whole: bool = False) -> Listing | None:
+    def hear(
+        self, now: float, entries: Iterable[Entry], gone: Collection[str] = (), whole: bool = False
+    ) -> Listing | None:
         """News of some hosts, or with `whole` of all there are; `gone` were deleted by name. Returns what
         changed in what is believed, as a delta, or None."""
         self.heard_at = now
@@ -211,8 +212,12 @@
     def settle(self, now: float) -> None:
         """What time has confirmed: hosts missing for long enough go, calm ones come back."""
         trust = self.trust
-        gone = [id for id in self.doubted if (known := self.known[id]).looks >= trust.looks
-                and now - known.missing_since >= trust.doubt_time]
+        gone = [
+            id
+            for id in self.doubted
+            if (known := self.known[id]).looks >= trust.looks
+            and now - known.missing_since >= trust.doubt_time
+        ]
         if len(gone) < len(self.known):  # a list is never emptied
             for id in gone:
                 self.drop(id)
--- a/apigateway/membership/discovery.py
+++ b/apigateway/membership/discovery.py
@@ -36,8 +36,14 @@
 class Discovery:
     """`told` gets each list, `failed` hears of each call that failed."""
 
-    def __init__(self, address: Address, version: int, told: Callable[[Listing], None],
-                 failed: Callable[[], None], schedule: WatchSchedule) -> None:
+    def __init__(
+        self,
+        address: Address,
+        version: int,
+        told: Callable[[Listing], None],
+        failed: Callable[[], None],
+        schedule: WatchSchedule,
+    ) -> None:
         host, port = address
         self.schedule = schedule
         self.pacer = WatchPacer(schedule, random.Random())
@@ -54,8 +60,9 @@
         if self.session is None:
             self.session = aiohttp.ClientSession(trust_env=False)
         before = self.taken
-        async with self.session.get(self.url, params=params,
-                                    timeout=aiohttp.ClientTimeout(total=limit)) as answer:
+        async with self.session.get(
+            self.url, params=params, timeout=aiohttp.ClientTimeout(total=limit)
+        ) as answer:
             answer.raise_for_status()
             body = bytearray()
             async for chunk in answer.content.iter_any():
--- a/apigateway/membership/eureka/mapping.py
+++ b/apigateway/membership/eureka/mapping.py
@@ -12,8 +12,13 @@
 from apigateway.upstream.address import Address
 
 STATES = {"up": "up", "draining": "leaving", "gone": "down"}
-DEFAULT_STATES = {"UP": "up", "STARTING": "draining", "DOWN": "draining", "OUT_OF_SERVICE": "draining",
-                  "UNKNOWN": "draining"}
+DEFAULT_STATES = {
+    "UP": "up",
+    "STARTING": "draining",
+    "DOWN": "draining",
+    "OUT_OF_SERVICE": "draining",
+    "UNKNOWN": "draining",
+}
 WORST = ("up", "draining", "gone")
 
 
@@ -54,13 +59,24 @@
     if instance.overridden != "UNKNOWN":
         state = max(state, told.states.get(instance.overridden, "draining"), key=WORST.index)
     started = (instance.service_up or instance.registered) / 1000
-    return Entry(messages.Host(instance.id, instance.metadata.get(told.zone) or told.default_zone, cell, weight,
-                          instance.metadata.get(told.kind,
-                                                ""), STATES[state], started), address, instance.dirty)
+    return Entry(
+        messages.Host(
+            instance.id,
+            instance.metadata.get(told.zone) or told.default_zone,
+            cell,
+            weight,
+            instance.metadata.get(told.kind, ""),
+            STATES[state],
+            started,
+        ),
+        address,
+        instance.dirty,
+    )
 
 
-def read_entries(told: Terms, instances: Iterable[Instance],
-                 names: Mapping[str, str] | None = None) -> tuple[list[Entry], list[str]]:
+def read_entries(
+    told: Terms, instances: Iterable[Instance], names: Mapping[str, str] | None = None
+) -> tuple[list[Entry], list[str]]:
     """The hosts, and what could not be read: that takes nothing else along."""
     entries, odd = [], []
     for instance in instances:
--- a/apigateway/membership/eureka/model.py
+++ b/apigateway/membership/eureka/model.py
@@ -57,7 +57,7 @@
         made = int(str(value)) if value not in (None, "") else 0
     except ValueError as err:
         raise Odd(f"{str(value)[:40]!r} is no number") from err
-    if not 0 <= made < 2 ** 63:
+    if not 0 <= made < 2**63:
         raise Odd(f"{made} out of range")
     return made
 
@@ -101,15 +101,22 @@
     override = told.get("overriddenStatus") or told.get("overriddenstatus")
     overridden = text(override).upper()
     return Instance(
-        id=id, app=app.upper(), host_name=host_name, ip=text(told.get("ipAddr")), port=port(told.get("port")),
+        id=id,
+        app=app.upper(),
+        host_name=host_name,
+        ip=text(told.get("ipAddr")),
+        port=port(told.get("port")),
         secure_port=port(told.get("securePort", {"@enabled": "false"})),
         status=status if status in STATUSES else "UNKNOWN",
         overridden=overridden if overridden in STATUSES else "UNKNOWN",
-        vip=text(told.get("vipAddress")), secure_vip=text(told.get("secureVipAddress")),
+        vip=text(told.get("vipAddress")),
+        secure_vip=text(told.get("secureVipAddress")),
         registered=number(lease.get("registrationTimestamp")),
         service_up=number(lease.get("serviceUpTimestamp")),
-        dirty=number(told.get("lastDirtyTimestamp")), action=text(told.get("actionType")).upper(),
-        metadata={str(k): text(v) for k, v in metadata.items() if k != "@class"})
+        dirty=number(told.get("lastDirtyTimestamp")),
+        action=text(told.get("actionType")).upper(),
+        metadata={str(k): text(v) for k, v in metadata.items() if k != "@class"},
+    )
 
 
 def read_applications(tree: object) -> Answer:
@@ -156,9 +163,12 @@
     if root.tag not in ("applications", "application"):
         raise Odd(f"no applications but {root.tag[:40]!r}")
     apps = [root] if root.tag == "application" else root.findall("application")
-    told = {"apps__hashcode": root.findtext("apps__hashcode", ""),
-            "application": [{"name": app.findtext("name", ""), "instance": list(xml_instances(app))}
-                            for app in apps]}
+    told = {
+        "apps__hashcode": root.findtext("apps__hashcode", ""),
+        "application": [
+            {"name": app.findtext("name", ""), "instance": list(xml_instances(app))} for app in apps
+        ],
+    }
     return read_applications({"applications": told})
 
 
--- a/apigateway/membership/eureka/registration.py
+++ b/apigateway/membership/eureka/registration.py
@@ -32,25 +32,41 @@
 
     def instance(self, status: str) -> dict[str, Any]:
         now = int(time.time() * 1000)
-        return {"instance": {
-            "instanceId": self.id, "hostName": self.host_name, "app": self.app.upper(), "ipAddr": self.ip,
-            "vipAddress": self.vip or self.app.lower(), "secureVipAddress": self.vip or self.app.lower(),
-            "status": status, "overriddenstatus": "UNKNOWN",
-            "port": {"$": self.port, "@enabled": "true"}, "securePort": {"$": 443, "@enabled": "false"},
-            "countryId": 1, "metadata": dict(self.metadata),
-            "dataCenterInfo": {"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo",
-                               "name": "MyOwn"},
-            "leaseInfo": {"renewalIntervalInSecs": max(1, round(self.renew)),
-                          "durationInSecs": max(1, round(self.duration))},
-            "lastUpdatedTimestamp": str(now), "lastDirtyTimestamp": str(now)}}
+        return {
+            "instance": {
+                "instanceId": self.id,
+                "hostName": self.host_name,
+                "app": self.app.upper(),
+                "ipAddr": self.ip,
+                "vipAddress": self.vip or self.app.lower(),
+                "secureVipAddress": self.vip or self.app.lower(),
+                "status": status,
+                "overriddenstatus": "UNKNOWN",
+                "port": {"$": self.port, "@enabled": "true"},
+                "securePort": {"$": 443, "@enabled": "false"},
+                "countryId": 1,
+                "metadata": dict(self.metadata),
+                "dataCenterInfo": {
+                    "@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo",
+                    "name": "MyOwn",
+                },
+                "leaseInfo": {
+                    "renewalIntervalInSecs": max(1, round(self.renew)),
+                    "durationInSecs": max(1, round(self.duration)),
+                },
+                "lastUpdatedTimestamp": str(now),
+                "lastDirtyTimestamp": str(now),
+            }
+        }
 
 
 class Registration:
     """`start` registers as STARTING; `up` once it can serve; `down` before the listeners close; `leave` at
     the end."""
 
-    def __init__(self, urls: tuple[str, ...], own: Own, user: str = "", password: str = "",
-                 timeout: float = 2.0) -> None:
+    def __init__(
+        self, urls: tuple[str, ...], own: Own, user: str = "", password: str = "", timeout: float = 2.0
+    ) -> None:
         self.urls, self.own, self.timeout = urls, own, timeout
         self.headers = {"Authorization": aiohttp.encode_basic_auth(user, password)} if user else {}
         self.status = "STARTING"
@@ -78,8 +94,12 @@
                 await self.step()
                 pause = self.own.renew
             except Exception as err:
-                log.warning("registry %s: not told of this gateway: %s %s", self.urls[self.at],
-                            type(err).__name__, err)
+                log.warning(
+                    "registry %s: not told of this gateway: %s %s",
+                    self.urls[self.at],
+                    type(err).__name__,
+                    err,
+                )
                 self.at = (self.at + 1) % len(self.urls)
                 pause = min(1.0, self.own.renew)
             try:
@@ -105,9 +125,14 @@
         if self.session is None:
             self.session = aiohttp.ClientSession(trust_env=False)
         timeout = aiohttp.ClientTimeout(total=seconds or self.timeout)
-        async with self.session.request(method, f"{self.urls[self.at].rstrip('/')}/{path}", json=body,
-                                        headers=self.headers,
-                                        timeout=timeout, allow_redirects=False) as answer:
+        async with self.session.request(
+            method,
+            f"{self.urls[self.at].rstrip('/')}/{path}",
+            json=body,
+            headers=self.headers,
+            timeout=timeout,
+            allow_redirects=False,
+        ) as answer:
             return answer.status
 
     async def down(self) -> None:
@@ -135,5 +160,6 @@
         try:
             await self.call(method, path, body, ENDING)
         except Exception as err:
-            log.warning("registry %s: not told of the end: %s %s", self.urls[self.at], type(err).__name__,
-                        err)
+            log.warning(
+                "registry %s: not told of the end: %s %s", self.urls[self.at], type(err).__name__, err
+            )
--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -58,10 +58,18 @@
     """In the shape of `core.ports.Membership`. `told` gets what changed in what is believed, `failed` hears
     of each poll that failed. `own` addresses are never told: a gateway must not route to itself."""
 
-    def __init__(self, registry: Registry, known: Listing, told: Callable[[Listing], None],
-                 failed: Callable[[], None], own: Collection[Address] = (), resolve: Resolve | None = None,
-                 clock: Callable[[], float] = time.time, seed: int | None = None,
-                 belief: Belief | None = None) -> None:
+    def __init__(
+        self,
+        registry: Registry,
+        known: Listing,
+        told: Callable[[Listing], None],
+        failed: Callable[[], None],
+        own: Collection[Address] = (),
+        resolve: Resolve | None = None,
+        clock: Callable[[], float] = time.time,
+        seed: int | None = None,
+        belief: Belief | None = None,
+    ) -> None:
         self.registry, self.failed, self.own, self.clock = registry, failed, set(own), clock
         self.resolve, self.rng = resolve, random.Random(seed)
         self.judge, self.replica = Judge(registry.trust, known, told, clock, belief), Replica()
@@ -145,8 +153,12 @@
                 if not whole:
                     await self.hear(answer, deleted, False)
                     return
-                log.info("registry %s: its hash is %s, ours %s; asking for the whole list", self.url,
-                         answer.hashcode[:80], self.replica.hashcode()[:80])
+                log.info(
+                    "registry %s: its hash is %s, ours %s; asking for the whole list",
+                    self.url,
+                    answer.hashcode[:80],
+                    self.replica.hashcode()[:80],
+                )
                 await self.hear(answer, deleted, False)  # drains among it count at once
         path = PATHS[self.registry.by].format(self.registry.name)
         answer = await self.get(path)
@@ -167,8 +179,9 @@
         if self.registry.user:
             headers["Authorization"] = aiohttp.encode_basic_auth(self.registry.user, self.registry.password)
         timeout = aiohttp.ClientTimeout(total=self.registry.timeout)
-        async with self.session.get(f"{self.url}/{path}", headers=headers, timeout=timeout,
-                                    allow_redirects=False) as answer:
+        async with self.session.get(
+            f"{self.url}/{path}", headers=headers, timeout=timeout, allow_redirects=False
+        ) as answer:
             if answer.status == 304 and path in self.etag:
                 return None
             if answer.status == 404 and path == "apps/delta":
--- a/apigateway/membership/file.py
+++ b/apigateway/membership/file.py
@@ -55,8 +55,11 @@
         if host.id in addresses:
             reader.contradiction((*at, "id"), host.id, "stands twice", "give each host an id of its own")
         addresses[host.id] = address
-        hosts.append(messages.Host(host.id, host.zone, host.cell, host.weight, host.kind, STATE[host.state],
-                              host.started))
+        hosts.append(
+            messages.Host(
+                host.id, host.zone, host.cell, host.weight, host.kind, STATE[host.state], host.started
+            )
+        )
     if told is not None and not told.hosts:
         reader.contradiction(("hosts",), None, "none", "add one [[hosts]] with id and address")
     if reader.faults:
--- a/apigateway/membership/judge.py
+++ b/apigateway/membership/judge.py
@@ -18,9 +18,14 @@
     """`told` gets what changed in what is believed. A belief from before goes on, with its doubts and its
     age."""
 
-    def __init__(self, trust: Trust, known: Listing, told: Callable[[Listing], None], clock: Callable[[],
-                                                                                                      float],
-                 belief: Belief | None = None) -> None:
+    def __init__(
+        self,
+        trust: Trust,
+        known: Listing,
+        told: Callable[[Listing], None],
+        clock: Callable[[], float],
+        belief: Belief | None = None,
+    ) -> None:
         self.told, self.clock = told, clock
         self.belief = belief or Belief(trust)
         self.belief.trust = trust
@@ -33,8 +38,11 @@
 
     def hear_listing(self, listing: Listing) -> None:
         """A list in the shape that the platform's discovery ends in."""
-        entries = [Entry(host, listing.addresses[host.id]) for host in listing.hosts.hosts
-                   if host.id in listing.addresses and host.state != "down"]
+        entries = [
+            Entry(host, listing.addresses[host.id])
+            for host in listing.hosts.hosts
+            if host.id in listing.addresses and host.state != "down"
+        ]
         gone = {host.id for host in listing.hosts.hosts if host.state == "down"}
         self.hear(entries, gone, listing.hosts.mode != "delta")
 
--- a/apigateway/membership/listing.py
+++ b/apigateway/membership/listing.py
@@ -25,8 +25,15 @@
     weight, cell = float(told.get("weight", 1.0)), int(told.get("cell", 0))
     if not (isinstance(told["id"], str) and 0 <= weight < math.inf and 0 <= started < math.inf):
         raise ValueError("id, weight or start out of range")
-    host = messages.Host(id=told["id"], zone=str(told.get("zone", "")), cell=cell, weight=weight,
-                    kind=str(told.get("kind", "")), state=state, started=started)
+    host = messages.Host(
+        id=told["id"],
+        zone=str(told.get("zone", "")),
+        cell=cell,
+        weight=weight,
+        kind=str(told.get("kind", "")),
+        state=state,
+        started=started,
+    )
     return host, read_address(told["addr"]) if told.get("addr") else None
 
 
@@ -57,8 +64,17 @@
 def write_list(listing: Listing) -> dict[str, Any]:
     """A whole list in discovery's form."""
     states = {state: name for name, state in STATE.items()}
-    servers = [{"id": h.id, "zone": h.zone, "kind": h.kind, "cell": h.cell, "state": states[h.state],
-                "weight": h.weight, "started_ms": h.started * 1000,
-                **({"addr": write_address(listing.addresses[h.id])} if h.id in listing.addresses else {})}
-               for h in listing.hosts.hosts]
+    servers = [
+        {
+            "id": h.id,
+            "zone": h.zone,
+            "kind": h.kind,
+            "cell": h.cell,
+            "state": states[h.state],
+            "weight": h.weight,
+            "started_ms": h.started * 1000,
+            **({"addr": write_address(listing.addresses[h.id])} if h.id in listing.addresses else {}),
+        }
+        for h in listing.hosts.hosts
+    ]
     return {"version": listing.hosts.version, "full": True, "servers": servers}
--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -54,8 +54,17 @@
     ceiling_slack: float
 
     def __post_init__(self) -> None:
-        low = min(self.rate, self.burst, self.open_limit, self.price, self.over_worth, self.over_cost,
-                  self.ceiling_rate, self.ceiling_burst, self.ceiling_slack)
+        low = min(
+            self.rate,
+            self.burst,
+            self.open_limit,
+            self.price,
+            self.over_worth,
+            self.over_cost,
+            self.ceiling_rate,
+            self.ceiling_burst,
+            self.ceiling_slack,
+        )
         _need(low >= 0, f"plan {self.name}: negative figure")
         _need(self.rate == 0 or self.burst > 0, f"plan {self.name}: a rate needs a burst")
         _need(self.ceiling_rate == 0 or self.ceiling_burst > 0, f"plan {self.name}: a ceiling needs a burst")
@@ -306,9 +315,26 @@
     zones: tuple[str, ...]
 
 
-Event = (HostList | Request | Check | Reserve | Limited | Paid | GiveBack | Unreserve
-         | Outcome | Counted | Probed | Timer | Began | Gone | Message
-         | Retire | Barred | Leave)
+Event = (
+    HostList
+    | Request
+    | Check
+    | Reserve
+    | Limited
+    | Paid
+    | GiveBack
+    | Unreserve
+    | Outcome
+    | Counted
+    | Probed
+    | Timer
+    | Began
+    | Gone
+    | Message
+    | Retire
+    | Barred
+    | Leave
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -393,5 +419,6 @@
     text: str
 
 
-Action = (Send | Refuse | Fail | Granted | Denied | Cancel | Count | SetTimer | Probe | Close | Fetch | Watch
-          | Log)
+Action = (
+    Send | Refuse | Fail | Granted | Denied | Cancel | Count | SetTimer | Probe | Close | Fetch | Watch | Log
+)
--- a/apigateway/platform_settings.py
+++ b/apigateway/platform_settings.py
@@ -12,8 +12,14 @@
 
 EFFECT = {"pure": "safe", "token": "keyed", "side_effect": "unsafe"}
 DISCOVERY = {"pushed": "push", "on_request": "ask"}
-REPORT = {"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency", "rps": "rps",
-          "err_rps": "errors"}
+REPORT = {
+    "active": "inflight",
+    "waiting": "queue",
+    "cpu": "util",
+    "avg_ms": "latency",
+    "rps": "rps",
+    "err_rps": "errors",
+}
 BOOL = {"true": True, "1": True, "false": False, "0": False}
 NS = 1e9
 
@@ -40,42 +46,80 @@
 
 
 def read_settings(t: dict[str, Any]) -> messages.Settings:
-    classes = {c["name"]: messages.ServiceClass(
-        name=c["name"], aim=seconds(c["slo"]), deadline=seconds(c["deadline"]), effect=EFFECT[c["effect"]],
-        scope=c.get("dedup_scope", "all"), memory=seconds(c.get("memory_span", "0")), worth=float(c["gain"]),
-        late_worth=_num(c, "late_value"), stream=flag(c, "streaming"), aim_stretch=_num(c, "aim_stretch"),
-    ) for c in _items(t["services"])}
-    plans = {p["name"]: messages.Plan(
-        name=p["name"], rate=_num(p, "rate"), burst=_num(p, "most_at_once"),
-        open_limit=int(_num(p, "parallel")), price=float(p.get("value_factor", 1)),
-        over_worth=_num(p, "beyond_earns"), over_cost=_num(p, "over_cost"), ceiling_rate=_num(p, "cap_rate"),
-        ceiling_burst=_num(p, "cap_depth"), ceiling_slack=_num(p, "hard_slack"),
-    ) for p in _items(t["plans"])}
+    classes = {
+        c["name"]: messages.ServiceClass(
+            name=c["name"],
+            aim=seconds(c["slo"]),
+            deadline=seconds(c["deadline"]),
+            effect=EFFECT[c["effect"]],
+            scope=c.get("dedup_scope", "all"),
+            memory=seconds(c.get("memory_span", "0")),
+            worth=float(c["gain"]),
+            late_worth=_num(c, "late_value"),
+            stream=flag(c, "streaming"),
+            aim_stretch=_num(c, "aim_stretch"),
+        )
+        for c in _items(t["services"])
+    }
+    plans = {
+        p["name"]: messages.Plan(
+            name=p["name"],
+            rate=_num(p, "rate"),
+            burst=_num(p, "most_at_once"),
+            open_limit=int(_num(p, "parallel")),
+            price=float(p.get("value_factor", 1)),
+            over_worth=_num(p, "beyond_earns"),
+            over_cost=_num(p, "over_cost"),
+            ceiling_rate=_num(p, "cap_rate"),
+            ceiling_burst=_num(p, "cap_depth"),
+            ceiling_slack=_num(p, "hard_slack"),
+        )
+        for p in _items(t["plans"])
+    }
     lim, rules, spec = t["limits"], t["rules"], t["specifics"]
     names = t.get("reporting", {}).get("names", "")
     return messages.Settings(
-        index=int(t["index"]), gateways=int(t["group_size"]), zone=t["locality"],
-        classes=classes, plans=plans,
+        index=int(t["index"]),
+        gateways=int(t["group_size"]),
+        zone=t["locality"],
+        classes=classes,
+        plans=plans,
         limits=messages.Limits(
-            cancel=flag(lim, "cancel"), second_copies=flag(lim, "second_copies"),
-            probes=flag(lim, "probes"), peers=flag(lim, "peers"), retry_after=flag(lim, "retry_after"),
+            cancel=flag(lim, "cancel"),
+            second_copies=flag(lim, "second_copies"),
+            probes=flag(lim, "probes"),
+            peers=flag(lim, "peers"),
+            retry_after=flag(lim, "retry_after"),
             max_attempts=int(lim["max_attempts"]),
             max_retry_after=seconds(lim.get("max_retry_after", "0")),
-            connect_timeout=seconds(lim.get("connect_timeout", "0"))),
+            connect_timeout=seconds(lim.get("connect_timeout", "0")),
+        ),
         rules=messages.Rules(
-            answer_slack=seconds(rules["answer_slack"]), drain_grace=seconds(rules["drain_grace"]),
-            cold_share=float(rules["start_capacity"]), cold_time=seconds(rules["cold"]),
-            fall_multiple=float(rules["fall_multiple"]), fall_time=seconds(rules["tip_after"]),
-            ask_within=seconds(rules.get("must_ask_in", "0"))),
+            answer_slack=seconds(rules["answer_slack"]),
+            drain_grace=seconds(rules["drain_grace"]),
+            cold_share=float(rules["start_capacity"]),
+            cold_time=seconds(rules["cold"]),
+            fall_multiple=float(rules["fall_multiple"]),
+            fall_time=seconds(rules["tip_after"]),
+            ask_within=seconds(rules.get("must_ask_in", "0")),
+        ),
         prices={k: float(v) for k, v in t.get("prices", {}).items()},
-        counter=flag(spec, "shared_counter"), counter_price=_num(spec, "counter_price"),
+        counter=flag(spec, "shared_counter"),
+        counter_price=_num(spec, "counter_price"),
         counter_timeout=seconds(spec.get("counter_timeout", "0")),
-        meter_period=seconds(spec.get("meter_period", "0")), settles=flag(spec, "settles"),
-        most_units=float(spec.get("units_top", 1)), discovery=DISCOVERY[t["registry_mode"]],
-        reports=tuple(REPORT[n] for n in _names(names) if n in REPORT), weights=t.get("weights", "none"))
+        meter_period=seconds(spec.get("meter_period", "0")),
+        settles=flag(spec, "settles"),
+        most_units=float(spec.get("units_top", 1)),
+        discovery=DISCOVERY[t["registry_mode"]],
+        reports=tuple(REPORT[n] for n in _names(names) if n in REPORT),
+        weights=t.get("weights", "none"),
+    )
 
 
 def read_report(pairs: Iterable[tuple[str, str] | list[str]]) -> dict[str, float]:
     """The fields of a load report that are known and have a value; latency in seconds."""
-    return {REPORT[name]: float(value) / 1000 if name == "avg_ms" else float(value)
-            for name, value in pairs if name in REPORT and value}
+    return {
+        REPORT[name]: float(value) / 1000 if name == "avg_ms" else float(value)
+        for name, value in pairs
+        if name in REPORT and value
+    }
--- a/apigateway/plugins/abi.py
+++ b/apigateway/plugins/abi.py
@@ -30,8 +30,10 @@
     Raises
     PluginFailed if even the rest does not."""
     flags = WRITE * view.write | REPEAT * view.repeat
-    parts = [text.encode("utf-8", "replace")
-             for text in (view.id, view.customer, view.plan, view.cls, view.host, view.route)]
+    parts = [
+        text.encode("utf-8", "replace")
+        for text in (view.id, view.customer, view.plan, view.cls, view.host, view.route)
+    ]
     parts.append("".join([f"{key}={value}\n" for key, value in view.tags.items()]).encode("utf-8", "replace"))
     size = START + sum(map(len, parts))
     if size > most:
@@ -44,9 +46,18 @@
         table += [at, len(part)]
         at += len(part)
     table += [0] * (2 * STRINGS - len(table))
-    head = HEAD.pack(VERSION, PHASE[phase], view.now, view.left, view.units, view.elapsed, flags,
-                     view.attempt,
-                     OUTCOME[view.outcome], 0)
+    head = HEAD.pack(
+        VERSION,
+        PHASE[phase],
+        view.now,
+        view.left,
+        view.units,
+        view.elapsed,
+        flags,
+        view.attempt,
+        OUTCOME[view.outcome],
+        0,
+    )
     return bytearray(b"".join((head, TABLE.pack(*table), *parts)))
 
 
--- a/apigateway/plugins/apart.py
+++ b/apigateway/plugins/apart.py
@@ -53,17 +53,22 @@
 def one_process(trials: Sequence[Trial], longest: float) -> tuple[list[str], str]:
     """The reasons that it told, and how it ended."""
     place = str(Path(__file__).resolve().parents[2])
-    environment = os.environ | {"PYTHONPATH": os.pathsep.join(
-        [place] + [p for p in [os.environ.get("PYTHONPATH")] if p])}
+    environment = os.environ | {
+        "PYTHONPATH": os.pathsep.join([place] + [p for p in [os.environ.get("PYTHONPATH")] if p])
+    }
     try:
-        ended = subprocess.run([sys.executable, "-m", "apigateway.plugins.apart"],
-                               input=b"".join(map(pickle.dumps, trials)),
-                               capture_output=True, timeout=longest, env=environment)
+        ended = subprocess.run(
+            [sys.executable, "-m", "apigateway.plugins.apart"],
+            input=b"".join(map(pickle.dumps, trials)),
+            capture_output=True,
+            timeout=longest,
+            env=environment,
+        )
         out, how = ended.stdout, f"exit code {ended.returncode}"
     except subprocess.TimeoutExpired as err:
         out, how = err.stdout or b"", f"not done in {longest:.0f} s"
     lines = out.decode("utf-8", "replace").split("\n")[:-1]  # a line that was cut is none
-    return [line.removeprefix("good").strip() for line in lines[:len(trials)]], how
+    return [line.removeprefix("good").strip() for line in lines[: len(trials)]], how
 
 
 def main() -> None:
--- a/apigateway/plugins/language/compiler.py
+++ b/apigateway/plugins/language/compiler.py
@@ -34,8 +34,9 @@
     value: Any = None
 
 
-def compile_text(text: str, fields: Mapping[str, tuple[str, Run]], settings: Mapping[str, Any],
-                 seed: int = 0) -> Compiled:
+def compile_text(
+    text: str, fields: Mapping[str, tuple[str, Run]], settings: Mapping[str, Any], seed: int = 0
+) -> Compiled:
     """`fields`: name to type and how to get it from a view. Raises LanguageError."""
     return Compiler(fields, settings, seed).node(parse(text))
 
@@ -45,8 +46,7 @@
 
 
 class Compiler:
-    def __init__(self, fields: Mapping[str, tuple[str, Run]], settings: Mapping[str, Any],
-                 seed: int) -> None:
+    def __init__(self, fields: Mapping[str, tuple[str, Run]], settings: Mapping[str, Any], seed: int) -> None:
         self.fields, self.settings, self.seed = fields, settings, seed
 
     def node(self, node: Node) -> Compiled:
@@ -225,8 +225,9 @@
         if node.name == "date":
             return self.date(node)
         if node.name not in FUNCTIONS:
-            raise LanguageError(node.at, f"no function {node.name!r}; there are "
-                                         f"{', '.join(sorted([*FUNCTIONS, *SPECIAL]))}")
+            raise LanguageError(
+                node.at, f"no function {node.name!r}; there are {', '.join(sorted([*FUNCTIONS, *SPECIAL]))}"
+            )
         forms, act, kind = FUNCTIONS[node.name]
         made = [self.node(part) for part in node.parts]
         types = tuple("list" if part.type.startswith(LIST) else part.type for part in made)
@@ -291,7 +292,7 @@
         (part,) = self.parts(node, 1)
         made = self.need(part, TEXT)
         if not made.constant:
-            raise LanguageError(part.at, "date takes a text that is written out, \"2026-08-26T00:00+05:30\"")
+            raise LanguageError(part.at, 'date takes a text that is written out, "2026-08-26T00:00+05:30"')
         try:
             told = datetime.datetime.fromisoformat(made.value)
         except ValueError as err:
@@ -301,7 +302,11 @@
 
 SPECIAL = ("date", "get", "has", "sample")
 RELATIONS: dict[str, Callable[[Any, Any], Any]] = {
-    "<": operator.lt, "<=": operator.le, ">": operator.gt, ">=": operator.ge}
+    "<": operator.lt,
+    "<=": operator.le,
+    ">": operator.gt,
+    ">=": operator.ge,
+}
 
 
 def quotient(a: float, b: float) -> float:
@@ -317,7 +322,12 @@
 
 
 ARITHMETIC: dict[str, Callable[[Any, Any], Any]] = {
-    "+": operator.add, "-": operator.sub, "*": operator.mul, "/": quotient, "%": remainder}
+    "+": operator.add,
+    "-": operator.sub,
+    "*": operator.mul,
+    "/": quotient,
+    "%": remainder,
+}
 
 
 def moment(told: datetime.date) -> float:
--- a/apigateway/plugins/language/library.py
+++ b/apigateway/plugins/language/library.py
@@ -24,7 +24,7 @@
 
 def share(id: str, seed: int) -> float:
     """Where a request's id lies in 0..1."""
-    return zlib.crc32(id.encode("utf-8", "replace"), seed & 0xFFFFFFFF) / 2 ** 32
+    return zlib.crc32(id.encode("utf-8", "replace"), seed & 0xFFFFFFFF) / 2**32
 
 
 def text(value: Any) -> str:
@@ -61,7 +61,7 @@
 def part(value: str, start: float, end: float) -> str:
     if not (math.isfinite(start) and math.isfinite(end)):
         raise RunError("a place that is not finite")
-    return value[max(0, int(start)):max(0, int(end))]
+    return value[max(0, int(start)) : max(0, int(end))]
 
 
 def when(get: Callable[[datetime.datetime], float]) -> tuple[Any, Callable[..., Any], str]:
--- a/apigateway/plugins/language/parser.py
+++ b/apigateway/plugins/language/parser.py
@@ -10,17 +10,34 @@
 MOST_NODES = 300
 MOST_DEPTH = 40  # nested brackets, calls and conditions: the compiler walks the tree by recursion
 
-TOKEN = re.compile(r"""
+TOKEN = re.compile(
+    r"""
     (?P<blank>\s+)
   | (?P<number>\d+(?:\.\d+)?(?:[eE][+-]?\d{1,3})?)
   | (?P<text>"(?:[^"\\\n]|\\.)*"|'(?:[^'\\\n]|\\.)*')
   | (?P<name>[A-Za-z_][A-Za-z0-9_]*)
   | (?P<sign>\|\||&&|==|!=|<=|>=|[-+*/%<>!?:.,()\[\]])
-""", re.VERBOSE)
+""",
+    re.VERBOSE,
+)
 ESCAPE = re.compile(r"\\(.)")
 ESCAPES = {"n": "\n", "t": "\t", "\\": "\\", '"': '"', "'": "'"}
-BINARY = {"||": 1, "&&": 2, "==": 3, "!=": 3, "<": 3, "<=": 3, ">": 3, ">=": 3, "in": 3, "+": 4, "-": 4,
-          "*": 5, "/": 5, "%": 5}
+BINARY = {
+    "||": 1,
+    "&&": 2,
+    "==": 3,
+    "!=": 3,
+    "<": 3,
+    "<=": 3,
+    ">": 3,
+    ">=": 3,
+    "in": 3,
+    "+": 4,
+    "-": 4,
+    "*": 5,
+    "/": 5,
+    "%": 5,
+}
 
 
 class LanguageError(Exception):
@@ -97,8 +114,9 @@
         if not self.accept(text):
             raise LanguageError(self.token.at, f"expected {text!r}, found {self.token.text!r}")
 
-    def node(self, kind: str, at: int, name: str = "", value: float | str = 0.0,
-             parts: tuple[Node, ...] = ()) -> Node:
+    def node(
+        self, kind: str, at: int, name: str = "", value: float | str = 0.0, parts: tuple[Node, ...] = ()
+    ) -> Node:
         self.nodes += 1
         if self.nodes > MOST_NODES:
             raise LanguageError(at, f"more than {MOST_NODES} parts")
--- a/apigateway/plugins/live.py
+++ b/apigateway/plugins/live.py
@@ -70,8 +70,14 @@
 class Hooks:
     """`clock` gives Unix time, `tick` is in seconds."""
 
-    def __init__(self, version: Version, clock: Callable[[], float], loop: Scheduler, tick: float,
-                 recorder: Recorder | None = None) -> None:
+    def __init__(
+        self,
+        version: Version,
+        clock: Callable[[], float],
+        loop: Scheduler,
+        tick: float,
+        recorder: Recorder | None = None,
+    ) -> None:
         self.version, self.clock, self.loop, self.period, self.recorder = version, clock, loop, tick, recorder
         self.old: set[Version] = set()  # replaced, with requests that are not over
         self.timer: Any = None
@@ -92,8 +98,18 @@
         """The request as the decision module is to hear of it, or that it is barred."""
         version, began = self.version, time.monotonic()
         standing = Standing()
-        view = View(request.id, request.customer, request.plan, request.cls, request.units, request.left,
-                    self.clock(), request.write, request.repeat, standing.tags)
+        view = View(
+            request.id,
+            request.customer,
+            request.plan,
+            request.cls,
+            request.units,
+            request.left,
+            self.clock(),
+            request.write,
+            request.repeat,
+            standing.tags,
+        )
         hooked = Hooked(self, version, view, standing, began)
         version.begin()
         wait = version.ask(REQUEST, view, standing, began) if version.by_phase[REQUEST] else None
@@ -101,8 +117,9 @@
             return hooked, messages.Barred(request.id, wait)
         spent = time.monotonic() - began
         if spent > NOTICED or standing.route:
-            request = replace(request, route=standing.route, left=request.left - (spent if spent > NOTICED
-                                                                                  else 0.0))
+            request = replace(
+                request, route=standing.route, left=request.left - (spent if spent > NOTICED else 0.0)
+            )
         return hooked, request
 
     # The swap: all that can fail comes before anything changes
@@ -145,10 +162,13 @@
     def told(self) -> dict[str, Any]:
         """For operators. Times in seconds."""
         now = time.monotonic()
-        return {"version": self.version.number, "requests": self.version.open,
-                "older versions": {str(v.number): v.open for v in self.old},
-                "plugins": [seat.told(now) for seat in self.version.seats],
-                "records": self.recorder.figures() if self.recorder is not None else None}
+        return {
+            "version": self.version.number,
+            "requests": self.version.open,
+            "older versions": {str(v.number): v.open for v in self.old},
+            "plugins": [seat.told(now) for seat in self.version.seats],
+            "records": self.recorder.figures() if self.recorder is not None else None,
+        }
 
     def retire(self) -> None:
         """No plug-ins any more: what it holds goes with its last request."""
--- a/apigateway/plugins/load.py
+++ b/apigateway/plugins/load.py
@@ -37,8 +37,12 @@
 
     def allowance(self, hooks: HooksPart) -> Allowance:
         limits = self.settings.limits
-        return Allowance(frozenset(self.settings.routes), hooks.max_tags, hooks.max_tag_bytes,
-                         limits.max_retry_after if limits.retry_after else 0.0)
+        return Allowance(
+            frozenset(self.settings.routes),
+            hooks.max_tags,
+            hooks.max_tag_bytes,
+            limits.max_retry_after if limits.retry_after else 0.0,
+        )
 
 
 class Bad(Exception):
@@ -51,10 +55,19 @@
 
 def budget_of(part: PluginPart) -> Budget:
     told = part.budget
-    return Budget(told.fuel, told.time_ms / 1000, int(told.memory_mb * MB), told.share, told.span,
-                  told.key_bytes,
-                  told.log_lines, failures=told.failures, rest=told.rest,
-                  most_rest=max(told.rest, told.most_rest), past=part.past)
+    return Budget(
+        told.fuel,
+        told.time_ms / 1000,
+        int(told.memory_mb * MB),
+        told.share,
+        told.span,
+        told.key_bytes,
+        told.log_lines,
+        failures=told.failures,
+        rest=told.rest,
+        most_rest=max(told.rest, told.most_rest),
+        past=part.past,
+    )
 
 
 def read_file(path: str, most: float) -> bytes:
@@ -105,8 +118,9 @@
             try:
                 return RulesPlugin(part.name, self.rules, part.settings, self.budget, self.seed)
             except RuleFault as err:
-                raise Bad(err.key, err.value, err.reason, "mend the rule", self.path if part.file
-                          else "") from err
+                raise Bad(
+                    err.key, err.value, err.reason, "mend the rule", self.path if part.file else ""
+                ) from err
         from apigateway.plugins.wasm import BadModule, WasmPlugin  # the engine: only where a module is loaded
 
         try:
@@ -120,9 +134,12 @@
 def source(part: PluginPart, folder: str, most: float, seed: int = 0) -> Source:
     """Raises Bad or Faulty."""
     if bool(part.file) == bool(part.rules):
-        raise Bad("file", part.file or None, "both a file and rules" if part.file
-                  else "neither a file nor rules",
-                  "give one of them")
+        raise Bad(
+            "file",
+            part.file or None,
+            "both a file and rules" if part.file else "neither a file nor rules",
+            "give one of them",
+        )
     path, raw, rules = os.path.join(folder, part.file), b"", part.rules
     if part.file:
         raw = read_file(path, most)
@@ -141,8 +158,18 @@
     for cls in settings.classes.values():
         for plan in settings.plans.values():
             number = len(made) + 1
-            made.append(View(f"proof-{number}", f"{number:016x}", plan.name, cls.name, 1.0, cls.deadline,
-                             time.time(), cls.effect != "safe"))
+            made.append(
+                View(
+                    f"proof-{number}",
+                    f"{number:016x}",
+                    plan.name,
+                    cls.name,
+                    1.0,
+                    cls.deadline,
+                    time.time(),
+                    cls.effect != "safe",
+                )
+            )
     return made[:MOST_PROOFS]
 
 
@@ -168,12 +195,17 @@
     if not modules:
         return {}
     if importlib.util.find_spec("wasmtime") is None:  # told plainly, not as a module that ended its process
-        return dict.fromkeys(modules,
-                             "needs wasmtime, which is not installed: pip install 'apigateway[plugins]'")
+        return dict.fromkeys(
+            modules, "needs wasmtime, which is not installed: pip install 'apigateway[plugins]'"
+        )
     from apigateway.plugins.apart import Trial, tried
 
-    told = tried([Trial(one.part.name, one.raw, one.part.settings, one.budget, one.seed, place.settings)
-                  for one in modules.values()])
+    told = tried(
+        [
+            Trial(one.part.name, one.raw, one.part.settings, one.budget, one.seed, place.settings)
+            for one in modules.values()
+        ]
+    )
     return {number: why for number, why in zip(modules, told, strict=True) if why}
 
 
@@ -184,8 +216,12 @@
         prove(plugin, place.settings)
     except PluginFailed as err:
         plugin.close()
-        raise Bad("file" if one.part.file else "rules", one.part.file or None, f"failed its proof ({err})",
-                  "mend it, or widen its budget") from err
+        raise Bad(
+            "file" if one.part.file else "rules",
+            one.part.file or None,
+            f"failed its proof ({err})",
+            "mend it, or widen its budget",
+        ) from err
     return Seat(one.part.name, plugin, one.budget, one.digest, time.monotonic())
 
 
@@ -219,14 +255,25 @@
             fault(number, Bad("name", part.name, "is another plug-in's too", "give each its own"))
         elif number >= MOST_PLUGINS:
             fault(number, Bad("name", part.name, f"more than {MOST_PLUGINS} plug-ins", "use fewer"))
-        elif (found := attempted(number, lambda part=part: source(  # type: ignore[misc]
-                part, folder, hooks.max_file_mb * MB, place.seed))) is not None:
+        elif (
+            found := attempted(
+                number,
+                lambda part=part: source(  # type: ignore[misc]
+                    part, folder, hooks.max_file_mb * MB, place.seed
+                ),
+            )
+        ) is not None:
             read[number] = found
         names.add(part.name)
-    kept = {number: before[one.part.name] for number, one in read.items()
-            if one.part.name in before and before[one.part.name].digest == one.digest}
+    kept = {
+        number: before[one.part.name]
+        for number, one in read.items()
+        if one.part.name in before and before[one.part.name].digest == one.digest
+    }
     for number, why in apart({n: one for n, one in read.items() if n not in kept}, place).items():
-        fault(number, Bad("file", read.pop(number).part.file, why, "`api-gateway plugin check` says the same"))
+        fault(
+            number, Bad("file", read.pop(number).part.file, why, "`api-gateway plugin check` says the same")
+        )
     for number, one in read.items():
         seat = kept.get(number) or attempted(number, lambda one=one: seated(one, place))  # type: ignore[misc]
         seats += [seat] if seat is not None else []
--- a/apigateway/plugins/memory.py
+++ b/apigateway/plugins/memory.py
@@ -41,8 +41,9 @@
 
     def add(self, name: str, amount: float) -> bool:
         known = name in self.values
-        room = known or (len(self.values) < MOST_COUNTERS and 0 < len(name) <= MOST_NAME
-                         and name.isprintable())
+        room = known or (
+            len(self.values) < MOST_COUNTERS and 0 < len(name) <= MOST_NAME and name.isprintable()
+        )
         if not room or not math.isfinite(amount):
             self.dropped += 1
             return False
--- a/apigateway/plugins/proposals.py
+++ b/apigateway/plugins/proposals.py
@@ -18,12 +18,43 @@
 MOST_PROPOSALS = 64  # of one call; the rest is dropped unread
 MOST_VALUE = 128  # characters of a tag's value
 KEY = re.compile(r"[a-z][a-z0-9_.-]{0,31}")
-FIXED = frozenset(("class", "customer", "plan", "deadline", "left", "host", "units", "id", "effect", "send",
-                   "retry",
-                   "cancel", "hold", "serve", "drain", "write", "repeat"))
+FIXED = frozenset(
+    (
+        "class",
+        "customer",
+        "plan",
+        "deadline",
+        "left",
+        "host",
+        "units",
+        "id",
+        "effect",
+        "send",
+        "retry",
+        "cancel",
+        "hold",
+        "serve",
+        "drain",
+        "write",
+        "repeat",
+    )
+)
 # Why a proposal is not allowed, as operators read it.
-REASONS = ("over", "wrong phase", "fixed", "unknown", "bad key", "bad value", "set already", "too many tags",
-           "too many bytes", "unknown route", "routed already", "wait cut", "too many")
+REASONS = (
+    "over",
+    "wrong phase",
+    "fixed",
+    "unknown",
+    "bad key",
+    "bad value",
+    "set already",
+    "too many tags",
+    "too many bytes",
+    "unknown route",
+    "routed already",
+    "wait cut",
+    "too many",
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/apigateway/plugins/records.py
+++ b/apigateway/plugins/records.py
@@ -20,21 +20,41 @@
 
 
 def record(view: View, standing: Standing, hosts: list[str]) -> dict[str, Any]:
-    return {"at": round(view.now, 6), "id": view.id, "customer": view.customer, "plan": view.plan,
-            "class": view.cls, "units": view.units, "left": round(view.left, 3), "write": view.write,
-            "repeat": view.repeat, "tags": standing.tags, "route": standing.route,
-            "attempts": [{"host": host, "tags": tags} for host, tags in zip(hosts, standing.attempts,
-                                                                            strict=False)],
-            "outcome": view.outcome, "by": standing.by, "elapsed": round(view.elapsed, 6)}
+    return {
+        "at": round(view.now, 6),
+        "id": view.id,
+        "customer": view.customer,
+        "plan": view.plan,
+        "class": view.cls,
+        "units": view.units,
+        "left": round(view.left, 3),
+        "write": view.write,
+        "repeat": view.repeat,
+        "tags": standing.tags,
+        "route": standing.route,
+        "attempts": [
+            {"host": host, "tags": tags} for host, tags in zip(hosts, standing.attempts, strict=False)
+        ],
+        "outcome": view.outcome,
+        "by": standing.by,
+        "elapsed": round(view.elapsed, 6),
+    }
 
 
 def view_of(told: dict[str, Any]) -> View:
     """A recorded request as it was when it was taken. Raises ValueError where it is none."""
     try:
-        return View(id=str(told["id"]), customer=str(told["customer"]), plan=str(told["plan"]),
-                    cls=str(told["class"]), units=float(told["units"]), left=float(told["left"]),
-                    now=float(told["at"]) - float(told.get("elapsed", 0.0)), write=bool(told.get("write")),
-                    repeat=bool(told.get("repeat")))
+        return View(
+            id=str(told["id"]),
+            customer=str(told["customer"]),
+            plan=str(told["plan"]),
+            cls=str(told["class"]),
+            units=float(told["units"]),
+            left=float(told["left"]),
+            now=float(told["at"]) - float(told.get("elapsed", 0.0)),
+            write=bool(told.get("write")),
+            repeat=bool(told.get("repeat")),
+        )
     except (KeyError, TypeError) as err:
         raise ValueError(f"a record without {err}") from err
 
@@ -104,8 +124,14 @@
         self.written += 1
 
     def figures(self) -> dict[str, Any]:
-        return {"file": self.path, "only": self.only, "written": self.written, "dropped": self.dropped,
-                "failed": self.failed, "waiting": self.taken - self.written - self.failed}
+        return {
+            "file": self.path,
+            "only": self.only,
+            "written": self.written,
+            "dropped": self.dropped,
+            "failed": self.failed,
+            "waiting": self.taken - self.written - self.failed,
+        }
 
     def finish(self) -> None:
         """Takes no more and writes what it has, without being waited for."""
