--- a/apigateway/plugins/rules.py
+++ b/apigateway/plugins/rules.py
@@ -27,19 +27,35 @@
 
 NOW = {"now": field("now", NUMBER)}
 OF_REQUEST = NOW | {
-    "id": field("id", TEXT), "customer": field("customer", TEXT), "plan": field("plan", TEXT),
-    "class": field("cls", TEXT), "units": field("units", NUMBER), "left": field("left", NUMBER),
-    "write": field("write", TRUTH), "repeat": field("repeat", TRUTH), "tags": field("tags", TAGS),
-    "route": field("route", TEXT)}
+    "id": field("id", TEXT),
+    "customer": field("customer", TEXT),
+    "plan": field("plan", TEXT),
+    "class": field("cls", TEXT),
+    "units": field("units", NUMBER),
+    "left": field("left", NUMBER),
+    "write": field("write", TRUTH),
+    "repeat": field("repeat", TRUTH),
+    "tags": field("tags", TAGS),
+    "route": field("route", TEXT),
+}
 FIELDS: dict[str, dict[str, tuple[str, Run]]] = {
     REQUEST: OF_REQUEST,
     ATTEMPT: OF_REQUEST | {"host": field("host", TEXT), "attempt": field("attempt", NUMBER)},
-    ANSWER: OF_REQUEST | {"attempts": field("attempt", NUMBER), "outcome": field("outcome", TEXT),
-                          "elapsed": field("elapsed", NUMBER)},
-    TICK: NOW}
+    ANSWER: OF_REQUEST
+    | {
+        "attempts": field("attempt", NUMBER),
+        "outcome": field("outcome", TEXT),
+        "elapsed": field("elapsed", NUMBER),
+    },
+    TICK: NOW,
+}
 # What a rule may say in which phase: all else is refused when it is loaded.
-MAY = {REQUEST: ("tag", "refuse", "route", "count", "log"), ATTEMPT: ("tag", "count", "log"),
-       ANSWER: ("count", "log"), TICK: ("count", "log")}
+MAY = {
+    REQUEST: ("tag", "refuse", "route", "count", "log"),
+    ATTEMPT: ("tag", "count", "log"),
+    ANSWER: ("count", "log"),
+    TICK: ("count", "log"),
+}
 
 
 class RuleFault(Exception):
@@ -58,9 +74,11 @@
         self.phase, self.stop = part.on, part.stop
         for verb in ("tag", "refuse", "route", "count", "log"):
             if getattr(part, verb) and verb not in MAY[self.phase]:
-                raise RuleFault(f"{at}.{verb}", getattr(part, verb),
-                                f"not in the phase {self.phase}: a rule may "
-                                                                     f"{', '.join(MAY[self.phase])} there")
+                raise RuleFault(
+                    f"{at}.{verb}",
+                    getattr(part, verb),
+                    f"not in the phase {self.phase}: a rule may {', '.join(MAY[self.phase])} there",
+                )
         self.when = self.compiled("when", part.when, TRUTH).run
         self.always = part.when.strip() == "true"
         self.tags = [(key, *self.value(f"tag.{key}", told)) for key, told in part.tag.items()]
@@ -69,8 +87,9 @@
                 raise RuleFault(f"{at}.tag", key, "a tag's name is small letters, digits and _.-, 32 at most")
         self.refuse = self.compiled("refuse", part.refuse, NUMBER).run if part.refuse else None
         self.route = self.compiled("route", part.route, TEXT).run if part.route else None
-        self.counts = [(key, self.compiled(f"count.{key}", told, NUMBER).run) for key,
-                       told in part.count.items()]
+        self.counts = [
+            (key, self.compiled(f"count.{key}", told, NUMBER).run) for key, told in part.count.items()
+        ]
         self.line = self.compiled("log", part.log, TEXT).run if part.log else None
 
     def compiled(self, key: str, told: str, *types: str) -> Compiled:
@@ -107,8 +126,9 @@
 
     kind = "rules"
 
-    def __init__(self, name: str, parts: Sequence[RulePart], settings: Mapping[str, Any], budget: Budget,
-                 seed: int = 0) -> None:
+    def __init__(
+        self, name: str, parts: Sequence[RulePart], settings: Mapping[str, Any], budget: Budget, seed: int = 0
+    ) -> None:
         self.name, self.budget = name, budget
         if not parts:
             raise RuleFault("rules", None, "no rule")
--- a/apigateway/plugins/testkit.py
+++ b/apigateway/plugins/testkit.py
@@ -52,23 +52,44 @@
     """A body that always proposes `text`."""
     escaped = "".join(f"\\{byte:02x}" for byte in text.encode())
     size = len(text.encode())
-    return (f'(data (i32.const 40960) "{escaped}")\n'
-            f'(func (export "on_{phase}") (param i32) (result i64) (i64.const {(40960 << 32) | size}))\n')
-
-
-def settings(classes: Mapping[str, str] | None = None, plans: Sequence[str] = PLANS,
-             routes: Mapping[str, Sequence[str]] | None = None, max_wait: float = 2.0) -> messages.Settings:
+    return (
+        f'(data (i32.const 40960) "{escaped}")\n'
+        f'(func (export "on_{phase}") (param i32) (result i64) (i64.const {(40960 << 32) | size}))\n'
+    )
+
+
+def settings(
+    classes: Mapping[str, str] | None = None,
+    plans: Sequence[str] = PLANS,
+    routes: Mapping[str, Sequence[str]] | None = None,
+    max_wait: float = 2.0,
+) -> messages.Settings:
     """A gateway's: classes with their effects, plans, routes with their kinds of hosts."""
     return messages.Settings(
-        0, 1, "a",
-        {name: messages.ServiceClass(name, 1.0, 3.0, effect, "all", 6.0 * (effect == "keyed"), 1.0, 0.0, False,
-                                0.0)
-         for name, effect in (classes or CLASSES).items()},
+        0,
+        1,
+        "a",
+        {
+            name: messages.ServiceClass(
+                name, 1.0, 3.0, effect, "all", 6.0 * (effect == "keyed"), 1.0, 0.0, False, 0.0
+            )
+            for name, effect in (classes or CLASSES).items()
+        },
         {name: messages.Plan(name, 10.0, 100.0, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0) for name in plans},
-        messages.Limits(True, False, False, False, True, 3, max_wait), messages.Rules(0.0, 2.0, 0.15, 17.0, 2.0, 2.0,
-                                                                            0.0),
-        {}, False, 0.0, 0.08, 0.0, False, 1.0, "push", (), "none",
-        {name: messages.Route(name, tuple(kinds), True) for name, kinds in (routes or {}).items()})
+        messages.Limits(True, False, False, False, True, 3, max_wait),
+        messages.Rules(0.0, 2.0, 0.15, 17.0, 2.0, 2.0, 0.0),
+        {},
+        False,
+        0.0,
+        0.08,
+        0.0,
+        False,
+        1.0,
+        "push",
+        (),
+        "none",
+        {name: messages.Route(name, tuple(kinds), True) for name, kinds in (routes or {}).items()},
+    )
 
 
 class PluginFile(Part, frozen=True, kw_only=True):
@@ -133,8 +154,15 @@
         """`fields` are those of terms.View."""
         self.requests += 1
         standing = Standing()
-        given = {"id": f"request-{self.requests}", "customer": f"{self.requests:016x}", "plan": PLANS[0],
-                 "cls": "roster-read", "units": 1.0, "left": 3.0, "now": now if now is not None else self.now}
+        given = {
+            "id": f"request-{self.requests}",
+            "customer": f"{self.requests:016x}",
+            "plan": PLANS[0],
+            "cls": "roster-read",
+            "units": 1.0,
+            "left": 3.0,
+            "now": now if now is not None else self.now,
+        }
         view = View(**{**given, **fields}, tags=standing.tags)
         told = Told(view, standing)
         told.refuse = self.ask(REQUEST, told)
--- a/apigateway/plugins/version.py
+++ b/apigateway/plugins/version.py
@@ -80,12 +80,22 @@
     def told(self, now: float) -> dict[str, Any]:
         """For operators."""
         state = self.guard.state
-        return {"name": self.name, "kind": self.plugin.kind, "digest": self.digest[:12],
-                "phases": [phase for phase in PHASES if phase in self.plugin.phases], "state": state,
-                "back in": round(self.guard.wait(now), 3) if state == "out" else 0.0,
-                "calls": dict(self.calls), "cpu": self.used, "failed": dict(self.failed),
-                "not asked": dict(self.passed), "allowed": dict(self.allowed), "denied": dict(self.denied),
-                "counters": dict(self.plugin.counters()), **self.plugin.figures()}
+        return {
+            "name": self.name,
+            "kind": self.plugin.kind,
+            "digest": self.digest[:12],
+            "phases": [phase for phase in PHASES if phase in self.plugin.phases],
+            "state": state,
+            "back in": round(self.guard.wait(now), 3) if state == "out" else 0.0,
+            "calls": dict(self.calls),
+            "cpu": self.used,
+            "failed": dict(self.failed),
+            "not asked": dict(self.passed),
+            "allowed": dict(self.allowed),
+            "denied": dict(self.denied),
+            "counters": dict(self.plugin.counters()),
+            **self.plugin.figures(),
+        }
 
 
 class Version:
--- a/apigateway/plugins/wasm.py
+++ b/apigateway/plugins/wasm.py
@@ -31,9 +31,13 @@
 log = logging.getLogger("apigateway.plugin")
 
 I32, I64, F64 = ValType.i32(), ValType.i64(), ValType.f64()
-REASONS = {wasmtime.TrapCode.OUT_OF_FUEL: "fuel", wasmtime.TrapCode.INTERRUPT: "time",
-           wasmtime.TrapCode.STACK_OVERFLOW: "stack", wasmtime.TrapCode.MEMORY_OUT_OF_BOUNDS: "memory",
-           wasmtime.TrapCode.ALLOCATION_TOO_LARGE: "memory"}
+REASONS = {
+    wasmtime.TrapCode.OUT_OF_FUEL: "fuel",
+    wasmtime.TrapCode.INTERRUPT: "time",
+    wasmtime.TrapCode.STACK_OVERFLOW: "stack",
+    wasmtime.TrapCode.MEMORY_OUT_OF_BOUNDS: "memory",
+    wasmtime.TrapCode.ALLOCATION_TOO_LARGE: "memory",
+}
 
 
 class BadModule(Exception):
@@ -123,15 +127,29 @@
 
 # The host's functions: what they take and give.
 FUNCTIONS: dict[str, tuple[list[ValType], list[ValType]]] = {
-    "setting": ([I32, I32, I32, I32], [I32]), "setting_number": ([I32, I32], [F64]),
-    "get": ([I32, I32, I32, I32], [I32]), "put": ([I32, I32, I32, I32], [I32]),
-    "log": ([I32, I32], []), "count": ([I32, I32, F64], []), "random": ([], [F64])}
+    "setting": ([I32, I32, I32, I32], [I32]),
+    "setting_number": ([I32, I32], [F64]),
+    "get": ([I32, I32, I32, I32], [I32]),
+    "put": ([I32, I32, I32, I32], [I32]),
+    "log": ([I32, I32], []),
+    "count": ([I32, I32, F64], []),
+    "random": ([], [F64]),
+}
 # Which of them may be called when. A module's start may call none: it has no budget yet.
 READS = frozenset(("setting", "setting_number", "get"))
-MAY = {"start": frozenset[str](), "save": READS, "load": READS | {"put"}, "self_test": frozenset(FUNCTIONS),
-       **{phase: frozenset(FUNCTIONS) for phase in PHASES}}
-EXPORTS = {**{name: ([I32], [I64]) for name in abi.EXPORT.values()},
-           "self_test": ([], [I32]), "on_save": ([], [I64]), "on_load": ([I32], [I32])}
+MAY = {
+    "start": frozenset[str](),
+    "save": READS,
+    "load": READS | {"put"},
+    "self_test": frozenset(FUNCTIONS),
+    **{phase: frozenset(FUNCTIONS) for phase in PHASES},
+}
+EXPORTS = {
+    **{name: ([I32], [I64]) for name in abi.EXPORT.values()},
+    "self_test": ([], [I32]),
+    "on_save": ([], [I64]),
+    "on_load": ([I32], [I32]),
+}
 
 
 def shape(type: FuncType) -> tuple[list[str], list[str]]:
@@ -172,8 +190,9 @@
 
     kind = "wasm"
 
-    def __init__(self, name: str, raw: bytes, settings: Mapping[str, Any], budget: Budget,
-                 seed: int = 0) -> None:
+    def __init__(
+        self, name: str, raw: bytes, settings: Mapping[str, Any], budget: Budget, seed: int = 0
+    ) -> None:
         self.name, self.settings, self.budget, self.seed = name, settings, budget, seed
         self.machine = machine()
         try:
@@ -204,8 +223,9 @@
         self.drop()
         self.starts += 1
         store = wasmtime.Store(self.machine.engine)
-        store.set_limits(memory_size=self.budget.memory, table_elements=10_000, instances=1, tables=4,
-                         memories=1)
+        store.set_limits(
+            memory_size=self.budget.memory, table_elements=10_000, instances=1, tables=4, memories=1
+        )
         linker = wasmtime.Linker(self.machine.engine)
         for name, (takes, gives) in FUNCTIONS.items():
             linker.define_func(abi.MODULE, name, FuncType(takes, gives), self.guarded(name))
@@ -223,15 +243,17 @@
         self.memory = self.exports["memory"]
         version, self.base, self.room = (
             int(self.exports[name].value(store)) & 0xFFFF_FFFF
-            for name in ("calicomast_abi", "calicomast_input", "calicomast_input_size"))
+            for name in ("calicomast_abi", "calicomast_input", "calicomast_input_size")
+        )
         size = self.memory.data_len(store)
         if version != abi.VERSION:
             self.drop()
             raise BadModule(f"is of ABI version {version}, this gateway has {abi.VERSION}")
         if self.room < abi.LEAST_INPUT or self.base + self.room > size:
             self.drop()
-            raise BadModule(f"keeps {self.room} bytes at {self.base} of {size} for input; "
-                            f"{abi.LEAST_INPUT} at least")
+            raise BadModule(
+                f"keeps {self.room} bytes at {self.base} of {size} for input; {abi.LEAST_INPUT} at least"
+            )
         self.functions = {name: self.exports[name] for name in EXPORTS if name in self.names}
 
     def arm(self, store: wasmtime.Store) -> None:
@@ -255,8 +277,9 @@
         if self.offence:
             return PluginFailed("trap", self.offence)
         if isinstance(err, wasmtime.Trap):
-            return PluginFailed(REASONS.get(err.trap_code, "trap") if err.trap_code is not None else "trap",
-                                first_line(err))
+            return PluginFailed(
+                REASONS.get(err.trap_code, "trap") if err.trap_code is not None else "trap", first_line(err)
+            )
         return PluginFailed("trap", first_line(err))
 
     def enter(self, phase: str, function: str, *values: int) -> int:
@@ -332,8 +355,13 @@
 
     def figures(self) -> dict[str, Any]:
         size = self.memory.data_len(self.store) if self.store is not None else 0
-        return {"memory": size, "key bytes": self.keys.held, "made anew": self.starts,
-                "log lines dropped": self.ration.dropped, "counts dropped": self.tallies.dropped}
+        return {
+            "memory": size,
+            "key bytes": self.keys.held,
+            "made anew": self.starts,
+            "log lines dropped": self.ration.dropped,
+            "counts dropped": self.tallies.dropped,
+        }
 
     # What the module may call
 
@@ -404,13 +432,14 @@
         return self.given(self.keys.get(self.taken(address, length)), out, most)
 
     def host_put(self, address: int, length: int, value: int, size: int) -> int:
-        return 0 if self.keys.put(self.taken(address, length), self.taken(value, size,
-                                                                          self.budget.keys)) else -1
+        return (
+            0 if self.keys.put(self.taken(address, length), self.taken(value, size, self.budget.keys)) else -1
+        )
 
     def host_log(self, address: int, length: int) -> None:
         line = self.taken(address, length)
         if self.ration.may(self.now):
-            log.info("%s: %s", self.name, cleaned(line[:4 * MOST_LINE].decode("utf-8", "replace")))
+            log.info("%s: %s", self.name, cleaned(line[: 4 * MOST_LINE].decode("utf-8", "replace")))
 
     def host_count(self, address: int, length: int, amount: float) -> None:
         self.tallies.add(self.taken(address, length, MOST_NAME).decode("utf-8", "replace"), amount)
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -84,7 +84,8 @@
 
 
 class Account:
-    def __init__(self, req: messages.Request, plan: messages.Plan, born: float, now: float, rng: random.Random) -> None:
+    def __init__(self, req: messages.Request, plan: messages.Plan, born: float, now: float,
+                 rng: random.Random) -> None:
         self.name, self.plan, self.spread, self.open_here = req.customer, plan, req.spread, 0
         self.thin = 0 < plan.burst < self.spread  # an even part of the burst is less than a unit
         self.length = plan.burst / plan.rate if plan.rate else 1.0
@@ -664,7 +665,8 @@
         if acct is None:
             if 0 < self.set.most_accounts <= len(self.accounts) and not self.forget_one(now):
                 wait = self.told_wait(1.0)
-                self.out.append(messages.Denied(req.id, False, wait, 0.0, 0.0) if isinstance(req, messages.Check)
+                is_check = isinstance(req, messages.Check)
+                self.out.append(messages.Denied(req.id, False, wait, 0.0, 0.0) if is_check
                                 else messages.Refuse(req.id, wait))
                 return
             acct = Account(req, plan, self.born, min(now, self.retired_at), self.rng)
--- a/apigateway/policy/overload_gate.py
+++ b/apigateway/policy/overload_gate.py
@@ -3,7 +3,7 @@
 A part of the decisions (policy.py), without clock or I/O. It stands in front, because a refusal by the
 decision module costs what several early ones do, and in overload refusals are most of the work. Sheds as the
 module does: what is worth least goes first; and whom the module told to come later is not asked about again
-before. """
+before."""
 
 from __future__ import annotations
 
--- a/apigateway/routing/sites.py
+++ b/apigateway/routing/sites.py
@@ -73,6 +73,13 @@
     def told(self, now: float) -> dict[str, dict[str, Any]]:
         """Of each site with a failure since its last answer: how many of its hosts failed, for how many
         seconds that has been so, and what part it gets. For operators."""
-        return {zone: {"silent": len(site.failed), "hosts": site.hosts, "for": round(now - site.since, 3),
-                       "part": round(self.part(zone, now), 3)}
-                for zone, site in self.known.items() if site.failed}
+        return {
+            zone: {
+                "silent": len(site.failed),
+                "hosts": site.hosts,
+                "for": round(now - site.since, 3),
+                "part": round(self.part(zone, now), 3),
+            }
+            for zone, site in self.known.items()
+            if site.failed
+        }
--- a/apigateway/simulation/demand.py
+++ b/apigateway/simulation/demand.py
@@ -97,9 +97,12 @@
         ranks = list(range(customer.spread))
         self.ways.shuffle(ranks)
         gateways, skew = self.scenario.gateways, self.scenario.customers.skew
-        customer.weights = list(itertools.accumulate(
-            self.pull[(customer.first + n) % gateways] / (1 + ranks[n]) ** skew
-            for n in range(customer.spread)))
+        customer.weights = list(
+            itertools.accumulate(
+                self.pull[(customer.first + n) % gateways] / (1 + ranks[n]) ** skew
+                for n in range(customer.spread)
+            )
+        )
 
     def next(self, now: float, times: float) -> tuple[float, Ask]:
         """Seconds until the next first try, and what is asked then."""
--- a/apigateway/simulation/faults.py
+++ b/apigateway/simulation/faults.py
@@ -15,8 +15,25 @@
 
 T = TypeVar("T")
 MODES = {"hang": "hang", "err": "err", "full": "full"}
-KINDS = ("kill", "replace", "hang", "err", "full", "refuse", "refuse_some", "lie", "slow", "dark", "cut",
-         "link", "counter", "shift", "surge", "list", "stale")
+KINDS = (
+    "kill",
+    "replace",
+    "hang",
+    "err",
+    "full",
+    "refuse",
+    "refuse_some",
+    "lie",
+    "slow",
+    "dark",
+    "cut",
+    "link",
+    "counter",
+    "shift",
+    "surge",
+    "list",
+    "stale",
+)
 
 
 def part_of(world: World, things: list[T], part: float) -> list[T]:
@@ -54,9 +71,18 @@
         dark(world, fault)
     elif kind in ("cut", "link"):
         delay, lose = (0.0, 1.0) if kind == "cut" else (fault.size, fault.lose)
-        add_link(world, links.Fault(fault.there if kind == "link" else fault.zone,
-                                    fault.zone if kind == "link" else "*", delay, lose, kind == "link"),
-                 fault.lasts, fault.zone if kind == "cut" else "")
+        add_link(
+            world,
+            links.Fault(
+                fault.there if kind == "link" else fault.zone,
+                fault.zone if kind == "link" else "*",
+                delay,
+                lose,
+                kind == "link",
+            ),
+            fault.lasts,
+            fault.zone if kind == "cut" else "",
+        )
     elif kind == "counter":
         world.counter.silent = True
         after(fault.lasts, setattr, world.counter, "silent", False)
--- a/apigateway/simulation/figures.py
+++ b/apigateway/simulation/figures.py
@@ -37,8 +37,10 @@
         """From second `begin` on: first tries inside quotas that came in it, those of them that were answered
         within the aim, tries that were refused in it, attempts sent to where nothing can be reached."""
         names = {"inside": "inside", "in_aim": "in aim", "refused": "refused", "in_vain": "in vain"}
-        return [{name: self.seconds[second][key] for name, key in names.items()}
-                for second in range(begin, begin + length)]
+        return [
+            {name: self.seconds[second][key] for name, key in names.items()}
+            for second in range(begin, begin + length)
+        ]
 
     def broken(self, text: str) -> None:
         self.rules.append(text)
@@ -51,17 +53,26 @@
         c, times, firsts = self.counts, sorted(self.times), max(1, self.counts["firsts"])
         inside, tries = max(1, c["inside"]), max(1, c["tries"])
         return {
-            "firsts": c["firsts"], "tries_each": c["tries"] / firsts,
-            "in_aim": c["in aim"] / inside, "served": c["served"] / inside,
-            "refused": c["refused"] / firsts, "failed": c["failed"] / firsts,
+            "firsts": c["firsts"],
+            "tries_each": c["tries"] / firsts,
+            "in_aim": c["in aim"] / inside,
+            "served": c["served"] / inside,
+            "refused": c["refused"] / firsts,
+            "failed": c["failed"] / firsts,
             "refused_tries": c["refused tries"] / tries,
-            "p50_ms": 1000 * part(times, 0.5), "p99_ms": 1000 * part(times, 0.99),
-            "attempts_each": c["attempts"] / tries, "connections_each": c["connections"] / firsts,
+            "p50_ms": 1000 * part(times, 0.5),
+            "p99_ms": 1000 * part(times, 0.99),
+            "attempts_each": c["attempts"] / tries,
+            "connections_each": c["connections"] / firsts,
             "probes_each": c["probes"] / firsts,
             "calls_each": c["counter calls"] / firsts,
             "calls_late": c["counter late"] / max(1, c["counter calls"]),
             "over_quota": c["units beyond"] / max(1, c["units sent"]),
             "quota_cost": self.cost / max(1e-9, self.worth),
             "with_room": c["refused with room"] / max(1, c["refused tries"]),
-            "full": c["outcome full"], "timeouts": c["outcome timeout"],
-            "fell": c["fell"], "broken": len(self.rules), **extra}
+            "full": c["outcome full"],
+            "timeouts": c["outcome timeout"],
+            "fell": c["fell"],
+            "broken": len(self.rules),
+            **extra,
+        }
--- a/apigateway/simulation/judge.py
+++ b/apigateway/simulation/judge.py
@@ -45,8 +45,9 @@
 
 
 class Judge:
-    def __init__(self, clock: Clock, figures: Figures, rules: messages.Rules,
-                 plans: Mapping[str, messages.Plan]) -> None:
+    def __init__(
+        self, clock: Clock, figures: Figures, rules: messages.Rules, plans: Mapping[str, messages.Plan]
+    ) -> None:
         self.clock, self.figures, self.rules, self.plans = clock, figures, rules, plans
         self.quotas: dict[str, Store] = {}
         self.ceilings: dict[str, Store] = {}
@@ -78,7 +79,8 @@
                 self.figures.spend(cls.worth * plan.price * plan.over_cost)
         if plan.ceiling_rate:
             ceiling = self.ceilings.setdefault(
-                customer.name, Store(plan.ceiling_rate, plan.ceiling_burst, now))
+                customer.name, Store(plan.ceiling_rate, plan.ceiling_burst, now)
+            )
             ceiling.fill(now)
             ceiling.level -= 1
             if ceiling.level < -plan.ceiling_slack - MARGIN * plan.ceiling_rate - 1e-6:
--- a/apigateway/simulation/machine.py
+++ b/apigateway/simulation/machine.py
@@ -47,8 +47,18 @@
 class Machine:
     """`cores` may differ from the spec's. What it can do is shared evenly by what it works on."""
 
-    def __init__(self, clock: Clock, spec: Machines, host: messages.Host, cores: float, speed: float, load: Load,
-                 rules: messages.Rules, rng: random.Random, fell: Callable[[str, float], None]) -> None:
+    def __init__(
+        self,
+        clock: Clock,
+        spec: Machines,
+        host: messages.Host,
+        cores: float,
+        speed: float,
+        load: Load,
+        rules: messages.Rules,
+        rng: random.Random,
+        fell: Callable[[str, float], None],
+    ) -> None:
         self.told_fall = fell
         self.clock, self.spec, self.host, self.cores, self.load = clock, spec, host, cores, load
         self.rules, self.rng, self.base = rules, rng, speed
@@ -98,8 +108,11 @@
     def account(self) -> None:
         """Tells the fleet's load what is busy here."""
         up = self.mode != "dead"
-        now = (self.cores * up, min(self.cores, self.active) * up,
-               (max(0.0, self.active - self.cores) + self.held) * up)
+        now = (
+            self.cores * up,
+            min(self.cores, self.active) * up,
+            (max(0.0, self.active - self.cores) + self.held) * up,
+        )
         if now != self.noted:
             was = self.noted
             self.busy_time += was[1] * (self.clock.now - self.busy_at)
@@ -233,9 +246,15 @@
         busy = self.busy_time + self.noted[1] * (now - self.busy_at)
         self.busy_time, self.busy_at = 0.0, now
         noise = 1 + 0.07 * (2 * self.rng.random() - 1)
-        figures = {"queue": 0.0, "util": 0.0, "inflight": 0.0} if self.lies else {
-            "queue": round(self.held * noise), "util": min(1.0, busy / period / self.cores * noise),
-            "inflight": round((self.active + self.held) * noise)}
+        figures = (
+            {"queue": 0.0, "util": 0.0, "inflight": 0.0}
+            if self.lies
+            else {
+                "queue": round(self.held * noise),
+                "util": min(1.0, busy / period / self.cores * noise),
+                "inflight": round((self.active + self.held) * noise),
+            }
+        )
         told = {k: float(v) for k, v in figures.items() if k in self.spec.reports}
         self.clock.after(self.spec.report_delay + self.behind, self.publish, told)
         self.clock.after(period, self.refresh)
--- a/apigateway/simulation/node.py
+++ b/apigateway/simulation/node.py
@@ -27,8 +27,9 @@
 
     __slots__ = ("id", "size", "deadline", "answer", "sends", "live", "over", "attempts")
 
-    def __init__(self, request: messages.Request, size: float, deadline: float,
-                 answer: Callable[[str, float], None]) -> None:
+    def __init__(
+        self, request: messages.Request, size: float, deadline: float, answer: Callable[[str, float], None]
+    ) -> None:
         self.id, self.size, self.deadline, self.answer = request.id, size, deadline, answer
         self.sends, self.over = 0, False
         self.live: dict[int, Attempt] = {}
@@ -53,8 +54,9 @@
 class Node:
     """`make` gives a new decision module: at its start, and at each later one."""
 
-    def __init__(self, world: World, index: int, zone: str, make: Callable[[], Module],
-                 rng: random.Random) -> None:
+    def __init__(
+        self, world: World, index: int, zone: str, make: Callable[[], Module], rng: random.Random
+    ) -> None:
         self.world, self.index, self.make, self.rng = world, index, make, rng
         self.place = Place(f"g{index}", zone)
         self.alive, self.life, self.died = False, 0, world.clock.now
@@ -101,8 +103,20 @@
         trying = Trying(request, size, self.world.clock.now + left, answer)
         self.tries[request.id] = trying
         self.world.clock.after(left + WAY_BACK - 0.01, self.overdue, trying)
-        self.feed(messages.Request(request.id, left, request.customer, request.plan, request.cls, request.units,
-                              request.first, request.spread, request.repeat, request.write))
+        self.feed(
+            messages.Request(
+                request.id,
+                left,
+                request.customer,
+                request.plan,
+                request.cls,
+                request.units,
+                request.first,
+                request.spread,
+                request.repeat,
+                request.write,
+            )
+        )
 
     def overdue(self, trying: Trying) -> None:
         if not trying.over and self.alive:
@@ -230,8 +244,17 @@
         self.forget(trying)
         self.world.figures.add("outcome " + result)
         final = over or result == "ok"
-        self.feed(messages.Outcome(trying.id, attempt.number, attempt.host, result, now - attempt.since, final,
-                              report=report or {}))
+        self.feed(
+            messages.Outcome(
+                trying.id,
+                attempt.number,
+                attempt.host,
+                result,
+                now - attempt.since,
+                final,
+                report=report or {},
+            )
+        )
 
     def give_up(self, attempt: Attempt) -> None:
         """Its connection is closed; a host stops work on it."""
@@ -271,8 +294,9 @@
 
         def there() -> None:
             if machine.mode in ("up", "err", "full"):
-                world.links.send(machine.place, self.place, self.probed, host, "ok", since, life,
-                                 dict(machine.report))
+                world.links.send(
+                    machine.place, self.place, self.probed, host, "ok", since, life, dict(machine.report)
+                )
 
         world.links.send(self.place, machine.place, there)
 
@@ -306,5 +330,12 @@
             world.links.send(world.counter_place, self.place, told, result, total)
 
         world.clock.after(timeout, late)
-        world.links.send(self.place, world.counter_place, world.counter.add, action.name, action.amount,
-                         action.lifetime, answer)
+        world.links.send(
+            self.place,
+            world.counter_place,
+            world.counter.add,
+            action.name,
+            action.amount,
+            action.lifetime,
+            answer,
+        )
--- a/apigateway/simulation/scenario.py
+++ b/apigateway/simulation/scenario.py
@@ -139,9 +139,21 @@
         """What gateway `index` is told."""
         m = self.machines
         return messages.Settings(
-            index=index, gateways=self.gateways, zone=self.zones[index % len(self.zones)],
-            classes={w.cls.name: w.cls for w in self.works}, plans={p.name: p for p in self.customers.plans},
+            index=index,
+            gateways=self.gateways,
+            zone=self.zones[index % len(self.zones)],
+            classes={w.cls.name: w.cls for w in self.works},
+            plans={p.name: p for p in self.customers.plans},
             limits=messages.Limits(True, False, self.probes, False, self.retry_after, self.max_attempts, 2.0),
-            rules=self.rules, prices={"cross_zone": 0.005, "probe": 0.01}, counter=self.counting.on,
-            counter_price=0.01, counter_timeout=self.counting.timeout, meter_period=0.0, settles=False,
-            most_units=1.0, discovery="push", reports=m.reports, weights="nominal" if m.weights else "none")
+            rules=self.rules,
+            prices={"cross_zone": 0.005, "probe": 0.01},
+            counter=self.counting.on,
+            counter_price=0.01,
+            counter_timeout=self.counting.timeout,
+            meter_period=0.0,
+            settles=False,
+            most_units=1.0,
+            discovery="push",
+            reports=m.reports,
+            weights="nominal" if m.weights else "none",
+        )
--- a/apigateway/simulation/world.py
+++ b/apigateway/simulation/world.py
@@ -26,8 +26,9 @@
     """`make(settings, seed, now)` gives a decision module; it is not asked where the scenario names a
     baseline. The same scenario and seed play the same, whatever was played before."""
 
-    def __init__(self, scenario: Scenario, seed: int,
-                 make: Callable[[messages.Settings, int, float], Module]) -> None:
+    def __init__(
+        self, scenario: Scenario, seed: int, make: Callable[[messages.Settings, int, float], Module]
+    ) -> None:
         self.scenario, self.seed, self.make = scenario, seed, make
         self.clock = Clock()
         self.rng = stream(seed, "world")
@@ -71,10 +72,13 @@
         spec, rng = self.scenario.machines, stream(self.seed, "machine", self.born)
         big = rng.random() < spec.big
         cores = spec.cores * (2 if big else 1)
-        host = messages.Host(f"h{self.born}", zone, cell, 2.0 if big and spec.weights else 1.0, "k", "up", started)
-        speed = math.exp(spec.speed_cv * rng.gauss(0, 1) - spec.speed_cv ** 2 / 2)
-        machine = Machine(self.clock, spec, host, cores, speed, self.load, self.scenario.rules, rng,
-                          self.judge.fell)
+        host = messages.Host(
+            f"h{self.born}", zone, cell, 2.0 if big and spec.weights else 1.0, "k", "up", started
+        )
+        speed = math.exp(spec.speed_cv * rng.gauss(0, 1) - spec.speed_cv**2 / 2)
+        machine = Machine(
+            self.clock, spec, host, cores, speed, self.load, self.scenario.rules, rng, self.judge.fell
+        )
         self.machines[host.id] = machine
         self.born += 1
         return machine
@@ -136,8 +140,18 @@
         left = spec.patience * cls.deadline
         name = f"{ask.number}.{ask.tries}"
         self.open[name] = ask
-        request = messages.Request(name, left, customer.name, customer.plan.name, cls.name, 1.0, customer.first,
-                              customer.spread, ask.tries > 1, cls.effect != "safe")
+        request = messages.Request(
+            name,
+            left,
+            customer.name,
+            customer.plan.name,
+            cls.name,
+            1.0,
+            customer.first,
+            customer.spread,
+            ask.tries > 1,
+            cls.effect != "safe",
+        )
 
         def answer(what: str, wait: float) -> None:
             del self.open[name]
@@ -213,15 +227,22 @@
         for name in self.open:
             self.judge.unanswered(name)
         return self.figures.summary(self.shape(wasted)) | {
-            "seconds": self.figures.by_second(math.ceil(s.warm_up), math.floor(s.length))}
+            "seconds": self.figures.by_second(math.ceil(s.warm_up), math.floor(s.length))
+        }
 
     def shape(self, wasted: float) -> dict[str, Any]:
         """How even it was: `most_host` is the busiest warm host's part of the requests against the mean."""
         warm = [m for m in self.machines.values() if m.host.started == 0.0]
         taken = sorted(m.taken for m in warm)
         mean = sum(taken) / max(1, len(taken))
-        spoilt = [second["in aim"] / second["inside"] for second in self.figures.seconds.values()
-                  if second["inside"] >= 20]
-        return {"idle_waiting": wasted, "most_host": taken[-1] / mean if mean else 0.0,
-                "longest": max((m.longest for m in self.machines.values()), default=0),
-                "worst_second": min(spoilt, default=1.0)}
+        spoilt = [
+            second["in aim"] / second["inside"]
+            for second in self.figures.seconds.values()
+            if second["inside"] >= 20
+        ]
+        return {
+            "idle_waiting": wasted,
+            "most_host": taken[-1] / mean if mean else 0.0,
+            "longest": max((m.longest for m in self.machines.values()), default=0),
+            "worst_second": min(spoilt, default=1.0),
+        }
--- a/apigateway/tools/demo.py
+++ b/apigateway/tools/demo.py
@@ -31,14 +31,23 @@
 from apigateway.plugins.testkit import read_plugins
 
 SHAPE = Shape(
-    classes={"roster-read": Class("safe", 1.0, 3.0, 1.0, 0.06, 0.41),
-             "shift-update": Class("keyed", 1.5, 4.0, 5.0, 0.09, 0.40, "cell", 6.0),
-             "staff-notice": Class("unsafe", 1.0, 3.0, 3.0, 0.06, 0.19)},
-    plans={"basic": Plan(1.0, 5.0, 0.88), "standard": Plan(3.0, 12.0, 1.2),
-           "enterprise": Plan(12.0, 24.0, 1.8, 24.0, 48.0)})
+    classes={
+        "roster-read": Class("safe", 1.0, 3.0, 1.0, 0.06, 0.41),
+        "shift-update": Class("keyed", 1.5, 4.0, 5.0, 0.09, 0.40, "cell", 6.0),
+        "staff-notice": Class("unsafe", 1.0, 3.0, 3.0, 0.06, 0.19),
+    },
+    plans={
+        "basic": Plan(1.0, 5.0, 0.88),
+        "standard": Plan(3.0, 12.0, 1.2),
+        "enterprise": Plan(12.0, 24.0, 1.8, 24.0, 48.0),
+    },
+)
 # What customers ask for, in parts of their rate: under, at and over their quotas.
-ASKS = {"basic": [0.4] * 8 + [0.95] * 3 + [2.5], "standard": [0.4] * 6 + [0.95] * 2 + [3.0],
-        "enterprise": [0.4, 0.95, 4.0]}
+ASKS = {
+    "basic": [0.4] * 8 + [0.95] * 3 + [2.5],
+    "standard": [0.4] * 6 + [0.95] * 2 + [3.0],
+    "enterprise": [0.4, 0.95, 4.0],
+}
 KINDS = ("served", "refused", "failed", "lost", "with gateway")
 
 
@@ -46,8 +55,15 @@
     rng, made = random.Random(seed), list[Customer]()
     for plan, parts in ASKS.items():
         for part in parts:
-            made.append(Customer(f"{len(made) + 1:016x}", plan, part * SHAPE.plans[plan].rate,
-                                 rng.randrange(SHAPE.gateways), rng.randint(2, SHAPE.gateways)))
+            made.append(
+                Customer(
+                    f"{len(made) + 1:016x}",
+                    plan,
+                    part * SHAPE.plans[plan].rate,
+                    rng.randrange(SHAPE.gateways),
+                    rng.randint(2, SHAPE.gateways),
+                )
+            )
     return made
 
 
@@ -88,7 +104,8 @@
             (0.30, f"host {leaving.name} drains", drains),
             (0.45, f"gateway {gateway.name} is killed", gateway.kill),
             (0.60, f"gateway {gateway.name} returns with nothing but its settings", gateway.start),
-            (0.65, f"host {leaving.name} comes back, cold", returns)]
+            (0.65, f"host {leaving.name} comes back, cold", returns),
+        ]
         for part, text, act in steps:
             await asyncio.sleep(max(0.0, began + part * self.seconds - loop.time()))
             self.note(loop.time() - began, text)
@@ -168,8 +185,14 @@
         file = Path(path) / "plugin.toml" if Path(path).is_dir() else Path(path)
         read_plugins(str(file))  # told now, not by three gateways that do not start
         beside = str(file.resolve().parent) + os.sep
-        texts.append(re.sub(r'^file = "', lambda found, beside=beside: found.group() + beside,  # type: ignore[misc]
-                            file.read_text(encoding="utf-8"), flags=re.MULTILINE))
+        texts.append(
+            re.sub(
+                r'^file = "',
+                lambda found, beside=beside: found.group() + beside,  # type: ignore[misc]
+                file.read_text(encoding="utf-8"),
+                flags=re.MULTILINE,
+            )
+        )
     return "\n".join(texts)
 
 
@@ -201,8 +224,9 @@
     """What checks were told, and how near to its ceiling anyone came."""
     ledger, latency = demo.fleet.ledger, sorted(demo.checks.latency)
     middle = latency[len(latency) // 2] * 1000 if latency else 0.0
-    table = Table("checks by gRPC", "count",
-                  title=f"the rate limit service; answered in {middle:.1f} ms (median)")
+    table = Table(
+        "checks by gRPC", "count", title=f"the rate limit service; answered in {middle:.1f} ms (median)"
+    )
     for kind, count in sorted(demo.checks.counts.items()):
         table.add_row(kind, str(count))
     by_id: dict[str, list[Attempt]] = defaultdict(list)
@@ -211,17 +235,28 @@
     for customer, (least, slack) in sorted(ledger.stores(by_id).items()):
         plan = next(c.plan for c in demo.asking if c.id == customer)
         told = f"{max(0.0, -least):.1f} units past it, {slack:.1f} are its slack"
-        table.add_row(f"ceiling of {customer[-4:]} ({plan})", f"{least:.1f} left at the least" if least >= 0
-                      else told)
+        table.add_row(
+            f"ceiling of {customer[-4:]} ({plan})", f"{least:.1f} left at the least" if least >= 0 else told
+        )
     return table
 
 
-async def demo(seconds: float, seed: int, keep: bool, source: str, plugins: list[str], console: Console,
-               folder: Path, grpc: bool = False) -> int:
+async def demo(
+    seconds: float,
+    seed: int,
+    keep: bool,
+    source: str,
+    plugins: list[str],
+    console: Console,
+    folder: Path,
+    grpc: bool = False,
+) -> int:
     told = "a Eureka registry" if source == "eureka" else source
-    console.print(f"{SHAPE.gateways} gateways, {SHAPE.hosts} hosts in zones {', '.join(SHAPE.zones)}, a "
-                  f"counter, "
-                  f"{told}; {seconds:.0f} s of traffic")
+    console.print(
+        f"{SHAPE.gateways} gateways, {SHAPE.hosts} hosts in zones {', '.join(SHAPE.zones)}, a "
+        f"counter, "
+        f"{told}; {seconds:.0f} s of traffic"
+    )
     shape = replace(SHAPE, plugins=plugged(plugins)) if plugins else SHAPE
     if grpc:
         shape = replace(shape, grpc="roster-read")
@@ -259,21 +294,33 @@
     port = fleet.gateways[0].port
     addresses = ", ".join(f"127.0.0.1:{gateway.port}" for gateway in fleet.gateways)
     if fleet.shape.grpc:
-        console.print("The rate limit service: "
-                      f"api-gateway ratelimit ask 127.0.0.1:{fleet.gateways[0].checks} --domain roster "
-                      "customer=00000000000000ff plan=basic", soft_wrap=True)
-    console.print(f"The gateways stay up: {addresses}. Try one:\n"
-                  f"  redis-cli -p {port} API.READ 00000000000000ff request-1 "
-                  f"c=roster-read,t=basic,d=3000,units=1,spread=3,first=0\n"
-                  f"Each request needs an id of its own. Settings and state: {fleet.folder}. Ctrl-C ends it.",
-                  soft_wrap=True)
+        console.print(
+            "The rate limit service: "
+            f"api-gateway ratelimit ask 127.0.0.1:{fleet.gateways[0].checks} --domain roster "
+            "customer=00000000000000ff plan=basic",
+            soft_wrap=True,
+        )
+    console.print(
+        f"The gateways stay up: {addresses}. Try one:\n"
+        f"  redis-cli -p {port} API.READ 00000000000000ff request-1 "
+        f"c=roster-read,t=basic,d=3000,units=1,spread=3,first=0\n"
+        f"Each request needs an id of its own. Settings and state: {fleet.folder}. Ctrl-C ends it.",
+        soft_wrap=True,
+    )
     listed = fleet.folder / "hosts.toml"
-    listed.write_text("".join(
-        f'[[hosts]]\nid = "{h.name}"\naddress = "{h.address}:{h.port}"\nzone = "{h.zone}"\ncell = {h.cell}\n'
-        for h in fleet.hosts))
-    console.print(f"For gateways of your own: hosts in {listed}, counter.address "
-                  f"127.0.0.1:{fleet.counter.port}, "
-                  f"a registry at {fleet.registry.url}.", soft_wrap=True)
+    listed.write_text(
+        "".join(
+            f'[[hosts]]\nid = "{h.name}"\naddress = "{h.address}:{h.port}"\nzone = "{h.zone}"\n'
+            f"cell = {h.cell}\n"
+            for h in fleet.hosts
+        )
+    )
+    console.print(
+        f"For gateways of your own: hosts in {listed}, counter.address "
+        f"127.0.0.1:{fleet.counter.port}, "
+        f"a registry at {fleet.registry.url}.",
+        soft_wrap=True,
+    )
     told = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, told.set)
--- a/apigateway/tools/experiment/plan.py
+++ b/apigateway/tools/experiment/plan.py
@@ -1,6 +1,6 @@
 """A file of experiments: cases, what is swept, seeds, to the plays that it asks for.
 
-A table in the file has the fields of a dataclass of apigateway/simulation/scenario.py; what it leaves out keeps
+A table in the file has the fields of a dataclass of simulation/scenario.py; what it leaves out keeps
 the default there.
 """
 
@@ -24,8 +24,17 @@
 from apigateway.simulation.scenario import Scenario
 
 MOST_PLAYS = 10_000
-COLUMNS = ("in_aim", "refused", "p50_ms", "p99_ms", "idle_waiting", "connections_each", "probes_each",
-           "over_quota", "broken")
+COLUMNS = (
+    "in_aim",
+    "refused",
+    "p50_ms",
+    "p99_ms",
+    "idle_waiting",
+    "connections_each",
+    "probes_each",
+    "over_quota",
+    "broken",
+)
 MODULE = "module"  # the decision module; "module:FILE" one that stands in a file of its own
 PARTS = {"name", "seeds", "columns", "base", "sweep", "cases"}
 
@@ -50,8 +59,12 @@
     tree, reader = read_toml(path), Reader(path)
     for key in tree.keys() - PARTS:
         near = difflib.get_close_matches(key, PARTS, 1, 0.6)
-        reader.fault((key,), tree[key], "unknown key",
-                     f"did you mean `{near[0]}`?" if near else f"known here: {', '.join(sorted(PARTS))}")
+        reader.fault(
+            (key,),
+            tree[key],
+            "unknown key",
+            f"did you mean `{near[0]}`?" if near else f"known here: {', '.join(sorted(PARTS))}",
+        )
     sweep, cases = tree.get("sweep", {}), tree.get("cases", [{"name": "base"}])
     numbers = list(range(1, seeds + 1)) if seeds else tree.get("seeds", [1])
     count = len(cases) * len(numbers)
@@ -69,8 +82,9 @@
     plays = []
     for number, case in enumerate(cases):
         name = str(case.get("name", f"case {number + 1}"))
-        for chosen in itertools.product(*([(key, value) for value in values]
-                                          for key, values in sweep.items())):
+        for chosen in itertools.product(
+            *([(key, value) for value in values] for key, values in sweep.items())
+        ):
             own = {key: value for key, value in case.items() if key != "name"}
             merged = merge(tree.get("base", {}), own)
             for key, value in chosen:
@@ -109,8 +123,9 @@
         scenario = msgspec.convert(tree, Scenario)
     except (msgspec.ValidationError, ValueError) as err:
         text, _, at = str(err).partition(" - at ")
-        reader.faults.append(Wrong(reader.file, f"{where}{at.strip('`$')}", "", text[0].lower() + text[1:],
-                                   "mend the value"))
+        reader.faults.append(
+            Wrong(reader.file, f"{where}{at.strip('`$')}", "", text[0].lower() + text[1:], "mend the value")
+        )
         return None
     sound(reader, scenario, where)
     return None if reader.faults else scenario
@@ -144,22 +159,34 @@
 
     policy = told.policy.partition(":")[0] if told.policy.startswith(MODULE) else told.policy
     if policy != MODULE and not baselines.known(policy):
-        bad("policy", told.policy, "is no way to choose",
-            f"{MODULE}, {MODULE}:FILE, {', '.join(baselines.NAMES)}, or one of these :SECONDS behind")
+        bad(
+            "policy",
+            told.policy,
+            "is no way to choose",
+            f"{MODULE}, {MODULE}:FILE, {', '.join(baselines.NAMES)}, or one of these :SECONDS behind",
+        )
     path = told.policy.partition(":")[2] if policy == MODULE else ""
     if path and not os.path.isfile(path):
         bad("policy", told.policy, "there is no such file", "name one that has a class Gateway")
-    for key, value, least in (("gateways", told.gateways, 1), ("machines.count", told.machines.count, 1),
-                              ("length", told.length, 0.1), ("load", told.load, 0.001),
-                              ("machines.cores", told.machines.cores, 0.01),
-                              ("machines.report_period", told.machines.report_period, 0.01),
-                              ("counting.parts", told.counting.parts, 1),
-                              ("counting.capacity", told.counting.capacity, 0.1)):
+    for key, value, least in (
+        ("gateways", told.gateways, 1),
+        ("machines.count", told.machines.count, 1),
+        ("length", told.length, 0.1),
+        ("load", told.load, 0.001),
+        ("machines.cores", told.machines.cores, 0.01),
+        ("machines.report_period", told.machines.report_period, 0.01),
+        ("counting.parts", told.counting.parts, 1),
+        ("counting.capacity", told.counting.capacity, 0.1),
+    ):
         if value < least:
             bad(key, value, f"is less than {least}", "let it be more")
     if len(told.customers.plans) != len(told.customers.shares):
-        bad("customers.shares", told.customers.shares, f"there are {len(told.customers.plans)} plans",
-            "one share for each")
+        bad(
+            "customers.shares",
+            told.customers.shares,
+            f"there are {len(told.customers.plans)} plans",
+            "one share for each",
+        )
     for number, fault in enumerate(told.faults):
         at = f"faults[{number}]"
         if fault.what not in KINDS:
--- a/apigateway/tools/experiment/report.py
+++ b/apigateway/tools/experiment/report.py
@@ -20,14 +20,31 @@
             grouped.setdefault((play.case, play.swept), []).append({**results[number], "seed": play.seed})
     made = []
     for (case, swept), played in grouped.items():
-        names = [name for name, value in played[0].items()
-                 if isinstance(value, int | float) and name not in ("seed", "module")]
-        figures = {name: [statistics.median(p[name] for p in played), min(p[name] for p in played),
-                          max(p[name] for p in played)] for name in names}
+        names = [
+            name
+            for name, value in played[0].items()
+            if isinstance(value, int | float) and name not in ("seed", "module")
+        ]
+        figures = {
+            name: [
+                statistics.median(p[name] for p in played),
+                min(p[name] for p in played),
+                max(p[name] for p in played),
+            ]
+            for name in names
+        }
         rules = [f"seed {p['seed']}: {rule}" for p in played for rule in p["rules"]]
-        made.append({"case": case, "swept": dict(swept), "seeds": [p["seed"] for p in played],
-                     "module": played[0]["module"], "figures": figures,
-                     "seconds": by_second([p["seconds"] for p in played]), "rules": rules})
+        made.append(
+            {
+                "case": case,
+                "swept": dict(swept),
+                "seeds": [p["seed"] for p in played],
+                "module": played[0]["module"],
+                "figures": figures,
+                "seconds": by_second([p["seconds"] for p in played]),
+                "rules": rules,
+            }
+        )
     return made
 
 
@@ -93,9 +110,13 @@
 
 def second_lines(row: Row) -> list[list[str]]:
     """Heading and lines: one for each second from the end of the warm-up on."""
-    return [["second", "in_aim", "refused", "in_vain"],
-            *([str(n), *(f"{value:.3f}" for value in second.values())]
-              for n, second in enumerate(row["seconds"]))]
+    return [
+        ["second", "in_aim", "refused", "in_vain"],
+        *(
+            [str(n), *(f"{value:.3f}" for value in second.values())]
+            for n, second in enumerate(row["seconds"])
+        ),
+    ]
 
 
 def draw_seconds(experiment: Experiment, made: list[Row], path: str) -> None:
@@ -107,8 +128,9 @@
     from matplotlib import pyplot
 
     cases = list(dict.fromkeys(row["case"] for row in made))
-    figure, panels = pyplot.subplots(2, len(cases), figsize=(1.5 + 3.2 * len(cases), 5.0), sharex="col",
-                                     sharey="row", squeeze=False)
+    figure, panels = pyplot.subplots(
+        2, len(cases), figsize=(1.5 + 3.2 * len(cases), 5.0), sharex="col", sharey="row", squeeze=False
+    )
     for above, below, case in zip(*panels, cases, strict=True):
         for row in made:
             if row["case"] == case:
@@ -137,8 +159,9 @@
     columns = [name for name in experiment.columns if any(name in row["figures"] for row in made)]
     names = [label(row) for row in made]
     height = 0.8 + 0.22 * len(names)
-    figure, panels = pyplot.subplots(1, len(columns), figsize=(2.2 + 1.8 * len(columns), height), sharey=True,
-                                     squeeze=False)
+    figure, panels = pyplot.subplots(
+        1, len(columns), figsize=(2.2 + 1.8 * len(columns), height), sharey=True, squeeze=False
+    )
     for panel, name in zip(panels[0], columns, strict=True):
         told = [row["figures"].get(name, [0.0, 0.0, 0.0]) for row in made]
         spans = [[m - low for m, low, _ in told], [high - m for m, _, high in told]]
--- a/apigateway/tools/load/plan.py
+++ b/apigateway/tools/load/plan.py
@@ -31,13 +31,20 @@
         return due
 
     count, told = digest(seen(due) for due in schedule(scenario))
-    return {"name": scenario.run.name, "seconds": seconds, "seed": scenario.run.seed, "requests": count,
-            "sha256": told, "mean": count / seconds if seconds else 0.0,
-            "busiest second": max(busiest.values(), default=0), "employers": len(employers),
-            "busiest employer": max(employers.values(), default=0),
-            "by": {f"{name} {cls}": n for (name, cls), n in sorted(by.items())},
-            "gateways": {str(number): n for number, n in sorted(gateways.items())},
-            "rates": [n / (seconds / WIDTH) if seconds else 0.0 for n in slots]}
+    return {
+        "name": scenario.run.name,
+        "seconds": seconds,
+        "seed": scenario.run.seed,
+        "requests": count,
+        "sha256": told,
+        "mean": count / seconds if seconds else 0.0,
+        "busiest second": max(busiest.values(), default=0),
+        "employers": len(employers),
+        "busiest employer": max(employers.values(), default=0),
+        "by": {f"{name} {cls}": n for (name, cls), n in sorted(by.items())},
+        "gateways": {str(number): n for number, n in sorted(gateways.items())},
+        "rates": [n / (seconds / WIDTH) if seconds else 0.0 for n in slots],
+    }
 
 
 def text(told: dict[str, Any], as_json: bool) -> str:
@@ -45,11 +52,13 @@
         return json.dumps(told, indent=1)
     top = max(told["rates"], default=0.0)
     plot = "".join(BARS[round(rate / top * (len(BARS) - 1))] if top else BARS[0] for rate in told["rates"])
-    lines = [f"{told['name']}: {told['requests']} requests in {told['seconds']:g} s, seed {told['seed']}, "
-             f"sha256 {told['sha256'][:16]}",
-             f"  {told['mean']:.1f} a second in the mean, {told['busiest second']} in the busiest; "
-             f"{told['employers']} employers, the busiest asks {told['busiest employer']}",
-             f"  {plot}  up to {top:.0f} a second"]
+    lines = [
+        f"{told['name']}: {told['requests']} requests in {told['seconds']:g} s, seed {told['seed']}, "
+        f"sha256 {told['sha256'][:16]}",
+        f"  {told['mean']:.1f} a second in the mean, {told['busiest second']} in the busiest; "
+        f"{told['employers']} employers, the busiest asks {told['busiest employer']}",
+        f"  {plot}  up to {top:.0f} a second",
+    ]
     lines += [f"  {name}: {count}" for name, count in told["by"].items()]
     lines.append("  gateways: " + ", ".join(f"{name} {count}" for name, count in told["gateways"].items()))
     return "\n".join(lines)
--- a/apigateway/tools/load/record.py
+++ b/apigateway/tools/load/record.py
@@ -2,7 +2,7 @@
 
 Latency is counted from when a request was due, not from when it was sent: a generator that waits with a
 stalled target would else hide the stall (coordinated omission). How late the generator itself was is kept by
-itself. Times are whole microseconds. """
+itself. Times are whole microseconds."""
 
 from __future__ import annotations
 
@@ -69,14 +69,18 @@
     """ms; none where nothing was counted."""
     if not told.get_total_count():
         return {}
-    return {f"p{part:g}" if part < 100 else "max": told.get_value_at_percentile(part) / 1000
-            for part in PARTS}
+    return {
+        f"p{part:g}" if part < 100 else "max": told.get_value_at_percentile(part) / 1000 for part in PARTS
+    }
 
 
 def beyond(told: Any, us: float) -> int:
     """How many were longer."""
-    return sum(one.count_added_in_this_iter_step for one in told.get_recorded_iterator()
-               if one.value_iterated_to > us)
+    return sum(
+        one.count_added_in_this_iter_step
+        for one in told.get_recorded_iterator()
+        if one.value_iterated_to > us
+    )
 
 
 def void(record: Record, late_ms: float, late_share: float) -> str:
@@ -87,36 +91,51 @@
     if total:
         more = beyond(record.late, late_ms * 1000)
         if more > late_share * total:
-            return (f"the generator itself began {more} of {total} requests more than {late_ms:g} ms late "
-                    f"({record.late.get_value_at_percentile(100) / 1000:.0f} ms at the most)")
+            return (
+                f"the generator itself began {more} of {total} requests more than {late_ms:g} ms late "
+                f"({record.late.get_value_at_percentile(100) / 1000:.0f} ms at the most)"
+            )
     return ""
 
 
 def report(record: Record, name: str, why: str) -> dict[str, Any]:
     counts = record.counts()
-    return {"name": name, "void": why, "played_s": record.end, "due": sum(counts.values()), "counts": counts,
-            "surplus": record.surplus, "late_ms": percentiles(record.late),
-            "latency_ms": {"all": percentiles(record.of()), "served": percentiles(record.of("served")),
-                           "refused": percentiles(record.of("refused"))},
-            "by": [{"class": c, "plan": p, "outcome": o, "count": told.get_total_count(), **percentiles(told)}
-                   for (c, p, o), told in sorted(record.by.items())],
-            "seconds": [{"second": second, **counts} for second, counts in sorted(record.seconds.items())]}
+    return {
+        "name": name,
+        "void": why,
+        "played_s": record.end,
+        "due": sum(counts.values()),
+        "counts": counts,
+        "surplus": record.surplus,
+        "late_ms": percentiles(record.late),
+        "latency_ms": {
+            "all": percentiles(record.of()),
+            "served": percentiles(record.of("served")),
+            "refused": percentiles(record.of("refused")),
+        },
+        "by": [
+            {"class": c, "plan": p, "outcome": o, "count": told.get_total_count(), **percentiles(told)}
+            for (c, p, o), told in sorted(record.by.items())
+        ],
+        "seconds": [{"second": second, **counts} for second, counts in sorted(record.seconds.items())],
+    }
 
 
 def text(told: dict[str, Any]) -> str:
     def row(name: str, part: dict[str, float]) -> str:
         return f"{name:34} " + " ".join(f"{part.get(key, float('nan')):9.1f}" for key in COLUMNS)
 
-    lines = [f"{told['name']}: {told['due']} due in {told['played_s']:.1f} s"
-             + (f"; VOID: {told['void']}" if told["void"] else ""),
-             "  " + ", ".join(f"{name} {count}" for name, count in told["counts"].items() if count),
-             f"{'ms from when it was due':34} " + " ".join(f"{key:>9}" for key in COLUMNS),
-             row("all", told["latency_ms"]["all"])]
-    lines += [row(f"{one['class']} {one['plan']} {one['outcome']} ({one['count']})", one)
-              for one in told["by"]]
+    lines = [
+        f"{told['name']}: {told['due']} due in {told['played_s']:.1f} s"
+        + (f"; VOID: {told['void']}" if told["void"] else ""),
+        "  " + ", ".join(f"{name} {count}" for name, count in told["counts"].items() if count),
+        f"{'ms from when it was due':34} " + " ".join(f"{key:>9}" for key in COLUMNS),
+        row("all", told["latency_ms"]["all"]),
+    ]
+    lines += [
+        row(f"{one['class']} {one['plan']} {one['outcome']} ({one['count']})", one) for one in told["by"]
+    ]
     lines.append(row("the generator's own lateness", told["late_ms"]))
     if told["surplus"]:
         lines.append(f"{told['surplus']} answers that nobody had asked for")
     return "\n".join(lines)
-
-
--- a/apigateway/tools/load/scenario.py
+++ b/apigateway/tools/load/scenario.py
@@ -20,7 +20,7 @@
 class RunPart(Part, frozen=True, kw_only=True):
     name: str = "scenario"
     seconds: Annotated[float, msgspec.Meta(ge=0, le=1e7)] = 60.0
-    seed: Annotated[int, msgspec.Meta(ge=0, le=2 ** 63 - 1)] = 1
+    seed: Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)] = 1
     max_requests: Annotated[int, msgspec.Meta(ge=0, le=1_000_000_000)] = 1_000_000
     late_ms: Annotated[float, msgspec.Meta(gt=0, le=10_000)] = 10.0  # a run is void where the generator began
     late_share: Share = 0.001  # more than this part of its requests later than that
@@ -91,16 +91,28 @@
     for number, stream in enumerate(told.streams):
         for key, name, known in (("class", stream.cls, told.classes), ("plan", stream.plan, told.plans)):
             if name not in known:
-                bad(("streams", number, key), name, f"there is no such {key}",
-                    f"known: {', '.join(known) or 'none'}")
+                bad(
+                    ("streams", number, key),
+                    name,
+                    f"there is no such {key}",
+                    f"known: {', '.join(known) or 'none'}",
+                )
     for number, spell in enumerate(told.spells):
         plan = told.plans.get(spell.plan)
         if plan is None:
-            bad(("spells", number, "plan"), spell.plan, "there is no such plan",
-                f"known: {', '.join(told.plans) or 'none'}")
+            bad(
+                ("spells", number, "plan"),
+                spell.plan,
+                "there is no such plan",
+                f"known: {', '.join(told.plans) or 'none'}",
+            )
         elif spell.employers > plan.employers:
-            bad(("spells", number, "employers"), spell.employers, f"the plan has {plan.employers}",
-                "let it be fewer")
+            bad(
+                ("spells", number, "employers"),
+                spell.employers,
+                f"the plan has {plan.employers}",
+                "let it be fewer",
+            )
     count = len(told.targets.gateways)
     for name, plan in told.plans.items():
         if count and plan.spread > count:
@@ -121,8 +133,12 @@
     except ValueError:
         loopback = False
     if not (loopback or anywhere):
-        reader.contradiction(at, text, "is not on loopback, and load is sent there",
-                             "set targets.off_loopback = true where it is yours to load")
+        reader.contradiction(
+            at,
+            text,
+            "is not on loopback, and load is sent there",
+            "set targets.off_loopback = true where it is yours to load",
+        )
 
 
 def addresses(scenario: Scenario) -> list[Address]:
--- a/apigateway/tools/load/schedule.py
+++ b/apigateway/tools/load/schedule.py
@@ -3,7 +3,7 @@
 
 Times are whole microseconds from the begin. Arrivals of a stream with rate r(t) are drawn as a Poisson
 process by thinning (Lewis and Shedler 1979): candidates at the shape's top rate, each kept with chance
-r(t) / top; or `even`: the n-th is due when the integral of r has reached n. """
+r(t) / top; or `even`: the n-th is due when the integral of r has reached n."""
 
 from __future__ import annotations
 
@@ -39,8 +39,10 @@
     spread: int
 
     def line(self) -> str:
-        return (f"{self.at} {self.id} {self.employer} {self.plan} {self.cls} {self.units:g} {self.gateway} "
-                f"{self.first} {self.spread}\n")
+        return (
+            f"{self.at} {self.id} {self.employer} {self.plan} {self.cls} {self.units:g} {self.gateway} "
+            f"{self.first} {self.spread}\n"
+        )
 
 
 def drawn(seed: int, *parts: object) -> random.Random:
@@ -124,22 +126,35 @@
 def schedule(scenario: Scenario) -> Iterator[Due]:
     """All that is due, in order of time. Raises TooMany where it comes to more than is allowed."""
     run, count = scenario.run, max(1, len(scenario.targets.gateways))
-    plans = {name: Employers(plan, name, number, count, run.seed)
-             for number, (name, plan) in enumerate(scenario.plans.items())}
+    plans = {
+        name: Employers(plan, name, number, count, run.seed)
+        for number, (name, plan) in enumerate(scenario.plans.items())
+    }
     merged = heapq.merge(*(stream(scenario, number, plans) for number in range(len(scenario.streams))))
     prefix = hashlib.blake2b(f"{run.name}\x1f{run.seed}".encode(), digest_size=4).hexdigest()
     for n, (at, number, employer, gateway) in enumerate(merged):
         if n >= run.max_requests:
-            raise TooMany(f"more than run.max_requests = {run.max_requests} would be due: by "
-                          f"{at / US:.1f} s there are")
+            raise TooMany(
+                f"more than run.max_requests = {run.max_requests} would be due: by {at / US:.1f} s there are"
+            )
         part = scenario.streams[number]
         known = plans[part.plan]
-        yield Due(at, f"{prefix}{n:010x}", known.ids[employer], part.plan, part.cls, part.units, gateway,
-                  known.first[employer], known.spread)
-
-
-def stream(scenario: Scenario, number: int,
-           plans: dict[str, Employers]) -> Iterator[tuple[int, int, int, int]]:
+        yield Due(
+            at,
+            f"{prefix}{n:010x}",
+            known.ids[employer],
+            part.plan,
+            part.cls,
+            part.units,
+            gateway,
+            known.first[employer],
+            known.spread,
+        )
+
+
+def stream(
+    scenario: Scenario, number: int, plans: dict[str, Employers]
+) -> Iterator[tuple[int, int, int, int]]:
     """One stream's: time in us, its number, employer, gateway."""
     part, seed, seconds = scenario.streams[number], scenario.run.seed, scenario.run.seconds
     known = plans[part.plan]
@@ -157,8 +172,12 @@
 
     def more(spell: SpellPart, place: int, employer: int) -> Iterator[tuple[int, int, int, int]]:
         rng = drawn(seed, "spell", number, place, employer)
-        shape = Spell(shape=part.shape, factor=(spell.times - 1) * known.share(employer), begin=spell.at_s,
-                      end=spell.at_s + spell.length)
+        shape = Spell(
+            shape=part.shape,
+            factor=(spell.times - 1) * known.share(employer),
+            begin=spell.at_s,
+            end=spell.at_s + spell.length,
+        )
         for time in times(shape, "spell", place, employer):
             yield int(time * US), number, employer, known.gateway(employer, time, rng)
 
--- a/apigateway/tools/load/send.py
+++ b/apigateway/tools/load/send.py
@@ -28,8 +28,10 @@
 
 def message(due: Due, kind: ClassPart) -> bytes:
     """The platform's protocol page, Clients to api gateways."""
-    terms = (f"c={due.cls},t={due.plan},d={int(kind.wait * 1000)},units={due.units:g},spread={due.spread},"
-             f"first={due.first}") + f",k={due.id}" * (kind.effect == "keyed")
+    terms = (
+        f"c={due.cls},t={due.plan},d={int(kind.wait * 1000)},units={due.units:g},spread={due.spread},"
+        f"first={due.first}"
+    ) + f",k={due.id}" * (kind.effect == "keyed")
     write = kind.effect != "safe"
     parts = [b"API.WRITE" if write else b"API.READ", due.employer.encode(), due.id.encode(), terms.encode()]
     parts += [b"BODY"] * write
@@ -143,8 +145,9 @@
 class Sender:
     """One process's part of a run. `dues` in order of time."""
 
-    def __init__(self, dues: Iterator[Due], classes: dict[str, ClassPart],
-                 targets: Sequence[Address]) -> None:
+    def __init__(
+        self, dues: Iterator[Due], classes: dict[str, ClassPart], targets: Sequence[Address]
+    ) -> None:
         self.dues, self.classes, self.record = dues, classes, Record()
         self.targets = [Target(self, address) for address in targets]
         self.told = asyncio.Event()  # to stop
--- a/apigateway/tools/load/shapes.py
+++ b/apigateway/tools/load/shapes.py
@@ -1,7 +1,7 @@
 """How many requests a second are due, over time: shapes of a scenario, their sums and products. Pure.
 
 Rates are requests a second, times seconds from the begin. Each shape knows a rate that it never passes, by
-which arrivals are drawn. """
+which arrivals are drawn."""
 
 from __future__ import annotations
 
--- a/apigateway/tools/plugin.py
+++ b/apigateway/tools/plugin.py
@@ -125,8 +125,10 @@
 def replay(path: str, records: str, gateway: str | None = None, each: bool = False) -> Report:
     """Each recorded request through the plug-ins as if it came now; attempts and answer as they were."""
     told = recorded(records)
-    place = settings({view.cls: "unsafe" if view.write else "safe" for _, _, view in told} or None,
-                     sorted({view.plan for _, _, view in told}) or ("basic",))
+    place = settings(
+        {view.cls: "unsafe" if view.write else "safe" for _, _, view in told} or None,
+        sorted({view.plan for _, _, view in told}) or ("basic",),
+    )
     if gateway is not None:
         from apigateway.daemon.settings import read_settings, to_module
 
@@ -149,15 +151,26 @@
             changed += result.tags != record.get("tags", {})
             if each:
                 report.lines.append(f"{number} {view.id}: {spoken(result)}")
-        report.figures = {"requests": len(told), "tags": dict(tags), "refused": dict(refused),
-                          "routes": dict(routes), "denied": dict(denied), "failed": dict(failed),
-                          "other tags than recorded": changed,
-                          "counters": {seat.name: dict(seat.plugin.counters()) for seat in kit.seats}}
+        report.figures = {
+            "requests": len(told),
+            "tags": dict(tags),
+            "refused": dict(refused),
+            "routes": dict(routes),
+            "denied": dict(denied),
+            "failed": dict(failed),
+            "other tags than recorded": changed,
+            "counters": {seat.name: dict(seat.plugin.counters()) for seat in kit.seats},
+        }
     finally:
         kit.close()
     report.lines.append(f"{len(told)} requests, {changed} with other tags than recorded")
-    for word, counts in (("tags", tags), ("refused", refused), ("routes", routes), ("denied", denied),
-                         ("failed", failed)):
+    for word, counts in (
+        ("tags", tags),
+        ("refused", refused),
+        ("routes", routes),
+        ("denied", denied),
+        ("failed", failed),
+    ):
         if counts:
             report.lines.append(f"{word}: " + ", ".join(f"{k} {v}" for k, v in counts.most_common()))
     report.good = not failed
@@ -165,8 +178,17 @@
 
 
 def play(kit: Kit, record: dict[str, Any], view: View) -> Told:
-    result = kit.request(id=view.id, customer=view.customer, plan=view.plan, cls=view.cls, units=view.units,
-                         left=view.left, write=view.write, repeat=view.repeat, now=view.now)
+    result = kit.request(
+        id=view.id,
+        customer=view.customer,
+        plan=view.plan,
+        cls=view.cls,
+        units=view.units,
+        left=view.left,
+        write=view.write,
+        repeat=view.repeat,
+        now=view.now,
+    )
     if result.refuse is not None:
         kit.answer(result, "refused", 0.0)
         return result
@@ -193,9 +215,11 @@
             for phase in PHASES:
                 if phase in seat.plugin.phases:
                     report.figures[f"{seat.name} {phase}"] = figures = cost(seat, phase, max(1, calls))
-                    report.lines.append(f"{seat.name}, {phase}: median {figures['median']:.1f} us, 99th "
-                                        f"percentile {figures['p99']:.1f} us"
-                                        + (f", fuel {figures['fuel']:.0f}" if "fuel" in figures else ""))
+                    report.lines.append(
+                        f"{seat.name}, {phase}: median {figures['median']:.1f} us, 99th "
+                        f"percentile {figures['p99']:.1f} us"
+                        + (f", fuel {figures['fuel']:.0f}" if "fuel" in figures else "")
+                    )
     finally:
         kit.close()
     return report
@@ -220,5 +244,3 @@
     if used is not None:
         figures["fuel"] = float(used())
     return figures
-
-
--- a/apigateway/tools/skeletons.py
+++ b/apigateway/tools/skeletons.py
@@ -61,7 +61,11 @@
 def skeleton(name: str, kind: str) -> dict[str, str]:
     """File to text."""
     file = "rules.toml" if kind == "rules" else f"{name}.wat"
-    body = RULES if kind == "rules" else WAT.replace("{", "{{").replace("}", "}}").replace("{{name}}",
-                                                                                           "{name}")
-    return {"plugin.toml": SETTINGS.format(name=name, file=file), file: body.format(name=name),
-            f"test_{name.replace('-', '_')}.py": TEST.format(name=name)}
+    body = (
+        RULES if kind == "rules" else WAT.replace("{", "{{").replace("}", "}}").replace("{{name}}", "{name}")
+    )
+    return {
+        "plugin.toml": SETTINGS.format(name=name, file=file),
+        file: body.format(name=name),
+        f"test_{name.replace('-', '_')}.py": TEST.format(name=name),
+    }
--- a/apigateway/upstream/framing.py
+++ b/apigateway/upstream/framing.py
@@ -19,8 +19,10 @@
 # An array of four strings, or the first four of five, in one match: the commands that clients send. Each
 # bounded, as a match may be tried again with each byte that comes. Whether the lengths hold is looked at
 # after.
-COMMAND = re.compile(rb"\*([45])\r\n\$([1-9][0-9]?)\r\n([^\r]{1,99})\r\n\$([1-9][0-9]?)\r\n([^\r]{1,99})\r\n"
-                     rb"\$([1-9][0-9]?)\r\n([^\r]{1,99})\r\n\$([1-9][0-9]{0,2})\r\n([^\r]{1,999})\r\n")
+COMMAND = re.compile(
+    rb"\*([45])\r\n\$([1-9][0-9]?)\r\n([^\r]{1,99})\r\n\$([1-9][0-9]?)\r\n([^\r]{1,99})\r\n"
+    rb"\$([1-9][0-9]?)\r\n([^\r]{1,99})\r\n\$([1-9][0-9]{0,2})\r\n([^\r]{1,999})\r\n"
+)
 NO_MESSAGE: Any = object()  # more bytes are needed (None and False are values)
 
 
@@ -70,10 +72,14 @@
         found = COMMAND.match(buffer)
         if found is not None:
             count, n1, first, n2, second, n3, third, n4, fourth = found.groups()
-            if (len(first) == int(n1) and len(second) == int(n2) and len(third) == int(n3)
-                    and len(fourth) == int(n4)):
+            if (
+                len(first) == int(n1)
+                and len(second) == int(n2)
+                and len(third) == int(n3)
+                and len(fourth) == int(n4)
+            ):
                 if count == b"4":
-                    del buffer[:found.end()]
+                    del buffer[: found.end()]
                     return [first, second, third, fourth]
                 return self.rest([first, second, third, fourth], 1, found.end())
         line = buffer.find(b"\r\n", 1, 4)
@@ -90,7 +96,7 @@
             line = find(b"\r\n", at, at + 8)  # a length of five digits, which MOST_BODY has
             if line < 0 or buffer[at] != 36:
                 return None
-            digits = buffer[at + 1:line]
+            digits = buffer[at + 1 : line]
             if not digits.isdigit() or (digits[0] == 48 and len(digits) > 1):
                 if digits != b"-1":
                     return None
@@ -125,10 +131,10 @@
                 break
             self.at, self.left = line + 2, self.left - 1
             if kind in b"$*":
-                self.length(kind == 42, buffer[at + 1:line], at)
+                self.length(kind == 42, buffer[at + 1 : line], at)
             if self.at > MOST_MESSAGE:
                 raise FramingError("too long")
-            if self.at <= have and buffer[self.at - 2:self.at] != b"\r\n":
+            if self.at <= have and buffer[self.at - 2 : self.at] != b"\r\n":
                 raise FramingError("a length that does not fit")
         return self.at if not self.left and self.at <= have else 0
 
--- a/apigateway/upstream/hosts.py
+++ b/apigateway/upstream/hosts.py
@@ -26,7 +26,7 @@
 REST = 0.02  # s after an answer in which what came behind it, a second copy or noise, can still show itself
 IDLE_MARGIN = 0.1  # part of the hosts' idle time by which a connection is closed before them
 IDLE_CHECK = 0.5  # s between looks for idle connections
-AGES = [0.02 * 1.5 ** k for k in range(18)]  # s; steps of the time that connections have rested, up to 20 s
+AGES = [0.02 * 1.5**k for k in range(18)]  # s; steps of the time that connections have rested, up to 20 s
 NEW_COST = 0.1  # part of an attempt that a new connection is worth: the host's work for it, and the time
 LOST_LEAST = 2.0  # attempts saved, from which it is more than chance that rested connections are stale
 FADE = 30.0  # s after which half of what is known of rested connections is forgotten
@@ -43,8 +43,19 @@
 class Attempt:
     """One command for one host. `done` gets it once, when `result` (of interface.RESULTS) is known."""
 
-    __slots__ = ("host", "payload", "done", "tag", "started", "result", "value", "used", "report", "conn",
-                 "timer")
+    __slots__ = (
+        "host",
+        "payload",
+        "done",
+        "tag",
+        "started",
+        "result",
+        "value",
+        "used",
+        "report",
+        "conn",
+        "timer",
+    )
 
     def __init__(self, host: str, payload: bytes, done: Callable[[Attempt], None], tag: Any = None) -> None:
         self.host, self.payload, self.done, self.tag, self.started = host, payload, done, tag, monotonic()
@@ -371,8 +382,9 @@
     def room(self) -> bool:
         if self.open < self.most:
             return True
-        oldest = min((p.idle[0] for p in self.pools.values() if p.idle), key=lambda c: c.idle_since,
-                     default=None)
+        oldest = min(
+            (p.idle[0] for p in self.pools.values() if p.idle), key=lambda c: c.idle_since, default=None
+        )
         if oldest is None:
             return False
         oldest.close()
--- a/apigateway/upstream/rpc.py
+++ b/apigateway/upstream/rpc.py
@@ -10,10 +10,25 @@
 OK, CANCELLED, UNKNOWN, INVALID_ARGUMENT, DEADLINE_EXCEEDED = 0, 1, 2, 3, 4
 NOT_FOUND, RESOURCE_EXHAUSTED, FAILED_PRECONDITION = 5, 8, 9
 UNIMPLEMENTED, INTERNAL, UNAVAILABLE = 12, 13, 14
-NAMES = {0: "OK", 1: "CANCELLED", 2: "UNKNOWN", 3: "INVALID_ARGUMENT", 4: "DEADLINE_EXCEEDED", 5: "NOT_FOUND",
-         6: "ALREADY_EXISTS", 7: "PERMISSION_DENIED", 8: "RESOURCE_EXHAUSTED", 9: "FAILED_PRECONDITION",
-         10: "ABORTED", 11: "OUT_OF_RANGE", 12: "UNIMPLEMENTED", 13: "INTERNAL", 14: "UNAVAILABLE",
-         15: "DATA_LOSS", 16: "UNAUTHENTICATED"}
+NAMES = {
+    0: "OK",
+    1: "CANCELLED",
+    2: "UNKNOWN",
+    3: "INVALID_ARGUMENT",
+    4: "DEADLINE_EXCEEDED",
+    5: "NOT_FOUND",
+    6: "ALREADY_EXISTS",
+    7: "PERMISSION_DENIED",
+    8: "RESOURCE_EXHAUSTED",
+    9: "FAILED_PRECONDITION",
+    10: "ABORTED",
+    11: "OUT_OF_RANGE",
+    12: "UNIMPLEMENTED",
+    13: "INTERNAL",
+    14: "UNAVAILABLE",
+    15: "DATA_LOSS",
+    16: "UNAUTHENTICATED",
+}
 HEAD = 5  # bytes before a message: whether it is compressed, and its length
 FRAME, MOST_FRAME, GOAWAY = 9, 16384, 7  # bytes of its head, of its body; a type
 TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])")
@@ -35,14 +50,14 @@
         self.preface -= at
         start = 0
         while len(data) - at >= FRAME:
-            end = at + FRAME + int.from_bytes(data[at:at + 3], "big")
+            end = at + FRAME + int.from_bytes(data[at : at + 3], "big")
             if end - at > FRAME + MOST_FRAME:  # nothing that was allowed: h2 will say so
                 at = len(data)
                 break
             if end > len(data):
                 break
             if data[at + 3] == GOAWAY and end - at >= FRAME + 8:
-                last = int.from_bytes(data[at + FRAME:at + FRAME + 4], "big") & 0x7FFFFFFF
+                last = int.from_bytes(data[at + FRAME : at + FRAME + 4], "big") & 0x7FFFFFFF
                 kept.append(data[start:at])
                 start = end
             at = end
@@ -76,7 +91,7 @@
 def write_timeout(seconds: float) -> bytes:
     """Rounded down to ms, so that the peer gives up no later than is waited; one ms at least."""
     ms = max(1, int(seconds * 1000))
-    return b"%dm" % ms if ms < 10 ** 8 else b"%dS" % min(ms // 1000, 10 ** 8 - 1)
+    return b"%dm" % ms if ms < 10**8 else b"%dS" % min(ms // 1000, 10**8 - 1)
 
 
 def quoted(text: str) -> bytes:
--- a/benchmarks/check_cost.py
+++ b/benchmarks/check_cost.py
@@ -6,7 +6,7 @@
 back what it got, each on the same core in turn; the client is grpcio in another process, 32 calls in flight
 over two channels. A check that is granted, one that is over its quota; then RESP2 requests over 24
 connections, refused for the same quota, and served, with the gRPC listener idle and on a gateway that has
-none. CPU is what the kernel booked; medians, ratios by pairs. """
+none. CPU is what the kernel booked; medians, ratios by pairs."""
 
 from __future__ import annotations
 
@@ -51,27 +51,34 @@
     await asyncio.Event().wait()
 uvloop.run(main())
 """
-ASKER = (CLIENT.replace("            assert response.statuses[0].limit_remaining == 5\n", "")
-         .replace('"00000000000000ff"', "CUSTOMER").replace('"basic"', "PLAN")
-         .replace("FLIGHT = int", "FLIGHT, CUSTOMER, PLAN = int")
-         .replace("int(sys.argv[3]), 32", "int(sys.argv[3]), 32, sys.argv[4], sys.argv[5]"))
+ASKER = (
+    CLIENT.replace("            assert response.statuses[0].limit_remaining == 5\n", "")
+    .replace('"00000000000000ff"', "CUSTOMER")
+    .replace('"basic"', "PLAN")
+    .replace("FLIGHT = int", "FLIGHT, CUSTOMER, PLAN = int")
+    .replace("int(sys.argv[3]), 32", "int(sys.argv[3]), 32, sys.argv[4], sys.argv[5]")
+)
 PLANS = "[plans.free]\nrate = 1000000.0\nburst = 1000000.0\n[plans.spent]\nrate = 0.001\nburst = 1.0\n"
-RULE = ('[[ratelimit.rules]]\ndomain = "payroll"\nentries = ["customer", "plan"]\ncustomer = "{customer}"\n'
-        'plan = "{plan}"\nclass = "read"\n')
+RULE = (
+    '[[ratelimit.rules]]\ndomain = "payroll"\nentries = ["customer", "plan"]\ncustomer = "{customer}"\n'
+    'plan = "{plan}"\nclass = "read"\n'
+)
 
 
 async def gateway(folder: Path, name: str, ports: list[int], counter: int, port: int, grpc: int) -> Any:
-    (folder / "hosts.toml").write_text("".join(
-        f'[[hosts]]\nid = "h{n}"\naddress = "127.0.0.1:{one}"\n' for n, one in enumerate(ports)))
+    (folder / "hosts.toml").write_text(
+        "".join(f'[[hosts]]\nid = "h{n}"\naddress = "127.0.0.1:{one}"\n' for n, one in enumerate(ports))
+    )
     listener = f'[[listeners]]\nprotocol = "grpc"\naddress = "127.0.0.1:{grpc}"\n' if grpc else ""
     file = folder / f"{name}.toml"
-    file.write_text(f'[[listeners]]\naddress = "127.0.0.1:{port}"\n{listener}[counter]\n'
-                    f'address = "127.0.0.1:{counter}"\n[overload]\non = false\n'
-                    '[classes.read]\neffect = "safe"\naim = 1.0\ndeadline = 3.0\n' + PLANS
-                    + RULE * bool(grpc))
+    file.write_text(
+        f'[[listeners]]\naddress = "127.0.0.1:{port}"\n{listener}[counter]\n'
+        f'address = "127.0.0.1:{counter}"\n[overload]\non = false\n'
+        '[classes.read]\neffect = "safe"\naim = 1.0\ndeadline = 3.0\n' + PLANS + RULE * bool(grpc)
+    )
     program = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "apigateway", "serve", str(file), cwd=ROOT,
-        stderr=asyncio.subprocess.PIPE)
+        sys.executable, "-B", "-m", "apigateway", "serve", str(file), cwd=ROOT, stderr=asyncio.subprocess.PIPE
+    )
     assert program.stderr is not None
     for _ in range(1 + bool(grpc)):
         while b"listens on" not in (line := await program.stderr.readline()):
@@ -85,8 +92,16 @@
     """CPU us a call, p50 and p99 in ms."""
     before = cpu(pid)
     client = await asyncio.create_subprocess_exec(
-        sys.executable, "-c", ASKER, str(port), METHOD, str(calls), customer, plan,
-        stdout=asyncio.subprocess.PIPE)
+        sys.executable,
+        "-c",
+        ASKER,
+        str(port),
+        METHOD,
+        str(calls),
+        customer,
+        plan,
+        stdout=asyncio.subprocess.PIPE,
+    )
     out, _ = await client.communicate()
     p50, p99 = map(float, out.split())
     return (cpu(pid) - before) / calls * 1e6, p50, p99
@@ -96,8 +111,9 @@
     command = request_cost.Load.command
 
     def other(self: Any) -> bytes:
-        told = command(self).replace(b"t=p,", b"t=%s," % plan).replace(
-            b"$42\r\n", b"$%d\r\n" % (41 + len(plan)))
+        told = (
+            command(self).replace(b"t=p,", b"t=%s," % plan).replace(b"$42\r\n", b"$%d\r\n" % (41 + len(plan)))
+        )
         # A customer has the plan that it first came with.
         return told.replace(b"$16\r\n00000000", b"$16\r\n00000001") if plan == b"spent" else told
 
@@ -120,8 +136,9 @@
     async with StandInCounter() as counter:
         both = await gateway(folder, "both", ports, counter.port, port, grpc)
         alone = await gateway(folder, "alone", ports, counter.port, plain, 0)
-        bare = await asyncio.create_subprocess_exec(sys.executable, "-c", ECHO, str(echo), METHOD, cwd=ROOT,
-                                                    stdout=asyncio.subprocess.PIPE)
+        bare = await asyncio.create_subprocess_exec(
+            sys.executable, "-c", ECHO, str(echo), METHOD, cwd=ROOT, stdout=asyncio.subprocess.PIPE
+        )
         assert bare.stdout is not None and await bare.stdout.readline() == b"up\n"
         programs = (both, alone, bare)
         for program in programs:
@@ -134,7 +151,8 @@
                 "check, over": await asked(both.pid, grpc, calls, "00000000000000fe", "spent"),
                 "RESP2, refused": await requested(both.pid, port, calls, b"spent"),
                 "RESP2, served, gRPC idle": await requested(both.pid, port, calls, b"free"),
-                "RESP2, served, no gRPC": await requested(alone.pid, plain, calls, b"free")}
+                "RESP2, served, no gRPC": await requested(alone.pid, plain, calls, b"free"),
+            }
             for name, row in told.items():
                 if number:  # the first warms up
                     rows.setdefault(name, []).append(row)
@@ -145,10 +163,15 @@
     for host in hosts:
         host.close()
     echoes = [row[0] for row in rows["bare echo, gRPC"]]
-    table = {name: {"cpu_us": statistics.median(row[0] for row in some),
-                    "of_echo": statistics.median(row[0] / e for row, e in zip(some, echoes, strict=True)),
-                    "p50_ms": statistics.median(row[1] for row in some),
-                    "p99_ms": statistics.median(row[2] for row in some)} for name, some in rows.items()}
+    table = {
+        name: {
+            "cpu_us": statistics.median(row[0] for row in some),
+            "of_echo": statistics.median(row[0] / e for row, e in zip(some, echoes, strict=True)),
+            "p50_ms": statistics.median(row[1] for row in some),
+            "p99_ms": statistics.median(row[2] for row in some),
+        }
+        for name, some in rows.items()
+    }
     pairs = zip(rows["RESP2, served, gRPC idle"], rows["RESP2, served, no gRPC"], strict=True)
     return {"table": table, "kb": kb, "idle_of_none": statistics.median(a[0] / b[0] for a, b in pairs)}
 
@@ -163,10 +186,13 @@
         figures = uvloop.run(measure(told.calls, told.rounds, Path(folder)))
     print(f"{'':26} {'CPU us':>7} {'of echo':>8} {'p50 ms':>7} {'p99 ms':>7}")
     for name, row in figures["table"].items():
-        print(f"{name:26} {row['cpu_us']:7.1f} {row['of_echo']:8.2f} {row['p50_ms']:7.2f} "
-              f"{row['p99_ms']:7.2f}")
-    print(f"RESP2 with an idle gRPC listener, of one without: {figures['idle_of_none']:.3f}; memory "
-          f"{figures['kb']['with gRPC'] / 1024:.1f} MB and {figures['kb']['without'] / 1024:.1f} MB")
+        print(
+            f"{name:26} {row['cpu_us']:7.1f} {row['of_echo']:8.2f} {row['p50_ms']:7.2f} {row['p99_ms']:7.2f}"
+        )
+    print(
+        f"RESP2 with an idle gRPC listener, of one without: {figures['idle_of_none']:.3f}; memory "
+        f"{figures['kb']['with gRPC'] / 1024:.1f} MB and {figures['kb']['without'] / 1024:.1f} MB"
+    )
     if told.json:
         Path(told.json).write_text(json.dumps(figures, indent=1))
 
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -42,19 +42,33 @@
 SPREAD = 20, 60  # gateways that a customer comes through
 
 
-def figures(taken: Sequence[int], latency: Sequence[float], longest: int, idle: float,
-            served: float) -> dict[str, Any]:
+def figures(
+    taken: Sequence[int], latency: Sequence[float], longest: int, idle: float, served: float
+) -> dict[str, Any]:
     times, mean = sorted(latency), statistics.fmean(taken)
-    return {"served": served, "in_aim": sum(t <= AIM for t in times) / max(1, len(times)) * served,
-            "p50_ms": 1000 * times[len(times) // 2], "p99_ms": 1000 * times[int(0.99 * len(times))],
-            "host_cv": statistics.pstdev(taken) / mean, "most_host": max(taken) / mean,
-            "least_host": min(taken) / mean, "longest": longest, "idle_waiting": idle}
+    return {
+        "served": served,
+        "in_aim": sum(t <= AIM for t in times) / max(1, len(times)) * served,
+        "p50_ms": 1000 * times[len(times) // 2],
+        "p99_ms": 1000 * times[int(0.99 * len(times))],
+        "host_cv": statistics.pstdev(taken) / mean,
+        "most_host": max(taken) / mean,
+        "least_host": min(taken) / mean,
+        "longest": longest,
+        "idle_waiting": idle,
+    }
 
 
 async def real(args: argparse.Namespace, herd: bool) -> dict[str, Any]:
-    shape = Shape({"read": Class("safe", AIM, DEADLINE, 1.0, MEAN, 1.0)}, {"p": Plan(1e5, 1e6)},
-                  gateways=args.gateways, hosts=args.hosts, cores=CORES, queue=QUEUE,
-                  extra={"overload": "on = false"})
+    shape = Shape(
+        {"read": Class("safe", AIM, DEADLINE, 1.0, MEAN, 1.0)},
+        {"p": Plan(1e5, 1e6)},
+        gateways=args.gateways,
+        hosts=args.hosts,
+        cores=CORES,
+        queue=QUEUE,
+        extra={"overload": "on = false"},
+    )
     rate = args.load * args.hosts * CORES / MEAN
     people = customers(args.gateways, ["p"], rate, 400, args.seed, SPREAD)
     with tempfile.TemporaryDirectory() as folder:
@@ -69,7 +83,7 @@
             crowd.traffic.latency.clear()
             if herd:
                 at = time.monotonic()
-                gone = crowd.fleet.gateways[:int(KILLED * args.gateways)]
+                gone = crowd.fleet.gateways[: int(KILLED * args.gateways)]
                 await crowd.kill(gone)
                 await asyncio.sleep(AWAY)
                 await crowd.revive(gone, BACK_AT_ONCE)
@@ -78,8 +92,13 @@
             taken = crowd.taken() - before
             verdicts = crowd.verdicts()
             idle = crowd.idle / max(1.0, crowd.looks)
-            told = figures([taken[h.name] for h in crowd.fleet.hosts], crowd.traffic.latency,
-                           max(crowd.longest.values()), idle, crowd.part_served())
+            told = figures(
+                [taken[h.name] for h in crowd.fleet.hosts],
+                crowd.traffic.latency,
+                max(crowd.longest.values()),
+                idle,
+                crowd.part_served(),
+            )
     told["start_s"], told["away_s"] = started, away
     told["broken"] = 0 if all(v.kept for v in verdicts) else report(verdicts)
     return told
@@ -88,21 +107,56 @@
 def model(args: argparse.Namespace, away: float) -> dict[str, Any]:
     """`away`: s after which the last killed gateway was back, one after another from AWAY on; 0: none was."""
     read = messages.ServiceClass("read", AIM, DEADLINE, "safe", "all", 0.0, 1.0, 0.0, False, 0.0)
-    machines = Machines(count=args.hosts, cores=CORES, slots=CORES, queue=QUEUE, speed_cv=0.0, thrash=0.0,
-                        report_period=0.02, report_delay=0.0, reports=("inflight", "queue", "util"),
-                        handshake=0.0)
+    machines = Machines(
+        count=args.hosts,
+        cores=CORES,
+        slots=CORES,
+        queue=QUEUE,
+        speed_cv=0.0,
+        thrash=0.0,
+        report_period=0.02,
+        report_delay=0.0,
+        reports=("inflight", "queue", "util"),
+        handshake=0.0,
+    )
     low, high = (n / args.gateways for n in SPREAD)
-    who = Customers((FREE,), (1.0,), count=400, spread=(low, high), skew=0.0, shift=0.0, gateway_skew=0.0,
-                    busiest=1.0, retries=1, wait=0.1, patience=1.0, notice=0.0)
+    who = Customers(
+        (FREE,),
+        (1.0,),
+        count=400,
+        spread=(low, high),
+        skew=0.0,
+        shift=0.0,
+        gateway_skew=0.0,
+        busiest=1.0,
+        retries=1,
+        wait=0.1,
+        patience=1.0,
+        notice=0.0,
+    )
     # The model's come back evenly between 0.75 and 1.25 of `back`.
     faults = (Fault("kill", 0.0, part=KILLED, back=(AWAY + away) / 2),) if away else ()
-    scenario = Scenario(gateways=args.gateways, load=args.load, length=args.seconds, warm_up=args.warm_up,
-                        works=(Work(read, 1.0, MEAN),), machines=machines, customers=who, faults=faults,
-                        listing=Listing(0.01, 0.01), probes=False)
+    scenario = Scenario(
+        gateways=args.gateways,
+        load=args.load,
+        length=args.seconds,
+        warm_up=args.warm_up,
+        works=(Work(read, 1.0, MEAN),),
+        machines=machines,
+        customers=who,
+        faults=faults,
+        listing=Listing(0.01, 0.01),
+        probes=False,
+    )
     world = World(scenario, args.seed, Gateway)
     told = world.run()
-    return figures([m.taken for m in world.machines.values()], world.figures.times, told["longest"],
-                   told["idle_waiting"], told["served"]) | {"broken": told["broken"]}
+    return figures(
+        [m.taken for m in world.machines.values()],
+        world.figures.times,
+        told["longest"],
+        told["idle_waiting"],
+        told["served"],
+    ) | {"broken": told["broken"]}
 
 
 def shown(value: Any) -> str:
@@ -123,8 +177,10 @@
     for name, herd in (("calm", False), ("seven in ten killed", True)):
         met = uvloop.run(real(args, herd))
         out[name] = {"real": met, "model": model(args, met["away_s"])}
-        print(f"{name}: {args.gateways} gateways, {args.hosts} hosts, load {args.load}, started within "
-              f"{met['start_s']:.0f} s, away for {met['away_s']:.0f} s at most")
+        print(
+            f"{name}: {args.gateways} gateways, {args.hosts} hosts, load {args.load}, started within "
+            f"{met['start_s']:.0f} s, away for {met['away_s']:.0f} s at most"
+        )
         print(f"  {'':14}{'real':>10}{'model':>10}")
         for key in out[name]["model"]:
             print(f"  {key:14}{shown(out[name]['real'][key])}{shown(out[name]['model'][key])}")
--- a/benchmarks/grpc_servers.py
+++ b/benchmarks/grpc_servers.py
@@ -7,7 +7,7 @@
 Each server answers ShouldRateLimit by parsing the request and building a response of one status, on uvloop,
 on one core: grpcio's aio server, grpclib's, and a small one of h2 alone (`Protocol` callbacks, no task a
 call). A client in another process, grpcio's, has so many calls in flight over two channels. CPU a call is
-what the kernel booked to the server; memory after the rounds; threads that the server runs. """
+what the kernel booked to the server; memory after the rounds; threads that the server runs."""
 
 from __future__ import annotations
 
@@ -40,7 +40,8 @@
     return response
 """
 SERVERS = {
-    "grpcio": COMMON + """
+    "grpcio": COMMON
+    + """
 import grpc
 async def call(request, context):
     return answer(request)
@@ -57,7 +58,8 @@
     await server.wait_for_termination()
 uvloop.run(main())
 """,
-    "grpclib": COMMON + """
+    "grpclib": COMMON
+    + """
 from grpclib.const import Cardinality, Handler
 from grpclib.server import Server
 class Service:
@@ -73,7 +75,8 @@
     await server.wait_closed()
 uvloop.run(main())
 """,
-    "h2": COMMON + """
+    "h2": COMMON
+    + """
 import h2.config, h2.connection, h2.events
 class Line(asyncio.Protocol):
     def connection_made(self, transport):
@@ -105,7 +108,8 @@
     print("up", flush=True)
     await asyncio.Event().wait()
 uvloop.run(main())
-"""}
+""",
+}
 CLIENT = """
 import asyncio, sys, time, grpc
 from envoy.service.ratelimit.v3 import rls_pb2 as pb
@@ -152,16 +156,23 @@
         rows = []
         for number in range(told.rounds + 1):
             before = cpu(server.pid)
-            ended = subprocess.run([sys.executable, "-c", CLIENT, str(port), METHOD, str(told.calls)],
-                                   capture_output=True, text=True, timeout=300, check=True)
+            ended = subprocess.run(
+                [sys.executable, "-c", CLIENT, str(port), METHOD, str(told.calls)],
+                capture_output=True,
+                text=True,
+                timeout=300,
+                check=True,
+            )
             p50, p99 = map(float, ended.stdout.split())
             if number:  # the first warms up
                 rows.append(((cpu(server.pid) - before) / told.calls * 1e6, p50, p99))
         us, p50, p99 = (statistics.median(column) for column in zip(*rows, strict=True))
         threads = len(os.listdir(f"/proc/{server.pid}/task"))
         figures[name] = {"us": us, "p50": p50, "p99": p99, "kb": memory(server.pid), "threads": threads}
-        print(f"{name:10} {us:7.1f} {p50:7.2f} {p99:7.2f} {figures[name]['kb'] / 1024:6.1f} {threads:8d}",
-              flush=True)
+        print(
+            f"{name:10} {us:7.1f} {p50:7.2f} {p99:7.2f} {figures[name]['kb'] / 1024:6.1f} {threads:8d}",
+            flush=True,
+        )
         server.send_signal(signal.SIGKILL)
         server.wait()
     if told.json:
--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -27,10 +27,19 @@
 from apigateway.emulators.fleet import Class, Fleet, Gateway, Plan, Shape  # noqa: E402
 from apigateway.emulators.ledger import report  # noqa: E402
 
-SHAPE = Shape(classes={"read": Class("safe", 1.0, 3.0, 1.0, 0.005, 0.6),
-                       "note": Class("unsafe", 1.0, 3.0, 1.0, 0.005, 0.4)},
-              plans={"p": Plan(100_000.0, 100_000.0)}, gateways=1, hosts=3, cores=4, queue=200, zones=("a",),
-              extra={"daemon": "log_lines = 10000"})
+SHAPE = Shape(
+    classes={
+        "read": Class("safe", 1.0, 3.0, 1.0, 0.005, 0.6),
+        "note": Class("unsafe", 1.0, 3.0, 1.0, 0.005, 0.4),
+    },
+    plans={"p": Plan(100_000.0, 100_000.0)},
+    gateways=1,
+    hosts=3,
+    cores=4,
+    queue=200,
+    zones=("a",),
+    extra={"daemon": "log_lines = 10000"},
+)
 
 
 async def lines(gateway: Gateway, word: str, more: int) -> None:
@@ -84,15 +93,24 @@
             if not all(v.kept for v in verdicts):
                 print(report(verdicts))
             latency = sorted(traffic.latency)
-            return {"what": name, "seconds": round(seconds, 1), **counts, "lost": counts.get("lost", 0),
-                    "refused connections": client.refused, "longest gap ms": round(gap * 1000, 1),
-                    "p99 ms": round(latency[int(len(latency) * 0.99)] * 1000, 1),
-                    "slowest ms": round(latency[-1] * 1000, 1), "rules kept": all(v.kept for v in verdicts)}
+            return {
+                "what": name,
+                "seconds": round(seconds, 1),
+                **counts,
+                "lost": counts.get("lost", 0),
+                "refused connections": client.refused,
+                "longest gap ms": round(gap * 1000, 1),
+                "p99 ms": round(latency[int(len(latency) * 0.99)] * 1000, 1),
+                "slowest ms": round(latency[-1] * 1000, 1),
+                "rules kept": all(v.kept for v in verdicts),
+            }
 
 
 async def measure(told: argparse.Namespace) -> list[dict[str, Any]]:
-    spans = [await span(f"{told.handovers} hand-overs", told.rate, lambda g: handovers(g, told.handovers)),
-             await span(f"{told.reloads} reloads", told.rate, lambda g: reloads(g, told.reloads))]
+    spans = [
+        await span(f"{told.handovers} hand-overs", told.rate, lambda g: handovers(g, told.handovers)),
+        await span(f"{told.reloads} reloads", told.rate, lambda g: reloads(g, told.reloads)),
+    ]
     return [*spans, await span("neither", told.rate, lambda _: asyncio.sleep(spans[0]["seconds"]))]
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -41,11 +41,20 @@
 from apigateway.membership.eureka.source import EurekaSource, Registry  # noqa: E402
 from apigateway.membership.listing import Listing  # noqa: E402
 
-SHAPE = Shape(classes={"read": Class("safe", 1.0, 3.0, 1.0, 0.01, 0.6),
-                       "note": Class("unsafe", 1.0, 3.0, 1.0, 0.01, 0.4)},
-              plans={"p": Plan(100_000.0, 100_000.0)}, gateways=2, hosts=6, cores=4, queue=100, zones=("a",
-                                                                                                       "b"),
-              cold_time=0.0, extra={"trust": "calm_time = 0.0", "daemon": "log_lines = 10000"})
+SHAPE = Shape(
+    classes={
+        "read": Class("safe", 1.0, 3.0, 1.0, 0.01, 0.6),
+        "note": Class("unsafe", 1.0, 3.0, 1.0, 0.01, 0.4),
+    },
+    plans={"p": Plan(100_000.0, 100_000.0)},
+    gateways=2,
+    hosts=6,
+    cores=4,
+    queue=100,
+    zones=("a", "b"),
+    cold_time=0.0,
+    extra={"trust": "calm_time = 0.0", "daemon": "log_lines = 10000"},
+)
 
 
 NOTHING = Listing(messages.HostList("cached", 0, ()), {})
@@ -59,12 +68,16 @@
     rows = []
     for size in (int(text) for text in told.sizes.split(",")):
         registry = await asyncio.create_subprocess_exec(
-            sys.executable, __file__, "registry", "--sizes", str(size), stdout=asyncio.subprocess.PIPE)
+            sys.executable, __file__, "registry", "--sizes", str(size), stdout=asyncio.subprocess.PIPE
+        )
         assert registry.stdout is not None
         url = (await registry.stdout.readline()).decode().strip()
         row: dict[str, Any] = {"instances": size}
-        for name, path, delta in (("whole", "", False), ("quiet delta", "", True), ("10 changes", "/touch",
-                                                                                    True)):
+        for name, path, delta in (
+            ("whole", "", False),
+            ("quiet delta", "", True),
+            ("10 changes", "/touch", True),
+        ):
             asked = Registry((url,), delta=delta, timeout=10.0)
             source = EurekaSource(asked, NOTHING, lambda _: None, lambda: None)
             if not await source.poll():
@@ -122,8 +135,9 @@
 # Under load
 
 
-async def under_load(seed: int, act: Callable[[Fleet, Traffic], Awaitable[None]], rate: float = 120.0,
-                     shape: Shape = SHAPE) -> tuple[Fleet, Traffic]:
+async def under_load(
+    seed: int, act: Callable[[Fleet, Traffic], Awaitable[None]], rate: float = 120.0, shape: Shape = SHAPE
+) -> tuple[Fleet, Traffic]:
     with tempfile.TemporaryDirectory() as folder:
         async with Fleet(shape, Path(folder), source="eureka", poll=0.1) as fleet:
             client = Client(fleet.ledger, {g.name: ("127.0.0.1", g.port) for g in fleet.gateways})
@@ -154,15 +168,19 @@
     async def act(fleet: Fleet, _: Traffic) -> None:
         for _turn in range(told.flips):
             host = rng.choice(fleet.hosts[2:])
-            fleet.registry.override("ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", "STARTING", "",
-                                                                     ""]))
+            fleet.registry.override(
+                "ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", "STARTING", "", ""])
+            )
             await asyncio.sleep(rng.uniform(0.0, 0.1))
 
     fleet, _ = await under_load(told.seed, act)
     late, tellings = [], 0
     for (gateway, host), changes in fleet.ledger.tellings.items():
-        sends = [a.first for a in fleet.ledger.attempts
-                 if a.host == host and fleet.ledger.tries[a.id].gateway == gateway]
+        sends = [
+            a.first
+            for a in fleet.ledger.attempts
+            if a.host == host and fleet.ledger.tries[a.id].gateway == gateway
+        ]
         for n, (at, state) in enumerate(changes):
             if state == "up":
                 continue
@@ -171,10 +189,17 @@
             after = [first - at for first in sends if at < first < until]
             late.append(max(after, default=0.0) * 1000)
     late.sort()
-    return [{"flips": told.flips, "drains told": tellings, "requests": len(fleet.ledger.tries),
-             "told to last send ms, median": round(late[len(late) // 2], 2),
-             "99th": round(late[int(len(late) * 0.99)], 2), "most": round(late[-1],
-                                                                          2), "rules kept": judged(fleet)}]
+    return [
+        {
+            "flips": told.flips,
+            "drains told": tellings,
+            "requests": len(fleet.ledger.tries),
+            "told to last send ms, median": round(late[len(late) // 2], 2),
+            "99th": round(late[int(len(late) * 0.99)], 2),
+            "most": round(late[-1], 2),
+            "rules kept": judged(fleet),
+        }
+    ]
 
 
 async def walk(told: argparse.Namespace) -> list[dict[str, Any]]:
@@ -185,8 +210,9 @@
         async def act(fleet: Fleet, _: Traffic, rng: random.Random = rng, did: list[str] = did) -> None:
             held = fleet.registry
             for _turn in range(40):
-                what = rng.choice(["silent", "error", "half", "spoilt", "restart", "hash", "lost", "clock",
-                                   "flip", "fill"])
+                what = rng.choice(
+                    ["silent", "error", "half", "spoilt", "restart", "hash", "lost", "clock", "flip", "fill"]
+                )
                 did.append(what)
                 if what in ("silent", "error", "half", "spoilt"):
                     held.script.play(Step(what, count=rng.randint(1, 8)))
@@ -234,8 +260,15 @@
         fleet, _ = await under_load(told.seed, act)
         served = sum(count for (_, _, kind), count in fleet.ledger.outcomes().items() if kind == "served")
         total = len(fleet.ledger.tries)
-        rows.append({"registry": name, "seconds": told.seconds, "requests": total,
-                     "served share": round(served / total, 4), "rules kept": judged(fleet)})
+        rows.append(
+            {
+                "registry": name,
+                "seconds": told.seconds,
+                "requests": total,
+                "served share": round(served / total, 4),
+                "rules kept": judged(fleet),
+            }
+        )
     return rows
 
 
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -8,7 +8,7 @@
 `customers`: of 1, 10,000 and 200,000, at 10 hosts. `held`: 0, 1,000 and 20,000 requests that wait, while a
 few hosts are free only now and then; `queued`: so many that stay in the queue all the while, its bound taken
 off. `refused`: a customer beyond its quota. Then the bytes that an account, a host and a request in work take
-in the module. """
+in the module."""
 
 from __future__ import annotations
 
@@ -25,12 +25,22 @@
 
 from plots import Line, draw  # noqa: E402
 
-CASES = {"10 hosts": "hosts=10", "100 hosts": "hosts=100", "1000 hosts": "hosts=1000",
-         "1 customer": "customers=1", "10k customers": "customers=10000",
-         "200k customers": "customers=200000",
-         "0 queued": "queued=0", "1k queued": "queued=1000", "20k queued": "queued=20000",
-         "0 held": "held=0", "1k held": "held=1000", "20k held": "held=20000",
-         "half silent of 1000": "hosts=1000, silent=True", "refused": "refused=True"}
+CASES = {
+    "10 hosts": "hosts=10",
+    "100 hosts": "hosts=100",
+    "1000 hosts": "hosts=1000",
+    "1 customer": "customers=1",
+    "10k customers": "customers=10000",
+    "200k customers": "customers=200000",
+    "0 queued": "queued=0",
+    "1k queued": "queued=1000",
+    "20k queued": "queued=20000",
+    "0 held": "held=0",
+    "1k held": "held=1000",
+    "20k held": "held=20000",
+    "half silent of 1000": "hosts=1000, silent=True",
+    "refused": "refused=True",
+}
 
 CHILD = r"""
 import collections, random, sys, time
@@ -146,8 +156,13 @@
 
 
 def one(tree: Path, requests: int, case: str) -> float:
-    ended = subprocess.run([sys.executable, "-c", CHILD, str(requests), case], cwd=tree, capture_output=True,
-                           text=True, timeout=600)
+    ended = subprocess.run(
+        [sys.executable, "-c", CHILD, str(requests), case],
+        cwd=tree,
+        capture_output=True,
+        text=True,
+        timeout=600,
+    )
     if ended.returncode:
         raise RuntimeError(ended.stderr[-2000:])
     return float(ended.stdout)
@@ -166,8 +181,9 @@
     with tempfile.TemporaryDirectory(prefix="module-cost-") as folder:
         trees = {"now": ROOT}
         if told.before:
-            archive = subprocess.run(["git", "archive", told.before], cwd=ROOT, check=True,
-                                     capture_output=True).stdout
+            archive = subprocess.run(
+                ["git", "archive", told.before], cwd=ROOT, check=True, capture_output=True
+            ).stdout
             subprocess.run(["tar", "-x"], cwd=folder, input=archive, check=True)
             trees["before"] = Path(folder)
         print(f"{'':22}" + "".join(f"{name:>10}" for name in trees) + ("   now/it" if told.before else ""))
@@ -178,11 +194,16 @@
                     taken[tree].append(one(place, told.requests, CASES[name]))
             row = {tree: statistics.median(values) for tree, values in taken.items()}
             if told.before:
-                row["ratio"] = statistics.median(a / b for a, b in zip(taken["now"], taken["before"],
-                                                                       strict=True))
+                row["ratio"] = statistics.median(
+                    a / b for a, b in zip(taken["now"], taken["before"], strict=True)
+                )
             figures[name] = row
-            print(f"{name:22}" + "".join(f"{row[tree]:10.1f}" for tree in trees)
-                  + (f"{row['ratio']:9.3f}" if told.before else ""), flush=True)
+            print(
+                f"{name:22}"
+                + "".join(f"{row[tree]:10.1f}" for tree in trees)
+                + (f"{row['ratio']:9.3f}" if told.before else ""),
+                flush=True,
+            )
     for what in ("account", "host", "request") if not told.case else ():
         figures[f"bytes a {what}"] = {"now": one(ROOT, 20_000, f"held:{what}")}
         print(f"{'bytes a ' + what:22}{figures[f'bytes a {what}']['now']:10.0f}")
@@ -194,15 +215,21 @@
 
 def plot(figures: dict[str, dict[str, float]], folder: Path) -> None:
     for what, across, cases in (
-            ("hosts", "hosts", {"10 hosts": 10, "100 hosts": 100, "1000 hosts": 1000}),
-            ("customers", "customers", {"1 customer": 1, "10k customers": 10_000, "200k customers": 200_000}),
-            ("queue", "requests that wait (none: at 1)",
-             {"0 queued": 1, "1k queued": 1000, "20k queued": 20_000})):
+        ("hosts", "hosts", {"10 hosts": 10, "100 hosts": 100, "1000 hosts": 1000}),
+        ("customers", "customers", {"1 customer": 1, "10k customers": 10_000, "200k customers": 200_000}),
+        (
+            "queue",
+            "requests that wait (none: at 1)",
+            {"0 queued": 1, "1k queued": 1000, "20k queued": 20_000},
+        ),
+    ):
         if not set(cases) <= set(figures):
             continue
         trees = [tree for tree in ("now", "before") if tree in figures[next(iter(cases))]]
-        lines = [Line(tree, [(count, figures[name][tree]) for name, count in cases.items()], tree == "before")
-                 for tree in trees]
+        lines = [
+            Line(tree, [(count, figures[name][tree]) for name, count in cases.items()], tree == "before")
+            for tree in trees
+        ]
         text = draw(f"The module's cost a request, by {what}", across, "us of CPU", lines, True, True)
         (folder / f"module-{what}.svg").write_text(text)
 
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -41,39 +41,49 @@
 EXAMPLE = ROOT / "examples" / "plugins" / "districts"
 TABLE = "".join(f'{n:016x} = "d{n % 7}"\n' for n in range(1, 98))
 # Loops for all but the requests of a proof.
-LOOPS = module('(func (export "on_request") (param i32) (result i64) (if (i32.eq (i32.load8_u (i32.load '
-               "(i32.const 4152))) (i32.const 112)) (then (return (i64.const 0))))"
-               "(loop $l (br $l)) (i64.const 0))")
+LOOPS = module(
+    '(func (export "on_request") (param i32) (result i64) (if (i32.eq (i32.load8_u (i32.load '
+    "(i32.const 4152))) (i32.const 112)) (then (return (i64.const 0))))"
+    "(loop $l (br $l)) (i64.const 0))"
+)
 
 
 def plugin(name: str, file: str, budget: str = "") -> str:
-    return (f'[[plugins]]\nname = "{name}"\nfile = "{file}"\n[plugins.budget]\nshare = 1.0\n{budget}\n'
-            f"[plugins.settings.district]\n{TABLE}")
+    return (
+        f'[[plugins]]\nname = "{name}"\nfile = "{file}"\n[plugins.budget]\nshare = 1.0\n{budget}\n'
+        f"[plugins.settings.district]\n{TABLE}"
+    )
 
 
 CASES = {
-    "none": "", "1 by rules": plugin("a", str(EXAMPLE / "rules.toml")),
+    "none": "",
+    "1 by rules": plugin("a", str(EXAMPLE / "rules.toml")),
     "3 by rules": "".join(plugin(name, str(EXAMPLE / "rules.toml")) for name in "abc"),
     "1 module": plugin("a", str(EXAMPLE / "districts.wat")),
-    "3 modules": "".join(plugin(name, str(EXAMPLE / "districts.wat")) for name in "abc")}
+    "3 modules": "".join(plugin(name, str(EXAMPLE / "districts.wat")) for name in "abc"),
+}
 LOOPING = {
-    "none": "", "by default": plugin("a", "loops.wat").replace("share = 1.0\n", ""),
-    "no breaker": plugin("a", "loops.wat", "failures = 1000000").replace("share = 1.0\n", "")}
+    "none": "",
+    "by default": plugin("a", "loops.wat").replace("share = 1.0\n", ""),
+    "no breaker": plugin("a", "loops.wat", "failures = 1000000").replace("share = 1.0\n", ""),
+}
 
 
 def serve(name: str, plugins: str, ports: list[int], folder: Path) -> Program:
     port, place = free_port(), folder / name.replace(" ", "-")
     place.mkdir()
     (place / "loops.wat").write_text(LOOPS)
-    (place / "hosts.toml").write_text("".join(f'[[hosts]]\nid = "h{n}"\naddress = "127.0.0.1:{port}"\n'
-                                              for n, port in enumerate(ports)))
+    (place / "hosts.toml").write_text(
+        "".join(f'[[hosts]]\nid = "h{n}"\naddress = "127.0.0.1:{port}"\n' for n, port in enumerate(ports))
+    )
     (place / "gateway.toml").write_text(
         f'[[listeners]]\naddress = "127.0.0.1:{port}"\n[classes.read]\neffect = "safe"\n'
         f"aim = 1.0\ndeadline = 3.0\n"
-        f"[plans.p]\nrate = 100000.0\nburst = 1000000.0\n{plugins}")
-    return Program(name, [sys.executable, "-B", "-m", "apigateway", "serve", str(place / "gateway.toml")],
-                   ROOT,
-                   {}, port)
+        f"[plans.p]\nrate = 100000.0\nburst = 1000000.0\n{plugins}"
+    )
+    return Program(
+        name, [sys.executable, "-B", "-m", "apigateway", "serve", str(place / "gateway.toml")], ROOT, {}, port
+    )
 
 
 async def latencies(port: int, requests: int) -> list[float]:
@@ -84,8 +94,10 @@
     for n in range(requests):
         id = b"s%d-%d" % (n, time.monotonic_ns())
         began = time.perf_counter()
-        writer.write(b"*4\r\n$8\r\nAPI.READ\r\n$16\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n" % (
-            b"%016x" % (n % 97 + 1), len(id), id, len(terms), terms))
+        writer.write(
+            b"*4\r\n$8\r\nAPI.READ\r\n$16\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n"
+            % (b"%016x" % (n % 97 + 1), len(id), id, len(terms), terms)
+        )
         line = await reader.readline()
         if not line.startswith(b"$"):
             raise RuntimeError(f"no value: {line!r}")
@@ -122,9 +134,11 @@
         bare = programs[0].figures
         for program in programs:
             more = statistics.median(a - b for a, b in zip(program.figures, bare, strict=True))
-            figures["requests"][program.name] = {"cpu_us": statistics.median(program.figures),
-                                                 "more_us": more,
-                                                 "memory_kb": program.memory}
+            figures["requests"][program.name] = {
+                "cpu_us": statistics.median(program.figures),
+                "more_us": more,
+                "memory_kb": program.memory,
+            }
         for name, text in LOOPING.items():
             program = serve(f"loop {name}", text, ports, Path(folder))
             try:
@@ -133,15 +147,19 @@
                 taken = sorted(await latencies(program.port, requests))
                 span = time.monotonic() - began
                 figures["a loop"][name] = {
-                    "cpu_share": (cpu(program.process.pid) - before) / span, "seconds": span,
-                    "median_ms": statistics.median(taken), "p99_ms": taken[len(taken) * 99 // 100],
-                    "worst_ms": taken[-1]}
+                    "cpu_share": (cpu(program.process.pid) - before) / span,
+                    "seconds": span,
+                    "median_ms": statistics.median(taken),
+                    "p99_ms": taken[len(taken) * 99 // 100],
+                    "worst_ms": taken[-1],
+                }
             finally:
                 program.end()
     for host in hosts:
         host.close()
-    figures["loads"] = {f"{count} {kind}": loads(count, kind) for kind in ("rules", "modules")
-                        for count in (1, 10, 50)}
+    figures["loads"] = {
+        f"{count} {kind}": loads(count, kind) for kind in ("rules", "modules") for count in (1, 10, 50)
+    }
     return figures
 
 
@@ -175,8 +193,13 @@
 
 def loads(count: int, kind: str) -> dict[str, float]:
     file = str(EXAMPLE / ("rules.toml" if kind == "rules" else "districts.wat"))
-    ended = subprocess.run([sys.executable, "-c", CHILD.format(root=str(ROOT), file=file, count=count)],
-                           capture_output=True, text=True, timeout=120, check=True)
+    ended = subprocess.run(
+        [sys.executable, "-c", CHILD.format(root=str(ROOT), file=file, count=count)],
+        capture_output=True,
+        text=True,
+        timeout=120,
+        check=True,
+    )
     told: dict[str, float] = json.loads(ended.stdout)
     return told
 
@@ -192,11 +215,16 @@
 
     file = str(EXAMPLE / ("rules.toml" if kind == "rules" else "districts.wat"))
     table = {f"{n:016x}": f"d{n % 7}" for n in range(1, 98)}
-    parts = [PluginPart(name=f"p{n}", file=file, settings={"district": table}, budget=BudgetPart(share=1.0))
-             for n in range(count)]
-    hooks = Hooks(load_plugins(parts, HooksPart(), Place("/", settings())), time.time,
-                  asyncio.new_event_loop(), 1.0)
-    asked = [messages.Request(f"r{n}", 3.0, f"{n + 1:016x}", "basic", "roster-read", 1.0, 0, 1) for n in range(97)]
+    parts = [
+        PluginPart(name=f"p{n}", file=file, settings={"district": table}, budget=BudgetPart(share=1.0))
+        for n in range(count)
+    ]
+    hooks = Hooks(
+        load_plugins(parts, HooksPart(), Place("/", settings())), time.time, asyncio.new_event_loop(), 1.0
+    )
+    asked = [
+        messages.Request(f"r{n}", 3.0, f"{n + 1:016x}", "basic", "roster-read", 1.0, 0, 1) for n in range(97)
+    ]
     began = time.perf_counter()
     for n in range(requests):
         hooked, _ = hooks.taken(asked[n % 97])
@@ -213,8 +241,13 @@
     parser.add_argument("--requests", type=int, default=10_000)
     parser.add_argument("--json", metavar="FILE")
     told = parser.parse_args()
-    figures = {"inside": {f"{count} {kind}": {"us": inside(count, kind)} for kind in ("rules", "modules")
-                          for count in (0, 1, 3)}}
+    figures = {
+        "inside": {
+            f"{count} {kind}": {"us": inside(count, kind)}
+            for kind in ("rules", "modules")
+            for count in (0, 1, 3)
+        }
+    }
     figures |= run(told)
     for part, rows in figures.items():
         columns = list(next(iter(rows.values())))
--- a/benchmarks/ratelimit_mixed.py
+++ b/benchmarks/ratelimit_mixed.py
@@ -7,7 +7,7 @@
 judges from what passed: requests as hosts saw them, checks as their clients were told. Beside the verdict:
 what passed in all against what quota and ceiling allow in that time, and how near any customer's ceiling came
 to being passed over any span (its store, which fills at the ceiling's rate up to its burst: the least that
-was ever in it; below none, minus that is the largest excess). """
+was ever in it; below none, minus that is the largest excess)."""
 
 from __future__ import annotations
 
@@ -33,8 +33,11 @@
 
 RATE, BURST, CEILING, CEILING_BURST, ASKED = 8.0, 16.0, 16.0, 32.0, 48.0  # units a second, units
 CUSTOMERS = [f"{n:016x}" for n in range(1, 5)]
-SHAPE = Shape(classes={"roster-read": Class("safe", 1.0, 3.0, 1.0, 0.03, 1.0)},
-              plans={"enterprise": Plan(RATE, BURST, 1.8, CEILING, CEILING_BURST)}, grpc="roster-read")
+SHAPE = Shape(
+    classes={"roster-read": Class("safe", 1.0, 3.0, 1.0, 0.03, 1.0)},
+    plans={"enterprise": Plan(RATE, BURST, 1.8, CEILING, CEILING_BURST)},
+    grpc="roster-read",
+)
 
 
 async def stalls(fleet: Fleet, seconds: float) -> None:
@@ -57,8 +60,9 @@
 
         traffic = Traffic(client, asking(resp), SHAPE.used(), retries=0.0)
         began = asyncio.get_running_loop().time()
-        await asyncio.gather(traffic.run(seconds), checks.run(asking(1 - resp), seconds),
-                             stalls(fleet, seconds))
+        await asyncio.gather(
+            traffic.run(seconds), checks.run(asking(1 - resp), seconds), stalls(fleet, seconds)
+        )
         span = asyncio.get_running_loop().time() - began
         client.close()
         await checks.close()
@@ -70,12 +74,19 @@
         sent = sum(1 for id in by_id if id in ledger.tries)
         granted = sum(units for *_, units in ledger.grants)
     count = len(CUSTOMERS)
-    return {"resp_sent": sent, "checks_granted": granted, "passed": sent + granted,
-            "asked": len(ledger.tries) + sum(checks.counts.values()), "span_s": span,
-            "quota": count * (BURST + RATE * seconds), "ceiling": count * (CEILING_BURST + CEILING * seconds),
-            "least_left": min(least for least, _ in stores.values()),
-            "slack": min(slack for _, slack in stores.values()), "checks": dict(checks.counts),
-            "broken": [text for v in verdicts for text in v.breaches]}
+    return {
+        "resp_sent": sent,
+        "checks_granted": granted,
+        "passed": sent + granted,
+        "asked": len(ledger.tries) + sum(checks.counts.values()),
+        "span_s": span,
+        "quota": count * (BURST + RATE * seconds),
+        "ceiling": count * (CEILING_BURST + CEILING * seconds),
+        "least_left": min(least for least, _ in stores.values()),
+        "slack": min(slack for _, slack in stores.values()),
+        "checks": dict(checks.counts),
+        "broken": [text for v in verdicts for text in v.breaches],
+    }
 
 
 def main() -> None:
@@ -84,14 +95,19 @@
     parser.add_argument("--json", metavar="FILE")
     told = parser.parse_args()
     figures = {}
-    print(f"{'RESP2:gRPC':>10} {'asked':>7} {'passed':>7} {'of quota':>9} {'of ceiling':>11} "
-          f"{'least left':>11} {'slack':>6}  rules")
+    print(
+        f"{'RESP2:gRPC':>10} {'asked':>7} {'passed':>7} {'of quota':>9} {'of ceiling':>11} "
+        f"{'least left':>11} {'slack':>6}  rules"
+    )
     for name, resp in (("1:1", 0.5), ("9:1", 0.9)):
         with tempfile.TemporaryDirectory(prefix="mixed-") as folder:
             row = figures[name] = uvloop.run(play(resp, told.seconds, Path(folder)))
-        print(f"{name:>10} {row['asked']:7d} {row['passed']:7.0f} {row['passed'] / row['quota']:9.3f} "
-              f"{row['passed'] / row['ceiling']:11.3f} {row['least_left']:11.1f} {row['slack']:6.1f}  "
-              f"{'BROKEN ' + row['broken'][0] if row['broken'] else 'kept'}", flush=True)
+        print(
+            f"{name:>10} {row['asked']:7d} {row['passed']:7.0f} {row['passed'] / row['quota']:9.3f} "
+            f"{row['passed'] / row['ceiling']:11.3f} {row['least_left']:11.1f} {row['slack']:6.1f}  "
+            f"{'BROKEN ' + row['broken'][0] if row['broken'] else 'kept'}",
+            flush=True,
+        )
     if told.json:
         Path(told.json).write_text(json.dumps(figures, indent=1))
 
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -126,7 +126,11 @@
         customer = b"%016x" % (self.number % CUSTOMERS + 1)
         terms = b"c=read,t=p,d=%d,units=1,spread=1,first=0" % (60_000 if HELD else 3000)
         return b"*4\r\n$8\r\nAPI.READ\r\n$16\r\n%s\r\n$10\r\n%010d\r\n$%d\r\n%s\r\n" % (
-            customer, self.number + time.monotonic_ns() % 10 ** 9, len(terms), terms)
+            customer,
+            self.number + time.monotonic_ns() % 10**9,
+            len(terms),
+            terms,
+        )
 
     def ended(self) -> None:
         self.running -= 1
@@ -209,8 +213,10 @@
     if not HELD:
         return free
     minute = {"slo": 60_000_000_000, "deadline": 60_000_000_000}
-    return free | {"services": [one | minute for one in SETTINGS["services"]],
-                       "limits": SETTINGS["limits"] | {"max_open": 100_000}}
+    return free | {
+        "services": [one | minute for one in SETTINGS["services"]],
+        "limits": SETTINGS["limits"] | {"max_open": 100_000},
+    }
 
 
 async def measure(before: str, rounds: int, requests: int, fleet: int) -> dict[str, Any]:
@@ -225,18 +231,27 @@
         try:
             old = folder / "before"
             old.mkdir()
-            archive = subprocess.run(["git", "archive", before], cwd=ROOT, check=True,
-                                     capture_output=True).stdout
+            archive = subprocess.run(
+                ["git", "archive", before], cwd=ROOT, check=True, capture_output=True
+            ).stdout
             subprocess.run(["tar", "-x"], cwd=old, input=archive, check=True)
             for name, tree in (("now", ROOT), ("before", old)):
                 port = free_port()
                 told = configuration(entries, discovery.port, counter.port, settings()) | {
                     "listen": f"127.0.0.1:{port}",
-                    "limits": {"cores": 1.0, "memory_mb": 2000, "sockets": 1024 + 4 * fleet}}
+                    "limits": {"cores": 1.0, "memory_mb": 2000, "sockets": 1024 + 4 * fleet},
+                }
                 file = folder / f"{name}.json"
                 file.write_text(json.dumps(told))
-                programs.append(Program(name, [sys.executable, "-B", "-m", "apigateway.daemon"], tree,
-                                        {"RELAY_CONFIG": str(file)}, port))
+                programs.append(
+                    Program(
+                        name,
+                        [sys.executable, "-B", "-m", "apigateway.daemon"],
+                        tree,
+                        {"RELAY_CONFIG": str(file)},
+                        port,
+                    )
+                )
                 await programs[-1].ready(True)
             port = free_port()
             relay = [sys.executable, "-c", RELAY, str(port), *map(str, ports[:100])]
@@ -255,13 +270,19 @@
             for host in hosts:
                 host.close()
     middle = {p.name: statistics.median(p.figures) for p in programs}
-    pairs = {other: statistics.median(a / b for a, b in zip(programs[0].figures, p.figures, strict=True))
-             for p in programs[1:] for other in [p.name]}
-    return {"cpu_us": middle, "ratio": pairs,
-            "all_us": {p.name: [round(f, 1) for f in p.figures] for p in programs},
-            "memory_kb": {p.name: p.memory for p in programs},
-            "descriptors": {p.name: p.descriptors for p in programs},
-            "start_s": {p.name: round(p.start, 3) for p in programs}}
+    pairs = {
+        other: statistics.median(a / b for a, b in zip(programs[0].figures, p.figures, strict=True))
+        for p in programs[1:]
+        for other in [p.name]
+    }
+    return {
+        "cpu_us": middle,
+        "ratio": pairs,
+        "all_us": {p.name: [round(f, 1) for f in p.figures] for p in programs},
+        "memory_kb": {p.name: p.memory for p in programs},
+        "descriptors": {p.name: p.descriptors for p in programs},
+        "start_s": {p.name: round(p.start, 3) for p in programs},
+    }
 
 
 def main() -> None:
@@ -280,8 +301,10 @@
     print(f"{'':8} {'CPU us':>8} {'now/it':>7} {'kB':>7} {'fds':>4} {'start s':>8}")
     for name, us in figures["cpu_us"].items():
         ratio = figures["ratio"].get(name, 1.0)
-        print(f"{name:8} {us:8.1f} {ratio:7.3f} {figures['memory_kb'][name]:7d} "
-              f"{figures['descriptors'][name]:4d} {figures['start_s'][name]:8.3f}")
+        print(
+            f"{name:8} {us:8.1f} {ratio:7.3f} {figures['memory_kb'][name]:7d} "
+            f"{figures['descriptors'][name]:4d} {figures['start_s'][name]:8.3f}"
+        )
     if told.json:
         Path(told.json).write_text(json.dumps(figures, indent=1))
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -5,7 +5,7 @@
 One gateway on one core. Of 60 hosts half are listed; ten of them are replaced each second, under ever new
 ids, and some hang up on what they are asked. Customers come once, but for a tenth of the requests, which are
 one's; clients make a new connection after 200 requests, and leave one in fifty with its answers unread. Every
-20 s a reload. Prints what the gateway holds each half minute, and how much the second half grew. """
+20 s a reload. Prints what the gateway holds each half minute, and how much the second half grew."""
 
 from __future__ import annotations
 
@@ -58,7 +58,12 @@
         id = b"s%010d" % self.number
         terms = b"c=read,t=p,d=3000,units=1,spread=1,first=0"
         return b"*4\r\n$8\r\nAPI.READ\r\n$16\r\n%016x\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n" % (
-            customer, len(id), id, len(terms), terms)
+            customer,
+            len(id),
+            id,
+            len(terms),
+            terms,
+        )
 
     async def line(self) -> None:
         while not self.stop:
@@ -101,12 +106,21 @@
     churning = loop.create_task(churn(folder, [host.sockets[0].getsockname()[1] for host in hosts]))
     await asyncio.sleep(0.1)
     port = free_port()
-    settings = (f'[[listeners]]\naddress = "127.0.0.1:{port}"\n[classes.read]\neffect = "safe"\naim = 1.0\n'
-                "deadline = 3.0\n[plans.p]\nrate = 20.0\nburst = 40.0\n")
+    settings = (
+        f'[[listeners]]\naddress = "127.0.0.1:{port}"\n[classes.read]\neffect = "safe"\naim = 1.0\n'
+        "deadline = 3.0\n[plans.p]\nrate = 20.0\nburst = 40.0\n"
+    )
     (folder / "gateway.toml").write_text(settings)
     program = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "apigateway", "serve", str(folder / "gateway.toml"), cwd=ROOT,
-        stderr=asyncio.subprocess.PIPE)
+        sys.executable,
+        "-B",
+        "-m",
+        "apigateway",
+        "serve",
+        str(folder / "gateway.toml"),
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
+    )
     assert program.stderr is not None
     while b"listens on" not in await program.stderr.readline():
         pass
@@ -123,13 +137,22 @@
         if beats % 2 == 0:
             (folder / "gateway.toml").write_text(settings + f"[limits]\nmax_open = {10000 + beats}\n")
             program.send_signal(signal.SIGHUP)
-        row = {"s": round(time.monotonic() - began), "kb": memory(program.pid),
-               "fds": len(os.listdir(f"/proc/{program.pid}/fd")), "served": load.served,
-               "refused": load.refused, "lost": load.lost, "cpu": cpu(program.pid)}
+        row = {
+            "s": round(time.monotonic() - began),
+            "kb": memory(program.pid),
+            "fds": len(os.listdir(f"/proc/{program.pid}/fd")),
+            "served": load.served,
+            "refused": load.refused,
+            "lost": load.lost,
+            "cpu": cpu(program.pid),
+        }
         rows.append(row)
         if beats % 3 == 0:
-            print(f"{row['s']:6d} {row['kb'] / 1024:7.1f} {row['fds']:5d} {row['served']:9d} "
-                  f"{row['refused']:8d} {row['lost']:5d} {row['cpu']:7.1f}", flush=True)
+            print(
+                f"{row['s']:6d} {row['kb'] / 1024:7.1f} {row['fds']:5d} {row['served']:9d} "
+                f"{row['refused']:8d} {row['lost']:5d} {row['cpu']:7.1f}",
+                flush=True,
+            )
     load.stop = True
     await asyncio.gather(*lines, return_exceptions=True)
     churning.cancel()
@@ -150,16 +173,24 @@
     told = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
         rows = uvloop.run(soak(told.minutes, told.rate, Path(folder)))
-    half = [row["kb"] for row in rows[len(rows) // 2:]]
+    half = [row["kb"] for row in rows[len(rows) // 2 :]]
     third = max(1, len(half) // 3)
     grown = sum(half[-third:]) / third - sum(half[:third]) / third
-    print(f"second half: {min(half) / 1024:.1f} to {max(half) / 1024:.1f} MB; its last third against its "
-          f"first {grown / 1024:+.2f} MB")
+    print(
+        f"second half: {min(half) / 1024:.1f} to {max(half) / 1024:.1f} MB; its last third against its "
+        f"first {grown / 1024:+.2f} MB"
+    )
     if told.json:
         Path(told.json).write_text(json.dumps(rows, indent=1))
     if told.plot:
-        Path(told.plot).write_text(draw("What a gateway holds while all changes", "minutes", "MB", [
-            Line("memory", [(row["s"] / 60, row["kb"] / 1024) for row in rows])]))
+        Path(told.plot).write_text(
+            draw(
+                "What a gateway holds while all changes",
+                "minutes",
+                "MB",
+                [Line("memory", [(row["s"] / 60, row["kb"] / 1024) for row in rows])],
+            )
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/workers.py
+++ b/benchmarks/workers.py
@@ -69,9 +69,26 @@
 def clients(port: int, count: int, seconds: float, plan: bytes, customers: int) -> tuple[int, int]:
     """Served and refused."""
     paths = [str(ROOT), str(ROOT / "benchmarks")]
-    running = [subprocess.Popen([sys.executable, "-c", LOAD.format(
-        paths=paths, connections=CONNECTIONS // count, plan=plan, customers=customers, number=number,
-        seconds=seconds, port=port)], stdout=subprocess.PIPE, text=True) for number in range(count)]
+    running = [
+        subprocess.Popen(
+            [
+                sys.executable,
+                "-c",
+                LOAD.format(
+                    paths=paths,
+                    connections=CONNECTIONS // count,
+                    plan=plan,
+                    customers=customers,
+                    number=number,
+                    seconds=seconds,
+                    port=port,
+                ),
+            ],
+            stdout=subprocess.PIPE,
+            text=True,
+        )
+        for number in range(count)
+    ]
     told = [one.communicate(timeout=seconds + 30)[0].split() for one in running]
     return sum(int(a) for a, _ in told), sum(int(b) for _, b in told)
 
@@ -80,21 +97,35 @@
     loop = asyncio.get_running_loop()
     hosts = [await loop.create_server(FastHost, "127.0.0.1", 0) for _ in range(HOSTS)]
     port = free_port()
-    (folder / "hosts.toml").write_text("".join(
-        f'[[hosts]]\nid = "h{n}"\naddress = "127.0.0.1:{host.sockets[0].getsockname()[1]}"\n'
-        for n, host in enumerate(hosts)))
+    (folder / "hosts.toml").write_text(
+        "".join(
+            f'[[hosts]]\nid = "h{n}"\naddress = "127.0.0.1:{host.sockets[0].getsockname()[1]}"\n'
+            for n, host in enumerate(hosts)
+        )
+    )
     async with StandInCounter() as counter:
         (folder / "gateway.toml").write_text(
             f'[[listeners]]\naddress = "127.0.0.1:{port}"\n[counter]\naddress = "127.0.0.1:{counter.port}"\n'
             '[classes.read]\neffect = "safe"\naim = 1.0\ndeadline = 3.0\n'
             "[plans.free]\nrate = 1000000.0\nburst = 1000000.0\n"
-            f"[plans.held]\nrate = {RATE}\nburst = {BURST}\n")
+            f"[plans.held]\nrate = {RATE}\nburst = {BURST}\n"
+        )
         program = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "apigateway", "serve", str(folder / "gateway.toml"), "--workers",
-            str(workers), cwd=ROOT, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-B",
+            "-m",
+            "apigateway",
+            "serve",
+            str(folder / "gateway.toml"),
+            "--workers",
+            str(workers),
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+        )
         assert program.stderr is not None
         while b" listen on " not in (line := await program.stderr.readline()) and (
-                workers > 1 or b"listens on" not in line):
+            workers > 1 or b"listens on" not in line
+        ):
             if not line:
                 raise RuntimeError("it does not start")
         reading = loop.create_task(program.stderr.read())
@@ -108,8 +139,13 @@
     for host in hosts:
         host.close()
     quota = BURST + RATE * span
-    return {"rps": served / seconds, "passed": float(passed), "quota": quota,
-            "beyond": max(0.0, passed - quota) / quota, "refusals_rps": refused / seconds}
+    return {
+        "rps": served / seconds,
+        "passed": float(passed),
+        "quota": quota,
+        "beyond": max(0.0, passed - quota) / quota,
+        "refusals_rps": refused / seconds,
+    }
 
 
 def main() -> None:
@@ -119,15 +155,20 @@
     parser.add_argument("--json", metavar="FILE")
     told = parser.parse_args()
     figures: dict[str, Any] = {}
-    print(f"{'workers':>8} {'served/s':>9} {'of linear':>10} {'passed':>8} {'quota':>8} {'beyond':>7}"
-          f" {'refused/s':>10}   cores {len(os.sched_getaffinity(0))}")
+    print(
+        f"{'workers':>8} {'served/s':>9} {'of linear':>10} {'passed':>8} {'quota':>8} {'beyond':>7}"
+        f" {'refused/s':>10}   cores {len(os.sched_getaffinity(0))}"
+    )
     for workers in (1, 2, 4):
         with tempfile.TemporaryDirectory(prefix="workers-") as folder:
             row = uvloop.run(measure(workers, told.seconds, told.clients, Path(folder)))
         figures[str(workers)] = row
         linear = row["rps"] / (figures["1"]["rps"] * workers)
-        print(f"{workers:8d} {row['rps']:9.0f} {linear:10.2f} {row['passed']:8.0f} {row['quota']:8.0f} "
-              f"{row['beyond']:7.2f} {row['refusals_rps']:10.0f}", flush=True)
+        print(
+            f"{workers:8d} {row['rps']:9.0f} {linear:10.2f} {row['passed']:8.0f} {row['quota']:8.0f} "
+            f"{row['beyond']:7.2f} {row['refusals_rps']:10.0f}",
+            flush=True,
+        )
     if told.json:
         Path(told.json).write_text(json.dumps(figures, indent=1))
 
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -55,6 +55,7 @@
                 w.ask(QUANTUM * 0.6)
             if commands:
                 w.door.waiting.append(go_on)
+
         return go_on
 
     for name in "abc":
--- a/tests/core/test_asked.py
+++ b/tests/core/test_asked.py
@@ -41,7 +41,7 @@
     w = world()
     place = w.take("a", [])
     assert not w.module.events and not place.answers
-    (asked, left, decided), = w.core.outer.asked
+    ((asked, left, decided),) = w.core.outer.asked
     assert asked == request("a") and left == 3.0
     w.module.next = [messages.Send("a", "h1")]
     decided(True, 0.0)
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -265,12 +265,16 @@
     assert w.take("q", [messages.Send("q", "h1")], front="other").answers == []
 
 
-STEPS = st.lists(st.tuples(st.sampled_from(["take", "end", "write", "gone", "late", "timer"]), st.integers(0,
-                                                                                                           5),
-                           st.sampled_from(["send", "two", "refuse", "fail", "nothing", "raise", "cancel",
-                                            "odd"]),
-                           st.sampled_from(["ok", "error", "full", "reset", "connect_failed", "timeout"]),
-                           st.booleans()), max_size=40)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["take", "end", "write", "gone", "late", "timer"]),
+        st.integers(0, 5),
+        st.sampled_from(["send", "two", "refuse", "fail", "nothing", "raise", "cancel", "odd"]),
+        st.sampled_from(["ok", "error", "full", "reset", "connect_failed", "timeout"]),
+        st.booleans(),
+    ),
+    max_size=40,
+)
 
 
 @seed(1)
@@ -286,10 +290,15 @@
             attempt = live[which % len(live)] if live else None
             id = f"r{number}" if what == "take" else attempt.tag[0].id if attempt else "none"
             w.module.next = {
-                "send": [messages.Send(id, "h1")], "two": [messages.Send(id, "h1"), messages.Send(id, "h2")],
-                "refuse": [messages.Refuse(id, 0.1)], "fail": [messages.Fail(id)], "nothing": [],
-                "raise": RuntimeError("broken"), "cancel": [messages.Cancel(id, 0), messages.Send(id, "h3")],
-                "odd": [None, messages.Send("unknown", "h1"), messages.Refuse(id), messages.Fail(id)]}[does]
+                "send": [messages.Send(id, "h1")],
+                "two": [messages.Send(id, "h1"), messages.Send(id, "h2")],
+                "refuse": [messages.Refuse(id, 0.1)],
+                "fail": [messages.Fail(id)],
+                "nothing": [],
+                "raise": RuntimeError("broken"),
+                "cancel": [messages.Cancel(id, 0), messages.Send(id, "h3")],
+                "odd": [None, messages.Send("unknown", "h1"), messages.Refuse(id), messages.Fail(id)],
+            }[does]
             if what == "take":
                 place = Place(broken)
                 places.append(place)
@@ -426,7 +435,11 @@
 def test_a_check_is_answered_once_and_goes_to_no_host():
     w = World()
     one, two, three = Asker(), Asker(), Asker()
-    w.module.next = [messages.Granted("a", 5.0, 1.0, 7), messages.Denied("a", True, 0.0, 0.0, 0.0), messages.Refuse("a")]
+    w.module.next = [
+        messages.Granted("a", 5.0, 1.0, 7),
+        messages.Denied("a", True, 0.0, 0.0, 0.0),
+        messages.Refuse("a"),
+    ]
     w.core.check("front", check("a"), one)
     w.module.next = [messages.Denied("b", True, 0.5, 0.0, 0.0)]
     w.core.check("front", check("b"), two)
@@ -466,7 +479,11 @@
     w.core.hooks = object()  # would raise if it were asked
     w.core.check("front", check("a"), Asker())
     assert type(w.module.events[-1]) is messages.Check
-    w.core.give_back(messages.Check("a", 3.0, "c", "p", "read", 2.0, 0, 1), messages.Granted("a", 0.0, 1.0, 7))
+    w.core.give_back(
+        messages.Check("a", 3.0, "c", "p", "read", 2.0, 0, 1), messages.Granted("a", 0.0, 1.0, 7)
+    )
     assert w.module.events[-1] == messages.GiveBack("c", 2.0, 7)
-    w.core.give_back(messages.Reserve("b", 1.0, "c", "p", "read", 2.0, 0, 1), messages.Granted("b", 0.0, 1.0, 7))
+    w.core.give_back(
+        messages.Reserve("b", 1.0, "c", "p", "read", 2.0, 0, 1), messages.Granted("b", 0.0, 1.0, 7)
+    )
     assert w.module.events[-1] == messages.Unreserve("c", 2.0, 7)
--- a/tests/daemon/test_inflight.py
+++ b/tests/daemon/test_inflight.py
@@ -20,8 +20,9 @@
     file = memory(3)
     one, two = InFlight(file, 0, 3), InFlight(file, 2, 3)
     place = one.mark("a", 3.0)
-    assert place >= 0 and two.mark("a", 3.0) == HELD and one.mark("a", 3.0) == HELD and two.mark("b",
-                                                                                                 3.0) >= 0
+    assert (
+        place >= 0 and two.mark("a", 3.0) == HELD and one.mark("a", 3.0) == HELD and two.mark("b", 3.0) >= 0
+    )
     one.clear(place)
     assert two.mark("a", 3.0) >= 0
 
--- a/tests/daemon/test_lifecycle.py
+++ b/tests/daemon/test_lifecycle.py
@@ -97,12 +97,19 @@
         with socket.create_server(("127.0.0.1", 0)) as sock:
             port = sock.getsockname()[1]
             site.write([port])
-            manager = (f"import os; os.dup2({sock.fileno()}, 3); "
-                       "os.environ.update(LISTEN_FDS='1', LISTEN_PID=str(os.getpid())); "
-                       f"os.execv({sys.executable!r}, {[*PROGRAM, 'serve', str(site.file)]!r})")
+            manager = (
+                f"import os; os.dup2({sock.fileno()}, 3); "
+                "os.environ.update(LISTEN_FDS='1', LISTEN_PID=str(os.getpid())); "
+                f"os.execv({sys.executable!r}, {[*PROGRAM, 'serve', str(site.file)]!r})"
+            )
             program = await asyncio.create_subprocess_exec(
-                sys.executable, "-c", manager, cwd=ROOT, pass_fds=(sock.fileno(),),
-                stderr=asyncio.subprocess.PIPE)
+                sys.executable,
+                "-c",
+                manager,
+                cwd=ROOT,
+                pass_fds=(sock.fileno(),),
+                stderr=asyncio.subprocess.PIPE,
+            )
             site.programs.append(program)
             site.logs[program] = []
             await site.line(program, b"listens on")
@@ -145,15 +152,21 @@
 
 @on_loop
 async def test_beside_the_platforms_configuration_it_adds_a_listener_and_a_hand_over(tmp_path):
-    async with (StubHost() as host, StubCounter() as counter, StubDiscovery() as discovery,
-                Site(tmp_path) as site):
+    async with (
+        StubHost() as host,
+        StubCounter() as counter,
+        StubDiscovery() as discovery,
+        Site(tmp_path) as site,
+    ):
         discovery.servers = [entry(host)]
         first, second = free_port(), free_port()
         config = told([entry(host)], discovery.port, counter.port) | {"listen": f"127.0.0.1:{first}"}
         (tmp_path / "config.json").write_text(json.dumps(config))
         env = {"RELAY_CONFIG": str(tmp_path / "config.json")}
-        site.file.write_text(f'[[listeners]]\naddress = "127.0.0.1:{second}"\n'
-                             f'[daemon]\nstate = "{tmp_path / "state"}"\nlog_lines = 1000\n')
+        site.file.write_text(
+            f'[[listeners]]\naddress = "127.0.0.1:{second}"\n'
+            f'[daemon]\nstate = "{tmp_path / "state"}"\nlog_lines = 1000\n'
+        )
         old = await site.start(env=env)
         for n, port in enumerate((first, second)):
             assert await site.ask(command(b"a%d" % n), port) == SERVED
@@ -172,8 +185,12 @@
 @on_loop
 async def test_a_sighup_while_its_configuration_is_read_is_taken_up_once_it_serves(tmp_path):
     """The settings were read before: the file that is there by then has another number."""
-    async with (StubHost() as host, StubCounter() as counter, StubDiscovery() as discovery,
-                Site(tmp_path) as site):
+    async with (
+        StubHost() as host,
+        StubCounter() as counter,
+        StubDiscovery() as discovery,
+        Site(tmp_path) as site,
+    ):
         discovery.servers = [entry(host)]
         port, config = free_port(), tmp_path / "config.json"
         text = json.dumps(told([entry(host)], discovery.port, counter.port) | {"listen": f"127.0.0.1:{port}"})
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -52,8 +52,9 @@
     default = msgspec.to_builtins(Settings())
     for part in default.keys() - {"classes", "plans"}:
         assert told[part] == default[part], part
-    config = to_config(str(ROOT / "deploy" / "gateway.toml"),
-                       read_settings(str(ROOT / "deploy" / "gateway.toml")))
+    config = to_config(
+        str(ROOT / "deploy" / "gateway.toml"), read_settings(str(ROOT / "deploy" / "gateway.toml"))
+    )
     assert isinstance(config.settings, messages.Settings) and len(config.known.hosts.hosts) == 1
 
 
@@ -65,58 +66,88 @@
             assert stands, f"{part}.{key}"
 
 
-@pytest.mark.parametrize("text, key, words", [
-    ("[plan.p]\nrate = 1.0", "plan", "did you mean `plans`"),
-    ("[plans.q]\nrte = 1.0\nburst = 3.0", "plans.q.rte", "did you mean `rate`"),
-    ("[daemon]\nxyz = 1", "daemon.xyz", "known here: state"),
-    ('[limits]\nmax_open = "many"', "limits.max_open", "a whole number, got text"),
-    ("[limits]\nmax_open = 0", "limits.max_open", ">= 1; its default is 20000"),
-    ("[rules]\ncold_share = 1.5", "rules.cold_share", "<= 1.0"),
-    ("[rules]\ndrain_grace = nan", "rules.drain_grace", "a number"),
-    ("listeners = 3", "listeners", "[[listeners]]"),
-    ("[[listeners]]\naddress = 'nowhere'", "listeners[0].address", "HOST:PORT"),
-    ("[[listeners]]\naddress = '127.0.0.1:1'\n[[listeners]]\naddress = '127.0.0.1:1'", "listeners[1].address",
-     "also that of listeners[0]"),
-    ("[[listeners]]\nprotocol = 'gopher'", "listeners[0].protocol", "gopher"),
-    ("[gateway]\nindex = 3\ngateways = 3\n[counter]\naddress = '127.0.0.1:1'", "gateway.index",
-     "numbered from 0"),
-    ("[gateway]\ngateways = 3", "counter.address", "without a counter"),
-    ("[counter]\naddress = 'nowhere'", "counter.address", "HOST:PORT"),
-    ("[hosts]\nsource = 'discovery'", "hosts.discovery", "HOST:PORT"),
-    ("[hosts]\nsource = 'eureka'", "eureka.urls", "no registry to ask"),
-    ("[eureka]\nurls = ['http://u:p@h/eureka']", "eureka.urls", "//(hidden)@h"),
-    ("[eureka]\nby = 'vip'", "eureka.name", "no name of the vip"),
-    ("[eureka]\npassword = 17", "eureka.password", "(hidden)"),
-    ("[eureka.states]\nDOWN = 'asleep'", "eureka.states.DOWN", "asleep"),
-    ("[register]\non = true\n[eureka]\nurls = ['http://h/eureka']", "register.ip", "others reach"),
-    ("[register]\nrenew = 20.0", "register.duration", "one lost renewal"),
-    ("[classes.c]\neffect = 'safe'\naim = 4.0\ndeadline = 3.0", "classes.c.aim", "after the deadline of 3.0"),
-    ("[classes.c]\neffect = 'sometimes'\naim = 1.0\ndeadline = 3.0", "classes.c.effect", "sometimes"),
-    ("[classes.c]\neffect = 'safe'\naim = 1.0", "classes.c.deadline", "missing"),
-    ("[classes.c]\neffect = 'keyed'\naim = 1.0\ndeadline = 3.0", "classes.c.memory", "nobody drops"),
-    ("[classes.c]\neffect = 'unsafe'\nmemory = 3.0\naim = 1.0\ndeadline = 3.0", "classes.c.memory",
-     "no repeats"),
-    ("[classes.c]\neffect = 'safe'\nscope = 'zone'\naim = 1.0\ndeadline = 3.0", "classes.c.scope",
-     "no scope"),
-    ("[classes.c]\neffect = 'safe'\naim = 1.0\ndeadline = 30.0", "classes.c.deadline",
-     "daemon.finish = 10.0"),
-    ("[plans.q]\nrate = 2.0\nburst = 8.0\nceiling_rate = 1.0\nceiling_burst = 9.0", "plans.q.ceiling_rate",
-     "under the quota's rate of 2.0"),
-    ("[plans.q]\nrate = 2.0\nburst = 8.0\nceiling_rate = 4.0\nceiling_burst = 7.0", "plans.q.ceiling_burst",
-     "under the quota's burst of 8.0"),
-    ("[plans.q]\nrate = 2.0", "plans.q.burst", "never fits"),
-    ("[plans.q]\nprice = 1.0", "plans.q.rate", "neither a rate nor"),
-    ("[limits]\nmemory_mb = 48\nmax_customers = 100000", "limits.max_customers", "room for 5991"),
-    ("[overload]\nlag = 0.0", "overload.lag", "0.005"),
-    ("[overload]\nlag = 0.5", "overload.turn", "shorter than the lag"),
-])
+@pytest.mark.parametrize(
+    "text, key, words",
+    [
+        ("[plan.p]\nrate = 1.0", "plan", "did you mean `plans`"),
+        ("[plans.q]\nrte = 1.0\nburst = 3.0", "plans.q.rte", "did you mean `rate`"),
+        ("[daemon]\nxyz = 1", "daemon.xyz", "known here: state"),
+        ('[limits]\nmax_open = "many"', "limits.max_open", "a whole number, got text"),
+        ("[limits]\nmax_open = 0", "limits.max_open", ">= 1; its default is 20000"),
+        ("[rules]\ncold_share = 1.5", "rules.cold_share", "<= 1.0"),
+        ("[rules]\ndrain_grace = nan", "rules.drain_grace", "a number"),
+        ("listeners = 3", "listeners", "[[listeners]]"),
+        ("[[listeners]]\naddress = 'nowhere'", "listeners[0].address", "HOST:PORT"),
+        (
+            "[[listeners]]\naddress = '127.0.0.1:1'\n[[listeners]]\naddress = '127.0.0.1:1'",
+            "listeners[1].address",
+            "also that of listeners[0]",
+        ),
+        ("[[listeners]]\nprotocol = 'gopher'", "listeners[0].protocol", "gopher"),
+        (
+            "[gateway]\nindex = 3\ngateways = 3\n[counter]\naddress = '127.0.0.1:1'",
+            "gateway.index",
+            "numbered from 0",
+        ),
+        ("[gateway]\ngateways = 3", "counter.address", "without a counter"),
+        ("[counter]\naddress = 'nowhere'", "counter.address", "HOST:PORT"),
+        ("[hosts]\nsource = 'discovery'", "hosts.discovery", "HOST:PORT"),
+        ("[hosts]\nsource = 'eureka'", "eureka.urls", "no registry to ask"),
+        ("[eureka]\nurls = ['http://u:p@h/eureka']", "eureka.urls", "//(hidden)@h"),
+        ("[eureka]\nby = 'vip'", "eureka.name", "no name of the vip"),
+        ("[eureka]\npassword = 17", "eureka.password", "(hidden)"),
+        ("[eureka.states]\nDOWN = 'asleep'", "eureka.states.DOWN", "asleep"),
+        ("[register]\non = true\n[eureka]\nurls = ['http://h/eureka']", "register.ip", "others reach"),
+        ("[register]\nrenew = 20.0", "register.duration", "one lost renewal"),
+        (
+            "[classes.c]\neffect = 'safe'\naim = 4.0\ndeadline = 3.0",
+            "classes.c.aim",
+            "after the deadline of 3.0",
+        ),
+        ("[classes.c]\neffect = 'sometimes'\naim = 1.0\ndeadline = 3.0", "classes.c.effect", "sometimes"),
+        ("[classes.c]\neffect = 'safe'\naim = 1.0", "classes.c.deadline", "missing"),
+        ("[classes.c]\neffect = 'keyed'\naim = 1.0\ndeadline = 3.0", "classes.c.memory", "nobody drops"),
+        (
+            "[classes.c]\neffect = 'unsafe'\nmemory = 3.0\naim = 1.0\ndeadline = 3.0",
+            "classes.c.memory",
+            "no repeats",
+        ),
+        (
+            "[classes.c]\neffect = 'safe'\nscope = 'zone'\naim = 1.0\ndeadline = 3.0",
+            "classes.c.scope",
+            "no scope",
+        ),
+        (
+            "[classes.c]\neffect = 'safe'\naim = 1.0\ndeadline = 30.0",
+            "classes.c.deadline",
+            "daemon.finish = 10.0",
+        ),
+        (
+            "[plans.q]\nrate = 2.0\nburst = 8.0\nceiling_rate = 1.0\nceiling_burst = 9.0",
+            "plans.q.ceiling_rate",
+            "under the quota's rate of 2.0",
+        ),
+        (
+            "[plans.q]\nrate = 2.0\nburst = 8.0\nceiling_rate = 4.0\nceiling_burst = 7.0",
+            "plans.q.ceiling_burst",
+            "under the quota's burst of 8.0",
+        ),
+        ("[plans.q]\nrate = 2.0", "plans.q.burst", "never fits"),
+        ("[plans.q]\nprice = 1.0", "plans.q.rate", "neither a rate nor"),
+        ("[limits]\nmemory_mb = 48\nmax_customers = 100000", "limits.max_customers", "room for 5991"),
+        ("[overload]\nlag = 0.0", "overload.lag", "0.005"),
+        ("[overload]\nlag = 0.5", "overload.turn", "shorter than the lag"),
+    ],
+)
 def test_a_fault_is_told_with_its_key(text, key, words, tmp_path):
     found = faults(tmp_path, text + GOOD)
     assert list(found) == [key] and words in str(found[key])
 
 
 def test_all_faults_are_told_at_once(tmp_path):
-    found = faults(tmp_path, """
+    found = faults(
+        tmp_path,
+        """
         [limits]
         max_open = -1
         [gateway]
@@ -130,15 +161,24 @@
         ceiling_rate = 1.0
         ceiling_burst = 4.0
         [wrong]
-        """)
-    assert set(found) == {"limits.max_open", "gateway.index", "plans.p.burst", "plans.q.ceiling_rate",
-                          "wrong",
-                          "classes"}
+        """,
+    )
+    assert set(found) == {
+        "limits.max_open",
+        "gateway.index",
+        "plans.p.burst",
+        "plans.q.ceiling_rate",
+        "wrong",
+        "classes",
+    }
 
 
 def test_what_is_no_settings_file(tmp_path):
-    for text, word in ((b"\xff\xfe", "UTF-8 (byte 0)"), (b"[limits]\nmax_op", "half written"),
-                       (b"x = [[" * 5000, "")):
+    for text, word in (
+        (b"\xff\xfe", "UTF-8 (byte 0)"),
+        (b"[limits]\nmax_op", "half written"),
+        (b"x = [[" * 5000, ""),
+    ):
         (fault,) = faults(tmp_path, text).values()
         assert fault.key == "" and word in str(fault)
     with pytest.raises(Faulty, match="no regular file"):
@@ -162,20 +202,25 @@
     assert read_settings(str(tmp_path / "gateway.toml"), beside=True).listeners == []
 
 
-TREES = st.recursive(st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
-                     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=5), inner,
-                                                                                 max_size=3),
-                     max_leaves=6)
+TREES = st.recursive(
+    st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
+    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=5), inner, max_size=3),
+    max_leaves=6,
+)
 
 
 @seed(1)
 @settings(max_examples=300, deadline=None, database=None)
-@given(st.dictionaries(st.sampled_from([*Settings.__struct_fields__, "other"]),
-                       TREES | st.dictionaries(st.sampled_from(["rate", "index", "address", "aim", "x"]),
-                                               TREES)))
+@given(
+    st.dictionaries(
+        st.sampled_from([*Settings.__struct_fields__, "other"]),
+        TREES | st.dictionaries(st.sampled_from(["rate", "index", "address", "aim", "x"]), TREES),
+    )
+)
 def test_no_tree_gets_past_the_check_by_an_exception(tree):
     from apigateway.config_validation import Reader
     from apigateway.daemon.settings import check
+
     reader = Reader("f")
     told = reader.read(tree, Settings)
     if told is not None:
@@ -188,7 +233,9 @@
     file = tmp_path / "gateway.toml"
     file.write_text(GOOD)
     old = read_settings(str(file))
-    file.write_text(GOOD.replace("rate = 2.0", "rate = 3.0") + """
+    file.write_text(
+        GOOD.replace("rate = 2.0", "rate = 3.0")
+        + """
         [limits]
         max_open = 7
         max_attempts = 2
@@ -198,7 +245,8 @@
         effect = "safe"
         aim = 1.0
         deadline = 1.0
-        """)
+        """
+    )
     new = read_settings(str(file))
     live, restart = changed(old, new)
     assert live == ["limits.max_open", "listeners"]
@@ -223,12 +271,17 @@
     assert list(differences(tree, tree, "")) == []
 
 
-@pytest.mark.parametrize("text, word", [
-    ("", "add one [[hosts]]"), ("[[hosts]]\nid='a'\n", "address: is missing"), ("[[hosts]", "TOML"),
-    ("[[hosts]]\nid='a'\naddress='x'\n", "HOST:PORT"),
-    ("[[hosts]]\nid='a'\naddress='h:1'\n[[hosts]]\nid='a'\naddress='h:2'\n", "stands twice"),
-    ("[[hosts]]\nid='a'\naddress='h:1'\nstate='asleep'\n", "asleep"),
-])
+@pytest.mark.parametrize(
+    "text, word",
+    [
+        ("", "add one [[hosts]]"),
+        ("[[hosts]]\nid='a'\n", "address: is missing"),
+        ("[[hosts]", "TOML"),
+        ("[[hosts]]\nid='a'\naddress='x'\n", "HOST:PORT"),
+        ("[[hosts]]\nid='a'\naddress='h:1'\n[[hosts]]\nid='a'\naddress='h:2'\n", "stands twice"),
+        ("[[hosts]]\nid='a'\naddress='h:1'\nstate='asleep'\n", "asleep"),
+    ],
+)
 def test_a_bad_file_of_hosts(text, word, tmp_path):
     (tmp_path / "hosts.toml").write_text(text)
     with pytest.raises(Faulty) as caught:
@@ -238,9 +291,13 @@
 
 def test_check_and_version_on_the_command_line(tmp_path):
     def run(*arguments):
-        return subprocess.run([sys.executable, "-B", "-m", "apigateway", *arguments], cwd=ROOT,
-                              capture_output=True,
-                              text=True, timeout=60)
+        return subprocess.run(
+            [sys.executable, "-B", "-m", "apigateway", *arguments],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
 
     assert run("version").stdout == f"api-gateway {__version__}\n"
     assert f'version = "{__version__}"' in (ROOT / "pyproject.toml").read_text()
@@ -255,11 +312,14 @@
 
 
 def test_the_platforms_program_loads_none_of_it():
-    code = ("import sys, apigateway.daemon.platform; "
-            "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'rich', 'wasmtime') or "
-            "m.startswith(('apigateway.plugins', 'apigateway.cli', "
-            "'apigateway.emulators', 'apigateway.tools', 'apigateway.config_validation', "
-            "'apigateway.policy.overload_gate', 'apigateway.core.admission', 'apigateway.frontends.resp.outline', "
-            "'apigateway.daemon.serve', 'apigateway.daemon.settings', 'apigateway.membership.file'))])")
+    code = (
+        "import sys, apigateway.daemon.platform; "
+        "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'rich', 'wasmtime') or "
+        "m.startswith(('apigateway.plugins', 'apigateway.cli', "
+        "'apigateway.emulators', 'apigateway.tools', 'apigateway.config_validation', "
+        "'apigateway.policy.overload_gate', 'apigateway.core.admission', "
+        "'apigateway.frontends.resp.outline', "
+        "'apigateway.daemon.serve', 'apigateway.daemon.settings', 'apigateway.membership.file'))])"
+    )
     ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert ended.stdout == "[]\n", ended.stderr
--- a/tests/emulators/test_ledger.py
+++ b/tests/emulators/test_ledger.py
@@ -6,8 +6,13 @@
 
 from apigateway.emulators.ledger import RULES, Ceiling, Kind, Ledger, Terms, report
 
-TERMS = Terms({"read": Kind("safe"), "write": Kind("keyed", "cell", 6.0), "note": Kind("unsafe")},
-              {"big": Ceiling(10.0, 20.0)}, drain_grace=2.0, fall_multiple=2.0, fall_time=2.0)
+TERMS = Terms(
+    {"read": Kind("safe"), "write": Kind("keyed", "cell", 6.0), "note": Kind("unsafe")},
+    {"big": Ceiling(10.0, 20.0)},
+    drain_grace=2.0,
+    fall_multiple=2.0,
+    fall_time=2.0,
+)
 
 
 class World:
@@ -109,10 +114,18 @@
     assert w.broken() == [RULES[0]]  # the other one's
 
 
-@pytest.mark.parametrize("how, cls, rules", [
-    ("busy", "note", []), ("closed", "note", [RULES[1]]), ("error", "note", [RULES[1]]),
-    ("spoilt", "note", [RULES[1]]), ("half", "note", [RULES[1]]), ("closed", "read", []), ("error", "write",
-                                                                                           [])])
+@pytest.mark.parametrize(
+    "how, cls, rules",
+    [
+        ("busy", "note", []),
+        ("closed", "note", [RULES[1]]),
+        ("error", "note", [RULES[1]]),
+        ("spoilt", "note", [RULES[1]]),
+        ("half", "note", [RULES[1]]),
+        ("closed", "read", []),
+        ("error", "write", []),
+    ],
+)
 def test_another_attempt_only_where_it_cannot_run_twice(w, how, cls, rules):
     id = w.ask(cls)
     w.book.ended(w.send(id, "h1", cls), how)
@@ -141,8 +154,15 @@
     assert w.broken() == rules
 
 
-@pytest.mark.parametrize("cls, how, rules", [("note", "busy", []), ("note", "closed", [RULES[1]]),
-                                             ("write", "error", [RULES[1]]), ("read", "closed", [])])
+@pytest.mark.parametrize(
+    "cls, how, rules",
+    [
+        ("note", "busy", []),
+        ("note", "closed", [RULES[1]]),
+        ("write", "error", [RULES[1]]),
+        ("read", "closed", []),
+    ],
+)
 def test_a_refusal_promises_that_nothing_ran(w, cls, how, rules):
     id = w.ask(cls)
     w.book.ended(w.send(id, "h1", cls), how)
@@ -223,6 +243,9 @@
         w.serve(id, w.send(id))
         sent.append((w.now, units))
     slack = max([2.0, *[u for _, u in sent]]) + 1.5
-    over = any(sum(u for _, u in sent[a:b + 1]) > 20 + 10 * (sent[b][0] - sent[a][0]) + slack + 1e-6
-               for a in range(len(sent)) for b in range(a, len(sent)))
+    over = any(
+        sum(u for _, u in sent[a : b + 1]) > 20 + 10 * (sent[b][0] - sent[a][0]) + slack + 1e-6
+        for a in range(len(sent))
+        for b in range(a, len(sent))
+    )
     assert (w.broken() == [RULES[4]]) == over
--- a/tests/emulators/test_script.py
+++ b/tests/emulators/test_script.py
@@ -8,8 +8,12 @@
 
 
 def test_by_count_then_as_it_should():
-    assert kinds(Script([Step("busy", count=2), Step("silent", count=1)]), 0, 0, 0, 0) == \
-        ["busy", "busy", "silent", "answer"]
+    assert kinds(Script([Step("busy", count=2), Step("silent", count=1)]), 0, 0, 0, 0) == [
+        "busy",
+        "busy",
+        "silent",
+        "answer",
+    ]
 
 
 def test_in_time_from_the_first_message_on():
@@ -18,9 +22,9 @@
 
 
 def test_a_step_that_nothing_came_in_passes():
-    assert kinds(Script([Step("silent", seconds=1), Step("error", seconds=1), Step("reset", count=1)]), 0, 5,
-                 6) \
-        == ["silent", "reset", "answer"]
+    assert kinds(
+        Script([Step("silent", seconds=1), Step("error", seconds=1), Step("reset", count=1)]), 0, 5, 6
+    ) == ["silent", "reset", "answer"]
 
 
 def test_play_takes_the_place_of_what_was_to_come():
@@ -29,8 +33,9 @@
     assert kinds(script, 0, 0) == ["busy", "answer"]
 
 
-@pytest.mark.parametrize("make", [lambda: Step("sulk"), lambda: Step(count=-1), lambda: Step("slow",
-                                                                                             factor=-1)])
+@pytest.mark.parametrize(
+    "make", [lambda: Step("sulk"), lambda: Step(count=-1), lambda: Step("slow", factor=-1)]
+)
 def test_a_step_that_makes_no_sense(make):
     with pytest.raises(ValueError):
         make()
--- a/tests/emulators/test_standins.py
+++ b/tests/emulators/test_standins.py
@@ -31,10 +31,18 @@
         writer.close()
 
 
-@pytest.mark.parametrize("step, answer", [
-    (Step(), b"*3\r\n"), (Step("busy"), b"-BUSY\r\n"), (Step("error"), b"-ERR failed\r\n"),
-    (Step("spoilt"), b"?what\r\n"), (Step("half"), b"*3\r\n"), (Step("stall", delay=0.01), b"*3\r\n"),
-    (Step("slow", factor=2.0), b"*3\r\n")])
+@pytest.mark.parametrize(
+    "step, answer",
+    [
+        (Step(), b"*3\r\n"),
+        (Step("busy"), b"-BUSY\r\n"),
+        (Step("error"), b"-ERR failed\r\n"),
+        (Step("spoilt"), b"?what\r\n"),
+        (Step("half"), b"*3\r\n"),
+        (Step("stall", delay=0.01), b"*3\r\n"),
+        (Step("slow", factor=2.0), b"*3\r\n"),
+    ],
+)
 @on_loop
 async def test_a_host_does_what_its_script_says(step, answer):
     async with StandInHost(script=Script([step]), work=lambda _: 0.001) as host:
@@ -88,8 +96,14 @@
 
 @on_loop
 async def test_a_counter_does_what_its_script_says():
-    steps = [Step("busy", count=1), Step("error", count=1), Step("spoilt", count=1), Step("half", count=1),
-             Step("reset", count=1), Step("stall", count=1, delay=0.01)]
+    steps = [
+        Step("busy", count=1),
+        Step("error", count=1),
+        Step("spoilt", count=1),
+        Step("half", count=1),
+        Step("reset", count=1),
+        Step("stall", count=1, delay=0.01),
+    ]
     async with StandInCounter(script=Script(steps)) as counter:
         said = [await ask(counter.port, b"incr n 1 60000\r\n") for _ in range(7)]
         assert said[:4] == [b"busy\r\n", b"error\r\n", b"ok {}\r\n", b"ok"] and said[4] in (b"reset", b"")
@@ -151,9 +165,11 @@
 async def test_the_ledger_finds_a_rogue_out(answers, broken, monkeypatch):
     monkeypatch.setattr("apigateway.emulators.clients.GIVE_UP", 0.0)
     ledger = Ledger(TERMS)
-    async with StandInHost(name="h1", work=lambda _: 0.2, ledger=ledger) as one, \
-            StandInHost(name="h2", work=lambda _: 0.2, ledger=ledger) as two, Rogue([one, two],
-                                                                                    answers) as rogue:
+    async with (
+        StandInHost(name="h1", work=lambda _: 0.2, ledger=ledger) as one,
+        StandInHost(name="h2", work=lambda _: 0.2, ledger=ledger) as two,
+        Rogue([one, two], answers) as rogue,
+    ):
         client = Client(ledger, {"g0": ("127.0.0.1", rogue.port)})
         order = Order("r1", "0000000000000001", "p", "note", "unsafe", 0.5)
         answer = await client.ask("g0", order)
@@ -183,5 +199,3 @@
             assert (await client.ask("g0", order)).kind == "served"
         assert len(gateway.writers) == 2 and len(ledger.tries) == 2
         client.close()
-
-
--- a/tests/experiment/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -48,20 +48,24 @@
     assert len(read_experiment(str(tmp_path / "e.toml"), seeds=5).plays) == 20
 
 
-@pytest.mark.parametrize("old, new, key, reason", [
-    ('"two:0.5"', '"three"', "policy", "is no way to choose"),
-    ('"two:0.5"', '"module:none.py"', "policy", "there is no such file"),
-    ("gateways = 6", "gateway = 6", "gateway", "did you mean `gateways`?"),
-    ("gateways = 6", "gateways = 0", "gateways", "is less than 1"),
-    ("gateways = 6", 'gateways = "6"', "gateways", "got `str`"),
-    ('what = "hang"', 'what = "hung"', "faults[0].what", "is no fault"),
-    ('what = "hang"', 'what = "dark", zone = "q"', "faults[0].zone", "no such zone"),
-    ("at = 0.5", "at = 9.5", "faults[0].at", "outside"),
-    ("part = 0.2", "parts = 0.2", "faults[0].parts", "did you mean `part`?"),
-    ('policy = ["module", "two:0.5"]', 'policy = "module"', "sweep.policy", "is no list"),
-    ("seeds = [1, 2]", "seeds = []", "seeds", "whole numbers"),
-    ("seeds = [1, 2]", "seed = [1]", "seed", "did you mean `seeds`?"),
-    ("count = 5", "count = 5\n[base.customers]\nshares = [0.5, 0.5]", "customers.shares", "are 1 plans")])
+@pytest.mark.parametrize(
+    "old, new, key, reason",
+    [
+        ('"two:0.5"', '"three"', "policy", "is no way to choose"),
+        ('"two:0.5"', '"module:none.py"', "policy", "there is no such file"),
+        ("gateways = 6", "gateway = 6", "gateway", "did you mean `gateways`?"),
+        ("gateways = 6", "gateways = 0", "gateways", "is less than 1"),
+        ("gateways = 6", 'gateways = "6"', "gateways", "got `str`"),
+        ('what = "hang"', 'what = "hung"', "faults[0].what", "is no fault"),
+        ('what = "hang"', 'what = "dark", zone = "q"', "faults[0].zone", "no such zone"),
+        ("at = 0.5", "at = 9.5", "faults[0].at", "outside"),
+        ("part = 0.2", "parts = 0.2", "faults[0].parts", "did you mean `part`?"),
+        ('policy = ["module", "two:0.5"]', 'policy = "module"', "sweep.policy", "is no list"),
+        ("seeds = [1, 2]", "seeds = []", "seeds", "whole numbers"),
+        ("seeds = [1, 2]", "seed = [1]", "seed", "did you mean `seeds`?"),
+        ("count = 5", "count = 5\n[base.customers]\nshares = [0.5, 0.5]", "customers.shares", "are 1 plans"),
+    ],
+)
 def test_a_file_that_cannot_be_played_is_refused_with_file_key_and_reason(tmp_path, old, new, key, reason):
     path = written(tmp_path / "bad.toml", SMALL, (old, new))
     with pytest.raises(Faulty) as caught:
@@ -105,9 +109,11 @@
         "    def handle(self, now, event):\n"
         "        if isinstance(event, messages.HostList): self.hosts += [h.id for h in event.hosts]\n"
         "        send = isinstance(event, messages.Request)\n"
-        "        return [messages.Send(event.id, self.hosts[0])] * 2 if send else []\n")
-    path = written(tmp_path / "e.toml", SMALL,
-                   ('"module", "two:0.5"', f'"module:{tmp_path}/other.py", "random"'))
+        "        return [messages.Send(event.id, self.hosts[0])] * 2 if send else []\n"
+    )
+    path = written(
+        tmp_path / "e.toml", SMALL, ('"module", "two:0.5"', f'"module:{tmp_path}/other.py", "random"')
+    )
     assert main(["experiment", path, "--processes", "2"]) == 1
     out = capsys.readouterr().out
     assert "BROKEN calm" in out and "two at once" in out and "policy=random: seed" not in out
--- a/tests/external_ratelimit/test_asking_choice.py
+++ b/tests/external_ratelimit/test_asking_choice.py
@@ -8,8 +8,9 @@
 
 from apigateway.external_ratelimit.choice import LEAST, Ask, Choice, Terms, Unasked
 
-TERMS = Terms(frozenset({"gold"}), frozenset({"note"}), failures=3, rest=1.0, most_rest=4.0, trials=2,
-              steady=10.0)
+TERMS = Terms(
+    frozenset({"gold"}), frozenset({"note"}), failures=3, rest=1.0, most_rest=4.0, trials=2, steady=10.0
+)
 
 
 def failing(choice, now, count):
@@ -120,8 +121,11 @@
 
 @seed(14)
 @settings(max_examples=300, deadline=None, database=None)
-@given(st.lists(st.tuples(st.sampled_from(["ask", "good", "bad", "leave", "wait"]), st.floats(0.0, 3.0)),
-                max_size=80))
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["ask", "good", "bad", "leave", "wait"]), st.floats(0.0, 3.0)), max_size=80
+    )
+)
 def test_whatever_happens_it_asks_within_its_bounds_and_comes_back(steps):
     terms = Terms(failures=3, rest=0.5, most_rest=4.0, trials=2, most_waiting=4)
     choice, now, out, turns = Choice(terms), 0.0, [], 0
--- a/tests/external_ratelimit/test_asking_wire.py
+++ b/tests/external_ratelimit/test_asking_wire.py
@@ -23,10 +23,12 @@
 
     def __init__(self, most=100):
         self.session = ClientSession("host:1")
-        self.server = h2.connection.H2Connection(h2.config.H2Configuration(client_side=False,
-                                                                           header_encoding=None))
-        self.server.local_settings = h2.settings.Settings(client=False, initial_values={
-            h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: most})
+        self.server = h2.connection.H2Connection(
+            h2.config.H2Configuration(client_side=False, header_encoding=None)
+        )
+        self.server.local_settings = h2.settings.Settings(
+            client=False, initial_values={h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: most}
+        )
         self.server.initiate_connection()
         self.heard, self.told = [], []
         self.go()
@@ -49,8 +51,9 @@
     def answer(self, number, data, status=b"0", **more):
         self.server.send_headers(number, [(b":status", b"200"), (b"content-type", b"application/grpc")])
         self.server.send_data(number, data)
-        self.server.send_headers(number, [(b"grpc-status", status)] if status is not None else [(b"x", b"y")],
-                                 end_stream=True)
+        self.server.send_headers(
+            number, [(b"grpc-status", status)] if status is not None else [(b"x", b"y")], end_stream=True
+        )
         self.go()
 
 
@@ -88,11 +91,19 @@
     assert pair.told == [Over(number, rpc.OK, "", b"ok")]
 
 
-@pytest.mark.parametrize("data, status, code", [
-    (rpc.framed(b"ok"), b"5", 5), (rpc.framed(b"ok"), None, rpc.UNKNOWN),
-    (rpc.framed(b"ok"), b"soon", rpc.UNKNOWN), (b"\0\0\0", b"0", rpc.INTERNAL),
-    (b"", b"0", rpc.INTERNAL), (rpc.framed(b"a") * 2, b"0", rpc.INTERNAL),
-    (b"\1\0\0\0\1x", b"0", rpc.UNIMPLEMENTED), (b"\0\xff\xff\xff\xff", b"0", rpc.RESOURCE_EXHAUSTED)])
+@pytest.mark.parametrize(
+    "data, status, code",
+    [
+        (rpc.framed(b"ok"), b"5", 5),
+        (rpc.framed(b"ok"), None, rpc.UNKNOWN),
+        (rpc.framed(b"ok"), b"soon", rpc.UNKNOWN),
+        (b"\0\0\0", b"0", rpc.INTERNAL),
+        (b"", b"0", rpc.INTERNAL),
+        (rpc.framed(b"a") * 2, b"0", rpc.INTERNAL),
+        (b"\1\0\0\0\1x", b"0", rpc.UNIMPLEMENTED),
+        (b"\0\xff\xff\xff\xff", b"0", rpc.RESOURCE_EXHAUSTED),
+    ],
+)
 def test_an_answer_that_is_none_is_a_failure_and_the_next_is_heard(data, status, code):
     pair = Pair()
     try:
@@ -110,8 +121,10 @@
     pair.server.reset_stream(one, h2.errors.ErrorCodes.REFUSED_STREAM)
     pair.server.reset_stream(two, h2.errors.ErrorCodes.INTERNAL_ERROR)
     pair.go()
-    assert [(t.stream, t.status, t.ran) for t in pair.told] == [(one, rpc.UNAVAILABLE, False),
-                                                                (two, rpc.UNAVAILABLE, True)]
+    assert [(t.stream, t.status, t.ran) for t in pair.told] == [
+        (one, rpc.UNAVAILABLE, False),
+        (two, rpc.UNAVAILABLE, True),
+    ]
 
 
 def test_a_goaway_lets_what_is_before_it_end_and_takes_no_more():
@@ -152,8 +165,16 @@
     assert [one.stream for one in pair.session.lost("gone")] == numbers and pair.session.over
 
 
-@pytest.mark.parametrize("seconds, text", [(0.25, b"250m"), (0.0001, b"1m"), (99_999.75, b"99999750m"),
-                                           (100_000.0, b"100000S"), (1e12, b"99999999S")])
+@pytest.mark.parametrize(
+    "seconds, text",
+    [
+        (0.25, b"250m"),
+        (0.0001, b"1m"),
+        (99_999.75, b"99999750m"),
+        (100_000.0, b"100000S"),
+        (1e12, b"99999999S"),
+    ],
+)
 def test_time_outs_are_told_rounded_down(seconds, text):
     assert rpc.write_timeout(seconds) == text
     assert rpc.read_timeout(text) <= max(seconds, 0.001)
@@ -174,11 +195,11 @@
         server.send_headers(number, [(b"grpc-status", b"0")], end_stream=True)
     stream = bytearray(server.data_to_send())
     if noise:
-        stream[min(place, len(stream)):min(place, len(stream)) + len(noise)] = noise
+        stream[min(place, len(stream)) : min(place, len(stream)) + len(noise)] = noise
     told, at = [], 0
     for cut in [*cuts, len(stream)]:
         if at < len(stream) and not session.over:
-            told += session.receive(bytes(stream[at:at + cut]))
+            told += session.receive(bytes(stream[at : at + cut]))
         at += cut
         session.take()
     told += session.lost("the end")
--- a/tests/external_ratelimit/test_outer.py
+++ b/tests/external_ratelimit/test_outer.py
@@ -19,8 +19,10 @@
 @asynccontextmanager
 async def asking(tmp_path, service, batch=1, **kw):
     """A gateway that asks `service` about plan p and quota."""
-    told = Terms(frozenset({"p", "quota"}), **{"timeout": 2.0, "share": 1.0, "failures": 3, "rest": 0.05,
-                                               "most_rest": 0.2, "trials": 2, **kw})
+    told = Terms(
+        frozenset({"p", "quota"}),
+        **{"timeout": 2.0, "share": 1.0, "failures": 3, "rest": 0.05, "most_rest": 0.2, "trials": 2, **kw},
+    )
     async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
         outer = Outer(Asked(("127.0.0.1", service.port), told, "roster", ENTRIES, batch), "g7")
         node.node.core.outer = outer
@@ -50,7 +52,10 @@
         told = service.questions[0]
         assert told.domain == "roster" and told.hits_addend == 1  # what is begun counts
         assert {e.key: e.value for e in told.descriptors[0].entries} == {
-            "customer": A, "class": "read", "by": "g7:0.5"}
+            "customer": A,
+            "class": "read",
+            "by": "g7:0.5",
+        }
         assert all(0 < int(text[:-1]) <= 2000 for text in service.timeouts)
         assert len(node.host.commands) == 2 and node.outer.counts["no"] == 1
 
@@ -67,8 +72,15 @@
         assert await ask(node, B, plan="quota") == SERVED
 
 
-FAULTS = [Step("stall", delay=5.0), Step("silent"), Step("reset"), Step("error"), Step("spoilt"), Step("odd"),
-          Step("half")]
+FAULTS = [
+    Step("stall", delay=5.0),
+    Step("silent"),
+    Step("reset"),
+    Step("error"),
+    Step("spoilt"),
+    Step("odd"),
+    Step("half"),
+]
 
 
 @pytest.mark.parametrize("mode", ["own", "refuse"])
--- a/tests/faults/test_flood.py
+++ b/tests/faults/test_flood.py
@@ -13,8 +13,13 @@
 
 
 def flood(name, count=FLOOD):
-    return b"".join(command(b"%s-%d" % (name, n), b"c=%s,t=p,d=3000,units=1,spread=1,first=0" % (
-        b"dear" if n % 10 == 0 else b"read")) for n in range(count))
+    return b"".join(
+        command(
+            b"%s-%d" % (name, n),
+            b"c=%s,t=p,d=3000,units=1,spread=1,first=0" % (b"dear" if n % 10 == 0 else b"read"),
+        )
+        for n in range(count)
+    )
 
 
 DEAR = '\n[classes.dear]\neffect = "safe"\naim = 1.0\ndeadline = 3.0\nworth = 9.0\n'
--- a/tests/faults/test_fronts.py
+++ b/tests/faults/test_fronts.py
@@ -25,8 +25,9 @@
         self.discovery.servers = [entry(h, f"h{n}") for n, h in enumerate(self.hosts, 1)]
         file = self.path / "config.json"
         file.write_text(json.dumps(told(self.discovery.servers, self.discovery.port, self.counter.port)))
-        config = replace(read_config({"RELAY_CONFIG": str(file)}), more=(("127.0.0.1", 0),), linger=0.0,
-                         **self.limits)
+        config = replace(
+            read_config({"RELAY_CONFIG": str(file)}), more=(("127.0.0.1", 0),), linger=0.0, **self.limits
+        )
         self.node = GatewayNode(config)
         await self.node.start()
         self.ports = [front.port for front in self.node.fronts]
@@ -71,6 +72,7 @@
 @on_loop
 async def test_a_front_that_raises_on_every_request_leaves_the_others_serving(tmp_path, monkeypatch):
     async with StubHost() as host, TwoFronts(tmp_path, host) as gate:
+
         def broken(slot, command):
             raise RuntimeError("broken")
 
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -46,8 +46,9 @@
             assert third.returncode is None
 
 
-@pytest.mark.parametrize("how", ["crashes at once", "is killed before it is ready", "says ready and dies",
-                                 "talks nonsense"])
+@pytest.mark.parametrize(
+    "how", ["crashes at once", "is killed before it is ready", "says ready and dies", "talks nonsense"]
+)
 @on_loop
 async def test_a_successor_that_fails_leaves_the_old_one_serving(how, tmp_path):
     ledger = Ledger(TERMS)
@@ -193,8 +194,9 @@
 @on_loop
 async def test_a_drain_taken_over_through_a_belief_is_mended_by_its_source():
     told = []
-    judge = Judge(Trust(calm_time=0.0), Listing(messages.HostList("cached", 0, ()), {}), told.append,
-                  lambda: 100.0)
+    judge = Judge(
+        Trust(calm_time=0.0), Listing(messages.HostList("cached", 0, ()), {}), told.append, lambda: 100.0
+    )
     up = [Entry(messages.Host("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
     judge.hear(up, whole=True)
     judge.drain(["h1", "unknown"])
--- a/tests/faults/test_links.py
+++ b/tests/faults/test_links.py
@@ -18,9 +18,11 @@
 from apigateway.emulators.relay import SOUND, Relay, Weather
 from apigateway.emulators.script import Script, Step
 
-CLASSES = {"read": Class("safe", 1.0, 3.0, 1.0, 0.02, 0.5),
-           "update": Class("keyed", 1.2, 3.0, 5.0, 0.02, 0.3, "cell", 4.0),
-           "note": Class("unsafe", 1.0, 3.0, 3.0, 0.02, 0.2)}
+CLASSES = {
+    "read": Class("safe", 1.0, 3.0, 1.0, 0.02, 0.5),
+    "update": Class("keyed", 1.2, 3.0, 5.0, 0.02, 0.3, "cell", 4.0),
+    "note": Class("unsafe", 1.0, 3.0, 3.0, 0.02, 0.2),
+}
 PLANS = {"free": Plan(20.0, 60.0), "capped": Plan(6.0, 12.0, 1.8, 12.0, 24.0)}
 SHAPE = Shape(CLASSES, PLANS, gateways=12, hosts=9, cores=4, queue=40, extra={"overload": "on = false"})
 DOZEN = [Customer(f"{n:016x}", "capped" if n % 4 == 0 else "free", 6.0, n % 12, 2 + n % 5) for n in range(24)]
@@ -39,14 +41,18 @@
             assert all(v.kept for v in verdicts), report(verdicts)
 
 
-@pytest.mark.parametrize("weather, zones, hosts, least", [
-    (Weather("delay", 0.05, 0.05), {"a"}, None, 0.9),
-    (Weather("lose", part=0.1), {"b"}, None, 0.7),
-    (Weather("stall"), {"a"}, {"h1", "h4"}, 0.6),
-    (Weather("silent", one_way=True), None, {"h2"}, 0.6),
-    (Weather("cut", after=2000), None, None, 0.6),
-    (Weather("refuse"), {"a", "b"}, {"h0"}, 0.9)],
-    ids=lambda x: x.kind if isinstance(x, Weather) else "")
+@pytest.mark.parametrize(
+    "weather, zones, hosts, least",
+    [
+        (Weather("delay", 0.05, 0.05), {"a"}, None, 0.9),
+        (Weather("lose", part=0.1), {"b"}, None, 0.7),
+        (Weather("stall"), {"a"}, {"h1", "h4"}, 0.6),
+        (Weather("silent", one_way=True), None, {"h2"}, 0.6),
+        (Weather("cut", after=2000), None, None, 0.6),
+        (Weather("refuse"), {"a", "b"}, {"h0"}, 0.9),
+    ],
+    ids=lambda x: x.kind if isinstance(x, Weather) else "",
+)
 @on_loop
 async def test_rules_hold_and_most_is_served_through_bad_links(weather, zones, hosts, least, tmp_path):
     async with Play(tmp_path) as play:
@@ -108,7 +114,7 @@
 async def test_a_host_that_tells_what_is_not_so_draws_no_more_than_its_part(odd, which, most, tmp_path):
     """One that says it is empty, one that errs at once and so is always free, a zone with old reports."""
     async with Play(tmp_path) as play:
-        for host in play.fleet.hosts[::len(play.fleet.hosts) // which][:which]:
+        for host in play.fleet.hosts[:: len(play.fleet.hosts) // which][:which]:
             odd(host)
         task = play.begin(6.0)
         await play.served(60, task)  # until what it does has been met
@@ -156,8 +162,14 @@
         await play.served(150, task)
         assert tries() - before < 20
         asked = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "apigateway", "hosts", str(play.fleet.gateways[0].file),
-            cwd=Path(__file__).resolve().parents[2], stdout=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "apigateway",
+            "hosts",
+            str(play.fleet.gateways[0].file),
+            cwd=Path(__file__).resolve().parents[2],
+            stdout=asyncio.subprocess.PIPE,
+        )
         assert b"site c: " in (await asked.communicate())[0]
         play.links.between(SOUND)
         back = play.taken()
@@ -192,8 +204,9 @@
     for gateway in play.fleet.gateways:
         gateway.write()
         gateway.process.send_signal(signal.SIGHUP)
-    while not all(any("took effect: daemon.linger" in line for line in gateway.log)
-                  for gateway in play.fleet.gateways):
+    while not all(
+        any("took effect: daemon.linger" in line for line in gateway.log) for gateway in play.fleet.gateways
+    ):
         await asyncio.sleep(0.01)
     yield
 
@@ -204,8 +217,9 @@
     play.fleet.tell((play.fleet.hosts[0], "up"))
 
 
-@pytest.mark.parametrize("weather", [Weather("silent"), Weather("refuse"), Weather("delay", 0.3)],
-                         ids=lambda w: w.kind)
+@pytest.mark.parametrize(
+    "weather", [Weather("silent"), Weather("refuse"), Weather("delay", 0.3)], ids=lambda w: w.kind
+)
 @pytest.mark.parametrize("meanwhile", [killed_with_it, stopped, reloaded, drained])
 @on_loop
 async def test_a_site_is_lost_and_something_else_happens_in_the_middle_of_it(meanwhile, weather, tmp_path):
@@ -236,8 +250,10 @@
             for gateway in play.fleet.gateways:
                 gateway.write()
                 gateway.process.send_signal(signal.SIGHUP)
-            while not all(any("sites left by the settings: " + (leave[2:-2] or "none") in line
-                              for line in gateway.log) for gateway in play.fleet.gateways):
+            while not all(
+                any("sites left by the settings: " + (leave[2:-2] or "none") in line for line in gateway.log)
+                for gateway in play.fleet.gateways
+            ):
                 await asyncio.sleep(0.01)
 
         await play.served(100, task)
@@ -261,11 +277,20 @@
         self.transport.write(data)
 
 
-@pytest.mark.parametrize("weather, got", [
-    (SOUND, b"hello"), (Weather("delay", 0.01, 0.01), b"hello"), (Weather("cut", after=3), b"hel"),
-    (Weather("refuse"), b""), (Weather("stall"), b"hello"), (Weather("silent"), b""),
-    (Weather("silent", one_way=True), b""), (Weather("lose", part=1.0), None)],
-    ids=lambda x: f"{x.kind}{'-one-way' * x.one_way}" if isinstance(x, Weather) else "")
+@pytest.mark.parametrize(
+    "weather, got",
+    [
+        (SOUND, b"hello"),
+        (Weather("delay", 0.01, 0.01), b"hello"),
+        (Weather("cut", after=3), b"hel"),
+        (Weather("refuse"), b""),
+        (Weather("stall"), b"hello"),
+        (Weather("silent"), b""),
+        (Weather("silent", one_way=True), b""),
+        (Weather("lose", part=1.0), None),
+    ],
+    ids=lambda x: f"{x.kind}{'-one-way' * x.one_way}" if isinstance(x, Weather) else "",
+)
 @on_loop
 async def test_a_relay_does_what_its_weather_says(weather, got):
     loop = asyncio.get_running_loop()
--- a/tests/faults/test_plugins.py
+++ b/tests/faults/test_plugins.py
@@ -56,8 +56,10 @@
 
 
 # Loops forever, but for ids that begin with p, as those of a proof do.
-LOOPS = on_request("(if (i32.eq (i32.load8_u (i32.load (i32.const 4152))) (i32.const 112)) "
-                   "(then (return (i64.const 0)))) (loop $l (br $l)) (i64.const 0)")
+LOOPS = on_request(
+    "(if (i32.eq (i32.load8_u (i32.load (i32.const 4152))) (i32.const 112)) "
+    "(then (return (i64.const 0)))) (loop $l (br $l)) (i64.const 0)"
+)
 
 
 @on_loop
@@ -65,8 +67,10 @@
     ledger = Ledger(TERMS)
     async with Plugged(tmp_path, ledger=ledger) as site:
         (tmp_path / "loop.wat").write_text(LOOPS)
-        site.plug(plugin("loop", "[plugins.budget]\nfailures = 4\nrest = 600.0", file="loop.wat")
-                  + plugin("mark", "[[plugins.rules]]\ntag = { a = '\"1\"' }"))
+        site.plug(
+            plugin("loop", "[plugins.budget]\nfailures = 4\nrest = 600.0", file="loop.wat")
+            + plugin("mark", "[[plugins.rules]]\ntag = { a = '\"1\"' }")
+        )
         program = await site.start()
         async with Load(site, ledger) as load:
             await load.served(50)
@@ -85,8 +89,9 @@
 async def test_past_its_fuel_a_request_is_refused_where_settings_say_so(tmp_path):
     async with Plugged(tmp_path) as site:
         (tmp_path / "loop.wat").write_text(LOOPS)
-        site.plug(plugin("loop", "[plugins.budget]\nfailures = 4\nrest = 600.0", file="loop.wat",
-                         past="refuse"))
+        site.plug(
+            plugin("loop", "[plugins.budget]\nfailures = 4\nrest = 600.0", file="loop.wat", past="refuse")
+        )
         await site.start()
         assert [await site.ask(command(b"z%d" % n)) for n in range(3)] == [BUSY] * 3
         # It is out: until it is tried again, cut to the most that may be told.
@@ -94,29 +99,60 @@
         assert site.hosts[0].commands == site.hosts[1].commands == []
 
 
-TRIES = "\n".join(["send h0", "send h1", "retry 9", "hold 5", "host h1", "drain no", "deadline 99", "left 99",
-                   "class read", "effect safe", "plan q", "customer x", "units 0", "id x", "serve x",
-                   "cancel 0",
-                   "tag a 1", "tag a 2", "route nowhere", "write 0"])
+TRIES = "\n".join(
+    [
+        "send h0",
+        "send h1",
+        "retry 9",
+        "hold 5",
+        "host h1",
+        "drain no",
+        "deadline 99",
+        "left 99",
+        "class read",
+        "effect safe",
+        "plan q",
+        "customer x",
+        "units 0",
+        "id x",
+        "serve x",
+        "cancel 0",
+        "tag a 1",
+        "tag a 2",
+        "route nowhere",
+        "write 0",
+    ]
+)
 
 
 @on_loop
 async def test_one_that_tries_each_rule_by_name_changes_none(tmp_path):
     """Traffic, a host that errs, one that drains, one that comes back cold, a ceiling: the ledger's
     verdict."""
-    shape = Shape(classes={"read": Class("safe", 1.0, 3.0, 1.0, 0.03, 0.5),
-                           "update": Class("keyed", 1.0, 3.0, 5.0, 0.03, 0.25, "cell", 6.0),
-                           "notice": Class("unsafe", 1.0, 3.0, 3.0, 0.03, 0.25)},
-                  plans={"basic": Plan(20.0, 40.0, 1.0), "top": Plan(10.0, 20.0, 1.0, 20.0, 40.0)},
-                  gateways=2, hosts=4, zones=("a", "b"), cold_time=3.0,
-                  plugins="".join(plugin(phase, file=f"{phase}.wat", budget={}).replace("budget = {}\n", "")
-                                  for phase in ("request", "attempt", "answer", "tick")))
+    shape = Shape(
+        classes={
+            "read": Class("safe", 1.0, 3.0, 1.0, 0.03, 0.5),
+            "update": Class("keyed", 1.0, 3.0, 5.0, 0.03, 0.25, "cell", 6.0),
+            "notice": Class("unsafe", 1.0, 3.0, 3.0, 0.03, 0.25),
+        },
+        plans={"basic": Plan(20.0, 40.0, 1.0), "top": Plan(10.0, 20.0, 1.0, 20.0, 40.0)},
+        gateways=2,
+        hosts=4,
+        zones=("a", "b"),
+        cold_time=3.0,
+        plugins="".join(
+            plugin(phase, file=f"{phase}.wat", budget={}).replace("budget = {}\n", "")
+            for phase in ("request", "attempt", "answer", "tick")
+        ),
+    )
     for phase in ("request", "attempt", "answer", "tick"):
         (tmp_path / f"{phase}.wat").write_text(module(says(TRIES, phase)))
     async with Fleet(shape, tmp_path) as fleet:
         client = Client(fleet.ledger, {g.name: ("127.0.0.1", g.port) for g in fleet.gateways})
-        customers = [Customer(f"{n:016x}", plan, rate, n % 2, 2)
-                     for n, (plan, rate) in enumerate([("basic", 15.0)] * 4 + [("top", 60.0)])]
+        customers = [
+            Customer(f"{n:016x}", plan, rate, n % 2, 2)
+            for n, (plan, rate) in enumerate([("basic", 15.0)] * 4 + [("top", 60.0)])
+        ]
         traffic = Traffic(client, customers, shape.used(), 1)
         errs, leaves = fleet.hosts[0], fleet.hosts[1]
 
@@ -167,8 +203,10 @@
     async with Plugged(tmp_path, hosts=2, answer=lambda: None) as site:
         file = tmp_path / "a.wat"
         file.write_text(module(says("tag v 0")))
-        site.plug(plugin("a", "[plugins.budget]\nfailures = 2\nrest = 600.0", file="a.wat")
-                  + '[records]\nfile = "records"\n')
+        site.plug(
+            plugin("a", "[plugins.budget]\nfailures = 2\nrest = 600.0", file="a.wat")
+            + '[records]\nfile = "records"\n'
+        )
         program = await site.start()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         for n in range(300):
@@ -177,9 +215,14 @@
         while arrived < 2:  # a gateway has a bounded number out at a host
             await site.hosts[arrived % 2].arrived.get()
             arrived += 1
-        replaced(file, on_request("(if (i32.eq (i32.load8_u (i32.load (i32.const 4152))) (i32.const 113)) "
-                                  # ids that begin with q; a proof's do not
-                                  "(then unreachable)) (i64.const 0)"))
+        replaced(
+            file,
+            on_request(
+                "(if (i32.eq (i32.load8_u (i32.load (i32.const 4152))) (i32.const 113)) "
+                # ids that begin with q; a proof's do not
+                "(then unreachable)) (i64.const 0)"
+            ),
+        )
         assert b"plug-ins loaded: a" in await site.reload(program)
         for n in range(300, 320):
             writer.write(command(b"q%d" % n))
@@ -199,22 +242,25 @@
     assert {told["id"] for told in found if told["tags"]} == {f"q{n}" for n in range(300)}
 
 
-@pytest.mark.parametrize("how", ["half written", "50 MB", "gone", "traps", "no rule",
-                                 "cannot take the state"])
+@pytest.mark.parametrize(
+    "how", ["half written", "50 MB", "gone", "traps", "no rule", "cannot take the state"]
+)
 @on_loop
 async def test_a_bad_one_leaves_the_old_in_force(how, tmp_path):
     ledger = Ledger(TERMS)
     async with Plugged(tmp_path, ledger=ledger) as site:
         file = tmp_path / "a.wasm"
-        state = ('(func (export "on_save") (result i64) (i64.const 8))'
-                 '(func (export "on_load") (param i32) (result i32) (i32.const 0))')
+        state = (
+            '(func (export "on_save") (result i64) (i64.const 8))'
+            '(func (export "on_load") (param i32) (result i32) (i32.const 0))'
+        )
         good = assembled(module(says("tag v old") + state).encode())
         file.write_bytes(good)
         site.plug(plugin("a", file="a.wasm") + '[records]\nfile = "records"\n')
         program = await site.start()
         async with Load(site, ledger) as load:
             if how == "half written":
-                file.write_bytes(good[:len(good) // 2])
+                file.write_bytes(good[: len(good) // 2])
             elif how == "50 MB":
                 replaced(file, good + bytes(50 * 1024 * 1024))
             elif how == "gone":
@@ -224,8 +270,15 @@
             elif how == "no rule":
                 site.plug(plugin("a", "[[plugins.rules]]\nwhen = 'nix'"))
             else:
-                replaced(file, assembled(module(says("tag v new") + state.replace(
-                    "(result i32) (i32.const 0)", "(result i32) unreachable")).encode()))
+                replaced(
+                    file,
+                    assembled(
+                        module(
+                            says("tag v new")
+                            + state.replace("(result i32) (i32.const 0)", "(result i32) unreachable")
+                        ).encode()
+                    ),
+                )
             await site.reload(program, b"refused, the old settings stay")
             errors = [line for line in site.logs[program] if b"ERROR" in line]
             assert any(b"gateway.toml" in line and b"plugins" in line for line in errors), errors
