--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -38,10 +38,15 @@
 
     def write(self, ports=None, **tables):
         # Registered just now they count as just started: these tests are not about that.
-        mine = {"hosts": 'source = "eureka"', "rules": "cold_time = 0.0", "register": self.register,
-                "eureka": f'urls = ["{self.registry.url}"]\npoll = 0.1\ntimeout = 0.5\nname = "roster"'}
-        super().write(ports, **{k: "\n".join(filter(None, [mine.get(k), tables.get(k)]))
-                                for k in mine | tables})
+        mine = {
+            "hosts": 'source = "eureka"',
+            "rules": "cold_time = 0.0",
+            "register": self.register,
+            "eureka": f'urls = ["{self.registry.url}"]\npoll = 0.1\ntimeout = 0.5\nname = "roster"',
+        }
+        super().write(
+            ports, **{k: "\n".join(filter(None, [mine.get(k), tables.get(k)])) for k in mine | tables}
+        )
 
     async def __aexit__(self, *_):
         await super().__aexit__()
@@ -215,7 +220,8 @@
 
         async def run(*arguments):
             program = await asyncio.create_subprocess_exec(
-                *PROGRAM, "hosts", str(site.file), *arguments, cwd=ROOT, stdout=subprocess.PIPE)
+                *PROGRAM, "hosts", str(site.file), *arguments, cwd=ROOT, stdout=subprocess.PIPE
+            )
             out, _ = await program.communicate()
             return program.returncode, out.decode()
 
@@ -224,8 +230,9 @@
             assert code == 0 and "2 hosts" in text and "draining" in text and site.registry.url in text
         code, text = await run("--json")
         told = json.loads(text)
-        assert {h["id"]: h["state"] for h in told["hosts"]} == {"h0": "up",
-                                                                "h1": "draining"} and told["age"] < 60
+        assert {h["id"]: h["state"] for h in told["hosts"]} == {"h0": "up", "h1": "draining"} and told[
+            "age"
+        ] < 60
         up, gone = (next(h["choice"] for h in told["hosts"] if h["id"] == name) for name in ("h0", "h1"))
         assert up["near"] and up["out"] == 0 and up["sound"] > 0.9 and up["age"] is None and not up["rests"]
         assert not gone["near"]
@@ -237,10 +244,13 @@
 
 @on_loop
 async def test_the_platforms_program_loads_no_registry():
-    code = ("import sys, apigateway.daemon.platform; "
-            "print([m for m in sys.modules if 'eureka' in m or 'belief' in m or 'defusedxml' in m])")
-    program = await asyncio.create_subprocess_exec(sys.executable, "-c", code, cwd=ROOT,
-                                                   stdout=subprocess.PIPE)
+    code = (
+        "import sys, apigateway.daemon.platform; "
+        "print([m for m in sys.modules if 'eureka' in m or 'belief' in m or 'defusedxml' in m])"
+    )
+    program = await asyncio.create_subprocess_exec(
+        sys.executable, "-c", code, cwd=ROOT, stdout=subprocess.PIPE
+    )
     assert (await program.communicate())[0] == b"[]\n"
 
 
@@ -253,8 +263,9 @@
         held = site.registry
         async with Load(site, ledger, rate=80.0) as load:
             for _ in range(25):
-                what = rng.choice(["error", "half", "spoilt", "restart", "hash", "lost", "clock", "flip",
-                                   "fill"])
+                what = rng.choice(
+                    ["error", "half", "spoilt", "restart", "hash", "lost", "clock", "flip", "fill"]
+                )
                 if what in ("error", "half", "spoilt"):
                     held.script.play(Step(what, count=rng.randint(1, 3)))
                 elif what == "restart":
--- a/tests/faults/test_reload.py
+++ b/tests/faults/test_reload.py
@@ -66,8 +66,19 @@
         writer.close()
 
 
-@pytest.mark.parametrize("how", ["half written", "a folder", "gone", "60 MB", "not UTF-8", "a fault",
-                                 "an address that is taken", "no hosts file"])
+@pytest.mark.parametrize(
+    "how",
+    [
+        "half written",
+        "a folder",
+        "gone",
+        "60 MB",
+        "not UTF-8",
+        "a fault",
+        "an address that is taken",
+        "no hosts file",
+    ],
+)
 @on_loop
 async def test_what_cannot_be_taken_up_leaves_the_old_in_force(how, tmp_path):
     ledger = Ledger(TERMS)
@@ -94,8 +105,12 @@
             elif how == "no hosts file":
                 site.write(hosts='file = "other.toml"')
             else:
-                replaced(site, good[:len(good) // 2] + "[limits" if how == "half written"
-                         else good + "\n[rules]\ndrain_grace = -1\n")
+                replaced(
+                    site,
+                    good[: len(good) // 2] + "[limits"
+                    if how == "half written"
+                    else good + "\n[rules]\ndrain_grace = -1\n",
+                )
             program.send_signal(signal.SIGHUP)
             said = await site.line(program, b"refused, the old settings stay")
             assert any(b"ERROR" in line for line in site.logs[program]), said
--- a/tests/faults/test_workers.py
+++ b/tests/faults/test_workers.py
@@ -46,11 +46,14 @@
         return await program.wait()
 
 
-@pytest.mark.parametrize("how, word", [(signal.SIGKILL, b"ended (signal 9); again in"),
-                                       (signal.SIGSTOP, b"shows no sign of life: killed")])
+@pytest.mark.parametrize(
+    "how, word",
+    [(signal.SIGKILL, b"ended (signal 9); again in"), (signal.SIGSTOP, b"shows no sign of life: killed")],
+)
 @on_loop
-async def test_a_worker_that_dies_or_hangs_is_made_anew_and_its_requests_are_lost_in_no_other_way(how, word,
-                                                                                                  tmp_path):
+async def test_a_worker_that_dies_or_hangs_is_made_anew_and_its_requests_are_lost_in_no_other_way(
+    how, word, tmp_path
+):
     ledger = Ledger(TERMS)
     async with Group(tmp_path, ledger=ledger) as site:
         program = await site.up()
@@ -60,8 +63,9 @@
             await load.__aenter__()
             os.kill(workers[1], how)
             await site.line(program, word)
-            await until(lambda: len(children(program)) == 3 and workers[1] not in children(program),
-                        "made anew")
+            await until(
+                lambda: len(children(program)) == 3 and workers[1] not in children(program), "made anew"
+            )
             await load.served(100)
             await load.end()
         # What a worker had accepted dies with it, as with a machine: the client's connection ends or its
@@ -80,16 +84,19 @@
     ledger = Ledger(LedgerTerms(kinds, {"p": Ceiling(40.0, 60.0, 0.1)}))
     async with Group(tmp_path, ledger=ledger) as site:
         site.write(workers="watchdog = 1.0")
-        text = site.file.read_text().replace("rate = 10000.0\nburst = 100000.0",
-                                             "rate = 20.0\nburst = 30.0\nceiling_rate = 40.0\n"
-                                             "ceiling_burst = 60.0\n"
-                                             "ceiling_slack = 6.0")
+        text = site.file.read_text().replace(
+            "rate = 10000.0\nburst = 100000.0",
+            "rate = 20.0\nburst = 30.0\nceiling_rate = 40.0\nceiling_burst = 60.0\nceiling_slack = 6.0",
+        )
         site.file.write_text(text)
         program = await site.start("--workers", "3", ready=False)
         await site.line(program, b"workers listen on")
         client = Client(ledger, {"g": ("127.0.0.1", site.port)})
-        traffic = Traffic(client, [Customer(f"{n:016x}", "p", 150.0, 0, 1) for n in range(2)],
-                          [Kind("read", "safe", 0.7, 3.0), Kind("note", "unsafe", 0.3, 3.0)])
+        traffic = Traffic(
+            client,
+            [Customer(f"{n:016x}", "p", 150.0, 0, 1) for n in range(2)],
+            [Kind("read", "safe", 0.7, 3.0), Kind("note", "unsafe", 0.3, 3.0)],
+        )
 
         async def trouble():
             await asyncio.sleep(1.5)
@@ -127,8 +134,14 @@
         body = b"x" * 64_000
         for k, (_, writer) in enumerate(lines):
             for n in range(4):
-                writer.write(command(b"%d-%d" % (k, n), b"c=note,t=p,d=3000,units=1,spread=1,first=0",
-                                     b"API.WRITE", body=body))
+                writer.write(
+                    command(
+                        b"%d-%d" % (k, n),
+                        b"c=note,t=p,d=3000,units=1,spread=1,first=0",
+                        b"API.WRITE",
+                        body=body,
+                    )
+                )
         await site.line(program, b"holds more than limits.memory_mb")
         for reader, writer in lines:  # each is answered, in whichever worker it was
             for _ in range(4):
@@ -152,8 +165,9 @@
             others = await until(lambda: [one for one in children(program) if one != stays], "another")
             pid = others[0]
             os.kill(pid, signal.SIGKILL)
-            await until(lambda pid=pid: program.returncode is not None or pid not in children(program),
-                        "its end")
+            await until(
+                lambda pid=pid: program.returncode is not None or pid not in children(program), "its end"
+            )
         while line := await program.stderr.readline():
             site.logs[program].append(line)
         assert await program.wait() == 1
@@ -180,8 +194,9 @@
     async with Group(tmp_path) as site:
         program = await site.up(2)
         for act in (["hosts"], ["plugin", "status"]):
-            asked = await asyncio.create_subprocess_exec(*PROGRAM, *act, str(site.file), cwd=ROOT,
-                                                         stdout=asyncio.subprocess.PIPE)
+            asked = await asyncio.create_subprocess_exec(
+                *PROGRAM, *act, str(site.file), cwd=ROOT, stdout=asyncio.subprocess.PIPE
+            )
             said, _ = await asked.communicate()
             assert asked.returncode == 0 and b"worker-0:\n" in said and b"worker-1:\n" in said
         assert await site.ended(program) == 0
@@ -249,8 +264,7 @@
         assert await site.ended(first) == 0
 
 
-@pytest.mark.parametrize("how", ["a bad file", "killed at its second worker", "another count",
-                                 "no workers"])
+@pytest.mark.parametrize("how", ["a bad file", "killed at its second worker", "another count", "no workers"])
 @on_loop
 async def test_a_successor_that_fails_leaves_the_old_supervisor_with_all_its_workers(how, tmp_path):
     ledger = Ledger(TERMS)
@@ -309,11 +323,13 @@
 
 def test_a_workers_place_in_the_group(tmp_path):
     file = tmp_path / "gateway.toml"
-    file.write_text('[[listeners]]\naddress = "127.0.0.1:7000"\n[gateway]\nindex = 1\ngateways = 2\n'
-                    'seed = 5\n'
-                    '[counter]\naddress = "127.0.0.1:1"\n[daemon]\nstate = "/run/x"\n'
-                    '[classes.read]\neffect = "safe"\naim = 1.0\ndeadline = 3.0\n'
-                    '[plans.p]\nrate = 1.0\nburst = 4.0\n[workers]\ncount = 4\naddress = "own"\n')
+    file.write_text(
+        '[[listeners]]\naddress = "127.0.0.1:7000"\n[gateway]\nindex = 1\ngateways = 2\n'
+        "seed = 5\n"
+        '[counter]\naddress = "127.0.0.1:1"\n[daemon]\nstate = "/run/x"\n'
+        '[classes.read]\neffect = "safe"\naim = 1.0\ndeadline = 3.0\n'
+        '[plans.p]\nrate = 1.0\nburst = 4.0\n[workers]\ncount = 4\naddress = "own"\n'
+    )
     told = shared(read_settings(str(file)), Share(2, 4, ()))
     assert (told.gateway.index, told.gateway.gateways, told.gateway.seed) == (6, 8, 7)
     assert told.gateway.name == "gateway-0.2" and told.daemon.state == "/run/x/worker-2"
--- a/tests/frontends/test_bytes.py
+++ b/tests/frontends/test_bytes.py
@@ -32,13 +32,29 @@
 
 
 STRING = st.binary(max_size=30).map(lambda b: b"$%d\r\n%s\r\n" % (len(b), b))
-PART = st.one_of(STRING, st.sampled_from([b"$-1\r\n", b":5\r\n", b"+OK\r\n", b"-ERR x\r\n",
-                                          b"$05\r\nabcde\r\n",
-                                          b"$5\r\nabc\r\n", b"$x\r\n", b"*1\r\n", b"", b"$-2\r\n",
-                                          b"$ 5\r\nabcde\r\n"]))
+PART = st.one_of(
+    STRING,
+    st.sampled_from(
+        [
+            b"$-1\r\n",
+            b":5\r\n",
+            b"+OK\r\n",
+            b"-ERR x\r\n",
+            b"$05\r\nabcde\r\n",
+            b"$5\r\nabc\r\n",
+            b"$x\r\n",
+            b"*1\r\n",
+            b"",
+            b"$-2\r\n",
+            b"$ 5\r\nabcde\r\n",
+        ]
+    ),
+)
 ARRAY = st.lists(PART, max_size=6).flatmap(
     lambda parts: st.sampled_from([len(parts), len(parts), len(parts), len(parts) + 1, 70, 0]).map(
-        lambda n: b"*%d\r\n%s" % (n, b"".join(parts))))
+        lambda n: b"*%d\r\n%s" % (n, b"".join(parts))
+    )
+)
 STREAM = st.lists(st.one_of(ARRAY, PART, st.binary(max_size=10)), max_size=5).map(b"".join)
 
 
@@ -51,7 +67,7 @@
     assert read(Framing(), chunks) == read(Long(), chunks)
 
 
-@pytest.mark.parametrize("size", [0, 1, MOST_BODY - 1, MOST_BODY, MOST_BODY + 1, MOST_BODY + 2000, 10 ** 8])
+@pytest.mark.parametrize("size", [0, 1, MOST_BODY - 1, MOST_BODY, MOST_BODY + 1, MOST_BODY + 2000, 10**8])
 def test_lengths_are_checked_before_they_are_believed(size):
     for kind in (Framing, Long):
         framing = kind()
--- a/tests/frontends/test_early.py
+++ b/tests/frontends/test_early.py
@@ -6,7 +6,7 @@
 import pytest
 from netkit import SERVED, Node, StubHost, command, on_loop, read_reply, terms, write
 
-from apigateway.core import admission as door as doors
+from apigateway.core import admission as doors
 from apigateway.core.admission import Door
 from apigateway.policy.overload_gate import MOST_STEP, Gate
 
@@ -77,8 +77,10 @@
         door = opened(node, Scripted(A))
         lines = [await node.connect() for _ in range(4)]
         for k, (_, writer) in enumerate(lines):
-            writer.write(b"".join(command(b"%d-%d" % (k, n), customer=A.encode()) for n in range(300))
-                         + command(b"%d-last" % k, customer=B.encode()))
+            writer.write(
+                b"".join(command(b"%d-%d" % (k, n), customer=A.encode()) for n in range(300))
+                + command(b"%d-last" % k, customer=B.encode())
+            )
         for reader, _ in lines:
             for _ in range(300):
                 assert await read_reply(reader) == b"-BUSY 250\r\n"
@@ -159,10 +161,18 @@
         assert again.startswith(b"-BUSY ") and not [e for e in events if getattr(e, "id", "") == "again"]
 
 
-@pytest.mark.parametrize("text", [b"c=read,t=p,d=3000,units=1,spread=1,first=0",
-                                  b"c=no,t=p,d=1,units=1,spread=1,first=0",
-                                  b"c=read,t=p,d=3000,k=5,units=1,spread=1,first=0", b"", b"c=read",
-                                  b"c=read,t=p,d=3000,units=1.5.5,spread=1,first=0", b"\xff\xfe=1"])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"c=read,t=p,d=3000,units=1,spread=1,first=0",
+        b"c=no,t=p,d=1,units=1,spread=1,first=0",
+        b"c=read,t=p,d=3000,k=5,units=1,spread=1,first=0",
+        b"",
+        b"c=read",
+        b"c=read,t=p,d=3000,units=1.5.5,spread=1,first=0",
+        b"\xff\xfe=1",
+    ],
+)
 def test_an_outline_says_what_reading_it_in_full_does(text):
     from netkit import SETTINGS
 
--- a/tests/frontends/test_foreign_client.py
+++ b/tests/frontends/test_foreign_client.py
@@ -23,11 +23,15 @@
 
 @on_loop
 async def test_it_hears_refusals_and_failures_as_errors(tmp_path):
-    async with (StubHost(b"-ERR failed\r\n") as host, Node(host, path=tmp_path) as node,
-                client(node) as outside):
+    async with (
+        StubHost(b"-ERR failed\r\n") as host,
+        Node(host, path=tmp_path) as node,
+        client(node) as outside,
+    ):
         with pytest.raises(ResponseError, match="failed"):
-            await outside.execute_command("API.WRITE", "00000000000000ff", "r1",
-                                          TERMS.replace("c=read", "c=note"), b"body\r\n\0")
+            await outside.execute_command(
+                "API.WRITE", "00000000000000ff", "r1", TERMS.replace("c=read", "c=note"), b"body\r\n\0"
+            )
         small = TERMS.replace("t=p", "t=small")
         host.answer = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
         with pytest.raises((ResponseError, BusyLoadingError), match="BUSY"):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,22 +10,58 @@
 
 
 def plan(name="p", **kw):
-    base = dict(rate=2.0, burst=8.0, open_limit=0, price=1.0, over_worth=0.0, over_cost=1.0,
-                ceiling_rate=0.0, ceiling_burst=0.0, ceiling_slack=0.0)
+    base = dict(
+        rate=2.0,
+        burst=8.0,
+        open_limit=0,
+        price=1.0,
+        over_worth=0.0,
+        over_cost=1.0,
+        ceiling_rate=0.0,
+        ceiling_burst=0.0,
+        ceiling_slack=0.0,
+    )
     return messages.Plan(name, **{**base, **kw})
 
 
 def settings(plans=None, limits=None, rules=None, **kw):
-    lim = dict(cancel=True, second_copies=True, probes=False, peers=False, retry_after=True,
-               max_attempts=4, max_retry_after=1.0)
-    rul = dict(answer_slack=0.01, drain_grace=1.0, cold_share=0.2, cold_time=10.0, fall_multiple=2.0,
-               fall_time=2.0, ask_within=10.0)
-    base = dict(index=0, gateways=2, zone="z1", classes={c.name: c for c in (READ, WRITE, CELL, NOTE)},
-                plans={p.name: p for p in (plans or [plan()])},
-                limits=messages.Limits(**{**lim, **(limits or {})}),
-                rules=messages.Rules(**{**rul, **(rules or {})}), prices={"cross_zone": 0.02}, counter=True,
-                counter_price=0.01, counter_timeout=0.05, meter_period=0.0, settles=False, most_units=4.0,
-                discovery="push", reports=("queue",), weights="none")
+    lim = dict(
+        cancel=True,
+        second_copies=True,
+        probes=False,
+        peers=False,
+        retry_after=True,
+        max_attempts=4,
+        max_retry_after=1.0,
+    )
+    rul = dict(
+        answer_slack=0.01,
+        drain_grace=1.0,
+        cold_share=0.2,
+        cold_time=10.0,
+        fall_multiple=2.0,
+        fall_time=2.0,
+        ask_within=10.0,
+    )
+    base = dict(
+        index=0,
+        gateways=2,
+        zone="z1",
+        classes={c.name: c for c in (READ, WRITE, CELL, NOTE)},
+        plans={p.name: p for p in (plans or [plan()])},
+        limits=messages.Limits(**{**lim, **(limits or {})}),
+        rules=messages.Rules(**{**rul, **(rules or {})}),
+        prices={"cross_zone": 0.02},
+        counter=True,
+        counter_price=0.01,
+        counter_timeout=0.05,
+        meter_period=0.0,
+        settles=False,
+        most_units=4.0,
+        discovery="push",
+        reports=("queue",),
+        weights="none",
+    )
     return messages.Settings(**{**base, **kw})
 
 
@@ -71,8 +107,11 @@
         return acts
 
     def end(self, send, result="ok", attempt=0, final=None, elapsed=0.05, **kw):
-        return self.do(messages.Outcome(send.id, attempt, send.host, result, elapsed,
-                                   result == "ok" if final is None else final, **kw))
+        return self.do(
+            messages.Outcome(
+                send.id, attempt, send.host, result, elapsed, result == "ok" if final is None else final, **kw
+            )
+        )
 
 
 def of(acts, kind):
--- a/tests/load/test_scenario.py
+++ b/tests/load/test_scenario.py
@@ -28,25 +28,43 @@
     return {fault.key: fault for fault in caught.value.faults}
 
 
-@pytest.mark.parametrize("text, key, words", [
-    ("[run]\nsecond = 3", "run.second", "did you mean `seconds`"),
-    ("[run]\nseconds = -1", "run.seconds", ">= 0"),
-    ("[targets]\ngateways = ['10.0.0.1:6379']", "targets.gateways[0]", "not on loopback"),
-    ("[targets]\ngateways = ['gateway.test:6379']", "targets.gateways[0]", "off_loopback = true"),
-    ("[targets]\ngateways = ['nowhere']", "targets.gateways[0]", "HOST:PORT"),
-    ("[[spells]]\nplan = 'q'\ntimes = 2.0\nat_s = 1.0\nlength = 1.0", "spells[0].plan", "known: p"),
-    ("[[spells]]\nplan = 'p'\nemployers = 2\ntimes = 2.0\nat_s = 1.0\nlength = 1.0", "spells[0].employers",
-     "the plan has 1"),
-    ("[plans.q]\nspread = 2\n[targets]\ngateways = ['127.0.0.1:1']", "plans.q.spread",
-     "there are 1 gateways"),
-    ("[[streams]]\nclass = 'write'\nplan = 'p'\nshape = { kind = 'constant', rate = 1.0 }",
-     "streams[1].class", "known: read"),
-    ("[[streams]]\nclass = 'read'\nplan = 'p'\nshape = { kind = 'circle', rate = 1.0 }", "streams[1].shape",
-     "circle"),
-    ("[[streams]]\nclass = 'read'\nplan = 'p'\nshape = { kind = 'constant', rate = -1.0 }",
-     "streams[1].shape", ">= 0"),
-    ("[[streams]]\nclass = 'read'\nplan = 'p'", "streams[1].shape", "missing"),
-])
+@pytest.mark.parametrize(
+    "text, key, words",
+    [
+        ("[run]\nsecond = 3", "run.second", "did you mean `seconds`"),
+        ("[run]\nseconds = -1", "run.seconds", ">= 0"),
+        ("[targets]\ngateways = ['10.0.0.1:6379']", "targets.gateways[0]", "not on loopback"),
+        ("[targets]\ngateways = ['gateway.test:6379']", "targets.gateways[0]", "off_loopback = true"),
+        ("[targets]\ngateways = ['nowhere']", "targets.gateways[0]", "HOST:PORT"),
+        ("[[spells]]\nplan = 'q'\ntimes = 2.0\nat_s = 1.0\nlength = 1.0", "spells[0].plan", "known: p"),
+        (
+            "[[spells]]\nplan = 'p'\nemployers = 2\ntimes = 2.0\nat_s = 1.0\nlength = 1.0",
+            "spells[0].employers",
+            "the plan has 1",
+        ),
+        (
+            "[plans.q]\nspread = 2\n[targets]\ngateways = ['127.0.0.1:1']",
+            "plans.q.spread",
+            "there are 1 gateways",
+        ),
+        (
+            "[[streams]]\nclass = 'write'\nplan = 'p'\nshape = { kind = 'constant', rate = 1.0 }",
+            "streams[1].class",
+            "known: read",
+        ),
+        (
+            "[[streams]]\nclass = 'read'\nplan = 'p'\nshape = { kind = 'circle', rate = 1.0 }",
+            "streams[1].shape",
+            "circle",
+        ),
+        (
+            "[[streams]]\nclass = 'read'\nplan = 'p'\nshape = { kind = 'constant', rate = -1.0 }",
+            "streams[1].shape",
+            ">= 0",
+        ),
+        ("[[streams]]\nclass = 'read'\nplan = 'p'", "streams[1].shape", "missing"),
+    ],
+)
 def test_a_fault_is_told_with_its_key(text, key, words, tmp_path):
     found = faults(tmp_path, GOOD + text)
     assert list(found) == [key] and words in str(found[key])
@@ -62,8 +80,13 @@
 
 
 def command(*arguments):
-    return subprocess.run([sys.executable, "-B", "-m", "apigateway", "load", *arguments], cwd=ROOT,
-                          capture_output=True, text=True, timeout=60)
+    return subprocess.run(
+        [sys.executable, "-B", "-m", "apigateway", "load", *arguments],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
 
 
 def test_the_plan_is_printed_and_plotted_before_anything_is_sent(tmp_path):
--- a/tests/load/test_schedule.py
+++ b/tests/load/test_schedule.py
@@ -40,31 +40,58 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def scenario(shape=None, seconds=10.0, plans=None, spells=(), gateways=3, cls="read", arrivals="poisson",
-             **run):
+def scenario(
+    shape=None, seconds=10.0, plans=None, spells=(), gateways=3, cls="read", arrivals="poisson", **run
+):
     return Scenario(
-        run=RunPart(seconds=seconds, **run), classes={"read": ClassPart()},
+        run=RunPart(seconds=seconds, **run),
+        classes={"read": ClassPart()},
         targets=TargetsPart(gateways=[f"127.0.0.1:{7000 + n}" for n in range(gateways)]),
-        plans=plans or {"p": PlanPart(employers=20)}, spells=list(spells),
-        streams=[StreamPart(cls=cls, plan="p", shape=shape or Constant(rate=100.0), arrivals=arrivals)])
+        plans=plans or {"p": PlanPart(employers=20)},
+        spells=list(spells),
+        streams=[StreamPart(cls=cls, plan="p", shape=shape or Constant(rate=100.0), arrivals=arrivals)],
+    )
 
 
 SHAPES = [
-    Constant(rate=5.0), Ramp(start=1.0, end=9.0, over=4.0, at_s=2.0), Steps(rates=[1.0, 7.0, 0.0], each=3.0),
-    Burst(rate=50.0, at_s=2.0, length=0.5, every=4.0), OnOff(rate=8.0, on=1.0, off=2.0),
-    Sine(mean=5.0, swing=0.5, period=3.0), Day(rate=10.0, day=6.0, low=0.2),
+    Constant(rate=5.0),
+    Ramp(start=1.0, end=9.0, over=4.0, at_s=2.0),
+    Steps(rates=[1.0, 7.0, 0.0], each=3.0),
+    Burst(rate=50.0, at_s=2.0, length=0.5, every=4.0),
+    OnOff(rate=8.0, on=1.0, off=2.0),
+    Sine(mean=5.0, swing=0.5, period=3.0),
+    Day(rate=10.0, day=6.0, low=0.2),
     BuildUp(start=1.0, end=20.0, over=12.0, day=3.0),
-    MonthStart(base=2.0, peak=30.0, at_s=3.0, rise=1.0, half=2.0)]
+    MonthStart(base=2.0, peak=30.0, at_s=3.0, rise=1.0, half=2.0),
+]
 SHAPES += [Sum(of=SHAPES[:4]), Product(of=[SHAPES[0], Sine(mean=1.0, swing=1.0, period=5.0)])]
 
 
-@pytest.mark.parametrize("shape, time, rate", [
-    (SHAPES[1], 0.0, 1.0), (SHAPES[1], 4.0, 5.0), (SHAPES[1], 99.0, 9.0), (SHAPES[2], 3.0, 7.0),
-    (SHAPES[2], 99.0, 0.0), (SHAPES[3], 1.9, 0.0), (SHAPES[3], 2.2, 50.0), (SHAPES[3], 6.2, 50.0),
-    (SHAPES[3], 5.9, 0.0), (SHAPES[4], 0.5, 8.0), (SHAPES[4], 2.5, 0.0), (SHAPES[5], 0.75, 7.5),
-    (SHAPES[6], 3.0, 10.0), (SHAPES[6], 0.0, 2.0), (SHAPES[7], 1.5 + 9.0, 20.0 ** (10.5 / 12)),
-    (SHAPES[8], 2.9, 2.0), (SHAPES[8], 4.0, 30.0), (SHAPES[8], 6.0, 16.0), (SHAPES[9], 2.2, 57.4),
-    (SHAPES[10], 1.25, 10.0)])
+@pytest.mark.parametrize(
+    "shape, time, rate",
+    [
+        (SHAPES[1], 0.0, 1.0),
+        (SHAPES[1], 4.0, 5.0),
+        (SHAPES[1], 99.0, 9.0),
+        (SHAPES[2], 3.0, 7.0),
+        (SHAPES[2], 99.0, 0.0),
+        (SHAPES[3], 1.9, 0.0),
+        (SHAPES[3], 2.2, 50.0),
+        (SHAPES[3], 6.2, 50.0),
+        (SHAPES[3], 5.9, 0.0),
+        (SHAPES[4], 0.5, 8.0),
+        (SHAPES[4], 2.5, 0.0),
+        (SHAPES[5], 0.75, 7.5),
+        (SHAPES[6], 3.0, 10.0),
+        (SHAPES[6], 0.0, 2.0),
+        (SHAPES[7], 1.5 + 9.0, 20.0 ** (10.5 / 12)),
+        (SHAPES[8], 2.9, 2.0),
+        (SHAPES[8], 4.0, 30.0),
+        (SHAPES[8], 6.0, 16.0),
+        (SHAPES[9], 2.2, 57.4),
+        (SHAPES[10], 1.25, 10.0),
+    ],
+)
 def test_rates_over_time(shape, time, rate):
     assert shape.at(time) == pytest.approx(rate)
 
@@ -112,15 +139,22 @@
 
 def test_a_stream_that_comes_later_moves_nothing_of_those_before():
     told = scenario()
-    two = msgspec.structs.replace(told, streams=[*told.streams, msgspec.structs.replace(
-        told.streams[0], shape=Constant(rate=30.0))])
+    two = msgspec.structs.replace(
+        told, streams=[*told.streams, msgspec.structs.replace(told.streams[0], shape=Constant(rate=30.0))]
+    )
     key = [(d.at, d.employer, d.gateway) for d in schedule(told)]
     more = Counter((d.at, d.employer, d.gateway) for d in schedule(two))
     assert all(more[one] for one in key) and sum(more.values()) > len(key)
 
 
-@pytest.mark.parametrize("shape, seconds", [(Constant(rate=0.0), 10.0), (Constant(rate=100.0), 0.0),
-                                            (Burst(rate=10.0, at_s=99.0, length=1.0), 10.0)])
+@pytest.mark.parametrize(
+    "shape, seconds",
+    [
+        (Constant(rate=0.0), 10.0),
+        (Constant(rate=100.0), 0.0),
+        (Burst(rate=10.0, at_s=99.0, length=1.0), 10.0),
+    ],
+)
 def test_a_schedule_of_none(shape, seconds):
     for arrivals in ("poisson", "even"):
         told = scenario(shape, seconds, arrivals=arrivals)
@@ -160,14 +194,19 @@
     dues = list(schedule(scenario(Constant(rate=800.0), 12.0, plans, [spell])))
     by = Counter((d.employer, 4 * US <= d.at < 8 * US) for d in dues)
     ratios = sorted(by[e, True] / (by[e, False] / 2) for e in {d.employer for d in dues})
-    assert ratios[-1] == pytest.approx(5.0, rel=0.15) and all(r == pytest.approx(1.0, rel=0.15)
-                                                              for r in ratios[:-1])
+    assert ratios[-1] == pytest.approx(5.0, rel=0.15) and all(
+        r == pytest.approx(1.0, rel=0.15) for r in ratios[:-1]
+    )
 
 
 @seed(15)
 @settings(max_examples=60, deadline=None, database=None)
-@given(st.lists(st.sampled_from(SHAPES), min_size=1, max_size=4), st.integers(0, 2 ** 32),
-       st.floats(0.1, 8.0), st.sampled_from(["poisson", "even"]))
+@given(
+    st.lists(st.sampled_from(SHAPES), min_size=1, max_size=4),
+    st.integers(0, 2**32),
+    st.floats(0.1, 8.0),
+    st.sampled_from(["poisson", "even"]),
+)
 def test_whatever_is_mixed_it_comes_in_order_within_its_time(shapes, number, seconds, arrivals):
     told = scenario(Sum(of=shapes), seconds, arrivals=arrivals, seed=number)
     dues = list(schedule(told))
--- a/tests/load/test_sending.py
+++ b/tests/load/test_sending.py
@@ -120,9 +120,16 @@
         assert percentiles(told)["p90"] >= 200
 
 
-@pytest.mark.parametrize("step, word", [
-    (Step("silent"), "lost"), (Step("reset"), "lost"), (Step("half"), "lost"), (Step("busy"), "refused"),
-    (Step("error"), "failed")])
+@pytest.mark.parametrize(
+    "step, word",
+    [
+        (Step("silent"), "lost"),
+        (Step("reset"), "lost"),
+        (Step("half"), "lost"),
+        (Step("busy"), "refused"),
+        (Step("error"), "failed"),
+    ],
+)
 @on_loop
 async def test_each_kind_of_answer_has_its_outcome(step, word):
     async with StubHost() as host:
@@ -182,6 +189,7 @@
 @on_loop
 async def test_a_generator_that_was_starved_says_so_and_its_run_is_void():
     async with StubHost() as host:
+
         def starve(sender):
             asyncio.get_running_loop().call_later(0.1, time.sleep, 0.4)
 
@@ -259,17 +267,26 @@
 
 @on_loop
 async def test_a_run_from_the_command_line_and_one_that_is_stopped_midway(tmp_path):
-    scenario = ("[run]\nname = \"try\"\nseconds = {}\nlate_ms = 5000.0\n[classes.read]\n[plans.p]\n"
-                "employers = 3\n[[streams]]\nclass = \"read\"\nplan = \"p\"\n"
-                "shape = {{ kind = \"constant\", rate = 100.0 }}\n[targets]\ngateways = [\"127.0.0.1:{}\"]\n")
+    scenario = (
+        '[run]\nname = "try"\nseconds = {}\nlate_ms = 5000.0\n[classes.read]\n[plans.p]\n'
+        'employers = 3\n[[streams]]\nclass = "read"\nplan = "p"\n'
+        'shape = {{ kind = "constant", rate = 100.0 }}\n[targets]\ngateways = ["127.0.0.1:{}"]\n'
+    )
     async with Site(tmp_path) as site:
         await site.start()
         file = tmp_path / "scenario.toml"
         for seconds in (1.0, 60.0):
             file.write_text(scenario.format(seconds, site.port))
             program = await asyncio.create_subprocess_exec(
-                *PROGRAM, "load", "run", str(file), "--json", cwd=ROOT, stdout=subprocess.PIPE,
-                stderr=subprocess.PIPE)
+                *PROGRAM,
+                "load",
+                "run",
+                str(file),
+                "--json",
+                cwd=ROOT,
+                stdout=subprocess.PIPE,
+                stderr=subprocess.PIPE,
+            )
             if seconds > 10:
                 for _ in range(50):
                     await site.hosts[0].arrived.get()
@@ -282,16 +299,27 @@
             told = json.loads(out)
             assert told["due"] == sum(told["counts"].values()) > 0 and not told["void"]
             assert told.get("stopped", False) is (seconds > 10) and told["counts"]["served"] > 0
-        file.write_text(scenario.format(1.0, 1).replace("\"127.0.0.1:1\"", ""))
-        ended = await asyncio.to_thread(subprocess.run, [sys.executable, "-m", "apigateway", "load", "run",
-                                                         str(file)], cwd=ROOT, capture_output=True, text=True)
+        file.write_text(scenario.format(1.0, 1).replace('"127.0.0.1:1"', ""))
+        ended = await asyncio.to_thread(
+            subprocess.run,
+            [sys.executable, "-m", "apigateway", "load", "run", str(file)],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+        )
         assert ended.returncode == 2 and "none to send to" in ended.stderr
 
 
 @seed(15)
 @settings(max_examples=60, deadline=None, database=None)
-@given(st.lists(st.tuples(st.sampled_from(OUTCOMES), st.integers(1, 10_000_000), st.integers(0, 5)),
-                min_size=1, max_size=200), st.integers(0, 200))
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(OUTCOMES), st.integers(1, 10_000_000), st.integers(0, 5)),
+        min_size=1,
+        max_size=200,
+    ),
+    st.integers(0, 200),
+)
 def test_records_of_several_processes_come_to_what_one_would_have(rows, cut):
     one, parts = Record(), (Record(), Record())
     for n, (outcome, latency, second) in enumerate(rows):
--- a/tests/membership/test_belief.py
+++ b/tests/membership/test_belief.py
@@ -12,8 +12,9 @@
 
 
 def entry(id, state="up", stamp=0, port=None, started=0.0):
-    return Entry(messages.Host(id, "a", 0, 1.0, "", state, started), ("127.0.0.1", port or 1000 + int(id[1:])),
-                 stamp)
+    return Entry(
+        messages.Host(id, "a", 0, 1.0, "", state, started), ("127.0.0.1", port or 1000 + int(id[1:])), stamp
+    )
 
 
 def entries(count, but=(), state="up"):
@@ -148,9 +149,16 @@
     assert belief.hear(2.0, [entry("h2")], whole=True).hosts.version == 8
 
 
-NEWS = st.lists(st.tuples(st.floats(0.1, 20), st.booleans(),
-                          st.dictionaries(st.integers(0, 5), st.sampled_from(["up", "leaving"]), max_size=6),
-                          st.sets(st.integers(0, 5), max_size=2), st.integers(0, 50)), max_size=40)
+NEWS = st.lists(
+    st.tuples(
+        st.floats(0.1, 20),
+        st.booleans(),
+        st.dictionaries(st.integers(0, 5), st.sampled_from(["up", "leaving"]), max_size=6),
+        st.sets(st.integers(0, 5), max_size=2),
+        st.integers(0, 50),
+    ),
+    max_size=40,
+)
 
 
 @seed(1)
--- a/tests/membership/test_eureka_model.py
+++ b/tests/membership/test_eureka_model.py
@@ -22,27 +22,45 @@
 
 
 def wrapped(*instances):
-    return {"applications": {"apps__hashcode": "UP_1_", "application": {"name": "ROSTER",
-                                                                        "instance": list(instances)}}}
-
-
-@pytest.mark.parametrize("port, read", [({"$": 8080, "@enabled": "true"}, 8080), ({"$": "8080",
-                                                                                   "@enabled": True}, 8080),
-                                        ({"$": 8080, "@enabled": "false"}, 0), (8080, 8080), ("8080",
-                                                                                              8080), (None,
-                                                                                                      0),
-                                        ({"$": 8080}, 8080)])
+    return {
+        "applications": {
+            "apps__hashcode": "UP_1_",
+            "application": {"name": "ROSTER", "instance": list(instances)},
+        }
+    }
+
+
+@pytest.mark.parametrize(
+    "port, read",
+    [
+        ({"$": 8080, "@enabled": "true"}, 8080),
+        ({"$": "8080", "@enabled": True}, 8080),
+        ({"$": 8080, "@enabled": "false"}, 0),
+        (8080, 8080),
+        ("8080", 8080),
+        (None, 0),
+        ({"$": 8080}, 8080),
+    ],
+)
 def test_ports_in_all_their_forms(port, read):
     assert read_instance(ONE | {"port": port}).port == read
 
 
-@pytest.mark.parametrize("change", [{"port": {"$": 70000}}, {"port": "x"}, {"instanceId": None,
-                                                                            "hostName": None},
-                                    {"lastDirtyTimestamp": "soon"}, {"instanceId": "x" * 300},
-                                    {"leaseInfo": {"registrationTimestamp": -5}}])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"port": {"$": 70000}},
+        {"port": "x"},
+        {"instanceId": None, "hostName": None},
+        {"lastDirtyTimestamp": "soon"},
+        {"instanceId": "x" * 300},
+        {"leaseInfo": {"registrationTimestamp": -5}},
+    ],
+)
 def test_an_odd_instance_is_left_out_and_the_others_are_read(change):
-    answer = read_applications(wrapped(ONE, ONE | {"instanceId": "bad"} | change,
-                                       ONE | {"instanceId": "node8"}))
+    answer = read_applications(
+        wrapped(ONE, ONE | {"instanceId": "bad"} | change, ONE | {"instanceId": "node8"})
+    )
     assert [i.id for i in answer.instances] == ["node7", "node8"] and len(answer.odd) == 1
 
 
@@ -58,8 +76,19 @@
     assert {i.id: (i.status, i.overridden) for i in one.instances}["node1"] == ("OUT_OF_SERVICE",) * 2
 
 
-@pytest.mark.parametrize("body", [b"", b"{", b"[]", b"{}", b'{"applications": 3}', b"[" * 100_000, b"\xff",
-                                  b'{"applications":' + b'{"a":' * 5000])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"{",
+        b"[]",
+        b"{}",
+        b'{"applications": 3}',
+        b"[" * 100_000,
+        b"\xff",
+        b'{"applications":' + b'{"a":' * 5000,
+    ],
+)
 def test_what_is_no_answer(body):
     with pytest.raises(Odd):
         read_json(body)
@@ -69,26 +98,44 @@
 <!ENTITY c "&b;&b;&b;&b;&b;&b;&b;&b;">]><applications><apps__hashcode>&c;</apps__hashcode></applications>"""
 
 
-@pytest.mark.parametrize("body", [b"", b"<applications>", b"<html/>", BOMB, b"<a>" * 10_000,
-                                  b'<!DOCTYPE x SYSTEM "file:///etc/passwd"><applications/>'])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"<applications>",
+        b"<html/>",
+        BOMB,
+        b"<a>" * 10_000,
+        b'<!DOCTYPE x SYSTEM "file:///etc/passwd"><applications/>',
+    ],
+)
 def test_what_is_no_xml_of_a_registry(body):
     with pytest.raises(Odd):
         read_xml(body)
 
 
-ANY = st.recursive(st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
-                   lambda inner: st.lists(inner, max_size=3) | st.dictionaries(
-                       st.sampled_from([*ONE, "application", "instance", "name", "$",
-                                        "@enabled"]), inner, max_size=5),
-                   max_leaves=20)
+ANY = st.recursive(
+    st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
+    lambda inner: (
+        st.lists(inner, max_size=3)
+        | st.dictionaries(
+            st.sampled_from([*ONE, "application", "instance", "name", "$", "@enabled"]), inner, max_size=5
+        )
+    ),
+    max_leaves=20,
+)
 
 
 @seed(1)
 @settings(max_examples=400, deadline=None, database=None)
 @given(ANY)
 def test_no_tree_raises_but_odd(tree):
-    for told in (tree, {"applications": tree}, wrapped(tree), wrapped(ONE | tree if isinstance(tree, dict)
-                                                                      else tree)):
+    for told in (
+        tree,
+        {"applications": tree},
+        wrapped(tree),
+        wrapped(ONE | tree if isinstance(tree, dict) else tree),
+    ):
         try:
             answer = read_applications(told)
         except Odd:
@@ -97,11 +144,19 @@
         assert len(entries) + len(odd) == len(answer.instances)
 
 
-@pytest.mark.parametrize("status, overridden, state", [
-    ("UP", "UNKNOWN", "up"), ("DOWN", "UNKNOWN", "leaving"), ("OUT_OF_SERVICE", "UNKNOWN", "leaving"),
-    ("STARTING", "UNKNOWN", "leaving"), ("WHATEVER", "UNKNOWN", "leaving"), ("UP", "OUT_OF_SERVICE",
-                                                                             "leaving"),
-    ("DOWN", "UP", "leaving"), ("UP", "UP", "up")])
+@pytest.mark.parametrize(
+    "status, overridden, state",
+    [
+        ("UP", "UNKNOWN", "up"),
+        ("DOWN", "UNKNOWN", "leaving"),
+        ("OUT_OF_SERVICE", "UNKNOWN", "leaving"),
+        ("STARTING", "UNKNOWN", "leaving"),
+        ("WHATEVER", "UNKNOWN", "leaving"),
+        ("UP", "OUT_OF_SERVICE", "leaving"),
+        ("DOWN", "UP", "leaving"),
+        ("UP", "UP", "up"),
+    ],
+)
 def test_each_status_has_its_state(status, overridden, state):
     told = read_instance(ONE | {"status": status, "overriddenstatus": overridden})
     assert read_entry(Terms(), told).host.state == state
@@ -122,10 +177,18 @@
     assert named.address == ("10.0.0.7", 8080)
 
 
-@pytest.mark.parametrize("terms, change", [
-    (Terms(secure=True), {}), (Terms(), {"port": {"$": 1, "@enabled": "false"}}), (Terms(), {"ipAddr": None}),
-    (Terms(), {"metadata": {"cell": "two"}}), (Terms(), {"metadata": {"weight": "nan"}}),
-    (Terms(), {"metadata": {"cell": "-1"}}), (Terms(address="name"), {})])
+@pytest.mark.parametrize(
+    "terms, change",
+    [
+        (Terms(secure=True), {}),
+        (Terms(), {"port": {"$": 1, "@enabled": "false"}}),
+        (Terms(), {"ipAddr": None}),
+        (Terms(), {"metadata": {"cell": "two"}}),
+        (Terms(), {"metadata": {"weight": "nan"}}),
+        (Terms(), {"metadata": {"cell": "-1"}}),
+        (Terms(address="name"), {}),
+    ],
+)
 def test_an_instance_that_makes_no_host(terms, change):
     with pytest.raises(Odd):
         read_entry(terms, read_instance(ONE | change))
@@ -138,8 +201,10 @@
 def test_deltas_keep_a_replica_by_its_hash():
     replica = Replica()
     replica.whole(0.0, [made("a"), made("b")], "UP_2_")
-    assert replica.delta(1.0, [made("c", action="ADDED"), made("b", "DOWN", "MODIFIED")],
-                         "DOWN_1_UP_2_") == (set(), False)
+    assert replica.delta(1.0, [made("c", action="ADDED"), made("b", "DOWN", "MODIFIED")], "DOWN_1_UP_2_") == (
+        set(),
+        False,
+    )
     assert replica.delta(2.0, [made("a", action="DELETED")], "DOWN_1_UP_1_") == ({"a"}, False)
     assert replica.delta(3.0, [made("a", action="DELETED")], "DOWN_1_UP_1_") == ({"a"}, False)  # told again
     assert set(replica.instances) == {("A", "b"), ("A", "c")}
@@ -160,8 +225,16 @@
 
 @seed(1)
 @settings(max_examples=200, deadline=None, database=None)
-@given(st.lists(st.tuples(st.integers(0, 5), st.sampled_from(["UP", "DOWN"]),
-                          st.sampled_from(["ADDED", "MODIFIED", "DELETED"])), max_size=40))
+@given(
+    st.lists(
+        st.tuples(
+            st.integers(0, 5),
+            st.sampled_from(["UP", "DOWN"]),
+            st.sampled_from(["ADDED", "MODIFIED", "DELETED"]),
+        ),
+        max_size=40,
+    )
+)
 def test_a_replica_that_hears_all_deltas_has_the_registrys_hash(steps):
     replica, truth = Replica(), {}
     replica.whole(0.0, [], "")
--- a/tests/membership/test_eureka_source.py
+++ b/tests/membership/test_eureka_source.py
@@ -26,9 +26,16 @@
     def __init__(self, *registries, clock=None, own=(), resolve=None, **kw):
         self.hosts, self.failed = {}, 0
         kw.setdefault("timeout", 0.5)
-        self.source = EurekaSource(Registry(tuple(r.url for r in registries), **kw), NOTHING, self.told,
-                                   self.fail, own,
-                                   resolve, **({"clock": clock} if clock else {}), seed=1)
+        self.source = EurekaSource(
+            Registry(tuple(r.url for r in registries), **kw),
+            NOTHING,
+            self.told,
+            self.fail,
+            own,
+            resolve,
+            **({"clock": clock} if clock else {}),
+            seed=1,
+        )
 
     def told(self, listing):
         for host in listing.hosts.hosts:
@@ -63,8 +70,9 @@
 @on_loop
 async def test_it_reads_the_list_and_follows_its_changes(base, form):
     async with filled(base=base) as registry, Watched(registry, form=form) as seen:
-        assert await seen.poll() and seen.states() == dict.fromkeys(["node0", "node1", "node2", "node3"],
-                                                                    "up")
+        assert await seen.poll() and seen.states() == dict.fromkeys(
+            ["node0", "node1", "node2", "node3"], "up"
+        )
         registry.override("ROSTER", "node1", "OUT_OF_SERVICE")
         registry.register(instance("node2", 8002, status="DOWN"))
         registry.cancel("ROSTER", "node3")
@@ -76,9 +84,15 @@
         assert registry.calls == {"GET apps": 1, "GET delta": 2}
 
 
-@pytest.mark.parametrize("by, name, ids", [("app", "roster", {"node0", "node1"}), ("vip", "other", {"node9"}),
-                                           ("svip", "roster", {"node0", "node1"}), ("apps", "OTHER",
-                                                                                    {"node9"})])
+@pytest.mark.parametrize(
+    "by, name, ids",
+    [
+        ("app", "roster", {"node0", "node1"}),
+        ("vip", "other", {"node9"}),
+        ("svip", "roster", {"node0", "node1"}),
+        ("apps", "OTHER", {"node9"}),
+    ],
+)
 @on_loop
 async def test_by_app_vip_or_secure_vip(by, name, ids):
     async with filled(2) as registry, Watched(registry, by=by, name=name) as seen:
@@ -216,8 +230,10 @@
             raise OSError("no such name")
         return "127.0.0.9"
 
-    async with filled(3) as registry, Watched(registry, terms=Terms(address="name"), resolve=resolve,
-                                              own={("127.0.0.9", 8002)}) as seen:
+    async with (
+        filled(3) as registry,
+        Watched(registry, terms=Terms(address="name"), resolve=resolve, own={("127.0.0.9", 8002)}) as seen,
+    ):
         await seen.poll()
         assert set(seen.hosts) == {"node0"} and len(looked) == 3
 
@@ -238,8 +254,10 @@
 
 @on_loop
 async def test_a_watch_polls_by_itself_and_backs_off_while_nobody_answers():
-    async with filled(script=Script([Step("error", count=3)])) as registry, Watched(registry,
-                                                                                    poll=0.01) as seen:
+    async with (
+        filled(script=Script([Step("error", count=3)])) as registry,
+        Watched(registry, poll=0.01) as seen,
+    ):
         seen.source.watch(True)
         while not seen.hosts:
             await asyncio.sleep(0.005)
@@ -331,9 +349,15 @@
     wrote."""
     async with StandInEureka(base="/eureka") as registry, Watched(registry) as seen:
         pipe = asyncio.subprocess.PIPE
-        foreign = await asyncio.create_subprocess_exec(sys.executable, "-c", FOREIGN, registry.url,
-                                                       stdin=pipe,
-                                                       stdout=pipe, stderr=asyncio.subprocess.DEVNULL)
+        foreign = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-c",
+            FOREIGN,
+            registry.url,
+            stdin=pipe,
+            stdout=pipe,
+            stderr=asyncio.subprocess.DEVNULL,
+        )
         assert await foreign.stdout.readline() == b"8123\n"
         assert await seen.poll() and seen.states() == {"node7:8123": "up"}
         assert seen.hosts["node7:8123"].zone == "east"
--- a/tests/membership/test_judge.py
+++ b/tests/membership/test_judge.py
@@ -14,8 +14,13 @@
 
 
 def listing(*ids, full=True, state="up"):
-    return read_list({"version": 1, "full": full, "servers": [
-        {"id": id, "addr": f"127.0.0.1:{n + 1}", "state": state} for n, id in enumerate(ids)]})
+    return read_list(
+        {
+            "version": 1,
+            "full": full,
+            "servers": [{"id": id, "addr": f"127.0.0.1:{n + 1}", "state": state} for n, id in enumerate(ids)],
+        }
+    )
 
 
 @on_loop
@@ -32,8 +37,10 @@
 @on_loop
 async def test_a_belief_goes_on_with_its_doubts_and_its_age():
     first = Judge(Trust(), NOTHING, lambda _: None, lambda: 100.0)
-    first.hear([Entry(messages.Host(f"h{n}", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", n)) for n in range(4)],
-               whole=True)
+    first.hear(
+        [Entry(messages.Host(f"h{n}", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", n)) for n in range(4)],
+        whole=True,
+    )
     first.hear([], whole=True)
     second = Judge(Trust(doubt_time=5.0), NOTHING, lambda _: None, lambda: 200.0, first.belief)
     assert second.belief.heard_at == 100.0 and {k.doubt for k in second.belief.known.values()} == {"missing"}
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -24,14 +24,18 @@
 TERMS = b"c=read,t=p,d=3000,units=1,spread=1,first=0"
 SERVED = b"$5\r\nvalue\r\n"
 
+
 def on_loop(test):
     """Runs an async test on the loop that the gateway runs on."""
+
     @functools.wraps(test)
     def run(*args, **kwargs):
         async def bounded():
             async with asyncio.timeout(PATIENCE):
                 await test(*args, **kwargs)
+
         uvloop.run(bounded())
+
     return run
 
 
--- a/tests/plugins/test_decided.py
+++ b/tests/plugins/test_decided.py
@@ -42,8 +42,9 @@
     assert told.tags == {"a": "1"} and told.denied == [("route", "wrong phase"), ("refuse", "wrong phase")]
     for phase in (ANSWER, TICK):
         told = judged(phase, *said)
-        assert not told.tags and told.refuse is None and [why for _,
-                                                          why in told.denied] == ["wrong phase"] * 3
+        assert (
+            not told.tags and told.refuse is None and [why for _, why in told.denied] == ["wrong phase"] * 3
+        )
 
 
 def test_nothing_is_allowed_for_a_request_that_is_over():
@@ -57,18 +58,36 @@
     assert judged(REQUEST, (verb, "x")).denied == [(verb, "fixed")]
 
 
-@pytest.mark.parametrize("proposal, why", [
-    (("tag", "Ab", "1"), "bad key"), (("tag", "", "1"), "bad key"), (("tag", "a" * 33, "1"), "bad key"),
-    (("tag", "a", "x" * 129), "bad value"), (("tag", "a", "x\ny"), "bad value"),
-    (("tag", "a", "x" * 40), "too many bytes"), (("route", "nowhere"), "unknown route"),
-    (("jump", "1"), "unknown")])
+@pytest.mark.parametrize(
+    "proposal, why",
+    [
+        (("tag", "Ab", "1"), "bad key"),
+        (("tag", "", "1"), "bad key"),
+        (("tag", "a" * 33, "1"), "bad key"),
+        (("tag", "a", "x" * 129), "bad value"),
+        (("tag", "a", "x\ny"), "bad value"),
+        (("tag", "a", "x" * 40), "too many bytes"),
+        (("route", "nowhere"), "unknown route"),
+        (("jump", "1"), "unknown"),
+    ],
+)
 def test_what_is_not_allowed_says_why(proposal, why):
     told = judged(REQUEST, proposal)
     assert [reason for _, reason in told.denied] == [why] and not told.tags and not told.route
 
 
-@pytest.mark.parametrize("text, wait, cut", [("0.5", 0.5, 0), ("9", 2.0, 1), ("-1", 0.0, 1), ("nan", 0.0, 1),
-                                             ("soon", 0.0, 1), ("inf", 2.0, 1), ("", 0.0, 1)])
+@pytest.mark.parametrize(
+    "text, wait, cut",
+    [
+        ("0.5", 0.5, 0),
+        ("9", 2.0, 1),
+        ("-1", 0.0, 1),
+        ("nan", 0.0, 1),
+        ("soon", 0.0, 1),
+        ("inf", 2.0, 1),
+        ("", 0.0, 1),
+    ],
+)
 def test_a_refusal_stands_whatever_wait_it_names(text, wait, cut):
     told = judged(REQUEST, ("refuse", text))
     assert told.refuse == wait and len(told.denied) == cut
@@ -81,9 +100,15 @@
 
 
 VERBS = st.sampled_from(["tag", "refuse", "route", "send", "class", "nonsense", ""])
-PROPOSALS = st.lists(st.builds(Proposal, VERBS, st.one_of(st.sampled_from(["a", "b", "c", "d", "e", "batch",
-                                                                           "1"]),
-    st.text(max_size=5)), st.text(max_size=30)), max_size=80)
+PROPOSALS = st.lists(
+    st.builds(
+        Proposal,
+        VERBS,
+        st.one_of(st.sampled_from(["a", "b", "c", "d", "e", "batch", "1"]), st.text(max_size=5)),
+        st.text(max_size=30),
+    ),
+    max_size=80,
+)
 
 
 @seed(1)
@@ -168,8 +193,9 @@
         if fits:
             model.pop(key, None)
             model.update({key: value} if value else {})
-        assert keys.values == model and keys.held == sum(len(k) + len(v) + 64 for k,
-                                                         v in model.items()) <= 400
+        assert (
+            keys.values == model and keys.held == sum(len(k) + len(v) + 64 for k, v in model.items()) <= 400
+        )
 
 
 def test_counters_and_log_lines_are_rationed():
@@ -188,12 +214,13 @@
 
 
 def test_a_module_finds_each_field_where_the_page_says():
-    view = View("r1", "c1", "basic", "read", 2.5, 3.0, 100.25, True, True, {"a": "1"}, "batch", "h1", 4,
-                "failed", 0.5)
+    view = View(
+        "r1", "c1", "basic", "read", 2.5, 3.0, 100.25, True, True, {"a": "1"}, "batch", "h1", 4, "failed", 0.5
+    )
     raw = abi.pack(ANSWER, view, 4096, 2048)
     assert struct.unpack_from("<II4dIII", raw) == (1, 3, 100.25, 3.0, 2.5, 0.5, 3, 4, 3)
     table = struct.unpack_from("<16I", raw, 56)
-    texts = [raw[a - 4096:a - 4096 + n].decode() for a, n in zip(table[::2], table[1::2], strict=True) if a]
+    texts = [raw[a - 4096 : a - 4096 + n].decode() for a, n in zip(table[::2], table[1::2], strict=True) if a]
     assert texts == ["r1", "c1", "basic", "read", "h1", "batch", "a=1\n"]
 
 
@@ -204,10 +231,18 @@
         abi.pack(REQUEST, View("r" * 3000), 0, 2048)
 
 
-@pytest.mark.parametrize("packed, fits", [
-    (0, True), ((100 << 32) | 28, True), ((100 << 32) | 29, False), ((0xFFFFFFFF << 32) | 1, False), (-1,
-                                                                                                      False),
-    ((1 << 32) | 0xFFFFFFFF, False), (65, False)])
+@pytest.mark.parametrize(
+    "packed, fits",
+    [
+        (0, True),
+        ((100 << 32) | 28, True),
+        ((100 << 32) | 29, False),
+        ((0xFFFFFFFF << 32) | 1, False),
+        (-1, False),
+        ((1 << 32) | 0xFFFFFFFF, False),
+        (65, False),
+    ],
+)
 def test_pointers_are_held_against_the_memory(packed, fits):
     if fits:
         abi.where(packed, 128, 64)
@@ -231,4 +266,8 @@
 
 def test_proposals_as_lines():
     assert abi.proposals(b"tag a b c\nrefuse 1.5\n\nroute x\nsend h1 now") == [
-        ("tag", "a", "b c"), ("refuse", "1.5", ""), ("route", "x", ""), ("send", "h1 now", "")]
+        ("tag", "a", "b c"),
+        ("refuse", "1.5", ""),
+        ("route", "x", ""),
+        ("send", "h1 now", ""),
+    ]
--- a/tests/plugins/test_language.py
+++ b/tests/plugins/test_language.py
@@ -9,64 +9,136 @@
 from apigateway.plugins.rules import FIELDS
 from apigateway.plugins.terms import View
 
-SETTINGS = {"district": {"a": "kochi", "b": "thrissur"}, "weight": {"a": 2, "b": 3.5}, "from": 1.5,
-            "on": True,
-            "names": ["x", "y"], "sizes": [1, 2], "odd": {"a": 1, "b": "x"}, "empty": {}}
+SETTINGS = {
+    "district": {"a": "kochi", "b": "thrissur"},
+    "weight": {"a": 2, "b": 3.5},
+    "from": 1.5,
+    "on": True,
+    "names": ["x", "y"],
+    "sizes": [1, 2],
+    "odd": {"a": 1, "b": "x"},
+    "empty": {},
+}
 
 
 def run(text, phase="request", **fields):
-    view = View(**{"id": "r1", "customer": "a", "cls": "read", "plan": "basic", "units": 2.0, "left": 3.0,
-                   "now": 1798761600.0, "tags": {"x": "1"}, **fields})
+    view = View(
+        **{
+            "id": "r1",
+            "customer": "a",
+            "cls": "read",
+            "plan": "basic",
+            "units": 2.0,
+            "left": 3.0,
+            "now": 1798761600.0,
+            "tags": {"x": "1"},
+            **fields,
+        }
+    )
     return compile_text(text, FIELDS[phase], SETTINGS, 7).run(view)
 
 
-@pytest.mark.parametrize("text, value", [
-    ('class == "read" && customer in settings.district', True), ("settings.district[customer]", "kochi"),
-    ('get(settings.district, "c", "none")', "none"), ("settings.weight[customer] * 2", 4.0),
-    ('units * 2 + 1 > 4 ? "big" : "small"', "big"), ("1 + 2 * 3 - 4 / 2", 5.0), ("7 % 4", 3.0), ("-units",
-                                                                                                 -2.0),
-    ("!settings.on || units >= 2", True), ("hour(now)", 0.0), ("hour(now, 5.5)", 5.0), ("weekday(now)", 4.0),
-    ("monthday(now)", 1.0), ("month(now)", 1.0), ('date("2027-01-01") == now', True),
-    ('date("2027-01-01T05:30+05:30") == now', True), ("tags.x", "1"), ("tags.y", ""), ("has(tags.x)", True),
-    ("has(settings.nix)", False), ('"x" in tags', True), ('"y" in settings.names', True),
-    ("units in settings.sizes", True), ('plan in ["basic", "gold"]', True), ("units in [units, 9]", True),
-    ('customer + "-" + string(units)', "a-2"), ("string(write)", "false"), ('number("1.5")', 1.5),
-    ('"abc".startsWith("ab") && "abc".endsWith("c") && "abc".contains("b")', True),
-    ("substring(id, 0, 1)", "r"), ("size(id) + size(settings.names) + size(settings.district)", 6.0),
-    ('upper("ab") + lower("CD")', "ABcd"), ("min(1, 2) + max(1, 2) + abs(-3) + floor(1.7)", 7.0),
-    ('"a\\"b\\n" == \'a"b\n\'' .replace("\n", "\\n"), True), ("true || 1 / 0 > 1", True),
-    ("sample(1) && !sample(0)", True)])
+@pytest.mark.parametrize(
+    "text, value",
+    [
+        ('class == "read" && customer in settings.district', True),
+        ("settings.district[customer]", "kochi"),
+        ('get(settings.district, "c", "none")', "none"),
+        ("settings.weight[customer] * 2", 4.0),
+        ('units * 2 + 1 > 4 ? "big" : "small"', "big"),
+        ("1 + 2 * 3 - 4 / 2", 5.0),
+        ("7 % 4", 3.0),
+        ("-units", -2.0),
+        ("!settings.on || units >= 2", True),
+        ("hour(now)", 0.0),
+        ("hour(now, 5.5)", 5.0),
+        ("weekday(now)", 4.0),
+        ("monthday(now)", 1.0),
+        ("month(now)", 1.0),
+        ('date("2027-01-01") == now', True),
+        ('date("2027-01-01T05:30+05:30") == now', True),
+        ("tags.x", "1"),
+        ("tags.y", ""),
+        ("has(tags.x)", True),
+        ("has(settings.nix)", False),
+        ('"x" in tags', True),
+        ('"y" in settings.names', True),
+        ("units in settings.sizes", True),
+        ('plan in ["basic", "gold"]', True),
+        ("units in [units, 9]", True),
+        ('customer + "-" + string(units)', "a-2"),
+        ("string(write)", "false"),
+        ('number("1.5")', 1.5),
+        ('"abc".startsWith("ab") && "abc".endsWith("c") && "abc".contains("b")', True),
+        ("substring(id, 0, 1)", "r"),
+        ("size(id) + size(settings.names) + size(settings.district)", 6.0),
+        ('upper("ab") + lower("CD")', "ABcd"),
+        ("min(1, 2) + max(1, 2) + abs(-3) + floor(1.7)", 7.0),
+        ('"a\\"b\\n" == \'a"b\n\''.replace("\n", "\\n"), True),
+        ("true || 1 / 0 > 1", True),
+        ("sample(1) && !sample(0)", True),
+    ],
+)
 def test_what_it_means(text, value):
     assert run(text) == value
 
 
-@pytest.mark.parametrize("text, words", [
-    ('units + "a"', "both must be of one type"), ("foo", "no field 'foo'"),
-    ("settings.nix", "no setting 'nix'"),
-    ("1 +", "expected a value"), ('host == "a"', "no field 'host' in this phase"),
-    ("matches(id)", "no function"),
-    ('"\\q"', "unknown escape"), ("((((", "expected a value"), ("a" * 2001, "longer than"),
-    ("!1", "expected truth"),
-    ("customer[0]", "expected text"), ("[" + "1," * 200 + "1]", "more than 100 items"),
-    ("-" * 60 + "1", "nested"),
-    ("(" * 60 + "1" + ")" * 60, "nested"), ("1 ? 2 : 3", "expected truth"), ('true ? 1 : "a"', "one type"),
-    ("date(id)", "written out"), ('date("soon")', "is no date"), ("$", "has no meaning"), ("1 2", "follows"),
-    ("settings.odd[customer]", "one type"), ("has(id)", "has takes a member"), ("id.size", "no member"),
-    ("true < false", "does not go with"), ('["a", 1]', "numbers and texts"), ("get(id, id, id)",
-                                                                              "table of settings"),
-    ('get(settings.weight, id, "a")', "the default is text"), ("1 in settings.names", "expected a list"),
-    ("substring(id)", "takes (text, number, number)"), ("1e999", "too large"), ("+".join(["1"] * 400),
-                                                                                "parts"),
-    ("&&", "expected a value"), ("size(1)", "size takes")])
+@pytest.mark.parametrize(
+    "text, words",
+    [
+        ('units + "a"', "both must be of one type"),
+        ("foo", "no field 'foo'"),
+        ("settings.nix", "no setting 'nix'"),
+        ("1 +", "expected a value"),
+        ('host == "a"', "no field 'host' in this phase"),
+        ("matches(id)", "no function"),
+        ('"\\q"', "unknown escape"),
+        ("((((", "expected a value"),
+        ("a" * 2001, "longer than"),
+        ("!1", "expected truth"),
+        ("customer[0]", "expected text"),
+        ("[" + "1," * 200 + "1]", "more than 100 items"),
+        ("-" * 60 + "1", "nested"),
+        ("(" * 60 + "1" + ")" * 60, "nested"),
+        ("1 ? 2 : 3", "expected truth"),
+        ('true ? 1 : "a"', "one type"),
+        ("date(id)", "written out"),
+        ('date("soon")', "is no date"),
+        ("$", "has no meaning"),
+        ("1 2", "follows"),
+        ("settings.odd[customer]", "one type"),
+        ("has(id)", "has takes a member"),
+        ("id.size", "no member"),
+        ("true < false", "does not go with"),
+        ('["a", 1]', "numbers and texts"),
+        ("get(id, id, id)", "table of settings"),
+        ('get(settings.weight, id, "a")', "the default is text"),
+        ("1 in settings.names", "expected a list"),
+        ("substring(id)", "takes (text, number, number)"),
+        ("1e999", "too large"),
+        ("+".join(["1"] * 400), "parts"),
+        ("&&", "expected a value"),
+        ("size(1)", "size takes"),
+    ],
+)
 def test_what_it_refuses_and_where(text, words):
     with pytest.raises(LanguageError, match=".") as caught:
         run(text)
     assert words in caught.value.reason and 0 <= caught.value.at <= len(text)
 
 
-@pytest.mark.parametrize("text", [
-    "settings.district[id]", "1 / 0", "1 % 0", 'number("x")', "hour(1e300)", "floor(1e308 * 10)",
-    "substring(id, 1e308 * 10, 2)"])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "settings.district[id]",
+        "1 / 0",
+        "1 % 0",
+        'number("x")',
+        "hour(1e300)",
+        "floor(1e308 * 10)",
+        "substring(id, 1e308 * 10, 2)",
+    ],
+)
 def test_a_value_that_there_is_not(text):
     with pytest.raises(RunError):
         run(text)
@@ -83,11 +155,49 @@
     assert 400 < sum(drawn) < 600
 
 
-PIECES = st.sampled_from(["1", "2.5", '"a"', "units", "customer", "class", "now", "tags", "settings", "(",
-                          ")", "[",
-                          "]", ".", ",", "?", ":", "+", "-", "*", "/", "%", "&&", "||", "!", "==", "!=", "<",
-                          ">", "in", "size", "get", "has", "sample", "date", "district", "startsWith", "hour",
-                          "true"])
+PIECES = st.sampled_from(
+    [
+        "1",
+        "2.5",
+        '"a"',
+        "units",
+        "customer",
+        "class",
+        "now",
+        "tags",
+        "settings",
+        "(",
+        ")",
+        "[",
+        "]",
+        ".",
+        ",",
+        "?",
+        ":",
+        "+",
+        "-",
+        "*",
+        "/",
+        "%",
+        "&&",
+        "||",
+        "!",
+        "==",
+        "!=",
+        "<",
+        ">",
+        "in",
+        "size",
+        "get",
+        "has",
+        "sample",
+        "date",
+        "district",
+        "startsWith",
+        "hour",
+        "true",
+    ]
+)
 
 
 @seed(12)
@@ -102,8 +212,12 @@
 
 
 def numbers(children):
-    return st.one_of(st.tuples(children, st.sampled_from(["+", "-", "*", "/", "%"]), children).map(
-        lambda t: f"({t[0]} {t[1]} {t[2]})"), children.map(lambda c: f"(units > {c} ? {c} : 1)"))
+    return st.one_of(
+        st.tuples(children, st.sampled_from(["+", "-", "*", "/", "%"]), children).map(
+            lambda t: f"({t[0]} {t[1]} {t[2]})"
+        ),
+        children.map(lambda c: f"(units > {c} ? {c} : 1)"),
+    )
 
 
 @seed(13)
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -90,7 +90,9 @@
 def test_a_refusal_reaches_the_module_as_barred_and_nothing_else_of_the_request():
     w = hooked(seat(Scripted(on_request(("refuse", "1.5")))))
     place = w.take("a", [messages.Refuse("a", 1.5)])
-    assert w.module.events == [messages.Barred("a", 1.5)] and place.answers == ["refused"] and not w.core.works
+    assert (
+        w.module.events == [messages.Barred("a", 1.5)] and place.answers == ["refused"] and not w.core.works
+    )
     assert w.hooks.version.open == 0
 
 
@@ -100,8 +102,11 @@
     w = Decisions()
     accounts = dict(w.gw.accounts)
     assert w.do(messages.Barred("x", 0.7)) == [messages.Refuse("x", 0.7)]
-    assert w.do(messages.Barred("y", 60.0)) == [messages.Refuse("y",
-                                                      1.0)] and w.gw.accounts == accounts and not w.gw.jobs
+    assert (
+        w.do(messages.Barred("y", 60.0)) == [messages.Refuse("y", 1.0)]
+        and w.gw.accounts == accounts
+        and not w.gw.jobs
+    )
 
 
 def test_a_route_and_tags_go_with_the_request():
@@ -113,8 +118,9 @@
     assert [(p, o) for p, _, o in plugin.seen] == [(REQUEST, ""), (ATTEMPT, ""), (ANSWER, "served")]
 
 
-@pytest.mark.parametrize("how", [RuntimeError("broken"), PluginFailed("trap"), MemoryError(),
-                                 RecursionError()])
+@pytest.mark.parametrize(
+    "how", [RuntimeError("broken"), PluginFailed("trap"), MemoryError(), RecursionError()]
+)
 def test_a_plug_in_that_raises_is_skipped_in_each_phase(how):
     w = hooked(seat(Scripted(how)))
     place = w.take("a", [messages.Send("a", "h1")])
@@ -146,8 +152,10 @@
 
 def test_later_plug_ins_see_the_tags_of_earlier_ones_and_a_refusal_ends_the_chain():
     seen = []
-    first, last = Scripted(on_request(("tag", "a", "1"))), Scripted(lambda phase,
-                                                                    view: seen.append(dict(view.tags)))
+    first, last = (
+        Scripted(on_request(("tag", "a", "1"))),
+        Scripted(lambda phase, view: seen.append(dict(view.tags))),
+    )
     w = hooked(seat(first, "one"), seat(last, "two"))
     w.take("a")
     assert seen == [{"a": "1"}]
@@ -158,12 +166,15 @@
 
 FIVE_RULES = [
     ("no request lost", [("hold", "5"), ("serve", "")]),
-    ("no effect twice", [("send", "h1"), ("send", "h2"), ("retry", "9"), ("effect", "safe"), ("class",
-                                                                                              "read")]),
+    (
+        "no effect twice",
+        [("send", "h1"), ("send", "h2"), ("retry", "9"), ("effect", "safe"), ("class", "read")],
+    ),
     ("drains kept", [("host", "h1"), ("drain", "h1 no")]),
     ("cold hosts", [("host", "h2"), ("send", "h2")]),
     ("ceilings kept", [("plan", "enterprise"), ("customer", "x"), ("units", "0")]),
-    ("the client's time", [("deadline", "99"), ("left", "99")])]
+    ("the client's time", [("deadline", "99"), ("left", "99")]),
+]
 
 
 @pytest.mark.parametrize("rule, said", FIVE_RULES)
@@ -196,7 +207,7 @@
 
 def test_swapped_with_hundreds_in_flight_the_new_one_trapping_at_its_first_call():
     old = Scripted(on_request(("tag", "a", "1")))
-    w = hooked(seat(old), most=1000, held=10 ** 6)
+    w = hooked(seat(old), most=1000, held=10**6)
     places = [w.take(str(n), [messages.Send(str(n), "h1")]) for n in range(400)]
     bad = Scripted(PluginFailed("trap"))
     w.hooks.swap(version(seat(bad, failures=3)))
@@ -209,7 +220,7 @@
 
 def test_two_hundred_swaps_in_a_row_leave_nothing_behind():
     made = [Scripted(None, state=b"0")]
-    w = hooked(seat(made[0]), most=1000, held=10 ** 6)
+    w = hooked(seat(made[0]), most=1000, held=10**6)
     for n in range(200):
         w.take(str(n), [messages.Send(str(n), "h1")])
         made.append(Scripted(None))
@@ -248,33 +259,51 @@
     assert kept.closed
 
 
-STEPS = st.lists(st.tuples(st.sampled_from(["take", "end", "gone", "swap", "tick", "late"]), st.integers(0,
-                                                                                                         50),
-                           st.sampled_from(["ok", "reset", "full", "timeout"])), max_size=60)
-SAID = st.lists(st.builds(Proposal, st.sampled_from(["tag", "refuse", "route", "send", "deadline"]),
-                          st.sampled_from(["a", "b", "batch", "1", "nan"]), st.text(max_size=4)), max_size=6)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["take", "end", "gone", "swap", "tick", "late"]),
+        st.integers(0, 50),
+        st.sampled_from(["ok", "reset", "full", "timeout"]),
+    ),
+    max_size=60,
+)
+SAID = st.lists(
+    st.builds(
+        Proposal,
+        st.sampled_from(["tag", "refuse", "route", "send", "deadline"]),
+        st.sampled_from(["a", "b", "batch", "1", "nan"]),
+        st.text(max_size=4),
+    ),
+    max_size=6,
+)
 
 
 @seed(5)
 @settings(max_examples=150, deadline=None, database=None)
-@given(STEPS, st.lists(st.one_of(SAID, st.sampled_from([PluginFailed("trap"), RuntimeError("x")])),
-                       min_size=1))
+@given(
+    STEPS, st.lists(st.one_of(SAID, st.sampled_from([PluginFailed("trap"), RuntimeError("x")])), min_size=1)
+)
 def test_whatever_plug_ins_say_and_when_they_are_swapped_each_request_ends_once(steps, said):
     """The module is the test's and answers soundly: it sends what it hears of and refuses what is barred."""
     logging.disable(logging.CRITICAL)
-    turn = iter(range(10 ** 9))
+    turn = iter(range(10**9))
     made, places, gone = [], {}, set()
 
     def one():
         made.append(Scripted(lambda phase, view: said[next(turn) % len(said)], state=b"s"))
-        return version(seat(made[-1], failures=10 ** 6, share=1.0, span=1000.0))
+        return version(seat(made[-1], failures=10**6, share=1.0, span=1000.0))
 
-    w = hooked(most=10_000, held=10 ** 9)
+    w = hooked(most=10_000, held=10**9)
     w.hooks.version = one()
     w.module.handle = lambda now, event: (
-        [messages.Send(event.id, "h1")] if isinstance(event, messages.Request) else
-        [messages.Refuse(event.id, event.wait)] if isinstance(event, messages.Barred) else
-        [messages.Fail(event.id)] if isinstance(event, messages.Outcome) and not event.final else [])
+        [messages.Send(event.id, "h1")]
+        if isinstance(event, messages.Request)
+        else [messages.Refuse(event.id, event.wait)]
+        if isinstance(event, messages.Barred)
+        else [messages.Fail(event.id)]
+        if isinstance(event, messages.Outcome) and not event.final
+        else []
+    )
     try:
         for what, which, result in steps:
             out = [a for a in w.hosts.out if not a.result]
@@ -320,32 +349,63 @@
     return load(parts, HooksPart(), At(str(tmp_path / "gateway.toml"), gateway()), old)
 
 
-@pytest.mark.parametrize("make, key, words", [
-    (lambda p: part(), "plugins[0].file", "neither a file nor rules"),
-    (lambda p: part(file="x.py"), "plugins[0].file", "cannot be read"),
-    (lambda p: (p / "x.py").write_text("1") and part(file="x.py"), "plugins[0].file", "neither .wasm"),
-    (lambda p: (p / "x.wasm").write_bytes(b"\0asm\1\0\0") and part(file="x.wasm"), "plugins[0].file",
-     "no sound"),
-    (lambda p: (p / "x.wasm").write_bytes(bytes(50 * 1024 * 1024)) and part(file="x.wasm"), "plugins[0].file",
-     "52428800 bytes"),
-    (lambda p: (p / "x.wat").mkdir() or part(file="x.wat"), "plugins[0].file", "no regular file"),
-    (lambda p: (p / "x.wat").write_text(module(says("tag a 1").replace("(i64.const",
-                                                                       "unreachable (i64.const")))
-     and part(file="x.wat"), "plugins[0].file", "failed its proof (trap"),
-    (lambda p: (p / "x.wat").write_text(module('(func $s (loop $l (br $l))) (start $s)' + says("")))
-     and part(file="x.wat"), "plugins[0].file", "failed its proof (fuel"),
-    (lambda p: part(rules=[RulePart(when="1")]), "plugins[0].rules[0].when", "gives number"),
-    (lambda p: part(rules=[RulePart(tag={"A b": "id"})]), "plugins[0].rules[0].tag", "small letters"),
-    (lambda p: part(rules=[RulePart(on="answer", refuse="1")]), "plugins[0].rules[0].refuse",
-     "not in the phase"),
-    (lambda p: part(rules=[RulePart(tag={"a": "1 / 0"})]), "plugins[0].rules", "failed its proof (error"),
-    (lambda p: (p / "r.toml").write_text("[[rules]]\nwhen = 'nix'") and part(file="r.toml"), "rules[0].when",
-     "no field 'nix'"),
-    (lambda p: (p / "r.toml").write_text("[[rules]]\nwhn = 'nix'") and part(file="r.toml"), "rules[0].whn",
-     "unknown key"),
-    (lambda p: (p / "r.toml").write_text("x = ") and part(file="r.toml"), "plugins[0].file", "not TOML"),
-    (lambda p: (p / "r.toml").write_text("\n") and part(file="r.toml"), "plugins[0].file", "no rule"),
-])
+@pytest.mark.parametrize(
+    "make, key, words",
+    [
+        (lambda p: part(), "plugins[0].file", "neither a file nor rules"),
+        (lambda p: part(file="x.py"), "plugins[0].file", "cannot be read"),
+        (lambda p: (p / "x.py").write_text("1") and part(file="x.py"), "plugins[0].file", "neither .wasm"),
+        (
+            lambda p: (p / "x.wasm").write_bytes(b"\0asm\1\0\0") and part(file="x.wasm"),
+            "plugins[0].file",
+            "no sound",
+        ),
+        (
+            lambda p: (p / "x.wasm").write_bytes(bytes(50 * 1024 * 1024)) and part(file="x.wasm"),
+            "plugins[0].file",
+            "52428800 bytes",
+        ),
+        (lambda p: (p / "x.wat").mkdir() or part(file="x.wat"), "plugins[0].file", "no regular file"),
+        (
+            lambda p: (
+                (p / "x.wat").write_text(
+                    module(says("tag a 1").replace("(i64.const", "unreachable (i64.const"))
+                )
+                and part(file="x.wat")
+            ),
+            "plugins[0].file",
+            "failed its proof (trap",
+        ),
+        (
+            lambda p: (
+                (p / "x.wat").write_text(module("(func $s (loop $l (br $l))) (start $s)" + says("")))
+                and part(file="x.wat")
+            ),
+            "plugins[0].file",
+            "failed its proof (fuel",
+        ),
+        (lambda p: part(rules=[RulePart(when="1")]), "plugins[0].rules[0].when", "gives number"),
+        (lambda p: part(rules=[RulePart(tag={"A b": "id"})]), "plugins[0].rules[0].tag", "small letters"),
+        (
+            lambda p: part(rules=[RulePart(on="answer", refuse="1")]),
+            "plugins[0].rules[0].refuse",
+            "not in the phase",
+        ),
+        (lambda p: part(rules=[RulePart(tag={"a": "1 / 0"})]), "plugins[0].rules", "failed its proof (error"),
+        (
+            lambda p: (p / "r.toml").write_text("[[rules]]\nwhen = 'nix'") and part(file="r.toml"),
+            "rules[0].when",
+            "no field 'nix'",
+        ),
+        (
+            lambda p: (p / "r.toml").write_text("[[rules]]\nwhn = 'nix'") and part(file="r.toml"),
+            "rules[0].whn",
+            "unknown key",
+        ),
+        (lambda p: (p / "r.toml").write_text("x = ") and part(file="r.toml"), "plugins[0].file", "not TOML"),
+        (lambda p: (p / "r.toml").write_text("\n") and part(file="r.toml"), "plugins[0].file", "no rule"),
+    ],
+)
 def test_a_bad_plug_in_is_told_by_file_key_value_and_reason(make, key, words, tmp_path):
     with pytest.raises(Faulty) as caught:
         loading(tmp_path, make(tmp_path))
@@ -381,18 +441,22 @@
 
 
 def test_it_passes_its_proof_and_fails_in_service(tmp_path):
-    (tmp_path / "a.wat").write_text(module(
-        '(func (export "on_request") (param i32) (result i64)'
-        "(if (i32.eq (i32.load8_u (i32.load (i32.const 4160)))"
-        "(i32.const 102)) (then unreachable)) (i64.const 0))"))  # a customer that begins with f
+    (tmp_path / "a.wat").write_text(
+        module(
+            '(func (export "on_request") (param i32) (result i64)'
+            "(if (i32.eq (i32.load8_u (i32.load (i32.const 4160)))"
+            "(i32.const 102)) (then unreachable)) (i64.const 0))"
+        )
+    )  # a customer that begins with f
     loaded = loading(tmp_path, part("a", file="a.wat", budget=BudgetPart(failures=3, rest=100.0)))
     w = hooked()
     w.hooks.version = loaded
     for n in range(6):
         place = Place()
         w.module.next = [messages.Send(str(n), "h1")]
-        w.core.take("front", messages.Request(str(n), 3.0, "ff", "basic", "roster-read", 1.0, 0, 1), Order(),
-                    place)
+        w.core.take(
+            "front", messages.Request(str(n), 3.0, "ff", "basic", "roster-read", 1.0, 0, 1), Order(), place
+        )
         w.hosts.out[-1].end("ok")
         assert place.answers == ["served"]
     told = w.hooks.told()["plugins"][0]
@@ -420,11 +484,16 @@
     assert told[0] == told[2] == "" and words in told[1] and "cannot be assembled" in told[3]
 
 
-@pytest.mark.parametrize("body", [
-    '(func (export "on_answer") (param (ref null any)))', '(func (export "self_test") (param exnref))',
-    '(type $t (func)) (func (export "on_tick") (param (ref $t)))',
-    '(func (export "on_load") (param (ref func)))',
-    '(func (export "on_save") (param i31ref))'])
+@pytest.mark.parametrize(
+    "body",
+    [
+        '(func (export "on_answer") (param (ref null any)))',
+        '(func (export "self_test") (param exnref))',
+        '(type $t (func)) (func (export "on_tick") (param (ref $t)))',
+        '(func (export "on_load") (param (ref func)))',
+        '(func (export "on_save") (param i31ref))',
+    ],
+)
 def test_parts_of_the_standard_that_the_engines_interface_lacks_are_refused(body):
     """They ended the process: found by mutated modules."""
     (why,) = tried([Trial("p", module(says("") + body).encode(), {}, Budget(), 0, gateway())])
@@ -432,12 +501,15 @@
 
 
 def test_one_that_burns_just_under_its_fuel_at_every_call_is_held_to_its_share(tmp_path):
-    (tmp_path / "a.wat").write_text(module(
-        '(func (export "on_request") (param i32) (result i64) (local $n i32)'
-        "(local.set $n (i32.const 30000))"
-        "(loop $l (local.set $n (i32.sub (local.get $n) (i32.const 1))) (br_if $l (local.get $n)))"
-        "(i64.const 0))"))
-    w = hooked(most=2000, held=10 ** 6)
+    (tmp_path / "a.wat").write_text(
+        module(
+            '(func (export "on_request") (param i32) (result i64) (local $n i32)'
+            "(local.set $n (i32.const 30000))"
+            "(loop $l (local.set $n (i32.sub (local.get $n) (i32.const 1))) (br_if $l (local.get $n)))"
+            "(i64.const 0))"
+        )
+    )
+    w = hooked(most=2000, held=10**6)
     # Its time is not what this is about: a core that is taken away for 10 ms would count as too long a call.
     budget = BudgetPart(share=0.001, span=5.0, time_ms=1000.0)
     w.hooks.version = loading(tmp_path, part("a", file="a.wat", budget=budget))
@@ -456,9 +528,11 @@
 
 def test_records_tell_what_came_of_each_request_and_only_the_tagged_ones(tmp_path):
     file = tmp_path / "records.jsonl"
-    recorder = Recorder(str(file), "export", 10 ** 6, 100)
-    said = {REQUEST: lambda v: [Proposal("tag", "export", "1")] if v.id == "a" else [],
-            ATTEMPT: lambda v: [Proposal("tag", "host", v.host)]}
+    recorder = Recorder(str(file), "export", 10**6, 100)
+    said = {
+        REQUEST: lambda v: [Proposal("tag", "export", "1")] if v.id == "a" else [],
+        ATTEMPT: lambda v: [Proposal("tag", "host", v.host)],
+    }
     w = hooked(seat(Scripted(lambda phase, view: said.get(phase, lambda v: [])(view))), recorder=recorder)
     for id in "ab":
         w.take(id, [messages.Send(id, "h1")])
@@ -468,8 +542,10 @@
     w.hooks.close()
     ((number, told),) = read_records(str(file))
     assert (number, told["id"], told["outcome"], told["tags"]) == (1, "a", "served", {"export": "1"})
-    assert told["attempts"] == [{"host": "h1", "tags": {"host": "h1"}}, {"host": "h2",
-                                                                         "tags": {"host": "h2"}}]
+    assert told["attempts"] == [
+        {"host": "h1", "tags": {"host": "h1"}},
+        {"host": "h2", "tags": {"host": "h2"}},
+    ]
     assert view_of(told).cls == "read"
 
 
@@ -487,7 +563,7 @@
     with open(file, "a") as out:
         out.write('{"id": "cut')
     assert list(read_records(str(file))) == whole and json.loads(file.read_text().splitlines()[0])
-    full = Recorder(str(file), "", 10 ** 6, 1)
+    full = Recorder(str(file), "", 10**6, 1)
     full.thread.join(0)
     full.write = lambda told: blocked.wait()  # a disk that hangs
     import threading
--- a/tests/plugins/test_modules.py
+++ b/tests/plugins/test_modules.py
@@ -34,23 +34,28 @@
     "allocates without end": ("(loop $l (drop (memory.grow (i32.const 1))) (br $l)) (i64.const 0)", "fuel"),
     "allocates, then uses what it did not get": (
         "(i64.store (i32.mul (memory.grow (i32.const 100)) (i32.const 65536)) (i64.const 1)) (i64.const 0)",
-        "memory"),
+        "memory",
+    ),
     "gives an address outside": ("(i64.const 0x7fffffff00000008)", "nonsense"),
     "gives a length outside": ("(i64.const 0x00000000ffffffff)", "nonsense"),
     "gives all bits": ("(i64.const -1)", "nonsense"),
     "logs from outside": ("(call $log (i32.const 65530) (i32.const 100)) (i64.const 0)", "trap"),
     "asks for a setting with a negative length": (
-        "(drop (call $setting (i32.const 0) (i32.const -1) (i32.const 0) (i32.const 8)))"
-        "(i64.const 0)", "trap"),
+        "(drop (call $setting (i32.const 0) (i32.const -1) (i32.const 0) (i32.const 8)))(i64.const 0)",
+        "trap",
+    ),
     "has a setting written outside": (
         "(drop (call $setting (i32.const 0) (i32.const 1) (i32.const 65530) (i32.const 100))) (i64.const 0)",
-        "trap"),
+        "trap",
+    ),
     "puts a value from outside": (
-        "(drop (call $put (i32.const 0) (i32.const 1) (i32.const 65536) (i32.const 1)))"
-        "(i64.const 0)", "trap"),
+        "(drop (call $put (i32.const 0) (i32.const 1) (i32.const 65536) (i32.const 1)))(i64.const 0)",
+        "trap",
+    ),
     "fills memory for ever": (
-        "(loop $l (memory.fill (i32.const 0) (i32.const 1) (i32.const 65536)) (br $l))"
-        "(i64.const 0)", "fuel"),
+        "(loop $l (memory.fill (i32.const 0) (i32.const 1) (i32.const 65536)) (br $l))(i64.const 0)",
+        "fuel",
+    ),
     "calls the host for ever": ("(loop $l (drop (call $random)) (br $l)) (i64.const 0)", ("fuel", "time")),
 }
 
@@ -59,9 +64,11 @@
 def test_a_bad_call_ends_in_its_reason_and_leaves_nothing_behind(name):
     body, reason = HARD[name]
     # Sound for every request but r1, so that the next one shows what the failed call left.
-    sound = ("(if (i32.ne (i32.load (i32.const 4156)) (i32.const 2))"
-             "(then (return (i64.const 0xa00000000003))))"
-             "(i32.store (i32.const 900) (i32.const 77))")
+    sound = (
+        "(if (i32.ne (i32.load (i32.const 4156)) (i32.const 2))"
+        "(then (return (i64.const 0xa00000000003))))"
+        "(i32.store (i32.const 900) (i32.const 77))"
+    )
     # Its fuel is to end it, not its time, which a busy machine spends for it.
     plugin = made('(data (i32.const 40960) "tag")\n' + on("request", sound + body), budget=SLOW)
     for _ in range(3):
@@ -74,15 +81,18 @@
 
 
 def test_recursion_without_end_is_stopped():
-    plugin = made("(func $f (param i64) (result i64) (i64.add (call $f (i64.add (local.get 0) (i64.const 1)))"
-                  "(i64.const 1)))" + on("request", "(call $f (i64.const 1))"), budget=Budget(fuel=10 ** 9))
+    plugin = made(
+        "(func $f (param i64) (result i64) (i64.add (call $f (i64.add (local.get 0) (i64.const 1)))"
+        "(i64.const 1)))" + on("request", "(call $f (i64.const 1))"),
+        budget=Budget(fuel=10**9),
+    )
     with pytest.raises(PluginFailed) as caught:
         plugin.call(REQUEST, VIEW)
     assert caught.value.reason == "stack"
 
 
 def test_a_loop_with_fuel_without_end_is_stopped_by_time():
-    plugin = made(on("request", "(loop $l (br $l)) (i64.const 0)"), budget=Budget(fuel=10 ** 12, time=0.02))
+    plugin = made(on("request", "(loop $l (br $l)) (i64.const 0)"), budget=Budget(fuel=10**12, time=0.02))
     with pytest.raises(PluginFailed) as caught:
         plugin.call(REQUEST, VIEW)
     assert caught.value.reason == "time"
@@ -97,49 +107,82 @@
     assert len(said) == 1000
 
 
-@pytest.mark.parametrize("phase, body", [
-    ("start", "(func $s (drop (call $random))) (start $s)" + on("request", "(i64.const 0)")),
-    ("start", "(func $s (loop $l (br $l))) (start $s)" + on("request", "(i64.const 0)")),
-])
+@pytest.mark.parametrize(
+    "phase, body",
+    [
+        ("start", "(func $s (drop (call $random))) (start $s)" + on("request", "(i64.const 0)")),
+        ("start", "(func $s (loop $l (br $l))) (start $s)" + on("request", "(i64.const 0)")),
+    ],
+)
 def test_a_start_that_calls_the_host_or_never_ends_is_no_plug_in(phase, body):
     with pytest.raises(PluginFailed):
         made(body)
 
 
 def test_a_save_may_read_but_not_write_and_the_wrong_phase_is_told():
-    plugin = made(on("request", "(i64.const 0)") + '(func (export "on_save") (result i64)'
-                  "(drop (call $put (i32.const 0) (i32.const 1) (i32.const 0) (i32.const 1))) (i64.const 0))")
+    plugin = made(
+        on("request", "(i64.const 0)") + '(func (export "on_save") (result i64)'
+        "(drop (call $put (i32.const 0) (i32.const 1) (i32.const 0) (i32.const 1))) (i64.const 0))"
+    )
     with pytest.raises(PluginFailed, match="called put in the phase save"):
         plugin.save()
     assert plugin.call(REQUEST, VIEW) == [] and plugin.keys.values == {}
 
 
 def test_a_host_call_from_the_wrong_phase_ends_the_call_at_once():
-    plugin = made(on("request", "(i64.const 0)") + '(func (export "on_load") (param i32) (result i32)'
-                  "(call $log (i32.const 0) (i32.const 1)) (loop $l (br $l)) (i32.const 0))")
+    plugin = made(
+        on("request", "(i64.const 0)") + '(func (export "on_load") (param i32) (result i32)'
+        "(call $log (i32.const 0) (i32.const 1)) (loop $l (br $l)) (i32.const 0))"
+    )
     with pytest.raises(PluginFailed, match="called log in the phase load"):
         plugin.load(b"x")
 
 
-@pytest.mark.parametrize("raw, words", [
-    (b"", "cannot be assembled"), (b"\0asm", "no sound module"), (b"\0asm\1\0\0\0garbage", "no sound module"),
-    (b"(module", "cannot be assembled"), (b"\xff\xfe", "neither"), (b"(module)", "exports no memory"),
-    (b'(module (import "env" "exit" (func)) (memory (export "memory") 1))', "imports env.exit"),
-    (b'(module (import "calicomast" "log" (func (param i64))) (memory (export "memory") 1))',
-     "as something else"),
-    (b'(module (import "calicomast" "log" (global i32)) (memory (export "memory") 1))', "as something else"),
-    (b'(module (memory (export "memory") 1))', "no constant i32 global"),
-    (module("").encode(), "exports none of"),
-    (module('(func (export "on_request"))').encode(), "exports on_request as something else"),
-    (module('(func (export "on_request") (param i32) (result i64) (i64.const 0))').replace(
-        "calicomast_abi\") i32 (i32.const 1", "calicomast_abi\") i32 (i32.const 9").encode(
-        ), "ABI version 9"),
-    (module('(func (export "on_request") (param i32) (result i64) (i64.const 0))').replace(
-        "i32.const 32768", "i32.const 99999999").encode(), "for input"),
-    (module('(func (export "on_request") (param i32) (result i64) (i64.const 0))').replace(
-        "(memory (export \"memory\") 1)", "(memory (export \"memory\") i64 1)").encode(), ""),
-    (module('(memory 1)(func (export "on_request") (param i32) (result i64) (i64.const 0))').encode(), ""),
-])
+@pytest.mark.parametrize(
+    "raw, words",
+    [
+        (b"", "cannot be assembled"),
+        (b"\0asm", "no sound module"),
+        (b"\0asm\1\0\0\0garbage", "no sound module"),
+        (b"(module", "cannot be assembled"),
+        (b"\xff\xfe", "neither"),
+        (b"(module)", "exports no memory"),
+        (b'(module (import "env" "exit" (func)) (memory (export "memory") 1))', "imports env.exit"),
+        (
+            b'(module (import "calicomast" "log" (func (param i64))) (memory (export "memory") 1))',
+            "as something else",
+        ),
+        (
+            b'(module (import "calicomast" "log" (global i32)) (memory (export "memory") 1))',
+            "as something else",
+        ),
+        (b'(module (memory (export "memory") 1))', "no constant i32 global"),
+        (module("").encode(), "exports none of"),
+        (module('(func (export "on_request"))').encode(), "exports on_request as something else"),
+        (
+            module('(func (export "on_request") (param i32) (result i64) (i64.const 0))')
+            .replace('calicomast_abi") i32 (i32.const 1', 'calicomast_abi") i32 (i32.const 9')
+            .encode(),
+            "ABI version 9",
+        ),
+        (
+            module('(func (export "on_request") (param i32) (result i64) (i64.const 0))')
+            .replace("i32.const 32768", "i32.const 99999999")
+            .encode(),
+            "for input",
+        ),
+        (
+            module('(func (export "on_request") (param i32) (result i64) (i64.const 0))')
+            .replace('(memory (export "memory") 1)', '(memory (export "memory") i64 1)')
+            .encode(),
+            "",
+        ),
+        (
+            module('(memory 1)(func (export "on_request") (param i32) (result i64) (i64.const 0))').encode(),
+            "",
+        ),
+    ],
+)
 def test_what_is_no_plug_in_is_refused_with_its_reason(raw, words):
     with pytest.raises(BadModule, match=".") as caught:
         WasmPlugin("p", raw, {}, BUDGET)
@@ -159,16 +202,21 @@
 
 
 def test_keys_settings_counters_time_and_randomness():
-    plugin = made('(data (i32.const 0) "key/a") (data (i32.const 16) "n")'
-                  + on("request", """
+    plugin = made(
+        '(data (i32.const 0) "key/a") (data (i32.const 16) "n")'
+        + on(
+            "request",
+            """
         (local $n i32)
         (local.set $n (call $setting (i32.const 0) (i32.const 5) (i32.const 100) (i32.const 50)))
         (drop (call $put (i32.const 16) (i32.const 1) (i32.const 100) (local.get $n)))
         (call $count (i32.const 16) (i32.const 1) (call $setting_number (i32.const 16) (i32.const 1)))
         (drop (call $get (i32.const 16) (i32.const 1) (i32.const 40964) (i32.const 50)))
         (i32.store (i32.const 40960) (i32.const 0x20676174))
-        (i64.or (i64.const 0xa00000000000) (i64.extend_i32_u (i32.add (i32.const 4) (local.get $n))))"""),
-                  {"key": {"a": "v w"}, "n": 2.5})
+        (i64.or (i64.const 0xa00000000000) (i64.extend_i32_u (i32.add (i32.const 4) (local.get $n))))""",
+        ),
+        {"key": {"a": "v w"}, "n": 2.5},
+    )
     assert plugin.call(REQUEST, VIEW) == [("tag", "v", "w")]
     assert plugin.keys.values == {b"n": b"v w"} and plugin.counters() == {"n": 2.5}
     one, two = (made(on("request", "(f64.store (i32.const 200) (call $random)) (i64.const 0)")) for _ in "ab")
@@ -179,20 +227,27 @@
 
 
 def test_missing_settings_and_keys_are_told_as_such():
-    plugin = made(on("request", """
+    plugin = made(
+        on(
+            "request",
+            """
         (if (i32.ne (call $setting (i32.const 0) (i32.const 3) (i32.const 9) (i32.const 9)) (i32.const -1))
           (then unreachable))
         (if (i32.ne (call $get (i32.const 0) (i32.const 3) (i32.const 9) (i32.const 9)) (i32.const -1))
           (then unreachable))
         (if (f64.eq (call $setting_number (i32.const 0) (i32.const 3))
                     (call $setting_number (i32.const 0) (i32.const 3))) (then unreachable))
-        (i64.const 0)"""))
+        (i64.const 0)""",
+        )
+    )
     assert plugin.call(REQUEST, VIEW) == []
 
 
 def test_log_lines_are_rationed_and_cannot_forge_others(caplog):
-    plugin = made('(data (i32.const 0) "a\\nb")' + on(
-        "request", "(call $log (i32.const 0) (i32.const 3)) (i64.const 0)"))
+    plugin = made(
+        '(data (i32.const 0) "a\\nb")'
+        + on("request", "(call $log (i32.const 0) (i32.const 3)) (i64.const 0)")
+    )
     with caplog.at_level(logging.INFO, "apigateway.plugin"):
         for _ in range(20):
             plugin.call(REQUEST, VIEW)
@@ -201,11 +256,17 @@
 
 def test_each_phase_is_told_which_it_is():
     body = "(i64.const 0)"
-    plugin = made("".join(on(phase, "(call $count (i32.const 0) (i32.const 1) (f64.convert_i32_u (i32.load "
-                                    "(i32.const 4100)))) " + body) for phase in ("request", "attempt",
-                                                                                 "answer",
-                                                                                  "tick"))
-                  + '(data (i32.const 0) "p")')
+    plugin = made(
+        "".join(
+            on(
+                phase,
+                "(call $count (i32.const 0) (i32.const 1) (f64.convert_i32_u (i32.load "
+                "(i32.const 4100)))) " + body,
+            )
+            for phase in ("request", "attempt", "answer", "tick")
+        )
+        + '(data (i32.const 0) "p")'
+    )
     assert plugin.phases == {REQUEST, ATTEMPT, ANSWER, TICK}
     for phase in (REQUEST, ATTEMPT, ANSWER, TICK):
         plugin.call(phase, VIEW)
@@ -257,7 +318,7 @@
 
 
 def test_the_clock_of_epochs_rests_and_wakes():
-    plugin = made(on("request", "(loop $l (br $l)) (i64.const 0)"), budget=Budget(fuel=10 ** 12, time=0.005))
+    plugin = made(on("request", "(loop $l (br $l)) (i64.const 0)"), budget=Budget(fuel=10**12, time=0.005))
     until = time.monotonic() + 30
     while plugin.machine.awake and time.monotonic() < until:
         time.sleep(0.05)  # until it has seen no call for IDLE epochs
--- a/tests/plugins/test_tools.py
+++ b/tests/plugins/test_tools.py
@@ -42,9 +42,19 @@
 
 @pytest.mark.parametrize("form", FORMS)
 def test_a_class_is_refused_in_its_span_and_only_there(form, tmp_path):
-    kit = Kit.load(str(example("calendar", form, tmp_path, **{
-        "2026-01-01T00:00:00+05:30": "2026-08-20T00:00:00+05:30",
-        "2036-01-01T00:00:00+05:30": "2026-08-29T00:00:00+05:30"})))
+    kit = Kit.load(
+        str(
+            example(
+                "calendar",
+                form,
+                tmp_path,
+                **{
+                    "2026-01-01T00:00:00+05:30": "2026-08-20T00:00:00+05:30",
+                    "2036-01-01T00:00:00+05:30": "2026-08-29T00:00:00+05:30",
+                },
+            )
+        )
+    )
     first, last = 1787164200.0, 1787941800.0
     for now, inside in ((first - 1, False), (first, True), (last - 1, True), (last, False)):
         told = kit.request(cls="shift-update", now=now)
@@ -88,23 +98,54 @@
 def test_a_skeleton_works_as_it_is_and_is_not_written_over(kind, tmp_path, capsys):
     assert main(["plugin", "new", "first-try", "--kind", kind, "--folder", str(tmp_path)]) == 0
     assert main(["plugin", "check", str(tmp_path / "first-try")]) == 0
-    ended = subprocess.run([sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "--rootdir",
-                            str(tmp_path), "-c", "/dev/null", str(tmp_path / "first-try")], cwd=ROOT,
-                           capture_output=True, text=True, timeout=120)
+    ended = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "pytest",
+            "-q",
+            "-p",
+            "no:cacheprovider",
+            "--rootdir",
+            str(tmp_path),
+            "-c",
+            "/dev/null",
+            str(tmp_path / "first-try"),
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=120,
+    )
     assert ended.returncode == 0, ended.stdout
     assert main(["plugin", "new", "first-try", "--kind", kind, "--folder", str(tmp_path)]) == 1
-    assert set(skeleton("first-try", kind)) == {f.name for f in (tmp_path / "first-try").iterdir()
-                                                if f.is_file()}
+    assert set(skeleton("first-try", kind)) == {
+        f.name for f in (tmp_path / "first-try").iterdir() if f.is_file()
+    }
     assert main(["plugin", "new", "No Name", "--folder", str(tmp_path)]) == 2
     capsys.readouterr()
 
 
 def records(path, count=20):
-    lines = [json.dumps({"at": 1790000000.0 + n, "id": f"r{n}", "customer": f"{n:016x}", "plan": "basic",
-                         "class": "shift-update" if n % 4 == 0 else "roster-read", "units": 1.0, "left": 3.0,
-                         "write": n % 4 == 0, "tags": {"district": "ernakulam"} if n == 1 else {},
-                         "attempts": [{"host": "h1", "tags": {}}], "outcome": "served", "elapsed": 0.1})
-             for n in range(count)]
+    lines = [
+        json.dumps(
+            {
+                "at": 1790000000.0 + n,
+                "id": f"r{n}",
+                "customer": f"{n:016x}",
+                "plan": "basic",
+                "class": "shift-update" if n % 4 == 0 else "roster-read",
+                "units": 1.0,
+                "left": 3.0,
+                "write": n % 4 == 0,
+                "tags": {"district": "ernakulam"} if n == 1 else {},
+                "attempts": [{"host": "h1", "tags": {}}],
+                "outcome": "served",
+                "elapsed": 0.1,
+            }
+        )
+        for n in range(count)
+    ]
     path.write_text("\n".join(lines) + "\n" + '{"id": "cut')
     return str(path)
 
@@ -123,13 +164,15 @@
 
 
 def test_a_run_by_a_gateways_settings_knows_its_routes(tmp_path, capsys):
-    (tmp_path / "gateway.toml").write_text('[[listeners]]\naddress = "127.0.0.1:7000"\n'
-                                           '[routes.batch]\nkinds = ["b"]\n'
-                                           '[classes.roster-read]\neffect = "safe"\naim = 1.0\n'
-                                           'deadline = 3.0\n'
-                                           '[plans.basic]\nrate = 1.0\nburst = 4.0\n'
-                                           '[[plugins]]\nname = "r"\n[[plugins.rules]]\nroute = \'"batch"\'\n'
-                                           '[[plugins.rules]]\nroute = \'"nowhere"\'\n')
+    (tmp_path / "gateway.toml").write_text(
+        '[[listeners]]\naddress = "127.0.0.1:7000"\n'
+        '[routes.batch]\nkinds = ["b"]\n'
+        '[classes.roster-read]\neffect = "safe"\naim = 1.0\n'
+        "deadline = 3.0\n"
+        "[plans.basic]\nrate = 1.0\nburst = 4.0\n"
+        '[[plugins]]\nname = "r"\n[[plugins.rules]]\nroute = \'"batch"\'\n'
+        "[[plugins.rules]]\nroute = '\"nowhere\"'\n"
+    )
     file = records(tmp_path / "records")
     path = str(tmp_path / "gateway.toml")
     assert main(["plugin", "run", path, file, "--settings", path, "--json"]) == 0
@@ -165,8 +208,10 @@
     assert (told.tags, told.refuse, told.denied) == ({"a": "1"}, 2.0, [("odd", "refuse: wait cut")])
     told = kit.request(cls="shift-update", customer="f")
     assert told.tags == {} and told.failed == [("odd", "error")]
-    assert kit.attempt(told, "h7") == {"a": "h7", "n": "0"} and kit.attempt(told, "h8") == {"a": "h8",
-                                                                                            "n": "1"}
+    assert kit.attempt(told, "h7") == {"a": "h7", "n": "0"} and kit.attempt(told, "h8") == {
+        "a": "h8",
+        "n": "1",
+    }
     kit.answer(told, elapsed=2.0)
     kit.tick()
     assert kit.counters("odd") == {"slow": 1.0, "served": 1.0, "ticks": 1.0}
@@ -174,26 +219,52 @@
 
 
 def test_the_demo_names_tags_and_refusals_of_plug_ins():
-    ended = subprocess.run([sys.executable, "-m", "apigateway", "demo", "--seconds", "4", "--plugin",
-                            str(EXAMPLES / "districts"), "--plugin", str(EXAMPLES / "calendar")], cwd=ROOT,
-                           capture_output=True, text=True, timeout=120)
+    ended = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "apigateway",
+            "demo",
+            "--seconds",
+            "4",
+            "--plugin",
+            str(EXAMPLES / "districts"),
+            "--plugin",
+            str(EXAMPLES / "calendar"),
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=120,
+    )
     assert ended.returncode == 0 and "BROKEN" not in ended.stdout, ended.stdout + ended.stderr
     assert "tagged district=ernakulam" in ended.stdout and "refused by calendar: shift-update" in ended.stdout
-    ended = subprocess.run([sys.executable, "-m", "apigateway", "demo", "--plugin", "nowhere"], cwd=ROOT,
-                           capture_output=True, text=True, timeout=60)
+    ended = subprocess.run(
+        [sys.executable, "-m", "apigateway", "demo", "--plugin", "nowhere"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     assert ended.returncode == 2 and "nowhere" in ended.stdout
 
 
 def test_what_is_off_is_not_imported():
-    code = ("import sys, apigateway.daemon.serve, apigateway.daemon.node; "
-            "print(sorted(m for m in sys.modules if m.startswith(('apigateway.plugins', 'wasmtime'))))")
+    code = (
+        "import sys, apigateway.daemon.serve, apigateway.daemon.node; "
+        "print(sorted(m for m in sys.modules if m.startswith(('apigateway.plugins', 'wasmtime'))))"
+    )
     ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert ended.stdout == "['apigateway.plugins', 'apigateway.plugins.settings']\n", ended.stderr  # shapes alone
+    assert ended.stdout == "['apigateway.plugins', 'apigateway.plugins.settings']\n", (
+        ended.stderr
+    )  # shapes alone
 
 
 def test_rules_need_no_engine(tmp_path):
     folder = example("districts", "rules", tmp_path)
-    code = (f"import sys; from apigateway.plugins.testkit import Kit; Kit.load({str(folder)!r}); "
-            "print('wasmtime' in sys.modules)")
+    code = (
+        f"import sys; from apigateway.plugins.testkit import Kit; Kit.load({str(folder)!r}); "
+        "print('wasmtime' in sys.modules)"
+    )
     ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert ended.stdout == "False\n", ended.stderr
--- a/tests/ratelimit/test_daemon.py
+++ b/tests/ratelimit/test_daemon.py
@@ -56,8 +56,9 @@
         return grpc.aio.secure_channel(target, credentials, options)
 
     async def ask(self, channel, customer=A, plan="quota", timeout=5.0, limit=None, **kw):
-        call = channel.unary_unary(f"/{NAME}/ShouldRateLimit", pb.RateLimitRequest.SerializeToString,
-                                   pb.RateLimitResponse.FromString)
+        call = channel.unary_unary(
+            f"/{NAME}/ShouldRateLimit", pb.RateLimitRequest.SerializeToString, pb.RateLimitResponse.FromString
+        )
         request = pb.RateLimitRequest(domain="roster", **kw)
         descriptor = request.descriptors.add()
         for key, value in (("customer", customer), ("plan", plan)):
@@ -72,8 +73,9 @@
 
 
 async def run(*arguments):
-    program = await asyncio.create_subprocess_exec(*PROGRAM, *arguments, cwd=ROOT, stdout=subprocess.PIPE,
-                                                   stderr=subprocess.PIPE)
+    program = await asyncio.create_subprocess_exec(
+        *PROGRAM, *arguments, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE
+    )
     out, err = await program.communicate()
     return program.returncode, out.decode(), err.decode()
 
@@ -128,7 +130,8 @@
     with grpc.insecure_channel(f"127.0.0.1:{port}") as channel:
         found = ProtoReflectionDescriptorDatabase(channel)
         assert {NAME, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection"} <= set(
-            found.get_services())
+            found.get_services()
+        )
         pool = DescriptorPool(found)
         service = pool.FindServiceByName(NAME)
         assert service.methods_by_name["ShouldRateLimit"].input_type.name == "RateLimitRequest"
@@ -183,8 +186,9 @@
         root = (ca or self.ca).cert_pem.bytes()
         if client is None:
             return grpc.ssl_channel_credentials(root)
-        return grpc.ssl_channel_credentials(root, client.private_key_pem.bytes(),
-                                            b"".join(p.bytes() for p in client.cert_chain_pems))
+        return grpc.ssl_channel_credentials(
+            root, client.private_key_pem.bytes(), b"".join(p.bytes() for p in client.cert_chain_pems)
+        )
 
 
 TLS = '[ratelimit.tls]\ncert = "server.pem"\nkey = "server.key"\n'
@@ -201,8 +205,10 @@
                 async with site.channel(wrong, "gateway.test") as odd:
                     with pytest.raises(grpc.aio.AioRpcError) as told:
                         await site.ask(odd, timeout=2.0)
-                    assert told.value.code() in (grpc.StatusCode.UNAVAILABLE,
-                                                 grpc.StatusCode.DEADLINE_EXCEEDED)
+                    assert told.value.code() in (
+                        grpc.StatusCode.UNAVAILABLE,
+                        grpc.StatusCode.DEADLINE_EXCEEDED,
+                    )
             (tmp_path / "server.key").write_text("no key")
             assert b"refused, the old settings stay" in await site.reload(program)
             async with site.channel(made.credentials(), "gateway.test") as again:
@@ -229,10 +235,23 @@
                 with pytest.raises(grpc.aio.AioRpcError) as told:
                     await site.ask(channel)
                 assert told.value.code() == grpc.StatusCode.UNAVAILABLE
-        code, out, err = await run("ratelimit", "ask", f"127.0.0.1:{site.checks}", "--domain", "roster",
-                                   f"customer={A}", "plan=quota", "--ca", str(tmp_path / "ca.pem"),
-                                   "--cert", str(tmp_path / "client.pem"),
-                                   "--key", str(tmp_path / "client.key"), "--name", "gateway.test")
+        code, out, err = await run(
+            "ratelimit",
+            "ask",
+            f"127.0.0.1:{site.checks}",
+            "--domain",
+            "roster",
+            f"customer={A}",
+            "plan=quota",
+            "--ca",
+            str(tmp_path / "ca.pem"),
+            "--cert",
+            str(tmp_path / "client.pem"),
+            "--key",
+            str(tmp_path / "client.key"),
+            "--name",
+            "gateway.test",
+        )
         assert code == 0 and out.startswith("ok\n"), err
 
 
@@ -277,8 +296,10 @@
             (header,) = (await site.ask(channel, plan="p")).response_headers_to_add
             assert header.key == "x-calicomast-token"
             # its own limit: four a minute, of which one may come at once and one more each 15 s
-            codes = [(await site.ask(channel, "00000000000000bb", "p", limit=(4, 2))).overall_code
-                     for _ in range(6)]
+            codes = [
+                (await site.ask(channel, "00000000000000bb", "p", limit=(4, 2))).overall_code
+                for _ in range(6)
+            ]
             assert 1 <= codes.count(OK) <= 2
             site.write(rules=keyed.replace("key-1", "key-3") + RULE)
             assert b"refused, the old settings stay" in await site.reload(program)
@@ -350,8 +371,10 @@
     async with asked, Site(tmp_path / "b") as site:
         await asked.start()
         site.write()
-        ask = (f'[ask]\naddress = "127.0.0.1:{asked.checks}"\nplans = ["p"]\ndomain = "roster"\n'
-               f'timeout = 2.0\nshare = 1.0\n[ask.tls]\non = true\nca = "../ca.pem"\nname = "gateway.test"\n')
+        ask = (
+            f'[ask]\naddress = "127.0.0.1:{asked.checks}"\nplans = ["p"]\ndomain = "roster"\n'
+            f'timeout = 2.0\nshare = 1.0\n[ask.tls]\non = true\nca = "../ca.pem"\nname = "gateway.test"\n'
+        )
         site.file.write_text(site.file.read_text() + ask)
         await site.start()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
@@ -368,8 +391,15 @@
 async def test_the_command_line_asks_once(tmp_path):
     async with GrpcSite(tmp_path) as site:
         await site.start()
-        at = ("ratelimit", "ask", f"127.0.0.1:{site.checks}", "--domain", "roster", f"customer={A}",
-              "plan=quota")
+        at = (
+            "ratelimit",
+            "ask",
+            f"127.0.0.1:{site.checks}",
+            "--domain",
+            "roster",
+            f"customer={A}",
+            "plan=quota",
+        )
         code, out, _ = await run(*at)
         assert code == 0 and out.startswith("ok\n") and "3 a minute (quota)" in out and " left" in out
         code, out, _ = await run(*at, "--descriptor", f"customer={A},plan=p", "--json")
@@ -386,13 +416,17 @@
 
 @on_loop
 async def test_a_gateway_without_it_loads_nothing_of_it():
-    code = ("import sys; {}; print([m for m in sys.modules if m.split('.')[0] in ('h2', 'hpack', 'envoy', "
-            "'google', 'grpc', 'grpc_health', 'grpc_reflection') or 'ratelimit' in m "
-            "or m in ('apigateway.upstream.rpc', 'apigateway.frontends.grpc.front', 'apigateway.frontends.grpc.tokens')"
-            " or m.startswith('apigateway.external_ratelimit.') and m != 'apigateway.external_ratelimit.settings'])")
+    code = (
+        "import sys; {}; print([m for m in sys.modules if m.split('.')[0] in ('h2', 'hpack', 'envoy', "
+        "'google', 'grpc', 'grpc_health', 'grpc_reflection') or 'ratelimit' in m "
+        "or m in ('apigateway.upstream.rpc', 'apigateway.frontends.grpc.front', "
+        "'apigateway.frontends.grpc.tokens') or m.startswith('apigateway.external_ratelimit.') "
+        "and m != 'apigateway.external_ratelimit.settings'])"
+    )
     for what in ("import apigateway.daemon.platform", "import apigateway.daemon.serve"):
-        program = await asyncio.create_subprocess_exec(sys.executable, "-c", code.format(what), cwd=ROOT,
-                                                       stdout=subprocess.PIPE)
+        program = await asyncio.create_subprocess_exec(
+            sys.executable, "-c", code.format(what), cwd=ROOT, stdout=subprocess.PIPE
+        )
         assert (await program.communicate())[0] == b"[]\n", what
 
 
@@ -405,8 +439,9 @@
         await site.line(program, b"workers listen on")
         tokens = []
         for _ in range(8):
-            async with grpc.aio.insecure_channel(f"127.0.0.1:{site.checks}",
-                                                 [("grpc.use_local_subchannel_pool", 1)]) as channel:
+            async with grpc.aio.insecure_channel(
+                f"127.0.0.1:{site.checks}", [("grpc.use_local_subchannel_pool", 1)]
+            ) as channel:
                 response = await site.ask(channel, plan="p")
                 tokens += [header.value for header in response.response_headers_to_add]
         assert len(tokens) == 8
--- a/tests/ratelimit/test_mapping.py
+++ b/tests/ratelimit/test_mapping.py
@@ -36,9 +36,17 @@
     assert told.whose("payroll", [("plan", "gold"), ("account", HEX)]) == whose  # whatever the order
 
 
-@pytest.mark.parametrize("entries", [[], [("account", "nobody")], [("account", HEX), ("plan", "unknown")],
-                                     [("account", "")], [("other", HEX), ("plan", "gold")],
-                                     [("account", "f" * 16), ("plan", "gold")]])
+@pytest.mark.parametrize(
+    "entries",
+    [
+        [],
+        [("account", "nobody")],
+        [("account", HEX), ("plan", "unknown")],
+        [("account", "")],
+        [("other", HEX), ("plan", "gold")],
+        [("account", "f" * 16), ("plan", "gold")],
+    ],
+)
 def test_nobodys(entries):
     assert mapping(rule("account", "plan", plan="{plan}")).whose("payroll", entries) is None
 
@@ -51,10 +59,13 @@
 
 
 def test_the_longest_match_goes_whatever_the_order_in_the_file():
-    rules = [rule("account", cls="read"), rule("account", "path=*", plan="gold"),
-             rule("account", "path=/pay/*", cls="write"),
-             rule("account", "path=/pay/run", plan="gold", cls="write"),
-             rule("account", "path=/pay/run", cls="read", units=9.0)]
+    rules = [
+        rule("account", cls="read"),
+        rule("account", "path=*", plan="gold"),
+        rule("account", "path=/pay/*", cls="write"),
+        rule("account", "path=/pay/run", plan="gold", cls="write"),
+        rule("account", "path=/pay/run", cls="read", units=9.0),
+    ]
     wanted = {None: ("basic", "read", 1.0), "/x": ("gold", "read", 1.0), "/pay/x": ("basic", "write", 1.0)}
     for order in itertools.permutations(rules):
         told = mapping(*order)
@@ -74,13 +85,25 @@
     assert told.whose("payroll", [("employer", HEX)]).customer == HEX
 
 
-@pytest.mark.parametrize("bad, key", [
-    (rule(plan="unknown"), "plan"), (rule(cls="unknown"), "class"), (rule(customer="nobody"), "customer"),
-    (rule(customer="{other}"), "customer"), (rule(plan="{other}"), "plan"),
-    (rule(customer="{account"), "customer"), (rule(units=float("inf")), "units"),
-    (rule("account", "account=x"), "entries"), (rule("=x"), "entries"), (rule(units=0.0), "units"),
-    (rule(units=float("nan")), "units"), (rule(spread=5), "spread"), (rule(first=4), "spread"),
-    (rule(spread=0), "spread")])
+@pytest.mark.parametrize(
+    "bad, key",
+    [
+        (rule(plan="unknown"), "plan"),
+        (rule(cls="unknown"), "class"),
+        (rule(customer="nobody"), "customer"),
+        (rule(customer="{other}"), "customer"),
+        (rule(plan="{other}"), "plan"),
+        (rule(customer="{account"), "customer"),
+        (rule(units=float("inf")), "units"),
+        (rule("account", "account=x"), "entries"),
+        (rule("=x"), "entries"),
+        (rule(units=0.0), "units"),
+        (rule(units=float("nan")), "units"),
+        (rule(spread=5), "spread"),
+        (rule(first=4), "spread"),
+        (rule(spread=0), "spread"),
+    ],
+)
 def test_a_bad_rule_is_refused_with_its_place_and_key(bad, key):
     with pytest.raises(BadRule) as told:
         mapping(rule(), bad)
@@ -98,8 +121,11 @@
 
 @seed(14)
 @settings(max_examples=400, deadline=None, database=None)
-@given(st.lists(st.tuples(TEXT, TEXT), min_size=1, max_size=5), st.lists(st.tuples(TEXT, TEXT), max_size=5),
-       st.booleans())
+@given(
+    st.lists(st.tuples(TEXT, TEXT), min_size=1, max_size=5),
+    st.lists(st.tuples(TEXT, TEXT), max_size=5),
+    st.booleans(),
+)
 def test_whatever_comes_it_is_somebody_that_there_is_or_nobody(wanted, entries, named):
     try:
         told = mapping(rule(*(f"{key}={value}" for key, value in wanted), customer=HEX, named=named))
@@ -107,8 +133,10 @@
         return
     whose = told.whose("payroll", entries)
     assert whose is None or (valid(whose.customer) and int(whose.customer, 16) < MOST_CUSTOMERS)
-    exact = all(any(k == key and v == value and not set(value) & set("*?[") for k, v in entries)
-                for key, value in wanted)
+    exact = all(
+        any(k == key and v == value and not set(value) & set("*?[") for k, v in entries)
+        for key, value in wanted
+    )
     once = len({key for key, _ in entries}) == len(entries) and not any("=" in key for key, _ in wanted)
     if exact and once:
         assert whose is not None  # each entry is there as it is wanted
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -24,9 +24,11 @@
     def __init__(self, node, spread=1, **kw):
         core = node.node.core
         self.front = GrpcFront(core, ("127.0.0.1", 0), 50)
-        rules = [Rule("payroll", ("account",), "{account}", "quota", "read", spread=spread),
-                 Rule("payroll", ("account", "plan"), "{account}", "{plan}", "read"),
-                 Rule("payroll", ("account", "cost=two"), "{account}", "quota", "read", units=2.0)]
+        rules = [
+            Rule("payroll", ("account",), "{account}", "quota", "read", spread=spread),
+            Rule("payroll", ("account", "plan"), "{account}", "{plan}", "read"),
+            Rule("payroll", ("account", "cost=two"), "{account}", "quota", "read", units=2.0),
+        ]
         mapping = Mapping(rules, core.settings.plans, core.settings.classes, core.settings.gateways)
         self.service = RateLimit(core, self.front, Terms(mapping, **{"patience": 2.0, **kw}))
         self.front.use({METHOD: self.service.call})
@@ -34,8 +36,9 @@
     async def __aenter__(self):
         await self.front.listen()
         self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{self.front.port}")
-        self.call = self.channel.unary_unary(METHOD, pb.RateLimitRequest.SerializeToString,
-                                             pb.RateLimitResponse.FromString)
+        self.call = self.channel.unary_unary(
+            METHOD, pb.RateLimitRequest.SerializeToString, pb.RateLimitResponse.FromString
+        )
         return self
 
     async def ask(self, *descriptors, hits=0, timeout=5.0, domain="payroll"):
@@ -117,8 +120,8 @@
             pass
         none = [(await asking.ask({"account": A, "hits": 0})).statuses[0].limit_remaining for _ in range(5)]
         assert len(set(none)) == 1
-        assert (await asking.ask(A, hits=2 ** 32 - 1)).overall_code == OVER
-        assert (await asking.ask({"account": A, "hits": 2 ** 63})).overall_code == OVER
+        assert (await asking.ask(A, hits=2**32 - 1)).overall_code == OVER
+        assert (await asking.ask({"account": A, "hits": 2**63})).overall_code == OVER
         two = await asking.ask({"account": A, "cost": "two"})
         assert two.overall_code == OK
         left = (await asking.ask({"account": A, "hits": 0})).statuses[0].limit_remaining
@@ -206,8 +209,9 @@
     async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Asking(node) as asking:
         core, held = node.node.core, []
         handle = core.module.handle
-        core.module.handle = lambda now, event: (held.append(event) or [] if type(event) is messages.Check
-                                                 else handle(now, event))
+        core.module.handle = lambda now, event: (
+            held.append(event) or [] if type(event) is messages.Check else handle(now, event)
+        )
         call = asyncio.ensure_future(asking.ask(A))
         while not held:
             await asyncio.sleep(0)
@@ -220,8 +224,10 @@
 
 @on_loop
 async def test_a_counter_that_stalls_in_the_middle_of_a_check_delays_it_and_no_more(tmp_path):
-    conf = SETTINGS | {"group_size": 2, "plans": [*SETTINGS["plans"],
-                                                  {"name": "quota", "rate": 0.01, "most_at_once": 20.0}]}
+    conf = SETTINGS | {
+        "group_size": 2,
+        "plans": [*SETTINGS["plans"], {"name": "quota", "rate": 0.01, "most_at_once": 20.0}],
+    }
     async with StubHost() as host, Node(host, path=tmp_path, settings=conf) as node:
         async with Asking(node, spread=2) as asking:
             node.counter.script.play(Step("silent"))
@@ -251,6 +257,7 @@
 async def test_a_limit_that_a_descriptor_brings_tightens_where_settings_allow_it(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
         async with Asking(node, override="tighten") as asking:
+
             def limited(requests, unit):
                 return {"account": A, "limit": (requests, unit)}
 
--- a/tests/ratelimit/test_tokens.py
+++ b/tests/ratelimit/test_tokens.py
@@ -21,10 +21,16 @@
     assert Keys([OLD]).read(token(), PURPOSE) == Token(next(iter(Keys([OLD]).by)), 3, NOW + 5, b"12345678")
 
 
-@pytest.mark.parametrize("other", [PURPOSE._replace(customer="00000000000000fe"),
-                                   PURPOSE._replace(plan="gold"), PURPOSE._replace(cls="write"),
-                                   PURPOSE._replace(units=1.0),
-                                   PURPOSE._replace(customer="00000000000000ffb", plan="asic")])
+@pytest.mark.parametrize(
+    "other",
+    [
+        PURPOSE._replace(customer="00000000000000fe"),
+        PURPOSE._replace(plan="gold"),
+        PURPOSE._replace(cls="write"),
+        PURPOSE._replace(units=1.0),
+        PURPOSE._replace(customer="00000000000000ffb", plan="asic"),
+    ],
+)
 def test_it_is_good_for_nothing_else(other):
     assert Keys([OLD]).read(token(), other) is None
 
@@ -38,8 +44,16 @@
             changed[place] ^= 1 << bit
             again = base64.urlsafe_b64encode(changed).decode().rstrip("=")
             assert Keys([OLD]).read(again, PURPOSE) is None
-    for odd in ("", "A", text + "A", text[:-1], text + "=", " " + text, text.replace(text[5], "é"),
-                "\x00" * 50):
+    for odd in (
+        "",
+        "A",
+        text + "A",
+        text[:-1],
+        text + "=",
+        " " + text,
+        text.replace(text[5], "é"),
+        "\x00" * 50,
+    ):
         assert Keys([OLD]).read(odd, PURPOSE) is None
 
 
@@ -96,7 +110,10 @@
 
 @seed(14)
 @settings(max_examples=300, deadline=None, database=None)
-@given(st.one_of(st.text(max_size=80),
-                 st.binary(max_size=60).map(lambda b: base64.urlsafe_b64encode(b).decode())))
+@given(
+    st.one_of(
+        st.text(max_size=80), st.binary(max_size=60).map(lambda b: base64.urlsafe_b64encode(b).decode())
+    )
+)
 def test_nothing_that_anybody_makes_up_is_a_token(text):
     assert Keys([OLD, NEW, OTHER]).read(text, PURPOSE) is None
--- a/tests/ratelimit/test_tokens_used.py
+++ b/tests/ratelimit/test_tokens_used.py
@@ -21,9 +21,11 @@
         self.tokens = Tokens(Keys([KEY]), Redeemed(index, span, 1000), seconds, lambda: self.now, os.urandom)
         super().__init__(node, **kw)
         core = node.node.core
-        rules = [Rule("payroll", ("account",), "{account}", "quota", "read", token=True),
-                 Rule("payroll", ("account", "cost=half"), "{account}", "quota", "read", 0.5, token=True),
-                 Rule("payroll", ("account", "plain"), "{account}", "quota", "read")]
+        rules = [
+            Rule("payroll", ("account",), "{account}", "quota", "read", token=True),
+            Rule("payroll", ("account", "cost=half"), "{account}", "quota", "read", 0.5, token=True),
+            Rule("payroll", ("account", "plain"), "{account}", "quota", "read"),
+        ]
         mapping = Mapping(rules, core.settings.plans, core.settings.classes, core.settings.gateways)
         self.service.terms = type(self.service.terms)(mapping, 2.0, tokens=self.tokens)
         self.node, self.number = node, 0
@@ -31,8 +33,9 @@
 
     async def token(self, *descriptors, **kw):
         response = await self.ask(*(descriptors or [A]), **kw)
-        return [header.value for header in response.response_headers_to_add
-                if header.key == "x-calicomast-token"]
+        return [
+            header.value for header in response.response_headers_to_add if header.key == "x-calicomast-token"
+        ]
 
     async def use(self, token="", customer=A, **kw):
         """A RESP2 request that shows it."""
@@ -133,8 +136,9 @@
             from apigateway.frontends.grpc.tokens import Purpose
 
             purpose = Purpose(A, "quota", "read", 1.0)
-            beside, other = [Keys([KEY]).give(purpose, number, asking.now + 5, os.urandom(8))
-                             for number in (4, 6)]
+            beside, other = [
+                Keys([KEY]).give(purpose, number, asking.now + 5, os.urandom(8)) for number in (4, 6)
+            ]
             await until_over(asking, A)
             assert (await asking.use(other)).startswith(b"-BUSY")
             assert await asking.use(beside) == SERVED
--- a/tests/ratelimit/test_wire.py
+++ b/tests/ratelimit/test_wire.py
@@ -16,8 +16,14 @@
 
 
 def headers(**more):
-    told = {b":method": b"POST", b":scheme": b"http", b":path": PATH, b":authority": b"x", b"te": b"trailers",
-            b"content-type": b"application/grpc"}
+    told = {
+        b":method": b"POST",
+        b":scheme": b"http",
+        b":path": PATH,
+        b":authority": b"x",
+        b"te": b"trailers",
+        b"content-type": b"application/grpc",
+    }
     told |= {name.replace("_", "-").encode(): value for name, value in more.items()}
     return [(name, value) for name, value in told.items() if value is not None]
 
@@ -61,8 +67,11 @@
         return None
 
     def data(self, number):
-        return b"".join(event.data for event in self.heard
-                        if isinstance(event, h2.events.DataReceived) and event.stream_id == number)
+        return b"".join(
+            event.data
+            for event in self.heard
+            if isinstance(event, h2.events.DataReceived) and event.stream_id == number
+        )
 
 
 def test_a_call_and_its_answer():
@@ -78,8 +87,18 @@
     assert pair.data(number) == framed(b"world") and pair.session.idle
 
 
-@pytest.mark.parametrize("text, seconds", [(b"1S", 1.0), (b"2M", 120.0), (b"3H", 10800.0), (b"50u", 5e-5),
-                                           (b"99999999n", 0.099999999), (b"0S", 0.0), (None, None)])
+@pytest.mark.parametrize(
+    "text, seconds",
+    [
+        (b"1S", 1.0),
+        (b"2M", 120.0),
+        (b"3H", 10800.0),
+        (b"50u", 5e-5),
+        (b"99999999n", 0.099999999),
+        (b"0S", 0.0),
+        (None, None),
+    ],
+)
 def test_time_outs(text, seconds):
     pair = Pair()
     pair.ask(grpc_timeout=text)
@@ -87,12 +106,21 @@
     assert told is seconds if seconds is None else told == pytest.approx(seconds)
 
 
-@pytest.mark.parametrize("what, status", [
-    (dict(grpc_timeout=b"soon"), rpc.INTERNAL), (dict(grpc_timeout=b"123456789S"), rpc.INTERNAL),
-    (dict(grpc_timeout=b"-1S"), rpc.INTERNAL), (dict(grpc_encoding=b"gzip"), rpc.UNIMPLEMENTED),
-    (dict(data=b"\1\0\0\0\1x"), rpc.UNIMPLEMENTED), (dict(data=framed(b"a") * 2), rpc.INTERNAL),
-    (dict(data=framed(b"abc")[:-1]), rpc.INTERNAL), (dict(data=b"\0\0"), rpc.INTERNAL),
-    (dict(data=b""), rpc.INTERNAL), (dict(data=b"\0\xff\xff\xff\xff", end=False), rpc.RESOURCE_EXHAUSTED)])
+@pytest.mark.parametrize(
+    "what, status",
+    [
+        (dict(grpc_timeout=b"soon"), rpc.INTERNAL),
+        (dict(grpc_timeout=b"123456789S"), rpc.INTERNAL),
+        (dict(grpc_timeout=b"-1S"), rpc.INTERNAL),
+        (dict(grpc_encoding=b"gzip"), rpc.UNIMPLEMENTED),
+        (dict(data=b"\1\0\0\0\1x"), rpc.UNIMPLEMENTED),
+        (dict(data=framed(b"a") * 2), rpc.INTERNAL),
+        (dict(data=framed(b"abc")[:-1]), rpc.INTERNAL),
+        (dict(data=b"\0\0"), rpc.INTERNAL),
+        (dict(data=b""), rpc.INTERNAL),
+        (dict(data=b"\0\xff\xff\xff\xff", end=False), rpc.RESOURCE_EXHAUSTED),
+    ],
+)
 def test_what_is_no_call_is_refused_and_the_next_is_taken(what, status):
     pair = Pair()
     number = pair.ask(**what)
@@ -190,7 +218,7 @@
     assert [call.stream for call in pair.session.receive(raw.data_to_send())] == [late]
     assert not pair.session.done
     left, last = rpc.Sieve().feed(word)
-    assert last == 2 ** 31 - 1
+    assert last == 2**31 - 1
     raw.receive_data(left)  # now it has heard, and says so
     assert not pair.session.receive(raw.data_to_send())
     assert rpc.Sieve().feed(pair.session.take())[1] == late
@@ -245,11 +273,11 @@
         client.send_data(number, framed(b"x" * 50), end_stream=True)
     stream = bytearray(client.data_to_send())
     if noise:
-        stream[min(place, len(stream)):min(place, len(stream)) + len(noise)] = noise
+        stream[min(place, len(stream)) : min(place, len(stream)) + len(noise)] = noise
     session, told, at = Session(), [], 0
     for cut in [*cuts, len(stream)]:
         if at < len(stream) and not session.over:
-            told += session.receive(bytes(stream[at:at + cut]))
+            told += session.receive(bytes(stream[at : at + cut]))
         at += cut
         session.take()
     calls = [one.stream for one in told if isinstance(one, Call)]
@@ -273,8 +301,10 @@
 
 @seed(14)
 @settings(max_examples=200, deadline=None, database=None)
-@given(st.lists(st.tuples(st.sampled_from([0, 1, 4, 7]), st.binary(min_size=8, max_size=40)), max_size=8),
-       st.lists(st.integers(1, 50), max_size=20))
+@given(
+    st.lists(st.tuples(st.sampled_from([0, 1, 4, 7]), st.binary(min_size=8, max_size=40)), max_size=8),
+    st.lists(st.integers(1, 50), max_size=20),
+)
 def test_a_sieve_takes_out_goaways_and_nothing_else_however_the_bytes_are_cut(frames, cuts):
     stream, left, lasts = wire.PREFACE, wire.PREFACE, []
     for kind, body in frames:
@@ -286,7 +316,7 @@
             left += frame
     sieve, got, seen, at = rpc.Sieve(wire.PREFACE), b"", None, 0
     for cut in [*cuts, len(stream)]:
-        data, last = sieve.feed(stream[at:at + cut])
+        data, last = sieve.feed(stream[at : at + cut])
         at += cut
         got, seen = got + data, last if last is not None else seen
     assert got + sieve.rest == left and seen == (lasts[-1] if lasts else None)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -41,8 +41,12 @@
     def __init__(self, path, hosts=2, answer=None, ledger=None):
         self.path, self.file = path, path / "gateway.toml"
         make = dict(ledger=ledger, work=(lambda command: 0.005) if answer is None else None)
-        self.hosts = [StandInHost(**make, **({"answer": answer} if answer is not None else {}),
-                                  name=f"h{n}", cores=8, queue=500) for n in range(hosts)]
+        self.hosts = [
+            StandInHost(
+                **make, **({"answer": answer} if answer is not None else {}), name=f"h{n}", cores=8, queue=500
+            )
+            for n in range(hosts)
+        ]
         self.counter = StandInCounter()
         self.port, self.programs, self.logs = free_port(), [], {}
 
@@ -55,15 +59,20 @@
 
     def list_hosts(self, *states):
         states = states or ["up"] * len(self.hosts)
-        text = "".join(f'[[hosts]]\nid = "{h.name}"\naddress = "127.0.0.1:{h.port}"\nstate = "{state}"\n'
-                       for h, state in zip(self.hosts, states, strict=True) if state)
+        text = "".join(
+            f'[[hosts]]\nid = "{h.name}"\naddress = "127.0.0.1:{h.port}"\nstate = "{state}"\n'
+            for h, state in zip(self.hosts, states, strict=True)
+            if state
+        )
         (self.path / "hosts.toml").write_text(text)
 
     def write(self, ports=None, **tables):
         """gateway.toml; `tables` are keys of a table: daemon="linger = 0.1"."""
-        told = {"daemon": f'state = "{self.path / "state"}"\nlog_lines = 10000',
-                "counter": f'address = "127.0.0.1:{self.counter.port}"',
-                "limits": "sockets = 1024"}
+        told = {
+            "daemon": f'state = "{self.path / "state"}"\nlog_lines = 10000',
+            "counter": f'address = "127.0.0.1:{self.counter.port}"',
+            "limits": "sockets = 1024",
+        }
         # A test machine that is busy turns requests away at the door, which is not what most tests are about.
         tables.setdefault("overload", "on = false")
         for name, text in tables.items():
@@ -75,8 +84,15 @@
         """A gateway; `ready`: once it says that it listens."""
         environment = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")} | (env or {})
         program = await asyncio.create_subprocess_exec(
-            *PROGRAM, "serve", str(self.file), *arguments, cwd=ROOT, env=environment,
-            stderr=asyncio.subprocess.PIPE, **kw)
+            *PROGRAM,
+            "serve",
+            str(self.file),
+            *arguments,
+            cwd=ROOT,
+            env=environment,
+            stderr=asyncio.subprocess.PIPE,
+            **kw,
+        )
         self.programs.append(program)
         self.logs[program] = []
         if ready:
--- a/tests/routing/test_size.py
+++ b/tests/routing/test_size.py
@@ -22,9 +22,18 @@
     assert heard(*reports) == pytest.approx(cores / 4)
 
 
-@pytest.mark.parametrize("report", [
-    {"inflight": 1.0, "util": 0.5}, {"inflight": 400.0, "util": 1.0}, {"inflight": 1.0, "util": 0.01}, {},
-    {"inflight": 9.0}, {"util": 0.5, "queue": 3.0}, {"inflight": 0.0, "util": 0.5}])
+@pytest.mark.parametrize(
+    "report",
+    [
+        {"inflight": 1.0, "util": 0.5},
+        {"inflight": 400.0, "util": 1.0},
+        {"inflight": 1.0, "util": 0.01},
+        {},
+        {"inflight": 9.0},
+        {"util": 0.5, "queue": 3.0},
+        {"inflight": 0.0, "util": 0.5},
+    ],
+)
 def test_small_full_and_idle_hosts_and_those_that_do_not_tell_leave_it_as_it_is(report):
     assert heard(report) == 1.0
 
--- a/tests/routing/test_subset.py
+++ b/tests/routing/test_subset.py
@@ -20,8 +20,7 @@
 
 @seed(1)
 @checked(deadline=None, max_examples=25)
-@given(hosts=strategies.integers(1, 400), gateways=strategies.integers(1, 400),
-       rate=strategies.floats(0, 50))
+@given(hosts=strategies.integers(1, 400), gateways=strategies.integers(1, 400), rate=strategies.floats(0, 50))
 def test_every_host_has_about_as_many_gateways_as_any_other(hosts, gateways, rate):
     wide = subset.width(hosts, gateways, rate, 0)
     taken = Counter(h for g in range(gateways) for h in subset.around(ring(hosts), g, gateways, wide))
@@ -35,10 +34,19 @@
         assert min(counts) >= 0.5 * gateways * wide / hosts - 2
 
 
-@pytest.mark.parametrize("gateways, hosts, rate, least, most", [
-    (3, 10, 30.0, 10, 10), (4, 14, 40.0, 14, 14), (1, 1000, 5.0, 1000, 1000), (200, 50, 3.5, 16, 18),
-    (200, 117, 21.0, 100, 117), (1000, 1000, 1 / 60, 16, 16), (200, 1000, 3.5, 60, 60),
-    (20, 50, 10.0, 50, 50)])
+@pytest.mark.parametrize(
+    "gateways, hosts, rate, least, most",
+    [
+        (3, 10, 30.0, 10, 10),
+        (4, 14, 40.0, 14, 14),
+        (1, 1000, 5.0, 1000, 1000),
+        (200, 50, 3.5, 16, 18),
+        (200, 117, 21.0, 100, 117),
+        (1000, 1000, 1 / 60, 16, 16),
+        (200, 1000, 3.5, 60, 60),
+        (20, 50, 10.0, 50, 50),
+    ],
+)
 def test_how_many_hosts_a_gateway_takes(gateways, hosts, rate, least, most):
     assert least <= subset.width(hosts, gateways, rate, 0) <= most
 
@@ -119,7 +127,9 @@
         while sends := of(acts, messages.Send):
             sent.append(sends[0].host)
             bad = sends[0].host in dead
-            number = sum(s.id == sends[0].id for _, s in [e for e in w.log if type(e[1]) is messages.Send]) - 1
+            number = (
+                sum(s.id == sends[0].id for _, s in [e for e in w.log if type(e[1]) is messages.Send]) - 1
+            )
             acts = w.end(sends[0], "connect_failed" if bad else "ok", attempt=number, final=not bad)
         refused += len(of(acts, messages.Refuse))
         w.now += 0.5
@@ -139,9 +149,13 @@
 
 @seed(1)
 @checked(deadline=None, max_examples=40)
-@given(gateways=strategies.integers(60, 400), hosts=strategies.integers(20, 120),
-       left=strategies.floats(0.25, 0.9), begin=strategies.integers(0, 399),
-       every=strategies.sampled_from([1, 2, 3]))
+@given(
+    gateways=strategies.integers(60, 400),
+    hosts=strategies.integers(20, 120),
+    left=strategies.floats(0.25, 0.9),
+    begin=strategies.integers(0, 399),
+    every=strategies.sampled_from([1, 2, 3]),
+)
 def test_gateways_lost_by_a_range_of_numbers_leave_no_host_behind(gateways, hosts, left, begin, every):
     """Or each second or third one, as a site: seen with 200 processes of which a range was killed, where the
     busiest host had 1.6 times the mean and the idlest half of it."""
--- a/tests/simulation/test_crowds.py
+++ b/tests/simulation/test_crowds.py
@@ -12,8 +12,15 @@
 from apigateway.simulation.world import World
 
 READS = (Work(READ, 1.0, 0.2),)
-CROWD = Scenario(gateways=60, load=0.5, length=6.0, warm_up=2.0, works=READS, machines=Machines(count=20),
-                 customers=Customers(count=120))
+CROWD = Scenario(
+    gateways=60,
+    load=0.5,
+    length=6.0,
+    warm_up=2.0,
+    works=READS,
+    machines=Machines(count=20),
+    customers=Customers(count=120),
+)
 
 
 def play(scenario, seed=1):
@@ -21,11 +28,14 @@
     return world, world.run()
 
 
-@pytest.mark.parametrize("gateways, hosts, load", [
-    (3, 10, 0.6), (20, 200, 0.15), (200, 10, 0.6), (1000, 50, 0.3), (10, 1000, 0.03)])
+@pytest.mark.parametrize(
+    "gateways, hosts, load",
+    [(3, 10, 0.6), (20, 200, 0.15), (200, 10, 0.6), (1000, 50, 0.3), (10, 1000, 0.03)],
+)
 def test_any_number_of_gateways_and_hosts_serves_what_comes_and_leaves_no_host_idle(gateways, hosts, load):
-    scenario = replace(CROWD, gateways=gateways, load=load, length=3.0, warm_up=1.0,
-                       machines=Machines(count=hosts))
+    scenario = replace(
+        CROWD, gateways=gateways, load=load, length=3.0, warm_up=1.0, machines=Machines(count=hosts)
+    )
     world, figures = play(scenario)
     assert figures["broken"] == 0 and figures["in_aim"] > 0.97 and figures["refused"] < 0.01
     met = sum(m.taken > 0 for m in world.machines.values())
@@ -47,16 +57,24 @@
     for index in range(200):
         gateway = Gateway(scenario.settings(index), 7, 1000.0)
         gateway.handle(1000.0, messages.HostList("cached", 1, hosts))
-        for act in gateway.handle(1000.0 + starts, messages.Request("r", 4.0, "c", "free", "read", 1.0, 0, 9)):
+        for act in gateway.handle(
+            1000.0 + starts, messages.Request("r", 4.0, "c", "free", "read", 1.0, 0, 9)
+        ):
             if isinstance(act, messages.Send):
                 picked[act.host] += 1
     assert sum(picked.values()) == 200 and max(picked.values()) <= 16 and len(picked) >= 35
 
 
-@pytest.mark.parametrize("fault, least", [
-    (Fault("lie", 0.0, 6.0, part=0.1), 0.97), (Fault("stale", 0.0, 6.0, zone="a", size=2.0), 0.97),
-    (Fault("err", 0.0, 6.0, part=0.1), 0.9), (Fault("refuse_some", 0.0, 6.0, part=0.1), 0.97)],
-    ids=lambda x: getattr(x, "what", ""))
+@pytest.mark.parametrize(
+    "fault, least",
+    [
+        (Fault("lie", 0.0, 6.0, part=0.1), 0.97),
+        (Fault("stale", 0.0, 6.0, zone="a", size=2.0), 0.97),
+        (Fault("err", 0.0, 6.0, part=0.1), 0.9),
+        (Fault("refuse_some", 0.0, 6.0, part=0.1), 0.97),
+    ],
+    ids=lambda x: getattr(x, "what", ""),
+)
 def test_hosts_that_tell_what_is_not_so_draw_no_more_than_their_part(fault, least):
     world, figures = play(replace(CROWD, faults=(fault,)))
     assert figures["broken"] == 0 and figures["in_aim"] > least
@@ -64,8 +82,11 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("listing", [Listing(0.5, 1.5), Listing(2.0, 4.0), Listing(0.5, 1.5, miss=0.2)],
-                         ids=["usual", "late by seconds", "misses a fifth"])
+@pytest.mark.parametrize(
+    "listing",
+    [Listing(0.5, 1.5), Listing(2.0, 4.0), Listing(0.5, 1.5, miss=0.2)],
+    ids=["usual", "late by seconds", "misses a fifth"],
+)
 def test_six_in_ten_replaced_by_cold_ones_within_seven_seconds(listing, seed):
     """Drains are told to all, late to some; where a fifth is missed, it is of what is told besides."""
     fault = Fault("replace", 0.5, part=0.6, over=7.0)
@@ -73,14 +94,18 @@
     assert figures["broken"] == 0 and figures["in_aim"] > 0.85
 
 
-@pytest.mark.parametrize("scenario, least", [
-    (replace(CROWD, machines=Machines(count=20, big=0.3, weights=True)), 0.97),
-    (replace(CROWD, machines=Machines(count=20, big=0.3)), 0.95),
-    (replace(CROWD, machines=Machines(count=20, reports=())), 0.95),
-    (replace(CROWD, probes=False), 0.97),
-    (replace(CROWD, faults=(Fault("shift", 1.0, part=0.9),)), 0.97),
-    (replace(CROWD, faults=(Fault("link", 0.0, 6.0, zone="a", there="b", lose=0.1, size=0.0),)), 0.9)],
-    ids=["told weights", "untold ones", "no reports", "no probes", "traffic moves", "a tenth lost"])
+@pytest.mark.parametrize(
+    "scenario, least",
+    [
+        (replace(CROWD, machines=Machines(count=20, big=0.3, weights=True)), 0.97),
+        (replace(CROWD, machines=Machines(count=20, big=0.3)), 0.95),
+        (replace(CROWD, machines=Machines(count=20, reports=())), 0.95),
+        (replace(CROWD, probes=False), 0.97),
+        (replace(CROWD, faults=(Fault("shift", 1.0, part=0.9),)), 0.97),
+        (replace(CROWD, faults=(Fault("link", 0.0, 6.0, zone="a", there="b", lose=0.1, size=0.0),)), 0.9),
+    ],
+    ids=["told weights", "untold ones", "no reports", "no probes", "traffic moves", "a tenth lost"],
+)
 def test_what_is_unlike_unknown_or_lossy_costs_little(scenario, least):
     _, figures = play(scenario)
     assert figures["broken"] == 0 and figures["in_aim"] > least and figures["refused"] < 0.03
@@ -92,10 +117,14 @@
     scenario = replace(CROWD, gateways=200, faults=(Fault(what, 0.0, 2.0, part=0.05),))
     world, marks = World(scenario, 3, Gateway), []
     for at in (2.0, 3.0, 4.0):
-        world.clock.at(START + scenario.warm_up + at,
-                       lambda: marks.append({name: m.taken for name, m in world.machines.items()}))
-    world.clock.at(START + scenario.warm_up + 1.0, lambda: marks.append(
-        [name for name, m in world.machines.items() if m.mode != "up" or m.refuses]))
+        world.clock.at(
+            START + scenario.warm_up + at,
+            lambda: marks.append({name: m.taken for name, m in world.machines.items()}),
+        )
+    world.clock.at(
+        START + scenario.warm_up + 1.0,
+        lambda: marks.append([name for name, m in world.machines.items() if m.mode != "up" or m.refuses]),
+    )
     assert world.run()["broken"] == 0
     (back,), *counts = marks
     for before, after in zip(counts, counts[1:], strict=False):
--- a/tests/simulation/test_model.py
+++ b/tests/simulation/test_model.py
@@ -26,12 +26,20 @@
 )
 from apigateway.simulation.world import World
 
-SMALL = Scenario(gateways=12, load=0.6, length=8.0, warm_up=2.0, machines=Machines(count=9),
-                 customers=Customers(count=60))
+SMALL = Scenario(
+    gateways=12, load=0.6, length=8.0, warm_up=2.0, machines=Machines(count=9), customers=Customers(count=60)
+)
 ALONE = Machines(count=1, cores=1, slots=1, queue=10000, speed_cv=0.0, thrash=0.0, handshake=0.0)
-ONE = Scenario(gateways=1, zones=("a",), load=0.5, length=600.0, policy="random", machines=ALONE,
-               works=(Work(READ, 1.0, 0.1),),
-               customers=Customers(count=5, busiest=1.0, retries=0, patience=100.0))
+ONE = Scenario(
+    gateways=1,
+    zones=("a",),
+    load=0.5,
+    length=600.0,
+    policy="random",
+    machines=ALONE,
+    works=(Work(READ, 1.0, 0.1),),
+    customers=Customers(count=5, busiest=1.0, retries=0, patience=100.0),
+)
 
 
 def play(scenario, seed=1, make=Gateway):
@@ -44,7 +52,7 @@
     """M/M/c: the mean wait is work x C(c, load) / (c (1 - load)); C is Erlang's."""
     if cores == 4:
         a = cores * load
-        terms = [a ** n / [1, 1, 2, 6, 24][n] for n in range(5)]
+        terms = [a**n / [1, 1, 2, 6, 24][n] for n in range(5)]
         erlang = terms[4] / (1 - load) / (sum(terms[:4]) + terms[4] / (1 - load))
         waits = 0.1 * erlang / (cores * (1 - load))
     machines = replace(ONE.machines, cores=cores, slots=cores)
@@ -66,8 +74,10 @@
 
 def test_baselines_stand_in_the_order_that_is_known_of_them():
     s = replace(SMALL, gateways=40, load=0.75, length=20.0, machines=Machines(count=20))
-    idle = {policy: play(replace(s, policy=policy))[1]["idle_waiting"]
-            for policy in ("random", "robin", "two", "two:1", "best")}
+    idle = {
+        policy: play(replace(s, policy=policy))[1]["idle_waiting"]
+        for policy in ("random", "robin", "two", "two:1", "best")
+    }
     assert idle["best"] < idle["two"] < 0.3 * idle["random"]
     assert idle["two"] < 0.5 * idle["two:1"]  # what is a second old tells little
     assert baselines.known("best:0.5") and not baselines.known("two:x") and not baselines.known("worst")
@@ -97,30 +107,48 @@
             self.tries[event.id] = 0
             one = [messages.Send(event.id, self.hosts[0])]
             return [] if self.how == "silent" else one * (2 if self.how == "two at once" else 1)
-        if isinstance(event, messages.Outcome) and not event.final and self.how == "twice" and event.attempt < 2:
+        if (
+            isinstance(event, messages.Outcome)
+            and not event.final
+            and self.how == "twice"
+            and event.attempt < 2
+        ):
             return [messages.Send(event.id, self.hosts[1])]
         return []
 
 
-@pytest.mark.parametrize("how, works, fault", [
-    ("two at once", READ, Fault("surge", 0.0)),
-    ("twice", NOTICE, Fault("err", 0.0, 3.0, part=1.0)),
-    ("drain", READ, Fault("replace", 0.0, part=1.0)),
-    ("ceiling", READ, Fault("surge", 0.0)),
-    ("pushed over", READ, Fault("replace", 0.0, part=1.0))])
+@pytest.mark.parametrize(
+    "how, works, fault",
+    [
+        ("two at once", READ, Fault("surge", 0.0)),
+        ("twice", NOTICE, Fault("err", 0.0, 3.0, part=1.0)),
+        ("drain", READ, Fault("replace", 0.0, part=1.0)),
+        ("ceiling", READ, Fault("surge", 0.0)),
+        ("pushed over", READ, Fault("replace", 0.0, part=1.0)),
+    ],
+)
 def test_a_module_that_breaks_a_rule_is_caught(how, works, fault):
     plan = replace(FREE, ceiling_rate=1.0, ceiling_burst=2.0, ceiling_slack=0.2) if how == "ceiling" else FREE
-    s = replace(SMALL, gateways=3, faults=(fault,), works=(Work(works),), machines=Machines(count=3),
-                customers=Customers((plan,), count=9), listing=Listing(0.1, 0.1))
+    s = replace(
+        SMALL,
+        gateways=3,
+        faults=(fault,),
+        works=(Work(works),),
+        machines=Machines(count=3),
+        customers=Customers((plan,), count=9),
+        listing=Listing(0.1, 0.1),
+    )
 
     def make(settings, seed, now):
         wrong = Wrong(how, [])
         if how == "pushed over":  # all go to the newest
             inner = wrong.handle
+
             def handle(now, event):
                 acts = inner(now, event)
                 wrong.hosts.sort(key=lambda h: -int(h[1:]))
                 return acts
+
             wrong.handle = handle
         return wrong
 
@@ -135,6 +163,7 @@
 
 def test_links_lose_and_delay_what_they_are_told_to():
     from apigateway.simulation.links import Fault as LinkFault
+
     world = World(SMALL, 1, Gateway)
     here, there, got = Place("g1", "a"), Place("h1", "b"), []
     world.links.faults = [LinkFault("a", "h1", delay=1.0, one_way=True), LinkFault("g1", "h2", lose=1.0)]
@@ -164,7 +193,8 @@
         store.fill(at)
         store.take()
     assert [store.was(at) for at in (9.0, 10.0, 10.25, 10.5, 11.0, 11.5, 60.0)] == pytest.approx(
-        [3.0, 2.0, 2.25, 1.5, 1.0, 1.5, 3.0])
+        [3.0, 2.0, 2.25, 1.5, 1.0, 1.5, 3.0]
+    )
 
 
 def test_the_later_a_policy_sees_the_true_state_the_more_passes_beyond_quotas():
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -38,7 +38,7 @@
     granted = [one for one in told if isinstance(one, messages.Granted)]
     denied = [one for one in told if isinstance(one, messages.Denied)]
     # a new one is in the middle of a window
-    assert 8 <= len(granted) <= 10 and told[:len(granted)] == granted
+    assert 8 <= len(granted) <= 10 and told[: len(granted)] == granted
     assert len(granted) + len(denied) == 12
     assert [one.remaining for one in granted] == sorted((one.remaining for one in granted), reverse=True)
     assert granted[-1].remaining < 1.0 and 0 < granted[0].reset <= 4.0
@@ -54,8 +54,9 @@
     assert 8 <= taken <= 10
 
 
-@pytest.mark.parametrize("units, fits", [(0, True), (6, True), (8.5, False), (1e6, False),
-                                         (2.0 ** 32 - 1, False)])
+@pytest.mark.parametrize(
+    "units, fits", [(0, True), (6, True), (8.5, False), (1e6, False), (2.0**32 - 1, False)]
+)
 def test_any_number_of_units_is_answered(units, fits):
     w = world()
     assert passed(w, units=units) is fits
@@ -156,8 +157,12 @@
                 asked[w, name] = units
                 for send in of(acts, messages.Send):
                     w.end(send, elapsed=0.001)
-        times = [(at, asked[w, act.id]) for w in worlds for at, act in w.log
-                 if isinstance(act, messages.Granted | messages.Send)]
+        times = [
+            (at, asked[w, act.id])
+            for w in worlds
+            for at, act in w.log
+            if isinstance(act, messages.Granted | messages.Send)
+        ]
         times.sort()
         for i, (start, _) in enumerate(times):
             used = 0.0
@@ -168,9 +173,17 @@
 
 @seed(14)
 @settings(max_examples=150, deadline=None, database=None)
-@given(st.lists(st.tuples(st.sampled_from(["check", "ask", "gone", "back", "wait"]), st.integers(0, 2),
-                          st.sampled_from([0.0, 0.5, 1.0, 3.0, 9.0])), max_size=80),
-       st.sampled_from(["answer", "silent", "refuse", "hold"]))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["check", "ask", "gone", "back", "wait"]),
+            st.integers(0, 2),
+            st.sampled_from([0.0, 0.5, 1.0, 3.0, 9.0]),
+        ),
+        max_size=80,
+    ),
+    st.sampled_from(["answer", "silent", "refuse", "hold"]),
+)
 def test_each_check_has_one_answer_at_most_and_one_in_its_time(steps, counter):
     w = world([plan(**CEILED)], gateways=2)
     w.mode = counter
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -79,8 +79,13 @@
         assert fleet.room(now) == any(fleet.may_send(s, now) for s in fleet.up)
 
 
-STEPS = st.lists(st.tuples(st.sampled_from(["ask"] * 6 + ["end"] * 6 + ["wait", "list", "delta", "burst"]),
-                           st.integers(0, 10 ** 6)), min_size=10, max_size=120)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["ask"] * 6 + ["end"] * 6 + ["wait", "list", "delta", "burst"]), st.integers(0, 10**6)
+    ),
+    min_size=10,
+    max_size=120,
+)
 
 
 @seed(13)
@@ -88,8 +93,18 @@
 @given(st.integers(3, 3 * COMPARED), st.integers(1, 4), STEPS)
 def test_each_host_that_is_chosen_was_allowed_and_the_index_is_true(count, gateways, steps):
     routes = {"batch": messages.Route("batch", ("slow",), False)}
-    hosts = [messages.Host(f"h{n}", "z12"[n % 2:][:2], n % 3, 1.0, "k" if n % 4 else "slow", "up",
-                      1000.0 if n % 5 == 0 else 0.0) for n in range(count)]
+    hosts = [
+        messages.Host(
+            f"h{n}",
+            "z12"[n % 2 :][:2],
+            n % 3,
+            1.0,
+            "k" if n % 4 else "slow",
+            "up",
+            1000.0 if n % 5 == 0 else 0.0,
+        )
+        for n in range(count)
+    ]
     w = world(hosts, gateways, routes=routes)
     oracle = Oracle(w.conf)
     oracle.listed(messages.HostList("cached", 1, tuple(hosts)))
@@ -98,16 +113,31 @@
         if what in ("ask", "burst"):
             for k in range(20 if what == "burst" else 1):
                 id = f"q{number}-{k}"
-                req = messages.Request(id, 3.0, f"c{value % 7}", "p", rng.choice(["read", "write", "cellwrite",
-                                                                             "note"]),
-                                  1.0, 0, 1, route=rng.choice(["", "", "batch"]))
+                req = messages.Request(
+                    id,
+                    3.0,
+                    f"c{value % 7}",
+                    "p",
+                    rng.choice(["read", "write", "cellwrite", "note"]),
+                    1.0,
+                    0,
+                    1,
+                    route=rng.choice(["", "", "batch"]),
+                )
                 oracle.requests[id] = req
                 oracle.acts(w.do(req))
         elif what == "end" and oracle.out:
             (id, attempt), at = rng.choice(sorted(oracle.out.items()))
             result = rng.choice(["ok"] * 5 + ["error", "timeout", "reset", "full", "connect_failed"])
-            event = messages.Outcome(id, attempt, at, result, 0.05, result == "ok",
-                                report={"inflight": rng.random() * 8} if result == "ok" else {})
+            event = messages.Outcome(
+                id,
+                attempt,
+                at,
+                result,
+                0.05,
+                result == "ok",
+                report={"inflight": rng.random() * 8} if result == "ok" else {},
+            )
             if result == "ok":
                 oracle.over.add(id)
             oracle.outcome(event, w.now)
@@ -116,8 +146,12 @@
             oracle.acts([a for a in w.wait(value % 40 / 100) if not isinstance(a, messages.Cancel)])
         elif what in ("list", "delta"):
             some = rng.sample(hosts, rng.randint(1, count))
-            states = [messages.Host(h.id, h.zone, h.cell, 1.0, h.kind, rng.choice(["up", "up", "leaving", "down"]),
-                               h.started) for h in some]
+            states = [
+                messages.Host(
+                    h.id, h.zone, h.cell, 1.0, h.kind, rng.choice(["up", "up", "leaving", "down"]), h.started
+                )
+                for h in some
+            ]
             event = messages.HostList("full" if what == "list" else "delta", number + 2, tuple(states))
             oracle.listed(event)
             oracle.acts(w.do(event))
@@ -160,9 +194,12 @@
 @pytest.mark.parametrize("gateways", [1, 4])
 def test_of_a_thousand_five_hundred_come_up_cold_and_none_is_pushed_over(gateways):
     hosts = many(500) + [host(f"c{n}", "z1", 0, started=1000.0) for n in range(500)]
-    worlds = [World(settings(plans=[BIG], gateways=gateways, index=n, limits={"second_copies": False}),
-                    hosts, seed=n)
-              for n in range(gateways)]
+    worlds = [
+        World(
+            settings(plans=[BIG], gateways=gateways, index=n, limits={"second_copies": False}), hosts, seed=n
+        )
+        for n in range(gateways)
+    ]
     sent = {}
     for _ in range(40):
         for w in worlds:
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -13,8 +13,12 @@
 
 
 def world(most=0, plans=None, **kw):
-    return World(module_settings(plans=plans or [plan(rate=2.0, burst=8.0)], most_accounts=most,
-                                 **{"gateways": 1, **kw}), HOSTS)
+    return World(
+        module_settings(
+            plans=plans or [plan(rate=2.0, burst=8.0)], most_accounts=most, **{"gateways": 1, **kw}
+        ),
+        HOSTS,
+    )
 
 
 def asked(w, customer):
@@ -107,8 +111,10 @@
 
 @seed(13)
 @settings(max_examples=150, deadline=None, database=None)
-@given(st.lists(st.tuples(st.integers(0, 9), st.floats(0, 0.6)), min_size=30, max_size=250),
-       st.sampled_from(["answer", "silent", "refuse"]))
+@given(
+    st.lists(st.tuples(st.integers(0, 9), st.floats(0, 0.6)), min_size=30, max_size=250),
+    st.sampled_from(["answer", "silent", "refuse"]),
+)
 def test_ceilings_hold_for_those_who_are_forgotten(steps, counter):
     ceiling = plan(rate=3.0, burst=4.0, ceiling_rate=4.0, ceiling_burst=6.0, ceiling_slack=0.0)
     w = world(most=3, plans=[ceiling])
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -24,15 +24,18 @@
     assert scope["actions"]
 
 
-@pytest.mark.parametrize("make", [
-    lambda: messages.Plan("p", -1.0, 8.0, 0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0),
-    lambda: messages.Plan("p", 1.0, 0.0, 0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0),
-    lambda: messages.ServiceClass("c", 1.0, 2.0, "sometimes", "all", 0.0, 1.0, 0.0, False, 0.0),
-    lambda: messages.Request("r", 1.0, "c", "p", "c", -1.0, 0, 1),
-    lambda: messages.Request("r", 1.0, "c", "p", "c", 1.0, 0, 0),
-    lambda: messages.Host("h", "z", 0, 1.0, "k", "maybe", 0.0),
-    lambda: messages.Outcome("r", 0, "h", "fine", 0.1, True),
-])
+@pytest.mark.parametrize(
+    "make",
+    [
+        lambda: messages.Plan("p", -1.0, 8.0, 0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0),
+        lambda: messages.Plan("p", 1.0, 0.0, 0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0),
+        lambda: messages.ServiceClass("c", 1.0, 2.0, "sometimes", "all", 0.0, 1.0, 0.0, False, 0.0),
+        lambda: messages.Request("r", 1.0, "c", "p", "c", -1.0, 0, 1),
+        lambda: messages.Request("r", 1.0, "c", "p", "c", 1.0, 0, 0),
+        lambda: messages.Host("h", "z", 0, 1.0, "k", "maybe", 0.0),
+        lambda: messages.Outcome("r", 0, "h", "fine", 0.1, True),
+    ],
+)
 def test_types_reject_what_makes_no_sense(make):
     with pytest.raises(ValueError):
         make()
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -11,21 +11,47 @@
 from apigateway.frontends.resp import server as clients
 
 
-@pytest.mark.parametrize("bad", [
-    b"*1\r\n$7\r\nUNKNOWN\r\n", b"*0\r\n", b"*-1\r\n", b":5\r\n", b"*2\r\n$8\r\nAPI.READ\r\n:0\r\n",
-    command(terms=terms(d=None)), command(terms=terms(d="soon")), command(terms=terms(d="-1")),
-    command(terms=terms(c="none")), command(terms=terms(t="none")), command(terms=terms(units="nan")),
-    command(terms=terms(spread="0")), command(terms=terms(c="note")), command(terms=b"\xff\xfe"),
-    command(terms=terms(c=None)), command(customer=b"xyz"), command(id=b""), command(body=b"BODY"),
-    command(terms=terms(d="1_0")), command(terms=terms(d="+10")), command(terms=terms(d=" 10")),
-    command(terms=terms(units="0")), command(terms=terms(units="2")), command(terms=terms(units="1_0")),
-    command(terms=terms(spread="2")), command(terms=terms(first="1")), command(terms=terms(first="-1")),
-    command(customer=b"0x000000b4d65521"), command(customer=b"ffffffffb4d65521"), command(id=b"x" * 65),
-    command(terms=terms() + b",d=2000"),
-    command(terms=terms(d="9" * 400)), command(terms=terms(d="9" * 12)), command(terms=terms(units="1e999")),
-    command(terms=terms(c="write"), verb=b"API.WRITE", body=b"x"),  # keyed, without its key
-    command(terms=terms(c="note"), verb=b"API.WRITE", body=b"x" * 65537),
-])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"*1\r\n$7\r\nUNKNOWN\r\n",
+        b"*0\r\n",
+        b"*-1\r\n",
+        b":5\r\n",
+        b"*2\r\n$8\r\nAPI.READ\r\n:0\r\n",
+        command(terms=terms(d=None)),
+        command(terms=terms(d="soon")),
+        command(terms=terms(d="-1")),
+        command(terms=terms(c="none")),
+        command(terms=terms(t="none")),
+        command(terms=terms(units="nan")),
+        command(terms=terms(spread="0")),
+        command(terms=terms(c="note")),
+        command(terms=b"\xff\xfe"),
+        command(terms=terms(c=None)),
+        command(customer=b"xyz"),
+        command(id=b""),
+        command(body=b"BODY"),
+        command(terms=terms(d="1_0")),
+        command(terms=terms(d="+10")),
+        command(terms=terms(d=" 10")),
+        command(terms=terms(units="0")),
+        command(terms=terms(units="2")),
+        command(terms=terms(units="1_0")),
+        command(terms=terms(spread="2")),
+        command(terms=terms(first="1")),
+        command(terms=terms(first="-1")),
+        command(customer=b"0x000000b4d65521"),
+        command(customer=b"ffffffffb4d65521"),
+        command(id=b"x" * 65),
+        command(terms=terms() + b",d=2000"),
+        command(terms=terms(d="9" * 400)),
+        command(terms=terms(d="9" * 12)),
+        command(terms=terms(units="1e999")),
+        command(terms=terms(c="write"), verb=b"API.WRITE", body=b"x"),  # keyed, without its key
+        command(terms=terms(c="note"), verb=b"API.WRITE", body=b"x" * 65537),
+    ],
+)
 @on_loop
 async def test_bad_commands_are_answered_and_the_connection_goes_on(bad, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
@@ -36,10 +62,25 @@
         assert not host.commands
 
 
-@pytest.mark.parametrize("bad", [b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$70000\r\n" + b"x" * 69900, b"*x\r\n",
-                                 b"*99999999999\r\n", b"*4294967295\r\n", b"*1000000000\r\n", b"*5\r\n*5\r\n",
-                                 b"*1\r\n$60000000\r\n", b"*1\r\n$-7\r\n", b"*1\r\n$4\r\nPINGxx",
-                                 b"*1\r\n$+4\r\nPING\r\n", b"*1\r\n$1_0\r\n", b"%1\r\n", b"*" + b"1" * 2000])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"*1\r\n$70000\r\n" + b"x" * 69900,
+        b"*x\r\n",
+        b"*99999999999\r\n",
+        b"*4294967295\r\n",
+        b"*1000000000\r\n",
+        b"*5\r\n*5\r\n",
+        b"*1\r\n$60000000\r\n",
+        b"*1\r\n$-7\r\n",
+        b"*1\r\n$4\r\nPINGxx",
+        b"*1\r\n$+4\r\nPING\r\n",
+        b"*1\r\n$1_0\r\n",
+        b"%1\r\n",
+        b"*" + b"1" * 2000,
+    ],
+)
 @on_loop
 async def test_lost_framing_ends_only_its_own_connection(bad, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
@@ -135,8 +176,9 @@
         assert next(owed, None) is None  # asked until nothing was owed
 
 
-@pytest.mark.parametrize("sent, told", [(b"", b""), (b"*4\r\n$8\r\nAPI.R", b"-ERR"),
-                                        (b"*1\r\n$4\r\nPING\r\n", b"+PONG")])
+@pytest.mark.parametrize(
+    "sent, told", [(b"", b""), (b"*4\r\n$8\r\nAPI.R", b"-ERR"), (b"*1\r\n$4\r\nPING\r\n", b"+PONG")]
+)
 @on_loop
 async def test_a_connection_without_a_request_is_closed_in_time(sent, told, tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "IDLE", 0.1)
@@ -299,7 +341,7 @@
             while not server.clients:
                 await asyncio.sleep(0)
             (client,) = server.clients
-            client.transport.set_write_buffer_limits(high=10 ** 9)  # it is read on, whatever it takes
+            client.transport.set_write_buffer_limits(high=10**9)  # it is read on, whatever it takes
             for n in range(400):
                 writer.write(command(b"r%d" % n, customer=b"%016x" % n))
                 assert await seen.get() == (f"r{n}", "served")
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -79,8 +79,9 @@
         assert await results.get() == "ok"
 
 
-@pytest.mark.parametrize("odd", [b"ok\r\n", b"ok many\r\n", b"pong\r\n", b"ok inf\r\n", b"ok 1_0\r\n",
-                                 b"x" * 5000, b"what\r\n"])
+@pytest.mark.parametrize(
+    "odd", [b"ok\r\n", b"ok many\r\n", b"pong\r\n", b"ok inf\r\n", b"ok 1_0\r\n", b"x" * 5000, b"what\r\n"]
+)
 @on_loop
 async def test_odd_answers_of_the_counter_cost_only_the_connection(odd, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
@@ -137,7 +138,7 @@
         node.counter.silent = True
         add()
         await node.counter.arrived.get()
-        (spoilt, _), = node.counter.held
+        ((spoilt, _),) = node.counter.held
         spoilt.write(b"ok {}\r\n")
         assert (await results.get())[0] == "spoilt"  # it was added, but what it made is not known
         node.counter.silent = False
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -40,8 +40,15 @@
         assert [c[2] for c in new.commands] == [b"b"]
 
 
-@pytest.mark.parametrize("raw", ["{", "[]", '{"version":3,"full":true,"servers":[{"id":"h9"}]}',
-                                 '{"version":"x","full":false,"servers":[]}'])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        "{",
+        "[]",
+        '{"version":3,"full":true,"servers":[{"id":"h9"}]}',
+        '{"version":"x","full":false,"servers":[]}',
+    ],
+)
 @on_loop
 async def test_malformed_lists_leave_the_last_one_in_force(raw, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
@@ -59,9 +66,16 @@
 async def test_an_odd_entry_does_not_hide_the_drains_beside_it(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         await node.discovery.calls.get()
-        node.discovery.change([
-            {"id": "h9"}, None, entry(two, "h8") | {"weight": "x"}, entry(one, "h1", "draining"),
-            entry(two, "h7") | {"addr": "nowhere"}, entry(two, "h6", "odd")])
+        node.discovery.change(
+            [
+                {"id": "h9"},
+                None,
+                entry(two, "h8") | {"weight": "x"},
+                entry(one, "h1", "draining"),
+                entry(two, "h7") | {"addr": "nowhere"},
+                entry(two, "h6", "odd"),
+            ]
+        )
         while (await node.discovery.calls.get()).get("index") != "2":
             pass
         assert set(node.node.hosts.pools) == {"h2"}
@@ -109,9 +123,18 @@
 @on_loop
 async def test_silent_discovery_is_asked_again_while_the_last_list_serves(tmp_path, monkeypatch):
     schedule = WatchSchedule(
-        is_polled=False, wait=0.1, max_wait=0.1, overdue=0.2, late_answer=0.0, hedge_after=0.1,
-        call_timeout=0.2, first_backoff=0.05, max_backoff=0.1, max_rejection_backoff=0.1,
-        jitter=0.0)
+        is_polled=False,
+        wait=0.1,
+        max_wait=0.1,
+        overdue=0.2,
+        late_answer=0.0,
+        hedge_after=0.1,
+        call_timeout=0.2,
+        first_backoff=0.05,
+        max_backoff=0.1,
+        max_rejection_backoff=0.1,
+        jitter=0.0,
+    )
     monkeypatch.setattr(WatchSchedule, "for_agent", lambda drain_grace: schedule)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
@@ -196,8 +219,11 @@
         while "index" not in await node.discovery.calls.get():
             pass
         seen, module = [], node.node.core.module
-        node.node.core.module = type("Watcher", (), {"handle": lambda _, now, event: (
-            seen.append(event), module.handle(now, event))[1]})()
+        node.node.core.module = type(
+            "Watcher",
+            (),
+            {"handle": lambda _, now, event: (seen.append(event), module.handle(now, event))[1]},
+        )()
         node.discovery.change([])
         await node.discovery.calls.get()  # the watch after it
         assert not seen
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -9,7 +9,7 @@
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, terms, write
 
 from apigateway import messages
-from apigateway.core import request_lifecycle as life as gateway
+from apigateway.core import request_lifecycle as gateway
 
 
 @on_loop
@@ -67,6 +67,7 @@
 async def test_a_module_that_says_nothing_does_not_lose_the_request(tmp_path, monkeypatch):
     monkeypatch.setattr(gateway, "GUARD", 2.0)  # as above
     async with StubHost() as host, Node(host, path=tmp_path) as node:
+
         class Mute:
             def handle(self, now, event):
                 return []
@@ -80,6 +81,7 @@
 @on_loop
 async def test_a_timer_never_reaches_the_module_early(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
+
         class Clocked:
             def __init__(self):
                 self.early, self.seen, self.done = [], 0, asyncio.Event()
@@ -146,6 +148,7 @@
 @on_loop
 async def test_a_second_copy_is_not_sent_where_it_is_not_allowed(tmp_path):
     async with StubHost(None) as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+
         class Doubler:
             results = []
 
--- a/tests/test_net_hosts.py
+++ b/tests/test_net_hosts.py
@@ -19,20 +19,46 @@
 @on_loop
 async def test_a_report_that_says_nothing_sound_is_ignored(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        for n, report in enumerate((b"$-1\r\n", b"$3\r\n???\r\n", b"$10\r\nactive=nan\r\n",
-                                    b"$9\r\nactive=-1\r\n", b"$10\r\nactive=1_0\r\n", b"$3\r\n=,=\r\n",
-                                    b"$12\r\nactive=99999\r\n", b"$10\r\nactive= 1 \r\n",
-                                    b":7\r\n", b"$8\r\nactive=x\r\n")):
+        for n, report in enumerate(
+            (
+                b"$-1\r\n",
+                b"$3\r\n???\r\n",
+                b"$10\r\nactive=nan\r\n",
+                b"$9\r\nactive=-1\r\n",
+                b"$10\r\nactive=1_0\r\n",
+                b"$3\r\n=,=\r\n",
+                b"$12\r\nactive=99999\r\n",
+                b"$10\r\nactive= 1 \r\n",
+                b":7\r\n",
+                b"$8\r\nactive=x\r\n",
+            )
+        ):
             host.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
             assert await node.ask(command(b"r%d" % n)) == b"$1\r\nv\r\n"
         assert not node.node.core.module.fleet.reports
 
 
-@pytest.mark.parametrize("odd", [b"+OK\r\n", b"$2\r\nOK\r\n", b"*0\r\n", b"*-1\r\n", b"*1\r\n$-1\r\n",
-                                 b":1\r\n", b"*1\r\n:1\r\n", b"nonsense\r\n", b"$-1\r\n", b"*1000000000\r\n",
-                                 b"*3\r\n*3\r\n*3\r\n", b"*3\r\n$3000000000\r\n",
-                                 b"*3\r\n$-7\r\n$-1\r\n$-1\r\n",
-                                 b"x" * 5000, b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n", b"\x88\xa8"])
+@pytest.mark.parametrize(
+    "odd",
+    [
+        b"+OK\r\n",
+        b"$2\r\nOK\r\n",
+        b"*0\r\n",
+        b"*-1\r\n",
+        b"*1\r\n$-1\r\n",
+        b":1\r\n",
+        b"*1\r\n:1\r\n",
+        b"nonsense\r\n",
+        b"$-1\r\n",
+        b"*1000000000\r\n",
+        b"*3\r\n*3\r\n*3\r\n",
+        b"*3\r\n$3000000000\r\n",
+        b"*3\r\n$-7\r\n$-1\r\n$-1\r\n",
+        b"x" * 5000,
+        b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n",
+        b"\x88\xa8",
+    ],
+)
 @on_loop
 async def test_what_is_no_value_of_a_host_is_not_served(odd, tmp_path):
     async with StubHost(odd) as host, Node(host, path=tmp_path) as node:
@@ -128,6 +154,7 @@
 async def test_an_attempt_called_off_has_left_the_host_before_the_next_goes_out(tmp_path):
     """Where second copies are not allowed, one attempt's connection must end before the next is written."""
     async with StubHost(None) as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+
         class Mover:
             def handle(self, now, event):
                 if isinstance(event, messages.Request):
@@ -258,6 +285,7 @@
 @on_loop
 async def test_connections_that_are_lost_after_a_rest_are_no_longer_used_after_it(tmp_path):
     async with Forgetful() as host, Node(host, path=tmp_path) as node:
+
         async def ask(n, rest):
             """A request once the host's connections have rested so long."""
             for pool in node.node.hosts.pools.values():
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -34,12 +34,21 @@
     return json.dumps(told([], 1, 2) | kw)
 
 
-@pytest.mark.parametrize("text, word", [
-    (None, "RELAY_CONFIG"), ("{", "Expecting"), ("[]", "list"), ("{}", "settings"),
-    (spoilt(seed="xyz"), "xyz"), (spoilt(listen="nowhere"), "nowhere"),
-    (spoilt(counter=""), "counter"), (spoilt(settings={}), "limits"),
-    (spoilt(known={"version": 1}), "list of hosts"), (spoilt(listen="127.0.0.1:99999999"), "99999999"),
-])
+@pytest.mark.parametrize(
+    "text, word",
+    [
+        (None, "RELAY_CONFIG"),
+        ("{", "Expecting"),
+        ("[]", "list"),
+        ("{}", "settings"),
+        (spoilt(seed="xyz"), "xyz"),
+        (spoilt(listen="nowhere"), "nowhere"),
+        (spoilt(counter=""), "counter"),
+        (spoilt(settings={}), "limits"),
+        (spoilt(known={"version": 1}), "list of hosts"),
+        (spoilt(listen="127.0.0.1:99999999"), "99999999"),
+    ],
+)
 def test_a_bad_configuration_is_one_plain_line(text, word, tmp_path):
     env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
     if text is not None:
@@ -68,7 +77,8 @@
         config = tmp_path / "config.json"
         config.write_text(json.dumps(told([entry(host)], discovery.port, counter.port)))
         program = await asyncio.create_subprocess_exec(
-            *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE)
+            *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
+        )
         port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(PING)
@@ -85,8 +95,9 @@
         assert await program.wait() == 0
 
 
-@pytest.mark.parametrize("behind", [(signal.SIGTERM,), (signal.SIGHUP,),
-                                    (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)])
+@pytest.mark.parametrize(
+    "behind", [(signal.SIGTERM,), (signal.SIGHUP,), (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)]
+)
 @on_loop
 async def test_signals_behind_a_sigterm_take_nothing_from_what_was_taken(behind, tmp_path):
     """Also half a command that came before it, and a SIGHUP just ahead."""
@@ -95,7 +106,8 @@
         discovery.servers = [entry(host)]
         config.write_text(json.dumps(told(discovery.servers, discovery.port, counter.port)))
         program = await asyncio.create_subprocess_exec(
-            *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE)
+            *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
+        )
         port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         other_reader, other = await asyncio.open_connection("127.0.0.1", port)
@@ -143,7 +155,8 @@
     config = tmp_path / "config.json"
     held = Held(config)
     program = await asyncio.create_subprocess_exec(
-        *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE)
+        *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
+    )
     async with held:
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
@@ -159,7 +172,8 @@
             text = told([entry(host)], discovery.port, counter.port) | {"listen": f"127.0.0.1:{port}"}
             config.write_text(json.dumps(text))
             program = await asyncio.create_subprocess_exec(
-                *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE)
+                *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
+            )
             port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(command(life))
@@ -170,8 +184,14 @@
 
 @on_loop
 async def test_sighup_moves_to_the_addresses_in_the_file(tmp_path):
-    async with (StubHost(None) as host, StubHost() as new, StubCounter() as counter,
-                StubCounter() as counter2, StubDiscovery() as discovery, StubDiscovery() as discovery2):
+    async with (
+        StubHost(None) as host,
+        StubHost() as new,
+        StubCounter() as counter,
+        StubCounter() as counter2,
+        StubDiscovery() as discovery,
+        StubDiscovery() as discovery2,
+    ):
         discovery.servers, discovery2.servers, discovery2.version = [entry(host)], [entry(new, "h2")], 1
         config = tmp_path / "config.json"
         config.write_text(json.dumps(told([entry(host)], discovery.port, counter.port)))
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -138,8 +138,10 @@
 
 @seed(13)
 @settings(max_examples=200, deadline=None, database=None)
-@given(st.lists(st.tuples(st.sampled_from([-20, 0, 5, 6, 40]), st.floats(0, 1)), min_size=20, max_size=300),
-       st.floats(LEAST, 0.99))
+@given(
+    st.lists(st.tuples(st.sampled_from([-20, 0, 5, 6, 40]), st.floats(0, 1)), min_size=20, max_size=300),
+    st.floats(LEAST, 0.99),
+)
 def test_the_worthiest_pass_first_and_about_the_part_that_is_to_pass(requests, share):
     one = gate()
     for worth, _ in requests:
@@ -173,7 +175,8 @@
     assert not one.tight and one.turned_away(now, 0.0, -5, "c", 3.0) < 0
 
 
-@pytest.mark.parametrize("worth, on", [(0.0, -MOST_STEP), (1e-300, -MOST_STEP), (1.0, 0), (2.0, 4),
-                                       (1e300, MOST_STEP)])
+@pytest.mark.parametrize(
+    "worth, on", [(0.0, -MOST_STEP), (1e-300, -MOST_STEP), (1.0, 0), (2.0, 4), (1e300, MOST_STEP)]
+)
 def test_worth_has_few_steps(worth, on):
     assert step(worth) == on
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -76,7 +76,8 @@
     st.tuples(st.just("add"), st.sampled_from("ab"), st.sampled_from([1.0, 2.0, 2.5]), st.booleans()),
     st.tuples(st.just("done"), st.integers(0, 30), st.none(), st.none()),
     st.tuples(st.just("drain"), st.integers(0, 4), st.integers(0, 4), st.none()),
-    st.tuples(st.just("worst"), st.none(), st.none(), st.none()))
+    st.tuples(st.just("worst"), st.none(), st.none(), st.none()),
+)
 
 
 @seed(13)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -280,8 +280,11 @@
 
 
 def test_a_spoilt_answer_of_the_counter_does_not_stop_the_next_call():
-    for result, elapsed, again in (("spoilt", 0.002, True), ("timeout", 0.002, True),
-                                   ("timeout", 0.05, False)):
+    for result, elapsed, again in (
+        ("spoilt", 0.002, True),
+        ("timeout", 0.002, True),
+        ("timeout", 0.05, False),
+    ):
         w = World(settings(plans=[plan(rate=2.0, burst=8.0)]))
         w.mode = "hold"
         calls = []
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -227,7 +227,9 @@
     w.now += 1000.0
 
     def passed(n, **kw):
-        sent = [s for _ in range(n) for s in of(w.ask(plan="slow", customer="big", spread=1)[1], messages.Send)]
+        sent = [
+            s for _ in range(n) for s in of(w.ask(plan="slow", customer="big", spread=1)[1], messages.Send)
+        ]
         for s in sent:
             w.end(s)
         return len(sent)
@@ -296,8 +298,10 @@
 
 def test_a_late_attempt_is_left_to_its_host_while_another_one_would_still_be_in_time():
     """Where usual times are hardly known, one that is only slow would have its work done twice."""
-    w = World(settings(plans=[BIG], gateways=200, limits=dict(second_copies=False)),
-              [host(f"h{n}") for n in range(30)])
+    w = World(
+        settings(plans=[BIG], gateways=200, limits=dict(second_copies=False)),
+        [host(f"h{n}") for n in range(30)],
+    )
     for _ in range(40):
         for send in of(w.ask(cls="read")[1], messages.Send):
             w.end(send, elapsed=0.05)
--- a/tests/test_reserved.py
+++ b/tests/test_reserved.py
@@ -103,7 +103,9 @@
             for w in worlds:
                 w.now = now
             w, units = rng.choice(worlds), rng.choice([1.0, 1.0, 2.0])
-            kind = rng.choice([messages.Check, messages.Reserve, messages.Reserve, messages.Request, messages.Paid])
+            kind = rng.choice(
+                [messages.Check, messages.Reserve, messages.Reserve, messages.Request, messages.Paid]
+            )
             if kind is messages.Paid:
                 if not purses:
                     continue
@@ -136,8 +138,10 @@
 @pytest.mark.parametrize("gateways", [1, 3])
 def test_a_limit_of_its_own_is_held_over_all_gateways_and_spends_nothing_of_the_plan(gateways):
     own = plan(rate=0.5, burst=4.0)
-    worlds = [World(module_settings(plans=[plan(rate=1.0, burst=30.0)], gateways=gateways, index=n), HOSTS,
-                    seed=n) for n in range(gateways)]
+    worlds = [
+        World(module_settings(plans=[plan(rate=1.0, burst=30.0)], gateways=gateways, index=n), HOSTS, seed=n)
+        for n in range(gateways)
+    ]
     totals = {}
     for w in worlds:
         w.counts = totals
@@ -146,13 +150,18 @@
         told = ask(worlds[n % gateways], messages.Limited, "c/4/8", spread=gateways, limit=own)
         passed += isinstance(told, messages.Granted)
     assert 3 <= passed <= 6  # one that is new stands in the middle of a window
-    assert sum(isinstance(ask(worlds[0], messages.Check, spread=gateways), messages.Granted) for _ in range(10)) == 10
+    assert (
+        sum(isinstance(ask(worlds[0], messages.Check, spread=gateways), messages.Granted) for _ in range(10))
+        == 10
+    )
 
 
 def test_a_limit_into_which_nothing_fits():
     w = world()
     none = plan(rate=1e-9, burst=1e-9)
-    assert not any(isinstance(ask(w, messages.Limited, "c/0/1", limit=none), messages.Granted) for _ in range(5))
+    assert not any(
+        isinstance(ask(w, messages.Limited, "c/0/1", limit=none), messages.Granted) for _ in range(5)
+    )
     assert isinstance(ask(w, messages.Limited, "c/0/1", units=0.0, limit=none), messages.Granted)
     assert isinstance(ask(w, messages.Check), messages.Granted)
 
@@ -164,8 +173,17 @@
 
 @seed(14)
 @settings(max_examples=200, deadline=None, database=None)
-@given(st.lists(st.tuples(st.sampled_from([messages.Check, messages.Reserve, messages.Request, messages.Paid, "back", "wait"]),
-                          st.sampled_from([0.0, 0.5, 1.0, 3.0])), max_size=60))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(
+                [messages.Check, messages.Reserve, messages.Request, messages.Paid, "back", "wait"]
+            ),
+            st.sampled_from([0.0, 0.5, 1.0, 3.0]),
+        ),
+        max_size=60,
+    )
+)
 def test_both_stores_are_those_of_a_plain_account(steps):
     """The gap between them, kept as one figure, against two stores that are kept apart."""
     w = world([plan(rate=100.0, burst=200.0, ceiling_rate=100.0, ceiling_burst=200.0)])
--- a/tests/tools/test_demo.py
+++ b/tests/tools/test_demo.py
@@ -14,21 +14,41 @@
 @pytest.mark.parametrize("source", ["discovery", "eureka"])
 def test_the_demo_ends_by_itself_with_the_rules_kept(source):
     arguments = ["demo", "--seconds", "6", "--registry", source]
-    ended = subprocess.run([sys.executable, "-B", "-m", "apigateway", *arguments], cwd=ROOT,
-                           capture_output=True, text=True, timeout=120)
+    ended = subprocess.run(
+        [sys.executable, "-B", "-m", "apigateway", *arguments],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=120,
+    )
     assert ended.returncode == 0, ended.stdout + ended.stderr
-    for text in ("falls silent", "drains", "is killed", "returns", "comes back, cold", "no request lost",
-                 "kept"):
+    for text in (
+        "falls silent",
+        "drains",
+        "is killed",
+        "returns",
+        "comes back, cold",
+        "no request lost",
+        "kept",
+    ):
         assert text in ended.stdout
     assert "BROKEN" not in ended.stdout
 
 
 def test_with_the_rate_limit_service_both_spend_of_one_ceiling():
-    ended = subprocess.run([sys.executable, "-B", "-m", "apigateway", "demo", "--seconds", "6", "--grpc"],
-                           cwd=ROOT, capture_output=True, text=True, timeout=120)
+    ended = subprocess.run(
+        [sys.executable, "-B", "-m", "apigateway", "demo", "--seconds", "6", "--grpc"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=120,
+    )
     assert ended.returncode == 0, ended.stdout + ended.stderr
-    rows = {row.split("│")[1].strip(): row.split("│")[2].strip()
-            for row in ended.stdout.splitlines() if row.count("│") == 3}
+    rows = {
+        row.split("│")[1].strip(): row.split("│")[2].strip()
+        for row in ended.stdout.splitlines()
+        if row.count("│") == 3
+    }
     assert int(rows["ok"]) > 20 and int(rows["over"]) > 0
     held = [text for name, text in rows.items() if name.startswith("ceiling of")]
     assert len(held) == 3 and all("left at the least" in text for text in held)
