--- a/apigateway/membership/discovery.py
+++ b/apigateway/membership/discovery.py
@@ -152,10 +152,8 @@
                 self.pacer.on_answer()
                 is_listed = True
             elif result is CallResult.REJECTED and self.schedule.is_polled:
-                self.pacer.on_rejection()
                 await asyncio.sleep(self.pacer.next_backoff())
             else:
-                self.pacer.on_failure()
                 if not is_listed:
                     await asyncio.sleep(self.pacer.next_backoff())
                 is_listed = False
--- a/apigateway/membership/watch_schedule.py
+++ b/apigateway/membership/watch_schedule.py
@@ -5,11 +5,11 @@
 * An agent beside this gateway, which discovery pushes to. What the agent knows counts as known here, whether
   or not a watch was open. The times of a watch that dies therefore add up to less than the drain grace, and a
   call that the agent has not answered at once will never be answered.
-* One service that all gateways poll. A change counts as known once the service has written it here; where a
-  watch fell silent, 6 s after that or 2 s after the time for which it could be held, if that is later. Each
-  call is work for the service: it may answer up to two seconds late, and it rejects what it has no capacity
-  for. So watches are held for long, an answer that is on its way is not abandoned, and a rejected
-  call backs off. After a rejection watches are held for longer: that takes load off the service.
+* One service that all gateways poll. A change counts as known once the service has written it here, and 6 s
+  after a watch fell silent or the service rejected a call at the latest. A new watch and a complete list are
+  work for the service, a watch that goes on is none. It may answer up to two seconds late, and it rejects the
+  calls that it has no capacity for, which is some work as well. So watches are held for long, an answer that
+  is on its way is not abandoned, and rejected calls back off, yet not so far that others always come first.
 """
 
 from __future__ import annotations
@@ -22,14 +22,10 @@
 AGENT_FIRST_BACKOFF_S = 0.05
 POLLED_CALL_TIMEOUT_S = 2.5  # the service's own limit is 2 s, and the answer has to travel
 POLLED_FIRST_BACKOFF_S = 0.1
-POLLED_MAX_BACKOFF_S = 2.0
-POLLED_MAX_REJECTION_BACKOFF_S = 8.0  # in which such a service can take a call of every gateway
+POLLED_MAX_BACKOFF_S = 1.0
 POLLED_WAIT_S = 3.5  # with the delay below and 2 s for a second call, the 6 s of a silent watch
-POLLED_MAX_WAIT_S = 16.0
 POLLED_OVERDUE_S = 0.5
 POLLED_JITTER = 0.25
-WAIT_GROWTH = 1.5  # of a watch, by each call that the service rejected
-WAIT_RECOVERY_S = 0.25  # by which it shrinks with each watch that was answered
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,14 +34,12 @@
 
     is_polled: bool  # one service for all gateways, which rejects calls that it has no capacity for
     wait: float  # that discovery may hold a watch open
-    max_wait: float  # to which that grows while discovery rejects calls
     overdue: float  # past the wait, after which the complete list is requested
     late_answer: float  # past that, for which the watch's own answer still counts
     hedge_after: float  # without an answer, after which a second request goes out beside the first
     call_timeout: float  # of a request for the complete list
     first_backoff: float
-    max_backoff: float  # while calls are not answered
-    max_rejection_backoff: float  # while calls are rejected: rejections are work too
+    max_backoff: float
     jitter: float  # part of a wait or backoff that is random, so that gateways do not call in step
 
     @classmethod
@@ -60,14 +54,12 @@
         return cls(
             is_polled=False,
             wait=wait,
-            max_wait=wait,
             overdue=min(1.0, max(0.05, 0.2 * drain_grace)),
             late_answer=0.0,
             hedge_after=hedge_after,
             call_timeout=AGENT_CALL_TIMEOUT_S,
             first_backoff=AGENT_FIRST_BACKOFF_S,
             max_backoff=hedge_after,
-            max_rejection_backoff=hedge_after,
             jitter=0.0,
         )
 
@@ -77,14 +69,12 @@
         return cls(
             is_polled=True,
             wait=POLLED_WAIT_S,
-            max_wait=POLLED_MAX_WAIT_S,
             overdue=POLLED_OVERDUE_S,
             late_answer=POLLED_CALL_TIMEOUT_S - POLLED_OVERDUE_S,
             hedge_after=math.inf,
             call_timeout=POLLED_CALL_TIMEOUT_S,
             first_backoff=POLLED_FIRST_BACKOFF_S,
             max_backoff=POLLED_MAX_BACKOFF_S,
-            max_rejection_backoff=POLLED_MAX_REJECTION_BACKOFF_S,
             jitter=POLLED_JITTER,
         )
 
@@ -95,32 +85,20 @@
     def __init__(self, schedule: WatchSchedule, rng: random.Random) -> None:
         self._schedule = schedule
         self._rng = rng
-        self._wait = schedule.wait
         self._backoff = schedule.first_backoff
-        self._max_backoff = schedule.max_backoff
 
     def on_answer(self) -> None:
-        """A call was answered."""
+        """A call was answered: the next failure is the first one again."""
         self._backoff = self._schedule.first_backoff
-        self._wait = max(self._schedule.wait, self._wait - WAIT_RECOVERY_S)
-
-    def on_rejection(self) -> None:
-        """A call was rejected for want of capacity."""
-        self._wait = min(self._schedule.max_wait, self._wait * WAIT_GROWTH)
-        self._max_backoff = self._schedule.max_rejection_backoff
-
-    def on_failure(self) -> None:
-        """A call was not answered, or not with a list."""
-        self._max_backoff = self._schedule.max_backoff
 
     def next_wait(self) -> float:
         """Return how long the next watch may be held."""
-        return self._spread(self._wait)
+        return self._spread(self._schedule.wait)
 
     def next_backoff(self) -> float:
         """Return how long to wait before the next retry; twice as long each time, up to a limit."""
-        backoff = min(self._backoff, max(self._schedule.first_backoff, self._max_backoff))
-        self._backoff = 2 * backoff
+        backoff = self._backoff
+        self._backoff = min(max(self._schedule.first_backoff, self._schedule.max_backoff), 2 * backoff)
         return self._spread(backoff)
 
     def _spread(self, seconds: float) -> float:
