--- a/apigateway/adapter.py
+++ b/apigateway/adapter.py
@@ -52,72 +52,72 @@
     return read_report(pair.split(":", 1) for pair in f.get("server_stats", "").split(",") if ":" in pair)
 
 
-def _host(f: dict[str, str]) -> messages.Host:
-    return messages.Host(
+def _host(f: dict[str, str]) -> messages.Endpoint:
+    return messages.Endpoint(
         id=f["host"],
         zone=f.get("zone", ""),
         cell=int(f.get("unit_group", 0)),
         weight=float(f.get("heft", 1)),
         kind=f.get("flavor", ""),
         state=STATE[f["availability"]],
-        started=seconds(f.get("ready_at", "0")),
+        started_at=seconds(f.get("ready_at", "0")),
     )
 
 
 def _work_item(f: dict[str, str]) -> messages.Request:
     marks = int(f.get("marks", 0))
     return messages.Request(
-        id=f["txn"],
-        left=seconds(f["patience_left"]),
+        request_id=f["txn"],
+        remaining=seconds(f["patience_left"]),
         customer=f["customer"],
         plan=f["tier"],
-        cls=f["type"],
+        service_class=f["type"],
         units=float(f["cost_units"]),
-        first=int(float(f.get("first", 0))),
-        spread=int(float(f["n_entries"])),
-        repeat=bool(marks & 2),
-        write=bool(marks & 4),
+        first_gateway=int(float(f.get("first", 0))),
+        gateway_spread=int(float(f["n_entries"])),
+        is_retry=bool(marks & 2),
+        is_write=bool(marks & 4),
     )
 
 
-def _outcome(f: dict[str, str]) -> messages.Outcome:
-    return messages.Outcome(
-        id=f["txn"],
+def _outcome(f: dict[str, str]) -> messages.AttemptOutcome:
+    return messages.AttemptOutcome(
+        request_id=f["txn"],
         attempt=int(f["attempt"]),
-        host=f["host"],
+        endpoint_id=f["host"],
         result=RESULT[f["reason"]],
         elapsed=seconds(f.get("time_taken", "0")),
-        final=flag(f, "terminal"),
-        used=int(float(f.get("fleet_use", 0))),
-        actual=float(f.get("actual", 0)),
-        report=_stats(f),
+        is_final=flag(f, "terminal"),
+        metered_use=int(float(f.get("fleet_use", 0))),
+        actual_units=float(f.get("actual", 0)),
+        load_report=_stats(f),
     )
 
 
-def _memo(f: dict[str, str]) -> messages.Message:
-    return messages.Message(sender=int(f["from"]), data=bytes.fromhex(f["octets"].strip("-")))
+def _memo(f: dict[str, str]) -> messages.PeerMessage:
+    return messages.PeerMessage(sender=int(f["from"]), data=bytes.fromhex(f["octets"].strip("-")))
 
 
 READERS = {
     "WORK_ITEM": _work_item,
     "REPORT_BACK": _outcome,
-    "ADDED": lambda f: messages.Counted(
-        name=int(f["entry_name"]),
+    "ADDED": lambda f: messages.CounterResult(
+        counter_key=int(f["entry_name"]),
         result=RESULT[f["reason"]],
         total=float(f.get("now_at", 0)),
         elapsed=seconds(f.get("time_taken", "0")),
     ),
-    "PING_RESULT": lambda f: messages.Probed(
-        host=f["host"],
+    "PING_RESULT": lambda f: messages.HealthCheckResult(
+        endpoint_id=f["host"],
         result=RESULT[f["reason"]],
         elapsed=seconds(f.get("time_taken", "0")),
-        report=_stats(f),
+        load_report=_stats(f),
     ),
-    "DUE": lambda f: messages.Timer(label=int(f["label"])),
-    "BEGUN": lambda f: messages.Began(
-        id=f["txn"], attempt=int(f["attempt"]), host=f["host"], elapsed=seconds(f.get("time_taken", "0"))
+    "DUE": lambda f: messages.TimerExpired(label=int(f["label"])),
+    "BEGUN": lambda f: messages.StreamStarted(
+        request_id=f["txn"], attempt=int(f["attempt"]), endpoint_id=f["host"], elapsed=seconds(f.get("time_taken", "0"))
     ),
-    "DROPPED": lambda f: messages.Gone(id=f["txn"]),
+    "DROPPED": lambda f: messages.ClientDisconnected(request_id=f["txn"]),
     "MEMO": _memo,
 }
 
@@ -127,19 +127,19 @@
 
 
 WRITERS = {
-    messages.Send: lambda i, a: f"ASSIGN i={i} txn={a.id} timeout={_ns(a.timeout)} host={a.host}",
-    messages.Refuse: lambda i, a: f"DECLINE i={i} txn={a.id} hold_off={_ns(a.retry_after)}",
+    messages.ForwardRequest: lambda i, a: f"ASSIGN i={i} txn={a.id} timeout={_ns(a.timeout)} host={a.host}",
+    messages.Reject: lambda i, a: f"DECLINE i={i} txn={a.id} hold_off={_ns(a.retry_after)}",
     messages.Fail: lambda i, a: f"DROP_REQUEST i={i} txn={a.id}",
-    messages.Cancel: lambda i, a: f"REVOKE i={i} txn={a.id} attempt={a.attempt}",
-    messages.Count: lambda i, a: (
+    messages.CancelAttempt: lambda i, a: f"REVOKE i={i} txn={a.id} attempt={a.attempt}",
+    messages.AddToCounter: lambda i, a: (
         f"CHARGE_COUNTER i={i} entry_name={a.name} by={a.amount:.7g} forget_after={_ns(a.lifetime)}"
     ),
     messages.SetTimer: lambda i, a: f"AFTER i={i} sleep_for={_ns(a.delay)} label={a.label}",
-    messages.Probe: lambda i, a: f"TOUCH i={i} host={a.host}",
-    messages.Close: lambda i, a: f"RELEASE i={i} host={a.host}",
-    messages.Fetch: lambda i, a: f"PULL i={i}",
-    messages.Watch: lambda i, a: f"WATCH i={i} active={int(a.on)}",
-    messages.Log: lambda i, a: f"REMARK i={i} words={a.text}",
+    messages.CheckHealth: lambda i, a: f"TOUCH i={i} host={a.host}",
+    messages.CloseIdleConnections: lambda i, a: f"RELEASE i={i} host={a.host}",
+    messages.FetchEndpoints: lambda i, a: f"PULL i={i}",
+    messages.WatchEndpoints: lambda i, a: f"WATCH i={i} active={int(a.on)}",
+    messages.LogMessage: lambda i, a: f"REMARK i={i} words={a.text}",
 }
 
 
@@ -166,7 +166,7 @@
         self.line = line.rstrip("\r\n")
         return self.line
 
-    def _hosts(self, count: int) -> tuple[messages.Host, ...]:
+    def _hosts(self, count: int) -> tuple[messages.Endpoint, ...]:
         hosts = []
         for _ in range(count):
             line = self._next() or ""
@@ -191,10 +191,10 @@
                 self.gateways.pop(inst, None)
                 return
             elif word == "TARGETS":
-                event = messages.HostList(
+                event = messages.EndpointList(
                     mode=f["mode"],
                     version=int(f.get("index", 0)),
-                    hosts=self._hosts(int(f.get("rows_in", 0))),
+                    endpoints=self._hosts(int(f.get("rows_in", 0))),
                 )
             elif word in READERS:
                 event = READERS[word](f)
--- a/apigateway/cli/check.py
+++ b/apigateway/cli/check.py
@@ -24,9 +24,9 @@
     settings = config.settings
     listeners = ", ".join(write_address(address) for address in (config.listen, *config.more))
     source = "discovery" if config.discovery else "a registry"
-    hosts = f"{len(config.known.hosts.hosts)} hosts" if config.hosts_file else f"hosts by {source}"
+    hosts = f"{len(config.known.hosts.endpoints)} hosts" if config.hosts_file else f"hosts by {source}"
     print(
-        f"{path}: good; gateway {settings.index} of {settings.gateways} at {listeners}, "
+        f"{path}: good; gateway {settings.gateway_index} of {settings.gateway_count} at {listeners}, "
         f"classes {', '.join(settings.classes)}, plans {', '.join(settings.plans)}, {hosts}"
         + (f", plug-ins {', '.join(part.name for part in told.plugins)}" if told.plugins else "")
     )
--- a/apigateway/core/interfaces.py
+++ b/apigateway/core/interfaces.py
@@ -30,9 +30,9 @@
     """Where a check's answer goes: one of `granted`, `denied`, `refused` (no room here) and `failed`,
     once."""
 
-    def granted(self, told: messages.Granted) -> None: ...
+    def granted(self, told: messages.QuotaGranted) -> None: ...
 
-    def denied(self, told: messages.Denied) -> None: ...
+    def denied(self, told: messages.QuotaDenied) -> None: ...
 
 
 class Order(Protocol):
@@ -111,7 +111,7 @@
     """Operators' plug-ins. What they say is within the rules already; the core asks, and takes no other
     word."""
 
-    def taken(self, request: messages.Request) -> tuple[Hooked, messages.Request | messages.Barred]:
+    def taken(self, request: messages.Request) -> tuple[Hooked, messages.Request | messages.RejectedByPlugin]:
         """Before the module hears of a request: what it is to hear."""
 
 
--- a/apigateway/core/request_lifecycle.py
+++ b/apigateway/core/request_lifecycle.py
@@ -129,19 +129,19 @@
         self.feeding = self.ready = self.stopping = False
         self.done = asyncio.Event()  # stopping, and nothing is in work
         self.actions: dict[type, Callable[[Any], None]] = {
-            messages.Send: self.send,
-            messages.Refuse: self.refuse,
+            messages.ForwardRequest: self.send,
+            messages.Reject: self.refuse,
             messages.Fail: self.fail,
-            messages.Cancel: self.cancel,
-            messages.Granted: self.granted,
-            messages.Denied: self.denied,
-            messages.Count: self.count,
+            messages.CancelAttempt: self.cancel,
+            messages.QuotaGranted: self.granted,
+            messages.QuotaDenied: self.denied,
+            messages.AddToCounter: self.count,
             messages.SetTimer: self.set_timer,
-            messages.Probe: self.probe,
-            messages.Close: lambda a: self.hosts.close_idle(a.host),
-            messages.Fetch: lambda _: self.fetch(),
-            messages.Watch: lambda a: self.watch(a.on),
-            messages.Log: lambda a: log.info("module: %s", a.text),
+            messages.CheckHealth: self.probe,
+            messages.CloseIdleConnections: lambda a: self.hosts.close_idle(a.host),
+            messages.FetchEndpoints: lambda _: self.fetch(),
+            messages.WatchEndpoints: lambda a: self.watch(a.on),
+            messages.LogMessage: lambda a: log.info("module: %s", a.text),
         }
 
     # Fronts
@@ -158,14 +158,14 @@
     def take(self, front: object, request: messages.Request, order: Order, place: Place) -> None:
         """From here on `place` gets exactly one answer, at once where there is no room. `request.left` is how
         long its client waits, less WAY_BACK. Raises InWork, and then nothing was taken."""
-        if request.id in self.works:
+        if request.request_id in self.works:
             raise InWork
         room = self.open.free(front) > 0 and self.held.free(front) >= 0
         mark = -1
-        if self.marks is not None and request.write:  # first: a refusal says that it has not run
-            if not room and self.marks.held(request.id):
+        if self.marks is not None and request.is_write:  # first: a refusal says that it has not run
+            if not room and self.marks.held(request.request_id):
                 raise InWork
-            mark = self.marks.mark(request.id, request.left + WAY_BACK) if room else -2
+            mark = self.marks.mark(request.request_id, request.remaining + WAY_BACK) if room else -2
             if mark == -1:
                 raise InWork
             if mark < 0:
@@ -174,10 +174,10 @@
         elif not room:
             place.refused(0.0)
             return
-        work = Work(request.id, place, order, front, time.monotonic() + request.left)
+        work = Work(request.request_id, place, order, front, time.monotonic() + request.remaining)
         work.mark, work.customer = mark, request.customer
         place.token = work
-        self.works[request.id] = work
+        self.works[request.request_id] = work
         self.open.take(front, 1)
         self.held.take(front, order.size)
         if order is NOTHING:
@@ -192,15 +192,15 @@
             left = work.deadline + WAY_BACK - GUARD - time.monotonic()
             work.guard = self.loop.call_later(max(0.0, left), self.overdue, work)
 
-    def check(self, front: object, check: messages.Check, place: CheckPlace) -> None:
+    def check(self, front: object, check: messages.QuotaCheck, place: CheckPlace) -> None:
         """As `take`, for units that no host is asked for. Neither plug-ins nor an outer service are asked
         about it."""
         self.take(front, check, NOTHING, place)
 
-    def give_back(self, check: messages.Check, told: messages.Granted) -> None:
+    def give_back(self, check: messages.QuotaCheck, told: messages.QuotaGranted) -> None:
         """What a check was granted was not used: another of the same question was denied."""
-        kind = messages.Unreserve if isinstance(check, messages.Reserve) else messages.GiveBack
-        self.feed(kind(check.customer, check.units, told.window))
+        kind = messages.ReturnReservation if isinstance(check, messages.QuotaReservation) else messages.ReturnUnits
+        self.feed(kind(check.customer, check.units, told.window_index))
 
     def ask(self, outer: Outer, work: Work, request: messages.Request) -> None:
         """The module hears of it once the outer service has let it pass, or has failed to say anything and
@@ -212,12 +212,12 @@
                 return
             if go_on:
                 left = work.deadline - time.monotonic()
-                self.feed(replace(request, left=left))
+                self.feed(replace(request, remaining=left))
             else:
-                self.feed(messages.Barred(work.id, wait))
+                self.feed(messages.RejectedByPlugin(work.id, wait))
 
         try:
-            work.asked = outer.ask(request, request.left, decided)
+            work.asked = outer.ask(request, request.remaining, decided)
         except Exception:  # one that raises has said nothing
             log.exception("request %s: the outer service could not be asked", work.id)
             if not work.over:
@@ -229,7 +229,7 @@
 
     def asked(
         self, hooks: Hooks, work: Work, request: messages.Request
-    ) -> messages.Request | messages.Barred:
+    ) -> messages.Request | messages.RejectedByPlugin:
         """What the plug-ins make of a request; the request itself where they raise."""
         try:
             work.hooked, event = hooks.taken(request)
@@ -243,14 +243,14 @@
         work = place.token
         if work is not None and not work.over:
             self.finish(work, "gone")
-            self.feed(messages.Gone(work.id))
+            self.feed(messages.ClientDisconnected(work.id))
 
     # Events
 
     def feed(self, event: messages.Event) -> None:
         """Hands events over one after another: what an action causes at once waits its turn. But the end of a
         request goes before all that waits, so that nothing is decided for it any more."""
-        if isinstance(event, messages.Gone):
+        if isinstance(event, messages.ClientDisconnected):
             self.events.appendleft(event)
         else:
             self.events.append(event)
@@ -269,10 +269,10 @@
         except Exception:  # one request must not take the others along
             log.exception("the module failed on %s", type(event).__name__)
             if (
-                isinstance(event, messages.Request | messages.Barred | messages.Outcome)
-                and event.id in self.works
+                isinstance(event, messages.Request | messages.RejectedByPlugin | messages.AttemptOutcome)
+                and event.request_id in self.works
             ):
-                self.abandon(self.works[event.id])
+                self.abandon(self.works[event.request_id])
             return
         for action in actions:
             try:
@@ -285,7 +285,7 @@
         self.finish(work, "failed")
         for attempt in list(work.live.values()):
             self.hosts.give_up(attempt, "cancelled")
-        self.feed(messages.Gone(work.id))
+        self.feed(messages.ClientDisconnected(work.id))
 
     def overdue(self, work: Work) -> None:
         """Guards the client's deadline against a module that says nothing."""
@@ -330,21 +330,21 @@
 
     # Membership
 
-    def listed(self, hosts: messages.HostList, addresses: Addresses) -> None:
+    def listed(self, hosts: messages.EndpointList, addresses: Addresses) -> None:
         """The module hears of it between new hosts and those that go: what ends with a host that goes is then
         not sent there once more."""
-        up = {h.id for h in hosts.hosts if h.state == "up"}
+        up = {h.id for h in hosts.endpoints if h.state == "up"}
         for host in up & addresses.keys():
             self.hosts.listed(host, addresses[host])
         self.feed(hosts)
-        named = {h.id for h in hosts.hosts}
+        named = {h.id for h in hosts.endpoints}
         for host in (named if hosts.mode == "delta" else named | self.hosts.known()) - up:
             self.hosts.listed(host, None)
         self.ready = self.ready or bool(self.hosts.known())
 
     def list_failed(self) -> None:
-        if self.settings.discovery == "ask" and self.membership is not None:
-            self.feed(messages.HostList("failed", self.membership.version, ()))
+        if self.settings.discovery_mode == "ask" and self.membership is not None:
+            self.feed(messages.EndpointList("failed", self.membership.version, ()))
 
     def fetch(self) -> None:
         if self.membership is not None:
@@ -356,46 +356,46 @@
 
     # Actions
 
-    def refuse(self, action: messages.Refuse) -> None:
-        work = self.works.get(action.id)
+    def refuse(self, action: messages.Reject) -> None:
+        work = self.works.get(action.request_id)
         if work is not None:
             if self.door is not None and action.retry_after > 0:
                 self.door.told(work.customer, action.retry_after)
             self.finish(work, "refused", action.retry_after)
 
     def fail(self, action: messages.Fail) -> None:
-        work = self.works.get(action.id)
+        work = self.works.get(action.request_id)
         if work is not None:
             self.finish(work, "failed")
 
-    def granted(self, action: messages.Granted) -> None:
-        work = self.works.get(action.id)
+    def granted(self, action: messages.QuotaGranted) -> None:
+        work = self.works.get(action.request_id)
         if work is not None:
             self.finish(work, "granted", action)
 
-    def denied(self, action: messages.Denied) -> None:
-        work = self.works.get(action.id)
+    def denied(self, action: messages.QuotaDenied) -> None:
+        work = self.works.get(action.request_id)
         if work is not None:
             if self.door is not None and action.retry_after > 0:
                 self.door.told(work.customer, action.retry_after)
             self.finish(work, "denied", action)
 
-    def send(self, action: messages.Send) -> None:
-        work = self.works.get(action.id)
+    def send(self, action: messages.ForwardRequest) -> None:
+        work = self.works.get(action.request_id)
         if work is None:
             return
         number, left = work.sends, work.deadline - time.monotonic()
         work.sends += 1
         limits = self.settings.limits
         # Over: its end crossed this. The module is told, or it would count one out at that host for good.
-        unable = work.over or number >= limits.max_attempts or (work.live and not limits.second_copies)
+        unable = work.over or number >= limits.max_attempts or (work.live and not limits.can_hedge)
         if work.hooked is not None and left > 0 and not unable:
-            left = self.told(work, action.host)
+            left = self.told(work, action.endpoint_id)
         if left <= 0 or unable:
-            self.feed(messages.Outcome(work.id, number, action.host, "moot", 0.0, work.over))
+            self.feed(messages.AttemptOutcome(work.id, number, action.endpoint_id, "moot", 0.0, work.over))
             return
         wait = min(left, action.timeout) if action.timeout > 0 else left
-        attempt = self.hosts.attempt(action.host, work.order.payload(wait), self.attempt_done, (work, number))
+        attempt = self.hosts.attempt(action.endpoint_id, work.order.payload(wait), self.attempt_done, (work, number))
         work.live[number] = attempt
         self.hosts.send(attempt, wait)
 
@@ -418,37 +418,37 @@
             self.finish(work, "served", attempt.value)
         self.forget(work)
         self.feed(
-            messages.Outcome(
+            messages.AttemptOutcome(
                 work.id,
                 number,
                 attempt.host,
                 result,
                 attempt.elapsed(),
                 work.over,
-                used=attempt.used,
-                report=attempt.report,
+                metered_use=attempt.used,
+                load_report=attempt.report,
             )
         )
 
-    def cancel(self, action: messages.Cancel) -> None:
-        work = self.works.get(action.id)
+    def cancel(self, action: messages.CancelAttempt) -> None:
+        work = self.works.get(action.request_id)
         if work is not None and action.attempt in work.live:
             self.hosts.give_up(work.live[action.attempt], "cancelled")
 
-    def probe(self, action: messages.Probe) -> None:
-        self.hosts.probe(action.host, self.probed)
+    def probe(self, action: messages.CheckHealth) -> None:
+        self.hosts.probe(action.endpoint_id, self.probed)
 
     def probed(self, attempt: Attempt) -> None:
-        self.feed(messages.Probed(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
+        self.feed(messages.HealthCheckResult(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
 
-    def count(self, action: messages.Count) -> None:
+    def count(self, action: messages.AddToCounter) -> None:
         if self.counter is None:
-            self.loop.call_soon(self.counted, action.name, "connect_failed", 0.0, 0.0)
+            self.loop.call_soon(self.counted, action.counter_key, "connect_failed", 0.0, 0.0)
         else:
-            self.counter.add(action.name, action.amount, action.lifetime, self.counted)
+            self.counter.add(action.counter_key, action.amount, action.lifetime, self.counted)
 
     def counted(self, name: int, result: str, total: float, elapsed: float) -> None:
-        self.feed(messages.Counted(name, result, total, elapsed))
+        self.feed(messages.CounterResult(name, result, total, elapsed))
 
     def set_timer(self, action: messages.SetTimer) -> None:
         self.loop.call_later(action.delay, self.due, action.label, self.clock() + action.delay)
@@ -460,7 +460,7 @@
         if left > 0:
             self.loop.call_later(left + 0.001, self.due, label, at)
         else:
-            self.feed(messages.Timer(label))
+            self.feed(messages.TimerExpired(label))
 
     # The end
 
--- a/apigateway/daemon/config.py
+++ b/apigateway/daemon/config.py
@@ -68,7 +68,7 @@
         limits = tree["limits"]
         settings = read_settings(tree)
         counter = told.get("counter")
-        if settings.counter and not counter:
+        if settings.has_counter and not counter:
             raise ValueError("the settings allow a counter but no address is given")
         return Config(
             name=env.get("RELAY_NAME") or told["name"],
--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -129,7 +129,7 @@
         from apigateway.policy.overload_gate import Gate
 
         limits = config.settings.limits
-        terms = (*config.overload, limits.max_retry_after if limits.retry_after else 0.0)
+        terms = (*config.overload, limits.max_retry_after if limits.can_tell_retry_after else 0.0)
         if self.gate is None:
             self.gate = Gate(*terms, config.seed)
         self.gate.set(*terms)
@@ -164,7 +164,7 @@
                 self.core.clock,
                 belief=belief,
             )
-        if config.settings.discovery == "ask":
+        if config.settings.discovery_mode == "ask":
             schedule = WatchSchedule.for_polled_service()
         else:
             schedule = WatchSchedule.for_agent(config.settings.rules.drain_grace)
@@ -177,7 +177,7 @@
 
     def listed(self, listing: Listing) -> None:
         self.listed_at = time.monotonic()
-        if self.core.ready and listing.hosts.mode == "delta" and not listing.hosts.hosts:
+        if self.core.ready and listing.hosts.mode == "delta" and not listing.hosts.endpoints:
             return  # a watch that ended with no news
         self.listing = merged(self.listing, listing)
         self.core.listed(listing.hosts, listing.addresses)
@@ -186,8 +186,8 @@
 
     def leave(self, zones: tuple[str, ...]) -> None:
         """Nothing new goes to hosts of these zones from now on, as long as there are others."""
-        self.core.feed(messages.Leave(zones))
-        known = {host.zone for host in self.listing.hosts.hosts}
+        self.core.feed(messages.EvacuateZones(zones))
+        known = {host.zone for host in self.listing.hosts.endpoints}
         if known and known <= set(zones):
             log.warning("sites.leave names all zones of the list (%s): none is left", " ".join(sorted(known)))
         else:
@@ -202,7 +202,7 @@
         self.hosts.start_checks()
         if self.counter:
             self.counter.start()
-        if self.core.settings.discovery == "push":
+        if self.core.settings.discovery_mode == "push":
             self.discovery.watch(True)
 
     async def listen(self, sockets: Mapping[Address, socket.socket] | None = None) -> int:
@@ -310,7 +310,7 @@
         else:
             age = time.monotonic() - self.listed_at
             hosts = [
-                described(host, self.listing.addresses.get(host.id)) for host in self.listing.hosts.hosts
+                described(host, self.listing.addresses.get(host.id)) for host in self.listing.hosts.endpoints
             ]
         from apigateway.daemon.choice import taken_for  # only who is asked needs it
 
@@ -348,11 +348,11 @@
         stores fill no further: from now on the successor's do."""
         for front in self.fronts:
             front.pause()
-        self.core.feed(messages.Retire(True))
+        self.core.feed(messages.DrainGateway(True))
 
     async def resume(self, sockets: Mapping[Address, socket.socket]) -> None:
         """The successor failed: goes on as before."""
-        self.core.feed(messages.Retire(False))
+        self.core.feed(messages.DrainGateway(False))
         await self.listen(sockets)
 
     def begin(self, listing: Listing) -> None:
@@ -361,15 +361,15 @@
         The source is asked anew, so that what was taken too badly is mended."""
         self.core.module = self.module()
         self.core.feed(replace(self.listing.hosts, mode="cached"))
-        up = {h.id for h in self.listing.hosts.hosts if h.state == "up"}
-        late = [h for h in listing.hosts.hosts if h.state != "up" and h.id in up]
+        up = {h.id for h in self.listing.hosts.endpoints if h.state == "up"}
+        late = [h for h in listing.hosts.endpoints if h.state != "up" and h.id in up]
         if not late:
             return
         judge: Judge | None = getattr(self.discovery, "judge", None)
         if judge is not None:  # through its belief, or what it tells later would not be a change
             judge.drain(h.id for h in late)
         else:
-            self.listed(Listing(messages.HostList("delta", self.listing.hosts.version, tuple(late)), {}))
+            self.listed(Listing(messages.EndpointList("delta", self.listing.hosts.version, tuple(late)), {}))
         self.discovery.fetch()
 
     # The end
@@ -438,7 +438,7 @@
 
 
 def described(
-    host: messages.Host, address: Address | None, doubt: str = "", since: float | None = None
+    host: messages.Endpoint, address: Address | None, doubt: str = "", since: float | None = None
 ) -> dict[str, Any]:
     return {
         "id": host.id,
@@ -456,10 +456,10 @@
     """The whole list after `new`, which may be a delta."""
     if new.hosts.mode != "delta":
         return new
-    hosts = {h.id: h for h in old.hosts.hosts} | {h.id: h for h in new.hosts.hosts}
+    hosts = {h.id: h for h in old.hosts.endpoints} | {h.id: h for h in new.hosts.endpoints}
     kept = tuple(h for h in hosts.values() if h.state != "down")
     addresses = {**old.addresses, **new.addresses}
     return Listing(
-        messages.HostList("full", new.hosts.version, kept),
+        messages.EndpointList("full", new.hosts.version, kept),
         {h.id: addresses[h.id] for h in kept if h.id in addresses},
     )
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -109,7 +109,7 @@
     if not wanted(settings):
         return None
     files, part, module = Files(path), settings.ratelimit, config.settings
-    mapping = mapping_of(part, module.plans, module.classes, module.gateways, config.span)  # checked at load
+    mapping = mapping_of(part, module.plans, module.classes, module.gateway_count, config.span)  # checked at load
     keys = read_keys(files, part.token_keys)
     context = server_context(files, part) if serves(settings) else None
     asked = to_asked(files, settings)
@@ -235,7 +235,7 @@
         if built.keys is None:
             self.tokens = None
         elif self.tokens is None:
-            used = Redeemed(settings.index, node.config.span, part.max_tokens)
+            used = Redeemed(settings.gateway_index, node.config.span, part.max_tokens)
             self.tokens = Tokens(built.keys, used, part.token_time, time.time, os.urandom)
         else:  # what was used is remembered past a rotation
             self.tokens.keys, self.tokens.seconds = built.keys, part.token_time
--- a/apigateway/daemon/settings.py
+++ b/apigateway/daemon/settings.py
@@ -539,7 +539,7 @@
 def to_config(path: str, told: Settings, span: int = 1) -> Config:
     """Reads the file of hosts too, if they come from one. `span`: gateways that clients know as one. Raises
     checked.Faulty."""
-    known, file = Listing(messages.HostList("cached", 0, ()), {}), None
+    known, file = Listing(messages.EndpointList("cached", 0, ()), {}), None
     if told.hosts.source == "file":
         file = os.path.join(os.path.dirname(os.path.abspath(path)), told.hosts.file)
         known = read_hosts(file, "cached")
@@ -624,8 +624,8 @@
     """What the decision module is told."""
     limits, rules = told.limits, told.rules
     return messages.Settings(
-        index=told.gateway.index,
-        gateways=told.gateway.gateways,
+        gateway_index=told.gateway.index,
+        gateway_count=told.gateway.gateways,
         zone=told.gateway.zone,
         classes={
             name: messages.ServiceClass(
@@ -668,16 +668,16 @@
             0.0,
         ),
         prices={"cross_zone": told.hosts.cross_zone},
-        counter=bool(told.counter.address),
+        has_counter=bool(told.counter.address),
         counter_price=told.counter.price,
         counter_timeout=told.counter.timeout,
         meter_period=0.0,
-        settles=False,
-        most_units=limits.max_units,
-        discovery="push",
-        reports=tuple(told.hosts.reports),
-        weights="none",
-        most_accounts=limits.max_customers or room_for_customers(limits),
+        settles_units=False,
+        max_units=limits.max_units,
+        discovery_mode="push",
+        load_report_fields=tuple(told.hosts.reports),
+        weight_meaning="none",
+        max_customers=limits.max_customers or room_for_customers(limits),
         routes={name: messages.Route(name, tuple(r.kinds), r.fallback) for name, r in told.routes.items()},
     )
 
--- a/apigateway/external_ratelimit/outer.py
+++ b/apigateway/external_ratelimit/outer.py
@@ -92,7 +92,7 @@
     # core.ports.Outer
 
     def wanted(self, request: messages.Request) -> bool:
-        return self.choice.wanted(request.plan, request.cls)
+        return self.choice.wanted(request.plan, request.service_class)
 
     def ask(self, request: messages.Request, left: float, decided: Decided) -> Waiting | None:
         """`decided` is called once, and never before this returned, unless it is called off. None: nobody is
@@ -143,7 +143,7 @@
         values = {
             "customer": one.customer,
             "plan": one.plan,
-            "class": one.cls,
+            "class": one.service_class,
             "units": f"{one.units:g}",
             "gateway": self.gateway,
         }
@@ -231,7 +231,7 @@
     try:
         waiting.decided(go_on, wait)
     except Exception:  # one request must not take those of its batch along
-        log.exception("request %s: what it was told could not be taken", waiting.request.id)
+        log.exception("request %s: what it was told could not be taken", waiting.request.request_id)
 
 
 def hits(request: messages.Request) -> int:
--- a/apigateway/frontends/grpc/service.py
+++ b/apigateway/frontends/grpc/service.py
@@ -80,7 +80,7 @@
     rate = hits / seconds if hits else NONE
     burst = max(1.0, min(hits, rate * COUNTED_FOR)) if hits else NONE
     return replace(
-        plan, rate=rate, burst=burst, open_limit=0, ceiling_rate=0.0, ceiling_burst=0.0, ceiling_slack=0.0
+        plan, rate=rate, burst=burst, concurrency_limit=0, ceiling_rate=0.0, ceiling_burst=0.0, ceiling_slack=0.0
     )
 
 
@@ -89,19 +89,19 @@
 
     __slots__ = ("question", "token", "check", "plan", "worth", "told")
 
-    def __init__(self, question: Question, check: messages.Check, plan: messages.Plan, worth: float) -> None:
+    def __init__(self, question: Question, check: messages.QuotaCheck, plan: messages.Plan, worth: float) -> None:
         self.question, self.check, self.plan, self.worth = question, check, plan, worth
         self.token: Any = None
-        self.told: messages.Granted | messages.Denied | str | None = None
+        self.told: messages.QuotaGranted | messages.QuotaDenied | str | None = None
 
-    def answer(self, told: messages.Granted | messages.Denied | str) -> None:
+    def answer(self, told: messages.QuotaGranted | messages.QuotaDenied | str) -> None:
         self.told = told
         self.question.one_more()
 
-    def granted(self, told: messages.Granted) -> None:
+    def granted(self, told: messages.QuotaGranted) -> None:
         self.answer(told)
 
-    def denied(self, told: messages.Denied) -> None:
+    def denied(self, told: messages.QuotaDenied) -> None:
         self.answer(told)
 
     def refused(self, wait: float) -> None:
@@ -115,9 +115,9 @@
 
     @property
     def code(self) -> Code:
-        if isinstance(self.told, messages.Granted):
+        if isinstance(self.told, messages.QuotaGranted):
             return OK
-        return OVER if isinstance(self.told, messages.Denied) and self.told.over else UNKNOWN
+        return OVER if isinstance(self.told, messages.QuotaDenied) and self.told.is_over_quota else UNKNOWN
 
 
 class Question:
@@ -161,7 +161,7 @@
     def give_back(self) -> None:
         for parts in self.parts:
             for part in parts:
-                if isinstance(part.told, messages.Granted):
+                if isinstance(part.told, messages.QuotaGranted):
                     self.service.core.give_back(part.check, part.told)
 
     def tell(self) -> None:
@@ -197,7 +197,7 @@
                 part.told.retry_after
                 for parts in self.parts
                 for part in parts
-                if isinstance(part.told, messages.Denied) and part.told.over
+                if isinstance(part.told, messages.QuotaDenied) and part.told.is_over_quota
             ]
             if waits and max(waits) > 0:
                 response.response_headers_to_add.add(key=WAIT_HEADER, value=str(math.ceil(max(waits) * 1000)))
@@ -209,8 +209,8 @@
         given = []
         for parts in self.parts:
             check = parts[-1].check if parts else None
-            if isinstance(check, messages.Reserve) and check.units > 0:
-                given.append(tokens.give(Purpose(check.customer, check.plan, check.cls, check.units)))
+            if isinstance(check, messages.QuotaReservation) and check.units > 0:
+                given.append(tokens.give(Purpose(check.customer, check.plan, check.service_class, check.units)))
                 response.response_headers_to_add.add(key=TOKEN_HEADER, value=given[-1])
             else:
                 given.append("")
@@ -223,10 +223,10 @@
 
 def describe(status: Any, parts: tuple[Part, ...]) -> None:
     """The limit that leaves least, of those that a descriptor was checked by."""
-    least: tuple[float, Part, messages.Granted | messages.Denied] | None = None
+    least: tuple[float, Part, messages.QuotaGranted | messages.QuotaDenied] | None = None
     for part in parts:
         told = part.told
-        if part.plan.rate and isinstance(told, messages.Granted | messages.Denied):
+        if part.plan.rate and isinstance(told, messages.QuotaGranted | messages.QuotaDenied):
             left = told.remaining / part.worth
             if least is None or left < least[0]:
                 least = left, part, told
@@ -234,9 +234,9 @@
         left, part, told = least
         status.current_limit.CopyFrom(limit_told(part.plan))
         status.limit_remaining = min(MOST_HITS, math.floor(left))
-        whole = max(0, math.floor(told.reset))
+        whole = max(0, math.floor(told.reset_after))
         status.duration_until_reset.seconds = whole
-        status.duration_until_reset.nanos = max(0, int((told.reset - whole) * 1e9))
+        status.duration_until_reset.nanos = max(0, int((told.reset_after - whole) * 1e9))
 
 
 class RateLimit:
@@ -282,12 +282,12 @@
                 question.parts.append(())
                 continue
             settings = self.core.settings
-            if (settings.index - whose.first) % settings.gateways >= whose.spread:
+            if (settings.gateway_index - whose.first) % settings.gateway_count >= whose.spread:
                 # It has no part of that customer's quota and ceiling to spend.
                 self.no(
                     failed,
                     FAILED_PRECONDITION,
-                    f"this gateway, {settings.index}, is none of the "
+                    f"this gateway, {settings.gateway_index}, is none of the "
                     f"{whose.spread} from {whose.first} of that customer",
                 )
                 return None
@@ -318,7 +318,7 @@
         failed(status, text)
 
     def part(self, question: Question, whose: Whose, left: float, hits: int) -> Part:
-        kind = messages.Reserve if whose.token and self.terms.tokens is not None else messages.Check
+        kind = messages.QuotaReservation if whose.token and self.terms.tokens is not None else messages.QuotaCheck
         check = kind(
             next(self.ids),
             left,
@@ -337,7 +337,7 @@
         """The check of a limit that the descriptor brings: a store of its own, by the same leases. It counts
         hits, whatever they are worth."""
         plan = own_plan(self.core.settings.plans[whose.plan], most, seconds)
-        check = messages.Limited(
+        check = messages.CustomLimitCheck(
             next(self.ids),
             left,
             f"{whose.customer}/{most}/{seconds}",
--- a/apigateway/frontends/resp/command.py
+++ b/apigateway/frontends/resp/command.py
@@ -149,9 +149,9 @@
     keyless = cls.effect == "keyed" and not NAME.fullmatch(fields.get(b"k", b""))
     if write == (cls.effect == "safe") or keyless:
         raise BadRequest("class does not go with this command")
-    gateways = settings.gateways // span
+    gateways = settings.gateway_count // span
     if not (
-        0 < units <= settings.most_units
+        0 < units <= settings.max_units
         and 1 <= spread <= gateways
         and first < gateways
         and left <= MOST_LEFT
--- a/apigateway/frontends/resp/front.py
+++ b/apigateway/frontends/resp/front.py
@@ -133,21 +133,21 @@
     def redeemed(self, request: messages.Request, terms: bytes, slot: Slot) -> messages.Request:
         """With a token that stands for its units it takes none; with any other it is a request as ever."""
         text = (b"," + terms).partition(b",tok=")[2].partition(b",")[0].decode("ascii", "replace")
-        purpose = (request.customer, request.plan, request.cls, request.units)
+        purpose = (request.customer, request.plan, request.service_class, request.units)
         slot.paid = self.tokens.take(text, purpose)
         if slot.paid is None:
             return request
-        return messages.Paid(
-            request.id,
-            request.left,
+        return messages.PrepaidRequest(
+            request.request_id,
+            request.remaining,
             request.customer,
             request.plan,
-            request.cls,
+            request.service_class,
             request.units,
-            request.first,
-            request.spread,
-            request.repeat,
-            request.write,
+            request.first_gateway,
+            request.gateway_spread,
+            request.is_retry,
+            request.is_write,
             request.route,
         )
 
--- a/apigateway/frontends/resp/outline.py
+++ b/apigateway/frontends/resp/outline.py
@@ -61,11 +61,11 @@
         """The same of one that was read in full."""
         return Outline(
             request.customer,
-            request.id,
-            self.worth(request.cls, request.plan, request.units),
-            request.left + WAY_BACK,
-            request.write,
+            request.request_id,
+            self.worth(request.service_class, request.plan, request.units),
+            request.remaining + WAY_BACK,
+            request.is_write,
         )
 
     def worth(self, cls: str, plan: str, units: float) -> int:
-        return overload_gate.step(self.settings.classes[cls].worth * self.settings.plans[plan].price * units)
+        return overload_gate.step(self.settings.classes[cls].priority_weight * self.settings.plans[plan].price_weight * units)
--- a/apigateway/membership/belief.py
+++ b/apigateway/membership/belief.py
@@ -50,7 +50,7 @@
     """A host as a source tells it. `stamp` orders news of one host (milliseconds of whatever clock; 0: no
     order)."""
 
-    host: messages.Host
+    host: messages.Endpoint
     address: Address
     stamp: int = 0
 
@@ -96,7 +96,7 @@
     def start(self, now: float, listing: Listing) -> None:
         """A list from before: from another source, another process, a file. It is believed till told
         otherwise."""
-        for host in listing.hosts.hosts:
+        for host in listing.hosts.endpoints:
             if host.id in listing.addresses and host.state != "down":
                 entry = Entry(host, listing.addresses[host.id])
                 self.known.setdefault(host.id, Known(entry, entry, now))
@@ -152,12 +152,12 @@
         self.doubted.discard(id)
 
     def told(self, now: float, entry: Entry) -> None:
-        id, start = entry.host.id, entry.host.started
+        id, start = entry.host.id, entry.host.started_at
         known = self.known.get(id)
         # a clock that is ahead would keep it cold for ever: it started when this was first told
         if start > now:
-            seen = known.told.host.started if known is not None and known.start == start else now
-            entry = replace(entry, host=replace(entry.host, started=seen))
+            seen = known.told.host.started_at if known is not None and known.start == start else now
+            entry = replace(entry, host=replace(entry.host, started_at=seen))
         if known is not None and known.told == entry and id not in self.doubted:
             return
         self.touch(id)
@@ -245,7 +245,7 @@
         if not hosts:
             return None
         self.version += 1
-        return Listing(messages.HostList("delta", self.version, tuple(hosts)), addresses)
+        return Listing(messages.EndpointList("delta", self.version, tuple(hosts)), addresses)
 
 
 def alone(entries: Iterable[Entry]) -> dict[str, Entry]:
--- a/apigateway/membership/eureka/mapping.py
+++ b/apigateway/membership/eureka/mapping.py
@@ -60,7 +60,7 @@
         state = max(state, told.states.get(instance.overridden, "draining"), key=WORST.index)
     started = (instance.service_up or instance.registered) / 1000
     return Entry(
-        messages.Host(
+        messages.Endpoint(
             instance.id,
             instance.metadata.get(told.zone) or told.default_zone,
             cell,
--- a/apigateway/membership/file.py
+++ b/apigateway/membership/file.py
@@ -56,7 +56,7 @@
             reader.contradiction((*at, "id"), host.id, "stands twice", "give each host an id of its own")
         addresses[host.id] = address
         hosts.append(
-            messages.Host(
+            messages.Endpoint(
                 host.id, host.zone, host.cell, host.weight, host.kind, STATE[host.state], host.started
             )
         )
@@ -64,7 +64,7 @@
         reader.contradiction(("hosts",), None, "none", "add one [[hosts]] with id and address")
     if reader.faults:
         raise Faulty(reader.faults)
-    return Listing(messages.HostList(mode, version, tuple(hosts)), addresses)
+    return Listing(messages.EndpointList(mode, version, tuple(hosts)), addresses)
 
 
 class HostsInFile:
--- a/apigateway/membership/judge.py
+++ b/apigateway/membership/judge.py
@@ -40,10 +40,10 @@
         """A list in the shape that the platform's discovery ends in."""
         entries = [
             Entry(host, listing.addresses[host.id])
-            for host in listing.hosts.hosts
+            for host in listing.hosts.endpoints
             if host.id in listing.addresses and host.state != "down"
         ]
-        gone = {host.id for host in listing.hosts.hosts if host.state == "down"}
+        gone = {host.id for host in listing.hosts.endpoints if host.state == "down"}
         self.hear(entries, gone, listing.hosts.mode != "delta")
 
     def drain(self, ids: Iterable[str]) -> None:
--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -23,21 +23,21 @@
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
     name: str
-    aim: float  # an answer within this earns full worth
+    latency_objective: float  # an answer within this earns full worth
     deadline: float
     effect: str
-    scope: str  # keyed only: the hosts that discard a repeat
-    memory: float  # keyed only: for how long they do
-    worth: float
-    late_worth: float
-    stream: bool
-    aim_stretch: float
+    deduplication_scope: str  # keyed only: the hosts that discard a repeat
+    deduplication_window: float  # keyed only: for how long they do
+    priority_weight: float
+    late_priority_weight: float
+    is_streaming: bool
+    latency_objective_stretch: float
 
     def __post_init__(self) -> None:
         _need(self.effect in EFFECTS, f"class {self.name}: unknown effect {self.effect!r}")
-        _need(self.scope in SCOPES, f"class {self.name}: unknown scope {self.scope!r}")
-        _need(0 < self.aim and 0 < self.deadline, f"class {self.name}: aim and deadline must be above 0")
-        _need(self.memory >= 0 and self.worth >= 0, f"class {self.name}: negative memory or worth")
+        _need(self.deduplication_scope in SCOPES, f"class {self.name}: unknown scope {self.deduplication_scope!r}")
+        _need(0 < self.latency_objective and 0 < self.deadline, f"class {self.name}: aim and deadline must be above 0")
+        _need(self.deduplication_window >= 0 and self.priority_weight >= 0, f"class {self.name}: negative memory or worth")
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,10 +45,10 @@
     name: str
     rate: float  # units a second; 0: no such quota
     burst: float  # units
-    open_limit: int  # attempts out at once over all gateways; 0: no such quota
-    price: float
-    over_worth: float
-    over_cost: float
+    concurrency_limit: int  # attempts out at once over all gateways; 0: no such quota
+    price_weight: float
+    over_quota_weight: float
+    over_quota_cost: float
     ceiling_rate: float  # units a second; 0: no ceiling
     ceiling_burst: float
     ceiling_slack: float
@@ -57,10 +57,10 @@
         low = min(
             self.rate,
             self.burst,
-            self.open_limit,
-            self.price,
-            self.over_worth,
-            self.over_cost,
+            self.concurrency_limit,
+            self.price_weight,
+            self.over_quota_weight,
+            self.over_quota_cost,
             self.ceiling_rate,
             self.ceiling_burst,
             self.ceiling_slack,
@@ -72,11 +72,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    cancel: bool
-    second_copies: bool
-    probes: bool
-    peers: bool
-    retry_after: bool
+    can_cancel: bool
+    can_hedge: bool
+    can_check_health: bool
+    can_message_peers: bool
+    can_tell_retry_after: bool
     max_attempts: int
     max_retry_after: float
     connect_timeout: float = 0.0  # s after which an attempt that was sent reaches its host at the latest
@@ -89,15 +89,15 @@
 class Rules:
     answer_slack: float
     drain_grace: float
-    cold_share: float  # share of its capacity that a fresh host has at least
-    cold_time: float  # it is warm within this
-    fall_multiple: float
-    fall_time: float
-    ask_within: float  # discovery on request only
+    initial_capacity: float  # share of its capacity that a fresh host has at least
+    slow_start_duration: float  # it is warm within this
+    overload_multiple: float
+    overload_duration: float
+    max_poll_interval: float  # discovery on request only
 
     def __post_init__(self) -> None:
-        _need(0 <= self.cold_share <= 1, "cold_share must lie in 0..1")
-        low = min(self.drain_grace, self.cold_time, self.fall_multiple, self.fall_time)
+        _need(0 <= self.initial_capacity <= 1, "cold_share must lie in 0..1")
+        low = min(self.drain_grace, self.slow_start_duration, self.overload_multiple, self.overload_duration)
         _need(low >= 0, "negative rule figure")
 
 
@@ -106,62 +106,62 @@
     """Hosts that a request may be kept to: those of some kinds."""
 
     name: str
-    kinds: tuple[str, ...]
+    endpoint_kinds: tuple[str, ...]
     fallback: bool  # while none of them is up it goes to any
 
     def __post_init__(self) -> None:
-        _need(bool(self.kinds), f"route {self.name}: no kind of host")
+        _need(bool(self.endpoint_kinds), f"route {self.name}: no kind of host")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    index: int  # number of this gateway
-    gateways: int
+    gateway_index: int  # number of this gateway
+    gateway_count: int
     zone: str
     classes: dict[str, ServiceClass]
     plans: dict[str, Plan]
     limits: Limits
     rules: Rules
     prices: dict[str, float]
-    counter: bool
+    has_counter: bool
     counter_price: float
     counter_timeout: float
     meter_period: float
-    settles: bool
-    most_units: float
-    discovery: str  # "push" or "ask"
-    reports: tuple[str, ...]
-    weights: str  # meaning of a host's weight
+    settles_units: bool
+    max_units: float
+    discovery_mode: str  # "push" or "ask"
+    load_report_fields: tuple[str, ...]
+    weight_meaning: str  # meaning of a host's weight
     routes: dict[str, Route] = field(default_factory=dict)
-    most_accounts: int = 0  # customers known at once; 0: as many as come
+    max_customers: int = 0  # customers known at once; 0: as many as come
 
     def __post_init__(self) -> None:
-        _need(0 <= self.index < self.gateways, "index must lie in 0..gateways-1")
-        _need(self.discovery in ("push", "ask"), f"unknown discovery mode {self.discovery!r}")
-        _need(not self.counter or self.counter_timeout > 0, "a counter needs a time-out")
+        _need(0 <= self.gateway_index < self.gateway_count, "index must lie in 0..gateways-1")
+        _need(self.discovery_mode in ("push", "ask"), f"unknown discovery mode {self.discovery_mode!r}")
+        _need(not self.has_counter or self.counter_timeout > 0, "a counter needs a time-out")
         _need(bool(self.classes), "no request classes")
-        _need(self.most_accounts >= 0, "most_accounts must not be negative")
+        _need(self.max_customers >= 0, "most_accounts must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
-class Host:
+class Endpoint:
     id: str
     zone: str
     cell: int
     weight: float
     kind: str
     state: str  # "up", "leaving" or "down"
-    started: float  # clock time of its last start; 0: long ago
+    started_at: float  # clock time of its last start; 0: long ago
 
     def __post_init__(self) -> None:
         _need(self.state in ("up", "leaving", "down"), f"host {self.id}: unknown state {self.state!r}")
 
 
 @dataclass(frozen=True, slots=True)
-class HostList:
+class EndpointList:
     mode: str  # one of MODES
     version: int
-    hosts: tuple[Host, ...]
+    endpoints: tuple[Endpoint, ...]
 
     def __post_init__(self) -> None:
         _need(self.mode in MODES, f"unknown list mode {self.mode!r}")
@@ -169,96 +169,96 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    id: str
-    left: float  # until the client gives up
+    request_id: str
+    remaining: float  # until the client gives up
     customer: str
     plan: str
-    cls: str
+    service_class: str
     units: float
-    first: int  # the customer's gateways: `spread` in a row from this one
-    spread: int
-    repeat: bool = False
-    write: bool = False
+    first_gateway: int  # the customer's gateways: `spread` in a row from this one
+    gateway_spread: int
+    is_retry: bool = False
+    is_write: bool = False
     route: str = ""  # of settings; empty: any host
 
     def __post_init__(self) -> None:
-        _need(self.units >= 0, f"request {self.id}: negative units")
-        _need(self.spread >= 1, f"request {self.id}: spread must be at least 1")
+        _need(self.units >= 0, f"request {self.request_id}: negative units")
+        _need(self.gateway_spread >= 1, f"request {self.request_id}: spread must be at least 1")
 
 
 @dataclass(frozen=True, slots=True)
-class Check(Request):
+class QuotaCheck(Request):
     """May this customer use so many units now? It spends them as a request would, goes to no host, and is
     answered by Granted or Denied. Any number of units: 0 spends nothing, more than a burst never fits."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reserve(Check):
+class QuotaReservation(QuotaCheck):
     """A check whose units a Paid request may come for. The ceiling counts it when it is granted, and counts
     that request once more when it is sent, each by itself: neither what is granted nor what is sent on passes
     it, however far apart the two are."""
 
 
 @dataclass(frozen=True, slots=True)
-class Limited(Check):
+class CustomLimitCheck(QuotaCheck):
     """A check against a limit of its own, in place of its plan's: of `customer`, which is then a name made
     for that limit. Its class and plan tell what it is worth."""
 
     limit: Plan | None = None
 
     def __post_init__(self) -> None:
-        _need(self.limit is not None and self.limit.rate > 0, f"check {self.id}: no limit")
-        _need(self.units >= 0 and self.spread >= 1, f"check {self.id}: negative units or no spread")
+        _need(self.limit is not None and self.limit.rate > 0, f"check {self.request_id}: no limit")
+        _need(self.units >= 0 and self.gateway_spread >= 1, f"check {self.request_id}: negative units or no spread")
 
 
 @dataclass(frozen=True, slots=True)
-class Paid(Request):
+class PrepaidRequest(Request):
     """A request whose units a Reserve has spent: it takes none of the quota."""
 
 
 @dataclass(frozen=True, slots=True)
-class GiveBack:
+class ReturnUnits:
     """Units that a Check of this customer was granted, and that were not used: another one of the same
     question was denied. They count as unspent again while the window is the one that they were spent in."""
 
     customer: str
     units: float
-    window: int  # as Granted told it
+    window_index: int  # as Granted told it
 
 
 @dataclass(frozen=True, slots=True)
-class Unreserve(GiveBack):
+class ReturnReservation(ReturnUnits):
     """Likewise, of a Reserve."""
 
 
 @dataclass(frozen=True, slots=True)
-class Barred:
+class RejectedByPlugin:
     """A request that a plug-in or an outer service would have refused, before anything was taken for it. It
     was not told of before."""
 
-    id: str
-    wait: float  # s until its client may come again
+    request_id: str
+    retry_after: float  # s until its client may come again
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    id: str
+class AttemptOutcome:
+    request_id: str
     attempt: int
-    host: str
+    endpoint_id: str
     result: str
     elapsed: float
-    final: bool
-    used: int = 0  # 1 + percent of the customer's rate used in the last metered period; 0: none
-    actual: float = 0  # units that the request really counted; 0: none
-    report: dict[str, float] = field(default_factory=dict)
+    is_final: bool
+    metered_use: int = 0  # 1 + percent of the customer's rate used in the last metered period; 0: none
+    actual_units: float = 0  # units that the request really counted; 0: none
+    load_report: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         _need(self.result in RESULTS, f"unknown result {self.result!r}")
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
-    name: int
+class CounterResult:
+    counter_key: int
     result: str
     total: float
     elapsed: float
@@ -268,47 +268,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
-    host: str
+class HealthCheckResult:
+    endpoint_id: str
     result: str
     elapsed: float
-    report: dict[str, float] = field(default_factory=dict)
+    load_report: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Timer:
+class TimerExpired:
     label: int
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
-    id: str
+class StreamStarted:
+    request_id: str
     attempt: int
-    host: str
+    endpoint_id: str
     elapsed: float
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
-    id: str
+class ClientDisconnected:
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
+class PeerMessage:
     sender: int
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Retire:
+class DrainGateway:
     """On: another process takes this gateway's new connections from now on, under its name. What is fresh
     from now on (the fill of the ceilings' stores) is that one's. Off: it failed, and all is as before."""
 
-    on: bool
+    is_draining: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class EvacuateZones:
     """An operator's word, in place of what was said before: nothing new goes to hosts of these zones, as long
     as there is any other. What is out there goes on."""
 
@@ -316,74 +316,74 @@
 
 
 Event = (
-    HostList
+    EndpointList
     | Request
-    | Check
-    | Reserve
-    | Limited
-    | Paid
-    | GiveBack
-    | Unreserve
-    | Outcome
-    | Counted
-    | Probed
-    | Timer
-    | Began
-    | Gone
-    | Message
-    | Retire
-    | Barred
-    | Leave
+    | QuotaCheck
+    | QuotaReservation
+    | CustomLimitCheck
+    | PrepaidRequest
+    | ReturnUnits
+    | ReturnReservation
+    | AttemptOutcome
+    | CounterResult
+    | HealthCheckResult
+    | TimerExpired
+    | StreamStarted
+    | ClientDisconnected
+    | PeerMessage
+    | DrainGateway
+    | RejectedByPlugin
+    | EvacuateZones
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
-    id: str
-    host: str
+class ForwardRequest:
+    request_id: str
+    endpoint_id: str
     timeout: float = 0  # 0: until the client gives up
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
+class QuotaGranted:
     """A check's units are spent."""
 
-    id: str
+    request_id: str
     # units of the customer's quota left in this window, as far as is known here; inf: no quota
     remaining: float
-    reset: float  # s until the window turns; 0: no quota
-    window: int  # for GiveBack
+    reset_after: float  # s until the window turns; 0: no quota
+    window_index: int  # for GiveBack
 
 
 @dataclass(frozen=True, slots=True)
-class Denied:
-    id: str
-    over: bool  # beyond the customer's quota or ceiling; False: shed, or out of time
+class QuotaDenied:
+    request_id: str
+    is_over_quota: bool  # beyond the customer's quota or ceiling; False: shed, or out of time
     retry_after: float  # s; 0: not known
     remaining: float
-    reset: float
+    reset_after: float
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
-    id: str
+class Reject:
+    request_id: str
     retry_after: float = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    id: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
-    id: str
+class CancelAttempt:
+    request_id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
-    name: int
+class AddToCounter:
+    counter_key: int
     amount: float
     lifetime: float
 
@@ -395,30 +395,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
-    host: str
+class CheckHealth:
+    endpoint_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
-    host: str
+class CloseIdleConnections:
+    endpoint_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Fetch:
+class FetchEndpoints:
     """Ask discovery for the whole list, once."""
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
-    on: bool
+class WatchEndpoints:
+    is_on: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
+class LogMessage:
     text: str
 
 
 Action = (
-    Send | Refuse | Fail | Granted | Denied | Cancel | Count | SetTimer | Probe | Close | Fetch | Watch | Log
+    ForwardRequest | Reject | Fail | QuotaGranted | QuotaDenied | CancelAttempt | AddToCounter | SetTimer | CheckHealth | CloseIdleConnections | FetchEndpoints | WatchEndpoints | LogMessage
 )
--- a/apigateway/plugins/live.py
+++ b/apigateway/plugins/live.py
@@ -94,31 +94,31 @@
         except Exception:
             log.exception("plug-ins: tick")
 
-    def taken(self, request: messages.Request) -> tuple[Hooked, messages.Request | messages.Barred]:
+    def taken(self, request: messages.Request) -> tuple[Hooked, messages.Request | messages.RejectedByPlugin]:
         """The request as the decision module is to hear of it, or that it is barred."""
         version, began = self.version, time.monotonic()
         standing = Standing()
         view = View(
-            request.id,
+            request.request_id,
             request.customer,
             request.plan,
-            request.cls,
+            request.service_class,
             request.units,
-            request.left,
+            request.remaining,
             self.clock(),
-            request.write,
-            request.repeat,
+            request.is_write,
+            request.is_retry,
             standing.tags,
         )
         hooked = Hooked(self, version, view, standing, began)
         version.begin()
         wait = version.ask(REQUEST, view, standing, began) if version.by_phase[REQUEST] else None
         if wait is not None:
-            return hooked, messages.Barred(request.id, wait)
+            return hooked, messages.RejectedByPlugin(request.request_id, wait)
         spent = time.monotonic() - began
         if spent > NOTICED or standing.route:
             request = replace(
-                request, route=standing.route, left=request.left - (spent if spent > NOTICED else 0.0)
+                request, route=standing.route, remaining=request.remaining - (spent if spent > NOTICED else 0.0)
             )
         return hooked, request
 
--- a/apigateway/plugins/load.py
+++ b/apigateway/plugins/load.py
@@ -41,7 +41,7 @@
             frozenset(self.settings.routes),
             hooks.max_tags,
             hooks.max_tag_bytes,
-            limits.max_retry_after if limits.retry_after else 0.0,
+            limits.max_retry_after if limits.can_tell_retry_after else 0.0,
         )
 
 
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -86,7 +86,7 @@
 class Account:
     def __init__(self, req: messages.Request, plan: messages.Plan, born: float, now: float,
                  rng: random.Random) -> None:
-        self.name, self.plan, self.spread, self.open_here = req.customer, plan, req.spread, 0
+        self.name, self.plan, self.spread, self.open_here = req.customer, plan, req.gateway_spread, 0
         self.thin = 0 < plan.burst < self.spread  # an even part of the burst is less than a unit
         self.length = plan.burst / plan.rate if plan.rate else 1.0
         self.phase = stable_hash(self.name, "phase") % 4096 / 4096 * self.length
@@ -199,9 +199,9 @@
 
 class Counter:
     def __init__(self, settings: messages.Settings) -> None:
-        self.on, self.timeout, self.price = settings.counter, settings.counter_timeout, settings.counter_price
+        self.on, self.timeout, self.price = settings.has_counter, settings.counter_timeout, settings.counter_price
         self.fails, self.retry_at = int(not self.on), 0.0
-        self.slow = 0.5 * settings.gateways / (settings.gateways + CROWD_OF)  # many start as in a crowd
+        self.slow = 0.5 * settings.gateway_count / (settings.gateway_count + CROWD_OF)  # many start as in a crowd
 
     def usable(self, now: float) -> bool:
         return self.on and now >= self.retry_at
@@ -231,7 +231,7 @@
 
 
 class Server:
-    def __init__(self, host: messages.Host, now: float, credit: float, out: dict) -> None:
+    def __init__(self, host: messages.Endpoint, now: float, credit: float, out: dict) -> None:
         self.host, self.up, self.out = host, host.state == "up", out  # attempts out: when sent
         self.others, self.others_at, self.ratio = 0.0, -math.inf, 1.0  # ratio: time against the fleet's
         self.gone_at = math.inf
@@ -259,9 +259,9 @@
         return any(now < self.rests.get(key, (0, 0.0))[1] for key in keys)
 
     def warmth(self, now: float, rules: messages.Rules) -> float:
-        age = max(0.0, now - self.host.started)
-        cold = 0 < self.host.started and age < rules.cold_time
-        return rules.cold_share + (1 - rules.cold_share) * age / rules.cold_time if cold else 1.0
+        age = max(0.0, now - self.host.started_at)
+        cold = 0 < self.host.started_at and age < rules.slow_start_duration
+        return rules.initial_capacity + (1 - rules.initial_capacity) * age / rules.slow_start_duration if cold else 1.0
 
 
 class Fleet:
@@ -274,7 +274,7 @@
         self.free: list[Server] = []  # those of the near ones with a place left, in no order
         self.resting: set[Server] = set()
         self.full_until = 0.0  # none may be sent to before, unless an event says otherwise
-        self.mean = {c.name: min(c.aim / 5, c.deadline) for c in settings.classes.values()}
+        self.mean = {c.name: min(c.latency_objective / 5, c.deadline) for c in settings.classes.values()}
         self.dev, self.seen = dict(self.mean), dict.fromkeys(self.mean, 0)
         self.rate, self.rate_at = 0.0, 0.0  # own sends a second
         self.usual = max(self.mean.values())  # time of an answer, whatever the class
@@ -285,15 +285,15 @@
         # unsound or cold, for want of a place, or as not allowed; taken outside the subset.
         self.moved_by = dict.fromkeys(("report", "mean", "doubted", "busy", "barred", "outside"), 0)
 
-    def listed(self, now: float, event: messages.HostList) -> None:
+    def listed(self, now: float, event: messages.EndpointList) -> None:
         if event.mode not in ("delta", "failed"):
-            named = {h.id for h in event.hosts}
+            named = {h.id for h in event.endpoints}
             for name, server in self.servers.items():
                 if name not in named:
                     server.up, server.gone_at = False, min(server.gone_at, now)
-        for host in event.hosts:
+        for host in event.endpoints:
             old = self.servers.get(host.id)
-            if old is None or (host.state == "up" and host.started > old.host.started):
+            if old is None or (host.state == "up" and host.started_at > old.host.started_at):
                 # Credit starts anywhere below one send: first sends of many gateways are spread over time.
                 self.servers[host.id] = Server(host, now, self.rng.random(), old.out if old else {})
             else:
@@ -309,19 +309,19 @@
         self.up = [s for s in up if s.host.zone not in self.sites.left] or up
         held = LIMIT_MOST * self.size.scale  # attempts out at a host that are well, over all gateways
         for s in self.servers.values():
-            s.judged, s.places = {}, int(max(1.0, held / self.set.gateways) + s.drawn)
+            s.judged, s.places = {}, int(max(1.0, held / self.set.gateway_count) + s.drawn)
             s.cross = self.set.prices.get("cross_zone", 0.0) * CROSS_WEIGHT * (s.host.zone != self.set.zone)
         self.gather(now)
         self.sites.listed([s.host.zone for s in self.up])
         self.resting = {s for s in self.up if s.rests}
         self.top = max((s.host.weight for s in self.up), default=1.0) or 1.0
         # Gateways with one out at each server overdrive all, so what one has out in all is limited too.
-        self.most = max(OUT_LEAST, OUT_SLACK * held * len(self.up) / self.set.gateways)
+        self.most = max(OUT_LEAST, OUT_SLACK * held * len(self.up) / self.set.gateway_count)
 
     def gather(self, now: float) -> None:
         """Takes the hosts around this gateway's place, as many as its traffic wants."""
-        wide = subset.width(len(self.up), self.set.gateways, self.own_rate(now), len(self.near))
-        self.near = subset.around(self.up, self.set.index, self.set.gateways, wide)
+        wide = subset.width(len(self.up), self.set.gateway_count, self.own_rate(now), len(self.near))
+        self.near = subset.around(self.up, self.set.gateway_index, self.set.gateway_count, wide)
         for s in self.servers.values():
             s.near, s.at = False, -1
         for s in self.near:
@@ -350,7 +350,7 @@
             s.at = -1
 
     def mean_held(self) -> float:
-        return self.held if self.reports else self.out * self.set.gateways / max(1, len(self.up))
+        return self.held if self.reports else self.out * self.set.gateway_count / max(1, len(self.up))
 
     def clear(self) -> bool:
         return self.mean_held() < ROOM_CLEAR * LIMIT_MOST * self.size.scale
@@ -365,7 +365,7 @@
     def may_send(self, s: Server, now: float, keys: tuple[str, ...] = ("host",)) -> bool:
         if not s.up or self.out >= self.most or len(s.out) >= s.places or (s.rests and s.resting(now, keys)):
             return False
-        if not s.host.started:  # warm: the usual case
+        if not s.host.started_at:  # warm: the usual case
             return True
         rules = self.set.rules
         warm = s.warmth(now, rules)
@@ -374,10 +374,10 @@
         # A cold host falls over when all gateways together send more than it bears: credit is saved up.
         # Where none is warm, or none has been sent yet, own sends tell too little: then as if it had one
         # core.
-        alone = 1 / self.usual / self.set.gateways
+        alone = 1 / self.usual / self.set.gateway_count
         share = max(self.own_rate(now) / max(1, len(self.near)), alone)
-        rate = warm * rules.fall_multiple * COLD_PART * share
-        s.credit = min(s.credit + (now - s.credit_at) * rate, max(1.0, rate * rules.fall_time))
+        rate = warm * rules.overload_multiple * COLD_PART * share
+        s.credit = min(s.credit + (now - s.credit_at) * rate, max(1.0, rate * rules.overload_duration))
         s.credit_at = now
         return s.credit >= 1.0
 
@@ -403,7 +403,7 @@
     def weight(self, s: Server, keys: tuple[str, ...], now: float) -> float:
         known = s.judged.get(keys)
         sound = known[1] if known is not None and now < known[0] else self.judge(s, keys, now)[1]
-        return s.host.weight / self.top * sound * (s.warmth(now, self.set.rules) if s.host.started else 1.0)
+        return s.host.weight / self.top * sound * (s.warmth(now, self.set.rules) if s.host.started_at else 1.0)
 
     def pick(self, now: float, keys: tuple[str, ...], fits: Callable[[Server], bool] | None) -> Server | None:
         """Best of some free servers, drawn by weight: as many as this gateway has fresh reports for, two at
@@ -412,7 +412,7 @@
             return None
         pool = self.free if len(self.up) > COMPARED else self.up
         rng, drawn = self.rng.random, list[Server]()
-        few = max(2, math.ceil(CHOICES * len(self.up) / self.set.gateways))
+        few = max(2, math.ceil(CHOICES * len(self.up) / self.set.gateway_count))
         if few < len(pool) or len(pool) > COMPARED:
             few, size = min(few, DRAWN), len(pool)
             for _ in range(DRAWS):
@@ -471,33 +471,33 @@
         self.out -= s.out.pop(key, None) is not None
         self.moved(s)
 
-    def answered(self, now: float, event: messages.Outcome, cls: messages.ServiceClass | None,
+    def answered(self, now: float, event: messages.AttemptOutcome, cls: messages.ServiceClass | None,
                  keys: tuple[str, ...]) -> None:
-        s = self.servers.get(event.host)
+        s = self.servers.get(event.endpoint_id)
         if s is None:  # gone for longer than anything there could matter
             return
         out, high = len(s.out), event.result == "timeout"
-        self.drop(s, (event.id, event.attempt))
-        if event.report:
-            held = event.report.get("inflight")
+        self.drop(s, (event.request_id, event.attempt))
+        if event.load_report:
+            held = event.load_report.get("inflight")
             if held is None:
-                held = event.report.get("queue", 0.0) + SERVERS_OF_HOST * event.report.get("util", 0.0)
+                held = event.load_report.get("queue", 0.0) + SERVERS_OF_HOST * event.load_report.get("util", 0.0)
             s.others, s.others_at, s.fresh_until = max(0.0, held - out), now, 0.0
             self.held += (QUICK if self.reports else 1.0) * (held - self.held)
-            if self.size.note(event.report):
+            if self.size.note(event.load_report):
                 self.settle(now)
             self.reports, high = True, held > CONGESTED * self.size.scale
         if event.result in ("connect_failed", "full", "error", "reset", "ok"):
             level = keys[:1] if event.result == "connect_failed" else keys
             if event.result == "connect_failed":
-                self.sites.silent(s.host.zone, event.host, now)
+                self.sites.silent(s.host.zone, event.endpoint_id, now)
             elif event.result != "reset":  # which may come from the way there as well
                 self.sites.answered(s.host.zone)
-            self.doubt.note(event.host, level, event.result != "ok", now)
+            self.doubt.note(event.endpoint_id, level, event.result != "ok", now)
             s.tried(now, level[:2], event.result == "ok")
             s.judged.clear()
             (self.resting.add if s.rests else self.resting.discard)(s)
-        if event.report or event.result in ("ok", "timeout"):
+        if event.load_report or event.result in ("ok", "timeout"):
             gain = max(QUICK / 2, 1 - math.exp((self.answer_at - now) / PRESS_SPAN))
             self.pressure, self.answer_at = self.pressure + min(gain, 0.5) * (high - self.pressure), now
         if event.result != "ok" or cls is None:
@@ -562,7 +562,7 @@
     def add(self, job: Job) -> None:
         """What is not proven not to have run, or was tried before, has fewer hosts left."""
         alone = (job.ran or job.live) and job.cls.effect != "safe"
-        key = job.cls.name, job.kinds, frozenset(job.avoid), job.req.id if alone else ""
+        key = job.cls.name, job.kinds, frozenset(job.avoid), job.req.request_id if alone else ""
         bisect.insort(self.lanes.setdefault(key, []), (not job.beyond, job.value, next(self.number), job))
         self.live, self.size = self.live + 1, self.size + 1
 
@@ -601,12 +601,12 @@
         self.reach = max(TICK, settings.limits.connect_timeout)  # s until a repeat is at its host
         self.fleet, self.counter = Fleet(settings, self.rng), Counter(settings)
         self.uses = {(p, again): PlanUse(GRANT_PRIOR[again]) for p in self.set.plans for again in (0, 1)}
-        self.forgotten = Forgotten(settings.most_accounts) if settings.most_accounts else None
+        self.forgotten = Forgotten(settings.max_customers) if settings.max_customers else None
         self.accounts: dict[str, Account] = {}  # in order of their last request
         self.jobs, self.queue = dict[str, Job](), Queue()
         self.calls: dict[int, list[Call]] = {}  # by count name, in order of the calls
-        self.budget = RETRY_START / settings.gateways
-        self.top = max(c.worth for c in settings.classes.values())
+        self.budget = RETRY_START / settings.gateway_count
+        self.top = max(c.priority_weight for c in settings.classes.values())
         self.due: list[tuple[float, str]] = []  # when which job is to be looked at
         self.timer_at = self.watch_at = math.inf
         self.trial_at = 0.0  # when the queue is looked at for a host's next trial
@@ -621,31 +621,31 @@
         match event:
             case messages.Request():
                 self.request(now, event)
-            case messages.Outcome():
+            case messages.AttemptOutcome():
                 self.outcome(now, event)
-            case messages.Counted():
+            case messages.CounterResult():
                 self.counted(now, event)
-            case messages.Timer():
+            case messages.TimerExpired():
                 self.tick(now)
-            case messages.HostList():
+            case messages.EndpointList():
                 self.fleet.listed(now, event)
                 if event.mode == "failed":
                     self.watch_at = now + 1.0
-                elif event.mode == "cached" and self.set.discovery == "ask":
-                    self.out.append(messages.Watch(True))
-            case messages.Began() if event.id in self.jobs:
-                self.jobs[event.id].streaming = True
-            case messages.Gone() if event.id in self.jobs:
-                self.close(now, self.jobs[event.id])
-            case messages.Barred():
-                self.out.append(messages.Refuse(event.id, self.told_wait(event.wait)))
-            case messages.GiveBack():
+                elif event.mode == "cached" and self.set.discovery_mode == "ask":
+                    self.out.append(messages.WatchEndpoints(True))
+            case messages.StreamStarted() if event.request_id in self.jobs:
+                self.jobs[event.request_id].streaming = True
+            case messages.ClientDisconnected() if event.request_id in self.jobs:
+                self.close(now, self.jobs[event.request_id])
+            case messages.RejectedByPlugin():
+                self.out.append(messages.Reject(event.request_id, self.told_wait(event.retry_after)))
+            case messages.ReturnUnits():
                 self.give_back(now, event)
-            case messages.Leave():
+            case messages.EvacuateZones():
                 self.fleet.sites.left = frozenset(event.zones)
                 self.fleet.settle(now)
-            case messages.Retire():
-                self.retired_at = now if event.on else math.inf
+            case messages.DrainGateway():
+                self.retired_at = now if event.is_draining else math.inf
         self.drain_queue(now)
         while self.due and self.due[0][1] not in self.jobs:
             heapq.heappop(self.due)
@@ -657,37 +657,37 @@
         return self.out
 
     def request(self, now: float, req: messages.Request) -> None:
-        cls, plan = self.set.classes[req.cls], self.set.plans[req.plan]
+        cls, plan = self.set.classes[req.service_class], self.set.plans[req.plan]
         kind = type(req)
-        if kind is messages.Limited:
+        if kind is messages.CustomLimitCheck:
             plan = req.limit
         acct = self.accounts.pop(req.customer, None)
         if acct is None:
-            if 0 < self.set.most_accounts <= len(self.accounts) and not self.forget_one(now):
+            if 0 < self.set.max_customers <= len(self.accounts) and not self.forget_one(now):
                 wait = self.told_wait(1.0)
-                is_check = isinstance(req, messages.Check)
-                self.out.append(messages.Denied(req.id, False, wait, 0.0, 0.0) if is_check
-                                else messages.Refuse(req.id, wait))
+                is_check = isinstance(req, messages.QuotaCheck)
+                self.out.append(messages.QuotaDenied(req.request_id, False, wait, 0.0, 0.0) if is_check
+                                else messages.Reject(req.request_id, wait))
                 return
             acct = Account(req, plan, self.born, min(now, self.retired_at), self.rng)
             acct.known = self.forgotten is None or not self.forgotten.has(now, req.customer)
-        elif req.spread > acct.spread:
-            acct.widen(req.spread)
+        elif req.gateway_spread > acct.spread:
+            acct.widen(req.gateway_spread)
         self.accounts[req.customer], acct.seen_at = acct, now
         self.free_accounts(now)
-        worth = cls.worth * plan.price * min(req.units, self.set.most_units)  # a check may ask for any number
+        worth = cls.priority_weight * plan.price_weight * min(req.units, self.set.max_units)  # a check may ask for any number
         self.worth += (GAIN if self.worth else 1.0) * (worth - self.worth)
-        keys = self.levels.get((req.cls, req.plan))
+        keys = self.levels.get((req.service_class, req.plan))
         if keys is None:
-            keys = self.levels[req.cls, req.plan] = Levels(("host", "class " + cls.name, "plan " + plan.name))
-        job = self.jobs[req.id] = Job(req, cls, plan, acct, now, now + req.left, worth,
+            keys = self.levels[req.service_class, req.plan] = Levels(("host", "class " + cls.name, "plan " + plan.name))
+        job = self.jobs[req.request_id] = Job(req, cls, plan, acct, now, now + req.remaining, worth,
                                       worth / max(self.fleet.mean[cls.name], 1e-6), keys)
         if kind is not messages.Request:
-            job.check, job.paid = isinstance(req, messages.Check), kind is messages.Paid
+            job.check, job.paid = isinstance(req, messages.QuotaCheck), kind is messages.PrepaidRequest
         route = self.set.routes.get(req.route) if req.route else None
-        if route and not (route.fallback and all(s.host.kind not in route.kinds for s in self.fleet.up)):
-            job.kinds = route.kinds
-        if req.left < 2 * TICK or self.shed(now, job):  # no check would come round in time, or no room
+        if route and not (route.fallback and all(s.host.kind not in route.endpoint_kinds for s in self.fleet.up)):
+            job.kinds = route.endpoint_kinds
+        if req.remaining < 2 * TICK or self.shed(now, job):  # no check would come round in time, or no room
             self.refuse(now, job, 0.0)
         elif (wait := acct.ceiling_wait(min(now, self.retired_at), req.units, job.paid)) > self.bears(job):
             job.over = True
@@ -743,12 +743,12 @@
             self.pass_share = max(SHED_LEAST, self.pass_share * math.exp(-SHED_FAST * min(step, 1.0)))
         else:
             self.pass_share = min(1.0, self.pass_share + SHED_BACK * step)
-        luck, most = self.rng.random(), (1 - self.pass_share) * len(ranks) * (self.set.gateways > LIMIT_MOST)
+        luck, most = self.rng.random(), (1 - self.pass_share) * len(ranks) * (self.set.gateway_count > LIMIT_MOST)
         return most > 0 and luck * ranks.count(job.value) + sum(v < job.value for v in ranks) < most
 
     def kept(self, job: Job) -> float:
         """Kept for classes that earn more with a unit; binds near the end of a quota only."""
-        return RESERVE * job.plan.burst * (1 - job.cls.worth / self.top) if self.top else 0.0
+        return RESERVE * job.plan.burst * (1 - job.cls.priority_weight / self.top) if self.top else 0.0
 
     def spare(self, now: float, job: Job) -> float:
         return job.acct.room(now) - self.kept(job) - job.req.units
@@ -773,7 +773,7 @@
 
     def want_units(self, now: float, job: Job) -> None:
         job.acct.roll(now)
-        job.odds = job.acct.note_request(now) * self.uses[job.plan.name, job.req.repeat].share
+        job.odds = job.acct.note_request(now) * self.uses[job.plan.name, job.req.is_retry].share
         gain = job.worth / max(self.worth, 1e-9) * min(job.odds, self.mistake(job))
         chance = self.counter.chance(gain)
         self.decide(now, job, self.rng.random() < chance)
@@ -787,14 +787,14 @@
         if now < acct.full_until or self.spare(now, job) < 0:
             self.beyond(now, job, (job.req.units - room) / acct.plan.rate)
         elif ask and self.counter.usable(now):
-            acct.waiting.append(job.req.id)
+            acct.waiting.append(job.req.request_id)
             self.look(now + 2 * self.counter.timeout + TICK, job)
         else:
             self.unasked(now, job)
 
     def mistake(self, job: Job) -> float:
         """What it costs in the mean to let it pass, in its worth."""
-        return (1 - job.odds) * max(LOAD_COST, job.plan.over_cost - job.plan.over_worth)
+        return (1 - job.odds) * max(LOAD_COST, job.plan.over_quota_cost - job.plan.over_quota_weight)
 
     def unasked(self, now: float, job: Job) -> None:
         """The counter is away, or has no time for it. Of a thin customer each gateway's part is less than a
@@ -828,13 +828,13 @@
 
     def count(self, name: int, amount: float, life: float, call: Call) -> None:
         self.calls.setdefault(name, []).append(call)
-        self.out.append(messages.Count(name, amount, min(60.0, max(life, 1.0))))
+        self.out.append(messages.AddToCounter(name, amount, min(60.0, max(life, 1.0))))
 
-    def counted(self, now: float, event: messages.Counted) -> None:
-        if event.name not in self.calls:
+    def counted(self, now: float, event: messages.CounterResult) -> None:
+        if event.counter_key not in self.calls:
             return
-        call, *rest = self.calls.pop(event.name)
-        self.calls.update({event.name: rest} if rest else {})
+        call, *rest = self.calls.pop(event.counter_key)
+        self.calls.update({event.counter_key: rest} if rest else {})
         ok, acct = event.result == "ok", call.acct
         # A spoilt answer, or a line that broke before the time was up, says nothing of the next call.
         early = event.result == "timeout" and event.elapsed < CALL_SPOILT * self.counter.timeout
@@ -878,7 +878,7 @@
         acct.lease += call.ask - over
         need = sum(j.req.units for j in jobs)
         if need:
-            use = self.uses[acct.plan.name, jobs[0].req.repeat]
+            use = self.uses[acct.plan.name, jobs[0].req.is_retry]
             use.note(need, min(need, acct.lease))
         if self.rng.random() < self.counter.chance(SIDE_CALL):  # in a crowd the excess stays counted
             extra -= over
@@ -903,14 +903,14 @@
         judged by Little's law from the customer's rate, which its units bound, and the time of answers."""
         acct, plan = job.acct, job.plan
         job.stage = "slot"
-        if job.check or not plan.open_limit:  # there is no limit to hold
+        if job.check or not plan.concurrency_limit:  # there is no limit to hold
             self.enqueue(now, job)
             return
-        own, shared = divmod(plan.open_limit, acct.spread)
+        own, shared = divmod(plan.concurrency_limit, acct.spread)
         rate = max(acct.total, acct.used) / max(now - acct.start, acct.length / 4)
         mean = min(rate, plan.rate or rate) / max(job.req.units, 1e-9) * self.fleet.mean[job.cls.name]
-        over = 1 - sum(mean ** n * math.exp(-mean) / math.factorial(n) for n in range(plan.open_limit))
-        cost = max(0.0, plan.over_cost - plan.over_worth)
+        over = 1 - sum(mean ** n * math.exp(-mean) / math.factorial(n) for n in range(plan.concurrency_limit))
+        cost = max(0.0, plan.over_quota_cost - plan.over_quota_weight)
         if acct.open_here < own:
             job.slot = -1
             acct.open_here += 1
@@ -919,7 +919,7 @@
             self.count_open(acct, int(now / OPEN_EPOCH) + 1, 1, job)
             self.look(job.deadline, job)
             return
-        elif plan.open_limit and (plan.open_limit >= acct.spread or over * cost >= 1 - over):
+        elif plan.concurrency_limit and (plan.concurrency_limit >= acct.spread or over * cost >= 1 - over):
             self.beyond(now, job, 0.0)
             return
         self.enqueue(now, job)
@@ -928,18 +928,18 @@
         call = Call(acct, "slot" if job else "void", epoch, job=job)
         self.count(stable_hash("open", acct.name, epoch), amount, 2 * OPEN_EPOCH, call)
 
-    def slot_counted(self, now: float, event: messages.Counted, call: Call) -> None:
+    def slot_counted(self, now: float, event: messages.CounterResult, call: Call) -> None:
         job, acct, ok = call.job, call.acct, event.result == "ok"
-        if ok and (job.done or event.total > acct.plan.open_limit % acct.spread):
+        if ok and (job.done or event.total > acct.plan.concurrency_limit % acct.spread):
             self.count_open(acct, call.window, -1)
-        if ok and not job.done and event.total > acct.plan.open_limit % acct.spread:
+        if ok and not job.done and event.total > acct.plan.concurrency_limit % acct.spread:
             self.beyond(now, job, 0.0)
         elif not job.done:
             job.slot = call.window if ok else 0
             self.enqueue(now, job) if ok else self.want_slot(now, job, False)
 
     def beyond(self, now: float, job: Job, wait: float) -> None:
-        if job.plan.over_worth > job.plan.over_cost and self.fleet.clear() and not self.queue.live:
+        if job.plan.over_quota_weight > job.plan.over_quota_cost and self.fleet.clear() and not self.queue.live:
             job.beyond = True
             self.enqueue(now, job)
         else:
@@ -962,17 +962,17 @@
             acct.ahead -= units
         else:
             acct.cap -= units  # spent before sending
-            if type(job.req) is messages.Reserve:
+            if type(job.req) is messages.QuotaReservation:
                 acct.ahead += units
         if job.check:
-            self.out.append(messages.Granted(job.req.id, *self.left(now, job), acct.k))
+            self.out.append(messages.QuotaGranted(job.req.request_id, *self.left(now, job), acct.k))
             self.close(now, job)
             return
         if not self.queue.live and self.fleet.room(now) and self.send(now, job):  # the usual case
             self.earn()
             return
         self.line_up(job)
-        most = max(QUEUE_LEAST, self.fleet.own_rate(now) * QUEUE_HOLD * job.cls.aim)
+        most = max(QUEUE_LEAST, self.fleet.own_rate(now) * QUEUE_HOLD * job.cls.latency_objective)
         if self.queue.live > most and (worst := self.queue.worst()) is not None:
             self.refuse(now, worst, 0.0)
         self.drain_queue(now)
@@ -983,7 +983,7 @@
         """How long it may wait for its customer's ceiling, where an even part of that is thin. A check is
         answered at once, and so is what comes while another process fills this gateway's part."""
         thin = job.plan.ceiling_burst < CEILING_THIN * job.acct.spread
-        return CEILING_HOLD * job.cls.aim if thin and not job.check and self.retired_at == math.inf else 0.0
+        return CEILING_HOLD * job.cls.latency_objective if thin and not job.check and self.retired_at == math.inf else 0.0
 
     def line_up(self, job: Job) -> None:
         job.stage = "queue"
@@ -992,7 +992,7 @@
     def hold(self, job: Job) -> float:
         """How long after its arrival a request may wait for a server. One whose attempt failed may do so till
         it is worth nothing or its refusal comes late: a client that comes again is served later still."""
-        return min(job.cls.aim, (job.deadline - job.arrived) / 2) if job.sends else QUEUE_HOLD * job.cls.aim
+        return min(job.cls.latency_objective, (job.deadline - job.arrived) / 2) if job.sends else QUEUE_HOLD * job.cls.latency_objective
 
     def left(self, now: float, job: Job) -> tuple[float, float]:
         """Units left to its class, as far as is known here, and seconds until its customer's window turns."""
@@ -1003,33 +1003,33 @@
         unused = min(acct.plan.burst, acct.hold(now) - acct.total + acct.lease - acct.uncharged)
         return max(0.0, unused - self.kept(job)), acct.start + acct.length - now
 
-    def give_back(self, now: float, event: messages.GiveBack) -> None:
+    def give_back(self, now: float, event: messages.ReturnUnits) -> None:
         acct = self.accounts.get(event.customer)
         if acct is None:  # forgotten since, and its ceiling's store was full then
             return
         acct.roll(now)
-        if acct.plan.rate and acct.k == event.window:
+        if acct.plan.rate and acct.k == event.window_index:
             acct.lease += event.units
             acct.used -= event.units
         sent = acct.cap + acct.ahead
         acct.fill(event.units)
-        if type(event) is messages.Unreserve:  # what is sent on was never charged with it
+        if type(event) is messages.ReturnReservation:  # what is sent on was never charged with it
             acct.ahead = sent - acct.cap
 
     def refuse(self, now: float, job: Job, wait: float) -> None:
         if job.check:
-            self.out.append(messages.Denied(job.req.id, job.over, self.told_wait(wait), *self.left(now, job)))
+            self.out.append(messages.QuotaDenied(job.req.request_id, job.over, self.told_wait(wait), *self.left(now, job)))
             self.close(now, job)
             return
-        ran = job.cls.effect != "safe" and (job.cls.effect, job.cls.scope) != ("keyed", "all")
+        ran = job.cls.effect != "safe" and (job.cls.effect, job.cls.deduplication_scope) != ("keyed", "all")
         if not (ran and (job.ran or job.live)):
-            self.out.append(messages.Refuse(job.req.id, self.told_wait(wait)))
+            self.out.append(messages.Reject(job.req.request_id, self.told_wait(wait)))
         else:
-            self.out.append(messages.Fail(job.req.id))
+            self.out.append(messages.Fail(job.req.request_id))
         self.close(now, job)
 
     def told_wait(self, wait: float) -> float:
-        most = self.set.limits.max_retry_after if self.set.limits.retry_after else 0.0
+        most = self.set.limits.max_retry_after if self.set.limits.can_tell_retry_after else 0.0
         return min(max(wait, 0.0), most)
 
     def close(self, now: float, job: Job) -> None:
@@ -1038,8 +1038,8 @@
             self.queue.given_up()
         elif job.stage == "ceiling":
             job.acct.promised -= job.req.units
-        self.jobs.pop(job.req.id, None)
-        self.out += [messages.Cancel(job.req.id, number) for number in job.live if self.set.limits.cancel]
+        self.jobs.pop(job.req.request_id, None)
+        self.out += [messages.CancelAttempt(job.req.request_id, number) for number in job.live if self.set.limits.can_cancel]
         if job.slot > 0:
             self.count_open(job.acct, job.slot, -1)
         job.acct.open_here -= job.slot < 0
@@ -1050,11 +1050,11 @@
         unproven = job.ran + list(job.live.values())
         if s.host.id in job.avoid or not unproven or job.cls.effect == "safe":
             return s.host.id not in job.avoid
-        if job.cls.effect == "unsafe" or now >= min(t for _, t in unproven) + job.cls.memory - self.reach:
+        if job.cls.effect == "unsafe" or now >= min(t for _, t in unproven) + job.cls.deduplication_window - self.reach:
             return False
         if any(h not in self.fleet.servers for h, _ in unproven):
             return False
-        known, scope = [self.fleet.servers[h].host for h, _ in unproven], job.cls.scope
+        known, scope = [self.fleet.servers[h].host for h, _ in unproven], job.cls.deduplication_scope
         return all(scope == "all" or (h.zone == s.host.zone if scope == "zone" else h.cell == s.host.cell)
                    for h in known)
 
@@ -1066,12 +1066,12 @@
     def send(self, now: float, job: Job) -> bool:
         if job.sends >= self.set.limits.max_attempts or job.streaming:
             return False
-        s = self.choose(now, job) if self.set.limits.second_copies or not job.live else None
+        s = self.choose(now, job) if self.set.limits.can_hedge or not job.live else None
         if s is None:
             return False
-        self.out.append(messages.Send(job.req.id, s.host.id))
+        self.out.append(messages.ForwardRequest(job.req.request_id, s.host.id))
         job.live[job.sends] = (s.host.id, now)
-        self.fleet.sent(s, (job.req.id, job.sends), now)
+        self.fleet.sent(s, (job.req.request_id, job.sends), now)
         job.sends += 1
         job.avoid.add(s.host.id)
         job.stage = "sent"
@@ -1081,7 +1081,7 @@
     def earn(self) -> None:
         """Each first send allows for a part of a retry."""
         share = RETRY_SPARE if self.fleet.clear() else RETRY_SHARE
-        self.budget = min(max(2.0, RETRY_MOST / self.set.gateways), self.budget + share)
+        self.budget = min(max(2.0, RETRY_MOST / self.set.gateway_count), self.budget + share)
 
     def drain_queue(self, now: float) -> None:
         queue = self.queue
@@ -1106,15 +1106,15 @@
             trials = [at for s in self.fleet.resting if s.up for _, at in s.rests.values() if at > now]
             self.trial_at = min(trials, default=0.0)
 
-    def outcome(self, now: float, event: messages.Outcome) -> None:
-        job = self.jobs.get(event.id)
+    def outcome(self, now: float, event: messages.AttemptOutcome) -> None:
+        job = self.jobs.get(event.request_id)
         self.fleet.answered(now, event, job.cls if job else None, job.keys if job else ("host",))
         if job is None:
             return
         sent = job.live.pop(event.attempt, None)
-        if event.actual and self.set.settles and job.plan.rate and not job.beyond:
-            job.acct.uncharged += event.actual - job.req.units
-        if event.final:
+        if event.actual_units and self.set.settles_units and job.plan.rate and not job.beyond:
+            job.acct.uncharged += event.actual_units - job.req.units
+        if event.is_final:
             self.close(now, job)
             return
         if event.result in ("error", "timeout", "reset", "cancelled") and sent is not None:
@@ -1142,14 +1142,14 @@
         return more and any(self.fits(job, s, now) for s in self.fleet.up)
 
     def look(self, at: float, job: Job) -> None:
-        heapq.heappush(self.due, (min(at, job.deadline - 2 * TICK), job.req.id))
+        heapq.heappush(self.due, (min(at, job.deadline - 2 * TICK), job.req.request_id))
 
     def tick(self, now: float) -> None:
         if now >= self.timer_at - 1e-6:
             self.timer_at = math.inf
         if now >= self.watch_at:
             self.watch_at = math.inf
-            self.out.append(messages.Watch(True))
+            self.out.append(messages.WatchEndpoints(True))
         while self.due and self.due[0][0] <= now + 1e-6:
             name = heapq.heappop(self.due)[1]
             if name in self.jobs:
@@ -1176,13 +1176,13 @@
         late = [n for n, (_, sent) in job.live.items() if now - sent >= patience]
         for number in set(late) - job.late:
             silent = self.fleet.servers[job.live[number][0]]  # it holds no other's place
-            self.fleet.drop(silent, (job.req.id, number))
+            self.fleet.drop(silent, (job.req.request_id, number))
             self.fleet.doubt.note(silent.host.id, job.keys, True, now)
             self.fleet.sites.silent(silent.host.zone, silent.host.id, now)
             silent.judged.clear()
         job.late.update(late)
         mean, dev = self.fleet.mean[job.cls.name], self.fleet.dev[job.cls.name]
-        leave = min(job.arrived + job.cls.aim, job.deadline) - mean - dev
+        leave = min(job.arrived + job.cls.latency_objective, job.deadline) - mean - dev
         self.look(max(now + 2 * TICK, min(now + dev, leave) if now < leave else now + dev), job)
         if now < leave - TICK:
             return
@@ -1193,9 +1193,9 @@
         job.left.update(late)
         if not late or len(job.live) > 1 or job.cls.effect == "unsafe" or self.budget < 1.0:
             return
-        if self.set.limits.second_copies:
+        if self.set.limits.can_hedge:
             self.budget -= self.send(now, job)
         elif not self.fleet.clear():
             return  # all are slow: another one would wait as long, and the work done at this host is lost
-        elif self.set.limits.cancel and job.sends < self.set.limits.max_attempts and self.choose(now, job):
-            self.out.append(messages.Cancel(job.req.id, late[0]))  # its outcome starts the next attempt
+        elif self.set.limits.can_cancel and job.sends < self.set.limits.max_attempts and self.choose(now, job):
+            self.out.append(messages.CancelAttempt(job.req.request_id, late[0]))  # its outcome starts the next attempt
--- a/apigateway/simulation/baselines.py
+++ b/apigateway/simulation/baselines.py
@@ -35,31 +35,31 @@
         self.world, self.rng = world, rng
         self.way, _, age = policy.partition(":")
         self.age = float(age or 0)
-        self.up: dict[str, messages.Host] = {}
+        self.up: dict[str, messages.Endpoint] = {}
         self.turn = rng.randrange(1 << 20)
         self.effects: dict[str, tuple[str, set[str]]] = {}
 
     def handle(self, now: float, event: messages.Event) -> list[messages.Action]:
         match event:
-            case messages.HostList():
-                for host in event.hosts:
+            case messages.EndpointList():
+                for host in event.endpoints:
                     if host.state == "up":
                         self.up[host.id] = host
                     else:
                         self.up.pop(host.id, None)
             case messages.Request():
                 if self.way == "quota" and not self.world.judge.room(event.customer, event.plan, self.age):
-                    return [messages.Refuse(event.id, 0.0)]
-                self.effects[event.id] = event.cls, set()
-                return self.send(event.id)
-            case messages.Outcome(final=False) if event.id in self.effects:
+                    return [messages.Reject(event.request_id, 0.0)]
+                self.effects[event.request_id] = event.service_class, set()
+                return self.send(event.request_id)
+            case messages.AttemptOutcome(is_final=False) if event.request_id in self.effects:
                 if event.result not in AGAIN:
-                    return self.end(event.id)
-                cls = self.world.classes[self.effects[event.id][0]]
+                    return self.end(event.request_id)
+                cls = self.world.classes[self.effects[event.request_id][0]]
                 ran = event.result in ("error", "reset") and cls.effect != "safe"
-                return self.end(event.id) if ran else self.send(event.id)
-            case messages.Outcome() | messages.Gone():
-                self.effects.pop(event.id, None)
+                return self.end(event.request_id) if ran else self.send(event.request_id)
+            case messages.AttemptOutcome() | messages.ClientDisconnected():
+                self.effects.pop(event.request_id, None)
         return []
 
     def end(self, request: str) -> list[messages.Action]:
@@ -72,7 +72,7 @@
             return self.end(request)
         host = self.choose(tried)
         tried.add(host)
-        return [messages.Send(request, host)]
+        return [messages.ForwardRequest(request, host)]
 
     def choose(self, tried: set[str]) -> str:
         names = [name for name in self.up if name not in tried]
--- a/apigateway/simulation/faults.py
+++ b/apigateway/simulation/faults.py
@@ -177,6 +177,6 @@
 def come_back(world: World, machine: Machine, cold: bool) -> None:
     if world.machines.get(machine.host.id) is not machine:
         return
-    started = world.clock.now if cold else machine.host.started
-    machine.restart(dataclasses.replace(machine.host, started=started))
+    started = world.clock.now if cold else machine.host.started_at
+    machine.restart(dataclasses.replace(machine.host, started_at=started))
     world.tell(machine.host, True)
--- a/apigateway/simulation/judge.py
+++ b/apigateway/simulation/judge.py
@@ -76,7 +76,7 @@
             else:
                 inside = False
                 self.figures.add("units beyond")
-                self.figures.spend(cls.worth * plan.price * plan.over_cost)
+                self.figures.spend(cls.priority_weight * plan.price_weight * plan.over_quota_cost)
         if plan.ceiling_rate:
             ceiling = self.ceilings.setdefault(
                 customer.name, Store(plan.ceiling_rate, plan.ceiling_burst, now)
--- a/apigateway/simulation/machine.py
+++ b/apigateway/simulation/machine.py
@@ -51,7 +51,7 @@
         self,
         clock: Clock,
         spec: Machines,
-        host: messages.Host,
+        host: messages.Endpoint,
         cores: float,
         speed: float,
         load: Load,
@@ -91,10 +91,10 @@
     # What it can do
 
     def warmth(self) -> float:
-        age = self.clock.now - self.host.started
-        if self.host.started <= 0 or age >= self.rules.cold_time:
+        age = self.clock.now - self.host.started_at
+        if self.host.started_at <= 0 or age >= self.rules.slow_start_duration:
             return 1.0
-        return self.rules.cold_share + (1 - self.rules.cold_share) * age / self.rules.cold_time
+        return self.rules.initial_capacity + (1 - self.rules.initial_capacity) * age / self.rules.slow_start_duration
 
     def capacity(self) -> float:
         """Core seconds of work a second."""
@@ -191,12 +191,12 @@
         now, rules = self.clock.now, self.rules
         self.arrived.append((now, work, told))
         self.sent += work
-        while self.arrived[0][0] < now - rules.fall_time:
+        while self.arrived[0][0] < now - rules.overload_duration:
             self.sent -= self.arrived.popleft()[1]
         if self.warmth() == 1:
             return
         mean = max(self.sent / len(self.arrived), 1e-9)
-        most = rules.fall_multiple * rules.fall_time * self.capacity() / mean  # requests of mean work
+        most = rules.overload_multiple * rules.overload_duration * self.capacity() / mean  # requests of mean work
         if len(self.arrived) > most + 3 * math.sqrt(most) + 3:
             self.fell = True
             knew = sum(t for *_, t in self.arrived) / len(self.arrived)
@@ -223,7 +223,7 @@
         self.turn += 1
         self.account()
 
-    def restart(self, host: messages.Host) -> None:
+    def restart(self, host: messages.Endpoint) -> None:
         """It is back, with nothing in it."""
         self.host, self.mode, self.dark, self.fell = host, "up", False, False
         self.arrived.clear()
--- a/apigateway/simulation/node.py
+++ b/apigateway/simulation/node.py
@@ -30,7 +30,7 @@
     def __init__(
         self, request: messages.Request, size: float, deadline: float, answer: Callable[[str, float], None]
     ) -> None:
-        self.id, self.size, self.deadline, self.answer = request.id, size, deadline, answer
+        self.id, self.size, self.deadline, self.answer = request.request_id, size, deadline, answer
         self.sends, self.over = 0, False
         self.live: dict[int, Attempt] = {}
         self.attempts: list[Attempt] = []
@@ -64,17 +64,17 @@
         self.tries: dict[str, Trying] = {}
         self.idle: dict[str, list[float]] = {}  # connections at rest at each host: since when
         self.version = 0
-        self.told: dict[str, messages.Host] = {}  # what it has heard of the hosts
+        self.told: dict[str, messages.Endpoint] = {}  # what it has heard of the hosts
         self.drains: dict[str, float] = {}  # hosts that it was told drain or are gone: when
         self.attempts_made = 0
 
     # Its life
 
-    def start(self, known: tuple[messages.Host, ...]) -> None:
+    def start(self, known: tuple[messages.Endpoint, ...]) -> None:
         """`known`: the list as it last had it."""
         self.alive, self.life = True, self.life + 1
         self.module, self.tries, self.idle = self.make(), {}, {}
-        self.feed(messages.HostList("cached", 1, known))
+        self.feed(messages.EndpointList("cached", 1, known))
 
     def die(self) -> None:
         """All connections end: its hosts drop what waits, its clients are told."""
@@ -85,7 +85,7 @@
             self.back(trying, "lost", 0.0)
         self.tries, self.idle = {}, {}
 
-    def listed(self, host: messages.Host) -> None:
+    def listed(self, host: messages.Endpoint) -> None:
         if host.state != "up":
             self.drains.setdefault(host.id, self.world.clock.now)
         else:
@@ -93,28 +93,28 @@
         self.told[host.id] = host
         if self.alive:
             self.version += 1
-            self.feed(messages.HostList("delta", self.version, (host,)))
+            self.feed(messages.EndpointList("delta", self.version, (host,)))
 
     # Clients
 
     def take(self, request: messages.Request, size: float, answer: Callable[[str, float], None]) -> None:
         """`answer` gets "served", "refused" or "failed", and for a refusal when to come back."""
-        left = request.left - WAY_BACK
+        left = request.remaining - WAY_BACK
         trying = Trying(request, size, self.world.clock.now + left, answer)
-        self.tries[request.id] = trying
+        self.tries[request.request_id] = trying
         self.world.clock.after(left + WAY_BACK - 0.01, self.overdue, trying)
         self.feed(
             messages.Request(
-                request.id,
+                request.request_id,
                 left,
                 request.customer,
                 request.plan,
-                request.cls,
+                request.service_class,
                 request.units,
-                request.first,
-                request.spread,
-                request.repeat,
-                request.write,
+                request.first_gateway,
+                request.gateway_spread,
+                request.is_retry,
+                request.is_write,
             )
         )
 
@@ -122,7 +122,7 @@
         if not trying.over and self.alive:
             self.world.figures.add("no decision")
             self.finish(trying, "failed", 0.0)
-            self.feed(messages.Gone(trying.id))
+            self.feed(messages.ClientDisconnected(trying.id))
 
     def back(self, trying: Trying, answer: str, wait: float) -> None:
         if not trying.over:
@@ -145,40 +145,40 @@
             return
         for action in self.module.handle(self.world.clock.now, event):
             kind = type(action)
-            if kind is messages.Send:
+            if kind is messages.ForwardRequest:
                 self.send(action)
             elif kind is messages.SetTimer:
                 self.world.clock.after(action.delay + 1e-6, self.timer, self.life, action.label)
-            elif kind is messages.Count:
+            elif kind is messages.AddToCounter:
                 self.count(action)
-            elif kind is messages.Refuse or kind is messages.Fail:
+            elif kind is messages.Reject or kind is messages.Fail:
                 trying = self.tries.get(action.id)
                 if trying is not None:
-                    wait = action.retry_after if kind is messages.Refuse else 0.0
-                    self.finish(trying, "refused" if kind is messages.Refuse else "failed", wait)
-            elif kind is messages.Cancel:
+                    wait = action.retry_after if kind is messages.Reject else 0.0
+                    self.finish(trying, "refused" if kind is messages.Reject else "failed", wait)
+            elif kind is messages.CancelAttempt:
                 self.cancel(action)
-            elif kind is messages.Probe:
+            elif kind is messages.CheckHealth:
                 self.probe(action.host)
 
     def timer(self, life: int, label: int) -> None:
         if life == self.life:
-            self.feed(messages.Timer(label))
+            self.feed(messages.TimerExpired(label))
 
     # Hosts
 
-    def send(self, action: messages.Send) -> None:
-        trying, world = self.tries.get(action.id), self.world
+    def send(self, action: messages.ForwardRequest) -> None:
+        trying, world = self.tries.get(action.request_id), self.world
         if trying is None or trying.over:
             return
-        attempt = Attempt(trying, trying.sends, action.host, world.clock.now)
+        attempt = Attempt(trying, trying.sends, action.endpoint_id, world.clock.now)
         trying.sends += 1
         trying.live[attempt.number] = attempt
         trying.attempts.append(attempt)
         self.attempts_made += 1
         world.figures.add("attempts")
-        world.judge.sends(self.place.name, attempt, self.drains.get(action.host))
-        machine = world.machines.get(action.host)
+        world.judge.sends(self.place.name, attempt, self.drains.get(action.endpoint_id))
+        machine = world.machines.get(action.endpoint_id)
         if machine is None or machine.mode == "dead" or world.links.cut(self.place, machine.place):
             world.figures.seconds[int(world.clock.now - START)]["in vain"] += 1
         if machine is None or machine.refused(self.index):
@@ -222,7 +222,7 @@
         task = Task(attempt.trying.size + work, lambda result: self.answered(attempt, result, life))
         attempt.task = task
         known = self.told.get(attempt.host)
-        machine.offer(task, known is not None and known.started >= machine.host.started)
+        machine.offer(task, known is not None and known.started_at >= machine.host.started_at)
 
     def answered(self, attempt: Attempt, result: str, life: int) -> None:
         machine, attempt.turned = attempt.machine, result == "full"
@@ -245,14 +245,14 @@
         self.world.figures.add("outcome " + result)
         final = over or result == "ok"
         self.feed(
-            messages.Outcome(
+            messages.AttemptOutcome(
                 trying.id,
                 attempt.number,
                 attempt.host,
                 result,
                 now - attempt.since,
                 final,
-                report=report or {},
+                load_report=report or {},
             )
         )
 
@@ -274,8 +274,8 @@
         attempt.over = False
         self.ended(attempt, "timeout", life)
 
-    def cancel(self, action: messages.Cancel) -> None:
-        trying = self.tries.get(action.id)
+    def cancel(self, action: messages.CancelAttempt) -> None:
+        trying = self.tries.get(action.request_id)
         attempt = trying.live.get(action.attempt) if trying is not None else None
         if attempt is not None and not attempt.over:
             self.give_up(attempt)
@@ -306,11 +306,11 @@
             return
         if result != "timeout":
             self.world.probes_over.add(key)
-        self.feed(messages.Probed(host, result, self.world.clock.now - since, report))
+        self.feed(messages.HealthCheckResult(host, result, self.world.clock.now - since, report))
 
     # The counter
 
-    def count(self, action: messages.Count) -> None:
+    def count(self, action: messages.AddToCounter) -> None:
         world, since, life = self.world, self.world.clock.now, self.life
         world.figures.add("counter calls")
         timeout = world.scenario.counting.timeout
@@ -319,7 +319,7 @@
         def told(result: str, total: float) -> None:
             if open_[0] and life == self.life:
                 open_[0] = False
-                self.feed(messages.Counted(action.name, result, total, world.clock.now - since))
+                self.feed(messages.CounterResult(action.counter_key, result, total, world.clock.now - since))
 
         def late() -> None:
             if open_[0]:
@@ -334,7 +334,7 @@
             self.place,
             world.counter_place,
             world.counter.add,
-            action.name,
+            action.counter_key,
             action.amount,
             action.lifetime,
             answer,
--- a/apigateway/simulation/world.py
+++ b/apigateway/simulation/world.py
@@ -72,7 +72,7 @@
         spec, rng = self.scenario.machines, stream(self.seed, "machine", self.born)
         big = rng.random() < spec.big
         cores = spec.cores * (2 if big else 1)
-        host = messages.Host(
+        host = messages.Endpoint(
             f"h{self.born}", zone, cell, 2.0 if big and spec.weights else 1.0, "k", "up", started
         )
         speed = math.exp(spec.speed_cv * rng.gauss(0, 1) - spec.speed_cv**2 / 2)
@@ -83,7 +83,7 @@
         self.born += 1
         return machine
 
-    def tell(self, host: messages.Host, sure: bool = False) -> None:
+    def tell(self, host: messages.Endpoint, sure: bool = False) -> None:
         """The list has changed: each gateway hears of it in its own time. `sure`: nobody misses it."""
         listing = self.scenario.listing
         for node in self.nodes:
@@ -120,7 +120,7 @@
         if self.figures.on:
             self.figures.add("firsts")
             self.figures.add("inside" if room else "beyond")
-            self.figures.worth += room * ask.work.cls.worth * ask.customer.plan.price
+            self.figures.worth += room * ask.work.cls.priority_weight * ask.customer.plan.price_weight
             self.figures.seconds[int(ask.born - START)]["inside"] += room
         self.attempt(ask, self.figures.on)
 
@@ -181,7 +181,7 @@
         elif ask.inside:
             count["served"] += 1
             self.figures.times.append(took)
-            if took <= ask.work.cls.aim:
+            if took <= ask.work.cls.latency_objective:
                 count["in aim"] += 1
                 second["in aim"] += 1
 
@@ -232,7 +232,7 @@
 
     def shape(self, wasted: float) -> dict[str, Any]:
         """How even it was: `most_host` is the busiest warm host's part of the requests against the mean."""
-        warm = [m for m in self.machines.values() if m.host.started == 0.0]
+        warm = [m for m in self.machines.values() if m.host.started_at == 0.0]
         taken = sorted(m.taken for m in warm)
         mean = sum(taken) / max(1, len(taken))
         spoilt = [
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -57,7 +57,7 @@
 )
 
 
-NOTHING = Listing(messages.HostList("cached", 0, ()), {})
+NOTHING = Listing(messages.EndpointList("cached", 0, ()), {})
 
 
 # Cost
--- a/tests/core/test_asked.py
+++ b/tests/core/test_asked.py
@@ -43,10 +43,10 @@
     assert not w.module.events and not place.answers
     ((asked, left, decided),) = w.core.outer.asked
     assert asked == request("a") and left == 3.0
-    w.module.next = [messages.Send("a", "h1")]
+    w.module.next = [messages.ForwardRequest("a", "h1")]
     decided(True, 0.0)
     heard = w.module.events[0]
-    assert type(heard) is messages.Request and 2.0 < heard.left <= 3.0
+    assert type(heard) is messages.Request and 2.0 < heard.remaining <= 3.0
     w.hosts.out[0].end("ok")
     assert place.answers == ["served"] and not w.core.works
 
@@ -54,16 +54,16 @@
 def test_what_may_not_go_on_is_refused_by_way_of_the_module():
     w = world()
     place = w.take("a")
-    w.module.next = [messages.Refuse("a", 0.5)]
+    w.module.next = [messages.Reject("a", 0.5)]
     w.core.outer.asked[0][2](False, 0.7)
-    assert w.module.events == [messages.Barred("a", 0.7)] and place.answers == ["refused"]
+    assert w.module.events == [messages.RejectedByPlugin("a", 0.7)] and place.answers == ["refused"]
     assert not w.hosts.sent and not w.core.works
 
 
-@pytest.mark.parametrize("now, event", [((True, 0.0), messages.Request), ((False, 0.2), messages.Barred)])
+@pytest.mark.parametrize("now, event", [((True, 0.0), messages.Request), ((False, 0.2), messages.RejectedByPlugin)])
 def test_one_that_decides_at_once(now, event):
     w = world(now)
-    place = w.take("a", [messages.Refuse("a")])
+    place = w.take("a", [messages.Reject("a")])
     assert type(w.module.events[0]) is event and place.answers == ["refused"] and not w.core.works
 
 
@@ -79,21 +79,21 @@
 
     class Hooks:
         def taken(self, request):
-            return Hooked(), messages.Barred(request.id, 0.0)
+            return Hooked(), messages.RejectedByPlugin(request.id, 0.0)
 
     class Hooked:
         def ended(self, outcome):
             pass
 
     w.core.hooks = Hooks()
-    place = w.take("a", [messages.Refuse("a")])
+    place = w.take("a", [messages.Reject("a")])
     assert place.answers == ["refused"] and not w.core.outer.asked
 
 
 def test_an_outer_that_raises_has_said_nothing(caplog):
     w = world(RuntimeError("broken"))
     with caplog.at_level(logging.ERROR):
-        place = w.take("a", [messages.Refuse("a")])
+        place = w.take("a", [messages.Reject("a")])
     assert [type(e) for e in w.module.events] == [messages.Request] and place.answers == ["refused"]
     assert "could not be asked" in caplog.text
 
@@ -104,7 +104,7 @@
     w.core.gone(place)
     assert w.core.outer.off == [1] and not w.core.works and not place.answers
     w.core.outer.asked[0][2](True, 0.0)  # one that says it all the same
-    assert [type(e) for e in w.module.events] == [messages.Gone]
+    assert [type(e) for e in w.module.events] == [messages.ClientDisconnected]
 
 
 def test_one_that_never_says_anything_costs_an_answer_in_time():
@@ -127,7 +127,7 @@
 
 def test_a_paid_request_stays_one():
     w = world()
-    told = messages.Paid("a", 3.0, "c", "p", "read", 1.0, 0, 1)
+    told = messages.PrepaidRequest("a", 3.0, "c", "p", "read", 1.0, 0, 1)
     w.core.take("front", told, Order(), Place())
     w.core.outer.asked[0][2](True, 0.0)
-    assert type(w.module.events[0]) is messages.Paid
+    assert type(w.module.events[0]) is messages.PrepaidRequest
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -152,10 +152,10 @@
 
 def test_a_request_is_sent_and_served_once():
     w = World()
-    place = w.take("a", [messages.Send("a", "h1")])
+    place = w.take("a", [messages.ForwardRequest("a", "h1")])
     w.hosts.out[0].end("ok")
     assert place.answers == ["served"] and not w.core.works and not w.core.open.used
-    assert w.module.events[-1] == messages.Outcome("a", 0, "h1", "ok", 0.01, True)
+    assert w.module.events[-1] == messages.AttemptOutcome("a", 0, "h1", "ok", 0.01, True)
     w.loop.fire()
     assert place.answers == ["served"]
 
@@ -163,20 +163,20 @@
 def test_an_id_in_work_is_taken_from_no_front():
     w = World()
     w.core.join("other")
-    place = w.take("a", [messages.Send("a", "h1")])
+    place = w.take("a", [messages.ForwardRequest("a", "h1")])
     with pytest.raises(InWork):
         w.take("a", front="other")
     w.hosts.out[0].end("ok")
     assert place.answers == ["served"]
-    assert w.take("a", [messages.Refuse("a")], front="other").answers == ["refused"]  # it is over now
+    assert w.take("a", [messages.Reject("a")], front="other").answers == ["refused"]  # it is over now
 
 
 def test_one_attempt_at_a_time_and_as_many_as_are_allowed():
     w = World(max_attempts=2)
-    w.take("a", [messages.Send("a", "h1"), messages.Send("a", "h2")])
+    w.take("a", [messages.ForwardRequest("a", "h1"), messages.ForwardRequest("a", "h2")])
     assert [a.host for a in w.hosts.sent] == ["h1"]
     assert w.module.events[-1].result == "moot"
-    w.module.next = [messages.Send("a", "h2")]
+    w.module.next = [messages.ForwardRequest("a", "h2")]
     w.hosts.out[0].end("reset")
     assert [a.host for a in w.hosts.sent] == ["h1"]  # the moot one was an attempt too
     assert w.module.events[-1].result == "moot"
@@ -185,11 +185,11 @@
 def test_a_module_that_raises_fails_its_request_and_calls_off_what_is_out():
     w = World()
     assert w.take("a", RuntimeError("broken")).answers == ["failed"]
-    place = w.take("b", [messages.Send("b", "h1")])
+    place = w.take("b", [messages.ForwardRequest("b", "h1")])
     w.hosts.out[0].written, w.module.next = True, RuntimeError("broken")
     w.hosts.out[0].end("reset")
     assert place.answers == ["failed"] and not w.core.works
-    assert isinstance(w.module.events[-1], messages.Gone)
+    assert isinstance(w.module.events[-1], messages.ClientDisconnected)
 
 
 def test_a_module_that_says_nothing_is_answered_for():
@@ -202,46 +202,46 @@
 def test_an_action_that_cannot_be_carried_out_does_not_stop_the_next(caplog):
     w = World()
     with caplog.at_level(logging.CRITICAL):
-        place = w.take("a", [object(), messages.Refuse("a", 0.5)])
+        place = w.take("a", [object(), messages.Reject("a", 0.5)])
     assert place.answers == ["refused"]
 
 
 def test_a_front_that_raises_is_cleared_away_like_the_others(caplog):
     w = World()
     with caplog.at_level(logging.CRITICAL):
-        bad = w.take("a", [messages.Refuse("a")], broken=True)
-        good = w.take("b", [messages.Refuse("b")])
+        bad = w.take("a", [messages.Reject("a")], broken=True)
+        good = w.take("b", [messages.Reject("b")])
     assert bad.answers == good.answers == ["refused"]
     assert not w.core.works and not w.core.open.used and not w.core.held.used
 
 
 def test_a_client_that_left_is_not_answered_and_its_attempt_is_called_off_unless_written():
     w = World()
-    place = w.take("a", [messages.Send("a", "h1")])
+    place = w.take("a", [messages.ForwardRequest("a", "h1")])
     w.core.gone(place)
     assert w.hosts.out[0].result == "connect_failed" and not w.core.works and place.answers == []
-    assert [e.result for e in w.module.events if isinstance(e, messages.Outcome)] == ["moot"]
+    assert [e.result for e in w.module.events if isinstance(e, messages.AttemptOutcome)] == ["moot"]
 
 
 def test_the_end_of_a_request_goes_before_what_waits_to_be_decided():
     """A client's end that is noticed while the module works: what it decides next knows of it."""
     w = World()
     place, other = w.take("a"), w.take("b")
-    w.core.actions[messages.Log] = lambda _: (w.core.feed(messages.Timer(7)), w.core.gone(place))
-    w.module.next = [messages.Log("")]
-    w.core.feed(messages.Timer(0))
-    assert [type(e) for e in w.module.events[-3:]] == [messages.Timer, messages.Gone, messages.Timer]
+    w.core.actions[messages.LogMessage] = lambda _: (w.core.feed(messages.TimerExpired(7)), w.core.gone(place))
+    w.module.next = [messages.LogMessage("")]
+    w.core.feed(messages.TimerExpired(0))
+    assert [type(e) for e in w.module.events[-3:]] == [messages.TimerExpired, messages.ClientDisconnected, messages.TimerExpired]
     w.core.gone(other)
     assert not w.core.works
 
 
 def test_a_send_that_crossed_the_end_of_its_request_is_told_as_not_sent():
     w = World()
-    place = w.take("a", [messages.Send("a", "h1")])
+    place = w.take("a", [messages.ForwardRequest("a", "h1")])
     w.hosts.out[0].written = True
     w.core.gone(place)  # its attempt is out still, for the module to call off
-    w.module.next = [messages.Send("a", "h2")]
-    w.core.feed(messages.Timer(0))
+    w.module.next = [messages.ForwardRequest("a", "h2")]
+    w.core.feed(messages.TimerExpired(0))
     told = w.module.events[-1]
     assert (told.id, told.attempt, told.host, told.result, told.final) == ("a", 1, "h2", "moot", True)
     assert len(w.hosts.sent) == 1
@@ -250,9 +250,9 @@
 def test_a_flood_on_one_front_leaves_room_for_the_others():
     w = World(most=100)
     w.core.join("other")
-    flood = [w.take(f"f{n}", [messages.Send(f"f{n}", "h1")]) for n in range(200)]
+    flood = [w.take(f"f{n}", [messages.ForwardRequest(f"f{n}", "h1")]) for n in range(200)]
     assert sum(p.answers == [] for p in flood) == 100 * (1 - RESERVED / 2)
-    quiet = [w.take(f"q{n}", [messages.Send(f"q{n}", "h1")], front="other") for n in range(100)]
+    quiet = [w.take(f"q{n}", [messages.ForwardRequest(f"q{n}", "h1")], front="other") for n in range(100)]
     assert sum(p.answers == [] for p in quiet) == 100 * RESERVED / 2
     assert len(w.core.works) == 100
 
@@ -260,9 +260,9 @@
 def test_bytes_of_bodies_are_shared_likewise():
     w = World(held=100)
     w.core.join("other")
-    taken = [w.take(f"f{n}", [messages.Send(f"f{n}", "h1")]).answers == [] for n in range(30)]
+    taken = [w.take(f"f{n}", [messages.ForwardRequest(f"f{n}", "h1")]).answers == [] for n in range(30)]
     assert 7 <= sum(taken) <= 8  # 10 bytes each; the last may pass the bound
-    assert w.take("q", [messages.Send("q", "h1")], front="other").answers == []
+    assert w.take("q", [messages.ForwardRequest("q", "h1")], front="other").answers == []
 
 
 STEPS = st.lists(
@@ -290,14 +290,14 @@
             attempt = live[which % len(live)] if live else None
             id = f"r{number}" if what == "take" else attempt.tag[0].id if attempt else "none"
             w.module.next = {
-                "send": [messages.Send(id, "h1")],
-                "two": [messages.Send(id, "h1"), messages.Send(id, "h2")],
-                "refuse": [messages.Refuse(id, 0.1)],
+                "send": [messages.ForwardRequest(id, "h1")],
+                "two": [messages.ForwardRequest(id, "h1"), messages.ForwardRequest(id, "h2")],
+                "refuse": [messages.Reject(id, 0.1)],
                 "fail": [messages.Fail(id)],
                 "nothing": [],
                 "raise": RuntimeError("broken"),
-                "cancel": [messages.Cancel(id, 0), messages.Send(id, "h3")],
-                "odd": [None, messages.Send("unknown", "h1"), messages.Refuse(id), messages.Fail(id)],
+                "cancel": [messages.CancelAttempt(id, 0), messages.ForwardRequest(id, "h3")],
+                "odd": [None, messages.ForwardRequest("unknown", "h1"), messages.Reject(id), messages.Fail(id)],
             }[does]
             if what == "take":
                 place = Place(broken)
@@ -311,7 +311,7 @@
             elif what == "late" and w.core.works:
                 w.core.overdue(list(w.core.works.values())[which % len(w.core.works)])
             elif what == "timer":
-                w.core.feed(messages.Timer(0))
+                w.core.feed(messages.TimerExpired(0))
             elif attempt is not None and what == "write":
                 attempt.written = True
             elif attempt is not None:
@@ -328,7 +328,7 @@
             attempt.end("reset")
     finally:
         logging.disable(logging.NOTSET)
-    told = [(e.id, e.attempt) for e in w.module.events if isinstance(e, messages.Outcome)]
+    told = [(e.request_id, e.attempt) for e in w.module.events if isinstance(e, messages.AttemptOutcome)]
     for place in places:
         assert len(place.answers) == (place not in gone), place.answers
         if place.token is not None:  # each attempt that the module decided on has its one outcome
@@ -387,13 +387,13 @@
 
 
 def write(id):
-    return messages.Request(id, 3.0, "c", "p", "note", 1.0, 0, 1, write=True)
+    return messages.Request(id, 3.0, "c", "p", "note", 1.0, 0, 1, is_write=True)
 
 
 def test_a_write_in_work_elsewhere_is_not_told_that_it_did_not_run_for_want_of_room():
     w = World(most=1)
     w.core.marks = marks = Marks(7)
-    w.module.next = [messages.Send("a", "h1")]
+    w.module.next = [messages.ForwardRequest("a", "h1")]
     w.core.take("front", write("a"), Order(), Place())
     marks.others, full = {"b"}, Place()
     with pytest.raises(InWork):
@@ -408,7 +408,7 @@
     w = World()
     w.core.marks = marks = Marks(7, -1, -2)
     one, full = Place(), Place()
-    w.module.next = [messages.Send("a", "h1")]
+    w.module.next = [messages.ForwardRequest("a", "h1")]
     w.core.take("front", write("a"), Order(), one)
     with pytest.raises(InWork):
         w.core.take("front", write("b"), Order(), Place())
@@ -429,23 +429,23 @@
 
 
 def check(id, left=3.0):
-    return messages.Check(id, left, "c", "p", "read", 1.0, 0, 1)
+    return messages.QuotaCheck(id, left, "c", "p", "read", 1.0, 0, 1)
 
 
 def test_a_check_is_answered_once_and_goes_to_no_host():
     w = World()
     one, two, three = Asker(), Asker(), Asker()
     w.module.next = [
-        messages.Granted("a", 5.0, 1.0, 7),
-        messages.Denied("a", True, 0.0, 0.0, 0.0),
-        messages.Refuse("a"),
+        messages.QuotaGranted("a", 5.0, 1.0, 7),
+        messages.QuotaDenied("a", True, 0.0, 0.0, 0.0),
+        messages.Reject("a"),
     ]
     w.core.check("front", check("a"), one)
-    w.module.next = [messages.Denied("b", True, 0.5, 0.0, 0.0)]
+    w.module.next = [messages.QuotaDenied("b", True, 0.5, 0.0, 0.0)]
     w.core.check("front", check("b"), two)
     assert one.answers == [("granted", 5.0)] and two.answers == [("denied", True)] and not w.hosts.sent
     assert not w.core.works and not w.core.open.used
-    w.module.next = [messages.Send("c", "h1")]  # a module that sends one on: the guard answers
+    w.module.next = [messages.ForwardRequest("c", "h1")]  # a module that sends one on: the guard answers
     w.core.check("front", check("c"), three)
     w.loop.fire()
     assert three.answers == ["failed"] and not w.hosts.sent and not w.core.works
@@ -456,12 +456,12 @@
     gone, broken, silent = Asker(), Asker(), Asker()
     w.core.check("front", check("a"), gone)
     w.core.gone(gone)
-    assert isinstance(w.module.events[-1], messages.Gone)
+    assert isinstance(w.module.events[-1], messages.ClientDisconnected)
     w.module.next = ValueError("the module is broken")
     w.core.check("front", check("b"), broken)
     w.core.check("front", check("c"), silent)
     w.loop.fire()
-    w.module.next = [messages.Granted("a", 5.0, 1.0, 7), messages.Granted("c", 5.0, 1.0, 7)]
+    w.module.next = [messages.QuotaGranted("a", 5.0, 1.0, 7), messages.QuotaGranted("c", 5.0, 1.0, 7)]
     w.core.check("front", check("d"), Asker())  # answers that come late
     assert not gone.answers and broken.answers == silent.answers == ["failed"]
 
@@ -478,12 +478,12 @@
     w = World()
     w.core.hooks = object()  # would raise if it were asked
     w.core.check("front", check("a"), Asker())
-    assert type(w.module.events[-1]) is messages.Check
+    assert type(w.module.events[-1]) is messages.QuotaCheck
     w.core.give_back(
-        messages.Check("a", 3.0, "c", "p", "read", 2.0, 0, 1), messages.Granted("a", 0.0, 1.0, 7)
+        messages.QuotaCheck("a", 3.0, "c", "p", "read", 2.0, 0, 1), messages.QuotaGranted("a", 0.0, 1.0, 7)
     )
-    assert w.module.events[-1] == messages.GiveBack("c", 2.0, 7)
+    assert w.module.events[-1] == messages.ReturnUnits("c", 2.0, 7)
     w.core.give_back(
-        messages.Reserve("b", 1.0, "c", "p", "read", 2.0, 0, 1), messages.Granted("b", 0.0, 1.0, 7)
+        messages.QuotaReservation("b", 1.0, "c", "p", "read", 2.0, 0, 1), messages.QuotaGranted("b", 0.0, 1.0, 7)
     )
-    assert w.module.events[-1] == messages.Unreserve("c", 2.0, 7)
+    assert w.module.events[-1] == messages.ReturnReservation("c", 2.0, 7)
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -55,7 +55,7 @@
     config = to_config(
         str(ROOT / "deploy" / "gateway.toml"), read_settings(str(ROOT / "deploy" / "gateway.toml"))
     )
-    assert isinstance(config.settings, messages.Settings) and len(config.known.hosts.hosts) == 1
+    assert isinstance(config.settings, messages.Settings) and len(config.known.hosts.endpoints) == 1
 
 
 def test_every_key_stands_in_the_file_in_deploy():
--- a/tests/faults/test_fronts.py
+++ b/tests/faults/test_fronts.py
@@ -53,7 +53,7 @@
     """A decision module that sends each request on at once."""
 
     def handle(self, now, event):
-        return [messages.Send(event.id, "h1")] if isinstance(event, messages.Request) else []
+        return [messages.ForwardRequest(event.request_id, "h1")] if isinstance(event, messages.Request) else []
 
 
 @on_loop
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -195,9 +195,9 @@
 async def test_a_drain_taken_over_through_a_belief_is_mended_by_its_source():
     told = []
     judge = Judge(
-        Trust(calm_time=0.0), Listing(messages.HostList("cached", 0, ()), {}), told.append, lambda: 100.0
+        Trust(calm_time=0.0), Listing(messages.EndpointList("cached", 0, ()), {}), told.append, lambda: 100.0
     )
-    up = [Entry(messages.Host("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
+    up = [Entry(messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
     judge.hear(up, whole=True)
     judge.drain(["h1", "unknown"])
     assert told[-1].hosts.hosts[0].state == "leaving"
--- a/tests/faults/test_workers.py
+++ b/tests/faults/test_workers.py
@@ -345,10 +345,10 @@
     settings = platform(SETTINGS)
     parts = [b"API.READ", b"00000000b4d65521", b"r1", terms(spread="1", first="0")]
     one, _ = read_command(settings, parts, {})
-    assert (one.first, one.spread) == (0, 1)
-    count = settings.gateways
+    assert (one.first_gateway, one.gateway_spread) == (0, 1)
+    count = settings.gateway_count
     whole, _ = read_command(settings, parts, {}, count)  # all gateways are one machine's workers
-    assert (whole.first, whole.spread) == (0, count)
+    assert (whole.first_gateway, whole.gateway_spread) == (0, count)
     with pytest.raises(BadRequest):
         read_command(settings, [*parts[:3], terms(spread="2", first="0")], {}, count)
     assert command(b"x")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -66,7 +66,7 @@
 
 
 def host(name, zone="z1", cell=0, state="up", started=0.0):
-    return messages.Host(name, zone, cell, 1.0, "k", state, started)
+    return messages.Endpoint(name, zone, cell, 1.0, "k", state, started)
 
 
 class World:
@@ -77,21 +77,21 @@
         self.counts = {}
         self.mode = "answer"  # or "silent", "refuse", "hold"
         listed = tuple(hosts if hosts is not None else [host("h1"), host("h2")])
-        self.do(messages.HostList("cached", 1, listed))
+        self.do(messages.EndpointList("cached", 1, listed))
 
     def do(self, event):
         """Hands one event over, answers counter calls as `mode` says, returns all actions."""
         acts = self.gw.handle(self.now, event)
         self.log += [(self.now, a) for a in acts]
-        for call in [a for a in acts if isinstance(a, messages.Count)]:
+        for call in [a for a in acts if isinstance(a, messages.AddToCounter)]:
             if self.mode == "answer":
-                total = self.counts[call.name] = self.counts.get(call.name, 0) + call.amount
-                acts = acts + self.do(messages.Counted(call.name, "ok", total, 0.002))
+                total = self.counts[call.counter_key] = self.counts.get(call.counter_key, 0) + call.amount
+                acts = acts + self.do(messages.CounterResult(call.counter_key, "ok", total, 0.002))
             elif self.mode == "silent":
                 self.now += 0.05
-                acts = acts + self.do(messages.Counted(call.name, "timeout", 0, 0.05))
+                acts = acts + self.do(messages.CounterResult(call.counter_key, "timeout", 0, 0.05))
             elif self.mode == "refuse":
-                acts = acts + self.do(messages.Counted(call.name, "full", 0, 0.001))
+                acts = acts + self.do(messages.CounterResult(call.counter_key, "full", 0, 0.001))
         return acts
 
     def ask(self, customer="c", plan="p", cls="read", units=1, spread=2, left=3.0):
@@ -103,12 +103,12 @@
         acts, end = [], self.now + seconds
         while self.now < end - 1e-9:
             self.now = min(end, self.now + step)
-            acts += self.do(messages.Timer(0))
+            acts += self.do(messages.TimerExpired(0))
         return acts
 
     def end(self, send, result="ok", attempt=0, final=None, elapsed=0.05, **kw):
         return self.do(
-            messages.Outcome(
+            messages.AttemptOutcome(
                 send.id, attempt, send.host, result, elapsed, result == "ok" if final is None else final, **kw
             )
         )
--- a/tests/membership/test_belief.py
+++ b/tests/membership/test_belief.py
@@ -13,7 +13,7 @@
 
 def entry(id, state="up", stamp=0, port=None, started=0.0):
     return Entry(
-        messages.Host(id, "a", 0, 1.0, "", state, started), ("127.0.0.1", port or 1000 + int(id[1:])), stamp
+        messages.Endpoint(id, "a", 0, 1.0, "", state, started), ("127.0.0.1", port or 1000 + int(id[1:])), stamp
     )
 
 
@@ -123,7 +123,7 @@
 def test_a_start_in_the_future_does_not_keep_a_host_cold_for_ever():
     belief = Belief()
     belief.hear(100.0, [entry("h1", started=1e9)], whole=True)
-    assert belief.known["h1"].entry.host.started == 100.0
+    assert belief.known["h1"].entry.host.started_at == 100.0
     assert belief.hear(200.0, [entry("h1", started=1e9)], whole=True) is None  # nor start anew at each look
     assert belief.hear(300.0, [entry("h1", started=2e9)], whole=True) is not None  # but it may start again
 
@@ -138,13 +138,13 @@
         back = belief.hear(now, [entry("h1")])
     assert back is None and belief.known["h1"].doubt == "flapping"
     assert belief.next() == 5.0 + 10.0 and belief.tick(14.9) is None
-    assert belief.tick(15.0).hosts.hosts[0].state == "up"
+    assert belief.tick(15.0).hosts.endpoints[0].state == "up"
 
 
 def test_a_list_from_before_is_believed_until_told_otherwise():
     belief = Belief()
-    host = messages.Host("h1", "a", 0, 1.0, "", "up", 0.0)
-    belief.start(0.0, Listing(messages.HostList("cached", 7, (host,)), {"h1": ("127.0.0.1", 1001)}))
+    host = messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0)
+    belief.start(0.0, Listing(messages.EndpointList("cached", 7, (host,)), {"h1": ("127.0.0.1", 1001)}))
     assert belief.hear(1.0, [entry("h1")], whole=True) is None
     assert belief.hear(2.0, [entry("h2")], whole=True).hosts.version == 8
 
@@ -171,7 +171,7 @@
         gone = {f"h{n}" for n in gone} - {f"h{n}" for n in named}
         told = [entry(f"h{n}", state, stamp) for n, state in named.items()]
         for changed in (belief.tick(now), belief.hear(now, told, gone, whole)):
-            for host in changed.hosts.hosts if changed else ():
+            for host in changed.hosts.endpoints if changed else ():
                 heard[host.id] = host.state
                 if host.state == "down":
                     del heard[host.id]
--- a/tests/membership/test_eureka_source.py
+++ b/tests/membership/test_eureka_source.py
@@ -17,7 +17,7 @@
 from apigateway.membership.eureka.source import EurekaSource, Registry
 from apigateway.membership.listing import Listing
 
-NOTHING = Listing(messages.HostList("cached", 0, ()), {})
+NOTHING = Listing(messages.EndpointList("cached", 0, ()), {})
 
 
 class Watched:
--- a/tests/membership/test_judge.py
+++ b/tests/membership/test_judge.py
@@ -10,7 +10,7 @@
 from apigateway.membership.judge import Judge
 from apigateway.membership.listing import Listing, read_list
 
-NOTHING = Listing(messages.HostList("cached", 0, ()), {})
+NOTHING = Listing(messages.EndpointList("cached", 0, ()), {})
 
 
 def listing(*ids, full=True, state="up"):
@@ -38,7 +38,7 @@
 async def test_a_belief_goes_on_with_its_doubts_and_its_age():
     first = Judge(Trust(), NOTHING, lambda _: None, lambda: 100.0)
     first.hear(
-        [Entry(messages.Host(f"h{n}", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", n)) for n in range(4)],
+        [Entry(messages.Endpoint(f"h{n}", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", n)) for n in range(4)],
         whole=True,
     )
     first.hear([], whole=True)
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -89,9 +89,9 @@
 
 def test_a_refusal_reaches_the_module_as_barred_and_nothing_else_of_the_request():
     w = hooked(seat(Scripted(on_request(("refuse", "1.5")))))
-    place = w.take("a", [messages.Refuse("a", 1.5)])
+    place = w.take("a", [messages.Reject("a", 1.5)])
     assert (
-        w.module.events == [messages.Barred("a", 1.5)] and place.answers == ["refused"] and not w.core.works
+        w.module.events == [messages.RejectedByPlugin("a", 1.5)] and place.answers == ["refused"] and not w.core.works
     )
     assert w.hooks.version.open == 0
 
@@ -101,9 +101,9 @@
 
     w = Decisions()
     accounts = dict(w.gw.accounts)
-    assert w.do(messages.Barred("x", 0.7)) == [messages.Refuse("x", 0.7)]
+    assert w.do(messages.RejectedByPlugin("x", 0.7)) == [messages.Reject("x", 0.7)]
     assert (
-        w.do(messages.Barred("y", 60.0)) == [messages.Refuse("y", 1.0)]
+        w.do(messages.RejectedByPlugin("y", 60.0)) == [messages.Reject("y", 1.0)]
         and w.gw.accounts == accounts
         and not w.gw.jobs
     )
@@ -112,7 +112,7 @@
 def test_a_route_and_tags_go_with_the_request():
     plugin = Scripted(on_request(("route", "batch"), ("tag", "district", "kochi")))
     w = hooked(seat(plugin))
-    w.take("a", [messages.Send("a", "h1")])
+    w.take("a", [messages.ForwardRequest("a", "h1")])
     assert w.module.events[0].route == "batch"
     w.hosts.out[0].end("ok")
     assert [(p, o) for p, _, o in plugin.seen] == [(REQUEST, ""), (ATTEMPT, ""), (ANSWER, "served")]
@@ -123,7 +123,7 @@
 )
 def test_a_plug_in_that_raises_is_skipped_in_each_phase(how):
     w = hooked(seat(Scripted(how)))
-    place = w.take("a", [messages.Send("a", "h1")])
+    place = w.take("a", [messages.ForwardRequest("a", "h1")])
     w.hosts.out[0].end("ok")
     assert place.answers == ["served"] and not w.core.works and w.hooks.version.open == 0
     w.hooks.tick()
@@ -133,12 +133,12 @@
 def test_past_its_budget_a_request_is_refused_where_settings_say_so():
     w = hooked(seat(Scripted(PluginFailed("fuel"), [REQUEST]), past="refuse", failures=2, rest=30.0))
     for n in range(4):
-        place = w.take(str(n), [messages.Refuse(str(n))])
+        place = w.take(str(n), [messages.Reject(str(n))])
         assert place.answers == ["refused"]
     told = w.hooks.told()["plugins"][0]
     assert told["failed"] == {"fuel": 2} and told["not asked"] == {"out": 2} and told["state"] == "out"
     # cut to what may be told
-    assert isinstance(w.module.events[-1], messages.Barred) and w.module.events[-1].wait == 2.0
+    assert isinstance(w.module.events[-1], messages.RejectedByPlugin) and w.module.events[-1].wait == 2.0
 
 
 def test_all_plug_ins_together_hold_a_request_up_for_no_longer_than_the_chain():
@@ -146,7 +146,7 @@
     seats = [seat(Scripted(lambda phase, view: calls.append(1), [REQUEST]), f"p{n}") for n in range(5)]
     w = hooked()
     w.hooks.version = version(*seats, chain=-1.0)  # it is over with the first
-    w.take("a", [messages.Refuse("a")])
+    w.take("a", [messages.Reject("a")])
     assert len(calls) == 1 and [s.passed for s in seats] == [{}] + [{"chain": 1}] * 4
 
 
@@ -160,7 +160,7 @@
     w.take("a")
     assert seen == [{"a": "1"}]
     first.say = on_request(("refuse", "0"))
-    w.take("b", [messages.Refuse("b")])
+    w.take("b", [messages.Reject("b")])
     assert len(seen) == 2 and ("answer", "b", "refused") in last.seen  # not asked, but told how it ended
 
 
@@ -182,7 +182,7 @@
     w = hooked(seat(Scripted([Proposal(*p) for p in said])))
     asked = request("a")
     place = Place()
-    w.module.next = [messages.Send("a", "h1")]
+    w.module.next = [messages.ForwardRequest("a", "h1")]
     w.core.take("front", asked, Order(), place)
     assert w.module.events[0] == asked and [a.host for a in w.hosts.sent] == ["h1"]
     w.hosts.out[0].end("ok")
@@ -194,9 +194,9 @@
 def test_each_request_ends_on_the_version_it_began_with_and_the_old_goes_with_the_last():
     old, new = Scripted(None), Scripted(None)
     w = hooked(seat(old))
-    first, second = w.take("a", [messages.Send("a", "h1")]), w.take("b", [messages.Send("b", "h1")])
+    first, second = w.take("a", [messages.ForwardRequest("a", "h1")]), w.take("b", [messages.ForwardRequest("b", "h1")])
     w.hooks.swap(version(seat(new)))
-    w.take("c", [messages.Send("c", "h1")])
+    w.take("c", [messages.ForwardRequest("c", "h1")])
     for attempt in list(w.hosts.out):
         assert not old.closed or attempt is w.hosts.out[2]
         attempt.end("ok")
@@ -208,10 +208,10 @@
 def test_swapped_with_hundreds_in_flight_the_new_one_trapping_at_its_first_call():
     old = Scripted(on_request(("tag", "a", "1")))
     w = hooked(seat(old), most=1000, held=10**6)
-    places = [w.take(str(n), [messages.Send(str(n), "h1")]) for n in range(400)]
+    places = [w.take(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(400)]
     bad = Scripted(PluginFailed("trap"))
     w.hooks.swap(version(seat(bad, failures=3)))
-    places += [w.take(str(n), [messages.Send(str(n), "h1")]) for n in range(400, 800)]
+    places += [w.take(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(400, 800)]
     for attempt in w.hosts.out:
         attempt.end("ok")
     assert all(place.answers == ["served"] for place in places)
@@ -222,7 +222,7 @@
     made = [Scripted(None, state=b"0")]
     w = hooked(seat(made[0]), most=1000, held=10**6)
     for n in range(200):
-        w.take(str(n), [messages.Send(str(n), "h1")])
+        w.take(str(n), [messages.ForwardRequest(str(n), "h1")])
         made.append(Scripted(None))
         w.hooks.swap(version(seat(made[-1])))
     assert len(w.hooks.old) == 200 and made[-1].state == b"0"  # each carried it over to the next
@@ -251,7 +251,7 @@
     w = hooked(same, seat(gone, "gone"))
     w.hooks.swap(version(same))
     assert gone.closed and not kept.closed
-    w.take("a", [messages.Send("a", "h1")])
+    w.take("a", [messages.ForwardRequest("a", "h1")])
     w.hooks.retire()
     w.core.hooks = None
     assert not kept.closed
@@ -296,12 +296,12 @@
     w = hooked(most=10_000, held=10**9)
     w.hooks.version = one()
     w.module.handle = lambda now, event: (
-        [messages.Send(event.id, "h1")]
+        [messages.ForwardRequest(event.request_id, "h1")]
         if isinstance(event, messages.Request)
-        else [messages.Refuse(event.id, event.wait)]
-        if isinstance(event, messages.Barred)
-        else [messages.Fail(event.id)]
-        if isinstance(event, messages.Outcome) and not event.final
+        else [messages.Reject(event.request_id, event.retry_after)]
+        if isinstance(event, messages.RejectedByPlugin)
+        else [messages.Fail(event.request_id)]
+        if isinstance(event, messages.AttemptOutcome) and not event.is_final
         else []
     )
     try:
@@ -453,7 +453,7 @@
     w.hooks.version = loaded
     for n in range(6):
         place = Place()
-        w.module.next = [messages.Send(str(n), "h1")]
+        w.module.next = [messages.ForwardRequest(str(n), "h1")]
         w.core.take(
             "front", messages.Request(str(n), 3.0, "ff", "basic", "roster-read", 1.0, 0, 1), Order(), place
         )
@@ -513,7 +513,7 @@
     # Its time is not what this is about: a core that is taken away for 10 ms would count as too long a call.
     budget = BudgetPart(share=0.001, span=5.0, time_ms=1000.0)
     w.hooks.version = loading(tmp_path, part("a", file="a.wat", budget=budget))
-    places = [w.take(str(n), [messages.Send(str(n), "h1")]) for n in range(1000)]
+    places = [w.take(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(1000)]
     for attempt in w.hosts.out:
         attempt.end("ok")
     (told,) = w.hooks.told()["plugins"]
@@ -535,8 +535,8 @@
     }
     w = hooked(seat(Scripted(lambda phase, view: said.get(phase, lambda v: [])(view))), recorder=recorder)
     for id in "ab":
-        w.take(id, [messages.Send(id, "h1")])
-        w.module.next = [messages.Send(id, "h2")]
+        w.take(id, [messages.ForwardRequest(id, "h1")])
+        w.module.next = [messages.ForwardRequest(id, "h2")]
         w.hosts.out[-1].end("full")
         w.hosts.out[-1].end("ok")
     w.hooks.close()
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -171,7 +171,7 @@
         handle = core.module.handle
 
         def slow(now, event):  # a module that says nothing of checks yet
-            if type(event) is messages.Check:
+            if type(event) is messages.QuotaCheck:
                 held.append(event)
                 return []
             return handle(now, event)
@@ -210,14 +210,14 @@
         core, held = node.node.core, []
         handle = core.module.handle
         core.module.handle = lambda now, event: (
-            held.append(event) or [] if type(event) is messages.Check else handle(now, event)
+            held.append(event) or [] if type(event) is messages.QuotaCheck else handle(now, event)
         )
         call = asyncio.ensure_future(asking.ask(A))
         while not held:
             await asyncio.sleep(0)
         core.module.handle = handle
         asking.front.finish()
-        core.granted(messages.Granted(held[0].id, 4.0, 1.0, 7))
+        core.granted(messages.QuotaGranted(held[0].id, 4.0, 1.0, 7))
         assert (await call).overall_code == OK
         await asking.front.drained()
 
--- a/tests/routing/test_sites.py
+++ b/tests/routing/test_sites.py
@@ -73,8 +73,8 @@
         w = World(settings(plans=[BIG], gateways=200, limits=dict(second_copies=False)), HOSTS, seed=seed)
         for n in range(150):
             acts, attempt = w.ask(plan="p")[1], 0
-            while sends := of(acts, messages.Send):
-                there = int(sends[0].host[1:]) % 3 == 0
+            while sends := of(acts, messages.ForwardRequest):
+                there = int(sends[0].endpoint_id[1:]) % 3 == 0
                 bad = there and n < 100
                 failed, later = failed + bad, later + (there and n >= 125)
                 acts = w.end(sends[0], "connect_failed" if bad else "ok", attempt=attempt, final=not bad)
@@ -88,8 +88,8 @@
     low = 1.0
     for _ in range(200):
         acts, attempt = w.ask(plan="p")[1], 0
-        while sends := of(acts, messages.Send):
-            bad = int(sends[0].host[1:]) % 8 == 0  # one in eight, in all sites
+        while sends := of(acts, messages.ForwardRequest):
+            bad = int(sends[0].endpoint_id[1:]) % 8 == 0  # one in eight, in all sites
             acts = w.end(sends[0], "connect_failed" if bad else "ok", attempt=attempt, final=not bad)
             attempt += 1
         low = min(low, *(w.gw.fleet.sites.part(zone, w.now) for zone in "abc"))
@@ -104,29 +104,29 @@
     def zones(count):
         met = set()
         for _ in range(count):
-            for send in of(w.ask(plan="p")[1], messages.Send):
-                met.add("abc"[int(send.host[1:]) % 3])
+            for send in of(w.ask(plan="p")[1], messages.ForwardRequest):
+                met.add("abc"[int(send.endpoint_id[1:]) % 3])
                 w.end(send)
             w.now += 0.2
         return met
 
     assert zones(60) == set("abc")
-    w.do(messages.Leave(("b",)))
+    w.do(messages.EvacuateZones(("b",)))
     assert zones(60) == set("ac")
-    w.do(messages.HostList("delta", 2, (host("h49", zone="b"), host("h50", zone="c"))))
+    w.do(messages.EndpointList("delta", 2, (host("h49", zone="b"), host("h50", zone="c"))))
     assert zones(60) == set("ac")  # a new list does not bring it back
-    w.do(messages.Leave(("a", "b", "c")))
+    w.do(messages.EvacuateZones(("a", "b", "c")))
     assert zones(60) == set("abc")  # to leave all is to leave none
     rings = [server.ring for server in w.gw.fleet.up]
     assert rings == sorted(rings)
-    w.do(messages.Leave(()))
+    w.do(messages.EvacuateZones(()))
     assert zones(60) == set("abc")
 
 
 def test_a_repeat_that_only_a_site_that_is_left_may_get_is_failed_not_sent_elsewhere():
     w = World(settings(plans=[BIG], gateways=200, limits=dict(second_copies=False)), HOSTS)
-    send = of(w.ask(plan="p", cls="write")[1], messages.Send)[0]  # keyed, within its zone
-    zone = "abc"[int(send.host[1:]) % 3]
-    w.do(messages.Leave((zone,)))
+    send = of(w.ask(plan="p", cls="write")[1], messages.ForwardRequest)[0]  # keyed, within its zone
+    zone = "abc"[int(send.endpoint_id[1:]) % 3]
+    w.do(messages.EvacuateZones((zone,)))
     acts = w.end(send, "reset")
-    assert not of(acts, messages.Send) and of(acts, messages.Fail)
+    assert not of(acts, messages.ForwardRequest) and of(acts, messages.Fail)
--- a/tests/routing/test_subset.py
+++ b/tests/routing/test_subset.py
@@ -75,8 +75,8 @@
 def ended(w, n, **kw):
     names = Counter()
     for _ in range(n):
-        for send in of(w.ask(plan="p", **kw)[1], messages.Send):
-            names[send.host] += 1
+        for send in of(w.ask(plan="p", **kw)[1], messages.ForwardRequest):
+            names[send.endpoint_id] += 1
             w.end(send)
         w.now += 0.3
     return names
@@ -91,12 +91,12 @@
 def test_more_traffic_than_a_subset_is_for_widens_it():
     w = crowd()
     for _ in range(300):
-        for send in of(w.ask(plan="p")[1], messages.Send):
+        for send in of(w.ask(plan="p")[1], messages.ForwardRequest):
             w.end(send)
         w.now += 0.02
     assert len(w.gw.fleet.near) == 50
     ended(w, 60)
-    w.do(messages.HostList("delta", 9, (host("h50"),)))  # narrower when the list changes next
+    w.do(messages.EndpointList("delta", 9, (host("h50"),)))  # narrower when the list changes next
     assert len(w.gw.fleet.near) < 25
 
 
@@ -107,12 +107,12 @@
     w.gw.fleet.doubt.pool["host"] = 0.02
     seen = 0
     for _ in range(60):
-        send = of(w.ask(plan="p", cls="cellwrite")[1], messages.Send)[0]
-        again = of(w.end(send, "reset"), messages.Send)
+        send = of(w.ask(plan="p", cls="cellwrite")[1], messages.ForwardRequest)[0]
+        again = of(w.end(send, "reset"), messages.ForwardRequest)
         if again:
             cell = {f"h{n}": n % 7 for n in range(50)}
-            assert cell[again[0].host] == cell[send.host]
-            seen += again[0].host not in near
+            assert cell[again[0].endpoint_id] == cell[send.endpoint_id]
+            seen += again[0].endpoint_id not in near
             w.end(again[0], attempt=1)
         w.now += 3.0
     assert seen or min(cells.values()) > 1
@@ -124,14 +124,14 @@
     dead = {s.host.id for s in w.gw.fleet.near}
     for _ in range(30):
         acts = w.ask(plan="p")[1]
-        while sends := of(acts, messages.Send):
-            sent.append(sends[0].host)
-            bad = sends[0].host in dead
+        while sends := of(acts, messages.ForwardRequest):
+            sent.append(sends[0].endpoint_id)
+            bad = sends[0].endpoint_id in dead
             number = (
-                sum(s.id == sends[0].id for _, s in [e for e in w.log if type(e[1]) is messages.Send]) - 1
+                sum(s.id == sends[0].request_id for _, s in [e for e in w.log if type(e[1]) is messages.ForwardRequest]) - 1
             )
             acts = w.end(sends[0], "connect_failed" if bad else "ok", attempt=number, final=not bad)
-        refused += len(of(acts, messages.Refuse))
+        refused += len(of(acts, messages.Reject))
         w.now += 0.5
     assert any(h not in dead for h in sent) and refused < 10
 
@@ -141,9 +141,9 @@
     listed = [host(f"h{n}") for n in range(50)]
     limits = dict(second_copies=False, cancel=False)
     w = World(settings(plans=[BIG], gateways=gateways, limits=limits), listed)
-    send = of(w.ask(plan="p", cls="note")[1], messages.Send)[0]
+    send = of(w.ask(plan="p", cls="note")[1], messages.ForwardRequest)[0]
     w.wait(1.1)  # its aim is a second
-    doubt = w.gw.fleet.doubt.at(send.host, "host", w.now)
+    doubt = w.gw.fleet.doubt.at(send.endpoint_id, "host", w.now)
     assert (doubt > 0.6) == sure and doubt > 0.15
 
 
@@ -172,7 +172,7 @@
     w = crowd()
     moved, name = w.gw.fleet.moved_by, next(iter(w.gw.fleet.near)).host.id
     while not moved["report"]:
-        for send in of(w.ask(plan="p")[1], messages.Send):
+        for send in of(w.ask(plan="p")[1], messages.ForwardRequest):
             w.end(send, report={"queue": 0.0})
     assert moved["mean"] and not moved["outside"] and not moved["doubted"]
     w.gw.fleet.doubt.note(name, ("host",), True, w.now)
--- a/tests/simulation/test_crowds.py
+++ b/tests/simulation/test_crowds.py
@@ -53,15 +53,15 @@
 def test_all_that_start_at_once_with_one_list_and_one_seed_do_not_pick_the_same_host(starts):
     """The seeds are the same on purpose: no gateway may count on its own being another's."""
     picked, scenario = Counter(), replace(CROWD, gateways=200, machines=Machines(count=50))
-    hosts = tuple(messages.Host(f"h{n}", "abc"[n % 3], n // 6, 1.0, "k", "up", 0.0) for n in range(50))
+    hosts = tuple(messages.Endpoint(f"h{n}", "abc"[n % 3], n // 6, 1.0, "k", "up", 0.0) for n in range(50))
     for index in range(200):
         gateway = Gateway(scenario.settings(index), 7, 1000.0)
-        gateway.handle(1000.0, messages.HostList("cached", 1, hosts))
+        gateway.handle(1000.0, messages.EndpointList("cached", 1, hosts))
         for act in gateway.handle(
             1000.0 + starts, messages.Request("r", 4.0, "c", "free", "read", 1.0, 0, 9)
         ):
-            if isinstance(act, messages.Send):
-                picked[act.host] += 1
+            if isinstance(act, messages.ForwardRequest):
+                picked[act.endpoint_id] += 1
     assert sum(picked.values()) == 200 and max(picked.values()) <= 16 and len(picked) >= 35
 
 
--- a/tests/simulation/test_model.py
+++ b/tests/simulation/test_model.py
@@ -101,19 +101,19 @@
         self.how, self.hosts, self.tries = how, [], {}
 
     def handle(self, now, event):
-        if isinstance(event, messages.HostList):
-            self.hosts += [h.id for h in event.hosts if h.state == "up"]
+        if isinstance(event, messages.EndpointList):
+            self.hosts += [h.id for h in event.endpoints if h.state == "up"]
         if isinstance(event, messages.Request):
-            self.tries[event.id] = 0
-            one = [messages.Send(event.id, self.hosts[0])]
+            self.tries[event.request_id] = 0
+            one = [messages.ForwardRequest(event.request_id, self.hosts[0])]
             return [] if self.how == "silent" else one * (2 if self.how == "two at once" else 1)
         if (
-            isinstance(event, messages.Outcome)
-            and not event.final
+            isinstance(event, messages.AttemptOutcome)
+            and not event.is_final
             and self.how == "twice"
             and event.attempt < 2
         ):
-            return [messages.Send(event.id, self.hosts[1])]
+            return [messages.ForwardRequest(event.request_id, self.hosts[1])]
         return []
 
 
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -21,28 +21,28 @@
 def check(w, customer="c", units=1.0, left=3.0, spread=1):
     """The one answer, where it comes at once."""
     w.ids += 1
-    acts = w.do(messages.Check(f"k{w.ids}", left, customer, "p", "read", units, 0, spread))
-    assert not of(acts, messages.Send) + of(acts, messages.Refuse) + of(acts, messages.Fail)
-    told = of(acts, messages.Granted) + of(acts, messages.Denied)
-    assert len(told) <= 1 and all(one.id == f"k{w.ids}" for one in told)
+    acts = w.do(messages.QuotaCheck(f"k{w.ids}", left, customer, "p", "read", units, 0, spread))
+    assert not of(acts, messages.ForwardRequest) + of(acts, messages.Reject) + of(acts, messages.Fail)
+    told = of(acts, messages.QuotaGranted) + of(acts, messages.QuotaDenied)
+    assert len(told) <= 1 and all(one.request_id == f"k{w.ids}" for one in told)
     return told[0] if told else None
 
 
 def passed(w, customer="c", units=1.0):
-    return isinstance(check(w, customer, units), messages.Granted)
+    return isinstance(check(w, customer, units), messages.QuotaGranted)
 
 
 def test_a_check_spends_units_tells_what_is_left_and_is_denied_beyond_them():
     w = world()
     told = [check(w) for _ in range(12)]
-    granted = [one for one in told if isinstance(one, messages.Granted)]
-    denied = [one for one in told if isinstance(one, messages.Denied)]
+    granted = [one for one in told if isinstance(one, messages.QuotaGranted)]
+    denied = [one for one in told if isinstance(one, messages.QuotaDenied)]
     # a new one is in the middle of a window
     assert 8 <= len(granted) <= 10 and told[: len(granted)] == granted
     assert len(granted) + len(denied) == 12
     assert [one.remaining for one in granted] == sorted((one.remaining for one in granted), reverse=True)
-    assert granted[-1].remaining < 1.0 and 0 < granted[0].reset <= 4.0
-    assert all(one.over and one.retry_after > 0 for one in denied)
+    assert granted[-1].remaining < 1.0 and 0 < granted[0].reset_after <= 4.0
+    assert all(one.is_over_quota and one.retry_after > 0 for one in denied)
     assert not w.gw.jobs and not w.gw.fleet.out
 
 
@@ -50,7 +50,7 @@
     w = world()
     taken = 0
     for n in range(20):
-        taken += passed(w) if n % 2 else len(of(w.ask("c", spread=1)[1], messages.Send) or []) > 0
+        taken += passed(w) if n % 2 else len(of(w.ask("c", spread=1)[1], messages.ForwardRequest) or []) > 0
     assert 8 <= taken <= 10
 
 
@@ -72,38 +72,38 @@
 
 def test_a_check_out_of_time_is_denied_but_not_over():
     told = check(world(), left=0.01)
-    assert isinstance(told, messages.Denied) and not told.over
+    assert isinstance(told, messages.QuotaDenied) and not told.is_over_quota
 
 
 def test_while_the_counter_is_silent_a_check_is_answered_in_its_time_and_one_that_left_is_not():
     w = world(gateways=2)
     w.mode = "hold"
     first = [check(w, spread=2) for _ in range(8)]
-    waiting = [job.req.id for job in w.gw.jobs.values()]
+    waiting = [job.req.request_id for job in w.gw.jobs.values()]
     assert None in first and waiting
-    w.do(messages.Gone(waiting[0]))
+    w.do(messages.ClientDisconnected(waiting[0]))
     acts = w.wait(1.0)
-    answered = [a.id for a in of(acts, messages.Granted) + of(acts, messages.Denied)]
+    answered = [a.request_id for a in of(acts, messages.QuotaGranted) + of(acts, messages.QuotaDenied)]
     assert sorted(answered) == sorted(waiting[1:]) and not w.gw.jobs
     # The counter's answer comes after all that: what it granted is a lease, and spent by whoever is next.
-    call = next(act for _, act in w.log if isinstance(act, messages.Count))
+    call = next(act for _, act in w.log if isinstance(act, messages.AddToCounter))
     w.mode = "answer"
-    w.do(messages.Counted(call.name, "ok", call.amount, 0.3))
+    w.do(messages.CounterResult(call.counter_key, "ok", call.amount, 0.3))
     assert w.gw.accounts["c"].lease > 0 and passed(w)
 
 
 def test_what_is_given_back_can_be_spent_again_in_its_window_only():
     w = world()
-    told = [one for one in (check(w) for _ in range(12)) if isinstance(one, messages.Granted)]
+    told = [one for one in (check(w) for _ in range(12)) if isinstance(one, messages.QuotaGranted)]
     assert not passed(w)
-    w.do(messages.GiveBack("c", 3.0, told[-1].window))
+    w.do(messages.ReturnUnits("c", 3.0, told[-1].window_index))
     assert sum(passed(w) for _ in range(6)) == 3
     w.now += 8.0
     assert passed(w)
     lease = w.gw.accounts["c"].lease
-    w.do(messages.GiveBack("c", 3.0, told[-1].window))
+    w.do(messages.ReturnUnits("c", 3.0, told[-1].window_index))
     assert w.gw.accounts["c"].lease == lease
-    w.do(messages.GiveBack("nobody", 3.0, 1))
+    w.do(messages.ReturnUnits("nobody", 3.0, 1))
 
 
 def test_a_ceiling_that_is_given_back_is_never_fuller_than_its_burst():
@@ -111,7 +111,7 @@
     w.now += 2.0  # the store is empty at a start
     told = check(w)
     for _ in range(5):
-        w.do(messages.GiveBack("c", 4.0, told.window))
+        w.do(messages.ReturnUnits("c", 4.0, told.window_index))
     assert w.gw.accounts["c"].cap <= 8.0
 
 
@@ -119,13 +119,13 @@
     w = world(gateways=8, plans=[plan(rate=1000.0, burst=1000.0)])
     w.gw.pass_share, w.gw.fleet.pressure, w.gw.fleet.answer_at = 0.1, 1.0, w.now
     told = [check(w, f"c{n}") for n in range(200)]
-    shed = [one for one in told if isinstance(one, messages.Denied)]
-    assert len(shed) > 100 and not any(one.over for one in shed)
+    shed = [one for one in told if isinstance(one, messages.QuotaDenied)]
+    assert len(shed) > 100 and not any(one.is_over_quota for one in shed)
 
 
 def test_a_plan_with_open_attempts_only_has_no_quota_to_tell_of():
     told = check(world([plan(rate=0.0, burst=0.0, open_limit=4)]))
-    assert isinstance(told, messages.Granted) and told.remaining == float("inf") and told.reset == 0.0
+    assert isinstance(told, messages.QuotaGranted) and told.remaining == float("inf") and told.reset_after == 0.0
 
 
 @pytest.mark.parametrize("first", range(0, 2000, 250))
@@ -151,17 +151,17 @@
             if rng.random() < 0.5:
                 w.ids += 1
                 asked[w, f"k{w.ids}"] = units
-                w.do(messages.Check(f"k{w.ids}", 3.0, "c", "p", "read", units, 0, count))
+                w.do(messages.QuotaCheck(f"k{w.ids}", 3.0, "c", "p", "read", units, 0, count))
             else:
                 name, acts = w.ask("c", units=units, spread=count)
                 asked[w, name] = units
-                for send in of(acts, messages.Send):
+                for send in of(acts, messages.ForwardRequest):
                     w.end(send, elapsed=0.001)
         times = [
-            (at, asked[w, act.id])
+            (at, asked[w, act.request_id])
             for w in worlds
             for at, act in w.log
-            if isinstance(act, messages.Granted | messages.Send)
+            if isinstance(act, messages.QuotaGranted | messages.ForwardRequest)
         ]
         times.sort()
         for i, (start, _) in enumerate(times):
@@ -193,20 +193,20 @@
         if what == "check":
             w.ids += 1
             asked[f"k{w.ids}"] = w.now
-            w.do(messages.Check(f"k{w.ids}", 1.0, name, "p", "read", amount, 0, 2))
+            w.do(messages.QuotaCheck(f"k{w.ids}", 1.0, name, "p", "read", amount, 0, 2))
         elif what == "ask":
             w.ask(name, spread=2)
         elif what == "gone" and asked:
             gone.add(next(reversed(asked)))
-            w.do(messages.Gone(next(reversed(asked))))
+            w.do(messages.ClientDisconnected(next(reversed(asked))))
         elif what == "back":
-            w.do(messages.GiveBack(name, amount, window))
+            w.do(messages.ReturnUnits(name, amount, window))
         elif what == "wait":
             w.wait(amount / 3)
-        told = [a for _, a in w.log if isinstance(a, messages.Granted)]
-        window = told[-1].window if told else 0
+        told = [a for _, a in w.log if isinstance(a, messages.QuotaGranted)]
+        window = told[-1].window_index if told else 0
     w.wait(1.2)
-    answered = [a.id for _, a in w.log if isinstance(a, messages.Granted | messages.Denied)]
+    answered = [a.request_id for _, a in w.log if isinstance(a, messages.QuotaGranted | messages.QuotaDenied)]
     assert len(answered) == len(set(answered)) and set(answered) <= set(asked)
     assert set(asked) - set(answered) <= gone
     assert READ.deadline > 1.0 and not [job for job in w.gw.jobs.values() if job.check]
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -61,11 +61,11 @@
 
     def acts(self, acts):
         for act in acts:
-            if isinstance(act, messages.Send):
+            if isinstance(act, messages.ForwardRequest):
                 self.allowed(act)
-            elif isinstance(act, messages.Refuse | messages.Fail):
-                assert act.id not in self.over, "answered twice"
-                self.over.add(act.id)
+            elif isinstance(act, messages.Reject | messages.Fail):
+                assert act.request_id not in self.over, "answered twice"
+                self.over.add(act.request_id)
 
 
 def index_is_true(fleet, now):
@@ -94,7 +94,7 @@
 def test_each_host_that_is_chosen_was_allowed_and_the_index_is_true(count, gateways, steps):
     routes = {"batch": messages.Route("batch", ("slow",), False)}
     hosts = [
-        messages.Host(
+        messages.Endpoint(
             f"h{n}",
             "z12"[n % 2 :][:2],
             n % 3,
@@ -107,7 +107,7 @@
     ]
     w = world(hosts, gateways, routes=routes)
     oracle = Oracle(w.conf)
-    oracle.listed(messages.HostList("cached", 1, tuple(hosts)))
+    oracle.listed(messages.EndpointList("cached", 1, tuple(hosts)))
     for number, (what, value) in enumerate(steps):
         rng = random.Random(value)
         if what in ("ask", "burst"):
@@ -129,37 +129,37 @@
         elif what == "end" and oracle.out:
             (id, attempt), at = rng.choice(sorted(oracle.out.items()))
             result = rng.choice(["ok"] * 5 + ["error", "timeout", "reset", "full", "connect_failed"])
-            event = messages.Outcome(
+            event = messages.AttemptOutcome(
                 id,
                 attempt,
                 at,
                 result,
                 0.05,
                 result == "ok",
-                report={"inflight": rng.random() * 8} if result == "ok" else {},
+                load_report={"inflight": rng.random() * 8} if result == "ok" else {},
             )
             if result == "ok":
                 oracle.over.add(id)
             oracle.outcome(event, w.now)
             oracle.acts(w.do(event))
         elif what == "wait":
-            oracle.acts([a for a in w.wait(value % 40 / 100) if not isinstance(a, messages.Cancel)])
+            oracle.acts([a for a in w.wait(value % 40 / 100) if not isinstance(a, messages.CancelAttempt)])
         elif what in ("list", "delta"):
             some = rng.sample(hosts, rng.randint(1, count))
             states = [
-                messages.Host(
-                    h.id, h.zone, h.cell, 1.0, h.kind, rng.choice(["up", "up", "leaving", "down"]), h.started
+                messages.Endpoint(
+                    h.id, h.zone, h.cell, 1.0, h.kind, rng.choice(["up", "up", "leaving", "down"]), h.started_at
                 )
                 for h in some
             ]
-            event = messages.HostList("full" if what == "list" else "delta", number + 2, tuple(states))
+            event = messages.EndpointList("full" if what == "list" else "delta", number + 2, tuple(states))
             oracle.listed(event)
             oracle.acts(w.do(event))
         index_is_true(w.gw.fleet, w.now)
 
 
 def ask(w, count, cls="read", left=3.0):
-    return [s for _ in range(count) for s in of(w.ask(cls=cls, left=left, spread=1)[1], messages.Send)]
+    return [s for _ in range(count) for s in of(w.ask(cls=cls, left=left, spread=1)[1], messages.ForwardRequest)]
 
 
 def many(count, started=0.0, **kw):
@@ -173,7 +173,7 @@
     waiting = w.gw.queue.live
     assert waiting
     for send in out[:waiting]:
-        assert len(of(w.end(send), messages.Send)) == 1  # each place that is left is taken at once
+        assert len(of(w.end(send), messages.ForwardRequest)) == 1  # each place that is left is taken at once
     assert not w.gw.queue.live
 
 
@@ -182,12 +182,12 @@
     served = 0
     for _ in range(60):
         for send in ask(w, 20):
-            if int(send.host[1:]) % 2:
+            if int(send.endpoint_id[1:]) % 2:
                 w.end(send)
                 served += 1
         w.wait(0.05)
     silent = [len(s.out) for s in w.gw.fleet.servers.values() if int(s.host.id[1:]) % 2 == 0]
-    late = [s for s in ask(w, 200) if int(s.host[1:]) % 2]
+    late = [s for s in ask(w, 200) if int(s.endpoint_id[1:]) % 2]
     assert served > 500 and sum(silent) < 4 * 500 and len(late) > 110  # they draw less than their half now
 
 
@@ -204,7 +204,7 @@
     for _ in range(40):
         for w in worlds:
             for send in ask(w, 2000 // 40 // gateways * 4):
-                sent.setdefault(send.host, []).append(w.now)
+                sent.setdefault(send.endpoint_id, []).append(w.now)
                 w.end(send)
             w.wait(0.05)
     rate = sum(map(len, sent.values())) / 2.0 / 1000  # a host's even part of all, a second
@@ -218,22 +218,22 @@
     left = ["h1", "h501", "h999"]
     states = [host(f"h{n}", "z1", n % 5, state="up" if f"h{n}" in left else "leaving") for n in range(1000)]
     for version in range(20):
-        w.do(messages.HostList("full", version + 2, tuple(states if version % 2 == 0 else many(1000))))
-    w.do(messages.HostList("full", 99, tuple(states)))
-    assert {s.host for s in ask(w, 30)} <= set(left) and len(w.gw.fleet.up) == 3
+        w.do(messages.EndpointList("full", version + 2, tuple(states if version % 2 == 0 else many(1000))))
+    w.do(messages.EndpointList("full", 99, tuple(states)))
+    assert {s.endpoint_id for s in ask(w, 30)} <= set(left) and len(w.gw.fleet.up) == 3
 
 
 def test_a_fleet_under_ever_new_names_is_forgotten_at_once():
     w = world(many(10))
     for turn in range(5):
-        w.do(messages.HostList("full", turn + 2, tuple(host(f"t{turn}-{n}") for n in range(1000))))
+        w.do(messages.EndpointList("full", turn + 2, tuple(host(f"t{turn}-{n}") for n in range(1000))))
         for send in ask(w, 100):
-            for again in of(w.end(send, "error"), messages.Send):
+            for again in of(w.end(send, "error"), messages.ForwardRequest):
                 w.end(again, attempt=1)
         w.now += 100.0
-    w.do(messages.HostList("full", 99, tuple(many(3))))
+    w.do(messages.EndpointList("full", 99, tuple(many(3))))
     w.now += 100.0
-    w.do(messages.HostList("full", 100, tuple(many(3))))
+    w.do(messages.EndpointList("full", 100, tuple(many(3))))
     assert len(w.gw.fleet.servers) == 3 and len(w.gw.fleet.doubt.hosts) <= 3
 
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -24,10 +24,10 @@
 def asked(w, customer):
     """One request, answered at once. Whether it was served."""
     name, acts = w.ask(customer, spread=1)
-    sent = of(acts, messages.Send)
+    sent = of(acts, messages.ForwardRequest)
     for send in sent:
         w.end(send, elapsed=0.001)
-    assert len(sent) + len(of(acts, messages.Refuse)) == 1
+    assert len(sent) + len(of(acts, messages.Reject)) == 1
     return bool(sent)
 
 
@@ -37,11 +37,11 @@
         now += 0.00005
         told = gateway.handle(now, messages.Request(f"r{n}", 3.0, f"{n:016x}", "p", "read", 1, 0, 1))
         for act in told:
-            if isinstance(act, messages.Count):
+            if isinstance(act, messages.AddToCounter):
                 calls.append(act)
-                told += gateway.handle(now, messages.Counted(act.name, "ok", act.amount, 0.001))
-        (sent,) = of(told, messages.Send)
-        gateway.handle(now, messages.Outcome(sent.id, 0, sent.host, "ok", 0.001, True))
+                told += gateway.handle(now, messages.CounterResult(act.counter_key, "ok", act.amount, 0.001))
+        (sent,) = of(told, messages.ForwardRequest)
+        gateway.handle(now, messages.AttemptOutcome(sent.request_id, 0, sent.endpoint_id, "ok", 0.001, True))
         assert len(gateway.accounts) <= 20_000
     assert not gateway.jobs and not gateway.queue.size
     # The counter hears of those only that look like one that was forgotten: few names, each for some seconds.
@@ -95,8 +95,8 @@
     for n in range(20_000):
         assert asked(w, f"{n:016x}")
     turned = [act for _, act in w.log[before:]]
-    assert sum(isinstance(act, messages.Send) for act in turned) == 20_000
-    assert sum(isinstance(act, messages.Count) for act in turned) <= 20_000  # one call each at most, no storm
+    assert sum(isinstance(act, messages.ForwardRequest) for act in turned) == 20_000
+    assert sum(isinstance(act, messages.AddToCounter) for act in turned) <= 20_000  # one call each at most, no storm
 
 
 def test_with_nobody_to_forget_a_new_one_is_told_when_to_come_back():
@@ -104,9 +104,9 @@
     held = [w.ask(name, spread=1)[1] for name in ("a", "b")]  # their requests are out
     w.gw.accounts["a"].open_here = w.gw.accounts["b"].open_here = 1
     name, acts = w.ask("c", spread=1)
-    assert acts == [messages.Refuse(name, 1.0)] and name not in w.gw.jobs and set(w.gw.accounts) == {"a", "b"}
+    assert acts == [messages.Reject(name, 1.0)] and name not in w.gw.jobs and set(w.gw.accounts) == {"a", "b"}
     w.gw.accounts["a"].open_here = 0
-    assert of(w.ask("c", spread=1)[1], messages.Send) and "a" not in w.gw.accounts and held
+    assert of(w.ask("c", spread=1)[1], messages.ForwardRequest) and "a" not in w.gw.accounts and held
 
 
 @seed(13)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -32,8 +32,8 @@
         lambda: messages.ServiceClass("c", 1.0, 2.0, "sometimes", "all", 0.0, 1.0, 0.0, False, 0.0),
         lambda: messages.Request("r", 1.0, "c", "p", "c", -1.0, 0, 1),
         lambda: messages.Request("r", 1.0, "c", "p", "c", 1.0, 0, 0),
-        lambda: messages.Host("h", "z", 0, 1.0, "k", "maybe", 0.0),
-        lambda: messages.Outcome("r", 0, "h", "fine", 0.1, True),
+        lambda: messages.Endpoint("h", "z", 0, 1.0, "k", "maybe", 0.0),
+        lambda: messages.AttemptOutcome("r", 0, "h", "fine", 0.1, True),
     ],
 )
 def test_types_reject_what_makes_no_sense(make):
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -373,8 +373,8 @@
     """It waits for whatever the module waits for, or between two attempts; `first` turned it away."""
     async with StubHost(b"-BUSY\r\n") as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         core = node.node.core
-        begins = [messages.Send("r1", first)] if first else []
-        core.module = Waiting(Request=begins, Timer=[messages.Send("r1", "h2")])
+        begins = [messages.ForwardRequest("r1", first)] if first else []
+        core.module = Waiting(Request=begins, Timer=[messages.ForwardRequest("r1", "h2")])
         _, writer = await node.connect()
         writer.write(command())
         while await core.module.seen.get() != ("Outcome" if first else "Request"):
@@ -382,9 +382,9 @@
         writer.close()
         while await core.module.seen.get() != "Gone":
             pass
-        core.feed(messages.Timer(0))  # the module did not hear of it in time
+        core.feed(messages.TimerExpired(0))  # the module did not hear of it in time
         assert not core.works and not node.node.hosts.open - len(node.node.hosts.conns)
-        core.module = Waiting(Request=[messages.Send("r2", "h2")])
+        core.module = Waiting(Request=[messages.ForwardRequest("r2", "h2")])
         assert await node.ask(command(b"r2")) == SERVED
         assert [c[2] for c in two.commands] == [b"r2"]
 
@@ -404,7 +404,7 @@
                 await asyncio.sleep(0)
             node.node.hosts.listed("h1", full.getsockname())
             node.node.hosts.connect_timeout = 60.0
-            core.module = Waiting(Request=[messages.Send("r1", "h1")])
+            core.module = Waiting(Request=[messages.ForwardRequest("r1", "h1")])
             _, writer = await node.connect()
             writer.write(command())
             while await core.module.seen.get() != "Request":
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -102,11 +102,11 @@
         class Sender:
             def handle(self, now, event):
                 seen.append(type(event))
-                if isinstance(event, messages.Outcome):
+                if isinstance(event, messages.AttemptOutcome):
                     seen.append(event.result)
                     done.set()
-                    return [messages.Fail(event.id)]
-                return [messages.Send(event.id, "h1")] if isinstance(event, messages.Request) else []
+                    return [messages.Fail(event.request_id)]
+                return [messages.ForwardRequest(event.request_id, "h1")] if isinstance(event, messages.Request) else []
 
         node.node.core.module = Sender()
         asked = asyncio.create_task(node.ask(command()))
@@ -116,7 +116,7 @@
         seen.clear()
         node.node.listed(read_list({"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]}))
         await done.wait()
-        assert seen == [messages.HostList, messages.Outcome, "connect_failed"]
+        assert seen == [messages.EndpointList, messages.AttemptOutcome, "connect_failed"]
         assert (await asked).startswith(b"-ERR") and not host.commands
 
 
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -154,10 +154,10 @@
 
             def handle(self, now, event):
                 if isinstance(event, messages.Request):
-                    return [messages.Send(event.id, "h1"), messages.Send(event.id, "h2")]
-                if isinstance(event, messages.Outcome):
+                    return [messages.ForwardRequest(event.request_id, "h1"), messages.ForwardRequest(event.request_id, "h2")]
+                if isinstance(event, messages.AttemptOutcome):
                     self.results.append(event.result)
-                    return [messages.Fail(event.id)]
+                    return [messages.Fail(event.request_id)]
                 return []
 
         node.node.core.module = Doubler()
@@ -178,7 +178,7 @@
             def handle(now, event):
                 came.extend([event] * isinstance(event, messages.Request))
                 actions = module(now, event)
-                tried.extend(a for a in actions if isinstance(a, messages.Send) and a.host == "h2")
+                tried.extend(a for a in actions if isinstance(a, messages.ForwardRequest) and a.endpoint_id == "h2")
                 return actions
 
             node.node.core.module.handle = handle
--- a/tests/test_net_hosts.py
+++ b/tests/test_net_hosts.py
@@ -77,13 +77,13 @@
 
         class Watcher:
             def handle(self, now, event):
-                if isinstance(event, messages.Probed):
+                if isinstance(event, messages.HealthCheckResult):
                     seen.append(event)
                     done.set()
                 return []
 
         node.node.core.module = Watcher()
-        node.node.core.probe(messages.Probe("h1"))
+        node.node.core.probe(messages.CheckHealth("h1"))
         await done.wait()
         assert host.commands == [[b"INFO", b"load"]]
         assert seen[0].result == "ok" and seen[0].report == {"inflight": 7.0}
@@ -158,15 +158,15 @@
         class Mover:
             def handle(self, now, event):
                 if isinstance(event, messages.Request):
-                    return [messages.Send(event.id, "h1")]
-                return [messages.Send(event.id, "h2")] if getattr(event, "result", "") == "cancelled" else []
+                    return [messages.ForwardRequest(event.request_id, "h1")]
+                return [messages.ForwardRequest(event.id, "h2")] if getattr(event, "result", "") == "cancelled" else []
 
         node.node.core.module = Mover()
         asked = asyncio.create_task(node.ask(command()))
         await one.arrived.get()
         (attempt,) = node.node.core.works["r1"].live.values()
         ended = socket.socket(fileno=os.dup(attempt.conn.descriptor))
-        node.node.core.cancel(messages.Cancel("r1", 0))
+        node.node.core.cancel(messages.CancelAttempt("r1", 0))
         with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
             ended.send(b"x")
         ended.close()
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -115,8 +115,8 @@
     out = []
     for _ in range(held):
         name, acts = w.ask(spread=1)
-        assert not of(acts, messages.Refuse)
-        out += of(acts, messages.Send)
+        assert not of(acts, messages.Reject)
+        out += of(acts, messages.ForwardRequest)
     return w, out
 
 
@@ -138,25 +138,25 @@
     out, answered = deque(out), set()
     while len(answered) < 5_000:  # all free at once
         send = out.popleft()
-        out += of(w.end(send), messages.Send)
+        out += of(w.end(send), messages.ForwardRequest)
         answered.add(send.id)
     assert w.gw.queue.live == held - len(answered) - len(out)
-    acts = w.do(messages.HostList("full", 2, ()))  # all gone
-    assert not of(acts, messages.Send)
+    acts = w.do(messages.EndpointList("full", 2, ()))  # all gone
+    assert not of(acts, messages.ForwardRequest)
     for send in out:  # each ends as its host does
         acts += w.end(send, "reset")
     acts += w.wait(3.0)
-    refused = [a.id for a in of(acts, messages.Refuse)]
-    assert not of(acts, messages.Send) and len(refused) == len(set(refused)) == held - len(answered)
+    refused = [a.request_id for a in of(acts, messages.Reject)]
+    assert not of(acts, messages.ForwardRequest) and len(refused) == len(set(refused)) == held - len(answered)
     assert not answered & set(refused) and not w.gw.jobs and not w.gw.queue.live
-    w.do(messages.HostList("full", 3, (host("h9"),)))  # and what comes then is served
+    w.do(messages.EndpointList("full", 3, (host("h9"),)))  # and what comes then is served
     name, acts = w.ask(spread=1)
-    assert [a.id for a in of(acts, messages.Send)] == [name]
+    assert [a.request_id for a in of(acts, messages.ForwardRequest)] == [name]
     assert w.gw.queue.size <= policy.FREED_AT_ONCE
 
 
 def test_the_worthiest_go_first_and_of_equals_the_latest(monkeypatch):
     w, out = waiting_world(monkeypatch, 60)
     late = [w.ask(spread=1)[0] for _ in range(3)]
-    sent = [of(w.end(send), messages.Send)[0].id for send in out[:3]]
+    sent = [of(w.end(send), messages.ForwardRequest)[0].request_id for send in out[:3]]
     assert sent == late[::-1]
