--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -7,7 +7,7 @@
     n = 0
     for _ in range(tries):
         _, acts = w.ask(**kw)
-        for s in of(acts, messages.Send):
+        for s in of(acts, messages.ForwardRequest):
             n += 1
             w.end(s)
     return n
@@ -16,23 +16,23 @@
 def test_light_customer_makes_no_call():
     w = World()
     assert served(w, 1) == 1
-    assert not [a for _, a in w.log if isinstance(a, messages.Count)]
+    assert not [a for _, a in w.log if isinstance(a, messages.AddToCounter)]
 
 
 def test_lease_is_added_and_quota_is_held():
     w = World()
     n = served(w, 40)
     assert 8 <= n <= 16  # the burst, and what the part of the window that has passed has refilled
-    assert [a for _, a in w.log if isinstance(a, messages.Count)]
+    assert [a for _, a in w.log if isinstance(a, messages.AddToCounter)]
     assert max(w.counts.values()) <= 16
 
 
 def test_full_window_refuses_at_once_without_calls():
     w = World()
     served(w, 40)
-    before = len([a for _, a in w.log if isinstance(a, messages.Count)])
+    before = len([a for _, a in w.log if isinstance(a, messages.AddToCounter)])
     name, acts = w.ask()
-    assert of(acts, messages.Refuse) and len(of(acts, messages.Count)) == 0 and before
+    assert of(acts, messages.Reject) and len(of(acts, messages.AddToCounter)) == 0 and before
 
 
 def test_two_bursts_do_not_pass_back_to_back_at_a_turn():
@@ -51,11 +51,11 @@
     calls, sends = [], True
     while sends:  # the last request waits for the call that is out
         _, acts = w.ask()
-        calls, sends = calls + of(acts, messages.Count), of(acts, messages.Send)
+        calls, sends = calls + of(acts, messages.AddToCounter), of(acts, messages.ForwardRequest)
     call = calls[0]
-    acts = w.do(messages.Counted(call.name, "ok", 40, 0.002))  # others have filled the window meanwhile
-    assert [c for c in of(acts, messages.Count) if c.amount < 0 and c.name == call.name]
-    assert not of(acts, messages.Send) and of(acts, messages.Refuse)
+    acts = w.do(messages.CounterResult(call.name, "ok", 40, 0.002))  # others have filled the window meanwhile
+    assert [c for c in of(acts, messages.AddToCounter) if c.amount < 0 and c.counter_key == call.name]
+    assert not of(acts, messages.ForwardRequest) and of(acts, messages.Reject)
 
 
 def test_timed_out_add_gives_no_units_and_request_is_settled_soon():
@@ -74,7 +74,7 @@
     for _ in range(200):
         w.ask()
         w.wait(0.02)
-    assert len([a for _, a in w.log if isinstance(a, messages.Count)]) < 20
+    assert len([a for _, a in w.log if isinstance(a, messages.AddToCounter)]) < 20
 
 
 def test_lost_counts_are_added_again():
@@ -119,11 +119,11 @@
     sends = []
     for _ in range(3):
         for w in (a, b):
-            sends += [(w, s) for s in of(w.ask()[1], messages.Send)]
+            sends += [(w, s) for s in of(w.ask()[1], messages.ForwardRequest)]
     assert len(sends) == 2
     w, s = sends[0]
     w.end(s)
-    assert len(of(w.ask()[1], messages.Send)) == 1
+    assert len(of(w.ask()[1], messages.ForwardRequest)) == 1
 
 
 def test_beyond_quota_only_where_it_earns():
@@ -136,7 +136,7 @@
 def test_without_counter_the_even_share_is_granted():
     w = World(settings(counter=False))
     n = served(w, 40)
-    assert 4 <= n <= 8 and not [a for _, a in w.log if isinstance(a, messages.Count)]
+    assert 4 <= n <= 8 and not [a for _, a in w.log if isinstance(a, messages.AddToCounter)]
 
 
 def test_plan_without_a_rate_needs_only_open_slots():
@@ -147,7 +147,7 @@
 def test_settled_units_are_charged():
     w = World(settings(settles=True))
     _, acts = w.ask()
-    s = of(acts, messages.Send)[0]
+    s = of(acts, messages.ForwardRequest)[0]
     w.end(s, actual=6)
     assert served(w, 40) < 11
 
@@ -179,16 +179,16 @@
 def test_even_part_of_the_open_limit_needs_no_call():
     w = World(settings(plans=[plan(rate=50.0, burst=100.0, open_limit=4)]))
     acts = w.ask()[1] + w.ask()[1]
-    assert len(of(acts, messages.Send)) == 2 and not of(acts, messages.Count)
-    assert not of(w.ask()[1], messages.Send)
+    assert len(of(acts, messages.ForwardRequest)) == 2 and not of(acts, messages.AddToCounter)
+    assert not of(w.ask()[1], messages.ForwardRequest)
 
 
 def test_small_burst_over_many_gateways_passes_light_customers_and_holds_busy_ones():
     w = World(settings(gateways=10, plans=[plan(rate=0.8, burst=3.0)]))
     for k in range(20):
         _, acts = w.ask(customer=f"c{k}", spread=8)
-        assert of(acts, messages.Send) and len(of(acts, messages.Count)) <= 1
-        w.end(of(acts, messages.Send)[0])
+        assert of(acts, messages.ForwardRequest) and len(of(acts, messages.AddToCounter)) <= 1
+        w.end(of(acts, messages.ForwardRequest)[0])
     assert served(w, 30, customer="c0", spread=8) <= 6
 
 
@@ -204,23 +204,23 @@
     w = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
     w.mode = "silent"
     for _ in range(80):
-        for s in of(w.ask()[1], messages.Send):
+        for s in of(w.ask()[1], messages.ForwardRequest):
             w.end(s)
         w.wait(0.02)
     w.mode, start = "answer", w.now
     while w.now < start + 2:
-        for s in of(w.ask()[1], messages.Send):
+        for s in of(w.ask()[1], messages.ForwardRequest):
             w.end(s)
         w.wait(0.04)
     assert w.gw.counter.fails == 0
-    assert [a for t, a in w.log if isinstance(a, messages.Count) and t > start]
+    assert [a for t, a in w.log if isinstance(a, messages.AddToCounter) and t > start]
 
 
 def test_rest_of_the_open_limit_is_shared_by_a_count():
     conf = [settings(index=k, plans=[plan(rate=50.0, burst=100.0, open_limit=3)]) for k in (0, 1)]
     a, b = World(conf[0]), World(conf[1], seed=2)
     b.counts = a.counts
-    assert sum(len(of(w.ask()[1], messages.Send)) for _ in range(3) for w in (a, b)) == 3
+    assert sum(len(of(w.ask()[1], messages.ForwardRequest)) for _ in range(3) for w in (a, b)) == 3
 
 
 def test_an_add_without_answer_leaves_the_requests_on_it_to_the_local_share():
@@ -229,10 +229,10 @@
     calls, n = [], 0
     for _ in range(12):
         acts = w.ask()[1]
-        calls, n = calls + of(acts, messages.Count), n + len(of(acts, messages.Send))
-    acts = w.do(messages.Counted(calls[0].name, "timeout", 0, 0.05))
-    assert w.gw.accounts["c"].lease == 0 and n + len(of(acts, messages.Send)) <= 5
-    assert len(of(acts, messages.Refuse)) >= 3
+        calls, n = calls + of(acts, messages.AddToCounter), n + len(of(acts, messages.ForwardRequest))
+    acts = w.do(messages.CounterResult(calls[0].name, "timeout", 0, 0.05))
+    assert w.gw.accounts["c"].lease == 0 and n + len(of(acts, messages.ForwardRequest)) <= 5
+    assert len(of(acts, messages.Reject)) >= 3
 
 
 def test_what_a_quiet_half_lets_pass_too_much_is_taken_from_the_next_window():
@@ -273,7 +273,7 @@
     w = World(settings(plans=[plan(rate=1000.0, burst=4000.0)]))
     busy = w.ask("busy", left=1000.0)[1]
     for n in range(2000):
-        for send in of(w.ask(f"c{n}")[1], messages.Send):
+        for send in of(w.ask(f"c{n}")[1], messages.ForwardRequest):
             w.end(send)
         w.now += 0.1
     assert len(w.gw.accounts) < 350 and busy
@@ -289,9 +289,9 @@
         w.mode = "hold"
         calls = []
         while not calls:
-            calls = of(w.ask()[1], messages.Count)
-        w.do(messages.Counted(calls[0].name, result, 0.0, elapsed))
-        assert bool([a for n in range(8) for a in of(w.ask(f"c{n % 2}")[1], messages.Count)]) == again
+            calls = of(w.ask()[1], messages.AddToCounter)
+        w.do(messages.CounterResult(calls[0].counter_key, result, 0.0, elapsed))
+        assert bool([a for n in range(8) for a in of(w.ask(f"c{n % 2}")[1], messages.AddToCounter)]) == again
 
 
 def test_units_added_by_a_call_with_a_spoilt_answer_are_not_lost():
@@ -302,14 +302,14 @@
     for _ in range(60):
         acts = w.ask()[1]
         while acts:
-            sent += len(of(acts, messages.Send))
-            refused += len(of(acts, messages.Refuse))
-            after = [a for s in of(acts, messages.Send) for a in w.end(s)]
-            for call in of(acts, messages.Count):
+            sent += len(of(acts, messages.ForwardRequest))
+            refused += len(of(acts, messages.Reject))
+            after = [a for s in of(acts, messages.ForwardRequest) for a in w.end(s)]
+            for call in of(acts, messages.AddToCounter):
                 calls += 1
-                real[call.name] = real.get(call.name, 0) + call.amount
-                told = ("spoilt", 0.0) if calls % 3 else ("ok", real[call.name])
-                after += w.do(messages.Counted(call.name, *told, 0.002))
+                real[call.counter_key] = real.get(call.counter_key, 0) + call.amount
+                told = ("spoilt", 0.0) if calls % 3 else ("ok", real[call.counter_key])
+                after += w.do(messages.CounterResult(call.counter_key, *told, 0.002))
             acts = after
     assert calls > 6 and 36 <= sent <= 46 and sent + refused == 60
     assert max(real.values()) <= 48
@@ -317,13 +317,13 @@
 
 def test_units_are_added_again_once_when_the_counter_lost_its_counts():
     w = World(settings(plans=[plan(rate=0.001, burst=100.0)]))
-    while len([a for _, a in w.log if isinstance(a, messages.Count)]) < 6:
+    while len([a for _, a in w.log if isinstance(a, messages.AddToCounter)]) < 6:
         served(w, 1)
     (name,), before = w.counts, max(w.counts.values())
     w.counts.clear()
     calls = len(w.log)
     served(w, 12)
-    again = [a.amount for _, a in w.log[calls:] if isinstance(a, messages.Count)]
+    again = [a.amount for _, a in w.log[calls:] if isinstance(a, messages.AddToCounter)]
     assert len(again) > 4 and w.counts[name] <= before + 14  # not twice, not ever more
 
 
@@ -331,7 +331,7 @@
     """The next call that asks for units, however many requests pass before."""
     for _ in range(200):
         w.now += 0.01
-        calls = [c for c in of(w.ask()[1], messages.Count) if c.amount > 0]
+        calls = [c for c in of(w.ask()[1], messages.AddToCounter) if c.amount > 0]
         if calls:
             return calls[0]
     raise AssertionError("no call")
@@ -342,10 +342,10 @@
     w.mode = "hold"
     call = next_call(w)
     w.gw.accounts["c"].debt = 5.0
-    w.do(messages.Counted(call.name, "timeout", 0.0, 0.002))  # its line broke: it may have been added
+    w.do(messages.CounterResult(call.counter_key, "timeout", 0.0, 0.002))  # its line broke: it may have been added
     second = next_call(w)
-    acts = w.do(messages.Counted(call.name, "ok", call.amount + second.amount, 0.002))
-    assert [c.amount for c in of(acts, messages.Count) if c.amount >= 5]
+    acts = w.do(messages.CounterResult(call.counter_key, "ok", call.amount + second.amount, 0.002))
+    assert [c.amount for c in of(acts, messages.AddToCounter) if c.amount >= 5]
 
 
 def test_what_could_not_be_added_is_not_taken_for_lost_from_the_count():
@@ -353,27 +353,27 @@
     w.mode = "hold"
     call = next_call(w)
     w.gw.accounts["c"].debt = 5.0
-    assert of(w.do(messages.Counted(call.name, "ok", call.amount, 0.002)), messages.Count)
-    w.do(messages.Counted(call.name, "full", 0.0, 0.002))  # the overdraft
+    assert of(w.do(messages.CounterResult(call.counter_key, "ok", call.amount, 0.002)), messages.AddToCounter)
+    w.do(messages.CounterResult(call.counter_key, "full", 0.0, 0.002))  # the overdraft
     second = next_call(w)
-    acts = w.do(messages.Counted(call.name, "ok", call.amount + second.amount, 0.002))
-    assert sum(c.amount for c in of(acts, messages.Count)) < call.amount
+    acts = w.do(messages.CounterResult(call.counter_key, "ok", call.amount + second.amount, 0.002))
+    assert sum(c.amount for c in of(acts, messages.AddToCounter)) < call.amount
 
 
 def test_who_hands_over_fills_no_ceiling_any_further_and_goes_on_if_the_successor_fails():
     ceiling = plan(rate=1000.0, burst=4000.0, ceiling_rate=1.0, ceiling_burst=4.0)
 
     def passed(world):
-        return sum(not of(world.ask(spread=1, cls="read")[1], messages.Refuse) for _ in range(10))
+        return sum(not of(world.ask(spread=1, cls="read")[1], messages.Reject) for _ in range(10))
 
     w = World(settings(plans=[ceiling]), [host(f"h{n}") for n in range(40)])
     w.wait(10.0)
     assert passed(w) == 4  # all that its store holds
-    w.do(messages.Retire(True))
+    w.do(messages.DrainGateway(True))
     w.wait(10.0)
     assert passed(w) == 0  # what fills since is the successor's
-    assert not of(w.ask(customer="other", spread=1)[1], messages.Refuse)  # earned before it retired
-    w.do(messages.Retire(False))
+    assert not of(w.ask(customer="other", spread=1)[1], messages.Reject)  # earned before it retired
+    w.do(messages.DrainGateway(False))
     assert passed(w) == 4
 
 
@@ -383,10 +383,10 @@
     w.mode = "hold"
     for k in range(customers):
         acts = w.ask(customer=f"other{k}", spread=spread)[1]
-        for call in of(acts, messages.Count):
+        for call in of(acts, messages.AddToCounter):
             w.now += 0.049
-            acts = acts + w.do(messages.Counted(call.name, "ok", call.amount, 0.049))
-        for send in of(acts, messages.Send):
+            acts = acts + w.do(messages.CounterResult(call.counter_key, "ok", call.amount, 0.049))
+        for send in of(acts, messages.ForwardRequest):
             w.end(send)
     return w
 
@@ -396,8 +396,8 @@
     calls = sends = 0
     for k in range(100):
         acts = w.ask(customer=f"new{k}", spread=100)[1]
-        calls += len(of(acts, messages.Count))
-        for send in of(acts, messages.Send):
+        calls += len(of(acts, messages.AddToCounter))
+        for send in of(acts, messages.ForwardRequest):
             sends += 1
             w.end(send)
         w.now += 0.05
@@ -409,13 +409,13 @@
     w.mode = "silent"
     passed = []
     for n in range(12):
-        for send in of(w.ask(customer="often", spread=100)[1], messages.Send):
+        for send in of(w.ask(customer="often", spread=100)[1], messages.ForwardRequest):
             passed.append(n)
             w.end(send)
         w.now += 0.5
     assert passed and max(passed) < 6
     w.now += 120  # what came long ago tells nothing
-    assert of(w.ask(customer="often", spread=100)[1], messages.Send)
+    assert of(w.ask(customer="often", spread=100)[1], messages.ForwardRequest)
 
 
 def test_one_request_that_a_gateway_of_many_lets_pass_unasked_is_no_debt_of_many_windows():
@@ -424,7 +424,7 @@
     served, most, unasked = 0, 0.0, 0
     for k in range(200):  # of so many some have their first one let pass uncharged
         for _ in range(3):
-            for send in of(w.ask(customer=f"c{k}", cls="write", spread=100)[1], messages.Send):
+            for send in of(w.ask(customer=f"c{k}", cls="write", spread=100)[1], messages.ForwardRequest):
                 served += 1
                 w.end(send)
             acct = w.gw.accounts[f"c{k}"]
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -14,45 +14,45 @@
     w = World(hosts=[])
     name, acts = w.ask()
     acts = acts + w.wait(3.0)
-    assert len([a for a in acts if isinstance(a, (messages.Refuse, messages.Fail)) and a.id == name]) == 1
+    assert len([a for a in acts if isinstance(a, (messages.Reject, messages.Fail)) and a.request_id == name]) == 1
 
 
 @pytest.mark.parametrize("result", ["error", "timeout", "reset", "cancelled"])
 def test_unsafe_is_not_sent_again_nor_refused_when_it_may_have_run(result):
     w = world()
-    s = of(w.ask(cls="note")[1], messages.Send)[0]
+    s = of(w.ask(cls="note")[1], messages.ForwardRequest)[0]
     acts = w.end(s, result)
-    assert not of(acts, messages.Send) and not of(acts, messages.Refuse) and len(of(acts, messages.Fail)) == 1
+    assert not of(acts, messages.ForwardRequest) and not of(acts, messages.Reject) and len(of(acts, messages.Fail)) == 1
 
 
 @pytest.mark.parametrize("result", ["full", "connect_failed"])
 def test_unsafe_is_sent_again_when_it_never_ran(result):
     w = world()
-    s = of(w.ask(cls="note")[1], messages.Send)[0]
+    s = of(w.ask(cls="note")[1], messages.ForwardRequest)[0]
     acts = w.end(s, result)
-    assert [a.host for a in of(acts, messages.Send)] == [{"h1": "h2", "h2": "h1"}[s.host]]
+    assert [a.endpoint_id for a in of(acts, messages.ForwardRequest)] == [{"h1": "h2", "h2": "h1"}[s.endpoint_id]]
 
 
 @pytest.mark.parametrize("cls", ["write", "cellwrite"])
 def test_keyed_stays_in_its_group_and_time(cls):
     hosts = [host("a1", "z1", 1), host("a2", "z1", 1), host("b1", "z2", 2), host("b2", "z2", 2)]
     w = world(hosts)
-    s = of(w.ask(cls=cls)[1], messages.Send)[0]
-    again = of(w.end(s, "error"), messages.Send)
-    assert [a.host[0] for a in again] == [s.host[0]]
+    s = of(w.ask(cls=cls)[1], messages.ForwardRequest)[0]
+    again = of(w.end(s, "error"), messages.ForwardRequest)
+    assert [a.endpoint_id[0] for a in again] == [s.endpoint_id[0]]
     w = world(hosts)
-    s = of(w.ask(cls="write")[1], messages.Send)[0]
+    s = of(w.ask(cls="write")[1], messages.ForwardRequest)[0]
     w.now += 1.0  # its memory is over
     acts = w.end(s, "error")
-    assert not of(acts, messages.Send) and not of(acts, messages.Refuse) and of(acts, messages.Fail)
+    assert not of(acts, messages.ForwardRequest) and not of(acts, messages.Reject) and of(acts, messages.Fail)
 
 
 def test_draining_and_gone_hosts_get_nothing_new():
     w = world()
-    w.do(messages.HostList("delta", 2, (host("h1", state="leaving"),)))
-    w.do(messages.HostList("full", 3, (host("h2"),)))
+    w.do(messages.EndpointList("delta", 2, (host("h1", state="leaving"),)))
+    w.do(messages.EndpointList("full", 3, (host("h2"),)))
     for _ in range(5):
-        assert {s.host for s in of(w.ask()[1], messages.Send)} <= {"h2"}
+        assert {s.endpoint_id for s in of(w.ask()[1], messages.ForwardRequest)} <= {"h2"}
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 200])
@@ -65,17 +65,17 @@
         if step == 400:
             for x in ws:
                 x.now = now
-                x.do(messages.HostList("delta", 2, (host("h9", started=now),)))
+                x.do(messages.EndpointList("delta", 2, (host("h9", started=now),)))
         w.now = now
-        for s in of(w.ask()[1], messages.Send):
-            cold += [now] if s.host == "h9" and step >= 400 else []
+        for s in of(w.ask()[1], messages.ForwardRequest):
+            cold += [now] if s.endpoint_id == "h9" and step >= 400 else []
             total += 1
             out.append((w, s))
         if len(out) > 25:
             x, s = out.pop(0)
             x.now = now
-            for s2 in of(x.end(s), messages.Send):
-                cold += [now] if s2.host == "h9" and step >= 400 else []
+            for s2 in of(x.end(s), messages.ForwardRequest):
+                cold += [now] if s2.endpoint_id == "h9" and step >= 400 else []
                 out.append((x, s2))
     fair = total / 8 / 10  # a warm host's sends a second
     assert cold, "the ramp sends something"
@@ -86,16 +86,16 @@
 
 def test_silent_host_is_left_and_its_safe_work_copied():
     w = world()
-    first = of(w.ask()[1], messages.Send)[0]
+    first = of(w.ask()[1], messages.ForwardRequest)[0]
     sent = []
     for _ in range(60):
-        for s in of(w.ask()[1], messages.Send):
-            if s.host != first.host:
+        for s in of(w.ask()[1], messages.ForwardRequest):
+            if s.endpoint_id != first.endpoint_id:
                 w.end(s)
-            sent.append(s.host)
+            sent.append(s.endpoint_id)
         w.wait(0.1)
-    assert first.host not in sent[-20:-1] or sent[-20:].count(first.host) <= 2
-    assert [a for _, a in w.log if isinstance(a, messages.Send) and a.id == first.id and a.host != first.host]
+    assert first.endpoint_id not in sent[-20:-1] or sent[-20:].count(first.endpoint_id) <= 2
+    assert [a for _, a in w.log if isinstance(a, messages.ForwardRequest) and a.request_id == first.request_id and a.endpoint_id != first.endpoint_id]
 
 
 def test_no_second_copy_where_not_allowed():
@@ -106,15 +106,15 @@
         todo = list(acts)
         while todo:
             a = todo.pop(0)
-            if isinstance(a, messages.Send):
-                out[a.id] = out.get(a.id, 0) + 1
-                most = max(most, out[a.id])
-                if a.host == "h2":
-                    out[a.id] -= 1
+            if isinstance(a, messages.ForwardRequest):
+                out[a.request_id] = out.get(a.request_id, 0) + 1
+                most = max(most, out[a.request_id])
+                if a.endpoint_id == "h2":
+                    out[a.request_id] -= 1
                     todo += w.end(a)
-            elif isinstance(a, messages.Cancel) and out.get(a.id):
-                out[a.id] -= 1
-                todo += w.do(messages.Outcome(a.id, a.attempt, "h1", "cancelled", 0.3, False))
+            elif isinstance(a, messages.CancelAttempt) and out.get(a.request_id):
+                out[a.request_id] -= 1
+                todo += w.do(messages.AttemptOutcome(a.request_id, a.attempt, "h1", "cancelled", 0.3, False))
     assert most == 1
 
 
@@ -132,45 +132,45 @@
 def test_late_and_odd_events_are_taken_quietly():
     w = world()
     name, acts = w.ask()
-    s = of(acts, messages.Send)[0]
-    w.do(messages.Gone(name))
+    s = of(acts, messages.ForwardRequest)[0]
+    w.do(messages.ClientDisconnected(name))
     acts = w.end(s, "ok", final=True)
-    assert not [a for a in acts if isinstance(a, (messages.Refuse, messages.Fail, messages.Send))]
-    w.do(messages.Gone("never"))
-    w.do(messages.Timer(77))
-    w.do(messages.Counted(5, "ok", 3, 0.1))
-    w.do(messages.Probed("h1", "ok", 0.1))
-    w.do(messages.Message(1, b"x"))
+    assert not [a for a in acts if isinstance(a, (messages.Reject, messages.Fail, messages.ForwardRequest))]
+    w.do(messages.ClientDisconnected("never"))
+    w.do(messages.TimerExpired(77))
+    w.do(messages.CounterResult(5, "ok", 3, 0.1))
+    w.do(messages.HealthCheckResult("h1", "ok", 0.1))
+    w.do(messages.PeerMessage(1, b"x"))
 
 
 def test_discovery_on_request_is_watched_and_asked_again():
     conf = settings(discovery="ask")
     w = World(conf)
-    assert [a for _, a in w.log if a == messages.Watch(True)]
-    w.do(messages.HostList("failed", 0, ()))
-    assert messages.Watch(True) in w.wait(1.2)
+    assert [a for _, a in w.log if a == messages.WatchEndpoints(True)]
+    w.do(messages.EndpointList("failed", 0, ()))
+    assert messages.WatchEndpoints(True) in w.wait(1.2)
 
 
 def test_stream_is_left_to_the_client():
     w = world()
-    s = of(w.ask()[1], messages.Send)[0]
-    w.do(messages.Began(s.id, 0, s.host, 0.1))
+    s = of(w.ask()[1], messages.ForwardRequest)[0]
+    w.do(messages.StreamStarted(s.request_id, 0, s.endpoint_id, 0.1))
     acts = w.wait(4.0)
-    assert not [a for a in acts if getattr(a, "id", None) == s.id]
+    assert not [a for a in acts if getattr(a, "id", None) == s.request_id]
 
 
 @pytest.mark.parametrize("cls", ["write", "cellwrite"])
 def test_keyed_fails_where_its_group_has_no_other_host(cls):
     w = world([host("a1", "z1", 1), host("b1", "z2", 2), host("b2", "z2", 2)])
-    s = of(w.ask(cls=cls)[1], messages.Send)[0]
-    assert s.host == "a1"
+    s = of(w.ask(cls=cls)[1], messages.ForwardRequest)[0]
+    assert s.endpoint_id == "a1"
     acts = w.end(s, "error")
-    assert not of(acts, messages.Send) and len(of(acts, messages.Fail)) == 1
+    assert not of(acts, messages.ForwardRequest) and len(of(acts, messages.Fail)) == 1
 
 
 def test_repeat_with_no_time_left_is_answered_at_once():
     w = world()
-    assert of(w.ask(left=0.01)[1], messages.Refuse)
+    assert of(w.ask(left=0.01)[1], messages.Reject)
 
 
 @pytest.mark.parametrize("result", ["full", "error", "timeout"])
@@ -178,20 +178,20 @@
     bad, good = {"plan": "p", "cls": "note"}, {"plan": "q", "cls": "read"}
     w = World(settings(plans=[BIG, plan("q", rate=1000.0, burst=4000.0)], gateways=1), [host("h1")])
     for _ in range(12):
-        s = of(w.ask(**bad)[1], messages.Send)[0]
+        s = of(w.ask(**bad)[1], messages.ForwardRequest)[0]
         w.wait(1.0)  # long enough to be taken for silent
         w.end(s, result, final=result != "full")
-        for s in of(w.ask(**good)[1], messages.Send):
+        for s in of(w.ask(**good)[1], messages.ForwardRequest):
             w.end(s)
         w.now += 0.5  # for what it failed it rests so long at most
-    w.do(messages.HostList("delta", 2, (host("h2"),)))
+    w.do(messages.EndpointList("delta", 2, (host("h2"),)))
     hosts = []
     for _ in range(8):
-        s = of(w.ask(**bad)[1], messages.Send)[0]
-        hosts.append(s.host)
+        s = of(w.ask(**bad)[1], messages.ForwardRequest)[0]
+        hosts.append(s.endpoint_id)
         w.end(s)
     assert hosts.count("h1") == 0
-    assert "h1" in [s.host for _ in range(4) for s in of(w.ask(**good)[1], messages.Send)]
+    assert "h1" in [s.endpoint_id for _ in range(4) for s in of(w.ask(**good)[1], messages.ForwardRequest)]
 
 
 def test_retries_at_the_start_are_no_storm_whatever_the_number_of_gateways():
@@ -199,14 +199,14 @@
         again = 0
         for k in range(gateways):
             w = World(settings(plans=[BIG], gateways=gateways, index=k), seed=k)
-            s = of(w.ask()[1], messages.Send)[0]
-            again += len(of(w.end(s, "error"), messages.Send))
+            s = of(w.ask()[1], messages.ForwardRequest)[0]
+            again += len(of(w.end(s, "error"), messages.ForwardRequest))
         assert again <= 15
 
 
 def test_no_timer_when_nothing_is_due():
     w = world()
-    s = of(w.ask()[1], messages.Send)[0]
+    s = of(w.ask()[1], messages.ForwardRequest)[0]
     w.end(s)
     assert not of(w.wait(1.0), messages.SetTimer)
 
@@ -214,7 +214,7 @@
 def test_idle_accounts_are_dropped():
     w = world()
     for k in range(300):
-        for s in of(w.ask(customer=f"c{k}")[1], messages.Send):
+        for s in of(w.ask(customer=f"c{k}")[1], messages.ForwardRequest):
             w.end(s)
         w.now += 1.0
     assert len(w.gw.accounts) < 70
@@ -228,7 +228,7 @@
 
     def passed(n, **kw):
         sent = [
-            s for _ in range(n) for s in of(w.ask(plan="slow", customer="big", spread=1)[1], messages.Send)
+            s for _ in range(n) for s in of(w.ask(plan="slow", customer="big", spread=1)[1], messages.ForwardRequest)
         ]
         for s in sent:
             w.end(s)
@@ -237,7 +237,7 @@
     assert passed(30) == 20
     for k in range(40):
         w.now += 1.0
-        for s in of(w.ask(customer=f"c{k}", spread=1)[1], messages.Send):
+        for s in of(w.ask(customer=f"c{k}", spread=1)[1], messages.ForwardRequest):
             w.end(s)
     w.now += 0.5
     assert passed(30) == 4  # what came back in 40.5 s
@@ -248,7 +248,7 @@
     served = {"read": 0, "write": 0}
     for k in range(400):
         cls = ("read", "write")[k % 2]
-        for s in of(w.ask(cls=cls)[1], messages.Send):
+        for s in of(w.ask(cls=cls)[1], messages.ForwardRequest):
             served[cls] += 1
             w.end(s, report={"queue": 30.0, "util": 1.0}, elapsed=0.9)
         w.now += 0.05
@@ -256,7 +256,7 @@
 
 
 def routed(fallback, *kinds):
-    hosts = [messages.Host(f"h{n}", "z1", 0, 1.0, kind, "up", 0.0) for n, kind in enumerate(kinds)]
+    hosts = [messages.Endpoint(f"h{n}", "z1", 0, 1.0, kind, "up", 0.0) for n, kind in enumerate(kinds)]
     return World(settings(plans=[BIG], routes={"batch": messages.Route("batch", ("slow",), fallback)}), hosts)
 
 
@@ -267,33 +267,33 @@
 def test_a_route_keeps_a_request_to_its_kinds_of_hosts_at_each_attempt():
     w = routed(True, "k", "slow", "k", "slow")
     for n in range(6):
-        send = of(ask_by(w, f"q{n}"), messages.Send)[0]
-        again = of(w.end(send, "error"), messages.Send)
-        assert send.host in ("h1", "h3") and all(s.host in ("h1", "h3") for s in again)
+        send = of(ask_by(w, f"q{n}"), messages.ForwardRequest)[0]
+        again = of(w.end(send, "error"), messages.ForwardRequest)
+        assert send.endpoint_id in ("h1", "h3") and all(s.endpoint_id in ("h1", "h3") for s in again)
         for s in again:
             w.end(s, attempt=1)
         w.wait(2.0)
 
 
 def test_a_route_without_hosts_falls_back_or_refuses_as_settings_say():
-    assert of(ask_by(routed(True, "k", "k"), "a"), messages.Send)
+    assert of(ask_by(routed(True, "k", "k"), "a"), messages.ForwardRequest)
     w = routed(False, "k", "k")
     acts = ask_by(w, "a") + w.wait(3.0)
-    assert not of(acts, messages.Send) and len(of(acts, messages.Refuse)) == 1
+    assert not of(acts, messages.ForwardRequest) and len(of(acts, messages.Reject)) == 1
 
 
 def test_what_waits_for_a_routes_hosts_holds_up_none_that_may_go_elsewhere():
     w = routed(False, "k", "slow")
-    held = [s for n in range(40) for s in of(ask_by(w, f"q{n}"), messages.Send)]
-    assert {s.host for s in held} == {"h1"} and len(held) < 40  # the others wait for it
-    assert {s.host for s in of(w.ask()[1], messages.Send)} == {"h0"}
+    held = [s for n in range(40) for s in of(ask_by(w, f"q{n}"), messages.ForwardRequest)]
+    assert {s.endpoint_id for s in held} == {"h1"} and len(held) < 40  # the others wait for it
+    assert {s.endpoint_id for s in of(w.ask()[1], messages.ForwardRequest)} == {"h0"}
 
 
 def test_a_route_is_no_way_round_what_a_class_allows():
     w = routed(True, "k", "slow")
-    send = of(ask_by(w, "a", "note"), messages.Send)[0]
+    send = of(ask_by(w, "a", "note"), messages.ForwardRequest)[0]
     acts = w.end(send, "error")
-    assert not of(acts, messages.Send) and len(of(acts, messages.Fail)) == 1
+    assert not of(acts, messages.ForwardRequest) and len(of(acts, messages.Fail)) == 1
 
 
 def test_a_late_attempt_is_left_to_its_host_while_another_one_would_still_be_in_time():
@@ -303,14 +303,14 @@
         [host(f"h{n}") for n in range(30)],
     )
     for _ in range(40):
-        for send in of(w.ask(cls="read")[1], messages.Send):
+        for send in of(w.ask(cls="read")[1], messages.ForwardRequest):
             w.end(send, elapsed=0.05)
         w.now += 0.3
     begun = w.now
     name, acts = w.ask(cls="read")  # its aim is 1 s
-    assert of(acts, messages.Send)
+    assert of(acts, messages.ForwardRequest)
     w.wait(2.0)
-    left = [at - begun for at, act in w.log if isinstance(act, messages.Cancel) and act.id == name]
+    left = [at - begun for at, act in w.log if isinstance(act, messages.CancelAttempt) and act.request_id == name]
     assert left and 0.7 < left[0] < 1.0
 
 
@@ -320,13 +320,13 @@
     was given up, for attempts that waited as long elsewhere."""
     w = World(settings(plans=[BIG], limits=dict(second_copies=False)), [host(f"h{n}") for n in range(8)])
     for _ in range(30):
-        for send in of(w.ask(cls="read")[1], messages.Send):
+        for send in of(w.ask(cls="read")[1], messages.ForwardRequest):
             w.end(send, report={"queue": queue})
         w.now += 0.1
     name, acts = w.ask(cls="read")
-    assert of(acts, messages.Send)
+    assert of(acts, messages.ForwardRequest)
     w.wait(2.5)
-    assert bool([a for _, a in w.log if isinstance(a, messages.Cancel) and a.id == name]) == second
+    assert bool([a for _, a in w.log if isinstance(a, messages.CancelAttempt) and a.request_id == name]) == second
 
 
 @pytest.mark.parametrize("at, again", [(0.7, True), (0.8, False)])
@@ -334,8 +334,8 @@
     """It may wait for its connection, and what comes after the memory's time would run once more."""
     w = World(settings(limits={"connect_timeout": 0.25}), hosts=[host("h1"), host("h2")])
     _, acts = w.ask(cls="write")
-    (send,) = of(acts, messages.Send)
+    (send,) = of(acts, messages.ForwardRequest)
     w.now += at  # of the 1 s that hosts of a zone remember it
     acts = w.end(send, "reset")
-    assert bool(of(acts, messages.Send)) == again
+    assert bool(of(acts, messages.ForwardRequest)) == again
     assert bool(of(acts, messages.Fail)) != again
--- a/tests/test_reserved.py
+++ b/tests/test_reserved.py
@@ -22,45 +22,45 @@
     """What became of it at once: Granted, Denied, Send, Refuse, or None."""
     w.ids += 1
     acts = w.do(kind(f"k{w.ids}", 3.0, customer, "p", "read", units, 0, spread, **kw))
-    told = of(acts, messages.Granted | messages.Denied | messages.Send | messages.Refuse)
-    for send in of(acts, messages.Send):
+    told = of(acts, messages.QuotaGranted | messages.QuotaDenied | messages.ForwardRequest | messages.Reject)
+    for send in of(acts, messages.ForwardRequest):
         w.end(send, elapsed=0.001)
     return told[0] if told else None
 
 
 def test_a_request_that_was_paid_for_takes_none_of_the_quota():
     w = world()
-    while isinstance(ask(w, messages.Reserve), messages.Granted):
+    while isinstance(ask(w, messages.QuotaReservation), messages.QuotaGranted):
         pass
-    assert isinstance(ask(w, messages.Request), messages.Refuse)
-    assert all(isinstance(ask(w, messages.Paid), messages.Send) for _ in range(20))
-    assert isinstance(ask(w, messages.Request), messages.Refuse)  # and gives none of it back
+    assert isinstance(ask(w, messages.Request), messages.Reject)
+    assert all(isinstance(ask(w, messages.PrepaidRequest), messages.ForwardRequest) for _ in range(20))
+    assert isinstance(ask(w, messages.Request), messages.Reject)  # and gives none of it back
 
 
 def test_under_a_ceiling_it_waits_for_what_is_sent_on_however_much_was_granted_before():
     w = world([plan(**CEILED)])
     w.now += 10.0  # both stores are full: 8 units, 4 a second more
-    granted = sum(isinstance(ask(w, messages.Reserve), messages.Granted) for _ in range(6))
+    granted = sum(isinstance(ask(w, messages.QuotaReservation), messages.QuotaGranted) for _ in range(6))
     w.now += 2.0  # what is granted may be 8 again; nothing was sent on yet
-    granted += sum(isinstance(ask(w, messages.Reserve), messages.Granted) for _ in range(6))
+    granted += sum(isinstance(ask(w, messages.QuotaReservation), messages.QuotaGranted) for _ in range(6))
     assert granted >= 10
-    sent = sum(isinstance(ask(w, messages.Paid), messages.Send) for _ in range(granted))
+    sent = sum(isinstance(ask(w, messages.PrepaidRequest), messages.ForwardRequest) for _ in range(granted))
     assert sent == 8  # all of them at once are held to one burst
-    assert isinstance(ask(w, messages.Request), messages.Refuse)  # and nobody else may follow them
+    assert isinstance(ask(w, messages.Request), messages.Reject)  # and nobody else may follow them
     w.now += 1.0
-    assert [isinstance(ask(w, messages.Paid), messages.Send) for _ in range(5)] == [True] * 4 + [False]
+    assert [isinstance(ask(w, messages.PrepaidRequest), messages.ForwardRequest) for _ in range(5)] == [True] * 4 + [False]
 
 
 def test_what_is_given_back_of_a_reserve_was_never_charged_to_what_is_sent_on():
     w = world([plan(**CEILED)])
     w.now += 10.0
     for _ in range(3):
-        told = ask(w, messages.Reserve)
-        w.do(messages.Unreserve("c", 1.0, told.window))
+        told = ask(w, messages.QuotaReservation)
+        w.do(messages.ReturnReservation("c", 1.0, told.window))
     acct = w.gw.accounts["c"]
     assert acct.cap == pytest.approx(8.0) and acct.ahead == pytest.approx(0.0)
-    told = ask(w, messages.Check)
-    w.do(messages.GiveBack("c", 1.0, told.window))
+    told = ask(w, messages.QuotaCheck)
+    w.do(messages.ReturnUnits("c", 1.0, told.window))
     assert acct.cap == pytest.approx(8.0) and acct.ahead == pytest.approx(0.0)
 
 
@@ -68,7 +68,7 @@
     w = world([plan(**CEILED)])
     for _ in range(40):
         w.now += 0.1
-        ask(w, messages.Check)
+        ask(w, messages.QuotaCheck)
         ask(w, messages.Request)
         assert w.gw.accounts["c"].ahead == 0.0
 
@@ -104,32 +104,32 @@
                 w.now = now
             w, units = rng.choice(worlds), rng.choice([1.0, 1.0, 2.0])
             kind = rng.choice(
-                [messages.Check, messages.Reserve, messages.Reserve, messages.Request, messages.Paid]
+                [messages.QuotaCheck, messages.QuotaReservation, messages.QuotaReservation, messages.Request, messages.PrepaidRequest]
             )
-            if kind is messages.Paid:
+            if kind is messages.PrepaidRequest:
                 if not purses:
                     continue
                 units = purses.pop(rng.randrange(len(purses)))
             w.ids += 1
             asked[w, f"k{w.ids}"] = kind, units
             acts = w.do(kind(f"k{w.ids}", 3.0, "c", "p", "read", units, 0, count))
-            for send in of(acts, messages.Send):
+            for send in of(acts, messages.ForwardRequest):
                 w.end(send, elapsed=0.001)
-            if kind is messages.Reserve:
-                for told in of(acts, messages.Granted):
+            if kind is messages.QuotaReservation:
+                for told in of(acts, messages.QuotaGranted):
                     if rng.random() < 0.1:
-                        w.do(messages.Unreserve("c", units, told.window))
-                        asked[w, told.id] = None, 0.0
+                        w.do(messages.ReturnReservation("c", units, told.window_index))
+                        asked[w, told.request_id] = None, 0.0
                     else:
                         purses.append(units)
         granted, sent = [], []
         for w in worlds:
             for at, act in w.log:
-                if isinstance(act, messages.Granted | messages.Send):
-                    kind, units = asked[w, act.id]
-                    if kind in (messages.Check, messages.Reserve, messages.Request):
+                if isinstance(act, messages.QuotaGranted | messages.ForwardRequest):
+                    kind, units = asked[w, act.request_id]
+                    if kind in (messages.QuotaCheck, messages.QuotaReservation, messages.Request):
                         granted.append((at, units))
-                    if kind in (messages.Check, messages.Request, messages.Paid):
+                    if kind in (messages.QuotaCheck, messages.Request, messages.PrepaidRequest):
                         sent.append((at, units))
         for times in (granted, sent):
             assert over(sorted(times), 8.0, 4.0) <= 1e-6, number
@@ -147,11 +147,11 @@
         w.counts = totals
     passed = 0
     for n in range(60):
-        told = ask(worlds[n % gateways], messages.Limited, "c/4/8", spread=gateways, limit=own)
-        passed += isinstance(told, messages.Granted)
+        told = ask(worlds[n % gateways], messages.CustomLimitCheck, "c/4/8", spread=gateways, limit=own)
+        passed += isinstance(told, messages.QuotaGranted)
     assert 3 <= passed <= 6  # one that is new stands in the middle of a window
     assert (
-        sum(isinstance(ask(worlds[0], messages.Check, spread=gateways), messages.Granted) for _ in range(10))
+        sum(isinstance(ask(worlds[0], messages.QuotaCheck, spread=gateways), messages.QuotaGranted) for _ in range(10))
         == 10
     )
 
@@ -160,15 +160,15 @@
     w = world()
     none = plan(rate=1e-9, burst=1e-9)
     assert not any(
-        isinstance(ask(w, messages.Limited, "c/0/1", limit=none), messages.Granted) for _ in range(5)
+        isinstance(ask(w, messages.CustomLimitCheck, "c/0/1", limit=none), messages.QuotaGranted) for _ in range(5)
     )
-    assert isinstance(ask(w, messages.Limited, "c/0/1", units=0.0, limit=none), messages.Granted)
-    assert isinstance(ask(w, messages.Check), messages.Granted)
+    assert isinstance(ask(w, messages.CustomLimitCheck, "c/0/1", units=0.0, limit=none), messages.QuotaGranted)
+    assert isinstance(ask(w, messages.QuotaCheck), messages.QuotaGranted)
 
 
 def test_a_check_without_its_limit_is_none():
     with pytest.raises(ValueError):
-        messages.Limited("k", 1.0, "c", "p", "read", 1.0, 0, 1)
+        messages.CustomLimitCheck("k", 1.0, "c", "p", "read", 1.0, 0, 1)
 
 
 @seed(14)
@@ -177,7 +177,7 @@
     st.lists(
         st.tuples(
             st.sampled_from(
-                [messages.Check, messages.Reserve, messages.Request, messages.Paid, "back", "wait"]
+                [messages.QuotaCheck, messages.QuotaReservation, messages.Request, messages.PrepaidRequest, "back", "wait"]
             ),
             st.sampled_from([0.0, 0.5, 1.0, 3.0]),
         ),
@@ -188,7 +188,7 @@
     """The gap between them, kept as one figure, against two stores that are kept apart."""
     w = world([plan(rate=100.0, burst=200.0, ceiling_rate=100.0, ceiling_burst=200.0)])
     w.now += 10.0
-    ask(w, messages.Check, units=0.0)
+    ask(w, messages.QuotaCheck, units=0.0)
     acct = w.gw.accounts["c"]
     full, rate, a, b, at, purse = 200.0, 100.0, acct.cap, acct.cap, w.now, []
     for kind, amount in steps:
@@ -201,18 +201,18 @@
         if kind == "back":
             if purse:
                 told, units = purse.pop()
-                w.do(messages.Unreserve("c", units, told.window))
+                w.do(messages.ReturnReservation("c", units, told.window))
                 a = min(full, a + units)
             continue
-        if units > w.conf.most_units and kind in (messages.Request, messages.Paid):
-            units = w.conf.most_units
+        if units > w.conf.max_units and kind in (messages.Request, messages.PrepaidRequest):
+            units = w.conf.max_units
         told = ask(w, kind, units=units)
-        if isinstance(told, messages.Granted | messages.Send):
-            if kind is not messages.Paid:
+        if isinstance(told, messages.QuotaGranted | messages.ForwardRequest):
+            if kind is not messages.PrepaidRequest:
                 a -= units
-            if kind is not messages.Reserve:
+            if kind is not messages.QuotaReservation:
                 b -= units
-            if kind is messages.Reserve:
+            if kind is messages.QuotaReservation:
                 purse.append((told, units))
         assert min(a, b) >= -1e-6
         acct.ceiling_room(w.now)
@@ -229,9 +229,9 @@
             w.now += 10.0
         sent = 0
         for n in range(60):
-            kind = messages.Request if first[n % 2] == 2 else messages.Check
-            told = ask(worlds[n % 3 if kind is messages.Check else n % 2], kind, spread=first[n % 2])
-            sent += isinstance(told, messages.Granted | messages.Send)
+            kind = messages.Request if first[n % 2] == 2 else messages.QuotaCheck
+            told = ask(worlds[n % 3 if kind is messages.QuotaCheck else n % 2], kind, spread=first[n % 2])
+            sent += isinstance(told, messages.QuotaGranted | messages.ForwardRequest)
         assert 6 <= sent <= 8
 
 
@@ -243,8 +243,8 @@
     w.now += 10.0
     begun, names = w.now, [w.ask(spread=16)[0] for _ in range(12)]  # 2 units, 4 a second, a wait of 0.3 s
     w.wait(1.0, step=0.005)
-    sent = [at - begun for at, act in w.log if isinstance(act, messages.Send) and act.id in names]
-    refused = [at - begun for at, act in w.log if isinstance(act, messages.Refuse) and act.id in names]
+    sent = [at - begun for at, act in w.log if isinstance(act, messages.ForwardRequest) and act.request_id in names]
+    refused = [at - begun for at, act in w.log if isinstance(act, messages.Reject) and act.request_id in names]
     assert len(sent) == 3 and sent[:2] == [0.0, 0.0] and 0.24 < sent[2] < 0.3
     assert len(refused) == 9 and max(refused) == 0.0
     assert all(a.promised == 0.0 for a in w.gw.accounts.values())
