--- a/apigateway/adapter.py
+++ b/apigateway/adapter.py
@@ -115,7 +115,10 @@
     ),
     "DUE": lambda f: messages.TimerExpired(label=int(f["label"])),
     "BEGUN": lambda f: messages.StreamStarted(
-        request_id=f["txn"], attempt=int(f["attempt"]), endpoint_id=f["host"], elapsed=seconds(f.get("time_taken", "0"))
+        request_id=f["txn"],
+        attempt=int(f["attempt"]),
+        endpoint_id=f["host"],
+        elapsed=seconds(f.get("time_taken", "0")),
     ),
     "DROPPED": lambda f: messages.ClientDisconnected(request_id=f["txn"]),
     "MEMO": _memo,
@@ -127,18 +130,20 @@
 
 
 WRITERS = {
-    messages.ForwardRequest: lambda i, a: f"ASSIGN i={i} txn={a.id} timeout={_ns(a.timeout)} host={a.host}",
-    messages.Reject: lambda i, a: f"DECLINE i={i} txn={a.id} hold_off={_ns(a.retry_after)}",
-    messages.Fail: lambda i, a: f"DROP_REQUEST i={i} txn={a.id}",
-    messages.CancelAttempt: lambda i, a: f"REVOKE i={i} txn={a.id} attempt={a.attempt}",
+    messages.ForwardRequest: lambda i, a: (
+        f"ASSIGN i={i} txn={a.request_id} timeout={_ns(a.timeout)} host={a.endpoint_id}"
+    ),
+    messages.Reject: lambda i, a: f"DECLINE i={i} txn={a.request_id} hold_off={_ns(a.retry_after)}",
+    messages.Fail: lambda i, a: f"DROP_REQUEST i={i} txn={a.request_id}",
+    messages.CancelAttempt: lambda i, a: f"REVOKE i={i} txn={a.request_id} attempt={a.attempt}",
     messages.AddToCounter: lambda i, a: (
-        f"CHARGE_COUNTER i={i} entry_name={a.name} by={a.amount:.7g} forget_after={_ns(a.lifetime)}"
+        f"CHARGE_COUNTER i={i} entry_name={a.counter_key} by={a.amount:.7g} forget_after={_ns(a.lifetime)}"
     ),
     messages.SetTimer: lambda i, a: f"AFTER i={i} sleep_for={_ns(a.delay)} label={a.label}",
-    messages.CheckHealth: lambda i, a: f"TOUCH i={i} host={a.host}",
-    messages.CloseIdleConnections: lambda i, a: f"RELEASE i={i} host={a.host}",
+    messages.CheckHealth: lambda i, a: f"TOUCH i={i} host={a.endpoint_id}",
+    messages.CloseIdleConnections: lambda i, a: f"RELEASE i={i} host={a.endpoint_id}",
     messages.FetchEndpoints: lambda i, a: f"PULL i={i}",
-    messages.WatchEndpoints: lambda i, a: f"WATCH i={i} active={int(a.on)}",
+    messages.WatchEndpoints: lambda i, a: f"WATCH i={i} active={int(a.is_on)}",
     messages.LogMessage: lambda i, a: f"REMARK i={i} words={a.text}",
 }
 
--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -46,7 +46,12 @@
 
     by_name = resolve if registry.terms.address == "name" else None
     source = EurekaSource(
-        registry, Listing(messages.EndpointList("cached", 0, ()), {}), lambda _: None, lambda: None, (), by_name
+        registry,
+        Listing(messages.EndpointList("cached", 0, ()), {}),
+        lambda _: None,
+        lambda: None,
+        (),
+        by_name,
     )
     try:
         for _ in registry.urls:
--- a/apigateway/core/request_lifecycle.py
+++ b/apigateway/core/request_lifecycle.py
@@ -19,19 +19,19 @@
 from apigateway.core.budget import Budget
 from apigateway.core.interfaces import (
     Addresses,
-    Attempt,
-    CheckPlace,
-    Counter,
-    Hooked,
-    Hooks,
-    Hosts,
-    Marks,
-    Membership,
-    Module,
-    Order,
-    Outer,
-    Place,
+    DecisionModule,
+    EndpointSource,
+    ExternalRateLimiter,
+    InFlightRegistry,
+    PluginChain,
+    QuotaCheckSink,
+    QuotaCounter,
+    RequestPlugins,
+    ResponseSink,
     Scheduler,
+    UpstreamAttempt,
+    UpstreamPool,
+    UpstreamRequest,
 )
 
 if TYPE_CHECKING:
@@ -41,6 +41,15 @@
 GUARD = 0.01  # s before that by which a request without an answer is failed, whatever the module does
 MOST_LEFT = 3600.0  # s; a client that says it will wait for longer is in error
 
+# How each outcome is told to the sink of a request's response.
+SINK_METHODS = {
+    "served": "complete",
+    "refused": "reject",
+    "failed": "fail",
+    "granted": "grant",
+    "denied": "deny",
+}
+
 log = logging.getLogger(__name__)
 
 
@@ -61,9 +70,9 @@
 class Nothing:
     """What hosts are sent for a check."""
 
-    size = 0
+    body_size = 0
 
-    def payload(self, left: float) -> bytes:
+    def encode(self, left: float) -> bytes:
         raise AssertionError("a check goes to no host")
 
 
@@ -89,13 +98,15 @@
         "asked",
     )
 
-    def __init__(self, id: str, place: Place, order: Order, front: object, deadline: float) -> None:
+    def __init__(
+        self, id: str, place: ResponseSink, order: UpstreamRequest, front: object, deadline: float
+    ) -> None:
         self.id, self.place, self.order, self.front, self.deadline = id, place, order, front, deadline
         self.guard: Any = None
         self.sends = 0
-        self.live: dict[int, Attempt] = {}
+        self.live: dict[int, UpstreamAttempt] = {}
         self.over = False
-        self.hooked: Hooked | None = None
+        self.hooked: RequestPlugins | None = None
         self.mark = -1
         self.customer = ""
         self.asked: Any = None  # what the outer service is asked about it
@@ -108,20 +119,20 @@
     def __init__(
         self,
         settings: messages.Settings,
-        module: Module,
-        hosts: Hosts,
-        counter: Counter | None,
+        module: DecisionModule,
+        hosts: UpstreamPool,
+        counter: QuotaCounter | None,
         loop: Scheduler,
         max_open: int,
         most_held: float,
         clock: Callable[[], float] | None = None,
     ) -> None:
         self.settings, self.module, self.hosts, self.counter = settings, module, hosts, counter
-        self.membership: Membership | None = None
-        self.hooks: Hooks | None = None
-        self.marks: Marks | None = None
+        self.membership: EndpointSource | None = None
+        self.hooks: PluginChain | None = None
+        self.marks: InFlightRegistry | None = None
         self.door: Door | None = None
-        self.outer: Outer | None = None
+        self.outer: ExternalRateLimiter | None = None
         self.loop, self.clock = loop, clock or Clock()
         self.open, self.held = Budget(max_open), Budget(most_held)
         self.works: dict[str, Work] = {}
@@ -138,9 +149,9 @@
             messages.AddToCounter: self.count,
             messages.SetTimer: self.set_timer,
             messages.CheckHealth: self.probe,
-            messages.CloseIdleConnections: lambda a: self.hosts.close_idle(a.host),
+            messages.CloseIdleConnections: lambda a: self.hosts.close_idle_connections(a.endpoint_id),
             messages.FetchEndpoints: lambda _: self.fetch(),
-            messages.WatchEndpoints: lambda a: self.watch(a.on),
+            messages.WatchEndpoints: lambda a: self.watch(a.is_on),
             messages.LogMessage: lambda a: log.info("module: %s", a.text),
         }
 
@@ -155,7 +166,9 @@
         self.open.leave(front)
         self.held.leave(front)
 
-    def take(self, front: object, request: messages.Request, order: Order, place: Place) -> None:
+    def take(
+        self, front: object, request: messages.Request, order: UpstreamRequest, place: ResponseSink
+    ) -> None:
         """From here on `place` gets exactly one answer, at once where there is no room. `request.left` is how
         long its client waits, less WAY_BACK. Raises InWork, and then nothing was taken."""
         if request.request_id in self.works:
@@ -163,28 +176,32 @@
         room = self.open.free(front) > 0 and self.held.free(front) >= 0
         mark = -1
         if self.marks is not None and request.is_write:  # first: a refusal says that it has not run
-            if not room and self.marks.held(request.request_id):
+            if not room and self.marks.is_held(request.request_id):
                 raise InWork
-            mark = self.marks.mark(request.request_id, request.remaining + WAY_BACK) if room else -2
+            mark = self.marks.acquire(request.request_id, request.remaining + WAY_BACK) if room else -2
             if mark == -1:
                 raise InWork
             if mark < 0:
-                place.refused(0.0)
+                place.reject(0.0)
                 return
         elif not room:
-            place.refused(0.0)
+            place.reject(0.0)
             return
         work = Work(request.request_id, place, order, front, time.monotonic() + request.remaining)
         work.mark, work.customer = mark, request.customer
         place.token = work
         self.works[request.request_id] = work
         self.open.take(front, 1)
-        self.held.take(front, order.size)
+        self.held.take(front, order.body_size)
         if order is NOTHING:
             self.feed(request)
         else:
             event = request if self.hooks is None else self.asked(self.hooks, work, request)
-            if self.outer is not None and isinstance(event, messages.Request) and self.outer.wanted(event):
+            if (
+                self.outer is not None
+                and isinstance(event, messages.Request)
+                and self.outer.applies_to(event)
+            ):
                 self.ask(self.outer, work, event)
             else:
                 self.feed(event)
@@ -192,17 +209,21 @@
             left = work.deadline + WAY_BACK - GUARD - time.monotonic()
             work.guard = self.loop.call_later(max(0.0, left), self.overdue, work)
 
-    def check(self, front: object, check: messages.QuotaCheck, place: CheckPlace) -> None:
+    def check(self, front: object, check: messages.QuotaCheck, place: QuotaCheckSink) -> None:
         """As `take`, for units that no host is asked for. Neither plug-ins nor an outer service are asked
         about it."""
         self.take(front, check, NOTHING, place)
 
     def give_back(self, check: messages.QuotaCheck, told: messages.QuotaGranted) -> None:
         """What a check was granted was not used: another of the same question was denied."""
-        kind = messages.ReturnReservation if isinstance(check, messages.QuotaReservation) else messages.ReturnUnits
+        kind = (
+            messages.ReturnReservation
+            if isinstance(check, messages.QuotaReservation)
+            else messages.ReturnUnits
+        )
         self.feed(kind(check.customer, check.units, told.window_index))
 
-    def ask(self, outer: Outer, work: Work, request: messages.Request) -> None:
+    def ask(self, outer: ExternalRateLimiter, work: Work, request: messages.Request) -> None:
         """The module hears of it once the outer service has let it pass, or has failed to say anything and
         settings let it pass then. Until that it holds its place, and its guard answers it in time."""
 
@@ -217,7 +238,7 @@
                 self.feed(messages.RejectedByPlugin(work.id, wait))
 
         try:
-            work.asked = outer.ask(request, request.remaining, decided)
+            work.asked = outer.check(request, request.remaining, decided)
         except Exception:  # one that raises has said nothing
             log.exception("request %s: the outer service could not be asked", work.id)
             if not work.over:
@@ -225,20 +246,20 @@
 
     def in_work(self, id: str, write: bool) -> bool:
         """Whether this id may be running: a refusal, which says that it did not run, would not be true."""
-        return id in self.works or (write and self.marks is not None and self.marks.held(id))
+        return id in self.works or (write and self.marks is not None and self.marks.is_held(id))
 
     def asked(
-        self, hooks: Hooks, work: Work, request: messages.Request
+        self, hooks: PluginChain, work: Work, request: messages.Request
     ) -> messages.Request | messages.RejectedByPlugin:
         """What the plug-ins make of a request; the request itself where they raise."""
         try:
-            work.hooked, event = hooks.taken(request)
+            work.hooked, event = hooks.on_request(request)
             return event
         except Exception:
             log.exception("request %s: plug-ins", work.id)
             return request
 
-    def gone(self, place: Place) -> None:
+    def gone(self, place: ResponseSink) -> None:
         """The client went away: nothing more is sent for its request, and nobody is answered."""
         work = place.token
         if work is not None and not work.over:
@@ -284,7 +305,7 @@
         """Fails a request by itself and lets the module forget it."""
         self.finish(work, "failed")
         for attempt in list(work.live.values()):
-            self.hosts.give_up(attempt, "cancelled")
+            self.hosts.abandon(attempt, "cancelled")
         self.feed(messages.ClientDisconnected(work.id))
 
     def overdue(self, work: Work) -> None:
@@ -302,19 +323,19 @@
         if work.guard is not None:
             work.guard.cancel()
         if work.asked is not None and self.outer is not None:
-            self.outer.call_off(work.asked)
+            self.outer.cancel(work.asked)
             work.asked = None
         if outcome != "gone":
             try:
-                getattr(work.place, outcome)(*told)
+                getattr(work.place, SINK_METHODS[outcome])(*told)
             except Exception:  # a front that fails must not keep what it gave up from being cleared away
                 log.exception("request %s: its front could not answer", work.id)
         for attempt in list(work.live.values()):
-            if not attempt.written:  # after the final answer nothing more is sent
-                self.hosts.give_up(attempt, "cancelled")
+            if not attempt.is_written:  # after the final answer nothing more is sent
+                self.hosts.abandon(attempt, "cancelled")
         if work.hooked is not None:
             try:
-                work.hooked.ended(outcome)
+                work.hooked.on_end(outcome)
             except Exception:
                 log.exception("request %s: plug-ins", work.id)
         self.forget(work)
@@ -322,9 +343,9 @@
     def forget(self, work: Work) -> None:
         if work.over and not work.live and self.works.pop(work.id, None) is not None:
             self.open.give(work.front, 1)
-            self.held.give(work.front, work.order.size)
+            self.held.give(work.front, work.order.body_size)
             if self.marks is not None and work.mark >= 0:
-                self.marks.clear(work.mark)
+                self.marks.release(work.mark)
             if self.stopping and not self.works:
                 self.done.set()
 
@@ -335,12 +356,12 @@
         not sent there once more."""
         up = {h.id for h in hosts.endpoints if h.state == "up"}
         for host in up & addresses.keys():
-            self.hosts.listed(host, addresses[host])
+            self.hosts.update_endpoint(host, addresses[host])
         self.feed(hosts)
         named = {h.id for h in hosts.endpoints}
-        for host in (named if hosts.mode == "delta" else named | self.hosts.known()) - up:
-            self.hosts.listed(host, None)
-        self.ready = self.ready or bool(self.hosts.known())
+        for host in (named if hosts.mode == "delta" else named | self.hosts.known_endpoints()) - up:
+            self.hosts.update_endpoint(host, None)
+        self.ready = self.ready or bool(self.hosts.known_endpoints())
 
     def list_failed(self) -> None:
         if self.settings.discovery_mode == "ask" and self.membership is not None:
@@ -395,7 +416,9 @@
             self.feed(messages.AttemptOutcome(work.id, number, action.endpoint_id, "moot", 0.0, work.over))
             return
         wait = min(left, action.timeout) if action.timeout > 0 else left
-        attempt = self.hosts.attempt(action.endpoint_id, work.order.payload(wait), self.attempt_done, (work, number))
+        attempt = self.hosts.create_attempt(
+            action.endpoint_id, work.order.encode(wait), self.attempt_done, (work, number)
+        )
         work.live[number] = attempt
         self.hosts.send(attempt, wait)
 
@@ -403,12 +426,12 @@
         """Plug-ins hear of an attempt before it is sent. What is left, in seconds, when they have."""
         try:
             if work.hooked is not None:
-                work.hooked.sending(host)
+                work.hooked.on_attempt(host)
         except Exception:
             log.exception("request %s: plug-ins", work.id)
         return work.deadline - time.monotonic()
 
-    def attempt_done(self, attempt: Attempt) -> None:
+    def attempt_done(self, attempt: UpstreamAttempt) -> None:
         work, number = attempt.tag
         result, over = attempt.result, work.over
         del work.live[number]
@@ -421,25 +444,29 @@
             messages.AttemptOutcome(
                 work.id,
                 number,
-                attempt.host,
+                attempt.endpoint_id,
                 result,
                 attempt.elapsed(),
                 work.over,
-                metered_use=attempt.used,
-                load_report=attempt.report,
+                metered_use=attempt.metered_use,
+                load_report=attempt.load_report,
             )
         )
 
     def cancel(self, action: messages.CancelAttempt) -> None:
         work = self.works.get(action.request_id)
         if work is not None and action.attempt in work.live:
-            self.hosts.give_up(work.live[action.attempt], "cancelled")
+            self.hosts.abandon(work.live[action.attempt], "cancelled")
 
     def probe(self, action: messages.CheckHealth) -> None:
-        self.hosts.probe(action.endpoint_id, self.probed)
+        self.hosts.check_health(action.endpoint_id, self.probed)
 
-    def probed(self, attempt: Attempt) -> None:
-        self.feed(messages.HealthCheckResult(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
+    def probed(self, attempt: UpstreamAttempt) -> None:
+        self.feed(
+            messages.HealthCheckResult(
+                attempt.endpoint_id, attempt.result, attempt.elapsed(), attempt.load_report
+            )
+        )
 
     def count(self, action: messages.AddToCounter) -> None:
         if self.counter is None:
--- a/apigateway/daemon/choice.py
+++ b/apigateway/daemon/choice.py
@@ -19,7 +19,7 @@
     known = age < float("inf")
     told = 0.5 ** (age / REPORT_AGE) if known else 0.0
     load = len(server.out) + told * server.others + (1 - told) * fleet.mean_held()
-    rests = [key for key, (_, until) in server.rests.items() if until > now]
+    rests = [scope for scope, until in server.backoff.pauses() if until > now]
     return {
         "near": server.near,
         "out": len(server.out),
--- a/apigateway/daemon/inflight.py
+++ b/apigateway/daemon/inflight.py
@@ -33,7 +33,7 @@
         self.memory = mmap.mmap(descriptor, size(count))
         self.own, self.count = number * REGION, count
 
-    def mark(self, id: str, left: float) -> int:
+    def acquire(self, id: str, left: float) -> int:
         """The mark's place, for `clear`; HELD: another worker, or this one's predecessor, has it; FULL: no
         place.
         Nothing waits: each looks again once its own mark stands, so of two that mark the same neither takes
@@ -54,11 +54,11 @@
             return FULL
         MARK.pack_into(memory, free, hash, now + left + LATE)
         if self.stands(hash, now, free):
-            self.clear(free)
+            self.release(free)
             return HELD
         return free
 
-    def held(self, id: str) -> bool:
+    def is_held(self, id: str) -> bool:
         """Whether a mark of anyone stands for it."""
         return self.stands(hashed(id), time.monotonic())
 
@@ -72,7 +72,7 @@
                     return True
         return False
 
-    def clear(self, place: int) -> None:
+    def release(self, place: int) -> None:
         MARK.pack_into(self.memory, place, 0, 0.0)
 
     def close(self) -> None:
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -109,7 +109,9 @@
     if not wanted(settings):
         return None
     files, part, module = Files(path), settings.ratelimit, config.settings
-    mapping = mapping_of(part, module.plans, module.classes, module.gateway_count, config.span)  # checked at load
+    mapping = mapping_of(
+        part, module.plans, module.classes, module.gateway_count, config.span
+    )  # checked at load
     keys = read_keys(files, part.token_keys)
     context = server_context(files, part) if serves(settings) else None
     asked = to_asked(files, settings)
--- a/apigateway/external_ratelimit/outer.py
+++ b/apigateway/external_ratelimit/outer.py
@@ -91,10 +91,10 @@
 
     # core.ports.Outer
 
-    def wanted(self, request: messages.Request) -> bool:
+    def applies_to(self, request: messages.Request) -> bool:
         return self.choice.wanted(request.plan, request.service_class)
 
-    def ask(self, request: messages.Request, left: float, decided: Decided) -> Waiting | None:
+    def check(self, request: messages.Request, left: float, decided: Decided) -> Waiting | None:
         """`decided` is called once, and never before this returned, unless it is called off. None: nobody is
         asked, and it was called already."""
         told = self.choice.choose(monotonic(), left)
@@ -109,7 +109,7 @@
             asyncio.get_running_loop().call_soon(self.send)
         return waiting
 
-    def call_off(self, waiting: Waiting) -> None:
+    def cancel(self, waiting: Waiting) -> None:
         """Its client left, or its time is over."""
         if waiting.over:
             return
--- a/apigateway/frontends/grpc/service.py
+++ b/apigateway/frontends/grpc/service.py
@@ -80,7 +80,13 @@
     rate = hits / seconds if hits else NONE
     burst = max(1.0, min(hits, rate * COUNTED_FOR)) if hits else NONE
     return replace(
-        plan, rate=rate, burst=burst, concurrency_limit=0, ceiling_rate=0.0, ceiling_burst=0.0, ceiling_slack=0.0
+        plan,
+        rate=rate,
+        burst=burst,
+        concurrency_limit=0,
+        ceiling_rate=0.0,
+        ceiling_burst=0.0,
+        ceiling_slack=0.0,
     )
 
 
@@ -89,7 +95,9 @@
 
     __slots__ = ("question", "token", "check", "plan", "worth", "told")
 
-    def __init__(self, question: Question, check: messages.QuotaCheck, plan: messages.Plan, worth: float) -> None:
+    def __init__(
+        self, question: Question, check: messages.QuotaCheck, plan: messages.Plan, worth: float
+    ) -> None:
         self.question, self.check, self.plan, self.worth = question, check, plan, worth
         self.token: Any = None
         self.told: messages.QuotaGranted | messages.QuotaDenied | str | None = None
@@ -98,19 +106,19 @@
         self.told = told
         self.question.one_more()
 
-    def granted(self, told: messages.QuotaGranted) -> None:
+    def grant(self, told: messages.QuotaGranted) -> None:
         self.answer(told)
 
-    def denied(self, told: messages.QuotaDenied) -> None:
+    def deny(self, told: messages.QuotaDenied) -> None:
         self.answer(told)
 
-    def refused(self, wait: float) -> None:
+    def reject(self, wait: float) -> None:
         self.answer("no room")
 
-    def failed(self) -> None:
+    def fail(self) -> None:
         self.answer("failed")
 
-    def served(self, value: bytes) -> None:
+    def complete(self, value: bytes) -> None:
         self.answer("failed")
 
     @property
@@ -137,7 +145,7 @@
                 try:
                     core.check(front, part.check, part)
                 except InWork:
-                    part.failed()
+                    part.fail()
         self.one_more()
 
     def one_more(self) -> None:
@@ -210,7 +218,9 @@
         for parts in self.parts:
             check = parts[-1].check if parts else None
             if isinstance(check, messages.QuotaReservation) and check.units > 0:
-                given.append(tokens.give(Purpose(check.customer, check.plan, check.service_class, check.units)))
+                given.append(
+                    tokens.give(Purpose(check.customer, check.plan, check.service_class, check.units))
+                )
                 response.response_headers_to_add.add(key=TOKEN_HEADER, value=given[-1])
             else:
                 given.append("")
@@ -318,7 +328,11 @@
         failed(status, text)
 
     def part(self, question: Question, whose: Whose, left: float, hits: int) -> Part:
-        kind = messages.QuotaReservation if whose.token and self.terms.tokens is not None else messages.QuotaCheck
+        kind = (
+            messages.QuotaReservation
+            if whose.token and self.terms.tokens is not None
+            else messages.QuotaCheck
+        )
         check = kind(
             next(self.ids),
             left,
--- a/apigateway/frontends/resp/command.py
+++ b/apigateway/frontends/resp/command.py
@@ -37,12 +37,12 @@
 class Command:
     """What hosts are sent: the command as the client sent it, but for `d`. `size` in bytes."""
 
-    __slots__ = ("parts", "size")
+    __slots__ = ("parts", "body_size")
 
     def __init__(self, parts: list[bytes]) -> None:
-        self.parts, self.size = parts, len(parts[-1])
+        self.parts, self.body_size = parts, len(parts[-1])
 
-    def payload(self, left: float) -> bytes:
+    def encode(self, left: float) -> bytes:
         """`d` tells how long, in milliseconds, this attempt is waited for."""
         terms = self.parts[3]
         start = (b"," + terms).index(b",d=") + 2
@@ -151,10 +151,7 @@
         raise BadRequest("class does not go with this command")
     gateways = settings.gateway_count // span
     if not (
-        0 < units <= settings.max_units
-        and 1 <= spread <= gateways
-        and first < gateways
-        and left <= MOST_LEFT
+        0 < units <= settings.max_units and 1 <= spread <= gateways and first < gateways and left <= MOST_LEFT
     ):
         raise BadRequest("field out of range")
     return Terms(cls.name, plan, left, units, first * span, spread * span, fields.get(b"r") == b"1")
--- a/apigateway/frontends/resp/front.py
+++ b/apigateway/frontends/resp/front.py
@@ -100,12 +100,12 @@
                 outliner = self.outliner or self.outlines()
                 seen = outliner.command(command)
                 if seen is not None and (wait := self.turned_away(door, seen, slot)) >= 0:
-                    slot.refused(wait)
+                    slot.reject(wait)
                     return
             request, order = read_command(self.core.settings, command, self.kept, self.span)
             if door is not None and seen is None:  # its terms stand in another order
                 if (wait := self.turned_away(door, outliner.request(request), slot)) >= 0:
-                    slot.refused(wait)
+                    slot.reject(wait)
                     return
             if self.tokens is not None and b"tok=" in order.parts[3]:
                 request = self.redeemed(request, order.parts[3], slot)
--- a/apigateway/frontends/resp/outline.py
+++ b/apigateway/frontends/resp/outline.py
@@ -68,4 +68,6 @@
         )
 
     def worth(self, cls: str, plan: str, units: float) -> int:
-        return overload_gate.step(self.settings.classes[cls].priority_weight * self.settings.plans[plan].price_weight * units)
+        return overload_gate.step(
+            self.settings.classes[cls].priority_weight * self.settings.plans[plan].price_weight * units
+        )
--- a/apigateway/frontends/resp/server.py
+++ b/apigateway/frontends/resp/server.py
@@ -46,16 +46,16 @@
 
     # core.ports.Place
 
-    def served(self, value: bytes) -> None:
+    def complete(self, value: bytes) -> None:
         self.reply(bulk(value))
 
-    def refused(self, wait: float) -> None:
+    def reject(self, wait: float) -> None:
         if self.paid is not None:
             self.client.server.handler.unpaid(self)
         ms = math.ceil(wait * 1000)
         self.reply(b"-BUSY %d\r\n" % ms if ms > 0 else BUSY)
 
-    def failed(self) -> None:
+    def fail(self) -> None:
         self.reply(FAILED)
 
 
--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -35,9 +35,18 @@
 
     def __post_init__(self) -> None:
         _need(self.effect in EFFECTS, f"class {self.name}: unknown effect {self.effect!r}")
-        _need(self.deduplication_scope in SCOPES, f"class {self.name}: unknown scope {self.deduplication_scope!r}")
-        _need(0 < self.latency_objective and 0 < self.deadline, f"class {self.name}: aim and deadline must be above 0")
-        _need(self.deduplication_window >= 0 and self.priority_weight >= 0, f"class {self.name}: negative memory or worth")
+        _need(
+            self.deduplication_scope in SCOPES,
+            f"class {self.name}: unknown scope {self.deduplication_scope!r}",
+        )
+        _need(
+            0 < self.latency_objective and 0 < self.deadline,
+            f"class {self.name}: aim and deadline must be above 0",
+        )
+        _need(
+            self.deduplication_window >= 0 and self.priority_weight >= 0,
+            f"class {self.name}: negative memory or worth",
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -208,7 +217,10 @@
 
     def __post_init__(self) -> None:
         _need(self.limit is not None and self.limit.rate > 0, f"check {self.request_id}: no limit")
-        _need(self.units >= 0 and self.gateway_spread >= 1, f"check {self.request_id}: negative units or no spread")
+        _need(
+            self.units >= 0 and self.gateway_spread >= 1,
+            f"check {self.request_id}: negative units or no spread",
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -420,5 +432,17 @@
 
 
 Action = (
-    ForwardRequest | Reject | Fail | QuotaGranted | QuotaDenied | CancelAttempt | AddToCounter | SetTimer | CheckHealth | CloseIdleConnections | FetchEndpoints | WatchEndpoints | LogMessage
+    ForwardRequest
+    | Reject
+    | Fail
+    | QuotaGranted
+    | QuotaDenied
+    | CancelAttempt
+    | AddToCounter
+    | SetTimer
+    | CheckHealth
+    | CloseIdleConnections
+    | FetchEndpoints
+    | WatchEndpoints
+    | LogMessage
 )
--- a/apigateway/plugins/live.py
+++ b/apigateway/plugins/live.py
@@ -40,7 +40,7 @@
         self.hooks, self.version, self.view, self.standing, self.began = hooks, version, view, standing, began
         self.hosts: list[str] = []
 
-    def sending(self, host: str) -> None:
+    def on_attempt(self, host: str) -> None:
         """An attempt is about to be sent."""
         now = time.monotonic()
         self.standing.attempts.append({})
@@ -52,7 +52,7 @@
             view.elapsed = now - self.began
             self.version.ask(ATTEMPT, view, self.standing, now)
 
-    def ended(self, outcome: str) -> None:
+    def on_end(self, outcome: str) -> None:
         """The final answer was given, or nobody is there to hear it. Called once."""
         now, view, standing = time.monotonic(), self.view, self.standing
         standing.over = True
@@ -94,7 +94,9 @@
         except Exception:
             log.exception("plug-ins: tick")
 
-    def taken(self, request: messages.Request) -> tuple[Hooked, messages.Request | messages.RejectedByPlugin]:
+    def on_request(
+        self, request: messages.Request
+    ) -> tuple[Hooked, messages.Request | messages.RejectedByPlugin]:
         """The request as the decision module is to hear of it, or that it is barred."""
         version, began = self.version, time.monotonic()
         standing = Standing()
@@ -118,7 +120,9 @@
         spent = time.monotonic() - began
         if spent > NOTICED or standing.route:
             request = replace(
-                request, route=standing.route, remaining=request.remaining - (spent if spent > NOTICED else 0.0)
+                request,
+                route=standing.route,
+                remaining=request.remaining - (spent if spent > NOTICED else 0.0),
             )
         return hooked, request
 
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -1,8 +1,6 @@
-"""The decisions of the gateway. Types, events and actions: messages.py.
+"""The decisions of the gateway. Types, events and actions: messages.py. No clock, no I/O.
 
-Gateway(settings, seed, now).handle(now, event) -> actions. No clock, no I/O. What a gateway may do by itself
-is its part of an amount for all; what is less than one is kept as credit or drawn as a chance.
-"""
+What a gateway may do by itself is its part of an amount for all; less than one is a credit or a chance."""
 
 from __future__ import annotations
 
@@ -20,6 +18,9 @@
 from apigateway.hashing import Forgotten, stable_hash
 from apigateway.routing import subset
 from apigateway.routing.doubt import Doubt
+from apigateway.routing.failure_backoff import FailureBackoff
+from apigateway.routing.fault_scope import FaultScope
+from apigateway.routing.grant_share import GrantShareEstimator
 from apigateway.routing.sites import Sites
 from apigateway.routing.size import Size
 
@@ -100,7 +101,7 @@
         self.call, self.full_until, self.seen_at, self.rng, self.dice = None, 0.0, now, rng, rng.random()
         self.waiting: list[str] = []
         self.known = True  # False: was forgotten within its windows, so what it used is to be asked for first
-        # Ceiling: an even share, no failure can pass it; empty at a start, as the last life's use is unknown.
+        # Ceiling: an even share, no failure can pass it; empty at a start: the last life's use is unknown.
         self.cap_at, self.cap = now, min(plan.ceiling_burst, (now - born) * plan.ceiling_rate) / self.spread
         self.promised = 0.0  # of it, to requests that wait for it to fill
         self.fills = plan.ceiling_burst / plan.ceiling_rate if plan.ceiling_rate else 0.0  # s
@@ -199,9 +200,11 @@
 
 class Counter:
     def __init__(self, settings: messages.Settings) -> None:
-        self.on, self.timeout, self.price = settings.has_counter, settings.counter_timeout, settings.counter_price
+        self.on = settings.has_counter
+        self.timeout, self.price = settings.counter_timeout, settings.counter_price
         self.fails, self.retry_at = int(not self.on), 0.0
-        self.slow = 0.5 * settings.gateway_count / (settings.gateway_count + CROWD_OF)  # many start as in a crowd
+        count = settings.gateway_count
+        self.slow = 0.5 * count / (count + CROWD_OF)  # many start as in a crowd
 
     def usable(self, now: float) -> bool:
         return self.on and now >= self.retry_at
@@ -219,23 +222,14 @@
             self.retry_at = now + min(BACKOFF_MOST, self.timeout * 2.0 ** self.fails)
 
 
-class PlanUse:
-    """What part of what was asked for the counter granted to a plan's customers here."""
-
-    def __init__(self, share: float) -> None:
-        self.share, self.seen = share, 2
-
-    def note(self, asked: float, granted: float) -> None:
-        self.seen += 1
-        self.share += max(GAIN, 1 / self.seen) * (min(1.0, granted / asked) - self.share)
-
-
 class Server:
     def __init__(self, host: messages.Endpoint, now: float, credit: float, out: dict) -> None:
         self.host, self.up, self.out = host, host.state == "up", out  # attempts out: when sent
         self.others, self.others_at, self.ratio = 0.0, -math.inf, 1.0  # ratio: time against the fleet's
         self.gone_at = math.inf
-        self.rests: dict[str, tuple[int, float]] = {}  # host or class: failures in a row, its next trial
+        # One that fails at once is always free and would draw requests from busy ones. Harm: after a chance
+        # failure a sound host idles for a moment, and one that comes back is found TRIAL_MOST late.
+        self.backoff = FailureBackoff(TRIAL_LEAST, TRIAL_MOST)  # of the host or a class there
         self.credit, self.credit_at = credit, now  # sends it may get from here while cold
         self.drawn = credit  # what is less than one of the attempts that may be out there, rounded by chance
         self.ring, self.near = stable_hash(host.id), False  # its place among all; in this gateway's subset
@@ -243,25 +237,11 @@
         self.judged: dict[tuple[str, ...], tuple[float, float, float]] = {}  # until when, soundness, cost
         self.fresh, self.fresh_until, self.cross = 0.0, 0.0, 0.0  # weight of its report; price of its zone
 
-    def tried(self, now: float, keys: tuple[str, ...], ok: bool) -> None:
-        """A host that fails at once is always free, so the fuller the sound ones are, the more requests it
-        would draw and spend: one that died before the list tells it, turns all away, resets or errs. After
-        each failure it rests, as a whole or for a class, twice as long up to a bound. Harm: after a chance
-        failure a sound host idles for a moment, and one that comes back is found up to TRIAL_MOST late."""
-        if ok:
-            for key in keys if self.rests else ():
-                self.rests.pop(key, None)
-            return
-        failed = self.rests.get(keys[-1], (0, 0.0))[0] + 1
-        self.rests[keys[-1]] = failed, now + min(TRIAL_MOST, TRIAL_LEAST * 2.0 ** min(failed - 1, 10))
-
-    def resting(self, now: float, keys: tuple[str, ...]) -> bool:
-        return any(now < self.rests.get(key, (0, 0.0))[1] for key in keys)
-
     def warmth(self, now: float, rules: messages.Rules) -> float:
         age = max(0.0, now - self.host.started_at)
         cold = 0 < self.host.started_at and age < rules.slow_start_duration
-        return rules.initial_capacity + (1 - rules.initial_capacity) * age / rules.slow_start_duration if cold else 1.0
+        least = rules.initial_capacity
+        return least + (1 - least) * age / rules.slow_start_duration if cold else 1.0
 
 
 class Fleet:
@@ -281,8 +261,7 @@
         self.out, self.held, self.reports = 0, 0.0, False  # own attempts out; mean load of reports, if any
         self.pressure, self.answer_at = 0.0, 0.0
         self.top, self.most = 1.0, 2.0  # largest weight; own attempts out at most
-        # What moved choices: taken by a fresh report, or as busy as the mean; drawn and passed over as
-        # unsound or cold, for want of a place, or as not allowed; taken outside the subset.
+        # What moved choices: taken by a report or by the mean, passed over, or taken outside the subset.
         self.moved_by = dict.fromkeys(("report", "mean", "doubted", "busy", "barred", "outside"), 0)
 
     def listed(self, now: float, event: messages.EndpointList) -> None:
@@ -313,7 +292,7 @@
             s.cross = self.set.prices.get("cross_zone", 0.0) * CROSS_WEIGHT * (s.host.zone != self.set.zone)
         self.gather(now)
         self.sites.listed([s.host.zone for s in self.up])
-        self.resting = {s for s in self.up if s.rests}
+        self.resting = {s for s in self.up if s.backoff}
         self.top = max((s.host.weight for s in self.up), default=1.0) or 1.0
         # Gateways with one out at each server overdrive all, so what one has out in all is limited too.
         self.most = max(OUT_LEAST, OUT_SLACK * held * len(self.up) / self.set.gateway_count)
@@ -363,7 +342,9 @@
         return max(TICK, self.mean[name] + COPY_AT * self.dev[name])
 
     def may_send(self, s: Server, now: float, keys: tuple[str, ...] = ("host",)) -> bool:
-        if not s.up or self.out >= self.most or len(s.out) >= s.places or (s.rests and s.resting(now, keys)):
+        if not s.up or self.out >= self.most or len(s.out) >= s.places:
+            return False
+        if s.backoff and s.backoff.is_paused(keys, now):
             return False
         if not s.host.started_at:  # warm: the usual case
             return True
@@ -372,8 +353,7 @@
         if warm == 1.0:
             return True
         # A cold host falls over when all gateways together send more than it bears: credit is saved up.
-        # Where none is warm, or none has been sent yet, own sends tell too little: then as if it had one
-        # core.
+        # Where none is warm, or none has been sent yet, own sends tell too little: then as if of one core.
         alone = 1 / self.usual / self.set.gateway_count
         share = max(self.own_rate(now) / max(1, len(self.near)), alone)
         rate = warm * rules.overload_multiple * COLD_PART * share
@@ -386,7 +366,7 @@
             return False
         if any(self.may_send(s, now) for s in self.free):
             return True
-        ends = (at for s in self.resting for _, at in s.rests.values() if at > now)
+        ends = (at for s in self.resting for _, at in s.backoff.pauses() if at > now)
         self.full_until = min(now + TICK / 2, min(ends, default=math.inf))
         return False
 
@@ -395,15 +375,15 @@
         sound = self.doubt.sound(s.host.id, keys, now)
         if self.sites.doubted:
             sound *= self.sites.part(s.host.zone, now)
-        # a cold one's is up to its credit
-        cost = max(s.ratio, 0.3) / max(s.host.weight, 1e-9) / max(sound, 0.01)
+        cost = max(s.ratio, 0.3) / max(s.host.weight, 1e-9) / max(sound, 0.01)  # cold: up to its credit
         known = s.judged[keys] = (now + STEP, sound, cost)
         return known
 
     def weight(self, s: Server, keys: tuple[str, ...], now: float) -> float:
         known = s.judged.get(keys)
         sound = known[1] if known is not None and now < known[0] else self.judge(s, keys, now)[1]
-        return s.host.weight / self.top * sound * (s.warmth(now, self.set.rules) if s.host.started_at else 1.0)
+        warm = s.warmth(now, self.set.rules) if s.host.started_at else 1.0
+        return s.host.weight / self.top * sound * warm
 
     def pick(self, now: float, keys: tuple[str, ...], fits: Callable[[Server], bool] | None) -> Server | None:
         """Best of some free servers, drawn by weight: as many as this gateway has fresh reports for, two at
@@ -481,7 +461,8 @@
         if event.load_report:
             held = event.load_report.get("inflight")
             if held is None:
-                held = event.load_report.get("queue", 0.0) + SERVERS_OF_HOST * event.load_report.get("util", 0.0)
+                busy = SERVERS_OF_HOST * event.load_report.get("util", 0.0)
+                held = event.load_report.get("queue", 0.0) + busy
             s.others, s.others_at, s.fresh_until = max(0.0, held - out), now, 0.0
             self.held += (QUICK if self.reports else 1.0) * (held - self.held)
             if self.size.note(event.load_report):
@@ -494,9 +475,12 @@
             elif event.result != "reset":  # which may come from the way there as well
                 self.sites.answered(s.host.zone)
             self.doubt.note(event.endpoint_id, level, event.result != "ok", now)
-            s.tried(now, level[:2], event.result == "ok")
+            if event.result == "ok":
+                s.backoff.on_success(level[:2])
+            else:
+                s.backoff.on_failure(level[:2][-1], now)
             s.judged.clear()
-            (self.resting.add if s.rests else self.resting.discard)(s)
+            (self.resting.add if s.backoff else self.resting.discard)(s)
         if event.load_report or event.result in ("ok", "timeout"):
             gain = max(QUICK / 2, 1 - math.exp((self.answer_at - now) / PRESS_SPAN))
             self.pressure, self.answer_at = self.pressure + min(gain, 0.5) * (high - self.pressure), now
@@ -510,14 +494,6 @@
         self.dev[cls.name] += gain * (abs(off) * (1 - gain) - self.dev[cls.name])
 
 
-class Levels(tuple):
-    """Levels at which a host may fail a kind of requests: wholly, for its class, for its plan. The same
-    object for the same kind, so that it is told by identity: it is a key of each look at a host."""
-
-    __slots__ = ()
-    __hash__, __eq__ = object.__hash__, object.__eq__
-
-
 @dataclass(slots=True, eq=False)
 class Job:
     req: messages.Request
@@ -528,7 +504,7 @@
     deadline: float
     worth: float
     value: float  # worth a unit of work
-    keys: Levels
+    keys: FaultScope
     stage: str = "units"  # units, slot, queue, sent
     beyond: bool = False
     slot: int = 0  # open attempt held: own part -1, or the epoch of the shared count
@@ -600,11 +576,12 @@
         self.set, self.born, self.rng = settings, now, random.Random(seed)
         self.reach = max(TICK, settings.limits.connect_timeout)  # s until a repeat is at its host
         self.fleet, self.counter = Fleet(settings, self.rng), Counter(settings)
-        self.uses = {(p, again): PlanUse(GRANT_PRIOR[again]) for p in self.set.plans for again in (0, 1)}
+        kinds = ((plan, again) for plan in self.set.plans for again in (0, 1))
+        self.uses = {kind: GrantShareEstimator(GRANT_PRIOR[kind[1]], GAIN) for kind in kinds}
         self.forgotten = Forgotten(settings.max_customers) if settings.max_customers else None
         self.accounts: dict[str, Account] = {}  # in order of their last request
         self.jobs, self.queue = dict[str, Job](), Queue()
-        self.calls: dict[int, list[Call]] = {}  # by count name, in order of the calls
+        self.calls: dict[int, list[Call]] = {}  # by counter key, in order
         self.budget = RETRY_START / settings.gateway_count
         self.top = max(c.priority_weight for c in settings.classes.values())
         self.due: list[tuple[float, str]] = []  # when which job is to be looked at
@@ -612,7 +589,7 @@
         self.trial_at = 0.0  # when the queue is looked at for a host's next trial
         self.pass_share, self.pass_at, self.worth = 1.0, now, 0.0  # worth: running mean of a request's
         self.ranks: deque[float] = deque(maxlen=64)  # values of the latest requests
-        self.levels: dict[tuple[str, str], Levels] = {}  # by class and plan
+        self.levels: dict[tuple[str, str], FaultScope] = {}  # by class and plan
         self.retired_at = math.inf  # since when another process fills this gateway's part of the ceilings
         self.out: list[messages.Action] = []
 
@@ -675,18 +652,21 @@
             acct.widen(req.gateway_spread)
         self.accounts[req.customer], acct.seen_at = acct, now
         self.free_accounts(now)
-        worth = cls.priority_weight * plan.price_weight * min(req.units, self.set.max_units)  # a check may ask for any number
+        units = min(req.units, self.set.max_units)  # a check may ask for any number
+        worth = cls.priority_weight * plan.price_weight * units
         self.worth += (GAIN if self.worth else 1.0) * (worth - self.worth)
         keys = self.levels.get((req.service_class, req.plan))
         if keys is None:
-            keys = self.levels[req.service_class, req.plan] = Levels(("host", "class " + cls.name, "plan " + plan.name))
+            keys = FaultScope(("host", "class " + cls.name, "plan " + plan.name))
+            self.levels[req.service_class, req.plan] = keys
         job = self.jobs[req.request_id] = Job(req, cls, plan, acct, now, now + req.remaining, worth,
                                       worth / max(self.fleet.mean[cls.name], 1e-6), keys)
         if kind is not messages.Request:
             job.check, job.paid = isinstance(req, messages.QuotaCheck), kind is messages.PrepaidRequest
         route = self.set.routes.get(req.route) if req.route else None
-        if route and not (route.fallback and all(s.host.kind not in route.endpoint_kinds for s in self.fleet.up)):
-            job.kinds = route.endpoint_kinds
+        kinds = route.endpoint_kinds if route else ()
+        if route and not (route.fallback and all(s.host.kind not in kinds for s in self.fleet.up)):
+            job.kinds = kinds
         if req.remaining < 2 * TICK or self.shed(now, job):  # no check would come round in time, or no room
             self.refuse(now, job, 0.0)
         elif (wait := acct.ceiling_wait(min(now, self.retired_at), req.units, job.paid)) > self.bears(job):
@@ -726,8 +706,7 @@
             if self.forgotten is not None and acct.plan.rate:
                 self.forgotten.add(now, acct.name)
             told = self.counter.usable(now) and self.rng.random() < self.counter.chance(SIDE_CALL)
-            # a name at the counter for each that comes once would be a flood there
-            if acct.uncharged >= 2.0 and told:
+            if acct.uncharged >= 2.0 and told:  # one for each that comes once would be a flood there
                 self.count(stable_hash(acct.name, acct.k), acct.uncharged, 3 * acct.length,
                            Call(acct, "void", acct.k, extra=acct.uncharged))
             return True
@@ -743,7 +722,8 @@
             self.pass_share = max(SHED_LEAST, self.pass_share * math.exp(-SHED_FAST * min(step, 1.0)))
         else:
             self.pass_share = min(1.0, self.pass_share + SHED_BACK * step)
-        luck, most = self.rng.random(), (1 - self.pass_share) * len(ranks) * (self.set.gateway_count > LIMIT_MOST)
+        luck, many = self.rng.random(), self.set.gateway_count > LIMIT_MOST
+        most = (1 - self.pass_share) * len(ranks) * many
         return most > 0 and luck * ranks.count(job.value) + sum(v < job.value for v in ranks) < most
 
     def kept(self, job: Job) -> float:
@@ -777,8 +757,7 @@
         gain = job.worth / max(self.worth, 1e-9) * min(job.odds, self.mistake(job))
         chance = self.counter.chance(gain)
         self.decide(now, job, self.rng.random() < chance)
-        # it stands for those that pass unasked too
-        self.renew(now, job.acct, min(SAMPLE_MOST, 1 / max(chance, 1e-9)))
+        self.renew(now, job.acct, min(SAMPLE_MOST, 1 / max(chance, 1e-9)))  # for those unasked too
 
     def decide(self, now: float, job: Job, ask: bool) -> None:
         acct, room = job.acct, job.acct.room(now)
@@ -879,7 +858,7 @@
         need = sum(j.req.units for j in jobs)
         if need:
             use = self.uses[acct.plan.name, jobs[0].req.is_retry]
-            use.note(need, min(need, acct.lease))
+            use.observe(need, min(need, acct.lease))
         if self.rng.random() < self.counter.chance(SIDE_CALL):  # in a crowd the excess stays counted
             extra -= over
         if extra:
@@ -939,7 +918,8 @@
             self.enqueue(now, job) if ok else self.want_slot(now, job, False)
 
     def beyond(self, now: float, job: Job, wait: float) -> None:
-        if job.plan.over_quota_weight > job.plan.over_quota_cost and self.fleet.clear() and not self.queue.live:
+        pays = job.plan.over_quota_weight > job.plan.over_quota_cost
+        if pays and self.fleet.clear() and not self.queue.live:
             job.beyond = True
             self.enqueue(now, job)
         else:
@@ -983,7 +963,8 @@
         """How long it may wait for its customer's ceiling, where an even part of that is thin. A check is
         answered at once, and so is what comes while another process fills this gateway's part."""
         thin = job.plan.ceiling_burst < CEILING_THIN * job.acct.spread
-        return CEILING_HOLD * job.cls.latency_objective if thin and not job.check and self.retired_at == math.inf else 0.0
+        may_wait = thin and not job.check and self.retired_at == math.inf
+        return CEILING_HOLD * job.cls.latency_objective if may_wait else 0.0
 
     def line_up(self, job: Job) -> None:
         job.stage = "queue"
@@ -992,7 +973,8 @@
     def hold(self, job: Job) -> float:
         """How long after its arrival a request may wait for a server. One whose attempt failed may do so till
         it is worth nothing or its refusal comes late: a client that comes again is served later still."""
-        return min(job.cls.latency_objective, (job.deadline - job.arrived) / 2) if job.sends else QUEUE_HOLD * job.cls.latency_objective
+        aim = job.cls.latency_objective
+        return min(aim, (job.deadline - job.arrived) / 2) if job.sends else QUEUE_HOLD * aim
 
     def left(self, now: float, job: Job) -> tuple[float, float]:
         """Units left to its class, as far as is known here, and seconds until its customer's window turns."""
@@ -1018,7 +1000,8 @@
 
     def refuse(self, now: float, job: Job, wait: float) -> None:
         if job.check:
-            self.out.append(messages.QuotaDenied(job.req.request_id, job.over, self.told_wait(wait), *self.left(now, job)))
+            told = self.told_wait(wait), *self.left(now, job)
+            self.out.append(messages.QuotaDenied(job.req.request_id, job.over, *told))
             self.close(now, job)
             return
         ran = job.cls.effect != "safe" and (job.cls.effect, job.cls.deduplication_scope) != ("keyed", "all")
@@ -1039,7 +1022,8 @@
         elif job.stage == "ceiling":
             job.acct.promised -= job.req.units
         self.jobs.pop(job.req.request_id, None)
-        self.out += [messages.CancelAttempt(job.req.request_id, number) for number in job.live if self.set.limits.can_cancel]
+        for number in job.live if self.set.limits.can_cancel else ():
+            self.out.append(messages.CancelAttempt(job.req.request_id, number))
         if job.slot > 0:
             self.count_open(job.acct, job.slot, -1)
         job.acct.open_here -= job.slot < 0
@@ -1050,7 +1034,8 @@
         unproven = job.ran + list(job.live.values())
         if s.host.id in job.avoid or not unproven or job.cls.effect == "safe":
             return s.host.id not in job.avoid
-        if job.cls.effect == "unsafe" or now >= min(t for _, t in unproven) + job.cls.deduplication_window - self.reach:
+        until = min(t for _, t in unproven) + job.cls.deduplication_window - self.reach
+        if job.cls.effect == "unsafe" or now >= until:
             return False
         if any(h not in self.fleet.servers for h, _ in unproven):
             return False
@@ -1103,7 +1088,7 @@
             head = queue.head(key)
             heapq.heapreplace(heads, head) if head else heapq.heappop(heads)
         if queue.live and self.trial_at <= now:  # no other event may come when a host's rest is over
-            trials = [at for s in self.fleet.resting if s.up for _, at in s.rests.values() if at > now]
+            trials = [at for s in self.fleet.resting if s.up for _, at in s.backoff.pauses() if at > now]
             self.trial_at = min(trials, default=0.0)
 
     def outcome(self, now: float, event: messages.AttemptOutcome) -> None:
@@ -1128,8 +1113,8 @@
         elif self.send(now, job):
             self.budget -= cost
         elif event.result in ("connect_failed", "full", "reset") and self.may_wait(now, job):
-            # All that it may go to are busy, which is no reason to give up what was turned away or lost. What
-            # was silent or erred has had its time at a host, and in overload would take that of others.
+            # All are busy: no reason to give up what was refused or lost. What was silent or erred has had
+            # its time at a host, and in overload would take that of others.
             self.budget -= cost
             self.line_up(job)
             self.look(job.arrived + self.hold(job), job)
@@ -1197,5 +1182,6 @@
             self.budget -= self.send(now, job)
         elif not self.fleet.clear():
             return  # all are slow: another one would wait as long, and the work done at this host is lost
-        elif self.set.limits.can_cancel and job.sends < self.set.limits.max_attempts and self.choose(now, job):
-            self.out.append(messages.CancelAttempt(job.req.request_id, late[0]))  # its outcome starts the next attempt
+        elif self.set.limits.can_cancel and job.sends < self.set.limits.max_attempts:
+            if self.choose(now, job):  # the outcome of this one starts the next attempt
+                self.out.append(messages.CancelAttempt(job.req.request_id, late[0]))
--- a/apigateway/simulation/machine.py
+++ b/apigateway/simulation/machine.py
@@ -94,7 +94,10 @@
         age = self.clock.now - self.host.started_at
         if self.host.started_at <= 0 or age >= self.rules.slow_start_duration:
             return 1.0
-        return self.rules.initial_capacity + (1 - self.rules.initial_capacity) * age / self.rules.slow_start_duration
+        return (
+            self.rules.initial_capacity
+            + (1 - self.rules.initial_capacity) * age / self.rules.slow_start_duration
+        )
 
     def capacity(self) -> float:
         """Core seconds of work a second."""
@@ -196,7 +199,9 @@
         if self.warmth() == 1:
             return
         mean = max(self.sent / len(self.arrived), 1e-9)
-        most = rules.overload_multiple * rules.overload_duration * self.capacity() / mean  # requests of mean work
+        most = (
+            rules.overload_multiple * rules.overload_duration * self.capacity() / mean
+        )  # requests of mean work
         if len(self.arrived) > most + 3 * math.sqrt(most) + 3:
             self.fell = True
             knew = sum(t for *_, t in self.arrived) / len(self.arrived)
--- a/apigateway/simulation/node.py
+++ b/apigateway/simulation/node.py
@@ -152,14 +152,14 @@
             elif kind is messages.AddToCounter:
                 self.count(action)
             elif kind is messages.Reject or kind is messages.Fail:
-                trying = self.tries.get(action.id)
+                trying = self.tries.get(action.request_id)
                 if trying is not None:
                     wait = action.retry_after if kind is messages.Reject else 0.0
                     self.finish(trying, "refused" if kind is messages.Reject else "failed", wait)
             elif kind is messages.CancelAttempt:
                 self.cancel(action)
             elif kind is messages.CheckHealth:
-                self.probe(action.host)
+                self.probe(action.endpoint_id)
 
     def timer(self, life: int, label: int) -> None:
         if life == self.life:
--- a/apigateway/upstream/hosts.py
+++ b/apigateway/upstream/hosts.py
@@ -44,25 +44,31 @@
     """One command for one host. `done` gets it once, when `result` (of interface.RESULTS) is known."""
 
     __slots__ = (
-        "host",
+        "endpoint_id",
         "payload",
         "done",
         "tag",
         "started",
         "result",
         "value",
-        "used",
-        "report",
+        "metered_use",
+        "load_report",
         "conn",
         "timer",
     )
 
     def __init__(self, host: str, payload: bytes, done: Callable[[Attempt], None], tag: Any = None) -> None:
-        self.host, self.payload, self.done, self.tag, self.started = host, payload, done, tag, monotonic()
+        self.endpoint_id, self.payload, self.done, self.tag, self.started = (
+            host,
+            payload,
+            done,
+            tag,
+            monotonic(),
+        )
         self.result = ""
         self.value = b""
-        self.used = 0
-        self.report: Report = {}
+        self.metered_use = 0
+        self.load_report: Report = {}
         self.conn: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
 
@@ -78,7 +84,7 @@
         self.done(self)
 
     @property
-    def written(self) -> bool:
+    def is_written(self) -> bool:
         """Whether the socket took the last byte: from then on the request may have run."""
         return self.conn is not None and self.conn.written
 
@@ -239,15 +245,15 @@
             raise FramingError("no value of a host")
         attempt.value = reply[0]
         if isinstance(reply[1], int) and 0 <= reply[1] <= MOST_USED:
-            attempt.used = reply[1]
-        attempt.report = parse_report(reply[2])
+            attempt.metered_use = reply[1]
+        attempt.load_report = parse_report(reply[2])
         return "ok"
     if isinstance(reply, hiredis.ReplyError):
         words = str(reply).split(" ")
-        attempt.report = parse_report(words[-1])
+        attempt.load_report = parse_report(words[-1])
         return "full" if words[0] == "BUSY" else "error"
     if isinstance(reply, bytes) and attempt.tag is PROBE:
-        attempt.report = parse_report(reply)
+        attempt.load_report = parse_report(reply)
         return "ok"
     raise FramingError("no answer of a host")
 
@@ -320,7 +326,7 @@
 
 
 class Hosts:
-    attempt = Attempt
+    create_attempt = Attempt
 
     def __init__(self, connect_timeout: float, idle_close: float, most: int) -> None:
         self.connect_timeout, self.most = connect_timeout, most
@@ -331,7 +337,7 @@
         self.conns: set[Connection] = set()
         self.check: asyncio.TimerHandle | None = None
 
-    def listed(self, host: str, address: Address | None) -> None:
+    def update_endpoint(self, host: str, address: Address | None) -> None:
         """Where the host is now; None: nothing new goes to it."""
         pool = self.pools.get(host)
         if pool is not None and pool.address != address:
@@ -340,28 +346,28 @@
         if address is not None and host not in self.pools:
             self.pools[host] = Pool(self, address)
 
-    def known(self) -> set[str]:
+    def known_endpoints(self) -> set[str]:
         return set(self.pools)
 
     def send(self, attempt: Attempt, timeout: float) -> None:
         loop = asyncio.get_running_loop()
-        pool = self.pools.get(attempt.host)
+        pool = self.pools.get(attempt.endpoint_id)
         if pool is None:
             loop.call_soon(attempt.end, "connect_failed")
             return
-        attempt.timer = loop.call_later(timeout, self.give_up, attempt, "timeout")
+        attempt.timer = loop.call_later(timeout, self.abandon, attempt, "timeout")
         pool.start(attempt)
 
-    def probe(self, host: str, done: Callable[[Attempt], None]) -> None:
+    def check_health(self, host: str, done: Callable[[Attempt], None]) -> None:
         self.send(Attempt(host, b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n", done, PROBE), self.connect_timeout)
 
-    def give_up(self, attempt: Attempt, result: str) -> None:
+    def abandon(self, attempt: Attempt, result: str) -> None:
         """Stops waiting. The connection goes too: a late answer must not meet the next request on it."""
         if attempt.result:
             return
         conn = attempt.conn
         if conn is None:
-            pool = self.pools.get(attempt.host)
+            pool = self.pools.get(attempt.endpoint_id)
             task = pool.coming.pop(attempt, None) if pool else None
             if task is not None:
                 task.cancel()
@@ -390,7 +396,7 @@
         oldest.close()
         return True
 
-    def close_idle(self, host: str) -> None:
+    def close_idle_connections(self, host: str) -> None:
         if host in self.pools:
             self.pools[host].close_idle()
 
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -54,7 +54,8 @@
         "note": messages.ServiceClass("note", 1.0, 3.0, "unsafe", "all", 0.0, 3.0, 0.0, False, 0.0)}
     rate, burst = (0.001, 1.0) if refused else (1000.0, 100000.0)
     plans = {"p": messages.Plan("p", rate, burst, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)}
-    return messages.Settings(0, 1, "a", classes, plans, messages.Limits(True, False, False, False, True, 3, 2.0),
+    limits = messages.Limits(True, False, False, False, True, 3, 2.0)
+    return messages.Settings(0, 1, "a", classes, plans, limits,
                         messages.Rules(0.0, 2.0, 0.15, 17.0, 2.0, 2.0, 0.0), {"cross_zone": 0.02}, True, 0.01,
                         0.08, 0.0,
                         False, 1.0, "push", ("inflight", "queue"), "none")
@@ -63,7 +64,7 @@
             queued=0):
     rng, now = random.Random(1), 1000.0
     gateway = Gateway(settings(refused), 1, now)
-    listed = tuple(messages.Host(f"h{n}", "ab"[n % 2], n % 4, 1.0, "k", "up", 0.0) for n in range(hosts))
+    listed = tuple(messages.Endpoint(f"h{n}", "ab"[n % 2], n % 4, 1.0, "k", "up", 0.0) for n in range(hosts))
     dead = {f"h{n}" for n in range(0, hosts, 2)} if silent else set()
     out, totals = collections.deque(), collections.Counter()
     most = max(2, hosts // 3)
@@ -72,28 +73,28 @@
         queue = [event]
         while queue:
             for act in gateway.handle(now, queue.pop(0)):
-                if type(act) is messages.Send:
+                if type(act) is messages.ForwardRequest:
                     out.append(act)
-                elif type(act) is messages.Count:
+                elif type(act) is messages.AddToCounter:
                     totals[act.name] += act.amount
-                    queue.append(messages.Counted(act.name, "ok", totals[act.name], 0.001))
-                elif type(act) is messages.Cancel:
-                    queue.append(messages.Outcome(act.id, act.attempt, "h0", "moot", 0.1, False))
+                    queue.append(messages.CounterResult(act.name, "ok", totals[act.name], 0.001))
+                elif type(act) is messages.CancelAttempt:
+                    queue.append(messages.AttemptOutcome(act.request_id, act.attempt, "h0", "moot", 0.1, False))
 
     def answer():
         act = out.popleft()
-        bad = act.host in dead
-        feed(messages.Outcome(act.id, 0, act.host, "reset" if bad else "ok", 0.05, not bad,
-                         report={"inflight": 1.0 + rng.random()}))
+        bad = act.endpoint_id in dead
+        feed(messages.AttemptOutcome(act.request_id, 0, act.endpoint_id, "reset" if bad else "ok", 0.05, not bad,
+                         load_report={"inflight": 1.0 + rng.random()}))
 
-    feed(messages.HostList("full", 1, listed))
+    feed(messages.EndpointList("full", 1, listed))
     number = 0
 
     def ask():
         nonlocal number
         number += 1
-        feed(messages.Request(f"r{number}", 3.0, f"{number % customers:016x}", "p", "note" if number % 10 == 0 else
-                         "read", 1.0, 0, 1))
+        cls = "note" if number % 10 == 0 else "read"
+        feed(messages.Request(f"r{number}", 3.0, f"{number % customers:016x}", "p", cls, 1.0, 0, 1))
 
     if queued:
         policy.QUEUE_LEAST = 10 ** 6
@@ -131,20 +132,20 @@
     # Bytes that one account, host or request in work takes, by the allocator.
     import tracemalloc
     gateway, now = Gateway(settings(False), 1, 1000.0), 1000.0
-    hosts = tuple(messages.Host(f"h{n}", "a", 0, 1.0, "k", "up", 0.0) for n in range(count if what == "host" else
-    10))
+    size = count if what == "host" else 10
+    hosts = tuple(messages.Endpoint(f"h{n}", "a", 0, 1.0, "k", "up", 0.0) for n in range(size))
     if what != "host":
-        gateway.handle(now, messages.HostList("full", 1, hosts))
+        gateway.handle(now, messages.EndpointList("full", 1, hosts))
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     if what == "host":
-        gateway.handle(now, messages.HostList("full", 1, hosts))
+        gateway.handle(now, messages.EndpointList("full", 1, hosts))
     for n in range(count if what != "host" else 0):
         now += 0.00001
         customer = f"{n if what == 'account' else 1:016x}"
         for act in gateway.handle(now, messages.Request(f"r{n}", 3.0, customer, "p", "read", 1.0, 0, 1)):
-            if type(act) is messages.Send and what == "account":
-                gateway.handle(now, messages.Outcome(act.id, 0, act.host, "ok", 0.01, True))
+            if type(act) is messages.ForwardRequest and what == "account":
+                gateway.handle(now, messages.AttemptOutcome(act.request_id, 0, act.endpoint_id, "ok", 0.01, True))
     most = len(gateway.jobs) if what == "request" else count
     return (tracemalloc.get_traced_memory()[0] - before) / max(1, most)
 
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -227,9 +227,9 @@
     ]
     began = time.perf_counter()
     for n in range(requests):
-        hooked, _ = hooks.taken(asked[n % 97])
-        hooked.sending("h1")
-        hooked.ended("served")
+        hooked, _ = hooks.on_request(asked[n % 97])
+        hooked.on_attempt("h1")
+        hooked.on_end("served")
     spent = time.perf_counter() - began
     hooks.close()
     return spent / requests * 1e6
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -3,7 +3,7 @@
 import logging
 
 import pytest
-from test_life import Scheduler
+from test_request_lifecycle import Scheduler
 
 from apigateway.core.admission import BEAT, QUANTUM, QUIET, Door
 
--- a/tests/core/test_asked.py
+++ b/tests/core/test_asked.py
@@ -3,7 +3,7 @@
 import logging
 
 import pytest
-from test_life import Order, Place, World, request
+from test_request_lifecycle import Order, Place, World, request
 
 from apigateway import messages
 from apigateway.core.request_lifecycle import InWork
@@ -15,10 +15,10 @@
     def __init__(self, now=None):
         self.now, self.asked, self.off = now, [], []
 
-    def wanted(self, request):
+    def applies_to(self, request):
         return request.plan == "p"
 
-    def ask(self, request, left, decided):
+    def check(self, request, left, decided):
         if isinstance(self.now, Exception):
             raise self.now
         self.asked.append((request, left, decided))
@@ -27,7 +27,7 @@
             return None
         return len(self.asked)
 
-    def call_off(self, asked):
+    def cancel(self, asked):
         self.off.append(asked)
 
 
@@ -60,7 +60,9 @@
     assert not w.hosts.sent and not w.core.works
 
 
-@pytest.mark.parametrize("now, event", [((True, 0.0), messages.Request), ((False, 0.2), messages.RejectedByPlugin)])
+@pytest.mark.parametrize(
+    "now, event", [((True, 0.0), messages.Request), ((False, 0.2), messages.RejectedByPlugin)]
+)
 def test_one_that_decides_at_once(now, event):
     w = world(now)
     place = w.take("a", [messages.Reject("a")])
@@ -78,11 +80,11 @@
     w = world()
 
     class Hooks:
-        def taken(self, request):
-            return Hooked(), messages.RejectedByPlugin(request.id, 0.0)
+        def on_request(self, request):
+            return Hooked(), messages.RejectedByPlugin(request.request_id, 0.0)
 
     class Hooked:
-        def ended(self, outcome):
+        def on_end(self, outcome):
             pass
 
     w.core.hooks = Hooks()
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -48,8 +48,8 @@
 
 class Attempt:
     def __init__(self, host, payload, done, tag):
-        self.host, self.payload, self.done, self.tag = host, payload, done, tag
-        self.result, self.value, self.used, self.report, self.written = "", b"", 0, {}, False
+        self.endpoint_id, self.payload, self.done, self.tag = host, payload, done, tag
+        self.result, self.value, self.metered_use, self.load_report, self.is_written = "", b"", 0, {}, False
 
     def elapsed(self):
         return 0.01
@@ -61,7 +61,7 @@
 
 
 class Hosts:
-    attempt = Attempt
+    create_attempt = Attempt
 
     def __init__(self):
         self.out, self.sent, self.places = [], [], {}
@@ -74,19 +74,19 @@
         self.out.append(attempt)
         self.sent.append(attempt)
 
-    def give_up(self, attempt, result):
-        attempt.end(result if attempt.written else "connect_failed")
+    def abandon(self, attempt, result):
+        attempt.end(result if attempt.is_written else "connect_failed")
 
-    def probe(self, host, done):
+    def check_health(self, host, done):
         done(Attempt(host, b"", done, None))
 
-    def close_idle(self, host):
+    def close_idle_connections(self, host):
         pass
 
-    def listed(self, host, address):
+    def update_endpoint(self, host, address):
         self.places[host] = address
 
-    def known(self):
+    def known_endpoints(self):
         return {host for host, address in self.places.items() if address}
 
 
@@ -101,20 +101,20 @@
         if self.broken:
             raise RuntimeError("the front is broken")
 
-    def served(self, value):
+    def complete(self, value):
         self.note("served")
 
-    def refused(self, wait):
+    def reject(self, wait):
         self.note("refused")
 
-    def failed(self):
+    def fail(self):
         self.note("failed")
 
 
 class Order:
-    size = 10
+    body_size = 10
 
-    def payload(self, left):
+    def encode(self, left):
         return b"x"
 
 
@@ -139,7 +139,7 @@
 class World:
     def __init__(self, most=100, held=10_000, **limits):
         self.module, self.hosts, self.loop = Module(), Hosts(), Scheduler()
-        conf = module_settings(limits={"second_copies": False, **limits})
+        conf = module_settings(limits={"can_hedge": False, **limits})
         self.core = Core(conf, self.module, self.hosts, None, self.loop, most, held, clock=lambda: 1000.0)
         self.core.join("front")
 
@@ -174,11 +174,11 @@
 def test_one_attempt_at_a_time_and_as_many_as_are_allowed():
     w = World(max_attempts=2)
     w.take("a", [messages.ForwardRequest("a", "h1"), messages.ForwardRequest("a", "h2")])
-    assert [a.host for a in w.hosts.sent] == ["h1"]
+    assert [a.endpoint_id for a in w.hosts.sent] == ["h1"]
     assert w.module.events[-1].result == "moot"
     w.module.next = [messages.ForwardRequest("a", "h2")]
     w.hosts.out[0].end("reset")
-    assert [a.host for a in w.hosts.sent] == ["h1"]  # the moot one was an attempt too
+    assert [a.endpoint_id for a in w.hosts.sent] == ["h1"]  # the moot one was an attempt too
     assert w.module.events[-1].result == "moot"
 
 
@@ -186,7 +186,7 @@
     w = World()
     assert w.take("a", RuntimeError("broken")).answers == ["failed"]
     place = w.take("b", [messages.ForwardRequest("b", "h1")])
-    w.hosts.out[0].written, w.module.next = True, RuntimeError("broken")
+    w.hosts.out[0].is_written, w.module.next = True, RuntimeError("broken")
     w.hosts.out[0].end("reset")
     assert place.answers == ["failed"] and not w.core.works
     assert isinstance(w.module.events[-1], messages.ClientDisconnected)
@@ -227,10 +227,17 @@
     """A client's end that is noticed while the module works: what it decides next knows of it."""
     w = World()
     place, other = w.take("a"), w.take("b")
-    w.core.actions[messages.LogMessage] = lambda _: (w.core.feed(messages.TimerExpired(7)), w.core.gone(place))
+    w.core.actions[messages.LogMessage] = lambda _: (
+        w.core.feed(messages.TimerExpired(7)),
+        w.core.gone(place),
+    )
     w.module.next = [messages.LogMessage("")]
     w.core.feed(messages.TimerExpired(0))
-    assert [type(e) for e in w.module.events[-3:]] == [messages.TimerExpired, messages.ClientDisconnected, messages.TimerExpired]
+    assert [type(e) for e in w.module.events[-3:]] == [
+        messages.TimerExpired,
+        messages.ClientDisconnected,
+        messages.TimerExpired,
+    ]
     w.core.gone(other)
     assert not w.core.works
 
@@ -238,12 +245,18 @@
 def test_a_send_that_crossed_the_end_of_its_request_is_told_as_not_sent():
     w = World()
     place = w.take("a", [messages.ForwardRequest("a", "h1")])
-    w.hosts.out[0].written = True
+    w.hosts.out[0].is_written = True
     w.core.gone(place)  # its attempt is out still, for the module to call off
     w.module.next = [messages.ForwardRequest("a", "h2")]
     w.core.feed(messages.TimerExpired(0))
     told = w.module.events[-1]
-    assert (told.id, told.attempt, told.host, told.result, told.final) == ("a", 1, "h2", "moot", True)
+    assert (told.request_id, told.attempt, told.endpoint_id, told.result, told.is_final) == (
+        "a",
+        1,
+        "h2",
+        "moot",
+        True,
+    )
     assert len(w.hosts.sent) == 1
 
 
@@ -297,7 +310,12 @@
                 "nothing": [],
                 "raise": RuntimeError("broken"),
                 "cancel": [messages.CancelAttempt(id, 0), messages.ForwardRequest(id, "h3")],
-                "odd": [None, messages.ForwardRequest("unknown", "h1"), messages.Reject(id), messages.Fail(id)],
+                "odd": [
+                    None,
+                    messages.ForwardRequest("unknown", "h1"),
+                    messages.Reject(id),
+                    messages.Fail(id),
+                ],
             }[does]
             if what == "take":
                 place = Place(broken)
@@ -313,7 +331,7 @@
             elif what == "timer":
                 w.core.feed(messages.TimerExpired(0))
             elif attempt is not None and what == "write":
-                attempt.written = True
+                attempt.is_written = True
             elif attempt is not None:
                 attempt.end(result)
             for work in w.core.works.values():
@@ -375,14 +393,14 @@
     def __init__(self, *told):
         self.told, self.marked, self.cleared, self.others = list(told), [], [], set()
 
-    def mark(self, id, left):
+    def acquire(self, id, left):
         self.marked.append((id, left))
         return self.told.pop(0)
 
-    def held(self, id):
+    def is_held(self, id):
         return id in self.others
 
-    def clear(self, place):
+    def release(self, place):
         self.cleared.append(place)
 
 
@@ -421,11 +439,11 @@
 
 
 class Asker(Place):
-    def granted(self, told):
+    def grant(self, told):
         self.note(("granted", told.remaining))
 
-    def denied(self, told):
-        self.note(("denied", told.over))
+    def deny(self, told):
+        self.note(("denied", told.is_over_quota))
 
 
 def check(id, left=3.0):
@@ -484,6 +502,7 @@
     )
     assert w.module.events[-1] == messages.ReturnUnits("c", 2.0, 7)
     w.core.give_back(
-        messages.QuotaReservation("b", 1.0, "c", "p", "read", 2.0, 0, 1), messages.QuotaGranted("b", 0.0, 1.0, 7)
+        messages.QuotaReservation("b", 1.0, "c", "p", "read", 2.0, 0, 1),
+        messages.QuotaGranted("b", 0.0, 1.0, 7),
     )
     assert w.module.events[-1] == messages.ReturnReservation("c", 2.0, 7)
--- a/tests/daemon/test_inflight.py
+++ b/tests/daemon/test_inflight.py
@@ -19,29 +19,32 @@
 def test_what_one_has_marked_no_other_takes_until_it_is_cleared():
     file = memory(3)
     one, two = InFlight(file, 0, 3), InFlight(file, 2, 3)
-    place = one.mark("a", 3.0)
+    place = one.acquire("a", 3.0)
     assert (
-        place >= 0 and two.mark("a", 3.0) == HELD and one.mark("a", 3.0) == HELD and two.mark("b", 3.0) >= 0
+        place >= 0
+        and two.acquire("a", 3.0) == HELD
+        and one.acquire("a", 3.0) == HELD
+        and two.acquire("b", 3.0) >= 0
     )
-    one.clear(place)
-    assert two.mark("a", 3.0) >= 0
+    one.release(place)
+    assert two.acquire("a", 3.0) >= 0
 
 
 def test_the_marks_of_one_that_died_hold_for_its_successor_too_until_the_clients_time_is_over(monkeypatch):
     file = memory(2)
-    InFlight(file, 0, 2).mark("a", 3.0)
+    InFlight(file, 0, 2).acquire("a", 3.0)
     for number in (0, 1):
-        assert InFlight(file, number, 2).mark("a", 3.0) == HELD
+        assert InFlight(file, number, 2).acquire("a", 3.0) == HELD
     now = time.monotonic()
     monkeypatch.setattr(inflight.time, "monotonic", lambda: now + 3.0 + inflight.LATE + 0.1)
-    assert InFlight(file, 1, 2).mark("a", 3.0) >= 0
+    assert InFlight(file, 1, 2).acquire("a", 3.0) >= 0
 
 
 def test_where_there_is_no_place_nothing_is_taken(monkeypatch):
     monkeypatch.setattr(inflight, "PROBES", 2)
     monkeypatch.setattr(inflight, "SLOTS", 4)
     marks = InFlight(memory(1), 0, 1)
-    told = [marks.mark(str(n), 3.0) for n in range(20)]
+    told = [marks.acquire(str(n), 3.0) for n in range(20)]
     assert FULL in told and sum(place >= 0 for place in told) <= 4
 
 
--- a/tests/experiment/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -107,9 +107,9 @@
         "class Gateway:\n"
         "    def __init__(self, settings, seed, now): self.hosts = []\n"
         "    def handle(self, now, event):\n"
-        "        if isinstance(event, messages.HostList): self.hosts += [h.id for h in event.hosts]\n"
+        "        if isinstance(event, messages.EndpointList): self.hosts += [h.id for h in event.endpoints]\n"
         "        send = isinstance(event, messages.Request)\n"
-        "        return [messages.Send(event.id, self.hosts[0])] * 2 if send else []\n"
+        "        return [messages.ForwardRequest(event.request_id, self.hosts[0])] * 2 if send else []\n"
     )
     path = written(
         tmp_path / "e.toml", SMALL, ('"module", "two:0.5"', f'"module:{tmp_path}/other.py", "random"')
--- a/tests/faults/test_fronts.py
+++ b/tests/faults/test_fronts.py
@@ -53,7 +53,9 @@
     """A decision module that sends each request on at once."""
 
     def handle(self, now, event):
-        return [messages.ForwardRequest(event.request_id, "h1")] if isinstance(event, messages.Request) else []
+        return (
+            [messages.ForwardRequest(event.request_id, "h1")] if isinstance(event, messages.Request) else []
+        )
 
 
 @on_loop
@@ -89,7 +91,7 @@
 @on_loop
 async def test_a_front_whose_answers_raise_keeps_nothing_in_work(tmp_path, monkeypatch):
     async with StubHost() as host, TwoFronts(tmp_path, host) as gate:
-        real = Slot.served
+        real = Slot.complete
 
         def broken(slot, value):
             if slot.client.server is gate.node.fronts[0].server:
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -200,6 +200,6 @@
     up = [Entry(messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
     judge.hear(up, whole=True)
     judge.drain(["h1", "unknown"])
-    assert told[-1].hosts.hosts[0].state == "leaving"
+    assert told[-1].hosts.endpoints[0].state == "leaving"
     judge.hear(up, whole=True)
-    assert told[-1].hosts.hosts[0].state == "up"
+    assert told[-1].hosts.endpoints[0].state == "up"
--- a/tests/frontends/test_early.py
+++ b/tests/frontends/test_early.py
@@ -158,7 +158,7 @@
         handle = node.node.core.module.handle
         node.node.core.module.handle = lambda now, event: events.append(event) or handle(now, event)
         again = await node.ask(command(b"again", terms(t="small"), customer=customer))
-        assert again.startswith(b"-BUSY ") and not [e for e in events if getattr(e, "id", "") == "again"]
+        assert again.startswith(b"-BUSY ") and not [e for e in events if getattr(e, "request_id", "") == "again"]
 
 
 @pytest.mark.parametrize(
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,10 +13,10 @@
     base = dict(
         rate=2.0,
         burst=8.0,
-        open_limit=0,
-        price=1.0,
-        over_worth=0.0,
-        over_cost=1.0,
+        concurrency_limit=0,
+        price_weight=1.0,
+        over_quota_weight=0.0,
+        over_quota_cost=1.0,
         ceiling_rate=0.0,
         ceiling_burst=0.0,
         ceiling_slack=0.0,
@@ -26,41 +26,41 @@
 
 def settings(plans=None, limits=None, rules=None, **kw):
     lim = dict(
-        cancel=True,
-        second_copies=True,
-        probes=False,
-        peers=False,
-        retry_after=True,
+        can_cancel=True,
+        can_hedge=True,
+        can_check_health=False,
+        can_message_peers=False,
+        can_tell_retry_after=True,
         max_attempts=4,
         max_retry_after=1.0,
     )
     rul = dict(
         answer_slack=0.01,
         drain_grace=1.0,
-        cold_share=0.2,
-        cold_time=10.0,
-        fall_multiple=2.0,
-        fall_time=2.0,
-        ask_within=10.0,
+        initial_capacity=0.2,
+        slow_start_duration=10.0,
+        overload_multiple=2.0,
+        overload_duration=2.0,
+        max_poll_interval=10.0,
     )
     base = dict(
-        index=0,
-        gateways=2,
+        gateway_index=0,
+        gateway_count=2,
         zone="z1",
         classes={c.name: c for c in (READ, WRITE, CELL, NOTE)},
         plans={p.name: p for p in (plans or [plan()])},
         limits=messages.Limits(**{**lim, **(limits or {})}),
         rules=messages.Rules(**{**rul, **(rules or {})}),
         prices={"cross_zone": 0.02},
-        counter=True,
+        has_counter=True,
         counter_price=0.01,
         counter_timeout=0.05,
         meter_period=0.0,
-        settles=False,
-        most_units=4.0,
-        discovery="push",
-        reports=("queue",),
-        weights="none",
+        settles_units=False,
+        max_units=4.0,
+        discovery_mode="push",
+        load_report_fields=("queue",),
+        weight_meaning="none",
     )
     return messages.Settings(**{**base, **kw})
 
@@ -109,7 +109,13 @@
     def end(self, send, result="ok", attempt=0, final=None, elapsed=0.05, **kw):
         return self.do(
             messages.AttemptOutcome(
-                send.id, attempt, send.host, result, elapsed, result == "ok" if final is None else final, **kw
+                send.request_id,
+                attempt,
+                send.endpoint_id,
+                result,
+                elapsed,
+                result == "ok" if final is None else final,
+                **kw,
             )
         )
 
--- a/tests/membership/test_belief.py
+++ b/tests/membership/test_belief.py
@@ -13,7 +13,9 @@
 
 def entry(id, state="up", stamp=0, port=None, started=0.0):
     return Entry(
-        messages.Endpoint(id, "a", 0, 1.0, "", state, started), ("127.0.0.1", port or 1000 + int(id[1:])), stamp
+        messages.Endpoint(id, "a", 0, 1.0, "", state, started),
+        ("127.0.0.1", port or 1000 + int(id[1:])),
+        stamp,
     )
 
 
@@ -41,17 +43,17 @@
 
 def test_what_is_marked_drains_at_once_even_most_of_them(ten):
     changed = ten.hear(1.0, entries(9, state="leaving") + [entry("h9")], whole=True)
-    assert [h.state for h in changed.hosts.hosts] == ["leaving"] * 9
+    assert [h.state for h in changed.hosts.endpoints] == ["leaving"] * 9
 
 
 def test_what_was_deleted_by_name_is_gone_at_once(ten):
     changed = ten.hear(1.0, [], gone={f"h{n}" for n in range(8)})
-    assert len(changed.hosts.hosts) == 8 and {h.state for h in changed.hosts.hosts} == {"down"}
+    assert len(changed.hosts.endpoints) == 8 and {h.state for h in changed.hosts.endpoints} == {"down"}
 
 
 def test_a_few_that_are_missing_are_gone_at_once(ten):
     changed = ten.hear(1.0, entries(7), whole=True)
-    assert {h.id for h in changed.hosts.hosts} == {"h7", "h8", "h9"}
+    assert {h.id for h in changed.hosts.endpoints} == {"h7", "h8", "h9"}
 
 
 def test_most_that_are_missing_are_doubted_until_they_have_been_missing_long_and_twice(ten):
@@ -59,14 +61,14 @@
     assert ten.known["h9"].doubt == "missing"
     assert ten.tick(40.0) is None  # long enough, but in one list only
     changed = ten.hear(41.0, entries(5), whole=True)
-    assert {h.id for h in changed.hosts.hosts} == {f"h{n}" for n in range(5, 10)}
+    assert {h.id for h in changed.hosts.endpoints} == {f"h{n}" for n in range(5, 10)}
 
 
 def test_a_second_look_too_soon_ends_no_doubt_but_its_time_does(ten):
     ten.hear(1.0, entries(5), whole=True)
     assert ten.hear(2.0, entries(5), whole=True) is None
     assert ten.next() == 31.0 and ten.tick(30.9) is None
-    assert len(ten.tick(31.0).hosts.hosts) == 5
+    assert len(ten.tick(31.0).hosts.endpoints) == 5
 
 
 def test_who_comes_back_is_doubted_no_more(ten):
@@ -87,7 +89,7 @@
 def test_a_host_under_another_id_takes_the_place_of_the_old_one(ten):
     changed = ten.hear(1.0, [entry(f"h{n + 50}", port=1000 + n) for n in range(10)], whole=True)
     assert set(states(ten)) == {f"h{n + 50}" for n in range(10)}
-    assert sum(h.state == "down" for h in changed.hosts.hosts) == 10
+    assert sum(h.state == "down" for h in changed.hosts.endpoints) == 10
 
 
 def test_of_two_ids_at_one_address_the_latest_counts():
--- a/tests/membership/test_eureka_model.py
+++ b/tests/membership/test_eureka_model.py
@@ -171,7 +171,12 @@
 def test_metadata_and_leases_make_a_host():
     told = read_instance(ONE | {"leaseInfo": {"serviceUpTimestamp": 5000, "registrationTimestamp": 4000}})
     entry = read_entry(Terms(), told)
-    assert (entry.host.zone, entry.host.cell, entry.host.weight, entry.host.started_at) == ("east", 2, 1.5, 5.0)
+    assert (entry.host.zone, entry.host.cell, entry.host.weight, entry.host.started_at) == (
+        "east",
+        2,
+        1.5,
+        5.0,
+    )
     assert entry.address == ("127.0.0.1", 8080) and entry.stamp > 0
     named = read_entry(Terms(address="name"), told, {"node7.rota.example.org": "10.0.0.7"})
     assert named.address == ("10.0.0.7", 8080)
--- a/tests/membership/test_eureka_source.py
+++ b/tests/membership/test_eureka_source.py
@@ -38,7 +38,7 @@
         )
 
     def told(self, listing):
-        for host in listing.hosts.hosts:
+        for host in listing.hosts.endpoints:
             self.hosts[host.id] = host
             if host.state == "down":
                 del self.hosts[host.id]
--- a/tests/membership/test_judge.py
+++ b/tests/membership/test_judge.py
@@ -31,7 +31,7 @@
     judge.hear_listing(listing())
     assert len(told) == 1 and set(judge.belief.known) == {"a", "b", "c"}
     judge.hear_listing(listing("a", full=False, state="removed"))
-    assert [h.state for h in told[-1].hosts.hosts] == ["down"] and set(judge.belief.known) == {"b", "c"}
+    assert [h.state for h in told[-1].hosts.endpoints] == ["down"] and set(judge.belief.known) == {"b", "c"}
 
 
 @on_loop
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -91,7 +91,9 @@
     w = hooked(seat(Scripted(on_request(("refuse", "1.5")))))
     place = w.take("a", [messages.Reject("a", 1.5)])
     assert (
-        w.module.events == [messages.RejectedByPlugin("a", 1.5)] and place.answers == ["refused"] and not w.core.works
+        w.module.events == [messages.RejectedByPlugin("a", 1.5)]
+        and place.answers == ["refused"]
+        and not w.core.works
     )
     assert w.hooks.version.open == 0
 
@@ -194,7 +196,10 @@
 def test_each_request_ends_on_the_version_it_began_with_and_the_old_goes_with_the_last():
     old, new = Scripted(None), Scripted(None)
     w = hooked(seat(old))
-    first, second = w.take("a", [messages.ForwardRequest("a", "h1")]), w.take("b", [messages.ForwardRequest("b", "h1")])
+    first, second = (
+        w.take("a", [messages.ForwardRequest("a", "h1")]),
+        w.take("b", [messages.ForwardRequest("b", "h1")]),
+    )
     w.hooks.swap(version(seat(new)))
     w.take("c", [messages.ForwardRequest("c", "h1")])
     for attempt in list(w.hosts.out):
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -29,7 +29,7 @@
             Rule("payroll", ("account", "plan"), "{account}", "{plan}", "read"),
             Rule("payroll", ("account", "cost=two"), "{account}", "quota", "read", units=2.0),
         ]
-        mapping = Mapping(rules, core.settings.plans, core.settings.classes, core.settings.gateways)
+        mapping = Mapping(rules, core.settings.plans, core.settings.classes, core.settings.gateway_count)
         self.service = RateLimit(core, self.front, Terms(mapping, **{"patience": 2.0, **kw}))
         self.front.use({METHOD: self.service.call})
 
--- a/tests/ratelimit/test_tokens_used.py
+++ b/tests/ratelimit/test_tokens_used.py
@@ -26,7 +26,7 @@
             Rule("payroll", ("account", "cost=half"), "{account}", "quota", "read", 0.5, token=True),
             Rule("payroll", ("account", "plain"), "{account}", "quota", "read"),
         ]
-        mapping = Mapping(rules, core.settings.plans, core.settings.classes, core.settings.gateways)
+        mapping = Mapping(rules, core.settings.plans, core.settings.classes, core.settings.gateway_count)
         self.service.terms = type(self.service.terms)(mapping, 2.0, tokens=self.tokens)
         self.node, self.number = node, 0
         node.node.fronts[0].take_tokens(self.tokens)
--- a/tests/routing/test_sites.py
+++ b/tests/routing/test_sites.py
@@ -70,7 +70,7 @@
     an even part would be 200, and 71 where each host is found by itself."""
     failed = later = 0
     for seed in range(1, 7):
-        w = World(settings(plans=[BIG], gateways=200, limits=dict(second_copies=False)), HOSTS, seed=seed)
+        w = World(settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS, seed=seed)
         for n in range(150):
             acts, attempt = w.ask(plan="p")[1], 0
             while sends := of(acts, messages.ForwardRequest):
@@ -84,7 +84,7 @@
 
 
 def test_bad_hosts_in_each_site_are_not_taken_for_a_lost_one():
-    w = World(settings(plans=[BIG], gateways=200, limits=dict(second_copies=False)), HOSTS)
+    w = World(settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS)
     low = 1.0
     for _ in range(200):
         acts, attempt = w.ask(plan="p")[1], 0
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("gateways", [3, 200])
 def test_a_site_that_the_operator_leaves_gets_nothing_new_and_comes_back_by_a_word(gateways):
-    w = World(settings(plans=[BIG], gateways=gateways, limits=dict(second_copies=False)), HOSTS)
+    w = World(settings(plans=[BIG], gateway_count=gateways, limits=dict(can_hedge=False)), HOSTS)
 
     def zones(count):
         met = set()
@@ -124,7 +124,7 @@
 
 
 def test_a_repeat_that_only_a_site_that_is_left_may_get_is_failed_not_sent_elsewhere():
-    w = World(settings(plans=[BIG], gateways=200, limits=dict(second_copies=False)), HOSTS)
+    w = World(settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS)
     send = of(w.ask(plan="p", cls="write")[1], messages.ForwardRequest)[0]  # keyed, within its zone
     zone = "abc"[int(send.endpoint_id[1:]) % 3]
     w.do(messages.EvacuateZones((zone,)))
--- a/tests/routing/test_size.py
+++ b/tests/routing/test_size.py
@@ -40,18 +40,18 @@
 
 def test_large_hosts_in_usual_work_shed_nothing():
     """Half of the load of sixteen cores is more than a host of four can hold."""
-    w = World(settings(plans=[BIG], gateways=50), [host(f"h{k}") for k in range(10)])
+    w = World(settings(plans=[BIG], gateway_count=50), [host(f"h{k}") for k in range(10)])
     sent = 0
     for n in range(300):
         for s in of(w.ask(cls=("read", "write")[n % 2])[1], messages.ForwardRequest):
             sent += 1
-            w.end(s, report={"inflight": 9.0, "util": 0.56}, elapsed=0.2)
+            w.end(s, load_report={"inflight": 9.0, "util": 0.56}, elapsed=0.2)
         w.now += 0.05
     assert sent == 300
     for n in range(300):  # what is more than they can do sheds as ever
         for s in of(w.ask(cls=("read", "write")[n % 2])[1], messages.ForwardRequest):
             sent += 1
-            w.end(s, report={"inflight": 90.0, "util": 1.0}, elapsed=0.9)
+            w.end(s, load_report={"inflight": 90.0, "util": 1.0}, elapsed=0.9)
         w.now += 0.05
     assert sent < 500
 
@@ -60,5 +60,5 @@
     w = World(settings(plans=[BIG]), [host("h0")])
     for _ in range(ENOUGH):
         for s in of(w.ask()[1], messages.ForwardRequest):
-            w.end(s, report={"inflight": 8.0, "util": 0.5}, elapsed=0.2)
+            w.end(s, load_report={"inflight": 8.0, "util": 0.5}, elapsed=0.2)
     assert sum(len(of(w.ask()[1], messages.ForwardRequest)) for _ in range(20)) in (8, 9)
--- a/tests/routing/test_subset.py
+++ b/tests/routing/test_subset.py
@@ -69,7 +69,7 @@
 
 def crowd(hosts=50, index=3, **kw):
     listed = [host(f"h{n}", cell=n % 7) for n in range(hosts)]
-    return World(settings(plans=[BIG], gateways=200, index=index, **kw), listed)
+    return World(settings(plans=[BIG], gateway_count=200, gateway_index=index, **kw), listed)
 
 
 def ended(w, n, **kw):
@@ -128,7 +128,11 @@
             sent.append(sends[0].endpoint_id)
             bad = sends[0].endpoint_id in dead
             number = (
-                sum(s.id == sends[0].request_id for _, s in [e for e in w.log if type(e[1]) is messages.ForwardRequest]) - 1
+                sum(
+                    s.request_id == sends[0].request_id
+                    for _, s in [e for e in w.log if type(e[1]) is messages.ForwardRequest]
+                )
+                - 1
             )
             acts = w.end(sends[0], "connect_failed" if bad else "ok", attempt=number, final=not bad)
         refused += len(of(acts, messages.Reject))
@@ -139,8 +143,8 @@
 @pytest.mark.parametrize("gateways, sure", [(200, True), (3, False)])
 def test_one_attempt_silent_past_the_aim_is_enough_where_a_gateway_meets_a_host_seldom(gateways, sure):
     listed = [host(f"h{n}") for n in range(50)]
-    limits = dict(second_copies=False, cancel=False)
-    w = World(settings(plans=[BIG], gateways=gateways, limits=limits), listed)
+    limits = dict(can_hedge=False, can_cancel=False)
+    w = World(settings(plans=[BIG], gateway_count=gateways, limits=limits), listed)
     send = of(w.ask(plan="p", cls="note")[1], messages.ForwardRequest)[0]
     w.wait(1.1)  # its aim is a second
     doubt = w.gw.fleet.doubt.at(send.endpoint_id, "host", w.now)
@@ -173,7 +177,7 @@
     moved, name = w.gw.fleet.moved_by, next(iter(w.gw.fleet.near)).host.id
     while not moved["report"]:
         for send in of(w.ask(plan="p")[1], messages.ForwardRequest):
-            w.end(send, report={"queue": 0.0})
+            w.end(send, load_report={"queue": 0.0})
     assert moved["mean"] and not moved["outside"] and not moved["doubted"]
     w.gw.fleet.doubt.note(name, ("host",), True, w.now)
     for server in w.gw.fleet.near:
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -15,7 +15,9 @@
 
 
 def world(plans=None, **kw):
-    return World(module_settings(plans=plans or [plan(rate=2.0, burst=8.0)], **{"gateways": 1, **kw}), HOSTS)
+    return World(
+        module_settings(plans=plans or [plan(rate=2.0, burst=8.0)], **{"gateway_count": 1, **kw}), HOSTS
+    )
 
 
 def check(w, customer="c", units=1.0, left=3.0, spread=1):
@@ -76,7 +78,7 @@
 
 
 def test_while_the_counter_is_silent_a_check_is_answered_in_its_time_and_one_that_left_is_not():
-    w = world(gateways=2)
+    w = world(gateway_count=2)
     w.mode = "hold"
     first = [check(w, spread=2) for _ in range(8)]
     waiting = [job.req.request_id for job in w.gw.jobs.values()]
@@ -116,7 +118,7 @@
 
 
 def test_in_overload_of_the_hosts_checks_are_shed_as_requests_are():
-    w = world(gateways=8, plans=[plan(rate=1000.0, burst=1000.0)])
+    w = world(gateway_count=8, plans=[plan(rate=1000.0, burst=1000.0)])
     w.gw.pass_share, w.gw.fleet.pressure, w.gw.fleet.answer_at = 0.1, 1.0, w.now
     told = [check(w, f"c{n}") for n in range(200)]
     shed = [one for one in told if isinstance(one, messages.QuotaDenied)]
@@ -124,8 +126,10 @@
 
 
 def test_a_plan_with_open_attempts_only_has_no_quota_to_tell_of():
-    told = check(world([plan(rate=0.0, burst=0.0, open_limit=4)]))
-    assert isinstance(told, messages.QuotaGranted) and told.remaining == float("inf") and told.reset_after == 0.0
+    told = check(world([plan(rate=0.0, burst=0.0, concurrency_limit=4)]))
+    assert (
+        isinstance(told, messages.QuotaGranted) and told.remaining == float("inf") and told.reset_after == 0.0
+    )
 
 
 @pytest.mark.parametrize("first", range(0, 2000, 250))
@@ -135,7 +139,10 @@
     for number in range(first, first + 250):
         rng = random.Random(number)
         count = rng.choice([1, 1, 2, 3])
-        conf = [module_settings(plans=[plan(**CEILED)], gateways=count, index=n) for n in range(count)]
+        conf = [
+            module_settings(plans=[plan(**CEILED)], gateway_count=count, gateway_index=n)
+            for n in range(count)
+        ]
         worlds = [World(one, HOSTS, seed=number * 8 + n) for n, one in enumerate(conf)]
         totals = {}
         for w in worlds:
@@ -185,7 +192,7 @@
     st.sampled_from(["answer", "silent", "refuse", "hold"]),
 )
 def test_each_check_has_one_answer_at_most_and_one_in_its_time(steps, counter):
-    w = world([plan(**CEILED)], gateways=2)
+    w = world([plan(**CEILED)], gateway_count=2)
     w.mode = counter
     asked, gone, window = {}, set(), 0
     for what, customer, amount in steps:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -15,7 +15,7 @@
 
 
 def world(hosts, gateways=1, **kw):
-    return World(settings(plans=[BIG], gateways=gateways, limits={"second_copies": False}, **kw), hosts)
+    return World(settings(plans=[BIG], gateway_count=gateways, limits={"can_hedge": False}, **kw), hosts)
 
 
 class Oracle:
@@ -30,34 +30,34 @@
     def listed(self, event):
         if event.mode not in ("delta", "failed"):
             self.up = set()
-        for one in event.hosts:
+        for one in event.endpoints:
             self.hosts[one.id] = one
             (self.up.add if one.state == "up" else self.up.discard)(one.id)
 
     def outcome(self, event, now):
-        self.out.pop((event.id, event.attempt), None)
+        self.out.pop((event.request_id, event.attempt), None)
         if event.result in ("error", "timeout", "reset", "cancelled"):
-            self.ran.setdefault(event.id, []).append((event.host, now))
+            self.ran.setdefault(event.request_id, []).append((event.endpoint_id, now))
 
     def allowed(self, act):
-        req = self.requests[act.id]
-        cls = self.conf.classes[req.cls]
-        assert act.host in self.up, "sent to a host that is not up"
-        assert act.id not in self.over, "sent after its answer"
-        assert act.host not in self.sent.get(act.id, ()), "sent to the same host again"
-        assert not any(id == act.id for id, _ in self.out), "two attempts at once"
+        req = self.requests[act.request_id]
+        cls = self.conf.classes[req.service_class]
+        assert act.endpoint_id in self.up, "sent to a host that is not up"
+        assert act.request_id not in self.over, "sent after its answer"
+        assert act.endpoint_id not in self.sent.get(act.request_id, ()), "sent to the same host again"
+        assert not any(id == act.request_id for id, _ in self.out), "two attempts at once"
         route = self.conf.routes.get(req.route)
         if route and not route.fallback:
-            assert self.hosts[act.host].kind in route.kinds, "sent past its route"
-        for ran, _ in self.ran.get(act.id, ()):
+            assert self.hosts[act.endpoint_id].kind in route.endpoint_kinds, "sent past its route"
+        for ran, _ in self.ran.get(act.request_id, ()):
             assert cls.effect != "unsafe", "an unsafe request that may have run was sent again"
-            if cls.effect == "keyed" and cls.scope == "cell":
-                assert self.hosts[ran].cell == self.hosts[act.host].cell, "sent out of its scope"
-            if cls.effect == "keyed" and cls.scope == "zone":
-                assert self.hosts[ran].zone == self.hosts[act.host].zone, "sent out of its scope"
-        attempt = len(self.sent.setdefault(act.id, []))
-        self.sent[act.id].append(act.host)
-        self.out[act.id, attempt] = act.host
+            if cls.effect == "keyed" and cls.deduplication_scope == "cell":
+                assert self.hosts[ran].cell == self.hosts[act.endpoint_id].cell, "sent out of its scope"
+            if cls.effect == "keyed" and cls.deduplication_scope == "zone":
+                assert self.hosts[ran].zone == self.hosts[act.endpoint_id].zone, "sent out of its scope"
+        attempt = len(self.sent.setdefault(act.request_id, []))
+        self.sent[act.request_id].append(act.endpoint_id)
+        self.out[act.request_id, attempt] = act.endpoint_id
 
     def acts(self, acts):
         for act in acts:
@@ -74,7 +74,7 @@
     assert all(fleet.free[s.at] is s for s in fleet.free)
     assert all((s.at >= 0) == (s.host.id in free) for s in fleet.up)
     assert fleet.out == sum(len(s.out) for s in fleet.servers.values())
-    assert {s for s in fleet.up if s.rests} <= fleet.resting
+    assert {s for s in fleet.up if s.backoff} <= fleet.resting
     if now >= fleet.full_until:
         assert fleet.room(now) == any(fleet.may_send(s, now) for s in fleet.up)
 
@@ -148,7 +148,13 @@
             some = rng.sample(hosts, rng.randint(1, count))
             states = [
                 messages.Endpoint(
-                    h.id, h.zone, h.cell, 1.0, h.kind, rng.choice(["up", "up", "leaving", "down"]), h.started_at
+                    h.id,
+                    h.zone,
+                    h.cell,
+                    1.0,
+                    h.kind,
+                    rng.choice(["up", "up", "leaving", "down"]),
+                    h.started_at,
                 )
                 for h in some
             ]
@@ -159,7 +165,9 @@
 
 
 def ask(w, count, cls="read", left=3.0):
-    return [s for _ in range(count) for s in of(w.ask(cls=cls, left=left, spread=1)[1], messages.ForwardRequest)]
+    return [
+        s for _ in range(count) for s in of(w.ask(cls=cls, left=left, spread=1)[1], messages.ForwardRequest)
+    ]
 
 
 def many(count, started=0.0, **kw):
@@ -196,7 +204,9 @@
     hosts = many(500) + [host(f"c{n}", "z1", 0, started=1000.0) for n in range(500)]
     worlds = [
         World(
-            settings(plans=[BIG], gateways=gateways, index=n, limits={"second_copies": False}), hosts, seed=n
+            settings(plans=[BIG], gateway_count=gateways, gateway_index=n, limits={"can_hedge": False}),
+            hosts,
+            seed=n,
         )
         for n in range(gateways)
     ]
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -15,7 +15,7 @@
 def world(most=0, plans=None, **kw):
     return World(
         module_settings(
-            plans=plans or [plan(rate=2.0, burst=8.0)], most_accounts=most, **{"gateways": 1, **kw}
+            plans=plans or [plan(rate=2.0, burst=8.0)], max_customers=most, **{"gateway_count": 1, **kw}
         ),
         HOSTS,
     )
@@ -96,11 +96,13 @@
         assert asked(w, f"{n:016x}")
     turned = [act for _, act in w.log[before:]]
     assert sum(isinstance(act, messages.ForwardRequest) for act in turned) == 20_000
-    assert sum(isinstance(act, messages.AddToCounter) for act in turned) <= 20_000  # one call each at most, no storm
+    assert (
+        sum(isinstance(act, messages.AddToCounter) for act in turned) <= 20_000
+    )  # one call each at most, no storm
 
 
 def test_with_nobody_to_forget_a_new_one_is_told_when_to_come_back():
-    w = World(module_settings(plans=[plan(rate=100.0, burst=100.0)], most_accounts=2, gateways=1), HOSTS)
+    w = World(module_settings(plans=[plan(rate=100.0, burst=100.0)], max_customers=2, gateway_count=1), HOSTS)
     held = [w.ask(name, spread=1)[1] for name in ("a", "b")]  # their requests are out
     w.gw.accounts["a"].open_here = w.gw.accounts["b"].open_here = 1
     name, acts = w.ask("c", spread=1)
@@ -133,4 +135,4 @@
 
 def test_settings_refuse_a_bound_that_makes_no_sense():
     with pytest.raises(ValueError):
-        module_settings(most_accounts=-1)
+        module_settings(max_customers=-1)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,14 +23,18 @@
 def test_a_fraction_of_an_attempt_is_rounded_by_chance_over_gateways_and_servers():
     out = 0
     for k in range(3):
-        w = World(settings(plans=[BIG], gateways=3, index=k), [host(f"h{n}") for n in range(30)], seed=k)
+        w = World(
+            settings(plans=[BIG], gateway_count=3, gateway_index=k),
+            [host(f"h{n}") for n in range(30)],
+            seed=k,
+        )
         out += sum(len(of(w.ask()[1], messages.ForwardRequest)) for _ in range(200))
     assert 100 < out < 140  # four a server over all, not six
 
 
 def test_one_gateway_of_many_is_not_kept_to_an_even_part_and_a_silent_attempt_holds_no_place():
     """An even part of four a server is one attempt: a gateway that many customers come to would starve."""
-    w = World(settings(plans=[BIG], gateways=200), [host(f"h{n}") for n in range(50)])
+    w = World(settings(plans=[BIG], gateway_count=200), [host(f"h{n}") for n in range(50)])
     sends = [s for _ in range(40) for s in of(w.ask(cls="note", left=3.0)[1], messages.ForwardRequest)]
     assert len(sends) == 20
     w.wait(1.2)  # waiting requests end, the others are taken for silent
@@ -40,7 +44,7 @@
 def test_a_slow_counter_is_asked_less_and_a_call_then_stands_for_those_unasked():
     calls, most = {}, {}
     for slow in (0.001, 0.045):
-        w = World(settings(gateways=100, plans=[plan(rate=2.0, burst=8.0)]))
+        w = World(settings(gateway_count=100, plans=[plan(rate=2.0, burst=8.0)]))
         w.mode, calls[slow], most[slow] = "hold", 0, 0.0
         for k in range(60):
             for c in of(w.ask(customer=f"c{k}", spread=60)[1], messages.AddToCounter):
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -402,7 +402,7 @@
                 sock.connect_ex(full.getsockname())
             while not node.node.discovery.taken:  # its first list names the other address
                 await asyncio.sleep(0)
-            node.node.hosts.listed("h1", full.getsockname())
+            node.node.hosts.update_endpoint("h1", full.getsockname())
             node.node.hosts.connect_timeout = 60.0
             core.module = Waiting(Request=[messages.ForwardRequest("r1", "h1")])
             _, writer = await node.connect()
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -106,7 +106,11 @@
                     seen.append(event.result)
                     done.set()
                     return [messages.Fail(event.request_id)]
-                return [messages.ForwardRequest(event.request_id, "h1")] if isinstance(event, messages.Request) else []
+                return (
+                    [messages.ForwardRequest(event.request_id, "h1")]
+                    if isinstance(event, messages.Request)
+                    else []
+                )
 
         node.node.core.module = Sender()
         asked = asyncio.create_task(node.ask(command()))
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -52,7 +52,7 @@
 
         class Broken:
             def handle(self, now, event):
-                if getattr(event, "id", "") == "bad":
+                if getattr(event, "request_id", "") == "bad":
                     raise RuntimeError("broken")
                 return real(now, event)
 
@@ -154,7 +154,10 @@
 
             def handle(self, now, event):
                 if isinstance(event, messages.Request):
-                    return [messages.ForwardRequest(event.request_id, "h1"), messages.ForwardRequest(event.request_id, "h2")]
+                    return [
+                        messages.ForwardRequest(event.request_id, "h1"),
+                        messages.ForwardRequest(event.request_id, "h2"),
+                    ]
                 if isinstance(event, messages.AttemptOutcome):
                     self.results.append(event.result)
                     return [messages.Fail(event.request_id)]
@@ -178,7 +181,9 @@
             def handle(now, event):
                 came.extend([event] * isinstance(event, messages.Request))
                 actions = module(now, event)
-                tried.extend(a for a in actions if isinstance(a, messages.ForwardRequest) and a.endpoint_id == "h2")
+                tried.extend(
+                    a for a in actions if isinstance(a, messages.ForwardRequest) and a.endpoint_id == "h2"
+                )
                 return actions
 
             node.node.core.module.handle = handle
--- a/tests/test_net_hosts.py
+++ b/tests/test_net_hosts.py
@@ -159,7 +159,11 @@
             def handle(self, now, event):
                 if isinstance(event, messages.Request):
                     return [messages.ForwardRequest(event.request_id, "h1")]
-                return [messages.ForwardRequest(event.id, "h2")] if getattr(event, "result", "") == "cancelled" else []
+                return (
+                    [messages.ForwardRequest(event.request_id, "h2")]
+                    if getattr(event, "result", "") == "cancelled"
+                    else []
+                )
 
         node.node.core.module = Mover()
         asked = asyncio.create_task(node.ask(command()))
@@ -182,7 +186,7 @@
         for _ in range(5):
             attempt = Attempt("h1", command(), lambda attempt: None)
             hosts.send(attempt, 3.0)
-            hosts.give_up(attempt, "cancelled")
+            hosts.abandon(attempt, "cancelled")
             assert attempt.result == "connect_failed"
         assert await node.ask(command()) == SERVED
         assert len(host.commands) == 1
@@ -326,7 +330,7 @@
     def called_off_in_this_turn(conn, transport):
         made(conn, transport)
         for attempt in list(conn.pool.coming):
-            node.node.hosts.give_up(attempt, "cancelled")
+            node.node.hosts.abandon(attempt, "cancelled")
 
     monkeypatch.setattr(hosts.Connection, "connection_made", called_off_in_this_turn)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
@@ -378,7 +382,7 @@
             stuck.setblocking(False)
             while not node.node.discovery.taken:  # its first list names the other address
                 await asyncio.sleep(0)
-            node.node.hosts.listed("h1", stuck.getsockname())
+            node.node.hosts.update_endpoint("h1", stuck.getsockname())
             node.node.hosts.connect_timeout = 60.0  # one connection, however busy this machine is
             text = command(b"r1", terms(c="note", d="60000"), b"API.WRITE", body=b"x" * 60_000)
             asked = asyncio.create_task(node.ask(text))
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -111,7 +111,7 @@
     """A gateway whose hosts are all full, with so many that wait."""
     monkeypatch.setattr(policy, "QUEUE_LEAST", held + 100)
     plan = messages.Plan("p", 1e6, 1e6, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)
-    w = World(module_settings(gateways=1, plans=[plan]), [host(f"h{n}") for n in range(4)])
+    w = World(module_settings(gateway_count=1, plans=[plan]), [host(f"h{n}") for n in range(4)])
     out = []
     for _ in range(held):
         name, acts = w.ask(spread=1)
@@ -139,7 +139,7 @@
     while len(answered) < 5_000:  # all free at once
         send = out.popleft()
         out += of(w.end(send), messages.ForwardRequest)
-        answered.add(send.id)
+        answered.add(send.request_id)
     assert w.gw.queue.live == held - len(answered) - len(out)
     acts = w.do(messages.EndpointList("full", 2, ()))  # all gone
     assert not of(acts, messages.ForwardRequest)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -53,8 +53,10 @@
         _, acts = w.ask()
         calls, sends = calls + of(acts, messages.AddToCounter), of(acts, messages.ForwardRequest)
     call = calls[0]
-    acts = w.do(messages.CounterResult(call.name, "ok", 40, 0.002))  # others have filled the window meanwhile
-    assert [c for c in of(acts, messages.AddToCounter) if c.amount < 0 and c.counter_key == call.name]
+    acts = w.do(
+        messages.CounterResult(call.counter_key, "ok", 40, 0.002)
+    )  # others have filled the window meanwhile
+    assert [c for c in of(acts, messages.AddToCounter) if c.amount < 0 and c.counter_key == call.counter_key]
     assert not of(acts, messages.ForwardRequest) and of(acts, messages.Reject)
 
 
@@ -112,9 +114,9 @@
 
 
 def test_open_limit_is_held_over_gateways_by_the_counter():
-    p = plan(rate=50.0, burst=100.0, open_limit=2)
+    p = plan(rate=50.0, burst=100.0, concurrency_limit=2)
     a = World(settings(plans=[p]))
-    b = World(settings(plans=[p], index=1), seed=2)
+    b = World(settings(plans=[p], gateway_index=1), seed=2)
     b.counts = a.counts
     sends = []
     for _ in range(3):
@@ -127,28 +129,28 @@
 
 
 def test_beyond_quota_only_where_it_earns():
-    w = World(settings(plans=[plan(over_worth=0.3, over_cost=0.0)]))
+    w = World(settings(plans=[plan(over_quota_weight=0.3, over_quota_cost=0.0)]))
     assert served(w, 40) == 40
-    w = World(settings(plans=[plan(over_worth=0.3, over_cost=0.5)]))
+    w = World(settings(plans=[plan(over_quota_weight=0.3, over_quota_cost=0.5)]))
     assert served(w, 40) < 40
 
 
 def test_without_counter_the_even_share_is_granted():
-    w = World(settings(counter=False))
+    w = World(settings(has_counter=False))
     n = served(w, 40)
     assert 4 <= n <= 8 and not [a for _, a in w.log if isinstance(a, messages.AddToCounter)]
 
 
 def test_plan_without_a_rate_needs_only_open_slots():
-    w = World(settings(plans=[plan(rate=0.0, burst=0.0, open_limit=3)]))
+    w = World(settings(plans=[plan(rate=0.0, burst=0.0, concurrency_limit=3)]))
     assert served(w, 30) == 30
 
 
 def test_settled_units_are_charged():
-    w = World(settings(settles=True))
+    w = World(settings(settles_units=True))
     _, acts = w.ask()
     s = of(acts, messages.ForwardRequest)[0]
-    w.end(s, actual=6)
+    w.end(s, actual_units=6)
     assert served(w, 40) < 11
 
 
@@ -164,7 +166,7 @@
 
 def test_debt_is_brought_along_once():
     a, b = World(settings(plans=[plan(burst=40.0, rate=10.0)])), None
-    b = World(settings(plans=[plan(burst=40.0, rate=10.0)], index=1), seed=2)
+    b = World(settings(plans=[plan(burst=40.0, rate=10.0)], gateway_index=1), seed=2)
     b.counts = a.counts
     start = 0.0
     for turn in range(6):
@@ -177,14 +179,14 @@
 
 
 def test_even_part_of_the_open_limit_needs_no_call():
-    w = World(settings(plans=[plan(rate=50.0, burst=100.0, open_limit=4)]))
+    w = World(settings(plans=[plan(rate=50.0, burst=100.0, concurrency_limit=4)]))
     acts = w.ask()[1] + w.ask()[1]
     assert len(of(acts, messages.ForwardRequest)) == 2 and not of(acts, messages.AddToCounter)
     assert not of(w.ask()[1], messages.ForwardRequest)
 
 
 def test_small_burst_over_many_gateways_passes_light_customers_and_holds_busy_ones():
-    w = World(settings(gateways=10, plans=[plan(rate=0.8, burst=3.0)]))
+    w = World(settings(gateway_count=10, plans=[plan(rate=0.8, burst=3.0)]))
     for k in range(20):
         _, acts = w.ask(customer=f"c{k}", spread=8)
         assert of(acts, messages.ForwardRequest) and len(of(acts, messages.AddToCounter)) <= 1
@@ -217,7 +219,9 @@
 
 
 def test_rest_of_the_open_limit_is_shared_by_a_count():
-    conf = [settings(index=k, plans=[plan(rate=50.0, burst=100.0, open_limit=3)]) for k in (0, 1)]
+    conf = [
+        settings(gateway_index=k, plans=[plan(rate=50.0, burst=100.0, concurrency_limit=3)]) for k in (0, 1)
+    ]
     a, b = World(conf[0]), World(conf[1], seed=2)
     b.counts = a.counts
     assert sum(len(of(w.ask()[1], messages.ForwardRequest)) for _ in range(3) for w in (a, b)) == 3
@@ -230,7 +234,7 @@
     for _ in range(12):
         acts = w.ask()[1]
         calls, n = calls + of(acts, messages.AddToCounter), n + len(of(acts, messages.ForwardRequest))
-    acts = w.do(messages.CounterResult(calls[0].name, "timeout", 0, 0.05))
+    acts = w.do(messages.CounterResult(calls[0].counter_key, "timeout", 0, 0.05))
     assert w.gw.accounts["c"].lease == 0 and n + len(of(acts, messages.ForwardRequest)) <= 5
     assert len(of(acts, messages.Reject)) >= 3
 
@@ -250,14 +254,14 @@
     for n in (1, 3, 200):
         passed = 0
         for k in range(n):
-            w = World(settings(plans=[plan(rate=2.0, burst=8.0)], gateways=n, index=k), seed=k)
+            w = World(settings(plans=[plan(rate=2.0, burst=8.0)], gateway_count=n, gateway_index=k), seed=k)
             w.mode = "silent"
             passed += served(w, 3 if n > 10 else 40, spread=n)
         assert passed <= 2.5 * 8, n  # two windows may be met
 
 
 def test_plan_share_passes_what_was_granted_before_while_the_counter_is_away():
-    w = World(settings(plans=[plan(rate=2.0, burst=8.0)], gateways=100))
+    w = World(settings(plans=[plan(rate=2.0, burst=8.0)], gateway_count=100))
     before = 0
     for k in range(200):
         before += served(w, 1, customer=f"b{k}", spread=60)
@@ -342,7 +346,9 @@
     w.mode = "hold"
     call = next_call(w)
     w.gw.accounts["c"].debt = 5.0
-    w.do(messages.CounterResult(call.counter_key, "timeout", 0.0, 0.002))  # its line broke: it may have been added
+    w.do(
+        messages.CounterResult(call.counter_key, "timeout", 0.0, 0.002)
+    )  # its line broke: it may have been added
     second = next_call(w)
     acts = w.do(messages.CounterResult(call.counter_key, "ok", call.amount + second.amount, 0.002))
     assert [c.amount for c in of(acts, messages.AddToCounter) if c.amount >= 5]
@@ -379,7 +385,7 @@
 
 def crowded(customers, spread=100):
     """A gateway of many whose counter takes all of its time-out, after it has asked about others."""
-    w = World(settings(gateways=100, plans=[plan(rate=0.5, burst=8.0, over_cost=0.5)]))
+    w = World(settings(gateway_count=100, plans=[plan(rate=0.5, burst=8.0, over_quota_cost=0.5)]))
     w.mode = "hold"
     for k in range(customers):
         acts = w.ask(customer=f"other{k}", spread=spread)[1]
@@ -420,7 +426,9 @@
 
 def test_one_request_that_a_gateway_of_many_lets_pass_unasked_is_no_debt_of_many_windows():
     """Of a thin customer's room a request is let pass by chance: that tells nothing of other gateways."""
-    w = World(settings(gateways=100, plans=[plan(rate=0.5, burst=2.0)]), [host(f"h{n}") for n in range(9)])
+    w = World(
+        settings(gateway_count=100, plans=[plan(rate=0.5, burst=2.0)]), [host(f"h{n}") for n in range(9)]
+    )
     served, most, unasked = 0, 0.0, 0
     for k in range(200):  # of so many some have their first one let pass uncharged
         for _ in range(3):
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -14,7 +14,10 @@
     w = World(hosts=[])
     name, acts = w.ask()
     acts = acts + w.wait(3.0)
-    assert len([a for a in acts if isinstance(a, (messages.Reject, messages.Fail)) and a.request_id == name]) == 1
+    assert (
+        len([a for a in acts if isinstance(a, (messages.Reject, messages.Fail)) and a.request_id == name])
+        == 1
+    )
 
 
 @pytest.mark.parametrize("result", ["error", "timeout", "reset", "cancelled"])
@@ -22,7 +25,11 @@
     w = world()
     s = of(w.ask(cls="note")[1], messages.ForwardRequest)[0]
     acts = w.end(s, result)
-    assert not of(acts, messages.ForwardRequest) and not of(acts, messages.Reject) and len(of(acts, messages.Fail)) == 1
+    assert (
+        not of(acts, messages.ForwardRequest)
+        and not of(acts, messages.Reject)
+        and len(of(acts, messages.Fail)) == 1
+    )
 
 
 @pytest.mark.parametrize("result", ["full", "connect_failed"])
@@ -30,7 +37,9 @@
     w = world()
     s = of(w.ask(cls="note")[1], messages.ForwardRequest)[0]
     acts = w.end(s, result)
-    assert [a.endpoint_id for a in of(acts, messages.ForwardRequest)] == [{"h1": "h2", "h2": "h1"}[s.endpoint_id]]
+    assert [a.endpoint_id for a in of(acts, messages.ForwardRequest)] == [
+        {"h1": "h2", "h2": "h1"}[s.endpoint_id]
+    ]
 
 
 @pytest.mark.parametrize("cls", ["write", "cellwrite"])
@@ -58,7 +67,10 @@
 @pytest.mark.parametrize("gateways", [1, 3, 200])
 def test_cold_host_gets_no_more_than_it_bears_from_all_gateways_together(gateways):
     hosts = [host(f"h{k}") for k in range(10)]
-    ws = [World(settings(plans=[BIG], gateways=gateways, index=k), hosts, seed=k) for k in range(gateways)]
+    ws = [
+        World(settings(plans=[BIG], gateway_count=gateways, gateway_index=k), hosts, seed=k)
+        for k in range(gateways)
+    ]
     cold, total, now, out = [], 0, 1000.0, []
     for step in range(1600):  # 200 a second over all; the tenth host restarts after 2 s
         w, now = ws[step % gateways], 1000.0 + step * 0.005
@@ -95,11 +107,17 @@
             sent.append(s.endpoint_id)
         w.wait(0.1)
     assert first.endpoint_id not in sent[-20:-1] or sent[-20:].count(first.endpoint_id) <= 2
-    assert [a for _, a in w.log if isinstance(a, messages.ForwardRequest) and a.request_id == first.request_id and a.endpoint_id != first.endpoint_id]
+    assert [
+        a
+        for _, a in w.log
+        if isinstance(a, messages.ForwardRequest)
+        and a.request_id == first.request_id
+        and a.endpoint_id != first.endpoint_id
+    ]
 
 
 def test_no_second_copy_where_not_allowed():
-    w = world(limits=dict(second_copies=False))
+    w = world(limits=dict(can_hedge=False))
     out, most = {}, 0
     for _ in range(40):
         acts = w.ask()[1] + w.wait(0.05)
@@ -144,7 +162,7 @@
 
 
 def test_discovery_on_request_is_watched_and_asked_again():
-    conf = settings(discovery="ask")
+    conf = settings(discovery_mode="ask")
     w = World(conf)
     assert [a for _, a in w.log if a == messages.WatchEndpoints(True)]
     w.do(messages.EndpointList("failed", 0, ()))
@@ -156,7 +174,7 @@
     s = of(w.ask()[1], messages.ForwardRequest)[0]
     w.do(messages.StreamStarted(s.request_id, 0, s.endpoint_id, 0.1))
     acts = w.wait(4.0)
-    assert not [a for a in acts if getattr(a, "id", None) == s.request_id]
+    assert not [a for a in acts if getattr(a, "request_id", None) == s.request_id]
 
 
 @pytest.mark.parametrize("cls", ["write", "cellwrite"])
@@ -176,7 +194,7 @@
 @pytest.mark.parametrize("result", ["full", "error", "timeout"])
 def test_host_that_fails_one_plan_or_class_keeps_the_others(result):
     bad, good = {"plan": "p", "cls": "note"}, {"plan": "q", "cls": "read"}
-    w = World(settings(plans=[BIG, plan("q", rate=1000.0, burst=4000.0)], gateways=1), [host("h1")])
+    w = World(settings(plans=[BIG, plan("q", rate=1000.0, burst=4000.0)], gateway_count=1), [host("h1")])
     for _ in range(12):
         s = of(w.ask(**bad)[1], messages.ForwardRequest)[0]
         w.wait(1.0)  # long enough to be taken for silent
@@ -198,7 +216,7 @@
     for gateways in (1, 200):
         again = 0
         for k in range(gateways):
-            w = World(settings(plans=[BIG], gateways=gateways, index=k), seed=k)
+            w = World(settings(plans=[BIG], gateway_count=gateways, gateway_index=k), seed=k)
             s = of(w.ask()[1], messages.ForwardRequest)[0]
             again += len(of(w.end(s, "error"), messages.ForwardRequest))
         assert again <= 15
@@ -223,12 +241,14 @@
 def test_an_idle_account_is_kept_until_its_ceiling_would_be_full_again():
     """A new one begins with all that a gateway of its age may have: forgotten before, it had more."""
     slow = plan("slow", rate=0.0, ceiling_rate=0.1, ceiling_burst=20.0)
-    w = World(settings(plans=[slow, plan()], gateways=1), [host(f"h{k}") for k in range(10)])
+    w = World(settings(plans=[slow, plan()], gateway_count=1), [host(f"h{k}") for k in range(10)])
     w.now += 1000.0
 
     def passed(n, **kw):
         sent = [
-            s for _ in range(n) for s in of(w.ask(plan="slow", customer="big", spread=1)[1], messages.ForwardRequest)
+            s
+            for _ in range(n)
+            for s in of(w.ask(plan="slow", customer="big", spread=1)[1], messages.ForwardRequest)
         ]
         for s in sent:
             w.end(s)
@@ -244,13 +264,13 @@
 
 
 def test_overload_of_servers_sheds_what_is_worth_least_with_many_gateways():
-    w = World(settings(plans=[BIG], gateways=50), [host(f"h{k}") for k in range(10)])
+    w = World(settings(plans=[BIG], gateway_count=50), [host(f"h{k}") for k in range(10)])
     served = {"read": 0, "write": 0}
     for k in range(400):
         cls = ("read", "write")[k % 2]
         for s in of(w.ask(cls=cls)[1], messages.ForwardRequest):
             served[cls] += 1
-            w.end(s, report={"queue": 30.0, "util": 1.0}, elapsed=0.9)
+            w.end(s, load_report={"queue": 30.0, "util": 1.0}, elapsed=0.9)
         w.now += 0.05
     assert served["read"] < 0.5 * served["write"] and served["write"] < 150
 
@@ -299,7 +319,7 @@
 def test_a_late_attempt_is_left_to_its_host_while_another_one_would_still_be_in_time():
     """Where usual times are hardly known, one that is only slow would have its work done twice."""
     w = World(
-        settings(plans=[BIG], gateways=200, limits=dict(second_copies=False)),
+        settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)),
         [host(f"h{n}") for n in range(30)],
     )
     for _ in range(40):
@@ -310,7 +330,9 @@
     name, acts = w.ask(cls="read")  # its aim is 1 s
     assert of(acts, messages.ForwardRequest)
     w.wait(2.0)
-    left = [at - begun for at, act in w.log if isinstance(act, messages.CancelAttempt) and act.request_id == name]
+    left = [
+        at - begun for at, act in w.log if isinstance(act, messages.CancelAttempt) and act.request_id == name
+    ]
     assert left and 0.7 < left[0] < 1.0
 
 
@@ -318,15 +340,18 @@
 def test_while_all_hosts_are_slow_no_attempt_is_given_up_for_another_one(queue, second):
     """Seen on the fleet's herd day: with a third of the hosts cold a sixth of the work that the others did
     was given up, for attempts that waited as long elsewhere."""
-    w = World(settings(plans=[BIG], limits=dict(second_copies=False)), [host(f"h{n}") for n in range(8)])
+    w = World(settings(plans=[BIG], limits=dict(can_hedge=False)), [host(f"h{n}") for n in range(8)])
     for _ in range(30):
         for send in of(w.ask(cls="read")[1], messages.ForwardRequest):
-            w.end(send, report={"queue": queue})
+            w.end(send, load_report={"queue": queue})
         w.now += 0.1
     name, acts = w.ask(cls="read")
     assert of(acts, messages.ForwardRequest)
     w.wait(2.5)
-    assert bool([a for _, a in w.log if isinstance(a, messages.CancelAttempt) and a.request_id == name]) == second
+    assert (
+        bool([a for _, a in w.log if isinstance(a, messages.CancelAttempt) and a.request_id == name])
+        == second
+    )
 
 
 @pytest.mark.parametrize("at, again", [(0.7, True), (0.8, False)])
--- a/tests/test_reserved.py
+++ b/tests/test_reserved.py
@@ -15,7 +15,9 @@
 
 
 def world(plans=None, **kw):
-    return World(module_settings(plans=plans or [plan(rate=2.0, burst=8.0)], **{"gateways": 1, **kw}), HOSTS)
+    return World(
+        module_settings(plans=plans or [plan(rate=2.0, burst=8.0)], **{"gateway_count": 1, **kw}), HOSTS
+    )
 
 
 def ask(w, kind, customer="c", units=1.0, spread=1, **kw):
@@ -48,7 +50,9 @@
     assert sent == 8  # all of them at once are held to one burst
     assert isinstance(ask(w, messages.Request), messages.Reject)  # and nobody else may follow them
     w.now += 1.0
-    assert [isinstance(ask(w, messages.PrepaidRequest), messages.ForwardRequest) for _ in range(5)] == [True] * 4 + [False]
+    assert [isinstance(ask(w, messages.PrepaidRequest), messages.ForwardRequest) for _ in range(5)] == [
+        True
+    ] * 4 + [False]
 
 
 def test_what_is_given_back_of_a_reserve_was_never_charged_to_what_is_sent_on():
@@ -56,11 +60,11 @@
     w.now += 10.0
     for _ in range(3):
         told = ask(w, messages.QuotaReservation)
-        w.do(messages.ReturnReservation("c", 1.0, told.window))
+        w.do(messages.ReturnReservation("c", 1.0, told.window_index))
     acct = w.gw.accounts["c"]
     assert acct.cap == pytest.approx(8.0) and acct.ahead == pytest.approx(0.0)
     told = ask(w, messages.QuotaCheck)
-    w.do(messages.ReturnUnits("c", 1.0, told.window))
+    w.do(messages.ReturnUnits("c", 1.0, told.window_index))
     assert acct.cap == pytest.approx(8.0) and acct.ahead == pytest.approx(0.0)
 
 
@@ -89,7 +93,10 @@
     for number in range(first, first + 250):
         rng = random.Random(number)
         count = rng.choice([1, 1, 2, 3])
-        conf = [module_settings(plans=[plan(**CEILED)], gateways=count, index=n) for n in range(count)]
+        conf = [
+            module_settings(plans=[plan(**CEILED)], gateway_count=count, gateway_index=n)
+            for n in range(count)
+        ]
         worlds = [World(one, HOSTS, seed=number * 8 + n) for n, one in enumerate(conf)]
         totals = {}
         for w in worlds:
@@ -104,7 +111,13 @@
                 w.now = now
             w, units = rng.choice(worlds), rng.choice([1.0, 1.0, 2.0])
             kind = rng.choice(
-                [messages.QuotaCheck, messages.QuotaReservation, messages.QuotaReservation, messages.Request, messages.PrepaidRequest]
+                [
+                    messages.QuotaCheck,
+                    messages.QuotaReservation,
+                    messages.QuotaReservation,
+                    messages.Request,
+                    messages.PrepaidRequest,
+                ]
             )
             if kind is messages.PrepaidRequest:
                 if not purses:
@@ -139,7 +152,11 @@
 def test_a_limit_of_its_own_is_held_over_all_gateways_and_spends_nothing_of_the_plan(gateways):
     own = plan(rate=0.5, burst=4.0)
     worlds = [
-        World(module_settings(plans=[plan(rate=1.0, burst=30.0)], gateways=gateways, index=n), HOSTS, seed=n)
+        World(
+            module_settings(plans=[plan(rate=1.0, burst=30.0)], gateway_count=gateways, gateway_index=n),
+            HOSTS,
+            seed=n,
+        )
         for n in range(gateways)
     ]
     totals = {}
@@ -151,7 +168,10 @@
         passed += isinstance(told, messages.QuotaGranted)
     assert 3 <= passed <= 6  # one that is new stands in the middle of a window
     assert (
-        sum(isinstance(ask(worlds[0], messages.QuotaCheck, spread=gateways), messages.QuotaGranted) for _ in range(10))
+        sum(
+            isinstance(ask(worlds[0], messages.QuotaCheck, spread=gateways), messages.QuotaGranted)
+            for _ in range(10)
+        )
         == 10
     )
 
@@ -160,9 +180,12 @@
     w = world()
     none = plan(rate=1e-9, burst=1e-9)
     assert not any(
-        isinstance(ask(w, messages.CustomLimitCheck, "c/0/1", limit=none), messages.QuotaGranted) for _ in range(5)
+        isinstance(ask(w, messages.CustomLimitCheck, "c/0/1", limit=none), messages.QuotaGranted)
+        for _ in range(5)
+    )
+    assert isinstance(
+        ask(w, messages.CustomLimitCheck, "c/0/1", units=0.0, limit=none), messages.QuotaGranted
     )
-    assert isinstance(ask(w, messages.CustomLimitCheck, "c/0/1", units=0.0, limit=none), messages.QuotaGranted)
     assert isinstance(ask(w, messages.QuotaCheck), messages.QuotaGranted)
 
 
@@ -177,7 +200,14 @@
     st.lists(
         st.tuples(
             st.sampled_from(
-                [messages.QuotaCheck, messages.QuotaReservation, messages.Request, messages.PrepaidRequest, "back", "wait"]
+                [
+                    messages.QuotaCheck,
+                    messages.QuotaReservation,
+                    messages.Request,
+                    messages.PrepaidRequest,
+                    "back",
+                    "wait",
+                ]
             ),
             st.sampled_from([0.0, 0.5, 1.0, 3.0]),
         ),
@@ -201,7 +231,7 @@
         if kind == "back":
             if purse:
                 told, units = purse.pop()
-                w.do(messages.ReturnReservation("c", units, told.window))
+                w.do(messages.ReturnReservation("c", units, told.window_index))
                 a = min(full, a + units)
             continue
         if units > w.conf.max_units and kind in (messages.Request, messages.PrepaidRequest):
@@ -222,7 +252,7 @@
 def test_sets_of_different_sizes_share_by_the_larger_one():
     """A customer's requests name two gateways, its checks all three: no order of them passes the ceiling."""
     for first in ((2, 3), (3, 2)):
-        conf = [module_settings(plans=[plan(**CEILED)], gateways=3, index=n) for n in range(3)]
+        conf = [module_settings(plans=[plan(**CEILED)], gateway_count=3, gateway_index=n) for n in range(3)]
         worlds = [World(one, HOSTS, seed=n) for n, one in enumerate(conf)]
         for w in worlds:
             w.mode = "refuse"  # each is left to its own part
@@ -239,12 +269,18 @@
     """Among many an even part is a few units: a bunch of requests is no reason to refuse those of them that a
     part of the aim is time for."""
     ceiled = plan(rate=0.0, ceiling_rate=64.0, ceiling_burst=32.0, ceiling_slack=3.0)
-    w = World(module_settings(plans=[ceiled], gateways=200), [host(f"h{n}") for n in range(30)])
+    w = World(module_settings(plans=[ceiled], gateway_count=200), [host(f"h{n}") for n in range(30)])
     w.now += 10.0
     begun, names = w.now, [w.ask(spread=16)[0] for _ in range(12)]  # 2 units, 4 a second, a wait of 0.3 s
     w.wait(1.0, step=0.005)
-    sent = [at - begun for at, act in w.log if isinstance(act, messages.ForwardRequest) and act.request_id in names]
-    refused = [at - begun for at, act in w.log if isinstance(act, messages.Reject) and act.request_id in names]
+    sent = [
+        at - begun
+        for at, act in w.log
+        if isinstance(act, messages.ForwardRequest) and act.request_id in names
+    ]
+    refused = [
+        at - begun for at, act in w.log if isinstance(act, messages.Reject) and act.request_id in names
+    ]
     assert len(sent) == 3 and sent[:2] == [0.0, 0.0] and 0.24 < sent[2] < 0.3
     assert len(refused) == 9 and max(refused) == 0.0
     assert all(a.promised == 0.0 for a in w.gw.accounts.values())
