--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -76,15 +76,18 @@
                 if type(act) is messages.ForwardRequest:
                     out.append(act)
                 elif type(act) is messages.AddToCounter:
-                    totals[act.name] += act.amount
-                    queue.append(messages.CounterResult(act.name, "ok", totals[act.name], 0.001))
+                    totals[act.counter_key] += act.amount
+                    total = totals[act.counter_key]
+                    queue.append(messages.CounterResult(act.counter_key, "ok", total, 0.001))
                 elif type(act) is messages.CancelAttempt:
-                    queue.append(messages.AttemptOutcome(act.request_id, act.attempt, "h0", "moot", 0.1, False))
+                    name, number = act.request_id, act.attempt
+                    queue.append(messages.AttemptOutcome(name, number, "h0", "moot", 0.1, False))
 
     def answer():
         act = out.popleft()
         bad = act.endpoint_id in dead
-        feed(messages.AttemptOutcome(act.request_id, 0, act.endpoint_id, "reset" if bad else "ok", 0.05, not bad,
+        result = "reset" if bad else "ok"
+        feed(messages.AttemptOutcome(act.request_id, 0, act.endpoint_id, result, 0.05, not bad,
                          load_report={"inflight": 1.0 + rng.random()}))
 
     feed(messages.EndpointList("full", 1, listed))
@@ -145,7 +148,8 @@
         customer = f"{n if what == 'account' else 1:016x}"
         for act in gateway.handle(now, messages.Request(f"r{n}", 3.0, customer, "p", "read", 1.0, 0, 1)):
             if type(act) is messages.ForwardRequest and what == "account":
-                gateway.handle(now, messages.AttemptOutcome(act.request_id, 0, act.endpoint_id, "ok", 0.01, True))
+                name, host = act.request_id, act.endpoint_id
+                gateway.handle(now, messages.AttemptOutcome(name, 0, host, "ok", 0.01, True))
     most = len(gateway.jobs) if what == "request" else count
     return (tracemalloc.get_traced_memory()[0] - before) / max(1, most)
 
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -140,7 +140,7 @@
     told = w.hooks.told()["plugins"][0]
     assert told["failed"] == {"fuel": 2} and told["not asked"] == {"out": 2} and told["state"] == "out"
     # cut to what may be told
-    assert isinstance(w.module.events[-1], messages.RejectedByPlugin) and w.module.events[-1].wait == 2.0
+    assert isinstance(w.module.events[-1], messages.RejectedByPlugin) and w.module.events[-1].retry_after == 2.0
 
 
 def test_all_plug_ins_together_hold_a_request_up_for_no_longer_than_the_chain():
