--- a/apigateway/cli/ratelimit.py
+++ b/apigateway/cli/ratelimit.py
@@ -96,9 +96,9 @@
             descriptor.entries.add(key=key, value=value)
     status, text, message = asyncio.run(call(address, context, told.name, request, told.timeout))
     if status:
-        from apigateway.upstream.rpc import NAMES
+        from apigateway.upstream.rpc import STATUS_NAMES
 
-        print(f"api-gateway: {told.address}: {NAMES.get(status, status)}: {text}", file=sys.stderr)
+        print(f"api-gateway: {told.address}: {STATUS_NAMES.get(status, status)}: {text}", file=sys.stderr)
         return FAILED
     response = pb.RateLimitResponse.FromString(message)
     if told.json:
--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -21,7 +21,7 @@
 from apigateway.membership.watch_schedule import WatchSchedule
 from apigateway.policy import Gateway
 from apigateway.upstream.address import Address, write_address
-from apigateway.upstream.hosts import Hosts
+from apigateway.upstream.upstream_connections import UpstreamConnections
 
 if TYPE_CHECKING:
     from apigateway.core.admission import Door
@@ -68,7 +68,7 @@
         self.room = max(config.sockets - SPARE_SOCKETS, config.sockets // 2)
         # Bodies in work and half commands are bounded: past the limit of memory the program is killed.
         self.most_held = max(LEAST_HELD, (config.memory - OWN_MEMORY) // 4)
-        self.hosts = Hosts(config.connect_timeout, config.idle_close, self.room // 2)
+        self.hosts = UpstreamConnections(config.connect_timeout, config.idle_close, self.room // 2)
         settings = config.settings
         self.counter = Counter(config.counter, settings.counter_timeout) if config.counter else None
         self.clock = Clock()  # one for the module's birth and all its events
--- a/apigateway/external_ratelimit/outer.py
+++ b/apigateway/external_ratelimit/outer.py
@@ -21,7 +21,7 @@
 from apigateway.external_ratelimit.choice import Ask, Choice, Terms
 from apigateway.external_ratelimit.client import Channel, Question
 from apigateway.upstream.address import Address, write_address
-from apigateway.upstream.rpc import NAMES, OK
+from apigateway.upstream.rpc import OK, STATUS_NAMES
 
 METHOD = "/envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit"
 TAKEN = re.compile(r"\{([^{}]*)\}")
@@ -178,7 +178,7 @@
         count = len(batch.waiting)
         if status != OK:
             self.last = text
-            return [0] * count, 0.0, NAMES.get(status, str(status))
+            return [0] * count, 0.0, STATUS_NAMES.get(status, str(status))
         try:
             response = pb.RateLimitResponse.FromString(message)
         except Exception:  # protobuf's DecodeError, and what odd bytes make of it
--- a/apigateway/external_ratelimit/wire.py
+++ b/apigateway/external_ratelimit/wire.py
@@ -19,11 +19,11 @@
     OK,
     UNAVAILABLE,
     UNKNOWN,
-    Messages,
-    Refused,
-    Sieve,
-    framed,
-    unquoted,
+    GoAwayFilter,
+    MessageBuffer,
+    RpcError,
+    frame_message,
+    percent_decode,
     write_timeout,
 )
 
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Out:
-    messages: Messages = field(default_factory=lambda: Messages(MOST_MESSAGE))
+    messages: MessageBuffer = field(default_factory=lambda: MessageBuffer(MOST_MESSAGE))
     left: bytes = b""  # of the question, without a window yet
 
 
@@ -71,7 +71,7 @@
         )
         self.conn.max_inbound_frame_size = self.conn.local_settings.max_frame_size
         self.conn.initiate_connection()
-        self.sieve = Sieve()
+        self.sieve = GoAwayFilter()
         self.authority, self.scheme = authority.encode(), scheme.encode()
         self.out: dict[int, Out] = {}
         self.closing = self.over = False
@@ -105,7 +105,7 @@
                 (b"grpc-timeout", write_timeout(timeout)),
             ],
         )
-        self.out[number] = Out(left=framed(message))
+        self.out[number] = Out(left=frame_message(message))
         self.pour(number)
         if number > 2**30:  # streams are numbered to 2^31 at most
             self.closing = True
@@ -177,7 +177,7 @@
             return
         try:
             out.messages.feed(event.data or b"")
-        except Refused as err:
+        except RpcError as err:
             self.call_off(number)
             told.append(Over(number, err.status, str(err)))
 
@@ -191,7 +191,7 @@
             if not ended:
                 self.reset(number)
         elif ended:
-            code, text = found.get(b"grpc-status", b""), unquoted(found.get(b"grpc-message", b""))
+            code, text = found.get(b"grpc-status", b""), percent_decode(found.get(b"grpc-message", b""))
             if code.isdigit() and len(code) < 4:
                 self.end(number, int(code), text, told)
             else:
@@ -206,7 +206,7 @@
             return
         try:
             told.append(Over(number, OK, text, out.messages.only()))
-        except Refused as err:
+        except RpcError as err:
             told.append(Over(number, INTERNAL, str(err)))
 
     def lost(self, why: str) -> list[Over]:
--- a/apigateway/frontends/grpc/front.py
+++ b/apigateway/frontends/grpc/front.py
@@ -13,7 +13,7 @@
 
 from apigateway.core.request_lifecycle import Core
 from apigateway.frontends.grpc.wire import Call, Event, Gone, Heard, Opened, Session
-from apigateway.upstream import looks
+from apigateway.upstream import socket_state
 from apigateway.upstream.address import Address
 from apigateway.upstream.rpc import INTERNAL, UNAVAILABLE, UNIMPLEMENTED
 
@@ -343,7 +343,7 @@
     @property
     def unaccepted(self) -> bool:
         """Whether a connection waits at its listener."""
-        return self.listener is not None and looks.unaccepted(self.listener)
+        return self.listener is not None and socket_state.has_pending_connection(self.listener)
 
     @property
     def owes(self) -> bool:
--- a/apigateway/frontends/grpc/wire.py
+++ b/apigateway/frontends/grpc/wire.py
@@ -22,11 +22,11 @@
 from apigateway.upstream.rpc import (
     RESOURCE_EXHAUSTED,
     UNIMPLEMENTED,
-    Messages,
-    Refused,
-    Sieve,
-    framed,
-    quoted,
+    GoAwayFilter,
+    MessageBuffer,
+    RpcError,
+    frame_message,
+    percent_encode,
     read_timeout,
 )
 
@@ -89,7 +89,7 @@
 class Stream:
     path: str
     timeout: float | None
-    messages: Messages
+    messages: MessageBuffer
     flows: bool  # its path streams: messages are given out one by one
 
 
@@ -117,7 +117,7 @@
         )
         self.conn.max_inbound_frame_size = self.conn.local_settings.max_frame_size
         self.conn.initiate_connection()
-        self.sieve = Sieve(PREFACE)
+        self.sieve = GoAwayFilter(PREFACE)
         self.coming: dict[int, Stream] = {}  # the client has not ended it
         self.held = 0  # bytes of messages that are not whole
         self.calls: set[int] = set()  # given out, not answered
@@ -191,15 +191,15 @@
             return
         try:
             if headers.get(b"grpc-encoding", b"identity") != b"identity":
-                raise Refused(UNIMPLEMENTED, "messages are not compressed here")
+                raise RpcError(UNIMPLEMENTED, "messages are not compressed here")
             timeout = read_timeout(headers.get(b"grpc-timeout"))
-        except Refused as err:
+        except RpcError as err:
             self.refuse(number, err.status, str(err))
             self.stop_reading(number)
             return
         path = headers.get(b":path", b"").decode("ascii", "replace")
         flows = path in self.streaming
-        self.coming[number] = Stream(path, timeout, Messages(MOST_MESSAGE), flows)
+        self.coming[number] = Stream(path, timeout, MessageBuffer(MOST_MESSAGE), flows)
         if flows:
             self.calls.add(number)
             told.append(Opened(number, path))
@@ -220,8 +220,8 @@
                     self.held -= len(message) + 5
                     told.append(Heard(number, message))
             elif self.held > MOST_COMING and event.stream_ended is None:
-                raise Refused(RESOURCE_EXHAUSTED, f"over {MOST_COMING} bytes of messages that are not whole")
-        except Refused as err:
+                raise RpcError(RESOURCE_EXHAUSTED, f"over {MOST_COMING} bytes of messages that are not whole")
+        except RpcError as err:
             self.drop(number)
             if number in self.calls:  # it streams: whoever answers it hears that it is gone
                 self.calls.discard(number)
@@ -248,7 +248,7 @@
             return
         try:
             message = stream.messages.only()
-        except Refused as err:
+        except RpcError as err:
             self.refuse(number, err.status, str(err))
             return
         self.calls.add(number)
@@ -279,7 +279,7 @@
             return
         self.calls.discard(number)
         self.conn.send_headers(number, [*HEADERS, *headers])
-        self.put(number, framed(message), [(b"grpc-status", b"0")])
+        self.put(number, frame_message(message), [(b"grpc-status", b"0")])
 
     def say(self, number: int, message: bytes) -> None:
         """One message of a stream that was given out."""
@@ -288,7 +288,7 @@
         if number not in self.flowing:
             self.flowing.add(number)
             self.conn.send_headers(number, HEADERS)
-        self.put(number, framed(message), None)
+        self.put(number, frame_message(message), None)
 
     def fail(self, number: int, status: int, text: str) -> None:
         """Ends a call or a stream that was given out; status 0 ends a stream well."""
@@ -298,7 +298,7 @@
         unread = self.drop(number) is not None
         if number in self.flowing:
             self.flowing.discard(number)
-            self.put(number, b"", [(b"grpc-status", b"%d" % status), (b"grpc-message", quoted(text))])
+            self.put(number, b"", [(b"grpc-status", b"%d" % status), (b"grpc-message", percent_encode(text))])
         else:
             self.refuse(number, status, text)
         if unread and number not in self.waiting:
@@ -308,7 +308,7 @@
         with suppress(*CALLED_OFF):  # called off in what was read with it
             self.conn.send_headers(
                 number,
-                [*HEADERS, (b"grpc-status", b"%d" % status), (b"grpc-message", quoted(text))],
+                [*HEADERS, (b"grpc-status", b"%d" % status), (b"grpc-message", percent_encode(text))],
                 end_stream=True,
             )
 
--- a/apigateway/frontends/resp/command.py
+++ b/apigateway/frontends/resp/command.py
@@ -10,7 +10,7 @@
 
 from apigateway import messages
 from apigateway.core.request_lifecycle import MOST_LEFT, WAY_BACK
-from apigateway.upstream.framing import MOST_BODY, bulk
+from apigateway.upstream.framing import MAX_BODY_BYTES, bulk
 
 # The protocol's forms: int() and float() take blanks, signs, `1_0`, `0x1` and more besides.
 WHOLE, DECIMAL = re.compile(rb"[0-9]{1,9}"), re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
@@ -81,7 +81,7 @@
         raise BadRequest("unknown command")
     if len(command) != 4 + write:
         raise BadRequest("wrong number of arguments")
-    if write and len(command[4]) > MOST_BODY:
+    if write and len(command[4]) > MAX_BODY_BYTES:
         raise BadRequest("body too long")
     return read_request(settings, command, write, kept, span), Command(command)
 
--- a/apigateway/frontends/resp/server.py
+++ b/apigateway/frontends/resp/server.py
@@ -13,7 +13,7 @@
 from time import monotonic
 from typing import Any
 
-from apigateway.upstream import looks
+from apigateway.upstream import socket_state
 from apigateway.upstream.framing import NO_MESSAGE, Framing, FramingError, bulk
 
 MOST_PENDING = 512  # commands of one connection in work; past that it is not read
@@ -126,7 +126,7 @@
     def read_commands(self, door: Any) -> None:
         self.reading = True  # answers that come at once are written together
         try:
-            while (command := self.framing.take()) is not NO_MESSAGE:
+            while (command := self.framing.next_message()) is not NO_MESSAGE:
                 slot = Slot(self)
                 self.pending.append(slot)
                 self.server.idle.pop(self, None)
@@ -174,7 +174,7 @@
 
     def unread(self) -> bool:
         """Whether the socket holds bytes that were not read yet."""
-        return looks.unread(self.transport.get_extra_info("socket"))
+        return socket_state.has_unread_data(self.transport.get_extra_info("socket"))
 
     def close_when_done(self) -> None:
         """What still comes on it before that is served too: it was taken. So was what lies unread in its
@@ -234,7 +234,7 @@
 
     def hung_up(self) -> bool:
         """Whether the client has ended its sending or the connection, behind what was not read yet."""
-        return looks.hung_up(self.transport.get_extra_info("socket"))
+        return socket_state.is_closed_by_peer(self.transport.get_extra_info("socket"))
 
 
 class ClientServer:
@@ -346,7 +346,7 @@
     def unaccepted(self) -> bool:
         """Whether a connection waits at the listener."""
         sockets = self.listener.sockets if self.listener is not None else ()
-        return any(looks.unaccepted(sock) for sock in sockets)
+        return any(socket_state.has_pending_connection(sock) for sock in sockets)
 
     @property
     def owes(self) -> bool:
--- a/apigateway/upstream/address.py
+++ b/apigateway/upstream/address.py
@@ -1,18 +1,22 @@
-"""Addresses as people and lists write them."""
+"""Network addresses in the form `HOST:PORT`."""
 
 from __future__ import annotations
 
-Address = tuple[str, int]  # host, port
+Address = tuple[str, int]
+"""Host and port, as asyncio takes them."""
+
+_PORT_LIMIT = 65536  # first number that is no TCP port
 
 
 def read_address(text: str) -> Address:
-    """`HOST:PORT`, an IPv6 host in brackets. Raises ValueError."""
+    """Parse `HOST:PORT`; an IPv6 host stands in brackets. Raises ValueError."""
     host, colon, port = text.rpartition(":")
-    if not (host and colon and port.isdecimal() and int(port) < 65536):
+    if not (host and colon and port.isdecimal() and int(port) < _PORT_LIMIT):
         raise ValueError(f"{text!r} is not HOST:PORT")
     return host.strip("[]"), int(port)
 
 
 def write_address(address: Address) -> str:
+    """Format an address as `HOST:PORT`, with brackets around an IPv6 host."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/apigateway/upstream/rpc.py
+++ b/apigateway/upstream/rpc.py
@@ -1,5 +1,7 @@
-"""What gRPC makes of HTTP/2, on either side: status codes, messages with their heads, time-outs and texts in
-headers (its "gRPC over HTTP2" page). Pure; loaded where a listener or an outer service speaks gRPC."""
+"""gRPC over HTTP/2, for either side: status codes, framed messages, time-outs and texts in headers.
+
+Follows the "gRPC over HTTP2" page of gRPC. Pure; loaded where a listener or an outer service speaks gRPC.
+"""
 
 from __future__ import annotations
 
@@ -7,10 +9,18 @@
 from collections.abc import Iterator
 from urllib.parse import quote, unquote
 
-OK, CANCELLED, UNKNOWN, INVALID_ARGUMENT, DEADLINE_EXCEEDED = 0, 1, 2, 3, 4
-NOT_FOUND, RESOURCE_EXHAUSTED, FAILED_PRECONDITION = 5, 8, 9
-UNIMPLEMENTED, INTERNAL, UNAVAILABLE = 12, 13, 14
-NAMES = {
+OK = 0
+CANCELLED = 1
+UNKNOWN = 2
+INVALID_ARGUMENT = 3
+DEADLINE_EXCEEDED = 4
+NOT_FOUND = 5
+RESOURCE_EXHAUSTED = 8
+FAILED_PRECONDITION = 9
+UNIMPLEMENTED = 12
+INTERNAL = 13
+UNAVAILABLE = 14
+STATUS_NAMES = {
     0: "OK",
     1: "CANCELLED",
     2: "UNKNOWN",
@@ -29,114 +39,150 @@
     15: "DATA_LOSS",
     16: "UNAUTHENTICATED",
 }
-HEAD = 5  # bytes before a message: whether it is compressed, and its length
-FRAME, MOST_FRAME, GOAWAY = 9, 16384, 7  # bytes of its head, of its body; a type
-TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])")
-UNITS = {b"H": 3600.0, b"M": 60.0, b"S": 1.0, b"m": 1e-3, b"u": 1e-6, b"n": 1e-9}
-TEXT = "".join(chr(n) for n in range(0x20, 0x7F) if chr(n) != "%")  # what grpc-message has as it is
+
+_MESSAGE_PREFIX_BYTES = 5  # before a message: whether it is compressed, and its length
+_FRAME_HEADER_BYTES = 9  # of HTTP/2
+_MAX_FRAME_BYTES = 16384  # of a frame's body: HTTP/2's default, which is not raised here
+_GOAWAY = 7  # HTTP/2's frame type
+_GOAWAY_MIN_BYTES = 8  # of its body: the last stream and an error code
+_STREAM_ID_MASK = 0x7FFFFFFF  # the highest bit is reserved
+_TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])")
+_TIMEOUT_LIMIT = 10**8  # first number that has more than the eight digits allowed
+_TIMEOUT_UNITS_S = {b"H": 3600.0, b"M": 60.0, b"S": 1.0, b"m": 1e-3, b"u": 1e-6, b"n": 1e-9}
+# The characters that grpc-message has as they are.
+_UNESCAPED = "".join(chr(code) for code in range(0x20, 0x7F) if chr(code) != "%")
 
 
-class Sieve:
-    """Takes GOAWAY frames out of a stream of HTTP/2 (RFC 9113, 6.8). They say that a peer opens or takes no
-    more streams, and those that there are go on; h2 has them for the end of the connection."""
+class GoAwayFilter:
+    """Takes GOAWAY frames out of a stream of HTTP/2 (RFC 9113, 6.8).
+
+    They say that a peer opens or takes no more streams, while the present ones go on; h2 takes them for the
+    end of the connection. `preface` is what precedes the first frame.
+    """
 
     def __init__(self, preface: bytes = b"") -> None:
-        self.rest, self.preface = b"", len(preface)  # bytes before the first frame
+        self._partial_frame = b""
+        self._preface_left = len(preface)  # bytes before the first frame
 
     def feed(self, data: bytes) -> tuple[bytes, int | None]:
-        """What is left of it, and the last stream that the peer will look at; None: it said nothing of it."""
-        data, last = self.rest + data, None
-        at, kept = min(self.preface, len(data)), []
-        self.preface -= at
+        """Return the whole frames without GOAWAY, and the last stream that the peer will process.
+
+        The latter is None if no GOAWAY came.
+        """
+        data = self._partial_frame + data
+        last_stream: int | None = None
+        position = min(self._preface_left, len(data))
+        self._preface_left -= position
+        kept: list[bytes] = []
         start = 0
-        while len(data) - at >= FRAME:
-            end = at + FRAME + int.from_bytes(data[at : at + 3], "big")
-            if end - at > FRAME + MOST_FRAME:  # nothing that was allowed: h2 will say so
-                at = len(data)
+        while len(data) - position >= _FRAME_HEADER_BYTES:
+            body = position + _FRAME_HEADER_BYTES
+            body_size = int.from_bytes(data[position : position + 3], "big")
+            if body_size > _MAX_FRAME_BYTES:  # nothing that was allowed: h2 will say so
+                position = len(data)
                 break
+            end = body + body_size
             if end > len(data):
                 break
-            if data[at + 3] == GOAWAY and end - at >= FRAME + 8:
-                last = int.from_bytes(data[at + FRAME : at + FRAME + 4], "big") & 0x7FFFFFFF
-                kept.append(data[start:at])
+            if data[position + 3] == _GOAWAY and body_size >= _GOAWAY_MIN_BYTES:
+                last_stream = int.from_bytes(data[body : body + 4], "big") & _STREAM_ID_MASK
+                kept.append(data[start:position])
                 start = end
-            at = end
-        kept.append(data[start:at])
-        self.rest = data[at:]
-        return b"".join(kept) if len(kept) > 1 else kept[0], last
+            position = end
+        kept.append(data[start:position])
+        self._partial_frame = data[position:]
+        return b"".join(kept) if len(kept) > 1 else kept[0], last_stream
 
 
-class Refused(Exception):
-    """Why a call cannot be taken, or an answer be read: a gRPC status and a text."""
+class RpcError(Exception):
+    """A call cannot be taken, or an answer not be read: a gRPC status and a text."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
-def framed(message: bytes) -> bytes:
+def frame_message(message: bytes) -> bytes:
+    """Put the prefix of an uncompressed message before it."""
     return b"\0" + len(message).to_bytes(4, "big") + message
 
 
 def read_timeout(text: bytes | None) -> float | None:
-    """Seconds. Raises Refused."""
+    """Parse a grpc-timeout header into seconds. Raises RpcError."""
     if text is None:
         return None
-    found = TIMEOUT.fullmatch(text)
+    found = _TIMEOUT.fullmatch(text)
     if not found:
-        raise Refused(INTERNAL, "odd grpc-timeout")
-    return int(found[1]) * UNITS[found[2]]
+        raise RpcError(INTERNAL, "odd grpc-timeout")
+    return int(found[1]) * _TIMEOUT_UNITS_S[found[2]]
 
 
 def write_timeout(seconds: float) -> bytes:
-    """Rounded down to ms, so that the peer gives up no later than is waited; one ms at least."""
-    ms = max(1, int(seconds * 1000))
-    return b"%dm" % ms if ms < 10**8 else b"%dS" % min(ms // 1000, 10**8 - 1)
+    """Format a grpc-timeout header.
+
+    Rounded down to milliseconds, so that the peer gives up no later than is waited; at least one.
+    """
+    milliseconds = max(1, int(seconds * 1000))
+    if milliseconds < _TIMEOUT_LIMIT:
+        return b"%dm" % milliseconds
+    return b"%dS" % min(milliseconds // 1000, _TIMEOUT_LIMIT - 1)
 
 
-def quoted(text: str) -> bytes:
-    return quote(text, safe=TEXT).encode()
+def percent_encode(text: str) -> bytes:
+    """Encode a text for the grpc-message header."""
+    return quote(text, safe=_UNESCAPED).encode()
 
 
-def unquoted(text: bytes) -> str:
+def percent_decode(text: bytes) -> str:
+    """Decode a grpc-message header; what is malformed is replaced."""
     return unquote(text.decode("ascii", "replace"), errors="replace")
 
 
-class Messages:
-    """The messages of one stream, put together. Each is at most `most` bytes."""
+class MessageBuffer:
+    """Puts the messages of one stream together; each is at most `max_bytes` long."""
 
-    __slots__ = ("data", "most")
+    __slots__ = ("data", "max_bytes")
 
-    def __init__(self, most: int) -> None:
-        self.data, self.most = bytearray(), most
+    def __init__(self, max_bytes: int) -> None:
+        self.data = bytearray()
+        self.max_bytes = max_bytes
 
     def feed(self, data: bytes) -> None:
-        """Raises Refused as soon as a head shows what cannot be taken."""
+        """Append received bytes. Raises RpcError as soon as a prefix shows what cannot be taken."""
         self.data += data
-        if len(self.data) < HEAD:
+        if len(self.data) < _MESSAGE_PREFIX_BYTES:
             return
-        size = int.from_bytes(self.data[1:HEAD], "big")
-        if size > self.most:
-            raise Refused(RESOURCE_EXHAUSTED, f"a message of {size} bytes: {self.most} at most")
+        size = self._message_size()
+        if size > self.max_bytes:
+            raise RpcError(RESOURCE_EXHAUSTED, f"a message of {size} bytes: {self.max_bytes} at most")
         if self.data[0]:
-            raise Refused(UNIMPLEMENTED, "messages are not compressed here")
+            raise RpcError(UNIMPLEMENTED, "messages are not compressed here")
 
     def take(self) -> Iterator[bytes]:
-        """Those that are whole. Raises Refused as `feed`."""
-        while len(self.data) >= HEAD:
-            end = HEAD + int.from_bytes(self.data[1:HEAD], "big")
+        """Yield the whole messages and remove them. Raises RpcError as `feed`."""
+        while len(self.data) >= _MESSAGE_PREFIX_BYTES:
+            end = _MESSAGE_PREFIX_BYTES + self._message_size()
             if len(self.data) < end:
                 return
-            message = bytes(self.data[HEAD:end])
+            message = bytes(self.data[_MESSAGE_PREFIX_BYTES:end])
             del self.data[:end]
             self.feed(b"")
             yield message
 
     def only(self) -> bytes:
-        """The one message of a stream that has ended. Raises Refused if there is none, half of one, or
-        more."""
-        if len(self.data) < HEAD or len(self.data) < HEAD + int.from_bytes(self.data[1:HEAD], "big"):
-            raise Refused(INTERNAL, "a message that is not whole")
-        if len(self.data) > HEAD + int.from_bytes(self.data[1:HEAD], "big"):
-            raise Refused(INTERNAL, "more than one message")
-        return bytes(self.data[HEAD:])
+        """Return the one message of a stream that has ended.
+
+        Raises RpcError if there is none, part of one, or more.
+        """
+        if len(self.data) < _MESSAGE_PREFIX_BYTES:
+            raise RpcError(INTERNAL, "a message that is not whole")
+        end = _MESSAGE_PREFIX_BYTES + self._message_size()
+        if len(self.data) < end:
+            raise RpcError(INTERNAL, "a message that is not whole")
+        if len(self.data) > end:
+            raise RpcError(INTERNAL, "more than one message")
+        return bytes(self.data[_MESSAGE_PREFIX_BYTES:])
+
+    def _message_size(self) -> int:
+        """Return the first message's size by its prefix, which is here."""
+        return int.from_bytes(self.data[1:_MESSAGE_PREFIX_BYTES], "big")
--- a/tests/external_ratelimit/test_asking_wire.py
+++ b/tests/external_ratelimit/test_asking_wire.py
@@ -87,19 +87,19 @@
                 got += len(event.data)
                 pair.server.acknowledge_received_data(event.flow_controlled_length, number)
         pair.go()
-    pair.answer(number, rpc.framed(b"ok"))
+    pair.answer(number, rpc.frame_message(b"ok"))
     assert pair.told == [Over(number, rpc.OK, "", b"ok")]
 
 
 @pytest.mark.parametrize(
     "data, status, code",
     [
-        (rpc.framed(b"ok"), b"5", 5),
-        (rpc.framed(b"ok"), None, rpc.UNKNOWN),
-        (rpc.framed(b"ok"), b"soon", rpc.UNKNOWN),
+        (rpc.frame_message(b"ok"), b"5", 5),
+        (rpc.frame_message(b"ok"), None, rpc.UNKNOWN),
+        (rpc.frame_message(b"ok"), b"soon", rpc.UNKNOWN),
         (b"\0\0\0", b"0", rpc.INTERNAL),
         (b"", b"0", rpc.INTERNAL),
-        (rpc.framed(b"a") * 2, b"0", rpc.INTERNAL),
+        (rpc.frame_message(b"a") * 2, b"0", rpc.INTERNAL),
         (b"\1\0\0\0\1x", b"0", rpc.UNIMPLEMENTED),
         (b"\0\xff\xff\xff\xff", b"0", rpc.RESOURCE_EXHAUSTED),
     ],
@@ -111,7 +111,7 @@
     except h2.exceptions.StreamClosedError:  # it was called off at the first bytes
         pair.go()
     assert [one.status for one in pair.told] == [code] and not pair.session.out
-    pair.answer(pair.ask(), rpc.framed(b"ok"))
+    pair.answer(pair.ask(), rpc.frame_message(b"ok"))
     assert pair.told[-1].message == b"ok"
 
 
@@ -133,7 +133,7 @@
     told = pair.session.receive(GoAwayFrame(0, last_stream_id=one, error_code=0).serialize())
     assert told == [Over(two, rpc.UNAVAILABLE, "the server ends", ran=False)]
     assert pair.session.room() == 0 and not pair.session.over
-    pair.answer(one, rpc.framed(b"ok"))
+    pair.answer(one, rpc.frame_message(b"ok"))
     assert pair.told == [Over(one, rpc.OK, "", b"ok")] and pair.session.over
 
 
@@ -143,7 +143,7 @@
     one = pair.ask()
     pair.ask()
     assert pair.session.room() == 0
-    pair.answer(one, rpc.framed(b"ok"))
+    pair.answer(one, rpc.frame_message(b"ok"))
     assert pair.session.room() == 1
 
 
@@ -191,7 +191,7 @@
     server.receive_data(session.take())
     for number in asked:
         server.send_headers(number, [(b":status", b"200")])
-        server.send_data(number, rpc.framed(b"y" * 30))
+        server.send_data(number, rpc.frame_message(b"y" * 30))
         server.send_headers(number, [(b"grpc-status", b"0")], end_stream=True)
     stream = bytearray(server.data_to_send())
     if noise:
--- a/tests/frontends/test_bytes.py
+++ b/tests/frontends/test_bytes.py
@@ -8,13 +8,13 @@
 from apigateway.frontends.resp import command as commands
 from apigateway.frontends.resp.command import KEPT_TERMS, BadRequest, read_command
 from apigateway.platform_settings import read_settings
-from apigateway.upstream.framing import MOST_BODY, NO_MESSAGE, Framing, FramingError
+from apigateway.upstream.framing import MAX_BODY_BYTES, NO_MESSAGE, Framing, FramingError
 
 
 class Long(Framing):
     """Without the short way."""
 
-    def array(self):
+    def _take_array(self):
         return None
 
 
@@ -24,7 +24,7 @@
     for chunk in chunks:
         framing.feed(chunk)
         try:
-            while (message := framing.take()) is not NO_MESSAGE:
+            while (message := framing.next_message()) is not NO_MESSAGE:
                 found.append(message)
         except FramingError:
             return repr(found), True
@@ -67,16 +67,18 @@
     assert read(Framing(), chunks) == read(Long(), chunks)
 
 
-@pytest.mark.parametrize("size", [0, 1, MOST_BODY - 1, MOST_BODY, MOST_BODY + 1, MOST_BODY + 2000, 10**8])
+@pytest.mark.parametrize(
+    "size", [0, 1, MAX_BODY_BYTES - 1, MAX_BODY_BYTES, MAX_BODY_BYTES + 1, MAX_BODY_BYTES + 2000, 10**8]
+)
 def test_lengths_are_checked_before_they_are_believed(size):
     for kind in (Framing, Long):
         framing = kind()
-        framing.feed(b"*1\r\n$%d\r\n" % size + b"x" * min(size, MOST_BODY + 2000) + b"\r\n")
-        if size <= MOST_BODY + 1000:
-            assert len(framing.take()[0]) == size
+        framing.feed(b"*1\r\n$%d\r\n" % size + b"x" * min(size, MAX_BODY_BYTES + 2000) + b"\r\n")
+        if size <= MAX_BODY_BYTES + 1000:
+            assert len(framing.next_message()[0]) == size
         else:
             with pytest.raises(FramingError):
-                framing.take()
+                framing.next_message()
 
 
 def told(terms, verb=b"API.READ", customer=b"00000000b4d65521", id=b"r1"):
--- a/tests/ratelimit/test_wire.py
+++ b/tests/ratelimit/test_wire.py
@@ -217,11 +217,11 @@
     raw.send_data(late, framed(b"late"), end_stream=True)
     assert [call.stream for call in pair.session.receive(raw.data_to_send())] == [late]
     assert not pair.session.done
-    left, last = rpc.Sieve().feed(word)
+    left, last = rpc.GoAwayFilter().feed(word)
     assert last == 2**31 - 1
     raw.receive_data(left)  # now it has heard, and says so
     assert not pair.session.receive(raw.data_to_send())
-    assert rpc.Sieve().feed(pair.session.take())[1] == late
+    assert rpc.GoAwayFilter().feed(pair.session.take())[1] == late
     later = raw.get_next_available_stream_id()
     raw.send_headers(later, headers(), end_stream=True)  # against its word
     assert not pair.session.receive(raw.data_to_send())
@@ -314,7 +314,7 @@
             lasts.append(int.from_bytes(body[:4], "big") & 0x7FFFFFFF)
         else:
             left += frame
-    sieve, got, seen, at = rpc.Sieve(wire.PREFACE), b"", None, 0
+    sieve, got, seen, at = rpc.GoAwayFilter(wire.PREFACE), b"", None, 0
     for cut in [*cuts, len(stream)]:
         data, last = sieve.feed(stream[at : at + cut])
         at += cut
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -383,7 +383,7 @@
         while await core.module.seen.get() != "Gone":
             pass
         core.feed(messages.TimerExpired(0))  # the module did not hear of it in time
-        assert not core.works and not node.node.hosts.open - len(node.node.hosts.conns)
+        assert not core.works and not node.node.hosts.open_count - len(node.node.hosts.connections)
         core.module = Waiting(Request=[messages.ForwardRequest("r2", "h2")])
         assert await node.ask(command(b"r2")) == SERVED
         assert [c[2] for c in two.commands] == [b"r2"]
@@ -409,11 +409,11 @@
             writer.write(command())
             while await core.module.seen.get() != "Request":
                 pass
-            assert node.node.hosts.pools["h1"].coming
+            assert node.node.hosts.pools["h1"].connecting
             writer.close()
             while await core.module.seen.get() != "Gone":
                 pass
-            assert not node.node.hosts.open and not core.works
+            assert not node.node.hosts.open_count and not core.works
             full.setblocking(False)
             for sock in fill:
                 sock.close()
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -115,7 +115,7 @@
         node.node.core.module = Sender()
         asked = asyncio.create_task(node.ask(command()))
         pool = node.node.hosts.pools["h1"]
-        while not pool.coming:  # the attempt waits for its connection
+        while not pool.connecting:  # the attempt waits for its connection
             await asyncio.sleep(0)
         seen.clear()
         node.node.listed(read_list({"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]}))
--- a/tests/test_net_hosts.py
+++ b/tests/upstream/test_upstream.py
@@ -12,8 +12,11 @@
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, roomy, terms, write
 
 from apigateway import messages
-from apigateway.upstream import hosts
-from apigateway.upstream.hosts import Attempt
+from apigateway.upstream import attempt as attempts
+from apigateway.upstream import connection_pool, upstream_connections
+from apigateway.upstream.attempt import Attempt
+from apigateway.upstream.connection import Connection
+from apigateway.upstream.idle_connection_policy import IdleConnectionPolicy
 
 
 @on_loop
@@ -86,7 +89,7 @@
         node.node.core.probe(messages.CheckHealth("h1"))
         await done.wait()
         assert host.commands == [[b"INFO", b"load"]]
-        assert seen[0].result == "ok" and seen[0].report == {"inflight": 7.0}
+        assert seen[0].result == "ok" and seen[0].load_report == {"inflight": 7.0}
 
 
 @on_loop
@@ -125,16 +128,16 @@
 
 @on_loop
 async def test_one_connection_is_used_again_and_closed_before_the_host_would(tmp_path, monkeypatch):
-    monkeypatch.setattr(hosts, "REST", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE_TIME_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         for n in range(3):
             assert await node.ask(command(b"r%d" % n)) == SERVED
         assert len(host.writers) == 1
         (conn,) = node.node.hosts.pools["h1"].idle
-        node.node.hosts.close_stale()
+        node.node.hosts.close_stale_connections()
         assert node.node.hosts.pools["h1"].idle == [conn]
         conn.idle_since -= 28.0  # of the 30 s after which the host would close it
-        node.node.hosts.close_stale()
+        node.node.hosts.close_stale_connections()
         assert node.node.hosts.pools["h1"].idle == []
         while await host.arrived.get() is not None:
             pass
@@ -143,11 +146,11 @@
 @on_loop
 async def test_the_cap_on_connections_holds(tmp_path):
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
-        node.node.hosts.most = 2
+        node.node.hosts.max_connections = 2
         roomy(node)
         asked = [asyncio.create_task(node.ask(command(b"r%d" % n, terms=terms(d="500")))) for n in range(6)]
         await asyncio.gather(*asked)
-        assert len(host.writers) <= 2 * 3 and node.node.hosts.open <= 2
+        assert len(host.writers) <= 2 * 3 and node.node.hosts.open_count <= 2
 
 
 @on_loop
@@ -169,7 +172,7 @@
         asked = asyncio.create_task(node.ask(command()))
         await one.arrived.get()
         (attempt,) = node.node.core.works["r1"].live.values()
-        ended = socket.socket(fileno=os.dup(attempt.conn.descriptor))
+        ended = socket.socket(fileno=os.dup(attempt.connection.descriptor))
         node.node.core.cancel(messages.CancelAttempt("r1", 0))
         with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
             ended.send(b"x")
@@ -182,7 +185,7 @@
 async def test_connects_called_off_before_they_began_take_no_room(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         hosts = node.node.hosts
-        hosts.most = 2
+        hosts.max_connections = 2
         for _ in range(5):
             attempt = Attempt("h1", command(), lambda attempt: None)
             hosts.send(attempt, 3.0)
@@ -207,7 +210,7 @@
                 writer.write(own + own)
             else:  # two packets: the gateway reads the first alone
                 writer.write(own)
-                conns = [c for c in node.node.hosts.conns if c.attempt is not None]
+                conns = [c for c in node.node.hosts.connections if c.attempt is not None]
                 while any(c.attempt is not None for c in conns):
                     await asyncio.sleep(0)
                 writer.write(own)
@@ -221,23 +224,23 @@
         pool = node.node.hosts.pools["h1"]
         (conn,) = pool.idle
         conn.idle_since -= 1.0
-        assert conn.quiet()
+        assert conn.is_reusable()
         conn.transport.pause_reading()  # as if the loop had not come round to it
         host.writers[0].write(b"*3\r\n$5\r\nother\r\n$-1\r\n$-1\r\n")
         await host.writers[0].drain()
-        while conn.quiet():
+        while conn.is_reusable():
             await asyncio.sleep(0)
         assert await node.ask(command(b"b")) == SERVED
-        assert len(host.writers) == 2 and conn not in node.node.hosts.conns
+        assert len(host.writers) == 2 and conn not in node.node.hosts.connections
 
 
 @on_loop
 async def test_an_answer_that_cannot_be_handled_ends_its_attempt(tmp_path, monkeypatch):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         with monkeypatch.context() as patch:
-            patch.setattr("apigateway.upstream.hosts.read_reply", lambda *_: 1 / 0)
+            patch.setattr("apigateway.upstream.connection.read_reply", lambda *_: 1 / 0)
             assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
-        assert not node.node.hosts.conns
+        assert not node.node.hosts.connections
         assert await node.ask(command(b"r2")) == SERVED
 
 
@@ -254,9 +257,9 @@
             def is_closing(self):
                 return False
 
-        conn = hosts.Connection(node.node.hosts.pools["h1"])
+        conn = Connection(node.node.hosts.pools["h1"])
         conn.connection_made(Transport({"socket": ours}))
-        assert conn.quiet()
+        assert conn.is_reusable()
         del conn
         gc.collect()
         theirs.send(b"x")
@@ -305,44 +308,44 @@
 
 
 def test_resets_that_come_by_chance_close_no_connections():
-    staleness = hosts.Staleness()
+    policy = IdleConnectionPolicy()
     for n in range(400):
         lost = n % 11 == 0
-        staleness.note(0.0, lost)
-        staleness.note(0.03 * (1 + n % 60), lost)
-    assert staleness.limit == math.inf
+        policy.record(0.0, lost)
+        policy.record(0.03 * (1 + n % 60), lost)
+    assert policy.limit == math.inf
 
 
 def test_a_limit_of_rest_is_tried_again_in_time():
-    staleness = hosts.Staleness()
+    policy = IdleConnectionPolicy()
     for n in range(60):
-        staleness.note(0.3, False)
-        staleness.note(0.9 + n % 5, n % 2 == 0)
-    assert 0.3 < staleness.limit < 0.9
-    staleness.fade(300.0)
-    assert staleness.limit == math.inf  # tried again in time
+        policy.record(0.3, False)
+        policy.record(0.9 + n % 5, n % 2 == 0)
+    assert 0.3 < policy.limit < 0.9
+    policy.decay(300.0)
+    assert policy.limit == math.inf  # tried again in time
 
 
 @on_loop
 async def test_a_connection_that_comes_up_as_it_is_called_off_is_closed(tmp_path, monkeypatch):
-    made = hosts.Connection.connection_made
+    made = Connection.connection_made
 
     def called_off_in_this_turn(conn, transport):
         made(conn, transport)
-        for attempt in list(conn.pool.coming):
+        for attempt in list(conn.pool.connecting):
             node.node.hosts.abandon(attempt, "cancelled")
 
-    monkeypatch.setattr(hosts.Connection, "connection_made", called_off_in_this_turn)
+    monkeypatch.setattr(Connection, "connection_made", called_off_in_this_turn)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         assert (await node.ask(write(cls=b"note"))).startswith((b"-BUSY", b"-ERR"))
         assert await host.arrived.get() is None and not host.commands  # it ended, and nothing came on it
-        assert not node.node.hosts.conns and not node.node.hosts.open
+        assert not node.node.hosts.connections and not node.node.hosts.open_count
 
 
 @on_loop
 async def test_a_connection_is_not_used_so_near_to_the_hosts_idle_time(tmp_path, monkeypatch):
     """Between two looks for idle ones as well, which are further apart than a short idle time."""
-    monkeypatch.setattr(hosts, "REST", 0.0)
+    monkeypatch.setattr(connection_pool, "SETTLE_TIME_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command(b"a")) == SERVED
         (conn,) = node.node.hosts.pools["h1"].idle
@@ -355,7 +358,8 @@
 async def test_a_second_answer_some_milliseconds_later_is_nobodys(tmp_path, monkeypatch):
     """Until it could have shown itself the connection rests, whoever waits for one."""
     now = [1000.0]
-    monkeypatch.setattr(hosts, "monotonic", lambda: now[0])
+    for module in (attempts, connection_pool, upstream_connections):
+        monkeypatch.setattr(module, "monotonic", lambda: now[0])
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         for id, later, lines in ((b"a", 0.0, 1), (b"b", 0.012, 2), (b"c", 0.3, 2)):
             now[0] += later
@@ -365,14 +369,14 @@
 
 @on_loop
 async def test_a_request_that_breaks_off_before_its_last_byte_was_written_never_ran(tmp_path, monkeypatch):
-    made, lines = hosts.Connection.connection_made, []
+    made, lines = Connection.connection_made, []
 
     def with_little_room(conn, transport):
         made(conn, transport)
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         lines.append(conn)
 
-    monkeypatch.setattr(hosts.Connection, "connection_made", with_little_room)
+    monkeypatch.setattr(Connection, "connection_made", with_little_room)
     loop = asyncio.get_running_loop()
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         with socket.socket() as stuck:  # a host that reads nothing
@@ -387,7 +391,7 @@
             text = command(b"r1", terms(c="note", d="60000"), b"API.WRITE", body=b"x" * 60_000)
             asked = asyncio.create_task(node.ask(text))
             got, _ = await loop.sock_accept(stuck)
-            while not (lines and lines[0].attempt is not None and not lines[0].written):
+            while not (lines and lines[0].attempt is not None and not lines[0].is_written):
                 await asyncio.sleep(0)
             stuck.close()
             got.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
