--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -2,7 +2,6 @@
 
 import asyncio
 import gc
-import math
 import os
 import socket
 import struct
@@ -16,7 +15,6 @@
 from apigateway.upstream import connection_pool, upstream_connections
 from apigateway.upstream.attempt import Attempt
 from apigateway.upstream.connection import Connection
-from apigateway.upstream.idle_connection_policy import IdleConnectionPolicy
 
 
 @on_loop
@@ -307,25 +305,6 @@
         assert host.made <= made + 1  # those that rested for less are used on
 
 
-def test_resets_that_come_by_chance_close_no_connections():
-    policy = IdleConnectionPolicy()
-    for n in range(400):
-        lost = n % 11 == 0
-        policy.record(0.0, lost)
-        policy.record(0.03 * (1 + n % 60), lost)
-    assert policy.limit == math.inf
-
-
-def test_a_limit_of_rest_is_tried_again_in_time():
-    policy = IdleConnectionPolicy()
-    for n in range(60):
-        policy.record(0.3, False)
-        policy.record(0.9 + n % 5, n % 2 == 0)
-    assert 0.3 < policy.limit < 0.9
-    policy.decay(300.0)
-    assert policy.limit == math.inf  # tried again in time
-
-
 @on_loop
 async def test_a_connection_that_comes_up_as_it_is_called_off_is_closed(tmp_path, monkeypatch):
     made = Connection.connection_made
