--- /dev/null
+++ b/apigateway/counter/pending_call.py
@@ -0,0 +1,56 @@
+"""One call to the counter, from its start until its result is reported."""
+
+from __future__ import annotations
+
+import asyncio
+import enum
+from collections.abc import Callable
+from time import monotonic
+
+
+class CounterCallResult(enum.StrEnum):
+    """How a call to the counter ended; the values are those of `messages.COUNT_RESULTS`."""
+
+    OK = "ok"  # added, and the new total is known
+    FULL = "full"  # the counter rejected it: nothing was added
+    CONNECT_FAILED = "connect_failed"  # not written: nothing was added
+    TIMEOUT = "timeout"  # written and not answered in time: it may have been added
+    SPOILT = "spoilt"  # added, but the reply with the total could not be read
+
+
+ResultCallback = Callable[[int, CounterCallResult, float, float], None]
+"""Called with the counter key, the result, the new total (0 unless `OK`) and the elapsed seconds."""
+
+
+class PendingCall:
+    """A call whose result is reported exactly once: by its reply, its deadline or the loss of its connection.
+
+    Attributes:
+        counter_key: The total that is added to, or `PING_KEY` of the connection module.
+        started_at: When the call was made, on the monotonic clock in seconds.
+    """
+
+    __slots__ = ("counter_key", "started_at", "_on_result", "_deadline_timer")
+
+    def __init__(self, counter_key: int, on_result: ResultCallback | None) -> None:
+        self.counter_key = counter_key
+        self.started_at = monotonic()
+        self._on_result = on_result
+        self._deadline_timer: asyncio.TimerHandle | None = None
+
+    def set_deadline(self, loop: asyncio.AbstractEventLoop, timeout: float) -> None:
+        """Finish the call with `TIMEOUT` unless it has a result within `timeout` seconds."""
+        self._deadline_timer = loop.call_later(timeout, self.finish, CounterCallResult.TIMEOUT)
+
+    def finish(self, result: CounterCallResult, total: float = 0.0) -> None:
+        """Report the result, if none has been reported yet.
+
+        A call that timed out stays in its connection's queue, because its reply still comes in its turn;
+        that later result is dropped here.
+        """
+        if self._deadline_timer is not None:
+            self._deadline_timer.cancel()
+        on_result = self._on_result
+        self._on_result = None
+        if on_result is not None:
+            on_result(self.counter_key, result, total, monotonic() - self.started_at)
--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -13,7 +13,7 @@
 
 from apigateway import messages
 from apigateway.core.request_lifecycle import Clock, Core
-from apigateway.counter.client import Counter
+from apigateway.counter.client import QuotaCounterClient
 from apigateway.daemon.config import Config
 from apigateway.frontends.resp.front import RespFront
 from apigateway.membership.discovery import Discovery
@@ -70,7 +70,9 @@
         self.most_held = max(LEAST_HELD, (config.memory - OWN_MEMORY) // 4)
         self.hosts = Hosts(config.connect_timeout, config.idle_close, self.room // 2)
         settings = config.settings
-        self.counter = Counter(config.counter, settings.counter_timeout) if config.counter else None
+        self.counter = (
+            QuotaCounterClient(config.counter, settings.counter_timeout) if config.counter else None
+        )
         self.clock = Clock()  # one for the module's birth and all its events
         self.core = Core(
             settings,
@@ -227,7 +229,7 @@
         if (old.settings, old.listen, old.sockets) != (config.settings, config.listen, config.sockets):
             log.warning("only new addresses of discovery and counter are taken up before the next start")
         if self.counter and config.counter:
-            self.counter.move(config.counter)
+            self.counter.change_address(config.counter)
         self.go_over(self.source(config, self.discovery.version))
         if config.discovery:
             log.info("new configuration: discovery %s:%d", *config.discovery)
@@ -260,7 +262,7 @@
     ) -> None:
         old, self.config = self.config, config
         if config.counter != old.counter and self.counter and config.counter:
-            self.counter.move(config.counter)
+            self.counter.change_address(config.counter)
         if source is not None:
             self.go_over(source)
         if config.leave != old.leave:
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -231,7 +231,7 @@
         if not done:
             raise HandOverFailed(f"no list of hosts within {seconds:.0f} s")
         if self.heir is not None and self.node.counter is not None:
-            await self.node.counter.some_line(COUNTER_WAIT)
+            await self.node.counter.wait_until_connected(COUNTER_WAIT)
         return not self.told.is_set()
 
     # Hand-over, as the predecessor
--- a/tests/test_net_counter.py
+++ b/tests/counter/test_counter_client.py
@@ -6,7 +6,7 @@
 import pytest
 from netkit import SERVED, SETTINGS, Node, StubCounter, StubHost, command, on_loop, terms
 
-from apigateway.counter.client import LINES
+from apigateway.counter.client import CONNECTION_COUNT
 
 
 @on_loop
@@ -17,7 +17,7 @@
         def add(amount):
             counter.add(8, amount, 4, lambda name, *told: results.put_nowait(told[:2]))
 
-        while counter.lines[0].transport is None:
+        while not counter.connections[0].is_connected:
             await asyncio.sleep(0)
         node.counter.silent = True
         add(1)
@@ -36,15 +36,15 @@
     tree["specifics"]["counter_timeout"] = 5_000_000_000
     async with StubHost() as host, Node(host, path=tmp_path, settings=tree) as node:
         counter, results = node.node.counter, asyncio.Queue()
-        while any(line.transport is None for line in counter.lines):
+        while not all(connection.is_connected for connection in counter.connections):
             await asyncio.sleep(0)
         node.counter.silent = True
         for waited, result in ((9.0, "ok"), (11.0, "timeout")):
             counter.add(8, 1, 4, lambda name, *told: results.put_nowait(told[0]))
             await node.counter.arrived.get()
-            line = counter.lines[0]
-            line.calls[0].started -= waited  # s ago
-            line.check()
+            connection = counter.connections[0]
+            connection.pending_calls[0].started_at -= waited  # s ago
+            connection.check_liveness()
             if result == "ok":
                 node.counter.answer_all()
             assert await results.get() == result
@@ -58,7 +58,9 @@
         def add():
             counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
 
-        while len(node.counter.writers) < LINES or any(line.transport is None for line in counter.lines):
+        while len(node.counter.writers) < CONNECTION_COUNT or not all(
+            connection.is_connected for connection in counter.connections
+        ):
             await asyncio.sleep(0)
         node.counter.silent = True
         add()
@@ -67,13 +69,13 @@
         for writer in node.counter.writers:
             writer.transport.abort()
         assert await results.get() == "timeout"  # it was written, so it may have been added
-        while any(line.transport for line in counter.lines):
+        while any(connection.is_connected for connection in counter.connections):
             await asyncio.sleep(0)
         add()
         assert await results.get() == "connect_failed"
         node.counter.silent = False
         node.counter.server = await asyncio.start_server(node.counter.joined, "127.0.0.1", node.counter.port)
-        while counter.lines[0].transport is None:
+        while not counter.connections[0].is_connected:
             await asyncio.sleep(0.01)
         add()
         assert await results.get() == "ok"
@@ -86,15 +88,15 @@
 async def test_odd_answers_of_the_counter_cost_only_the_connection(odd, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         counter, results = node.node.counter, asyncio.Queue()
-        while counter.lines[0].transport is None:
+        while not counter.connections[0].is_connected:
             await asyncio.sleep(0)
-        old, node.counter.silent = counter.lines[0].transport, True
+        old, node.counter.silent = counter.connections[0].transport, True
         counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
         await node.counter.arrived.get()
         for writer in node.counter.writers:
             writer.write(odd)
         assert await results.get() == "spoilt"
-        while counter.lines[0].transport in (None, old):
+        while counter.connections[0].transport in (None, old):
             await asyncio.sleep(0.01)
         assert await node.ask(command()) == SERVED
 
@@ -108,21 +110,21 @@
             counter.add(8, amount, 4, lambda name, *told: results.put_nowait(told[:2]))
 
         counter.timeout = 10.0
-        while any(line.transport is None for line in counter.lines):
+        while not all(connection.is_connected for connection in counter.connections):
             await asyncio.sleep(0)
-        old, node.counter.silent = list(counter.lines), True
+        old, node.counter.silent = list(counter.connections), True
         add(1)
         await node.counter.arrived.get()
-        counter.move(("127.0.0.1", new.port))
-        counter.move(("127.0.0.1", new.port))  # twice in a row does no harm
-        while counter.next:
+        counter.change_address(("127.0.0.1", new.port))
+        counter.change_address(("127.0.0.1", new.port))  # twice in a row does no harm
+        while counter.replacements:
             await asyncio.sleep(0.001)
         add(5)
         assert (await results.get()) == ("ok", 5.0) and [c[2] for c in new.calls] == [b"5"]
         node.counter.answer_all()
         assert (await results.get()) == ("ok", 1.0)
-        await asyncio.wait([line.task for line in old])
-        assert all(line.transport is None or line.transport.is_closing() for line in old)
+        await asyncio.wait([connection.reconnect_task for connection in old])
+        assert all(not connection.is_connected or connection.transport.is_closing() for connection in old)
 
 
 @on_loop
@@ -133,7 +135,7 @@
         def add():
             counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait((result, total)))
 
-        while any(line.transport is None for line in counter.lines):
+        while not all(connection.is_connected for connection in counter.connections):
             await asyncio.sleep(0)
         node.counter.silent = True
         add()
@@ -151,7 +153,7 @@
     """Amounts and totals have seven digits on the wire; what is missing by them was never lost."""
     few = {**SETTINGS, "plans": [{"name": "p", "rate": 1.0, "most_at_once": 40.0}]}
     async with StubHost() as host, Node(host, path=tmp_path, settings=few) as node:
-        while any(line.transport is None for line in node.node.counter.lines):
+        while not all(connection.is_connected for connection in node.node.counter.connections):
             await asyncio.sleep(0)
         await node.ask(command())
         (acct,) = node.node.core.module.accounts.values()
@@ -168,8 +170,8 @@
 async def test_without_the_counter_a_customer_keeps_the_part_that_passed_here_before(tmp_path):
     two = {**SETTINGS, "group_size": 2, "plans": [{"name": "p", "rate": 10.0, "most_at_once": 20.0}]}
     async with StubHost() as host, Node(host, path=tmp_path, settings=two) as node:
-        lines = node.node.counter.lines
-        while any(line.transport is None for line in lines):
+        connections = node.node.counter.connections
+        while not all(connection.is_connected for connection in connections):
             await asyncio.sleep(0)
 
         async def ask(n):
@@ -185,7 +187,7 @@
         node.counter.server.close()
         for writer in node.counter.writers:
             writer.transport.abort()
-        while any(line.transport for line in lines):
+        while any(connection.is_connected for connection in connections):
             await asyncio.sleep(0)
         node.node.core.clock = lambda: now + 20
         assert sum([await ask(1000 + n) for n in range(20)]) > 15
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -22,7 +22,7 @@
     told,
 )
 
-from apigateway.counter.client import LINES
+from apigateway.counter.client import CONNECTION_COUNT
 from apigateway.daemon.config import read_config
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -208,7 +208,7 @@
         program.send_signal(signal.SIGHUP)
         assert "index" not in await discovery2.calls.get()  # the environment names the old one still
         assert "index" in await discovery2.calls.get()
-        while len(counter2.writers) < LINES:
+        while len(counter2.writers) < CONNECTION_COUNT:
             await asyncio.sleep(0.01)
         for n in range(4):
             reader2, writer2 = await asyncio.open_connection("127.0.0.1", port)
