--- a/apigateway/counter/client.py
+++ b/apigateway/counter/client.py
@@ -69,7 +69,7 @@
 
         Args:
             counter_key: The total's name.
-            amount: Units to add; negative ones are returned.
+            amount: Units to add; seven digits of them are sent.
             lifetime: Seconds that the counter keeps the total for.
             on_result: Called exactly once, and never before this method has returned.
         """
--- a/tests/counter/test_counter_client.py
+++ b/tests/counter/test_counter_client.py
@@ -1,4 +1,4 @@
-"""Calls to the counter: late, odd and missing answers."""
+"""The counter client against an emulated counter: late, unreadable and missing replies."""
 
 import asyncio
 import json
@@ -9,16 +9,26 @@
 from apigateway.counter.client import CONNECTION_COUNT
 
 
+async def until_connected(connections):
+    while not all(connection.is_connected for connection in connections):
+        await asyncio.sleep(0)
+
+
+async def until_disconnected(connections):
+    while any(connection.is_connected for connection in connections):
+        await asyncio.sleep(0)
+
+
 @on_loop
-async def test_a_late_answer_of_the_counter_keeps_its_place(tmp_path):
+async def test_reply_when_it_comes_after_the_deadline_then_keeps_its_turn(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+        counter = node.node.counter
+        results = asyncio.Queue()
 
         def add(amount):
-            counter.add(8, amount, 4, lambda name, *told: results.put_nowait(told[:2]))
+            counter.add(8, amount, 4, lambda key, result, total, elapsed: results.put_nowait((result, total)))
 
-        while not counter.connections[0].is_connected:
-            await asyncio.sleep(0)
+        await until_connected(counter.connections[:1])
         node.counter.silent = True
         add(1)
         assert (await results.get())[0] == "timeout"
@@ -30,17 +40,17 @@
 
 
 @on_loop
-async def test_a_call_is_waited_for_as_long_as_the_settings_give_it(tmp_path):
-    """A line is made anew when it is silent for longer than a call may take, and no sooner."""
+async def test_connection_when_silent_for_longer_than_a_call_may_take_then_reconnects(tmp_path):
+    """Silence within the time that the settings give a call is no reason to reconnect."""
     tree = json.loads(json.dumps(SETTINGS))
     tree["specifics"]["counter_timeout"] = 5_000_000_000
     async with StubHost() as host, Node(host, path=tmp_path, settings=tree) as node:
-        counter, results = node.node.counter, asyncio.Queue()
-        while not all(connection.is_connected for connection in counter.connections):
-            await asyncio.sleep(0)
+        counter = node.node.counter
+        results = asyncio.Queue()
+        await until_connected(counter.connections)
         node.counter.silent = True
         for waited, result in ((9.0, "ok"), (11.0, "timeout")):
-            counter.add(8, 1, 4, lambda name, *told: results.put_nowait(told[0]))
+            counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait(result))
             await node.counter.arrived.get()
             connection = counter.connections[0]
             connection.pending_calls[0].started_at -= waited  # s ago
@@ -51,16 +61,16 @@
 
 
 @on_loop
-async def test_the_counter_is_connected_again_and_unwritten_calls_are_told(tmp_path):
+async def test_call_when_no_connection_is_up_then_fails_until_it_reconnected(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+        counter = node.node.counter
+        results = asyncio.Queue()
 
         def add():
-            counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
+            counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait(result))
 
-        while len(node.counter.writers) < CONNECTION_COUNT or not all(
-            connection.is_connected for connection in counter.connections
-        ):
+        await until_connected(counter.connections)
+        while len(node.counter.writers) < CONNECTION_COUNT:
             await asyncio.sleep(0)
         node.counter.silent = True
         add()
@@ -69,8 +79,7 @@
         for writer in node.counter.writers:
             writer.transport.abort()
         assert await results.get() == "timeout"  # it was written, so it may have been added
-        while any(connection.is_connected for connection in counter.connections):
-            await asyncio.sleep(0)
+        await until_disconnected(counter.connections)
         add()
         assert await results.get() == "connect_failed"
         node.counter.silent = False
@@ -82,37 +91,40 @@
 
 
 @pytest.mark.parametrize(
-    "odd", [b"ok\r\n", b"ok many\r\n", b"pong\r\n", b"ok inf\r\n", b"ok 1_0\r\n", b"x" * 5000, b"what\r\n"]
+    "unreadable",
+    [b"ok\r\n", b"ok many\r\n", b"pong\r\n", b"ok inf\r\n", b"ok 1_0\r\n", b"x" * 5000, b"what\r\n"],
 )
 @on_loop
-async def test_odd_answers_of_the_counter_cost_only_the_connection(odd, tmp_path):
+async def test_reply_when_unreadable_then_costs_only_the_connection(unreadable, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
-        while not counter.connections[0].is_connected:
-            await asyncio.sleep(0)
-        old, node.counter.silent = counter.connections[0].transport, True
-        counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
+        counter = node.node.counter
+        results = asyncio.Queue()
+        await until_connected(counter.connections[:1])
+        old_transport = counter.connections[0].transport
+        node.counter.silent = True
+        counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait(result))
         await node.counter.arrived.get()
         for writer in node.counter.writers:
-            writer.write(odd)
+            writer.write(unreadable)
         assert await results.get() == "spoilt"
-        while counter.connections[0].transport in (None, old):
+        while counter.connections[0].transport in (None, old_transport):
             await asyncio.sleep(0.01)
         assert await node.ask(command()) == SERVED
 
 
 @on_loop
-async def test_calls_to_an_old_address_get_their_answers_and_its_lines_end(tmp_path):
+async def test_change_of_address_when_calls_are_pending_then_they_finish_and_old_connections_close(tmp_path):
     async with StubCounter() as new, StubHost() as host, Node(host, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+        counter = node.node.counter
+        results = asyncio.Queue()
 
         def add(amount):
-            counter.add(8, amount, 4, lambda name, *told: results.put_nowait(told[:2]))
+            counter.add(8, amount, 4, lambda key, result, total, elapsed: results.put_nowait((result, total)))
 
         counter.timeout = 10.0
-        while not all(connection.is_connected for connection in counter.connections):
-            await asyncio.sleep(0)
-        old, node.counter.silent = list(counter.connections), True
+        await until_connected(counter.connections)
+        old_connections = list(counter.connections)
+        node.counter.silent = True
         add(1)
         await node.counter.arrived.get()
         counter.change_address(("127.0.0.1", new.port))
@@ -120,23 +132,26 @@
         while counter.replacements:
             await asyncio.sleep(0.001)
         add(5)
-        assert (await results.get()) == ("ok", 5.0) and [c[2] for c in new.calls] == [b"5"]
+        assert (await results.get()) == ("ok", 5.0)
+        assert [words[2] for words in new.calls] == [b"5"]
         node.counter.answer_all()
         assert (await results.get()) == ("ok", 1.0)
-        await asyncio.wait([connection.reconnect_task for connection in old])
-        assert all(not connection.is_connected or connection.transport.is_closing() for connection in old)
+        await asyncio.wait([connection.reconnect_task for connection in old_connections])
+        assert all(
+            not connection.is_connected or connection.transport.is_closing() for connection in old_connections
+        )
 
 
 @on_loop
-async def test_a_line_that_is_made_again_is_stood_in_for(tmp_path):
+async def test_call_when_its_connection_reconnects_then_uses_another(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        counter, results = node.node.counter, asyncio.Queue()
+        counter = node.node.counter
+        results = asyncio.Queue()
 
         def add():
-            counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait((result, total)))
+            counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait((result, total)))
 
-        while not all(connection.is_connected for connection in counter.connections):
-            await asyncio.sleep(0)
+        await until_connected(counter.connections)
         node.counter.silent = True
         add()
         await node.counter.arrived.get()
@@ -149,12 +164,11 @@
 
 
 @on_loop
-async def test_rounding_of_totals_is_not_taken_for_lost_counts(tmp_path):
+async def test_quota_when_totals_are_rounded_then_nothing_is_held_lost(tmp_path):
     """Amounts and totals have seven digits on the wire; what is missing by them was never lost."""
     few = {**SETTINGS, "plans": [{"name": "p", "rate": 1.0, "most_at_once": 40.0}]}
     async with StubHost() as host, Node(host, path=tmp_path, settings=few) as node:
-        while not all(connection.is_connected for connection in node.node.counter.connections):
-            await asyncio.sleep(0)
+        await until_connected(node.node.counter.connections)
         await node.ask(command())
         (acct,) = node.node.core.module.accounts.values()
         now = acct.start + acct.length + 1.0  # early in a window, whenever this runs
@@ -167,12 +181,11 @@
 
 
 @on_loop
-async def test_without_the_counter_a_customer_keeps_the_part_that_passed_here_before(tmp_path):
+async def test_quota_when_the_counter_is_lost_then_the_customer_keeps_its_local_part(tmp_path):
     two = {**SETTINGS, "group_size": 2, "plans": [{"name": "p", "rate": 10.0, "most_at_once": 20.0}]}
     async with StubHost() as host, Node(host, path=tmp_path, settings=two) as node:
         connections = node.node.counter.connections
-        while not all(connection.is_connected for connection in connections):
-            await asyncio.sleep(0)
+        await until_connected(connections)
 
         async def ask(n):
             return (await node.ask(command(b"r%d" % n, terms(spread=2)))) == SERVED
@@ -187,7 +200,6 @@
         node.counter.server.close()
         for writer in node.counter.writers:
             writer.transport.abort()
-        while any(connection.is_connected for connection in connections):
-            await asyncio.sleep(0)
+        await until_disconnected(connections)
         node.node.core.clock = lambda: now + 20
         assert sum([await ask(1000 + n) for n in range(20)]) > 15
