--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -16,11 +16,11 @@
     assert "messages.py" in "".join(lines[:3])
 
 
-def test_readme_example_runs():
-    text = (ROOT / "README.md").read_text()
+def test_architecture_example_runs():
+    text = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
     code = text.split("```python\n")[1].split("```")[0]
     scope: dict = {}
-    exec(compile(code, "README.md", "exec"), scope)
+    exec(compile(code, "ARCHITECTURE.md", "exec"), scope)
     assert scope["actions"]
 
 
