--- a/tests/frontends/test_early.py
+++ b/tests/frontends/test_early.py
@@ -158,7 +158,8 @@
         handle = node.node.core.module.handle
         node.node.core.module.handle = lambda now, event: events.append(event) or handle(now, event)
         again = await node.ask(command(b"again", terms(t="small"), customer=customer))
-        assert again.startswith(b"-BUSY ") and not [e for e in events if getattr(e, "request_id", "") == "again"]
+        events_of_again = [event for event in events if getattr(event, "request_id", "") == "again"]
+        assert again.startswith(b"-BUSY ") and not events_of_again
 
 
 @pytest.mark.parametrize(
--- a/tests/ratelimit/test_daemon.py
+++ b/tests/ratelimit/test_daemon.py
@@ -421,8 +421,9 @@
         "'google', 'grpc', 'grpc_health', 'grpc_reflection') "
         "or m in ('apigateway.upstream.rpc', 'apigateway.frontends.grpc.front', "
         "'apigateway.frontends.grpc.tokens') "
-        "or 'ratelimit' in m and m not in ('apigateway.external_ratelimit', "  # the package, and its settings,
-        "'apigateway.external_ratelimit.settings')])"  # are plain data
+        # The package and its settings are plain data.
+        "or 'ratelimit' in m and m not in ('apigateway.external_ratelimit', "
+        "'apigateway.external_ratelimit.settings')])"
     )
     for what in ("import apigateway.daemon.platform", "import apigateway.daemon.serve"):
         program = await asyncio.create_subprocess_exec(
