--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -160,9 +160,17 @@
 """
 
 
+def load_of(tree: Path) -> str:
+    """Return the text of the load for this tree: a tree with other names of the module's messages has its own."""
+    if (tree / "apigateway").is_dir():
+        return CHILD
+    text = (tree / "benchmarks" / "module_cost.py").read_text()
+    return text.split('CHILD = r"""')[1].split('"""')[0]
+
+
 def one(tree: Path, requests: int, case: str) -> float:
     ended = subprocess.run(
-        [sys.executable, "-c", CHILD, str(requests), case],
+        [sys.executable, "-c", load_of(tree), str(requests), case],
         cwd=tree,
         capture_output=True,
         text=True,
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -219,6 +219,11 @@
     }
 
 
+def program_of(tree: Path) -> str:
+    """Return the module that the platform runs, in this tree or in one of before the package was renamed."""
+    return "apigateway.daemon" if (tree / "apigateway").is_dir() else "calicomast.net"
+
+
 async def measure(before: str, rounds: int, requests: int, fleet: int) -> dict[str, Any]:
     loop = asyncio.get_running_loop()
     hosts = [await loop.create_server(FastHost, "127.0.0.1", 0) for _ in range(fleet)]
@@ -246,7 +251,7 @@
                 programs.append(
                     Program(
                         name,
-                        [sys.executable, "-B", "-m", "apigateway.daemon"],
+                        [sys.executable, "-B", "-m", program_of(tree)],
                         tree,
                         {"RELAY_CONFIG": str(file)},
                         port,
