--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -161,7 +161,7 @@
 
 
 def load_of(tree: Path) -> str:
-    """Return the text of the load for this tree: a tree with other names of the module's messages has its own."""
+    """Return the load for this tree: one whose messages have other names has a load of its own."""
     if (tree / "apigateway").is_dir():
         return CHILD
     text = (tree / "benchmarks" / "module_cost.py").read_text()
