--- a/apigateway/core/__init__.py
+++ b/apigateway/core/__init__.py
@@ -1,6 +1,11 @@
-"""One request's life, whatever front it came by: taken, decided, attempted, answered once.
+"""A request's lifecycle, whatever protocol it came by: admitted, decided, attempted, answered exactly once.
 
-Here the five rules are kept, each in one place of `life.Core`: no request lost (`overdue`, `abandon`), no
-effect twice (`send`: one attempt at a time; `finish`: nothing after the answer), drains (`listed`), cold
-hosts and ceilings (the decision module's; nothing here sends what it did not ask for).
+`request_lifecycle.RequestDispatcher` keeps the promises, each in one place:
+
+- no request is lost: `on_deadline` fails what nobody answered;
+- no effect runs twice: one attempt at a time, and nothing is sent after the final answer (`finish`);
+- a drain waits for all that was accepted (`drain`).
+
+Which endpoint is asked, and how often, is the decision module's choice: nothing here sends what it did not
+ask for.
 """
--- a/apigateway/core/admission.py
+++ b/apigateway/core/admission.py
@@ -1,8 +1,10 @@
-"""How late this gateway's core is, measured, and told to what decides what is turned away (overload.py).
+"""Admission control: measure how late the event loop is, and ask the overload gate what to shed.
 
-Clients that send without end would keep the loop reading: in one turn it reads for a while only, and what was
-read beyond that waits, connection by connection, while answers of hosts are read between. How long commands
-wait so is the lag; and by how much the loop comes late to a beat, whatever kept it."""
+Clients that send without end would keep the loop reading. In one turn of the loop commands are read for a
+time slice only; what arrived beyond it waits, connection by connection, while endpoints' answers are read in
+between. How long commands wait so is one measure of overload; how late the loop comes to a periodic probe,
+whatever kept it, is the other. What is shed is decided in `policy.overload_gate`.
+"""
 
 from __future__ import annotations
 
@@ -14,102 +16,148 @@
 
 from apigateway.core.interfaces import Scheduler
 
-BEAT = 0.02  # s
-QUIET = 2.0  # s without any shedding, after which an overload is over for the log
-QUANTUM = 0.002  # s that one turn of the loop reads commands for
-
+# Seconds between two probes of the loop's lateness.
+LAG_PROBE_INTERVAL_S = 0.02
+# Seconds without any shedding after which an overload is over for the log.
+OVERLOAD_END_AFTER_S = 2.0
+# Seconds for which one turn of the loop reads commands.
+READ_TIME_SLICE_S = 0.002
 
 log = logging.getLogger(__name__)
 
 
-class Gate(Protocol):
-    """The decision: overload.Gate."""
+class OverloadGate(Protocol):
+    """The decision of what to shed: `policy.overload_gate`. All times are in seconds."""
 
-    shed: int
-    passed: int
+    shed: int  # requests, while anything was shed
+    passed: int  # likewise
     lag: float
 
     @property
-    def tight(self) -> bool: ...
-
-    def late(self, now: float, lag: float) -> None: ...
-
-    def turned_away(self, now: float, waited: float, worth: int, customer: str, left: float) -> float: ...
-
-    def told(self, now: float, customer: str, wait: float) -> None: ...
-
-
-class Door:
-    """One for all fronts, asked once about each request, before it is taken. A front that sees `over` lets
-    what it has read wait its turn."""
-
-    def __init__(self, gate: Gate, loop: Scheduler, clock: Callable[[], float] = time.monotonic) -> None:
-        self.gate, self.loop, self.clock = gate, loop, clock
-        self.reading = 0.0  # since when this turn reads commands; 0: it has read none
-        self.over = False  # it has read for long enough
-        self.waiting: deque[Callable[[], None]] = deque()  # fronts' connections that have more, in order
-        self.due = 0.0
-        self.beating = self.used = False
-        self.since = self.tight_at = 0.0  # of an overload: its begin, 0: there is none; when last shed
-        self.before = (0, 0)  # shed and passed, at its begin
+    def tight(self) -> bool:
+        """Whether the gateway is overloaded, so that something is shed."""
+
+    def late(self, now: float, lag: float) -> None:
+        """Take in that the loop came `lag` late to something that was due."""
+
+    def turned_away(self, now: float, waited: float, worth: int, customer: str, left: float) -> float:
+        """Return the time to wait that a shed request is told, 0 for none; below 0: it may pass.
+
+        Args:
+            now: By the controller's clock.
+            waited: Time since the request was read.
+            worth: Its priority weight.
+            customer: Whose it is.
+            left: The time that it has.
+        """
+
+    def told(self, now: float, customer: str, wait: float) -> None:
+        """Take in that a customer was told to come again in `wait`."""
+
+
+class AdmissionController:
+    """Ask the gate about each request before it is accepted; one controller for all frontends.
+
+    A frontend that sees `is_slice_used_up` puts its connection's continuation on `deferred_connections`,
+    and what it has read waits for the next turn of the loop.
+    """
+
+    def __init__(
+        self, gate: OverloadGate, loop: Scheduler, clock: Callable[[], float] = time.monotonic
+    ) -> None:
+        self.gate = gate
+        self.loop = loop
+        self.clock = clock
+        self.slice_started_at = 0.0  # when this turn began to read commands; 0: it has read none
+        self.is_slice_used_up = False
+        self.deferred_connections: deque[Callable[[], None]] = deque()  # those that have more, in order
+        self._probe_due_at = 0.0
+        self._is_probing = False
+        self._was_asked = False  # since the last probe
+        self._overload_began_at = 0.0  # 0: there is none
+        self._last_overloaded_at = 0.0
+        self._shed_before = 0  # the gate's counts when the overload began
+        self._passed_before = 0
 
     def turned_away(self, worth: int, customer: str, left: float, came: float) -> float:
-        """As overload.Gate.turned_away. `came`: when it was read, by `clock`."""
-        now, self.used = self.clock(), True
-        if not self.reading:
-            self.reading = now
-            self.loop.call_soon(self.turned)
-            if not self.beating:
-                self.beating = True
-                self.beat_at(now + BEAT)
-        elif now - self.reading > QUANTUM:
-            self.over = True
+        """Ask whether to shed a request; returns what `OverloadGate.turned_away` does.
+
+        Args:
+            worth: Its priority weight.
+            customer: Whose it is.
+            left: The seconds that it has.
+            came: When it was read, by `clock`.
+        """
+        now = self.clock()
+        self._was_asked = True
+        if not self.slice_started_at:
+            self._start_slice(now)
+        elif now - self.slice_started_at > READ_TIME_SLICE_S:
+            self.is_slice_used_up = True
         return self.gate.turned_away(now, now - came, worth, customer, left)
 
-    def turned(self) -> None:
-        """A new turn of the loop: those that wait go on, one after another."""
-        self.reading, self.over = 0.0, False
+    def _start_slice(self, now: float) -> None:
+        self.slice_started_at = now
+        self.loop.call_soon(self.start_turn)
+        if not self._is_probing:
+            self._is_probing = True
+            self._schedule_probe(now + LAG_PROBE_INTERVAL_S)
+
+    def start_turn(self) -> None:
+        """Begin a new turn of the loop: deferred connections go on, one after another."""
+        self.slice_started_at = 0.0
+        self.is_slice_used_up = False
         try:
-            while self.waiting and not self.over:
-                self.waiting.popleft()()
+            while self.deferred_connections and not self.is_slice_used_up:
+                self.deferred_connections.popleft()()
         finally:  # one that raises must not leave those behind it unread
-            if self.waiting and not self.reading:
-                self.loop.call_soon(self.turned)
+            if self.deferred_connections and not self.slice_started_at:
+                self.loop.call_soon(self.start_turn)
 
-    def told(self, customer: str, wait: float) -> None:
+    def on_retry_after(self, customer: str, retry_after: float) -> None:
+        """Take in that the decision module told a customer to come again in `retry_after` seconds."""
         if self.gate.tight:
-            self.gate.told(self.clock(), customer, wait)
+            self.gate.told(self.clock(), customer, retry_after)
+
+    # How late the loop is
 
-    def beat_at(self, at: float) -> None:
-        self.due = at
-        self.loop.call_later(at - self.clock(), self.beat)
+    def _schedule_probe(self, due_at: float) -> None:
+        self._probe_due_at = due_at
+        self.loop.call_later(due_at - self.clock(), self._probe_lag)
 
-    def beat(self) -> None:
+    def _probe_lag(self) -> None:
         now = self.clock()
-        self.gate.late(now, max(0.0, now - self.due))
-        self.note(now)
-        if self.used or self.gate.tight or self.since:
-            self.used = False
-            self.beat_at(now + BEAT)
+        self.gate.late(now, max(0.0, now - self._probe_due_at))
+        self._log_overload(now)
+        if self._was_asked or self.gate.tight or self._overload_began_at:
+            self._was_asked = False
+            self._schedule_probe(now + LAG_PROBE_INTERVAL_S)
         else:  # nobody asked: at rest it costs nothing
-            self.beating = False
-
-    def note(self, now: float) -> None:
-        """Tells the log when an overload begins and ends."""
-        gate = self.gate
-        if gate.tight:
-            self.tight_at = now
-            if not self.since:
-                self.since, self.before = now, (gate.shed, gate.passed)
-                log.warning(
-                    "overload: requests wait %.0f ms for the core; what is worth least is turned away",
-                    gate.lag * 1000,
-                )
-        elif self.since and now - self.tight_at > QUIET:
-            log.warning(
-                "overload over after %.1f s: %d turned away, %d passed",
-                self.tight_at - self.since,
-                gate.shed - self.before[0],
-                gate.passed - self.before[1],
-            )
-            self.since = 0.0
+            self._is_probing = False
+
+    def _log_overload(self, now: float) -> None:
+        """Log the begin and the end of an overload, once each."""
+        if self.gate.tight:
+            self._last_overloaded_at = now
+            if not self._overload_began_at:
+                self._log_overload_began(now)
+        elif self._overload_began_at and now - self._last_overloaded_at > OVERLOAD_END_AFTER_S:
+            self._log_overload_ended()
+
+    def _log_overload_began(self, now: float) -> None:
+        self._overload_began_at = now
+        self._shed_before = self.gate.shed
+        self._passed_before = self.gate.passed
+        log.warning(
+            "overload: requests wait %.0f ms for the core; what is worth least is turned away",
+            self.gate.lag * 1000,
+        )
+
+    def _log_overload_ended(self) -> None:
+        log.warning(
+            "overload over after %.1f s: %d turned away, %d passed",
+            self._last_overloaded_at - self._overload_began_at,
+            self.gate.shed - self._shed_before,
+            self.gate.passed - self._passed_before,
+        )
+        self._overload_began_at = 0.0
--- a/apigateway/core/budget.py
+++ b/apigateway/core/budget.py
@@ -1,46 +1,52 @@
-"""What several fronts share of one amount, so that a flood on one leaves room for the others."""
+"""Share one amount among the frontends, so that a flood on one leaves capacity for the others."""
 
 from __future__ import annotations
 
-RESERVED = 0.5  # part of the amount that is kept, in even parts, for fronts that do not use theirs
+# Fraction of the amount that is reserved, in even parts, for frontends that do not use theirs.
+RESERVED_FRACTION = 0.5
 
 
 class Budget:
-    """An amount (requests in work, bytes of bodies) and how much of it each front holds.
-
-    Each of n fronts has `RESERVED / n` of it to itself; the rest goes to whoever asks first. With one front
-    all of it is that front's."""
-
-    def __init__(self, most: float) -> None:
-        self.most, self.used = most, 0.0
-        self.by: dict[object, float] = {}
-        self.left: set[object] = set()  # fronts that are gone and still hold some
-
-    def join(self, front: object) -> None:
-        self.by.setdefault(front, 0.0)
-
-    def leave(self, front: object) -> None:
-        """Its reserve goes to the others; what it still holds is given back as it ends."""
-        self.left.add(front)
-        self.give(front, 0)
-
-    def free(self, front: object) -> float:
-        """How much more `front` may take now; nothing or less: none."""
-        left = self.most - self.used
-        if len(self.by) > 1:
-            own = self.most * RESERVED / len(self.by)
-            for other, used in self.by.items():
-                if other is not front and used < own:
-                    left -= own - used
-        return left
-
-    def take(self, front: object, amount: float) -> None:
+    """An amount (requests in flight, bytes of bodies) and how much of it each frontend uses.
+
+    Each of n frontends has `RESERVED_FRACTION / n` of it to itself; the rest goes to whoever asks first. With
+    one frontend all of it is that frontend's.
+    """
+
+    def __init__(self, limit: float) -> None:
+        self.limit = limit
+        self.used = 0.0
+        self.used_by_frontend: dict[object, float] = {}
+        self._departed: set[object] = set()  # frontends that have left and still use some
+
+    def join(self, frontend: object) -> None:
+        """Reserve a part for a frontend."""
+        self.used_by_frontend.setdefault(frontend, 0.0)
+
+    def leave(self, frontend: object) -> None:
+        """Give a frontend's reserve to the others, once it has released all that it still uses."""
+        self._departed.add(frontend)
+        self.release(frontend, 0)
+
+    def available_to(self, frontend: object) -> float:
+        """Return how much more a frontend may use now; 0 or less: none."""
+        available = self.limit - self.used
+        if len(self.used_by_frontend) > 1:
+            reserve = self.limit * RESERVED_FRACTION / len(self.used_by_frontend)
+            for other, used in self.used_by_frontend.items():
+                if other is not frontend and used < reserve:
+                    available -= reserve - used
+        return available
+
+    def acquire(self, frontend: object, amount: float) -> None:
+        """Count an amount as used by a frontend; whether it is available is the caller's to ask."""
         self.used += amount
-        self.by[front] = self.by.get(front, 0.0) + amount
+        self.used_by_frontend[frontend] = self.used_by_frontend.get(frontend, 0.0) + amount
 
-    def give(self, front: object, amount: float) -> None:
+    def release(self, frontend: object, amount: float) -> None:
+        """Take back what a frontend used."""
         self.used -= amount
-        self.by[front] -= amount
-        if self.left and front in self.left and not self.by[front]:
-            self.left.discard(front)
-            del self.by[front]
+        self.used_by_frontend[frontend] -= amount
+        if self._departed and frontend in self._departed and not self.used_by_frontend[frontend]:
+            self._departed.discard(frontend)
+            del self.used_by_frontend[frontend]
--- a/apigateway/core/request_lifecycle.py
+++ b/apigateway/core/request_lifecycle.py
@@ -1,8 +1,8 @@
-"""Feeds what happens to the one decision module and carries out what it decides.
+"""Dispatch events to the decision module and carry out the actions that it returns.
 
-Nothing here decides and nothing here knows a socket (`ports`). This file owns the timers and each request's
-single final answer. Each event and action of interface.py has its place here, but for Began and Message: no
-front knows streams or peers.
+Nothing here decides and nothing here knows a socket: the collaborators are `interfaces.py`. This module owns
+each request's deadline and its single final answer. Every event and action of `messages.py` has its place
+here, but for StreamStarted and Message: no frontend knows streams or peers.
 """
 
 from __future__ import annotations
@@ -13,11 +13,17 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import replace
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, cast
 
 from apigateway import messages
 from apigateway.core.budget import Budget
+from apigateway.core.clock import MonotonicUnixClock
+from apigateway.core.gateway_actions import GatewayActions
+from apigateway.core.in_flight_request import NO_UPSTREAM_REQUEST, InFlightRequest
 from apigateway.core.interfaces import (
+    HELD_ELSEWHERE,
+    NOT_REGISTERED,
+    REGISTRY_FULL,
     Addresses,
     DecisionModule,
     EndpointSource,
@@ -26,7 +32,7 @@
     PluginChain,
     QuotaCheckSink,
     QuotaCounter,
-    RequestPlugins,
+    RequestOutcome,
     ResponseSink,
     Scheduler,
     UpstreamAttempt,
@@ -35,470 +41,508 @@
 )
 
 if TYPE_CHECKING:
-    from apigateway.core.admission import Door
+    from apigateway.core.admission import AdmissionController
 
-WAY_BACK = 0.03  # s before the client gives up by which the module is to be done
-GUARD = 0.01  # s before that by which a request without an answer is failed, whatever the module does
-MOST_LEFT = 3600.0  # s; a client that says it will wait for longer is in error
-
-# How each outcome is told to the sink of a request's response.
-SINK_METHODS = {
-    "served": "complete",
-    "refused": "reject",
-    "failed": "fail",
-    "granted": "grant",
-    "denied": "deny",
-}
+# Seconds before the client gives up by which the decision module is to be done: the answer's way back.
+RESPONSE_MARGIN_S = 0.03
+# Seconds before the client gives up at which a request without an answer is failed, whatever the decision
+# module does.
+DEADLINE_GUARD_MARGIN_S = 0.01
+# Seconds; a client that says it will wait for longer is in error.
+MAX_REQUEST_TIMEOUT_S = 3600.0
 
 log = logging.getLogger(__name__)
 
 
-class Clock:
-    """Unix time that never steps: hosts' starts and the counter's windows are told in it."""
-
-    def __init__(self) -> None:
-        self.zero = time.time() - time.monotonic()
-
-    def __call__(self) -> float:
-        return self.zero + time.monotonic()
-
-
-class InWork(Exception):
-    """A request with this id is in work, by this front or another."""
-
-
-class Nothing:
-    """What hosts are sent for a check."""
-
-    body_size = 0
+class DuplicateRequestError(Exception):
+    """A request with this id is in flight, by this frontend or another."""
 
-    def encode(self, left: float) -> bytes:
-        raise AssertionError("a check goes to no host")
 
+class RequestDispatcher:
+    """Take requests from the frontends and see each through to its one final answer.
 
-NOTHING = Nothing()
-
-
-class Work:
-    """A request that was taken: where its answer goes, what goes to hosts, and what is out for it."""
-
-    __slots__ = (
-        "id",
-        "place",
-        "order",
-        "front",
-        "deadline",
-        "guard",
-        "sends",
-        "live",
-        "over",
-        "hooked",
-        "mark",
-        "customer",
-        "asked",
-    )
-
-    def __init__(
-        self, id: str, place: ResponseSink, order: UpstreamRequest, front: object, deadline: float
-    ) -> None:
-        self.id, self.place, self.order, self.front, self.deadline = id, place, order, front, deadline
-        self.guard: Any = None
-        self.sends = 0
-        self.live: dict[int, UpstreamAttempt] = {}
-        self.over = False
-        self.hooked: RequestPlugins | None = None
-        self.mark = -1
-        self.customer = ""
-        self.asked: Any = None  # what the outer service is asked about it
-
-
-class Core:
-    """`settings` and `module` are the deployment's; `max_open` requests may be in work at once and
-    `most_held` bytes of their bodies be held, over all fronts together."""
+    Args:
+        settings: The deployment's.
+        module: The decision module.
+        upstream: Connections to the endpoints.
+        counter: The quota counter; None where the deployment has none.
+        loop: The event loop's timers.
+        max_in_flight: Requests that may be in flight at once, over all frontends together.
+        max_body_bytes: Bytes of their bodies that may be held at once, likewise.
+        clock: Unix time in seconds that never steps.
+    """
 
     def __init__(
         self,
         settings: messages.Settings,
         module: DecisionModule,
-        hosts: UpstreamPool,
+        upstream: UpstreamPool,
         counter: QuotaCounter | None,
         loop: Scheduler,
-        max_open: int,
-        most_held: float,
+        max_in_flight: int,
+        max_body_bytes: float,
         clock: Callable[[], float] | None = None,
     ) -> None:
-        self.settings, self.module, self.hosts, self.counter = settings, module, hosts, counter
+        self.settings = settings
+        self.module = module
+        self.upstream = upstream
+        self.counter = counter
+        self.loop = loop
+        self.clock = clock or MonotonicUnixClock()
+
+        # Set by the daemon where settings want them.
         self.membership: EndpointSource | None = None
-        self.hooks: PluginChain | None = None
-        self.marks: InFlightRegistry | None = None
-        self.door: Door | None = None
-        self.outer: ExternalRateLimiter | None = None
-        self.loop, self.clock = loop, clock or Clock()
-        self.open, self.held = Budget(max_open), Budget(most_held)
-        self.works: dict[str, Work] = {}
-        self.events: deque[messages.Event] = deque()
-        self.feeding = self.ready = self.stopping = False
-        self.done = asyncio.Event()  # stopping, and nothing is in work
-        self.actions: dict[type, Callable[[Any], None]] = {
-            messages.ForwardRequest: self.send,
-            messages.Reject: self.refuse,
-            messages.Fail: self.fail,
-            messages.CancelAttempt: self.cancel,
-            messages.QuotaGranted: self.granted,
-            messages.QuotaDenied: self.denied,
-            messages.AddToCounter: self.count,
-            messages.SetTimer: self.set_timer,
-            messages.CheckHealth: self.probe,
-            messages.CloseIdleConnections: lambda a: self.hosts.close_idle_connections(a.endpoint_id),
-            messages.FetchEndpoints: lambda _: self.fetch(),
-            messages.WatchEndpoints: lambda a: self.watch(a.is_on),
-            messages.LogMessage: lambda a: log.info("module: %s", a.text),
+        self.plugins: PluginChain | None = None
+        self.in_flight_registry: InFlightRegistry | None = None
+        self.admission: AdmissionController | None = None
+        self.external_ratelimit: ExternalRateLimiter | None = None
+
+        self.request_budget = Budget(max_in_flight)
+        self.body_budget = Budget(max_body_bytes)
+        self.in_flight: dict[str, InFlightRequest] = {}  # by request id
+        self.is_ready = False  # there are endpoints, or were
+        self.is_draining = False
+        self._drained = asyncio.Event()  # draining, and nothing is in flight
+        self._events: deque[messages.Event] = deque()
+        self._is_dispatching = False
+        self.gateway_actions = GatewayActions(self)
+        self.action_handlers = self._action_handlers()
+
+    def _action_handlers(self) -> dict[type, Callable[[Any], None]]:
+        return {
+            messages.ForwardRequest: self._forward,
+            messages.Reject: self._reject,
+            messages.Fail: self._fail,
+            messages.CancelAttempt: self.cancel_attempt,
+            messages.QuotaGranted: self.grant_quota,
+            messages.QuotaDenied: self._deny_quota,
+            messages.AddToCounter: self.gateway_actions.add_to_counter,
+            messages.SetTimer: self.gateway_actions.set_timer,
+            messages.CheckHealth: self.gateway_actions.check_health,
+            messages.CloseIdleConnections: self.gateway_actions.close_idle_connections,
+            messages.FetchEndpoints: self.gateway_actions.fetch_endpoints,
+            messages.WatchEndpoints: self.gateway_actions.watch_endpoints,
+            messages.LogMessage: self.gateway_actions.log_message,
         }
 
-    # Fronts
+    # Frontends
 
-    def join(self, front: object) -> None:
-        """A front that has joined has room of its own, which a flood on another cannot take."""
-        self.open.join(front)
-        self.held.join(front)
+    def register_frontend(self, frontend: object) -> None:
+        """Give a frontend capacity of its own, which a flood on another one cannot take."""
+        self.request_budget.join(frontend)
+        self.body_budget.join(frontend)
 
-    def leave(self, front: object) -> None:
-        self.open.leave(front)
-        self.held.leave(front)
+    def unregister_frontend(self, frontend: object) -> None:
+        """Give a frontend's capacity to the others; what it has in flight still ends as it would."""
+        self.request_budget.leave(frontend)
+        self.body_budget.leave(frontend)
 
-    def take(
-        self, front: object, request: messages.Request, order: UpstreamRequest, place: ResponseSink
+    def submit(
+        self,
+        frontend: object,
+        request: messages.Request,
+        upstream_request: UpstreamRequest,
+        sink: ResponseSink,
     ) -> None:
-        """From here on `place` gets exactly one answer, at once where there is no room. `request.left` is how
-        long its client waits, less WAY_BACK. Raises InWork, and then nothing was taken."""
-        if request.request_id in self.works:
-            raise InWork
-        room = self.open.free(front) > 0 and self.held.free(front) >= 0
-        mark = -1
-        if self.marks is not None and request.is_write:  # first: a refusal says that it has not run
-            if not room and self.marks.is_held(request.request_id):
-                raise InWork
-            mark = self.marks.acquire(request.request_id, request.remaining + WAY_BACK) if room else -2
-            if mark == -1:
-                raise InWork
-            if mark < 0:
-                place.reject(0.0)
-                return
-        elif not room:
-            place.reject(0.0)
+        """Accept a request: from here on `sink` gets exactly one answer, at once where there is no capacity.
+
+        `request.remaining` is how long its client waits, in seconds, less RESPONSE_MARGIN_S.
+
+        Raises:
+            DuplicateRequestError: Its id is in flight; then nothing was accepted.
+        """
+        if request.request_id in self.in_flight:
+            raise DuplicateRequestError
+        registry_place = self._reserve(frontend, request)
+        if registry_place == REGISTRY_FULL:
+            sink.reject(0.0)
             return
-        work = Work(request.request_id, place, order, front, time.monotonic() + request.remaining)
-        work.mark, work.customer = mark, request.customer
-        place.token = work
-        self.works[request.request_id] = work
-        self.open.take(front, 1)
-        self.held.take(front, order.body_size)
-        if order is NOTHING:
-            self.feed(request)
+        in_flight = self._admit(frontend, request, upstream_request, sink, registry_place)
+        if upstream_request is NO_UPSTREAM_REQUEST:
+            self.dispatch(request)
         else:
-            event = request if self.hooks is None else self.asked(self.hooks, work, request)
-            if (
-                self.outer is not None
-                and isinstance(event, messages.Request)
-                and self.outer.applies_to(event)
-            ):
-                self.ask(self.outer, work, event)
-            else:
-                self.feed(event)
-        if not work.over:  # many are refused at once, and need no guard
-            left = work.deadline + WAY_BACK - GUARD - time.monotonic()
-            work.guard = self.loop.call_later(max(0.0, left), self.overdue, work)
-
-    def check(self, front: object, check: messages.QuotaCheck, place: QuotaCheckSink) -> None:
-        """As `take`, for units that no host is asked for. Neither plug-ins nor an outer service are asked
-        about it."""
-        self.take(front, check, NOTHING, place)
-
-    def give_back(self, check: messages.QuotaCheck, told: messages.QuotaGranted) -> None:
-        """What a check was granted was not used: another of the same question was denied."""
+            self._consult_and_dispatch(in_flight, request)
+        if not in_flight.is_finished:  # many are rejected at once, and need no timer
+            self._start_deadline_timer(in_flight)
+
+    def submit_check(self, frontend: object, check: messages.QuotaCheck, sink: QuotaCheckSink) -> None:
+        """Accept a quota check, as `submit`, for units that no endpoint is asked for.
+
+        Neither plug-ins nor the external rate limiter are asked about it.
+        """
+        self.submit(frontend, check, NO_UPSTREAM_REQUEST, sink)
+
+    def return_quota(self, check: messages.QuotaCheck, granted: messages.QuotaGranted) -> None:
+        """Return what a check was granted and did not use: another of the same question was denied."""
         kind = (
             messages.ReturnReservation
             if isinstance(check, messages.QuotaReservation)
             else messages.ReturnUnits
         )
-        self.feed(kind(check.customer, check.units, told.window_index))
+        self.dispatch(kind(check.customer, check.units, granted.window_index))
+
+    def is_in_flight(self, request_id: str, is_write: bool) -> bool:
+        """Tell whether this id may be running, so that a rejection, which says it did not, would be false."""
+        if request_id in self.in_flight:
+            return True
+        registry = self.in_flight_registry
+        return is_write and registry is not None and registry.is_held(request_id)
+
+    def on_client_disconnected(self, sink: ResponseSink) -> None:
+        """Send nothing more for a request whose client went away, and answer nobody."""
+        in_flight: InFlightRequest | None = sink.token
+        if in_flight is not None and not in_flight.is_finished:
+            self.finish(in_flight, RequestOutcome.GONE)
+            self.dispatch(messages.ClientDisconnected(in_flight.request_id))
+
+    # Admission of one request
+
+    def _reserve(self, frontend: object, request: messages.Request) -> int:
+        """Return the request's place in the registry, NOT_REGISTERED, or REGISTRY_FULL for no capacity."""
+        has_capacity = (
+            self.request_budget.available_to(frontend) > 0 and self.body_budget.available_to(frontend) >= 0
+        )
+        registry = self.in_flight_registry
+        if registry is None or not request.is_write:
+            return NOT_REGISTERED if has_capacity else REGISTRY_FULL
+        if not has_capacity:
+            # A rejection says that the write has not run, which is not known of one held elsewhere.
+            if registry.is_held(request.request_id):
+                raise DuplicateRequestError
+            return REGISTRY_FULL
+        place = registry.acquire(request.request_id, request.remaining + RESPONSE_MARGIN_S)
+        if place == HELD_ELSEWHERE:
+            raise DuplicateRequestError
+        return place
+
+    def _admit(
+        self,
+        frontend: object,
+        request: messages.Request,
+        upstream_request: UpstreamRequest,
+        sink: ResponseSink,
+        registry_place: int,
+    ) -> InFlightRequest:
+        deadline = time.monotonic() + request.remaining
+        in_flight = InFlightRequest(request.request_id, sink, upstream_request, frontend, deadline)
+        in_flight.registry_place = registry_place
+        in_flight.customer = request.customer
+        sink.token = in_flight
+        self.in_flight[request.request_id] = in_flight
+        self.request_budget.acquire(frontend, 1)
+        self.body_budget.acquire(frontend, upstream_request.body_size)
+        return in_flight
+
+    def _consult_and_dispatch(self, in_flight: InFlightRequest, request: messages.Request) -> None:
+        """Let plug-ins and the external rate limiter have their say before the decision module does."""
+        event: messages.Request | messages.RejectedByPlugin = request
+        if self.plugins is not None:
+            event = self._apply_plugins(self.plugins, in_flight, request)
+        limiter = self.external_ratelimit
+        if limiter is not None and isinstance(event, messages.Request) and limiter.applies_to(event):
+            self._check_external_ratelimit(limiter, in_flight, event)
+        else:
+            self.dispatch(event)
 
-    def ask(self, outer: ExternalRateLimiter, work: Work, request: messages.Request) -> None:
-        """The module hears of it once the outer service has let it pass, or has failed to say anything and
-        settings let it pass then. Until that it holds its place, and its guard answers it in time."""
+    def _apply_plugins(
+        self, plugins: PluginChain, in_flight: InFlightRequest, request: messages.Request
+    ) -> messages.Request | messages.RejectedByPlugin:
+        """Return what the plug-ins make of a request; the request itself where they raise."""
+        try:
+            in_flight.plugins, event = plugins.on_request(request)
+            return event
+        except Exception:
+            log.exception("request %s: plug-ins", in_flight.request_id)
+            return request
+
+    def _check_external_ratelimit(
+        self, limiter: ExternalRateLimiter, in_flight: InFlightRequest, request: messages.Request
+    ) -> None:
+        """Dispatch a request once the external rate limiter has let it pass, or settings have in its place.
+
+        Until then the request holds its capacity, and its deadline timer answers it in time.
+        """
 
-        def decided(go_on: bool, wait: float) -> None:
-            work.asked = None
-            if work.over:
+        def on_decided(is_allowed: bool, retry_after: float) -> None:
+            in_flight.pending_check = None
+            if in_flight.is_finished:
                 return
-            if go_on:
-                left = work.deadline - time.monotonic()
-                self.feed(replace(request, remaining=left))
+            if is_allowed:
+                remaining = in_flight.deadline - time.monotonic()
+                self.dispatch(replace(request, remaining=remaining))
             else:
-                self.feed(messages.RejectedByPlugin(work.id, wait))
+                self.dispatch(messages.RejectedByPlugin(in_flight.request_id, retry_after))
 
         try:
-            work.asked = outer.check(request, request.remaining, decided)
+            in_flight.pending_check = limiter.check(request, request.remaining, on_decided)
         except Exception:  # one that raises has said nothing
-            log.exception("request %s: the outer service could not be asked", work.id)
-            if not work.over:
-                self.feed(request)
+            log.exception("request %s: the outer service could not be asked", in_flight.request_id)
+            if not in_flight.is_finished:
+                self.dispatch(request)
 
-    def in_work(self, id: str, write: bool) -> bool:
-        """Whether this id may be running: a refusal, which says that it did not run, would not be true."""
-        return id in self.works or (write and self.marks is not None and self.marks.is_held(id))
+    # Deadline
 
-    def asked(
-        self, hooks: PluginChain, work: Work, request: messages.Request
-    ) -> messages.Request | messages.RejectedByPlugin:
-        """What the plug-ins make of a request; the request itself where they raise."""
-        try:
-            work.hooked, event = hooks.on_request(request)
-            return event
-        except Exception:
-            log.exception("request %s: plug-ins", work.id)
-            return request
+    def _start_deadline_timer(self, in_flight: InFlightRequest) -> None:
+        guard_at = in_flight.deadline + RESPONSE_MARGIN_S - DEADLINE_GUARD_MARGIN_S
+        delay = max(0.0, guard_at - time.monotonic())
+        in_flight.deadline_timer = self.loop.call_later(delay, self.on_deadline, in_flight)
 
-    def gone(self, place: ResponseSink) -> None:
-        """The client went away: nothing more is sent for its request, and nobody is answered."""
-        work = place.token
-        if work is not None and not work.over:
-            self.finish(work, "gone")
-            self.feed(messages.ClientDisconnected(work.id))
+    def on_deadline(self, in_flight: InFlightRequest) -> None:
+        """Fail a request that the decision module has not answered in its client's time."""
+        if not in_flight.is_finished:
+            log.warning("request %s: no decision before its deadline", in_flight.request_id)
+            self._abort(in_flight)
 
     # Events
 
-    def feed(self, event: messages.Event) -> None:
-        """Hands events over one after another: what an action causes at once waits its turn. But the end of a
-        request goes before all that waits, so that nothing is decided for it any more."""
+    def dispatch(self, event: messages.Event) -> None:
+        """Hand an event to the decision module; what its actions cause at once waits its turn.
+
+        But the end of a request goes before all that waits, so that nothing is decided for it any more.
+        """
         if isinstance(event, messages.ClientDisconnected):
-            self.events.appendleft(event)
+            self._events.appendleft(event)
         else:
-            self.events.append(event)
-        if self.feeding:
+            self._events.append(event)
+        if self._is_dispatching:
             return
-        self.feeding = True
+        self._is_dispatching = True
         try:
-            while self.events:
-                self.handle(self.events.popleft())
+            while self._events:
+                self._handle_event(self._events.popleft())
         finally:
-            self.feeding = False
+            self._is_dispatching = False
 
-    def handle(self, event: messages.Event) -> None:
+    def _handle_event(self, event: messages.Event) -> None:
         try:
             actions = self.module.handle(self.clock(), event)
         except Exception:  # one request must not take the others along
             log.exception("the module failed on %s", type(event).__name__)
-            if (
-                isinstance(event, messages.Request | messages.RejectedByPlugin | messages.AttemptOutcome)
-                and event.request_id in self.works
-            ):
-                self.abandon(self.works[event.request_id])
+            self._abort_request_of(event)
             return
         for action in actions:
             try:
-                self.actions[type(action)](action)
-            except Exception:  # nor one action the rest; the guard answers what it was for
+                self.action_handlers[type(action)](action)
+            except Exception:  # nor one action the rest; the deadline timer answers what it was for
                 log.exception("%r could not be carried out", action)
 
-    def abandon(self, work: Work) -> None:
-        """Fails a request by itself and lets the module forget it."""
-        self.finish(work, "failed")
-        for attempt in list(work.live.values()):
-            self.hosts.abandon(attempt, "cancelled")
-        self.feed(messages.ClientDisconnected(work.id))
-
-    def overdue(self, work: Work) -> None:
-        """Guards the client's deadline against a module that says nothing."""
-        if not work.over:
-            log.warning("request %s: no decision before its deadline", work.id)
-            self.abandon(work)
-
-    def finish(self, work: Work, outcome: str, *told: Any) -> None:
-        """The one place where a request gets its final answer: served, refused or failed, a check granted or
-        denied, the calls of its place; gone: nobody is there to hear it."""
-        if work.over:
+    def _abort_request_of(self, event: messages.Event) -> None:
+        """Fail the request that an event is about, if it is about one."""
+        if isinstance(event, messages.Request | messages.RejectedByPlugin | messages.AttemptOutcome):
+            in_flight = self.in_flight.get(event.request_id)
+            if in_flight is not None:
+                self._abort(in_flight)
+
+    # The final answer
+
+    def finish(self, in_flight: InFlightRequest, outcome: RequestOutcome, answer: Any = None) -> None:
+        """Give a request its final answer: the one place where that is done.
+
+        Args:
+            in_flight: The request; one that is finished stays as it is.
+            outcome: How it ends.
+            answer: What the sink is told, by outcome: the value in bytes if SERVED, seconds to wait if
+                REFUSED, the action itself if GRANTED or DENIED; else nothing.
+        """
+        if in_flight.is_finished:
             return
-        work.over = True
-        if work.guard is not None:
-            work.guard.cancel()
-        if work.asked is not None and self.outer is not None:
-            self.outer.cancel(work.asked)
-            work.asked = None
-        if outcome != "gone":
-            try:
-                getattr(work.place, SINK_METHODS[outcome])(*told)
-            except Exception:  # a front that fails must not keep what it gave up from being cleared away
-                log.exception("request %s: its front could not answer", work.id)
-        for attempt in list(work.live.values()):
+        in_flight.is_finished = True
+        if in_flight.deadline_timer is not None:
+            in_flight.deadline_timer.cancel()
+        if in_flight.pending_check is not None and self.external_ratelimit is not None:
+            self.external_ratelimit.cancel(in_flight.pending_check)
+            in_flight.pending_check = None
+        self._respond(in_flight, outcome, answer)
+        for attempt in list(in_flight.active_attempts.values()):
             if not attempt.is_written:  # after the final answer nothing more is sent
-                self.hosts.abandon(attempt, "cancelled")
-        if work.hooked is not None:
+                self.upstream.abandon(attempt, "cancelled")
+        if in_flight.plugins is not None:
             try:
-                work.hooked.on_end(outcome)
+                in_flight.plugins.on_end(outcome)
             except Exception:
-                log.exception("request %s: plug-ins", work.id)
-        self.forget(work)
-
-    def forget(self, work: Work) -> None:
-        if work.over and not work.live and self.works.pop(work.id, None) is not None:
-            self.open.give(work.front, 1)
-            self.held.give(work.front, work.order.body_size)
-            if self.marks is not None and work.mark >= 0:
-                self.marks.release(work.mark)
-            if self.stopping and not self.works:
-                self.done.set()
-
-    # Membership
-
-    def listed(self, hosts: messages.EndpointList, addresses: Addresses) -> None:
-        """The module hears of it between new hosts and those that go: what ends with a host that goes is then
-        not sent there once more."""
-        up = {h.id for h in hosts.endpoints if h.state == "up"}
-        for host in up & addresses.keys():
-            self.hosts.update_endpoint(host, addresses[host])
-        self.feed(hosts)
-        named = {h.id for h in hosts.endpoints}
-        for host in (named if hosts.mode == "delta" else named | self.hosts.known_endpoints()) - up:
-            self.hosts.update_endpoint(host, None)
-        self.ready = self.ready or bool(self.hosts.known_endpoints())
-
-    def list_failed(self) -> None:
+                log.exception("request %s: plug-ins", in_flight.request_id)
+        self._release_if_ended(in_flight)
+
+    def _respond(self, in_flight: InFlightRequest, outcome: RequestOutcome, answer: Any) -> None:
+        sink = in_flight.sink
+        try:
+            match outcome:
+                case RequestOutcome.SERVED:
+                    sink.complete(answer)
+                case RequestOutcome.REFUSED:
+                    sink.reject(answer)
+                case RequestOutcome.FAILED:
+                    sink.fail()
+                case RequestOutcome.GRANTED:
+                    cast(QuotaCheckSink, sink).grant(answer)
+                case RequestOutcome.DENIED:
+                    cast(QuotaCheckSink, sink).deny(answer)
+                case RequestOutcome.GONE:
+                    pass  # nobody is there to hear it
+        except Exception:  # a frontend that fails must not keep what it gave up from being cleared away
+            log.exception("request %s: its front could not answer", in_flight.request_id)
+
+    def _abort(self, in_flight: InFlightRequest) -> None:
+        """Fail a request without the decision module, and let that forget it."""
+        self.finish(in_flight, RequestOutcome.FAILED)
+        for attempt in list(in_flight.active_attempts.values()):
+            self.upstream.abandon(attempt, "cancelled")
+        self.dispatch(messages.ClientDisconnected(in_flight.request_id))
+
+    def _release_if_ended(self, in_flight: InFlightRequest) -> None:
+        """Release a request's capacity once it is finished and its last attempt has ended."""
+        if not in_flight.is_finished or in_flight.active_attempts:
+            return
+        if self.in_flight.pop(in_flight.request_id, None) is None:
+            return
+        self.request_budget.release(in_flight.frontend, 1)
+        self.body_budget.release(in_flight.frontend, in_flight.upstream_request.body_size)
+        if self.in_flight_registry is not None and in_flight.registry_place >= 0:
+            self.in_flight_registry.release(in_flight.registry_place)
+        if self.is_draining and not self.in_flight:
+            self._drained.set()
+
+    # Endpoint list
+
+    def on_endpoint_list(self, endpoint_list: messages.EndpointList, addresses: Addresses) -> None:
+        """Take in a new endpoint list.
+
+        The decision module hears of it between the endpoints that come and those that go: what ends with one
+        that goes is then not sent there once more.
+        """
+        up = {endpoint.id for endpoint in endpoint_list.endpoints if endpoint.state == "up"}
+        for endpoint_id in up & addresses.keys():
+            self.upstream.update_endpoint(endpoint_id, addresses[endpoint_id])
+        self.dispatch(endpoint_list)
+        listed = {endpoint.id for endpoint in endpoint_list.endpoints}
+        if endpoint_list.mode != "delta":
+            listed |= self.upstream.known_endpoints()
+        for endpoint_id in listed - up:
+            self.upstream.update_endpoint(endpoint_id, None)
+        self.is_ready = self.is_ready or bool(self.upstream.known_endpoints())
+
+    def on_endpoint_list_failed(self) -> None:
+        """Tell the decision module that an endpoint list it asked for could not be had."""
         if self.settings.discovery_mode == "ask" and self.membership is not None:
-            self.feed(messages.EndpointList("failed", self.membership.version, ()))
-
-    def fetch(self) -> None:
-        if self.membership is not None:
-            self.membership.fetch()
-
-    def watch(self, on: bool) -> None:
-        if self.membership is not None:
-            self.membership.watch(on)
-
-    # Actions
-
-    def refuse(self, action: messages.Reject) -> None:
-        work = self.works.get(action.request_id)
-        if work is not None:
-            if self.door is not None and action.retry_after > 0:
-                self.door.told(work.customer, action.retry_after)
-            self.finish(work, "refused", action.retry_after)
-
-    def fail(self, action: messages.Fail) -> None:
-        work = self.works.get(action.request_id)
-        if work is not None:
-            self.finish(work, "failed")
-
-    def granted(self, action: messages.QuotaGranted) -> None:
-        work = self.works.get(action.request_id)
-        if work is not None:
-            self.finish(work, "granted", action)
-
-    def denied(self, action: messages.QuotaDenied) -> None:
-        work = self.works.get(action.request_id)
-        if work is not None:
-            if self.door is not None and action.retry_after > 0:
-                self.door.told(work.customer, action.retry_after)
-            self.finish(work, "denied", action)
-
-    def send(self, action: messages.ForwardRequest) -> None:
-        work = self.works.get(action.request_id)
-        if work is None:
+            self.dispatch(messages.EndpointList("failed", self.membership.version, ()))
+
+    # Actions that answer a request
+
+    def _reject(self, action: messages.Reject) -> None:
+        in_flight = self.in_flight.get(action.request_id)
+        if in_flight is not None:
+            self._note_retry_after(in_flight, action.retry_after)
+            self.finish(in_flight, RequestOutcome.REFUSED, action.retry_after)
+
+    def _fail(self, action: messages.Fail) -> None:
+        in_flight = self.in_flight.get(action.request_id)
+        if in_flight is not None:
+            self.finish(in_flight, RequestOutcome.FAILED)
+
+    def grant_quota(self, action: messages.QuotaGranted) -> None:
+        """Answer a quota check: granted."""
+        in_flight = self.in_flight.get(action.request_id)
+        if in_flight is not None:
+            self.finish(in_flight, RequestOutcome.GRANTED, action)
+
+    def _deny_quota(self, action: messages.QuotaDenied) -> None:
+        in_flight = self.in_flight.get(action.request_id)
+        if in_flight is not None:
+            self._note_retry_after(in_flight, action.retry_after)
+            self.finish(in_flight, RequestOutcome.DENIED, action)
+
+    def _note_retry_after(self, in_flight: InFlightRequest, retry_after: float) -> None:
+        """Let admission know when a customer was told to come again, in seconds from now."""
+        if self.admission is not None and retry_after > 0:
+            self.admission.on_retry_after(in_flight.customer, retry_after)
+
+    # Attempts
+
+    def _forward(self, action: messages.ForwardRequest) -> None:
+        """Send one attempt, or tell the decision module that it is moot."""
+        in_flight = self.in_flight.get(action.request_id)
+        if in_flight is None:
             return
-        number, left = work.sends, work.deadline - time.monotonic()
-        work.sends += 1
-        limits = self.settings.limits
-        # Over: its end crossed this. The module is told, or it would count one out at that host for good.
-        unable = work.over or number >= limits.max_attempts or (work.live and not limits.can_hedge)
-        if work.hooked is not None and left > 0 and not unable:
-            left = self.told(work, action.endpoint_id)
-        if left <= 0 or unable:
-            self.feed(messages.AttemptOutcome(work.id, number, action.endpoint_id, "moot", 0.0, work.over))
+        number = in_flight.attempt_count
+        remaining = in_flight.deadline - time.monotonic()
+        in_flight.attempt_count += 1
+        may_send = self._may_send(in_flight, number)
+        if in_flight.plugins is not None and remaining > 0 and may_send:
+            remaining = self._notify_plugins(in_flight, action.endpoint_id)
+        if remaining <= 0 or not may_send:
+            # The module is told, or it would count one in flight at that endpoint for good.
+            self.dispatch(
+                messages.AttemptOutcome(
+                    in_flight.request_id, number, action.endpoint_id, "moot", 0.0, in_flight.is_finished
+                )
+            )
             return
-        wait = min(left, action.timeout) if action.timeout > 0 else left
-        attempt = self.hosts.create_attempt(
-            action.endpoint_id, work.order.encode(wait), self.attempt_done, (work, number)
+        timeout = min(remaining, action.timeout) if action.timeout > 0 else remaining
+        payload = in_flight.upstream_request.encode(timeout)
+        attempt = self.upstream.create_attempt(
+            action.endpoint_id, payload, self._on_attempt_ended, (in_flight, number)
         )
-        work.live[number] = attempt
-        self.hosts.send(attempt, wait)
+        in_flight.active_attempts[number] = attempt
+        self.upstream.send(attempt, timeout)
 
-    def told(self, work: Work, host: str) -> float:
-        """Plug-ins hear of an attempt before it is sent. What is left, in seconds, when they have."""
+    def _may_send(self, in_flight: InFlightRequest, number: int) -> bool:
+        limits = self.settings.limits
+        if in_flight.is_finished:  # its end crossed the action
+            return False
+        if number >= limits.max_attempts:
+            return False
+        return not in_flight.active_attempts or limits.can_hedge
+
+    def _notify_plugins(self, in_flight: InFlightRequest, endpoint_id: str) -> float:
+        """Tell plug-ins of an attempt before it is sent; return the seconds that remain when they know."""
         try:
-            if work.hooked is not None:
-                work.hooked.on_attempt(host)
+            if in_flight.plugins is not None:
+                in_flight.plugins.on_attempt(endpoint_id)
         except Exception:
-            log.exception("request %s: plug-ins", work.id)
-        return work.deadline - time.monotonic()
-
-    def attempt_done(self, attempt: UpstreamAttempt) -> None:
-        work, number = attempt.tag
-        result, over = attempt.result, work.over
-        del work.live[number]
-        if over and result == "connect_failed":
-            result = "moot"  # called off before it was sent, which says nothing of the host
-        elif result == "ok" and not over:
-            self.finish(work, "served", attempt.value)
-        self.forget(work)
-        self.feed(
+            log.exception("request %s: plug-ins", in_flight.request_id)
+        return in_flight.deadline - time.monotonic()
+
+    def _on_attempt_ended(self, attempt: UpstreamAttempt) -> None:
+        in_flight: InFlightRequest
+        number: int
+        in_flight, number = attempt.tag
+        result = attempt.result
+        was_finished = in_flight.is_finished
+        del in_flight.active_attempts[number]
+        if was_finished and result == "connect_failed":
+            result = "moot"  # abandoned before it was sent, which says nothing of the endpoint
+        elif result == "ok" and not was_finished:
+            self.finish(in_flight, RequestOutcome.SERVED, attempt.value)
+        self._release_if_ended(in_flight)
+        self.dispatch(
             messages.AttemptOutcome(
-                work.id,
+                in_flight.request_id,
                 number,
                 attempt.endpoint_id,
                 result,
                 attempt.elapsed(),
-                work.over,
+                in_flight.is_finished,
                 metered_use=attempt.metered_use,
                 load_report=attempt.load_report,
             )
         )
 
-    def cancel(self, action: messages.CancelAttempt) -> None:
-        work = self.works.get(action.request_id)
-        if work is not None and action.attempt in work.live:
-            self.hosts.abandon(work.live[action.attempt], "cancelled")
-
-    def probe(self, action: messages.CheckHealth) -> None:
-        self.hosts.check_health(action.endpoint_id, self.probed)
-
-    def probed(self, attempt: UpstreamAttempt) -> None:
-        self.feed(
-            messages.HealthCheckResult(
-                attempt.endpoint_id, attempt.result, attempt.elapsed(), attempt.load_report
-            )
-        )
-
-    def count(self, action: messages.AddToCounter) -> None:
-        if self.counter is None:
-            self.loop.call_soon(self.counted, action.counter_key, "connect_failed", 0.0, 0.0)
-        else:
-            self.counter.add(action.counter_key, action.amount, action.lifetime, self.counted)
-
-    def counted(self, name: int, result: str, total: float, elapsed: float) -> None:
-        self.feed(messages.CounterResult(name, result, total, elapsed))
-
-    def set_timer(self, action: messages.SetTimer) -> None:
-        self.loop.call_later(action.delay, self.due, action.label, self.clock() + action.delay)
-
-    def due(self, label: int, at: float) -> None:
-        """The loop's timers tick in milliseconds and may fire early; the module would take an early one for
-        another and set no further."""
-        left = at - self.clock()
-        if left > 0:
-            self.loop.call_later(left + 0.001, self.due, label, at)
-        else:
-            self.feed(messages.TimerExpired(label))
+    def cancel_attempt(self, action: messages.CancelAttempt) -> None:
+        """Abandon one attempt of a request."""
+        in_flight = self.in_flight.get(action.request_id)
+        if in_flight is not None and action.attempt in in_flight.active_attempts:
+            self.upstream.abandon(in_flight.active_attempts[action.attempt], "cancelled")
 
-    # The end
+    # Graceful shutdown
 
     async def drain(self, seconds: float) -> None:
-        """Waits until all that was taken is answered, and fails what is not by then."""
-        if not self.works:
+        """Wait until all accepted requests are answered, and fail what is not within `seconds`."""
+        if not self.in_flight:
             return
-        self.done.clear()
+        self._drained.clear()
         try:
             async with asyncio.timeout(seconds):
-                await self.done.wait()
+                await self._drained.wait()
         except TimeoutError:
-            for work in list(self.works.values()):
-                self.abandon(work)
+            for in_flight in list(self.in_flight.values()):
+                self._abort(in_flight)
--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -12,7 +12,8 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from apigateway import messages
-from apigateway.core.request_lifecycle import Clock, Core
+from apigateway.core.clock import MonotonicUnixClock
+from apigateway.core.request_lifecycle import RequestDispatcher
 from apigateway.counter.client import Counter
 from apigateway.daemon.config import Config
 from apigateway.frontends.resp.front import RespFront
@@ -24,7 +25,7 @@
 from apigateway.upstream.hosts import Hosts
 
 if TYPE_CHECKING:
-    from apigateway.core.admission import Door
+    from apigateway.core.admission import AdmissionController
     from apigateway.daemon.ratelimit import Built, RateLimits
     from apigateway.frontends.grpc.front import GrpcFront
     from apigateway.membership.judge import Judge
@@ -71,8 +72,8 @@
         self.hosts = Hosts(config.connect_timeout, config.idle_close, self.room // 2)
         settings = config.settings
         self.counter = Counter(config.counter, settings.counter_timeout) if config.counter else None
-        self.clock = Clock()  # one for the module's birth and all its events
-        self.core = Core(
+        self.clock = MonotonicUnixClock()  # one for the module's birth and all its events
+        self.core = RequestDispatcher(
             settings,
             self.module(),
             self.hosts,
@@ -118,14 +119,14 @@
 
     def open_door(self, config: Config) -> None:
         """What is turned away early while the core is short, as the settings have it: not on the platform."""
-        self.core.door = self.door(config)
+        self.core.admission = self.door(config)
         for front in self.fronts:
             front.watch_door()
 
-    def door(self, config: Config) -> Door | None:
+    def door(self, config: Config) -> AdmissionController | None:
         if config.overload is None:
             return None
-        from apigateway.core.admission import Door
+        from apigateway.core.admission import AdmissionController
         from apigateway.policy.overload_gate import Gate
 
         limits = config.settings.limits
@@ -133,7 +134,7 @@
         if self.gate is None:
             self.gate = Gate(*terms, config.seed)
         self.gate.set(*terms)
-        return self.core.door or Door(self.gate, self.loop)
+        return self.core.admission or AdmissionController(self.gate, self.loop)
 
     def share(self) -> None:
         """Fronts have even parts of the connections and of the bytes of half commands."""
@@ -144,7 +145,7 @@
         if config.hosts_file is not None:
             from apigateway.membership.file import HostsInFile  # the platform's `run` does without
 
-            return HostsInFile(config.hosts_file, self.listed, self.core.list_failed)
+            return HostsInFile(config.hosts_file, self.listed, self.core.on_endpoint_list_failed)
         belief = getattr(getattr(self, "discovery", None), "belief", None)  # goes on, with its doubts and age
         if config.discovery is None:
             from apigateway.membership.eureka.source import EurekaSource, resolve
@@ -158,7 +159,7 @@
                 config.registry,
                 self.listing,
                 self.listed,
-                self.core.list_failed,
+                self.core.on_endpoint_list_failed,
                 own,
                 by_name,
                 self.core.clock,
@@ -172,21 +173,23 @@
             from apigateway.membership.judge import Judge
 
             judge = Judge(config.trust, self.listing, self.listed, self.core.clock, belief)
-            return JudgedDiscovery(config.discovery, version, judge, self.core.list_failed, schedule)
-        return Discovery(config.discovery, version, self.listed, self.core.list_failed, schedule)
+            return JudgedDiscovery(
+                config.discovery, version, judge, self.core.on_endpoint_list_failed, schedule
+            )
+        return Discovery(config.discovery, version, self.listed, self.core.on_endpoint_list_failed, schedule)
 
     def listed(self, listing: Listing) -> None:
         self.listed_at = time.monotonic()
-        if self.core.ready and listing.hosts.mode == "delta" and not listing.hosts.endpoints:
+        if self.core.is_ready and listing.hosts.mode == "delta" and not listing.hosts.endpoints:
             return  # a watch that ended with no news
         self.listing = merged(self.listing, listing)
-        self.core.listed(listing.hosts, listing.addresses)
-        if self.core.ready:
+        self.core.on_endpoint_list(listing.hosts, listing.addresses)
+        if self.core.is_ready:
             self.known.set()
 
     def leave(self, zones: tuple[str, ...]) -> None:
         """Nothing new goes to hosts of these zones from now on, as long as there are others."""
-        self.core.feed(messages.EvacuateZones(zones))
+        self.core.dispatch(messages.EvacuateZones(zones))
         known = {host.zone for host in self.listing.hosts.endpoints}
         if known and known <= set(zones):
             log.warning("sites.leave names all zones of the list (%s): none is left", " ".join(sorted(known)))
@@ -221,7 +224,7 @@
 
     def reload(self, config: Config) -> None:
         """Goes over to the addresses of a new configuration. The rest of it holds from the next start on."""
-        if self.core.stopping:
+        if self.core.is_draining:
             return
         old, self.config = self.config, config
         if (old.settings, old.listen, old.sockets) != (config.settings, config.listen, config.sockets):
@@ -265,7 +268,7 @@
             self.go_over(source)
         if config.leave != old.leave:
             self.leave(config.leave)
-        self.core.open.most = config.max_open
+        self.core.request_budget.limit = config.max_open
         self.open_door(config)
         leaving = [front for front in self.fronts if front.address in gone]
         self.fronts = [*(front for front in self.fronts if front.address not in gone), *added]
@@ -292,7 +295,7 @@
     def plug_in(self, plugins: Plugins | None) -> None:
         """Requests taken from now on go by these; None: by none."""
         replaced, self.plugins = self.plugins, plugins
-        self.core.hooks = plugins
+        self.core.plugins = plugins
         if replaced is not None and replaced is not plugins:
             replaced.retire()
 
@@ -348,11 +351,11 @@
         stores fill no further: from now on the successor's do."""
         for front in self.fronts:
             front.pause()
-        self.core.feed(messages.DrainGateway(True))
+        self.core.dispatch(messages.DrainGateway(True))
 
     async def resume(self, sockets: Mapping[Address, socket.socket]) -> None:
         """The successor failed: goes on as before."""
-        self.core.feed(messages.DrainGateway(False))
+        self.core.dispatch(messages.DrainGateway(False))
         await self.listen(sockets)
 
     def begin(self, listing: Listing) -> None:
@@ -360,7 +363,7 @@
         the predecessor's last. What only one of the two was told to be draining drains: the gateway was told.
         The source is asked anew, so that what was taken too badly is mended."""
         self.core.module = self.module()
-        self.core.feed(replace(self.listing.hosts, mode="cached"))
+        self.core.dispatch(replace(self.listing.hosts, mode="cached"))
         up = {h.id for h in self.listing.hosts.endpoints if h.state == "up"}
         late = [h for h in listing.hosts.endpoints if h.state != "up" and h.id in up]
         if not late:
@@ -387,14 +390,16 @@
     async def stop(self, linger: float | None = None) -> None:
         """After SIGTERM: goes on while connections still come, then finishes what it has taken."""
         began = time.monotonic()
-        self.core.stopping = True
+        self.core.is_draining = True
         for front in self.fronts:
             front.stopping()
         await asyncio.sleep(self.config.linger if linger is None else linger)
         await self.finish(self.fronts)
         await asyncio.sleep(READ)
-        door, until = self.core.door, began + self.config.finish
-        while door is not None and door.waiting and time.monotonic() < until:  # read, and not looked at yet
+        door, until = self.core.admission, began + self.config.finish
+        while (
+            door is not None and door.deferred_connections and time.monotonic() < until
+        ):  # read, and not looked at yet
             await asyncio.sleep(0)
         for front in self.fronts:
             most = SETTLE if front.address in self.config.grpc else HALF
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -227,7 +227,7 @@
         """None: settings want nothing of it any more."""
         node = self.node
         if built is None:
-            self.tokens = node.core.outer = None
+            self.tokens = node.core.external_ratelimit = None
             for front in node.fronts:
                 front.take_tokens(None)
             self.close()
@@ -256,7 +256,7 @@
             self.outer = Outer(built.asked, node.config.name)
         else:
             self.outer.set(built.asked)
-        node.core.outer = self.outer
+        node.core.external_ratelimit = self.outer
 
     def front(self, address: Address, most: int, most_partial: int, built: Built) -> GrpcFront:
         """A new one, by `built`, which may not be in force yet."""
@@ -295,7 +295,7 @@
         self.front = GrpcFront(core, address, most, most_partial)
         self.service = RateLimit(core, self.front, Terms(Mapping([], (), (), 1)))
         front = self.front
-        self.health = Health((NAME,), lambda: core.ready and not core.stopping and not front.ended)
+        self.health = Health((NAME,), lambda: core.is_ready and not core.is_draining and not front.ended)
         front.ending = self.health.changed
         reflection = Reflection((NAME, "grpc.health.v1.Health"))
         front.use(
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -125,7 +125,7 @@
                 self.sockets[address] = bind(address)
         plugins = await self.build_plugins(self.settings)  # raises before anything is served
         self.node = GatewayNode(self.config, await self.build_limits(self.settings, self.config))
-        self.node.core.marks = share.in_flight() if share is not None else None
+        self.node.core.in_flight_registry = share.in_flight() if share is not None else None
         if plugins is not None:
             self.plugins().start(self.node, plugins, self.settings.hooks.tick)
         self.node.prepare()
@@ -221,7 +221,7 @@
     async def able(self, seconds: float | None) -> bool:
         """Until hosts are known, and a line to the counter is up or that has had its time. False if it was
         told to stop meanwhile. Raises HandOverFailed after `seconds`."""
-        if not self.node.core.ready:
+        if not self.node.core.is_ready:
             log.info("waiting for a list of hosts")
         told = self.loop.create_task(self.told.wait())
         known = self.loop.create_task(self.node.known.wait())
--- a/apigateway/frontends/grpc/front.py
+++ b/apigateway/frontends/grpc/front.py
@@ -11,7 +11,7 @@
 from time import monotonic
 from typing import Protocol
 
-from apigateway.core.request_lifecycle import Core
+from apigateway.core.request_lifecycle import RequestDispatcher
 from apigateway.frontends.grpc.wire import Call, Event, Gone, Heard, Opened, Session
 from apigateway.upstream import looks
 from apigateway.upstream.address import Address
@@ -198,7 +198,9 @@
     """One listener of at most `most` connections, which hold at most `most_partial` bytes of half messages.
     `methods` and `streams` by path; `context`: TLS, for connections from now on."""
 
-    def __init__(self, core: Core, address: Address, most: int, most_partial: int = 1 << 24) -> None:
+    def __init__(
+        self, core: RequestDispatcher, address: Address, most: int, most_partial: int = 1 << 24
+    ) -> None:
         self.core, self.address, self.port, self.most = core, address, address[1], most
         self.most_partial, self.partial = most_partial, 0
         self.methods: dict[str, Method] = {}
@@ -214,7 +216,7 @@
         self.listener: socket.socket | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.last: asyncio.Future[None] | None = None
-        core.join(self)
+        core.register_frontend(self)
 
     async def listen(self, sock: socket.socket | None = None) -> None:
         """At its address, or on `sock`, which listens already."""
@@ -364,7 +366,7 @@
             task.cancel()
         for connection in list(self.connections):
             connection.transport.close()
-        self.core.leave(self)
+        self.core.unregister_frontend(self)
 
     def use(self, methods: Mapping[str, Method], streams: Mapping[str, Streams] | None = None) -> None:
         """In place of those before. A path that streams does so for connections from now on."""
--- a/apigateway/frontends/grpc/service.py
+++ b/apigateway/frontends/grpc/service.py
@@ -17,7 +17,7 @@
 from envoy.service.ratelimit.v3 import rls_pb2 as pb
 
 from apigateway import messages
-from apigateway.core.request_lifecycle import WAY_BACK, Core, InWork
+from apigateway.core.request_lifecycle import RESPONSE_MARGIN_S, DuplicateRequestError, RequestDispatcher
 from apigateway.frontends.grpc.mapping import Mapping, Whose
 from apigateway.frontends.grpc.tokens import Purpose, Tokens
 from apigateway.upstream.rpc import (
@@ -143,8 +143,8 @@
         for parts in self.parts:
             for part in parts:
                 try:
-                    core.check(front, part.check, part)
-                except InWork:
+                    core.submit_check(front, part.check, part)
+                except DuplicateRequestError:
                     part.fail()
         self.one_more()
 
@@ -163,14 +163,14 @@
         for parts in self.parts:
             for part in parts:
                 if part.told is None and part.token is not None:
-                    self.service.core.gone(part)
+                    self.service.core.on_client_disconnected(part)
         self.give_back()
 
     def give_back(self) -> None:
         for parts in self.parts:
             for part in parts:
                 if isinstance(part.told, messages.QuotaGranted):
-                    self.service.core.give_back(part.check, part.told)
+                    self.service.core.return_quota(part.check, part.told)
 
     def tell(self) -> None:
         service, nobodys = self.service, self.service.nobodys
@@ -252,7 +252,7 @@
 class RateLimit:
     """The service, by `terms`, which may be replaced while it serves."""
 
-    def __init__(self, core: Core, front: object, terms: Terms) -> None:
+    def __init__(self, core: RequestDispatcher, front: object, terms: Terms) -> None:
         self.core, self.front = core, front
         self.terms = terms
         self.ids: Iterator[str] = counted(f"check-{time.monotonic_ns():x}-")
@@ -280,7 +280,7 @@
             self.no(failed, INVALID_ARGUMENT, "a domain and a descriptor are needed")
             return None
         question = Question(self, answered, failed)
-        left = (terms.patience if timeout is None else min(timeout, terms.patience)) - WAY_BACK
+        left = (terms.patience if timeout is None else min(timeout, terms.patience)) - RESPONSE_MARGIN_S
         for descriptor in request.descriptors:
             entries = [(entry.key, entry.value) for entry in descriptor.entries]
             whose = terms.mapping.whose(request.domain, entries)
--- a/apigateway/frontends/resp/command.py
+++ b/apigateway/frontends/resp/command.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from apigateway import messages
-from apigateway.core.request_lifecycle import MOST_LEFT, WAY_BACK
+from apigateway.core.request_lifecycle import MAX_REQUEST_TIMEOUT_S, RESPONSE_MARGIN_S
 from apigateway.upstream.framing import MOST_BODY, bulk
 
 # The protocol's forms: int() and float() take blanks, signs, `1_0`, `0x1` and more besides.
@@ -119,7 +119,7 @@
     cls, plan, left, units, first, spread, repeat = terms
     return messages.Request(
         name.decode(),
-        left - WAY_BACK,
+        left - RESPONSE_MARGIN_S,
         customer.decode().lower(),
         plan,
         cls,
@@ -151,7 +151,10 @@
         raise BadRequest("class does not go with this command")
     gateways = settings.gateway_count // span
     if not (
-        0 < units <= settings.max_units and 1 <= spread <= gateways and first < gateways and left <= MOST_LEFT
+        0 < units <= settings.max_units
+        and 1 <= spread <= gateways
+        and first < gateways
+        and left <= MAX_REQUEST_TIMEOUT_S
     ):
         raise BadRequest("field out of range")
     return Terms(cls.name, plan, left, units, first * span, spread * span, fields.get(b"r") == b"1")
--- a/apigateway/frontends/resp/front.py
+++ b/apigateway/frontends/resp/front.py
@@ -9,13 +9,13 @@
 from typing import TYPE_CHECKING, Any
 
 from apigateway import messages
-from apigateway.core.request_lifecycle import Core, InWork
+from apigateway.core.request_lifecycle import DuplicateRequestError, RequestDispatcher
 from apigateway.frontends.resp.command import BadRequest, Kept, read_command
 from apigateway.frontends.resp.server import FAILED, ClientServer, Slot
 from apigateway.upstream.address import Address
 
 if TYPE_CHECKING:
-    from apigateway.core.admission import Door
+    from apigateway.core.admission import AdmissionController
     from apigateway.frontends.resp.outline import Outline, Outliner
 
 PONG = b"+PONG\r\n"
@@ -28,7 +28,9 @@
     """One listener. `span`: gateways that clients know as one. At most `most` connections and `most_partial`
     bytes of half commands on all of them."""
 
-    def __init__(self, core: Core, most: int, most_partial: int, address: Address, span: int = 1) -> None:
+    def __init__(
+        self, core: RequestDispatcher, most: int, most_partial: int, address: Address, span: int = 1
+    ) -> None:
         self.core, self.address, self.port = core, address, address[1]
         self.server = ClientServer(self, most, most_partial)
         self.kept: Kept = {}
@@ -36,11 +38,11 @@
         self.span = span
         self.tokens: Any = None  # fronts.grpc.tokens.Tokens, where settings have keys for them
         self.watch_door()
-        core.join(self)
+        core.register_frontend(self)
 
     def watch_door(self) -> None:
         """The core's door has come or gone."""
-        self.server.door = self.core.door
+        self.server.door = self.core.admission
 
     def take_tokens(self, tokens: Any) -> None:
         """Of checks, from now on; None: none are taken."""
@@ -87,15 +89,15 @@
 
     def close(self) -> None:
         self.server.close()
-        self.core.leave(self)
+        self.core.unregister_frontend(self)
 
     def command(self, slot: Slot, command: object) -> None:
         if command == [b"PING"] or command == [b"ping"]:
-            serving = self.core.ready and not self.core.stopping
+            serving = self.core.is_ready and not self.core.is_draining
             slot.reply(PONG if serving else b"-ERR not ready\r\n")
             return
         try:
-            door = self.core.door
+            door = self.core.admission
             if door is not None:
                 outliner = self.outliner or self.outlines()
                 seen = outliner.command(command)
@@ -109,10 +111,10 @@
                     return
             if self.tokens is not None and b"tok=" in order.parts[3]:
                 request = self.redeemed(request, order.parts[3], slot)
-            self.core.take(self, request, order, slot)
+            self.core.submit(self, request, order, slot)
         except BadRequest as err:
             slot.reply(b"-ERR %s\r\n" % str(err).encode())
-        except InWork:
+        except DuplicateRequestError:
             self.unpaid(slot)
             slot.reply(b"-ERR this id is in work\r\n")
         except Exception:
@@ -125,10 +127,10 @@
         self.outliner = Outliner(self.core.settings)
         return self.outliner
 
-    def turned_away(self, door: Door, seen: Outline, slot: Slot) -> float:
+    def turned_away(self, door: AdmissionController, seen: Outline, slot: Slot) -> float:
         """Asks the door. Below 0: it may pass, or is one that may be running and is told so."""
         wait = door.turned_away(seen.worth, seen.customer, seen.left, slot.client.came)
-        return -1.0 if wait >= 0 and self.core.in_work(seen.id, seen.write) else wait
+        return -1.0 if wait >= 0 and self.core.is_in_flight(seen.id, seen.write) else wait
 
     def redeemed(self, request: messages.Request, terms: bytes, slot: Slot) -> messages.Request:
         """With a token that stands for its units it takes none; with any other it is a request as ever."""
@@ -154,8 +156,8 @@
     def unpaid(self, slot: Slot) -> None:
         """It was not taken, or refused: its token stands again, unless an attempt was sent."""
         paid, slot.paid = slot.paid, None
-        if paid is not None and self.tokens is not None and not (slot.token and slot.token.sends):
+        if paid is not None and self.tokens is not None and not (slot.token and slot.token.attempt_count):
             self.tokens.give_back(paid)
 
     def gone(self, slot: Slot) -> None:
-        self.core.gone(slot)
+        self.core.on_client_disconnected(slot)
--- a/apigateway/frontends/resp/outline.py
+++ b/apigateway/frontends/resp/outline.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from apigateway import messages
-from apigateway.core.request_lifecycle import WAY_BACK
+from apigateway.core.request_lifecycle import RESPONSE_MARGIN_S
 from apigateway.frontends.resp.command import decimal
 from apigateway.policy import overload_gate
 
@@ -63,7 +63,7 @@
             request.customer,
             request.request_id,
             self.worth(request.service_class, request.plan, request.units),
-            request.remaining + WAY_BACK,
+            request.remaining + RESPONSE_MARGIN_S,
             request.is_write,
         )
 
--- a/apigateway/frontends/resp/server.py
+++ b/apigateway/frontends/resp/server.py
@@ -102,7 +102,7 @@
             if self.deferred:
                 return
             self.came = door.clock()
-            if door.over and self.server.may_keep(self):
+            if door.is_slice_used_up and self.server.may_keep(self):
                 self.defer(door)
                 return
         self.read_commands(door)
@@ -111,7 +111,7 @@
         """The loop has read for long enough in this turn. It goes on with this connection in its turn, and
         does not read it before."""
         self.deferred = True
-        door.waiting.append(self.go_on)
+        door.deferred_connections.append(self.go_on)
         self.server.hold(self, len(self.framing.buffer))
         self.throttle()
 
@@ -131,7 +131,12 @@
                 self.pending.append(slot)
                 self.server.idle.pop(self, None)
                 self.server.handler.command(slot, command)
-                if door is not None and door.over and self.framing.buffer and self.server.may_keep(self):
+                if (
+                    door is not None
+                    and door.is_slice_used_up
+                    and self.framing.buffer
+                    and self.server.may_keep(self)
+                ):
                     self.defer(door)
                     return
         except FramingError:
@@ -250,7 +255,7 @@
         self.unread: set[Client] = set()  # that are not read: their end would not be noticed
         self.looking: asyncio.TimerHandle | None = None
         self.listener: asyncio.Server | None = None
-        self.door: Any = None  # core.door.Door, where overload is on
+        self.door: Any = None  # core.admission.AdmissionController, where overload is on
         self.timer: asyncio.TimerHandle | None = None
         self.last: asyncio.Future[None] | None = None  # waits for the last client to leave
 
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -5,7 +5,12 @@
 import pytest
 from test_request_lifecycle import Scheduler
 
-from apigateway.core.admission import BEAT, QUANTUM, QUIET, Door
+from apigateway.core.admission import (
+    LAG_PROBE_INTERVAL_S,
+    OVERLOAD_END_AFTER_S,
+    READ_TIME_SLICE_S,
+    AdmissionController,
+)
 
 
 class Gate:
@@ -27,7 +32,7 @@
 class World:
     def __init__(self):
         self.now, self.gate, self.loop = 10.0, Gate(), Scheduler()
-        self.door = Door(self.gate, self.loop, lambda: self.now)
+        self.door = AdmissionController(self.gate, self.loop, lambda: self.now)
 
     def ask(self, took=0.0, came=None):
         self.door.turned_away(0, "c", 3.0, self.now if came is None else came)
@@ -50,11 +55,11 @@
 
     def connection(name, commands):
         def go_on():
-            while commands and not w.door.over:
+            while commands and not w.door.is_slice_used_up:
                 read.append((name, commands.pop(0)))
-                w.ask(QUANTUM * 0.6)
+                w.ask(READ_TIME_SLICE_S * 0.6)
             if commands:
-                w.door.waiting.append(go_on)
+                w.door.deferred_connections.append(go_on)
 
         return go_on
 
@@ -65,7 +70,7 @@
     assert read[3:] == [("a", 3), ("a", 4), ("b", 0)]
     for _ in range(10):
         w.turn()
-    assert len(read) == 15 and not w.door.waiting
+    assert len(read) == 15 and not w.door.deferred_connections
     assert [n for name, n in read if name == "c"] == list(range(5))
     w.turn()
     assert not w.loop.soon  # at rest nothing is left to be called
@@ -77,11 +82,11 @@
     def broken():
         raise RuntimeError("the connection is broken")
 
-    w.door.waiting.extend([broken, lambda: read.append("next")])
+    w.door.deferred_connections.extend([broken, lambda: read.append("next")])
     with pytest.raises(RuntimeError):
-        w.door.turned()
+        w.door.start_turn()
     w.turn()
-    assert read == ["next"] and not w.door.waiting
+    assert read == ["next"] and not w.door.deferred_connections
 
 
 def test_what_waits_is_told_to_the_gate():
@@ -104,9 +109,9 @@
 
 def test_what_the_module_refused_is_told_in_overload_only():
     w = World()
-    w.door.told("c", 1.0)
+    w.door.on_retry_after("c", 1.0)
     w.gate.tight = True
-    w.door.told("d", 1.0)
+    w.door.on_retry_after("d", 1.0)
     assert w.gate.heard == [("d", 1.0)]
 
 
@@ -118,7 +123,7 @@
         for _ in range(5):
             w.beat()
         w.gate.tight, w.gate.shed, w.gate.passed = False, 7, 3
-        for _ in range(int(QUIET / BEAT / 2)):
+        for _ in range(int(OVERLOAD_END_AFTER_S / LAG_PROBE_INTERVAL_S / 2)):
             w.beat()
         w.gate.tight = True  # it is the same overload still
         w.beat()
--- a/tests/core/test_asked.py
+++ b/tests/core/test_asked.py
@@ -6,7 +6,7 @@
 from test_request_lifecycle import Order, Place, World, request
 
 from apigateway import messages
-from apigateway.core.request_lifecycle import InWork
+from apigateway.core.request_lifecycle import DuplicateRequestError
 
 
 class Outer:
@@ -33,7 +33,7 @@
 
 def world(now=None):
     w = World()
-    w.core.outer = Outer(now)
+    w.core.external_ratelimit = Outer(now)
     return w
 
 
@@ -41,23 +41,23 @@
     w = world()
     place = w.take("a", [])
     assert not w.module.events and not place.answers
-    ((asked, left, decided),) = w.core.outer.asked
+    ((asked, left, decided),) = w.core.external_ratelimit.asked
     assert asked == request("a") and left == 3.0
     w.module.next = [messages.ForwardRequest("a", "h1")]
     decided(True, 0.0)
     heard = w.module.events[0]
     assert type(heard) is messages.Request and 2.0 < heard.remaining <= 3.0
     w.hosts.out[0].end("ok")
-    assert place.answers == ["served"] and not w.core.works
+    assert place.answers == ["served"] and not w.core.in_flight
 
 
 def test_what_may_not_go_on_is_refused_by_way_of_the_module():
     w = world()
     place = w.take("a")
     w.module.next = [messages.Reject("a", 0.5)]
-    w.core.outer.asked[0][2](False, 0.7)
+    w.core.external_ratelimit.asked[0][2](False, 0.7)
     assert w.module.events == [messages.RejectedByPlugin("a", 0.7)] and place.answers == ["refused"]
-    assert not w.hosts.sent and not w.core.works
+    assert not w.hosts.sent and not w.core.in_flight
 
 
 @pytest.mark.parametrize(
@@ -66,14 +66,14 @@
 def test_one_that_decides_at_once(now, event):
     w = world(now)
     place = w.take("a", [messages.Reject("a")])
-    assert type(w.module.events[0]) is event and place.answers == ["refused"] and not w.core.works
+    assert type(w.module.events[0]) is event and place.answers == ["refused"] and not w.core.in_flight
 
 
 def test_a_request_of_nobody_it_is_wanted_for_is_not_asked_about():
     w = world()
     told = messages.Request("a", 3.0, "c", "q", "read", 1.0, 0, 1)
-    w.core.take("front", told, Order(), Place())
-    assert w.module.events == [told] and not w.core.outer.asked
+    w.core.submit("front", told, Order(), Place())
+    assert w.module.events == [told] and not w.core.external_ratelimit.asked
 
 
 def test_neither_checks_nor_what_plug_ins_refuse_are_asked_about():
@@ -87,9 +87,9 @@
         def on_end(self, outcome):
             pass
 
-    w.core.hooks = Hooks()
+    w.core.plugins = Hooks()
     place = w.take("a", [messages.Reject("a")])
-    assert place.answers == ["refused"] and not w.core.outer.asked
+    assert place.answers == ["refused"] and not w.core.external_ratelimit.asked
 
 
 def test_an_outer_that_raises_has_said_nothing(caplog):
@@ -103,9 +103,9 @@
 def test_a_client_that_leaves_while_it_is_asked_calls_it_off():
     w = world()
     place = w.take("a")
-    w.core.gone(place)
-    assert w.core.outer.off == [1] and not w.core.works and not place.answers
-    w.core.outer.asked[0][2](True, 0.0)  # one that says it all the same
+    w.core.on_client_disconnected(place)
+    assert w.core.external_ratelimit.off == [1] and not w.core.in_flight and not place.answers
+    w.core.external_ratelimit.asked[0][2](True, 0.0)  # one that says it all the same
     assert [type(e) for e in w.module.events] == [messages.ClientDisconnected]
 
 
@@ -113,16 +113,16 @@
     w = world()
     place = w.take("a")
     w.loop.fire()  # the guard
-    assert place.answers == ["failed"] and w.core.outer.off == [1] and not w.core.works
-    w.core.outer.asked[0][2](True, 0.0)
+    assert place.answers == ["failed"] and w.core.external_ratelimit.off == [1] and not w.core.in_flight
+    w.core.external_ratelimit.asked[0][2](True, 0.0)
     assert place.answers == ["failed"] and not w.hosts.sent
 
 
 def test_it_holds_its_place_meanwhile():
     w = world()
-    w.core.open.most = 1
+    w.core.request_budget.limit = 1
     w.take("a")
-    with pytest.raises(InWork):
+    with pytest.raises(DuplicateRequestError):
         w.take("a")
     assert w.take("b").answers == ["refused"]
 
@@ -130,6 +130,6 @@
 def test_a_paid_request_stays_one():
     w = world()
     told = messages.PrepaidRequest("a", 3.0, "c", "p", "read", 1.0, 0, 1)
-    w.core.take("front", told, Order(), Place())
-    w.core.outer.asked[0][2](True, 0.0)
+    w.core.submit("front", told, Order(), Place())
+    w.core.external_ratelimit.asked[0][2](True, 0.0)
     assert type(w.module.events[0]) is messages.PrepaidRequest
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -11,8 +11,8 @@
 
 from apigateway import messages
 from apigateway.core import request_lifecycle as life
-from apigateway.core.budget import RESERVED, Budget
-from apigateway.core.request_lifecycle import Core, InWork
+from apigateway.core.budget import RESERVED_FRACTION, Budget
+from apigateway.core.request_lifecycle import DuplicateRequestError, RequestDispatcher
 
 
 class Scheduler:
@@ -69,7 +69,7 @@
 
     def send(self, attempt, timeout):
         assert timeout > 0 and not attempt.result
-        if attempt.tag[0].over:
+        if attempt.tag[0].is_finished:
             self.late.append(attempt)
         self.out.append(attempt)
         self.sent.append(attempt)
@@ -140,13 +140,15 @@
     def __init__(self, most=100, held=10_000, **limits):
         self.module, self.hosts, self.loop = Module(), Hosts(), Scheduler()
         conf = module_settings(limits={"can_hedge": False, **limits})
-        self.core = Core(conf, self.module, self.hosts, None, self.loop, most, held, clock=lambda: 1000.0)
-        self.core.join("front")
+        self.core = RequestDispatcher(
+            conf, self.module, self.hosts, None, self.loop, most, held, clock=lambda: 1000.0
+        )
+        self.core.register_frontend("front")
 
     def take(self, id, actions=(), front="front", broken=False, left=3.0):
         place = Place(broken)
         self.module.next = actions if isinstance(actions, Exception) else list(actions)
-        self.core.take(front, request(id, left), Order(), place)
+        self.core.submit(front, request(id, left), Order(), place)
         return place
 
 
@@ -154,7 +156,7 @@
     w = World()
     place = w.take("a", [messages.ForwardRequest("a", "h1")])
     w.hosts.out[0].end("ok")
-    assert place.answers == ["served"] and not w.core.works and not w.core.open.used
+    assert place.answers == ["served"] and not w.core.in_flight and not w.core.request_budget.used
     assert w.module.events[-1] == messages.AttemptOutcome("a", 0, "h1", "ok", 0.01, True)
     w.loop.fire()
     assert place.answers == ["served"]
@@ -162,9 +164,9 @@
 
 def test_an_id_in_work_is_taken_from_no_front():
     w = World()
-    w.core.join("other")
+    w.core.register_frontend("other")
     place = w.take("a", [messages.ForwardRequest("a", "h1")])
-    with pytest.raises(InWork):
+    with pytest.raises(DuplicateRequestError):
         w.take("a", front="other")
     w.hosts.out[0].end("ok")
     assert place.answers == ["served"]
@@ -188,7 +190,7 @@
     place = w.take("b", [messages.ForwardRequest("b", "h1")])
     w.hosts.out[0].is_written, w.module.next = True, RuntimeError("broken")
     w.hosts.out[0].end("reset")
-    assert place.answers == ["failed"] and not w.core.works
+    assert place.answers == ["failed"] and not w.core.in_flight
     assert isinstance(w.module.events[-1], messages.ClientDisconnected)
 
 
@@ -196,7 +198,7 @@
     w = World()
     place = w.take("a")
     w.loop.fire()
-    assert place.answers == ["failed"] and not w.core.works
+    assert place.answers == ["failed"] and not w.core.in_flight
 
 
 def test_an_action_that_cannot_be_carried_out_does_not_stop_the_next(caplog):
@@ -212,14 +214,14 @@
         bad = w.take("a", [messages.Reject("a")], broken=True)
         good = w.take("b", [messages.Reject("b")])
     assert bad.answers == good.answers == ["refused"]
-    assert not w.core.works and not w.core.open.used and not w.core.held.used
+    assert not w.core.in_flight and not w.core.request_budget.used and not w.core.body_budget.used
 
 
 def test_a_client_that_left_is_not_answered_and_its_attempt_is_called_off_unless_written():
     w = World()
     place = w.take("a", [messages.ForwardRequest("a", "h1")])
-    w.core.gone(place)
-    assert w.hosts.out[0].result == "connect_failed" and not w.core.works and place.answers == []
+    w.core.on_client_disconnected(place)
+    assert w.hosts.out[0].result == "connect_failed" and not w.core.in_flight and place.answers == []
     assert [e.result for e in w.module.events if isinstance(e, messages.AttemptOutcome)] == ["moot"]
 
 
@@ -227,28 +229,28 @@
     """A client's end that is noticed while the module works: what it decides next knows of it."""
     w = World()
     place, other = w.take("a"), w.take("b")
-    w.core.actions[messages.LogMessage] = lambda _: (
-        w.core.feed(messages.TimerExpired(7)),
-        w.core.gone(place),
+    w.core.action_handlers[messages.LogMessage] = lambda _: (
+        w.core.dispatch(messages.TimerExpired(7)),
+        w.core.on_client_disconnected(place),
     )
     w.module.next = [messages.LogMessage("")]
-    w.core.feed(messages.TimerExpired(0))
+    w.core.dispatch(messages.TimerExpired(0))
     assert [type(e) for e in w.module.events[-3:]] == [
         messages.TimerExpired,
         messages.ClientDisconnected,
         messages.TimerExpired,
     ]
-    w.core.gone(other)
-    assert not w.core.works
+    w.core.on_client_disconnected(other)
+    assert not w.core.in_flight
 
 
 def test_a_send_that_crossed_the_end_of_its_request_is_told_as_not_sent():
     w = World()
     place = w.take("a", [messages.ForwardRequest("a", "h1")])
     w.hosts.out[0].is_written = True
-    w.core.gone(place)  # its attempt is out still, for the module to call off
+    w.core.on_client_disconnected(place)  # its attempt is out still, for the module to call off
     w.module.next = [messages.ForwardRequest("a", "h2")]
-    w.core.feed(messages.TimerExpired(0))
+    w.core.dispatch(messages.TimerExpired(0))
     told = w.module.events[-1]
     assert (told.request_id, told.attempt, told.endpoint_id, told.result, told.is_final) == (
         "a",
@@ -262,17 +264,17 @@
 
 def test_a_flood_on_one_front_leaves_room_for_the_others():
     w = World(most=100)
-    w.core.join("other")
+    w.core.register_frontend("other")
     flood = [w.take(f"f{n}", [messages.ForwardRequest(f"f{n}", "h1")]) for n in range(200)]
-    assert sum(p.answers == [] for p in flood) == 100 * (1 - RESERVED / 2)
+    assert sum(p.answers == [] for p in flood) == 100 * (1 - RESERVED_FRACTION / 2)
     quiet = [w.take(f"q{n}", [messages.ForwardRequest(f"q{n}", "h1")], front="other") for n in range(100)]
-    assert sum(p.answers == [] for p in quiet) == 100 * RESERVED / 2
-    assert len(w.core.works) == 100
+    assert sum(p.answers == [] for p in quiet) == 100 * RESERVED_FRACTION / 2
+    assert len(w.core.in_flight) == 100
 
 
 def test_bytes_of_bodies_are_shared_likewise():
     w = World(held=100)
-    w.core.join("other")
+    w.core.register_frontend("other")
     taken = [w.take(f"f{n}", [messages.ForwardRequest(f"f{n}", "h1")]).answers == [] for n in range(30)]
     assert 7 <= sum(taken) <= 8  # 10 bytes each; the last may pass the bound
     assert w.take("q", [messages.ForwardRequest("q", "h1")], front="other").answers == []
@@ -301,7 +303,7 @@
         for number, (what, which, does, result, broken) in enumerate(steps):
             live = [a for a in w.hosts.out if not a.result]
             attempt = live[which % len(live)] if live else None
-            id = f"r{number}" if what == "take" else attempt.tag[0].id if attempt else "none"
+            id = f"r{number}" if what == "take" else attempt.tag[0].request_id if attempt else "none"
             w.module.next = {
                 "send": [messages.ForwardRequest(id, "h1")],
                 "two": [messages.ForwardRequest(id, "h1"), messages.ForwardRequest(id, "h2")],
@@ -320,24 +322,24 @@
             if what == "take":
                 place = Place(broken)
                 places.append(place)
-                w.core.take("front", request(id), Order(), place)
+                w.core.submit("front", request(id), Order(), place)
             elif what == "gone" and places:
                 place = places[which % len(places)]
                 if not place.answers:
                     gone.add(place)
-                w.core.gone(place)
-            elif what == "late" and w.core.works:
-                w.core.overdue(list(w.core.works.values())[which % len(w.core.works)])
+                w.core.on_client_disconnected(place)
+            elif what == "late" and w.core.in_flight:
+                w.core.on_deadline(list(w.core.in_flight.values())[which % len(w.core.in_flight)])
             elif what == "timer":
-                w.core.feed(messages.TimerExpired(0))
+                w.core.dispatch(messages.TimerExpired(0))
             elif attempt is not None and what == "write":
                 attempt.is_written = True
             elif attempt is not None:
                 attempt.end(result)
-            for work in w.core.works.values():
-                assert len(work.live) <= 1
-            assert w.core.open.used == len(w.core.works) <= 5
-            waiting = {work.id for work in w.core.works.values() if not work.over}
+            for work in w.core.in_flight.values():
+                assert len(work.active_attempts) <= 1
+            assert w.core.request_budget.used == len(w.core.in_flight) <= 5
+            waiting = {work.request_id for work in w.core.in_flight.values() if not work.is_finished}
             assert len(places) == sum(bool(p.answers) for p in places) + len(gone) + len(waiting)
             assert not w.hosts.late
         w.module.next = []
@@ -351,8 +353,11 @@
         assert len(place.answers) == (place not in gone), place.answers
         if place.token is not None:  # each attempt that the module decided on has its one outcome
             work = place.token
-            assert sorted(told.count((work.id, n)) for n in range(work.sends)) == [1] * work.sends
-    assert not w.core.works and not w.core.open.used and not w.core.held.used
+            assert (
+                sorted(told.count((work.request_id, n)) for n in range(work.attempt_count))
+                == [1] * work.attempt_count
+            )
+    assert not w.core.in_flight and not w.core.request_budget.used and not w.core.body_budget.used
 
 
 @seed(1)
@@ -364,29 +369,29 @@
         budget.join(front)
     for front, give in steps:
         front %= fronts
-        if give and budget.by[front]:
-            budget.give(front, 1)
-        elif budget.free(front) > 0:
-            budget.take(front, 1)
-        assert 0 <= budget.used == sum(budget.by.values()) <= 40
+        if give and budget.used_by_frontend[front]:
+            budget.release(front, 1)
+        elif budget.available_to(front) > 0:
+            budget.acquire(front, 1)
+        assert 0 <= budget.used == sum(budget.used_by_frontend.values()) <= 40
         for other in range(fronts):  # whoever holds less than its own part may take more
-            if budget.by[other] + 1 <= 40 * RESERVED / fronts:
-                assert budget.free(other) > 0
+            if budget.used_by_frontend[other] + 1 <= 40 * RESERVED_FRACTION / fronts:
+                assert budget.available_to(other) > 0
 
 
 def test_a_front_that_has_gone_takes_its_reserve_along_once_it_holds_nothing():
     budget = Budget(40)
     for front in ("stays", "goes"):
         budget.join(front)
-    budget.take("goes", 1)
+    budget.acquire("goes", 1)
     budget.leave("goes")
-    assert budget.free("stays") == 40 - 1 - 9  # what it has in work still counts
-    budget.give("goes", 1)
-    assert budget.free("stays") == 40 and budget.by == {"stays": 0}
+    assert budget.available_to("stays") == 40 - 1 - 9  # what it has in work still counts
+    budget.release("goes", 1)
+    assert budget.available_to("stays") == 40 and budget.used_by_frontend == {"stays": 0}
 
 
 def test_the_guard_comes_before_the_clients_time_is_up():
-    assert 0 < life.GUARD < life.WAY_BACK
+    assert 0 < life.DEADLINE_GUARD_MARGIN_S < life.RESPONSE_MARGIN_S
 
 
 class Marks:
@@ -410,28 +415,28 @@
 
 def test_a_write_in_work_elsewhere_is_not_told_that_it_did_not_run_for_want_of_room():
     w = World(most=1)
-    w.core.marks = marks = Marks(7)
+    w.core.in_flight_registry = marks = Marks(7)
     w.module.next = [messages.ForwardRequest("a", "h1")]
-    w.core.take("front", write("a"), Order(), Place())
+    w.core.submit("front", write("a"), Order(), Place())
     marks.others, full = {"b"}, Place()
-    with pytest.raises(InWork):
-        w.core.take("front", write("b"), Order(), Place())
-    w.core.take("front", write("c"), Order(), full)
+    with pytest.raises(DuplicateRequestError):
+        w.core.submit("front", write("b"), Order(), Place())
+    w.core.submit("front", write("c"), Order(), full)
     assert full.answers == ["refused"] and [id for id, _ in marks.marked] == ["a"]
-    assert w.core.in_work("a", False) and w.core.in_work("b", True)
-    assert not w.core.in_work("b", False) and not w.core.in_work("c", True)
+    assert w.core.is_in_flight("a", False) and w.core.is_in_flight("b", True)
+    assert not w.core.is_in_flight("b", False) and not w.core.is_in_flight("c", True)
 
 
 def test_a_write_that_another_worker_may_hold_is_not_taken_and_a_mark_goes_with_its_request():
     w = World()
-    w.core.marks = marks = Marks(7, -1, -2)
+    w.core.in_flight_registry = marks = Marks(7, -1, -2)
     one, full = Place(), Place()
     w.module.next = [messages.ForwardRequest("a", "h1")]
-    w.core.take("front", write("a"), Order(), one)
-    with pytest.raises(InWork):
-        w.core.take("front", write("b"), Order(), Place())
-    w.core.take("front", write("c"), Order(), full)
-    assert full.answers == ["refused"] and set(w.core.works) == {"a"} and w.core.open.used == 1
+    w.core.submit("front", write("a"), Order(), one)
+    with pytest.raises(DuplicateRequestError):
+        w.core.submit("front", write("b"), Order(), Place())
+    w.core.submit("front", write("c"), Order(), full)
+    assert full.answers == ["refused"] and set(w.core.in_flight) == {"a"} and w.core.request_budget.used == 1
     w.take("read")  # repeats of those do no harm: they are not marked
     assert [id for id, _ in marks.marked] == ["a", "b", "c"] and not marks.cleared
     w.hosts.out[0].end("ok")
@@ -458,50 +463,50 @@
         messages.QuotaDenied("a", True, 0.0, 0.0, 0.0),
         messages.Reject("a"),
     ]
-    w.core.check("front", check("a"), one)
+    w.core.submit_check("front", check("a"), one)
     w.module.next = [messages.QuotaDenied("b", True, 0.5, 0.0, 0.0)]
-    w.core.check("front", check("b"), two)
+    w.core.submit_check("front", check("b"), two)
     assert one.answers == [("granted", 5.0)] and two.answers == [("denied", True)] and not w.hosts.sent
-    assert not w.core.works and not w.core.open.used
+    assert not w.core.in_flight and not w.core.request_budget.used
     w.module.next = [messages.ForwardRequest("c", "h1")]  # a module that sends one on: the guard answers
-    w.core.check("front", check("c"), three)
+    w.core.submit_check("front", check("c"), three)
     w.loop.fire()
-    assert three.answers == ["failed"] and not w.hosts.sent and not w.core.works
+    assert three.answers == ["failed"] and not w.hosts.sent and not w.core.in_flight
 
 
 def test_a_check_whose_caller_left_and_one_that_the_module_fails_on_or_forgets():
     w = World()
     gone, broken, silent = Asker(), Asker(), Asker()
-    w.core.check("front", check("a"), gone)
-    w.core.gone(gone)
+    w.core.submit_check("front", check("a"), gone)
+    w.core.on_client_disconnected(gone)
     assert isinstance(w.module.events[-1], messages.ClientDisconnected)
     w.module.next = ValueError("the module is broken")
-    w.core.check("front", check("b"), broken)
-    w.core.check("front", check("c"), silent)
+    w.core.submit_check("front", check("b"), broken)
+    w.core.submit_check("front", check("c"), silent)
     w.loop.fire()
     w.module.next = [messages.QuotaGranted("a", 5.0, 1.0, 7), messages.QuotaGranted("c", 5.0, 1.0, 7)]
-    w.core.check("front", check("d"), Asker())  # answers that come late
+    w.core.submit_check("front", check("d"), Asker())  # answers that come late
     assert not gone.answers and broken.answers == silent.answers == ["failed"]
 
 
 def test_checks_share_the_room_and_the_ids_of_requests_and_no_plug_in_is_asked():
     w = World(most=1)
-    w.core.hooks = None
-    w.core.check("front", check("a"), Asker())
-    with pytest.raises(InWork):
-        w.core.check("front", check("a"), Asker())
+    w.core.plugins = None
+    w.core.submit_check("front", check("a"), Asker())
+    with pytest.raises(DuplicateRequestError):
+        w.core.submit_check("front", check("a"), Asker())
     full = Asker()
-    w.core.check("front", check("b"), full)
+    w.core.submit_check("front", check("b"), full)
     assert full.answers == ["refused"]
     w = World()
-    w.core.hooks = object()  # would raise if it were asked
-    w.core.check("front", check("a"), Asker())
+    w.core.plugins = object()  # would raise if it were asked
+    w.core.submit_check("front", check("a"), Asker())
     assert type(w.module.events[-1]) is messages.QuotaCheck
-    w.core.give_back(
+    w.core.return_quota(
         messages.QuotaCheck("a", 3.0, "c", "p", "read", 2.0, 0, 1), messages.QuotaGranted("a", 0.0, 1.0, 7)
     )
     assert w.module.events[-1] == messages.ReturnUnits("c", 2.0, 7)
-    w.core.give_back(
+    w.core.return_quota(
         messages.QuotaReservation("b", 1.0, "c", "p", "read", 2.0, 0, 1),
         messages.QuotaGranted("b", 0.0, 1.0, 7),
     )
--- a/tests/external_ratelimit/test_outer.py
+++ b/tests/external_ratelimit/test_outer.py
@@ -25,7 +25,7 @@
     )
     async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
         outer = Outer(Asked(("127.0.0.1", service.port), told, "roster", ENTRIES, batch), "g7")
-        node.node.core.outer = outer
+        node.node.core.external_ratelimit = outer
         node.host, node.outer, node.number = host, outer, 0
         try:
             yield node
@@ -152,7 +152,7 @@
         writer.write(command(b"left"))
         await service.arrived.get()
         writer.close()
-        while node.node.core.works:
+        while node.node.core.in_flight:
             await asyncio.sleep(0)
         assert await ask(node, B) == SERVED
         assert service.called_off == 1 and len(node.host.commands) == 1 and node.outer.choice.seen == 1
@@ -221,6 +221,6 @@
         for _ in range(30):
             answers = await asyncio.gather(*(ask(node) for _ in range(6)))
             assert all(a == SERVED or a.startswith(b"-BUSY") for a in answers)
-        assert not node.node.core.works
+        assert not node.node.core.in_flight
         service.script.play()
         await until(node, "well")
--- a/tests/faults/test_fronts.py
+++ b/tests/faults/test_fronts.py
@@ -85,7 +85,7 @@
             assert await reader.read() == b""  # its connection is of no use, and ends
             writer.close()
             assert await gate.ask(1, command(b"b%d" % n)) == SERVED
-        assert not gate.node.core.works
+        assert not gate.node.core.in_flight
 
 
 @on_loop
@@ -103,7 +103,7 @@
         writer.write(command(b"a"))
         await host.arrived.get()
         assert await gate.ask(1, command(b"b")) == SERVED
-        while gate.node.core.works:
+        while gate.node.core.in_flight:
             await asyncio.sleep(0)
         writer.close()
 
@@ -131,12 +131,14 @@
         _, writer = await gate.connect(0)
         for n in range(200):
             writer.write(command(b"flood%d" % n))
-        while gate.node.core.open.used < 30:
+        while gate.node.core.request_budget.used < 30:
             await asyncio.sleep(0)
         asked = asyncio.ensure_future(gate.ask(1, command(b"quiet")))
-        while "quiet" not in gate.node.core.works and not asked.done():
+        while "quiet" not in gate.node.core.in_flight and not asked.done():
             await asyncio.sleep(0)
-        assert not asked.done() and gate.node.core.open.by[gate.node.fronts[0]] == 30  # 40 less a quarter
+        assert (
+            not asked.done() and gate.node.core.request_budget.used_by_frontend[gate.node.fronts[0]] == 30
+        )  # 40 less a quarter
         host.answer = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
         for out in host.writers:
             out.write(host.answer)
--- a/tests/frontends/test_early.py
+++ b/tests/frontends/test_early.py
@@ -7,7 +7,7 @@
 from netkit import SERVED, Node, StubHost, command, on_loop, read_reply, terms, write
 
 from apigateway.core import admission as doors
-from apigateway.core.admission import Door
+from apigateway.core.admission import AdmissionController
 from apigateway.policy.overload_gate import MOST_STEP, Gate
 
 
@@ -24,10 +24,10 @@
 
 
 def opened(node, gate):
-    node.node.core.door = Door(gate, node.node.loop)
+    node.node.core.admission = AdmissionController(gate, node.node.loop)
     for front in node.node.fronts:
         front.watch_door()
-    return node.node.core.door
+    return node.node.core.admission
 
 
 A, B = "00000000000000aa", "00000000000000bb"
@@ -72,7 +72,7 @@
 
 @on_loop
 async def test_a_flood_waits_its_turn_and_all_of_it_is_answered(tmp_path, monkeypatch):
-    monkeypatch.setattr(doors, "QUANTUM", 0.0)  # a turn is over after its second command
+    monkeypatch.setattr(doors, "READ_TIME_SLICE_S", 0.0)  # a turn is over after its second command
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         door = opened(node, Scripted(A))
         lines = [await node.connect() for _ in range(4)]
@@ -85,7 +85,7 @@
             for _ in range(300):
                 assert await read_reply(reader) == b"-BUSY 250\r\n"
             assert await read_reply(reader) == SERVED
-        assert not door.waiting and not door.over or door.reading
+        assert not door.deferred_connections and not door.is_slice_used_up or door.slice_started_at
         reader, writer = lines[0]
         writer.write(command(b"more", customer=B.encode()))  # it is read again
         assert await read_reply(reader) == SERVED
@@ -93,7 +93,7 @@
 
 @on_loop
 async def test_lost_framing_and_a_client_that_leaves_while_it_waits(tmp_path, monkeypatch):
-    monkeypatch.setattr(doors, "QUANTUM", 0.0)
+    monkeypatch.setattr(doors, "READ_TIME_SLICE_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         door = opened(node, Scripted(A))
         (reader, writer), (_, leaving) = await node.connect(), await node.connect()
@@ -105,24 +105,24 @@
         assert set(told[:50]) == {b"-BUSY 250\r\n"} and told[50] == b"-ERR protocol error\r\n"
         assert await reader.read() == b""
         assert await node.ask(command(b"after", customer=B.encode())) == SERVED
-        assert not door.waiting and node.node.fronts[0].server.partial == 0
+        assert not door.deferred_connections and node.node.fronts[0].server.partial == 0
 
 
 @on_loop
 async def test_what_was_read_is_answered_when_the_gateway_stops(tmp_path, monkeypatch):
-    monkeypatch.setattr(doors, "QUANTUM", 0.0)
+    monkeypatch.setattr(doors, "READ_TIME_SLICE_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         door = opened(node, Scripted())
         reader, writer = await node.connect()
         held = []
-        turned = door.turned
-        monkeypatch.setattr(door, "turned", lambda: held.append(1))  # turns end when the test says so
+        turned = door.start_turn
+        monkeypatch.setattr(door, "start_turn", lambda: held.append(1))  # turns end when the test says so
         writer.write(b"".join(command(b"s%d" % n) for n in range(30)))
-        while not door.waiting:
+        while not door.deferred_connections:
             await asyncio.sleep(0)
         node.node.fronts[0].finish()  # as at SIGTERM: what was read is not forgotten
-        monkeypatch.setattr(door, "turned", turned)
-        door.turned()
+        monkeypatch.setattr(door, "start_turn", turned)
+        door.start_turn()
         told = [await read_reply(reader) for _ in range(30)]
         assert SERVED in told and set(told) <= {SERVED, b"-BUSY\r\n"}  # the module's own bound on what waits
         assert await reader.read() == b""
@@ -130,11 +130,11 @@
 
 @on_loop
 async def test_too_much_waiting_is_looked_at_at_once(tmp_path, monkeypatch):
-    monkeypatch.setattr(doors, "QUANTUM", 0.0)
+    monkeypatch.setattr(doors, "READ_TIME_SLICE_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         door = opened(node, Scripted(A))
         node.node.fronts[0].server.most_partial = 1000  # bytes: half of it may wait
-        monkeypatch.setattr(door, "turned", lambda: None)
+        monkeypatch.setattr(door, "start_turn", lambda: None)
         reader, writer = await node.connect()
         writer.write(b"".join(command(b"m%d" % n, customer=A.encode()) for n in range(100)))
         for _ in range(90):
@@ -158,7 +158,9 @@
         handle = node.node.core.module.handle
         node.node.core.module.handle = lambda now, event: events.append(event) or handle(now, event)
         again = await node.ask(command(b"again", terms(t="small"), customer=customer))
-        assert again.startswith(b"-BUSY ") and not [e for e in events if getattr(e, "request_id", "") == "again"]
+        assert again.startswith(b"-BUSY ") and not [
+            e for e in events if getattr(e, "request_id", "") == "again"
+        ]
 
 
 @pytest.mark.parametrize(
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -9,7 +9,7 @@
 import time
 
 import pytest
-from core.test_life import Order, Place, World, request
+from core.test_request_lifecycle import Order, Place, World, request
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
@@ -79,7 +79,7 @@
 
 def hooked(*seats, recorder=None, **kw):
     w = World(**kw)
-    w.core.hooks = w.hooks = Hooks(version(*seats), lambda: 1000.0, w.loop, 1.0, recorder)
+    w.core.plugins = w.hooks = Hooks(version(*seats), lambda: 1000.0, w.loop, 1.0, recorder)
     return w
 
 
@@ -93,7 +93,7 @@
     assert (
         w.module.events == [messages.RejectedByPlugin("a", 1.5)]
         and place.answers == ["refused"]
-        and not w.core.works
+        and not w.core.in_flight
     )
     assert w.hooks.version.open == 0
 
@@ -127,7 +127,7 @@
     w = hooked(seat(Scripted(how)))
     place = w.take("a", [messages.ForwardRequest("a", "h1")])
     w.hosts.out[0].end("ok")
-    assert place.answers == ["served"] and not w.core.works and w.hooks.version.open == 0
+    assert place.answers == ["served"] and not w.core.in_flight and w.hooks.version.open == 0
     w.hooks.tick()
     assert sum(w.hooks.version.seats[0].failed.values()) == 4
 
@@ -185,7 +185,7 @@
     asked = request("a")
     place = Place()
     w.module.next = [messages.ForwardRequest("a", "h1")]
-    w.core.take("front", asked, Order(), place)
+    w.core.submit("front", asked, Order(), place)
     assert w.module.events[0] == asked and [a.host for a in w.hosts.sent] == ["h1"]
     w.hosts.out[0].end("ok")
     assert place.answers == ["served"]
@@ -258,7 +258,7 @@
     assert gone.closed and not kept.closed
     w.take("a", [messages.ForwardRequest("a", "h1")])
     w.hooks.retire()
-    w.core.hooks = None
+    w.core.plugins = None
     assert not kept.closed
     w.hosts.out[0].end("ok")
     assert kept.closed
@@ -315,7 +315,7 @@
             if what == "take":
                 id = str(len(places))
                 places[id] = Place()
-                w.core.take("front", request(id), Order(), places[id])
+                w.core.submit("front", request(id), Order(), places[id])
             elif what == "swap":
                 w.hooks.swap(one())
             elif what == "tick":
@@ -323,9 +323,9 @@
             elif what == "gone" and places:
                 id = str(which % len(places))
                 gone.add(id) if not places[id].answers else None
-                w.core.gone(places[id])
-            elif what == "late" and w.core.works:
-                w.core.overdue(list(w.core.works.values())[which % len(w.core.works)])
+                w.core.on_client_disconnected(places[id])
+            elif what == "late" and w.core.in_flight:
+                w.core.on_deadline(list(w.core.in_flight.values())[which % len(w.core.in_flight)])
             elif what == "end" and out:
                 out[which % len(out)].end(result)
         for attempt in w.hosts.out:
@@ -335,7 +335,7 @@
         logging.disable(logging.NOTSET)
     for id, place in places.items():
         assert len(place.answers) == (id not in gone), (id, place.answers)
-    assert not w.core.works and not w.hooks.old and w.hooks.version.open == 0
+    assert not w.core.in_flight and not w.hooks.old and w.hooks.version.open == 0
     assert [p.closed for p in made] == [True] * (len(made) - 1) + [False]
     for plugin in made:  # each request that a plug-in was asked about it was told the end of, once
         begun = [id for phase, id, _ in plugin.seen if phase == REQUEST]
@@ -459,7 +459,7 @@
     for n in range(6):
         place = Place()
         w.module.next = [messages.ForwardRequest(str(n), "h1")]
-        w.core.take(
+        w.core.submit(
             "front", messages.Request(str(n), 3.0, "ff", "basic", "roster-read", 1.0, 0, 1), Order(), place
         )
         w.hosts.out[-1].end("ok")
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -181,7 +181,7 @@
         while not held:
             await asyncio.sleep(0)
         call.cancel()
-        while core.works:  # the reset arrives
+        while core.in_flight:  # the reset arrives
             await asyncio.sleep(0)
         core.module.handle = handle
         assert not asking.front.connections or not any(c.asked for c in asking.front.connections)
@@ -200,7 +200,7 @@
                 call.cancel()
             await asyncio.gather(*calls, return_exceptions=True)
         assert (await asking.ask(B)).overall_code == OK
-        assert not node.node.core.works and not any(c.asked for c in asking.front.connections)
+        assert not node.node.core.in_flight and not any(c.asked for c in asking.front.connections)
         assert all(c.session.idle for c in asking.front.connections)
 
 
@@ -217,7 +217,7 @@
             await asyncio.sleep(0)
         core.module.handle = handle
         asking.front.finish()
-        core.granted(messages.QuotaGranted(held[0].id, 4.0, 1.0, 7))
+        core.grant_quota(messages.QuotaGranted(held[0].id, 4.0, 1.0, 7))
         assert (await call).overall_code == OK
         await asking.front.drained()
 
@@ -238,9 +238,9 @@
             late = asyncio.ensure_future(asking.status(A, timeout=0.001))
             assert await late in (grpc.StatusCode.DEADLINE_EXCEEDED, grpc.StatusCode.UNAVAILABLE)
             node.counter.script.play()
-            while node.node.core.works:
+            while node.node.core.in_flight:
                 await asyncio.sleep(0.01)
-            assert (await asking.ask(B)).overall_code == OK and not node.node.core.open.used
+            assert (await asking.ask(B)).overall_code == OK and not node.node.core.request_budget.used
 
 
 @on_loop
--- a/tests/ratelimit/test_tokens_used.py
+++ b/tests/ratelimit/test_tokens_used.py
@@ -109,9 +109,9 @@
         (token,) = await asking.token()
         await until_over(asking, A)
         core = node.node.core
-        most, core.open.most = core.open.most, 0
+        most, core.request_budget.limit = core.request_budget.limit, 0
         assert (await asking.use(token)).startswith(b"-BUSY")  # no room here
-        core.open.most = most
+        core.request_budget.limit = most
         assert asking.counts["given back"] == 1
         assert await asking.use(token) == SERVED
         assert (await asking.use(token)).startswith(b"-BUSY") and len(host.commands) == 1
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -111,7 +111,7 @@
         await host.arrived.get()
         writer.close()
         assert await host.arrived.get() is None  # the connection to the host ended
-        assert not node.node.core.works
+        assert not node.node.core.in_flight
 
 
 @on_loop
@@ -216,7 +216,7 @@
         assert await read_reply(reader) == b"-ERR failed\r\n"  # its one answer, though the host is silent
         assert (await read_reply(reader)).startswith(b"-ERR protocol")
         assert await reader.read() == b""  # an end, not a reset, though there was more to read
-        assert await host.arrived.get() is None and not node.node.core.works
+        assert await host.arrived.get() is None and not node.node.core.in_flight
 
 
 @on_loop
@@ -232,7 +232,7 @@
                     await writer.drain()
             while node.node.fronts[0].server.clients:
                 await asyncio.sleep(0.01)
-            assert not (node.node.core.works or node.node.core.held.used)
+            assert not (node.node.core.in_flight or node.node.core.body_budget.used)
 
 
 @on_loop
@@ -275,7 +275,7 @@
     finish = core.finish
 
     def noted(work, outcome, *told):
-        seen.put_nowait((work.id, outcome))
+        seen.put_nowait((work.request_id, outcome))
         finish(work, outcome, *told)
 
     core.finish = noted
@@ -297,16 +297,16 @@
         assert await seen.get() == ("first", "gone")
         while server.clients:
             await asyncio.sleep(0)
-        assert not (node.node.core.works or server.unread or server.stuck) and len(host.commands) == 1
+        assert not (node.node.core.in_flight or server.unread or server.stuck) and len(host.commands) == 1
 
 
 class BusyDoor:
     """The loop has always read for long enough in this turn; what waits is gone on with by the test."""
 
-    over, lag = True, 0.0
+    is_slice_used_up, lag = True, 0.0
 
     def __init__(self):
-        self.waiting, self.came = [], asyncio.Event()
+        self.deferred_connections, self.came = [], asyncio.Event()
 
     def clock(self):
         self.came.set()
@@ -321,7 +321,7 @@
         _, writer = await node.connect()
         writer.write(command(b"gone"))
         await door.came.wait()
-        (waits,) = door.waiting
+        (waits,) = door.deferred_connections
         writer.close()
         while server.clients:
             await asyncio.sleep(0.01)
@@ -352,7 +352,7 @@
             while host.commands[-1][2] != b"last":
                 await host.arrived.get()
             writer.write_eof()
-            assert await seen.get() == ("last", "gone") and not node.node.core.works
+            assert await seen.get() == ("last", "gone") and not node.node.core.in_flight
 
 
 class Waiting:
@@ -382,8 +382,8 @@
         writer.close()
         while await core.module.seen.get() != "Gone":
             pass
-        core.feed(messages.TimerExpired(0))  # the module did not hear of it in time
-        assert not core.works and not node.node.hosts.open - len(node.node.hosts.conns)
+        core.dispatch(messages.TimerExpired(0))  # the module did not hear of it in time
+        assert not core.in_flight and not node.node.hosts.open - len(node.node.hosts.conns)
         core.module = Waiting(Request=[messages.ForwardRequest("r2", "h2")])
         assert await node.ask(command(b"r2")) == SERVED
         assert [c[2] for c in two.commands] == [b"r2"]
@@ -413,7 +413,7 @@
             writer.close()
             while await core.module.seen.get() != "Gone":
                 pass
-            assert not node.node.hosts.open and not core.works
+            assert not node.node.hosts.open and not core.in_flight
             full.setblocking(False)
             for sock in fill:
                 sock.close()
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -60,7 +60,7 @@
         with caplog.at_level(logging.CRITICAL):
             assert await node.ask(command(b"bad")) == b"-ERR failed\r\n"
             assert await node.ask(command(b"good")) == SERVED
-        assert module.jobs == {} and not node.node.core.works
+        assert module.jobs == {} and not node.node.core.in_flight
 
 
 @on_loop
@@ -98,7 +98,7 @@
         for n in range(300):
             delay = 0.0101 + n * 0.00037
             due[n] = node.node.core.clock() + delay
-            node.node.core.set_timer(messages.SetTimer(delay, n))
+            node.node.core.gateway_actions.set_timer(messages.SetTimer(delay, n))
         await clocked.done.wait()
         assert clocked.early == []
 
--- a/tests/test_net_hosts.py
+++ b/tests/test_net_hosts.py
@@ -83,7 +83,7 @@
                 return []
 
         node.node.core.module = Watcher()
-        node.node.core.probe(messages.CheckHealth("h1"))
+        node.node.core.gateway_actions.check_health(messages.CheckHealth("h1"))
         await done.wait()
         assert host.commands == [[b"INFO", b"load"]]
         assert seen[0].result == "ok" and seen[0].report == {"inflight": 7.0}
@@ -168,9 +168,9 @@
         node.node.core.module = Mover()
         asked = asyncio.create_task(node.ask(command()))
         await one.arrived.get()
-        (attempt,) = node.node.core.works["r1"].live.values()
+        (attempt,) = node.node.core.in_flight["r1"].active_attempts.values()
         ended = socket.socket(fileno=os.dup(attempt.conn.descriptor))
-        node.node.core.cancel(messages.CancelAttempt("r1", 0))
+        node.node.core.cancel_attempt(messages.CancelAttempt("r1", 0))
         with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
             ended.send(b"x")
         ended.close()
