--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -3,7 +3,7 @@
 import logging
 
 import pytest
-from test_request_lifecycle import Scheduler
+from test_request_lifecycle import ManualScheduler
 
 from apigateway.core.admission import (
     LAG_PROBE_INTERVAL_S,
@@ -13,7 +13,7 @@
 )
 
 
-class Gate:
+class ScriptedGate:
     def __init__(self):
         self.tight, self.shed, self.passed, self.lag = False, 0, 0, 0.0
         self.asked, self.lates, self.heard = [], [], []
@@ -31,7 +31,7 @@
 
 class World:
     def __init__(self):
-        self.now, self.gate, self.loop = 10.0, Gate(), Scheduler()
+        self.now, self.gate, self.loop = 10.0, ScriptedGate(), ManualScheduler()
         self.door = AdmissionController(self.gate, self.loop, lambda: self.now)
 
     def ask(self, took=0.0, came=None):
--- a/tests/core/test_asked.py
+++ b/tests/core/test_external_ratelimit.py
@@ -3,13 +3,13 @@
 import logging
 
 import pytest
-from test_request_lifecycle import Order, Place, World, request
+from test_request_lifecycle import RecordingSink, StubUpstreamRequest, World, request
 
 from apigateway import messages
 from apigateway.core.request_lifecycle import DuplicateRequestError
 
 
-class Outer:
+class ScriptedRateLimiter:
     """Asked about all; says what the test says, when it says it. `now`: decides at once."""
 
     def __init__(self, now=None):
@@ -33,7 +33,7 @@
 
 def world(now=None):
     w = World()
-    w.core.external_ratelimit = Outer(now)
+    w.core.external_ratelimit = ScriptedRateLimiter(now)
     return w
 
 
@@ -72,7 +72,7 @@
 def test_a_request_of_nobody_it_is_wanted_for_is_not_asked_about():
     w = world()
     told = messages.Request("a", 3.0, "c", "q", "read", 1.0, 0, 1)
-    w.core.submit("front", told, Order(), Place())
+    w.core.submit("front", told, StubUpstreamRequest(), RecordingSink())
     assert w.module.events == [told] and not w.core.external_ratelimit.asked
 
 
@@ -130,6 +130,6 @@
 def test_a_paid_request_stays_one():
     w = world()
     told = messages.PrepaidRequest("a", 3.0, "c", "p", "read", 1.0, 0, 1)
-    w.core.submit("front", told, Order(), Place())
+    w.core.submit("front", told, StubUpstreamRequest(), RecordingSink())
     w.core.external_ratelimit.asked[0][2](True, 0.0)
     assert type(w.module.events[0]) is messages.PrepaidRequest
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""One request's life without a socket: hosts, fronts and the decision module are the test's."""
+"""A request's lifecycle without a socket: endpoints, frontends and the decision module are the test's."""
 
 import heapq
 import itertools
@@ -15,7 +15,7 @@
 from apigateway.core.request_lifecycle import DuplicateRequestError, RequestDispatcher
 
 
-class Scheduler:
+class ManualScheduler:
     """Timers that fire when the test says so."""
 
     def __init__(self):
@@ -46,7 +46,7 @@
             self.callback(*self.args)
 
 
-class Attempt:
+class StubAttempt:
     def __init__(self, host, payload, done, tag):
         self.endpoint_id, self.payload, self.done, self.tag = host, payload, done, tag
         self.result, self.value, self.metered_use, self.load_report, self.is_written = "", b"", 0, {}, False
@@ -60,8 +60,8 @@
             self.done(self)
 
 
-class Hosts:
-    create_attempt = Attempt
+class StubUpstreamPool:
+    create_attempt = StubAttempt
 
     def __init__(self):
         self.out, self.sent, self.places = [], [], {}
@@ -78,7 +78,7 @@
         attempt.end(result if attempt.is_written else "connect_failed")
 
     def check_health(self, host, done):
-        done(Attempt(host, b"", done, None))
+        done(StubAttempt(host, b"", done, None))
 
     def close_idle_connections(self, host):
         pass
@@ -90,8 +90,8 @@
         return {host for host, address in self.places.items() if address}
 
 
-class Place:
-    """`broken`: the front raises when it is to answer."""
+class RecordingSink:
+    """Keep each answer. `broken`: the frontend raises when it is to answer."""
 
     def __init__(self, broken=False):
         self.token, self.answers, self.broken = None, [], broken
@@ -111,15 +111,15 @@
         self.note("failed")
 
 
-class Order:
+class StubUpstreamRequest:
     body_size = 10
 
     def encode(self, left):
         return b"x"
 
 
-class Module:
-    """Does what the test put down for the next event; raises if that is an exception."""
+class ScriptedModule:
+    """Return the actions that the test put down for the next event; raise if that is an exception."""
 
     def __init__(self):
         self.next, self.events = [], []
@@ -138,7 +138,7 @@
 
 class World:
     def __init__(self, most=100, held=10_000, **limits):
-        self.module, self.hosts, self.loop = Module(), Hosts(), Scheduler()
+        self.module, self.hosts, self.loop = ScriptedModule(), StubUpstreamPool(), ManualScheduler()
         conf = module_settings(limits={"can_hedge": False, **limits})
         self.core = RequestDispatcher(
             conf, self.module, self.hosts, None, self.loop, most, held, clock=lambda: 1000.0
@@ -146,9 +146,9 @@
         self.core.register_frontend("front")
 
     def take(self, id, actions=(), front="front", broken=False, left=3.0):
-        place = Place(broken)
+        place = RecordingSink(broken)
         self.module.next = actions if isinstance(actions, Exception) else list(actions)
-        self.core.submit(front, request(id, left), Order(), place)
+        self.core.submit(front, request(id, left), StubUpstreamRequest(), place)
         return place
 
 
@@ -320,9 +320,9 @@
                 ],
             }[does]
             if what == "take":
-                place = Place(broken)
+                place = RecordingSink(broken)
                 places.append(place)
-                w.core.submit("front", request(id), Order(), place)
+                w.core.submit("front", request(id), StubUpstreamRequest(), place)
             elif what == "gone" and places:
                 place = places[which % len(places)]
                 if not place.answers:
@@ -394,7 +394,7 @@
     assert 0 < life.DEADLINE_GUARD_MARGIN_S < life.RESPONSE_MARGIN_S
 
 
-class Marks:
+class ScriptedRegistry:
     def __init__(self, *told):
         self.told, self.marked, self.cleared, self.others = list(told), [], [], set()
 
@@ -415,13 +415,13 @@
 
 def test_a_write_in_work_elsewhere_is_not_told_that_it_did_not_run_for_want_of_room():
     w = World(most=1)
-    w.core.in_flight_registry = marks = Marks(7)
+    w.core.in_flight_registry = marks = ScriptedRegistry(7)
     w.module.next = [messages.ForwardRequest("a", "h1")]
-    w.core.submit("front", write("a"), Order(), Place())
-    marks.others, full = {"b"}, Place()
+    w.core.submit("front", write("a"), StubUpstreamRequest(), RecordingSink())
+    marks.others, full = {"b"}, RecordingSink()
     with pytest.raises(DuplicateRequestError):
-        w.core.submit("front", write("b"), Order(), Place())
-    w.core.submit("front", write("c"), Order(), full)
+        w.core.submit("front", write("b"), StubUpstreamRequest(), RecordingSink())
+    w.core.submit("front", write("c"), StubUpstreamRequest(), full)
     assert full.answers == ["refused"] and [id for id, _ in marks.marked] == ["a"]
     assert w.core.is_in_flight("a", False) and w.core.is_in_flight("b", True)
     assert not w.core.is_in_flight("b", False) and not w.core.is_in_flight("c", True)
@@ -429,13 +429,13 @@
 
 def test_a_write_that_another_worker_may_hold_is_not_taken_and_a_mark_goes_with_its_request():
     w = World()
-    w.core.in_flight_registry = marks = Marks(7, -1, -2)
-    one, full = Place(), Place()
+    w.core.in_flight_registry = marks = ScriptedRegistry(7, -1, -2)
+    one, full = RecordingSink(), RecordingSink()
     w.module.next = [messages.ForwardRequest("a", "h1")]
-    w.core.submit("front", write("a"), Order(), one)
+    w.core.submit("front", write("a"), StubUpstreamRequest(), one)
     with pytest.raises(DuplicateRequestError):
-        w.core.submit("front", write("b"), Order(), Place())
-    w.core.submit("front", write("c"), Order(), full)
+        w.core.submit("front", write("b"), StubUpstreamRequest(), RecordingSink())
+    w.core.submit("front", write("c"), StubUpstreamRequest(), full)
     assert full.answers == ["refused"] and set(w.core.in_flight) == {"a"} and w.core.request_budget.used == 1
     w.take("read")  # repeats of those do no harm: they are not marked
     assert [id for id, _ in marks.marked] == ["a", "b", "c"] and not marks.cleared
@@ -443,7 +443,7 @@
     assert one.answers == ["served"] and marks.cleared == [7]
 
 
-class Asker(Place):
+class RecordingCheckSink(RecordingSink):
     def grant(self, told):
         self.note(("granted", told.remaining))
 
@@ -457,7 +457,7 @@
 
 def test_a_check_is_answered_once_and_goes_to_no_host():
     w = World()
-    one, two, three = Asker(), Asker(), Asker()
+    one, two, three = RecordingCheckSink(), RecordingCheckSink(), RecordingCheckSink()
     w.module.next = [
         messages.QuotaGranted("a", 5.0, 1.0, 7),
         messages.QuotaDenied("a", True, 0.0, 0.0, 0.0),
@@ -476,7 +476,7 @@
 
 def test_a_check_whose_caller_left_and_one_that_the_module_fails_on_or_forgets():
     w = World()
-    gone, broken, silent = Asker(), Asker(), Asker()
+    gone, broken, silent = RecordingCheckSink(), RecordingCheckSink(), RecordingCheckSink()
     w.core.submit_check("front", check("a"), gone)
     w.core.on_client_disconnected(gone)
     assert isinstance(w.module.events[-1], messages.ClientDisconnected)
@@ -485,22 +485,22 @@
     w.core.submit_check("front", check("c"), silent)
     w.loop.fire()
     w.module.next = [messages.QuotaGranted("a", 5.0, 1.0, 7), messages.QuotaGranted("c", 5.0, 1.0, 7)]
-    w.core.submit_check("front", check("d"), Asker())  # answers that come late
+    w.core.submit_check("front", check("d"), RecordingCheckSink())  # answers that come late
     assert not gone.answers and broken.answers == silent.answers == ["failed"]
 
 
 def test_checks_share_the_room_and_the_ids_of_requests_and_no_plug_in_is_asked():
     w = World(most=1)
     w.core.plugins = None
-    w.core.submit_check("front", check("a"), Asker())
+    w.core.submit_check("front", check("a"), RecordingCheckSink())
     with pytest.raises(DuplicateRequestError):
-        w.core.submit_check("front", check("a"), Asker())
-    full = Asker()
+        w.core.submit_check("front", check("a"), RecordingCheckSink())
+    full = RecordingCheckSink()
     w.core.submit_check("front", check("b"), full)
     assert full.answers == ["refused"]
     w = World()
     w.core.plugins = object()  # would raise if it were asked
-    w.core.submit_check("front", check("a"), Asker())
+    w.core.submit_check("front", check("a"), RecordingCheckSink())
     assert type(w.module.events[-1]) is messages.QuotaCheck
     w.core.return_quota(
         messages.QuotaCheck("a", 3.0, "c", "p", "read", 2.0, 0, 1), messages.QuotaGranted("a", 0.0, 1.0, 7)
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -9,7 +9,7 @@
 import time
 
 import pytest
-from core.test_request_lifecycle import Order, Place, World, request
+from core.test_request_lifecycle import RecordingSink, StubUpstreamRequest, World, request
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
@@ -183,9 +183,9 @@
 def test_a_plug_in_that_tries_a_rule_by_name_changes_nothing(rule, said):
     w = hooked(seat(Scripted([Proposal(*p) for p in said])))
     asked = request("a")
-    place = Place()
+    place = RecordingSink()
     w.module.next = [messages.ForwardRequest("a", "h1")]
-    w.core.submit("front", asked, Order(), place)
+    w.core.submit("front", asked, StubUpstreamRequest(), place)
     assert w.module.events[0] == asked and [a.host for a in w.hosts.sent] == ["h1"]
     w.hosts.out[0].end("ok")
     assert place.answers == ["served"]
@@ -314,8 +314,8 @@
             out = [a for a in w.hosts.out if not a.result]
             if what == "take":
                 id = str(len(places))
-                places[id] = Place()
-                w.core.submit("front", request(id), Order(), places[id])
+                places[id] = RecordingSink()
+                w.core.submit("front", request(id), StubUpstreamRequest(), places[id])
             elif what == "swap":
                 w.hooks.swap(one())
             elif what == "tick":
@@ -457,10 +457,13 @@
     w = hooked()
     w.hooks.version = loaded
     for n in range(6):
-        place = Place()
+        place = RecordingSink()
         w.module.next = [messages.ForwardRequest(str(n), "h1")]
         w.core.submit(
-            "front", messages.Request(str(n), 3.0, "ff", "basic", "roster-read", 1.0, 0, 1), Order(), place
+            "front",
+            messages.Request(str(n), 3.0, "ff", "basic", "roster-read", 1.0, 0, 1),
+            StubUpstreamRequest(),
+            place,
         )
         w.hosts.out[-1].end("ok")
         assert place.answers == ["served"]
