--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -25,7 +25,7 @@
 
 @on_loop
 async def test_a_silent_host_is_answered_for_before_the_client_gives_up(tmp_path, monkeypatch):
-    monkeypatch.setattr(gateway, "WAY_BACK", 2.0)  # a margin that no busy machine eats up
+    monkeypatch.setattr(gateway, "RESPONSE_MARGIN_S", 2.0)  # a margin that no busy machine eats up
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         began = time.monotonic()
         assert (await node.ask(write(cls=b"note", d=2300))).startswith(b"-ERR")  # it may have run: no refusal
@@ -60,12 +60,12 @@
         with caplog.at_level(logging.CRITICAL):
             assert await node.ask(command(b"bad")) == b"-ERR failed\r\n"
             assert await node.ask(command(b"good")) == SERVED
-        assert module.jobs == {} and not node.node.core.works
+        assert module.jobs == {} and not node.node.core.in_flight
 
 
 @on_loop
 async def test_a_module_that_says_nothing_does_not_lose_the_request(tmp_path, monkeypatch):
-    monkeypatch.setattr(gateway, "GUARD", 2.0)  # as above
+    monkeypatch.setattr(gateway, "DEADLINE_GUARD_MARGIN_S", 2.0)  # as above
     async with StubHost() as host, Node(host, path=tmp_path) as node:
 
         class Mute:
@@ -98,7 +98,7 @@
         for n in range(300):
             delay = 0.0101 + n * 0.00037
             due[n] = node.node.core.clock() + delay
-            node.node.core.set_timer(messages.SetTimer(delay, n))
+            node.node.core.gateway_actions.set_timer(messages.SetTimer(delay, n))
         await clocked.done.wait()
         assert clocked.early == []
 
