--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -44,7 +44,7 @@
         raise OSError("the file names no registry: hosts.source is not eureka")
     from apigateway.membership.eureka.source import EurekaSource, resolve
 
-    by_name = resolve if registry.terms.address == "name" else None
+    by_name = resolve if registry.mapping.address == "name" else None
     source = EurekaSource(
         registry,
         Listing(messages.EndpointList("cached", 0, ()), {}),
@@ -59,12 +59,15 @@
                 break
         else:
             raise OSError("no registry answers")
-        found = [described(k.entry.host, k.entry.address) for k in source.belief.known.values()]
+        found = [
+            described(record.accepted.endpoint, record.accepted.address)
+            for record in source.reconciler.records.values()
+        ]
         return {
             "source": f"registry {source.url}",
-            "age": time.time() - source.belief.heard_at,
+            "age": time.time() - source.reconciler.last_update_at,
             "hosts": found,
-            "left out": list(source.odd),
+            "left out": list(source.malformed),
         }
     finally:
         await source.close()
--- a/apigateway/daemon/config.py
+++ b/apigateway/daemon/config.py
@@ -14,9 +14,9 @@
 from apigateway.upstream.address import Address, read_address
 
 if TYPE_CHECKING:
-    from apigateway.membership.belief import Trust
-    from apigateway.membership.eureka.registration import Own
-    from apigateway.membership.eureka.source import Registry
+    from apigateway.membership.eureka.registration import RegistrationSettings
+    from apigateway.membership.eureka.source import RegistrySettings
+    from apigateway.membership.reconciler import ReconcilerSettings
 
 
 # s: the platform's SIGKILL comes no sooner after SIGTERM than the longest deadline, or LONGEST where that is
@@ -45,10 +45,10 @@
     more: tuple[Address, ...] = ()  # further listeners
     grpc: frozenset[Address] = frozenset()  # those that speak gRPC; the others speak RESP2
     hosts_file: str | None = None  # in place of a discovery
-    registry: Registry | None = None  # likewise
-    trust: Trust | None = None  # what of a discovery's lists is believed; None: all
+    registry: RegistrySettings | None = None  # likewise
+    trust: ReconcilerSettings | None = None  # what of a discovery's lists is believed; None: all
     span: int = 1  # gateways that clients know as one: workers on one address
-    own: Own | None = None  # how this gateway registers itself
+    own: RegistrationSettings | None = None  # how this gateway registers itself
     overload: tuple[float, float] | None = None  # s: aim for the loop's lag, and most of one turn; None: off
     leave: tuple[str, ...] = ()  # zones to which nothing new goes, by the operator's word
     linger: float = 0.5  # s after SIGTERM in which connections still come
--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -16,7 +16,7 @@
 from apigateway.counter.client import Counter
 from apigateway.daemon.config import Config
 from apigateway.frontends.resp.front import RespFront
-from apigateway.membership.discovery import Discovery
+from apigateway.membership.discovery import DiscoveryClient
 from apigateway.membership.listing import Listing
 from apigateway.membership.watch_schedule import WatchSchedule
 from apigateway.policy import Gateway
@@ -27,7 +27,7 @@
     from apigateway.core.admission import Door
     from apigateway.daemon.ratelimit import Built, RateLimits
     from apigateway.frontends.grpc.front import GrpcFront
-    from apigateway.membership.judge import Judge
+    from apigateway.membership.reconciler_driver import ReconcilerDriver
     from apigateway.plugins.live import Hooks as Plugins
     from apigateway.policy.overload_gate import Gate
 
@@ -142,10 +142,11 @@
 
     def source(self, config: Config, version: int) -> Source:
         if config.hosts_file is not None:
-            from apigateway.membership.file import HostsInFile  # the platform's `run` does without
+            from apigateway.membership.file import EndpointFileSource  # the platform's `run` does without
 
-            return HostsInFile(config.hosts_file, self.listed, self.core.list_failed)
-        belief = getattr(getattr(self, "discovery", None), "belief", None)  # goes on, with its doubts and age
+            return EndpointFileSource(config.hosts_file, self.listed, self.core.list_failed)
+        # the reconciler of the last source goes on, with its doubts and its age
+        belief = getattr(getattr(self, "discovery", None), "reconciler", None)
         if config.discovery is None:
             from apigateway.membership.eureka.source import EurekaSource, resolve
 
@@ -153,7 +154,7 @@
             own = {config.listen, *config.more}
             if config.own is not None:
                 own.add((config.own.ip, config.own.port))
-            by_name = resolve if config.registry.terms.address == "name" else None
+            by_name = resolve if config.registry.mapping.address == "name" else None
             return EurekaSource(
                 config.registry,
                 self.listing,
@@ -162,18 +163,18 @@
                 own,
                 by_name,
                 self.core.clock,
-                belief=belief,
+                reconciler=belief,
             )
         if config.settings.discovery_mode == "ask":
             schedule = WatchSchedule.for_polled_service()
         else:
             schedule = WatchSchedule.for_agent(config.settings.rules.drain_grace)
         if config.trust is not None:
-            from apigateway.membership.judge import Judge
+            from apigateway.membership.reconciler_driver import ReconcilerDriver
 
-            judge = Judge(config.trust, self.listing, self.listed, self.core.clock, belief)
-            return JudgedDiscovery(config.discovery, version, judge, self.core.list_failed, schedule)
-        return Discovery(config.discovery, version, self.listed, self.core.list_failed, schedule)
+            judge = ReconcilerDriver(config.trust, self.listing, self.listed, self.core.clock, belief)
+            return ReconciledDiscovery(config.discovery, version, judge, self.core.list_failed, schedule)
+        return DiscoveryClient(config.discovery, version, self.listed, self.core.list_failed, schedule)
 
     def listed(self, listing: Listing) -> None:
         self.listed_at = time.monotonic()
@@ -300,7 +301,7 @@
 
     def hosts_believed(self) -> dict[str, Any]:
         """For `api-gateway hosts`. Times in seconds."""
-        belief = getattr(self.discovery, "belief", None)
+        belief = getattr(self.discovery, "reconciler", None)
         if belief is not None:
             age = self.core.clock() - belief.heard_at
             hosts = [
@@ -365,9 +366,9 @@
         late = [h for h in listing.hosts.endpoints if h.state != "up" and h.id in up]
         if not late:
             return
-        judge: Judge | None = getattr(self.discovery, "judge", None)
+        judge: ReconcilerDriver | None = getattr(self.discovery, "driver", None)
         if judge is not None:  # through its belief, or what it tells later would not be a change
-            judge.drain(h.id for h in late)
+            judge.mark_draining(h.id for h in late)
         else:
             self.listed(Listing(messages.EndpointList("delta", self.listing.hosts.version, tuple(late)), {}))
         self.discovery.fetch()
@@ -418,22 +419,23 @@
         await asyncio.gather(*self.endings, return_exceptions=True)
 
 
-class JudgedDiscovery(Discovery):
+class ReconciledDiscovery(DiscoveryClient):
     """Discovery whose lists are not taken at their word: not on the platform, whose agents do not lie."""
 
     def __init__(
         self,
         address: Address,
         version: int,
-        judge: Judge,
+        judge: ReconcilerDriver,
         failed: Callable[[], None],
         schedule: WatchSchedule,
     ) -> None:
-        super().__init__(address, version, judge.hear_listing, failed, schedule)
-        self.judge, self.belief = judge, judge.belief
+        super().__init__(address, version, judge.apply_listing, failed, schedule)
+        self.driver = judge
+        self.reconciler = judge.reconciler
 
     async def close(self) -> None:
-        self.judge.close()
+        self.driver.close()
         await super().close()
 
 
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -164,7 +164,7 @@
             self.keeper.questions["ratelimit"] = self.node.limits_told
             self.keeper.open()
         if self.registration is not None:
-            self.registration.up()
+            self.registration.mark_up()
         gc.freeze()  # what the start made stays for good: no collection need look at it again
         for front in self.node.fronts:
             log.info("%s listens on %s", self.config.name, write_address((front.address[0], front.port)))
@@ -404,13 +404,13 @@
         if self.handed_over:  # another accepts what still comes, and holds the registration under the same id
             await self.node.stop(0.0)
             if self.registration is not None:
-                await self.registration.end()
+                await self.registration.close()
             return
         if self.registration is not None:
-            await self.registration.down()
+            await self.registration.mark_down()
         await self.node.stop()
         if self.registration is not None:
-            await self.registration.leave()
+            await self.registration.deregister()
 
     def close(self) -> None:
         if self.keeper is not None:
--- a/apigateway/daemon/settings.py
+++ b/apigateway/daemon/settings.py
@@ -20,14 +20,14 @@
 from apigateway.external_ratelimit.settings import AskPart
 from apigateway.frontends.grpc.mapping import TAKEN, BadRule, Mapping, Rule
 from apigateway.frontends.grpc.settings import RateLimitPart, RulePart
-from apigateway.membership.belief import Trust
-from apigateway.membership.file import read_hosts
+from apigateway.membership.file import read_endpoint_file
 from apigateway.membership.listing import Listing
+from apigateway.membership.reconciler import ReconcilerSettings
 from apigateway.plugins.settings import HooksPart, PluginPart, RecordsPart
 from apigateway.upstream.address import Address, read_address
 
 if TYPE_CHECKING:
-    from apigateway.membership.eureka.source import Registry
+    from apigateway.membership.eureka.source import RegistrySettings
 
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=3600)]
 Span = Annotated[float, msgspec.Meta(ge=0, le=3600)]  # s; 0 where it is allowed to be none
@@ -542,14 +542,14 @@
     known, file = Listing(messages.EndpointList("cached", 0, ()), {}), None
     if told.hosts.source == "file":
         file = os.path.join(os.path.dirname(os.path.abspath(path)), told.hosts.file)
-        known = read_hosts(file, "cached")
+        known = read_endpoint_file(file, "cached")
     listeners = [read_address(listener.address) for listener in told.listeners]
     registry, own = to_registry(told), None
     if told.register.on:
-        from apigateway.membership.eureka.registration import Own
+        from apigateway.membership.eureka.registration import RegistrationSettings
 
         part, port = told.register, listeners[0][1]
-        own = Own(
+        own = RegistrationSettings(
             part.app,
             part.id or f"{told.gateway.name}:{port}",
             part.host_name or part.ip,
@@ -564,7 +564,7 @@
         grpc=frozenset(read_address(one.address) for one in told.listeners if one.protocol == "grpc"),
         registry=registry,
         own=own,
-        trust=Trust(**msgspec.to_builtins(told.trust)),
+        trust=ReconcilerSettings(**msgspec.to_builtins(told.trust)),
         name=told.gateway.name,
         listen=listeners[0],
         more=tuple(listeners[1:]),
@@ -587,14 +587,14 @@
     )
 
 
-def to_registry(told: Settings) -> Registry | None:
+def to_registry(told: Settings) -> RegistrySettings | None:
     if told.hosts.source != "eureka" and not told.register.on:
         return None
-    from apigateway.membership.eureka.mapping import Terms
-    from apigateway.membership.eureka.source import Registry
+    from apigateway.membership.eureka.mapping import InstanceMapping
+    from apigateway.membership.eureka.source import RegistrySettings
 
     part = told.eureka
-    terms = Terms(
+    terms = InstanceMapping(
         part.zone_key,
         part.cell_key,
         part.kind_key,
@@ -604,7 +604,7 @@
         part.secure,
         msgspec.to_builtins(part.states),
     )
-    return Registry(
+    return RegistrySettings(
         tuple(part.urls),
         part.by,
         part.name,
@@ -616,7 +616,7 @@
         part.password,
         part.delta,
         terms,
-        Trust(**msgspec.to_builtins(told.trust)),
+        ReconcilerSettings(**msgspec.to_builtins(told.trust)),
     )
 
 
--- a/apigateway/membership/discovery.py
+++ b/apigateway/membership/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's HTTP calls: the complete list of hosts once, then a watch for its changes.
+"""Discovery's HTTP calls: the complete endpoint list once, then a watch for its changes.
 
 `watch_schedule` says when.
 """
@@ -20,7 +20,7 @@
 from apigateway.upstream.address import Address
 
 REJECTION_STATUSES = (429, 503)  # of a service that has no capacity for the call
-MOST_LIST = 1024 * 1024  # bytes of an answer: one without end must not fill the memory
+MAX_RESPONSE_BYTES = 1024 * 1024  # a response without end must not fill the memory
 
 log = logging.getLogger(__name__)
 
@@ -33,73 +33,149 @@
     FAILED = auto()
 
 
-class Discovery:
-    """`told` gets each list, `failed` hears of each call that failed."""
+class DiscoveryClient:
+    """Keep the endpoint list up to date from discovery, in the shape of `core.interfaces.EndpointSource`.
+
+    Args:
+        address: of the agent or service.
+        version: of the last known list.
+        on_list: called with each list, complete or delta.
+        on_failure: called after each call that failed.
+        schedule: when calls are made.
+    """
 
     def __init__(
         self,
         address: Address,
         version: int,
-        told: Callable[[Listing], None],
-        failed: Callable[[], None],
+        on_list: Callable[[Listing], None],
+        on_failure: Callable[[], None],
         schedule: WatchSchedule,
     ) -> None:
         host, port = address
+        self.version = version
         self.schedule = schedule
-        self.pacer = WatchPacer(schedule, random.Random())
-        self.trouble = ""
-        self.taken = 0  # answers
-        self.url = f"http://{f'[{host}]' if ':' in host else host}:{port}/v1/endpoints"
-        self.version, self.told, self.failed = version, told, failed
-        self.session: aiohttp.ClientSession | None = None
-        self.watching: asyncio.Task[None] | None = None
-        self.overdue_watch: asyncio.Task[CallResult] | None = None
+        self.lists_received = 0
         self.fetching: set[asyncio.Task[CallResult]] = set()
+        self._url = f"http://{f'[{host}]' if ':' in host else host}:{port}/v1/endpoints"
+        self._on_list = on_list
+        self._on_failure = on_failure
+        self._pacer = WatchPacer(schedule, random.Random())
+        self._last_failure = ""  # as it was logged; empty after an answer
+        self._session: aiohttp.ClientSession | None = None
+        self._watch_task: asyncio.Task[None] | None = None
+        self._overdue_watch: asyncio.Task[CallResult] | None = None
+
+    @property
+    def watching(self) -> bool:
+        """Whether changes are watched."""
+        return self._watch_task is not None
 
-    async def get(self, params: dict[str, int], limit: float) -> None:
-        if self.session is None:
-            self.session = aiohttp.ClientSession(trust_env=False)
-        before = self.taken
-        async with self.session.get(
-            self.url, params=params, timeout=aiohttp.ClientTimeout(total=limit)
-        ) as answer:
-            answer.raise_for_status()
-            body = bytearray()
-            async for chunk in answer.content.iter_any():
-                body += chunk
-                if len(body) > MOST_LIST:
-                    raise ValueError("an answer without end")
-        listing = read_list(json.loads(body))
-        if listing.hosts.version < self.version:
-            if listing.hosts.mode == "delta":
-                raise ValueError("changes to an older list than the last")  # they may bring back what is gone
-            if self.taken > before:  # one that was asked for earlier and came later would bring it back too
-                return
-        self.version, self.taken = listing.hosts.version, self.taken + 1
-        self.told(listing)
+    def watch(self, on: bool) -> None:
+        """Start or stop watching; a start requests the complete list first."""
+        if on and self._watch_task is None:
+            self._watch_task = asyncio.get_running_loop().create_task(self._run())
+        elif not on and self._watch_task is not None:
+            self._watch_task.cancel()
+            self._watch_task = None
+            self._end_overdue_watch()
 
-    async def attempt(self, params: dict[str, int], limit: float) -> CallResult:
+    def fetch(self) -> None:
+        """Request the complete list once, beside the watch."""
+        task = self._start_call({}, self.schedule.call_timeout)
+        self.fetching.add(task)
+        task.add_done_callback(self.fetching.discard)
+
+    async def close(self) -> None:
+        """End all calls: neither callback is called from now on."""
+        self.watch(False)
+        for task in self.fetching:
+            task.cancel()
+        if self._session is not None:
+            await self._session.close()
+
+    # One call
+
+    def _start_call(self, params: dict[str, int], timeout: float) -> asyncio.Task[CallResult]:
+        return asyncio.get_running_loop().create_task(self._call(params, timeout))
+
+    async def _call(self, params: dict[str, int], timeout: float) -> CallResult:
         try:
-            await self.get(params, limit)
+            await self._request(params, timeout)
         except Exception as err:  # whatever it is, the watch must outlive it
-            told = f"{type(err).__name__} {err}"
-            if told != self.trouble:  # while discovery is down it is asked several times a second
-                log.warning("discovery: %s; the last list stays", told)
-            self.trouble = told
-            self.failed()
+            failure = f"{type(err).__name__} {err}"
+            if failure != self._last_failure:  # while discovery is down it is called several times a second
+                log.warning("discovery: %s; the last list stays", failure)
+            self._last_failure = failure
+            self._on_failure()
             if isinstance(err, aiohttp.ClientResponseError) and err.status in REJECTION_STATUSES:
                 return CallResult.REJECTED
             return CallResult.FAILED
-        self.trouble = ""
+        self._last_failure = ""
         return CallResult.ANSWERED
 
-    def call(self, params: dict[str, int], limit: float) -> asyncio.Task[CallResult]:
-        return asyncio.get_running_loop().create_task(self.attempt(params, limit))
+    async def _request(self, params: dict[str, int], timeout: float) -> None:
+        """Request a list and deliver it. Raises whatever goes wrong."""
+        if self._session is None:
+            self._session = aiohttp.ClientSession(trust_env=False)
+        received_before = self.lists_received
+        async with self._session.get(
+            self._url, params=params, timeout=aiohttp.ClientTimeout(total=timeout)
+        ) as response:
+            response.raise_for_status()
+            body = await _read_body(response)
+        listing = read_list(json.loads(body))
+        if listing.hosts.version < self.version:
+            if listing.hosts.mode == "delta":  # it may bring back what is gone
+                raise ValueError("changes to an older list than the last")
+            if self.lists_received > received_before:  # so may a list requested earlier that arrives later
+                return
+        self.version = listing.hosts.version
+        self.lists_received += 1
+        self._on_list(listing)
 
-    async def complete_list(self) -> CallResult:
-        """Request the complete list. While discovery is down an agent never answers a call, not even after
-        discovery's return, so another call is made beside one that takes long. A late answer counts too, also
-        that of a watch that is overdue."""
+    # The watch
+
+    async def _run(self) -> None:
+        """Request the complete list, then watch; at once after each answer: past 200 ms it is a new watch.
+
+        After a failure the complete list comes first again; after a rejection by a service that is polled the
+        same call, which may cost the service less.
+        """
+        is_listed = False
+        while True:
+            result = await (self._watch_changes() if is_listed else self._request_complete_list())
+            if result is CallResult.ANSWERED:
+                self._end_overdue_watch()
+                self._pacer.on_answer()
+                is_listed = True
+            elif result is CallResult.REJECTED and self.schedule.is_polled:
+                await asyncio.sleep(self._pacer.next_backoff())
+            else:
+                if not is_listed:
+                    await asyncio.sleep(self._pacer.next_backoff())
+                is_listed = False
+
+    async def _watch_changes(self) -> CallResult:
+        """Hold one watch. One that is overdue stays open as `_overdue_watch` while its answer would count."""
+        schedule = self.schedule
+        wait = self._pacer.next_wait()
+        params = {"index": self.version, "wait": int(wait * 1000)}
+        watch = self._start_call(params, wait + schedule.overdue + schedule.late_answer)
+        self._overdue_watch = watch
+        await asyncio.wait({watch}, timeout=wait + schedule.overdue if schedule.late_answer else None)
+        if not watch.done():
+            return CallResult.FAILED
+        self._overdue_watch = None
+        return watch.result()
+
+    async def _request_complete_list(self) -> CallResult:
+        """Request the complete list, with hedged calls.
+
+        While discovery is down an agent never answers a call, not even after discovery's return, so another
+        call is made beside one that takes long. A late answer counts too, also that of a watch that is
+        overdue.
+        """
         loop = asyncio.get_running_loop()
         calls = set[asyncio.Task[CallResult]]()
         result = CallResult.FAILED
@@ -107,16 +183,16 @@
         try:
             while calls or next_call <= loop.time():
                 if next_call <= loop.time():
-                    calls.add(self.call({}, self.schedule.call_timeout))
+                    calls.add(self._start_call({}, self.schedule.call_timeout))
                     next_call = loop.time() + self.schedule.hedge_after
                 timeout = None if next_call == math.inf else max(0.0, next_call - loop.time())
-                watch = {self.overdue_watch} if self.overdue_watch is not None else set()
+                watch = {self._overdue_watch} if self._overdue_watch is not None else set()
                 ended, _ = await asyncio.wait(
                     calls | watch, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
                 )
                 calls -= ended
                 if ended & watch:
-                    self.overdue_watch = None
+                    self._overdue_watch = None
                 for call in ended:
                     result = call.result()
                     if result is CallResult.ANSWERED:
@@ -126,60 +202,16 @@
             for call in calls:
                 call.cancel()
 
-    async def watch_changes(self) -> CallResult:
-        """Hold one watch. One that is overdue stays open as `overdue_watch` while its answer would count."""
-        schedule = self.schedule
-        wait = self.pacer.next_wait()
-        params = {"index": self.version, "wait": int(wait * 1000)}
-        watch = self.overdue_watch = self.call(params, wait + schedule.overdue + schedule.late_answer)
-        await asyncio.wait({watch}, timeout=wait + schedule.overdue if schedule.late_answer else None)
-        if not watch.done():
-            return CallResult.FAILED
-        self.overdue_watch = None
-        return watch.result()
-
-    async def run(self) -> None:
-        """Request the complete list, then watch; at once after each answer: past 200 ms it is a new watch.
-
-        After a failure the complete list comes first again; after a rejection by a service that is polled the
-        same call, which may cost the service less.
-        """
-        is_listed = False
-        while True:
-            result = await (self.watch_changes() if is_listed else self.complete_list())
-            if result is CallResult.ANSWERED:
-                self.end_overdue_watch()
-                self.pacer.on_answer()
-                is_listed = True
-            elif result is CallResult.REJECTED and self.schedule.is_polled:
-                await asyncio.sleep(self.pacer.next_backoff())
-            else:
-                if not is_listed:
-                    await asyncio.sleep(self.pacer.next_backoff())
-                is_listed = False
-
-    def end_overdue_watch(self) -> None:
-        if self.overdue_watch is not None:
-            self.overdue_watch.cancel()
-            self.overdue_watch = None
+    def _end_overdue_watch(self) -> None:
+        if self._overdue_watch is not None:
+            self._overdue_watch.cancel()
+            self._overdue_watch = None
 
-    def watch(self, on: bool) -> None:
-        if on and self.watching is None:
-            self.watching = asyncio.get_running_loop().create_task(self.run())
-        elif not on and self.watching is not None:
-            self.watching.cancel()
-            self.watching = None
-            self.end_overdue_watch()
-
-    def fetch(self) -> None:
-        task = self.call({}, self.schedule.call_timeout)
-        self.fetching.add(task)
-        task.add_done_callback(self.fetching.discard)
 
-    async def close(self) -> None:
-        """Nothing is told from now on."""
-        self.watch(False)
-        for task in self.fetching:
-            task.cancel()
-        if self.session is not None:
-            await self.session.close()
+async def _read_body(response: aiohttp.ClientResponse) -> bytearray:
+    body = bytearray()
+    async for chunk in response.content.iter_any():
+        body += chunk
+        if len(body) > MAX_RESPONSE_BYTES:
+            raise ValueError("an answer without end")
+    return body
--- a/apigateway/membership/eureka/model.py
+++ b/apigateway/membership/eureka/model.py
@@ -17,12 +17,12 @@
 ACTIONS = ("ADDED", "MODIFIED", "DELETED")
 
 
-class Odd(ValueError):
+class MalformedResponseError(ValueError):
     """An instance, or an answer as a whole, that cannot be read."""
 
 
 @dataclass(frozen=True, slots=True)
-class Instance:
+class EurekaInstance:
     """Times in milliseconds since 1970 by the registry's clock, 0: not told."""
 
     id: str
@@ -32,23 +32,23 @@
     port: int  # 0: not enabled
     secure_port: int  # 0: not enabled
     status: str  # one of STATUSES; another is UNKNOWN
-    overridden: str
+    overridden_status: str
     vip: str = ""
     secure_vip: str = ""
-    registered: int = 0
-    service_up: int = 0
-    dirty: int = 0  # when the instance itself last changed: orders news of it
+    registered_ms: int = 0
+    service_up_ms: int = 0
+    last_dirty_ms: int = 0  # when the instance itself last changed: orders news of it
     action: str = ""  # one of ACTIONS in a delta
     metadata: dict[str, str] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class RegistryResponse:
     """A whole list or a delta. `odd`: what could not be read, which takes nothing else along."""
 
-    instances: tuple[Instance, ...]
+    instances: tuple[EurekaInstance, ...]
     hashcode: str  # apps__hashcode; empty: not told
-    odd: tuple[str, ...] = ()
+    malformed: tuple[str, ...] = ()
 
 
 def number(value: object) -> int:
@@ -56,9 +56,9 @@
     try:
         made = int(str(value)) if value not in (None, "") else 0
     except ValueError as err:
-        raise Odd(f"{str(value)[:40]!r} is no number") from err
+        raise MalformedResponseError(f"{str(value)[:40]!r} is no number") from err
     if not 0 <= made < 2**63:
-        raise Odd(f"{made} out of range")
+        raise MalformedResponseError(f"{made} out of range")
     return made
 
 
@@ -69,7 +69,7 @@
         value = value.get("$", 0)
     made = number(value)
     if made > 65535:
-        raise Odd(f"{made} is no port")
+        raise MalformedResponseError(f"{made} is no port")
     return made
 
 
@@ -84,10 +84,10 @@
     return value if isinstance(value, list) else [] if value is None else [value]
 
 
-def read_instance(told: object, app: str = "") -> Instance:
+def read_instance(told: object, app: str = "") -> EurekaInstance:
     """Raises Odd."""
     if not isinstance(told, dict):
-        raise Odd("an instance that is no object")
+        raise MalformedResponseError("an instance that is no object")
     lease = told.get("leaseInfo")
     lease = lease if isinstance(lease, dict) else {}
     metadata = told.get("metadata")
@@ -96,11 +96,11 @@
     app = text(told.get("app")) or app
     id = text(told.get("instanceId")) or host_name
     if not id or not app or len(id) > 256:
-        raise Odd("an instance without id or app")
+        raise MalformedResponseError("an instance without id or app")
     status = text(told.get("status")).upper()
     override = told.get("overriddenStatus") or told.get("overriddenstatus")
     overridden = text(override).upper()
-    return Instance(
+    return EurekaInstance(
         id=id,
         app=app.upper(),
         host_name=host_name,
@@ -108,27 +108,27 @@
         port=port(told.get("port")),
         secure_port=port(told.get("securePort", {"@enabled": "false"})),
         status=status if status in STATUSES else "UNKNOWN",
-        overridden=overridden if overridden in STATUSES else "UNKNOWN",
+        overridden_status=overridden if overridden in STATUSES else "UNKNOWN",
         vip=text(told.get("vipAddress")),
         secure_vip=text(told.get("secureVipAddress")),
-        registered=number(lease.get("registrationTimestamp")),
-        service_up=number(lease.get("serviceUpTimestamp")),
-        dirty=number(told.get("lastDirtyTimestamp")),
+        registered_ms=number(lease.get("registrationTimestamp")),
+        service_up_ms=number(lease.get("serviceUpTimestamp")),
+        last_dirty_ms=number(told.get("lastDirtyTimestamp")),
         action=text(told.get("actionType")).upper(),
         metadata={str(k): text(v) for k, v in metadata.items() if k != "@class"},
     )
 
 
-def read_applications(tree: object) -> Answer:
+def read_applications(tree: object) -> RegistryResponse:
     """`{"applications": {...}}`, or one `{"application": {...}}`. Raises Odd if it is neither."""
     if not isinstance(tree, dict):
-        raise Odd("no object")
+        raise MalformedResponseError("no object")
     if "application" in tree and "applications" not in tree:
         applications: Any = {"application": tree["application"]}
     else:
         applications = tree.get("applications")
     if not isinstance(applications, dict):
-        raise Odd("no applications")
+        raise MalformedResponseError("no applications")
     instances, odd = [], []
     for application in many(applications.get("application")):
         if not isinstance(application, dict):
@@ -137,21 +137,21 @@
         for told in many(application.get("instance")):
             try:
                 instances.append(read_instance(told, text(application.get("name"))))
-            except Odd as err:
+            except MalformedResponseError as err:
                 name = told.get("instanceId") or told.get("hostName") if isinstance(told, dict) else None
                 odd.append(f"{text(name)[:80] or 'an instance'}: {err}")
-    return Answer(tuple(instances), text(applications.get("apps__hashcode")), tuple(odd))
+    return RegistryResponse(tuple(instances), text(applications.get("apps__hashcode")), tuple(odd))
 
 
-def read_json(body: bytes) -> Answer:
+def read_json(body: bytes) -> RegistryResponse:
     """Raises Odd."""
     try:
         return read_applications(msgspec.json.decode(body))
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as err:
-        raise Odd(f"no JSON: {err}") from err
+        raise MalformedResponseError(f"no JSON: {err}") from err
 
 
-def read_xml(body: bytes) -> Answer:
+def read_xml(body: bytes) -> RegistryResponse:
     """Raises Odd. Entities and documents of other places are refused (defusedxml)."""
     import defusedxml  # only where a registry speaks XML
     from defusedxml.ElementTree import ParseError, fromstring
@@ -159,9 +159,9 @@
     try:
         root = fromstring(body, forbid_dtd=True)
     except (ParseError, defusedxml.DefusedXmlException, RecursionError, ValueError) as err:
-        raise Odd(f"no XML: {type(err).__name__} {err}") from err
+        raise MalformedResponseError(f"no XML: {type(err).__name__} {err}") from err
     if root.tag not in ("applications", "application"):
-        raise Odd(f"no applications but {root.tag[:40]!r}")
+        raise MalformedResponseError(f"no applications but {root.tag[:40]!r}")
     apps = [root] if root.tag == "application" else root.findall("application")
     told = {
         "apps__hashcode": root.findtext("apps__hashcode", ""),
--- a/apigateway/membership/eureka/registration.py
+++ b/apigateway/membership/eureka/registration.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
+class RegistrationSettings:
     """How this gateway is told of. Times in seconds."""
 
     app: str
@@ -26,8 +26,8 @@
     ip: str
     port: int
     vip: str = ""
-    renew: float = 10.0
-    duration: float = 30.0
+    renewal_interval: float = 10.0
+    lease_duration: float = 30.0
     metadata: Mapping[str, str] = field(default_factory=dict)
 
     def instance(self, status: str) -> dict[str, Any]:
@@ -51,8 +51,8 @@
                     "name": "MyOwn",
                 },
                 "leaseInfo": {
-                    "renewalIntervalInSecs": max(1, round(self.renew)),
-                    "durationInSecs": max(1, round(self.duration)),
+                    "renewalIntervalInSecs": max(1, round(self.renewal_interval)),
+                    "durationInSecs": max(1, round(self.lease_duration)),
                 },
                 "lastUpdatedTimestamp": str(now),
                 "lastDirtyTimestamp": str(now),
@@ -65,7 +65,12 @@
     the end."""
 
     def __init__(
-        self, urls: tuple[str, ...], own: Own, user: str = "", password: str = "", timeout: float = 2.0
+        self,
+        urls: tuple[str, ...],
+        own: RegistrationSettings,
+        user: str = "",
+        password: str = "",
+        timeout: float = 2.0,
     ) -> None:
         self.urls, self.own, self.timeout = urls, own, timeout
         self.headers = {"Authorization": aiohttp.encode_basic_auth(user, password)} if user else {}
@@ -79,7 +84,7 @@
     def start(self) -> None:
         self.task = asyncio.get_running_loop().create_task(self.run())
 
-    def up(self) -> None:
+    def mark_up(self) -> None:
         self.tell("UP")
 
     def tell(self, status: str) -> None:
@@ -92,7 +97,7 @@
             self.changed.clear()
             try:
                 await self.step()
-                pause = self.own.renew
+                pause = self.own.renewal_interval
             except Exception as err:
                 log.warning(
                     "registry %s: not told of this gateway: %s %s",
@@ -101,7 +106,7 @@
                     err,
                 )
                 self.at = (self.at + 1) % len(self.urls)
-                pause = min(1.0, self.own.renew)
+                pause = min(1.0, self.own.renewal_interval)
             try:
                 async with asyncio.timeout(pause):
                     await self.changed.wait()
@@ -135,15 +140,15 @@
         ) as answer:
             return answer.status
 
-    async def down(self) -> None:
+    async def mark_down(self) -> None:
         """Others stop sending: told before the listeners close."""
         await self.last("POST", f"apps/{self.own.app.upper()}", self.own.instance("DOWN"))
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         await self.last("DELETE", f"apps/{self.own.app.upper()}/{self.own.id}")
-        await self.end()
+        await self.close()
 
-    async def end(self) -> None:
+    async def close(self) -> None:
         """Tells nothing more: another holds the registration, or it is over."""
         await self.halt()
         if self.session is not None:
--- a/apigateway/membership/eureka/replica.py
+++ b/apigateway/membership/eureka/registry_cache.py
@@ -13,27 +13,27 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from apigateway.membership.eureka.model import Instance
+from apigateway.membership.eureka.model import EurekaInstance
 
 # s between whole lists that a hash asks for, doubling while they do not help
 WHOLE_LEAST, WHOLE_MOST = 30.0, 600.0
 
 
-def hashcode(instances: Iterable[Instance]) -> str:
+def hashcode(instances: Iterable[EurekaInstance]) -> str:
     """Netflix's apps__hashcode: each status and how many have it, in the order of the alphabet."""
     counts = Counter(instance.status for instance in instances)
     return "".join(f"{status}_{count}_" for status, count in sorted(counts.items()))
 
 
-class Replica:
+class RegistryCache:
     def __init__(self) -> None:
-        self.instances: dict[tuple[str, str], Instance] = {}
+        self.instances: dict[tuple[str, str], EurekaInstance] = {}
         self.counts: Counter[str] = Counter()
         self.known = False  # it has had a whole list
         self.pause = WHOLE_LEAST
         self.whole_at = 0.0  # not before then does a hash ask for a whole list
 
-    def whole(self, now: float, instances: Iterable[Instance], told: str) -> None:
+    def replace_all(self, now: float, instances: Iterable[EurekaInstance], told: str) -> None:
         """A whole list takes the place of all that there is."""
         self.instances = {(i.app, i.id): i for i in instances}
         self.counts = Counter(i.status for i in self.instances.values())
@@ -44,7 +44,7 @@
             self.pause = WHOLE_LEAST
         self.whole_at = now + self.pause
 
-    def unchanged(self, now: float) -> None:
+    def on_not_modified(self, now: float) -> None:
         """A whole list was asked for and is still the last one: if the hash differs, that did not help."""
         self.pause = min(WHOLE_MOST, 2 * self.pause)
         self.whole_at = now + self.pause
@@ -52,7 +52,9 @@
     def hashcode(self) -> str:
         return "".join(f"{status}_{count}_" for status, count in sorted(self.counts.items()) if count)
 
-    def delta(self, now: float, instances: Iterable[Instance], told: str) -> tuple[set[str], bool]:
+    def apply_delta(
+        self, now: float, instances: Iterable[EurekaInstance], told: str
+    ) -> tuple[set[str], bool]:
         """Applies a delta. Returns the ids that were deleted by name, and whether a whole list is to be
         fetched."""
         deleted = set()
--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -12,12 +12,18 @@
 
 import aiohttp
 
-from apigateway.membership.belief import Belief, Trust
-from apigateway.membership.eureka.mapping import Terms, read_entries
-from apigateway.membership.eureka.model import Answer, Instance, Odd, read_json, read_xml
-from apigateway.membership.eureka.replica import Replica
-from apigateway.membership.judge import Judge
+from apigateway.membership.eureka.mapping import InstanceMapping, read_entries
+from apigateway.membership.eureka.model import (
+    EurekaInstance,
+    MalformedResponseError,
+    RegistryResponse,
+    read_json,
+    read_xml,
+)
+from apigateway.membership.eureka.registry_cache import RegistryCache
 from apigateway.membership.listing import Listing
+from apigateway.membership.reconciler import EndpointReconciler, ReconcilerSettings
+from apigateway.membership.reconciler_driver import ReconcilerDriver
 from apigateway.upstream.address import Address
 
 BACKOFF_MOST = 30.0  # s between polls while no registry answers
@@ -32,26 +38,26 @@
 Resolve = Callable[[str], Awaitable[str]]
 
 
-class Unusable(Exception):
+class UnusableResponseError(Exception):
     """An answer that cannot be used, or none."""
 
 
 @dataclass(frozen=True, slots=True)
-class Registry:
+class RegistrySettings:
     """How to ask. `urls` are base paths, as `http://host:8761/eureka/v2`, tried in this order."""
 
     urls: tuple[str, ...]
-    by: str = "apps"  # a key of PATHS
+    lookup: str = "apps"  # a key of PATHS
     name: str = ""  # of the app or vip; with `apps`, only this app's instances where it is set
     form: str = "json"
-    poll: float = 5.0  # s
+    poll_interval: float = 5.0  # s
     timeout: float = 2.0  # s
-    most: int = 32 * 1024 * 1024  # bytes of an answer, unpacked
+    max_response_bytes: int = 32 * 1024 * 1024  # bytes of an answer, unpacked
     user: str = ""
     password: str = field(default="", repr=False)
     delta: bool = True
-    terms: Terms = field(default_factory=Terms)
-    trust: Trust = field(default_factory=Trust)
+    mapping: InstanceMapping = field(default_factory=InstanceMapping)
+    reconciler: ReconcilerSettings = field(default_factory=ReconcilerSettings)
 
 
 class EurekaSource:
@@ -60,7 +66,7 @@
 
     def __init__(
         self,
-        registry: Registry,
+        registry: RegistrySettings,
         known: Listing,
         told: Callable[[Listing], None],
         failed: Callable[[], None],
@@ -68,24 +74,27 @@
         resolve: Resolve | None = None,
         clock: Callable[[], float] = time.time,
         seed: int | None = None,
-        belief: Belief | None = None,
+        reconciler: EndpointReconciler | None = None,
     ) -> None:
         self.registry, self.failed, self.own, self.clock = registry, failed, set(own), clock
         self.resolve, self.rng = resolve, random.Random(seed)
-        self.judge, self.replica = Judge(registry.trust, known, told, clock, belief), Replica()
-        self.belief = self.judge.belief
+        self.driver, self.cache = (
+            ReconcilerDriver(registry.reconciler, known, told, clock, reconciler),
+            RegistryCache(),
+        )
+        self.reconciler = self.driver.reconciler
         self.at = 0  # which registry is asked
         self.fails = 0  # polls in a row
-        self.etag: dict[str, str] = {}
+        self._etags: dict[str, str] = {}
         self.names: dict[str, str] = {}  # host names that were resolved
         self.session: aiohttp.ClientSession | None = None
         self.watcher: asyncio.Task[None] | None = None
         self.tasks: set[asyncio.Task[bool]] = set()
-        self.odd: tuple[str, ...] = ()  # what could not be read in the last answer
+        self.malformed: tuple[str, ...] = ()  # what could not be read in the last answer
 
     @property
     def version(self) -> int:
-        return self.belief.version
+        return self.reconciler.version
 
     @property
     def watching(self) -> bool:
@@ -102,7 +111,7 @@
 
     def fetch(self) -> None:
         """Asks for the whole list, once."""
-        self.replica, self.etag = Replica(), {}
+        self.cache, self._etags = RegistryCache(), {}
         task = asyncio.get_running_loop().create_task(self.poll())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -111,7 +120,7 @@
         self.watch(False)
         for task in self.tasks:
             task.cancel()
-        self.judge.close()
+        self.driver.close()
         if self.session is not None:
             await self.session.close()
 
@@ -120,10 +129,10 @@
     async def run(self) -> None:
         while True:
             if await self.poll():
-                pause = self.registry.poll
+                pause = self.registry.poll_interval
             else:  # the next registry soon, but a round of all of them ever more seldom
                 rounds = self.fails // len(self.registry.urls)
-                pause = min(BACKOFF_MOST, min(1.0, self.registry.poll) * 2.0 ** min(rounds, 10))
+                pause = min(BACKOFF_MOST, min(1.0, self.registry.poll_interval) * 2.0 ** min(rounds, 10))
             await asyncio.sleep(pause * self.rng.uniform(0.9, 1.1))  # or all gateways would ask at once
 
     async def poll(self) -> bool:
@@ -132,10 +141,14 @@
             await self.look()
         except Exception as err:  # whatever it is, the watch must outlive it
             self.fails += 1
-            told = str(err) if isinstance(err, Unusable | Odd) else f"{type(err).__name__} {err}"
+            told = (
+                str(err)
+                if isinstance(err, UnusableResponseError | MalformedResponseError)
+                else f"{type(err).__name__} {err}"
+            )
             log.warning("registry %s: %s; the last list stays", self.url, told[:200])
             self.at = (self.at + 1) % len(self.registry.urls)
-            self.replica, self.etag = Replica(), {}  # the next one has a list and deltas of its own
+            self.cache, self._etags = RegistryCache(), {}  # the next one has a list and deltas of its own
             self.failed()
             return False
         self.fails = 0
@@ -146,10 +159,10 @@
         return self.registry.urls[self.at].rstrip("/")
 
     async def look(self) -> None:
-        if self.registry.by == "apps" and self.registry.delta and self.replica.known:
+        if self.registry.lookup == "apps" and self.registry.delta and self.cache.known:
             answer = await self.get("apps/delta")
             if answer is not None:
-                deleted, whole = self.replica.delta(self.clock(), answer.instances, answer.hashcode)
+                deleted, whole = self.cache.apply_delta(self.clock(), answer.instances, answer.hashcode)
                 if not whole:
                     await self.hear(answer, deleted, False)
                     return
@@ -157,76 +170,80 @@
                     "registry %s: its hash is %s, ours %s; asking for the whole list",
                     self.url,
                     answer.hashcode[:80],
-                    self.replica.hashcode()[:80],
+                    self.cache.hashcode()[:80],
                 )
                 await self.hear(answer, deleted, False)  # drains among it count at once
-        path = PATHS[self.registry.by].format(self.registry.name)
+        path = PATHS[self.registry.lookup].format(self.registry.name)
         answer = await self.get(path)
         if answer is None:  # nothing changed: it names again what it named
-            self.replica.unchanged(self.clock())
-            answer = Answer(tuple(self.replica.instances.values()), "")
+            self.cache.on_not_modified(self.clock())
+            answer = RegistryResponse(tuple(self.cache.instances.values()), "")
         else:
-            self.replica.whole(self.clock(), answer.instances, answer.hashcode)
+            self.cache.replace_all(self.clock(), answer.instances, answer.hashcode)
         await self.hear(answer, set(), True)
 
-    async def get(self, path: str) -> Answer | None:
+    async def get(self, path: str) -> RegistryResponse | None:
         """None: not changed, or the registry knows no deltas. Raises Unusable, Odd or what aiohttp does."""
         if self.session is None:
             self.session = aiohttp.ClientSession(trust_env=False)
         headers = {"Accept": ACCEPT[self.registry.form]}
-        if path in self.etag:
-            headers["If-None-Match"] = self.etag[path]
+        if path in self._etags:
+            headers["If-None-Match"] = self._etags[path]
         if self.registry.user:
             headers["Authorization"] = aiohttp.encode_basic_auth(self.registry.user, self.registry.password)
         timeout = aiohttp.ClientTimeout(total=self.registry.timeout)
         async with self.session.get(
             f"{self.url}/{path}", headers=headers, timeout=timeout, allow_redirects=False
         ) as answer:
-            if answer.status == 304 and path in self.etag:
+            if answer.status == 304 and path in self._etags:
                 return None
             if answer.status == 404 and path == "apps/delta":
                 return None
-            if answer.status == 404 and self.registry.by != "apps":
-                return Answer((), "")  # the registry's way to say that an app or vip has no instance
+            if answer.status == 404 and self.registry.lookup != "apps":
+                return RegistryResponse(
+                    (), ""
+                )  # the registry's way to say that an app or vip has no instance
             if answer.status != 200:
-                raise Unusable(f"status {answer.status} for {path}")
+                raise UnusableResponseError(f"status {answer.status} for {path}")
             body = bytearray()
             async for chunk in answer.content.iter_any():
                 body += chunk
-                if len(body) > self.registry.most:
-                    raise Unusable(f"an answer of more than {self.registry.most} bytes for {path}")
+                if len(body) > self.registry.max_response_bytes:
+                    raise UnusableResponseError(
+                        f"an answer of more than {self.registry.max_response_bytes} bytes for {path}"
+                    )
             read = read_xml if "xml" in answer.content_type else read_json
             # A long list must not hold up the loop that serves: the interpreter then gives it turns.
             made = await asyncio.to_thread(read, bytes(body)) if len(body) > LONG else read(bytes(body))
             if (tag := answer.headers.get("ETag")) and path != "apps/delta":
-                self.etag[path] = tag
+                self._etags[path] = tag
         return made
 
     # What is believed
 
-    async def hear(self, answer: Answer, deleted: set[str], whole: bool) -> None:
+    async def hear(self, answer: RegistryResponse, deleted: set[str], whole: bool) -> None:
         wanted = [i for i in answer.instances if i.action != "DELETED" and self.wanted(i)]
-        if self.registry.terms.address == "name":
+        if self.registry.mapping.address == "name":
             await self.look_up(wanted)
         if len(wanted) > MANY:
-            entries, odd = await asyncio.to_thread(read_entries, self.registry.terms, wanted, self.names)
+            entries, odd = await asyncio.to_thread(read_entries, self.registry.mapping, wanted, self.names)
         else:
-            entries, odd = read_entries(self.registry.terms, wanted, self.names)
-        odd = [*answer.odd, *odd]
-        if odd and tuple(odd) != self.odd:
+            entries, odd = read_entries(self.registry.mapping, wanted, self.names)
+        odd = [*answer.malformed, *odd]
+        if odd and tuple(odd) != self.malformed:
             more = f" and {len(odd) - MOST_ODD} more" if len(odd) > MOST_ODD else ""
             log.warning("registry %s: left out %s%s", self.url, "; ".join(odd[:MOST_ODD]), more)
-        self.odd = tuple(odd)
+        self.malformed = tuple(odd)
         entries = [entry for entry in entries if entry.address not in self.own]
-        gone = deleted | {e.host.id for e in entries if e.host.state == "down"}
-        entries = [entry for entry in entries if entry.host.state != "down"]
-        self.judge.hear(entries, gone, whole)
+        gone = deleted | {e.endpoint.id for e in entries if e.endpoint.state == "down"}
+        entries = [entry for entry in entries if entry.endpoint.state != "down"]
+        self.driver.apply(entries, gone, whole)
 
-    def wanted(self, instance: Instance) -> bool:
+    def wanted(self, instance: EurekaInstance) -> bool:
         name = self.registry.name.upper()
-        return self.registry.by != "apps" or not name or instance.app == name
+        return self.registry.lookup != "apps" or not name or instance.app == name
 
-    async def look_up(self, instances: list[Instance]) -> None:
+    async def look_up(self, instances: list[EurekaInstance]) -> None:
         """One look at a name; one that fails keeps its last address."""
         for name in {i.host_name for i in instances} - {""}:
             if self.resolve is None:
--- a/apigateway/membership/file.py
+++ b/apigateway/membership/file.py
@@ -1,7 +1,7 @@
-"""The list of hosts from a TOML file that is watched: `[[hosts]]` with id, address and what else is known.
+"""The endpoint list from a TOML file that is polled for changes: `[[hosts]]` with id, address and the rest.
 
-A file that cannot be used, or names no host, leaves the last list in force: a list that is being written must
-not empty the fleet.
+A file that cannot be used, or names no endpoint, leaves the last list in force: a list that is being written
+must not empty the fleet.
 """
 
 from __future__ import annotations
@@ -10,22 +10,24 @@
 import logging
 import os
 from collections.abc import Callable
-from typing import Annotated, Literal
+from typing import Annotated, Literal, NamedTuple
 
 import msgspec
 
 from apigateway import messages
 from apigateway.config_validation import Faulty, Reader, read_toml
 from apigateway.membership.listing import Listing
-from apigateway.upstream.address import read_address
+from apigateway.upstream.address import Address, read_address
 
-LOOK = 0.5  # s between looks at the file
-STATE = {"up": "up", "draining": "leaving"}
+POLL_INTERVAL_S = 0.5  # soon enough for an operator who edits the file, and only one stat()
+_STATE_BY_FILE_NAME = {"up": "up", "draining": "leaving"}
 
 log = logging.getLogger(__name__)
 
 
-class HostPart(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class _HostEntry(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+    """One `[[hosts]]` table."""
+
     id: Annotated[str, msgspec.Meta(pattern=r"^[!-~]{1,128}$")]
     address: str
     zone: str = "a"
@@ -36,16 +38,29 @@
     started: Annotated[float, msgspec.Meta(ge=0, le=1e11)] = 0.0  # Unix time of its last start; 0: long ago
 
 
-class HostsFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    hosts: list[HostPart] = []
+class _HostsFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+    hosts: list[_HostEntry] = []
+
+
+class _FileVersion(NamedTuple):
+    """What tells one version of a file from another; all zero for a file that is not there."""
+
+    modified_ns: int
+    size: int
+    inode: int
 
 
-def read_hosts(path: str, mode: str = "full", version: int = 1) -> Listing:
-    """Raises checked.Faulty."""
+def read_endpoint_file(path: str, mode: str = "full", version: int = 1) -> Listing:
+    """Read the file of endpoints.
+
+    Raises:
+        Faulty: the file cannot be used; holds all that is wrong in it.
+    """
     reader = Reader(path)
-    told = reader.read(read_toml(path), HostsFile)
-    hosts, addresses = [], {}
-    for number, host in enumerate(told.hosts if told else ()):
+    file = reader.read(read_toml(path), _HostsFile)
+    endpoints: list[messages.Endpoint] = []
+    addresses: dict[str, Address] = {}
+    for number, host in enumerate(file.hosts if file else ()):
         at = ("hosts", number)
         try:
             address = read_address(host.address)
@@ -55,59 +70,83 @@
         if host.id in addresses:
             reader.contradiction((*at, "id"), host.id, "stands twice", "give each host an id of its own")
         addresses[host.id] = address
-        hosts.append(
-            messages.Endpoint(
-                host.id, host.zone, host.cell, host.weight, host.kind, STATE[host.state], host.started
-            )
-        )
-    if told is not None and not told.hosts:
+        endpoints.append(_to_endpoint(host))
+    if file is not None and not file.hosts:
         reader.contradiction(("hosts",), None, "none", "add one [[hosts]] with id and address")
     if reader.faults:
         raise Faulty(reader.faults)
-    return Listing(messages.EndpointList(mode, version, tuple(hosts)), addresses)
+    return Listing(messages.EndpointList(mode, version, tuple(endpoints)), addresses)
+
 
+class EndpointFileSource:
+    """A source of the endpoint list, in the shape of `core.interfaces.EndpointSource`.
 
-class HostsInFile:
-    """A source of the list, in the shape of `core.ports.Membership`. `told` gets each list that is new."""
+    Args:
+        path: of the TOML file.
+        on_list: called with each new list.
+        on_failure: called when the file cannot be used.
+    """
 
-    def __init__(self, path: str, told: Callable[[Listing], None], failed: Callable[[], None]) -> None:
-        self.path, self.told, self.failed = path, told, failed
+    def __init__(self, path: str, on_list: Callable[[Listing], None], on_failure: Callable[[], None]) -> None:
         self.version = 0
-        self.seen: tuple[int, int, int] | None = None  # what the file was like when it was read
-        self.timer: asyncio.TimerHandle | None = None
+        self._path = path
+        self._on_list = on_list
+        self._on_failure = on_failure
+        self._file_version: _FileVersion | None = None  # of the last read
+        self._timer: asyncio.TimerHandle | None = None
 
     @property
     def watching(self) -> bool:
-        return self.timer is not None
+        """Whether the file is polled for changes."""
+        return self._timer is not None
 
     def watch(self, on: bool) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+        """Start or stop polling the file; a start polls at once."""
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
         if on:
-            self.look()
-
-    def look(self) -> None:
-        self.timer = asyncio.get_running_loop().call_later(LOOK, self.look)
-        try:
-            told = os.stat(self.path)
-            seen = (told.st_mtime_ns, told.st_size, told.st_ino)
-        except OSError:
-            seen = (0, 0, 0)
-        if seen != self.seen:
-            self.seen = seen
-            self.fetch()
+            self._poll()
 
     def fetch(self) -> None:
+        """Read the file now, changed or not."""
         try:
-            listing = read_hosts(self.path, version=self.version + 1)
+            listing = read_endpoint_file(self._path, version=self.version + 1)
         except Faulty as err:
             for fault in err.faults:
                 log.error("%s (the last list stays)", fault)
-            self.failed()
+            self._on_failure()
             return
         self.version += 1
-        self.told(listing)
+        self._on_list(listing)
 
     async def close(self) -> None:
+        """Stop polling."""
         self.watch(False)
+
+    def _poll(self) -> None:
+        self._timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._poll)
+        file_version = _file_version(self._path)
+        if file_version != self._file_version:
+            self._file_version = file_version
+            self.fetch()
+
+
+def _file_version(path: str) -> _FileVersion:
+    try:
+        status = os.stat(path)
+    except OSError:
+        return _FileVersion(0, 0, 0)
+    return _FileVersion(status.st_mtime_ns, status.st_size, status.st_ino)
+
+
+def _to_endpoint(host: _HostEntry) -> messages.Endpoint:
+    return messages.Endpoint(
+        id=host.id,
+        zone=host.zone,
+        cell=host.cell,
+        weight=host.weight,
+        kind=host.kind,
+        state=_STATE_BY_FILE_NAME[host.state],
+        started_at=host.started,
+    )
--- a/apigateway/membership/listing.py
+++ b/apigateway/membership/listing.py
@@ -1,4 +1,4 @@
-"""Lists of hosts in discovery's form, and the addresses in them."""
+"""Endpoint lists in discovery's form, and the addresses in them."""
 
 from __future__ import annotations
 
@@ -9,72 +9,96 @@
 from apigateway import messages
 from apigateway.upstream.address import Address, read_address, write_address
 
-STATE = {"up": "up", "draining": "leaving", "removed": "down"}
+_STATE_BY_WIRE_NAME = {"up": "up", "draining": "leaving", "removed": "down"}
+_WIRE_NAME_BY_STATE = {state: name for name, state in _STATE_BY_WIRE_NAME.items()}
+
+# What a field of the wrong type or out of range raises while a list or an entry is read
+_LIST_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
+_ENTRY_ERRORS = (*_LIST_ERRORS, OverflowError)
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """A list as the decision module takes it, and where each host listens."""
+    """An endpoint list as the decision module takes it, and the address of each endpoint."""
 
     hosts: messages.EndpointList
     addresses: dict[str, Address]
 
 
-def read_entry(told: dict[str, Any]) -> tuple[messages.Endpoint, Address | None]:
-    state, started = STATE[told["state"]], float(told.get("started_ms") or 0) / 1000
-    weight, cell = float(told.get("weight", 1.0)), int(told.get("cell", 0))
-    if not (isinstance(told["id"], str) and 0 <= weight < math.inf and 0 <= started < math.inf):
-        raise ValueError("id, weight or start out of range")
-    host = messages.Endpoint(
-        id=told["id"],
-        zone=str(told.get("zone", "")),
-        cell=cell,
-        weight=weight,
-        kind=str(told.get("kind", "")),
-        state=state,
-        started_at=started,
-    )
-    return host, read_address(told["addr"]) if told.get("addr") else None
+def read_list(body: dict[str, Any], mode: str | None = None) -> Listing:
+    """Read an endpoint list in discovery's form.
 
+    An entry that cannot be read is left out; the others, drains among them, count all the same.
 
-def read_list(told: dict[str, Any], mode: str | None = None) -> Listing:
-    """Raises ValueError if `told` is not a list of hosts in discovery's form. An entry that cannot be read is
-    left out; the others, drains among them, are heard all the same."""
-    hosts: list[messages.Endpoint] = []
+    Args:
+        body: the decoded JSON.
+        mode: of the list; None: "full" or "delta", as the body says.
+
+    Raises:
+        ValueError: the body is no endpoint list in discovery's form.
+    """
+    endpoints: list[messages.Endpoint] = []
     addresses: dict[str, Address] = {}
     try:
-        kind = mode or ("full" if told["full"] else "delta")
-        version = int(told["version"])
-        entries = list(told["servers"])
-    except (KeyError, TypeError, ValueError, AttributeError) as err:
+        list_mode = mode or ("full" if body["full"] else "delta")
+        version = int(body["version"])
+        entries = list(body["servers"])
+    except _LIST_ERRORS as err:
         raise ValueError(f"not a list of hosts: {type(err).__name__} {err}") from err
     for entry in entries:
         try:
-            host, address = read_entry(entry)
-        except (KeyError, TypeError, ValueError, AttributeError, OverflowError):
+            endpoint, address = _read_entry(entry)
+        except _ENTRY_ERRORS:
             continue
-        hosts.append(host)
+        endpoints.append(endpoint)
         if address is not None:
-            addresses[host.id] = address
-    if entries and not hosts:
+            addresses[endpoint.id] = address
+    if entries and not endpoints:
         raise ValueError("not a list of hosts: no entry can be read")
-    return Listing(messages.EndpointList(kind, version, tuple(hosts)), addresses)
+    return Listing(messages.EndpointList(list_mode, version, tuple(endpoints)), addresses)
 
 
 def write_list(listing: Listing) -> dict[str, Any]:
-    """A whole list in discovery's form."""
-    states = {state: name for name, state in STATE.items()}
-    servers = [
-        {
-            "id": h.id,
-            "zone": h.zone,
-            "kind": h.kind,
-            "cell": h.cell,
-            "state": states[h.state],
-            "weight": h.weight,
-            "started_ms": h.started_at * 1000,
-            **({"addr": write_address(listing.addresses[h.id])} if h.id in listing.addresses else {}),
-        }
-        for h in listing.hosts.endpoints
-    ]
-    return {"version": listing.hosts.version, "full": True, "servers": servers}
+    """Write a complete list in discovery's form."""
+    return {
+        "version": listing.hosts.version,
+        "full": True,
+        "servers": [
+            _write_entry(endpoint, listing.addresses.get(endpoint.id)) for endpoint in listing.hosts.endpoints
+        ],
+    }
+
+
+def _read_entry(entry: dict[str, Any]) -> tuple[messages.Endpoint, Address | None]:
+    """Read one endpoint. Raises one of `_ENTRY_ERRORS`."""
+    state = _STATE_BY_WIRE_NAME[entry["state"]]
+    started_at = float(entry.get("started_ms") or 0) / 1000
+    weight = float(entry.get("weight", 1.0))
+    cell = int(entry.get("cell", 0))
+    if not (isinstance(entry["id"], str) and 0 <= weight < math.inf and 0 <= started_at < math.inf):
+        raise ValueError("id, weight or start out of range")
+    endpoint = messages.Endpoint(
+        id=entry["id"],
+        zone=str(entry.get("zone", "")),
+        cell=cell,
+        weight=weight,
+        kind=str(entry.get("kind", "")),
+        state=state,
+        started_at=started_at,
+    )
+    return endpoint, read_address(entry["addr"]) if entry.get("addr") else None
+
+
+def _write_entry(endpoint: messages.Endpoint, address: Address | None) -> dict[str, Any]:
+    entry = {
+        "id": endpoint.id,
+        "zone": endpoint.zone,
+        "kind": endpoint.kind,
+        "cell": endpoint.cell,
+        "state": _WIRE_NAME_BY_STATE[endpoint.state],
+        "weight": endpoint.weight,
+        "started_ms": endpoint.started_at * 1000,
+    }
+    if address is not None:
+        entry["addr"] = write_address(address)
+    return entry
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -38,7 +38,7 @@
 from apigateway.emulators.fleet import Class, Fleet, Plan, Shape  # noqa: E402
 from apigateway.emulators.ledger import report  # noqa: E402
 from apigateway.emulators.script import Step  # noqa: E402
-from apigateway.membership.eureka.source import EurekaSource, Registry  # noqa: E402
+from apigateway.membership.eureka.source import EurekaSource, RegistrySettings  # noqa: E402
 from apigateway.membership.listing import Listing  # noqa: E402
 
 SHAPE = Shape(
@@ -78,7 +78,7 @@
             ("quiet delta", "", True),
             ("10 changes", "/touch", True),
         ):
-            asked = Registry((url,), delta=delta, timeout=10.0)
+            asked = RegistrySettings((url,), delta=delta, timeout=10.0)
             source = EurekaSource(asked, NOTHING, lambda _: None, lambda: None)
             if not await source.poll():
                 raise RuntimeError("the stand-in does not answer")
@@ -88,7 +88,7 @@
                     assert source.session is not None
                     async with source.session.put(url + path):
                         pass
-                source.etag = {}  # or a whole list would be told as unchanged
+                source.etags = {}  # or a whole list would be told as unchanged
                 began = time.process_time()
                 if not await source.poll():
                     raise RuntimeError("the stand-in does not answer")
@@ -96,7 +96,7 @@
             row[f"{name} ms"] = round(statistics.median(figures), 2)
             await source.close()
         tracemalloc.start()
-        source = EurekaSource(Registry((url,), timeout=10.0), NOTHING, lambda _: None, lambda: None)
+        source = EurekaSource(RegistrySettings((url,), timeout=10.0), NOTHING, lambda _: None, lambda: None)
         await source.poll()
         row["list MB"] = round(tracemalloc.get_traced_memory()[0] / 1e6, 2)
         tracemalloc.stop()
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -23,7 +23,7 @@
     to_config,
     to_module,
 )
-from apigateway.membership.file import read_hosts
+from apigateway.membership.file import read_endpoint_file
 
 ROOT = Path(__file__).resolve().parents[2]
 GOOD = """
@@ -285,7 +285,7 @@
 def test_a_bad_file_of_hosts(text, word, tmp_path):
     (tmp_path / "hosts.toml").write_text(text)
     with pytest.raises(Faulty) as caught:
-        read_hosts(str(tmp_path / "hosts.toml"))
+        read_endpoint_file(str(tmp_path / "hosts.toml"))
     assert word in str(caught.value)
 
 
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -14,9 +14,9 @@
 from apigateway import messages
 from apigateway.daemon.handover import Channel
 from apigateway.emulators.ledger import Ledger
-from apigateway.membership.belief import Entry, Trust
-from apigateway.membership.judge import Judge
 from apigateway.membership.listing import Listing, read_list
+from apigateway.membership.reconciler import ReconcilerSettings, ReportedEndpoint
+from apigateway.membership.reconciler_driver import ReconcilerDriver
 
 
 async def hand(site):
@@ -194,12 +194,15 @@
 @on_loop
 async def test_a_drain_taken_over_through_a_belief_is_mended_by_its_source():
     told = []
-    judge = Judge(
-        Trust(calm_time=0.0), Listing(messages.EndpointList("cached", 0, ()), {}), told.append, lambda: 100.0
+    judge = ReconcilerDriver(
+        ReconcilerSettings(calm_time=0.0),
+        Listing(messages.EndpointList("cached", 0, ()), {}),
+        told.append,
+        lambda: 100.0,
     )
-    up = [Entry(messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
-    judge.hear(up, whole=True)
-    judge.drain(["h1", "unknown"])
+    up = [ReportedEndpoint(messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
+    judge.apply(up, is_complete=True)
+    judge.mark_draining(["h1", "unknown"])
     assert told[-1].hosts.endpoints[0].state == "leaving"
-    judge.hear(up, whole=True)
+    judge.apply(up, is_complete=True)
     assert told[-1].hosts.endpoints[0].state == "up"
--- a/tests/test_net_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -179,7 +179,7 @@
 
 async def quiet(source):
     """The connections that its calls hold, once it holds no more than its watch does."""
-    held = source.session.connector._acquired
+    held = source._session.connector._acquired
     while len(held) > 1:
         await asyncio.sleep(0)
     return held
@@ -242,12 +242,12 @@
         old, heard, answer = node.node.discovery, [], node.node.loop.create_future()
         asked = asyncio.Event()
 
-        async def get(params, limit):
+        async def request(params, timeout):
             asked.set()
             heard.append(await answer)
             await asyncio.Event().wait()
 
-        old.get = get
+        old._request = request
         node.discovery.change([])
         await asked.wait()
         answer.set_result("a list")  # it is here, and the call goes on in the next turn of the loop
--- a/tests/membership/test_eureka_model.py
+++ b/tests/membership/test_eureka_model.py
@@ -7,16 +7,16 @@
 from hypothesis import strategies as st
 
 from apigateway.emulators.eureka import StandInEureka, instance
-from apigateway.membership.eureka.mapping import DEFAULT_STATES, Terms, read_entries, read_entry
+from apigateway.membership.eureka.mapping import DEFAULT_STATES, InstanceMapping, read_entries, read_entry
 from apigateway.membership.eureka.model import (
-    Instance,
-    Odd,
+    EurekaInstance,
+    MalformedResponseError,
     read_applications,
     read_instance,
     read_json,
     read_xml,
 )
-from apigateway.membership.eureka.replica import WHOLE_LEAST, Replica, hashcode
+from apigateway.membership.eureka.registry_cache import WHOLE_LEAST, RegistryCache, hashcode
 
 ONE = instance("node7", 8080, zone="east", cell="2", weight="1.5")
 
@@ -61,7 +61,7 @@
     answer = read_applications(
         wrapped(ONE, ONE | {"instanceId": "bad"} | change, ONE | {"instanceId": "node8"})
     )
-    assert [i.id for i in answer.instances] == ["node7", "node8"] and len(answer.odd) == 1
+    assert [i.id for i in answer.instances] == ["node7", "node8"] and len(answer.malformed) == 1
 
 
 def test_json_and_xml_say_the_same():
@@ -73,7 +73,7 @@
     one, other = read_json(json.dumps(tree).encode()), read_xml(registry.xml(tree).encode())
     assert one == other and len(one.instances) == 3 and one.hashcode == "OUT_OF_SERVICE_1_UP_2_"
     assert hashcode(one.instances) == one.hashcode
-    assert {i.id: (i.status, i.overridden) for i in one.instances}["node1"] == ("OUT_OF_SERVICE",) * 2
+    assert {i.id: (i.status, i.overridden_status) for i in one.instances}["node1"] == ("OUT_OF_SERVICE",) * 2
 
 
 @pytest.mark.parametrize(
@@ -90,7 +90,7 @@
     ],
 )
 def test_what_is_no_answer(body):
-    with pytest.raises(Odd):
+    with pytest.raises(MalformedResponseError):
         read_json(body)
 
 
@@ -110,7 +110,7 @@
     ],
 )
 def test_what_is_no_xml_of_a_registry(body):
-    with pytest.raises(Odd):
+    with pytest.raises(MalformedResponseError):
         read_xml(body)
 
 
@@ -138,9 +138,9 @@
     ):
         try:
             answer = read_applications(told)
-        except Odd:
+        except MalformedResponseError:
             continue
-        entries, odd = read_entries(Terms(), answer.instances)
+        entries, odd = read_entries(InstanceMapping(), answer.instances)
         assert len(entries) + len(odd) == len(answer.instances)
 
 
@@ -159,72 +159,77 @@
 )
 def test_each_status_has_its_state(status, overridden, state):
     told = read_instance(ONE | {"status": status, "overriddenstatus": overridden})
-    assert read_entry(Terms(), told).host.state == state
+    assert read_entry(InstanceMapping(), told).endpoint.state == state
 
 
 def test_a_status_means_what_settings_say():
-    terms = Terms(states=DEFAULT_STATES | {"STARTING": "up", "DOWN": "gone"})
-    assert read_entry(terms, read_instance(ONE | {"status": "STARTING"})).host.state == "up"
-    assert read_entry(terms, read_instance(ONE | {"status": "DOWN"})).host.state == "down"
+    terms = InstanceMapping(states=DEFAULT_STATES | {"STARTING": "up", "DOWN": "gone"})
+    assert read_entry(terms, read_instance(ONE | {"status": "STARTING"})).endpoint.state == "up"
+    assert read_entry(terms, read_instance(ONE | {"status": "DOWN"})).endpoint.state == "down"
 
 
 def test_metadata_and_leases_make_a_host():
     told = read_instance(ONE | {"leaseInfo": {"serviceUpTimestamp": 5000, "registrationTimestamp": 4000}})
-    entry = read_entry(Terms(), told)
-    assert (entry.host.zone, entry.host.cell, entry.host.weight, entry.host.started_at) == (
+    entry = read_entry(InstanceMapping(), told)
+    assert (entry.endpoint.zone, entry.endpoint.cell, entry.endpoint.weight, entry.endpoint.started_at) == (
         "east",
         2,
         1.5,
         5.0,
     )
     assert entry.address == ("127.0.0.1", 8080) and entry.stamp > 0
-    named = read_entry(Terms(address="name"), told, {"node7.rota.example.org": "10.0.0.7"})
+    named = read_entry(InstanceMapping(address="name"), told, {"node7.rota.example.org": "10.0.0.7"})
     assert named.address == ("10.0.0.7", 8080)
 
 
 @pytest.mark.parametrize(
     "terms, change",
     [
-        (Terms(secure=True), {}),
-        (Terms(), {"port": {"$": 1, "@enabled": "false"}}),
-        (Terms(), {"ipAddr": None}),
-        (Terms(), {"metadata": {"cell": "two"}}),
-        (Terms(), {"metadata": {"weight": "nan"}}),
-        (Terms(), {"metadata": {"cell": "-1"}}),
-        (Terms(address="name"), {}),
+        (InstanceMapping(secure=True), {}),
+        (InstanceMapping(), {"port": {"$": 1, "@enabled": "false"}}),
+        (InstanceMapping(), {"ipAddr": None}),
+        (InstanceMapping(), {"metadata": {"cell": "two"}}),
+        (InstanceMapping(), {"metadata": {"weight": "nan"}}),
+        (InstanceMapping(), {"metadata": {"cell": "-1"}}),
+        (InstanceMapping(address="name"), {}),
     ],
 )
 def test_an_instance_that_makes_no_host(terms, change):
-    with pytest.raises(Odd):
+    with pytest.raises(MalformedResponseError):
         read_entry(terms, read_instance(ONE | change))
 
 
 def made(id, status="UP", action="", app="A"):
-    return Instance(id, app, id, "127.0.0.1", 80, 0, status, "UNKNOWN", action=action)
+    return EurekaInstance(id, app, id, "127.0.0.1", 80, 0, status, "UNKNOWN", action=action)
 
 
 def test_deltas_keep_a_replica_by_its_hash():
-    replica = Replica()
-    replica.whole(0.0, [made("a"), made("b")], "UP_2_")
-    assert replica.delta(1.0, [made("c", action="ADDED"), made("b", "DOWN", "MODIFIED")], "DOWN_1_UP_2_") == (
+    replica = RegistryCache()
+    replica.replace_all(0.0, [made("a"), made("b")], "UP_2_")
+    assert replica.apply_delta(
+        1.0, [made("c", action="ADDED"), made("b", "DOWN", "MODIFIED")], "DOWN_1_UP_2_"
+    ) == (
         set(),
         False,
     )
-    assert replica.delta(2.0, [made("a", action="DELETED")], "DOWN_1_UP_1_") == ({"a"}, False)
-    assert replica.delta(3.0, [made("a", action="DELETED")], "DOWN_1_UP_1_") == ({"a"}, False)  # told again
+    assert replica.apply_delta(2.0, [made("a", action="DELETED")], "DOWN_1_UP_1_") == ({"a"}, False)
+    assert replica.apply_delta(3.0, [made("a", action="DELETED")], "DOWN_1_UP_1_") == (
+        {"a"},
+        False,
+    )  # told again
     assert set(replica.instances) == {("A", "b"), ("A", "c")}
 
 
 def test_a_lost_delta_shows_in_the_hash_and_one_that_never_fits_makes_no_storm():
-    replica = Replica()
-    replica.whole(0.0, [made("a")], "UP_1_")
-    assert replica.delta(WHOLE_LEAST + 1, [], "UP_2_") == (set(), True)
+    replica = RegistryCache()
+    replica.replace_all(0.0, [made("a")], "UP_1_")
+    assert replica.apply_delta(WHOLE_LEAST + 1, [], "UP_2_") == (set(), True)
     asked, now = 0, 0.0
     while now < 3600.0:  # an hour of polls
         now += 5.0
-        if replica.delta(now, [], "UP_9_")[1]:
+        if replica.apply_delta(now, [], "UP_9_")[1]:
             asked += 1
-            replica.whole(now, [made("a")], "UP_9_")
+            replica.replace_all(now, [made("a")], "UP_9_")
     assert asked < 12
 
 
@@ -241,13 +246,13 @@
     )
 )
 def test_a_replica_that_hears_all_deltas_has_the_registrys_hash(steps):
-    replica, truth = Replica(), {}
-    replica.whole(0.0, [], "")
+    replica, truth = RegistryCache(), {}
+    replica.replace_all(0.0, [], "")
     for n, status, action in steps:
         if action == "DELETED":
             truth.pop(n, None)
         else:
             truth[n] = made(f"i{n}", status)
         told = hashcode(truth.values())
-        _, whole = replica.delta(1e6, [made(f"i{n}", status, action)], told)
+        _, whole = replica.apply_delta(1e6, [made(f"i{n}", status, action)], told)
         assert not whole and replica.hashcode() == told
--- a/tests/membership/test_eureka_source.py
+++ b/tests/membership/test_eureka_source.py
@@ -11,11 +11,11 @@
 from apigateway import messages
 from apigateway.emulators.eureka import StandInEureka, instance
 from apigateway.emulators.script import Script, Step
-from apigateway.membership.belief import Trust
-from apigateway.membership.eureka.mapping import Terms
-from apigateway.membership.eureka.registration import Own, Registration
-from apigateway.membership.eureka.source import EurekaSource, Registry
+from apigateway.membership.eureka.mapping import InstanceMapping
+from apigateway.membership.eureka.registration import Registration, RegistrationSettings
+from apigateway.membership.eureka.source import EurekaSource, RegistrySettings
 from apigateway.membership.listing import Listing
+from apigateway.membership.reconciler import ReconcilerSettings
 
 NOTHING = Listing(messages.EndpointList("cached", 0, ()), {})
 
@@ -27,7 +27,7 @@
         self.hosts, self.failed = {}, 0
         kw.setdefault("timeout", 0.5)
         self.source = EurekaSource(
-            Registry(tuple(r.url for r in registries), **kw),
+            RegistrySettings(tuple(r.url for r in registries), **kw),
             NOTHING,
             self.told,
             self.fail,
@@ -95,7 +95,7 @@
 )
 @on_loop
 async def test_by_app_vip_or_secure_vip(by, name, ids):
-    async with filled(2) as registry, Watched(registry, by=by, name=name) as seen:
+    async with filled(2) as registry, Watched(registry, lookup=by, name=name) as seen:
         registry.register(instance("node9", 9000, app="OTHER"))
         assert await seen.poll() and set(seen.hosts) == ids
         assert await seen.poll() and set(seen.hosts) == ids  # by its ETag, where it gives one
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize("how", ["silent", "error", "half", "spoilt", "endless", "raw"])
 @on_loop
 async def test_an_answer_that_cannot_be_used_leaves_the_list(how):
-    async with filled() as registry, Watched(registry, timeout=0.3, most=200_000) as seen:
+    async with filled() as registry, Watched(registry, timeout=0.3, max_response_bytes=200_000) as seen:
         registry.etags = False
         await seen.poll()
         before = seen.states()
@@ -147,12 +147,12 @@
         registry.restart()
         for n in range(3):
             registry.register(instance(f"other{n}", 8000 + n))
-        seen.source.replica.known = False  # it asks for all, as after any trouble
+        seen.source.cache.known = False  # it asks for all, as after any trouble
         await seen.poll()
         assert set(seen.hosts) == {"other0", "other1", "other2"}
         registry.register(instance("other0", 9999))
         await seen.poll()
-        assert seen.source.belief.known["other0"].entry.address == ("127.0.0.1", 9999)
+        assert seen.source.reconciler.records["other0"].accepted.address == ("127.0.0.1", 9999)
 
 
 @on_loop
@@ -177,7 +177,7 @@
     async with filled(1000) as registry, Watched(registry) as seen:
         registry.leases["ROSTER", "node500"].told["port"] = {"$": "eighty"}
         assert await seen.poll() and len(seen.hosts) == 999
-        assert any("node500" in text for text in seen.source.odd) and "node500" in caplog.text
+        assert any("node500" in text for text in seen.source.malformed) and "node500" in caplog.text
 
 
 @on_loop
@@ -232,7 +232,9 @@
 
     async with (
         filled(3) as registry,
-        Watched(registry, terms=Terms(address="name"), resolve=resolve, own={("127.0.0.9", 8002)}) as seen,
+        Watched(
+            registry, mapping=InstanceMapping(address="name"), resolve=resolve, own={("127.0.0.9", 8002)}
+        ) as seen,
     ):
         await seen.poll()
         assert set(seen.hosts) == {"node0"} and len(looked) == 3
@@ -256,7 +258,7 @@
 async def test_a_watch_polls_by_itself_and_backs_off_while_nobody_answers():
     async with (
         filled(script=Script([Step("error", count=3)])) as registry,
-        Watched(registry, poll=0.01) as seen,
+        Watched(registry, poll_interval=0.01) as seen,
     ):
         seen.source.watch(True)
         while not seen.hosts:
@@ -270,7 +272,10 @@
 
 @on_loop
 async def test_a_doubt_ends_by_time_between_polls():
-    async with filled(4) as registry, Watched(registry, delta=False, trust=Trust(doubt_time=0.05)) as seen:
+    async with (
+        filled(4) as registry,
+        Watched(registry, delta=False, reconciler=ReconcilerSettings(doubt_time=0.05)) as seen,
+    ):
         registry.etags = False
         await seen.poll()
         registry.restart()
@@ -281,7 +286,9 @@
             await asyncio.sleep(0.005)
 
 
-OWN = Own("gateway", "gw:1", "gw.example.org", "127.0.0.1", 6379, renew=0.02, duration=30.0)
+OWN = RegistrationSettings(
+    "gateway", "gw:1", "gw.example.org", "127.0.0.1", 6379, renewal_interval=0.02, lease_duration=30.0
+)
 
 
 def our(registry):
@@ -296,7 +303,7 @@
         own.start()
         while our(registry) != "STARTING":
             await asyncio.sleep(0.005)
-        own.up()
+        own.mark_up()
         while our(registry) != "UP":
             await asyncio.sleep(0.005)
         while registry.calls["PUT apps"] < 2:
@@ -304,9 +311,9 @@
         registry.restart()  # it has forgotten us: a renewal hears 404
         while our(registry) != "UP":
             await asyncio.sleep(0.005)
-        await own.down()
+        await own.mark_down()
         assert our(registry) == "DOWN"
-        await own.leave()
+        await own.deregister()
         assert our(registry) is None
 
 
@@ -316,11 +323,11 @@
     async with StandInEureka(script=Script([Step("error", count=4)])) as registry:
         own = Registration((registry.url, registry.url), OWN)
         own.start()
-        own.up()
+        own.mark_up()
         while our(registry) != "UP":
             await asyncio.sleep(0.005)
-    await own.down()
-    await own.leave()
+    await own.mark_down()
+    await own.deregister()
 
 
 FOREIGN = """
--- a/tests/membership/test_judge.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -6,9 +6,9 @@
 
 from apigateway import messages
 from apigateway.emulators.discovery import StandInDiscovery
-from apigateway.membership.belief import Entry, Trust
-from apigateway.membership.judge import Judge
 from apigateway.membership.listing import Listing, read_list
+from apigateway.membership.reconciler import ReconcilerSettings, ReportedEndpoint
+from apigateway.membership.reconciler_driver import ReconcilerDriver
 
 NOTHING = Listing(messages.EndpointList("cached", 0, ()), {})
 
@@ -26,24 +26,34 @@
 @on_loop
 async def test_a_discovery_that_comes_back_empty_is_doubted_and_marks_count_at_once():
     told = []
-    judge = Judge(Trust(), NOTHING, told.append, lambda: 100.0)
-    judge.hear_listing(listing("a", "b", "c"))
-    judge.hear_listing(listing())
-    assert len(told) == 1 and set(judge.belief.known) == {"a", "b", "c"}
-    judge.hear_listing(listing("a", full=False, state="removed"))
-    assert [h.state for h in told[-1].hosts.endpoints] == ["down"] and set(judge.belief.known) == {"b", "c"}
+    judge = ReconcilerDriver(ReconcilerSettings(), NOTHING, told.append, lambda: 100.0)
+    judge.apply_listing(listing("a", "b", "c"))
+    judge.apply_listing(listing())
+    assert len(told) == 1 and set(judge.reconciler.records) == {"a", "b", "c"}
+    judge.apply_listing(listing("a", full=False, state="removed"))
+    assert [h.state for h in told[-1].hosts.endpoints] == ["down"] and set(judge.reconciler.records) == {
+        "b",
+        "c",
+    }
 
 
 @on_loop
 async def test_a_belief_goes_on_with_its_doubts_and_its_age():
-    first = Judge(Trust(), NOTHING, lambda _: None, lambda: 100.0)
-    first.hear(
-        [Entry(messages.Endpoint(f"h{n}", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", n)) for n in range(4)],
-        whole=True,
+    first = ReconcilerDriver(ReconcilerSettings(), NOTHING, lambda _: None, lambda: 100.0)
+    first.apply(
+        [
+            ReportedEndpoint(messages.Endpoint(f"h{n}", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", n))
+            for n in range(4)
+        ],
+        is_complete=True,
     )
-    first.hear([], whole=True)
-    second = Judge(Trust(doubt_time=5.0), NOTHING, lambda _: None, lambda: 200.0, first.belief)
-    assert second.belief.heard_at == 100.0 and {k.doubt for k in second.belief.known.values()} == {"missing"}
+    first.apply([], is_complete=True)
+    second = ReconcilerDriver(
+        ReconcilerSettings(doubt_time=5.0), NOTHING, lambda _: None, lambda: 200.0, first.reconciler
+    )
+    assert second.reconciler.last_update_at == 100.0 and {
+        k.doubt for k in second.reconciler.records.values()
+    } == {"missing"}
     first.close()
 
 
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -400,7 +400,7 @@
             for sock in fill:  # the queue of those that nobody accepts is full: the next comes up late
                 sock.setblocking(False)
                 sock.connect_ex(full.getsockname())
-            while not node.node.discovery.taken:  # its first list names the other address
+            while not node.node.discovery.lists_received:  # its first list names the other address
                 await asyncio.sleep(0)
             node.node.hosts.update_endpoint("h1", full.getsockname())
             node.node.hosts.connect_timeout = 60.0
--- a/tests/test_net_hosts.py
+++ b/tests/test_net_hosts.py
@@ -380,7 +380,7 @@
             stuck.bind(("127.0.0.1", 0))
             stuck.listen()
             stuck.setblocking(False)
-            while not node.node.discovery.taken:  # its first list names the other address
+            while not node.node.discovery.lists_received:  # its first list names the other address
                 await asyncio.sleep(0)
             node.node.hosts.update_endpoint("h1", stuck.getsockname())
             node.node.hosts.connect_timeout = 60.0  # one connection, however busy this machine is
