--- a/apigateway/membership/eureka/__init__.py
+++ b/apigateway/membership/eureka/__init__.py
@@ -1,6 +1,8 @@
-"""Hosts from a Eureka registry, by Netflix's REST operations (wiki of Netflix/eureka, "Eureka REST
-operations").
+"""Endpoints from a Eureka registry, by Netflix's REST operations.
 
-`model` reads its JSON and XML, `replica` keeps what whole lists and deltas tell, `mapping` makes hosts of
-instances: all pure. `source` fetches, `registration` registers this gateway itself.
+Source: the wiki of Netflix/eureka, "Eureka REST operations".
+
+`parser` reads JSON and XML into the types of `model`, `registry_cache` keeps what complete lists
+and deltas report, `mapping` makes endpoints of instances: all pure. `source` polls, `registration` registers
+this gateway itself.
 """
--- a/apigateway/membership/eureka/mapping.py
+++ b/apigateway/membership/eureka/mapping.py
@@ -1,4 +1,4 @@
-"""Instances of a registry to hosts, by settings. Pure."""
+"""Map a registry's instances to endpoints, by settings. Pure."""
 
 from __future__ import annotations
 
@@ -7,11 +7,13 @@
 from dataclasses import dataclass, field
 
 from apigateway import messages
-from apigateway.membership.eureka.model import EurekaInstance, MalformedResponseError
+from apigateway.membership.eureka.model import EurekaInstance, InstanceStatus, MalformedResponseError
 from apigateway.membership.reconciler import ReportedEndpoint
 from apigateway.upstream.address import Address
 
-STATES = {"up": "up", "draining": "leaving", "gone": "down"}
+_STATE_BY_SETTING = {"up": "up", "draining": "leaving", "gone": "down"}
+_SEVERITY_BY_SETTING = {"up": 0, "draining": 1, "gone": 2}  # a higher one is worse
+_DEFAULT_STATE_SETTING = "draining"  # of a status that the settings leave out
 DEFAULT_STATES = {
     "UP": "up",
     "STARTING": "draining",
@@ -19,71 +21,98 @@
     "OUT_OF_SERVICE": "draining",
     "UNKNOWN": "draining",
 }
-WORST = ("up", "draining", "gone")
+_MAX_SHOWN_ID = 80  # characters of an instance's id, in an error
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceMapping:
-    """Which metadata tells what, and what each status means. `address`: "ip" or "name"."""
+    """Which metadata keys hold an endpoint's properties, and what each status means."""
 
-    zone: str = "zone"
-    cell: str = "cell"
-    kind: str = "kind"
-    weight: str = "weight"
+    zone_key: str = "zone"
+    cell_key: str = "cell"
+    kind_key: str = "kind"
+    weight_key: str = "weight"
     default_zone: str = "a"
-    address: str = "ip"
-    secure: bool = False
+    address: str = "ip"  # or "name"
+    secure: bool = False  # whether the secure port is used
     states: Mapping[str, str] = field(default_factory=lambda: dict(DEFAULT_STATES))
 
 
-def read_entry(
-    told: InstanceMapping, instance: EurekaInstance, names: Mapping[str, str] | None = None
+def read_endpoint(
+    mapping: InstanceMapping, instance: EurekaInstance, addresses_by_name: Mapping[str, str] | None = None
 ) -> ReportedEndpoint:
-    """Raises Odd. `names` resolves host names, where addresses are taken from those."""
-    port = instance.secure_port if told.secure else instance.port
-    if not port:
-        raise MalformedResponseError(f"no {'secure ' if told.secure else ''}port is enabled")
-    host = instance.ip
-    if told.address == "name":
-        host = (names or {}).get(instance.host_name, "")
-    if not host:
-        raise MalformedResponseError("no address")
-    address: Address = (host, port)
+    """Make an endpoint of an instance.
+
+    Args:
+        mapping: the settings.
+        instance: as the registry reports it.
+        addresses_by_name: of resolved host names, where the mapping takes the address from the name.
+
+    Raises:
+        MalformedResponseError: the instance makes no endpoint.
+    """
+    address = _read_address(mapping, instance, addresses_by_name or {})
+    metadata = instance.metadata
     try:
-        cell = int(instance.metadata.get(told.cell) or 0)
-        weight = float(instance.metadata.get(told.weight) or 1.0)
+        cell = int(metadata.get(mapping.cell_key) or 0)
+        weight = float(metadata.get(mapping.weight_key) or 1.0)
     except ValueError as err:
         raise MalformedResponseError(f"metadata: {err}") from err
     if cell < 0 or not 0 <= weight < math.inf:
         raise MalformedResponseError("metadata: cell or weight out of range")
-    # An override can only make it worse here: the registry has put it into `status` where it holds.
-    state = told.states.get(instance.status, "draining")
-    if instance.overridden_status != "UNKNOWN":
-        state = max(state, told.states.get(instance.overridden_status, "draining"), key=WORST.index)
-    started = (instance.service_up_ms or instance.registered_ms) / 1000
-    return ReportedEndpoint(
-        messages.Endpoint(
-            instance.id,
-            instance.metadata.get(told.zone) or told.default_zone,
-            cell,
-            weight,
-            instance.metadata.get(told.kind, ""),
-            STATES[state],
-            started,
-        ),
-        address,
-        instance.last_dirty_ms,
+    endpoint = messages.Endpoint(
+        id=instance.id,
+        zone=metadata.get(mapping.zone_key) or mapping.default_zone,
+        cell=cell,
+        weight=weight,
+        kind=metadata.get(mapping.kind_key, ""),
+        state=_read_state(mapping, instance),
+        started_at=(instance.service_up_ms or instance.registered_ms) / 1000,
     )
+    return ReportedEndpoint(endpoint, address, instance.last_dirty_ms)
 
 
-def read_entries(
-    told: InstanceMapping, instances: Iterable[EurekaInstance], names: Mapping[str, str] | None = None
+def read_endpoints(
+    mapping: InstanceMapping,
+    instances: Iterable[EurekaInstance],
+    addresses_by_name: Mapping[str, str] | None = None,
 ) -> tuple[list[ReportedEndpoint], list[str]]:
-    """The hosts, and what could not be read: that takes nothing else along."""
-    entries, odd = [], []
+    """Make endpoints of instances; one that cannot be read is left out.
+
+    Returns:
+        The endpoints, and what was left out, with the reason.
+    """
+    endpoints: list[ReportedEndpoint] = []
+    malformed: list[str] = []
     for instance in instances:
         try:
-            entries.append(read_entry(told, instance, names))
+            endpoints.append(read_endpoint(mapping, instance, addresses_by_name))
         except MalformedResponseError as err:
-            odd.append(f"{instance.id[:80]}: {err}")
-    return entries, odd
+            malformed.append(f"{instance.id[:_MAX_SHOWN_ID]}: {err}")
+    return endpoints, malformed
+
+
+def _read_address(
+    mapping: InstanceMapping, instance: EurekaInstance, addresses_by_name: Mapping[str, str]
+) -> Address:
+    port = instance.secure_port if mapping.secure else instance.port
+    if not port:
+        raise MalformedResponseError(f"no {'secure ' if mapping.secure else ''}port is enabled")
+    host = instance.ip
+    if mapping.address == "name":
+        host = addresses_by_name.get(instance.host_name, "")
+    if not host:
+        raise MalformedResponseError("no address")
+    return host, port
+
+
+def _read_state(mapping: InstanceMapping, instance: EurekaInstance) -> str:
+    """Return the endpoint's state. An override can only make it worse than the status does.
+
+    Where an override holds, the registry has put it into the status.
+    """
+    state = mapping.states.get(instance.status, _DEFAULT_STATE_SETTING)
+    if instance.overridden_status != InstanceStatus.UNKNOWN:
+        overridden = mapping.states.get(instance.overridden_status, _DEFAULT_STATE_SETTING)
+        state = max(state, overridden, key=_SEVERITY_BY_SETTING.__getitem__)
+    return _STATE_BY_SETTING[state]
--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -12,14 +12,13 @@
 
 import aiohttp
 
-from apigateway.membership.eureka.mapping import InstanceMapping, read_entries
+from apigateway.membership.eureka.mapping import InstanceMapping, read_endpoints
 from apigateway.membership.eureka.model import (
     EurekaInstance,
     MalformedResponseError,
     RegistryResponse,
-    read_json,
-    read_xml,
 )
+from apigateway.membership.eureka.parser import read_json, read_xml
 from apigateway.membership.eureka.registry_cache import RegistryCache
 from apigateway.membership.listing import Listing
 from apigateway.membership.reconciler import EndpointReconciler, ReconcilerSettings
@@ -159,7 +158,7 @@
         return self.registry.urls[self.at].rstrip("/")
 
     async def look(self) -> None:
-        if self.registry.lookup == "apps" and self.registry.delta and self.cache.known:
+        if self.registry.lookup == "apps" and self.registry.delta and self.cache.is_filled:
             answer = await self.get("apps/delta")
             if answer is not None:
                 deleted, whole = self.cache.apply_delta(self.clock(), answer.instances, answer.hashcode)
@@ -226,9 +225,9 @@
         if self.registry.mapping.address == "name":
             await self.look_up(wanted)
         if len(wanted) > MANY:
-            entries, odd = await asyncio.to_thread(read_entries, self.registry.mapping, wanted, self.names)
+            entries, odd = await asyncio.to_thread(read_endpoints, self.registry.mapping, wanted, self.names)
         else:
-            entries, odd = read_entries(self.registry.mapping, wanted, self.names)
+            entries, odd = read_endpoints(self.registry.mapping, wanted, self.names)
         odd = [*answer.malformed, *odd]
         if odd and tuple(odd) != self.malformed:
             more = f" and {len(odd) - MOST_ODD} more" if len(odd) > MOST_ODD else ""
--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -246,7 +246,7 @@
 async def test_the_platforms_program_loads_no_registry():
     code = (
         "import sys, apigateway.daemon.platform; "
-        "print([m for m in sys.modules if 'eureka' in m or 'belief' in m or 'defusedxml' in m])"
+        "print([m for m in sys.modules if 'eureka' in m or 'reconciler' in m or 'defusedxml' in m])"
     )
     program = await asyncio.create_subprocess_exec(
         sys.executable, "-c", code, cwd=ROOT, stdout=subprocess.PIPE
--- a/tests/membership/test_eureka_model.py
+++ b/tests/membership/test_eureka_model.py
@@ -7,16 +7,18 @@
 from hypothesis import strategies as st
 
 from apigateway.emulators.eureka import StandInEureka, instance
-from apigateway.membership.eureka.mapping import DEFAULT_STATES, InstanceMapping, read_entries, read_entry
+from apigateway.membership.eureka.mapping import (
+    DEFAULT_STATES,
+    InstanceMapping,
+    read_endpoint,
+    read_endpoints,
+)
 from apigateway.membership.eureka.model import (
     EurekaInstance,
     MalformedResponseError,
-    read_applications,
-    read_instance,
-    read_json,
-    read_xml,
 )
-from apigateway.membership.eureka.registry_cache import WHOLE_LEAST, RegistryCache, hashcode
+from apigateway.membership.eureka.parser import read_applications, read_instance, read_json, read_xml
+from apigateway.membership.eureka.registry_cache import MIN_COMPLETE_INTERVAL_S, RegistryCache, hashcode
 
 ONE = instance("node7", 8080, zone="east", cell="2", weight="1.5")
 
@@ -140,7 +142,7 @@
             answer = read_applications(told)
         except MalformedResponseError:
             continue
-        entries, odd = read_entries(InstanceMapping(), answer.instances)
+        entries, odd = read_endpoints(InstanceMapping(), answer.instances)
         assert len(entries) + len(odd) == len(answer.instances)
 
 
@@ -159,18 +161,18 @@
 )
 def test_each_status_has_its_state(status, overridden, state):
     told = read_instance(ONE | {"status": status, "overriddenstatus": overridden})
-    assert read_entry(InstanceMapping(), told).endpoint.state == state
+    assert read_endpoint(InstanceMapping(), told).endpoint.state == state
 
 
 def test_a_status_means_what_settings_say():
     terms = InstanceMapping(states=DEFAULT_STATES | {"STARTING": "up", "DOWN": "gone"})
-    assert read_entry(terms, read_instance(ONE | {"status": "STARTING"})).endpoint.state == "up"
-    assert read_entry(terms, read_instance(ONE | {"status": "DOWN"})).endpoint.state == "down"
+    assert read_endpoint(terms, read_instance(ONE | {"status": "STARTING"})).endpoint.state == "up"
+    assert read_endpoint(terms, read_instance(ONE | {"status": "DOWN"})).endpoint.state == "down"
 
 
 def test_metadata_and_leases_make_a_host():
     told = read_instance(ONE | {"leaseInfo": {"serviceUpTimestamp": 5000, "registrationTimestamp": 4000}})
-    entry = read_entry(InstanceMapping(), told)
+    entry = read_endpoint(InstanceMapping(), told)
     assert (entry.endpoint.zone, entry.endpoint.cell, entry.endpoint.weight, entry.endpoint.started_at) == (
         "east",
         2,
@@ -178,7 +180,7 @@
         5.0,
     )
     assert entry.address == ("127.0.0.1", 8080) and entry.stamp > 0
-    named = read_entry(InstanceMapping(address="name"), told, {"node7.rota.example.org": "10.0.0.7"})
+    named = read_endpoint(InstanceMapping(address="name"), told, {"node7.rota.example.org": "10.0.0.7"})
     assert named.address == ("10.0.0.7", 8080)
 
 
@@ -196,7 +198,7 @@
 )
 def test_an_instance_that_makes_no_host(terms, change):
     with pytest.raises(MalformedResponseError):
-        read_entry(terms, read_instance(ONE | change))
+        read_endpoint(terms, read_instance(ONE | change))
 
 
 def made(id, status="UP", action="", app="A"):
@@ -223,7 +225,7 @@
 def test_a_lost_delta_shows_in_the_hash_and_one_that_never_fits_makes_no_storm():
     replica = RegistryCache()
     replica.replace_all(0.0, [made("a")], "UP_1_")
-    assert replica.apply_delta(WHOLE_LEAST + 1, [], "UP_2_") == (set(), True)
+    assert replica.apply_delta(MIN_COMPLETE_INTERVAL_S + 1, [], "UP_2_") == (set(), True)
     asked, now = 0, 0.0
     while now < 3600.0:  # an hour of polls
         now += 5.0
--- a/tests/membership/test_eureka_source.py
+++ b/tests/membership/test_eureka_source.py
@@ -147,7 +147,7 @@
         registry.restart()
         for n in range(3):
             registry.register(instance(f"other{n}", 8000 + n))
-        seen.source.cache.known = False  # it asks for all, as after any trouble
+        seen.source.cache.is_filled = False  # it asks for all, as after any trouble
         await seen.poll()
         assert set(seen.hosts) == {"other0", "other1", "other2"}
         registry.register(instance("other0", 9999))
