--- a/apigateway/membership/eureka/registration.py
+++ b/apigateway/membership/eureka/registration.py
@@ -1,4 +1,4 @@
-"""This gateway as an instance of the registry: registered, renewed, taken off."""
+"""This gateway as an instance of the registry: registered, renewed by heartbeats, deregistered."""
 
 from __future__ import annotations
 
@@ -11,14 +11,17 @@
 
 import aiohttp
 
-ENDING = 1.0  # s for each of the last two calls: a registry that is away must not hold up a stop
+from apigateway.membership.eureka.model import InstanceStatus
+
+FINAL_CALL_TIMEOUT_S = 1.0  # of each of the last two calls: a registry that is away must not hold up a stop
+MAX_RETRY_PAUSE_S = 1.0  # after a failure; the renewal interval, where that is shorter
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class RegistrationSettings:
-    """How this gateway is told of. Times in seconds."""
+    """What the registry is told of this gateway. Times in seconds."""
 
     app: str
     id: str
@@ -30,8 +33,9 @@
     lease_duration: float = 30.0
     metadata: Mapping[str, str] = field(default_factory=dict)
 
-    def instance(self, status: str) -> dict[str, Any]:
-        now = int(time.time() * 1000)
+    def to_instance(self, status: InstanceStatus) -> dict[str, Any]:
+        """Return the body of a registration."""
+        now_ms = int(time.time() * 1000)
         return {
             "instance": {
                 "instanceId": self.id,
@@ -40,7 +44,7 @@
                 "ipAddr": self.ip,
                 "vipAddress": self.vip or self.app.lower(),
                 "secureVipAddress": self.vip or self.app.lower(),
-                "status": status,
+                "status": status.value,
                 "overriddenstatus": "UNKNOWN",
                 "port": {"$": self.port, "@enabled": "true"},
                 "securePort": {"$": 443, "@enabled": "false"},
@@ -54,117 +58,135 @@
                     "renewalIntervalInSecs": max(1, round(self.renewal_interval)),
                     "durationInSecs": max(1, round(self.lease_duration)),
                 },
-                "lastUpdatedTimestamp": str(now),
-                "lastDirtyTimestamp": str(now),
+                "lastUpdatedTimestamp": str(now_ms),
+                "lastDirtyTimestamp": str(now_ms),
             }
         }
 
 
 class Registration:
-    """`start` registers as STARTING; `up` once it can serve; `down` before the listeners close; `leave` at
-    the end."""
+    """Keep this gateway registered.
+
+    `start` registers it as STARTING, `mark_up` once it can serve, `mark_down` before the listeners close,
+    `deregister` at the end. A registry that is away delays none of it.
+    """
 
     def __init__(
         self,
         urls: tuple[str, ...],
-        own: RegistrationSettings,
+        settings: RegistrationSettings,
         user: str = "",
         password: str = "",
         timeout: float = 2.0,
     ) -> None:
-        self.urls, self.own, self.timeout = urls, own, timeout
-        self.headers = {"Authorization": aiohttp.encode_basic_auth(user, password)} if user else {}
-        self.status = "STARTING"
-        self.at = 0
-        self.known = False  # the registry holds us with `status`
-        self.changed = asyncio.Event()
-        self.session: aiohttp.ClientSession | None = None
-        self.task: asyncio.Task[None] | None = None
+        self._urls = urls
+        self._settings = settings
+        self._timeout = timeout
+        self._headers = {"Authorization": aiohttp.encode_basic_auth(user, password)} if user else {}
+        self._status = InstanceStatus.STARTING
+        self._url_index = 0
+        self._is_registered = False  # the registry lists this gateway with `_status`
+        self._status_changed = asyncio.Event()
+        self._session: aiohttp.ClientSession | None = None
+        self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        self.task = asyncio.get_running_loop().create_task(self.run())
+        """Register as STARTING, and renew from now on."""
+        self._task = asyncio.get_running_loop().create_task(self._run())
 
     def mark_up(self) -> None:
-        self.tell("UP")
+        """Report that this gateway serves."""
+        self._status = InstanceStatus.UP
+        self._is_registered = False
+        self._status_changed.set()
+
+    async def mark_down(self) -> None:
+        """Report that clients are to stop sending, before the listeners close."""
+        body = self._settings.to_instance(InstanceStatus.DOWN)
+        await self._make_final_call("POST", self._app_path(), body)
+
+    async def deregister(self) -> None:
+        """Delete the registration."""
+        await self._make_final_call("DELETE", self._instance_path())
+        await self.close()
+
+    async def close(self) -> None:
+        """Make no more calls: another process holds the registration, or it is over."""
+        await self._stop_renewing()
+        if self._session is not None:
+            await self._session.close()
 
-    def tell(self, status: str) -> None:
-        self.status, self.known = status, False
-        self.changed.set()
+    def _app_path(self) -> str:
+        return f"apps/{self._settings.app.upper()}"
 
-    async def run(self) -> None:
-        """Registers and renews for as long as it lives, whatever the registry does."""
+    def _instance_path(self) -> str:
+        return f"{self._app_path()}/{self._settings.id}"
+
+    async def _run(self) -> None:
+        """Register and renew until cancelled, whatever the registry does."""
         while True:
-            self.changed.clear()
+            self._status_changed.clear()
             try:
-                await self.step()
-                pause = self.own.renewal_interval
+                await self._renew_or_register()
+                pause = self._settings.renewal_interval
             except Exception as err:
                 log.warning(
                     "registry %s: not told of this gateway: %s %s",
-                    self.urls[self.at],
+                    self._urls[self._url_index],
                     type(err).__name__,
                     err,
                 )
-                self.at = (self.at + 1) % len(self.urls)
-                pause = min(1.0, self.own.renewal_interval)
+                self._url_index = (self._url_index + 1) % len(self._urls)
+                pause = min(MAX_RETRY_PAUSE_S, self._settings.renewal_interval)
             try:
                 async with asyncio.timeout(pause):
-                    await self.changed.wait()
+                    await self._status_changed.wait()
             except TimeoutError:
                 pass
 
-    async def step(self) -> None:
-        """Renews; registers where the registry does not know us, or not as we are now."""
-        path = f"apps/{self.own.app.upper()}/{self.own.id}"
-        if self.known and await self.call("PUT", path) == 404:
-            log.info("registry %s: it has forgotten this gateway; registering anew", self.urls[self.at])
-            self.known = False
-        if not self.known:
-            status = self.status
-            told = await self.call("POST", f"apps/{self.own.app.upper()}", self.own.instance(status))
-            if told not in (200, 204):
-                raise OSError(f"status {told} for a registration")
-            self.known = status == self.status
-
-    async def call(self, method: str, path: str, body: object = None, seconds: float | None = None) -> int:
-        if self.session is None:
-            self.session = aiohttp.ClientSession(trust_env=False)
-        timeout = aiohttp.ClientTimeout(total=seconds or self.timeout)
-        async with self.session.request(
+    async def _renew_or_register(self) -> None:
+        """Renew the lease; register where the registry does not list this gateway, or not as it is now."""
+        if self._is_registered and await self._call("PUT", self._instance_path()) == 404:
+            log.info(
+                "registry %s: it has forgotten this gateway; registering anew", self._urls[self._url_index]
+            )
+            self._is_registered = False
+        if not self._is_registered:
+            status = self._status
+            response_status = await self._call("POST", self._app_path(), self._settings.to_instance(status))
+            if response_status not in (200, 204):
+                raise OSError(f"status {response_status} for a registration")
+            self._is_registered = status == self._status  # it may have changed during the call
+
+    async def _call(self, method: str, path: str, body: object = None, timeout: float | None = None) -> int:
+        """Call the registry; return the status of its response. Raises what aiohttp does."""
+        if self._session is None:
+            self._session = aiohttp.ClientSession(trust_env=False)
+        async with self._session.request(
             method,
-            f"{self.urls[self.at].rstrip('/')}/{path}",
+            f"{self._urls[self._url_index].rstrip('/')}/{path}",
             json=body,
-            headers=self.headers,
-            timeout=timeout,
+            headers=self._headers,
+            timeout=aiohttp.ClientTimeout(total=timeout or self._timeout),
             allow_redirects=False,
-        ) as answer:
-            return answer.status
-
-    async def mark_down(self) -> None:
-        """Others stop sending: told before the listeners close."""
-        await self.last("POST", f"apps/{self.own.app.upper()}", self.own.instance("DOWN"))
-
-    async def deregister(self) -> None:
-        await self.last("DELETE", f"apps/{self.own.app.upper()}/{self.own.id}")
-        await self.close()
-
-    async def close(self) -> None:
-        """Tells nothing more: another holds the registration, or it is over."""
-        await self.halt()
-        if self.session is not None:
-            await self.session.close()
-
-    async def halt(self) -> None:
-        if self.task is not None:
-            self.task.cancel()
-            await asyncio.gather(self.task, return_exceptions=True)
-            self.task = None
-
-    async def last(self, method: str, path: str, body: object = None) -> None:
-        await self.halt()
+        ) as response:
+            return response.status
+
+    async def _stop_renewing(self) -> None:
+        if self._task is not None:
+            self._task.cancel()
+            await asyncio.gather(self._task, return_exceptions=True)
+            self._task = None
+
+    async def _make_final_call(self, method: str, path: str, body: object = None) -> None:
+        """Stop renewing and make one short call; a failure is only logged."""
+        await self._stop_renewing()
         try:
-            await self.call(method, path, body, ENDING)
+            await self._call(method, path, body, FINAL_CALL_TIMEOUT_S)
         except Exception as err:
             log.warning(
-                "registry %s: not told of the end: %s %s", self.urls[self.at], type(err).__name__, err
+                "registry %s: not told of the end: %s %s",
+                self._urls[self._url_index],
+                type(err).__name__,
+                err,
             )
--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -1,5 +1,7 @@
-"""A registry as a source of the list of hosts: polls, fail-over, bounds. What to believe is `belief`'s to
-say."""
+"""A Eureka registry as a source of the endpoint list: polls, fail-over, bounds.
+
+The reconciler says what of the list is accepted.
+"""
 
 from __future__ import annotations
 
@@ -14,6 +16,7 @@
 
 from apigateway.membership.eureka.mapping import InstanceMapping, read_endpoints
 from apigateway.membership.eureka.model import (
+    DeltaAction,
     EurekaInstance,
     MalformedResponseError,
     RegistryResponse,
@@ -21,16 +24,21 @@
 from apigateway.membership.eureka.parser import read_json, read_xml
 from apigateway.membership.eureka.registry_cache import RegistryCache
 from apigateway.membership.listing import Listing
-from apigateway.membership.reconciler import EndpointReconciler, ReconcilerSettings
+from apigateway.membership.reconciler import EndpointReconciler, ReconcilerSettings, ReportedEndpoint
 from apigateway.membership.reconciler_driver import ReconcilerDriver
 from apigateway.upstream.address import Address
 
-BACKOFF_MOST = 30.0  # s between polls while no registry answers
-PATHS = {"apps": "apps", "app": "apps/{}", "vip": "vips/{}", "svip": "svips/{}"}
-ACCEPT = {"json": "application/json", "xml": "application/xml"}
-LONG = 64 * 1024  # bytes of an answer that is read beside the loop
-MANY = 100  # instances, likewise
-MOST_ODD = 3  # of the instances of one answer that cannot be read, that are named in the log
+MAX_BACKOFF_S = 30.0  # between polls while no registry answers
+FIRST_BACKOFF_S = 1.0  # or the poll interval, where that is shorter
+MAX_DOUBLINGS = 10  # of the backoff: past its limit, and the power stays small
+POLL_JITTER = 0.1  # part of a pause, either way: or all gateways would poll in step
+THREAD_BODY_BYTES = 64 * 1024  # a longer body is parsed in a thread: it must not hold up the serving loop
+THREAD_INSTANCES = 100  # more instances are mapped in a thread, likewise
+MAX_LOGGED_MALFORMED = 3  # instances of one response that cannot be read, that are named in the log
+
+_PATH_BY_LOOKUP = {"apps": "apps", "app": "apps/{}", "vip": "vips/{}", "svip": "svips/{}"}
+_ACCEPT_BY_FORM = {"json": "application/json", "xml": "application/xml"}
+_DELTA_PATH = "apps/delta"
 
 log = logging.getLogger(__name__)
 
@@ -38,222 +46,283 @@
 
 
 class UnusableResponseError(Exception):
-    """An answer that cannot be used, or none."""
+    """A response that cannot be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class RegistrySettings:
-    """How to ask. `urls` are base paths, as `http://host:8761/eureka/v2`, tried in this order."""
+    """How a registry is polled.
+
+    `urls` are base paths, as `http://host:8761/eureka/v2`, tried in this order.
+    """
 
     urls: tuple[str, ...]
-    lookup: str = "apps"  # a key of PATHS
+    lookup: str = "apps"  # or "app", "vip", "svip"
     name: str = ""  # of the app or vip; with `apps`, only this app's instances where it is set
-    form: str = "json"
+    form: str = "json"  # or "xml"
     poll_interval: float = 5.0  # s
     timeout: float = 2.0  # s
-    max_response_bytes: int = 32 * 1024 * 1024  # bytes of an answer, unpacked
+    max_response_bytes: int = 32 * 1024 * 1024  # unpacked
     user: str = ""
     password: str = field(default="", repr=False)
-    delta: bool = True
+    delta: bool = True  # whether deltas are requested
     mapping: InstanceMapping = field(default_factory=InstanceMapping)
     reconciler: ReconcilerSettings = field(default_factory=ReconcilerSettings)
 
 
 class EurekaSource:
-    """In the shape of `core.ports.Membership`. `told` gets what changed in what is believed, `failed` hears
-    of each poll that failed. `own` addresses are never told: a gateway must not route to itself."""
+    """Keep the endpoint list up to date from a registry, in the shape of `core.interfaces.EndpointSource`.
+
+    Args:
+        registry: the settings.
+        known: the last list.
+        on_change: called with each change of what is accepted, as a delta.
+        on_failure: called after each poll that failed.
+        own_addresses: never listed: a gateway must not route to itself.
+        resolve: resolves a host name to an IP address, where addresses are taken from names.
+        clock: the time, in seconds.
+        seed: of the jitter.
+        reconciler: one to go on with, with its doubts and its age.
+    """
 
     def __init__(
         self,
         registry: RegistrySettings,
         known: Listing,
-        told: Callable[[Listing], None],
-        failed: Callable[[], None],
-        own: Collection[Address] = (),
+        on_change: Callable[[Listing], None],
+        on_failure: Callable[[], None],
+        own_addresses: Collection[Address] = (),
         resolve: Resolve | None = None,
         clock: Callable[[], float] = time.time,
         seed: int | None = None,
         reconciler: EndpointReconciler | None = None,
     ) -> None:
-        self.registry, self.failed, self.own, self.clock = registry, failed, set(own), clock
-        self.resolve, self.rng = resolve, random.Random(seed)
-        self.driver, self.cache = (
-            ReconcilerDriver(registry.reconciler, known, told, clock, reconciler),
-            RegistryCache(),
-        )
+        self.registry = registry
+        self.driver = ReconcilerDriver(registry.reconciler, known, on_change, clock, reconciler)
         self.reconciler = self.driver.reconciler
-        self.at = 0  # which registry is asked
-        self.fails = 0  # polls in a row
-        self._etags: dict[str, str] = {}
-        self.names: dict[str, str] = {}  # host names that were resolved
+        self.cache = RegistryCache()
+        self.etags: dict[str, str] = {}  # by path
+        self.malformed: tuple[str, ...] = ()  # what could not be read of the last response
         self.session: aiohttp.ClientSession | None = None
-        self.watcher: asyncio.Task[None] | None = None
-        self.tasks: set[asyncio.Task[bool]] = set()
-        self.malformed: tuple[str, ...] = ()  # what could not be read in the last answer
+        self._on_failure = on_failure
+        self._own_addresses = set(own_addresses)
+        self._resolve = resolve
+        self._clock = clock
+        self._rng = random.Random(seed)
+        self._url_index = 0  # of the registry that is polled
+        self._failures = 0  # polls in a row
+        self._addresses_by_name: dict[str, str] = {}  # of resolved host names
+        self._watch_task: asyncio.Task[None] | None = None
+        self._fetch_tasks: set[asyncio.Task[bool]] = set()
 
     @property
     def version(self) -> int:
+        """The version of the accepted list."""
         return self.reconciler.version
 
     @property
     def watching(self) -> bool:
-        return self.watcher is not None
+        """Whether the registry is polled."""
+        return self._watch_task is not None
 
-    # core.ports.Membership
+    @property
+    def url(self) -> str:
+        """The base path of the registry that is polled."""
+        return self.registry.urls[self._url_index].rstrip("/")
 
     def watch(self, on: bool) -> None:
-        if on and self.watcher is None:
-            self.watcher = asyncio.get_running_loop().create_task(self.run())
-        elif not on and self.watcher is not None:
-            self.watcher.cancel()
-            self.watcher = None
+        """Start or stop polling."""
+        if on and self._watch_task is None:
+            self._watch_task = asyncio.get_running_loop().create_task(self._run())
+        elif not on and self._watch_task is not None:
+            self._watch_task.cancel()
+            self._watch_task = None
 
     def fetch(self) -> None:
-        """Asks for the whole list, once."""
-        self.cache, self._etags = RegistryCache(), {}
+        """Request the complete list, once."""
+        self._forget_registry_state()
         task = asyncio.get_running_loop().create_task(self.poll())
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self._fetch_tasks.add(task)
+        task.add_done_callback(self._fetch_tasks.discard)
 
     async def close(self) -> None:
+        """End all calls and the reconciler's timer."""
         self.watch(False)
-        for task in self.tasks:
+        for task in self._fetch_tasks:
             task.cancel()
         self.driver.close()
         if self.session is not None:
             await self.session.close()
 
-    # Polls
-
-    async def run(self) -> None:
-        while True:
-            if await self.poll():
-                pause = self.registry.poll_interval
-            else:  # the next registry soon, but a round of all of them ever more seldom
-                rounds = self.fails // len(self.registry.urls)
-                pause = min(BACKOFF_MOST, min(1.0, self.registry.poll_interval) * 2.0 ** min(rounds, 10))
-            await asyncio.sleep(pause * self.rng.uniform(0.9, 1.1))  # or all gateways would ask at once
-
     async def poll(self) -> bool:
-        """One look. Never raises but for being cancelled."""
+        """Poll once; return whether the registry answered. Raises nothing but for being cancelled."""
         try:
-            await self.look()
+            await self._update()
         except Exception as err:  # whatever it is, the watch must outlive it
-            self.fails += 1
-            told = (
-                str(err)
-                if isinstance(err, UnusableResponseError | MalformedResponseError)
-                else f"{type(err).__name__} {err}"
-            )
-            log.warning("registry %s: %s; the last list stays", self.url, told[:200])
-            self.at = (self.at + 1) % len(self.registry.urls)
-            self.cache, self._etags = RegistryCache(), {}  # the next one has a list and deltas of its own
-            self.failed()
+            self._on_poll_failed(err)
             return False
-        self.fails = 0
+        self._failures = 0
         return True
 
-    @property
-    def url(self) -> str:
-        return self.registry.urls[self.at].rstrip("/")
+    # Polls
 
-    async def look(self) -> None:
+    async def _run(self) -> None:
+        while True:
+            pause = self.registry.poll_interval if await self.poll() else self._backoff()
+            await asyncio.sleep(pause * self._rng.uniform(1 - POLL_JITTER, 1 + POLL_JITTER))
+
+    def _backoff(self) -> float:
+        """Return the pause after a failure, in seconds: it doubles with each round of all registries."""
+        rounds = self._failures // len(self.registry.urls)
+        first = min(FIRST_BACKOFF_S, self.registry.poll_interval)
+        return min(MAX_BACKOFF_S, first * 2.0 ** min(rounds, MAX_DOUBLINGS))
+
+    def _on_poll_failed(self, err: Exception) -> None:
+        self._failures += 1
+        is_own_error = isinstance(err, UnusableResponseError | MalformedResponseError)
+        reason = str(err) if is_own_error else f"{type(err).__name__} {err}"
+        log.warning("registry %s: %s; the last list stays", self.url, reason[:200])
+        self._url_index = (self._url_index + 1) % len(self.registry.urls)
+        self._forget_registry_state()  # the next one has a list and deltas of its own
+        self._on_failure()
+
+    def _forget_registry_state(self) -> None:
+        self.cache = RegistryCache()
+        self.etags = {}
+
+    async def _update(self) -> None:
+        """Request a delta, or the complete list where that is due. Raises whatever goes wrong."""
         if self.registry.lookup == "apps" and self.registry.delta and self.cache.is_filled:
-            answer = await self.get("apps/delta")
-            if answer is not None:
-                deleted, whole = self.cache.apply_delta(self.clock(), answer.instances, answer.hashcode)
-                if not whole:
-                    await self.hear(answer, deleted, False)
-                    return
-                log.info(
-                    "registry %s: its hash is %s, ours %s; asking for the whole list",
-                    self.url,
-                    answer.hashcode[:80],
-                    self.cache.hashcode()[:80],
-                )
-                await self.hear(answer, deleted, False)  # drains among it count at once
-        path = PATHS[self.registry.lookup].format(self.registry.name)
-        answer = await self.get(path)
-        if answer is None:  # nothing changed: it names again what it named
-            self.cache.on_not_modified(self.clock())
-            answer = RegistryResponse(tuple(self.cache.instances.values()), "")
+            delta = await self._request(_DELTA_PATH)
+            if delta is not None and not await self._apply_delta(delta):
+                return
+        path = _PATH_BY_LOOKUP[self.registry.lookup].format(self.registry.name)
+        response = await self._request(path)
+        if response is None:  # not modified: it names again what it named
+            self.cache.on_not_modified(self._clock())
+            response = RegistryResponse(tuple(self.cache.instances.values()), "")
         else:
-            self.cache.replace_all(self.clock(), answer.instances, answer.hashcode)
-        await self.hear(answer, set(), True)
+            self.cache.replace_all(self._clock(), response.instances, response.hashcode)
+        await self._apply(response, set(), True)
+
+    async def _apply_delta(self, delta: RegistryResponse) -> bool:
+        """Apply a delta; return whether a complete list is to be requested."""
+        result = self.cache.apply_delta(self._clock(), delta.instances, delta.hashcode)
+        if result.needs_complete_list:
+            log.info(
+                "registry %s: its hash is %s, ours %s; asking for the whole list",
+                self.url,
+                delta.hashcode[:80],
+                self.cache.hashcode()[:80],
+            )
+        # also where a complete list follows: drains among it count at once
+        await self._apply(delta, result.deleted_ids, False)
+        return result.needs_complete_list
+
+    # Requests
+
+    async def _request(self, path: str) -> RegistryResponse | None:
+        """Request a list.
+
+        Returns:
+            None where it is not modified, or the registry knows no deltas.
 
-    async def get(self, path: str) -> RegistryResponse | None:
-        """None: not changed, or the registry knows no deltas. Raises Unusable, Odd or what aiohttp does."""
+        Raises:
+            UnusableResponseError, MalformedResponseError, or what aiohttp raises.
+        """
         if self.session is None:
             self.session = aiohttp.ClientSession(trust_env=False)
-        headers = {"Accept": ACCEPT[self.registry.form]}
-        if path in self._etags:
-            headers["If-None-Match"] = self._etags[path]
-        if self.registry.user:
-            headers["Authorization"] = aiohttp.encode_basic_auth(self.registry.user, self.registry.password)
         timeout = aiohttp.ClientTimeout(total=self.registry.timeout)
         async with self.session.get(
-            f"{self.url}/{path}", headers=headers, timeout=timeout, allow_redirects=False
-        ) as answer:
-            if answer.status == 304 and path in self._etags:
+            f"{self.url}/{path}", headers=self._request_headers(path), timeout=timeout, allow_redirects=False
+        ) as response:
+            if response.status == 304 and path in self.etags:
                 return None
-            if answer.status == 404 and path == "apps/delta":
+            if response.status == 404 and path == _DELTA_PATH:
                 return None
-            if answer.status == 404 and self.registry.lookup != "apps":
+            if response.status == 404 and self.registry.lookup != "apps":
                 return RegistryResponse(
                     (), ""
                 )  # the registry's way to say that an app or vip has no instance
-            if answer.status != 200:
-                raise UnusableResponseError(f"status {answer.status} for {path}")
-            body = bytearray()
-            async for chunk in answer.content.iter_any():
-                body += chunk
-                if len(body) > self.registry.max_response_bytes:
-                    raise UnusableResponseError(
-                        f"an answer of more than {self.registry.max_response_bytes} bytes for {path}"
-                    )
-            read = read_xml if "xml" in answer.content_type else read_json
-            # A long list must not hold up the loop that serves: the interpreter then gives it turns.
-            made = await asyncio.to_thread(read, bytes(body)) if len(body) > LONG else read(bytes(body))
-            if (tag := answer.headers.get("ETag")) and path != "apps/delta":
-                self._etags[path] = tag
-        return made
-
-    # What is believed
-
-    async def hear(self, answer: RegistryResponse, deleted: set[str], whole: bool) -> None:
-        wanted = [i for i in answer.instances if i.action != "DELETED" and self.wanted(i)]
+            if response.status != 200:
+                raise UnusableResponseError(f"status {response.status} for {path}")
+            body = await self._read_body(response, path)
+            parse = read_xml if "xml" in response.content_type else read_json
+            if len(body) > THREAD_BODY_BYTES:
+                parsed = await asyncio.to_thread(parse, body)
+            else:
+                parsed = parse(body)
+            if (etag := response.headers.get("ETag")) and path != _DELTA_PATH:
+                self.etags[path] = etag
+        return parsed
+
+    def _request_headers(self, path: str) -> dict[str, str]:
+        headers = {"Accept": _ACCEPT_BY_FORM[self.registry.form]}
+        if path in self.etags:
+            headers["If-None-Match"] = self.etags[path]
+        if self.registry.user:
+            headers["Authorization"] = aiohttp.encode_basic_auth(self.registry.user, self.registry.password)
+        return headers
+
+    async def _read_body(self, response: aiohttp.ClientResponse, path: str) -> bytes:
+        max_bytes = self.registry.max_response_bytes
+        body = bytearray()
+        async for chunk in response.content.iter_any():
+            body += chunk
+            if len(body) > max_bytes:
+                raise UnusableResponseError(f"an answer of more than {max_bytes} bytes for {path}")
+        return bytes(body)
+
+    # Reports to the reconciler
+
+    async def _apply(self, response: RegistryResponse, deleted_ids: set[str], is_complete: bool) -> None:
+        instances = [
+            instance
+            for instance in response.instances
+            if instance.action != DeltaAction.DELETED and self._is_wanted(instance)
+        ]
         if self.registry.mapping.address == "name":
-            await self.look_up(wanted)
-        if len(wanted) > MANY:
-            entries, odd = await asyncio.to_thread(read_endpoints, self.registry.mapping, wanted, self.names)
-        else:
-            entries, odd = read_endpoints(self.registry.mapping, wanted, self.names)
-        odd = [*answer.malformed, *odd]
-        if odd and tuple(odd) != self.malformed:
-            more = f" and {len(odd) - MOST_ODD} more" if len(odd) > MOST_ODD else ""
-            log.warning("registry %s: left out %s%s", self.url, "; ".join(odd[:MOST_ODD]), more)
-        self.malformed = tuple(odd)
-        entries = [entry for entry in entries if entry.address not in self.own]
-        gone = deleted | {e.endpoint.id for e in entries if e.endpoint.state == "down"}
-        entries = [entry for entry in entries if entry.endpoint.state != "down"]
-        self.driver.apply(entries, gone, whole)
-
-    def wanted(self, instance: EurekaInstance) -> bool:
+            await self._resolve_names(instances)
+        endpoints, malformed = await self._read_endpoints(instances)
+        self._record_malformed((*response.malformed, *malformed))
+        others = [one for one in endpoints if one.address not in self._own_addresses]
+        removed_ids = {one.endpoint.id for one in others if one.endpoint.state == "down"}
+        reported = [one for one in others if one.endpoint.state != "down"]
+        self.driver.apply(reported, deleted_ids | removed_ids, is_complete)
+
+    async def _read_endpoints(
+        self, instances: list[EurekaInstance]
+    ) -> tuple[list[ReportedEndpoint], list[str]]:
+        mapping = self.registry.mapping
+        if len(instances) > THREAD_INSTANCES:
+            return await asyncio.to_thread(read_endpoints, mapping, instances, self._addresses_by_name)
+        return read_endpoints(mapping, instances, self._addresses_by_name)
+
+    def _record_malformed(self, malformed: tuple[str, ...]) -> None:
+        """Keep what could not be read, and log it where it is new."""
+        if malformed and malformed != self.malformed:
+            hidden = len(malformed) - MAX_LOGGED_MALFORMED
+            more = f" and {hidden} more" if hidden > 0 else ""
+            shown = "; ".join(malformed[:MAX_LOGGED_MALFORMED])
+            log.warning("registry %s: left out %s%s", self.url, shown, more)
+        self.malformed = malformed
+
+    def _is_wanted(self, instance: EurekaInstance) -> bool:
         name = self.registry.name.upper()
         return self.registry.lookup != "apps" or not name or instance.app == name
 
-    async def look_up(self, instances: list[EurekaInstance]) -> None:
-        """One look at a name; one that fails keeps its last address."""
-        for name in {i.host_name for i in instances} - {""}:
-            if self.resolve is None:
-                return
+    async def _resolve_names(self, instances: list[EurekaInstance]) -> None:
+        """Resolve each host name once; one that fails keeps its last address."""
+        if self._resolve is None:
+            return
+        for name in {instance.host_name for instance in instances} - {""}:
             try:
-                self.names[name] = await self.resolve(name)
+                self._addresses_by_name[name] = await self._resolve(name)
             except OSError as err:
                 log.warning("registry %s: %s cannot be looked up (%s)", self.url, name[:80], err)
 
 
 async def resolve(name: str) -> str:
-    """By the system's resolver. Raises OSError."""
+    """Resolve a host name by the system's resolver. Raises OSError."""
     found = await asyncio.get_running_loop().getaddrinfo(name, None, type=1)
     return str(found[0][4][0])
--- a/tests/membership/test_eureka_source.py
+++ b/tests/membership/test_eureka_source.py
@@ -319,7 +319,7 @@
 
 @on_loop
 async def test_a_registry_that_is_away_holds_up_neither_the_work_nor_the_end(monkeypatch):
-    monkeypatch.setattr("apigateway.membership.eureka.registration.ENDING", 0.05)
+    monkeypatch.setattr("apigateway.membership.eureka.registration.FINAL_CALL_TIMEOUT_S", 0.05)
     async with StandInEureka(script=Script([Step("error", count=4)])) as registry:
         own = Registration((registry.url, registry.url), OWN)
         own.start()
