--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -241,9 +241,8 @@
             if response.status == 404 and path == _DELTA_PATH:
                 return None
             if response.status == 404 and self.registry.lookup != "apps":
-                return RegistryResponse(
-                    (), ""
-                )  # the registry's way to say that an app or vip has no instance
+                # the registry's way to say that an app or vip has no instance
+                return RegistryResponse((), "")
             if response.status != 200:
                 raise UnusableResponseError(f"status {response.status} for {path}")
             body = await self._read_body(response, path)
--- a/tests/membership/test_eureka_model.py
+++ b/tests/membership/test_eureka_model.py
@@ -59,7 +59,7 @@
         {"leaseInfo": {"registrationTimestamp": -5}},
     ],
 )
-def test_an_odd_instance_is_left_out_and_the_others_are_read(change):
+def test_malformed_instance_when_among_others_then_is_left_out_alone(change):
     answer = read_applications(
         wrapped(ONE, ONE | {"instanceId": "bad"} | change, ONE | {"instanceId": "node8"})
     )
@@ -91,7 +91,7 @@
         b'{"applications":' + b'{"a":' * 5000,
     ],
 )
-def test_what_is_no_answer(body):
+def test_json_when_no_response_then_is_malformed(body):
     with pytest.raises(MalformedResponseError):
         read_json(body)
 
@@ -111,7 +111,7 @@
         b'<!DOCTYPE x SYSTEM "file:///etc/passwd"><applications/>',
     ],
 )
-def test_what_is_no_xml_of_a_registry(body):
+def test_xml_when_no_response_then_is_malformed(body):
     with pytest.raises(MalformedResponseError):
         read_xml(body)
 
@@ -131,7 +131,7 @@
 @seed(1)
 @settings(max_examples=400, deadline=None, database=None)
 @given(ANY)
-def test_no_tree_raises_but_odd(tree):
+def test_any_tree_when_read_then_raises_nothing_but_malformed_response(tree):
     for told in (
         tree,
         {"applications": tree},
@@ -142,8 +142,8 @@
             answer = read_applications(told)
         except MalformedResponseError:
             continue
-        entries, odd = read_endpoints(InstanceMapping(), answer.instances)
-        assert len(entries) + len(odd) == len(answer.instances)
+        entries, malformed = read_endpoints(InstanceMapping(), answer.instances)
+        assert len(entries) + len(malformed) == len(answer.instances)
 
 
 @pytest.mark.parametrize(
@@ -170,7 +170,7 @@
     assert read_endpoint(terms, read_instance(ONE | {"status": "DOWN"})).endpoint.state == "down"
 
 
-def test_metadata_and_leases_make_a_host():
+def test_instance_when_mapped_then_metadata_and_lease_make_the_endpoint():
     told = read_instance(ONE | {"leaseInfo": {"serviceUpTimestamp": 5000, "registrationTimestamp": 4000}})
     entry = read_endpoint(InstanceMapping(), told)
     assert (entry.endpoint.zone, entry.endpoint.cell, entry.endpoint.weight, entry.endpoint.started_at) == (
@@ -196,42 +196,42 @@
         (InstanceMapping(address="name"), {}),
     ],
 )
-def test_an_instance_that_makes_no_host(terms, change):
+def test_instance_when_no_endpoint_can_be_made_then_is_malformed(terms, change):
     with pytest.raises(MalformedResponseError):
         read_endpoint(terms, read_instance(ONE | change))
 
 
-def made(id, status="UP", action="", app="A"):
+def make_instance(id, status="UP", action="", app="A"):
     return EurekaInstance(id, app, id, "127.0.0.1", 80, 0, status, "UNKNOWN", action=action)
 
 
-def test_deltas_keep_a_replica_by_its_hash():
-    replica = RegistryCache()
-    replica.replace_all(0.0, [made("a"), made("b")], "UP_2_")
-    assert replica.apply_delta(
-        1.0, [made("c", action="ADDED"), made("b", "DOWN", "MODIFIED")], "DOWN_1_UP_2_"
+def test_deltas_when_applied_then_keep_the_hash():
+    cache = RegistryCache()
+    cache.replace_all(0.0, [make_instance("a"), make_instance("b")], "UP_2_")
+    assert cache.apply_delta(
+        1.0, [make_instance("c", action="ADDED"), make_instance("b", "DOWN", "MODIFIED")], "DOWN_1_UP_2_"
     ) == (
         set(),
         False,
     )
-    assert replica.apply_delta(2.0, [made("a", action="DELETED")], "DOWN_1_UP_1_") == ({"a"}, False)
-    assert replica.apply_delta(3.0, [made("a", action="DELETED")], "DOWN_1_UP_1_") == (
+    assert cache.apply_delta(2.0, [make_instance("a", action="DELETED")], "DOWN_1_UP_1_") == ({"a"}, False)
+    assert cache.apply_delta(3.0, [make_instance("a", action="DELETED")], "DOWN_1_UP_1_") == (
         {"a"},
         False,
     )  # told again
-    assert set(replica.instances) == {("A", "b"), ("A", "c")}
+    assert set(cache.instances) == {("A", "b"), ("A", "c")}
 
 
-def test_a_lost_delta_shows_in_the_hash_and_one_that_never_fits_makes_no_storm():
-    replica = RegistryCache()
-    replica.replace_all(0.0, [made("a")], "UP_1_")
-    assert replica.apply_delta(MIN_COMPLETE_INTERVAL_S + 1, [], "UP_2_") == (set(), True)
+def test_hash_when_it_never_fits_then_complete_lists_back_off():
+    cache = RegistryCache()
+    cache.replace_all(0.0, [make_instance("a")], "UP_1_")
+    assert cache.apply_delta(MIN_COMPLETE_INTERVAL_S + 1, [], "UP_2_") == (set(), True)
     asked, now = 0, 0.0
     while now < 3600.0:  # an hour of polls
         now += 5.0
-        if replica.apply_delta(now, [], "UP_9_")[1]:
+        if cache.apply_delta(now, [], "UP_9_")[1]:
             asked += 1
-            replica.replace_all(now, [made("a")], "UP_9_")
+            cache.replace_all(now, [make_instance("a")], "UP_9_")
     assert asked < 12
 
 
@@ -247,14 +247,14 @@
         max_size=40,
     )
 )
-def test_a_replica_that_hears_all_deltas_has_the_registrys_hash(steps):
-    replica, truth = RegistryCache(), {}
-    replica.replace_all(0.0, [], "")
+def test_cache_when_it_gets_all_deltas_then_has_the_registrys_hash(steps):
+    cache, truth = RegistryCache(), {}
+    cache.replace_all(0.0, [], "")
     for n, status, action in steps:
         if action == "DELETED":
             truth.pop(n, None)
         else:
-            truth[n] = made(f"i{n}", status)
+            truth[n] = make_instance(f"i{n}", status)
         told = hashcode(truth.values())
-        _, whole = replica.apply_delta(1e6, [made(f"i{n}", status, action)], told)
-        assert not whole and replica.hashcode() == told
+        _, whole = cache.apply_delta(1e6, [make_instance(f"i{n}", status, action)], told)
+        assert not whole and cache.hashcode() == told
--- a/tests/membership/test_reconciler_driver.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -1,5 +1,4 @@
-"""Sources that share the judge: the platform's discovery in our own installations, and a belief that goes
-on."""
+"""The reconciler beside discovery, and passed on from one source to the next."""
 
 from netkit import command, on_loop
 from rig import Site
@@ -24,21 +23,19 @@
 
 
 @on_loop
-async def test_a_discovery_that_comes_back_empty_is_doubted_and_marks_count_at_once():
-    told = []
-    judge = ReconcilerDriver(ReconcilerSettings(), NOTHING, told.append, lambda: 100.0)
-    judge.apply_listing(listing("a", "b", "c"))
-    judge.apply_listing(listing())
-    assert len(told) == 1 and set(judge.reconciler.records) == {"a", "b", "c"}
-    judge.apply_listing(listing("a", full=False, state="removed"))
-    assert [h.state for h in told[-1].hosts.endpoints] == ["down"] and set(judge.reconciler.records) == {
-        "b",
-        "c",
-    }
+async def test_discovery_when_it_comes_back_empty_then_its_endpoints_stay_and_marks_count_at_once():
+    changes = []
+    driver = ReconcilerDriver(ReconcilerSettings(), NOTHING, changes.append, lambda: 100.0)
+    driver.apply_listing(listing("a", "b", "c"))
+    driver.apply_listing(listing())
+    assert len(changes) == 1 and set(driver.reconciler.records) == {"a", "b", "c"}
+    driver.apply_listing(listing("a", full=False, state="removed"))
+    assert [h.state for h in changes[-1].hosts.endpoints] == ["down"]
+    assert set(driver.reconciler.records) == {"b", "c"}
 
 
 @on_loop
-async def test_a_belief_goes_on_with_its_doubts_and_its_age():
+async def test_reconciler_when_passed_on_then_keeps_its_doubts_and_its_age():
     first = ReconcilerDriver(ReconcilerSettings(), NOTHING, lambda _: None, lambda: 100.0)
     first.apply(
         [
@@ -51,14 +48,13 @@
     second = ReconcilerDriver(
         ReconcilerSettings(doubt_time=5.0), NOTHING, lambda _: None, lambda: 200.0, first.reconciler
     )
-    assert second.reconciler.last_update_at == 100.0 and {
-        k.doubt for k in second.reconciler.records.values()
-    } == {"missing"}
+    assert second.reconciler.last_update_at == 100.0
+    assert {record.doubt for record in second.reconciler.records.values()} == {"missing"}
     first.close()
 
 
 @on_loop
-async def test_a_gateway_of_ours_serves_through_an_empty_discovery(tmp_path):
+async def test_gateway_when_discovery_comes_back_empty_then_serves_on(tmp_path):
     async with Site(tmp_path, hosts=2) as site, StandInDiscovery() as discovery:
         discovery.servers = [h.entry() for h in site.hosts]
         site.write(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
