--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -27,6 +27,7 @@
     from apigateway.core.admission import Door
     from apigateway.daemon.ratelimit import Built, RateLimits
     from apigateway.frontends.grpc.front import GrpcFront
+    from apigateway.membership.reconciler import EndpointReconciler
     from apigateway.membership.reconciler_driver import ReconcilerDriver
     from apigateway.plugins.live import Hooks as Plugins
     from apigateway.policy.overload_gate import Gate
@@ -146,7 +147,8 @@
 
             return EndpointFileSource(config.hosts_file, self.listed, self.core.list_failed)
         # the reconciler of the last source goes on, with its doubts and its age
-        belief = getattr(getattr(self, "discovery", None), "reconciler", None)
+        last_source = getattr(self, "discovery", None)
+        reconciler: EndpointReconciler | None = getattr(last_source, "reconciler", None)
         if config.discovery is None:
             from apigateway.membership.eureka.source import EurekaSource, resolve
 
@@ -163,7 +165,7 @@
                 own,
                 by_name,
                 self.core.clock,
-                reconciler=belief,
+                reconciler=reconciler,
             )
         if config.settings.discovery_mode == "ask":
             schedule = WatchSchedule.for_polled_service()
@@ -172,7 +174,7 @@
         if config.trust is not None:
             from apigateway.membership.reconciler_driver import ReconcilerDriver
 
-            judge = ReconcilerDriver(config.trust, self.listing, self.listed, self.core.clock, belief)
+            judge = ReconcilerDriver(config.trust, self.listing, self.listed, self.core.clock, reconciler)
             return ReconciledDiscovery(config.discovery, version, judge, self.core.list_failed, schedule)
         return DiscoveryClient(config.discovery, version, self.listed, self.core.list_failed, schedule)
 
@@ -301,12 +303,18 @@
 
     def hosts_believed(self) -> dict[str, Any]:
         """For `api-gateway hosts`. Times in seconds."""
-        belief = getattr(self.discovery, "reconciler", None)
-        if belief is not None:
-            age = self.core.clock() - belief.heard_at
+        reconciler: EndpointReconciler | None = getattr(self.discovery, "reconciler", None)
+        if reconciler is not None:
+            now = self.core.clock()
+            age = now - reconciler.last_update_at
             hosts = [
-                described(k.entry.host, k.entry.address, k.doubt, self.core.clock() - k.since)
-                for k in belief.known.values()
+                described(
+                    record.accepted.endpoint,
+                    record.accepted.address,
+                    record.doubt,
+                    now - record.state_since,
+                )
+                for record in reconciler.records.values()
             ]
         else:
             age = time.monotonic() - self.listed_at
@@ -315,7 +323,11 @@
             ]
         from apigateway.daemon.choice import taken_for  # only who is asked needs it
 
-        told = {"source": self.source_name(), "age": age if age < float("inf") else None, "hosts": hosts}
+        told: dict[str, Any] = {
+            "source": self.source_name(),
+            "age": age if age < float("inf") else None,
+            "hosts": hosts,
+        }
         if isinstance(self.core.module, Gateway):
             for host in hosts:
                 host["choice"] = taken_for(self.core.module.fleet, host["id"], self.core.clock())
--- a/apigateway/membership/discovery.py
+++ b/apigateway/membership/discovery.py
@@ -53,11 +53,11 @@
         schedule: WatchSchedule,
     ) -> None:
         host, port = address
+        self.url = f"http://{f'[{host}]' if ':' in host else host}:{port}/v1/endpoints"
         self.version = version
         self.schedule = schedule
         self.lists_received = 0
         self.fetching: set[asyncio.Task[CallResult]] = set()
-        self._url = f"http://{f'[{host}]' if ':' in host else host}:{port}/v1/endpoints"
         self._on_list = on_list
         self._on_failure = on_failure
         self._pacer = WatchPacer(schedule, random.Random())
@@ -120,7 +120,7 @@
             self._session = aiohttp.ClientSession(trust_env=False)
         received_before = self.lists_received
         async with self._session.get(
-            self._url, params=params, timeout=aiohttp.ClientTimeout(total=timeout)
+            self.url, params=params, timeout=aiohttp.ClientTimeout(total=timeout)
         ) as response:
             response.raise_for_status()
             body = await _read_body(response)
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -255,3 +255,10 @@
         while "index" not in await node.discovery.calls.get():
             pass
         assert not heard
+
+
+@on_loop
+async def test_status_when_discovery_is_the_source_then_names_its_url(tmp_path):
+    async with StubHost() as host, Node(host, path=tmp_path) as node:
+        url = f"http://127.0.0.1:{node.discovery.port}/v1/endpoints"
+        assert node.node.hosts_believed()["source"] == f"discovery {url}"
