--- /dev/null
+++ b/tests/membership/test_reconciler_driver.py
@@ -0,0 +1,70 @@
+"""The reconciler beside discovery, and passed on from one source to the next."""
+
+from netkit import command, on_loop
+from rig import Site
+
+from apigateway import messages
+from apigateway.emulators.discovery import StandInDiscovery
+from apigateway.membership.listing import Listing, read_list
+from apigateway.membership.reconciler import ReconcilerSettings, ReportedEndpoint
+from apigateway.membership.reconciler_driver import ReconcilerDriver
+
+NOTHING = Listing(messages.EndpointList("cached", 0, ()), {})
+
+
+def listing(*ids, full=True, state="up"):
+    return read_list(
+        {
+            "version": 1,
+            "full": full,
+            "servers": [{"id": id, "addr": f"127.0.0.1:{n + 1}", "state": state} for n, id in enumerate(ids)],
+        }
+    )
+
+
+@on_loop
+async def test_discovery_when_it_comes_back_empty_then_its_endpoints_stay_and_marks_count_at_once():
+    changes = []
+    driver = ReconcilerDriver(ReconcilerSettings(), NOTHING, changes.append, lambda: 100.0)
+    driver.apply_listing(listing("a", "b", "c"))
+    driver.apply_listing(listing())
+    assert len(changes) == 1 and set(driver.reconciler.records) == {"a", "b", "c"}
+    driver.apply_listing(listing("a", full=False, state="removed"))
+    assert [h.state for h in changes[-1].hosts.endpoints] == ["down"]
+    assert set(driver.reconciler.records) == {"b", "c"}
+
+
+@on_loop
+async def test_reconciler_when_passed_on_then_keeps_its_doubts_and_its_age():
+    first = ReconcilerDriver(ReconcilerSettings(), NOTHING, lambda _: None, lambda: 100.0)
+    first.apply(
+        [
+            ReportedEndpoint(messages.Endpoint(f"h{n}", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", n))
+            for n in range(4)
+        ],
+        is_complete=True,
+    )
+    first.apply([], is_complete=True)
+    second = ReconcilerDriver(
+        ReconcilerSettings(doubt_time=5.0), NOTHING, lambda _: None, lambda: 200.0, first.reconciler
+    )
+    assert second.reconciler.last_update_at == 100.0
+    assert {record.doubt for record in second.reconciler.records.values()} == {"missing"}
+    first.close()
+
+
+@on_loop
+async def test_gateway_when_discovery_comes_back_empty_then_serves_on(tmp_path):
+    async with Site(tmp_path, hosts=2) as site, StandInDiscovery() as discovery:
+        discovery.servers = [h.entry() for h in site.hosts]
+        site.write(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
+        program = await site.start()
+        discovery.raw = "{"  # the watch fails, and the whole list is asked for
+        discovery.change([])
+        discovery.servers = []
+        await site.line(program, b"the last list stays")
+        while "index" not in await discovery.calls.get():
+            pass  # it has read the empty list once it watches again
+        for n in range(20):
+            assert (await site.ask(command(b"r%d" % n))).startswith(b"$")
+        assert sum(len(h.commands) for h in site.hosts) == 20
