--- a/apigateway/daemon/choice.py
+++ b/apigateway/daemon/choice.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from apigateway.policy.gateway import REPORT_AGE, Fleet
+from apigateway.policy.endpoint_pool import REPORT_AGE, Fleet
 
 
 def taken_for(fleet: Fleet, host: str, now: float) -> dict[str, Any]:
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -4,68 +4,41 @@
 
 from __future__ import annotations
 
-import bisect
 import heapq
 import itertools
 import math
 import random
 from collections import deque
-from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any
+from dataclasses import dataclass
 
 from apigateway import messages
 from apigateway.hashing import Forgotten, stable_hash
-from apigateway.routing import subset
-from apigateway.routing.doubt import Doubt
-from apigateway.routing.failure_backoff import FailureBackoff
+from apigateway.policy.counter_health import CROWDED, Counter
+from apigateway.policy.customer_quota import Account
+from apigateway.policy.endpoint import Server
+from apigateway.policy.endpoint_pool import GAIN, LIMIT_MOST, PRESS_SPAN, TICK, Fleet
+from apigateway.policy.pending_queue import Job, PendingQueue
 from apigateway.routing.fault_scope import FaultScope
 from apigateway.routing.grant_share import GrantShareEstimator
-from apigateway.routing.sites import Sites
-from apigateway.routing.size import Size
 
-TICK = 0.02  # s; coarsest delay of a check on held requests and copies; far under any aim
-ALLOW, CHARGE_AT = 0.5, 0.5  # part of the even room passed uncharged; part of that which is then charged
+CHARGE_AT = 0.5  # part of what may pass uncharged which is then charged
 RESERVE = 0.2  # share of a burst kept from the class worth least a unit, for the one worth most
-STRAND_MIN = 0.05  # least chance that an unspent unit is missed elsewhere (c2), customer nearly idle
-REFILL = 0.1  # part of the refill in a thin customer's hold: its overdrafts are seldom brought along;
-OPENS, OPEN_AT = 0.5, 0.5  # part of its burst that its window opens with; part of the window till it has all
 CROWD = 0.3  # worth of a call's time at the full time-out (c1 grows as the counter slows), squared share
-CROWDED, CROWD_STEEP = 0.5, 4.0  # part of the time-out from which a call is rationed; price there, in tries
-CROWD_OF = 20.0  # gateways that are half a crowd, before the counter has been heard
 SIDE_CALL = 0.15  # worth of a call that only mends a count for others, or finds a limit seldom reached
 SAMPLE_MOST = 4.0  # a sampled charge stands for so many at most: more makes the count jump
 GRANT_PRIOR = (0.5, 0.3)  # share of first tries and of repeats taken to be granted, before any was
-HEARD_SPAN = 20.0  # s that a customer's requests here are remembered, for what it asks for elsewhere
 LOAD_COST = 0.2  # least cost of a unit sent on beyond quota, in its worth: it loads what all share
 CEILING_HOLD, CEILING_THIN = 0.3, 4.0  # share of the aim that a request may wait for its customer's ceiling
 # to fill here; units of an even part of it, below which it may
 QUEUE_HOLD, QUEUE_LEAST = 0.5, 4  # share of the aim spent waiting for a server; requests that always may
-BACKOFF_MOST = 1.0  # s; longest pause between tries of a counter that does not answer
-PART_GAIN = 0.5  # weight of the latest window in the part of a customer's use that passes here
 ROUNDING = 1e-4  # part of a total, seven digits of which are exact: less than that is no difference
 CALL_SPOILT = 0.9  # part of the time-out before which a call without answer was lost with its line
 OPEN_EPOCH, IDLE_MOST = 5.0, 30.0  # s; life of a count of open attempts; least life of an idle account
 FREED_AT_ONCE = 4  # idle accounts looked at with each request: more than come, so that they never pile up
-GONE_MOST = 30.0  # s that a host which is gone is known: longer than any attempt or repeat on it matters
-CONGESTED = 5.0  # requests held at a server, above which it holds more than it works on well
-PRESSED, PRESS_SPAN = 0.5, 1.5  # part of answers from congested servers that sheds work; s taken over
+PRESSED = 0.5  # part of answers from congested servers that sheds work
 SHED_FAST, SHED_BACK, SHED_LEAST = 0.7, 0.15, 0.05  # 1/s down, 1/s up, least part that still passes
-LIMIT_MOST, ROOM_CLEAR = 4.0, 0.6  # attempts out per server over all gateways; part that is clear room;
-OUT_SLACK, OUT_LEAST = 2.0, 20.0  # times its even part of them that one gateway may have out; that any may:
-# traffic over many is uneven, and what they hold together is told by the hosts
-SERVERS_OF_HOST = 2.0  # requests a server works on at once, when nothing tells more
-GAIN, QUICK = 0.05, 0.15  # weight of a new answer in means; where a change must show in a few answers
-REPORT_AGE, RATE_SPAN = 1.0, 3.0  # s; a load report says half as much after it; own sends are counted over it
-CHOICES, DRAWS = 4.0, 40  # servers compared, times servers over gateways; draws before all are looked at
-COMPARED, DRAWN = 12, 6  # servers all compared; of more, the best of so many drawn ones is as good
-STEP = 0.05  # s that what decays slowly is taken for the same, unless an event changed it
-COPY_AT = 4.0  # mean deviations above the mean time, after which an attempt is taken for silent
 RETRY_SHARE, RETRY_SPARE, RETRY_FULL = 0.1, 0.3, 0.2  # per first send; with room; price of one after `full`
 RETRY_START, RETRY_MOST = 15.0, 30.0  # retries over all gateways at the start; that may be saved up
-TRIAL_LEAST, TRIAL_MOST = 0.02, 0.5  # s; pause of a host after one failure there, and after many in a row
-COLD_PART = 0.6  # of what a cold server bears by the rules, the rest for chance and the others' bursts
-CROSS_WEIGHT = 10.0  # relative service time given to save one unit of the cross-zone price
 
 
 @dataclass(slots=True)
@@ -84,493 +57,6 @@
         return self.charge + self.ask + self.extra - self.spare
 
 
-class Account:
-    def __init__(self, req: messages.Request, plan: messages.Plan, born: float, now: float,
-                 rng: random.Random) -> None:
-        self.name, self.plan, self.spread, self.open_here = req.customer, plan, req.gateway_spread, 0
-        self.thin = 0 < plan.burst < self.spread  # an even part of the burst is less than a unit
-        self.length = plan.burst / plan.rate if plan.rate else 1.0
-        self.phase = stable_hash(self.name, "phase") % 4096 / 4096 * self.length
-        self.k = self.window(now)
-        self.start = self.k * self.length + self.phase
-        self.spare = 0.0  # units added here by calls whose answers were spoilt: ours, but not leased yet
-        self.part = 1.0 / self.spread  # of the customer's use that passes here
-        self.carried = 0.0  # part of the total that is no use in this window
-        self.unsure = 0.0  # amount of calls without answer: it may have been added
-        self.lease = self.uncharged = self.put = self.total = self.debt = self.used = self.last_used = 0.0
-        self.call, self.full_until, self.seen_at, self.rng, self.dice = None, 0.0, now, rng, rng.random()
-        self.waiting: list[str] = []
-        self.known = True  # False: was forgotten within its windows, so what it used is to be asked for first
-        # Ceiling: an even share, no failure can pass it; empty at a start: the last life's use is unknown.
-        self.cap_at, self.cap = now, min(plan.ceiling_burst, (now - born) * plan.ceiling_rate) / self.spread
-        self.promised = 0.0  # of it, to requests that wait for it to fill
-        self.fills = plan.ceiling_burst / plan.ceiling_rate if plan.ceiling_rate else 0.0  # s
-        # By how much the store of what is sent on is fuller than that of what is granted: reserved units that
-        # nobody has come for, as far as it has not filled up meanwhile; below 0 where they came late.
-        self.ahead = 0.0
-        self.heard, self.even, self.heard_at = 0.0, 0.0, now  # requests here lately; its quota's even part
-
-    def note_request(self, now: float) -> float:
-        """How its use compares with its quota, 1 at most, by the requests that came here lately: a gateway of
-        many hears little from each customer, and of one far beyond its quota more than an even part. It is
-        told before the request is counted. Harm: one that leans on this gateway is taken for one beyond."""
-        fade = math.exp((self.heard_at - now) / HEARD_SPAN)
-        self.even = self.even * fade + self.plan.rate / self.spread * HEARD_SPAN * (1 - fade)
-        odds = min(1.0, (1 + self.even) / (1 + self.heard * fade))
-        self.heard, self.heard_at = self.heard * fade + 1, now
-        return odds
-
-    def widen(self, spread: int) -> None:
-        """Its requests and its checks may name sets of their own: the parts of all must not be more than the
-        whole, so the larger set goes."""
-        self.spread, self.thin = spread, 0 < self.plan.burst < spread
-        self.cap = min(self.cap, self.plan.ceiling_burst / spread)
-        self.ahead = min(self.ahead, self.plan.ceiling_burst / spread - self.cap)
-
-    def window(self, now: float) -> int:
-        return math.floor((now - self.phase) / self.length)
-
-    def roll(self, now: float) -> None:
-        """Turn to the window of `now`: leases lapse; what passed the burst is carried as debt."""
-        k = self.window(now)
-        if k == self.k:
-            return
-        if self.put > 0 and self.total - self.carried >= 1:  # the counter told what all passed
-            part = min(1.0, self.used / (self.total - self.carried))
-            self.part += PART_GAIN * (part - self.part)
-        # Where an even part is less than a request, the few gateways that let one pass unasked say nothing of
-        # the others: taken times the spread, one such request would be a debt of many windows, for all.
-        passed = self.uncharged * (1 if self.thin else self.spread)
-        debt = max(0.0, self.total + passed - self.plan.burst * (k - self.k))
-        self.last_used = self.used if k == self.k + 1 else 0.0
-        self.k, self.start = k, k * self.length + self.phase
-        self.lease = self.uncharged = self.put = self.used = self.full_until = 0.0
-        self.spare = self.unsure = 0.0
-        self.carried = debt
-        self.total, self.debt, self.dice = debt, debt, self.rng.random()
-
-    def hold(self, now: float) -> float:
-        """What all may have passed in this window. A thin customer's overdraft is not brought along, so one
-        that has just had the burst of its last window would have another at the turn."""
-        plan, since = self.plan, now - self.start
-        if not self.thin:
-            return plan.burst + plan.rate * since
-        opened = min(1.0, OPENS + (1 - OPENS) * since / (OPEN_AT * self.length))
-        return min(plan.burst, max(1.0, plan.burst * opened)) + REFILL * plan.rate * since
-
-    def room(self, now: float) -> float:
-        return min(self.plan.burst, self.hold(now) - self.total) - self.uncharged
-
-    def allowance(self, now: float, silent: bool) -> float:
-        """Of the room, what may pass here uncharged. While the counter is away that is the part that passed
-        here before: a customer's traffic is uneven, and an even part refuses most of it. Harm: where it has
-        just moved, the gateway that it left and the one that it came to may both pass theirs."""
-        room = max(0.0, min(self.plan.burst, self.hold(now) - self.total))
-        return room * max(self.part, 1 / self.spread) if silent else room / self.spread * ALLOW
-
-    def block(self, c1: float) -> int:
-        """w = sqrt(c1 A / c2); c2 is the chance that a unit left unspent here is missed elsewhere."""
-        full = min(1.0, self.total / self.plan.burst)
-        w = math.sqrt(c1 * max(self.last_used, self.used) / max(STRAND_MIN, full * full))
-        return max(1, int(min(w, self.plan.burst, max(self.last_used, self.used, 1.0))))
-
-    def ceiling_room(self, now: float, paid: bool = False) -> float:
-        """`paid`: of what is sent on alone; else the store of what is granted has to have it too."""
-        plan = self.plan
-        if not plan.ceiling_rate:
-            return math.inf
-        self.fill(max(0.0, now - self.cap_at) * plan.ceiling_rate / self.spread)
-        self.cap_at = max(now, self.cap_at)
-        return self.cap + (self.ahead if paid else min(0.0, self.ahead)) if self.ahead else self.cap
-
-    def ceiling_wait(self, now: float, units: float, paid: bool) -> float:
-        """Seconds until its ceiling has room here for them, behind those that wait for it; inf: never."""
-        lack = units + self.promised - self.ceiling_room(now, paid)
-        if units > self.plan.ceiling_burst / self.spread:
-            return math.inf if lack > 0 else 0.0
-        return lack * self.spread / self.plan.ceiling_rate if lack > 0 else 0.0
-
-    def fill(self, more: float) -> None:
-        full = self.plan.ceiling_burst / self.spread
-        cap = min(full, self.cap + more)
-        if self.ahead:
-            self.ahead = min(full, self.cap + self.ahead + more) - cap
-        self.cap = cap
-
-
-class Counter:
-    def __init__(self, settings: messages.Settings) -> None:
-        self.on = settings.has_counter
-        self.timeout, self.price = settings.counter_timeout, settings.counter_price
-        self.fails, self.retry_at = int(not self.on), 0.0
-        count = settings.gateway_count
-        self.slow = 0.5 * count / (count + CROWD_OF)  # many start as in a crowd
-
-    def usable(self, now: float) -> bool:
-        return self.on and now >= self.retry_at
-
-    def chance(self, gain: float) -> float:
-        """Chance that a call is made: the less it can change the decision, the sooner it gives way."""
-        return min(1.0, gain / max(1e-9, self.price + CROWD_STEEP * max(0.0, self.slow - CROWDED)))
-
-    def note(self, now: float, ok: bool, elapsed: float) -> None:
-        self.slow += QUICK * ((min(1.0, elapsed / self.timeout) if ok else 1.0) - self.slow)
-        if ok:
-            self.fails = 0
-        elif now >= self.retry_at:  # a burst of failures counts once
-            self.fails += 1
-            self.retry_at = now + min(BACKOFF_MOST, self.timeout * 2.0 ** self.fails)
-
-
-class Server:
-    def __init__(self, host: messages.Endpoint, now: float, credit: float, out: dict) -> None:
-        self.host, self.up, self.out = host, host.state == "up", out  # attempts out: when sent
-        self.others, self.others_at, self.ratio = 0.0, -math.inf, 1.0  # ratio: time against the fleet's
-        self.gone_at = math.inf
-        # One that fails at once is always free and would draw requests from busy ones. Harm: after a chance
-        # failure a sound host idles for a moment, and one that comes back is found TRIAL_MOST late.
-        self.backoff = FailureBackoff(TRIAL_LEAST, TRIAL_MOST)  # of the host or a class there
-        self.credit, self.credit_at = credit, now  # sends it may get from here while cold
-        self.drawn = credit  # what is less than one of the attempts that may be out there, rounded by chance
-        self.ring, self.near = stable_hash(host.id), False  # its place among all; in this gateway's subset
-        self.places, self.at = 0, -1  # attempts out at once; where it stands among the free ones
-        self.judged: dict[tuple[str, ...], tuple[float, float, float]] = {}  # until when, soundness, cost
-        self.fresh, self.fresh_until, self.cross = 0.0, 0.0, 0.0  # weight of its report; price of its zone
-
-    def warmth(self, now: float, rules: messages.Rules) -> float:
-        age = max(0.0, now - self.host.started_at)
-        cold = 0 < self.host.started_at and age < rules.slow_start_duration
-        least = rules.initial_capacity
-        return least + (1 - least) * age / rules.slow_start_duration if cold else 1.0
-
-
-class Fleet:
-    def __init__(self, settings: messages.Settings, rng: random.Random) -> None:
-        self.set, self.rng = settings, rng
-        self.doubt, self.sites, self.size = Doubt(), Sites(), Size(LIMIT_MOST)
-        self.servers: dict[str, Server] = {}
-        self.up: list[Server] = []
-        self.near: list[Server] = []  # those of them that this gateway sends to, unless none of these will do
-        self.free: list[Server] = []  # those of the near ones with a place left, in no order
-        self.resting: set[Server] = set()
-        self.full_until = 0.0  # none may be sent to before, unless an event says otherwise
-        self.mean = {c.name: min(c.latency_objective / 5, c.deadline) for c in settings.classes.values()}
-        self.dev, self.seen = dict(self.mean), dict.fromkeys(self.mean, 0)
-        self.rate, self.rate_at = 0.0, 0.0  # own sends a second
-        self.usual = max(self.mean.values())  # time of an answer, whatever the class
-        self.out, self.held, self.reports = 0, 0.0, False  # own attempts out; mean load of reports, if any
-        self.pressure, self.answer_at = 0.0, 0.0
-        self.top, self.most = 1.0, 2.0  # largest weight; own attempts out at most
-        # What moved choices: taken by a report or by the mean, passed over, or taken outside the subset.
-        self.moved_by = dict.fromkeys(("report", "mean", "doubted", "busy", "barred", "outside"), 0)
-
-    def listed(self, now: float, event: messages.EndpointList) -> None:
-        if event.mode not in ("delta", "failed"):
-            named = {h.id for h in event.endpoints}
-            for name, server in self.servers.items():
-                if name not in named:
-                    server.up, server.gone_at = False, min(server.gone_at, now)
-        for host in event.endpoints:
-            old = self.servers.get(host.id)
-            if old is None or (host.state == "up" and host.started_at > old.host.started_at):
-                # Credit starts anywhere below one send: first sends of many gateways are spread over time.
-                self.servers[host.id] = Server(host, now, self.rng.random(), old.out if old else {})
-            else:
-                old.host, old.up = host, host.state == "up"
-            server = self.servers[host.id]
-            server.gone_at = min(server.gone_at, now) if host.state == "down" else math.inf
-        self.forget(now)
-        self.settle(now)
-
-    def settle(self, now: float) -> None:
-        """What may be chosen, of what is listed and by the operator's word."""
-        up = sorted((s for s in self.servers.values() if s.up), key=lambda s: s.ring)
-        self.up = [s for s in up if s.host.zone not in self.sites.left] or up
-        held = LIMIT_MOST * self.size.scale  # attempts out at a host that are well, over all gateways
-        for s in self.servers.values():
-            s.judged, s.places = {}, int(max(1.0, held / self.set.gateway_count) + s.drawn)
-            s.cross = self.set.prices.get("cross_zone", 0.0) * CROSS_WEIGHT * (s.host.zone != self.set.zone)
-        self.gather(now)
-        self.sites.listed([s.host.zone for s in self.up])
-        self.resting = {s for s in self.up if s.backoff}
-        self.top = max((s.host.weight for s in self.up), default=1.0) or 1.0
-        # Gateways with one out at each server overdrive all, so what one has out in all is limited too.
-        self.most = max(OUT_LEAST, OUT_SLACK * held * len(self.up) / self.set.gateway_count)
-
-    def gather(self, now: float) -> None:
-        """Takes the hosts around this gateway's place, as many as its traffic wants."""
-        wide = subset.width(len(self.up), self.set.gateway_count, self.own_rate(now), len(self.near))
-        self.near = subset.around(self.up, self.set.gateway_index, self.set.gateway_count, wide)
-        for s in self.servers.values():
-            s.near, s.at = False, -1
-        for s in self.near:
-            s.near = True
-        self.free, self.full_until = [s for s in self.near if len(s.out) < s.places], 0.0
-        for n, s in enumerate(self.free):
-            s.at = n
-
-    def forget(self, now: float) -> None:
-        """Hosts come under ever new ids: what is gone for long, with nothing out there, is dropped."""
-        for name in [name for name, s in self.servers.items() if now - s.gone_at > GONE_MOST and not s.out]:
-            del self.servers[name]
-            self.doubt.forget(name)
-
-    def moved(self, s: Server) -> None:
-        """Its attempts out have changed: keeps `free` true, in one step whatever the size of the fleet."""
-        self.full_until = 0.0
-        if s.near and len(s.out) < s.places:
-            if s.at < 0:
-                s.at = len(self.free)
-                self.free.append(s)
-        elif s.at >= 0:
-            last = self.free.pop()  # it takes the place that is left
-            if last is not s:
-                self.free[s.at], last.at = last, s.at
-            s.at = -1
-
-    def mean_held(self) -> float:
-        return self.held if self.reports else self.out * self.set.gateway_count / max(1, len(self.up))
-
-    def clear(self) -> bool:
-        return self.mean_held() < ROOM_CLEAR * LIMIT_MOST * self.size.scale
-
-    def own_rate(self, now: float) -> float:
-        return self.rate * math.exp((self.rate_at - now) / RATE_SPAN)
-
-    def patience(self, name: str) -> float:
-        """Time after which an attempt is taken for silent."""
-        return max(TICK, self.mean[name] + COPY_AT * self.dev[name])
-
-    def may_send(self, s: Server, now: float, keys: tuple[str, ...] = ("host",)) -> bool:
-        if not s.up or self.out >= self.most or len(s.out) >= s.places:
-            return False
-        if s.backoff and s.backoff.is_paused(keys, now):
-            return False
-        if not s.host.started_at:  # warm: the usual case
-            return True
-        rules = self.set.rules
-        warm = s.warmth(now, rules)
-        if warm == 1.0:
-            return True
-        # A cold host falls over when all gateways together send more than it bears: credit is saved up.
-        # Where none is warm, or none has been sent yet, own sends tell too little: then as if of one core.
-        alone = 1 / self.usual / self.set.gateway_count
-        share = max(self.own_rate(now) / max(1, len(self.near)), alone)
-        rate = warm * rules.overload_multiple * COLD_PART * share
-        s.credit = min(s.credit + (now - s.credit_at) * rate, max(1.0, rate * rules.overload_duration))
-        s.credit_at = now
-        return s.credit >= 1.0
-
-    def room(self, now: float) -> bool:
-        if now < self.full_until or self.out >= self.most:
-            return False
-        if any(self.may_send(s, now) for s in self.free):
-            return True
-        ends = (at for s in self.resting for _, at in s.backoff.pauses() if at > now)
-        self.full_until = min(now + TICK / 2, min(ends, default=math.inf))
-        return False
-
-    def judge(self, s: Server, keys: tuple[str, ...], now: float) -> tuple[float, float, float]:
-        """Until when it holds, its soundness, and its cost beside what it has to do."""
-        sound = self.doubt.sound(s.host.id, keys, now)
-        if self.sites.doubted:
-            sound *= self.sites.part(s.host.zone, now)
-        cost = max(s.ratio, 0.3) / max(s.host.weight, 1e-9) / max(sound, 0.01)  # cold: up to its credit
-        known = s.judged[keys] = (now + STEP, sound, cost)
-        return known
-
-    def weight(self, s: Server, keys: tuple[str, ...], now: float) -> float:
-        known = s.judged.get(keys)
-        sound = known[1] if known is not None and now < known[0] else self.judge(s, keys, now)[1]
-        warm = s.warmth(now, self.set.rules) if s.host.started_at else 1.0
-        return s.host.weight / self.top * sound * warm
-
-    def pick(self, now: float, keys: tuple[str, ...], fits: Callable[[Server], bool] | None) -> Server | None:
-        """Best of some free servers, drawn by weight: as many as this gateway has fresh reports for, two at
-        least, since the best of all by an old report is the same server for all gateways."""
-        if self.out >= self.most:
-            return None
-        pool = self.free if len(self.up) > COMPARED else self.up
-        rng, drawn = self.rng.random, list[Server]()
-        few = max(2, math.ceil(CHOICES * len(self.up) / self.set.gateway_count))
-        if few < len(pool) or len(pool) > COMPARED:
-            few, size = min(few, DRAWN), len(pool)
-            for _ in range(DRAWS):
-                s = pool[int(rng() * size)]
-                if rng() >= self.weight(s, keys, now):
-                    self.moved_by["doubted"] += 1
-                elif not self.may_send(s, now, keys):
-                    self.moved_by["busy"] += 1
-                elif fits is not None and not fits(s):
-                    self.moved_by["barred"] += 1
-                else:
-                    drawn.append(s)
-                    if len(drawn) == few:
-                        break
-        held, best, least = self.mean_held(), None, math.inf
-        for s in drawn or pool:
-            if not drawn and not (self.may_send(s, now, keys) and (fits is None or fits(s))):
-                continue
-            known = s.judged.get(keys)
-            if known is None or now >= known[0]:
-                known = self.judge(s, keys, now)
-            if now >= s.fresh_until:  # without a report it is as busy as the rest
-                s.fresh, s.fresh_until = 0.5 ** ((now - s.others_at) / REPORT_AGE), now + STEP
-            load = len(s.out) + s.fresh * s.others + (1 - s.fresh) * held
-            cost = known[2] * (1 + load / SERVERS_OF_HOST) + s.cross + TICK * rng()
-            if cost < least:
-                best, least = s, cost
-        if best is not None:
-            self.moved_by["report" if best.fresh > 0.5 else "mean"] += 1
-        return best
-
-    def farther(self, now: float, keys: tuple[str, ...],
-                fits: Callable[[Server], bool] | None) -> Server | None:
-        """Any other than the near ones, where none of these will do: a repeat that only its cell may get, or
-        hosts that fail all around."""
-        if len(self.near) == len(self.up) or self.out >= self.most:
-            return None
-        first = int(self.rng.random() * len(self.up))
-        for n in range(len(self.up)):
-            s = self.up[(first + n) % len(self.up)]
-            if not s.near and self.may_send(s, now, keys) and (fits is None or fits(s)):
-                self.moved_by["outside"] += 1
-                return s
-        return None
-
-    def sent(self, s: Server, key: tuple[str, int], now: float) -> None:
-        s.out[key] = now
-        self.moved(s)
-        s.credit -= 1.0
-        self.out += 1
-        self.rate, self.rate_at = self.own_rate(now) + 1.0 / RATE_SPAN, now
-        if subset.PAIR * self.rate > len(self.near) < len(self.up):  # more traffic than its subset is for
-            self.gather(now)
-
-    def drop(self, s: Server, key: tuple[str, int]) -> None:
-        self.out -= s.out.pop(key, None) is not None
-        self.moved(s)
-
-    def answered(self, now: float, event: messages.AttemptOutcome, cls: messages.ServiceClass | None,
-                 keys: tuple[str, ...]) -> None:
-        s = self.servers.get(event.endpoint_id)
-        if s is None:  # gone for longer than anything there could matter
-            return
-        out, high = len(s.out), event.result == "timeout"
-        self.drop(s, (event.request_id, event.attempt))
-        if event.load_report:
-            held = event.load_report.get("inflight")
-            if held is None:
-                busy = SERVERS_OF_HOST * event.load_report.get("util", 0.0)
-                held = event.load_report.get("queue", 0.0) + busy
-            s.others, s.others_at, s.fresh_until = max(0.0, held - out), now, 0.0
-            self.held += (QUICK if self.reports else 1.0) * (held - self.held)
-            if self.size.note(event.load_report):
-                self.settle(now)
-            self.reports, high = True, held > CONGESTED * self.size.scale
-        if event.result in ("connect_failed", "full", "error", "reset", "ok"):
-            level = keys[:1] if event.result == "connect_failed" else keys
-            if event.result == "connect_failed":
-                self.sites.silent(s.host.zone, event.endpoint_id, now)
-            elif event.result != "reset":  # which may come from the way there as well
-                self.sites.answered(s.host.zone)
-            self.doubt.note(event.endpoint_id, level, event.result != "ok", now)
-            if event.result == "ok":
-                s.backoff.on_success(level[:2])
-            else:
-                s.backoff.on_failure(level[:2][-1], now)
-            s.judged.clear()
-            (self.resting.add if s.backoff else self.resting.discard)(s)
-        if event.load_report or event.result in ("ok", "timeout"):
-            gain = max(QUICK / 2, 1 - math.exp((self.answer_at - now) / PRESS_SPAN))
-            self.pressure, self.answer_at = self.pressure + min(gain, 0.5) * (high - self.pressure), now
-        if event.result != "ok" or cls is None:
-            return
-        self.usual += QUICK * (max(event.elapsed, 1e-4) - self.usual)
-        s.ratio += QUICK * (min(event.elapsed / max(self.mean[cls.name], 1e-6), 10.0) - s.ratio)
-        self.seen[cls.name] += 1
-        gain, off = max(1 / self.seen[cls.name], GAIN), event.elapsed - self.mean[cls.name]
-        self.mean[cls.name] += gain * off
-        self.dev[cls.name] += gain * (abs(off) * (1 - gain) - self.dev[cls.name])
-
-
-@dataclass(slots=True, eq=False)
-class Job:
-    req: messages.Request
-    cls: messages.ServiceClass
-    plan: messages.Plan
-    acct: Account
-    arrived: float
-    deadline: float
-    worth: float
-    value: float  # worth a unit of work
-    keys: FaultScope
-    stage: str = "units"  # units, slot, queue, sent
-    beyond: bool = False
-    slot: int = 0  # open attempt held: own part -1, or the epoch of the shared count
-    sends: int = 0
-    streaming: bool = False
-    kinds: tuple[str, ...] = ()  # of the hosts that its route keeps it to; none: any
-    live: dict[int, tuple[str, float]] = field(default_factory=dict)
-    ran: list[tuple[str, float]] = field(default_factory=list)  # ended, but may have run
-    late: set[int] = field(default_factory=set)  # attempts whose silence was noted,
-    left: set[int] = field(default_factory=set)  # and once more, past the time to try another
-    avoid: set[str] = field(default_factory=set)
-    done: bool = False
-    check: bool = False  # goes to no host: its units are all that is asked for
-    paid: bool = False  # a check has spent its units
-    odds: float = 1.0  # that its customer's quota has room for it, as far as is known without asking
-    over: bool = False  # refused for its customer's quota or ceiling
-
-
-Lane = tuple[Any, ...]
-
-
-class Queue:
-    """Requests that wait for a host: the worthiest first, of equals the latest. Those in one lane may go to
-    the same hosts, so the first of them speaks for all, and no look at the queue grows with its length."""
-
-    def __init__(self) -> None:
-        self.lanes: dict[Lane, list[tuple[bool, float, int, Job]]] = {}  # the first stands at the end
-        self.live, self.size = 0, 0  # that wait; entries, those given up since among them
-        self.number = itertools.count()
-
-    def add(self, job: Job) -> None:
-        """What is not proven not to have run, or was tried before, has fewer hosts left."""
-        alone = (job.ran or job.live) and job.cls.effect != "safe"
-        key = job.cls.name, job.kinds, frozenset(job.avoid), job.req.request_id if alone else ""
-        bisect.insort(self.lanes.setdefault(key, []), (not job.beyond, job.value, next(self.number), job))
-        self.live, self.size = self.live + 1, self.size + 1
-
-    def given_up(self) -> None:
-        """One that waits is done. It is left where it stands, till so are as many as wait."""
-        self.live -= 1
-        if self.size > 2 * self.live + FREED_AT_ONCE:
-            left = ((key, [e for e in lane if not e[3].done]) for key, lane in self.lanes.items())
-            self.lanes = {key: lane for key, lane in left if lane}
-            self.size = self.live
-
-    def head(self, key: Lane) -> tuple[bool, float, int, Lane] | None:
-        """What orders the lane among others, the first of them least; None: it is empty, and gone."""
-        lane = self.lanes[key]
-        while lane and lane[-1][3].done:
-            lane.pop()
-            self.size -= 1
-        if lane:
-            return not lane[-1][0], -lane[-1][1], -lane[-1][2], key
-        del self.lanes[key]
-        return None
-
-    def pop(self, key: Lane) -> None:
-        self.lanes[key].pop()
-        self.live, self.size = self.live - 1, self.size - 1
-
-    def worst(self) -> Job | None:
-        """The one that is worth least. It stays until it is done."""
-        least = [next((e for e in lane if not e[3].done), None) for lane in self.lanes.values()]
-        return min((e for e in least if e), default=(None,))[-1]
-
-
 class Gateway:
     def __init__(self, settings: messages.Settings, seed: int, now: float) -> None:
         self.set, self.born, self.rng = settings, now, random.Random(seed)
@@ -580,7 +66,7 @@
         self.uses = {kind: GrantShareEstimator(GRANT_PRIOR[kind[1]], GAIN) for kind in kinds}
         self.forgotten = Forgotten(settings.max_customers) if settings.max_customers else None
         self.accounts: dict[str, Account] = {}  # in order of their last request
-        self.jobs, self.queue = dict[str, Job](), Queue()
+        self.jobs, self.queue = dict[str, Job](), PendingQueue()
         self.calls: dict[int, list[Call]] = {}  # by counter key, in order
         self.budget = RETRY_START / settings.gateway_count
         self.top = max(c.priority_weight for c in settings.classes.values())
@@ -626,7 +112,7 @@
         self.drain_queue(now)
         while self.due and self.due[0][1] not in self.jobs:
             heapq.heappop(self.due)
-        trial = self.trial_at if self.queue.live and self.trial_at > now else math.inf
+        trial = self.trial_at if self.queue.waiting_count and self.trial_at > now else math.inf
         at = min(self.due[0][0] if self.due else math.inf, self.watch_at, trial)
         if at < self.timer_at:  # what is due next; nothing when idle
             self.timer_at = at
@@ -660,7 +146,7 @@
             keys = FaultScope(("host", "class " + cls.name, "plan " + plan.name))
             self.levels[req.service_class, req.plan] = keys
         job = self.jobs[req.request_id] = Job(req, cls, plan, acct, now, now + req.remaining, worth,
-                                      worth / max(self.fleet.mean[cls.name], 1e-6), keys)
+                                      worth / max(self.fleet.response_times[cls.name].mean, 1e-6), keys)
         if kind is not messages.Request:
             job.check, job.paid = isinstance(req, messages.QuotaCheck), kind is messages.PrepaidRequest
         route = self.set.routes.get(req.route) if req.route else None
@@ -887,7 +373,8 @@
             return
         own, shared = divmod(plan.concurrency_limit, acct.spread)
         rate = max(acct.total, acct.used) / max(now - acct.start, acct.length / 4)
-        mean = min(rate, plan.rate or rate) / max(job.req.units, 1e-9) * self.fleet.mean[job.cls.name]
+        taken = self.fleet.response_times[job.cls.name].mean
+        mean = min(rate, plan.rate or rate) / max(job.req.units, 1e-9) * taken
         over = 1 - sum(mean ** n * math.exp(-mean) / math.factorial(n) for n in range(plan.concurrency_limit))
         cost = max(0.0, plan.over_quota_cost - plan.over_quota_weight)
         if acct.open_here < own:
@@ -919,7 +406,7 @@
 
     def beyond(self, now: float, job: Job, wait: float) -> None:
         pays = job.plan.over_quota_weight > job.plan.over_quota_cost
-        if pays and self.fleet.clear() and not self.queue.live:
+        if pays and self.fleet.clear() and not self.queue.waiting_count:
             job.beyond = True
             self.enqueue(now, job)
         else:
@@ -948,12 +435,12 @@
             self.out.append(messages.QuotaGranted(job.req.request_id, *self.left(now, job), acct.k))
             self.close(now, job)
             return
-        if not self.queue.live and self.fleet.room(now) and self.send(now, job):  # the usual case
+        if not self.queue.waiting_count and self.fleet.room(now) and self.send(now, job):  # the usual case
             self.earn()
             return
         self.line_up(job)
         most = max(QUEUE_LEAST, self.fleet.own_rate(now) * QUEUE_HOLD * job.cls.latency_objective)
-        if self.queue.live > most and (worst := self.queue.worst()) is not None:
+        if self.queue.waiting_count > most and (worst := self.queue.lowest_priority()) is not None:
             self.refuse(now, worst, 0.0)
         self.drain_queue(now)
         if job.stage == "queue" and not job.done:
@@ -1018,7 +505,7 @@
     def close(self, now: float, job: Job) -> None:
         job.done = True
         if job.stage == "queue":
-            self.queue.given_up()
+            self.queue.discard()
         elif job.stage == "ceiling":
             job.acct.promised -= job.req.units
         self.jobs.pop(job.req.request_id, None)
@@ -1070,24 +557,24 @@
 
     def drain_queue(self, now: float) -> None:
         queue = self.queue
-        if not queue.live:
+        if not queue.waiting_count:
             return
-        lanes = list(queue.lanes) if self.fleet.room(now) else ()
-        heads = [head for key in lanes if (head := queue.head(key))]
+        routes = list(queue.queues_by_route) if self.fleet.room(now) else ()
+        heads = [head for route in routes if (head := queue.head(route))]
         heapq.heapify(heads)
         while heads:
-            key = heads[0][-1]
-            job = queue.lanes[key][-1][-1]
+            route = heads[0][-1]
+            job = queue.first(route)
             first = not job.sends
             if not self.send(now, job):  # nor could what stands behind it
                 heapq.heappop(heads)
                 continue
             if first:
                 self.earn()
-            queue.pop(key)
-            head = queue.head(key)
+            queue.pop(route)
+            head = queue.head(route)
             heapq.heapreplace(heads, head) if head else heapq.heappop(heads)
-        if queue.live and self.trial_at <= now:  # no other event may come when a host's rest is over
+        if queue.waiting_count and self.trial_at <= now:  # no other event may come when a host's rest is over
             trials = [at for s in self.fleet.resting if s.up for _, at in s.backoff.pauses() if at > now]
             self.trial_at = min(trials, default=0.0)
 
@@ -1107,7 +594,8 @@
         if job.live:
             return
         cost = {"connect_failed": 0.0, "full": RETRY_FULL}.get(event.result, 1.0)
-        late = now + max(TICK, self.fleet.mean[job.cls.name]) > job.deadline or event.result == "moot"
+        taken = max(TICK, self.fleet.response_times[job.cls.name].mean)
+        late = now + taken > job.deadline or event.result == "moot"
         if late or self.budget < cost:
             self.refuse(now, job, 0.0)
         elif self.send(now, job):
@@ -1166,9 +654,10 @@
             self.fleet.sites.silent(silent.host.zone, silent.host.id, now)
             silent.judged.clear()
         job.late.update(late)
-        mean, dev = self.fleet.mean[job.cls.name], self.fleet.dev[job.cls.name]
-        leave = min(job.arrived + job.cls.latency_objective, job.deadline) - mean - dev
-        self.look(max(now + 2 * TICK, min(now + dev, leave) if now < leave else now + dev), job)
+        times = self.fleet.response_times[job.cls.name]
+        leave = min(job.arrived + job.cls.latency_objective, job.deadline) - times.mean - times.deviation
+        after = now + times.deviation
+        self.look(max(now + 2 * TICK, min(after, leave) if now < leave else after), job)
         if now < leave - TICK:
             return
         # Hardly any is so late at a sound host; where few gateways share all hosts they learn fast as it is.
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from apigateway import messages
-from apigateway.policy.gateway import COMPARED, TICK
+from apigateway.policy.endpoint_pool import COMPARED, TICK
 
 BIG = plan(rate=100000.0, burst=400000.0)
 
@@ -71,8 +71,8 @@
 def index_is_true(fleet, now):
     free = {s.host.id for s in fleet.servers.values() if s.up and len(s.out) < s.places}
     assert {s.host.id for s in fleet.free} == free and len(fleet.free) == len(free)
-    assert all(fleet.free[s.at] is s for s in fleet.free)
-    assert all((s.at >= 0) == (s.host.id in free) for s in fleet.up)
+    assert all(fleet.free[s.position] is s for s in fleet.free)
+    assert all((s.position >= 0) == (s.host.id in free) for s in fleet.up)
     assert fleet.out == sum(len(s.out) for s in fleet.servers.values())
     assert {s for s in fleet.up if s.backoff} <= fleet.resting
     if now >= fleet.full_until:
@@ -178,11 +178,11 @@
     w = world(many(200))
     out = ask(w, 900)
     assert len(out) == 800 == w.gw.fleet.out and not w.gw.fleet.free
-    waiting = w.gw.queue.live
+    waiting = w.gw.queue.waiting_count
     assert waiting
     for send in out[:waiting]:
         assert len(of(w.end(send), messages.ForwardRequest)) == 1  # each place that is left is taken at once
-    assert not w.gw.queue.live
+    assert not w.gw.queue.waiting_count
 
 
 def test_of_a_thousand_half_fall_silent_and_the_others_serve():
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -43,7 +43,7 @@
         (sent,) = of(told, messages.ForwardRequest)
         gateway.handle(now, messages.AttemptOutcome(sent.request_id, 0, sent.endpoint_id, "ok", 0.001, True))
         assert len(gateway.accounts) <= 20_000
-    assert not gateway.jobs and not gateway.queue.size
+    assert not gateway.jobs and not gateway.queue.entry_count
     # The counter hears of those only that look like one that was forgotten: few names, each for some seconds.
     assert len(calls) <= 200_000 * 0.05 and max(call.lifetime for call in calls) <= 12.0
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -9,11 +9,14 @@
 
 
 def test_module_stays_within_its_limits():
-    lines = (ROOT / "apigateway" / "policy" / "gateway.py").read_text().splitlines()
+    gateway = (ROOT / "apigateway" / "policy" / "gateway.py").read_text().splitlines()
     named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    assert sum(1 for file in named for ln in (ROOT / file).read_text().splitlines() if ln.strip()) <= 1200
-    assert all(len(ln) <= 110 for ln in lines)
-    assert "messages.py" in "".join(lines[:3])
+    files = {str(file.relative_to(ROOT)) for file in (ROOT / "apigateway" / "policy").rglob("*.py")}
+    assert sorted(named) == sorted(files)
+    lines = [line for file in named for line in (ROOT / file).read_text().splitlines()]
+    assert sum(1 for line in lines if line.strip()) <= 1200
+    assert all(len(line) <= 110 for line in lines)
+    assert "messages.py" in "".join(gateway[:3])
 
 
 def test_readme_example_runs():
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -11,6 +11,8 @@
 
 from apigateway import messages
 from apigateway.policy import gateway as policy
+from apigateway.policy.pending_queue import PendingQueue
+from apigateway.routing.priority_queue import DISCARDED_SLACK
 
 
 class Plain:
@@ -37,7 +39,7 @@
 
 
 class Waiting:
-    """As much of policy.Job as the queue looks at."""
+    """As much of pending_queue.Job as the queue looks at."""
 
     def __init__(self, number, lane, value, beyond):
         self.lane, self.value, self.beyond, self.done = lane, value, beyond, False
@@ -48,11 +50,11 @@
 
 def drained(queue, send):
     """As policy.Gateway.drain_queue goes over it."""
-    heads = [head for key in list(queue.lanes) if (head := queue.head(key))]
+    heads = [head for key in list(queue.queues_by_route) if (head := queue.head(key))]
     while heads:
         head = min(heads)
         heads.remove(head)
-        job = queue.lanes[head[-1]][-1][-1]
+        job = queue.first(head[-1])
         if send(job):
             queue.pop(head[-1])
             after = queue.head(head[-1])
@@ -84,7 +86,7 @@
 @settings(max_examples=300, deadline=None, database=None)
 @given(st.lists(STEP, max_size=60))
 def test_the_queue_gives_what_a_plain_list_would(steps):
-    queue, plain, jobs = policy.Queue(), Plain(), []
+    queue, plain, jobs = PendingQueue(), Plain(), []
     for what, a, b, c in steps:
         if what == "add":
             job = Waiting(len(jobs), a, b, c)
@@ -93,8 +95,8 @@
             plain.add(job)
         elif what == "done" and a < len(plain.jobs) and not plain.jobs[a].done:
             plain.jobs[a].done = True
-            queue.given_up()
-            assert queue.size <= 2 * queue.live + policy.FREED_AT_ONCE  # what was given up does not pile up
+            queue.discard()
+            assert queue.entry_count <= 2 * queue.waiting_count + DISCARDED_SLACK  # no pile
         elif what == "drain":
             room = Room(a, b)
             drained(queue, room.send)
@@ -102,9 +104,9 @@
             plain.drain(other.send)
             assert room.sent == other.sent
         elif what == "worst":
-            assert queue.worst() is plain.worst()
-        assert queue.live == sum(1 for job in plain.jobs if not job.done)
-        assert queue.size == sum(map(len, queue.lanes.values()))
+            assert queue.lowest_priority() is plain.worst()
+        assert queue.waiting_count == sum(1 for job in plain.jobs if not job.done)
+        assert queue.entry_count == sum(map(len, queue.queues_by_route.values()))
 
 
 def waiting_world(monkeypatch, held):
@@ -133,14 +135,14 @@
 def test_twenty_thousand_held_then_all_free_then_all_gone(monkeypatch):
     held = 20_000
     w, out = waiting_world(monkeypatch, held)
-    waiting = w.gw.queue.live
+    waiting = w.gw.queue.waiting_count
     assert waiting == held - len(out)
     out, answered = deque(out), set()
     while len(answered) < 5_000:  # all free at once
         send = out.popleft()
         out += of(w.end(send), messages.ForwardRequest)
         answered.add(send.request_id)
-    assert w.gw.queue.live == held - len(answered) - len(out)
+    assert w.gw.queue.waiting_count == held - len(answered) - len(out)
     acts = w.do(messages.EndpointList("full", 2, ()))  # all gone
     assert not of(acts, messages.ForwardRequest)
     for send in out:  # each ends as its host does
@@ -148,11 +150,11 @@
     acts += w.wait(3.0)
     refused = [a.request_id for a in of(acts, messages.Reject)]
     assert not of(acts, messages.ForwardRequest) and len(refused) == len(set(refused)) == held - len(answered)
-    assert not answered & set(refused) and not w.gw.jobs and not w.gw.queue.live
+    assert not answered & set(refused) and not w.gw.jobs and not w.gw.queue.waiting_count
     w.do(messages.EndpointList("full", 3, (host("h9"),)))  # and what comes then is served
     name, acts = w.ask(spread=1)
     assert [a.request_id for a in of(acts, messages.ForwardRequest)] == [name]
-    assert w.gw.queue.size <= policy.FREED_AT_ONCE
+    assert w.gw.queue.entry_count <= DISCARDED_SLACK
 
 
 def test_the_worthiest_go_first_and_of_equals_the_latest(monkeypatch):
