--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -317,10 +317,10 @@
         told = {"source": self.source_name(), "age": age if age < float("inf") else None, "hosts": hosts}
         if isinstance(self.core.module, Gateway):
             for host in hosts:
-                host["choice"] = taken_for(self.core.module.fleet, host["id"], self.core.clock())
-            told["choices"] = dict(self.core.module.fleet.moved_by)
+                host["choice"] = taken_for(self.core.module.pool, host["id"], self.core.clock())
+            told["choices"] = dict(self.core.module.pool.choice_counts)
             told["left"] = list(self.config.leave)
-            told["sites"] = self.core.module.fleet.sites.told(self.core.clock())
+            told["sites"] = self.core.module.pool.sites.told(self.core.clock())
         return told
 
     def plugins_told(self) -> dict[str, Any]:
--- a/apigateway/policy/counter_health.py
+++ b/apigateway/policy/counter_health.py
@@ -10,25 +10,25 @@
 QUICK = 0.15  # weight of the latest call in the congestion: a change must show in a few calls
 
 
-class Counter:
+class CounterHealth:
     def __init__(self, settings: messages.Settings) -> None:
-        self.on = settings.has_counter
+        self.is_configured = settings.has_counter
         self.timeout, self.price = settings.counter_timeout, settings.counter_price
-        self.fails, self.retry_at = int(not self.on), 0.0
+        self.failures, self.retry_at = int(not self.is_configured), 0.0
         count = settings.gateway_count
-        self.slow = 0.5 * count / (count + CROWD_OF)  # many start as in a crowd
+        self.congestion = 0.5 * count / (count + CROWD_OF)  # many start as in a crowd
 
-    def usable(self, now: float) -> bool:
-        return self.on and now >= self.retry_at
+    def is_usable(self, now: float) -> bool:
+        return self.is_configured and now >= self.retry_at
 
-    def chance(self, gain: float) -> float:
+    def call_probability(self, gain: float) -> float:
         """Chance that a call is made: the less it can change the decision, the sooner it gives way."""
-        return min(1.0, gain / max(1e-9, self.price + CROWD_STEEP * max(0.0, self.slow - CROWDED)))
+        return min(1.0, gain / max(1e-9, self.price + CROWD_STEEP * max(0.0, self.congestion - CROWDED)))
 
-    def note(self, now: float, ok: bool, elapsed: float) -> None:
-        self.slow += QUICK * ((min(1.0, elapsed / self.timeout) if ok else 1.0) - self.slow)
+    def observe(self, now: float, ok: bool, elapsed: float) -> None:
+        self.congestion += QUICK * ((min(1.0, elapsed / self.timeout) if ok else 1.0) - self.congestion)
         if ok:
-            self.fails = 0
+            self.failures = 0
         elif now >= self.retry_at:  # a burst of failures counts once
-            self.fails += 1
-            self.retry_at = now + min(BACKOFF_MOST, self.timeout * 2.0 ** self.fails)
+            self.failures += 1
+            self.retry_at = now + min(BACKOFF_MOST, self.timeout * 2.0 ** self.failures)
--- a/apigateway/policy/endpoint.py
+++ b/apigateway/policy/endpoint.py
@@ -11,23 +11,24 @@
 TRIAL_LEAST, TRIAL_MOST = 0.02, 0.5  # s; pause of a host after one failure there, and after many in a row
 
 
-class Server:
+class TrackedEndpoint:
     def __init__(self, host: messages.Endpoint, now: float, credit: float,
                  out: dict[tuple[str, int], float]) -> None:
-        self.host, self.up, self.out = host, host.state == "up", out  # attempts out: when sent
-        self.others, self.others_at, self.ratio = 0.0, -math.inf, 1.0  # ratio: time against the fleet's
+        self.host, self.is_up, self.attempts_out = host, host.state == "up", out  # when each was sent
+        self.reported_load, self.reported_at = 0.0, -math.inf  # without this gateway's own attempts
+        self.relative_time = 1.0  # its response time over the mean of all
         self.gone_at = math.inf
         # One that fails at once is always free and would draw requests from busy ones. Harm: after a chance
         # failure a sound host idles for a moment, and one that comes back is found TRIAL_MOST late.
         self.backoff = FailureBackoff(TRIAL_LEAST, TRIAL_MOST)  # of the host or a class there
-        self.credit, self.credit_at = credit, now  # sends it may get from here while cold
-        self.drawn = credit  # what is less than one of the attempts that may be out there, rounded by chance
-        self.ring, self.near = stable_hash(host.id), False  # its place among all; in this gateway's subset
-        self.places, self.position = 0, -1  # attempts out at once; where it stands among the free ones
-        self.judged: dict[tuple[str, ...], tuple[float, float, float]] = {}  # until when, soundness, cost
-        self.fresh, self.fresh_until, self.cross = 0.0, 0.0, 0.0  # weight of its report; price of its zone
+        self.slow_start_tokens, self.tokens_at = credit, now  # sends it may get from here while cold
+        self.rounding_draw = credit  # rounds what is less than one of the attempts that may be out there
+        self.ring_position, self.in_subset = stable_hash(host.id), False
+        self.max_attempts, self.position = 0, -1  # attempts out at once; where it stands among the free ones
+        self.scores: dict[tuple[str, ...], tuple[float, float, float]] = {}  # until when, soundness, cost
+        self.report_weight, self.weighed_until, self.zone_cost = 0.0, 0.0, 0.0
 
-    def warmth(self, now: float, rules: messages.Rules) -> float:
+    def slow_start_factor(self, now: float, rules: messages.Rules) -> float:
         age = max(0.0, now - self.host.started_at)
         cold = 0 < self.host.started_at and age < rules.slow_start_duration
         least = rules.initial_capacity
--- a/apigateway/policy/endpoint_pool.py
+++ b/apigateway/policy/endpoint_pool.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from apigateway import messages
-from apigateway.policy.endpoint import Server
+from apigateway.policy.endpoint import TrackedEndpoint
 from apigateway.routing import free_list, subset
 from apigateway.routing.doubt import Doubt
 from apigateway.routing.mean_deviation import MeanDeviation
@@ -32,225 +32,233 @@
 CROSS_WEIGHT = 10.0  # relative service time given to save one unit of the cross-zone price
 
 
-class Fleet:
+class EndpointPool:
     def __init__(self, settings: messages.Settings, rng: random.Random) -> None:
-        self.set, self.rng = settings, rng
+        self.settings, self.rng = settings, rng
         self.doubt, self.sites, self.size = Doubt(), Sites(), Size(LIMIT_MOST)
-        self.servers: dict[str, Server] = {}
-        self.up: list[Server] = []
-        self.near: list[Server] = []  # those of them that this gateway sends to, unless none of these will do
-        self.free: list[Server] = []  # those of the near ones with a place left, in no order
-        self.resting: set[Server] = set()
+        self.endpoints: dict[str, TrackedEndpoint] = {}
+        self.available: list[TrackedEndpoint] = []
+        self.subset: list[TrackedEndpoint] = []  # sent to, unless none of these will do
+        self.with_capacity: list[TrackedEndpoint] = []  # those of the subset, in no order
+        self.paused: set[TrackedEndpoint] = set()
         self.full_until = 0.0  # none may be sent to before, unless an event says otherwise
         self.response_times = {c.name: MeanDeviation(min(c.latency_objective / 5, c.deadline), GAIN)
                                for c in settings.classes.values()}  # s
-        self.rate, self.rate_at = 0.0, 0.0  # own sends a second
-        self.usual = max(t.mean for t in self.response_times.values())  # s; of an answer of any class
-        self.out, self.held, self.reports = 0, 0.0, False  # own attempts out; mean load of reports, if any
-        self.pressure, self.answer_at = 0.0, 0.0
-        self.top, self.most = 1.0, 2.0  # largest weight; own attempts out at most
+        self.last_send_rate, self.last_send_at = 0.0, 0.0  # own sends a second
+        self.typical_time = max(t.mean for t in self.response_times.values())  # s; of an answer of any class
+        self.attempts_out = 0  # of this gateway
+        self.reported_mean_load, self.has_reports = 0.0, False
+        self.congestion, self.congestion_at = 0.0, 0.0
+        self.max_weight, self.max_out = 1.0, 2.0  # largest weight; own attempts out at most
         # What moved choices: taken by a report or by the mean, passed over, or taken outside the subset.
-        self.moved_by = dict.fromkeys(("report", "mean", "doubted", "busy", "barred", "outside"), 0)
+        self.choice_counts = dict.fromkeys(("report", "mean", "doubted", "busy", "barred", "outside"), 0)
 
-    def listed(self, now: float, event: messages.EndpointList) -> None:
+    def on_endpoint_list(self, now: float, event: messages.EndpointList) -> None:
         if event.mode not in ("delta", "failed"):
             named = {h.id for h in event.endpoints}
-            for name, server in self.servers.items():
+            for name, server in self.endpoints.items():
                 if name not in named:
-                    server.up, server.gone_at = False, min(server.gone_at, now)
+                    server.is_up, server.gone_at = False, min(server.gone_at, now)
         for host in event.endpoints:
-            old = self.servers.get(host.id)
+            old = self.endpoints.get(host.id)
             if old is None or (host.state == "up" and host.started_at > old.host.started_at):
                 # Credit starts anywhere below one send: first sends of many gateways are spread over time.
-                self.servers[host.id] = Server(host, now, self.rng.random(), old.out if old else {})
+                out = old.attempts_out if old else {}
+                self.endpoints[host.id] = TrackedEndpoint(host, now, self.rng.random(), out)
             else:
-                old.host, old.up = host, host.state == "up"
-            server = self.servers[host.id]
+                old.host, old.is_up = host, host.state == "up"
+            server = self.endpoints[host.id]
             server.gone_at = min(server.gone_at, now) if host.state == "down" else math.inf
-        self.forget(now)
-        self.settle(now)
+        self.remove_gone(now)
+        self.refresh(now)
 
-    def settle(self, now: float) -> None:
+    def refresh(self, now: float) -> None:
         """What may be chosen, of what is listed and by the operator's word."""
-        up = sorted((s for s in self.servers.values() if s.up), key=lambda s: s.ring)
-        self.up = [s for s in up if s.host.zone not in self.sites.left] or up
+        up = sorted((s for s in self.endpoints.values() if s.is_up), key=lambda s: s.ring_position)
+        self.available = [s for s in up if s.host.zone not in self.sites.left] or up
         held = LIMIT_MOST * self.size.scale  # attempts out at a host that are well, over all gateways
-        for s in self.servers.values():
-            s.judged, s.places = {}, int(max(1.0, held / self.set.gateway_count) + s.drawn)
-            s.cross = self.set.prices.get("cross_zone", 0.0) * CROSS_WEIGHT * (s.host.zone != self.set.zone)
-        self.gather(now)
-        self.sites.listed([s.host.zone for s in self.up])
-        self.resting = {s for s in self.up if s.backoff}
-        self.top = max((s.host.weight for s in self.up), default=1.0) or 1.0
+        for s in self.endpoints.values():
+            s.scores, s.max_attempts = {}, int(max(1.0, held / self.settings.gateway_count) + s.rounding_draw)
+            price = self.settings.prices.get("cross_zone", 0.0)
+            s.zone_cost = price * CROSS_WEIGHT * (s.host.zone != self.settings.zone)
+        self.rebuild_subset(now)
+        self.sites.listed([s.host.zone for s in self.available])
+        self.paused = {s for s in self.available if s.backoff}
+        self.max_weight = max((s.host.weight for s in self.available), default=1.0) or 1.0
         # Gateways with one out at each server overdrive all, so what one has out in all is limited too.
-        self.most = max(OUT_LEAST, OUT_SLACK * held * len(self.up) / self.set.gateway_count)
+        self.max_out = max(OUT_LEAST, OUT_SLACK * held * len(self.available) / self.settings.gateway_count)
 
-    def gather(self, now: float) -> None:
+    def rebuild_subset(self, now: float) -> None:
         """Takes the hosts around this gateway's place, as many as its traffic wants."""
-        wide = subset.width(len(self.up), self.set.gateway_count, self.own_rate(now), len(self.near))
-        self.near = subset.around(self.up, self.set.gateway_index, self.set.gateway_count, wide)
-        for s in self.servers.values():
-            s.near, s.position = False, free_list.ABSENT
-        for s in self.near:
-            s.near = True
-        self.free = free_list.build(s for s in self.near if len(s.out) < s.places)
+        index, gateways = self.settings.gateway_index, self.settings.gateway_count
+        width = subset.width(len(self.available), gateways, self.send_rate(now), len(self.subset))
+        self.subset = subset.around(self.available, index, gateways, width)
+        for s in self.endpoints.values():
+            s.in_subset, s.position = False, free_list.ABSENT
+        for s in self.subset:
+            s.in_subset = True
+        self.with_capacity = free_list.build(s for s in self.subset if len(s.attempts_out) < s.max_attempts)
         self.full_until = 0.0
 
-    def forget(self, now: float) -> None:
+    def remove_gone(self, now: float) -> None:
         """Hosts come under ever new ids: what is gone for long, with nothing out there, is dropped."""
-        for name in [name for name, s in self.servers.items() if now - s.gone_at > GONE_MOST and not s.out]:
-            del self.servers[name]
+        idle = [(name, s) for name, s in self.endpoints.items() if not s.attempts_out]
+        for name in [name for name, s in idle if now - s.gone_at > GONE_MOST]:
+            del self.endpoints[name]
             self.doubt.forget(name)
 
-    def moved(self, s: Server) -> None:
+    def update_capacity(self, s: TrackedEndpoint) -> None:
         """Its attempts out have changed: keeps `free` true, in one step whatever the size of the fleet."""
         self.full_until = 0.0
-        if s.near and len(s.out) < s.places:
-            free_list.add(self.free, s)
+        if s.in_subset and len(s.attempts_out) < s.max_attempts:
+            free_list.add(self.with_capacity, s)
         else:
-            free_list.discard(self.free, s)
+            free_list.discard(self.with_capacity, s)
 
-    def mean_held(self) -> float:
-        return self.held if self.reports else self.out * self.set.gateway_count / max(1, len(self.up))
+    def mean_load(self) -> float:
+        even_load = self.attempts_out * self.settings.gateway_count / max(1, len(self.available))
+        return self.reported_mean_load if self.has_reports else even_load
 
-    def clear(self) -> bool:
-        return self.mean_held() < ROOM_CLEAR * LIMIT_MOST * self.size.scale
+    def has_spare_capacity(self) -> bool:
+        return self.mean_load() < ROOM_CLEAR * LIMIT_MOST * self.size.scale
 
-    def own_rate(self, now: float) -> float:
-        return self.rate * math.exp((self.rate_at - now) / RATE_SPAN)
+    def send_rate(self, now: float) -> float:
+        return self.last_send_rate * math.exp((self.last_send_at - now) / RATE_SPAN)
 
-    def patience(self, name: str) -> float:
+    def attempt_timeout(self, name: str) -> float:
         """Time after which an attempt is taken for silent."""
         times = self.response_times[name]
         return max(TICK, times.mean + COPY_AT * times.deviation)
 
-    def may_send(self, s: Server, now: float, keys: tuple[str, ...] = ("host",)) -> bool:
-        if not s.up or self.out >= self.most or len(s.out) >= s.places:
+    def has_capacity(self, s: TrackedEndpoint, now: float, keys: tuple[str, ...] = ("host",)) -> bool:
+        if not s.is_up or self.attempts_out >= self.max_out or len(s.attempts_out) >= s.max_attempts:
             return False
         if s.backoff and s.backoff.is_paused(keys, now):
             return False
         if not s.host.started_at:  # warm: the usual case
             return True
-        rules = self.set.rules
-        warm = s.warmth(now, rules)
+        rules = self.settings.rules
+        warm = s.slow_start_factor(now, rules)
         if warm == 1.0:
             return True
         # A cold host falls over when all gateways together send more than it bears: credit is saved up.
         # Where none is warm, or none has been sent yet, own sends tell too little: then as if of one core.
-        alone = 1 / self.usual / self.set.gateway_count
-        share = max(self.own_rate(now) / max(1, len(self.near)), alone)
+        alone = 1 / self.typical_time / self.settings.gateway_count
+        share = max(self.send_rate(now) / max(1, len(self.subset)), alone)
         rate = warm * rules.overload_multiple * COLD_PART * share
-        s.credit = min(s.credit + (now - s.credit_at) * rate, max(1.0, rate * rules.overload_duration))
-        s.credit_at = now
-        return s.credit >= 1.0
+        most = max(1.0, rate * rules.overload_duration)
+        s.slow_start_tokens = min(s.slow_start_tokens + (now - s.tokens_at) * rate, most)
+        s.tokens_at = now
+        return s.slow_start_tokens >= 1.0
 
-    def room(self, now: float) -> bool:
-        if now < self.full_until or self.out >= self.most:
+    def any_capacity(self, now: float) -> bool:
+        if now < self.full_until or self.attempts_out >= self.max_out:
             return False
-        if any(self.may_send(s, now) for s in self.free):
+        if any(self.has_capacity(s, now) for s in self.with_capacity):
             return True
-        ends = (at for s in self.resting for _, at in s.backoff.pauses() if at > now)
+        ends = (at for s in self.paused for _, at in s.backoff.pauses() if at > now)
         self.full_until = min(now + TICK / 2, min(ends, default=math.inf))
         return False
 
-    def judge(self, s: Server, keys: tuple[str, ...], now: float) -> tuple[float, float, float]:
+    def score(self, s: TrackedEndpoint, keys: tuple[str, ...], now: float) -> tuple[float, float, float]:
         """Until when it holds, its soundness, and its cost beside what it has to do."""
         sound = self.doubt.sound(s.host.id, keys, now)
         if self.sites.doubted:
             sound *= self.sites.part(s.host.zone, now)
-        cost = max(s.ratio, 0.3) / max(s.host.weight, 1e-9) / max(sound, 0.01)  # cold: up to its credit
-        known = s.judged[keys] = (now + STEP, sound, cost)
+        cost = max(s.relative_time, 0.3) / max(s.host.weight, 1e-9) / max(sound, 0.01)  # cold: by its tokens
+        known = s.scores[keys] = (now + STEP, sound, cost)
         return known
 
-    def weight(self, s: Server, keys: tuple[str, ...], now: float) -> float:
-        known = s.judged.get(keys)
-        sound = known[1] if known is not None and now < known[0] else self.judge(s, keys, now)[1]
-        warm = s.warmth(now, self.set.rules) if s.host.started_at else 1.0
-        return s.host.weight / self.top * sound * warm
+    def selection_weight(self, s: TrackedEndpoint, keys: tuple[str, ...], now: float) -> float:
+        known = s.scores.get(keys)
+        sound = known[1] if known is not None and now < known[0] else self.score(s, keys, now)[1]
+        warm = s.slow_start_factor(now, self.settings.rules) if s.host.started_at else 1.0
+        return s.host.weight / self.max_weight * sound * warm
 
-    def pick(self, now: float, keys: tuple[str, ...], fits: Callable[[Server], bool] | None) -> Server | None:
+    def select_endpoint(self, now: float, keys: tuple[str, ...],
+                        fits: Callable[[TrackedEndpoint], bool] | None) -> TrackedEndpoint | None:
         """Best of some free servers, drawn by weight: as many as this gateway has fresh reports for, two at
         least, since the best of all by an old report is the same server for all gateways."""
-        if self.out >= self.most:
+        if self.attempts_out >= self.max_out:
             return None
-        pool = self.free if len(self.up) > COMPARED else self.up
-        rng, drawn = self.rng.random, list[Server]()
-        few = max(2, math.ceil(CHOICES * len(self.up) / self.set.gateway_count))
+        pool = self.with_capacity if len(self.available) > COMPARED else self.available
+        rng, drawn = self.rng.random, list[TrackedEndpoint]()
+        few = max(2, math.ceil(CHOICES * len(self.available) / self.settings.gateway_count))
         if few < len(pool) or len(pool) > COMPARED:
             few, size = min(few, DRAWN), len(pool)
             for _ in range(DRAWS):
                 s = pool[int(rng() * size)]
-                if rng() >= self.weight(s, keys, now):
-                    self.moved_by["doubted"] += 1
-                elif not self.may_send(s, now, keys):
-                    self.moved_by["busy"] += 1
+                if rng() >= self.selection_weight(s, keys, now):
+                    self.choice_counts["doubted"] += 1
+                elif not self.has_capacity(s, now, keys):
+                    self.choice_counts["busy"] += 1
                 elif fits is not None and not fits(s):
-                    self.moved_by["barred"] += 1
+                    self.choice_counts["barred"] += 1
                 else:
                     drawn.append(s)
                     if len(drawn) == few:
                         break
-        held, best, least = self.mean_held(), None, math.inf
+        held, best, least = self.mean_load(), None, math.inf
         for s in drawn or pool:
-            if not drawn and not (self.may_send(s, now, keys) and (fits is None or fits(s))):
+            if not drawn and not (self.has_capacity(s, now, keys) and (fits is None or fits(s))):
                 continue
-            known = s.judged.get(keys)
+            known = s.scores.get(keys)
             if known is None or now >= known[0]:
-                known = self.judge(s, keys, now)
-            if now >= s.fresh_until:  # without a report it is as busy as the rest
-                s.fresh, s.fresh_until = 0.5 ** ((now - s.others_at) / REPORT_AGE), now + STEP
-            load = len(s.out) + s.fresh * s.others + (1 - s.fresh) * held
-            cost = known[2] * (1 + load / SERVERS_OF_HOST) + s.cross + TICK * rng()
+                known = self.score(s, keys, now)
+            if now >= s.weighed_until:  # without a report it is as busy as the rest
+                s.report_weight, s.weighed_until = 0.5 ** ((now - s.reported_at) / REPORT_AGE), now + STEP
+            load = len(s.attempts_out) + s.report_weight * s.reported_load + (1 - s.report_weight) * held
+            cost = known[2] * (1 + load / SERVERS_OF_HOST) + s.zone_cost + TICK * rng()
             if cost < least:
                 best, least = s, cost
         if best is not None:
-            self.moved_by["report" if best.fresh > 0.5 else "mean"] += 1
+            self.choice_counts["report" if best.report_weight > 0.5 else "mean"] += 1
         return best
 
-    def farther(self, now: float, keys: tuple[str, ...],
-                fits: Callable[[Server], bool] | None) -> Server | None:
+    def select_outside_subset(self, now: float, keys: tuple[str, ...],
+                fits: Callable[[TrackedEndpoint], bool] | None) -> TrackedEndpoint | None:
         """Any other than the near ones, where none of these will do: a repeat that only its cell may get, or
         hosts that fail all around."""
-        if len(self.near) == len(self.up) or self.out >= self.most:
+        if len(self.subset) == len(self.available) or self.attempts_out >= self.max_out:
             return None
-        first = int(self.rng.random() * len(self.up))
-        for n in range(len(self.up)):
-            s = self.up[(first + n) % len(self.up)]
-            if not s.near and self.may_send(s, now, keys) and (fits is None or fits(s)):
-                self.moved_by["outside"] += 1
+        first = int(self.rng.random() * len(self.available))
+        for n in range(len(self.available)):
+            s = self.available[(first + n) % len(self.available)]
+            if not s.in_subset and self.has_capacity(s, now, keys) and (fits is None or fits(s)):
+                self.choice_counts["outside"] += 1
                 return s
         return None
 
-    def sent(self, s: Server, key: tuple[str, int], now: float) -> None:
-        s.out[key] = now
-        self.moved(s)
-        s.credit -= 1.0
-        self.out += 1
-        self.rate, self.rate_at = self.own_rate(now) + 1.0 / RATE_SPAN, now
-        if subset.PAIR * self.rate > len(self.near) < len(self.up):  # more traffic than its subset is for
-            self.gather(now)
+    def on_sent(self, s: TrackedEndpoint, key: tuple[str, int], now: float) -> None:
+        s.attempts_out[key] = now
+        self.update_capacity(s)
+        s.slow_start_tokens -= 1.0
+        self.attempts_out += 1
+        self.last_send_rate, self.last_send_at = self.send_rate(now) + 1.0 / RATE_SPAN, now
+        if subset.PAIR * self.last_send_rate > len(self.subset) < len(self.available):  # too much for it
+            self.rebuild_subset(now)
 
-    def drop(self, s: Server, key: tuple[str, int]) -> None:
-        self.out -= s.out.pop(key, None) is not None
-        self.moved(s)
+    def release(self, s: TrackedEndpoint, key: tuple[str, int]) -> None:
+        self.attempts_out -= s.attempts_out.pop(key, None) is not None
+        self.update_capacity(s)
 
-    def answered(self, now: float, event: messages.AttemptOutcome, cls: messages.ServiceClass | None,
+    def on_outcome(self, now: float, event: messages.AttemptOutcome, cls: messages.ServiceClass | None,
                  keys: tuple[str, ...]) -> None:
-        s = self.servers.get(event.endpoint_id)
+        s = self.endpoints.get(event.endpoint_id)
         if s is None:  # gone for longer than anything there could matter
             return
-        out, high = len(s.out), event.result == "timeout"
-        self.drop(s, (event.request_id, event.attempt))
+        out, high = len(s.attempts_out), event.result == "timeout"
+        self.release(s, (event.request_id, event.attempt))
         if event.load_report:
             held = event.load_report.get("inflight")
             if held is None:
                 busy = SERVERS_OF_HOST * event.load_report.get("util", 0.0)
                 held = event.load_report.get("queue", 0.0) + busy
-            s.others, s.others_at, s.fresh_until = max(0.0, held - out), now, 0.0
-            self.held += (QUICK if self.reports else 1.0) * (held - self.held)
+            s.reported_load, s.reported_at, s.weighed_until = max(0.0, held - out), now, 0.0
+            self.reported_mean_load += (QUICK if self.has_reports else 1.0) * (held - self.reported_mean_load)
             if self.size.note(event.load_report):
-                self.settle(now)
-            self.reports, high = True, held > CONGESTED * self.size.scale
+                self.refresh(now)
+            self.has_reports, high = True, held > CONGESTED * self.size.scale
         if event.result in ("connect_failed", "full", "error", "reset", "ok"):
             level = keys[:1] if event.result == "connect_failed" else keys
             if event.result == "connect_failed":
@@ -262,14 +270,15 @@
                 s.backoff.on_success(level[:2])
             else:
                 s.backoff.on_failure(level[:2][-1], now)
-            s.judged.clear()
-            (self.resting.add if s.backoff else self.resting.discard)(s)
+            s.scores.clear()
+            (self.paused.add if s.backoff else self.paused.discard)(s)
         if event.load_report or event.result in ("ok", "timeout"):
-            gain = max(QUICK / 2, 1 - math.exp((self.answer_at - now) / PRESS_SPAN))
-            self.pressure, self.answer_at = self.pressure + min(gain, 0.5) * (high - self.pressure), now
+            gain = max(QUICK / 2, 1 - math.exp((self.congestion_at - now) / PRESS_SPAN))
+            self.congestion += min(gain, 0.5) * (high - self.congestion)
+            self.congestion_at = now
         if event.result != "ok" or cls is None:
             return
-        self.usual += QUICK * (max(event.elapsed, 1e-4) - self.usual)
+        self.typical_time += QUICK * (max(event.elapsed, 1e-4) - self.typical_time)
         times = self.response_times[cls.name]
-        s.ratio += QUICK * (min(event.elapsed / max(times.mean, 1e-6), 10.0) - s.ratio)
+        s.relative_time += QUICK * (min(event.elapsed / max(times.mean, 1e-6), 10.0) - s.relative_time)
         times.observe(event.elapsed)
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -13,11 +13,11 @@
 
 from apigateway import messages
 from apigateway.hashing import Forgotten, stable_hash
-from apigateway.policy.counter_health import CROWDED, Counter
-from apigateway.policy.customer_quota import Account
-from apigateway.policy.endpoint import Server
-from apigateway.policy.endpoint_pool import GAIN, LIMIT_MOST, PRESS_SPAN, TICK, Fleet
-from apigateway.policy.pending_queue import Job, PendingQueue
+from apigateway.policy.counter_health import CROWDED, CounterHealth
+from apigateway.policy.customer_quota import CustomerQuota
+from apigateway.policy.endpoint import TrackedEndpoint
+from apigateway.policy.endpoint_pool import GAIN, LIMIT_MOST, PRESS_SPAN, TICK, EndpointPool
+from apigateway.policy.pending_queue import PendingQueue, PendingRequest
 from apigateway.routing.fault_scope import FaultScope
 from apigateway.routing.grant_share import GrantShareEstimator
 
@@ -42,15 +42,15 @@
 
 
 @dataclass(slots=True)
-class Call:
-    acct: Account
+class CounterCall:
+    quota: CustomerQuota
     kind: str  # units, slot or void
     window: int
     charge: float = 0.0
     ask: float = 0.0
     extra: float = 0.0  # for those that passed unasked
     spare: float = 0.0  # units of earlier calls that it makes use of
-    job: Job | None = None
+    pending: PendingRequest | None = None
 
     @property
     def amount(self) -> float:
@@ -59,507 +59,522 @@
 
 class Gateway:
     def __init__(self, settings: messages.Settings, seed: int, now: float) -> None:
-        self.set, self.born, self.rng = settings, now, random.Random(seed)
-        self.reach = max(TICK, settings.limits.connect_timeout)  # s until a repeat is at its host
-        self.fleet, self.counter = Fleet(settings, self.rng), Counter(settings)
-        kinds = ((plan, again) for plan in self.set.plans for again in (0, 1))
-        self.uses = {kind: GrantShareEstimator(GRANT_PRIOR[kind[1]], GAIN) for kind in kinds}
-        self.forgotten = Forgotten(settings.max_customers) if settings.max_customers else None
-        self.accounts: dict[str, Account] = {}  # in order of their last request
-        self.jobs, self.queue = dict[str, Job](), PendingQueue()
-        self.calls: dict[int, list[Call]] = {}  # by counter key, in order
-        self.budget = RETRY_START / settings.gateway_count
-        self.top = max(c.priority_weight for c in settings.classes.values())
-        self.due: list[tuple[float, str]] = []  # when which job is to be looked at
+        self.settings, self.started_at, self.rng = settings, now, random.Random(seed)
+        self.connect_time = max(TICK, settings.limits.connect_timeout)  # s until a repeat is at its host
+        self.pool, self.counter = EndpointPool(settings, self.rng), CounterHealth(settings)
+        kinds = ((plan, again) for plan in self.settings.plans for again in (0, 1))
+        self.grant_shares = {kind: GrantShareEstimator(GRANT_PRIOR[kind[1]], GAIN) for kind in kinds}
+        self.evicted = Forgotten(settings.max_customers) if settings.max_customers else None
+        self.quotas: dict[str, CustomerQuota] = {}  # in order of their last request
+        self.pending, self.queue = dict[str, PendingRequest](), PendingQueue()
+        self.counter_calls: dict[int, list[CounterCall]] = {}  # by counter key, in order
+        self.retry_budget = RETRY_START / settings.gateway_count
+        self.max_priority = max(c.priority_weight for c in settings.classes.values())
+        self.scheduled_checks: list[tuple[float, str]] = []  # when which job is to be looked at
         self.timer_at = self.watch_at = math.inf
-        self.trial_at = 0.0  # when the queue is looked at for a host's next trial
-        self.pass_share, self.pass_at, self.worth = 1.0, now, 0.0  # worth: running mean of a request's
-        self.ranks: deque[float] = deque(maxlen=64)  # values of the latest requests
-        self.levels: dict[tuple[str, str], FaultScope] = {}  # by class and plan
-        self.retired_at = math.inf  # since when another process fills this gateway's part of the ceilings
-        self.out: list[messages.Action] = []
+        self.next_trial_at = 0.0  # when the queue is looked at for a host's next trial
+        self.admitted_share, self.admitted_share_at, self.mean_worth = 1.0, now, 0.0
+        self.recent_values: deque[float] = deque(maxlen=64)  # values of the latest requests
+        self.fault_scopes: dict[tuple[str, str], FaultScope] = {}  # by class and plan
+        self.draining_since = math.inf  # since when another process fills this gateway's part of the ceilings
+        self.actions: list[messages.Action] = []
 
     def handle(self, now: float, event: messages.Event) -> list[messages.Action]:
-        self.out = []
+        self.actions = []
         match event:
             case messages.Request():
-                self.request(now, event)
+                self.on_request(now, event)
             case messages.AttemptOutcome():
-                self.outcome(now, event)
+                self.on_outcome(now, event)
             case messages.CounterResult():
-                self.counted(now, event)
+                self.on_counter_result(now, event)
             case messages.TimerExpired():
-                self.tick(now)
+                self.on_timer(now)
             case messages.EndpointList():
-                self.fleet.listed(now, event)
+                self.pool.on_endpoint_list(now, event)
                 if event.mode == "failed":
                     self.watch_at = now + 1.0
-                elif event.mode == "cached" and self.set.discovery_mode == "ask":
-                    self.out.append(messages.WatchEndpoints(True))
-            case messages.StreamStarted() if event.request_id in self.jobs:
-                self.jobs[event.request_id].streaming = True
-            case messages.ClientDisconnected() if event.request_id in self.jobs:
-                self.close(now, self.jobs[event.request_id])
+                elif event.mode == "cached" and self.settings.discovery_mode == "ask":
+                    self.actions.append(messages.WatchEndpoints(True))
+            case messages.StreamStarted() if event.request_id in self.pending:
+                self.pending[event.request_id].is_streaming = True
+            case messages.ClientDisconnected() if event.request_id in self.pending:
+                self.finish(now, self.pending[event.request_id])
             case messages.RejectedByPlugin():
-                self.out.append(messages.Reject(event.request_id, self.told_wait(event.retry_after)))
+                self.actions.append(messages.Reject(event.request_id, self.retry_after(event.retry_after)))
             case messages.ReturnUnits():
-                self.give_back(now, event)
+                self.on_return(now, event)
             case messages.EvacuateZones():
-                self.fleet.sites.left = frozenset(event.zones)
-                self.fleet.settle(now)
+                self.pool.sites.left = frozenset(event.zones)
+                self.pool.refresh(now)
             case messages.DrainGateway():
-                self.retired_at = now if event.is_draining else math.inf
+                self.draining_since = now if event.is_draining else math.inf
         self.drain_queue(now)
-        while self.due and self.due[0][1] not in self.jobs:
-            heapq.heappop(self.due)
-        trial = self.trial_at if self.queue.waiting_count and self.trial_at > now else math.inf
-        at = min(self.due[0][0] if self.due else math.inf, self.watch_at, trial)
+        while self.scheduled_checks and self.scheduled_checks[0][1] not in self.pending:
+            heapq.heappop(self.scheduled_checks)
+        trial = self.next_trial_at if self.queue.waiting_count and self.next_trial_at > now else math.inf
+        at = min(self.scheduled_checks[0][0] if self.scheduled_checks else math.inf, self.watch_at, trial)
         if at < self.timer_at:  # what is due next; nothing when idle
             self.timer_at = at
-            self.out.append(messages.SetTimer(max(0.0, at - now), 0))
-        return self.out
+            self.actions.append(messages.SetTimer(max(0.0, at - now), 0))
+        return self.actions
 
-    def request(self, now: float, req: messages.Request) -> None:
-        cls, plan = self.set.classes[req.service_class], self.set.plans[req.plan]
+    def on_request(self, now: float, req: messages.Request) -> None:
+        cls, plan = self.settings.classes[req.service_class], self.settings.plans[req.plan]
         kind = type(req)
         if kind is messages.CustomLimitCheck:
             plan = req.limit
-        acct = self.accounts.pop(req.customer, None)
-        if acct is None:
-            if 0 < self.set.max_customers <= len(self.accounts) and not self.forget_one(now):
-                wait = self.told_wait(1.0)
+        quota = self.quotas.pop(req.customer, None)
+        if quota is None:
+            if 0 < self.settings.max_customers <= len(self.quotas) and not self.evict_quota(now):
+                wait = self.retry_after(1.0)
                 is_check = isinstance(req, messages.QuotaCheck)
-                self.out.append(messages.QuotaDenied(req.request_id, False, wait, 0.0, 0.0) if is_check
+                self.actions.append(messages.QuotaDenied(req.request_id, False, wait, 0.0, 0.0) if is_check
                                 else messages.Reject(req.request_id, wait))
                 return
-            acct = Account(req, plan, self.born, min(now, self.retired_at), self.rng)
-            acct.known = self.forgotten is None or not self.forgotten.has(now, req.customer)
-        elif req.gateway_spread > acct.spread:
-            acct.widen(req.gateway_spread)
-        self.accounts[req.customer], acct.seen_at = acct, now
-        self.free_accounts(now)
-        units = min(req.units, self.set.max_units)  # a check may ask for any number
+            quota = CustomerQuota(req, plan, self.started_at, min(now, self.draining_since), self.rng)
+            quota.is_known = self.evicted is None or not self.evicted.has(now, req.customer)
+        elif req.gateway_spread > quota.spread:
+            quota.widen(req.gateway_spread)
+        self.quotas[req.customer], quota.last_seen_at = quota, now
+        self.drop_idle_quotas(now)
+        units = min(req.units, self.settings.max_units)  # a check may ask for any number
         worth = cls.priority_weight * plan.price_weight * units
-        self.worth += (GAIN if self.worth else 1.0) * (worth - self.worth)
-        keys = self.levels.get((req.service_class, req.plan))
+        self.mean_worth += (GAIN if self.mean_worth else 1.0) * (worth - self.mean_worth)
+        keys = self.fault_scopes.get((req.service_class, req.plan))
         if keys is None:
             keys = FaultScope(("host", "class " + cls.name, "plan " + plan.name))
-            self.levels[req.service_class, req.plan] = keys
-        job = self.jobs[req.request_id] = Job(req, cls, plan, acct, now, now + req.remaining, worth,
-                                      worth / max(self.fleet.response_times[cls.name].mean, 1e-6), keys)
+            self.fault_scopes[req.service_class, req.plan] = keys
+        value = worth / max(self.pool.response_times[cls.name].mean, 1e-6)
+        job = PendingRequest(req, cls, plan, quota, now, now + req.remaining, worth, value, keys)
+        self.pending[req.request_id] = job
         if kind is not messages.Request:
-            job.check, job.paid = isinstance(req, messages.QuotaCheck), kind is messages.PrepaidRequest
-        route = self.set.routes.get(req.route) if req.route else None
+            job.is_check = isinstance(req, messages.QuotaCheck)
+            job.is_prepaid = kind is messages.PrepaidRequest
+        route = self.settings.routes.get(req.route) if req.route else None
         kinds = route.endpoint_kinds if route else ()
-        if route and not (route.fallback and all(s.host.kind not in kinds for s in self.fleet.up)):
-            job.kinds = kinds
-        if req.remaining < 2 * TICK or self.shed(now, job):  # no check would come round in time, or no room
-            self.refuse(now, job, 0.0)
-        elif (wait := acct.ceiling_wait(min(now, self.retired_at), req.units, job.paid)) > self.bears(job):
-            job.over = True
-            self.refuse(now, job, wait)
-        elif plan.rate and not job.paid:
-            self.want_units(now, job)
+        if route and not (route.fallback and all(s.host.kind not in kinds for s in self.pool.available)):
+            job.allowed_kinds = kinds
+        if req.remaining < 2 * TICK or self.should_shed(now, job):  # no check would come in time, or no room
+            self.reject(now, job, 0.0)
+            return
+        wait = quota.ceiling.wait_time(min(now, self.draining_since), req.units, job.is_prepaid)
+        if wait > self.max_ceiling_wait(job):
+            job.is_over_limit = True
+            self.reject(now, job, wait)
+        elif plan.rate and not job.is_prepaid:
+            self.acquire_units(now, job)
         else:
-            self.want_slot(now, job)
+            self.acquire_slot(now, job)
 
-    def free_accounts(self, now: float) -> None:
+    def drop_idle_quotas(self, now: float) -> None:
         """Many customers come only once. Past its windows an account tells no more than a new one would."""
-        if now - next(iter(self.accounts.values())).seen_at <= IDLE_MOST:  # the usual case
+        if now - next(iter(self.quotas.values())).last_seen_at <= IDLE_MOST:  # the usual case
             return
-        for oldest in list(itertools.islice(self.accounts.values(), FREED_AT_ONCE)):
-            if now - oldest.seen_at <= max(IDLE_MOST, 3 * oldest.length, oldest.fills):
+        for quota in list(itertools.islice(self.quotas.values(), FREED_AT_ONCE)):
+            if now - quota.last_seen_at <= max(IDLE_MOST, 3 * quota.window_length, quota.ceiling.fill_time):
                 return
-            del self.accounts[oldest.name]
-            if oldest.call or oldest.open_here or oldest.waiting:  # a busy one holds up none behind it
-                self.accounts[oldest.name], oldest.seen_at = oldest, now
+            del self.quotas[quota.name]
+            if quota.pending_call or quota.open_attempts or quota.waiting_ids:  # busy: behind the others
+                self.quotas[quota.name], quota.last_seen_at = quota, now
 
-    def forget_one(self, now: float) -> bool:
+    def evict_quota(self, now: float) -> bool:
         """Ever new customers must not take all memory: the one that came last longest ago goes, within its
         windows too. What it used unasked is told to the counter, as far as that is worth a call, and it is
         asked about when it comes again. It stays while something is out for it, or its ceiling's store would
         come back fuller than it is. Harm: its overdraft of a window is not brought along, so one that is
         forgotten in each has up to twice its rate; and while the counter is away it has its even part each
         time."""
-        for acct in list(itertools.islice(self.accounts.values(), FREED_AT_ONCE)):
-            del self.accounts[acct.name]
-            full = acct.plan.ceiling_burst / acct.spread - ROUNDING
-            ceiling = acct.ceiling_room(min(now, self.retired_at))
-            if acct.call or acct.open_here or acct.waiting or ceiling < full:
-                self.accounts[acct.name], acct.seen_at = acct, now  # behind the others
+        for quota in list(itertools.islice(self.quotas.values(), FREED_AT_ONCE)):
+            del self.quotas[quota.name]
+            lacks = quota.ceiling.available(min(now, self.draining_since)) < quota.ceiling.capacity - ROUNDING
+            if quota.pending_call or quota.open_attempts or quota.waiting_ids or lacks:
+                self.quotas[quota.name], quota.last_seen_at = quota, now  # behind the others
                 continue
-            acct.roll(now)
-            if self.forgotten is not None and acct.plan.rate:
-                self.forgotten.add(now, acct.name)
-            told = self.counter.usable(now) and self.rng.random() < self.counter.chance(SIDE_CALL)
-            if acct.uncharged >= 2.0 and told:  # one for each that comes once would be a flood there
-                self.count(stable_hash(acct.name, acct.k), acct.uncharged, 3 * acct.length,
-                           Call(acct, "void", acct.k, extra=acct.uncharged))
+            quota.advance_window(now)
+            if self.evicted is not None and quota.plan.rate:
+                self.evicted.add(now, quota.name)
+            chance = self.counter.call_probability(SIDE_CALL)
+            told = self.counter.is_usable(now) and self.rng.random() < chance
+            if quota.unreported_units >= 2.0 and told:  # one for each that comes once would be a flood there
+                self.add_units(CounterCall(quota, "void", quota.window_index, extra=quota.unreported_units))
             return True
         return False
 
-    def shed(self, now: float, job: Job) -> bool:
+    def should_shed(self, now: float, job: PendingRequest) -> bool:
         """While answers come from servers that hold too much, what is worth least a unit of work is refused,
         whatever the cause: one gateway of many has too few out for a limit of its own to relieve them."""
-        ranks = self.ranks
+        ranks = self.recent_values
         ranks.append(job.value)
-        step, fleet, self.pass_at = now - self.pass_at, self.fleet, now
-        if fleet.pressure * math.exp(min(0.0, (fleet.answer_at + 1 - now) / PRESS_SPAN)) > PRESSED:
-            self.pass_share = max(SHED_LEAST, self.pass_share * math.exp(-SHED_FAST * min(step, 1.0)))
+        step, fleet, self.admitted_share_at = now - self.admitted_share_at, self.pool, now
+        if fleet.congestion * math.exp(min(0.0, (fleet.congestion_at + 1 - now) / PRESS_SPAN)) > PRESSED:
+            self.admitted_share = max(SHED_LEAST, self.admitted_share * math.exp(-SHED_FAST * min(step, 1.0)))
         else:
-            self.pass_share = min(1.0, self.pass_share + SHED_BACK * step)
-        luck, many = self.rng.random(), self.set.gateway_count > LIMIT_MOST
-        most = (1 - self.pass_share) * len(ranks) * many
+            self.admitted_share = min(1.0, self.admitted_share + SHED_BACK * step)
+        luck, many = self.rng.random(), self.settings.gateway_count > LIMIT_MOST
+        most = (1 - self.admitted_share) * len(ranks) * many
         return most > 0 and luck * ranks.count(job.value) + sum(v < job.value for v in ranks) < most
 
-    def kept(self, job: Job) -> float:
+    def units_kept(self, job: PendingRequest) -> float:
         """Kept for classes that earn more with a unit; binds near the end of a quota only."""
-        return RESERVE * job.plan.burst * (1 - job.cls.priority_weight / self.top) if self.top else 0.0
+        priority = job.cls.priority_weight / self.max_priority if self.max_priority else 1.0
+        return RESERVE * job.plan.burst * (1 - priority)
 
-    def spare(self, now: float, job: Job) -> float:
-        return job.acct.room(now) - self.kept(job) - job.req.units
+    def spare_units(self, now: float, job: PendingRequest) -> float:
+        return job.quota.remaining(now) - self.units_kept(job) - job.request.units
 
-    def take_units(self, now: float, job: Job, ask: bool) -> bool:
-        acct, units = job.acct, job.req.units
-        if self.spare(now, job) + acct.lease < 0:
+    def take_units(self, now: float, job: PendingRequest, ask: bool) -> bool:
+        quota, units = job.quota, job.request.units
+        if self.spare_units(now, job) + quota.leased_units < 0:
             return False
-        left = acct.allowance(now, self.counter.fails > 0) - acct.uncharged
-        if ask and not acct.known and self.counter.usable(now):
+        left = quota.local_allowance(now, self.counter.failures > 0) - quota.unreported_units
+        if ask and not quota.is_known and self.counter.is_usable(now):
             left = -1.0
-        if acct.lease >= units:
-            acct.lease -= units
+        if quota.leased_units >= units:
+            quota.leased_units -= units
         # What is less than a request is rounded at random, once a window: over all gateways it comes out.
-        elif acct.room(now) >= units and left >= units * (1 - acct.dice):
-            acct.uncharged += units
+        elif quota.remaining(now) >= units and left >= units * (1 - quota.rounding_draw):
+            quota.unreported_units += units
         else:
             return False
-        acct.used += units
-        self.want_slot(now, job)
+        quota.used_units += units
+        self.acquire_slot(now, job)
         return True
 
-    def want_units(self, now: float, job: Job) -> None:
-        job.acct.roll(now)
-        job.odds = job.acct.note_request(now) * self.uses[job.plan.name, job.req.is_retry].share
-        gain = job.worth / max(self.worth, 1e-9) * min(job.odds, self.mistake(job))
-        chance = self.counter.chance(gain)
+    def acquire_units(self, now: float, job: PendingRequest) -> None:
+        job.quota.advance_window(now)
+        job.odds = job.quota.note_request(now) * self.grant_shares[job.plan.name, job.request.is_retry].share
+        gain = job.worth / max(self.mean_worth, 1e-9) * min(job.odds, self.overuse_cost(job))
+        chance = self.counter.call_probability(gain)
         self.decide(now, job, self.rng.random() < chance)
-        self.renew(now, job.acct, min(SAMPLE_MOST, 1 / max(chance, 1e-9)))  # for those unasked too
+        self.renew_lease(now, job.quota, min(SAMPLE_MOST, 1 / max(chance, 1e-9)))  # for those unasked too
 
-    def decide(self, now: float, job: Job, ask: bool) -> None:
-        acct, room = job.acct, job.acct.room(now)
+    def decide(self, now: float, job: PendingRequest, ask: bool) -> None:
+        quota, room = job.quota, job.quota.remaining(now)
         if self.take_units(now, job, ask):
             return
-        if now < acct.full_until or self.spare(now, job) < 0:
-            self.beyond(now, job, (job.req.units - room) / acct.plan.rate)
-        elif ask and self.counter.usable(now):
-            acct.waiting.append(job.req.request_id)
-            self.look(now + 2 * self.counter.timeout + TICK, job)
+        if now < quota.exhausted_until or self.spare_units(now, job) < 0:
+            self.try_over_quota(now, job, (job.request.units - room) / quota.plan.rate)
+        elif ask and self.counter.is_usable(now):
+            quota.waiting_ids.append(job.request.request_id)
+            self.schedule_check(now + 2 * self.counter.timeout + TICK, job)
         else:
-            self.unasked(now, job)
+            self.decide_locally(now, job)
 
-    def mistake(self, job: Job) -> float:
+    def overuse_cost(self, job: PendingRequest) -> float:
         """What it costs in the mean to let it pass, in its worth."""
         return (1 - job.odds) * max(LOAD_COST, job.plan.over_quota_cost - job.plan.over_quota_weight)
 
-    def unasked(self, now: float, job: Job) -> None:
+    def decide_locally(self, now: float, job: PendingRequest) -> None:
         """The counter is away, or has no time for it. Of a thin customer each gateway's part is less than a
         request, so the odds decide: they are against one that comes here often. Harm: while the counter is
         away first requests of all pass."""
-        if job.acct.thin and job.odds > self.mistake(job):
-            job.acct.used += job.req.units
-            self.want_slot(now, job)
+        if job.quota.is_thin and job.odds > self.overuse_cost(job):
+            job.quota.used_units += job.request.units
+            self.acquire_slot(now, job)
         else:
-            self.beyond(now, job, 0.0)
+            self.try_over_quota(now, job, 0.0)
 
-    def renew(self, now: float, acct: Account, factor: float = 1.0) -> None:
-        if acct.call is not None or not self.counter.usable(now):
+    def renew_lease(self, now: float, quota: CustomerQuota, factor: float = 1.0) -> None:
+        if quota.pending_call is not None or not self.counter.is_usable(now):
             return
-        need = sum(self.jobs[i].req.units for i in acct.waiting if i in self.jobs)
-        w, room = acct.block(self.counter.price + CROWD * self.counter.slow ** 2), acct.room(now)
-        more = acct.lease < w / 2 and room > w * acct.spread and now >= acct.full_until
-        due = acct.uncharged > max(1.0, CHARGE_AT * acct.allowance(now, False))
-        if not (need or due or (acct.put and more)):
+        need = sum(self.pending[i].request.units for i in quota.waiting_ids if i in self.pending)
+        w = quota.lease_size(self.counter.price + CROWD * self.counter.congestion ** 2)
+        room = quota.remaining(now)
+        more = quota.leased_units < w / 2 and room > w * quota.spread and now >= quota.exhausted_until
+        due = quota.unreported_units > max(1.0, CHARGE_AT * quota.local_allowance(now, False))
+        if not (need or due or (quota.reported_units and more)):
             return
-        ask = max(need, w) - acct.lease if need else w * more
+        ask = max(need, w) - quota.leased_units if need else w * more
         ask = max(0, int(min(math.ceil(ask), max(room, 0.0))))
-        if ask + acct.uncharged <= 0:
-            self.settle_waiting(now, acct)
+        if ask + quota.unreported_units <= 0:
+            self.decide_waiting(now, quota)
             return
-        call = acct.call = Call(acct, "units", acct.k, acct.uncharged, ask, need * (factor - 1),
-                                spare=acct.spare)
-        acct.total += acct.uncharged
-        acct.uncharged = acct.spare = 0.0
-        self.count(stable_hash(acct.name, acct.k), call.amount, 3 * acct.length, call)
-
-    def count(self, name: int, amount: float, life: float, call: Call) -> None:
-        self.calls.setdefault(name, []).append(call)
-        self.out.append(messages.AddToCounter(name, amount, min(60.0, max(life, 1.0))))
-
-    def counted(self, now: float, event: messages.CounterResult) -> None:
-        if event.counter_key not in self.calls:
+        owed, for_unasked = quota.unreported_units, need * (factor - 1)
+        call = CounterCall(quota, "units", quota.window_index, owed, ask, for_unasked, quota.spare_units)
+        quota.pending_call = call
+        quota.total_units += quota.unreported_units
+        quota.unreported_units = quota.spare_units = 0.0
+        self.add_units(call)
+
+    def add_units(self, call: CounterCall) -> None:
+        quota = call.quota
+        key = stable_hash(quota.name, quota.window_index)
+        self.add_to_counter(key, call.amount, 3 * quota.window_length, call)
+
+    def add_to_counter(self, name: int, amount: float, life: float, call: CounterCall) -> None:
+        self.counter_calls.setdefault(name, []).append(call)
+        self.actions.append(messages.AddToCounter(name, amount, min(60.0, max(life, 1.0))))
+
+    def on_counter_result(self, now: float, event: messages.CounterResult) -> None:
+        if event.counter_key not in self.counter_calls:
             return
-        call, *rest = self.calls.pop(event.counter_key)
-        self.calls.update({event.counter_key: rest} if rest else {})
-        ok, acct = event.result == "ok", call.acct
+        call, *rest = self.counter_calls.pop(event.counter_key)
+        self.counter_calls.update({event.counter_key: rest} if rest else {})
+        ok, quota = event.result == "ok", call.quota
         # A spoilt answer, or a line that broke before the time was up, says nothing of the next call.
         early = event.result == "timeout" and event.elapsed < CALL_SPOILT * self.counter.timeout
         if event.result != "spoilt" and not early:
-            self.counter.note(now, ok, event.elapsed)
+            self.counter.observe(now, ok, event.elapsed)
         if call.kind == "units":
-            acct.call, acct.known = None, True
-            acct.roll(now)
-            if call.window == acct.k and ok:
-                self.granted(now, acct, event.total, call)
-            elif call.window == acct.k and event.result == "spoilt":
-                acct.put += call.amount  # surely added: what was asked for is used up by the next call
-                acct.spare += call.ask
-            elif call.window == acct.k and event.result != "timeout":
-                acct.uncharged += call.charge  # surely not added: the charge is still owed
-                acct.total -= call.charge
-                acct.spare += call.spare
-            elif call.window == acct.k:
-                acct.unsure += call.amount
-            self.settle_waiting(now, acct)
+            quota.pending_call, quota.is_known = None, True
+            quota.advance_window(now)
+            if call.window == quota.window_index and ok:
+                self.on_lease_granted(now, quota, event.total, call)
+            elif call.window == quota.window_index and event.result == "spoilt":
+                quota.reported_units += call.amount  # surely added: the next call uses what was asked for
+                quota.spare_units += call.ask
+            elif call.window == quota.window_index and event.result != "timeout":
+                quota.unreported_units += call.charge  # surely not added: the charge is still owed
+                quota.total_units -= call.charge
+                quota.spare_units += call.spare
+            elif call.window == quota.window_index:
+                quota.unconfirmed_units += call.amount
+            self.decide_waiting(now, quota)
         elif call.kind == "slot":
-            self.slot_counted(now, event, call)
-        elif call.window == acct.k and event.result not in ("ok", "spoilt"):
-            acct.put -= call.amount  # else what never came into the count would be taken for lost from it
-            acct.unsure += call.amount * (event.result == "timeout")
+            self.on_slot_counted(now, event, call)
+        elif call.window == quota.window_index and event.result not in ("ok", "spoilt"):
+            quota.reported_units -= call.amount  # else what was never added would be taken for lost
+            quota.unconfirmed_units += call.amount * (event.result == "timeout")
 
-    def granted(self, now: float, acct: Account, total: float, call: Call) -> None:
+    def on_lease_granted(self, now: float, quota: CustomerQuota, total: float, call: CounterCall) -> None:
         mine, extra, slack = call.amount, 0.0, ROUNDING * max(1.0, total)
-        if total < acct.put + mine - slack:  # less than what is ours alone: counts were lost; add ours again
-            extra, acct.put = acct.put, 0.0  # the new count holds nothing else of ours
-        elif total <= acct.put + mine + acct.unsure + slack:
-            extra, acct.debt = acct.debt, 0.0  # who finds none but its own brings the overdraft along
-        if not acct.thin:  # the store holds a burst at most: what a quiet customer let run over is gone
-            surplus = max(0, int(acct.hold(now) - acct.plan.burst - (total + extra - call.ask)))
-            extra, acct.carried = extra + surplus, acct.carried + surplus
-        jobs = [self.jobs[i] for i in acct.waiting if i in self.jobs]
-        kept = min((self.kept(j) for j in jobs), default=0.0)
-        over = min(call.ask, max(0.0, math.ceil(total + extra + kept - acct.hold(now))))
-        acct.put += mine + extra - over
-        acct.total = total + extra - over
-        acct.lease += call.ask - over
-        need = sum(j.req.units for j in jobs)
+        if total < quota.reported_units + mine - slack:  # less than ours alone: lost; add ours again
+            extra, quota.reported_units = quota.reported_units, 0.0  # the new count holds no more of ours
+        elif total <= quota.reported_units + mine + quota.unconfirmed_units + slack:
+            extra, quota.debt_units = quota.debt_units, 0.0  # who finds only its own brings the debt along
+        if not quota.is_thin:  # the store holds a burst at most: what a quiet customer let run over is gone
+            surplus = max(0, int(quota.window_limit(now) - quota.plan.burst - (total + extra - call.ask)))
+            extra, quota.carried_units = extra + surplus, quota.carried_units + surplus
+        jobs = [self.pending[i] for i in quota.waiting_ids if i in self.pending]
+        kept = min((self.units_kept(j) for j in jobs), default=0.0)
+        over = min(call.ask, max(0.0, math.ceil(total + extra + kept - quota.window_limit(now))))
+        quota.reported_units += mine + extra - over
+        quota.total_units = total + extra - over
+        quota.leased_units += call.ask - over
+        need = sum(j.request.units for j in jobs)
         if need:
-            use = self.uses[acct.plan.name, jobs[0].req.is_retry]
-            use.observe(need, min(need, acct.lease))
-        if self.rng.random() < self.counter.chance(SIDE_CALL):  # in a crowd the excess stays counted
+            use = self.grant_shares[quota.plan.name, jobs[0].request.is_retry]
+            use.observe(need, min(need, quota.leased_units))
+        if self.rng.random() < self.counter.call_probability(SIDE_CALL):  # else the excess stays
             extra -= over
         if extra:
-            self.count(stable_hash(acct.name, acct.k), extra, 3 * acct.length,
-                       Call(acct, "void", acct.k, extra=extra))
-
-    def settle_waiting(self, now: float, acct: Account) -> None:
-        waiting, acct.waiting = acct.waiting, []
-        jobs = [self.jobs[i] for i in waiting if i in self.jobs]
-        for job in sorted(jobs, key=lambda j: -j.worth / max(j.req.units, 1e-9)):
-            if acct.room(now) + acct.lease < job.req.units:
-                wait = max(0.0, 1 - acct.room(now)) / acct.plan.rate
-                crowd = self.counter.slow > CROWDED  # others wait for the same unit: no call until the turn
-                acct.full_until = acct.start + acct.length if crowd else now + wait
-            self.decide(now, job, not self.counter.fails > 0)
-        if acct.waiting:
-            self.renew(now, acct)
-
-    def want_slot(self, now: float, job: Job, ask: bool = True) -> None:
+            self.add_units(CounterCall(quota, "void", quota.window_index, extra=extra))
+
+    def decide_waiting(self, now: float, quota: CustomerQuota) -> None:
+        waiting, quota.waiting_ids = quota.waiting_ids, []
+        jobs = [self.pending[i] for i in waiting if i in self.pending]
+        for job in sorted(jobs, key=lambda j: -j.worth / max(j.request.units, 1e-9)):
+            if quota.remaining(now) + quota.leased_units < job.request.units:
+                wait = max(0.0, 1 - quota.remaining(now)) / quota.plan.rate
+                crowd = self.counter.congestion > CROWDED  # others wait for it: no call until the turn
+                quota.exhausted_until = quota.window_start + quota.window_length if crowd else now + wait
+            self.decide(now, job, not self.counter.failures > 0)
+        if quota.waiting_ids:
+            self.renew_lease(now, quota)
+
+    def acquire_slot(self, now: float, job: PendingRequest, ask: bool = True) -> None:
         """Own even part of the open limit; the rest is shared by a count, asked for what that changes, or
         judged by Little's law from the customer's rate, which its units bound, and the time of answers."""
-        acct, plan = job.acct, job.plan
+        quota, plan = job.quota, job.plan
         job.stage = "slot"
-        if job.check or not plan.concurrency_limit:  # there is no limit to hold
-            self.enqueue(now, job)
+        if job.is_check or not plan.concurrency_limit:  # there is no limit to hold
+            self.dispatch(now, job)
             return
-        own, shared = divmod(plan.concurrency_limit, acct.spread)
-        rate = max(acct.total, acct.used) / max(now - acct.start, acct.length / 4)
-        taken = self.fleet.response_times[job.cls.name].mean
-        mean = min(rate, plan.rate or rate) / max(job.req.units, 1e-9) * taken
+        own, shared = divmod(plan.concurrency_limit, quota.spread)
+        seconds = max(now - quota.window_start, quota.window_length / 4)
+        rate = max(quota.total_units, quota.used_units) / seconds
+        taken = self.pool.response_times[job.cls.name].mean
+        mean = min(rate, plan.rate or rate) / max(job.request.units, 1e-9) * taken
         over = 1 - sum(mean ** n * math.exp(-mean) / math.factorial(n) for n in range(plan.concurrency_limit))
         cost = max(0.0, plan.over_quota_cost - plan.over_quota_weight)
-        if acct.open_here < own:
+        if quota.open_attempts < own:
             job.slot = -1
-            acct.open_here += 1
-        elif shared and ask and self.counter.usable(now) and (
-                self.rng.random() < self.counter.chance(max(over, SIDE_CALL) * cost)):
-            self.count_open(acct, int(now / OPEN_EPOCH) + 1, 1, job)
-            self.look(job.deadline, job)
+            quota.open_attempts += 1
+        elif shared and ask and self.counter.is_usable(now) and (
+                self.rng.random() < self.counter.call_probability(max(over, SIDE_CALL) * cost)):
+            self.count_open_attempt(quota, int(now / OPEN_EPOCH) + 1, 1, job)
+            self.schedule_check(job.deadline, job)
             return
-        elif plan.concurrency_limit and (plan.concurrency_limit >= acct.spread or over * cost >= 1 - over):
-            self.beyond(now, job, 0.0)
+        elif plan.concurrency_limit and (plan.concurrency_limit >= quota.spread or over * cost >= 1 - over):
+            self.try_over_quota(now, job, 0.0)
             return
-        self.enqueue(now, job)
-
-    def count_open(self, acct: Account, epoch: int, amount: int, job: Job | None = None) -> None:
-        call = Call(acct, "slot" if job else "void", epoch, job=job)
-        self.count(stable_hash("open", acct.name, epoch), amount, 2 * OPEN_EPOCH, call)
-
-    def slot_counted(self, now: float, event: messages.CounterResult, call: Call) -> None:
-        job, acct, ok = call.job, call.acct, event.result == "ok"
-        if ok and (job.done or event.total > acct.plan.concurrency_limit % acct.spread):
-            self.count_open(acct, call.window, -1)
-        if ok and not job.done and event.total > acct.plan.concurrency_limit % acct.spread:
-            self.beyond(now, job, 0.0)
+        self.dispatch(now, job)
+
+    def count_open_attempt(self, quota: CustomerQuota, epoch: int, amount: int,
+                           job: PendingRequest | None = None) -> None:
+        call = CounterCall(quota, "slot" if job else "void", epoch, pending=job)
+        self.add_to_counter(stable_hash("open", quota.name, epoch), amount, 2 * OPEN_EPOCH, call)
+
+    def on_slot_counted(self, now: float, event: messages.CounterResult, call: CounterCall) -> None:
+        job, quota, ok = call.pending, call.quota, event.result == "ok"
+        if ok and (job.done or event.total > quota.plan.concurrency_limit % quota.spread):
+            self.count_open_attempt(quota, call.window, -1)
+        if ok and not job.done and event.total > quota.plan.concurrency_limit % quota.spread:
+            self.try_over_quota(now, job, 0.0)
         elif not job.done:
             job.slot = call.window if ok else 0
-            self.enqueue(now, job) if ok else self.want_slot(now, job, False)
+            self.dispatch(now, job) if ok else self.acquire_slot(now, job, False)
 
-    def beyond(self, now: float, job: Job, wait: float) -> None:
+    def try_over_quota(self, now: float, job: PendingRequest, wait: float) -> None:
         pays = job.plan.over_quota_weight > job.plan.over_quota_cost
-        if pays and self.fleet.clear() and not self.queue.waiting_count:
-            job.beyond = True
-            self.enqueue(now, job)
+        if pays and self.pool.has_spare_capacity() and not self.queue.waiting_count:
+            job.over_quota = True
+            self.dispatch(now, job)
         else:
-            job.over = True
-            self.refuse(now, job, wait)
-
-    def enqueue(self, now: float, job: Job) -> None:
-        acct, units = job.acct, job.req.units
-        wait = acct.ceiling_wait(min(now, self.retired_at), units, job.paid)
-        if wait > self.bears(job):
-            job.over = True
-            self.refuse(now, job, 0.0)
+            job.is_over_limit = True
+            self.reject(now, job, wait)
+
+    def dispatch(self, now: float, job: PendingRequest) -> None:
+        quota, units = job.quota, job.request.units
+        wait = quota.ceiling.wait_time(min(now, self.draining_since), units, job.is_prepaid)
+        if wait > self.max_ceiling_wait(job):
+            job.is_over_limit = True
+            self.reject(now, job, 0.0)
             return
         if wait > 0:  # an even part of it fills slowly, and a customer's requests come in bunches
-            acct.promised += units
+            quota.ceiling.promised += units
             job.stage = "ceiling"
-            self.look(now + max(TICK, wait), job)  # a look that comes at once would come for ever
+            self.schedule_check(now + max(TICK, wait), job)  # a look that comes at once would come for ever
             return
-        if job.paid:
-            acct.ahead -= units
+        if job.is_prepaid:
+            quota.ceiling.take_reserved(units)
+        elif type(job.request) is messages.QuotaReservation:
+            quota.ceiling.reserve(units)
         else:
-            acct.cap -= units  # spent before sending
-            if type(job.req) is messages.QuotaReservation:
-                acct.ahead += units
-        if job.check:
-            self.out.append(messages.QuotaGranted(job.req.request_id, *self.left(now, job), acct.k))
-            self.close(now, job)
+            quota.ceiling.take(units)  # spent before sending
+        if job.is_check:
+            remaining = self.remaining_quota(now, job)
+            self.actions.append(messages.QuotaGranted(job.request.request_id, *remaining, quota.window_index))
+            self.finish(now, job)
             return
-        if not self.queue.waiting_count and self.fleet.room(now) and self.send(now, job):  # the usual case
-            self.earn()
+        if not self.queue.waiting_count and self.pool.any_capacity(now) and self.send(now, job):
+            self.replenish_retries()
             return
-        self.line_up(job)
-        most = max(QUEUE_LEAST, self.fleet.own_rate(now) * QUEUE_HOLD * job.cls.latency_objective)
+        self.enqueue(job)
+        most = max(QUEUE_LEAST, self.pool.send_rate(now) * QUEUE_HOLD * job.cls.latency_objective)
         if self.queue.waiting_count > most and (worst := self.queue.lowest_priority()) is not None:
-            self.refuse(now, worst, 0.0)
+            self.reject(now, worst, 0.0)
         self.drain_queue(now)
         if job.stage == "queue" and not job.done:
-            self.look(job.arrived + self.hold(job), job)
+            self.schedule_check(job.arrived_at + self.max_queue_time(job), job)
 
-    def bears(self, job: Job) -> float:
+    def max_ceiling_wait(self, job: PendingRequest) -> float:
         """How long it may wait for its customer's ceiling, where an even part of that is thin. A check is
         answered at once, and so is what comes while another process fills this gateway's part."""
-        thin = job.plan.ceiling_burst < CEILING_THIN * job.acct.spread
-        may_wait = thin and not job.check and self.retired_at == math.inf
+        thin = job.plan.ceiling_burst < CEILING_THIN * job.quota.spread
+        may_wait = thin and not job.is_check and self.draining_since == math.inf
         return CEILING_HOLD * job.cls.latency_objective if may_wait else 0.0
 
-    def line_up(self, job: Job) -> None:
+    def enqueue(self, job: PendingRequest) -> None:
         job.stage = "queue"
         self.queue.add(job)
 
-    def hold(self, job: Job) -> float:
+    def max_queue_time(self, job: PendingRequest) -> float:
         """How long after its arrival a request may wait for a server. One whose attempt failed may do so till
         it is worth nothing or its refusal comes late: a client that comes again is served later still."""
         aim = job.cls.latency_objective
-        return min(aim, (job.deadline - job.arrived) / 2) if job.sends else QUEUE_HOLD * aim
+        return min(aim, (job.deadline - job.arrived_at) / 2) if job.sends else QUEUE_HOLD * aim
 
-    def left(self, now: float, job: Job) -> tuple[float, float]:
+    def remaining_quota(self, now: float, job: PendingRequest) -> tuple[float, float]:
         """Units left to its class, as far as is known here, and seconds until its customer's window turns."""
-        acct = job.acct
-        if not acct.plan.rate:
+        quota = job.quota
+        if not quota.plan.rate:
             return math.inf, 0.0
-        acct.roll(now)
-        unused = min(acct.plan.burst, acct.hold(now) - acct.total + acct.lease - acct.uncharged)
-        return max(0.0, unused - self.kept(job)), acct.start + acct.length - now
-
-    def give_back(self, now: float, event: messages.ReturnUnits) -> None:
-        acct = self.accounts.get(event.customer)
-        if acct is None:  # forgotten since, and its ceiling's store was full then
+        quota.advance_window(now)
+        unused = quota.window_limit(now) - quota.total_units + quota.leased_units - quota.unreported_units
+        unused = min(quota.plan.burst, unused)
+        return max(0.0, unused - self.units_kept(job)), quota.window_start + quota.window_length - now
+
+    def on_return(self, now: float, event: messages.ReturnUnits) -> None:
+        quota = self.quotas.get(event.customer)
+        if quota is None:  # forgotten since, and its ceiling's store was full then
             return
-        acct.roll(now)
-        if acct.plan.rate and acct.k == event.window_index:
-            acct.lease += event.units
-            acct.used -= event.units
-        sent = acct.cap + acct.ahead
-        acct.fill(event.units)
-        if type(event) is messages.ReturnReservation:  # what is sent on was never charged with it
-            acct.ahead = sent - acct.cap
-
-    def refuse(self, now: float, job: Job, wait: float) -> None:
-        if job.check:
-            told = self.told_wait(wait), *self.left(now, job)
-            self.out.append(messages.QuotaDenied(job.req.request_id, job.over, *told))
-            self.close(now, job)
+        quota.advance_window(now)
+        if quota.plan.rate and quota.window_index == event.window_index:
+            quota.leased_units += event.units
+            quota.used_units -= event.units
+        if type(event) is messages.ReturnReservation:
+            quota.ceiling.cancel_reserved(event.units)
+        else:
+            quota.ceiling.add(event.units)
+
+    def reject(self, now: float, job: PendingRequest, wait: float) -> None:
+        if job.is_check:
+            told = self.retry_after(wait), *self.remaining_quota(now, job)
+            self.actions.append(messages.QuotaDenied(job.request.request_id, job.is_over_limit, *told))
+            self.finish(now, job)
             return
         ran = job.cls.effect != "safe" and (job.cls.effect, job.cls.deduplication_scope) != ("keyed", "all")
-        if not (ran and (job.ran or job.live)):
-            self.out.append(messages.Reject(job.req.request_id, self.told_wait(wait)))
+        if not (ran and (job.possibly_executed or job.in_flight)):
+            self.actions.append(messages.Reject(job.request.request_id, self.retry_after(wait)))
         else:
-            self.out.append(messages.Fail(job.req.request_id))
-        self.close(now, job)
+            self.actions.append(messages.Fail(job.request.request_id))
+        self.finish(now, job)
 
-    def told_wait(self, wait: float) -> float:
-        most = self.set.limits.max_retry_after if self.set.limits.can_tell_retry_after else 0.0
+    def retry_after(self, wait: float) -> float:
+        most = self.settings.limits.max_retry_after if self.settings.limits.can_tell_retry_after else 0.0
         return min(max(wait, 0.0), most)
 
-    def close(self, now: float, job: Job) -> None:
+    def finish(self, now: float, job: PendingRequest) -> None:
         job.done = True
         if job.stage == "queue":
             self.queue.discard()
         elif job.stage == "ceiling":
-            job.acct.promised -= job.req.units
-        self.jobs.pop(job.req.request_id, None)
-        for number in job.live if self.set.limits.can_cancel else ():
-            self.out.append(messages.CancelAttempt(job.req.request_id, number))
+            job.quota.ceiling.promised -= job.request.units
+        self.pending.pop(job.request.request_id, None)
+        for number in job.in_flight if self.settings.limits.can_cancel else ():
+            self.actions.append(messages.CancelAttempt(job.request.request_id, number))
         if job.slot > 0:
-            self.count_open(job.acct, job.slot, -1)
-        job.acct.open_here -= job.slot < 0
+            self.count_open_attempt(job.quota, job.slot, -1)
+        job.quota.open_attempts -= job.slot < 0
 
-    def fits(self, job: Job, s: Server, now: float) -> bool:
-        if job.kinds and s.host.kind not in job.kinds:
+    def is_eligible(self, job: PendingRequest, s: TrackedEndpoint, now: float) -> bool:
+        if job.allowed_kinds and s.host.kind not in job.allowed_kinds:
             return False
-        unproven = job.ran + list(job.live.values())
-        if s.host.id in job.avoid or not unproven or job.cls.effect == "safe":
-            return s.host.id not in job.avoid
-        until = min(t for _, t in unproven) + job.cls.deduplication_window - self.reach
+        unproven = job.possibly_executed + list(job.in_flight.values())
+        if s.host.id in job.tried or not unproven or job.cls.effect == "safe":
+            return s.host.id not in job.tried
+        until = min(t for _, t in unproven) + job.cls.deduplication_window - self.connect_time
         if job.cls.effect == "unsafe" or now >= until:
             return False
-        if any(h not in self.fleet.servers for h, _ in unproven):
+        if any(h not in self.pool.endpoints for h, _ in unproven):
             return False
-        known, scope = [self.fleet.servers[h].host for h, _ in unproven], job.cls.deduplication_scope
+        known, scope = [self.pool.endpoints[h].host for h, _ in unproven], job.cls.deduplication_scope
         return all(scope == "all" or (h.zone == s.host.zone if scope == "zone" else h.cell == s.host.cell)
                    for h in known)
 
-    def choose(self, now: float, job: Job) -> Server | None:
-        fits = (lambda x: self.fits(job, x, now)) if job.avoid or job.kinds else None
-        best = self.fleet.pick(now, job.keys, fits)
-        return best if best is not None or not job.sends else self.fleet.farther(now, job.keys, fits)
+    def select_endpoint(self, now: float, job: PendingRequest) -> TrackedEndpoint | None:
+        fits = (lambda x: self.is_eligible(job, x, now)) if job.tried or job.allowed_kinds else None
+        best = self.pool.select_endpoint(now, job.fault_scope, fits)
+        is_enough = best is not None or not job.sends
+        return best if is_enough else self.pool.select_outside_subset(now, job.fault_scope, fits)
 
-    def send(self, now: float, job: Job) -> bool:
-        if job.sends >= self.set.limits.max_attempts or job.streaming:
+    def send(self, now: float, job: PendingRequest) -> bool:
+        if job.sends >= self.settings.limits.max_attempts or job.is_streaming:
             return False
-        s = self.choose(now, job) if self.set.limits.can_hedge or not job.live else None
+        s = self.select_endpoint(now, job) if self.settings.limits.can_hedge or not job.in_flight else None
         if s is None:
             return False
-        self.out.append(messages.ForwardRequest(job.req.request_id, s.host.id))
-        job.live[job.sends] = (s.host.id, now)
-        self.fleet.sent(s, (job.req.request_id, job.sends), now)
+        self.actions.append(messages.ForwardRequest(job.request.request_id, s.host.id))
+        job.in_flight[job.sends] = (s.host.id, now)
+        self.pool.on_sent(s, (job.request.request_id, job.sends), now)
         job.sends += 1
-        job.avoid.add(s.host.id)
+        job.tried.add(s.host.id)
         job.stage = "sent"
-        self.look(now + self.fleet.patience(job.cls.name), job)
+        self.schedule_check(now + self.pool.attempt_timeout(job.cls.name), job)
         return True
 
-    def earn(self) -> None:
+    def replenish_retries(self) -> None:
         """Each first send allows for a part of a retry."""
-        share = RETRY_SPARE if self.fleet.clear() else RETRY_SHARE
-        self.budget = min(max(2.0, RETRY_MOST / self.set.gateway_count), self.budget + share)
+        share = RETRY_SPARE if self.pool.has_spare_capacity() else RETRY_SHARE
+        self.retry_budget = min(max(2.0, RETRY_MOST / self.settings.gateway_count), self.retry_budget + share)
 
     def drain_queue(self, now: float) -> None:
         queue = self.queue
         if not queue.waiting_count:
             return
-        routes = list(queue.queues_by_route) if self.fleet.room(now) else ()
+        routes = list(queue.queues_by_route) if self.pool.any_capacity(now) else ()
         heads = [head for route in routes if (head := queue.head(route))]
         heapq.heapify(heads)
         while heads:
@@ -570,107 +585,107 @@
                 heapq.heappop(heads)
                 continue
             if first:
-                self.earn()
+                self.replenish_retries()
             queue.pop(route)
             head = queue.head(route)
             heapq.heapreplace(heads, head) if head else heapq.heappop(heads)
-        if queue.waiting_count and self.trial_at <= now:  # no other event may come when a host's rest is over
-            trials = [at for s in self.fleet.resting if s.up for _, at in s.backoff.pauses() if at > now]
-            self.trial_at = min(trials, default=0.0)
+        if queue.waiting_count and self.next_trial_at <= now:  # no other event may come at a pause's end
+            trials = [at for s in self.pool.paused if s.is_up for _, at in s.backoff.pauses() if at > now]
+            self.next_trial_at = min(trials, default=0.0)
 
-    def outcome(self, now: float, event: messages.AttemptOutcome) -> None:
-        job = self.jobs.get(event.request_id)
-        self.fleet.answered(now, event, job.cls if job else None, job.keys if job else ("host",))
+    def on_outcome(self, now: float, event: messages.AttemptOutcome) -> None:
+        job = self.pending.get(event.request_id)
+        self.pool.on_outcome(now, event, job.cls if job else None, job.fault_scope if job else ("host",))
         if job is None:
             return
-        sent = job.live.pop(event.attempt, None)
-        if event.actual_units and self.set.settles_units and job.plan.rate and not job.beyond:
-            job.acct.uncharged += event.actual_units - job.req.units
+        sent = job.in_flight.pop(event.attempt, None)
+        if event.actual_units and self.settings.settles_units and job.plan.rate and not job.over_quota:
+            job.quota.unreported_units += event.actual_units - job.request.units
         if event.is_final:
-            self.close(now, job)
+            self.finish(now, job)
             return
         if event.result in ("error", "timeout", "reset", "cancelled") and sent is not None:
-            job.ran.append(sent)
-        if job.live:
+            job.possibly_executed.append(sent)
+        if job.in_flight:
             return
         cost = {"connect_failed": 0.0, "full": RETRY_FULL}.get(event.result, 1.0)
-        taken = max(TICK, self.fleet.response_times[job.cls.name].mean)
+        taken = max(TICK, self.pool.response_times[job.cls.name].mean)
         late = now + taken > job.deadline or event.result == "moot"
-        if late or self.budget < cost:
-            self.refuse(now, job, 0.0)
+        if late or self.retry_budget < cost:
+            self.reject(now, job, 0.0)
         elif self.send(now, job):
-            self.budget -= cost
-        elif event.result in ("connect_failed", "full", "reset") and self.may_wait(now, job):
+            self.retry_budget -= cost
+        elif event.result in ("connect_failed", "full", "reset") and self.can_queue(now, job):
             # All are busy: no reason to give up what was refused or lost. What was silent or erred has had
             # its time at a host, and in overload would take that of others.
-            self.budget -= cost
-            self.line_up(job)
-            self.look(job.arrived + self.hold(job), job)
+            self.retry_budget -= cost
+            self.enqueue(job)
+            self.schedule_check(job.arrived_at + self.max_queue_time(job), job)
         else:
-            self.refuse(now, job, 0.0)
+            self.reject(now, job, 0.0)
 
-    def may_wait(self, now: float, job: Job) -> bool:
-        more = not job.streaming and job.sends < self.set.limits.max_attempts
-        more = more and now < job.arrived + self.hold(job)
-        return more and any(self.fits(job, s, now) for s in self.fleet.up)
+    def can_queue(self, now: float, job: PendingRequest) -> bool:
+        more = not job.is_streaming and job.sends < self.settings.limits.max_attempts
+        more = more and now < job.arrived_at + self.max_queue_time(job)
+        return more and any(self.is_eligible(job, s, now) for s in self.pool.available)
 
-    def look(self, at: float, job: Job) -> None:
-        heapq.heappush(self.due, (min(at, job.deadline - 2 * TICK), job.req.request_id))
+    def schedule_check(self, at: float, job: PendingRequest) -> None:
+        heapq.heappush(self.scheduled_checks, (min(at, job.deadline - 2 * TICK), job.request.request_id))
 
-    def tick(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         if now >= self.timer_at - 1e-6:
             self.timer_at = math.inf
         if now >= self.watch_at:
             self.watch_at = math.inf
-            self.out.append(messages.WatchEndpoints(True))
-        while self.due and self.due[0][0] <= now + 1e-6:
-            name = heapq.heappop(self.due)[1]
-            if name in self.jobs:
-                self.check(now, self.jobs[name])
+            self.actions.append(messages.WatchEndpoints(True))
+        while self.scheduled_checks and self.scheduled_checks[0][0] <= now + 1e-6:
+            name = heapq.heappop(self.scheduled_checks)[1]
+            if name in self.pending:
+                self.run_check(now, self.pending[name])
 
-    def check(self, now: float, job: Job) -> None:
+    def run_check(self, now: float, job: PendingRequest) -> None:
         ending = now >= job.deadline - 2 * TICK - 1e-6
-        most = {"units": 2 * self.counter.timeout, "queue": self.hold(job)}.get(job.stage, math.inf)
+        most = {"units": 2 * self.counter.timeout, "queue": self.max_queue_time(job)}.get(job.stage, math.inf)
         if job.stage == "ceiling" and not ending:
-            job.acct.promised -= job.req.units
+            job.quota.ceiling.promised -= job.request.units
             job.stage = "slot"
-            self.enqueue(now, job)
-        elif job.stage != "sent" and (ending or now - job.arrived >= most - 1e-6):
-            self.refuse(now, job, 0.0)
-        elif job.stage == "sent" and not ending and not job.streaming:
-            self.late(now, job)
+            self.dispatch(now, job)
+        elif job.stage != "sent" and (ending or now - job.arrived_at >= most - 1e-6):
+            self.reject(now, job, 0.0)
+        elif job.stage == "sent" and not ending and not job.is_streaming:
+            self.on_attempt_timeout(now, job)
 
-    def late(self, now: float, job: Job) -> None:
+    def on_attempt_timeout(self, now: float, job: PendingRequest) -> None:
         """An attempt long without answer: evidence against its host, and reason for another one, whatever the
         cause, but not before that has just time to be answered within the aim. Of many gateways each knows
         too little of usual times to tell silent from slow, and a slow one given up has its work done twice,
         on a new connection. Harm: one more attempt is all that the aim has time for."""
-        patience = self.fleet.patience(job.cls.name) - TICK
-        late = [n for n, (_, sent) in job.live.items() if now - sent >= patience]
-        for number in set(late) - job.late:
-            silent = self.fleet.servers[job.live[number][0]]  # it holds no other's place
-            self.fleet.drop(silent, (job.req.request_id, number))
-            self.fleet.doubt.note(silent.host.id, job.keys, True, now)
-            self.fleet.sites.silent(silent.host.zone, silent.host.id, now)
-            silent.judged.clear()
-        job.late.update(late)
-        times = self.fleet.response_times[job.cls.name]
-        leave = min(job.arrived + job.cls.latency_objective, job.deadline) - times.mean - times.deviation
+        patience = self.pool.attempt_timeout(job.cls.name) - TICK
+        late = [n for n, (_, sent) in job.in_flight.items() if now - sent >= patience]
+        for number in set(late) - job.timed_out:
+            silent = self.pool.endpoints[job.in_flight[number][0]]  # it holds no other's place
+            self.pool.release(silent, (job.request.request_id, number))
+            self.pool.doubt.note(silent.host.id, job.fault_scope, True, now)
+            self.pool.sites.silent(silent.host.zone, silent.host.id, now)
+            silent.scores.clear()
+        job.timed_out.update(late)
+        times = self.pool.response_times[job.cls.name]
+        leave = min(job.arrived_at + job.cls.latency_objective, job.deadline) - times.mean - times.deviation
         after = now + times.deviation
-        self.look(max(now + 2 * TICK, min(after, leave) if now < leave else after), job)
+        self.schedule_check(max(now + 2 * TICK, min(after, leave) if now < leave else after), job)
         if now < leave - TICK:
             return
         # Hardly any is so late at a sound host; where few gateways share all hosts they learn fast as it is.
-        for number in set(late) - job.left if len(self.fleet.near) < len(self.fleet.up) else ():
-            self.fleet.doubt.note(job.live[number][0], job.keys, True, now)
-            self.fleet.servers[job.live[number][0]].judged.clear()
-        job.left.update(late)
-        if not late or len(job.live) > 1 or job.cls.effect == "unsafe" or self.budget < 1.0:
+        for number in set(late) - job.given_up if len(self.pool.subset) < len(self.pool.available) else ():
+            self.pool.doubt.note(job.in_flight[number][0], job.fault_scope, True, now)
+            self.pool.endpoints[job.in_flight[number][0]].scores.clear()
+        job.given_up.update(late)
+        if not late or len(job.in_flight) > 1 or job.cls.effect == "unsafe" or self.retry_budget < 1.0:
             return
-        if self.set.limits.can_hedge:
-            self.budget -= self.send(now, job)
-        elif not self.fleet.clear():
+        if self.settings.limits.can_hedge:
+            self.retry_budget -= self.send(now, job)
+        elif not self.pool.has_spare_capacity():
             return  # all are slow: another one would wait as long, and the work done at this host is lost
-        elif self.set.limits.can_cancel and job.sends < self.set.limits.max_attempts:
-            if self.choose(now, job):  # the outcome of this one starts the next attempt
-                self.out.append(messages.CancelAttempt(job.req.request_id, late[0]))
+        elif self.settings.limits.can_cancel and job.sends < self.settings.limits.max_attempts:
+            if self.select_endpoint(now, job):  # the outcome of this one starts the next attempt
+                self.actions.append(messages.CancelAttempt(job.request.request_id, late[0]))
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -76,15 +76,18 @@
                 if type(act) is messages.ForwardRequest:
                     out.append(act)
                 elif type(act) is messages.AddToCounter:
-                    totals[act.name] += act.amount
-                    queue.append(messages.CounterResult(act.name, "ok", totals[act.name], 0.001))
+                    totals[act.counter_key] += act.amount
+                    total = totals[act.counter_key]
+                    queue.append(messages.CounterResult(act.counter_key, "ok", total, 0.001))
                 elif type(act) is messages.CancelAttempt:
-                    queue.append(messages.AttemptOutcome(act.request_id, act.attempt, "h0", "moot", 0.1, False))
+                    moot = messages.AttemptOutcome(act.request_id, act.attempt, "h0", "moot", 0.1, False)
+                    queue.append(moot)
 
     def answer():
         act = out.popleft()
         bad = act.endpoint_id in dead
-        feed(messages.AttemptOutcome(act.request_id, 0, act.endpoint_id, "reset" if bad else "ok", 0.05, not bad,
+        result = "reset" if bad else "ok"
+        feed(messages.AttemptOutcome(act.request_id, 0, act.endpoint_id, result, 0.05, not bad,
                          load_report={"inflight": 1.0 + rng.random()}))
 
     feed(messages.EndpointList("full", 1, listed))
@@ -103,7 +106,7 @@
         ask()
     most = 39 if queued else most
     for _ in range(held):  # they wait: nothing is answered
-        gateway.fleet.held, gateway.fleet.pressure = 1.0, 0.0
+        gateway.pool.reported_mean_load, gateway.pool.congestion = 1.0, 0.0
         ask()
     if customers > 1000:
         for _ in range(customers):
@@ -145,8 +148,9 @@
         customer = f"{n if what == 'account' else 1:016x}"
         for act in gateway.handle(now, messages.Request(f"r{n}", 3.0, customer, "p", "read", 1.0, 0, 1)):
             if type(act) is messages.ForwardRequest and what == "account":
-                gateway.handle(now, messages.AttemptOutcome(act.request_id, 0, act.endpoint_id, "ok", 0.01, True))
-    most = len(gateway.jobs) if what == "request" else count
+                ended = messages.AttemptOutcome(act.request_id, 0, act.endpoint_id, "ok", 0.01, True)
+                gateway.handle(now, ended)
+    most = len(gateway.pending) if what == "request" else count
     return (tracemalloc.get_traced_memory()[0] - before) / max(1, most)
 
 if sys.argv[2].startswith("held:"):
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -185,7 +185,7 @@
         mine, yours = ([entry(one, "h1", state), entry(two, "h2")] for state in (ours, theirs))
         node.node.listed(read_list({"version": 2, "full": True, "servers": mine}))
         node.node.begin(read_list({"version": 1, "full": True, "servers": yours}, "cached"))
-        assert [s.host.id for s in node.node.core.module.fleet.up] == ["h2"]
+        assert [s.host.id for s in node.node.core.module.pool.available] == ["h2"]
         for n in range(4):
             assert await node.ask(command(b"r%d" % n)) == SERVED
         assert not one.commands and len(two.commands) == 4
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -96,9 +96,9 @@
 
 def roomy(node):
     """Its hosts may have a hundred attempts out."""
-    fleet = node.node.core.module.fleet
+    fleet = node.node.core.module.pool
     fleet.size.scale = 25.0
-    fleet.settle(node.node.clock())
+    fleet.refresh(node.node.clock())
 
 
 class Node:
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -102,12 +102,12 @@
     from helpers import World as Decisions
 
     w = Decisions()
-    accounts = dict(w.gw.accounts)
+    accounts = dict(w.gw.quotas)
     assert w.do(messages.RejectedByPlugin("x", 0.7)) == [messages.Reject("x", 0.7)]
     assert (
         w.do(messages.RejectedByPlugin("y", 60.0)) == [messages.Reject("y", 1.0)]
-        and w.gw.accounts == accounts
-        and not w.gw.jobs
+        and w.gw.quotas == accounts
+        and not w.gw.pending
     )
 
 
--- a/tests/routing/test_sites.py
+++ b/tests/routing/test_sites.py
@@ -92,7 +92,7 @@
             bad = int(sends[0].endpoint_id[1:]) % 8 == 0  # one in eight, in all sites
             acts = w.end(sends[0], "connect_failed" if bad else "ok", attempt=attempt, final=not bad)
             attempt += 1
-        low = min(low, *(w.gw.fleet.sites.part(zone, w.now) for zone in "abc"))
+        low = min(low, *(w.gw.pool.sites.part(zone, w.now) for zone in "abc"))
         w.now += 0.3
     assert low >= 0.2
 
@@ -117,7 +117,7 @@
     assert zones(60) == set("ac")  # a new list does not bring it back
     w.do(messages.EvacuateZones(("a", "b", "c")))
     assert zones(60) == set("abc")  # to leave all is to leave none
-    rings = [server.ring for server in w.gw.fleet.up]
+    rings = [server.ring_position for server in w.gw.pool.available]
     assert rings == sorted(rings)
     w.do(messages.EvacuateZones(()))
     assert zones(60) == set("abc")
--- a/tests/routing/test_subset.py
+++ b/tests/routing/test_subset.py
@@ -94,17 +94,17 @@
         for send in of(w.ask(plan="p")[1], messages.ForwardRequest):
             w.end(send)
         w.now += 0.02
-    assert len(w.gw.fleet.near) == 50
+    assert len(w.gw.pool.subset) == 50
     ended(w, 60)
     w.do(messages.EndpointList("delta", 9, (host("h50"),)))  # narrower when the list changes next
-    assert len(w.gw.fleet.near) < 25
+    assert len(w.gw.pool.subset) < 25
 
 
 def test_a_repeat_that_only_its_cell_may_get_leaves_the_subset():
     w = crowd()
-    near = {s.host.id for s in w.gw.fleet.near}
-    cells = Counter(s.host.cell for s in w.gw.fleet.near)
-    w.gw.fleet.doubt.pool["host"] = 0.02
+    near = {s.host.id for s in w.gw.pool.subset}
+    cells = Counter(s.host.cell for s in w.gw.pool.subset)
+    w.gw.pool.doubt.pool["host"] = 0.02
     seen = 0
     for _ in range(60):
         send = of(w.ask(plan="p", cls="cellwrite")[1], messages.ForwardRequest)[0]
@@ -121,7 +121,7 @@
 def test_no_host_of_the_subset_left_is_no_reason_to_refuse_a_second_attempt():
     w = crowd()
     sent, refused = [], 0
-    dead = {s.host.id for s in w.gw.fleet.near}
+    dead = {s.host.id for s in w.gw.pool.subset}
     for _ in range(30):
         acts = w.ask(plan="p")[1]
         while sends := of(acts, messages.ForwardRequest):
@@ -147,7 +147,7 @@
     w = World(settings(plans=[BIG], gateway_count=gateways, limits=limits), listed)
     send = of(w.ask(plan="p", cls="note")[1], messages.ForwardRequest)[0]
     w.wait(1.1)  # its aim is a second
-    doubt = w.gw.fleet.doubt.at(send.endpoint_id, "host", w.now)
+    doubt = w.gw.pool.doubt.at(send.endpoint_id, "host", w.now)
     assert (doubt > 0.6) == sure and doubt > 0.15
 
 
@@ -174,14 +174,14 @@
 
 def test_what_moved_choices_is_counted():
     w = crowd()
-    moved, name = w.gw.fleet.moved_by, next(iter(w.gw.fleet.near)).host.id
+    moved, name = w.gw.pool.choice_counts, next(iter(w.gw.pool.subset)).host.id
     while not moved["report"]:
         for send in of(w.ask(plan="p")[1], messages.ForwardRequest):
             w.end(send, load_report={"queue": 0.0})
     assert moved["mean"] and not moved["outside"] and not moved["doubted"]
-    w.gw.fleet.doubt.note(name, ("host",), True, w.now)
-    for server in w.gw.fleet.near:
-        server.judged.clear()
+    w.gw.pool.doubt.note(name, ("host",), True, w.now)
+    for server in w.gw.pool.subset:
+        server.scores.clear()
     before = moved["doubted"]
     ended(w, 200)
     assert moved["doubted"] > before
--- /dev/null
+++ b/tests/routing/test_token_bucket.py
@@ -0,0 +1,98 @@
+"""One part of a token bucket, with reserved units."""
+
+import math
+
+import pytest
+from hypothesis import given, seed, settings
+from hypothesis import strategies as st
+
+from apigateway.routing.token_bucket import TokenBucketShare
+
+
+def bucket(tokens=0.0, rate=10.0, burst=40.0, parts=2):
+    return TokenBucketShare(rate, burst, parts, tokens, 100.0)
+
+
+def test_it_fills_by_its_part_of_the_rate_up_to_its_part_of_the_burst():
+    share = bucket()
+    assert share.available(101.0) == pytest.approx(5.0)
+    assert share.available(200.0) == share.capacity == 20.0
+
+
+def test_the_fill_time_is_that_of_the_whole_bucket():
+    assert bucket().fill_time == bucket(parts=5).fill_time == 4.0
+    assert bucket(rate=0.0).fill_time == 0.0
+
+
+def test_time_that_goes_back_fills_nothing():
+    share = bucket()
+    assert share.available(101.0) == share.available(99.0) == share.available(101.0)
+
+
+def test_without_a_rate_there_is_no_limit_and_no_wait():
+    share = bucket(rate=0.0, burst=0.0)
+    assert share.available(100.0) == math.inf
+    assert share.wait_time(100.0, 5.0, False) == 0.0
+
+
+def test_the_wait_is_the_time_to_fill_behind_what_is_promised():
+    share = bucket(tokens=2.0)
+    assert share.wait_time(100.0, 2.0, False) == 0.0
+    assert share.wait_time(100.0, 4.0, False) == pytest.approx(2.0 / 5.0)
+    share.promised = 5.0
+    assert share.wait_time(100.0, 4.0, False) == pytest.approx(7.0 / 5.0)
+
+
+def test_units_beyond_the_capacity_never_come():
+    assert bucket(tokens=20.0).wait_time(100.0, 21.0, False) == math.inf
+
+
+def test_reserved_units_are_there_for_one_that_reserved_them_only():
+    share = bucket(tokens=10.0)
+    share.reserve(4.0)
+    assert share.available(100.0) == 6.0
+    assert share.available(100.0, from_reserved=True) == 10.0
+    share.take_reserved(4.0)
+    assert share.available(100.0) == share.available(100.0, from_reserved=True) == 6.0
+
+
+def test_reserved_units_used_late_limit_what_is_granted():
+    share = bucket(tokens=10.0)
+    share.take_reserved(4.0)
+    assert share.available(100.0) == 6.0
+
+
+def test_cancelled_units_come_back_to_what_may_be_granted_only():
+    share = bucket(tokens=10.0)
+    share.reserve(4.0)
+    share.cancel_reserved(4.0)
+    assert (share.tokens, share.reserved) == (10.0, 0.0)
+
+
+def test_smaller_parts_hold_less():
+    share = bucket(tokens=18.0)
+    share.reserve(4.0)
+    share.set_parts(4)
+    assert (share.capacity, share.tokens, share.reserved) == (10.0, 10.0, 0.0)
+
+
+STEPS = st.tuples(st.sampled_from(["pass", "take", "reserve", "take_reserved"]), st.integers(0, 8))
+
+
+@seed(3)
+@settings(max_examples=200, deadline=None, database=None)
+@given(st.lists(STEPS, max_size=40))
+def test_it_does_as_two_buckets_for_what_is_granted_and_what_is_used(steps):
+    share, granted, used, now = bucket(tokens=20.0), 20.0, 20.0, 100.0
+    for what, amount in steps:
+        if what == "pass":
+            now += amount / 4
+            granted = min(20.0, granted + amount / 4 * 5.0)
+            used = min(20.0, used + amount / 4 * 5.0)
+            share.available(now)
+        else:
+            getattr(share, what)(amount)
+            granted -= amount * (what != "take_reserved")
+            used -= amount * (what != "reserve")
+        assert share.tokens == pytest.approx(granted)
+        assert share.tokens + share.reserved == pytest.approx(used)
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -45,7 +45,7 @@
     assert [one.remaining for one in granted] == sorted((one.remaining for one in granted), reverse=True)
     assert granted[-1].remaining < 1.0 and 0 < granted[0].reset_after <= 4.0
     assert all(one.is_over_quota and one.retry_after > 0 for one in denied)
-    assert not w.gw.jobs and not w.gw.fleet.out
+    assert not w.gw.pending and not w.gw.pool.attempts_out
 
 
 def test_checks_and_requests_share_one_store():
@@ -81,17 +81,17 @@
     w = world(gateway_count=2)
     w.mode = "hold"
     first = [check(w, spread=2) for _ in range(8)]
-    waiting = [job.req.request_id for job in w.gw.jobs.values()]
+    waiting = [job.request.request_id for job in w.gw.pending.values()]
     assert None in first and waiting
     w.do(messages.ClientDisconnected(waiting[0]))
     acts = w.wait(1.0)
     answered = [a.request_id for a in of(acts, messages.QuotaGranted) + of(acts, messages.QuotaDenied)]
-    assert sorted(answered) == sorted(waiting[1:]) and not w.gw.jobs
+    assert sorted(answered) == sorted(waiting[1:]) and not w.gw.pending
     # The counter's answer comes after all that: what it granted is a lease, and spent by whoever is next.
     call = next(act for _, act in w.log if isinstance(act, messages.AddToCounter))
     w.mode = "answer"
     w.do(messages.CounterResult(call.counter_key, "ok", call.amount, 0.3))
-    assert w.gw.accounts["c"].lease > 0 and passed(w)
+    assert w.gw.quotas["c"].leased_units > 0 and passed(w)
 
 
 def test_what_is_given_back_can_be_spent_again_in_its_window_only():
@@ -102,9 +102,9 @@
     assert sum(passed(w) for _ in range(6)) == 3
     w.now += 8.0
     assert passed(w)
-    lease = w.gw.accounts["c"].lease
+    lease = w.gw.quotas["c"].leased_units
     w.do(messages.ReturnUnits("c", 3.0, told[-1].window_index))
-    assert w.gw.accounts["c"].lease == lease
+    assert w.gw.quotas["c"].leased_units == lease
     w.do(messages.ReturnUnits("nobody", 3.0, 1))
 
 
@@ -114,12 +114,12 @@
     told = check(w)
     for _ in range(5):
         w.do(messages.ReturnUnits("c", 4.0, told.window_index))
-    assert w.gw.accounts["c"].cap <= 8.0
+    assert w.gw.quotas["c"].ceiling.tokens <= 8.0
 
 
 def test_in_overload_of_the_hosts_checks_are_shed_as_requests_are():
     w = world(gateway_count=8, plans=[plan(rate=1000.0, burst=1000.0)])
-    w.gw.pass_share, w.gw.fleet.pressure, w.gw.fleet.answer_at = 0.1, 1.0, w.now
+    w.gw.admitted_share, w.gw.pool.congestion, w.gw.pool.congestion_at = 0.1, 1.0, w.now
     told = [check(w, f"c{n}") for n in range(200)]
     shed = [one for one in told if isinstance(one, messages.QuotaDenied)]
     assert len(shed) > 100 and not any(one.is_over_quota for one in shed)
@@ -216,4 +216,4 @@
     answered = [a.request_id for _, a in w.log if isinstance(a, messages.QuotaGranted | messages.QuotaDenied)]
     assert len(answered) == len(set(answered)) and set(answered) <= set(asked)
     assert set(asked) - set(answered) <= gone
-    assert READ.deadline > 1.0 and not [job for job in w.gw.jobs.values() if job.check]
+    assert READ.deadline > 1.0 and not [job for job in w.gw.pending.values() if job.is_check]
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -69,14 +69,18 @@
 
 
 def index_is_true(fleet, now):
-    free = {s.host.id for s in fleet.servers.values() if s.up and len(s.out) < s.places}
-    assert {s.host.id for s in fleet.free} == free and len(fleet.free) == len(free)
-    assert all(fleet.free[s.position] is s for s in fleet.free)
-    assert all((s.position >= 0) == (s.host.id in free) for s in fleet.up)
-    assert fleet.out == sum(len(s.out) for s in fleet.servers.values())
-    assert {s for s in fleet.up if s.backoff} <= fleet.resting
+    free = {
+        s.host.id
+        for s in fleet.endpoints.values()
+        if s.is_up and len(s.attempts_out) < s.max_attempts
+    }
+    assert {s.host.id for s in fleet.with_capacity} == free and len(fleet.with_capacity) == len(free)
+    assert all(fleet.with_capacity[s.position] is s for s in fleet.with_capacity)
+    assert all((s.position >= 0) == (s.host.id in free) for s in fleet.available)
+    assert fleet.attempts_out == sum(len(s.attempts_out) for s in fleet.endpoints.values())
+    assert {s for s in fleet.available if s.backoff} <= fleet.paused
     if now >= fleet.full_until:
-        assert fleet.room(now) == any(fleet.may_send(s, now) for s in fleet.up)
+        assert fleet.any_capacity(now) == any(fleet.has_capacity(s, now) for s in fleet.available)
 
 
 STEPS = st.lists(
@@ -161,7 +165,7 @@
             event = messages.EndpointList("full" if what == "list" else "delta", number + 2, tuple(states))
             oracle.listed(event)
             oracle.acts(w.do(event))
-        index_is_true(w.gw.fleet, w.now)
+        index_is_true(w.gw.pool, w.now)
 
 
 def ask(w, count, cls="read", left=3.0):
@@ -177,7 +181,7 @@
 def test_what_waits_goes_out_as_soon_as_a_host_is_free_however_many_are_full():
     w = world(many(200))
     out = ask(w, 900)
-    assert len(out) == 800 == w.gw.fleet.out and not w.gw.fleet.free
+    assert len(out) == 800 == w.gw.pool.attempts_out and not w.gw.pool.with_capacity
     waiting = w.gw.queue.waiting_count
     assert waiting
     for send in out[:waiting]:
@@ -194,7 +198,7 @@
                 w.end(send)
                 served += 1
         w.wait(0.05)
-    silent = [len(s.out) for s in w.gw.fleet.servers.values() if int(s.host.id[1:]) % 2 == 0]
+    silent = [len(s.attempts_out) for s in w.gw.pool.endpoints.values() if int(s.host.id[1:]) % 2 == 0]
     late = [s for s in ask(w, 200) if int(s.endpoint_id[1:]) % 2]
     assert served > 500 and sum(silent) < 4 * 500 and len(late) > 110  # they draw less than their half now
 
@@ -230,7 +234,7 @@
     for version in range(20):
         w.do(messages.EndpointList("full", version + 2, tuple(states if version % 2 == 0 else many(1000))))
     w.do(messages.EndpointList("full", 99, tuple(states)))
-    assert {s.endpoint_id for s in ask(w, 30)} <= set(left) and len(w.gw.fleet.up) == 3
+    assert {s.endpoint_id for s in ask(w, 30)} <= set(left) and len(w.gw.pool.available) == 3
 
 
 def test_a_fleet_under_ever_new_names_is_forgotten_at_once():
@@ -244,7 +248,7 @@
     w.do(messages.EndpointList("full", 99, tuple(many(3))))
     w.now += 100.0
     w.do(messages.EndpointList("full", 100, tuple(many(3))))
-    assert len(w.gw.fleet.servers) == 3 and len(w.gw.fleet.doubt.hosts) <= 3
+    assert len(w.gw.pool.endpoints) == 3 and len(w.gw.pool.doubt.hosts) <= 3
 
 
 def test_no_work_of_a_choice_grows_with_the_fleet():
@@ -252,13 +256,13 @@
     looked = {}
     for count in (100, 1000, 3000):
         w = world(many(count))
-        seen, real = [0], w.gw.fleet.may_send
+        seen, real = [0], w.gw.pool.has_capacity
 
         def counted(*args, seen=seen, real=real):
             seen[0] += 1
             return real(*args)
 
-        w.gw.fleet.may_send = counted
+        w.gw.pool.has_capacity = counted
         for send in ask(w, 100):
             w.end(send)
         looked[count] = seen[0] / 100
@@ -269,7 +273,7 @@
     w = world(many(1000))
     ask(w, 4000)
     w.wait(TICK)
-    seen, real = [0], w.gw.fleet.may_send
-    w.gw.fleet.may_send = lambda *args: (seen.__setitem__(0, seen[0] + 1), real(*args))[1]
+    seen, real = [0], w.gw.pool.has_capacity
+    w.gw.pool.has_capacity = lambda *args: (seen.__setitem__(0, seen[0] + 1), real(*args))[1]
     ask(w, 50)
     assert seen[0] == 0
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -42,8 +42,8 @@
                 told += gateway.handle(now, messages.CounterResult(act.counter_key, "ok", act.amount, 0.001))
         (sent,) = of(told, messages.ForwardRequest)
         gateway.handle(now, messages.AttemptOutcome(sent.request_id, 0, sent.endpoint_id, "ok", 0.001, True))
-        assert len(gateway.accounts) <= 20_000
-    assert not gateway.jobs and not gateway.queue.entry_count
+        assert len(gateway.quotas) <= 20_000
+    assert not gateway.pending and not gateway.queue.entry_count
     # The counter hears of those only that look like one that was forgotten: few names, each for some seconds.
     assert len(calls) <= 200_000 * 0.05 and max(call.lifetime for call in calls) <= 12.0
 
@@ -53,11 +53,11 @@
     for n in range(2_000):
         w.now += 0.0005
         asked(w, f"{n:016x}")
-    assert len(w.gw.accounts) == 2_000
+    assert len(w.gw.quotas) == 2_000
     w.now += IDLE_MOST + 30
     for n in range(1_000):
         asked(w, f"late-{n}")
-    assert len(w.gw.accounts) <= 1_000 + 2_000 - FREED_AT_ONCE * 400
+    assert len(w.gw.quotas) <= 1_000 + 2_000 - FREED_AT_ONCE * 400
 
 
 def test_one_customer_with_a_tenth_of_all_keeps_to_its_quota_among_ever_new_ones():
@@ -104,11 +104,12 @@
 def test_with_nobody_to_forget_a_new_one_is_told_when_to_come_back():
     w = World(module_settings(plans=[plan(rate=100.0, burst=100.0)], max_customers=2, gateway_count=1), HOSTS)
     held = [w.ask(name, spread=1)[1] for name in ("a", "b")]  # their requests are out
-    w.gw.accounts["a"].open_here = w.gw.accounts["b"].open_here = 1
+    w.gw.quotas["a"].open_attempts = w.gw.quotas["b"].open_attempts = 1
     name, acts = w.ask("c", spread=1)
-    assert acts == [messages.Reject(name, 1.0)] and name not in w.gw.jobs and set(w.gw.accounts) == {"a", "b"}
-    w.gw.accounts["a"].open_here = 0
-    assert of(w.ask("c", spread=1)[1], messages.ForwardRequest) and "a" not in w.gw.accounts and held
+    assert acts == [messages.Reject(name, 1.0)] and name not in w.gw.pending
+    assert set(w.gw.quotas) == {"a", "b"}
+    w.gw.quotas["a"].open_attempts = 0
+    assert of(w.ask("c", spread=1)[1], messages.ForwardRequest) and "a" not in w.gw.quotas and held
 
 
 @seed(13)
@@ -126,7 +127,7 @@
         w.now += gap
         if asked(w, f"{customer:016x}"):
             passed.setdefault(customer, []).append(w.now)
-        assert len(w.gw.accounts) <= 3
+        assert len(w.gw.quotas) <= 3
     for times in passed.values():
         for i, start in enumerate(times):
             for j in range(i, len(times)):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -64,8 +64,8 @@
         hosts = (host(f"h{n}"), host(f"h{n - 1}", state="leaving" if n % 2 else "down"))
         w.do(messages.EndpointList("full" if n % 3 else "delta", n, hosts))
         w.now += 2.0
-    assert len(w.gw.fleet.servers) < 40 and len(w.gw.fleet.up) == 1
-    assert len(w.gw.fleet.doubt.hosts) < 40
+    assert len(w.gw.pool.endpoints) < 40 and len(w.gw.pool.available) == 1
+    assert len(w.gw.pool.doubt.hosts) < 40
 
 
 def test_a_host_that_is_gone_is_known_while_something_is_out_there():
@@ -75,10 +75,10 @@
     w.do(messages.EndpointList("full", 2, (host(other),)))
     w.now += 100.0
     w.do(messages.EndpointList("full", 3, (host(other),)))
-    assert send.endpoint_id in w.gw.fleet.servers
+    assert send.endpoint_id in w.gw.pool.endpoints
     w.end(send)
     w.do(messages.EndpointList("full", 4, (host(other),)))
-    assert send.endpoint_id not in w.gw.fleet.servers
+    assert send.endpoint_id not in w.gw.pool.endpoints
 
 
 def test_a_fleet_that_has_just_started_as_a_whole_is_served_by_from_the_first_second_on():
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -154,11 +154,11 @@
         while any(line.transport is None for line in node.node.counter.lines):
             await asyncio.sleep(0)
         await node.ask(command())
-        (acct,) = node.node.core.module.accounts.values()
-        now = acct.start + acct.length + 1.0  # early in a window, whenever this runs
+        (acct,) = node.node.core.module.quotas.values()
+        now = acct.window_start + acct.window_length + 1.0  # early in a window, whenever this runs
         node.node.core.clock = lambda: now
         await node.ask(command(b"r"))
-        acct.debt = 10 / 3  # an overdraft of the last window, brought along once the first call is answered
+        acct.debt_units = 10 / 3  # of the last window, brought along once the first call is answered
         replies = [await node.ask(command(b"r%d" % n)) for n in range(90)]
         assert len(node.counter.calls) > 3
         assert max(node.counter.totals.values()) < 6 + 1.1 * replies.count(SERVED)
@@ -176,8 +176,8 @@
             return (await node.ask(command(b"r%d" % n, terms(spread=2)))) == SERVED
 
         await ask(1)
-        (acct,) = node.node.core.module.accounts.values()
-        now = acct.start + acct.length + 0.5  # at the same place of its windows, whenever this runs
+        (acct,) = node.node.core.module.quotas.values()
+        now = acct.window_start + acct.window_length + 0.5  # at one place of its windows
         for window in range(4):  # all that the counter tells of is used here, though two could
             node.node.core.clock = lambda at=now + 2 * window: at
             for n in range(14):
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -60,7 +60,7 @@
         with caplog.at_level(logging.CRITICAL):
             assert await node.ask(command(b"bad")) == b"-ERR failed\r\n"
             assert await node.ask(command(b"good")) == SERVED
-        assert module.jobs == {} and not node.node.core.works
+        assert module.pending == {} and not node.node.core.works
 
 
 @on_loop
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -22,7 +22,7 @@
         self.jobs = []
 
     def add(self, job):
-        at = sum(1 for one in self.jobs if (not one.beyond, one.value) <= (not job.beyond, job.value))
+        at = sum(1 for one in self.jobs if (not one.over_quota, one.value) <= (not job.over_quota, job.value))
         self.jobs.insert(at, job)
 
     def drain(self, send):
@@ -39,13 +39,14 @@
 
 
 class Waiting:
-    """As much of pending_queue.Job as the queue looks at."""
+    """As much of pending_queue.PendingRequest as the queue looks at."""
 
     def __init__(self, number, lane, value, beyond):
-        self.lane, self.value, self.beyond, self.done = lane, value, beyond, False
+        self.lane, self.value, self.over_quota, self.done = lane, value, beyond, False
         self.cls = messages.ServiceClass(lane, 1, 3, "safe", "all", 0, 1, 0, False, 0)
-        self.kinds, self.avoid = (), set()
-        self.ran, self.live, self.req = [], {}, messages.Request(f"r{number}", 3, "c", "p", lane, 1, 0, 1)
+        self.allowed_kinds, self.tried = (), set()
+        self.possibly_executed, self.in_flight = [], {}
+        self.request = messages.Request(f"r{number}", 3, "c", "p", lane, 1, 0, 1)
 
 
 def drained(queue, send):
@@ -125,8 +126,8 @@
 @pytest.mark.parametrize("held", [200, 20_000])
 def test_what_waits_is_not_looked_through(monkeypatch, held):
     w, out = waiting_world(monkeypatch, held)
-    tried, choose = [], w.gw.choose
-    monkeypatch.setattr(w.gw, "choose", lambda now, job: tried.append(job) or choose(now, job))
+    tried, choose = [], w.gw.select_endpoint
+    monkeypatch.setattr(w.gw, "select_endpoint", lambda now, job: tried.append(job) or choose(now, job))
     for send in out[:10]:
         w.end(send)
     assert len(tried) <= 30  # for each that ends one is sent, and one finds that there is no more room
@@ -150,7 +151,7 @@
     acts += w.wait(3.0)
     refused = [a.request_id for a in of(acts, messages.Reject)]
     assert not of(acts, messages.ForwardRequest) and len(refused) == len(set(refused)) == held - len(answered)
-    assert not answered & set(refused) and not w.gw.jobs and not w.gw.queue.waiting_count
+    assert not answered & set(refused) and not w.gw.pending and not w.gw.queue.waiting_count
     w.do(messages.EndpointList("full", 3, (host("h9"),)))  # and what comes then is served
     name, acts = w.ask(spread=1)
     assert [a.request_id for a in of(acts, messages.ForwardRequest)] == [name]
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -66,8 +66,8 @@
     start = w.now
     n = served(w, 60)
     assert n <= 8 / 2 + 2 * (w.now - start) + 4  # the even share, never a lease
-    assert all(not j.stage == "units" for j in w.gw.jobs.values())
-    assert w.gw.accounts["c"].lease == 0
+    assert all(not j.stage == "units" for j in w.gw.pending.values())
+    assert w.gw.quotas["c"].leased_units == 0
 
 
 def test_silent_counter_calls_back_off():
@@ -158,7 +158,7 @@
     w = World()
     acct_len = 4.0
     w.ask()
-    phase = w.gw.accounts["c"].start
+    phase = w.gw.quotas["c"].window_start
     w.now = phase + 2 * acct_len - 0.5  # late in a window that nothing was drawn in
     n = served(w, 60)
     assert n <= 8 + 4 + 1  # the burst, and what its even part passed uncharged
@@ -173,7 +173,7 @@
         for w in (a, b):
             w.now = max(a.now, b.now)
             served(w, 60)
-        start = a.gw.accounts["c"].start
+        start = a.gw.quotas["c"].window_start
         a.now = b.now = start + 4.0 + 0.001
         assert max(a.counts.values()) <= 40 + 10 * 4 + 3, turn  # never more owed than was drawn
 
@@ -214,7 +214,7 @@
         for s in of(w.ask()[1], messages.ForwardRequest):
             w.end(s)
         w.wait(0.04)
-    assert w.gw.counter.fails == 0
+    assert w.gw.counter.failures == 0
     assert [a for t, a in w.log if isinstance(a, messages.AddToCounter) and t > start]
 
 
@@ -235,14 +235,14 @@
         acts = w.ask()[1]
         calls, n = calls + of(acts, messages.AddToCounter), n + len(of(acts, messages.ForwardRequest))
     acts = w.do(messages.CounterResult(calls[0].counter_key, "timeout", 0, 0.05))
-    assert w.gw.accounts["c"].lease == 0 and n + len(of(acts, messages.ForwardRequest)) <= 5
+    assert w.gw.quotas["c"].leased_units == 0 and n + len(of(acts, messages.ForwardRequest)) <= 5
     assert len(of(acts, messages.Reject)) >= 3
 
 
 def test_what_a_quiet_half_lets_pass_too_much_is_taken_from_the_next_window():
     w = World(settings(plans=[plan(rate=2.0, burst=40.0)]))
     w.ask()
-    w.now = w.gw.accounts["c"].start + 2 * 20.0 - 0.5
+    w.now = w.gw.quotas["c"].window_start + 2 * 20.0 - 0.5
     n, start = served(w, 120), w.now
     assert n <= 80
     w.now += 1.0
@@ -280,7 +280,7 @@
         for send in of(w.ask(f"c{n}")[1], messages.ForwardRequest):
             w.end(send)
         w.now += 0.1
-    assert len(w.gw.accounts) < 350 and busy
+    assert len(w.gw.quotas) < 350 and busy
 
 
 def test_a_spoilt_answer_of_the_counter_does_not_stop_the_next_call():
@@ -345,7 +345,7 @@
     w = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
     w.mode = "hold"
     call = next_call(w)
-    w.gw.accounts["c"].debt = 5.0
+    w.gw.quotas["c"].debt_units = 5.0
     w.do(
         messages.CounterResult(call.counter_key, "timeout", 0.0, 0.002)
     )  # its line broke: it may have been added
@@ -358,7 +358,7 @@
     w = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
     w.mode = "hold"
     call = next_call(w)
-    w.gw.accounts["c"].debt = 5.0
+    w.gw.quotas["c"].debt_units = 5.0
     assert of(w.do(messages.CounterResult(call.counter_key, "ok", call.amount, 0.002)), messages.AddToCounter)
     w.do(messages.CounterResult(call.counter_key, "full", 0.0, 0.002))  # the overdraft
     second = next_call(w)
@@ -435,8 +435,8 @@
             for send in of(w.ask(customer=f"c{k}", cls="write", spread=100)[1], messages.ForwardRequest):
                 served += 1
                 w.end(send)
-            acct = w.gw.accounts[f"c{k}"]
-            most, unasked = max(most, acct.total), unasked + (acct.uncharged > 0)
+            acct = w.gw.quotas[f"c{k}"]
+            most, unasked = max(most, acct.total_units), unasked + (acct.unreported_units > 0)
             w.now += 4.0  # the next window, of which half the quota is used
     assert unasked and most <= 3.0 and served > 580
 
@@ -448,13 +448,13 @@
     first, second = World(conf), World(conf, seed=2)
     first.counts = second.counts  # one counter
     served(first, 1, spread=60)
-    acct = first.gw.accounts["c"]
-    turn = acct.start + acct.length
+    acct = first.gw.quotas["c"]
+    turn = acct.window_start + acct.window_length
     first.now = turn - 0.1
     assert served(first, 20, spread=60) + 1 >= 7
     second.now = turn + 0.05
     assert 2 <= served(second, 20, spread=60) <= 4
-    second.now = turn + 0.6 * acct.length
+    second.now = turn + 0.6 * acct.window_length
     assert served(second, 20, spread=60) >= 3  # and has the rest later
 
 
@@ -462,7 +462,8 @@
     for burst in (0.5, 1.0, 2.0, 9.0):
         w = World(settings(plans=[plan(rate=0.5, burst=burst)]))
         w.ask(spread=60)
-        acct = w.gw.accounts["c"]
-        held = [acct.hold(acct.start + part * acct.length) for part in (0.0, 0.25, 0.5, 1.0)]
+        acct = w.gw.quotas["c"]
+        times = [acct.window_start + part * acct.window_length for part in (0.0, 0.25, 0.5, 1.0)]
+        held = [acct.window_limit(time) for time in times]
         assert held == sorted(held) and held[0] <= max(0.5 * burst, min(burst, 1.0))
         assert held[-1] <= 1.1 * burst + 1e-9
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -235,7 +235,7 @@
         for s in of(w.ask(customer=f"c{k}")[1], messages.ForwardRequest):
             w.end(s)
         w.now += 1.0
-    assert len(w.gw.accounts) < 70
+    assert len(w.gw.quotas) < 70
 
 
 def test_an_idle_account_is_kept_until_its_ceiling_would_be_full_again():
--- a/tests/test_reserved.py
+++ b/tests/test_reserved.py
@@ -61,11 +61,11 @@
     for _ in range(3):
         told = ask(w, messages.QuotaReservation)
         w.do(messages.ReturnReservation("c", 1.0, told.window_index))
-    acct = w.gw.accounts["c"]
-    assert acct.cap == pytest.approx(8.0) and acct.ahead == pytest.approx(0.0)
+    acct = w.gw.quotas["c"]
+    assert acct.ceiling.tokens == pytest.approx(8.0) and acct.ceiling.reserved == pytest.approx(0.0)
     told = ask(w, messages.QuotaCheck)
     w.do(messages.ReturnUnits("c", 1.0, told.window_index))
-    assert acct.cap == pytest.approx(8.0) and acct.ahead == pytest.approx(0.0)
+    assert acct.ceiling.tokens == pytest.approx(8.0) and acct.ceiling.reserved == pytest.approx(0.0)
 
 
 def test_where_nothing_was_reserved_the_two_stores_are_one():
@@ -74,7 +74,7 @@
         w.now += 0.1
         ask(w, messages.QuotaCheck)
         ask(w, messages.Request)
-        assert w.gw.accounts["c"].ahead == 0.0
+        assert w.gw.quotas["c"].ceiling.reserved == 0.0
 
 
 def over(times, burst, rate):
@@ -219,8 +219,8 @@
     w = world([plan(rate=100.0, burst=200.0, ceiling_rate=100.0, ceiling_burst=200.0)])
     w.now += 10.0
     ask(w, messages.QuotaCheck, units=0.0)
-    acct = w.gw.accounts["c"]
-    full, rate, a, b, at, purse = 200.0, 100.0, acct.cap, acct.cap, w.now, []
+    acct = w.gw.quotas["c"]
+    full, rate, a, b, at, purse = 200.0, 100.0, acct.ceiling.tokens, acct.ceiling.tokens, w.now, []
     for kind, amount in steps:
         if kind == "wait":
             w.now += amount
@@ -245,8 +245,9 @@
             if kind is messages.QuotaReservation:
                 purse.append((told, units))
         assert min(a, b) >= -1e-6
-        acct.ceiling_room(w.now)
-        assert (acct.cap, acct.cap + acct.ahead) == (pytest.approx(a), pytest.approx(b))
+        acct.ceiling.available(w.now)
+        tokens = acct.ceiling.tokens
+        assert (tokens, tokens + acct.ceiling.reserved) == (pytest.approx(a), pytest.approx(b))
 
 
 def test_sets_of_different_sizes_share_by_the_larger_one():
@@ -283,4 +284,4 @@
     ]
     assert len(sent) == 3 and sent[:2] == [0.0, 0.0] and 0.24 < sent[2] < 0.3
     assert len(refused) == 9 and max(refused) == 0.0
-    assert all(a.promised == 0.0 for a in w.gw.accounts.values())
+    assert all(a.ceiling.promised == 0.0 for a in w.gw.quotas.values())
