--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -15,7 +15,7 @@
 from apigateway.hashing import Forgotten, stable_hash
 from apigateway.policy.counter_health import CROWDED, CounterHealth
 from apigateway.policy.customer_quota import CustomerQuota
-from apigateway.policy.endpoint import TrackedEndpoint
+from apigateway.policy.endpoint import EndpointState
 from apigateway.policy.endpoint_pool import GAIN, LIMIT_MOST, PRESS_SPAN, TICK, EndpointPool
 from apigateway.policy.pending_queue import PendingQueue, PendingRequest
 from apigateway.routing.fault_scope import FaultScope
@@ -148,9 +148,8 @@
         value = worth / max(self.pool.response_times[cls.name].mean, 1e-6)
         job = PendingRequest(req, cls, plan, quota, now, now + req.remaining, worth, value, keys)
         self.pending[req.request_id] = job
-        if kind is not messages.Request:
-            job.is_check = isinstance(req, messages.QuotaCheck)
-            job.is_prepaid = kind is messages.PrepaidRequest
+        job.is_check = isinstance(req, messages.QuotaCheck)
+        job.is_prepaid = kind is messages.PrepaidRequest
         route = self.settings.routes.get(req.route) if req.route else None
         kinds = route.endpoint_kinds if route else ()
         if route and not (route.fallback and all(s.host.kind not in kinds for s in self.pool.available)):
@@ -529,7 +528,7 @@
             self.count_open_attempt(job.quota, job.slot, -1)
         job.quota.open_attempts -= job.slot < 0
 
-    def is_eligible(self, job: PendingRequest, s: TrackedEndpoint, now: float) -> bool:
+    def is_eligible(self, job: PendingRequest, s: EndpointState, now: float) -> bool:
         if job.allowed_kinds and s.host.kind not in job.allowed_kinds:
             return False
         unproven = job.possibly_executed + list(job.in_flight.values())
@@ -544,7 +543,7 @@
         return all(scope == "all" or (h.zone == s.host.zone if scope == "zone" else h.cell == s.host.cell)
                    for h in known)
 
-    def select_endpoint(self, now: float, job: PendingRequest) -> TrackedEndpoint | None:
+    def select_endpoint(self, now: float, job: PendingRequest) -> EndpointState | None:
         fits = (lambda x: self.is_eligible(job, x, now)) if job.tried or job.allowed_kinds else None
         best = self.pool.select_endpoint(now, job.fault_scope, fits)
         is_enough = best is not None or not job.sends
