--- a/apigateway/policy/endpoint_pool.py
+++ b/apigateway/policy/endpoint_pool.py
@@ -16,21 +16,21 @@
 from apigateway.routing.size import Size
 
 TICK = 0.02  # s; coarsest delay of a check on held requests and copies; far under any aim
-GONE_MOST = 30.0  # s that a host which is gone is known: longer than any attempt or repeat on it matters
-CONGESTED = 5.0  # requests held at a server, above which it holds more than it works on well
-PRESS_SPAN = 1.5  # s that the part of answers from congested servers is taken over
-LIMIT_MOST, ROOM_CLEAR = 4.0, 0.6  # attempts out per server over all gateways; part that is clear room;
-OUT_SLACK, OUT_LEAST = 2.0, 20.0  # times its even part of them that one gateway may have out; that any may:
+GONE_LIFE = 30.0  # s that a host which is gone is known: longer than any attempt or repeat on it matters
+CONGESTED = 5.0  # requests held at an endpoint, above which it holds more than it works on well
+CONGESTION_SPAN = 1.5  # s that the part of answers from congested endpoints is taken over
+LIMIT_MOST, ROOM_CLEAR = 4.0, 0.6  # attempts out per endpoint over all gateways; part that is clear room;
+OUT_SLACK, MIN_OUT = 2.0, 20.0  # times its even part of them that one gateway may have out; that any may:
 # traffic over many is uneven, and what they hold together is told by the hosts
-SERVERS_OF_HOST = 2.0  # requests a server works on at once, when nothing tells more
+ENDPOINT_CONCURRENCY = 2.0  # requests an endpoint works on at once, when nothing tells more
 GAIN, QUICK = 0.05, 0.15  # weight of a new answer in means; where a change must show in a few answers
-REPORT_AGE, RATE_SPAN = 1.0, 3.0  # s; a load report says half as much after it; own sends are counted over it
-CHOICES, DRAWS = 4.0, 40  # servers compared, times servers over gateways; draws before all are looked at
-COMPARED, DRAWN = 12, 6  # servers all compared; of more, the best of so many drawn ones is as good
-STEP = 0.05  # s that what decays slowly is taken for the same, unless an event changed it
-COPY_AT = 4.0  # mean deviations above the mean time, after which an attempt is taken for silent
-COLD_PART = 0.6  # of what a cold server bears by the rules, the rest for chance and the others' bursts
-CROSS_WEIGHT = 10.0  # relative service time given to save one unit of the cross-zone price
+REPORT_HALF_LIFE, RATE_SPAN = 1.0, 3.0  # s; a load report says half as much after it; own sends count over it
+CHOICES, MAX_DRAWS = 4.0, 40  # endpoints compared, times endpoints over gateways; draws before all are seen
+COMPARED, DRAWN = 12, 6  # endpoints all compared; of more, the best of so many drawn ones is as good
+SCORE_LIFE = 0.05  # s that what decays slowly is taken for the same, unless an event changed it
+TIMEOUT_DEVIATIONS = 4.0  # mean deviations above the mean time, after which an attempt is taken for silent
+SLOW_START_SHARE = 0.6  # of what a cold endpoint bears by the rules, the rest for chance and other bursts
+CROSS_ZONE_WEIGHT = 10.0  # relative service time given to save one unit of the cross-zone price
 
 
 class EndpointPool:
@@ -56,9 +56,9 @@
     def on_endpoint_list(self, now: float, event: messages.EndpointList) -> None:
         if event.mode not in ("delta", "failed"):
             named = {h.id for h in event.endpoints}
-            for name, server in self.endpoints.items():
+            for name, endpoint in self.endpoints.items():
                 if name not in named:
-                    server.is_up, server.gone_at = False, min(server.gone_at, now)
+                    endpoint.is_up, endpoint.gone_at = False, min(endpoint.gone_at, now)
         for host in event.endpoints:
             old = self.endpoints.get(host.id)
             if old is None or (host.state == "up" and host.started_at > old.host.started_at):
@@ -67,8 +67,8 @@
                 self.endpoints[host.id] = EndpointState(host, now, self.rng.random(), out)
             else:
                 old.host, old.is_up = host, host.state == "up"
-            server = self.endpoints[host.id]
-            server.gone_at = min(server.gone_at, now) if host.state == "down" else math.inf
+            known = self.endpoints[host.id]
+            known.gone_at = min(known.gone_at, now) if host.state == "down" else math.inf
         self.remove_gone(now)
         self.refresh(now)
 
@@ -81,13 +81,13 @@
             endpoint.scores = {}
             endpoint.max_attempts = int(max(1.0, held / self.settings.gateway_count) + endpoint.rounding_draw)
             price = self.settings.prices.get("cross_zone", 0.0)
-            endpoint.zone_cost = price * CROSS_WEIGHT * (endpoint.host.zone != self.settings.zone)
+            endpoint.zone_cost = price * CROSS_ZONE_WEIGHT * (endpoint.host.zone != self.settings.zone)
         self.rebuild_subset(now)
         self.sites.listed([endpoint.host.zone for endpoint in self.available])
         self.paused = {endpoint for endpoint in self.available if endpoint.backoff}
         self.max_weight = max((endpoint.host.weight for endpoint in self.available), default=1.0) or 1.0
-        # Gateways with one out at each server overdrive all, so what one has out in all is limited too.
-        self.max_out = max(OUT_LEAST, OUT_SLACK * held * len(self.available) / self.settings.gateway_count)
+        # Gateways with one out at each endpoint overdrive all, so what one has out in all is limited too.
+        self.max_out = max(MIN_OUT, OUT_SLACK * held * len(self.available) / self.settings.gateway_count)
 
     def rebuild_subset(self, now: float) -> None:
         """Takes the hosts around this gateway's place, as many as its traffic wants."""
@@ -104,7 +104,7 @@
     def remove_gone(self, now: float) -> None:
         """Hosts come under ever new ids: what is gone for long, with nothing out there, is dropped."""
         idle = [(name, endpoint) for name, endpoint in self.endpoints.items() if not endpoint.attempts_out]
-        for name in [name for name, endpoint in idle if now - endpoint.gone_at > GONE_MOST]:
+        for name in [name for name, endpoint in idle if now - endpoint.gone_at > GONE_LIFE]:
             del self.endpoints[name]
             self.doubt.forget(name)
 
@@ -129,7 +129,7 @@
     def attempt_timeout(self, name: str) -> float:
         """Time after which an attempt is taken for silent."""
         times = self.response_times[name]
-        return max(TICK, times.mean + COPY_AT * times.deviation)
+        return max(TICK, times.mean + TIMEOUT_DEVIATIONS * times.deviation)
 
     def has_capacity(self, endpoint: EndpointState, now: float, keys: tuple[str, ...] = ("host",)) -> bool:
         is_full = self.attempts_out >= self.max_out or len(endpoint.attempts_out) >= endpoint.max_attempts
@@ -147,7 +147,7 @@
         # Where none is warm, or none has been sent yet, own sends tell too little: then as if of one core.
         alone = 1 / self.typical_time / self.settings.gateway_count
         share = max(self.send_rate(now) / max(1, len(self.subset)), alone)
-        rate = warm * rules.overload_multiple * COLD_PART * share
+        rate = warm * rules.overload_multiple * SLOW_START_SHARE * share
         most = max(1.0, rate * rules.overload_duration)
         endpoint.slow_start_tokens = min(endpoint.slow_start_tokens + (now - endpoint.tokens_at) * rate, most)
         endpoint.tokens_at = now
@@ -168,7 +168,7 @@
         if self.sites.doubted:
             sound *= self.sites.part(endpoint.host.zone, now)
         cost = max(endpoint.time_ratio, 0.3) / max(endpoint.host.weight, 1e-9) / max(sound, 0.01)
-        known = endpoint.scores[keys] = (now + STEP, sound, cost)
+        known = endpoint.scores[keys] = (now + SCORE_LIFE, sound, cost)
         return known
 
     def selection_weight(self, endpoint: EndpointState, keys: tuple[str, ...], now: float) -> float:
@@ -179,8 +179,8 @@
 
     def select_endpoint(self, now: float, keys: tuple[str, ...],
                         fits: Callable[[EndpointState], bool] | None) -> EndpointState | None:
-        """Best of some free servers, drawn by weight: as many as this gateway has fresh reports for, two at
-        least, since the best of all by an old report is the same server for all gateways."""
+        """Best of some free endpoints, drawn by weight: as many as this gateway has fresh reports for, two at
+        least, since the best of all by an old report is the same endpoint for all gateways."""
         if self.attempts_out >= self.max_out:
             return None
         pool = self.with_capacity if len(self.available) > COMPARED else self.available
@@ -188,7 +188,7 @@
         few = max(2, math.ceil(CHOICES * len(self.available) / self.settings.gateway_count))
         if few < len(pool) or len(pool) > COMPARED:
             few, size = min(few, DRAWN), len(pool)
-            for _ in range(DRAWS):
+            for _ in range(MAX_DRAWS):
                 endpoint = pool[int(rng() * size)]
                 if rng() >= self.selection_weight(endpoint, keys, now):
                     self.choice_counts["doubted"] += 1
@@ -208,11 +208,11 @@
             if known is None or now >= known[0]:
                 known = self.score(endpoint, keys, now)
             if now >= endpoint.weighed_until:  # without a report it is as busy as the rest
-                endpoint.report_weight = 0.5 ** ((now - endpoint.reported_at) / REPORT_AGE)
-                endpoint.weighed_until = now + STEP
+                endpoint.report_weight = 0.5 ** ((now - endpoint.reported_at) / REPORT_HALF_LIFE)
+                endpoint.weighed_until = now + SCORE_LIFE
             fresh = endpoint.report_weight
             load = len(endpoint.attempts_out) + fresh * endpoint.reported_load + (1 - fresh) * held
-            cost = known[2] * (1 + load / SERVERS_OF_HOST) + endpoint.zone_cost + TICK * rng()
+            cost = known[2] * (1 + load / ENDPOINT_CONCURRENCY) + endpoint.zone_cost + TICK * rng()
             if cost < least:
                 best, least = endpoint, cost
         if best is not None:
@@ -220,7 +220,7 @@
         return best
 
     def select_outside_subset(self, now: float, keys: tuple[str, ...],
-                fits: Callable[[EndpointState], bool] | None) -> EndpointState | None:
+                              fits: Callable[[EndpointState], bool] | None) -> EndpointState | None:
         """Any other than the near ones, where none of these will do: a repeat that only its cell may get, or
         hosts that fail all around."""
         if len(self.subset) == len(self.available) or self.attempts_out >= self.max_out:
@@ -247,14 +247,14 @@
         self.update_capacity(endpoint)
 
     def on_outcome(self, now: float, event: messages.AttemptOutcome, cls: messages.ServiceClass | None,
-                 keys: tuple[str, ...]) -> None:
+                   keys: tuple[str, ...]) -> None:
         endpoint = self.endpoints.get(event.endpoint_id)
         if endpoint is None:  # gone for longer than anything there could matter
             return
         out, high = len(endpoint.attempts_out), event.result == "timeout"
         self.release(endpoint, (event.request_id, event.attempt))
         if event.load_report:
-            held = requests_held(event.load_report, SERVERS_OF_HOST)
+            held = requests_held(event.load_report, ENDPOINT_CONCURRENCY)
             endpoint.reported_load = max(0.0, held - out)
             endpoint.reported_at, endpoint.weighed_until = now, 0.0
             self.reported_mean_load += (QUICK if self.has_reports else 1.0) * (held - self.reported_mean_load)
@@ -275,7 +275,7 @@
             endpoint.scores.clear()
             (self.paused.add if endpoint.backoff else self.paused.discard)(endpoint)
         if event.load_report or event.result in ("ok", "timeout"):
-            gain = max(QUICK / 2, 1 - math.exp((self.congestion_at - now) / PRESS_SPAN))
+            gain = max(QUICK / 2, 1 - math.exp((self.congestion_at - now) / CONGESTION_SPAN))
             self.congestion += min(gain, 0.5) * (high - self.congestion)
             self.congestion_at = now
         if event.result != "ok" or cls is None:
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -16,7 +16,7 @@
 from apigateway.policy.counter_health import CROWDED, CounterHealth
 from apigateway.policy.customer_quota import CustomerQuota
 from apigateway.policy.endpoint import EndpointState
-from apigateway.policy.endpoint_pool import GAIN, LIMIT_MOST, PRESS_SPAN, TICK, EndpointPool
+from apigateway.policy.endpoint_pool import CONGESTION_SPAN, GAIN, LIMIT_MOST, TICK, EndpointPool
 from apigateway.policy.pending_queue import PendingQueue, PendingRequest
 from apigateway.routing.fault_scope import FaultScope
 from apigateway.routing.grant_share import GrantShareEstimator
@@ -25,20 +25,20 @@
 RESERVE = 0.2  # share of a burst kept from the class worth least a unit, for the one worth most
 CROWD = 0.3  # worth of a call's time at the full time-out (c1 grows as the counter slows), squared share
 SIDE_CALL = 0.15  # worth of a call that only mends a count for others, or finds a limit seldom reached
-SAMPLE_MOST = 4.0  # a sampled charge stands for so many at most: more makes the count jump
+MAX_SAMPLE = 4.0  # a sampled charge stands for so many at most: more makes the count jump
 GRANT_PRIOR = (0.5, 0.3)  # share of first tries and of repeats taken to be granted, before any was
 LOAD_COST = 0.2  # least cost of a unit sent on beyond quota, in its worth: it loads what all share
 CEILING_HOLD, CEILING_THIN = 0.3, 4.0  # share of the aim that a request may wait for its customer's ceiling
 # to fill here; units of an even part of it, below which it may
-QUEUE_HOLD, QUEUE_LEAST = 0.5, 4  # share of the aim spent waiting for a server; requests that always may
+QUEUE_HOLD, QUEUE_LEAST = 0.5, 4  # share of the aim spent waiting for an endpoint; requests that always may
 ROUNDING = 1e-4  # part of a total, seven digits of which are exact: less than that is no difference
 CALL_SPOILT = 0.9  # part of the time-out before which a call without answer was lost with its line
 OPEN_EPOCH, IDLE_MOST = 5.0, 30.0  # s; life of a count of open attempts; least life of an idle account
-FREED_AT_ONCE = 4  # idle accounts looked at with each request: more than come, so that they never pile up
-PRESSED = 0.5  # part of answers from congested servers that sheds work
+FREED_AT_ONCE = 4  # idle quotas looked at with each request: more than come, so that they never pile up
+SHED_AT = 0.5  # part of answers from congested endpoints that sheds work
 SHED_FAST, SHED_BACK, SHED_LEAST = 0.7, 0.15, 0.05  # 1/s down, 1/s up, least part that still passes
 RETRY_SHARE, RETRY_SPARE, RETRY_FULL = 0.1, 0.3, 0.2  # per first send; with room; price of one after `full`
-RETRY_START, RETRY_MOST = 15.0, 30.0  # retries over all gateways at the start; that may be saved up
+START_RETRY, MAX_RETRY = 15.0, 30.0  # retries over all gateways at the start; that may be saved up
 
 
 @dataclass(slots=True)
@@ -68,7 +68,7 @@
         self.quotas: dict[str, CustomerQuota] = {}  # in order of their last request
         self.pending, self.queue = dict[str, PendingRequest](), PendingQueue()
         self.counter_calls: dict[int, list[CounterCall]] = {}  # by counter key, in order
-        self.retry_budget = RETRY_START / settings.gateway_count
+        self.retry_budget = START_RETRY / settings.gateway_count
         self.max_priority = max(c.priority_weight for c in settings.classes.values())
         self.scheduled_checks: list[tuple[float, str]] = []  # when which job is to be looked at
         self.timer_at = self.watch_at = math.inf
@@ -201,12 +201,12 @@
         return False
 
     def should_shed(self, now: float, job: PendingRequest) -> bool:
-        """While answers come from servers that hold too much, what is worth least a unit of work is refused,
+        """While answers come from endpoints that hold too much, what is worth least a unit of work is refused,
         whatever the cause: one gateway of many has too few out for a limit of its own to relieve them."""
         ranks = self.recent_values
         ranks.append(job.value)
-        step, fleet, self.admitted_share_at = now - self.admitted_share_at, self.pool, now
-        if fleet.congestion * math.exp(min(0.0, (fleet.congestion_at + 1 - now) / PRESS_SPAN)) > PRESSED:
+        step, pool, self.admitted_share_at = now - self.admitted_share_at, self.pool, now
+        if pool.congestion * math.exp(min(0.0, (pool.congestion_at + 1 - now) / CONGESTION_SPAN)) > SHED_AT:
             self.admitted_share = max(SHED_LEAST, self.admitted_share * math.exp(-SHED_FAST * min(step, 1.0)))
         else:
             self.admitted_share = min(1.0, self.admitted_share + SHED_BACK * step)
@@ -246,7 +246,7 @@
         gain = job.worth / max(self.mean_worth, 1e-9) * min(job.odds, self.overuse_cost(job))
         chance = self.counter.call_probability(gain)
         self.decide(now, job, self.rng.random() < chance)
-        self.renew_lease(now, job.quota, min(SAMPLE_MOST, 1 / max(chance, 1e-9)))  # for those unasked too
+        self.renew_lease(now, job.quota, min(MAX_SAMPLE, 1 / max(chance, 1e-9)))  # for those unasked too
 
     def decide(self, now: float, job: PendingRequest, ask: bool) -> None:
         quota, room = job.quota, job.quota.remaining(now)
@@ -470,7 +470,7 @@
         self.queue.add(job)
 
     def max_queue_time(self, job: PendingRequest) -> float:
-        """How long after its arrival a request may wait for a server. One whose attempt failed may do so till
+        """How long after its arrival a request may wait for an endpoint. One whose attempt failed may so until
         it is worth nothing or its refusal comes late: a client that comes again is served later still."""
         aim = job.cls.latency_objective
         return min(aim, (job.deadline - job.arrived_at) / 2) if job.sends else QUEUE_HOLD * aim
@@ -567,7 +567,7 @@
     def replenish_retries(self) -> None:
         """Each first send allows for a part of a retry."""
         share = RETRY_SPARE if self.pool.has_spare_capacity() else RETRY_SHARE
-        self.retry_budget = min(max(2.0, RETRY_MOST / self.settings.gateway_count), self.retry_budget + share)
+        self.retry_budget = min(max(2.0, MAX_RETRY / self.settings.gateway_count), self.retry_budget + share)
 
     def drain_queue(self, now: float) -> None:
         queue = self.queue
