--- a/tests/counter/test_counter_client.py
+++ b/tests/counter/test_counter_client.py
@@ -170,11 +170,11 @@
     async with StubHost() as host, Node(host, path=tmp_path, settings=few) as node:
         await until_connected(node.node.counter.connections)
         await node.ask(command())
-        (acct,) = node.node.core.module.accounts.values()
-        now = acct.start + acct.length + 1.0  # early in a window, whenever this runs
+        (acct,) = node.node.core.module.quotas.values()
+        now = acct.window_start + acct.window_length + 1.0  # early in a window, whenever this runs
         node.node.core.clock = lambda: now
         await node.ask(command(b"r"))
-        acct.debt = 10 / 3  # an overdraft of the last window, brought along once the first call is answered
+        acct.debt_units = 10 / 3  # of the last window, brought along once the first call is answered
         replies = [await node.ask(command(b"r%d" % n)) for n in range(90)]
         assert len(node.counter.calls) > 3
         assert max(node.counter.totals.values()) < 6 + 1.1 * replies.count(SERVED)
@@ -191,8 +191,8 @@
             return (await node.ask(command(b"r%d" % n, terms(spread=2)))) == SERVED
 
         await ask(1)
-        (acct,) = node.node.core.module.accounts.values()
-        now = acct.start + acct.length + 0.5  # at the same place of its windows, whenever this runs
+        (acct,) = node.node.core.module.quotas.values()
+        now = acct.window_start + acct.window_length + 0.5  # at one place of its windows
         for window in range(4):  # all that the counter tells of is used here, though two could
             node.node.core.clock = lambda at=now + 2 * window: at
             for n in range(14):
