--- a/apigateway/daemon/choice.py
+++ b/apigateway/daemon/choice.py
@@ -18,7 +18,7 @@
     age = now - endpoint.reported_at
     is_reported = age < float("inf")
     report_weight = 0.5 ** (age / REPORT_HALF_LIFE) if is_reported else 0.0
-    load = len(endpoint.attempts_out)
+    load: float = len(endpoint.attempts_out)
     load += report_weight * endpoint.reported_load + (1 - report_weight) * pool.mean_load()
     rests = [scope for scope, until in endpoint.backoff.pauses() if until > now]
     return {
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -201,7 +201,7 @@
         return False
 
     def should_shed(self, now: float, job: PendingRequest) -> bool:
-        """While answers come from endpoints that hold too much, what is worth least a unit of work is refused,
+        """While answers come from overloaded endpoints, what is worth least a unit of work is rejected,
         whatever the cause: one gateway of many has too few out for a limit of its own to relieve them."""
         ranks = self.recent_values
         ranks.append(job.value)
@@ -470,7 +470,7 @@
         self.queue.add(job)
 
     def max_queue_time(self, job: PendingRequest) -> float:
-        """How long after its arrival a request may wait for an endpoint. One whose attempt failed may so until
+        """How long after its arrival a request may wait for an endpoint. One whose attempt failed may until
         it is worth nothing or its refusal comes late: a client that comes again is served later still."""
         aim = job.cls.latency_objective
         return min(aim, (job.deadline - job.arrived_at) / 2) if job.sends else QUEUE_HOLD * aim
