--- a/apigateway/counter/connection.py
+++ b/apigateway/counter/connection.py
@@ -15,6 +15,7 @@
 
 PING_KEY = -1  # in place of a counter key, which is never negative
 
+_TOTAL_REPLY_WORDS = 2  # "OK" and the total
 _KEEP_ALIVE_INTERVAL = 2.0  # s without a call after which a ping, which costs nothing, keeps it open
 _CONNECT_TIMEOUT = 1.0  # s
 _MIN_BACKOFF = 0.05  # s between attempts to connect; doubles with each failure
@@ -144,7 +145,7 @@
         is_ping = self.pending_calls[0].counter_key == PING_KEY
         if (verb == wire.REPLY_PONG) != is_ping:
             return False
-        if verb == wire.REPLY_OK and len(words) == 2:
+        if verb == wire.REPLY_OK and len(words) == _TOTAL_REPLY_WORDS:
             return self._handle_total(words[1])
         if verb in wire.REPLY_REJECTIONS:
             self.pending_calls.popleft().finish(CounterCallResult.FULL)
--- a/apigateway/hashing.py
+++ b/apigateway/hashing.py
@@ -1,42 +1,58 @@
-"""Names of customers, hosts and counts: hashes, the same at all gateways, and which were forgotten."""
+"""Hashes of names that are the same at all gateways, and a filter of customers that were evicted."""
 
 from __future__ import annotations
 
 import hashlib
 import math
 
-FORGOTTEN_FOR = 30.0  # s that a customer who was forgotten within its windows is asked about first, at least
+EVICTED_FOR = 30.0  # s for which an evicted customer is remembered at least; twice that at most
+BITS_PER_CUSTOMER = 64
+MIN_CUSTOMERS = 64
+HASH_COUNT = 3
+HASH_BITS = 21  # of a 63-bit hash, for each of the three
 
 
 def stable_hash(*parts: object) -> int:
-    text = "\x1f".join(str(p) for p in parts).encode()
+    """Return a hash of 63 bits that does not depend on the process or the machine."""
+    text = "\x1f".join(str(part) for part in parts).encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big") >> 1
 
 
-class Forgotten:
-    """Which customers were forgotten within their windows, in 16 bytes for each that is known: two filters
-    (Bloom), of which the older one is emptied in turn. Harm: a new one that looks like one of them is asked
-    about for nothing."""
+class RecentlyEvictedFilter:
+    """Remembers which customers were evicted within their windows.
 
-    def __init__(self, most: int) -> None:
-        self.bits = 64 * max(most, 64)
-        self.now, self.before = bytearray(self.bits // 8), bytearray(self.bits // 8)
-        self.since, self.any = -math.inf, False
+    It takes 16 bytes for each customer that may be known at once: two Bloom filters, of which the older is
+    emptied in turn. Harm: a new customer that looks like an evicted one is asked about for nothing.
+    """
 
-    def places(self, name: str) -> tuple[int, ...]:
-        known = stable_hash(name)
-        return tuple((known >> 21 * n) % self.bits for n in range(3))
+    def __init__(self, max_customers: int) -> None:
+        self._bit_count = BITS_PER_CUSTOMER * max(max_customers, MIN_CUSTOMERS)
+        self._current = bytearray(self._bit_count // 8)
+        self._previous = bytearray(self._bit_count // 8)
+        self._rotated_at = -math.inf
+        self._has_entries = False
 
     def add(self, now: float, name: str) -> None:
-        if now - self.since > FORGOTTEN_FOR:
-            self.before, self.now, self.since = self.now, bytearray(self.bits // 8), now
-        for place in self.places(name):
-            self.now[place >> 3] |= 1 << (place & 7)
-        self.any = True
+        """Remember a customer that is evicted now."""
+        if now - self._rotated_at > EVICTED_FOR:
+            self._previous = self._current
+            self._current = bytearray(self._bit_count // 8)
+            self._rotated_at = now
+        for place in self._places(name):
+            self._current[place >> 3] |= 1 << (place & 7)
+        self._has_entries = True
 
     def has(self, now: float, name: str) -> bool:
-        if not self.any or now - self.since > 2 * FORGOTTEN_FOR:
-            self.any = False
+        """Return whether this customer may have been evicted lately."""
+        if not self._has_entries or now - self._rotated_at > 2 * EVICTED_FOR:
+            self._has_entries = False
             return False
-        places = self.places(name)
-        return any(all(bits[p >> 3] >> (p & 7) & 1 for p in places) for bits in (self.now, self.before))
+        places = self._places(name)
+        return any(
+            all(bits[place >> 3] >> (place & 7) & 1 for place in places)
+            for bits in (self._current, self._previous)
+        )
+
+    def _places(self, name: str) -> tuple[int, ...]:
+        known = stable_hash(name)
+        return tuple((known >> HASH_BITS * number) % self._bit_count for number in range(HASH_COUNT))
--- a/apigateway/membership/eureka/registration.py
+++ b/apigateway/membership/eureka/registration.py
@@ -7,6 +7,7 @@
 import time
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from typing import Any
 
 import aiohttp
@@ -146,7 +147,7 @@
 
     async def _renew_or_register(self) -> None:
         """Renew the lease; register where the registry does not list this gateway, or not as it is now."""
-        if self._is_registered and await self._call("PUT", self._instance_path()) == 404:
+        if self._is_registered and await self._call("PUT", self._instance_path()) == HTTPStatus.NOT_FOUND:
             log.info(
                 "registry %s: it has forgotten this gateway; registering anew", self._urls[self._url_index]
             )
--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -11,6 +11,7 @@
 import time
 from collections.abc import Awaitable, Callable, Collection
 from dataclasses import dataclass, field
+from http import HTTPStatus
 
 import aiohttp
 
@@ -236,14 +237,14 @@
         async with self.session.get(
             f"{self.url}/{path}", headers=self._request_headers(path), timeout=timeout, allow_redirects=False
         ) as response:
-            if response.status == 304 and path in self.etags:
+            if response.status == HTTPStatus.NOT_MODIFIED and path in self.etags:
                 return None
-            if response.status == 404 and path == _DELTA_PATH:
+            if response.status == HTTPStatus.NOT_FOUND and path == _DELTA_PATH:
                 return None
-            if response.status == 404 and self.registry.lookup != "apps":
+            if response.status == HTTPStatus.NOT_FOUND and self.registry.lookup != "apps":
                 # the registry's way to say that an app or vip has no instance
                 return RegistryResponse((), "")
-            if response.status != 200:
+            if response.status != HTTPStatus.OK:
                 raise UnusableResponseError(f"status {response.status} for {path}")
             body = await self._read_body(response, path)
             parse = read_xml if "xml" in response.content_type else read_json
--- a/apigateway/membership/reconciler.py
+++ b/apigateway/membership/reconciler.py
@@ -140,7 +140,7 @@
         for report in named.values():
             self._apply_one(now, report)
         if is_complete:
-            self._apply_missing(now, [id for id in self.records if id not in named])
+            self._apply_missing(now, [name for name in self.records if name not in named])
         self._settle(now)
         return self._take_changes()
 
@@ -153,7 +153,7 @@
         """Return when `advance` has something to do; infinity: not before the next report."""
         settings = self.settings
         times = [math.inf]
-        removable = sum(self.records[id].missed_lists >= settings.looks for id in self._doubtful)
+        removable = sum(self.records[name].missed_lists >= settings.looks for name in self._doubtful)
         for endpoint_id in self._doubtful:
             record = self.records[endpoint_id]
             if record.doubt is Doubt.FLAPPING:
@@ -245,7 +245,7 @@
 
     def _settle(self, now: float) -> None:
         """End the doubts that time has confirmed: long missing endpoints go, stable ones come back."""
-        confirmed = [id for id in self._doubtful if self._is_confirmed_missing(now, self.records[id])]
+        confirmed = [name for name in self._doubtful if self._is_confirmed_missing(now, self.records[name])]
         if len(confirmed) < len(self.records):  # a list is never emptied
             for endpoint_id in confirmed:
                 self._remove(endpoint_id)
--- a/apigateway/membership/reconciler_driver.py
+++ b/apigateway/membership/reconciler_driver.py
@@ -66,7 +66,7 @@
     def mark_draining(self, ids: Iterable[str]) -> None:
         """Drain endpoints of which another process of this gateway was notified, and this one not yet."""
         records = self.reconciler.records
-        accepted = [records[id].accepted for id in ids if id in records]
+        accepted = [records[name].accepted for name in ids if name in records]
         self.apply(
             [replace(one, endpoint=replace(one.endpoint, state="leaving"), stamp=0) for one in accepted]
         )
--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -1,4 +1,4 @@
-"""Types between a gateway and the decision module: settings, events in, actions out.
+"""The typed contract of the decision module: settings, events in, actions out.
 
 Times are seconds (floats), clock readings come with each event, ids are opaque text.
 Effects: "safe" (repeat freely), "keyed" (repeats discarded within a scope), "unsafe".
@@ -22,6 +22,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
+    """What is asked of one class of requests, and what it is worth against the others."""
+
     name: str
     latency_objective: float  # an answer within this earns full worth
     deadline: float
@@ -40,7 +42,7 @@
             f"class {self.name}: unknown scope {self.deduplication_scope!r}",
         )
         _need(
-            0 < self.latency_objective and 0 < self.deadline,
+            self.latency_objective > 0 and self.deadline > 0,
             f"class {self.name}: aim and deadline must be above 0",
         )
         _need(
@@ -51,6 +53,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
+    """What a customer of this plan may use, over all gateways together."""
+
     name: str
     rate: float  # units a second; 0: no such quota
     burst: float  # units
@@ -81,6 +85,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
+    """What this deployment allows a gateway to do."""
+
     can_cancel: bool
     can_hedge: bool
     can_check_health: bool
@@ -96,6 +102,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
+    """The figures of the rules that hold in every failure. Times in seconds."""
+
     answer_slack: float
     drain_grace: float
     initial_capacity: float  # share of its capacity that a fresh host has at least
@@ -124,6 +132,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """The settings of a deployment, as one gateway has them."""
+
     gateway_index: int  # number of this gateway
     gateway_count: int
     zone: str
@@ -154,6 +164,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
+    """A host that requests are forwarded to, as the endpoint list has it."""
+
     id: str
     zone: str
     cell: int
@@ -168,6 +180,8 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
+    """News of the endpoint list: changes, a complete list, the list as cached, or a call that failed."""
+
     mode: str  # one of MODES
     version: int
     endpoints: tuple[Endpoint, ...]
@@ -178,6 +192,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
+    """A client's request, as it was read."""
+
     request_id: str
     remaining: float  # until the client gives up
     customer: str
@@ -254,6 +270,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
+    """An attempt has ended."""
+
     request_id: str
     attempt: int
     endpoint_id: str
@@ -270,6 +288,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterResult:
+    """A call of the quota counter has ended."""
+
     counter_key: int
     result: str
     total: float
@@ -281,6 +301,8 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
+    """A health check has ended."""
+
     endpoint_id: str
     result: str
     elapsed: float
@@ -289,11 +311,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
+    """A timer that was set has expired."""
+
     label: int
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
+    """The first part of a streamed response has come."""
+
     request_id: str
     attempt: int
     endpoint_id: str
@@ -302,11 +328,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
+    """The client of a request has gone: nothing more is to be forwarded for it."""
+
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
+    """Another gateway has sent this."""
+
     sender: int
     data: bytes
 
@@ -351,6 +381,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardRequest:
+    """Forward a request to an endpoint: one attempt."""
+
     request_id: str
     endpoint_id: str
     timeout: float = 0  # 0: until the client gives up
@@ -369,6 +401,8 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaDenied:
+    """A check's units are not granted."""
+
     request_id: str
     is_over_quota: bool  # beyond the customer's quota or ceiling; False: shed, or out of time
     retry_after: float  # s; 0: not known
@@ -378,23 +412,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
+    """Answer that a request was not taken; trying again is harmless."""
+
     request_id: str
     retry_after: float = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
+    """Answer that a request failed; it may have been executed."""
+
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
+    """Call an attempt off."""
+
     request_id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
+    """Add to a key of the quota counter and read its total."""
+
     counter_key: int
     amount: float
     lifetime: float
@@ -402,17 +444,23 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Expire once after a delay."""
+
     delay: float
     label: int
 
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
+    """Check the health of an endpoint."""
+
     endpoint_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
+    """Close the idle connections to an endpoint."""
+
     endpoint_id: str
 
 
@@ -423,11 +471,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
+    """Begin or end watching the endpoint list."""
+
     is_on: bool
 
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
+    """Write a line to the log."""
+
     text: str
 
 
--- a/apigateway/platform_settings.py
+++ b/apigateway/platform_settings.py
@@ -34,10 +34,12 @@
 
 
 def seconds(value: Any) -> float:
+    """Return nanoseconds as seconds."""
     return int(value) / NS
 
 
 def flag(node: dict[str, Any], name: str, default: bool = False) -> bool:
+    """Return a flag of the settings, in either of its forms."""
     return BOOL[str(node[name]).lower()] if name in node else default
 
 
@@ -46,6 +48,7 @@
 
 
 def read_settings(t: dict[str, Any]) -> messages.Settings:
+    """Read the settings from nested names, as JSON or as the simulator sends them."""
     classes = {
         c["name"]: messages.ServiceClass(
             name=c["name"],
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from apigateway import messages
-from apigateway.hashing import Forgotten, stable_hash
+from apigateway.hashing import RecentlyEvictedFilter, stable_hash
 from apigateway.policy.counter_health import CROWDED, CounterHealth
 from apigateway.policy.customer_quota import CustomerQuota
 from apigateway.policy.endpoint import EndpointState
@@ -64,7 +64,7 @@
         self.pool, self.counter = EndpointPool(settings, self.rng), CounterHealth(settings)
         kinds = ((plan, again) for plan in self.settings.plans for again in (0, 1))
         self.grant_shares = {kind: GrantShareEstimator(GRANT_PRIOR[kind[1]], GAIN) for kind in kinds}
-        self.evicted = Forgotten(settings.max_customers) if settings.max_customers else None
+        self.evicted = RecentlyEvictedFilter(settings.max_customers) if settings.max_customers else None
         self.quotas: dict[str, CustomerQuota] = {}  # in order of their last request
         self.pending, self.queue = dict[str, PendingRequest](), PendingQueue()
         self.counter_calls: dict[int, list[CounterCall]] = {}  # by counter key, in order
--- a/apigateway/upstream/framing.py
+++ b/apigateway/upstream/framing.py
@@ -31,6 +31,7 @@
 _ZERO = ord("0")
 _ONE = ord("1")
 _NINE = ord("9")
+_MIN_HEADER_BYTES = 2  # the type and one digit
 _ARRAY_HEADER_SEARCH_END = 4  # index before which an array's CRLF starts: a count of at most two digits
 _BULK_HEADER_SEARCH_BYTES = 8  # a type, a length of five digits, which MAX_BODY_BYTES has, and CRLF
 # An array of four strings, or the first four of five, in one match: the commands that clients send. Each
@@ -108,7 +109,7 @@
                     return [first, second, third, fourth]
                 return self._take_strings([first, second, third, fourth], 1, found.end())
         line_end = buffer.find(_CRLF, 1, _ARRAY_HEADER_SEARCH_END)
-        if line_end < 2 or buffer[0] != _ARRAY or not _ONE <= buffer[1] <= _NINE:
+        if line_end < _MIN_HEADER_BYTES or buffer[0] != _ARRAY or not _ONE <= buffer[1] <= _NINE:
             return None
         digits = buffer[1:line_end]
         part_count = int(digits) if digits.isdigit() else MAX_ARRAY_PARTS + 1
