--- a/apigateway/daemon/choice.py
+++ b/apigateway/daemon/choice.py
@@ -18,13 +18,12 @@
     age = now - endpoint.reported_at
     is_reported = age < float("inf")
     report_weight = 0.5 ** (age / REPORT_HALF_LIFE) if is_reported else 0.0
-    load: float = len(endpoint.attempts_out)
-    load += report_weight * endpoint.reported_load + (1 - report_weight) * pool.mean_load()
+    others = report_weight * endpoint.reported_load + (1 - report_weight) * pool.mean_load()
     rests = [scope for scope, until in endpoint.backoff.pauses() if until > now]
     return {
         "near": endpoint.in_subset,
         "out": len(endpoint.attempts_out),
-        "load": round(load, 2),
+        "load": round(len(endpoint.attempts_out) + others, 2),
         "told": round(report_weight, 3),
         "age": round(age, 3) if is_reported else None,
         "sound": round(pool.doubt.sound(host, ("host",), now), 3),
