--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -471,7 +471,7 @@
 
     def max_queue_time(self, job: PendingRequest) -> float:
         """How long after its arrival a request may wait for an endpoint. One whose attempt failed may
-        until it is worth nothing or its rejection is late: a client that comes again is served later still."""
+        until it is worth nothing or it is rejected late: a client that comes again is served later still."""
         aim = job.cls.latency_objective
         return min(aim, (job.deadline - job.arrived_at) / 2) if job.sends else QUEUE_HOLD * aim
 
