--- a/apigateway/cli/ask.py
+++ b/apigateway/cli/ask.py
@@ -6,20 +6,22 @@
 import os
 from typing import Any
 
-from apigateway.daemon.handover import question
+from apigateway.daemon.handover import query_gateway
 from apigateway.daemon.settings import Settings
 
 
 async def ask(settings: Settings, what: str) -> dict[str, dict[str, Any]]:
-    """Answers by name; that of a gateway without workers is empty. Raises OSError or HandOverFailed."""
+    """Answers by name; that of a gateway without workers is empty. Raises OSError or HandoverError."""
     state = settings.daemon.state
     if not state:
         raise OSError("daemon.state names no folder, so a running gateway cannot be asked")
-    told = await question(os.path.join(state, "handover"), what)
+    told = await query_gateway(os.path.join(state, "handover"), what)
     if "workers" not in told:
         return {"": told}
     names = [f"worker-{number}" for number in range(told["workers"])]
-    each = await asyncio.gather(*(question(os.path.join(state, name, "handover"), what) for name in names))
+    each = await asyncio.gather(
+        *(query_gateway(os.path.join(state, name, "handover"), what) for name in names)
+    )
     return dict(zip(names, each, strict=True))
 
 
--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -11,7 +11,7 @@
 from apigateway import messages
 from apigateway.cli.ask import ask, headed
 from apigateway.config_validation import Faulty
-from apigateway.daemon.handover import HandOverFailed
+from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.node import described
 from apigateway.daemon.serve import FAILED, OK, UNUSABLE
 from apigateway.daemon.settings import Settings, read_settings, to_registry
@@ -28,7 +28,7 @@
     except Faulty as err:
         print(err, file=sys.stderr)
         return UNUSABLE
-    except (HandOverFailed, OSError) as err:
+    except (HandoverError, OSError) as err:
         print(f"api-gateway: {err}", file=sys.stderr)
         return FAILED
     if as_json:
--- a/apigateway/cli/main.py
+++ b/apigateway/cli/main.py
@@ -255,7 +255,7 @@
     if told.command == "serve":
         from apigateway.daemon import pending_signals
 
-        pending_signals.listen()  # before what takes long to load
+        pending_signals.install_handlers()  # before what takes long to load
         from apigateway.daemon.serve import serve
 
         return serve(told.file, told.take_over, told.workers)
--- a/apigateway/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -10,7 +10,7 @@
 
 from apigateway.cli.ask import ask, headed
 from apigateway.config_validation import Faulty
-from apigateway.daemon.handover import HandOverFailed
+from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.serve import FAILED, OK, UNUSABLE
 from apigateway.daemon.settings import read_settings
 from apigateway.tools import plugin as tool
@@ -34,7 +34,7 @@
     except (Faulty, tool.Unusable) as err:
         print(err, file=sys.stderr)
         return UNUSABLE
-    except (HandOverFailed, OSError) as err:
+    except (HandoverError, OSError) as err:
         print(f"api-gateway: {err}", file=sys.stderr)
         return FAILED
 
--- a/apigateway/cli/ratelimit.py
+++ b/apigateway/cli/ratelimit.py
@@ -12,7 +12,7 @@
 from apigateway.cli.ask import ask as ask_gateway
 from apigateway.cli.ask import headed
 from apigateway.config_validation import Faulty
-from apigateway.daemon.handover import HandOverFailed
+from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.serve import FAILED, OK, UNUSABLE
 from apigateway.daemon.settings import read_settings
 from apigateway.upstream.address import Address, read_address
@@ -38,7 +38,7 @@
     except Faulty as err:
         print(err, file=sys.stderr)
         return UNUSABLE
-    except (HandOverFailed, OSError) as err:
+    except (HandoverError, OSError) as err:
         print(f"api-gateway: {err}", file=sys.stderr)
         return FAILED
     if as_json:
--- a/apigateway/daemon/__main__.py
+++ b/apigateway/daemon/__main__.py
@@ -5,7 +5,7 @@
 from apigateway.daemon import pending_signals
 
 if __name__ == "__main__":
-    pending_signals.listen()
+    pending_signals.install_handlers()
     from apigateway.daemon.platform import main
 
     sys.exit(main())
--- a/apigateway/daemon/handover.py
+++ b/apigateway/daemon/handover.py
@@ -1,19 +1,21 @@
-"""A running gateway hands its listening sockets, lock and list of hosts to a new process, over a Unix socket.
+"""Hand the listening sockets, the lock and the endpoint list of a running gateway to a new process.
+
+Both processes talk over a Unix socket, one line of JSON a message:
 
     successor                               predecessor
     {"take": 1}                     ->
-                                    <-      {"listeners": [...], "lock": true}  + descriptors (SCM_RIGHTS)
+                                    <-      {"listeners": [...]}  + descriptors (SCM_RIGHTS)
                                     <-      {"known": list}
-    (builds all, proves itself)
+    (builds everything, checks that it could serve)
     {"ready": true}                 ->
-                                            accepts no more; its ceilings fill no further
+                                            stops accepting; its rate ceilings fill no further
                                     <-      {"go": true, "known": list}
     (accepts)
     {"serving": true}               ->
-                                            finishes what it took, ends
+                                            completes its requests in flight, exits
 
 Each side bounds each wait. If the connection ends before `serving`, the predecessor goes on as before and the
-successor ends: exactly one of them is left, and the kernel's queue of connections was held by one of them
+successor exits: exactly one of them is left, and the kernel's queue of connections was held by one of them
 throughout.
 """
 
@@ -26,34 +28,54 @@
 import os
 import socket
 import stat
-from collections.abc import Awaitable, Callable
-from typing import Any
-
-MOST_LINE = 4 * 1024 * 1024  # bytes of a message: a list of some ten thousand hosts
-MOST_FDS = 64
-SOON = 5.0  # s for what takes no work: a first word, an answer to `go`
+from collections.abc import Awaitable, Callable, Coroutine
+from typing import Any, NamedTuple
 
-Offer = Callable[[], tuple[list[str], list[int], dict[str, Any]]]  # listeners, descriptors, list of hosts
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # an endpoint list of some ten thousand hosts
+MAX_DESCRIPTORS = 64  # in one message: the listeners and the lock
+READ_SIZE = 65_536  # bytes of one read
+LISTEN_BACKLOG = 8  # connections; a successor and a few status queries
+REPLY_TIMEOUT_S = 5.0  # for replies that take no work: a first message, the answer to `go`
 
 log = logging.getLogger(__name__)
 
 
-class HandOverFailed(Exception):
-    """The other side went away, said something else, or took too long."""
+class HandoverError(Exception):
+    """The peer disconnected, sent something unexpected or took too long."""
 
 
-class Busy(HandOverFailed):
+class HandoverInProgressError(HandoverError):
     """Another successor is taking over."""
 
 
-class Channel:
-    """Messages, a line of JSON each, over one connection."""
+class HandoverOffer(NamedTuple):
+    """What a predecessor passes on.
+
+    Attributes:
+        listeners: Addresses of the listening sockets.
+        descriptors: One for each listener in the same order, then the lock's.
+        known: The endpoint list in its stored form, or what a supervisor says of its workers.
+    """
+
+    listeners: list[str]
+    descriptors: list[int]
+    known: dict[str, Any]
+
+
+class HandoverChannel:
+    """Messages over one connection, a line of JSON each."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.rest = sock, b""
+        self.sock = sock
+        self._buffer = b""  # received, but not yet returned as a message
         sock.setblocking(False)
 
-    async def say(self, message: dict[str, Any], descriptors: list[int] | None = None) -> None:
+    async def send(self, message: dict[str, Any], descriptors: list[int] | None = None) -> None:
+        """Send a message, with file descriptors if there are any.
+
+        Raises:
+            HandoverError: The peer has disconnected.
+        """
         data = json.dumps(message).encode() + b"\n"
         try:
             if descriptors:  # the first message on the connection, and short: it goes in one piece
@@ -61,203 +83,276 @@
                 data = data[sent:]
             await asyncio.get_running_loop().sock_sendall(self.sock, data)
         except OSError as err:
-            raise HandOverFailed(f"the other side has gone ({err.strerror})") from err
+            raise _disconnected(err) from err
 
-    async def hear(self, seconds: float) -> dict[str, Any]:
-        loop = asyncio.get_running_loop()
+    async def receive(self, timeout_s: float) -> dict[str, Any]:
+        """Return the next message.
+
+        Raises:
+            HandoverError: None came in time, the peer disconnected, or it is not a message.
+        """
         try:
-            async with asyncio.timeout(seconds):
-                while b"\n" not in self.rest:
-                    data = await loop.sock_recv(self.sock, 65536)
-                    if not data:
-                        raise HandOverFailed("the other side has gone")
-                    self.rest += data
-                    if len(self.rest) > MOST_LINE:
-                        raise HandOverFailed("a message without end")
+            async with asyncio.timeout(timeout_s):
+                await self._fill_buffer_to_line_end()
         except TimeoutError as err:
-            raise HandOverFailed(f"nothing heard for {seconds:.0f} s") from err
+            raise _timed_out(timeout_s) from err
         except OSError as err:
-            raise HandOverFailed(f"the other side has gone ({err.strerror})") from err
-        line, self.rest = self.rest.split(b"\n", 1)
+            raise _disconnected(err) from err
+        line, self._buffer = self._buffer.split(b"\n", 1)
         try:
-            told = json.loads(line)
+            message = json.loads(line)
         except ValueError as err:
-            raise HandOverFailed("not a message") from err
-        if not isinstance(told, dict):
-            raise HandOverFailed("not a message")
-        return told
+            raise HandoverError("not a message") from err
+        if not isinstance(message, dict):
+            raise HandoverError("not a message")
+        return message
+
+    async def receive_with_descriptors(self, timeout_s: float) -> tuple[dict[str, Any], list[int]]:
+        """Return the next message and the file descriptors that came with it.
+
+        Raises:
+            HandoverError: As for `receive`.
+        """
+        try:
+            async with asyncio.timeout(timeout_s):
+                await self._wait_until_readable()
+            data, descriptors, _, _ = socket.recv_fds(self.sock, READ_SIZE, MAX_DESCRIPTORS)
+        except TimeoutError as err:
+            raise _timed_out(timeout_s) from err
+        except OSError as err:
+            raise _disconnected(err) from err
+        self._buffer += data
+        return await self.receive(timeout_s), list(descriptors)
+
+    def close(self) -> None:
+        """Close the connection."""
+        self.sock.close()
 
-    async def hear_with_descriptors(self, seconds: float) -> tuple[dict[str, Any], list[int]]:
+    async def _fill_buffer_to_line_end(self) -> None:
+        loop = asyncio.get_running_loop()
+        while b"\n" not in self._buffer:
+            data = await loop.sock_recv(self.sock, READ_SIZE)
+            if not data:
+                raise HandoverError("the other side has gone")
+            self._buffer += data
+            if len(self._buffer) > MAX_MESSAGE_BYTES:
+                raise HandoverError("a message without end")
+
+    async def _wait_until_readable(self) -> None:
         loop = asyncio.get_running_loop()
         readable = loop.create_future()
 
-        def once() -> None:
+        def on_readable() -> None:
             loop.remove_reader(self.sock)
             readable.set_result(None)
 
-        loop.add_reader(self.sock, once)
+        loop.add_reader(self.sock, on_readable)
         try:
-            async with asyncio.timeout(seconds):
-                await readable
-            data, descriptors, _, _ = socket.recv_fds(self.sock, 65536, MOST_FDS)
-        except TimeoutError as err:
-            raise HandOverFailed(f"nothing heard for {seconds:.0f} s") from err
-        except OSError as err:
-            raise HandOverFailed(f"the other side has gone ({err.strerror})") from err
+            await readable
         finally:
             loop.remove_reader(self.sock)
-        self.rest += data
-        return await self.hear(seconds), list(descriptors)
 
-    def close(self) -> None:
-        self.sock.close()
 
+class HandoverPredecessor:
+    """The serving side: answers status queries and hands over to a successor that asks.
 
-class Keeper:
-    """The side that serves. `pause` and `resume` stop and restart accepting; `done` hears that a successor
-    serves. `wait`: seconds that a successor may take to get ready."""
+    Attributes:
+        status_queries: Answers by name to `{"ask": NAME}`, the gateway's own state for the command line.
+        ready_timeout_s: How long a successor may take to get ready, in seconds.
+        is_in_progress: A successor is taking over.
+        is_completed: A successor serves.
+    """
 
-    # What it answers to whoever asks, `{"ask": NAME}`: the gateway's own state, for the command line.
-    questions: dict[str, Callable[[], dict[str, Any]]]
+    status_queries: dict[str, Callable[[], dict[str, Any]]]
 
     def __init__(
         self,
         path: str,
-        offer: Offer,
+        offer: Callable[[], HandoverOffer],
         pause: Callable[[], Awaitable[None]],
         resume: Callable[[], Awaitable[None]],
-        done: Callable[[], None],
-        wait: float,
+        on_completed: Callable[[], None],
+        ready_timeout_s: float,
     ) -> None:
-        self.path, self.offer, self.wait = path, offer, wait
-        self.pause, self.resume, self.done = pause, resume, done
-        self.questions = {}
-        self.busy = self.over = False
-        self.sock: socket.socket | None = None
-        self.tasks: set[asyncio.Task[None]] = set()
+        """Store the collaborators; nothing is open before `open`.
+
+        Args:
+            path: Of the Unix socket.
+            offer: Returns what is passed on, as it is when called.
+            pause: Stops accepting connections.
+            resume: Accepts connections again, after a hand-over that failed.
+            on_completed: Called once a successor serves.
+            ready_timeout_s: How long a successor may take to get ready, in seconds.
+        """
+        self.ready_timeout_s = ready_timeout_s
+        self.status_queries = {}
+        self.is_in_progress = False
+        self.is_completed = False
+        self._path = path
+        self._offer = offer
+        self._pause = pause
+        self._resume = resume
+        self._on_completed = on_completed
+        self._socket: socket.socket | None = None
+        self._tasks: set[asyncio.Task[None]] = set()
 
     def open(self) -> None:
-        """Takes the path over from whoever had it, in one step: there is always someone to ask."""
-        self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        self.sock.setblocking(False)
-        own = f"{self.path}.{os.getpid()}"
+        """Listen at the path, taken from its previous holder in one step: there is always someone to ask."""
+        self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        self._socket.setblocking(False)
+        temporary_path = f"{self._path}.{os.getpid()}"
         with contextlib.suppress(FileNotFoundError):
-            os.unlink(own)
-        self.sock.bind(own)
-        os.chmod(own, stat.S_IRUSR | stat.S_IWUSR)  # whoever may connect may take the sockets
-        self.sock.listen(8)
-        os.rename(own, self.path)
-        self.begin(self.accept(self.sock))
-
-    def begin(self, coroutine: Any) -> None:
+            os.unlink(temporary_path)
+        self._socket.bind(temporary_path)
+        os.chmod(temporary_path, stat.S_IRUSR | stat.S_IWUSR)  # whoever may connect may take the sockets
+        self._socket.listen(LISTEN_BACKLOG)
+        os.rename(temporary_path, self._path)
+        self._start_task(self._accept_connections(self._socket))
+
+    def close(self) -> None:
+        """Cancel what is under way and stop listening."""
+        for task in list(self._tasks):
+            task.cancel()
+        if self._socket is None:
+            return
+        self._socket.close()
+        if not self.is_completed:  # else the path is the successor's
+            with contextlib.suppress(OSError):
+                os.unlink(self._path)
+
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def accept(self, sock: socket.socket) -> None:
+    async def _accept_connections(self, sock: socket.socket) -> None:
         while True:
-            conn, _ = await asyncio.get_running_loop().sock_accept(sock)
-            self.begin(self.asked(Channel(conn)))
+            connection, _ = await asyncio.get_running_loop().sock_accept(sock)
+            self._start_task(self._serve_connection(HandoverChannel(connection)))
 
-    async def asked(self, channel: Channel) -> None:
+    async def _serve_connection(self, channel: HandoverChannel) -> None:
         try:
-            told = await channel.hear(SOON)
-            if told.get("ask") in self.questions:
-                await channel.say(self.questions[told["ask"]]())
-                return
-            if told.get("take") != 1:
-                raise HandOverFailed("not a successor's first word")
-            if self.busy or self.over:
-                await channel.say({"busy": True})
-                return
-            self.busy = True
-            try:
-                await self.hand_over(channel)
-            finally:
-                self.busy = False
-        except HandOverFailed as err:
+            await self._answer(channel, await channel.receive(REPLY_TIMEOUT_S))
+        except HandoverError as err:
             log.warning("hand-over: %s; this process goes on", err)
         finally:
             channel.close()
 
-    async def hand_over(self, channel: Channel) -> None:
-        listeners, descriptors, known = self.offer()
-        await channel.say({"listeners": listeners}, descriptors)
-        await channel.say({"known": known})
-        if not (await channel.hear(self.wait)).get("ready"):
-            raise HandOverFailed("the successor did not get ready")
-        await self.pause()
+    async def _answer(self, channel: HandoverChannel, request: dict[str, Any]) -> None:
+        if request.get("ask") in self.status_queries:
+            await channel.send(self.status_queries[request["ask"]]())
+            return
+        if request.get("take") != 1:
+            raise HandoverError("not a successor's first word")
+        if self.is_in_progress or self.is_completed:
+            await channel.send({"busy": True})
+            return
+        self.is_in_progress = True
         try:
-            await channel.say({"go": True, "known": self.offer()[2]})
-            if not (await channel.hear(SOON)).get("serving"):
-                raise HandOverFailed("the successor does not serve")
-        except BaseException:
-            await self.resume()
+            await self._hand_over(channel)
+        finally:
+            self.is_in_progress = False
+
+    async def _hand_over(self, channel: HandoverChannel) -> None:
+        offer = self._offer()
+        await channel.send({"listeners": offer.listeners}, offer.descriptors)
+        await channel.send({"known": offer.known})
+        if not (await channel.receive(self.ready_timeout_s)).get("ready"):
+            raise HandoverError("the successor did not get ready")
+        await self._pause()
+        try:
+            await channel.send({"go": True, "known": self._offer().known})
+            if not (await channel.receive(REPLY_TIMEOUT_S)).get("serving"):
+                raise HandoverError("the successor does not serve")
+        except BaseException:  # also a cancellation: else nobody would accept
+            await self._resume()
             raise
-        self.over = True
+        self.is_completed = True
         log.info("hand-over: the successor serves; this process finishes what it has taken")
-        self.done()
+        self._on_completed()
 
-    def close(self) -> None:
-        for task in list(self.tasks):
-            task.cancel()
-        if self.sock is not None:
-            self.sock.close()
-            if not self.over:  # else the path is the successor's
-                with contextlib.suppress(OSError):
-                    os.unlink(self.path)
 
+class HandoverSuccessor:
+    """The side that takes over: `take_over`, `announce_ready`, `announce_serving`, in this order."""
+
+    def __init__(self, path: str) -> None:
+        self._path = path
+        self._channel: HandoverChannel
+
+    async def take_over(self) -> HandoverOffer:
+        """Ask the predecessor for its sockets, lock and endpoint list.
+
+        Raises:
+            HandoverInProgressError: Another successor is taking over.
+            HandoverError: No gateway runs there, or it did not send all.
+        """
+        sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        self._channel = HandoverChannel(sock)
+        try:
+            await asyncio.get_running_loop().sock_connect(sock, self._path)
+        except OSError as err:
+            raise HandoverError(f"{self._path}: nobody to take over from ({err.strerror})") from err
+        await self._channel.send({"take": 1})
+        reply, descriptors = await self._channel.receive_with_descriptors(REPLY_TIMEOUT_S)
+        if reply.get("busy"):
+            raise HandoverInProgressError("another successor is taking over")
+        listeners = reply.get("listeners")
+        if not isinstance(listeners, list) or len(descriptors) != len(listeners) + 1:
+            raise HandoverError("the sockets did not all come")
+        known = _known_of(await self._channel.receive(REPLY_TIMEOUT_S))
+        return HandoverOffer(listeners, descriptors, known)
+
+    async def announce_ready(self) -> dict[str, Any]:
+        """Tell the predecessor that this process could serve.
+
+        Returns:
+            The predecessor's last endpoint list, once it has stopped accepting.
 
-async def question(path: str, name: str) -> dict[str, Any]:
-    """Asks the gateway that holds this socket. Raises HandOverFailed."""
+        Raises:
+            HandoverError: The predecessor goes on.
+        """
+        await self._channel.send({"ready": True})
+        reply = await self._channel.receive(REPLY_TIMEOUT_S)
+        if not reply.get("go"):
+            raise HandoverError("no word to go")
+        return _known_of(reply)
+
+    async def announce_serving(self) -> None:
+        """Tell the predecessor that this process serves, after which that one shuts down.
+
+        Raises:
+            HandoverError: The predecessor has disconnected, and accepts again.
+        """
+        await self._channel.send({"serving": True})
+        self._channel.close()
+
+
+async def query_gateway(path: str, name: str) -> dict[str, Any]:
+    """Query the gateway that listens at this path for the status of that name.
+
+    Raises:
+        HandoverError: No gateway runs there, or it does not answer.
+    """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    channel = Channel(sock)
+    channel = HandoverChannel(sock)
     try:
         await asyncio.get_running_loop().sock_connect(sock, path)
-        await channel.say({"ask": name})
-        return await channel.hear(SOON)
+        await channel.send({"ask": name})
+        return await channel.receive(REPLY_TIMEOUT_S)
     except OSError as err:
-        raise HandOverFailed(f"{path}: no gateway runs there ({err.strerror})") from err
+        raise HandoverError(f"{path}: no gateway runs there ({err.strerror})") from err
     finally:
         channel.close()
 
 
-class Heir:
-    """The side that takes over: `take`, `ready`, `serving`, in this order. Each raises HandOverFailed."""
+def _known_of(message: dict[str, Any]) -> dict[str, Any]:
+    known = message.get("known")
+    return known if isinstance(known, dict) else {}
 
-    def __init__(self, path: str) -> None:
-        self.path = path
-        self.channel: Channel
 
-    async def take(self) -> tuple[list[str], list[int], dict[str, Any]]:
-        """The listeners' addresses, as many descriptors and that of the lock behind them, the list of
-        hosts."""
-        sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        self.channel = Channel(sock)
-        try:
-            await asyncio.get_running_loop().sock_connect(sock, self.path)
-        except OSError as err:
-            raise HandOverFailed(f"{self.path}: nobody to take over from ({err.strerror})") from err
-        await self.channel.say({"take": 1})
-        told, descriptors = await self.channel.hear_with_descriptors(SOON)
-        if told.get("busy"):
-            raise Busy("another successor is taking over")
-        listeners = told.get("listeners")
-        if not isinstance(listeners, list) or len(descriptors) != len(listeners) + 1:
-            raise HandOverFailed("the sockets did not all come")
-        known = (await self.channel.hear(SOON)).get("known")
-        return listeners, descriptors, known if isinstance(known, dict) else {}
-
-    async def ready(self) -> dict[str, Any]:
-        """This process could serve. Returns the predecessor's last list of hosts, once it accepts no more."""
-        await self.channel.say({"ready": True})
-        told = await self.channel.hear(SOON)
-        if not told.get("go"):
-            raise HandOverFailed("no word to go")
-        known = told.get("known")
-        return known if isinstance(known, dict) else {}
-
-    async def serving(self) -> None:
-        """This process serves: the predecessor finishes from here on."""
-        await self.channel.say({"serving": True})
-        self.channel.close()
+def _disconnected(err: OSError) -> HandoverError:
+    return HandoverError(f"the other side has gone ({err.strerror})")
+
+
+def _timed_out(timeout_s: float) -> HandoverError:
+    return HandoverError(f"nothing heard for {timeout_s:.0f} s")
--- a/apigateway/daemon/lock.py
+++ b/apigateway/daemon/lock.py
@@ -1,4 +1,4 @@
-"""One instance a state folder, by a lock that a hand-over passes on."""
+"""Allow one instance for each state folder, by a file lock that a hand-over passes on."""
 
 from __future__ import annotations
 
@@ -6,37 +6,54 @@
 import fcntl
 import os
 
+LOCK_FILE = "lock"
+MAX_HOLDER_BYTES = 32  # of the lock file: a process id
 
-class Locked(Exception):
+
+class StateFolderLockedError(Exception):
     """Another instance holds this state folder."""
 
 
-class Lock:
-    """A lock on `FOLDER/lock` for as long as any process holds its descriptor. It goes with a process that
-    dies."""
+class StateFolderLock:
+    """An exclusive lock on the file `lock` of a folder, held while any process has its descriptor open.
+
+    The kernel releases it when the last such process exits, however it does.
+    """
 
     def __init__(self, folder: str, descriptor: int | None = None) -> None:
-        """`descriptor`: the lock as the predecessor holds it. Raises Locked, or OSError."""
-        self.path = os.path.join(folder, "lock")
-        if descriptor is None:
-            os.makedirs(folder, mode=0o700, exist_ok=True)
-            descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-            try:
-                fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            except BlockingIOError as err:
-                holder = os.read(descriptor, 32).decode("ascii", "replace").strip()
-                os.close(descriptor)
-                raise Locked(
-                    f"{folder}: in use by process {holder or 'unknown'}; "
-                    "`serve --take-over` takes over from it"
-                ) from err
-        self.descriptor = descriptor
-
-    def sign(self) -> None:
-        """Writes down who holds it: for people, nothing relies on it."""
+        """Acquire the lock, or adopt the predecessor's.
+
+        Args:
+            folder: The state folder, made if it is missing.
+            descriptor: The lock as the predecessor holds it, after a hand-over.
+
+        Raises:
+            StateFolderLockedError: Another instance holds the folder.
+            OSError: The folder or the file cannot be made.
+        """
+        self.descriptor = _acquire(folder) if descriptor is None else descriptor
+
+    def record_holder(self) -> None:
+        """Write this process's id to the file: for people, nothing relies on it."""
         with contextlib.suppress(OSError):
             os.ftruncate(self.descriptor, 0)
             os.pwrite(self.descriptor, b"%d\n" % os.getpid(), 0)
 
     def close(self) -> None:
+        """Release this process's hold on the lock."""
         os.close(self.descriptor)
+
+
+def _acquire(folder: str) -> int:
+    os.makedirs(folder, mode=0o700, exist_ok=True)
+    path = os.path.join(folder, LOCK_FILE)
+    descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+    try:
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+    except BlockingIOError as err:
+        holder = os.read(descriptor, MAX_HOLDER_BYTES).decode("ascii", "replace").strip()
+        os.close(descriptor)
+        raise StateFolderLockedError(
+            f"{folder}: in use by process {holder or 'unknown'}; `serve --take-over` takes over from it"
+        ) from err
+    return descriptor
--- a/apigateway/daemon/logs.py
+++ b/apigateway/daemon/logs.py
@@ -1,32 +1,46 @@
-"""The log: standard error, a few lines a second."""
+"""Log to standard error, at a bounded rate."""
 
 from __future__ import annotations
 
 import logging
 import sys
 
-MOST_LINES = 5  # of the log in a second
+# CPU time is rationed, and trouble that repeats must not use it up for logging.
+DEFAULT_MAX_LINES_PER_SECOND = 5
 
 
-class Seldom(logging.Filter):
-    """A few lines a second: CPU is rationed, and trouble that repeats must not take it for logging."""
+class LogRateLimiter(logging.Filter):
+    """Drops the records over so many in one second, and tells how many in the next line."""
 
-    def __init__(self, most: int = MOST_LINES) -> None:
+    def __init__(self, max_lines_per_second: int = DEFAULT_MAX_LINES_PER_SECOND) -> None:
         super().__init__()
-        self.most, self.second, self.left, self.dropped = most, 0, 0, 0
+        self.max_lines_per_second = max_lines_per_second
+        self._second = 0  # of the wall clock, to which the counts belong
+        self._remaining_lines = 0
+        self._dropped_lines = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        if int(record.created) != self.second:
-            if self.dropped:
-                record.msg = f"({self.dropped} lines left out) {record.msg}"
-            self.second, self.left, self.dropped = int(record.created), self.most, 0
-        self.left -= 1
-        self.dropped += self.left < 0
-        return self.left >= 0
-
-
-def start_log(most: int = MOST_LINES) -> Seldom:
+        """Return whether the record is logged."""
+        second = int(record.created)
+        if second != self._second:
+            self._start_second(second, record)
+        self._remaining_lines -= 1
+        if self._remaining_lines < 0:
+            self._dropped_lines += 1
+            return False
+        return True
+
+    def _start_second(self, second: int, record: logging.LogRecord) -> None:
+        if self._dropped_lines:
+            record.msg = f"({self._dropped_lines} lines left out) {record.msg}"
+        self._second = second
+        self._remaining_lines = self.max_lines_per_second
+        self._dropped_lines = 0
+
+
+def start_log(max_lines_per_second: int = DEFAULT_MAX_LINES_PER_SECOND) -> LogRateLimiter:
+    """Configure the root logger and return its rate limiter."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
-    seldom = Seldom(most)
-    logging.getLogger().handlers[0].addFilter(seldom)
-    return seldom
+    rate_limiter = LogRateLimiter(max_lines_per_second)
+    logging.getLogger().handlers[0].addFilter(rate_limiter)
+    return rate_limiter
--- a/apigateway/daemon/notify.py
+++ b/apigateway/daemon/notify.py
@@ -1,6 +1,6 @@
-"""The service manager's notify protocol (systemd, sd_notify(3)): datagrams of `NAME=VALUE` lines.
+"""Notify the service manager (systemd, sd_notify(3)) by datagrams of `NAME=VALUE` lines.
 
-Without NOTIFY_SOCKET all of it does nothing.
+Without NOTIFY_SOCKET in the environment nothing is sent.
 """
 
 from __future__ import annotations
@@ -13,62 +13,85 @@
 import time
 from collections.abc import Callable, Mapping
 
+MICROSECONDS = 1e6  # in a second
+
 log = logging.getLogger(__name__)
 
 
 class Notifier:
+    """Sends this process's state and keep-alives to the service manager.
+
+    Attributes:
+        keepalive_interval_s: Seconds between keep-alives; 0: none are wanted.
+        on_manager_gone: Called when the service manager has closed its socket.
+    """
+
     def __init__(self, env: Mapping[str, str] = os.environ) -> None:
-        path = env.get("NOTIFY_SOCKET", "")
-        # Abstract names begin with a NUL on the wire, written `@`.
-        self.address = "\0" + path[1:] if path.startswith("@") else path
-        self.period = self.watchdog(env)  # s between keep-alives; 0: none are wanted
+        self.keepalive_interval_s = _keepalive_interval(env)
+        self.on_manager_gone: Callable[[], object] | None = None
         self.socket: socket.socket | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.lost: Callable[[], object] | None = None  # called when nobody is there to be told
-        if self.address:
+        self._address = _socket_address(env)
+        self._keepalive_timer: asyncio.TimerHandle | None = None
+        if self._address:
             self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC)
             self.socket.setblocking(False)  # a manager that does not read must not hold up what is served
 
-    @staticmethod
-    def watchdog(env: Mapping[str, str]) -> float:
-        """Half of WATCHDOG_USEC, as sd_watchdog_enabled(3) advises, if it is meant for this process."""
-        told, pid = env.get("WATCHDOG_USEC", ""), env.get("WATCHDOG_PID", "")
-        if not told.isdecimal() or (pid and pid != str(os.getpid())):
-            return 0.0
-        return int(told) / 1e6 / 2
-
-    def tell(self, *lines: str) -> None:
-        if self.socket is None:
-            return
-        try:
-            self.socket.sendto("\n".join(lines).encode(), self.address)
-        except OSError as err:
-            log.warning("the service manager could not be told: %s", err)
-            if self.lost is not None and isinstance(err, ConnectionError | FileNotFoundError):
-                self.lost()
-
     def ready(self, status: str, main: bool = False) -> None:
-        """`main`: this process has become the service's, in place of another."""
-        pid = [f"MAINPID={os.getpid()}"] if main else []
-        self.tell("READY=1", f"STATUS={status}", *pid)
-        if self.period and self.timer is None:
-            self.beat()
+        """Notify that this process serves, and start the keep-alives.
+
+        Args:
+            status: For people, shown by the service manager.
+            main: This process has become the service's main process, in place of another.
+        """
+        main_process = [f"MAINPID={os.getpid()}"] if main else []
+        self._send("READY=1", f"STATUS={status}", *main_process)
+        if self.keepalive_interval_s and self._keepalive_timer is None:
+            self._send_keepalive()
 
     def reloading(self) -> None:
-        self.tell("RELOADING=1", f"MONOTONIC_USEC={time.monotonic_ns() // 1000}")
+        """Notify that the settings are read again; `ready` ends it."""
+        self._send("RELOADING=1", f"MONOTONIC_USEC={time.monotonic_ns() // 1000}")
 
     def stopping(self) -> None:
-        self.tell("STOPPING=1")
-
-    def beat(self) -> None:
-        """From the loop's own timers: a loop that hangs keeps nothing alive."""
-        self.tell("WATCHDOG=1")
-        self.timer = asyncio.get_running_loop().call_later(self.period, self.beat)
+        """Notify that this process shuts down."""
+        self._send("STOPPING=1")
 
     def close(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
+        """Stop the keep-alives and close the socket; nothing is sent from here on."""
+        if self._keepalive_timer is not None:
+            self._keepalive_timer.cancel()
         if self.socket is not None:
             with contextlib.suppress(OSError):
                 self.socket.close()
             self.socket = None
+
+    def _send(self, *lines: str) -> None:
+        if self.socket is None:
+            return
+        try:
+            self.socket.sendto("\n".join(lines).encode(), self._address)
+        except OSError as err:
+            log.warning("the service manager could not be told: %s", err)
+            if self.on_manager_gone is not None and isinstance(err, ConnectionError | FileNotFoundError):
+                self.on_manager_gone()
+
+    def _send_keepalive(self) -> None:
+        """Send one and schedule the next on the event loop's timers: a loop that hangs sends none."""
+        self._send("WATCHDOG=1")
+        loop = asyncio.get_running_loop()
+        self._keepalive_timer = loop.call_later(self.keepalive_interval_s, self._send_keepalive)
+
+
+def _socket_address(env: Mapping[str, str]) -> str:
+    """Return the manager's socket; an abstract name, written with `@`, begins with a NUL for the kernel."""
+    path = env.get("NOTIFY_SOCKET", "")
+    return "\0" + path[1:] if path.startswith("@") else path
+
+
+def _keepalive_interval(env: Mapping[str, str]) -> float:
+    """Return half of WATCHDOG_USEC in seconds, as sd_watchdog_enabled(3) advises; 0 if it is not for us."""
+    timeout_us = env.get("WATCHDOG_USEC", "")
+    watched_pid = env.get("WATCHDOG_PID", "")
+    if not timeout_us.isdecimal() or (watched_pid and watched_pid != str(os.getpid())):
+        return 0.0
+    return int(timeout_us) / MICROSECONDS / 2
--- a/apigateway/daemon/pending_signals.py
+++ b/apigateway/daemon/pending_signals.py
@@ -1,8 +1,9 @@
-"""Signals that come before there is a gateway: while modules are loaded and the configuration is read.
+"""Handle the signals that come before there is a gateway: during imports and while the settings are read.
 
-By the system's default each would end the process. A SIGHUP would be a crash; the file that it speaks of may
+By the system's default each would end the process. A SIGHUP would be a crash; the file that it is about may
 have been read already, so it is kept until there is a gateway to reload. A SIGTERM ends the process at once:
-nothing was taken, so nothing is owed. Nothing else is imported here, for the start is long only by imports.
+no request has been accepted. This module imports nothing of the package, since the start takes long only by
+imports.
 """
 
 from __future__ import annotations
@@ -11,26 +12,30 @@
 import signal
 from types import FrameType
 
-_hups: list[int] = []
+_pending_reloads: list[int] = []
 
 
-def listen() -> None:
-    """Until the loop's own handlers take over. To be called before anything that takes time."""
-    signal.signal(signal.SIGHUP, note)
-    signal.signal(signal.SIGTERM, end)
+def install_handlers() -> None:
+    """Handle SIGHUP and SIGTERM until the event loop's own handlers replace these.
 
+    To be called before anything that takes time.
+    """
+    signal.signal(signal.SIGHUP, record_reload)
+    signal.signal(signal.SIGTERM, _exit_at_once)
 
-def note(number: int = signal.SIGHUP, frame: FrameType | None = None) -> None:
-    _hups.append(number)
 
+def record_reload(number: int = signal.SIGHUP, frame: FrameType | None = None) -> None:
+    """Keep a SIGHUP for `take_reload_request`."""
+    _pending_reloads.append(number)
 
-def end(number: int, frame: FrameType | None) -> None:
-    """No clean-up: half of the modules may be loaded, and nothing is open yet but what the system closes."""
-    os._exit(0)
+
+def take_reload_request() -> bool:
+    """Return whether a SIGHUP came since the last call, and forget it."""
+    is_requested = bool(_pending_reloads)
+    _pending_reloads.clear()
+    return is_requested
 
 
-def told_to_reload() -> bool:
-    """Whether a SIGHUP came since `listen`, once: it is forgotten then."""
-    told = bool(_hups)
-    _hups.clear()
-    return told
+def _exit_at_once(number: int, frame: FrameType | None) -> None:
+    """Exit without clean-up: modules may be half loaded, and the system closes all that is open yet."""
+    os._exit(0)
--- a/apigateway/daemon/platform.py
+++ b/apigateway/daemon/platform.py
@@ -26,7 +26,7 @@
     port = await node.start()
     gc.freeze()  # what the start made stays for good: no collection need look at it again
     logging.getLogger(__name__).info("%s listens on %s:%d", config.name, config.listen[0], port)
-    if pending_signals.told_to_reload():
+    if pending_signals.take_reload_request():
         reload(node)
     await told.wait()
     await node.stop()
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -20,13 +20,19 @@
 from apigateway.config_validation import Faulty
 from apigateway.daemon import pending_signals
 from apigateway.daemon.config import Config, ConfigError, read_config
-from apigateway.daemon.handover import Busy, HandOverFailed, Heir, Keeper
-from apigateway.daemon.lock import Lock, Locked
-from apigateway.daemon.logs import Seldom, start_log
+from apigateway.daemon.handover import (
+    HandoverError,
+    HandoverInProgressError,
+    HandoverOffer,
+    HandoverPredecessor,
+    HandoverSuccessor,
+)
+from apigateway.daemon.lock import StateFolderLock, StateFolderLockedError
+from apigateway.daemon.logs import LogRateLimiter, start_log
 from apigateway.daemon.node import GatewayNode, Source
 from apigateway.daemon.notify import Notifier
 from apigateway.daemon.settings import Settings, changed, read_settings, taken_up, to_config
-from apigateway.daemon.sockets import bind, named, passed
+from apigateway.daemon.sockets import bind_listener, match_to_listeners, sockets_from_service_manager
 from apigateway.daemon.workers import given, own_share, shared, supervise
 from apigateway.frontends.resp.front import RespFront
 from apigateway.membership.listing import read_list, write_list
@@ -74,15 +80,17 @@
 
 
 class Daemon:
-    def __init__(self, path: str, settings: Settings, config: Config, seldom: Seldom | None = None) -> None:
+    def __init__(
+        self, path: str, settings: Settings, config: Config, seldom: LogRateLimiter | None = None
+    ) -> None:
         self.path, self.settings, self.config, self.seldom = path, settings, config, seldom
         self.loop = asyncio.get_running_loop()
         self.told = asyncio.Event()  # to stop
         self.notifier = Notifier()
         self.sockets: dict[Address, socket.socket] = {}  # the listening ones, kept open for a hand-over
-        self.lock: Lock | None = None
-        self.keeper: Keeper | None = None
-        self.heir: Heir | None = None
+        self.lock: StateFolderLock | None = None
+        self.keeper: HandoverPredecessor | None = None
+        self.heir: HandoverSuccessor | None = None
         self.node: GatewayNode
         self.reloading: asyncio.Task[None] | None = None
         self.again = False  # told to reload while a reload was under way
@@ -92,13 +100,14 @@
     # Start
 
     async def run(self, take_over: bool = False) -> int:
-        """Serves until it is told to stop. Raises OSError, Locked or HandOverFailed if it cannot start."""
+        """Serves until it is told to stop. Raises OSError, StateFolderLockedError or HandoverError if it
+        cannot start."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.told.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.hup)
         try:
             if await self.start(take_over):  # else it was told to stop before it served
-                if pending_signals.told_to_reload():
+                if pending_signals.take_reload_request():
                     self.hup()
                 await self.told.wait()
                 await self.stop()
@@ -111,18 +120,20 @@
         state, wanted = self.settings.daemon.state, (self.config.listen, *self.config.more)
         share = own_share()
         if share is not None:  # a worker without its supervisor would serve on unseen, and hold its address
-            self.notifier.lost = self.told.set
-        self.sockets = named(given(share) if share is not None else passed(), wanted)
+            self.notifier.on_manager_gone = self.told.set
+        self.sockets = match_to_listeners(
+            given(share) if share is not None else sockets_from_service_manager(), wanted
+        )
         if take_over:
             inherited = await self.inherit(state)
             for address in inherited.keys() & self.sockets.keys():  # a worker's, given by its supervisor too
                 self.sockets.pop(address).close()
             self.sockets |= inherited
         elif state:
-            self.lock = Lock(state)
+            self.lock = StateFolderLock(state)
         for address in wanted:
             if address not in self.sockets:
-                self.sockets[address] = bind(address)
+                self.sockets[address] = bind_listener(address)
         plugins = await self.build_plugins(self.settings)  # raises before anything is served
         self.node = GatewayNode(self.config, await self.build_limits(self.settings, self.config))
         self.node.core.marks = share.in_flight() if share is not None else None
@@ -140,18 +151,18 @@
         if not await self.able(self.settings.daemon.handover_wait if take_over else None):
             return False
         if self.heir is not None:
-            known = await self.heir.ready()
+            known = await self.heir.announce_ready()
             self.node.begin(read_list(known, "cached"))
         await self.node.listen(self.sockets)
         if self.heir is not None:
             try:
-                await self.heir.serving()
-            except HandOverFailed:  # the predecessor accepts again: two of a name must not
+                await self.heir.announce_serving()
+            except HandoverError:  # the predecessor accepts again: two of a name must not
                 await self.node.stop(0.0)
                 raise
         if self.lock is not None:
-            self.lock.sign()
-            self.keeper = Keeper(
+            self.lock.record_holder()
+            self.keeper = HandoverPredecessor(
                 os.path.join(state, "handover"),
                 self.offer,
                 self.node.pause,
@@ -159,9 +170,9 @@
                 self.succeeded,
                 self.settings.daemon.handover_wait,
             )
-            self.keeper.questions["hosts"] = self.node.hosts_believed
-            self.keeper.questions["plugins"] = self.node.plugins_told
-            self.keeper.questions["ratelimit"] = self.node.limits_told
+            self.keeper.status_queries["hosts"] = self.node.hosts_believed
+            self.keeper.status_queries["plugins"] = self.node.plugins_told
+            self.keeper.status_queries["ratelimit"] = self.node.limits_told
             self.keeper.open()
         if self.registration is not None:
             self.registration.up()
@@ -196,17 +207,17 @@
 
     async def inherit(self, state: str) -> dict[Address, socket.socket]:
         if not state:
-            raise HandOverFailed("daemon.state names no folder, so there is nobody to take over from")
-        self.heir = Heir(os.path.join(state, "handover"))
-        listeners, descriptors, known = await self.heir.take()
+            raise HandoverError("daemon.state names no folder, so there is nobody to take over from")
+        self.heir = HandoverSuccessor(os.path.join(state, "handover"))
+        listeners, descriptors, known = await self.heir.take_over()
         if "workers" in known:
             for number in descriptors:
                 os.close(number)
-            raise HandOverFailed("what runs there has workers: say --workers, or restart it")
+            raise HandoverError("what runs there has workers: say --workers, or restart it")
         sockets = [socket.socket(fileno=number) for number in descriptors[:-1]]
         for sock in sockets:
             sock.setblocking(False)
-        self.lock = Lock(state, descriptors[-1])
+        self.lock = StateFolderLock(state, descriptors[-1])
         if known:
             self.config = replace(self.config, known=read_list(known, "cached"))
         wanted = {write_address(address): address for address in (self.config.listen, *self.config.more)}
@@ -220,7 +231,7 @@
 
     async def able(self, seconds: float | None) -> bool:
         """Until hosts are known, and a line to the counter is up or that has had its time. False if it was
-        told to stop meanwhile. Raises HandOverFailed after `seconds`."""
+        told to stop meanwhile. Raises HandoverError after `seconds`."""
         if not self.node.core.ready:
             log.info("waiting for a list of hosts")
         told = self.loop.create_task(self.told.wait())
@@ -229,18 +240,18 @@
         told.cancel()
         known.cancel()
         if not done:
-            raise HandOverFailed(f"no list of hosts within {seconds:.0f} s")
+            raise HandoverError(f"no list of hosts within {seconds:.0f} s")
         if self.heir is not None and self.node.counter is not None:
             await self.node.counter.wait_until_connected(COUNTER_WAIT)
         return not self.told.is_set()
 
     # Hand-over, as the predecessor
 
-    def offer(self) -> tuple[list[str], list[int], dict[str, object]]:
+    def offer(self) -> HandoverOffer:
         assert self.lock is not None
         names = [write_address(address) for address in self.sockets]
         descriptors = [sock.fileno() for sock in self.sockets.values()] + [self.lock.descriptor]
-        return names, descriptors, write_list(self.node.listing)
+        return HandoverOffer(names, descriptors, write_list(self.node.listing))
 
     async def resume(self) -> None:
         if not self.told.is_set():  # else it ends, and accepts no more
@@ -253,14 +264,14 @@
     # Reload
 
     def hup(self) -> None:
-        if self.told.is_set() or (self.keeper is not None and self.keeper.busy):
+        if self.told.is_set() or (self.keeper is not None and self.keeper.is_in_progress):
             log.warning("no reload during a stop or a hand-over")
         elif self.reloading is not None:
             self.again = True
         elif hasattr(self, "node"):
             self.reloading = self.loop.create_task(self.reload())
         else:  # the settings were read before
-            pending_signals.note()
+            pending_signals.record_reload()
 
     async def reload(self) -> None:
         try:
@@ -326,7 +337,7 @@
         try:
             for address in addresses:
                 if address not in self.sockets:
-                    built[address] = bind(address)
+                    built[address] = bind_listener(address)
             for address, sock in built.items():
                 front = self.node.front(address, config, limits, built_limits)
                 fronts.append(front)
@@ -365,9 +376,9 @@
         self.sockets.update(built)
         self.config, self.settings = config, in_force(self.settings, settings)
         if self.seldom is not None:
-            self.seldom.most = settings.daemon.log_lines
+            self.seldom.max_lines_per_second = settings.daemon.log_lines
         if self.keeper is not None:
-            self.keeper.wait = settings.daemon.handover_wait
+            self.keeper.ready_timeout_s = settings.daemon.handover_wait
         parts = [f"took effect: {', '.join(live)}"] if live else []
         parts += [one for one in (status, reread) if one]
         parts += [f"needs a restart or a hand-over: {', '.join(restart)}"] if restart else []
@@ -441,9 +452,9 @@
         for line in str(err).splitlines():
             print(f"api-gateway: {line}", file=sys.stderr)
         return UNUSABLE
-    except Busy as err:
+    except HandoverInProgressError as err:
         print(f"api-gateway: {err}; try again", file=sys.stderr)
         return TRY_AGAIN
-    except (OSError, Locked, HandOverFailed, ValueError) as err:
+    except (OSError, StateFolderLockedError, HandoverError, ValueError) as err:
         print(f"api-gateway: {err}", file=sys.stderr)
         return FAILED
--- a/apigateway/daemon/sockets.py
+++ b/apigateway/daemon/sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets: bound here, or passed in by a service manager (LISTEN_FDS, sd_listen_fds(3))."""
+"""Open listening sockets, or adopt those that a service manager passes in (sd_listen_fds(3))."""
 
 from __future__ import annotations
 
@@ -8,12 +8,16 @@
 
 from apigateway.upstream.address import Address, write_address
 
-FIRST = 3  # descriptor of the first socket that is passed in
+FIRST_PASSED_DESCRIPTOR = 3  # SD_LISTEN_FDS_START: the first after standard error
+LISTEN_BACKLOG = 1024  # connections that wait to be accepted
 
 
-def bind(address: Address) -> socket.socket:
-    """Bound but not listening: connections come only once someone accepts them. Raises OSError, which names
-    the address."""
+def bind_listener(address: Address) -> socket.socket:
+    """Return a socket that holds this address.
+
+    Raises:
+        OSError: The address cannot be bound; its text names the address.
+    """
     host, port = address
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -21,35 +25,47 @@
         sock.setblocking(False)
         sock.bind((host, port))
         if port:  # two sockets may be bound to a port while neither listens: ask now, not once all is built
-            sock.listen(1024)
+            sock.listen(LISTEN_BACKLOG)
     except OSError as err:
         sock.close()
         raise OSError(err.errno, f"{write_address(address)}: {os.strerror(err.errno or 0)}") from err
     return sock
 
 
-def passed(env: Mapping[str, str] = os.environ) -> list[socket.socket]:
-    """The sockets that were passed to this process; none if they are meant for another."""
-    count, pid = env.get("LISTEN_FDS", ""), env.get("LISTEN_PID", "")
-    if not count.isdecimal() or pid != str(os.getpid()):
+def sockets_from_service_manager(env: Mapping[str, str] = os.environ) -> list[socket.socket]:
+    """Return the sockets passed in by LISTEN_FDS; none if LISTEN_PID names another process."""
+    count = env.get("LISTEN_FDS", "")
+    if not count.isdecimal() or env.get("LISTEN_PID", "") != str(os.getpid()):
         return []
+    descriptors = range(FIRST_PASSED_DESCRIPTOR, FIRST_PASSED_DESCRIPTOR + int(count))
+    return adopt_sockets(descriptors)
+
+
+def adopt_sockets(descriptors: Iterable[int]) -> list[socket.socket]:
+    """Return sockets for inherited descriptors, which no child process inherits again."""
     sockets = []
-    for number in range(FIRST, FIRST + int(count)):
-        os.set_inheritable(number, False)
-        sock = socket.socket(fileno=number)
+    for descriptor in descriptors:
+        os.set_inheritable(descriptor, False)
+        sock = socket.socket(fileno=descriptor)
         sock.setblocking(False)
         sockets.append(sock)
     return sockets
 
 
-def named(sockets: Iterable[socket.socket], wanted: Iterable[Address]) -> dict[Address, socket.socket]:
-    """Which socket is which listener's, by its address. Raises ValueError if one is nobody's: a listener that
-    a manager holds open and nobody serves would take connections and leave them."""
-    wanted = list(wanted)
-    found: dict[Address, socket.socket] = {}
+def match_to_listeners(
+    sockets: Iterable[socket.socket], listeners: Iterable[Address]
+) -> dict[Address, socket.socket]:
+    """Return the sockets by the listener's address that each is bound to.
+
+    Raises:
+        ValueError: A socket is no listener's. A service manager that holds it open would take connections
+            that nobody serves.
+    """
+    listener_addresses = list(listeners)
+    matched: dict[Address, socket.socket] = {}
     for sock in sockets:
         address: Address = sock.getsockname()[:2]
-        if address not in wanted:
+        if address not in listener_addresses:
             raise ValueError(f"a socket at {write_address(address)} was passed in, which is no listener's")
-        found[address] = sock
-    return found
+        matched[address] = sock
+    return matched
--- a/apigateway/daemon/workers.py
+++ b/apigateway/daemon/workers.py
@@ -25,13 +25,13 @@
 import msgspec
 
 from apigateway.config_validation import Faulty
-from apigateway.daemon.handover import HandOverFailed, Heir, Keeper
-from apigateway.daemon.inflight import InFlight, size
-from apigateway.daemon.lock import Lock
+from apigateway.daemon.handover import HandoverError, HandoverOffer, HandoverPredecessor, HandoverSuccessor
+from apigateway.daemon.inflight import InFlightWriteTable, shared_memory_size
+from apigateway.daemon.lock import StateFolderLock
 from apigateway.daemon.notify import Notifier
 from apigateway.daemon.settings import Settings, read_settings
-from apigateway.daemon.sockets import bind
-from apigateway.daemon.tending import Care, Tended
+from apigateway.daemon.sockets import bind_listener
+from apigateway.daemon.worker_lifecycle import RestartPolicy, WorkerLifecycle
 from apigateway.upstream.address import Address, read_address, write_address
 
 # In the environment: "2/4"; descriptors "5,6"; the marks (inflight.py): their descriptor, the first of the
@@ -54,11 +54,11 @@
     listeners: tuple[int, ...]
     marks: tuple[int, int, int] | None = None
 
-    def in_flight(self) -> InFlight | None:
+    def in_flight(self) -> InFlightWriteTable | None:
         if self.marks is None:
             return None
         descriptor, base, regions = self.marks
-        return InFlight(descriptor, base + self.number, regions)
+        return InFlightWriteTable(descriptor, base + self.number, regions)
 
 
 def own_share(env: Mapping[str, str] = os.environ) -> Share | None:
@@ -116,8 +116,8 @@
 
 
 class Worker:
-    def __init__(self, number: int, care: Care, now: float, folder: str) -> None:
-        self.number, self.tended = number, Tended(care, now)
+    def __init__(self, number: int, care: RestartPolicy, now: float, folder: str) -> None:
+        self.number, self.tended = number, WorkerLifecycle(care, now)
         self.path = os.path.join(folder, f"worker-{number}")
         self.signs = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC)
         self.signs.setblocking(False)
@@ -132,17 +132,19 @@
         self.path, self.settings, self.count, self.take_over = path, settings, count, take_over
         self.loop = asyncio.get_running_loop()
         part = settings.workers
-        self.care = Care(part.watchdog, part.patience, part.rest, part.most_rest, part.steady, part.crashes)
+        self.care = RestartPolicy(
+            part.watchdog, part.patience, part.rest, part.most_rest, part.steady, part.crashes
+        )
         self.told, self.failed = asyncio.Event(), False
         self.notifier = Notifier()
         self.workers: list[Worker] = []
         self.sockets: dict[Address, socket.socket] = {}
-        self.lock: Lock | None = None
+        self.lock: StateFolderLock | None = None
         self.waits: set[asyncio.Task[None]] = set()
         self.told_ready = False
         self.marks, self.base, self.regions = -1, 0, 0
-        self.keeper: Keeper | None = None
-        self.heir: Heir | None = None
+        self.keeper: HandoverPredecessor | None = None
+        self.heir: HandoverSuccessor | None = None
 
     async def run(self) -> int:
         """Until it is told to stop, or a worker's crash loop ends it. The exit code."""
@@ -155,16 +157,16 @@
             if self.take_over:
                 await self.inherit(state)
             elif state:
-                self.lock = Lock(state)
+                self.lock = StateFolderLock(state)
             if self.settings.workers.address == "shared":
                 for listener in self.settings.listeners:
                     address = read_address(listener.address)
                     if address not in self.sockets:
-                        self.sockets[address] = bind(address)
+                        self.sockets[address] = bind_listener(address)
                 if self.marks < 0:
                     self.marks = os.memfd_create("apigateway-in-flight", os.MFD_CLOEXEC)
                 self.regions = max(self.regions, self.base + self.count)
-                os.ftruncate(self.marks, size(self.regions))
+                os.ftruncate(self.marks, shared_memory_size(self.regions))
             now = self.loop.time()
             for number in range(self.count):
                 worker = Worker(number, self.care, now, folder)
@@ -173,7 +175,7 @@
             if self.heir is not None:
                 await self.succeed(self.heir)
             if self.lock is not None:
-                self.lock.sign()
+                self.lock.record_holder()
                 self.keep(state)
             while not self.told.is_set():
                 await self.look()
@@ -205,20 +207,21 @@
 
     def keep(self, state: str) -> None:
         wait = self.settings.daemon.handover_wait * self.count
-        self.keeper = Keeper(
+        self.keeper = HandoverPredecessor(
             os.path.join(state, "handover"), self.offer, self.nothing, self.nothing, self.succeeded, wait
         )
         for name in ("hosts", "plugins", "ratelimit"):  # the workers know
-            self.keeper.questions[name] = lambda: {"workers": self.count}
+            self.keeper.status_queries[name] = lambda: {"workers": self.count}
         self.keeper.open()
 
-    def offer(self) -> tuple[list[str], list[int], dict[str, object]]:
+    def offer(self) -> HandoverOffer:
         assert self.lock is not None
         names = [write_address(address) for address in self.sockets]
         numbers = [sock.fileno() for sock in self.sockets.values()]
         if self.marks >= 0:
             names, numbers = [*names, MARKED], [*numbers, self.marks]
-        return names, [*numbers, self.lock.descriptor], {"workers": self.count, "base": self.base}
+        known = {"workers": self.count, "base": self.base}
+        return HandoverOffer(names, [*numbers, self.lock.descriptor], known)
 
     async def nothing(self) -> None:
         """The workers have paused, each for its successor, and go on by themselves."""
@@ -227,19 +230,19 @@
         self.told.set()
 
     async def inherit(self, state: str) -> None:
-        """Sockets, marks and lock of the supervisor that runs. Raises HandOverFailed."""
+        """Sockets, marks and lock of the supervisor that runs. Raises HandoverError."""
         if not state:
-            raise HandOverFailed("daemon.state names no folder, so there is nobody to take over from")
-        self.heir = Heir(os.path.join(state, "handover"))
-        names, numbers, known = await self.heir.take()
+            raise HandoverError("daemon.state names no folder, so there is nobody to take over from")
+        self.heir = HandoverSuccessor(os.path.join(state, "handover"))
+        names, numbers, known = await self.heir.take_over()
         if known.get("workers") != self.count:
             for number in numbers:
                 os.close(number)
             count = known.get("workers", "no")
-            raise HandOverFailed(
+            raise HandoverError(
                 f"what runs there has {count} workers, and here are {self.count}: that needs a restart"
             )
-        self.lock = Lock(state, numbers.pop())
+        self.lock = StateFolderLock(state, numbers.pop())
         wanted = {listener.address for listener in self.settings.listeners}
         for name, number in zip(names, numbers, strict=True):
             if name == MARKED:
@@ -247,7 +250,7 @@
                 # The predecessor's regions stay as they are: what is marked there is in work till it ends.
                 old = int(known.get("base", 0))
                 self.base = 0 if old >= self.count else old + self.count
-                self.regions = os.fstat(number).st_size // size(1)
+                self.regions = os.fstat(number).st_size // shared_memory_size(1)
             elif name in wanted:
                 sock = socket.socket(fileno=number)
                 sock.setblocking(False)
@@ -255,33 +258,33 @@
             else:
                 os.close(number)
 
-    async def succeed(self, heir: Heir) -> None:
+    async def succeed(self, heir: HandoverSuccessor) -> None:
         """One worker after another takes over from the predecessor's; if one cannot, all is as before."""
         for worker in self.workers:
             await self.start(worker, take_over=True)
             process, until = worker.process, self.loop.time() + self.settings.daemon.handover_wait
-            while not worker.tended.ready:
+            while not worker.tended.is_ready:
                 if process is None or process.returncode is not None or self.loop.time() > until:
-                    raise HandOverFailed(f"worker {worker.number} could not take over")
+                    raise HandoverError(f"worker {worker.number} could not take over")
                 if self.told.is_set():
-                    raise HandOverFailed("told to stop")
+                    raise HandoverError("told to stop")
                 await asyncio.sleep(LOOK / 10)
-        await heir.ready()
-        await heir.serving()
+        await heir.announce_ready()
+        await heir.announce_serving()
 
     # Workers
 
     async def look(self) -> None:
         now = self.loop.time()
-        handing = self.keeper is not None and self.keeper.busy
+        handing = self.keeper is not None and self.keeper.is_in_progress
         for worker in self.workers:
             # the successor failed: its worker has ended, and ours begins anew
             if worker.handed and not handing:
                 worker.handed = False
-                worker.tended.anew(now)
-            if worker.tended.due(now):
+                worker.tended.start_again(now)
+            if worker.tended.is_due(now):
                 await self.start(worker)
-            elif worker.process is not None and not worker.killed and worker.tended.hung(now):
+            elif worker.process is not None and not worker.killed and worker.tended.is_hung(now):
                 log.error("worker %d shows no sign of life: killed", worker.number)
                 worker.killed = True
                 self.send(worker, signal.SIGKILL)
@@ -313,10 +316,10 @@
             LISTENERS: ",".join(map(str, numbers)),
             MARKS: f"{self.marks},{self.base},{self.regions}" if self.marks >= 0 else "",
             "NOTIFY_SOCKET": worker.path,
-            "WATCHDOG_USEC": str(int(self.care.watchdog * 1e6)),
+            "WATCHDOG_USEC": str(int(self.care.watchdog_timeout_s * 1e6)),
         }
         worker.killed = False
-        worker.tended.started(self.loop.time())
+        worker.tended.on_started(self.loop.time())
         worker.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -336,24 +339,26 @@
         worker.process = None
         if self.told.is_set():
             # One that was told to end while it still started had taken nothing.
-            early = code == -signal.SIGTERM and not worker.tended.ready
+            early = code == -signal.SIGTERM and not worker.tended.is_ready
             self.failed = self.failed or (code != 0 and not early)
-            worker.tended.running = False
+            worker.tended.is_running = False
             return
-        if code == 0 and self.keeper is not None and self.keeper.busy:
+        if code == 0 and self.keeper is not None and self.keeper.is_in_progress:
             worker.handed = True
-            worker.tended.handed()
+            worker.tended.on_handed_over()
             return
-        again = worker.tended.ended(self.loop.time())
+        again = worker.tended.on_ended(self.loop.time())
         log.error(
             "worker %d ended (%s)%s",
             worker.number,
             f"signal {-code}" if code < 0 else f"exit code {code}",
-            f"; again in {worker.tended.start_at - self.loop.time():.1f} s" if again else "",
+            f"; again in {worker.tended.next_start_at - self.loop.time():.1f} s" if again else "",
         )
         if not again:
             log.error(
-                "worker %d ended %d times in a row: given up, all end", worker.number, worker.tended.in_row
+                "worker %d ended %d times in a row: given up, all end",
+                worker.number,
+                worker.tended.failures_in_row,
             )
             self.failed = True
             self.told.set()
@@ -362,8 +367,8 @@
         with contextlib.suppress(BlockingIOError):
             while True:
                 lines = worker.signs.recv(4096).decode("utf-8", "replace").split("\n")
-                worker.tended.sign(self.loop.time(), "READY=1" in lines)
-        if not self.told_ready and all(one.tended.ready for one in self.workers):
+                worker.tended.on_heartbeat(self.loop.time(), "READY=1" in lines)
+        if not self.told_ready and all(one.tended.is_ready for one in self.workers):
             self.told_ready = True
             log.info(
                 "%d workers listen on %s",
@@ -383,7 +388,7 @@
     def hup(self) -> None:
         """Workers take up what they can, as a gateway does; what only the supervisor could is refused for
         all."""
-        if self.told.is_set() or (self.keeper is not None and self.keeper.busy):
+        if self.told.is_set() or (self.keeper is not None and self.keeper.is_in_progress):
             log.warning("no reload during a stop or a hand-over")
             return
         try:
@@ -405,12 +410,12 @@
             return
         self.settings = new
         for worker in self.workers:
-            if worker.tended.ready:
+            if worker.tended.is_ready:
                 self.send(worker, signal.SIGHUP)
 
     async def end(self) -> bool:
         """Whether all ended by themselves."""
-        handed = self.keeper is not None and self.keeper.over  # then each ends by itself, or has
+        handed = self.keeper is not None and self.keeper.is_completed  # then each ends by itself, or has
         for worker in self.workers if not handed else ():
             self.send(worker, signal.SIGTERM)
         part = self.settings.daemon
@@ -426,5 +431,5 @@
 
 
 async def supervise(path: str, settings: Settings, count: int, take_over: bool) -> int:
-    """Raises HandOverFailed, Locked or OSError if it cannot start."""
+    """Raises HandoverError, StateFolderLockedError or OSError if it cannot start."""
     return await Supervisor(path, settings, count, take_over).run()
--- a/apigateway/tools/demo.py
+++ b/apigateway/tools/demo.py
@@ -22,7 +22,7 @@
 from rich.table import Table
 
 from apigateway.config_validation import Faulty
-from apigateway.daemon.handover import question
+from apigateway.daemon.handover import query_gateway
 from apigateway.emulators.clients import Client, Customer, Traffic
 from apigateway.emulators.fleet import Class, Fleet, Plan, Shape
 from apigateway.emulators.ledger import Attempt, Ledger, Verdict
@@ -283,7 +283,7 @@
     """Until no gateway has records that wait for its disk: they are written as soon as there are no more."""
     for gateway in fleet.gateways:
         while True:
-            told = await question(str(fleet.folder / gateway.name / "handover"), "plugins")
+            told = await query_gateway(str(fleet.folder / gateway.name / "handover"), "plugins")
             if not told["records"] or not told["records"]["waiting"]:
                 break
             await asyncio.sleep(0.05)
--- a/tests/daemon/test_inflight.py
+++ b/tests/daemon/test_inflight.py
@@ -7,23 +7,23 @@
 from hypothesis import strategies as st
 
 from apigateway.daemon import inflight
-from apigateway.daemon.inflight import FULL, HELD, InFlight, size
+from apigateway.daemon.inflight import AcquireFailure, InFlightWriteTable, shared_memory_size
 
 
 def memory(count):
     descriptor = os.memfd_create("marks")
-    os.ftruncate(descriptor, size(count))
+    os.ftruncate(descriptor, shared_memory_size(count))
     return descriptor
 
 
 def test_what_one_has_marked_no_other_takes_until_it_is_cleared():
     file = memory(3)
-    one, two = InFlight(file, 0, 3), InFlight(file, 2, 3)
+    one, two = InFlightWriteTable(file, 0, 3), InFlightWriteTable(file, 2, 3)
     place = one.acquire("a", 3.0)
     assert (
         place >= 0
-        and two.acquire("a", 3.0) == HELD
-        and one.acquire("a", 3.0) == HELD
+        and two.acquire("a", 3.0) == AcquireFailure.ALREADY_HELD
+        and one.acquire("a", 3.0) == AcquireFailure.ALREADY_HELD
         and two.acquire("b", 3.0) >= 0
     )
     one.release(place)
@@ -32,20 +32,20 @@
 
 def test_the_marks_of_one_that_died_hold_for_its_successor_too_until_the_clients_time_is_over(monkeypatch):
     file = memory(2)
-    InFlight(file, 0, 2).acquire("a", 3.0)
+    InFlightWriteTable(file, 0, 2).acquire("a", 3.0)
     for number in (0, 1):
-        assert InFlight(file, number, 2).acquire("a", 3.0) == HELD
+        assert InFlightWriteTable(file, number, 2).acquire("a", 3.0) == AcquireFailure.ALREADY_HELD
     now = time.monotonic()
-    monkeypatch.setattr(inflight.time, "monotonic", lambda: now + 3.0 + inflight.LATE + 0.1)
-    assert InFlight(file, 1, 2).acquire("a", 3.0) >= 0
+    monkeypatch.setattr(inflight.time, "monotonic", lambda: now + 3.0 + inflight.EXPIRY_MARGIN_S + 0.1)
+    assert InFlightWriteTable(file, 1, 2).acquire("a", 3.0) >= 0
 
 
 def test_where_there_is_no_place_nothing_is_taken(monkeypatch):
-    monkeypatch.setattr(inflight, "PROBES", 2)
-    monkeypatch.setattr(inflight, "SLOTS", 4)
-    marks = InFlight(memory(1), 0, 1)
+    monkeypatch.setattr(inflight, "MAX_PROBES", 2)
+    monkeypatch.setattr(inflight, "SLOTS_PER_REGION", 4)
+    marks = InFlightWriteTable(memory(1), 0, 1)
     told = [marks.acquire(str(n), 3.0) for n in range(20)]
-    assert FULL in told and sum(place >= 0 for place in told) <= 4
+    assert AcquireFailure.NO_FREE_SLOT in told and sum(place >= 0 for place in told) <= 4
 
 
 @seed(3)
@@ -53,7 +53,7 @@
 @given(st.lists(st.tuples(st.integers(0, 2), st.sampled_from("abcdef"), st.booleans()), max_size=60))
 def test_never_two_at_once(steps):
     file, held = memory(3), {}
-    views = [InFlight(file, n, 3) for n in range(3)]
+    views = [InFlightWriteTable(file, n, 3) for n in range(3)]
     for number, id, clear in steps:
         if clear and id in held and held[id][0] == number:
             views[number].release(held.pop(id)[1])
--- a/tests/daemon/test_lifecycle.py
+++ b/tests/daemon/test_lifecycle.py
@@ -11,9 +11,9 @@
 from netkit import SERVED, Held, StubCounter, StubDiscovery, StubHost, command, entry, on_loop, told
 from rig import PROGRAM, ROOT, Site, free_port
 
-from apigateway.daemon.lock import Lock, Locked
+from apigateway.daemon.lock import StateFolderLock, StateFolderLockedError
 from apigateway.daemon.notify import Notifier
-from apigateway.daemon.sockets import bind, named
+from apigateway.daemon.sockets import bind_listener, match_to_listeners
 
 
 class Manager:
@@ -118,36 +118,38 @@
 
 def test_a_socket_that_is_no_listeners_is_told():
     with socket.create_server(("127.0.0.1", 0)) as sock:
-        assert named([sock], [sock.getsockname()]) == {sock.getsockname(): sock}
+        assert match_to_listeners([sock], [sock.getsockname()]) == {sock.getsockname(): sock}
         with pytest.raises(ValueError, match="which is no listener's"):
-            named([sock], [("127.0.0.1", 1)])
+            match_to_listeners([sock], [("127.0.0.1", 1)])
 
 
 def test_an_address_that_is_taken_is_named():
     port = free_port()
-    with bind(("127.0.0.1", port)), pytest.raises(OSError, match=f"127.0.0.1:{port}"):
-        bind(("127.0.0.1", port))
+    with bind_listener(("127.0.0.1", port)), pytest.raises(OSError, match=f"127.0.0.1:{port}"):
+        bind_listener(("127.0.0.1", port))
 
 
 def test_one_instance_a_folder(tmp_path):
-    lock = Lock(str(tmp_path / "state"))
-    lock.sign()
-    with pytest.raises(Locked, match=f"process {os.getpid()}"):
-        Lock(str(tmp_path / "state"))
-    heir = Lock(str(tmp_path / "state"), os.dup(lock.descriptor))
+    lock = StateFolderLock(str(tmp_path / "state"))
+    lock.record_holder()
+    with pytest.raises(StateFolderLockedError, match=f"process {os.getpid()}"):
+        StateFolderLock(str(tmp_path / "state"))
+    successor = StateFolderLock(str(tmp_path / "state"), os.dup(lock.descriptor))
     lock.close()
-    with pytest.raises(Locked):  # a lock that was passed on holds
-        Lock(str(tmp_path / "state"))
-    heir.close()
-    Lock(str(tmp_path / "state")).close()
+    with pytest.raises(StateFolderLockedError):  # a lock that was passed on holds
+        StateFolderLock(str(tmp_path / "state"))
+    successor.close()
+    StateFolderLock(str(tmp_path / "state")).close()
 
 
 def test_without_a_manager_nothing_is_told_and_another_processs_watchdog_is_not_ours():
     quiet = Notifier({})
     quiet.ready("x")
-    assert quiet.socket is None and quiet.period == 0.0
-    assert Notifier({"WATCHDOG_USEC": "1000000", "WATCHDOG_PID": "1"}).period == 0.0
-    assert Notifier({"WATCHDOG_USEC": "1000000", "WATCHDOG_PID": str(os.getpid())}).period == 0.5
+    assert quiet.socket is None and quiet.keepalive_interval_s == 0.0
+    assert Notifier({"WATCHDOG_USEC": "1000000", "WATCHDOG_PID": "1"}).keepalive_interval_s == 0.0
+    assert (
+        Notifier({"WATCHDOG_USEC": "1000000", "WATCHDOG_PID": str(os.getpid())}).keepalive_interval_s == 0.5
+    )
 
 
 @on_loop
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -12,7 +12,7 @@
 from rig import TERMS, Load, Site, free_port
 
 from apigateway import messages
-from apigateway.daemon.handover import Channel
+from apigateway.daemon.handover import HandoverChannel
 from apigateway.emulators.ledger import Ledger
 from apigateway.membership.belief import Entry, Trust
 from apigateway.membership.judge import Judge
@@ -23,9 +23,9 @@
     """A connection that says it is a successor: the first answers, and the channel to go on with."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     sock.connect(str(site.path / "state" / "handover"))
-    channel = Channel(sock)
-    await channel.say({"take": 1})
-    told, descriptors = await channel.hear_with_descriptors(5.0)
+    channel = HandoverChannel(sock)
+    await channel.send({"take": 1})
+    told, descriptors = await channel.receive_with_descriptors(5.0)
     for number in descriptors:
         os.close(number)
     return told, channel
@@ -62,10 +62,10 @@
             else:
                 told, channel = await hand(site)
                 assert told["listeners"] == [f"127.0.0.1:{site.port}"]
-                assert "known" in await channel.hear(5.0)
+                assert "known" in await channel.receive(5.0)
                 if how == "says ready and dies":
-                    await channel.say({"ready": True})
-                    assert (await channel.hear(5.0))["go"]  # the old one accepts no more
+                    await channel.send({"ready": True})
+                    assert (await channel.receive(5.0))["go"]  # the old one accepts no more
                 elif how == "talks nonsense":
                     channel.sock.sendall(b"\xff\n")
                 channel.close()
@@ -168,11 +168,11 @@
 @on_loop
 async def test_a_long_list_of_hosts_is_handed_over_whole():
     one, other = socket.socketpair()
-    left, right = Channel(one), Channel(other)
+    left, right = HandoverChannel(one), HandoverChannel(other)
     known = {"servers": [{"id": f"h{n}", "addr": "127.0.0.1:1"} for n in range(20_000)]}
     with contextlib.closing(left), contextlib.closing(right):
-        heard = asyncio.ensure_future(right.hear(5.0))
-        await left.say({"known": known})
+        heard = asyncio.ensure_future(right.receive(5.0))
+        await left.send({"known": known})
         assert (await heard)["known"] == known
         assert len(json.dumps(known)) > 500_000
 
--- a/tests/faults/test_plugins.py
+++ b/tests/faults/test_plugins.py
@@ -11,7 +11,7 @@
 from netkit import SERVED, command, on_loop, read_reply
 from rig import TERMS, Load, Site
 
-from apigateway.daemon.handover import question
+from apigateway.daemon.handover import query_gateway
 from apigateway.emulators.clients import Client, Customer, Traffic
 from apigateway.emulators.fleet import Class, Fleet, Plan, Shape
 from apigateway.emulators.ledger import Ledger, report
@@ -48,7 +48,7 @@
         replaced(self.file, self.file.read_text() + text)
 
     async def told(self):
-        return await question(str(self.path / "state" / "handover"), "plugins")
+        return await query_gateway(str(self.path / "state" / "handover"), "plugins")
 
     async def reload(self, program, word=b"reload: "):
         program.send_signal(signal.SIGHUP)
@@ -165,7 +165,7 @@
             fleet.tell((leaves, "up"))
 
         await asyncio.gather(traffic.run(5.0), trouble())
-        told = [await question(str(tmp_path / g.name / "handover"), "plugins") for g in fleet.gateways]
+        told = [await query_gateway(str(tmp_path / g.name / "handover"), "plugins") for g in fleet.gateways]
         client.close()
         verdicts = fleet.ledger.judge()
         assert all(v.kept and v.checked for v in verdicts), report(verdicts)
