--- a/apigateway/cli/check.py
+++ b/apigateway/cli/check.py
@@ -5,7 +5,7 @@
 import importlib
 import sys
 
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.config import ConfigError
 from apigateway.daemon.serve import OK, UNUSABLE, read
 from apigateway.upstream.address import write_address
@@ -18,7 +18,7 @@
             importlib.import_module("apigateway.daemon.plugins").check(path, told, config.settings)
         if config.grpc or told.ratelimit.token_keys or told.ask.address:
             importlib.import_module("apigateway.daemon.ratelimit").build(path, told, config)
-    except (Faulty, ConfigError) as err:
+    except (InvalidConfigFileError, ConfigError) as err:
         print(err, file=sys.stderr)
         return UNUSABLE
     settings = config.settings
--- a/apigateway/cli/experiment.py
+++ b/apigateway/cli/experiment.py
@@ -5,7 +5,7 @@
 import argparse
 import sys
 
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 
 OK, FAILED, UNUSABLE = 0, 1, 2
 
@@ -23,7 +23,7 @@
     try:
         experiment = read_experiment(told.file, told.seeds)
         older = report.read_older(told.compare) if told.compare else None
-    except (Faulty, ValueError) as err:
+    except (InvalidConfigFileError, ValueError) as err:
         print(err, file=sys.stderr)
         return UNUSABLE
     results = {}
--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -10,7 +10,7 @@
 
 from apigateway import messages
 from apigateway.cli.ask import ask, headed
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.node import described
 from apigateway.daemon.serve import FAILED, OK, UNUSABLE
@@ -25,7 +25,7 @@
     try:
         settings = read_settings(path)
         told = {"": asyncio.run(from_registry(settings))} if registry else asyncio.run(ask(settings, "hosts"))
-    except Faulty as err:
+    except InvalidConfigFileError as err:
         print(err, file=sys.stderr)
         return UNUSABLE
     except (HandoverError, OSError) as err:
--- a/apigateway/cli/load.py
+++ b/apigateway/cli/load.py
@@ -5,7 +5,7 @@
 import argparse
 import sys
 
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 
 OK, UNUSABLE = 0, 2
 
@@ -27,7 +27,7 @@
 
             return play(scenario, told.json)
         print(text(plan(scenario), told.json))
-    except Faulty as err:
+    except InvalidConfigFileError as err:
         print(err, file=sys.stderr)
         return UNUSABLE
     except TooMany as err:
--- a/apigateway/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from apigateway.cli.ask import ask, headed
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.serve import FAILED, OK, UNUSABLE
 from apigateway.daemon.settings import read_settings
@@ -31,7 +31,7 @@
         else:
             print(status(told.file, told.json))
         return OK
-    except (Faulty, tool.Unusable) as err:
+    except (InvalidConfigFileError, tool.Unusable) as err:
         print(err, file=sys.stderr)
         return UNUSABLE
     except (HandoverError, OSError) as err:
--- a/apigateway/cli/ratelimit.py
+++ b/apigateway/cli/ratelimit.py
@@ -11,7 +11,7 @@
 
 from apigateway.cli.ask import ask as ask_gateway
 from apigateway.cli.ask import headed
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.serve import FAILED, OK, UNUSABLE
 from apigateway.daemon.settings import read_settings
@@ -35,7 +35,7 @@
 def status(path: str, as_json: bool) -> int:
     try:
         told = asyncio.run(ask_gateway(read_settings(path), "ratelimit"))
-    except Faulty as err:
+    except InvalidConfigFileError as err:
         print(err, file=sys.stderr)
         return UNUSABLE
     except (HandoverError, OSError) as err:
--- a/apigateway/config_validation.py
+++ b/apigateway/config_validation.py
@@ -1,7 +1,7 @@
-"""Files of settings, read by typed structs (msgspec), all faults of a file at once.
+"""Read TOML settings files into typed structs (msgspec) and report all problems of a file at once.
 
-Each fault names file, key, value, reason and remedy. Imported only where such a file is read: the platform's
-`run` does without.
+Each problem names the file, key, value, reason and remedy. Imported only where such a file is read: the
+platform's `run` does without.
 """
 
 from __future__ import annotations
@@ -18,20 +18,44 @@
 
 import msgspec
 
-MOST_BYTES = 1024 * 1024  # of a file: a wrong path must not fill the memory
-MOST_SHOWN = 60  # characters of a value in a message
+MAX_FILE_BYTES = 1024 * 1024  # a wrong path must not fill the memory
+MAX_VALUE_CHARACTERS = 60  # of a value in a message
+MIN_SIMILARITY = 0.6  # of a known key to an unknown one, to be suggested (difflib's ratio)
 
-Made = TypeVar("Made", bound=msgspec.Struct)
+# Values under these keys are never shown, since messages go to the log.
+SECRET_KEYS = frozenset({"password"})
+# Credentials in an address: `//user:password@`.
+CREDENTIALS = re.compile(r"//[^/@\s]*@")
 
+# msgspec's names of types, as people say them.
+TYPES_IN_WORDS = {
+    "`float`": "a number",
+    "`int`": "a whole number",
+    "`str`": "text",
+    "`bool`": "true or false",
+    "`array`": "a list",
+    "`object`": "a table",
+}
+
+Section = TypeVar("Section", bound=msgspec.Struct)
+KeyPath = tuple[str | int, ...]  # names of tables and keys, numbers of list items
 
-class Part(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+
+class ConfigSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """A table of a settings file."""
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """`key` as a path, `plans.basic.rate`; empty where the file as a whole is at fault. `value` as
-    written."""
+class ConfigProblem:
+    """Something in a settings file that cannot be used.
+
+    Attributes:
+        file: Path of the file.
+        key: As people write it, `plans.basic.rate`; empty where the file as a whole is concerned.
+        value: As written in the file, shortened; empty if there is none.
+        reason: What is wrong.
+        remedy: What to do about it.
+    """
 
     file: str
     key: str
@@ -40,156 +64,200 @@
     remedy: str
 
     def __str__(self) -> str:
-        at = self.key + f" = {self.value}" * bool(self.value) + ": " if self.key else ""
-        return f"{self.file}: {at}{self.reason}; {self.remedy}"
+        value = f" = {self.value}" if self.value else ""
+        location = f"{self.key}{value}: " if self.key else ""
+        return f"{self.file}: {location}{self.reason}; {self.remedy}"
 
 
-class Faulty(Exception):
-    """A file that cannot be used, with all that is wrong in it."""
+class InvalidConfigFileError(Exception):
+    """A settings file cannot be used; `problems` has all that is wrong in it."""
 
-    def __init__(self, faults: Iterable[Fault]) -> None:
-        self.faults = tuple(faults)
-        super().__init__("\n".join(str(fault) for fault in self.faults))
+    def __init__(self, problems: Iterable[ConfigProblem]) -> None:
+        self.problems = tuple(problems)
+        super().__init__("\n".join(str(problem) for problem in self.problems))
 
 
-def shown(value: object) -> str:
-    text = re.sub(r"//[^/@\s]*@", "//(hidden)@", repr(value).replace("\n", " "))  # credentials in an address
-    return text if len(text) <= MOST_SHOWN else text[: MOST_SHOWN - 3] + "..."
+def format_value(value: object) -> str:
+    """Return a value for a message: on one line, shortened, without credentials."""
+    text = CREDENTIALS.sub("//(hidden)@", repr(value).replace("\n", " "))
+    if len(text) <= MAX_VALUE_CHARACTERS:
+        return text
+    return text[: MAX_VALUE_CHARACTERS - 3] + "..."
 
 
-def read_toml(path: str) -> dict[str, Any]:
-    """Raises Faulty with one fault: what is no file, too long, not text or not TOML cannot be looked into."""
+def format_path(path: KeyPath) -> str:
+    """Return a path as people write it: `listeners[1].address`."""
+    text = ""
+    for step in path:
+        if isinstance(step, int):
+            text += f"[{step}]"
+        else:
+            text += f".{step}" if text else step
+    return text
 
-    def faulty(reason: str, remedy: str) -> Faulty:
-        return Faulty([Fault(path, "", "", reason, remedy)])
 
-    try:
-        told = os.stat(path)
-        if not stat.S_ISREG(told.st_mode):
-            raise faulty("is no regular file", "name a TOML file")
-        if told.st_size > MOST_BYTES:
-            raise faulty(f"holds {told.st_size} bytes", f"{MOST_BYTES} at most; is it the right file?")
-        with open(path, "rb") as file:
-            raw = file.read(MOST_BYTES + 1)
-    except OSError as err:
-        raise faulty(f"cannot be read ({err.strerror})", "check the path and its rights") from err
+def read_toml(path: str) -> dict[str, Any]:
+    """Return the file's tree of tables and values.
+
+    Raises:
+        InvalidConfigFileError: With one problem. It is no regular file, too long, not text or not TOML.
+    """
+    raw = _read_file(path)
     try:
         return tomllib.loads(raw.decode("utf-8"))
     except UnicodeDecodeError as err:
-        raise faulty(f"is not UTF-8 (byte {err.start})", "save it as UTF-8") from err
+        raise _unusable(path, f"is not UTF-8 (byte {err.start})", "save it as UTF-8") from err
     except tomllib.TOMLDecodeError as err:
-        raise faulty(f"is not TOML: {err}", "mend it there; a file half written ends like that") from err
+        raise _unusable(
+            path, f"is not TOML: {err}", "mend it there; a file half written ends like that"
+        ) from err
     except RecursionError as err:
-        raise faulty("is nested too deep", "write it flat") from err
+        raise _unusable(path, "is nested too deep", "write it flat") from err
 
 
-Path = tuple[str | int, ...]
+def _read_file(path: str) -> bytes:
+    try:
+        status = os.stat(path)
+        if not stat.S_ISREG(status.st_mode):
+            raise _unusable(path, "is no regular file", "name a TOML file")
+        if status.st_size > MAX_FILE_BYTES:
+            raise _unusable(
+                path, f"holds {status.st_size} bytes", f"{MAX_FILE_BYTES} at most; is it the right file?"
+            )
+        with open(path, "rb") as file:
+            return file.read(MAX_FILE_BYTES + 1)
+    except OSError as err:
+        raise _unusable(path, f"cannot be read ({err.strerror})", "check the path and its rights") from err
 
-IN_WORDS = {
-    "`float`": "a number",
-    "`int`": "a whole number",
-    "`str`": "text",
-    "`bool`": "true or false",
-    "`array`": "a list",
-    "`object`": "a table",
-}
 
+def _unusable(path: str, reason: str, remedy: str) -> InvalidConfigFileError:
+    return InvalidConfigFileError([ConfigProblem(path, "", "", reason, remedy)])
 
-def written(path: Path) -> str:
-    """As people write it: `listeners[1].address`."""
-    text = ""
-    for step in path:
-        text += f"[{step}]" if isinstance(step, int) else f".{step}" if text else step
-    return text
 
+class ConfigReader:
+    """Converts a file's tree into a struct and collects everything that does not fit.
 
-class Reader:
-    """Walks a file's tree along a struct's fields and gathers what does not fit."""
+    Attributes:
+        file: Path of the file, for messages.
+        problems: What was found so far.
+    """
 
     def __init__(self, file: str) -> None:
         self.file = file
-        self.faults: list[Fault] = []
-        self.paths: list[Path] = []  # of the keys at fault
-        self.odd: list[Path] = []  # of those that are at fault by themselves
-
-    def fault(self, path: Path, value: object, reason: str, remedy: str) -> None:
-        self.paths.append(path)
-        hidden = path[-1:] == ("password",)  # never in a log
-        text = "" if value is None else "(hidden)" if hidden else shown(value)
-        self.faults.append(Fault(self.file, written(path), text, reason, remedy))
-
-    def contradiction(self, path: Path, value: object, reason: str, remedy: str) -> None:
-        """What no single key shows; left out where the table has a fault already, which may be its cause."""
-        if not any(bad == path or (bad[:-1] == path[:-1] != ()) for bad in self.odd):
-            self.fault(path, value, reason, remedy)
-
-    def read(self, tree: dict[str, Any], kind: type[Made]) -> Made | None:
-        """The struct, without what is at fault, which has its default; None if it cannot be made without."""
-        self.struct(tree, kind, ())
-        self.odd = list(self.paths)
-        if self.faults:
+        self.problems: list[ConfigProblem] = []
+        self._invalid_paths: list[KeyPath] = []  # of all problems
+        self._malformed_paths: list[KeyPath] = []  # of the keys that are wrong by themselves
+
+    def add_problem(self, path: KeyPath, value: object, reason: str, remedy: str) -> None:
+        """Add a problem; a `value` of None is not shown."""
+        self._invalid_paths.append(path)
+        if value is None:
+            text = ""
+        elif path and path[-1] in SECRET_KEYS:
+            text = "(hidden)"
+        else:
+            text = format_value(value)
+        self.problems.append(ConfigProblem(self.file, format_path(path), text, reason, remedy))
+
+    def add_contradiction(self, path: KeyPath, value: object, reason: str, remedy: str) -> None:
+        """Add a problem between several keys, each of which is well-formed.
+
+        It is left out where the key or a neighbour in its table is malformed, which may be the cause.
+        """
+        table = path[:-1]
+        for malformed in self._malformed_paths:
+            if malformed == path or (table != () and malformed[:-1] == table):
+                return
+        self.add_problem(path, value, reason, remedy)
+
+    def read(self, tree: dict[str, Any], section_type: type[Section]) -> Section | None:
+        """Convert a tree and collect its problems.
+
+        Returns:
+            The struct, with the defaults in place of values that are wrong; None if a value that is wrong or
+            missing has no default.
+        """
+        self._check_section(tree, section_type, ())
+        self._malformed_paths = list(self._invalid_paths)
+        if self.problems:
             tree = copy.deepcopy(tree)
-            for path in self.paths:
-                self.drop(tree, path)
+            for path in self._invalid_paths:
+                _remove_key(tree, path)
         try:
-            return msgspec.convert(tree, kind)
+            return msgspec.convert(tree, section_type)
         except msgspec.ValidationError:
             return None
 
-    @staticmethod
-    def drop(tree: Any, path: Path) -> None:
-        for step in path[:-1]:
-            tree = tree[step]
-        if isinstance(tree, dict):
-            tree.pop(path[-1], None)
-
-    def struct(self, tree: object, kind: type[msgspec.Struct], path: Path) -> None:
+    def _check_section(self, tree: object, section_type: type[msgspec.Struct], path: KeyPath) -> None:
         if not isinstance(tree, dict):
-            self.fault(path, tree, "is no table", f"write [{written(path)}] and its keys under it")
+            self.add_problem(path, tree, "is no table", f"write [{format_path(path)}] and its keys under it")
             return
-        known = {field.encode_name: field for field in msgspec.structs.fields(kind)}
-        for name in tree.keys() - known.keys():
-            near = difflib.get_close_matches(str(name), known, 1, 0.6)
-            self.fault(
-                (*path, name),
-                tree[name],
-                "unknown key",
-                f"did you mean `{near[0]}`?" if near else f"known here: {', '.join(known)}",
-            )
-        for name, field in known.items():
+        fields = {field.encode_name: field for field in msgspec.structs.fields(section_type)}
+        for name in tree.keys() - fields.keys():
+            self.add_problem((*path, name), tree[name], "unknown key", _suggest_key(name, fields))
+        for name, field in fields.items():
             if name in tree:
-                self.value(tree[name], field.type, (*path, name), field)
+                self._check_value(tree[name], field, (*path, name))
             elif field.required:
-                self.fault((*path, name), None, "is missing", f"add `{name} = ...`")
+                self.add_problem((*path, name), None, "is missing", f"add `{name} = ...`")
 
-    def value(self, value: object, kind: Any, path: Path, field: Any) -> None:
-        if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
-            self.struct(value, kind, path)
-            return
-        inner = get_args(kind)[-1] if get_origin(kind) in (list, dict) else None
-        if isinstance(inner, type) and issubclass(inner, msgspec.Struct):
-            self.many(value, get_origin(kind), inner, path)
+    def _check_value(self, value: object, field: msgspec.structs.FieldInfo, path: KeyPath) -> None:
+        if _is_struct(field.type):
+            self._check_section(value, field.type, path)
             return
+        container = get_origin(field.type)
+        item_type = get_args(field.type)[-1] if container in (list, dict) else None
+        if container is list and _is_struct(item_type):
+            self._check_section_list(value, item_type, path)
+        elif container is dict and _is_struct(item_type):
+            self._check_section_table(value, item_type, path)
+        else:
+            self._check_plain_value(value, field, path)
+
+    def _check_plain_value(self, value: object, field: msgspec.structs.FieldInfo, path: KeyPath) -> None:
         try:
-            msgspec.convert(value, kind)
+            msgspec.convert(value, field.type)
         except msgspec.ValidationError as err:
-            reason = str(err).split(" - at ")[0]
-            for name, word in IN_WORDS.items():
-                reason = reason.replace(name, word)
-            default = None if field.default is msgspec.NODEFAULT else field.default
-            remedy = "mend the value" if default is None else f"its default is {shown(default)}"
-            self.fault(path, value, reason[0].lower() + reason[1:], remedy)
-
-    def many(self, value: object, origin: Any, inner: type[msgspec.Struct], path: Path) -> None:
-        if origin is list:
-            if not isinstance(value, list):
-                self.fault(path, value, "is no list of tables", f"write [[{written(path)}]] over each")
-                return
-            for number, item in enumerate(value):
-                self.struct(item, inner, (*path, number))
-        else:
-            if not isinstance(value, dict):
-                self.fault(path, value, "is no table of tables", f"write [{written(path)}.NAME] over each")
-                return
-            for name, item in value.items():
-                self.struct(item, inner, (*path, name))
+            reason = _reason_in_words(err)
+            has_default = field.default is not msgspec.NODEFAULT and field.default is not None
+            remedy = f"its default is {format_value(field.default)}" if has_default else "mend the value"
+            self.add_problem(path, value, reason, remedy)
+
+    def _check_section_list(self, value: object, item_type: Any, path: KeyPath) -> None:
+        if not isinstance(value, list):
+            self.add_problem(path, value, "is no list of tables", f"write [[{format_path(path)}]] over each")
+            return
+        for number, item in enumerate(value):
+            self._check_section(item, item_type, (*path, number))
+
+    def _check_section_table(self, value: object, item_type: Any, path: KeyPath) -> None:
+        if not isinstance(value, dict):
+            self.add_problem(
+                path, value, "is no table of tables", f"write [{format_path(path)}.NAME] over each"
+            )
+            return
+        for name, item in value.items():
+            self._check_section(item, item_type, (*path, name))
+
+
+def _is_struct(kind: Any) -> bool:
+    return isinstance(kind, type) and issubclass(kind, msgspec.Struct)
+
+
+def _remove_key(tree: Any, path: KeyPath) -> None:
+    for step in path[:-1]:
+        tree = tree[step]
+    if isinstance(tree, dict):
+        tree.pop(path[-1], None)
+
+
+def _suggest_key(name: object, known: Iterable[str]) -> str:
+    similar = difflib.get_close_matches(str(name), known, 1, MIN_SIMILARITY)
+    return f"did you mean `{similar[0]}`?" if similar else f"known here: {', '.join(known)}"
+
+
+def _reason_in_words(err: msgspec.ValidationError) -> str:
+    reason = str(err).split(" - at ")[0]
+    for name, words in TYPES_IN_WORDS.items():
+        reason = reason.replace(name, words)
+    return reason[0].lower() + reason[1:]
--- a/apigateway/daemon/plugins.py
+++ b/apigateway/daemon/plugins.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from apigateway import messages
-from apigateway.config_validation import Fault, Faulty
+from apigateway.config_validation import ConfigProblem, InvalidConfigFileError
 from apigateway.daemon.node import GatewayNode
 from apigateway.daemon.settings import Settings
 from apigateway.plugins.live import Hooks, SwapRefused
@@ -40,7 +40,7 @@
     old: Hooks | None = None,
     records: RecordsPart | None = None,
 ) -> Built:
-    """`records`: as they were, with `old`. Raises Faulty; nothing of the new is left then."""
+    """`records`: as they were, with `old`. Raises InvalidConfigFileError; nothing of the new is left then."""
     place = Place(path, module, settings.gateway.seed)
     version = load(settings.plugins, settings.hooks, place, old.version if old is not None else None)
     part, status = settings.records, compared(old.version if old is not None else None, version)
@@ -53,9 +53,9 @@
             recorder = Recorder(file, part.only, part.max_mb * 1024 * 1024, part.waiting)
         except OSError as err:
             drop(version, old)
-            raise Faulty(
+            raise InvalidConfigFileError(
                 [
-                    Fault(
+                    ConfigProblem(
                         path,
                         "records.file",
                         repr(part.file),
@@ -77,7 +77,7 @@
 
 
 def check(path: str, settings: Settings, module: messages.Settings) -> None:
-    """Loads and proves all, and lets it go again. Raises Faulty."""
+    """Loads and proves all, and lets it go again. Raises InvalidConfigFileError."""
     load(settings.plugins, settings.hooks, Place(path, module, settings.gateway.seed)).close()
 
 
@@ -96,7 +96,7 @@
 
 
 def swap(path: str, node: GatewayNode, built: Built, tick: float) -> None:
-    """Raises Faulty; the old is then as it was."""
+    """Raises InvalidConfigFileError; the old is then as it was."""
     hooks = node.plugins
     if hooks is None:
         start(node, built, tick)
@@ -107,7 +107,9 @@
         drop(built.version, hooks)
         if built.recorder is not None:
             built.recorder.finish()
-        raise Faulty([Fault(path, f"plugins.{err.name}", "", err.reason, "mend its on_load")]) from err
+        raise InvalidConfigFileError(
+            [ConfigProblem(path, f"plugins.{err.name}", "", err.reason, "mend its on_load")]
+        ) from err
     if not built.keeps_recorder:
         replaced, hooks.recorder = hooks.recorder, built.recorder
         if replaced is not None:
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from apigateway.config_validation import Fault, Faulty
+from apigateway.config_validation import ConfigProblem, InvalidConfigFileError
 from apigateway.daemon.config import Config
-from apigateway.daemon.settings import Settings, mapping_of
+from apigateway.daemon.settings import Settings, compile_ratelimit_rules
 from apigateway.frontends.grpc.mapping import Mapping
 from apigateway.frontends.grpc.tokens import Keys, Redeemed, Tokens, rotated
 from apigateway.upstream.address import Address, read_address
@@ -46,11 +46,11 @@
 
     def __init__(self, path: str) -> None:
         self.path, self.folder = path, os.path.dirname(os.path.abspath(path))
-        self.faults: list[Fault] = []
+        self.faults: list[ConfigProblem] = []
         self.digests: list[str] = []
 
     def fault(self, key: str, name: str, reason: str, remedy: str) -> None:
-        self.faults.append(Fault(self.path, key, repr(name), reason, remedy))
+        self.faults.append(ConfigProblem(self.path, key, repr(name), reason, remedy))
 
     def read(self, key: str, name: str, most: int = 1024 * 1024) -> bytes | None:
         try:
@@ -105,18 +105,19 @@
 
 
 def build(path: str, settings: Settings, config: Config) -> Built | None:
-    """None: settings want nothing of it. Reads files: to be called beside the loop. Raises Faulty."""
+    """None: settings want nothing of it. Reads files: to be called beside the loop. Raises
+    InvalidConfigFileError."""
     if not wanted(settings):
         return None
     files, part, module = Files(path), settings.ratelimit, config.settings
-    mapping = mapping_of(
+    mapping = compile_ratelimit_rules(
         part, module.plans, module.classes, module.gateway_count, config.span
     )  # checked at load
     keys = read_keys(files, part.token_keys)
     context = server_context(files, part) if serves(settings) else None
     asked = to_asked(files, settings)
     if files.faults:
-        raise Faulty(files.faults)
+        raise InvalidConfigFileError(files.faults)
     return Built(part, serves(settings), mapping, keys, context, tuple(files.digests), asked)
 
 
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -17,7 +17,7 @@
 import msgspec
 import uvloop
 
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon import pending_signals
 from apigateway.daemon.config import Config, ConfigError, read_config
 from apigateway.daemon.handover import (
@@ -31,7 +31,13 @@
 from apigateway.daemon.logs import LogRateLimiter, start_log
 from apigateway.daemon.node import GatewayNode, Source
 from apigateway.daemon.notify import Notifier
-from apigateway.daemon.settings import Settings, changed, read_settings, taken_up, to_config
+from apigateway.daemon.settings import (
+    Settings,
+    build_config,
+    compare_settings,
+    read_settings,
+    reloadable_keys,
+)
 from apigateway.daemon.sockets import bind_listener, match_to_listeners, sockets_from_service_manager
 from apigateway.daemon.workers import given, own_share, shared, supervise
 from apigateway.frontends.resp.front import RespFront
@@ -52,14 +58,14 @@
 
 def read(path: str, again: bool = False) -> tuple[Settings, Config]:
     """The settings file, and beside it the platform's configuration where RELAY_CONFIG names one. Raises
-    Faulty or ConfigError."""
+    InvalidConfigFileError or ConfigError."""
     if not os.environ.get("RELAY_CONFIG"):
         settings, share = read_settings(path), own_share()
         if share is None:
-            return settings, to_config(path, settings)
+            return settings, build_config(path, settings)
         span = share.count if settings.workers.address == "shared" else 1
         settings = shared(settings, share)
-        return settings, to_config(path, settings, span)
+        return settings, build_config(path, settings, span)
     settings = read_settings(path, beside=True)
     more = tuple(read_address(listener.address) for listener in settings.listeners)
     return settings, replace(
@@ -70,7 +76,7 @@
 def in_force(old: Settings, new: Settings) -> Settings:
     """What holds after a reload: of the new settings those that a reload takes up, else the old."""
     tree, told = msgspec.to_builtins(old), msgspec.to_builtins(new)
-    for key in taken_up(old, new):
+    for key in reloadable_keys(old, new):
         part, _, name = key.partition(".")
         if name:
             tree[part][name] = told[part][name]
@@ -188,7 +194,7 @@
         return importlib.import_module("apigateway.daemon.plugins")
 
     async def build_plugins(self, settings: Settings) -> Any:
-        """Loaded and proved beside the loop; None where settings name none. Raises Faulty."""
+        """Loaded and proved beside the loop; None where settings name none. Raises InvalidConfigFileError."""
         if not (settings.plugins or settings.records.file):
             return None
         old = self.node.plugins if hasattr(self, "node") else None
@@ -198,7 +204,7 @@
 
     async def build_limits(self, settings: Settings, config: Config) -> Built | None:
         """The rate limit service, and an outer one, beside the loop; None where settings want neither. Raises
-        Faulty."""
+        InvalidConfigFileError."""
         if not (config.grpc or settings.ratelimit.token_keys or settings.ask.address):
             return None
         module = importlib.import_module("apigateway.daemon.ratelimit")
@@ -290,7 +296,7 @@
         """Builds the new beside the old, then swaps it in whole; or leaves the old in force. Says which."""
         try:
             settings, config = await asyncio.to_thread(read, self.path, True)
-        except (Faulty, ConfigError) as err:
+        except (InvalidConfigFileError, ConfigError) as err:
             for line in str(err).splitlines():
                 log.error("%s", line)
             return "refused, the old settings stay"
@@ -306,11 +312,11 @@
         try:
             built_limits = await self.build_limits(settings, config)
             plugins = await self.build_plugins(settings)
-        except Faulty as err:
+        except InvalidConfigFileError as err:
             for line in str(err).splitlines():
                 log.error("%s", line)
             return "refused, the old settings stay"
-        live, restart = changed(self.settings, settings)
+        live, restart = compare_settings(self.settings, settings)
         if not os.environ.get("RELAY_CONFIG"):
             config = replace(
                 self.config,
@@ -346,7 +352,7 @@
             # The last that can fail: plug-ins take over what those before them have saved.
             status = self.swap_plugins(settings, plugins)
         except BaseException as err:  # also a stop in the middle of it: nothing of the new is left
-            if plugins is not None and not isinstance(err, Faulty):
+            if plugins is not None and not isinstance(err, InvalidConfigFileError):
                 self.plugins().drop(plugins.version, self.node.plugins)
             for front in fronts:
                 front.finish()
@@ -355,7 +361,7 @@
                     limits.left(front)
             for sock in built.values():
                 sock.close()
-            if isinstance(err, Faulty):
+            if isinstance(err, InvalidConfigFileError):
                 log.error("%s", err)
                 return "refused, the old settings stay"
             if not isinstance(err, OSError):
@@ -385,7 +391,8 @@
         return "; ".join(parts) or "nothing changed"
 
     def swap_plugins(self, settings: Settings, plugins: Any) -> str:
-        """What is other than before, for the log. Raises Faulty; then the old are as they were."""
+        """What is other than before, for the log. Raises InvalidConfigFileError; then the old
+        are as they were."""
         if plugins is not None:
             self.plugins().swap(self.path, self.node, plugins, settings.hooks.tick)
             return str(plugins.status)
@@ -448,7 +455,7 @@
         settings, config = read(path)
         seldom = start_log(settings.daemon.log_lines)
         return int(uvloop.run(run(settings, config)))
-    except (Faulty, ConfigError) as err:
+    except (InvalidConfigFileError, ConfigError) as err:
         for line in str(err).splitlines():
             print(f"api-gateway: {line}", file=sys.stderr)
         return UNUSABLE
--- a/apigateway/daemon/settings.py
+++ b/apigateway/daemon/settings.py
@@ -1,8 +1,8 @@
 """Our own settings file, in people's terms: seconds, addresses, classes, plans, hosts. `deploy/gateway.toml`
 has every key at its default.
 
-`read_settings(path)` gives checked Settings or raises checked.Faulty with all that is wrong; `to_config`
-makes of them what the gateway is built from.
+`read_settings(path)` gives checked Settings or raises InvalidConfigFileError with all that is wrong;
+`build_config` makes of them what the gateway is built from.
 """
 
 from __future__ import annotations
@@ -15,7 +15,13 @@
 import msgspec
 
 from apigateway import messages
-from apigateway.config_validation import Faulty, Part, Path, Reader, read_toml
+from apigateway.config_validation import (
+    ConfigReader,
+    ConfigSection,
+    InvalidConfigFileError,
+    KeyPath,
+    read_toml,
+)
 from apigateway.daemon.config import Config
 from apigateway.external_ratelimit.settings import AskPart
 from apigateway.frontends.grpc.mapping import TAKEN, BadRule, Mapping, Rule
@@ -39,7 +45,7 @@
 ASK_FIELDS = ("customer", "plan", "class", "units", "gateway")  # of a request, for ask.entries
 
 
-class GatewayPart(Part, frozen=True, kw_only=True):
+class GatewayPart(ConfigSection, frozen=True, kw_only=True):
     name: Name = "gateway-0"
     index: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 0
     gateways: Many = 1
@@ -47,12 +53,12 @@
     seed: Annotated[int, msgspec.Meta(ge=0)] = 0  # 0: drawn at each start
 
 
-class ListenerPart(Part, frozen=True, kw_only=True):
+class ListenerPart(ConfigSection, frozen=True, kw_only=True):
     protocol: Literal["resp", "grpc"] = "resp"
     address: str = "127.0.0.1:6379"
 
 
-class LimitsPart(Part, frozen=True, kw_only=True):
+class LimitsPart(ConfigSection, frozen=True, kw_only=True):
     memory_mb: Annotated[int, msgspec.Meta(ge=48, le=1_000_000)] = 192
     sockets: Annotated[int, msgspec.Meta(ge=128, le=1_000_000)] = 1024
     max_open: Many = 20_000
@@ -66,7 +72,7 @@
     connect_timeout: Seconds = 0.25
 
 
-class RulesPart(Part, frozen=True, kw_only=True):
+class RulesPart(ConfigSection, frozen=True, kw_only=True):
     drain_grace: Span = 2.0
     cold_share: Share = 0.15
     cold_time: Span = 17.0
@@ -74,7 +80,7 @@
     fall_time: Seconds = 2.0
 
 
-class HostsPart(Part, frozen=True, kw_only=True):
+class HostsPart(ConfigSection, frozen=True, kw_only=True):
     source: Literal["file", "discovery", "eureka"] = "file"
     file: str = "hosts.toml"
     discovery: str = ""
@@ -83,14 +89,14 @@
     cross_zone: Share = 0.0
 
 
-class SitesPart(Part, frozen=True, kw_only=True):
+class SitesPart(ConfigSection, frozen=True, kw_only=True):
     leave: list[Name] = []
 
 
 State = Literal["up", "draining", "gone"]
 
 
-class StatesPart(Part, frozen=True, kw_only=True):
+class StatesPart(ConfigSection, frozen=True, kw_only=True):
     UP: State = "up"
     STARTING: State = "draining"
     DOWN: State = "draining"
@@ -98,7 +104,7 @@
     UNKNOWN: State = "draining"
 
 
-class EurekaPart(Part, frozen=True, kw_only=True):
+class EurekaPart(ConfigSection, frozen=True, kw_only=True):
     urls: list[Annotated[str, msgspec.Meta(pattern=r"^https?://[^@\s]+$")]] = []
     by: Literal["apps", "app", "vip", "svip"] = "apps"
     name: str = ""
@@ -119,7 +125,7 @@
     states: StatesPart = StatesPart()
 
 
-class TrustPart(Part, frozen=True, kw_only=True):
+class TrustPart(ConfigSection, frozen=True, kw_only=True):
     doubt_share: Share = 0.34
     doubt_time: Span = 30.0
     looks: Annotated[int, msgspec.Meta(ge=1, le=100)] = 2
@@ -128,7 +134,7 @@
     calm_time: Span = 10.0
 
 
-class RegisterPart(Part, frozen=True, kw_only=True):
+class RegisterPart(ConfigSection, frozen=True, kw_only=True):
     on: bool = False
     app: Name = "GATEWAY"
     id: str = ""
@@ -140,13 +146,13 @@
     metadata: dict[str, str] = {}
 
 
-class CounterPart(Part, frozen=True, kw_only=True):
+class CounterPart(ConfigSection, frozen=True, kw_only=True):
     address: str = ""
     timeout: Seconds = 0.08
     price: Share = 0.01
 
 
-class ClassPart(Part, frozen=True, kw_only=True):
+class ClassPart(ConfigSection, frozen=True, kw_only=True):
     effect: Literal["safe", "keyed", "unsafe"]
     aim: Seconds
     deadline: Seconds
@@ -155,7 +161,7 @@
     memory: Span = 0.0
 
 
-class PlanPart(Part, frozen=True, kw_only=True):
+class PlanPart(ConfigSection, frozen=True, kw_only=True):
     rate: Amount = 0.0
     burst: Amount = 0.0
     open_limit: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 0
@@ -167,7 +173,7 @@
     ceiling_slack: Amount = 0.0
 
 
-class WorkersPart(Part, frozen=True, kw_only=True):
+class WorkersPart(ConfigSection, frozen=True, kw_only=True):
     count: Annotated[int, msgspec.Meta(ge=1, le=256)] = 1
     address: Literal["shared", "own"] = "shared"
     watchdog: Seconds = 10.0
@@ -178,18 +184,18 @@
     crashes: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 5
 
 
-class RoutePart(Part, frozen=True, kw_only=True):
+class RoutePart(ConfigSection, frozen=True, kw_only=True):
     kinds: Annotated[list[str], msgspec.Meta(min_length=1, max_length=64)]
     fallback: bool = True
 
 
-class OverloadPart(Part, frozen=True, kw_only=True):
+class OverloadPart(ConfigSection, frozen=True, kw_only=True):
     on: bool = True
     lag: Annotated[float, msgspec.Meta(ge=0.005, le=10)] = 0.015
     turn: Annotated[float, msgspec.Meta(ge=0.01, le=10)] = 0.2
 
 
-class DaemonPart(Part, frozen=True, kw_only=True):
+class DaemonPart(ConfigSection, frozen=True, kw_only=True):
     state: str = ""
     linger: Span = 0.5
     finish: Seconds = 10.0
@@ -197,7 +203,7 @@
     log_lines: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 5
 
 
-class Settings(Part, frozen=True, kw_only=True):
+class Settings(ConfigSection, frozen=True, kw_only=True):
     gateway: GatewayPart = GatewayPart()
     listeners: list[ListenerPart] = msgspec.field(default_factory=lambda: [ListenerPart()])
     limits: LimitsPart = LimitsPart()
@@ -248,37 +254,37 @@
 
 
 def read_settings(path: str, beside: bool = False) -> Settings:
-    """`beside`: the platform's configuration tells the rest. Raises checked.Faulty."""
+    """`beside`: the platform's configuration tells the rest. Raises InvalidConfigFileError."""
     tree = read_toml(path)
-    reader = Reader(path)
+    reader = ConfigReader(path)
     if beside:
         for name in [name for name in tree if name in Settings.__struct_fields__ and name not in BESIDE]:
-            reader.fault(
+            reader.add_problem(
                 (name,), None, "is told by RELAY_CONFIG", f"beside it only {', '.join(BESIDE)} go here"
             )
         tree.setdefault("listeners", [])
     settings = reader.read(tree, Settings)
     if settings is not None:
         check(reader, settings, beside)
-    if reader.faults or settings is None:
-        raise Faulty(reader.faults)
+    if reader.problems or settings is None:
+        raise InvalidConfigFileError(reader.problems)
     return settings
 
 
-def check(reader: Reader, told: Settings, beside: bool) -> None:
+def check(reader: ConfigReader, told: Settings, beside: bool) -> None:
     """What no single key shows."""
     addresses: dict[Address, str] = {}
     for number, listener in enumerate(told.listeners):
         path = ("listeners", number, "address")
         address = check_address(reader, path, listener.address)
         if address is not None and address[1] and address in addresses:
-            reader.contradiction(
+            reader.add_contradiction(
                 path, listener.address, f"is also that of {addresses[address]}", "give each its own port"
             )
         elif address is not None:
             addresses[address] = f"listeners[{number}]"
         if beside and listener.protocol != "resp":
-            reader.fault(
+            reader.add_problem(
                 ("listeners", number, "protocol"),
                 listener.protocol,
                 "beside RELAY_CONFIG there is nothing to say whose a check is",
@@ -292,23 +298,23 @@
         ("classes", "[classes.NAME] with effect, aim and deadline"),
     ):
         if not getattr(told, name):
-            reader.contradiction((name,), None, "none", f"add {what}")
+            reader.add_contradiction((name,), None, "none", f"add {what}")
     if told.gateway.index >= told.gateway.gateways:
-        reader.contradiction(
+        reader.add_contradiction(
             ("gateway", "index"),
             told.gateway.index,
             f"of {told.gateway.gateways} gateways",
             "they are numbered from 0",
         )
     if told.gateway.gateways > 1 and not told.counter.address:
-        reader.contradiction(
+        reader.add_contradiction(
             ("counter", "address"),
             told.counter.address,
             "several gateways cannot hold a quota without a counter",
             "name the counter that they share",
         )
     if told.workers.count > 1 and not told.counter.address:
-        reader.contradiction(
+        reader.add_contradiction(
             ("workers", "count"),
             told.workers.count,
             "several workers cannot hold a quota without a counter",
@@ -320,14 +326,14 @@
         check_address(reader, ("hosts", "discovery"), told.hosts.discovery)
     check_eureka(reader, told)
     if told.limits.max_customers > room_for_customers(told.limits):
-        reader.contradiction(
+        reader.add_contradiction(
             ("limits", "max_customers"),
             told.limits.max_customers,
             f"in limits.memory_mb is room for {room_for_customers(told.limits)}",
             "let it be fewer, or memory_mb more",
         )
     if told.overload.turn < told.overload.lag:
-        reader.contradiction(
+        reader.add_contradiction(
             ("overload", "turn"),
             told.overload.turn,
             f"is shorter than the lag aimed at, {told.overload.lag}",
@@ -341,8 +347,8 @@
     check_ask(reader, told)
 
 
-def check_ratelimit(reader: Reader, told: Settings) -> None:
-    part, bad = told.ratelimit, reader.contradiction
+def check_ratelimit(reader: ConfigReader, told: Settings) -> None:
+    part, bad = told.ratelimit, reader.add_contradiction
     serves = [n for n, listener in enumerate(told.listeners) if listener.protocol == "grpc"]
     if serves and not part.rules:
         bad(
@@ -352,7 +358,7 @@
             "add [[ratelimit.rules]] with domain, entries, customer, plan and class",
         )
     try:
-        mapping_of(part, told.plans, told.classes, told.gateway.gateways)
+        compile_ratelimit_rules(part, told.plans, told.classes, told.gateway.gateways)
     except BadRule as err:
         number = err.args[1]
         rule = msgspec.to_builtins(part.rules[number])
@@ -382,8 +388,8 @@
         )
 
 
-def check_ask(reader: Reader, told: Settings) -> None:
-    part, bad = told.ask, reader.contradiction
+def check_ask(reader: ConfigReader, told: Settings) -> None:
+    part, bad = told.ask, reader.add_contradiction
     if part.address:
         check_address(reader, ("ask", "address"), part.address)
         if not (part.plans or part.classes):
@@ -415,7 +421,7 @@
         bad(("ask", "tls", what), "", "a certificate and its key go together", "name both files")
 
 
-def mapping_of(
+def compile_ratelimit_rules(
     part: RateLimitPart, plans: Iterable[str], classes: Iterable[str], gateways: int, span: int = 1
 ) -> Mapping:
     """The rules, compiled. `span`: gateways that clients, and so the rules, know as one. Raises BadRule."""
@@ -442,32 +448,34 @@
     return (limits.memory_mb - 40) * 1024 * 1024 // 2 // ACCOUNT
 
 
-def check_address(reader: Reader, path: Path, text: str) -> Address | None:
+def check_address(reader: ConfigReader, path: KeyPath, text: str) -> Address | None:
     try:
         return read_address(text)
     except ValueError:
-        reader.contradiction(path, text, "is no address", "write it as HOST:PORT, an IPv6 host in brackets")
+        reader.add_contradiction(
+            path, text, "is no address", "write it as HOST:PORT, an IPv6 host in brackets"
+        )
         return None
 
 
-def check_eureka(reader: Reader, told: Settings) -> None:
+def check_eureka(reader: ConfigReader, told: Settings) -> None:
     if (told.hosts.source == "eureka" or told.register.on) and not told.eureka.urls:
-        reader.contradiction(
+        reader.add_contradiction(
             ("eureka", "urls"), None, "no registry to ask", 'add urls = ["http://HOST:PORT/eureka"]'
         )
     if told.eureka.by != "apps" and not told.eureka.name:
-        reader.contradiction(
+        reader.add_contradiction(
             ("eureka", "name"),
             told.eureka.name,
             f"no name of the {told.eureka.by}",
             "name it, or ask by apps",
         )
     if told.register.on and not told.register.ip:
-        reader.contradiction(
+        reader.add_contradiction(
             ("register", "ip"), told.register.ip, "no address at which others reach this gateway", "name it"
         )
     if told.register.renew * 2 > told.register.duration:
-        reader.contradiction(
+        reader.add_contradiction(
             ("register", "duration"),
             told.register.duration,
             f"one lost renewal (every {told.register.renew} s) may end it",
@@ -475,8 +483,8 @@
         )
 
 
-def check_class(reader: Reader, at: Path, cls: ClassPart, finish: float) -> None:
-    bad = reader.contradiction
+def check_class(reader: ConfigReader, at: KeyPath, cls: ClassPart, finish: float) -> None:
+    bad = reader.add_contradiction
     if cls.aim > cls.deadline:
         bad((*at, "aim"), cls.aim, f"is after the deadline of {cls.deadline}", "aim at or before it")
     elif cls.deadline > finish:
@@ -504,8 +512,8 @@
         bad((*at, "scope"), cls.scope, f"a class that is {cls.effect} has no scope", "leave it out")
 
 
-def check_plan(reader: Reader, at: Path, plan: PlanPart, most_units: float) -> None:
-    bad = reader.contradiction
+def check_plan(reader: ConfigReader, at: KeyPath, plan: PlanPart, most_units: float) -> None:
+    bad = reader.add_contradiction
     if plan.rate and plan.burst < most_units:
         bad(
             (*at, "burst"),
@@ -536,9 +544,9 @@
 # To what the gateway is built from
 
 
-def to_config(path: str, told: Settings, span: int = 1) -> Config:
+def build_config(path: str, told: Settings, span: int = 1) -> Config:
     """Reads the file of hosts too, if they come from one. `span`: gateways that clients know as one. Raises
-    checked.Faulty."""
+    InvalidConfigFileError."""
     known, file = Listing(messages.EndpointList("cached", 0, ()), {}), None
     if told.hosts.source == "file":
         file = os.path.join(os.path.dirname(os.path.abspath(path)), told.hosts.file)
@@ -575,7 +583,7 @@
         memory=told.limits.memory_mb * 1024 * 1024,
         sockets=told.limits.sockets,
         known=known,
-        settings=to_module(told),
+        settings=build_module_settings(told),
         connect_timeout=told.limits.connect_timeout,
         idle_close=told.hosts.idle_close,
         max_open=told.limits.max_open,
@@ -620,7 +628,7 @@
     )
 
 
-def to_module(told: Settings) -> messages.Settings:
+def build_module_settings(told: Settings) -> messages.Settings:
     """What the decision module is told."""
     limits, rules = told.limits, told.rules
     return messages.Settings(
@@ -685,15 +693,15 @@
 # A reload
 
 
-def changed(old: Settings, new: Settings) -> tuple[list[str], list[str]]:
+def compare_settings(old: Settings, new: Settings) -> tuple[list[str], list[str]]:
     """The keys whose values differ: those that a reload takes up, and those that need a restart."""
     keys = sorted(key for key, _ in differences(msgspec.to_builtins(old), msgspec.to_builtins(new), ""))
-    names = taken_up(old, new)
+    names = reloadable_keys(old, new)
     live = [key for key in keys if any(key == name or key.startswith(name + ".") for name in names)]
     return live, [key for key in keys if key not in live]
 
 
-def taken_up(old: Settings, new: Settings) -> list[str]:
+def reloadable_keys(old: Settings, new: Settings) -> list[str]:
     """LIVE, but that a counter comes or goes by a restart only: the decision module is built with or
     without."""
     moved = bool(old.counter.address) == bool(new.counter.address)
--- a/apigateway/daemon/workers.py
+++ b/apigateway/daemon/workers.py
@@ -24,7 +24,7 @@
 
 import msgspec
 
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.handover import HandoverError, HandoverOffer, HandoverPredecessor, HandoverSuccessor
 from apigateway.daemon.inflight import InFlightWriteTable, shared_memory_size
 from apigateway.daemon.lock import StateFolderLock
@@ -393,7 +393,7 @@
             return
         try:
             new = read_settings(self.path)
-        except Faulty as err:
+        except InvalidConfigFileError as err:
             for line in str(err).splitlines():
                 log.error("%s", line)
             log.info("reload: refused, the old settings stay")
--- a/apigateway/external_ratelimit/settings.py
+++ b/apigateway/external_ratelimit/settings.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from apigateway.config_validation import Part
+from apigateway.config_validation import ConfigSection
 
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=3600)]
 Entry = Annotated[str, msgspec.Meta(pattern=r"^[^=]+=.+$", max_length=256)]
@@ -14,7 +14,7 @@
 ENTRIES = ("customer={customer}", "plan={plan}", "class={class}")
 
 
-class ClientTlsPart(Part, frozen=True, kw_only=True):
+class ClientTlsPart(ConfigSection, frozen=True, kw_only=True):
     on: bool = False
     ca: str = ""
     cert: str = ""
@@ -22,7 +22,7 @@
     name: str = ""
 
 
-class AskPart(Part, frozen=True, kw_only=True):
+class AskPart(ConfigSection, frozen=True, kw_only=True):
     address: str = ""
     plans: list[str] = []
     classes: list[str] = []
--- a/apigateway/frontends/grpc/settings.py
+++ b/apigateway/frontends/grpc/settings.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from apigateway.config_validation import Part
+from apigateway.config_validation import ConfigSection
 
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=3600)]
 
 
-class RulePart(Part, frozen=True, kw_only=True):
+class RulePart(ConfigSection, frozen=True, kw_only=True):
     domain: Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
     entries: Annotated[list[str], msgspec.Meta(min_length=1, max_length=16)]
     customer: Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
@@ -25,13 +25,13 @@
     token: bool = False
 
 
-class ServerTlsPart(Part, frozen=True, kw_only=True):
+class ServerTlsPart(ConfigSection, frozen=True, kw_only=True):
     cert: str = ""
     key: str = ""
     client_ca: str = ""
 
 
-class RateLimitPart(Part, frozen=True, kw_only=True):
+class RateLimitPart(ConfigSection, frozen=True, kw_only=True):
     patience: Seconds = 1.0
     unmapped: Literal["ok", "over", "error"] = "ok"
     override: Literal["ignore", "tighten", "refuse"] = "ignore"
--- a/apigateway/membership/file.py
+++ b/apigateway/membership/file.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from apigateway import messages
-from apigateway.config_validation import Faulty, Reader, read_toml
+from apigateway.config_validation import ConfigReader, InvalidConfigFileError, read_toml
 from apigateway.membership.listing import Listing
 from apigateway.upstream.address import read_address
 
@@ -41,8 +41,8 @@
 
 
 def read_hosts(path: str, mode: str = "full", version: int = 1) -> Listing:
-    """Raises checked.Faulty."""
-    reader = Reader(path)
+    """Raises InvalidConfigFileError."""
+    reader = ConfigReader(path)
     told = reader.read(read_toml(path), HostsFile)
     hosts, addresses = [], {}
     for number, host in enumerate(told.hosts if told else ()):
@@ -50,10 +50,10 @@
         try:
             address = read_address(host.address)
         except ValueError:
-            reader.contradiction((*at, "address"), host.address, "is no address", "write it as HOST:PORT")
+            reader.add_contradiction((*at, "address"), host.address, "is no address", "write it as HOST:PORT")
             continue
         if host.id in addresses:
-            reader.contradiction((*at, "id"), host.id, "stands twice", "give each host an id of its own")
+            reader.add_contradiction((*at, "id"), host.id, "stands twice", "give each host an id of its own")
         addresses[host.id] = address
         hosts.append(
             messages.Endpoint(
@@ -61,9 +61,9 @@
             )
         )
     if told is not None and not told.hosts:
-        reader.contradiction(("hosts",), None, "none", "add one [[hosts]] with id and address")
-    if reader.faults:
-        raise Faulty(reader.faults)
+        reader.add_contradiction(("hosts",), None, "none", "add one [[hosts]] with id and address")
+    if reader.problems:
+        raise InvalidConfigFileError(reader.problems)
     return Listing(messages.EndpointList(mode, version, tuple(hosts)), addresses)
 
 
@@ -101,8 +101,8 @@
     def fetch(self) -> None:
         try:
             listing = read_hosts(self.path, version=self.version + 1)
-        except Faulty as err:
-            for fault in err.faults:
+        except InvalidConfigFileError as err:
+            for fault in err.problems:
                 log.error("%s (the last list stays)", fault)
             self.failed()
             return
--- a/apigateway/plugins/load.py
+++ b/apigateway/plugins/load.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from apigateway import messages
-from apigateway.config_validation import Fault, Faulty, Reader, read_toml
+from apigateway.config_validation import ConfigProblem, ConfigReader, InvalidConfigFileError, read_toml
 from apigateway.plugins.proposals import Allowance
 from apigateway.plugins.rules import RuleFault, RulesPlugin
 from apigateway.plugins.settings import HooksPart, PluginPart, RuleFile, RulePart
@@ -86,12 +86,12 @@
 def read_rules(path: str) -> list[RulePart]:
     try:
         tree = read_toml(path)
-        reader = Reader(path)
+        reader = ConfigReader(path)
         told = reader.read(tree, RuleFile)
-    except Faulty as err:
+    except InvalidConfigFileError as err:
         raise Bad("file", path, str(err), "mend the rules") from err
-    if reader.faults or told is None:
-        raise Faulty(reader.faults)
+    if reader.problems or told is None:
+        raise InvalidConfigFileError(reader.problems)
     return told.rules
 
 
@@ -132,7 +132,7 @@
 
 
 def source(part: PluginPart, folder: str, most: float, seed: int = 0) -> Source:
-    """Raises Bad or Faulty."""
+    """Raises Bad or InvalidConfigFileError."""
     if bool(part.file) == bool(part.rules):
         raise Bad(
             "file",
@@ -228,25 +228,25 @@
 def load(parts: Sequence[PluginPart], hooks: HooksPart, place: Place, old: Version | None = None) -> Version:
     """All plug-ins, proved. One whose file and settings are what they were goes on as it is, with its state
     and
-    its figures. Raises Faulty with all that is wrong; then nothing of the new is left."""
+    its figures. Raises InvalidConfigFileError with all that is wrong; then nothing of the new is left."""
     folder = os.path.dirname(os.path.abspath(place.path))
     before = {seat.name: seat for seat in old.seats} if old is not None else {}
-    faults: list[Fault] = []
+    faults: list[ConfigProblem] = []
     seats: list[Seat] = []
     names: set[str] = set()
 
     def fault(number: int, err: Bad) -> None:
         key = err.key if err.file else f"plugins[{number}].{err.key}"
         value = "" if err.value is None else repr(err.value)[:60]
-        faults.append(Fault(err.file or place.path, key, value, err.reason, err.remedy))
+        faults.append(ConfigProblem(err.file or place.path, key, value, err.reason, err.remedy))
 
     def attempted(number: int, act: Callable[[], Any]) -> Any:
         try:
             return act()
         except Bad as err:
             fault(number, err)
-        except Faulty as err:
-            faults.extend(err.faults)
+        except InvalidConfigFileError as err:
+            faults.extend(err.problems)
         return None
 
     read: dict[int, Source] = {}
@@ -281,5 +281,5 @@
         for seat in seats:
             if seat not in before.values():
                 seat.plugin.close()
-        raise Faulty(faults)
+        raise InvalidConfigFileError(faults)
     return Version(seats, place.allowance(hooks), hooks.time_ms / 1000)
--- a/apigateway/plugins/settings.py
+++ b/apigateway/plugins/settings.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from apigateway.config_validation import Part
+from apigateway.config_validation import ConfigSection
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[a-z][a-z0-9_-]{0,31}$")]
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=2000)]
 
 
-class RulePart(Part, frozen=True, kw_only=True):
+class RulePart(ConfigSection, frozen=True, kw_only=True):
     """All but `on` and `stop` are expressions: docs/operate/plugin-abi.md, The language."""
 
     on: Literal["request", "attempt", "answer", "tick"] = "request"
@@ -26,11 +26,11 @@
     stop: bool = False  # no later rule of this plug-in is looked at
 
 
-class RuleFile(Part, frozen=True, kw_only=True):
+class RuleFile(ConfigSection, frozen=True, kw_only=True):
     rules: list[RulePart] = []
 
 
-class BudgetPart(Part, frozen=True, kw_only=True):
+class BudgetPart(ConfigSection, frozen=True, kw_only=True):
     fuel: Annotated[int, msgspec.Meta(ge=1000, le=1_000_000_000)] = 200_000
     time_ms: Annotated[float, msgspec.Meta(ge=1, le=1000)] = 10.0
     memory_mb: Annotated[float, msgspec.Meta(ge=0.0625, le=1024)] = 4.0
@@ -43,7 +43,7 @@
     most_rest: Annotated[float, msgspec.Meta(gt=0, le=86_400)] = 300.0
 
 
-class PluginPart(Part, frozen=True, kw_only=True):
+class PluginPart(ConfigSection, frozen=True, kw_only=True):
     name: Name
     file: str = ""
     rules: list[RulePart] = []
@@ -52,7 +52,7 @@
     budget: BudgetPart = BudgetPart()
 
 
-class HooksPart(Part, frozen=True, kw_only=True):
+class HooksPart(ConfigSection, frozen=True, kw_only=True):
     tick: Annotated[float, msgspec.Meta(gt=0, le=3600)] = 1.0
     time_ms: Annotated[float, msgspec.Meta(ge=1, le=1000)] = 20.0
     max_tags: Annotated[int, msgspec.Meta(ge=0, le=64)] = 8
@@ -60,7 +60,7 @@
     max_file_mb: Annotated[float, msgspec.Meta(gt=0, le=64)] = 4.0
 
 
-class RecordsPart(Part, frozen=True, kw_only=True):
+class RecordsPart(ConfigSection, frozen=True, kw_only=True):
     file: str = ""
     only: str = ""
     max_mb: Annotated[float, msgspec.Meta(gt=0, le=100_000)] = 100.0
--- a/apigateway/plugins/testkit.py
+++ b/apigateway/plugins/testkit.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from apigateway import messages
-from apigateway.config_validation import Faulty, Part, Reader, read_toml
+from apigateway.config_validation import ConfigReader, ConfigSection, InvalidConfigFileError, read_toml
 from apigateway.plugins.load import Place, load
 from apigateway.plugins.proposals import Standing
 from apigateway.plugins.settings import HooksPart, PluginPart
@@ -92,7 +92,7 @@
     )
 
 
-class PluginFile(Part, frozen=True, kw_only=True):
+class PluginFile(ConfigSection, frozen=True, kw_only=True):
     """A file of [[plugins]] alone, as one writes it beside a module."""
 
     plugins: list[PluginPart] = []
@@ -100,13 +100,13 @@
 
 
 def read_plugins(path: str) -> PluginFile:
-    """`path`: such a file, or a folder with plugin.toml in it. Raises Faulty."""
+    """`path`: such a file, or a folder with plugin.toml in it. Raises InvalidConfigFileError."""
     if os.path.isdir(path):
         path = os.path.join(path, "plugin.toml")
-    tree, reader = read_toml(path), Reader(path)
+    tree, reader = read_toml(path), ConfigReader(path)
     told = reader.read(tree, PluginFile)
-    if reader.faults or told is None:
-        raise Faulty(reader.faults)
+    if reader.problems or told is None:
+        raise InvalidConfigFileError(reader.problems)
     return told
 
 
@@ -137,7 +137,7 @@
 
     @classmethod
     def load(cls, path: str, place: messages.Settings | None = None) -> Kit:
-        """From a file or folder as of `read_plugins`. Raises Faulty."""
+        """From a file or folder as of `read_plugins`. Raises InvalidConfigFileError."""
         if os.path.isdir(path):
             path = os.path.join(path, "plugin.toml")
         told = read_plugins(path)
--- a/apigateway/tools/demo.py
+++ b/apigateway/tools/demo.py
@@ -21,7 +21,7 @@
 from rich.live import Live
 from rich.table import Table
 
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.handover import query_gateway
 from apigateway.emulators.clients import Client, Customer, Traffic
 from apigateway.emulators.fleet import Class, Fleet, Plan, Shape
@@ -179,7 +179,7 @@
 
 
 def plugged(paths: list[str]) -> str:
-    """[[plugins]] of these files, each naming its file in full. Raises Faulty or OSError."""
+    """[[plugins]] of these files, each naming its file in full. Raises InvalidConfigFileError or OSError."""
     texts = []
     for path in paths:
         file = Path(path) / "plugin.toml" if Path(path).is_dir() else Path(path)
@@ -332,7 +332,7 @@
     console = Console()
     try:
         plugged(plugins)
-    except (Faulty, OSError) as err:
+    except (InvalidConfigFileError, OSError) as err:
         console.print(f"api-gateway: {err}", soft_wrap=True)
         return 2
     with tempfile.TemporaryDirectory(prefix="apigateway-") as folder:
--- a/apigateway/tools/experiment/plan.py
+++ b/apigateway/tools/experiment/plan.py
@@ -17,8 +17,8 @@
 
 import msgspec
 
-from apigateway.config_validation import Fault as Wrong
-from apigateway.config_validation import Faulty, Reader, read_toml, shown
+from apigateway.config_validation import ConfigProblem as Wrong
+from apigateway.config_validation import ConfigReader, InvalidConfigFileError, format_value, read_toml
 from apigateway.simulation import baselines
 from apigateway.simulation.faults import KINDS
 from apigateway.simulation.scenario import Scenario
@@ -55,11 +55,11 @@
 
 
 def read_experiment(path: str, seeds: int = 0) -> Experiment:
-    """`seeds`: so many in place of the file's. Raises checked.Faulty with what is wrong."""
-    tree, reader = read_toml(path), Reader(path)
+    """`seeds`: so many in place of the file's. Raises InvalidConfigFileError with what is wrong."""
+    tree, reader = read_toml(path), ConfigReader(path)
     for key in tree.keys() - PARTS:
         near = difflib.get_close_matches(key, PARTS, 1, 0.6)
-        reader.fault(
+        reader.add_problem(
             (key,),
             tree[key],
             "unknown key",
@@ -70,15 +70,15 @@
     count = len(cases) * len(numbers)
     for key, values in sweep.items():
         if not isinstance(values, list) or not values:
-            reader.fault(("sweep", key), values, "is no list of values", "write it as [first, second]")
+            reader.add_problem(("sweep", key), values, "is no list of values", "write it as [first, second]")
             values = [values]
         count *= len(values)
     if not numbers or not all(isinstance(n, int) for n in numbers):
-        reader.fault(("seeds",), numbers, "is no list of whole numbers", "write it as [1, 2, 3]")
+        reader.add_problem(("seeds",), numbers, "is no list of whole numbers", "write it as [1, 2, 3]")
     if count > MOST_PLAYS:
-        reader.fault((), None, f"asks for {count} plays", f"{MOST_PLAYS} at most")
-    if reader.faults:
-        raise Faulty(reader.faults)
+        reader.add_problem((), None, f"asks for {count} plays", f"{MOST_PLAYS} at most")
+    if reader.problems:
+        raise InvalidConfigFileError(reader.problems)
     plays = []
     for number, case in enumerate(cases):
         name = str(case.get("name", f"case {number + 1}"))
@@ -92,8 +92,8 @@
             scenario = made(reader, merged, f"cases[{number}]")
             if scenario is not None:
                 plays += [Play(name, chosen, seed, scenario) for seed in numbers]
-        if reader.faults:
-            raise Faulty(dict.fromkeys(reader.faults))
+        if reader.problems:
+            raise InvalidConfigFileError(dict.fromkeys(reader.problems))
     columns = tuple(tree.get("columns", COLUMNS))
     return Experiment(str(tree.get("name", path)), columns, tuple(plays))
 
@@ -114,24 +114,24 @@
     tree[path[-1]] = value
 
 
-def made(reader: Reader, tree: dict[str, Any], where: str) -> Scenario | None:
+def made(reader: ConfigReader, tree: dict[str, Any], where: str) -> Scenario | None:
     """The scenario of a table; None, and why in the reader, if it cannot be played."""
     known(reader, tree, Scenario, where)
-    if reader.faults:
+    if reader.problems:
         return None
     try:
         scenario = msgspec.convert(tree, Scenario)
     except (msgspec.ValidationError, ValueError) as err:
         text, _, at = str(err).partition(" - at ")
-        reader.faults.append(
+        reader.problems.append(
             Wrong(reader.file, f"{where}{at.strip('`$')}", "", text[0].lower() + text[1:], "mend the value")
         )
         return None
     sound(reader, scenario, where)
-    return None if reader.faults else scenario
+    return None if reader.problems else scenario
 
 
-def known(reader: Reader, tree: object, kind: Any, where: str) -> None:
+def known(reader: ConfigReader, tree: object, kind: Any, where: str) -> None:
     """Faults each key that the dataclass does not have."""
     if not dataclasses.is_dataclass(kind) or not isinstance(tree, dict):
         return
@@ -140,7 +140,9 @@
         if key not in hints:
             near = difflib.get_close_matches(key, hints, 1, 0.6)
             remedy = f"did you mean `{near[0]}`?" if near else f"known here: {', '.join(hints)}"
-            reader.faults.append(Wrong(reader.file, f"{where}.{key}", shown(value), "unknown key", remedy))
+            reader.problems.append(
+                Wrong(reader.file, f"{where}.{key}", format_value(value), "unknown key", remedy)
+            )
             continue
         inner = hints[key]
         items = value if isinstance(value, list) else [value]
@@ -151,11 +153,11 @@
             known(reader, item, inner, at)
 
 
-def sound(reader: Reader, told: Scenario, where: str) -> None:
+def sound(reader: ConfigReader, told: Scenario, where: str) -> None:
     """What a play could not be made of, though each value is of its kind."""
 
     def bad(key: str, value: object, reason: str, remedy: str) -> None:
-        reader.faults.append(Wrong(reader.file, f"{where}.{key}", shown(value), reason, remedy))
+        reader.problems.append(Wrong(reader.file, f"{where}.{key}", format_value(value), reason, remedy))
 
     policy = told.policy.partition(":")[0] if told.policy.startswith(MODULE) else told.policy
     if policy != MODULE and not baselines.known(policy):
--- a/apigateway/tools/load/scenario.py
+++ b/apigateway/tools/load/scenario.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from apigateway.config_validation import Faulty, Part, Reader, read_toml
+from apigateway.config_validation import ConfigReader, ConfigSection, InvalidConfigFileError, read_toml
 from apigateway.tools.load.shapes import AnyShape
 from apigateway.upstream.address import Address, read_address
 
@@ -17,7 +17,7 @@
 Many = Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
 
 
-class RunPart(Part, frozen=True, kw_only=True):
+class RunPart(ConfigSection, frozen=True, kw_only=True):
     name: str = "scenario"
     seconds: Annotated[float, msgspec.Meta(ge=0, le=1e7)] = 60.0
     seed: Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)] = 1
@@ -26,17 +26,17 @@
     late_share: Share = 0.001  # more than this part of its requests later than that
 
 
-class TargetsPart(Part, frozen=True, kw_only=True):
+class TargetsPart(ConfigSection, frozen=True, kw_only=True):
     gateways: Annotated[list[str], msgspec.Meta(max_length=10_000)] = []  # in the order of their numbers
     off_loopback: bool = False
 
 
-class ClassPart(Part, frozen=True, kw_only=True):
+class ClassPart(ConfigSection, frozen=True, kw_only=True):
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
     wait: Seconds = 3.0
 
 
-class PlanPart(Part, frozen=True, kw_only=True):
+class PlanPart(ConfigSection, frozen=True, kw_only=True):
     """`skew`: of employers' use; the n-th asks 1/n^skew as much as the first. `spread`: gateways of each, 0
     for all; where its requests come in shifts every `shift` seconds, 0 for never."""
 
@@ -46,7 +46,7 @@
     shift: Annotated[float, msgspec.Meta(ge=0, le=1e6)] = 0.0
 
 
-class StreamPart(Part, frozen=True, kw_only=True):
+class StreamPart(ConfigSection, frozen=True, kw_only=True):
     cls: Name = msgspec.field(name="class")
     plan: Name
     shape: AnyShape
@@ -55,7 +55,7 @@
     name: Name = "stream"
 
 
-class SpellPart(Part, frozen=True, kw_only=True):
+class SpellPart(ConfigSection, frozen=True, kw_only=True):
     """Of `employers` of a plan, drawn by the seed: each asks `times` what it asks else, from `at_s` on for
     `length`."""
 
@@ -66,7 +66,7 @@
     length: Seconds
 
 
-class Scenario(Part, frozen=True, kw_only=True):
+class Scenario(ConfigSection, frozen=True, kw_only=True):
     run: RunPart = RunPart()
     targets: TargetsPart = TargetsPart()
     classes: dict[str, ClassPart] = {}
@@ -76,18 +76,18 @@
 
 
 def read_scenario(path: str) -> Scenario:
-    """Raises checked.Faulty with all that is wrong."""
-    tree, reader = read_toml(path), Reader(path)
+    """Raises InvalidConfigFileError with all that is wrong."""
+    tree, reader = read_toml(path), ConfigReader(path)
     scenario = reader.read(tree, Scenario)
     if scenario is not None:
         check(reader, scenario)
-    if reader.faults or scenario is None:
-        raise Faulty(reader.faults)
+    if reader.problems or scenario is None:
+        raise InvalidConfigFileError(reader.problems)
     return scenario
 
 
-def check(reader: Reader, told: Scenario) -> None:
-    bad = reader.contradiction
+def check(reader: ConfigReader, told: Scenario) -> None:
+    bad = reader.add_contradiction
     for number, stream in enumerate(told.streams):
         for key, name, known in (("class", stream.cls, told.classes), ("plan", stream.plan, told.plans)):
             if name not in known:
@@ -121,19 +121,19 @@
         check_target(reader, number, text, told.targets.off_loopback)
 
 
-def check_target(reader: Reader, number: int, text: str, anywhere: bool) -> None:
+def check_target(reader: ConfigReader, number: int, text: str, anywhere: bool) -> None:
     at = ("targets", "gateways", number)
     try:
         host, _ = read_address(text)
     except ValueError:
-        reader.contradiction(at, text, "is no address", "write it as HOST:PORT, an IPv6 host in brackets")
+        reader.add_contradiction(at, text, "is no address", "write it as HOST:PORT, an IPv6 host in brackets")
         return
     try:
         loopback = host == "localhost" or ipaddress.ip_address(host).is_loopback
     except ValueError:
         loopback = False
     if not (loopback or anywhere):
-        reader.contradiction(
+        reader.add_contradiction(
             at,
             text,
             "is not on loopback, and load is sent there",
--- a/apigateway/tools/plugin.py
+++ b/apigateway/tools/plugin.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from apigateway import messages
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 from apigateway.plugins.load import Place, load, proofs
 from apigateway.plugins.records import read_records, view_of
 from apigateway.plugins.settings import HooksPart, PluginPart
@@ -73,13 +73,13 @@
     try:
         told = read_plugins(path)
         return path, told.plugins, told.hooks, None
-    except Faulty as err:
-        if not any(fault.key in ("listeners", "classes", "plans", "gateway") for fault in err.faults):
+    except InvalidConfigFileError as err:
+        if not any(fault.key in ("listeners", "classes", "plans", "gateway") for fault in err.problems):
             raise
-    from apigateway.daemon.settings import read_settings, to_module
+    from apigateway.daemon.settings import build_module_settings, read_settings
 
     whole = read_settings(path)
-    return path, whole.plugins, whole.hooks, to_module(whole)
+    return path, whole.plugins, whole.hooks, build_module_settings(whole)
 
 
 def loaded(path: str, place: messages.Settings | None = None) -> Kit:
@@ -90,7 +90,7 @@
 
 
 def check(path: str) -> Report:
-    """Raises Faulty with all that is wrong."""
+    """Raises InvalidConfigFileError with all that is wrong."""
     kit, report = loaded(path), Report()
     try:
         for seat in kit.seats:
@@ -130,9 +130,9 @@
         sorted({view.plan for _, _, view in told}) or ("basic",),
     )
     if gateway is not None:
-        from apigateway.daemon.settings import read_settings, to_module
+        from apigateway.daemon.settings import build_module_settings, read_settings
 
-        place = to_module(read_settings(gateway))
+        place = build_module_settings(read_settings(gateway))
     kit, report = loaded(path, place), Report()
     tags: Counter[str] = Counter()
     refused: Counter[str] = Counter()
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -11,17 +11,17 @@
 from hypothesis import strategies as st
 
 from apigateway import __version__, messages
-from apigateway.config_validation import MOST_BYTES, Faulty
+from apigateway.config_validation import MAX_FILE_BYTES, InvalidConfigFileError
 from apigateway.daemon.serve import in_force
 from apigateway.daemon.settings import (
     LIVE,
     CounterPart,
     Settings,
-    changed,
+    build_config,
+    build_module_settings,
+    compare_settings,
     differences,
     read_settings,
-    to_config,
-    to_module,
 )
 from apigateway.membership.file import read_hosts
 
@@ -41,10 +41,10 @@
 def faults(tmp_path, text, **kw):
     file = tmp_path / "gateway.toml"
     file.write_bytes(text if isinstance(text, bytes) else text.encode())
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(InvalidConfigFileError) as caught:
         read_settings(str(file), **kw)
-    assert all(fault.file == str(file) and fault.reason and fault.remedy for fault in caught.value.faults)
-    return {fault.key: fault for fault in caught.value.faults}
+    assert all(fault.file == str(file) and fault.reason and fault.remedy for fault in caught.value.problems)
+    return {fault.key: fault for fault in caught.value.problems}
 
 
 def test_the_file_in_deploy_is_good_and_at_its_defaults():
@@ -52,7 +52,7 @@
     default = msgspec.to_builtins(Settings())
     for part in default.keys() - {"classes", "plans"}:
         assert told[part] == default[part], part
-    config = to_config(
+    config = build_config(
         str(ROOT / "deploy" / "gateway.toml"), read_settings(str(ROOT / "deploy" / "gateway.toml"))
     )
     assert isinstance(config.settings, messages.Settings) and len(config.known.hosts.endpoints) == 1
@@ -181,17 +181,17 @@
     ):
         (fault,) = faults(tmp_path, text).values()
         assert fault.key == "" and word in str(fault)
-    with pytest.raises(Faulty, match="no regular file"):
+    with pytest.raises(InvalidConfigFileError, match="no regular file"):
         read_settings(str(tmp_path))
-    with pytest.raises(Faulty, match="No such file"):
+    with pytest.raises(InvalidConfigFileError, match="No such file"):
         read_settings(str(tmp_path / "none.toml"))
     os.mkfifo(tmp_path / "fifo")
-    with pytest.raises(Faulty, match="no regular file"):
+    with pytest.raises(InvalidConfigFileError, match="no regular file"):
         read_settings(str(tmp_path / "fifo"))
     big = tmp_path / "big.toml"
     with open(big, "wb") as file:
         file.truncate(60 * 1024 * 1024)
-    with pytest.raises(Faulty, match=f"{MOST_BYTES} at most"):
+    with pytest.raises(InvalidConfigFileError, match=f"{MAX_FILE_BYTES} at most"):
         read_settings(str(big))
 
 
@@ -218,15 +218,15 @@
     )
 )
 def test_no_tree_gets_past_the_check_by_an_exception(tree):
-    from apigateway.config_validation import Reader
+    from apigateway.config_validation import ConfigReader
     from apigateway.daemon.settings import check
 
-    reader = Reader("f")
+    reader = ConfigReader("f")
     told = reader.read(tree, Settings)
     if told is not None:
         check(reader, told, False)
-    if not reader.faults:
-        assert isinstance(to_module(told), messages.Settings)
+    if not reader.problems:
+        assert isinstance(build_module_settings(told), messages.Settings)
 
 
 def test_a_reload_tells_what_it_takes_up_and_what_it_does_not(tmp_path):
@@ -248,19 +248,19 @@
         """
     )
     new = read_settings(str(file))
-    live, restart = changed(old, new)
+    live, restart = compare_settings(old, new)
     assert live == ["limits.max_open", "listeners"]
     assert restart == ["classes.more", "limits.max_attempts", "plans.p.rate"]
     now = in_force(old, new)
     assert now.limits.max_open == 7 and now.limits.max_attempts == 3 and now.plans["p"].rate == 2.0
-    assert changed(now, new) == ([], restart)  # never silently left
+    assert compare_settings(now, new) == ([], restart)  # never silently left
 
 
 def test_a_counter_comes_or_goes_by_a_restart_only():
     none, one, other = (Settings(counter=CounterPart(address=address)) for address in ("", "h:1", "h:2"))
-    assert changed(one, other) == (["counter.address"], []) and in_force(one, other) == other
+    assert compare_settings(one, other) == (["counter.address"], []) and in_force(one, other) == other
     for old, new in ((none, one), (one, none)):
-        assert changed(old, new) == ([], ["counter.address"]) and in_force(old, new) == old
+        assert compare_settings(old, new) == ([], ["counter.address"]) and in_force(old, new) == old
 
 
 def test_what_a_reload_takes_up_are_keys_that_exist():
@@ -284,7 +284,7 @@
 )
 def test_a_bad_file_of_hosts(text, word, tmp_path):
     (tmp_path / "hosts.toml").write_text(text)
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(InvalidConfigFileError) as caught:
         read_hosts(str(tmp_path / "hosts.toml"))
     assert word in str(caught.value)
 
--- a/tests/experiment/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -5,7 +5,7 @@
 import pytest
 
 from apigateway.cli.main import main
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 from apigateway.tools.experiment import report
 from apigateway.tools.experiment.plan import read_experiment
 
@@ -68,7 +68,7 @@
 )
 def test_a_file_that_cannot_be_played_is_refused_with_file_key_and_reason(tmp_path, old, new, key, reason):
     path = written(tmp_path / "bad.toml", SMALL, (old, new))
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(InvalidConfigFileError) as caught:
         read_experiment(path)
     text = str(caught.value)
     assert path in text and key in text and reason in text
@@ -76,7 +76,7 @@
 
 def test_too_many_plays_are_refused_before_any_is_made(tmp_path):
     seeds = f"seeds = {list(range(6000))}"
-    with pytest.raises(Faulty, match="asks for 24000 plays"):
+    with pytest.raises(InvalidConfigFileError, match="asks for 24000 plays"):
         read_experiment(written(tmp_path / "e.toml", SMALL, ("seeds = [1, 2]", seeds)))
 
 
--- a/tests/load/test_scenario.py
+++ b/tests/load/test_scenario.py
@@ -7,7 +7,7 @@
 import pytest
 from rig import ROOT
 
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 from apigateway.tools.load.scenario import read_scenario
 
 GOOD = """
@@ -23,9 +23,9 @@
 def faults(tmp_path, text):
     file = tmp_path / "scenario.toml"
     file.write_text(text)
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(InvalidConfigFileError) as caught:
         read_scenario(str(file))
-    return {fault.key: fault for fault in caught.value.faults}
+    return {fault.key: fault for fault in caught.value.problems}
 
 
 @pytest.mark.parametrize(
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from apigateway import messages
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 from apigateway.plugins.apart import ENDED, Trial, tried
 from apigateway.plugins.live import Hooks, SwapRefused
 from apigateway.plugins.load import Place as At
@@ -413,22 +413,22 @@
     ],
 )
 def test_a_bad_plug_in_is_told_by_file_key_value_and_reason(make, key, words, tmp_path):
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(InvalidConfigFileError) as caught:
         loading(tmp_path, make(tmp_path))
-    (fault,) = caught.value.faults
+    (fault,) = caught.value.problems
     assert fault.key == key and words in fault.reason and fault.remedy and str(tmp_path) in fault.file
 
 
 def test_all_faults_are_told_at_once_and_names_are_each_ones_own(tmp_path):
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(InvalidConfigFileError) as caught:
         loading(tmp_path, part(rules=[RulePart()]), part(rules=[RulePart()]), part("q", file="nix.wat"))
-    assert [fault.key for fault in caught.value.faults] == ["plugins[1].name", "plugins[2].file"]
+    assert [fault.key for fault in caught.value.problems] == ["plugins[1].name", "plugins[2].file"]
 
 
 def test_without_the_engine_a_module_is_refused_with_what_to_install(tmp_path, monkeypatch):
     (tmp_path / "a.wat").write_text(module(says("tag a 1")))
     monkeypatch.setitem(sys.modules, "wasmtime", None)
-    with pytest.raises(Faulty, match="needs wasmtime.*pip install"):
+    with pytest.raises(InvalidConfigFileError, match="needs wasmtime.*pip install"):
         loading(tmp_path, part("a", file="a.wat"))
     assert loading(tmp_path, part("b", rules=[RulePart()])).seats  # rules need none
 
