--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -14,7 +14,8 @@
 from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.node import described
 from apigateway.daemon.serve import FAILED, OK, UNUSABLE
-from apigateway.daemon.settings import Settings, read_settings, to_registry
+from apigateway.daemon.settings import Settings, read_settings
+from apigateway.daemon.settings_runtime import build_registry
 from apigateway.membership.listing import Listing
 
 COLUMNS = ("id", "address", "zone", "cell", "kind", "state", "doubt")
@@ -39,7 +40,7 @@
 
 
 async def from_registry(settings: Settings) -> dict[str, Any]:
-    registry = to_registry(settings)
+    registry = build_registry(settings)
     if registry is None:
         raise OSError("the file names no registry: hosts.source is not eureka")
     from apigateway.membership.eureka.source import EurekaSource, resolve
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -13,7 +13,8 @@
 
 from apigateway.config_validation import ConfigProblem, InvalidConfigFileError
 from apigateway.daemon.config import Config
-from apigateway.daemon.settings import Settings, compile_ratelimit_rules
+from apigateway.daemon.settings import Settings
+from apigateway.daemon.settings_runtime import compile_ratelimit_rules
 from apigateway.frontends.grpc.mapping import Mapping
 from apigateway.frontends.grpc.tokens import Keys, Redeemed, Tokens, rotated
 from apigateway.upstream.address import Address, read_address
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -31,13 +31,9 @@
 from apigateway.daemon.logs import LogRateLimiter, start_log
 from apigateway.daemon.node import GatewayNode, Source
 from apigateway.daemon.notify import Notifier
-from apigateway.daemon.settings import (
-    Settings,
-    build_config,
-    compare_settings,
-    read_settings,
-    reloadable_keys,
-)
+from apigateway.daemon.settings import Settings, read_settings
+from apigateway.daemon.settings_reload import compare_settings, reloadable_keys
+from apigateway.daemon.settings_runtime import build_config
 from apigateway.daemon.sockets import bind_listener, match_to_listeners, sockets_from_service_manager
 from apigateway.daemon.workers import given, own_share, shared, supervise
 from apigateway.frontends.resp.front import RespFront
--- /dev/null
+++ b/apigateway/daemon/settings_runtime.py
@@ -0,0 +1,224 @@
+"""Build what the gateway runs with, a Config, from the checked settings file."""
+
+from __future__ import annotations
+
+import os
+import random
+from collections.abc import Iterable
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from apigateway import messages
+from apigateway.daemon.config import Config
+from apigateway.daemon.settings_schema import Settings, customer_capacity
+from apigateway.frontends.grpc.mapping import Mapping, Rule
+from apigateway.frontends.grpc.settings import RateLimitPart, RulePart
+from apigateway.membership.belief import Trust
+from apigateway.membership.file import read_hosts
+from apigateway.membership.listing import Listing
+from apigateway.upstream.address import read_address
+
+if TYPE_CHECKING:
+    from apigateway.membership.eureka.registration import Own
+    from apigateway.membership.eureka.source import Registry
+
+
+# Bytes in a MiB, as the settings give memory.
+MIB = 1024 * 1024
+
+
+def build_config(path: str, settings: Settings, span: int = 1) -> Config:
+    """Return what a gateway runs with.
+
+    Args:
+        path: Of the settings file; the file of hosts is named relative to its folder, and read.
+        settings: As checked.
+        span: Gateways that clients know as one: workers on one address.
+
+    Raises:
+        InvalidConfigFileError: With all that is wrong in the file of hosts.
+    """
+    listeners = [read_address(listener.address) for listener in settings.listeners]
+    hosts_file = None
+    known = Listing(messages.EndpointList("cached", 0, ()), {})
+    if settings.hosts.source == "file":
+        hosts_file = os.path.join(os.path.dirname(os.path.abspath(path)), settings.hosts.file)
+        known = read_hosts(hosts_file, "cached")
+    return Config(
+        grpc=frozenset(read_address(one.address) for one in settings.listeners if one.protocol == "grpc"),
+        registry=build_registry(settings),
+        own=_build_registration(settings, listeners[0][1]),
+        trust=Trust(**msgspec.to_builtins(settings.trust)),
+        name=settings.gateway.name,
+        listen=listeners[0],
+        more=tuple(listeners[1:]),
+        discovery=read_address(settings.hosts.discovery) if settings.hosts.source == "discovery" else None,
+        hosts_file=hosts_file,
+        counter=read_address(settings.counter.address) if settings.counter.address else None,
+        seed=settings.gateway.seed or random.SystemRandom().getrandbits(63),
+        memory=settings.limits.memory_mb * MIB,
+        sockets=settings.limits.sockets,
+        known=known,
+        settings=build_module_settings(settings),
+        connect_timeout=settings.limits.connect_timeout,
+        idle_close=settings.hosts.idle_close,
+        max_open=settings.limits.max_open,
+        linger=settings.daemon.linger,
+        finish=settings.daemon.finish,
+        span=span,
+        leave=tuple(settings.sites.leave),
+        overload=(settings.overload.lag, settings.overload.turn) if settings.overload.on else None,
+    )
+
+
+def _build_registration(settings: Settings, port: int) -> Own | None:
+    """Return how this gateway registers itself with Eureka; None: it does not."""
+    if not settings.register.on:
+        return None
+    from apigateway.membership.eureka.registration import Own  # loaded only where it is used
+
+    section = settings.register
+    return Own(
+        section.app,
+        section.id or f"{settings.gateway.name}:{port}",
+        section.host_name or section.ip,
+        section.ip,
+        port,
+        section.vip,
+        section.renew,
+        section.duration,
+        section.metadata,
+    )
+
+
+def build_registry(settings: Settings) -> Registry | None:
+    """Return how the Eureka registry is asked; None: nothing needs it."""
+    if settings.hosts.source != "eureka" and not settings.register.on:
+        return None
+    from apigateway.membership.eureka.mapping import Terms  # loaded only where it is used
+    from apigateway.membership.eureka.source import Registry
+
+    section = settings.eureka
+    terms = Terms(
+        section.zone_key,
+        section.cell_key,
+        section.kind_key,
+        section.weight_key,
+        section.default_zone,
+        section.address,
+        section.secure,
+        msgspec.to_builtins(section.states),
+    )
+    return Registry(
+        tuple(section.urls),
+        section.by,
+        section.name,
+        section.form,
+        section.poll,
+        section.timeout,
+        section.max_answer_mb * MIB,
+        section.user,
+        section.password,
+        section.delta,
+        terms,
+        Trust(**msgspec.to_builtins(settings.trust)),
+    )
+
+
+def build_module_settings(settings: Settings) -> messages.Settings:
+    """Return the settings of the decision module."""
+    limits, rules = settings.limits, settings.rules
+    return messages.Settings(
+        gateway_index=settings.gateway.index,
+        gateway_count=settings.gateway.gateways,
+        zone=settings.gateway.zone,
+        classes={
+            name: messages.ServiceClass(
+                name, c.aim, c.deadline, c.effect, c.scope, c.memory, c.worth, 0.0, False, 0.0
+            )
+            for name, c in settings.classes.items()
+        },
+        plans={
+            name: messages.Plan(
+                name,
+                p.rate,
+                p.burst,
+                p.open_limit,
+                p.price,
+                p.over_worth,
+                p.over_cost,
+                p.ceiling_rate,
+                p.ceiling_burst,
+                p.ceiling_slack,
+            )
+            for name, p in settings.plans.items()
+        },
+        limits=messages.Limits(
+            limits.cancel,
+            limits.second_copies,
+            False,
+            False,
+            limits.retry_after,
+            limits.max_attempts,
+            limits.max_retry_after,
+            limits.connect_timeout,
+        ),
+        rules=messages.Rules(
+            0.0,
+            rules.drain_grace,
+            rules.cold_share,
+            rules.cold_time,
+            rules.fall_multiple,
+            rules.fall_time,
+            0.0,
+        ),
+        prices={"cross_zone": settings.hosts.cross_zone},
+        has_counter=bool(settings.counter.address),
+        counter_price=settings.counter.price,
+        counter_timeout=settings.counter.timeout,
+        meter_period=0.0,
+        settles_units=False,
+        max_units=limits.max_units,
+        discovery_mode="push",
+        load_report_fields=tuple(settings.hosts.reports),
+        weight_meaning="none",
+        max_customers=limits.max_customers or customer_capacity(limits),
+        routes={
+            name: messages.Route(name, tuple(r.kinds), r.fallback) for name, r in settings.routes.items()
+        },
+    )
+
+
+def compile_ratelimit_rules(
+    section: RateLimitPart, plans: Iterable[str], classes: Iterable[str], gateways: int, span: int = 1
+) -> Mapping:
+    """Compile the rules that map the descriptors of a check to a customer, plan and class.
+
+    Args:
+        section: The table with the rules.
+        plans: Names of all plans.
+        classes: Names of all service classes.
+        gateways: How many gateways there are.
+        span: Gateways that clients, and so the rules, know as one.
+
+    Raises:
+        BadRule: A rule cannot be used.
+    """
+    rules = [_build_rule(rule, gateways, span) for rule in section.rules]
+    return Mapping(rules, plans, classes, gateways)
+
+
+def _build_rule(rule: RulePart, gateways: int, span: int) -> Rule:
+    return Rule(
+        rule.domain,
+        tuple(rule.entries),
+        rule.customer,
+        rule.plan,
+        rule.cls,
+        rule.units,
+        rule.first * span,
+        rule.spread * span or gateways,
+        rule.named,
+        rule.token,
+    )
--- /dev/null
+++ b/apigateway/daemon/settings_validation.py
@@ -0,0 +1,313 @@
+"""Check what no single key of the settings file shows: contradictions between keys, and addresses."""
+
+from __future__ import annotations
+
+import msgspec
+
+from apigateway.config_validation import ConfigReader, KeyPath
+from apigateway.daemon.settings_runtime import compile_ratelimit_rules
+from apigateway.daemon.settings_schema import (
+    ClassSection,
+    PlanSection,
+    Settings,
+    customer_capacity,
+)
+from apigateway.frontends.grpc.mapping import TAKEN, BadRule
+from apigateway.upstream.address import Address, read_address
+
+# Fields of a request that ask.entries may use.
+ASK_ENTRY_FIELDS = ("customer", "plan", "class", "units", "gateway")
+# Tables without which nothing can be served, and what to add.
+REQUIRED_TABLES = {
+    "listeners": "one [[listeners]]",
+    "plans": "[plans.NAME] with rate and burst",
+    "classes": "[classes.NAME] with effect, aim and deadline",
+}
+
+
+def check_settings(reader: ConfigReader, settings: Settings, beside_platform: bool) -> None:
+    """Add every contradiction in the settings to the reader's problems.
+
+    Args:
+        reader: Collects the problems.
+        settings: As read, with defaults in place of values that are wrong by themselves.
+        beside_platform: The platform's configuration has all but the listeners and the process's own.
+    """
+    _check_listeners(reader, settings, beside_platform)
+    if beside_platform:
+        return
+    for name, remedy in REQUIRED_TABLES.items():
+        if not getattr(settings, name):
+            reader.add_contradiction((name,), None, "none", f"add {remedy}")
+    _check_counter(reader, settings)
+    if settings.hosts.source == "discovery":
+        _check_address(reader, ("hosts", "discovery"), settings.hosts.discovery)
+    _check_eureka(reader, settings)
+    _check_limits(reader, settings)
+    for name, service_class in settings.classes.items():
+        _check_class(reader, ("classes", name), service_class, settings.daemon.finish)
+    for name, plan in settings.plans.items():
+        _check_plan(reader, ("plans", name), plan, settings.limits.max_units)
+    _check_ratelimit(reader, settings)
+    _check_ask(reader, settings)
+
+
+def _check_listeners(reader: ConfigReader, settings: Settings, beside_platform: bool) -> None:
+    keys_by_address: dict[Address, str] = {}
+    for number, listener in enumerate(settings.listeners):
+        path: KeyPath = ("listeners", number, "address")
+        address = _check_address(reader, path, listener.address)
+        if address is not None and address[1] and address in keys_by_address:
+            reader.add_contradiction(
+                path,
+                listener.address,
+                f"is also that of {keys_by_address[address]}",
+                "give each its own port",
+            )
+        elif address is not None:
+            keys_by_address[address] = f"listeners[{number}]"
+        if beside_platform and listener.protocol != "resp":
+            reader.add_problem(
+                ("listeners", number, "protocol"),
+                listener.protocol,
+                "beside RELAY_CONFIG there is nothing to say whose a check is",
+                'let it be "resp"',
+            )
+
+
+def _check_counter(reader: ConfigReader, settings: Settings) -> None:
+    if settings.gateway.index >= settings.gateway.gateways:
+        reader.add_contradiction(
+            ("gateway", "index"),
+            settings.gateway.index,
+            f"of {settings.gateway.gateways} gateways",
+            "they are numbered from 0",
+        )
+    if settings.gateway.gateways > 1 and not settings.counter.address:
+        reader.add_contradiction(
+            ("counter", "address"),
+            settings.counter.address,
+            "several gateways cannot hold a quota without a counter",
+            "name the counter that they share",
+        )
+    if settings.workers.count > 1 and not settings.counter.address:
+        reader.add_contradiction(
+            ("workers", "count"),
+            settings.workers.count,
+            "several workers cannot hold a quota without a counter",
+            "name the counter",
+        )
+    if settings.counter.address:
+        _check_address(reader, ("counter", "address"), settings.counter.address)
+
+
+def _check_limits(reader: ConfigReader, settings: Settings) -> None:
+    if settings.limits.max_customers > customer_capacity(settings.limits):
+        reader.add_contradiction(
+            ("limits", "max_customers"),
+            settings.limits.max_customers,
+            f"in limits.memory_mb is room for {customer_capacity(settings.limits)}",
+            "let it be fewer, or memory_mb more",
+        )
+    if settings.overload.turn < settings.overload.lag:
+        reader.add_contradiction(
+            ("overload", "turn"),
+            settings.overload.turn,
+            f"is shorter than the lag aimed at, {settings.overload.lag}",
+            "let it be longer",
+        )
+
+
+def _check_ratelimit(reader: ConfigReader, settings: Settings) -> None:
+    section = settings.ratelimit
+    grpc_listeners = [n for n, listener in enumerate(settings.listeners) if listener.protocol == "grpc"]
+    if grpc_listeners and not section.rules:
+        reader.add_contradiction(
+            ("listeners", grpc_listeners[0], "protocol"),
+            "grpc",
+            "no rule says whose a check is",
+            "add [[ratelimit.rules]] with domain, entries, customer, plan and class",
+        )
+    try:
+        compile_ratelimit_rules(section, settings.plans, settings.classes, settings.gateway.gateways)
+    except BadRule as err:
+        number = err.args[1]
+        rule = msgspec.to_builtins(section.rules[number])
+        reader.add_contradiction(
+            ("ratelimit", "rules", number, err.key),
+            rule[err.key],
+            str(err.args[0]),
+            "mend the rule: docs/operate/ratelimit.md",
+        )
+    for number, rule in enumerate(section.rules):
+        if rule.token and not section.token_keys:
+            reader.add_contradiction(
+                ("ratelimit", "rules", number, "token"),
+                True,
+                "there is no key to sign tokens with",
+                "name files with keys in ratelimit.token_keys",
+            )
+    if bool(section.tls.cert) != bool(section.tls.key):
+        missing = "key" if section.tls.cert else "cert"
+        reader.add_contradiction(
+            ("ratelimit", "tls", missing), "", "a certificate and its key go together", "name both files"
+        )
+    elif section.tls.client_ca and not section.tls.cert:
+        reader.add_contradiction(
+            ("ratelimit", "tls", "client_ca"),
+            section.tls.client_ca,
+            "without TLS no client shows a certificate",
+            "name cert and key",
+        )
+
+
+def _check_ask(reader: ConfigReader, settings: Settings) -> None:
+    section = settings.ask
+    if section.address:
+        _check_address(reader, ("ask", "address"), section.address)
+        if not (section.plans or section.classes):
+            reader.add_contradiction(
+                ("ask", "plans"), None, "nothing is asked about", "name plans or classes"
+            )
+    for key, known in (("plans", settings.plans), ("classes", settings.classes)):
+        for name in getattr(section, key):
+            if name not in known:
+                reader.add_contradiction(
+                    ("ask", key),
+                    name,
+                    f"there is no such one of [{key}]",
+                    f"known: {', '.join(known) or 'none'}",
+                )
+    for entry in section.entries:
+        unknown = [name for name in TAKEN.findall(entry.partition("=")[2]) if name not in ASK_ENTRY_FIELDS]
+        if unknown:
+            reader.add_contradiction(
+                ("ask", "entries"),
+                entry,
+                f"{{{unknown[0]}}} is nothing of a request",
+                f"known: {', '.join(ASK_ENTRY_FIELDS)}",
+            )
+    if section.most_rest < section.rest:
+        reader.add_contradiction(
+            ("ask", "most_rest"),
+            section.most_rest,
+            f"is shorter than rest = {section.rest}",
+            "let it be longer",
+        )
+    if not section.tls.on and (section.tls.ca or section.tls.cert or section.tls.key or section.tls.name):
+        reader.add_contradiction(
+            ("ask", "tls", "on"), False, "the other keys of ask.tls are for nothing", "set on = true"
+        )
+    elif bool(section.tls.cert) != bool(section.tls.key):
+        missing = "key" if section.tls.cert else "cert"
+        reader.add_contradiction(
+            ("ask", "tls", missing), "", "a certificate and its key go together", "name both files"
+        )
+
+
+def _check_address(reader: ConfigReader, path: KeyPath, text: str) -> Address | None:
+    try:
+        return read_address(text)
+    except ValueError:
+        reader.add_contradiction(
+            path, text, "is no address", "write it as HOST:PORT, an IPv6 host in brackets"
+        )
+        return None
+
+
+def _check_eureka(reader: ConfigReader, settings: Settings) -> None:
+    if (settings.hosts.source == "eureka" or settings.register.on) and not settings.eureka.urls:
+        reader.add_contradiction(
+            ("eureka", "urls"), None, "no registry to ask", 'add urls = ["http://HOST:PORT/eureka"]'
+        )
+    if settings.eureka.by != "apps" and not settings.eureka.name:
+        reader.add_contradiction(
+            ("eureka", "name"),
+            settings.eureka.name,
+            f"no name of the {settings.eureka.by}",
+            "name it, or ask by apps",
+        )
+    if settings.register.on and not settings.register.ip:
+        reader.add_contradiction(
+            ("register", "ip"),
+            settings.register.ip,
+            "no address at which others reach this gateway",
+            "name it",
+        )
+    if settings.register.renew * 2 > settings.register.duration:
+        reader.add_contradiction(
+            ("register", "duration"),
+            settings.register.duration,
+            f"one lost renewal (every {settings.register.renew} s) may end it",
+            "let it be twice as long as renew, or more",
+        )
+
+
+def _check_class(reader: ConfigReader, path: KeyPath, service_class: ClassSection, finish_s: float) -> None:
+    if service_class.aim > service_class.deadline:
+        reader.add_contradiction(
+            (*path, "aim"),
+            service_class.aim,
+            f"is after the deadline of {service_class.deadline}",
+            "aim at or before it",
+        )
+    elif service_class.deadline > finish_s:
+        reader.add_contradiction(
+            (*path, "deadline"),
+            service_class.deadline,
+            f"is longer than daemon.finish = {finish_s}: a stop would fail what it has taken",
+            "let daemon.finish be as long as the longest deadline",
+        )
+    elif service_class.effect == "keyed" and not service_class.memory:
+        reader.add_contradiction(
+            (*path, "memory"),
+            service_class.memory,
+            "a keyed class whose repeats nobody drops",
+            "say for how long hosts drop a repeat, or make it unsafe",
+        )
+    elif service_class.effect != "keyed" and service_class.memory:
+        reader.add_contradiction(
+            (*path, "memory"),
+            service_class.memory,
+            f"a class that is {service_class.effect} has no repeats to drop",
+            "leave it out, or make it keyed",
+        )
+    elif service_class.effect != "keyed" and service_class.scope != "all":
+        reader.add_contradiction(
+            (*path, "scope"),
+            service_class.scope,
+            f"a class that is {service_class.effect} has no scope",
+            "leave it out",
+        )
+
+
+def _check_plan(reader: ConfigReader, path: KeyPath, plan: PlanSection, max_units: float) -> None:
+    if plan.rate and plan.burst < max_units:
+        reader.add_contradiction(
+            (*path, "burst"),
+            plan.burst,
+            f"the largest request ({max_units} units) never fits",
+            "a rate needs a burst of at least limits.max_units",
+        )
+    elif plan.ceiling_rate and plan.ceiling_rate < plan.rate:
+        reader.add_contradiction(
+            (*path, "ceiling_rate"),
+            plan.ceiling_rate,
+            f"lies under the quota's rate of {plan.rate}",
+            "a ceiling lies at or over the quota",
+        )
+    elif plan.ceiling_rate and plan.ceiling_burst < plan.burst:
+        reader.add_contradiction(
+            (*path, "ceiling_burst"),
+            plan.ceiling_burst,
+            f"lies under the quota's burst of {plan.burst}",
+            "a ceiling lies at or over the quota",
+        )
+    elif plan.ceiling_burst and not plan.ceiling_rate:
+        reader.add_contradiction(
+            (*path, "ceiling_rate"), plan.ceiling_rate, "a ceiling's burst without its rate", "add the rate"
+        )
+    elif not (plan.rate or plan.open_limit):
+        reader.add_contradiction(
+            (*path, "rate"), plan.rate, "neither a rate nor a limit of open attempts", "add rate and burst"
+        )
--- a/apigateway/tools/plugin.py
+++ b/apigateway/tools/plugin.py
@@ -76,7 +76,8 @@
     except InvalidConfigFileError as err:
         if not any(fault.key in ("listeners", "classes", "plans", "gateway") for fault in err.problems):
             raise
-    from apigateway.daemon.settings import build_module_settings, read_settings
+    from apigateway.daemon.settings import read_settings
+    from apigateway.daemon.settings_runtime import build_module_settings
 
     whole = read_settings(path)
     return path, whole.plugins, whole.hooks, build_module_settings(whole)
@@ -130,7 +131,8 @@
         sorted({view.plan for _, _, view in told}) or ("basic",),
     )
     if gateway is not None:
-        from apigateway.daemon.settings import build_module_settings, read_settings
+        from apigateway.daemon.settings import read_settings
+        from apigateway.daemon.settings_runtime import build_module_settings
 
         place = build_module_settings(read_settings(gateway))
     kit, report = loaded(path, place), Report()
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -13,16 +13,10 @@
 from apigateway import __version__, messages
 from apigateway.config_validation import MAX_FILE_BYTES, InvalidConfigFileError
 from apigateway.daemon.serve import in_force
-from apigateway.daemon.settings import (
-    LIVE,
-    CounterPart,
-    Settings,
-    build_config,
-    build_module_settings,
-    compare_settings,
-    differences,
-    read_settings,
-)
+from apigateway.daemon.settings import Settings, read_settings
+from apigateway.daemon.settings_reload import RELOADABLE_KEYS, compare_settings, differences
+from apigateway.daemon.settings_runtime import build_config, build_module_settings
+from apigateway.daemon.settings_schema import CounterSection
 from apigateway.membership.file import read_hosts
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -219,12 +213,12 @@
 )
 def test_no_tree_gets_past_the_check_by_an_exception(tree):
     from apigateway.config_validation import ConfigReader
-    from apigateway.daemon.settings import check
+    from apigateway.daemon.settings_validation import check_settings
 
     reader = ConfigReader("f")
     told = reader.read(tree, Settings)
     if told is not None:
-        check(reader, told, False)
+        check_settings(reader, told, False)
     if not reader.problems:
         assert isinstance(build_module_settings(told), messages.Settings)
 
@@ -257,7 +251,7 @@
 
 
 def test_a_counter_comes_or_goes_by_a_restart_only():
-    none, one, other = (Settings(counter=CounterPart(address=address)) for address in ("", "h:1", "h:2"))
+    none, one, other = (Settings(counter=CounterSection(address=address)) for address in ("", "h:1", "h:2"))
     assert compare_settings(one, other) == (["counter.address"], []) and in_force(one, other) == other
     for old, new in ((none, one), (one, none)):
         assert compare_settings(old, new) == ([], ["counter.address"]) and in_force(old, new) == old
@@ -265,7 +259,7 @@
 
 def test_what_a_reload_takes_up_are_keys_that_exist():
     tree = msgspec.to_builtins(Settings())
-    for key in LIVE:
+    for key in RELOADABLE_KEYS:
         part, _, name = key.partition(".")
         assert part in tree and (not name or name in tree[part]), key
     assert list(differences(tree, tree, "")) == []
