--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -35,7 +35,8 @@
 from apigateway.daemon.settings_reload import compare_settings, reloadable_keys
 from apigateway.daemon.settings_runtime import build_config
 from apigateway.daemon.sockets import bind_listener, match_to_listeners, sockets_from_service_manager
-from apigateway.daemon.workers import given, own_share, shared, supervise
+from apigateway.daemon.supervisor import supervise
+from apigateway.daemon.workers import read_worker_assignment, settings_for_worker
 from apigateway.frontends.resp.front import RespFront
 from apigateway.membership.listing import read_list, write_list
 from apigateway.upstream.address import Address, read_address, write_address
@@ -56,11 +57,11 @@
     """The settings file, and beside it the platform's configuration where RELAY_CONFIG names one. Raises
     InvalidConfigFileError or ConfigError."""
     if not os.environ.get("RELAY_CONFIG"):
-        settings, share = read_settings(path), own_share()
+        settings, share = read_settings(path), read_worker_assignment()
         if share is None:
             return settings, build_config(path, settings)
         span = share.count if settings.workers.address == "shared" else 1
-        settings = shared(settings, share)
+        settings = settings_for_worker(settings, share)
         return settings, build_config(path, settings, span)
     settings = read_settings(path, beside=True)
     more = tuple(read_address(listener.address) for listener in settings.listeners)
@@ -120,11 +121,11 @@
     async def start(self, take_over: bool) -> bool:
         """Whether it serves; False: it was told to stop before."""
         state, wanted = self.settings.daemon.state, (self.config.listen, *self.config.more)
-        share = own_share()
+        share = read_worker_assignment()
         if share is not None:  # a worker without its supervisor would serve on unseen, and hold its address
             self.notifier.on_manager_gone = self.told.set
         self.sockets = match_to_listeners(
-            given(share) if share is not None else sockets_from_service_manager(), wanted
+            share.adopt_listeners() if share is not None else sockets_from_service_manager(), wanted
         )
         if take_over:
             inherited = await self.inherit(state)
@@ -138,7 +139,7 @@
                 self.sockets[address] = bind_listener(address)
         plugins = await self.build_plugins(self.settings)  # raises before anything is served
         self.node = GatewayNode(self.config, await self.build_limits(self.settings, self.config))
-        self.node.core.marks = share.in_flight() if share is not None else None
+        self.node.core.marks = share.open_in_flight_table() if share is not None else None
         if plugins is not None:
             self.plugins().start(self.node, plugins, self.settings.hooks.tick)
         self.node.prepare()
@@ -441,7 +442,7 @@
 
     async def run(settings: Settings, config: Config) -> int:
         count = workers or settings.workers.count
-        if count > 1 and own_share() is None:
+        if count > 1 and read_worker_assignment() is None:
             if os.environ.get("RELAY_CONFIG") or not config.counter:
                 raise ValueError("several workers need a counter, and are not for the platform")
             return await supervise(path, settings, count, take_over)
--- a/tests/faults/test_workers.py
+++ b/tests/faults/test_workers.py
@@ -11,7 +11,7 @@
 from rig import PROGRAM, ROOT, TERMS, Load, Site
 
 from apigateway.daemon.settings import read_settings
-from apigateway.daemon.workers import Share, shared
+from apigateway.daemon.workers import WorkerAssignment, settings_for_worker
 from apigateway.emulators.clients import Client, Customer, Kind, Traffic
 from apigateway.emulators.ledger import Ceiling, Ledger, report
 from apigateway.emulators.ledger import Kind as Class
@@ -330,7 +330,7 @@
         '[classes.read]\neffect = "safe"\naim = 1.0\ndeadline = 3.0\n'
         '[plans.p]\nrate = 1.0\nburst = 4.0\n[workers]\ncount = 4\naddress = "own"\n'
     )
-    told = shared(read_settings(str(file)), Share(2, 4, ()))
+    told = settings_for_worker(read_settings(str(file)), WorkerAssignment(2, 4, ()))
     assert (told.gateway.index, told.gateway.gateways, told.gateway.seed) == (6, 8, 7)
     assert told.gateway.name == "gateway-0.2" and told.daemon.state == "/run/x/worker-2"
     assert told.listeners[0].address == "127.0.0.1:7002"
