--- a/apigateway/daemon/workers.py
+++ b/apigateway/daemon/workers.py
@@ -1,7 +1,7 @@
 """Tell a supervisor's worker process what it is, and derive its settings from the machine's.
 
-The supervisor (supervisor.py) passes the assignment in environment variables, whose names and forms must stay: a supervisor
-and its workers may be of different versions of the program.
+The supervisor (supervisor.py) passes the assignment in environment variables, whose names and forms must
+stay: a supervisor and its workers may be of different versions of the program.
 """
 
 from __future__ import annotations
