--- a/apigateway/daemon/config.py
+++ b/apigateway/daemon/config.py
@@ -1,4 +1,4 @@
-"""What a real gateway is told: environment and JSON file to one checked Config."""
+"""Build what a gateway runs with, a Config, from the platform's environment and JSON file."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import os
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from apigateway import messages
 from apigateway.membership.listing import Listing, read_list
@@ -18,10 +18,13 @@
     from apigateway.membership.eureka.registration import Own
     from apigateway.membership.eureka.source import Registry
 
-
-# s: the platform's SIGKILL comes no sooner after SIGTERM than the longest deadline, or LONGEST where that is
-# less, and KILL more; by SPARE before that everything is answered
-LONGEST, KILL, SPARE = 3.0, 0.7, 0.3
+# The platform sends SIGKILL no sooner after SIGTERM than the longest deadline, or this where it is less, ...
+MAX_SHUTDOWN_DEADLINE_S = 3.0
+# ... and so much more;
+KILL_DELAY_S = 0.7
+# so long before that, everything is answered.
+KILL_MARGIN_S = 0.3
+MIB = 1024 * 1024
 
 
 class ConfigError(Exception):
@@ -30,6 +33,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """What a gateway runs with; durations are in seconds."""
+
     name: str
     listen: Address
     discovery: Address | None
@@ -56,36 +61,51 @@
 
 
 def read_config(env: Mapping[str, str] = os.environ, again: bool = False) -> Config:
-    """`again`: the file was replaced while the program runs, so the discovery that it names is newer than the
-    one that the environment named at the start."""
+    """Return the Config from the file that RELAY_CONFIG names and the variables beside it.
+
+    Args:
+        env: The environment.
+        again: The file was replaced while the program runs, so the discovery that it names is newer than the
+            one that the environment named at the start.
+
+    Raises:
+        ConfigError: The file cannot be used.
+    """
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
-        tree = told["settings"]
-        limits = tree["limits"]
-        settings = read_settings(tree)
-        counter = told.get("counter")
-        if settings.has_counter and not counter:
-            raise ValueError("the settings allow a counter but no address is given")
-        return Config(
-            name=env.get("RELAY_NAME") or told["name"],
-            listen=read_address(env.get("RELAY_LISTEN") or told["listen"]),
-            discovery=read_address((not again and env.get("RELAY_DISCOVERY")) or told["discovery"]),
-            counter=read_address(counter) if counter else None,
-            seed=int(told["seed"], 16),
-            memory=int(told["limits"]["memory_mb"]) * 1024 * 1024,
-            sockets=int(told["limits"]["sockets"]),
-            known=read_list(told["known"], "cached"),
-            settings=settings,
-            connect_timeout=seconds(limits["connect_timeout"]),
-            idle_close=seconds(limits["idle_close"]),
-            max_open=int(limits["max_open"]),
-            finish=min(LONGEST, max(c.deadline for c in settings.classes.values())) + KILL - SPARE,
-        )
+            return _build_config(json.load(file), env, again)
     except KeyError as err:
         raise ConfigError(f"{path}: missing or unknown {err}") from err
     except (OSError, ValueError, TypeError, AttributeError) as err:
         raise ConfigError(f"{path}: {' '.join(str(err).split())}") from err
+
+
+def _build_config(tree: dict[str, Any], env: Mapping[str, str], again: bool) -> Config:
+    limits = tree["settings"]["limits"]
+    settings = read_settings(tree["settings"])
+    counter = tree.get("counter")
+    if settings.has_counter and not counter:
+        raise ValueError("the settings allow a counter but no address is given")
+    return Config(
+        name=env.get("RELAY_NAME") or tree["name"],
+        listen=read_address(env.get("RELAY_LISTEN") or tree["listen"]),
+        discovery=read_address((not again and env.get("RELAY_DISCOVERY")) or tree["discovery"]),
+        counter=read_address(counter) if counter else None,
+        seed=int(tree["seed"], 16),
+        memory=int(tree["limits"]["memory_mb"]) * MIB,
+        sockets=int(tree["limits"]["sockets"]),
+        known=read_list(tree["known"], "cached"),
+        settings=settings,
+        connect_timeout=seconds(limits["connect_timeout"]),
+        idle_close=seconds(limits["idle_close"]),
+        max_open=int(limits["max_open"]),
+        finish=_shutdown_time_limit(settings),
+    )
+
+
+def _shutdown_time_limit(settings: messages.Settings) -> float:
+    longest_deadline = max(service_class.deadline for service_class in settings.classes.values())
+    return min(MAX_SHUTDOWN_DEADLINE_S, longest_deadline) + KILL_DELAY_S - KILL_MARGIN_S
