--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -10,11 +10,12 @@
 
 from apigateway import messages
 from apigateway.cli.ask import ask, headed
-from apigateway.config_validation import Faulty
-from apigateway.daemon.handover import HandOverFailed
+from apigateway.config_validation import InvalidConfigFileError
+from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.node import described
 from apigateway.daemon.serve import FAILED, OK, UNUSABLE
-from apigateway.daemon.settings import Settings, read_settings, to_registry
+from apigateway.daemon.settings import Settings, read_settings
+from apigateway.daemon.settings_runtime import build_registry
 from apigateway.membership.listing import Listing
 
 COLUMNS = ("id", "address", "zone", "cell", "kind", "state", "doubt")
@@ -25,10 +26,10 @@
     try:
         settings = read_settings(path)
         told = {"": asyncio.run(from_registry(settings))} if registry else asyncio.run(ask(settings, "hosts"))
-    except Faulty as err:
+    except InvalidConfigFileError as err:
         print(err, file=sys.stderr)
         return UNUSABLE
-    except (HandOverFailed, OSError) as err:
+    except (HandoverError, OSError) as err:
         print(f"api-gateway: {err}", file=sys.stderr)
         return FAILED
     if as_json:
@@ -39,7 +40,7 @@
 
 
 async def from_registry(settings: Settings) -> dict[str, Any]:
-    registry = to_registry(settings)
+    registry = build_registry(settings)
     if registry is None:
         raise OSError("the file names no registry: hosts.source is not eureka")
     from apigateway.membership.eureka.source import EurekaSource, resolve
--- a/apigateway/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from apigateway.cli.ask import ask, headed
-from apigateway.config_validation import Faulty
-from apigateway.daemon.handover import HandOverFailed
+from apigateway.config_validation import InvalidConfigFileError
+from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.serve import FAILED, OK, UNUSABLE
 from apigateway.daemon.settings import read_settings
 from apigateway.tools import plugin as tool
@@ -31,10 +31,10 @@
         else:
             print(status(told.file, told.json))
         return OK
-    except (Faulty, tool.Unusable) as err:
+    except (InvalidConfigFileError, tool.Unusable) as err:
         print(err, file=sys.stderr)
         return UNUSABLE
-    except (HandOverFailed, OSError) as err:
+    except (HandoverError, OSError) as err:
         print(f"api-gateway: {err}", file=sys.stderr)
         return FAILED
 
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -17,17 +17,26 @@
 import msgspec
 import uvloop
 
-from apigateway.config_validation import Faulty
+from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon import pending_signals
 from apigateway.daemon.config import Config, ConfigError, read_config
-from apigateway.daemon.handover import Busy, HandOverFailed, Heir, Keeper
-from apigateway.daemon.lock import Lock, Locked
-from apigateway.daemon.logs import Seldom, start_log
+from apigateway.daemon.handover import (
+    HandoverError,
+    HandoverInProgressError,
+    HandoverOffer,
+    HandoverPredecessor,
+    HandoverSuccessor,
+)
+from apigateway.daemon.lock import StateFolderLock, StateFolderLockedError
+from apigateway.daemon.logs import LogRateLimiter, start_log
 from apigateway.daemon.node import GatewayNode, Source
 from apigateway.daemon.notify import Notifier
-from apigateway.daemon.settings import Settings, changed, read_settings, taken_up, to_config
-from apigateway.daemon.sockets import bind, named, passed
-from apigateway.daemon.workers import given, own_share, shared, supervise
+from apigateway.daemon.settings import Settings, read_settings
+from apigateway.daemon.settings_reload import compare_settings, reloadable_keys
+from apigateway.daemon.settings_runtime import build_config
+from apigateway.daemon.sockets import bind_listener, match_to_listeners, sockets_from_service_manager
+from apigateway.daemon.supervisor import supervise
+from apigateway.daemon.workers import read_worker_assignment, settings_for_worker
 from apigateway.frontends.resp.front import RespFront
 from apigateway.membership.listing import read_list, write_list
 from apigateway.upstream.address import Address, read_address, write_address
@@ -46,14 +55,14 @@
 
 def read(path: str, again: bool = False) -> tuple[Settings, Config]:
     """The settings file, and beside it the platform's configuration where RELAY_CONFIG names one. Raises
-    Faulty or ConfigError."""
+    InvalidConfigFileError or ConfigError."""
     if not os.environ.get("RELAY_CONFIG"):
-        settings, share = read_settings(path), own_share()
+        settings, share = read_settings(path), read_worker_assignment()
         if share is None:
-            return settings, to_config(path, settings)
+            return settings, build_config(path, settings)
         span = share.count if settings.workers.address == "shared" else 1
-        settings = shared(settings, share)
-        return settings, to_config(path, settings, span)
+        settings = settings_for_worker(settings, share)
+        return settings, build_config(path, settings, span)
     settings = read_settings(path, beside=True)
     more = tuple(read_address(listener.address) for listener in settings.listeners)
     return settings, replace(
@@ -64,7 +73,7 @@
 def in_force(old: Settings, new: Settings) -> Settings:
     """What holds after a reload: of the new settings those that a reload takes up, else the old."""
     tree, told = msgspec.to_builtins(old), msgspec.to_builtins(new)
-    for key in taken_up(old, new):
+    for key in reloadable_keys(old, new):
         part, _, name = key.partition(".")
         if name:
             tree[part][name] = told[part][name]
@@ -74,15 +83,17 @@
 
 
 class Daemon:
-    def __init__(self, path: str, settings: Settings, config: Config, seldom: Seldom | None = None) -> None:
+    def __init__(
+        self, path: str, settings: Settings, config: Config, seldom: LogRateLimiter | None = None
+    ) -> None:
         self.path, self.settings, self.config, self.seldom = path, settings, config, seldom
         self.loop = asyncio.get_running_loop()
         self.told = asyncio.Event()  # to stop
         self.notifier = Notifier()
         self.sockets: dict[Address, socket.socket] = {}  # the listening ones, kept open for a hand-over
-        self.lock: Lock | None = None
-        self.keeper: Keeper | None = None
-        self.heir: Heir | None = None
+        self.lock: StateFolderLock | None = None
+        self.keeper: HandoverPredecessor | None = None
+        self.heir: HandoverSuccessor | None = None
         self.node: GatewayNode
         self.reloading: asyncio.Task[None] | None = None
         self.again = False  # told to reload while a reload was under way
@@ -92,13 +103,14 @@
     # Start
 
     async def run(self, take_over: bool = False) -> int:
-        """Serves until it is told to stop. Raises OSError, Locked or HandOverFailed if it cannot start."""
+        """Serves until it is told to stop. Raises OSError, StateFolderLockedError or HandoverError if it
+        cannot start."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.told.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.hup)
         try:
             if await self.start(take_over):  # else it was told to stop before it served
-                if pending_signals.told_to_reload():
+                if pending_signals.take_reload_request():
                     self.hup()
                 await self.told.wait()
                 await self.stop()
@@ -109,23 +121,25 @@
     async def start(self, take_over: bool) -> bool:
         """Whether it serves; False: it was told to stop before."""
         state, wanted = self.settings.daemon.state, (self.config.listen, *self.config.more)
-        share = own_share()
+        share = read_worker_assignment()
         if share is not None:  # a worker without its supervisor would serve on unseen, and hold its address
-            self.notifier.lost = self.told.set
-        self.sockets = named(given(share) if share is not None else passed(), wanted)
+            self.notifier.on_manager_gone = self.told.set
+        self.sockets = match_to_listeners(
+            share.adopt_listeners() if share is not None else sockets_from_service_manager(), wanted
+        )
         if take_over:
             inherited = await self.inherit(state)
             for address in inherited.keys() & self.sockets.keys():  # a worker's, given by its supervisor too
                 self.sockets.pop(address).close()
             self.sockets |= inherited
         elif state:
-            self.lock = Lock(state)
+            self.lock = StateFolderLock(state)
         for address in wanted:
             if address not in self.sockets:
-                self.sockets[address] = bind(address)
+                self.sockets[address] = bind_listener(address)
         plugins = await self.build_plugins(self.settings)  # raises before anything is served
         self.node = GatewayNode(self.config, await self.build_limits(self.settings, self.config))
-        self.node.core.in_flight_registry = share.in_flight() if share is not None else None
+        self.node.core.in_flight_registry = share.open_in_flight_table() if share is not None else None
         if plugins is not None:
             self.plugins().start(self.node, plugins, self.settings.hooks.tick)
         self.node.prepare()
@@ -140,18 +154,18 @@
         if not await self.able(self.settings.daemon.handover_wait if take_over else None):
             return False
         if self.heir is not None:
-            known = await self.heir.ready()
+            known = await self.heir.announce_ready()
             self.node.begin(read_list(known, "cached"))
         await self.node.listen(self.sockets)
         if self.heir is not None:
             try:
-                await self.heir.serving()
-            except HandOverFailed:  # the predecessor accepts again: two of a name must not
+                await self.heir.announce_serving()
+            except HandoverError:  # the predecessor accepts again: two of a name must not
                 await self.node.stop(0.0)
                 raise
         if self.lock is not None:
-            self.lock.sign()
-            self.keeper = Keeper(
+            self.lock.record_holder()
+            self.keeper = HandoverPredecessor(
                 os.path.join(state, "handover"),
                 self.offer,
                 self.node.pause,
@@ -159,9 +173,9 @@
                 self.succeeded,
                 self.settings.daemon.handover_wait,
             )
-            self.keeper.questions["hosts"] = self.node.hosts_believed
-            self.keeper.questions["plugins"] = self.node.plugins_told
-            self.keeper.questions["ratelimit"] = self.node.limits_told
+            self.keeper.status_queries["hosts"] = self.node.hosts_believed
+            self.keeper.status_queries["plugins"] = self.node.plugins_told
+            self.keeper.status_queries["ratelimit"] = self.node.limits_told
             self.keeper.open()
         if self.registration is not None:
             self.registration.mark_up()
@@ -177,7 +191,7 @@
         return importlib.import_module("apigateway.daemon.plugins")
 
     async def build_plugins(self, settings: Settings) -> Any:
-        """Loaded and proved beside the loop; None where settings name none. Raises Faulty."""
+        """Loaded and proved beside the loop; None where settings name none. Raises InvalidConfigFileError."""
         if not (settings.plugins or settings.records.file):
             return None
         old = self.node.plugins if hasattr(self, "node") else None
@@ -187,7 +201,7 @@
 
     async def build_limits(self, settings: Settings, config: Config) -> Built | None:
         """The rate limit service, and an outer one, beside the loop; None where settings want neither. Raises
-        Faulty."""
+        InvalidConfigFileError."""
         if not (config.grpc or settings.ratelimit.token_keys or settings.ask.address):
             return None
         module = importlib.import_module("apigateway.daemon.ratelimit")
@@ -196,17 +210,17 @@
 
     async def inherit(self, state: str) -> dict[Address, socket.socket]:
         if not state:
-            raise HandOverFailed("daemon.state names no folder, so there is nobody to take over from")
-        self.heir = Heir(os.path.join(state, "handover"))
-        listeners, descriptors, known = await self.heir.take()
+            raise HandoverError("daemon.state names no folder, so there is nobody to take over from")
+        self.heir = HandoverSuccessor(os.path.join(state, "handover"))
+        listeners, descriptors, known = await self.heir.take_over()
         if "workers" in known:
             for number in descriptors:
                 os.close(number)
-            raise HandOverFailed("what runs there has workers: say --workers, or restart it")
+            raise HandoverError("what runs there has workers: say --workers, or restart it")
         sockets = [socket.socket(fileno=number) for number in descriptors[:-1]]
         for sock in sockets:
             sock.setblocking(False)
-        self.lock = Lock(state, descriptors[-1])
+        self.lock = StateFolderLock(state, descriptors[-1])
         if known:
             self.config = replace(self.config, known=read_list(known, "cached"))
         wanted = {write_address(address): address for address in (self.config.listen, *self.config.more)}
@@ -220,7 +234,7 @@
 
     async def able(self, seconds: float | None) -> bool:
         """Until hosts are known, and a line to the counter is up or that has had its time. False if it was
-        told to stop meanwhile. Raises HandOverFailed after `seconds`."""
+        told to stop meanwhile. Raises HandoverError after `seconds`."""
         if not self.node.core.is_ready:
             log.info("waiting for a list of hosts")
         told = self.loop.create_task(self.told.wait())
@@ -229,18 +243,18 @@
         told.cancel()
         known.cancel()
         if not done:
-            raise HandOverFailed(f"no list of hosts within {seconds:.0f} s")
+            raise HandoverError(f"no list of hosts within {seconds:.0f} s")
         if self.heir is not None and self.node.counter is not None:
             await self.node.counter.wait_until_connected(COUNTER_WAIT)
         return not self.told.is_set()
 
     # Hand-over, as the predecessor
 
-    def offer(self) -> tuple[list[str], list[int], dict[str, object]]:
+    def offer(self) -> HandoverOffer:
         assert self.lock is not None
         names = [write_address(address) for address in self.sockets]
         descriptors = [sock.fileno() for sock in self.sockets.values()] + [self.lock.descriptor]
-        return names, descriptors, write_list(self.node.listing)
+        return HandoverOffer(names, descriptors, write_list(self.node.listing))
 
     async def resume(self) -> None:
         if not self.told.is_set():  # else it ends, and accepts no more
@@ -253,14 +267,14 @@
     # Reload
 
     def hup(self) -> None:
-        if self.told.is_set() or (self.keeper is not None and self.keeper.busy):
+        if self.told.is_set() or (self.keeper is not None and self.keeper.is_in_progress):
             log.warning("no reload during a stop or a hand-over")
         elif self.reloading is not None:
             self.again = True
         elif hasattr(self, "node"):
             self.reloading = self.loop.create_task(self.reload())
         else:  # the settings were read before
-            pending_signals.note()
+            pending_signals.record_reload()
 
     async def reload(self) -> None:
         try:
@@ -279,7 +293,7 @@
         """Builds the new beside the old, then swaps it in whole; or leaves the old in force. Says which."""
         try:
             settings, config = await asyncio.to_thread(read, self.path, True)
-        except (Faulty, ConfigError) as err:
+        except (InvalidConfigFileError, ConfigError) as err:
             for line in str(err).splitlines():
                 log.error("%s", line)
             return "refused, the old settings stay"
@@ -295,11 +309,11 @@
         try:
             built_limits = await self.build_limits(settings, config)
             plugins = await self.build_plugins(settings)
-        except Faulty as err:
+        except InvalidConfigFileError as err:
             for line in str(err).splitlines():
                 log.error("%s", line)
             return "refused, the old settings stay"
-        live, restart = changed(self.settings, settings)
+        live, restart = compare_settings(self.settings, settings)
         if not os.environ.get("RELAY_CONFIG"):
             config = replace(
                 self.config,
@@ -326,7 +340,7 @@
         try:
             for address in addresses:
                 if address not in self.sockets:
-                    built[address] = bind(address)
+                    built[address] = bind_listener(address)
             for address, sock in built.items():
                 front = self.node.front(address, config, limits, built_limits)
                 fronts.append(front)
@@ -335,7 +349,7 @@
             # The last that can fail: plug-ins take over what those before them have saved.
             status = self.swap_plugins(settings, plugins)
         except BaseException as err:  # also a stop in the middle of it: nothing of the new is left
-            if plugins is not None and not isinstance(err, Faulty):
+            if plugins is not None and not isinstance(err, InvalidConfigFileError):
                 self.plugins().drop(plugins.version, self.node.plugins)
             for front in fronts:
                 front.finish()
@@ -344,7 +358,7 @@
                     limits.left(front)
             for sock in built.values():
                 sock.close()
-            if isinstance(err, Faulty):
+            if isinstance(err, InvalidConfigFileError):
                 log.error("%s", err)
                 return "refused, the old settings stay"
             if not isinstance(err, OSError):
@@ -365,16 +379,17 @@
         self.sockets.update(built)
         self.config, self.settings = config, in_force(self.settings, settings)
         if self.seldom is not None:
-            self.seldom.most = settings.daemon.log_lines
+            self.seldom.max_lines_per_second = settings.daemon.log_lines
         if self.keeper is not None:
-            self.keeper.wait = settings.daemon.handover_wait
+            self.keeper.ready_timeout_s = settings.daemon.handover_wait
         parts = [f"took effect: {', '.join(live)}"] if live else []
         parts += [one for one in (status, reread) if one]
         parts += [f"needs a restart or a hand-over: {', '.join(restart)}"] if restart else []
         return "; ".join(parts) or "nothing changed"
 
     def swap_plugins(self, settings: Settings, plugins: Any) -> str:
-        """What is other than before, for the log. Raises Faulty; then the old are as they were."""
+        """What is other than before, for the log. Raises InvalidConfigFileError; then the old
+        are as they were."""
         if plugins is not None:
             self.plugins().swap(self.path, self.node, plugins, settings.hooks.tick)
             return str(plugins.status)
@@ -427,7 +442,7 @@
 
     async def run(settings: Settings, config: Config) -> int:
         count = workers or settings.workers.count
-        if count > 1 and own_share() is None:
+        if count > 1 and read_worker_assignment() is None:
             if os.environ.get("RELAY_CONFIG") or not config.counter:
                 raise ValueError("several workers need a counter, and are not for the platform")
             return await supervise(path, settings, count, take_over)
@@ -437,13 +452,13 @@
         settings, config = read(path)
         seldom = start_log(settings.daemon.log_lines)
         return int(uvloop.run(run(settings, config)))
-    except (Faulty, ConfigError) as err:
+    except (InvalidConfigFileError, ConfigError) as err:
         for line in str(err).splitlines():
             print(f"api-gateway: {line}", file=sys.stderr)
         return UNUSABLE
-    except Busy as err:
+    except HandoverInProgressError as err:
         print(f"api-gateway: {err}; try again", file=sys.stderr)
         return TRY_AGAIN
-    except (OSError, Locked, HandOverFailed, ValueError) as err:
+    except (OSError, StateFolderLockedError, HandoverError, ValueError) as err:
         print(f"api-gateway: {err}", file=sys.stderr)
         return FAILED
--- a/apigateway/membership/file.py
+++ b/apigateway/membership/file.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from apigateway import messages
-from apigateway.config_validation import Faulty, Reader, read_toml
+from apigateway.config_validation import ConfigReader, InvalidConfigFileError, read_toml
 from apigateway.membership.listing import Listing
 from apigateway.upstream.address import Address, read_address
 
@@ -54,9 +54,9 @@
     """Read the file of endpoints.
 
     Raises:
-        Faulty: the file cannot be used; holds all that is wrong in it.
+        InvalidConfigFileError: the file cannot be used; holds all that is wrong in it.
     """
-    reader = Reader(path)
+    reader = ConfigReader(path)
     file = reader.read(read_toml(path), _HostsFile)
     endpoints: list[messages.Endpoint] = []
     addresses: dict[str, Address] = {}
@@ -65,16 +65,16 @@
         try:
             address = read_address(host.address)
         except ValueError:
-            reader.contradiction((*at, "address"), host.address, "is no address", "write it as HOST:PORT")
+            reader.add_contradiction((*at, "address"), host.address, "is no address", "write it as HOST:PORT")
             continue
         if host.id in addresses:
-            reader.contradiction((*at, "id"), host.id, "stands twice", "give each host an id of its own")
+            reader.add_contradiction((*at, "id"), host.id, "stands twice", "give each host an id of its own")
         addresses[host.id] = address
         endpoints.append(_to_endpoint(host))
     if file is not None and not file.hosts:
-        reader.contradiction(("hosts",), None, "none", "add one [[hosts]] with id and address")
-    if reader.faults:
-        raise Faulty(reader.faults)
+        reader.add_contradiction(("hosts",), None, "none", "add one [[hosts]] with id and address")
+    if reader.problems:
+        raise InvalidConfigFileError(reader.problems)
     return Listing(messages.EndpointList(mode, version, tuple(endpoints)), addresses)
 
 
@@ -112,9 +112,9 @@
         """Read the file now, changed or not."""
         try:
             listing = read_endpoint_file(self._path, version=self.version + 1)
-        except Faulty as err:
-            for fault in err.faults:
-                log.error("%s (the last list stays)", fault)
+        except InvalidConfigFileError as err:
+            for problem in err.problems:
+                log.error("%s (the last list stays)", problem)
             self._on_failure()
             return
         self.version += 1
