--- a/Makefile
+++ b/Makefile
@@ -13,6 +13,7 @@
 	$(BIN)/python -m pytest -q -n 4 --dist worksteal
 
 lint: $(VENV)/ready
+	$(BIN)/ruff format --check .
 	$(BIN)/ruff check .
 	$(BIN)/mypy
 	$(BIN)/lint-imports
