--- a/apigateway/policy/counter_health.py
+++ b/apigateway/policy/counter_health.py
@@ -6,7 +6,7 @@
 
 CROWDED, CROWD_STEEP = 0.5, 4.0  # part of the time-out from which a call is rationed; price there, in tries
 CROWD_OF = 20.0  # gateways that are half a crowd, before the counter has been heard
-BACKOFF_MOST = 1.0  # s; longest pause between tries of a counter that does not answer
+MAX_BACKOFF = 1.0  # s; longest pause between tries of a counter that does not answer
 QUICK = 0.15  # weight of the latest call in the congestion: a change must show in a few calls
 
 
@@ -31,4 +31,4 @@
             self.failures = 0
         elif now >= self.retry_at:  # a burst of failures counts once
             self.failures += 1
-            self.retry_at = now + min(BACKOFF_MOST, self.timeout * 2.0 ** self.failures)
+            self.retry_at = now + min(MAX_BACKOFF, self.timeout * 2.0 ** self.failures)
--- a/apigateway/policy/customer_quota.py
+++ b/apigateway/policy/customer_quota.py
@@ -10,11 +10,11 @@
 from apigateway.routing.demand import DemandEstimator
 from apigateway.routing.token_bucket import TokenBucketShare
 
-ALLOW = 0.5  # part of the even room passed uncharged
+LOCAL_PART = 0.5  # part of the even room passed uncharged
 STRAND_MIN = 0.05  # least chance that an unspent unit is missed elsewhere (c2), customer nearly idle
 REFILL = 0.1  # part of the refill in a thin customer's hold: its overdrafts are seldom brought along;
 OPENS, OPEN_AT = 0.5, 0.5  # part of its burst that its window opens with; part of the window till it has all
-PART_GAIN = 0.5  # weight of the latest window in the part of a customer's use that passes here
+LOCAL_SHARE_GAIN = 0.5  # weight of the latest window in the part of a customer's use that passes here
 
 
 class CustomerQuota:
@@ -64,7 +64,7 @@
             return
         if self.reported_units > 0 and self.total_units - self.carried_units >= 1:  # told what all passed
             part = min(1.0, self.used_units / (self.total_units - self.carried_units))
-            self.local_share += PART_GAIN * (part - self.local_share)
+            self.local_share += LOCAL_SHARE_GAIN * (part - self.local_share)
         # Where an even part is less than a request, the few gateways that let one pass unasked say nothing of
         # the others: taken times the spread, one such request would be a debt of many windows, for all.
         passed = self.unreported_units * (1 if self.is_thin else self.spread)
@@ -94,7 +94,7 @@
         here before: a customer's traffic is uneven, and an even part refuses most of it. Harm: where it has
         just moved, the gateway that it left and the one that it came to may both pass theirs."""
         room = max(0.0, min(self.plan.burst, self.window_limit(now) - self.total_units))
-        return room * max(self.local_share, 1 / self.spread) if silent else room / self.spread * ALLOW
+        return room * max(self.local_share, 1 / self.spread) if silent else room / self.spread * LOCAL_PART
 
     def lease_size(self, c1: float) -> int:
         """w = sqrt(c1 A / c2); c2 is the chance that a unit left unspent here is missed elsewhere."""
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -15,8 +15,8 @@
 from apigateway.hashing import Forgotten, stable_hash
 from apigateway.policy.counter_health import CROWDED, CounterHealth
 from apigateway.policy.customer_quota import CustomerQuota
-from apigateway.policy.endpoint import TrackedEndpoint
-from apigateway.policy.endpoint_pool import GAIN, LIMIT_MOST, PRESS_SPAN, TICK, EndpointPool
+from apigateway.policy.endpoint import EndpointState
+from apigateway.policy.endpoint_pool import CONGESTION_SPAN, GAIN, LIMIT_MOST, TICK, EndpointPool
 from apigateway.policy.pending_queue import PendingQueue, PendingRequest
 from apigateway.routing.fault_scope import FaultScope
 from apigateway.routing.grant_share import GrantShareEstimator
@@ -25,20 +25,20 @@
 RESERVE = 0.2  # share of a burst kept from the class worth least a unit, for the one worth most
 CROWD = 0.3  # worth of a call's time at the full time-out (c1 grows as the counter slows), squared share
 SIDE_CALL = 0.15  # worth of a call that only mends a count for others, or finds a limit seldom reached
-SAMPLE_MOST = 4.0  # a sampled charge stands for so many at most: more makes the count jump
+MAX_SAMPLE = 4.0  # a sampled charge stands for so many at most: more makes the count jump
 GRANT_PRIOR = (0.5, 0.3)  # share of first tries and of repeats taken to be granted, before any was
 LOAD_COST = 0.2  # least cost of a unit sent on beyond quota, in its worth: it loads what all share
 CEILING_HOLD, CEILING_THIN = 0.3, 4.0  # share of the aim that a request may wait for its customer's ceiling
 # to fill here; units of an even part of it, below which it may
-QUEUE_HOLD, QUEUE_LEAST = 0.5, 4  # share of the aim spent waiting for a server; requests that always may
+QUEUE_HOLD, QUEUE_LEAST = 0.5, 4  # share of the aim spent waiting for an endpoint; requests that always may
 ROUNDING = 1e-4  # part of a total, seven digits of which are exact: less than that is no difference
 CALL_SPOILT = 0.9  # part of the time-out before which a call without answer was lost with its line
 OPEN_EPOCH, IDLE_MOST = 5.0, 30.0  # s; life of a count of open attempts; least life of an idle account
-FREED_AT_ONCE = 4  # idle accounts looked at with each request: more than come, so that they never pile up
-PRESSED = 0.5  # part of answers from congested servers that sheds work
+FREED_AT_ONCE = 4  # idle quotas looked at with each request: more than come, so that they never pile up
+SHED_AT = 0.5  # part of answers from congested endpoints that sheds work
 SHED_FAST, SHED_BACK, SHED_LEAST = 0.7, 0.15, 0.05  # 1/s down, 1/s up, least part that still passes
 RETRY_SHARE, RETRY_SPARE, RETRY_FULL = 0.1, 0.3, 0.2  # per first send; with room; price of one after `full`
-RETRY_START, RETRY_MOST = 15.0, 30.0  # retries over all gateways at the start; that may be saved up
+START_RETRY, MAX_RETRY = 15.0, 30.0  # retries over all gateways at the start; that may be saved up
 
 
 @dataclass(slots=True)
@@ -68,7 +68,7 @@
         self.quotas: dict[str, CustomerQuota] = {}  # in order of their last request
         self.pending, self.queue = dict[str, PendingRequest](), PendingQueue()
         self.counter_calls: dict[int, list[CounterCall]] = {}  # by counter key, in order
-        self.retry_budget = RETRY_START / settings.gateway_count
+        self.retry_budget = START_RETRY / settings.gateway_count
         self.max_priority = max(c.priority_weight for c in settings.classes.values())
         self.scheduled_checks: list[tuple[float, str]] = []  # when which job is to be looked at
         self.timer_at = self.watch_at = math.inf
@@ -148,9 +148,8 @@
         value = worth / max(self.pool.response_times[cls.name].mean, 1e-6)
         job = PendingRequest(req, cls, plan, quota, now, now + req.remaining, worth, value, keys)
         self.pending[req.request_id] = job
-        if kind is not messages.Request:
-            job.is_check = isinstance(req, messages.QuotaCheck)
-            job.is_prepaid = kind is messages.PrepaidRequest
+        job.is_check = isinstance(req, messages.QuotaCheck)
+        job.is_prepaid = kind is messages.PrepaidRequest
         route = self.settings.routes.get(req.route) if req.route else None
         kinds = route.endpoint_kinds if route else ()
         if route and not (route.fallback and all(s.host.kind not in kinds for s in self.pool.available)):
@@ -202,12 +201,12 @@
         return False
 
     def should_shed(self, now: float, job: PendingRequest) -> bool:
-        """While answers come from servers that hold too much, what is worth least a unit of work is refused,
-        whatever the cause: one gateway of many has too few out for a limit of its own to relieve them."""
+        """While answers come from endpoints that hold too much, what is worth least a unit of work is
+        rejected, whatever the cause: one gateway of many has too few out to relieve them by a limit."""
         ranks = self.recent_values
         ranks.append(job.value)
-        step, fleet, self.admitted_share_at = now - self.admitted_share_at, self.pool, now
-        if fleet.congestion * math.exp(min(0.0, (fleet.congestion_at + 1 - now) / PRESS_SPAN)) > PRESSED:
+        step, pool, self.admitted_share_at = now - self.admitted_share_at, self.pool, now
+        if pool.congestion * math.exp(min(0.0, (pool.congestion_at + 1 - now) / CONGESTION_SPAN)) > SHED_AT:
             self.admitted_share = max(SHED_LEAST, self.admitted_share * math.exp(-SHED_FAST * min(step, 1.0)))
         else:
             self.admitted_share = min(1.0, self.admitted_share + SHED_BACK * step)
@@ -247,7 +246,7 @@
         gain = job.worth / max(self.mean_worth, 1e-9) * min(job.odds, self.overuse_cost(job))
         chance = self.counter.call_probability(gain)
         self.decide(now, job, self.rng.random() < chance)
-        self.renew_lease(now, job.quota, min(SAMPLE_MOST, 1 / max(chance, 1e-9)))  # for those unasked too
+        self.renew_lease(now, job.quota, min(MAX_SAMPLE, 1 / max(chance, 1e-9)))  # for those unasked too
 
     def decide(self, now: float, job: PendingRequest, ask: bool) -> None:
         quota, room = job.quota, job.quota.remaining(now)
@@ -471,8 +470,8 @@
         self.queue.add(job)
 
     def max_queue_time(self, job: PendingRequest) -> float:
-        """How long after its arrival a request may wait for a server. One whose attempt failed may do so till
-        it is worth nothing or its refusal comes late: a client that comes again is served later still."""
+        """How long after its arrival a request may wait for an endpoint. One whose attempt failed may
+        until it is worth nothing or a rejection is late: a client that comes again waits longer still."""
         aim = job.cls.latency_objective
         return min(aim, (job.deadline - job.arrived_at) / 2) if job.sends else QUEUE_HOLD * aim
 
@@ -529,7 +528,7 @@
             self.count_open_attempt(job.quota, job.slot, -1)
         job.quota.open_attempts -= job.slot < 0
 
-    def is_eligible(self, job: PendingRequest, s: TrackedEndpoint, now: float) -> bool:
+    def is_eligible(self, job: PendingRequest, s: EndpointState, now: float) -> bool:
         if job.allowed_kinds and s.host.kind not in job.allowed_kinds:
             return False
         unproven = job.possibly_executed + list(job.in_flight.values())
@@ -544,7 +543,7 @@
         return all(scope == "all" or (h.zone == s.host.zone if scope == "zone" else h.cell == s.host.cell)
                    for h in known)
 
-    def select_endpoint(self, now: float, job: PendingRequest) -> TrackedEndpoint | None:
+    def select_endpoint(self, now: float, job: PendingRequest) -> EndpointState | None:
         fits = (lambda x: self.is_eligible(job, x, now)) if job.tried or job.allowed_kinds else None
         best = self.pool.select_endpoint(now, job.fault_scope, fits)
         is_enough = best is not None or not job.sends
@@ -568,7 +567,7 @@
     def replenish_retries(self) -> None:
         """Each first send allows for a part of a retry."""
         share = RETRY_SPARE if self.pool.has_spare_capacity() else RETRY_SHARE
-        self.retry_budget = min(max(2.0, RETRY_MOST / self.settings.gateway_count), self.retry_budget + share)
+        self.retry_budget = min(max(2.0, MAX_RETRY / self.settings.gateway_count), self.retry_budget + share)
 
     def drain_queue(self, now: float) -> None:
         queue = self.queue
--- a/apigateway/policy/pending_queue.py
+++ b/apigateway/policy/pending_queue.py
@@ -40,8 +40,7 @@
 
 
 class PendingQueue(PriorityQueue[PendingRequest]):
-    """Requests that wait for an endpoint: the worthiest first, of equals the latest. Those on one route may
-    go to the same endpoints, so the first of them speaks for all."""
+    """Requests that wait for an endpoint; those on one route may go to the same endpoints."""
 
     def add(self, job: PendingRequest) -> None:
         """What is not proven not to have run, or was tried before, has fewer hosts left."""
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -69,11 +69,7 @@
 
 
 def index_is_true(fleet, now):
-    free = {
-        s.host.id
-        for s in fleet.endpoints.values()
-        if s.is_up and len(s.attempts_out) < s.max_attempts
-    }
+    free = {s.host.id for s in fleet.endpoints.values() if s.is_up and len(s.attempts_out) < s.max_attempts}
     assert {s.host.id for s in fleet.with_capacity} == free and len(fleet.with_capacity) == len(free)
     assert all(fleet.with_capacity[s.position] is s for s in fleet.with_capacity)
     assert all((s.position >= 0) == (s.host.id in free) for s in fleet.available)
