--- a/apigateway/daemon/inflight.py
+++ b/apigateway/daemon/inflight.py
@@ -55,7 +55,7 @@
         self._own_region = region_index * REGION_BYTES
         self._region_count = region_count
 
-    def acquire(self, id: str, left: float) -> int:
+    def acquire(self, request_id: str, remaining: float) -> int:
         """Mark a write as in flight.
 
         Nothing waits and there is no lock: each worker looks again once its own mark is written, so of two
@@ -63,28 +63,28 @@
         made a write visible to the others.
 
         Args:
-            id: The request's.
-            left: Seconds to the client's deadline.
+            request_id: The request's.
+            remaining: Seconds to the client's deadline.
 
         Returns:
             The mark's offset, for `release`; or an AcquireFailure.
         """
-        id_hash = _hash_id(id)
+        id_hash = _hash_id(request_id)
         now = time.monotonic()
         if self._is_marked(id_hash, now):
             return AcquireFailure.ALREADY_HELD
         offset = self._find_free_slot(id_hash, now)
         if offset == _NO_SLOT:
             return AcquireFailure.NO_FREE_SLOT
-        SLOT_LAYOUT.pack_into(self._memory, offset, id_hash, now + left + EXPIRY_MARGIN_S)
+        SLOT_LAYOUT.pack_into(self._memory, offset, id_hash, now + remaining + EXPIRY_MARGIN_S)
         if self._is_marked(id_hash, now, offset):
             self.release(offset)
             return AcquireFailure.ALREADY_HELD
         return offset
 
-    def is_held(self, id: str) -> bool:
-        """Return whether any worker's mark holds for this request id."""
-        return self._is_marked(_hash_id(id), time.monotonic())
+    def is_held(self, request_id: str) -> bool:
+        """Return whether any worker's mark holds for this request."""
+        return self._is_marked(_hash_id(request_id), time.monotonic())
 
     def release(self, place: int) -> None:
         """Remove the mark at the offset that `acquire` returned."""
@@ -119,6 +119,6 @@
     return region_count * REGION_BYTES
 
 
-def _hash_id(id: str) -> int:
-    digest = hashlib.blake2b(id.encode(), digest_size=_HASH_BYTES).digest()
+def _hash_id(request_id: str) -> int:
+    digest = hashlib.blake2b(request_id.encode(), digest_size=_HASH_BYTES).digest()
     return int.from_bytes(digest, "little") | 1  # never 0, which says that a slot is free
--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -12,11 +12,12 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from apigateway import messages
-from apigateway.core.request_lifecycle import Clock, Core
+from apigateway.core.clock import MonotonicUnixClock
+from apigateway.core.request_lifecycle import RequestDispatcher
 from apigateway.counter.client import QuotaCounterClient
 from apigateway.daemon.config import Config
 from apigateway.frontends.resp.front import RespFront
-from apigateway.membership.discovery import Discovery
+from apigateway.membership.discovery import DiscoveryClient
 from apigateway.membership.listing import Listing
 from apigateway.membership.watch_schedule import WatchSchedule
 from apigateway.policy import Gateway
@@ -24,10 +25,11 @@
 from apigateway.upstream.upstream_connections import UpstreamConnections
 
 if TYPE_CHECKING:
-    from apigateway.core.admission import Door
+    from apigateway.core.admission import AdmissionController
     from apigateway.daemon.ratelimit import Built, RateLimits
     from apigateway.frontends.grpc.front import GrpcFront
-    from apigateway.membership.judge import Judge
+    from apigateway.membership.reconciler import EndpointReconciler
+    from apigateway.membership.reconciler_driver import ReconcilerDriver
     from apigateway.plugins.live import Hooks as Plugins
     from apigateway.policy.overload_gate import Gate
 
@@ -73,8 +75,8 @@
         self.counter = (
             QuotaCounterClient(config.counter, settings.counter_timeout) if config.counter else None
         )
-        self.clock = Clock()  # one for the module's birth and all its events
-        self.core = Core(
+        self.clock = MonotonicUnixClock()  # one for the module's birth and all its events
+        self.core = RequestDispatcher(
             settings,
             self.module(),
             self.hosts,
@@ -120,14 +122,14 @@
 
     def open_door(self, config: Config) -> None:
         """What is turned away early while the core is short, as the settings have it: not on the platform."""
-        self.core.door = self.door(config)
+        self.core.admission = self.door(config)
         for front in self.fronts:
             front.watch_door()
 
-    def door(self, config: Config) -> Door | None:
+    def door(self, config: Config) -> AdmissionController | None:
         if config.overload is None:
             return None
-        from apigateway.core.admission import Door
+        from apigateway.core.admission import AdmissionController
         from apigateway.policy.overload_gate import Gate
 
         limits = config.settings.limits
@@ -135,7 +137,7 @@
         if self.gate is None:
             self.gate = Gate(*terms, config.seed)
         self.gate.set(*terms)
-        return self.core.door or Door(self.gate, self.loop)
+        return self.core.admission or AdmissionController(self.gate, self.loop)
 
     def share(self) -> None:
         """Fronts have even parts of the connections and of the bytes of half commands."""
@@ -144,10 +146,12 @@
 
     def source(self, config: Config, version: int) -> Source:
         if config.hosts_file is not None:
-            from apigateway.membership.file import HostsInFile  # the platform's `run` does without
+            from apigateway.membership.file import EndpointFileSource  # the platform's `run` does without
 
-            return HostsInFile(config.hosts_file, self.listed, self.core.list_failed)
-        belief = getattr(getattr(self, "discovery", None), "belief", None)  # goes on, with its doubts and age
+            return EndpointFileSource(config.hosts_file, self.listed, self.core.on_endpoint_list_failed)
+        # the reconciler of the last source goes on, with its doubts and its age
+        last_source = getattr(self, "discovery", None)
+        reconciler: EndpointReconciler | None = getattr(last_source, "reconciler", None)
         if config.discovery is None:
             from apigateway.membership.eureka.source import EurekaSource, resolve
 
@@ -155,40 +159,44 @@
             own = {config.listen, *config.more}
             if config.own is not None:
                 own.add((config.own.ip, config.own.port))
-            by_name = resolve if config.registry.terms.address == "name" else None
+            by_name = resolve if config.registry.mapping.address == "name" else None
             return EurekaSource(
                 config.registry,
                 self.listing,
                 self.listed,
-                self.core.list_failed,
+                self.core.on_endpoint_list_failed,
                 own,
                 by_name,
                 self.core.clock,
-                belief=belief,
+                reconciler=reconciler,
             )
         if config.settings.discovery_mode == "ask":
             schedule = WatchSchedule.for_polled_service()
         else:
             schedule = WatchSchedule.for_agent(config.settings.rules.drain_grace)
         if config.trust is not None:
-            from apigateway.membership.judge import Judge
+            from apigateway.membership.reconciler_driver import ReconcilerDriver
 
-            judge = Judge(config.trust, self.listing, self.listed, self.core.clock, belief)
-            return JudgedDiscovery(config.discovery, version, judge, self.core.list_failed, schedule)
-        return Discovery(config.discovery, version, self.listed, self.core.list_failed, schedule)
+            judge = ReconcilerDriver(config.trust, self.listing, self.listed, self.core.clock, reconciler)
+            return ReconciledDiscovery(
+                config.discovery, version, judge, self.core.on_endpoint_list_failed, schedule
+            )
+        return DiscoveryClient(
+            config.discovery, version, self.listed, self.core.on_endpoint_list_failed, schedule
+        )
 
     def listed(self, listing: Listing) -> None:
         self.listed_at = time.monotonic()
-        if self.core.ready and listing.hosts.mode == "delta" and not listing.hosts.endpoints:
+        if self.core.is_ready and listing.hosts.mode == "delta" and not listing.hosts.endpoints:
             return  # a watch that ended with no news
         self.listing = merged(self.listing, listing)
-        self.core.listed(listing.hosts, listing.addresses)
-        if self.core.ready:
+        self.core.on_endpoint_list(listing.hosts, listing.addresses)
+        if self.core.is_ready:
             self.known.set()
 
     def leave(self, zones: tuple[str, ...]) -> None:
         """Nothing new goes to hosts of these zones from now on, as long as there are others."""
-        self.core.feed(messages.EvacuateZones(zones))
+        self.core.dispatch(messages.EvacuateZones(zones))
         known = {host.zone for host in self.listing.hosts.endpoints}
         if known and known <= set(zones):
             log.warning("sites.leave names all zones of the list (%s): none is left", " ".join(sorted(known)))
@@ -223,7 +231,7 @@
 
     def reload(self, config: Config) -> None:
         """Goes over to the addresses of a new configuration. The rest of it holds from the next start on."""
-        if self.core.stopping:
+        if self.core.is_draining:
             return
         old, self.config = self.config, config
         if (old.settings, old.listen, old.sockets) != (config.settings, config.listen, config.sockets):
@@ -267,7 +275,7 @@
             self.go_over(source)
         if config.leave != old.leave:
             self.leave(config.leave)
-        self.core.open.most = config.max_open
+        self.core.request_budget.limit = config.max_open
         self.open_door(config)
         leaving = [front for front in self.fronts if front.address in gone]
         self.fronts = [*(front for front in self.fronts if front.address not in gone), *added]
@@ -294,7 +302,7 @@
     def plug_in(self, plugins: Plugins | None) -> None:
         """Requests taken from now on go by these; None: by none."""
         replaced, self.plugins = self.plugins, plugins
-        self.core.hooks = plugins
+        self.core.plugins = plugins
         if replaced is not None and replaced is not plugins:
             replaced.retire()
 
@@ -302,12 +310,18 @@
 
     def hosts_believed(self) -> dict[str, Any]:
         """For `api-gateway hosts`. Times in seconds."""
-        belief = getattr(self.discovery, "belief", None)
-        if belief is not None:
-            age = self.core.clock() - belief.heard_at
+        reconciler: EndpointReconciler | None = getattr(self.discovery, "reconciler", None)
+        if reconciler is not None:
+            now = self.core.clock()
+            age = now - reconciler.last_update_at
             hosts = [
-                described(k.entry.host, k.entry.address, k.doubt, self.core.clock() - k.since)
-                for k in belief.known.values()
+                described(
+                    record.accepted.endpoint,
+                    record.accepted.address,
+                    record.doubt,
+                    now - record.state_since,
+                )
+                for record in reconciler.records.values()
             ]
         else:
             age = time.monotonic() - self.listed_at
@@ -316,13 +330,17 @@
             ]
         from apigateway.daemon.choice import taken_for  # only who is asked needs it
 
-        told = {"source": self.source_name(), "age": age if age < float("inf") else None, "hosts": hosts}
+        told: dict[str, Any] = {
+            "source": self.source_name(),
+            "age": age if age < float("inf") else None,
+            "hosts": hosts,
+        }
         if isinstance(self.core.module, Gateway):
             for host in hosts:
-                host["choice"] = taken_for(self.core.module.fleet, host["id"], self.core.clock())
-            told["choices"] = dict(self.core.module.fleet.moved_by)
+                host["choice"] = taken_for(self.core.module.pool, host["id"], self.core.clock())
+            told["choices"] = dict(self.core.module.pool.choice_counts)
             told["left"] = list(self.config.leave)
-            told["sites"] = self.core.module.fleet.sites.told(self.core.clock())
+            told["sites"] = self.core.module.pool.sites.told(self.core.clock())
         return told
 
     def plugins_told(self) -> dict[str, Any]:
@@ -350,11 +368,11 @@
         stores fill no further: from now on the successor's do."""
         for front in self.fronts:
             front.pause()
-        self.core.feed(messages.DrainGateway(True))
+        self.core.dispatch(messages.DrainGateway(True))
 
     async def resume(self, sockets: Mapping[Address, socket.socket]) -> None:
         """The successor failed: goes on as before."""
-        self.core.feed(messages.DrainGateway(False))
+        self.core.dispatch(messages.DrainGateway(False))
         await self.listen(sockets)
 
     def begin(self, listing: Listing) -> None:
@@ -362,14 +380,14 @@
         the predecessor's last. What only one of the two was told to be draining drains: the gateway was told.
         The source is asked anew, so that what was taken too badly is mended."""
         self.core.module = self.module()
-        self.core.feed(replace(self.listing.hosts, mode="cached"))
+        self.core.dispatch(replace(self.listing.hosts, mode="cached"))
         up = {h.id for h in self.listing.hosts.endpoints if h.state == "up"}
         late = [h for h in listing.hosts.endpoints if h.state != "up" and h.id in up]
         if not late:
             return
-        judge: Judge | None = getattr(self.discovery, "judge", None)
+        judge: ReconcilerDriver | None = getattr(self.discovery, "driver", None)
         if judge is not None:  # through its belief, or what it tells later would not be a change
-            judge.drain(h.id for h in late)
+            judge.mark_draining(h.id for h in late)
         else:
             self.listed(Listing(messages.EndpointList("delta", self.listing.hosts.version, tuple(late)), {}))
         self.discovery.fetch()
@@ -389,14 +407,16 @@
     async def stop(self, linger: float | None = None) -> None:
         """After SIGTERM: goes on while connections still come, then finishes what it has taken."""
         began = time.monotonic()
-        self.core.stopping = True
+        self.core.is_draining = True
         for front in self.fronts:
             front.stopping()
         await asyncio.sleep(self.config.linger if linger is None else linger)
         await self.finish(self.fronts)
         await asyncio.sleep(READ)
-        door, until = self.core.door, began + self.config.finish
-        while door is not None and door.waiting and time.monotonic() < until:  # read, and not looked at yet
+        door, until = self.core.admission, began + self.config.finish
+        while (
+            door is not None and door.deferred_connections and time.monotonic() < until
+        ):  # read, and not looked at yet
             await asyncio.sleep(0)
         for front in self.fronts:
             most = SETTLE if front.address in self.config.grpc else HALF
@@ -420,22 +440,23 @@
         await asyncio.gather(*self.endings, return_exceptions=True)
 
 
-class JudgedDiscovery(Discovery):
+class ReconciledDiscovery(DiscoveryClient):
     """Discovery whose lists are not taken at their word: not on the platform, whose agents do not lie."""
 
     def __init__(
         self,
         address: Address,
         version: int,
-        judge: Judge,
+        judge: ReconcilerDriver,
         failed: Callable[[], None],
         schedule: WatchSchedule,
     ) -> None:
-        super().__init__(address, version, judge.hear_listing, failed, schedule)
-        self.judge, self.belief = judge, judge.belief
+        super().__init__(address, version, judge.apply_listing, failed, schedule)
+        self.driver = judge
+        self.reconciler = judge.reconciler
 
     async def close(self) -> None:
-        self.judge.close()
+        self.driver.close()
         await super().close()
 
 
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -139,7 +139,7 @@
                 self.sockets[address] = bind_listener(address)
         plugins = await self.build_plugins(self.settings)  # raises before anything is served
         self.node = GatewayNode(self.config, await self.build_limits(self.settings, self.config))
-        self.node.core.marks = share.open_in_flight_table() if share is not None else None
+        self.node.core.in_flight_registry = share.open_in_flight_table() if share is not None else None
         if plugins is not None:
             self.plugins().start(self.node, plugins, self.settings.hooks.tick)
         self.node.prepare()
@@ -178,7 +178,7 @@
             self.keeper.status_queries["ratelimit"] = self.node.limits_told
             self.keeper.open()
         if self.registration is not None:
-            self.registration.up()
+            self.registration.mark_up()
         gc.freeze()  # what the start made stays for good: no collection need look at it again
         for front in self.node.fronts:
             log.info("%s listens on %s", self.config.name, write_address((front.address[0], front.port)))
@@ -235,7 +235,7 @@
     async def able(self, seconds: float | None) -> bool:
         """Until hosts are known, and a line to the counter is up or that has had its time. False if it was
         told to stop meanwhile. Raises HandoverError after `seconds`."""
-        if not self.node.core.ready:
+        if not self.node.core.is_ready:
             log.info("waiting for a list of hosts")
         told = self.loop.create_task(self.told.wait())
         known = self.loop.create_task(self.node.known.wait())
@@ -419,13 +419,13 @@
         if self.handed_over:  # another accepts what still comes, and holds the registration under the same id
             await self.node.stop(0.0)
             if self.registration is not None:
-                await self.registration.end()
+                await self.registration.close()
             return
         if self.registration is not None:
-            await self.registration.down()
+            await self.registration.mark_down()
         await self.node.stop()
         if self.registration is not None:
-            await self.registration.leave()
+            await self.registration.deregister()
 
     def close(self) -> None:
         if self.keeper is not None:
--- a/apigateway/daemon/settings_runtime.py
+++ b/apigateway/daemon/settings_runtime.py
@@ -14,14 +14,14 @@
 from apigateway.daemon.settings_schema import Settings, customer_capacity
 from apigateway.frontends.grpc.mapping import Mapping, Rule
 from apigateway.frontends.grpc.settings import RateLimitPart, RulePart
-from apigateway.membership.belief import Trust
-from apigateway.membership.file import read_hosts
+from apigateway.membership.file import read_endpoint_file
 from apigateway.membership.listing import Listing
+from apigateway.membership.reconciler import ReconcilerSettings
 from apigateway.upstream.address import read_address
 
 if TYPE_CHECKING:
-    from apigateway.membership.eureka.registration import Own
-    from apigateway.membership.eureka.source import Registry
+    from apigateway.membership.eureka.registration import RegistrationSettings
+    from apigateway.membership.eureka.source import RegistrySettings
 
 
 # Bytes in a MiB, as the settings give memory.
@@ -44,12 +44,12 @@
     known = Listing(messages.EndpointList("cached", 0, ()), {})
     if settings.hosts.source == "file":
         hosts_file = os.path.join(os.path.dirname(os.path.abspath(path)), settings.hosts.file)
-        known = read_hosts(hosts_file, "cached")
+        known = read_endpoint_file(hosts_file, "cached")
     return Config(
         grpc=frozenset(read_address(one.address) for one in settings.listeners if one.protocol == "grpc"),
         registry=build_registry(settings),
         own=_build_registration(settings, listeners[0][1]),
-        trust=Trust(**msgspec.to_builtins(settings.trust)),
+        trust=ReconcilerSettings(**msgspec.to_builtins(settings.trust)),
         name=settings.gateway.name,
         listen=listeners[0],
         more=tuple(listeners[1:]),
@@ -72,14 +72,14 @@
     )
 
 
-def _build_registration(settings: Settings, port: int) -> Own | None:
+def _build_registration(settings: Settings, port: int) -> RegistrationSettings | None:
     """Return how this gateway registers itself with Eureka; None: it does not."""
     if not settings.register.on:
         return None
-    from apigateway.membership.eureka.registration import Own  # loaded only where it is used
+    from apigateway.membership.eureka.registration import RegistrationSettings  # loaded only where it is used
 
     section = settings.register
-    return Own(
+    return RegistrationSettings(
         section.app,
         section.id or f"{settings.gateway.name}:{port}",
         section.host_name or section.ip,
@@ -92,15 +92,15 @@
     )
 
 
-def build_registry(settings: Settings) -> Registry | None:
+def build_registry(settings: Settings) -> RegistrySettings | None:
     """Return how the Eureka registry is asked; None: nothing needs it."""
     if settings.hosts.source != "eureka" and not settings.register.on:
         return None
-    from apigateway.membership.eureka.mapping import Terms  # loaded only where it is used
-    from apigateway.membership.eureka.source import Registry
+    from apigateway.membership.eureka.mapping import InstanceMapping  # loaded only where it is used
+    from apigateway.membership.eureka.source import RegistrySettings
 
     section = settings.eureka
-    terms = Terms(
+    terms = InstanceMapping(
         section.zone_key,
         section.cell_key,
         section.kind_key,
@@ -110,7 +110,7 @@
         section.secure,
         msgspec.to_builtins(section.states),
     )
-    return Registry(
+    return RegistrySettings(
         tuple(section.urls),
         section.by,
         section.name,
@@ -122,7 +122,7 @@
         section.password,
         section.delta,
         terms,
-        Trust(**msgspec.to_builtins(settings.trust)),
+        ReconcilerSettings(**msgspec.to_builtins(settings.trust)),
     )
 
 
--- a/apigateway/daemon/settings_validation.py
+++ b/apigateway/daemon/settings_validation.py
@@ -12,6 +12,7 @@
     Settings,
     customer_capacity,
 )
+from apigateway.external_ratelimit.settings import ClientTlsPart
 from apigateway.frontends.grpc.mapping import TAKEN, BadRule
 from apigateway.upstream.address import Address, read_address
 
@@ -194,12 +195,16 @@
             f"is shorter than rest = {section.rest}",
             "let it be longer",
         )
-    if not section.tls.on and (section.tls.ca or section.tls.cert or section.tls.key or section.tls.name):
+    _check_ask_tls(reader, section.tls)
+
+
+def _check_ask_tls(reader: ConfigReader, tls: ClientTlsPart) -> None:
+    if not tls.on and (tls.ca or tls.cert or tls.key or tls.name):
         reader.add_contradiction(
             ("ask", "tls", "on"), False, "the other keys of ask.tls are for nothing", "set on = true"
         )
-    elif bool(section.tls.cert) != bool(section.tls.key):
-        missing = "key" if section.tls.cert else "cert"
+    elif bool(tls.cert) != bool(tls.key):
+        missing = "key" if tls.cert else "cert"
         reader.add_contradiction(
             ("ask", "tls", missing), "", "a certificate and its key go together", "name both files"
         )
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -80,8 +80,8 @@
                     total = totals[act.counter_key]
                     queue.append(messages.CounterResult(act.counter_key, "ok", total, 0.001))
                 elif type(act) is messages.CancelAttempt:
-                    name, number = act.request_id, act.attempt
-                    queue.append(messages.AttemptOutcome(name, number, "h0", "moot", 0.1, False))
+                    moot = messages.AttemptOutcome(act.request_id, act.attempt, "h0", "moot", 0.1, False)
+                    queue.append(moot)
 
     def answer():
         act = out.popleft()
@@ -106,7 +106,7 @@
         ask()
     most = 39 if queued else most
     for _ in range(held):  # they wait: nothing is answered
-        gateway.fleet.held, gateway.fleet.pressure = 1.0, 0.0
+        gateway.pool.reported_mean_load, gateway.pool.congestion = 1.0, 0.0
         ask()
     if customers > 1000:
         for _ in range(customers):
@@ -148,9 +148,9 @@
         customer = f"{n if what == 'account' else 1:016x}"
         for act in gateway.handle(now, messages.Request(f"r{n}", 3.0, customer, "p", "read", 1.0, 0, 1)):
             if type(act) is messages.ForwardRequest and what == "account":
-                name, host = act.request_id, act.endpoint_id
-                gateway.handle(now, messages.AttemptOutcome(name, 0, host, "ok", 0.01, True))
-    most = len(gateway.jobs) if what == "request" else count
+                ended = messages.AttemptOutcome(act.request_id, 0, act.endpoint_id, "ok", 0.01, True)
+                gateway.handle(now, ended)
+    most = len(gateway.pending) if what == "request" else count
     return (tracemalloc.get_traced_memory()[0] - before) / max(1, most)
 
 if sys.argv[2].startswith("held:"):
@@ -160,9 +160,17 @@
 """
 
 
+def load_of(tree: Path) -> str:
+    """Return the load for this tree: one whose messages have other names has a load of its own."""
+    if (tree / "apigateway").is_dir():
+        return CHILD
+    text = (tree / "benchmarks" / "module_cost.py").read_text()
+    return text.split('CHILD = r"""')[1].split('"""')[0]
+
+
 def one(tree: Path, requests: int, case: str) -> float:
     ended = subprocess.run(
-        [sys.executable, "-c", CHILD, str(requests), case],
+        [sys.executable, "-c", load_of(tree), str(requests), case],
         cwd=tree,
         capture_output=True,
         text=True,
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -17,7 +17,7 @@
 from apigateway.daemon.settings_reload import RELOADABLE_KEYS, compare_settings, differences
 from apigateway.daemon.settings_runtime import build_config, build_module_settings
 from apigateway.daemon.settings_schema import CounterSection
-from apigateway.membership.file import read_hosts
+from apigateway.membership.file import read_endpoint_file
 
 ROOT = Path(__file__).resolve().parents[2]
 GOOD = """
@@ -279,7 +279,7 @@
 def test_a_bad_file_of_hosts(text, word, tmp_path):
     (tmp_path / "hosts.toml").write_text(text)
     with pytest.raises(InvalidConfigFileError) as caught:
-        read_hosts(str(tmp_path / "hosts.toml"))
+        read_endpoint_file(str(tmp_path / "hosts.toml"))
     assert word in str(caught.value)
 
 
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -14,9 +14,9 @@
 from apigateway import messages
 from apigateway.daemon.handover import HandoverChannel
 from apigateway.emulators.ledger import Ledger
-from apigateway.membership.belief import Entry, Trust
-from apigateway.membership.judge import Judge
 from apigateway.membership.listing import Listing, read_list
+from apigateway.membership.reconciler import ReconcilerSettings, ReportedEndpoint
+from apigateway.membership.reconciler_driver import ReconcilerDriver
 
 
 async def hand(site):
@@ -185,7 +185,7 @@
         mine, yours = ([entry(one, "h1", state), entry(two, "h2")] for state in (ours, theirs))
         node.node.listed(read_list({"version": 2, "full": True, "servers": mine}))
         node.node.begin(read_list({"version": 1, "full": True, "servers": yours}, "cached"))
-        assert [s.host.id for s in node.node.core.module.fleet.up] == ["h2"]
+        assert [s.host.id for s in node.node.core.module.pool.available] == ["h2"]
         for n in range(4):
             assert await node.ask(command(b"r%d" % n)) == SERVED
         assert not one.commands and len(two.commands) == 4
@@ -194,12 +194,15 @@
 @on_loop
 async def test_a_drain_taken_over_through_a_belief_is_mended_by_its_source():
     told = []
-    judge = Judge(
-        Trust(calm_time=0.0), Listing(messages.EndpointList("cached", 0, ()), {}), told.append, lambda: 100.0
+    judge = ReconcilerDriver(
+        ReconcilerSettings(calm_time=0.0),
+        Listing(messages.EndpointList("cached", 0, ()), {}),
+        told.append,
+        lambda: 100.0,
     )
-    up = [Entry(messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
-    judge.hear(up, whole=True)
-    judge.drain(["h1", "unknown"])
+    up = [ReportedEndpoint(messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
+    judge.apply(up, is_complete=True)
+    judge.mark_draining(["h1", "unknown"])
     assert told[-1].hosts.endpoints[0].state == "leaving"
-    judge.hear(up, whole=True)
+    judge.apply(up, is_complete=True)
     assert told[-1].hosts.endpoints[0].state == "up"
--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -36,7 +36,7 @@
         ):
             host.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
             assert await node.ask(command(b"r%d" % n)) == b"$1\r\nv\r\n"
-        assert not node.node.core.module.fleet.reports
+        assert not node.node.core.module.pool.has_reports
 
 
 @pytest.mark.parametrize(
@@ -84,7 +84,7 @@
                 return []
 
         node.node.core.module = Watcher()
-        node.node.core.probe(messages.CheckHealth("h1"))
+        node.node.core.gateway_actions.check_health(messages.CheckHealth("h1"))
         await done.wait()
         assert host.commands == [[b"INFO", b"load"]]
         assert seen[0].result == "ok" and seen[0].load_report == {"inflight": 7.0}
@@ -169,9 +169,9 @@
         node.node.core.module = Mover()
         asked = asyncio.create_task(node.ask(command()))
         await one.arrived.get()
-        (attempt,) = node.node.core.works["r1"].live.values()
+        (attempt,) = node.node.core.in_flight["r1"].active_attempts.values()
         ended = socket.socket(fileno=os.dup(attempt.connection.descriptor))
-        node.node.core.cancel(messages.CancelAttempt("r1", 0))
+        node.node.core.cancel_attempt(messages.CancelAttempt("r1", 0))
         with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
             ended.send(b"x")
         ended.close()
@@ -363,7 +363,7 @@
             stuck.bind(("127.0.0.1", 0))
             stuck.listen()
             stuck.setblocking(False)
-            while not node.node.discovery.taken:  # its first list names the other address
+            while not node.node.discovery.lists_received:  # its first list names the other address
                 await asyncio.sleep(0)
             node.node.hosts.update_endpoint("h1", stuck.getsockname())
             node.node.hosts.connect_timeout = 60.0  # one connection, however busy this machine is
