--- a/apigateway/daemon/choice.py
+++ b/apigateway/daemon/choice.py
@@ -26,6 +26,6 @@
         "load": round(len(endpoint.attempts_out) + others, 2),
         "told": round(report_weight, 3),
         "age": round(age, 3) if is_reported else None,
-        "sound": round(pool.doubt.sound(host, ("host",), now), 3),
+        "sound": round(pool.outliers.success_probability(host, ("host",), now), 3),
         "rests": rests,
     }
--- a/apigateway/policy/endpoint_pool.py
+++ b/apigateway/policy/endpoint_pool.py
@@ -9,11 +9,11 @@
 from apigateway import messages
 from apigateway.policy.endpoint import EndpointState
 from apigateway.routing import free_list, subset
-from apigateway.routing.doubt import Doubt
+from apigateway.routing.capacity_estimator import CapacityEstimator
 from apigateway.routing.load_report import requests_held
 from apigateway.routing.mean_deviation import MeanDeviation
-from apigateway.routing.sites import Sites
-from apigateway.routing.size import Size
+from apigateway.routing.outlier_detection import OutlierDetector
+from apigateway.routing.zone_health import ZoneHealth
 
 TICK = 0.02  # s; coarsest delay of a check on held requests and copies; far under any aim
 GONE_LIFE = 30.0  # s that a host which is gone is known: longer than any attempt or repeat on it matters
@@ -36,7 +36,8 @@
 class EndpointPool:
     def __init__(self, settings: messages.Settings, rng: random.Random) -> None:
         self.settings, self.rng = settings, rng
-        self.doubt, self.sites, self.size = Doubt(), Sites(), Size(LIMIT_MOST)
+        self.outliers, self.zone_health = OutlierDetector(), ZoneHealth()
+        self.capacity = CapacityEstimator(LIMIT_MOST)
         self.endpoints: dict[str, EndpointState] = {}
         self.available: list[EndpointState] = []
         self.subset: list[EndpointState] = []  # sent to, unless none of these will do
@@ -50,7 +51,6 @@
         self.attempts_out, self.reported_mean_load, self.has_reports = 0, 0.0, False
         self.congestion, self.congestion_at = 0.0, 0.0
         self.max_weight, self.max_out = 1.0, 2.0  # largest weight; own attempts out at most
-        # What moved choices: taken by a report or by the mean, passed over, or taken outside the subset.
         self.choice_counts = dict.fromkeys(("report", "mean", "doubted", "busy", "barred", "outside"), 0)
 
     def on_endpoint_list(self, now: float, event: messages.EndpointList) -> None:
@@ -75,15 +75,15 @@
     def refresh(self, now: float) -> None:
         """What may be chosen, of what is listed and by the operator's word."""
         up = sorted((s for s in self.endpoints.values() if s.is_up), key=lambda s: s.ring_position)
-        self.available = [endpoint for endpoint in up if endpoint.host.zone not in self.sites.left] or up
-        held = LIMIT_MOST * self.size.scale  # attempts out at a host that are well, over all gateways
+        self.available = [s for s in up if s.host.zone not in self.zone_health.left] or up
+        held = LIMIT_MOST * self.capacity.scale  # attempts out at a host that are well, over all gateways
         for endpoint in self.endpoints.values():
             endpoint.scores = {}
             endpoint.max_attempts = int(max(1.0, held / self.settings.gateway_count) + endpoint.rounding_draw)
             price = self.settings.prices.get("cross_zone", 0.0)
             endpoint.zone_cost = price * CROSS_ZONE_WEIGHT * (endpoint.host.zone != self.settings.zone)
         self.rebuild_subset(now)
-        self.sites.listed([endpoint.host.zone for endpoint in self.available])
+        self.zone_health.listed([endpoint.host.zone for endpoint in self.available])
         self.paused = {endpoint for endpoint in self.available if endpoint.backoff}
         self.max_weight = max((endpoint.host.weight for endpoint in self.available), default=1.0) or 1.0
         # Gateways with one out at each endpoint overdrive all, so what one has out in all is limited too.
@@ -92,8 +92,8 @@
     def rebuild_subset(self, now: float) -> None:
         """Takes the hosts around this gateway's place, as many as its traffic wants."""
         index, gateways = self.settings.gateway_index, self.settings.gateway_count
-        width = subset.width(len(self.available), gateways, self.send_rate(now), len(self.subset))
-        self.subset = subset.around(self.available, index, gateways, width)
+        width = subset.subset_size(len(self.available), gateways, self.send_rate(now), len(self.subset))
+        self.subset = subset.deterministic_subset(self.available, index, gateways, width)
         for endpoint in self.endpoints.values():
             endpoint.in_subset, endpoint.position = False, free_list.ABSENT
         for endpoint in self.subset:
@@ -106,7 +106,7 @@
         idle = [(name, endpoint) for name, endpoint in self.endpoints.items() if not endpoint.attempts_out]
         for name in [name for name, endpoint in idle if now - endpoint.gone_at > GONE_LIFE]:
             del self.endpoints[name]
-            self.doubt.forget(name)
+            self.outliers.forget(name)
 
     def update_capacity(self, endpoint: EndpointState) -> None:
         """Its attempts out have changed: keeps `free` true, in one step whatever the size of the fleet."""
@@ -121,7 +121,7 @@
         return self.reported_mean_load if self.has_reports else even_load
 
     def has_spare_capacity(self) -> bool:
-        return self.mean_load() < ROOM_CLEAR * LIMIT_MOST * self.size.scale
+        return self.mean_load() < ROOM_CLEAR * LIMIT_MOST * self.capacity.scale
 
     def send_rate(self, now: float) -> float:
         return self.last_send_rate * math.exp((self.last_send_at - now) / RATE_SPAN)
@@ -164,9 +164,9 @@
 
     def score(self, endpoint: EndpointState, keys: tuple[str, ...], now: float) -> tuple[float, float, float]:
         """Until when it holds, its soundness, and its cost beside what it has to do."""
-        sound = self.doubt.sound(endpoint.host.id, keys, now)
-        if self.sites.doubted:
-            sound *= self.sites.part(endpoint.host.zone, now)
+        sound = self.outliers.success_probability(endpoint.host.id, keys, now)
+        if self.zone_health.doubted:
+            sound *= self.zone_health.part(endpoint.host.zone, now)
         cost = max(endpoint.time_ratio, 0.3) / max(endpoint.host.weight, 1e-9) / max(sound, 0.01)
         known = endpoint.scores[keys] = (now + SCORE_LIFE, sound, cost)
         return known
@@ -258,16 +258,16 @@
             endpoint.reported_load = max(0.0, held - out)
             endpoint.reported_at, endpoint.weighed_until = now, 0.0
             self.reported_mean_load += (QUICK if self.has_reports else 1.0) * (held - self.reported_mean_load)
-            if self.size.note(event.load_report):
+            if self.capacity.note(event.load_report):
                 self.refresh(now)
-            self.has_reports, high = True, held > CONGESTED * self.size.scale
+            self.has_reports, high = True, held > CONGESTED * self.capacity.scale
         if event.result in ("connect_failed", "full", "error", "reset", "ok"):
             level = keys[:1] if event.result == "connect_failed" else keys
             if event.result == "connect_failed":
-                self.sites.silent(endpoint.host.zone, event.endpoint_id, now)
+                self.zone_health.silent(endpoint.host.zone, event.endpoint_id, now)
             elif event.result != "reset":  # which may come from the way there as well
-                self.sites.answered(endpoint.host.zone)
-            self.doubt.note(event.endpoint_id, level, event.result != "ok", now)
+                self.zone_health.answered(endpoint.host.zone)
+            self.outliers.record(event.endpoint_id, level, event.result != "ok", now)
             if event.result == "ok":
                 endpoint.backoff.on_success(level[:2])
             else:
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -105,7 +105,7 @@
             case messages.ReturnUnits():
                 self.on_return(now, event)
             case messages.EvacuateZones():
-                self.pool.sites.left = frozenset(event.zones)
+                self.pool.zone_health.left = frozenset(event.zones)
                 self.pool.refresh(now)
             case messages.DrainGateway():
                 self.draining_since = now if event.is_draining else math.inf
@@ -664,8 +664,8 @@
         for number in set(late) - job.timed_out:
             silent = self.pool.endpoints[job.in_flight[number][0]]  # it holds no other's place
             self.pool.release(silent, (job.request.request_id, number))
-            self.pool.doubt.note(silent.host.id, job.fault_scope, True, now)
-            self.pool.sites.silent(silent.host.zone, silent.host.id, now)
+            self.pool.outliers.record(silent.host.id, job.fault_scope, True, now)
+            self.pool.zone_health.silent(silent.host.zone, silent.host.id, now)
             silent.scores.clear()
         job.timed_out.update(late)
         times = self.pool.response_times[job.cls.name]
@@ -676,7 +676,7 @@
             return
         # Hardly any is so late at a sound host; where few gateways share all hosts they learn fast as it is.
         for number in set(late) - job.given_up if len(self.pool.subset) < len(self.pool.available) else ():
-            self.pool.doubt.note(job.in_flight[number][0], job.fault_scope, True, now)
+            self.pool.outliers.record(job.in_flight[number][0], job.fault_scope, True, now)
             self.pool.endpoints[job.in_flight[number][0]].scores.clear()
         job.given_up.update(late)
         if not late or len(job.in_flight) > 1 or job.cls.effect == "unsafe" or self.retry_budget < 1.0:
--- a/apigateway/routing/size.py
+++ b/apigateway/routing/capacity_estimator.py
@@ -15,7 +15,7 @@
 STEP = 0.15  # change, as a part, that is told: decisions that rest on it are made anew then
 
 
-class Size:
+class CapacityEstimator:
     """`usual`: requests at once that a host is taken to work on while nothing tells. `scale`: by how much
     hosts are larger than that, 1 at least: what suits small ones is left as it is."""
 
--- a/apigateway/routing/doubt.py
+++ b/apigateway/routing/outlier_detection.py
@@ -8,7 +8,7 @@
 GAIN = 0.05  # weight of a new answer in the part of all hosts that fail
 
 
-class Doubt:
+class OutlierDetector:
     """How likely a host fails, at the level where the symptom shows: the whole host, a class, a plan there.
 
     One answer to errors, silence, lost connections and `full`: evidence at each level, by how much of the
@@ -24,7 +24,7 @@
         known = self.hosts.get(host, {}).get(key)
         return pool if known is None else pool + (known[0] - pool) * 0.5 ** ((now - known[1]) / FORGET)
 
-    def sound(self, host: str, keys: tuple[str, ...], now: float) -> float:
+    def success_probability(self, host: str, keys: tuple[str, ...], now: float) -> float:
         worst, seen = 0.0, self.hosts.get(host, {})  # max over `at`, written out: it runs for most requests
         for key in keys:
             q, known = self.pool.get(key, DOUBT_LEAST), seen.get(key)
@@ -34,7 +34,7 @@
                 worst = q
         return (1 - worst) ** 2
 
-    def note(self, host: str, keys: tuple[str, ...], failed: bool, now: float) -> None:
+    def record(self, host: str, keys: tuple[str, ...], failed: bool, now: float) -> None:
         most = max(self.pool.get(key, DOUBT_LEAST) for key in keys)
         for key in keys:
             pool, q = self.pool.get(key, DOUBT_LEAST), self.at(host, key, now)
--- a/apigateway/routing/subset.py
+++ b/apigateway/routing/subset.py
@@ -24,7 +24,7 @@
 T = TypeVar("T")
 
 
-def width(hosts: int, gateways: int, rate: float, now: int) -> int:
+def subset_size(hosts: int, gateways: int, rate: float, now: int) -> int:
     """How many of `hosts` a gateway takes that sends `rate` requests a second, and takes `now` of them."""
     want = max(LEAST, math.ceil(PAIR * rate), math.ceil(COVER * hosts / gateways))
     if SHRINK * now < want <= now:
@@ -43,7 +43,7 @@
     return 1
 
 
-def around(ring: Sequence[T], index: int, gateways: int, wide: int) -> list[T]:
+def deterministic_subset(ring: Sequence[T], index: int, gateways: int, wide: int) -> list[T]:
     """`wide` hosts of the ring around the place of gateway `index`."""
     size = len(ring)
     if wide >= size:
--- a/apigateway/routing/sites.py
+++ b/apigateway/routing/zone_health.py
@@ -24,7 +24,7 @@
         self.at = self.since = 0.0  # of its last failure; of the first of them
 
 
-class Sites:
+class ZoneHealth:
     def __init__(self) -> None:
         self.known: dict[str, Site] = {}
         self.left: frozenset[str] = frozenset()  # by the operator's word
--- a/tests/routing/test_size.py
+++ b/tests/routing/test_capacity_estimator.py
@@ -4,13 +4,13 @@
 from helpers import World, host, of, plan, settings
 
 from apigateway import messages
-from apigateway.routing.size import ENOUGH, Size
+from apigateway.routing.capacity_estimator import ENOUGH, CapacityEstimator
 
 BIG = plan(rate=0.0)
 
 
 def heard(*reports):
-    size = Size(4.0)
+    size = CapacityEstimator(4.0)
     for report in reports * ENOUGH:
         size.note(report)
     return size.scale
--- a/tests/routing/test_subset.py
+++ b/tests/routing/test_subset.py
@@ -22,9 +22,11 @@
 @checked(deadline=None, max_examples=25)
 @given(hosts=strategies.integers(1, 400), gateways=strategies.integers(1, 400), rate=strategies.floats(0, 50))
 def test_every_host_has_about_as_many_gateways_as_any_other(hosts, gateways, rate):
-    wide = subset.width(hosts, gateways, rate, 0)
-    taken = Counter(h for g in range(gateways) for h in subset.around(ring(hosts), g, gateways, wide))
-    assert len(set(subset.around(ring(hosts), 0, gateways, wide))) == wide
+    wide = subset.subset_size(hosts, gateways, rate, 0)
+    taken = Counter(
+        h for g in range(gateways) for h in subset.deterministic_subset(ring(hosts), g, gateways, wide)
+    )
+    assert len(set(subset.deterministic_subset(ring(hosts), 0, gateways, wide))) == wide
     counts = [taken[h] for h in ring(hosts)]
     assert min(counts) >= 1
     if wide < hosts:
@@ -48,7 +50,7 @@
     ],
 )
 def test_how_many_hosts_a_gateway_takes(gateways, hosts, rate, least, most):
-    assert least <= subset.width(hosts, gateways, rate, 0) <= most
+    assert least <= subset.subset_size(hosts, gateways, rate, 0) <= most
 
 
 @pytest.mark.parametrize("gateways, hosts", [(200, 50), (200, 117), (1000, 200)])
@@ -57,14 +59,14 @@
     for gone in known[::7]:
         fewer = [h for h in known if h != gone]
         for g in range(0, gateways, 9):
-            before, after = (set(subset.around(r, g, gateways, 16)) for r in (known, fewer))
+            before, after = (set(subset.deterministic_subset(r, g, gateways, 16)) for r in (known, fewer))
             assert len(before - after - {gone}) <= 1
 
 
 def test_a_width_that_would_change_little_stays():
-    assert subset.width(200, 200, 5.0, 0) == 25
-    assert subset.width(200, 200, 4.0, 25) == 25 and subset.width(200, 200, 6.0, 25) == 30
-    assert subset.width(200, 200, 2.0, 40) == 16
+    assert subset.subset_size(200, 200, 5.0, 0) == 25
+    assert subset.subset_size(200, 200, 4.0, 25) == 25 and subset.subset_size(200, 200, 6.0, 25) == 30
+    assert subset.subset_size(200, 200, 2.0, 40) == 16
 
 
 def crowd(hosts=50, index=3, **kw):
@@ -104,7 +106,7 @@
     w = crowd()
     near = {s.host.id for s in w.gw.pool.subset}
     cells = Counter(s.host.cell for s in w.gw.pool.subset)
-    w.gw.pool.doubt.pool["host"] = 0.02
+    w.gw.pool.outliers.pool["host"] = 0.02
     seen = 0
     for _ in range(60):
         send = of(w.ask(plan="p", cls="cellwrite")[1], messages.ForwardRequest)[0]
@@ -147,7 +149,7 @@
     w = World(settings(plans=[BIG], gateway_count=gateways, limits=limits), listed)
     send = of(w.ask(plan="p", cls="note")[1], messages.ForwardRequest)[0]
     w.wait(1.1)  # its aim is a second
-    doubt = w.gw.pool.doubt.at(send.endpoint_id, "host", w.now)
+    doubt = w.gw.pool.outliers.at(send.endpoint_id, "host", w.now)
     assert (doubt > 0.6) == sure and doubt > 0.15
 
 
@@ -163,11 +165,11 @@
 def test_gateways_lost_by_a_range_of_numbers_leave_no_host_behind(gateways, hosts, left, begin, every):
     """Or each second or third one, as a site: seen with 200 processes of which a range was killed, where the
     busiest host had 1.6 times the mean and the idlest half of it."""
-    wide = max(20, subset.width(hosts, gateways, 3.0, 0))
+    wide = max(20, subset.subset_size(hosts, gateways, 3.0, 0))
     lost = {(begin + every * n) % gateways for n in range(round((1 - left) * gateways))}
     stay = [g for g in range(gateways) if g not in lost]
     wide = min(hosts, max(wide, round(6 * hosts / len(stay))))  # six to a host in the mean
-    taken = Counter(h for g in stay for h in subset.around(ring(hosts), g, gateways, wide))
+    taken = Counter(h for g in stay for h in subset.deterministic_subset(ring(hosts), g, gateways, wide))
     mean = len(stay) * wide / hosts
     assert min(taken[h] for h in ring(hosts)) >= 0.4 * mean - 2 and max(taken.values()) <= 1.7 * mean + 2
 
@@ -179,7 +181,7 @@
         for send in of(w.ask(plan="p")[1], messages.ForwardRequest):
             w.end(send, load_report={"queue": 0.0})
     assert moved["mean"] and not moved["outside"] and not moved["doubted"]
-    w.gw.pool.doubt.note(name, ("host",), True, w.now)
+    w.gw.pool.outliers.record(name, ("host",), True, w.now)
     for server in w.gw.pool.subset:
         server.scores.clear()
     before = moved["doubted"]
--- a/tests/routing/test_sites.py
+++ b/tests/routing/test_zone_health.py
@@ -4,14 +4,14 @@
 from helpers import World, host, of, plan, settings
 
 from apigateway import messages
-from apigateway.routing.sites import FADE, LEAST_HOSTS, LEAST_PART, Sites
+from apigateway.routing.zone_health import FADE, LEAST_HOSTS, LEAST_PART, ZoneHealth
 
 BIG = plan(rate=0.0)
 HOSTS = [host(f"h{n}", zone="abc"[n % 3]) for n in range(48)]
 
 
 def sites(hosts=9):
-    known = Sites()
+    known = ZoneHealth()
     known.listed([zone for zone in "abc" for _ in range(hosts)])
     return known
 
@@ -92,7 +92,7 @@
             bad = int(sends[0].endpoint_id[1:]) % 8 == 0  # one in eight, in all sites
             acts = w.end(sends[0], "connect_failed" if bad else "ok", attempt=attempt, final=not bad)
             attempt += 1
-        low = min(low, *(w.gw.pool.sites.part(zone, w.now) for zone in "abc"))
+        low = min(low, *(w.gw.pool.zone_health.part(zone, w.now) for zone in "abc"))
         w.now += 0.3
     assert low >= 0.2
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -244,7 +244,7 @@
     w.do(messages.EndpointList("full", 99, tuple(many(3))))
     w.now += 100.0
     w.do(messages.EndpointList("full", 100, tuple(many(3))))
-    assert len(w.gw.pool.endpoints) == 3 and len(w.gw.pool.doubt.hosts) <= 3
+    assert len(w.gw.pool.endpoints) == 3 and len(w.gw.pool.outliers.hosts) <= 3
 
 
 def test_no_work_of_a_choice_grows_with_the_fleet():
