--- a/apigateway/daemon/inflight.py
+++ b/apigateway/daemon/inflight.py
@@ -19,6 +19,8 @@
 import struct
 import time
 
+from apigateway.core.interfaces import HELD_ELSEWHERE, REGISTRY_FULL
+
 # Marks that one worker can hold.
 SLOTS_PER_REGION = 16_384
 # Slots in which a mark may lie, from the one that its hash names.
@@ -36,8 +38,8 @@
 class AcquireFailure(enum.IntEnum):
     """Why `acquire` returned no offset; below 0, as InFlightRegistry has it."""
 
-    ALREADY_HELD = -1  # another worker holds the mark, or one that died while it did
-    NO_FREE_SLOT = -2
+    ALREADY_HELD = HELD_ELSEWHERE  # another worker holds the mark, or one that died while it did
+    NO_FREE_SLOT = REGISTRY_FULL
 
 
 class InFlightWriteTable:
