--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -181,8 +181,14 @@
             return ReconciledDiscovery(
                 config.discovery, version, judge, self.core.on_endpoint_list_failed, schedule
             )
+        is_start = not hasattr(self, "discovery")  # after a reload another service has versions of its own
         return DiscoveryClient(
-            config.discovery, version, self.listed, self.core.on_endpoint_list_failed, schedule
+            config.discovery,
+            version,
+            self.listed,
+            self.core.on_endpoint_list_failed,
+            schedule,
+            is_list_known=is_start and bool(config.known.hosts.endpoints),
         )
 
     def listed(self, listing: Listing) -> None:
--- a/apigateway/membership/discovery.py
+++ b/apigateway/membership/discovery.py
@@ -42,6 +42,8 @@
         on_list: called with each list, complete or delta.
         on_failure: called after each call that failed.
         schedule: when calls are made.
+        is_list_known: whether `version` is of a list that this service told before. A polled service is then
+            watched from there on at once, since its complete list would cost it more.
     """
 
     def __init__(
@@ -51,6 +53,7 @@
         on_list: Callable[[Listing], None],
         on_failure: Callable[[], None],
         schedule: WatchSchedule,
+        is_list_known: bool = False,
     ) -> None:
         host, port = address
         self.url = f"http://{f'[{host}]' if ':' in host else host}:{port}/v1/endpoints"
@@ -60,6 +63,7 @@
         self.fetching: set[asyncio.Task[CallResult]] = set()
         self._on_list = on_list
         self._on_failure = on_failure
+        self._is_list_known = is_list_known and schedule.is_polled
         self._pacer = WatchPacer(schedule, random.Random())
         self._last_failure = ""  # as it was logged; empty after an answer
         self._session: aiohttp.ClientSession | None = None
@@ -142,7 +146,7 @@
         After a failure the complete list comes first again; after a rejection by a service that is polled the
         same call, which may cost the service less.
         """
-        is_listed = False
+        is_listed = self._is_list_known
         while True:
             result = await (self._watch_changes() if is_listed else self._request_complete_list())
             if result is CallResult.ANSWERED:
--- a/tests/faults/test_fronts.py
+++ b/tests/faults/test_fronts.py
@@ -98,7 +98,7 @@
                 raise RuntimeError("broken")
             real(slot, value)
 
-        monkeypatch.setattr(Slot, "served", broken)
+        monkeypatch.setattr(Slot, "complete", broken)
         _, writer = await gate.connect(0)
         writer.write(command(b"a"))
         await host.arrived.get()
--- a/tests/membership/test_polled_discovery.py
+++ b/tests/membership/test_polled_discovery.py
@@ -46,7 +46,8 @@
     """A service that bears three calls a second and lets none wait for over two seconds."""
     hosts = [await stack.enter_async_context(StubHost()) for _ in range(3)]
     service = await stack.enter_async_context(StubDiscovery())
-    service.servers = [entry(host, f"h{number}") for number, host in enumerate(hosts, 1)]
+    service.servers = [entry(host, f"h{number}") for number, host in enumerate(hosts[:2], 1)]
+    service.change([entry(hosts[2], "h3")])
     service.capacity = CallCapacity(call_s=0.33, rejection_s=0.03, max_wait_s=2.0)
     return service, hosts
 
@@ -98,6 +99,15 @@
         await until_all(nodes, lambda known: "h1" not in known)
 
 
+@on_loop
+async def test_a_restarted_gateway_that_knows_a_list_watches_from_there_without_the_complete_list(tmp_path):
+    async with AsyncExitStack() as stack:
+        service, hosts = await open_service(stack)
+        await start_fleet(stack, service, hosts, tmp_path, 0.5)
+        calls = [service.calls.get_nowait() for _ in range(service.calls.qsize())]
+        assert calls and all("index" in call for call in calls)
+
+
 def test_a_watch_of_a_polled_service_leaves_time_for_a_second_call_before_a_missed_change_counts():
     schedule = WatchSchedule.for_polled_service()
     pacer = WatchPacer(schedule, random.Random(1))
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -96,9 +96,9 @@
 
 def roomy(node):
     """Its hosts may have a hundred attempts out."""
-    fleet = node.node.core.module.pool
-    fleet.size.scale = 25.0
-    fleet.refresh(node.node.clock())
+    pool = node.node.core.module.pool
+    pool.capacity.scale = 25.0
+    pool.refresh(node.node.clock())
 
 
 class Node:
--- a/tests/ratelimit/test_wire.py
+++ b/tests/ratelimit/test_wire.py
@@ -319,7 +319,7 @@
         data, last = sieve.feed(stream[at : at + cut])
         at += cut
         got, seen = got + data, last if last is not None else seen
-    assert got + sieve.rest == left and seen == (lasts[-1] if lasts else None)
+    assert got + sieve._partial_frame == left and seen == (lasts[-1] if lasts else None)
 
 
 STREAM = "/a.B/Talk"
