--- a/apigateway/core/budget.py
+++ b/apigateway/core/budget.py
@@ -45,6 +45,8 @@
 
     def release(self, frontend: object, amount: float) -> None:
         """Take back what a frontend used."""
+        if not amount and frontend not in self.used_by_frontend:
+            return  # it has left, and a quota check of its holds no bytes
         self.used -= amount
         self.used_by_frontend[frontend] -= amount
         if self._departed and frontend in self._departed and not self.used_by_frontend[frontend]:
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -489,6 +489,17 @@
     assert not gone.answers and broken.answers == silent.answers == ["failed"]
 
 
+def test_check_in_flight_when_its_frontend_leaves_then_is_finished_and_the_drain_ends():
+    w = World()
+    sink = RecordingCheckSink()
+    w.core.submit_check("front", check("a"), sink)
+    w.core.unregister_frontend("front")
+    w.core.is_draining = True
+    w.core.on_client_disconnected(sink)
+    assert not w.core.in_flight and w.core._drained.is_set()
+    assert not w.core.request_budget.used and not w.core.request_budget.used_by_frontend
+
+
 def test_checks_share_the_room_and_the_ids_of_requests_and_no_plug_in_is_asked():
     w = World(most=1)
     w.core.plugins = None
