--- a/apigateway/simulation/clock.py
+++ b/apigateway/simulation/clock.py
@@ -1,5 +1,8 @@
-"""The one clock of a play. What is due at one moment happens in the order in which it was asked for: a play
-is the same to the byte for one seed."""
+"""The one clock of a simulation, and the random streams of its parts.
+
+Callbacks that are due at one moment run in the order in which they were scheduled, so that a simulation is
+the same to the byte for one seed.
+"""
 
 from __future__ import annotations
 
@@ -8,34 +11,42 @@
 from collections.abc import Callable
 from typing import Any
 
-START = 1_000_000.0  # s; Unix time at which a play begins, far from the 0 that means long ago
+START_TIME = 1_000_000.0  # s; Unix time at which a simulation begins, far from the 0 that means "long ago"
+
 
+class SimulatedClock:
+    """A discrete-event scheduler with the interface of an event loop's timers.
 
-class Clock:
-    """`now` is in seconds; callbacks may ask for more."""
+    Attributes:
+        now: The simulated time, in seconds since the epoch.
+    """
 
     def __init__(self) -> None:
-        self.now = START
-        self.due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.number = 0
+        self.now = START_TIME
+        self._queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._scheduled = 0  # breaks ties between callbacks that are due at the same moment
+
+    def call_at(self, when: float, callback: Callable[..., None], *args: Any) -> None:
+        """Schedule a callback at a time; a time that has passed counts as now."""
+        self._scheduled += 1
+        heapq.heappush(self._queue, (max(when, self.now), self._scheduled, callback, args))
 
-    def at(self, when: float, what: Callable[..., None], *args: Any) -> None:
-        """A moment that has passed is taken for now."""
-        self.number += 1
-        heapq.heappush(self.due, (max(when, self.now), self.number, what, args))
+    def call_later(self, delay: float, callback: Callable[..., None], *args: Any) -> None:
+        """Schedule a callback after a delay in seconds."""
+        self.call_at(self.now + delay, callback, *args)
 
-    def after(self, seconds: float, what: Callable[..., None], *args: Any) -> None:
-        self.at(self.now + seconds, what, *args)
+    def run_until(self, end: float) -> None:
+        """Run all callbacks that are due by `end`, those that they schedule included, and stop there."""
+        queue = self._queue
+        while queue and queue[0][0] <= end:
+            self.now, _, callback, args = heapq.heappop(queue)
+            callback(*args)
+        self.now = end
 
-    def run(self, until: float) -> None:
-        """Until nothing is due before `until`, where the clock then stands."""
-        due = self.due
-        while due and due[0][0] <= until:
-            self.now, _, what, args = heapq.heappop(due)
-            what(*args)
-        self.now = until
 
+def random_stream(seed: int, *names: object) -> random.Random:
+    """Return the random generator of one part of a simulation.
 
-def stream(seed: int, *names: object) -> random.Random:
-    """Random numbers of their own for each part of a play: what one part draws moves no other's."""
+    Each part has a stream of its own: what one part draws changes nothing for the others.
+    """
     return random.Random("/".join(map(str, (seed, *names))))
--- a/apigateway/simulation/faults.py
+++ b/apigateway/simulation/faults.py
@@ -5,8 +5,8 @@
 import dataclasses
 from typing import TYPE_CHECKING, TypeVar
 
-from apigateway.simulation import links
 from apigateway.simulation.machine import Machine
+from apigateway.simulation.network import LinkFault
 from apigateway.simulation.node import Node
 from apigateway.simulation.scenario import Fault
 
@@ -41,7 +41,7 @@
 
 
 def begin(world: World, fault: Fault) -> None:
-    kind, after = fault.what, world.clock.after
+    kind, after = fault.what, world.clock.call_later
     hosts = list(world.machines.values())
     if kind == "kill":
         for node in part_of(world, [n for n in world.nodes if n.alive], fault.part):
@@ -73,7 +73,7 @@
         delay, lose = (0.0, 1.0) if kind == "cut" else (fault.size, fault.lose)
         add_link(
             world,
-            links.Fault(
+            LinkFault(
                 fault.there if kind == "link" else fault.zone,
                 fault.zone if kind == "link" else "*",
                 delay,
@@ -84,8 +84,8 @@
             fault.zone if kind == "cut" else "",
         )
     elif kind == "counter":
-        world.counter.silent = True
-        after(fault.lasts, setattr, world.counter, "silent", False)
+        world.quota_counter.is_silent = True
+        after(fault.lasts, setattr, world.quota_counter, "is_silent", False)
     elif kind == "shift":
         for customer in part_of(world, world.demand.customers, fault.part):
             world.demand.lean(customer)
@@ -105,7 +105,7 @@
 def kill(world: World, node: Node, back: float) -> None:
     """What it held is lost; it comes back with the list as it last had it."""
     node.die()
-    world.clock.after(back * (0.75 + 0.5 * world.rng.random()), revive, node)
+    world.clock.call_later(back * (0.75 + 0.5 * world.rng.random()), revive, node)
 
 
 def revive(node: Node) -> None:
@@ -121,7 +121,7 @@
     new = world.add_machine(machine.host.zone, machine.host.cell, world.clock.now)
     world.tell(new.host, True)
     grace = world.scenario.rules.drain_grace + world.scenario.listing.late + world.scenario.listing.spread
-    world.clock.after(grace + 6.0, remove, world, machine)
+    world.clock.call_later(grace + 6.0, remove, world, machine)
 
 
 def remove(world: World, machine: Machine) -> None:
@@ -147,19 +147,19 @@
     machine.move()
 
 
-def add_link(world: World, fault: links.Fault, lasts: float, but: str = "") -> None:
+def add_link(world: World, fault: LinkFault, lasts: float, but: str = "") -> None:
     """`but`: a zone that is cut off from all others, and not from itself."""
     added = [fault]
     if but:
         others = {*world.scenario.zones, world.counter_place.zone} - {but}
-        added = [links.Fault(but, other, lose=1.0) for other in sorted(others)]
-    world.links.faults += added
+        added = [LinkFault(but, other, loss=1.0) for other in sorted(others)]
+    world.network.faults += added
 
     def heal() -> None:
         for each in added:
-            world.links.faults.remove(each)
+            world.network.faults.remove(each)
 
-    world.clock.after(lasts, heal)
+    world.clock.call_later(lasts, heal)
 
 
 def dark(world: World, fault: Fault) -> None:
@@ -168,7 +168,7 @@
     for machine in gone:
         machine.stop()
         machine.dark = True
-        world.clock.after(fault.lasts, come_back, world, machine, fault.cold)
+        world.clock.call_later(fault.lasts, come_back, world, machine, fault.cold)
     for node in world.nodes:
         if node.place.zone == fault.zone and node.alive:
             kill(world, node, fault.lasts)
--- a/apigateway/simulation/judge.py
+++ b/apigateway/simulation/judge.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from apigateway import messages
-from apigateway.simulation.clock import Clock
+from apigateway.simulation.clock import SimulatedClock
 from apigateway.simulation.demand import Customer
 from apigateway.simulation.figures import Figures
 
@@ -46,7 +46,11 @@
 
 class Judge:
     def __init__(
-        self, clock: Clock, figures: Figures, rules: messages.Rules, plans: Mapping[str, messages.Plan]
+        self,
+        clock: SimulatedClock,
+        figures: Figures,
+        rules: messages.Rules,
+        plans: Mapping[str, messages.Plan],
     ) -> None:
         self.clock, self.figures, self.rules, self.plans = clock, figures, rules, plans
         self.quotas: dict[str, Store] = {}
--- a/apigateway/simulation/machine.py
+++ b/apigateway/simulation/machine.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 
 from apigateway import messages
-from apigateway.simulation.clock import Clock
-from apigateway.simulation.links import Place
+from apigateway.simulation.clock import SimulatedClock
+from apigateway.simulation.network import Location
 from apigateway.simulation.scenario import Machines
 
 STEP = 0.25  # s; how often the speed of a host that warms up is taken anew
@@ -19,7 +19,7 @@
 class Load:
     """Over all hosts: core time that idles while as much work waits at another host."""
 
-    def __init__(self, clock: Clock) -> None:
+    def __init__(self, clock: SimulatedClock) -> None:
         self.clock, self.cores, self.busy, self.waiting = clock, 0.0, 0.0, 0.0
         self.since, self.wasted, self.total = clock.now, 0.0, 0.0
 
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        clock: Clock,
+        clock: SimulatedClock,
         spec: Machines,
         host: messages.Endpoint,
         cores: float,
@@ -81,12 +81,12 @@
         self.fell = self.dark = False  # dark: dead, and nobody is told by a reset or a refusal
         self.refuses: set[int] = set()  # gateways whose connections it refuses
         self.behind = 0.0  # s that its reports come later than they would
-        self.place = Place(host.id, host.zone)
+        self.place = Location(host.id, host.zone)
         self.noted = (0.0, 0.0, 0.0)
         self.account()
-        clock.after(rng.random() * spec.report_period, self.refresh)
+        clock.call_later(rng.random() * spec.report_period, self.refresh)
         if self.warmth() < 1:
-            clock.after(STEP, self.warm)
+            clock.call_later(STEP, self.warm)
 
     # What it can do
 
@@ -106,7 +106,7 @@
     def warm(self) -> None:
         self.move()
         if self.warmth() < 1 and self.mode != "dead":
-            self.clock.after(STEP, self.warm)
+            self.clock.call_later(STEP, self.warm)
 
     def account(self) -> None:
         """Tells the fleet's load what is busy here."""
@@ -144,7 +144,7 @@
         self.turn += 1
         if self.running and self.mode not in ("hang", "dead"):
             left = (self.running[0][0] - self.done_each) / max(self.rate, 1e-9)
-            self.clock.after(left, self.finish, self.turn)
+            self.clock.call_later(left, self.finish, self.turn)
 
     def start(self, task: Task) -> None:
         self.number += 1
@@ -171,10 +171,10 @@
             task.over = True
             return
         if self.mode == "err":
-            self.clock.after(0.001, task.done, "error")
+            self.clock.call_later(0.001, task.done, "error")
             return
         if self.mode == "full" or self.active + self.held >= self.slots + self.queue:
-            self.clock.after(0.0002, task.done, "full")
+            self.clock.call_later(0.0002, task.done, "full")
             return
         self.taken += 1
         self.strain(task.work, told)
@@ -234,7 +234,7 @@
         self.arrived.clear()
         self.sent, self.report = 0.0, {}
         self.account()
-        self.clock.after(self.rng.random() * self.spec.report_period, self.refresh)
+        self.clock.call_later(self.rng.random() * self.spec.report_period, self.refresh)
         if self.warmth() < 1:
             self.warm()
 
@@ -261,8 +261,8 @@
             }
         )
         told = {k: float(v) for k, v in figures.items() if k in self.spec.reports}
-        self.clock.after(self.spec.report_delay + self.behind, self.publish, told)
-        self.clock.after(period, self.refresh)
+        self.clock.call_later(self.spec.report_delay + self.behind, self.publish, told)
+        self.clock.call_later(period, self.refresh)
 
     def publish(self, told: dict[str, float]) -> None:
         self.report = told
--- a/apigateway/simulation/node.py
+++ b/apigateway/simulation/node.py
@@ -7,9 +7,10 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from apigateway import messages
-from apigateway.simulation.clock import START
-from apigateway.simulation.links import Place
+from apigateway.simulation.clock import START_TIME
 from apigateway.simulation.machine import Machine, Task
+from apigateway.simulation.network import Location
+from apigateway.simulation.quota_counter import CounterReply
 
 if TYPE_CHECKING:
     from apigateway.simulation.world import World
@@ -58,7 +59,7 @@
         self, world: World, index: int, zone: str, make: Callable[[], Module], rng: random.Random
     ) -> None:
         self.world, self.index, self.make, self.rng = world, index, make, rng
-        self.place = Place(f"g{index}", zone)
+        self.place = Location(f"g{index}", zone)
         self.alive, self.life, self.died = False, 0, world.clock.now
         self.module: Module | None = None
         self.tries: dict[str, Trying] = {}
@@ -102,7 +103,7 @@
         left = request.remaining - WAY_BACK
         trying = Trying(request, size, self.world.clock.now + left, answer)
         self.tries[request.request_id] = trying
-        self.world.clock.after(left + WAY_BACK - 0.01, self.overdue, trying)
+        self.world.clock.call_later(left + WAY_BACK - 0.01, self.overdue, trying)
         self.feed(
             messages.Request(
                 request.request_id,
@@ -148,7 +149,7 @@
             if kind is messages.ForwardRequest:
                 self.send(action)
             elif kind is messages.SetTimer:
-                self.world.clock.after(action.delay + 1e-6, self.timer, self.life, action.label)
+                self.world.clock.call_later(action.delay + 1e-6, self.timer, self.life, action.label)
             elif kind is messages.AddToCounter:
                 self.count(action)
             elif kind is messages.Reject or kind is messages.Fail:
@@ -179,13 +180,17 @@
         world.figures.add("attempts")
         world.judge.sends(self.place.name, attempt, self.drains.get(action.endpoint_id))
         machine = world.machines.get(action.endpoint_id)
-        if machine is None or machine.mode == "dead" or world.links.cut(self.place, machine.place):
-            world.figures.seconds[int(world.clock.now - START)]["in vain"] += 1
+        if (
+            machine is None
+            or machine.mode == "dead"
+            or world.network.is_partitioned(self.place, machine.place)
+        ):
+            world.figures.seconds[int(world.clock.now - START_TIME)]["in vain"] += 1
         if machine is None or machine.refused(self.index):
-            world.clock.after(0.0005, self.ended, attempt, "connect_failed", self.life)
+            world.clock.call_later(0.0005, self.ended, attempt, "connect_failed", self.life)
             return
         attempt.machine = machine
-        world.clock.at(trying.deadline, self.patience_over, attempt, self.life)
+        world.clock.call_at(trying.deadline, self.patience_over, attempt, self.life)
         idle = self.idle.setdefault(machine.host.id, [])
         while idle and world.clock.now - idle[-1] > machine.spec.idle_close:
             idle.clear()  # the newest has stood too long, so have the others
@@ -194,18 +199,20 @@
             self.go(attempt, 0.0, 0.0)
             return
         world.figures.add("connections")
-        extra = world.links.way(self.place, machine.place) * 2 * machine.spec.handshake_trips
-        if extra < 0 or machine.dark:
-            world.clock.after(CONNECT, self.ended, attempt, "connect_failed", self.life)
+        transit = world.network.transit_time(self.place, machine.place)
+        is_lost = transit is None and machine.spec.handshake_trips > 0
+        if is_lost or machine.dark:
+            world.clock.call_later(CONNECT, self.ended, attempt, "connect_failed", self.life)
         else:
+            extra = (transit or 0.0) * 2 * machine.spec.handshake_trips
             self.go(attempt, extra, machine.spec.handshake)
 
     def go(self, attempt: Attempt, after: float, work: float) -> None:
         machine = attempt.machine
         assert machine is not None
-        way = self.world.links.way(self.place, machine.place)
-        if way >= 0:  # else it is lost on the way
-            self.world.clock.after(after + way, self.arrive, attempt, work, self.life)
+        way = self.world.network.transit_time(self.place, machine.place)
+        if way is not None:  # else it is lost on the way
+            self.world.clock.call_later(after + way, self.arrive, attempt, work, self.life)
 
     def arrive(self, attempt: Attempt, work: float, life: int) -> None:
         """Its last byte has come to the host."""
@@ -215,7 +222,7 @@
             return
         if machine.mode == "dead":
             if not machine.dark:
-                self.world.links.send(machine.place, self.place, self.ended, attempt, "reset", life)
+                self.world.network.send(machine.place, self.place, self.ended, attempt, "reset", life)
             return
         attempt.began = True
         self.world.began(attempt)
@@ -228,7 +235,7 @@
         machine, attempt.turned = attempt.machine, result == "full"
         assert machine is not None
         report = dict(machine.report)
-        self.world.links.send(machine.place, self.place, self.ended, attempt, result, life, report)
+        self.world.network.send(machine.place, self.place, self.ended, attempt, result, life, report)
 
     def ended(self, attempt: Attempt, result: str, life: int, report: dict[str, float] | None = None) -> None:
         if life != self.life or attempt.over:
@@ -261,7 +268,7 @@
         attempt.over = True
         machine = attempt.machine
         if machine is not None:
-            self.world.links.send(self.place, machine.place, self.stop, attempt)
+            self.world.network.send(self.place, machine.place, self.stop, attempt)
 
     def stop(self, attempt: Attempt) -> None:
         if attempt.task is not None and attempt.machine is not None:
@@ -288,17 +295,17 @@
         world.figures.add("probes")
         machine, since, life = world.machines.get(host), world.clock.now, self.life
         if machine is None or machine.refused(self.index):
-            world.clock.after(0.0005, self.probed, host, "connect_failed", since, life, {})
+            world.clock.call_later(0.0005, self.probed, host, "connect_failed", since, life, {})
             return
-        world.clock.after(CONNECT, self.probed, host, "timeout", since, life, {})
+        world.clock.call_later(CONNECT, self.probed, host, "timeout", since, life, {})
 
         def there() -> None:
             if machine.mode in ("up", "err", "full"):
-                world.links.send(
+                world.network.send(
                     machine.place, self.place, self.probed, host, "ok", since, life, dict(machine.report)
                 )
 
-        world.links.send(self.place, machine.place, there)
+        world.network.send(self.place, machine.place, there)
 
     def probed(self, host: str, result: str, since: float, life: int, report: dict[str, float]) -> None:
         key = host, since
@@ -326,14 +333,14 @@
                 world.figures.add("counter late")
             told("timeout", 0.0)
 
-        def answer(result: str, total: float) -> None:
-            world.links.send(world.counter_place, self.place, told, result, total)
+        def answer(reply: CounterReply) -> None:
+            world.network.send(world.counter_place, self.place, told, reply.result, reply.total)
 
-        world.clock.after(timeout, late)
-        world.links.send(
+        world.clock.call_later(timeout, late)
+        world.network.send(
             self.place,
             world.counter_place,
-            world.counter.add,
+            world.quota_counter.add,
             action.counter_key,
             action.amount,
             action.lifetime,
--- a/apigateway/simulation/scenario.py
+++ b/apigateway/simulation/scenario.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from apigateway import messages
-from apigateway.simulation.links import Distances
+from apigateway.simulation.network import Distances
 
 READ = messages.ServiceClass("read", 2.0, 5.0, "safe", "all", 0.0, 1.0, 0.0, False, 0.0)
 UPDATE = messages.ServiceClass("update", 2.5, 6.0, "keyed", "cell", 6.0, 5.0, 0.0, False, 0.0)
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Counting:
+class CounterSettings:
     on: bool = True
     parts: int = 2
     capacity: float = 700.0  # calls a second, over all parts
@@ -126,7 +126,7 @@
     works: tuple[Work, ...] = (Work(READ, 0.41, 0.2), Work(UPDATE, 0.40, 0.3), Work(NOTICE, 0.19, 0.2))
     machines: Machines = field(default_factory=Machines)
     customers: Customers = field(default_factory=Customers)
-    counting: Counting = field(default_factory=Counting)
+    counting: CounterSettings = field(default_factory=CounterSettings)
     listing: Listing = field(default_factory=Listing)
     distances: Distances = field(default_factory=Distances)
     faults: tuple[Fault, ...] = ()
--- a/apigateway/simulation/world.py
+++ b/apigateway/simulation/world.py
@@ -8,14 +8,14 @@
 
 from apigateway import messages
 from apigateway.simulation import baselines, faults
-from apigateway.simulation.clock import START, Clock, stream
-from apigateway.simulation.counter import Counter
+from apigateway.simulation.clock import START_TIME, SimulatedClock, random_stream
 from apigateway.simulation.demand import Ask, Demand
 from apigateway.simulation.figures import Figures
 from apigateway.simulation.judge import Judge
-from apigateway.simulation.links import Links, Place
 from apigateway.simulation.machine import Load, Machine
+from apigateway.simulation.network import Location, Network
 from apigateway.simulation.node import Attempt, Module, Node
+from apigateway.simulation.quota_counter import QuotaCounter
 from apigateway.simulation.scenario import Scenario
 
 KEPT = 40  # states of each host that are kept for those that see old ones
@@ -30,12 +30,12 @@
         self, scenario: Scenario, seed: int, make: Callable[[messages.Settings, int, float], Module]
     ) -> None:
         self.scenario, self.seed, self.make = scenario, seed, make
-        self.clock = Clock()
-        self.rng = stream(seed, "world")
-        self.links = Links(self.clock, scenario.distances, stream(seed, "links"))
+        self.clock = SimulatedClock()
+        self.rng = random_stream(seed, "world")
+        self.network = Network(self.clock, scenario.distances, random_stream(seed, "links"))
         self.load, self.figures = Load(self.clock), Figures()
-        self.counter = Counter(self.clock, scenario.counting)
-        self.counter_place = Place("counter", scenario.zones[0])
+        self.quota_counter = QuotaCounter(self.clock, scenario.counting)
+        self.counter_place = Location("counter", scenario.zones[0])
         self.classes = {w.cls.name: w.cls for w in scenario.works}
         self.machines: dict[str, Machine] = {}
         self.former: list[Machine] = []
@@ -51,7 +51,7 @@
         for n in range(spec.count):
             self.add_machine(scenario.zones[n % len(scenario.zones)], n // 6, 0.0)
         capacity = sum(m.capacity() for m in self.machines.values())
-        self.demand = Demand(scenario, capacity, stream(seed, "demand"), stream(seed, "ways"))
+        self.demand = Demand(scenario, capacity, random_stream(seed, "demand"), random_stream(seed, "ways"))
         self.nodes = [self.node(n) for n in range(scenario.gateways)]
 
     # Parts
@@ -61,15 +61,15 @@
 
         def make() -> Module:
             lives[0] += 1
-            rng = stream(self.seed, "module", index, lives[0])
+            rng = random_stream(self.seed, "module", index, lives[0])
             if not self.scenario.policy.startswith("module"):  # the module, of the program or of a file
                 return baselines.Simple(self, self.scenario.policy, rng)
             return self.make(settings, rng.getrandbits(63), self.clock.now)
 
-        return Node(self, index, settings.zone, make, stream(self.seed, "node", index))
+        return Node(self, index, settings.zone, make, random_stream(self.seed, "node", index))
 
     def add_machine(self, zone: str, cell: int, started: float) -> Machine:
-        spec, rng = self.scenario.machines, stream(self.seed, "machine", self.born)
+        spec, rng = self.scenario.machines, random_stream(self.seed, "machine", self.born)
         big = rng.random() < spec.big
         cores = spec.cores * (2 if big else 1)
         host = messages.Endpoint(
@@ -89,7 +89,7 @@
         for node in self.nodes:
             if sure or self.rng.random() >= listing.miss:
                 wait = listing.late + self.late + listing.spread * self.rng.random()
-                self.clock.after(wait, node.listed, host)
+                self.clock.call_later(wait, node.listed, host)
 
     def held(self, name: str, age: float) -> float:
         """What a host holds for each core, now or `age` seconds ago."""
@@ -107,7 +107,7 @@
             states = self.states.setdefault(name, [])
             states.append((machine.active + machine.held) / machine.cores)
             del states[:-KEPT]
-        self.clock.after(LOOK, self.look)
+        self.clock.call_later(LOOK, self.look)
 
     # Requests
 
@@ -115,13 +115,13 @@
         if self.ending:
             return
         wait, following = self.demand.next(self.clock.now, self.times)
-        self.clock.after(wait, self.arrive, following)
+        self.clock.call_later(wait, self.arrive, following)
         room = ask.customer.inside(ask.born)
         if self.figures.on:
             self.figures.add("firsts")
             self.figures.add("inside" if room else "beyond")
             self.figures.worth += room * ask.work.cls.priority_weight * ask.customer.plan.price_weight
-            self.figures.seconds[int(ask.born - START)]["inside"] += room
+            self.figures.seconds[int(ask.born - START_TIME)]["inside"] += room
         self.attempt(ask, self.figures.on)
 
     def attempt(self, ask: Ask, counted: bool) -> None:
@@ -135,7 +135,7 @@
         if counted:
             self.figures.counts["tries"] += 1
         if not node.alive:
-            self.clock.after(0.001, self.told, ask, counted, "lost", 0.0)
+            self.clock.call_later(0.001, self.told, ask, counted, "lost", 0.0)
             return
         left = spec.patience * cls.deadline
         name = f"{ask.number}.{ask.tries}"
@@ -165,17 +165,17 @@
         if counted and answer == "refused":
             count["refused tries"] += 1
             count["refused with room"] += self.judge.room(ask.customer.name, ask.customer.plan.name, 0.0)
-            second = self.figures.seconds[int(self.clock.now - START)]
+            second = self.figures.seconds[int(self.clock.now - START_TIME)]
             second["refused"] += 1
         again = answer in ("refused", "lost") or (answer == "failed" and ask.work.cls.effect == "safe")
         spec = self.scenario.customers
         if again and ask.tries <= spec.retries and self.clock.now - ask.born < ask.work.cls.deadline:
             rest = wait if wait and self.rng.random() < spec.honour else spec.wait * (0.5 + self.rng.random())
-            self.clock.after(rest, self.attempt, ask, counted)
+            self.clock.call_later(rest, self.attempt, ask, counted)
             return
         if not counted:
             return
-        took, second = self.clock.now - ask.born, self.figures.seconds[int(ask.born - START)]
+        took, second = self.clock.now - ask.born, self.figures.seconds[int(ask.born - START_TIME)]
         if answer != "served":
             count["refused" if answer == "refused" else "failed"] += 1
         elif ask.inside:
@@ -196,7 +196,7 @@
         """One customer after another comes by others of its gateways, each once in the scenario's time."""
         customers, every = self.demand.customers, self.scenario.customers.shift
         self.demand.lean(customers[self.rng.randrange(len(customers))])
-        self.clock.after(every / len(customers), self.shift)
+        self.clock.call_later(every / len(customers), self.shift)
 
     # The play
 
@@ -207,23 +207,25 @@
         longest = max(c.deadline for c in self.classes.values())
         for node in self.nodes:
             node.told = {h.id: h for h in hosts}
-            clock.after(self.rng.random() * s.start_spread, node.start, hosts)
+            clock.call_later(self.rng.random() * s.start_spread, node.start, hosts)
         self.look()
         for fault in s.faults:
-            clock.at(START + s.warm_up + fault.at, faults.begin, self, fault)
+            clock.call_at(START_TIME + s.warm_up + fault.at, faults.begin, self, fault)
         if s.customers.shift:
-            clock.after(s.customers.shift, self.shift)
+            clock.call_later(s.customers.shift, self.shift)
         wait, ask = self.demand.next(clock.now, self.times)
-        clock.after(wait, self.arrive, ask)
-        clock.run(START + s.warm_up)
+        clock.call_later(wait, self.arrive, ask)
+        clock.run_until(START_TIME + s.warm_up)
         self.figures.on, self.load.wasted, self.load.total = True, 0.0, 0.0
         self.load.since = clock.now
-        clock.run(START + s.warm_up + s.length)
+        clock.run_until(START_TIME + s.warm_up + s.length)
         self.load.note()
         wasted = self.load.wasted / max(1e-9, self.load.total)
         self.figures.on = False  # what comes now is not counted, what came is played to its end
         self.ending = True
-        clock.run(START + s.warm_up + s.length + (1 + s.customers.patience) * longest + s.customers.wait + 3)
+        clock.run_until(
+            START_TIME + s.warm_up + s.length + (1 + s.customers.patience) * longest + s.customers.wait + 3
+        )
         for name in self.open:
             self.judge.unanswered(name)
         return self.figures.summary(self.shape(wasted)) | {
--- a/tests/simulation/test_crowds.py
+++ b/tests/simulation/test_crowds.py
@@ -7,7 +7,7 @@
 
 from apigateway import messages
 from apigateway.policy import Gateway
-from apigateway.simulation.clock import START
+from apigateway.simulation.clock import START_TIME
 from apigateway.simulation.scenario import READ, Customers, Fault, Listing, Machines, Scenario, Work
 from apigateway.simulation.world import World
 
@@ -117,12 +117,12 @@
     scenario = replace(CROWD, gateways=200, faults=(Fault(what, 0.0, 2.0, part=0.05),))
     world, marks = World(scenario, 3, Gateway), []
     for at in (2.0, 3.0, 4.0):
-        world.clock.at(
-            START + scenario.warm_up + at,
+        world.clock.call_at(
+            START_TIME + scenario.warm_up + at,
             lambda: marks.append({name: m.taken for name, m in world.machines.items()}),
         )
-    world.clock.at(
-        START + scenario.warm_up + 1.0,
+    world.clock.call_at(
+        START_TIME + scenario.warm_up + 1.0,
         lambda: marks.append([name for name, m in world.machines.items() if m.mode != "up" or m.refuses]),
     )
     assert world.run()["broken"] == 0
--- a/tests/simulation/test_model.py
+++ b/tests/simulation/test_model.py
@@ -8,15 +8,15 @@
 from apigateway import messages
 from apigateway.policy import Gateway
 from apigateway.simulation import baselines
-from apigateway.simulation.clock import START
+from apigateway.simulation.clock import START_TIME
 from apigateway.simulation.faults import KINDS
 from apigateway.simulation.judge import Store
-from apigateway.simulation.links import Place
+from apigateway.simulation.network import Location
 from apigateway.simulation.scenario import (
     FREE,
     NOTICE,
     READ,
-    Counting,
+    CounterSettings,
     Customers,
     Fault,
     Listing,
@@ -162,29 +162,31 @@
 
 
 def test_links_lose_and_delay_what_they_are_told_to():
-    from apigateway.simulation.links import Fault as LinkFault
+    from apigateway.simulation.network import LinkFault
 
     world = World(SMALL, 1, Gateway)
-    here, there, got = Place("g1", "a"), Place("h1", "b"), []
-    world.links.faults = [LinkFault("a", "h1", delay=1.0, one_way=True), LinkFault("g1", "h2", lose=1.0)]
-    world.links.send(here, there, lambda: got.append(("there", world.clock.now - START)))
-    world.links.send(there, here, lambda: got.append(("back", world.clock.now - START)))
-    assert not world.links.send(here, Place("h2", "c"), got.append, "lost")
-    assert not world.links.send(Place("h2", "c"), here, got.append, "lost")
-    world.clock.run(START + 2)
+    here, there, got = Location("g1", "a"), Location("h1", "b"), []
+    world.network.faults = [LinkFault("a", "h1", delay=1.0, is_one_way=True), LinkFault("g1", "h2", loss=1.0)]
+    world.network.send(here, there, lambda: got.append(("there", world.clock.now - START_TIME)))
+    world.network.send(there, here, lambda: got.append(("back", world.clock.now - START_TIME)))
+    assert not world.network.send(here, Location("h2", "c"), got.append, "lost")
+    assert not world.network.send(Location("h2", "c"), here, got.append, "lost")
+    world.clock.run_until(START_TIME + 2)
     assert [name for name, _ in got] == ["back", "there"] and 1.0 < got[1][1] < 1.01
 
 
 def test_a_counter_that_is_asked_more_than_it_bears_answers_late_and_one_that_is_silent_still_counts():
-    world = World(replace(SMALL, counting=Counting(parts=1, capacity=100.0)), 1, Gateway)
+    world = World(replace(SMALL, counting=CounterSettings(parts=1, capacity=100.0)), 1, Gateway)
     told = []
     for _ in range(20):
-        world.counter.add(4, 1.0, 60.0, lambda result, total: told.append((world.clock.now - START, total)))
-    world.clock.run(START + 0.105)
+        world.quota_counter.add(
+            4, 1.0, 60.0, lambda reply: told.append((world.clock.now - START_TIME, reply.total))
+        )
+    world.clock.run_until(START_TIME + 0.105)
     assert [total for _, total in told] == [float(n + 1) for n in range(11)]
-    world.counter.silent = True
-    world.clock.run(START + 1)
-    assert len(told) == 11 and world.counter.totals[4][0] == 20.0
+    world.quota_counter.is_silent = True
+    world.clock.run_until(START_TIME + 1)
+    assert len(told) == 11 and world.quota_counter.entries[4].total == 20.0
 
 
 def test_a_store_tells_what_it_held_before():
