--- a/apigateway/simulation/faults.py
+++ b/apigateway/simulation/faults.py
@@ -8,39 +8,20 @@
 from apigateway.simulation.machine import Machine
 from apigateway.simulation.network import LinkFault
 from apigateway.simulation.node import Node
-from apigateway.simulation.scenario import Fault
+from apigateway.simulation.scenario import FaultKind, FaultSettings
 
 if TYPE_CHECKING:
     from apigateway.simulation.world import World
 
 T = TypeVar("T")
-MODES = {"hang": "hang", "err": "err", "full": "full"}
-KINDS = (
-    "kill",
-    "replace",
-    "hang",
-    "err",
-    "full",
-    "refuse",
-    "refuse_some",
-    "lie",
-    "slow",
-    "dark",
-    "cut",
-    "link",
-    "counter",
-    "shift",
-    "surge",
-    "list",
-    "stale",
-)
+MODES = (FaultKind.HANG, FaultKind.ERROR, FaultKind.FULL)  # the host mode of the same name
 
 
 def part_of(world: World, things: list[T], part: float) -> list[T]:
     return world.rng.sample(things, min(len(things), max(1, round(part * len(things))))) if things else []
 
 
-def begin(world: World, fault: Fault) -> None:
+def begin(world: World, fault: FaultSettings) -> None:
     kind, after = fault.what, world.clock.call_later
     hosts = list(world.machines.values())
     if kind == "kill":
@@ -51,7 +32,7 @@
             after(world.rng.random() * fault.over, replace, world, machine)
     elif kind in MODES:
         for machine in part_of(world, hosts, fault.part):
-            set_mode(machine, MODES[kind])
+            set_mode(machine, kind)
             after(fault.lasts, set_mode, machine, "up")
     elif kind in ("refuse", "refuse_some"):
         gateways = set(range(len(world.nodes)))
@@ -88,7 +69,7 @@
         after(fault.lasts, setattr, world.quota_counter, "is_silent", False)
     elif kind == "shift":
         for customer in part_of(world, world.demand.customers, fault.part):
-            world.demand.lean(customer)
+            world.demand.draw_gateway_preference(customer)
     elif kind == "surge":
         world.times = fault.size
         after(fault.lasts, setattr, world, "times", 1.0)
@@ -162,7 +143,7 @@
     world.clock.call_later(lasts, heal)
 
 
-def dark(world: World, fault: Fault) -> None:
+def dark(world: World, fault: FaultSettings) -> None:
     """A site is lost: its hosts and gateways say nothing, and come back, cold where `cold`."""
     gone = [m for m in world.machines.values() if m.host.zone == fault.zone]
     for machine in gone:
--- a/apigateway/simulation/judge.py
+++ b/apigateway/simulation/judge.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
@@ -10,38 +9,13 @@
 from apigateway.simulation.clock import SimulatedClock
 from apigateway.simulation.demand import Customer
 from apigateway.simulation.figures import Figures
+from apigateway.simulation.token_bucket import RecordingTokenBucket, TokenBucket
 
 if TYPE_CHECKING:
     from apigateway.simulation.node import Attempt
 
 MARGIN = 0.15  # s by which a ceiling's slack is wider, for what is on its way
 LATE = 0.05  # s that each time limit is longer
-KEPT = 256  # takes that a store remembers, for who sees it late
-
-
-class Store:
-    """A bucket that fills at `rate` up to `burst`."""
-
-    __slots__ = ("rate", "burst", "level", "at", "past")
-
-    def __init__(self, rate: float, burst: float, now: float) -> None:
-        self.rate, self.burst, self.level, self.at = rate, burst, burst, now
-        self.past: deque[tuple[float, float]] = deque(maxlen=KEPT)  # when something was taken, what was left
-
-    def fill(self, now: float) -> float:
-        self.level, self.at = min(self.burst, self.level + (now - self.at) * self.rate), now
-        return self.level
-
-    def take(self) -> None:
-        self.level -= 1
-        self.past.append((self.at, self.level))
-
-    def was(self, at: float) -> float:
-        """What it held then; full before what it remembers."""
-        for taken, left in reversed(self.past):
-            if taken <= at:
-                return min(self.burst, left + (at - taken) * self.rate)
-        return self.burst
 
 
 class Judge:
@@ -53,8 +27,8 @@
         plans: Mapping[str, messages.Plan],
     ) -> None:
         self.clock, self.figures, self.rules, self.plans = clock, figures, rules, plans
-        self.quotas: dict[str, Store] = {}
-        self.ceilings: dict[str, Store] = {}
+        self.quotas: dict[str, RecordingTokenBucket] = {}
+        self.ceilings: dict[str, TokenBucket] = {}
 
     def sends(self, gateway: str, attempt: Attempt, told: float | None) -> None:
         """`told`: when this gateway heard that the host drains or is gone."""
@@ -74,8 +48,8 @@
         plan, inside = customer.plan, True
         self.figures.add("units sent")
         if plan.rate:
-            quota = self.quotas.setdefault(customer.name, Store(plan.rate, plan.burst, now))
-            if quota.fill(now) >= 1:
+            quota = self.quotas.setdefault(customer.name, RecordingTokenBucket(plan.rate, plan.burst, now))
+            if quota.refill(now) >= 1:
                 quota.take()
             else:
                 inside = False
@@ -83,10 +57,10 @@
                 self.figures.spend(cls.priority_weight * plan.price_weight * plan.over_quota_cost)
         if plan.ceiling_rate:
             ceiling = self.ceilings.setdefault(
-                customer.name, Store(plan.ceiling_rate, plan.ceiling_burst, now)
+                customer.name, TokenBucket(plan.ceiling_rate, plan.ceiling_burst, now)
             )
-            ceiling.fill(now)
-            ceiling.level -= 1
+            ceiling.refill(now)
+            ceiling.take()
             if ceiling.level < -plan.ceiling_slack - MARGIN * plan.ceiling_rate - 1e-6:
                 self.figures.broken(f"ceiling: {customer.name}, {-ceiling.level:.2f} units beyond")
         return inside
@@ -94,7 +68,7 @@
     def room(self, customer: str, plan: str, age: float) -> bool:
         """Whether its quota had room for one, `age` seconds ago."""
         quota = self.quotas.get(customer)
-        return not self.plans[plan].rate or quota is None or quota.was(self.clock.now - age) >= 1
+        return not self.plans[plan].rate or quota is None or quota.level_at(self.clock.now - age) >= 1
 
     def fell(self, host: str, knew: float) -> None:
         """`knew`: part of what it got from gateways that had been told of its start."""
--- a/apigateway/simulation/machine.py
+++ b/apigateway/simulation/machine.py
@@ -11,7 +11,7 @@
 from apigateway import messages
 from apigateway.simulation.clock import SimulatedClock
 from apigateway.simulation.network import Location
-from apigateway.simulation.scenario import Machines
+from apigateway.simulation.scenario import HostSettings
 
 STEP = 0.25  # s; how often the speed of a host that warms up is taken anew
 
@@ -50,7 +50,7 @@
     def __init__(
         self,
         clock: SimulatedClock,
-        spec: Machines,
+        spec: HostSettings,
         host: messages.Endpoint,
         cores: float,
         speed: float,
--- a/apigateway/simulation/world.py
+++ b/apigateway/simulation/world.py
@@ -9,7 +9,7 @@
 from apigateway import messages
 from apigateway.simulation import baselines, faults
 from apigateway.simulation.clock import START_TIME, SimulatedClock, random_stream
-from apigateway.simulation.demand import Ask, Demand
+from apigateway.simulation.demand import ClientCall, DemandGenerator
 from apigateway.simulation.figures import Figures
 from apigateway.simulation.judge import Judge
 from apigateway.simulation.machine import Load, Machine
@@ -46,12 +46,14 @@
         self.late = 0.0  # s on top of what the list takes
         plans = {plan.name: plan for plan in scenario.customers.plans}
         self.judge = Judge(self.clock, self.figures, scenario.rules, plans)
-        self.open: dict[str, Ask] = {}  # tries without an answer
+        self.open: dict[str, ClientCall] = {}  # tries without an answer
         spec = scenario.machines
         for n in range(spec.count):
             self.add_machine(scenario.zones[n % len(scenario.zones)], n // 6, 0.0)
         capacity = sum(m.capacity() for m in self.machines.values())
-        self.demand = Demand(scenario, capacity, random_stream(seed, "demand"), random_stream(seed, "ways"))
+        self.demand = DemandGenerator(
+            scenario, capacity, random_stream(seed, "demand"), random_stream(seed, "ways")
+        )
         self.nodes = [self.node(n) for n in range(scenario.gateways)]
 
     # Parts
@@ -111,26 +113,29 @@
 
     # Requests
 
-    def arrive(self, ask: Ask) -> None:
+    def arrive(self, ask: ClientCall) -> None:
         if self.ending:
             return
-        wait, following = self.demand.next(self.clock.now, self.times)
-        self.clock.call_later(wait, self.arrive, following)
-        room = ask.customer.inside(ask.born)
+        following = self.demand.next_call(self.clock.now, self.times)
+        self.clock.call_at(following.created_at, self.arrive, following)
+        room = ask.customer.take_from_quota(ask.created_at)
         if self.figures.on:
             self.figures.add("firsts")
             self.figures.add("inside" if room else "beyond")
-            self.figures.worth += room * ask.work.cls.priority_weight * ask.customer.plan.price_weight
-            self.figures.seconds[int(ask.born - START_TIME)]["inside"] += room
+            self.figures.worth += room * ask.workload.cls.priority_weight * ask.customer.plan.price_weight
+            self.figures.seconds[int(ask.created_at - START_TIME)]["inside"] += room
         self.attempt(ask, self.figures.on)
 
-    def attempt(self, ask: Ask, counted: bool) -> None:
+    def attempt(self, ask: ClientCall, counted: bool) -> None:
         """A client's try, through one of its customer's gateways."""
-        ask.tries += 1
-        cls, customer, spec = ask.work.cls, ask.customer, self.scenario.customers
-        node = self.nodes[self.demand.gateway(customer)]
+        ask.requests += 1
+        cls, customer, spec = ask.workload.cls, ask.customer, self.scenario.customers
+        node = self.nodes[self.demand.draw_gateway(customer)]
         if not node.alive and self.clock.now - node.died >= spec.notice:  # what deals them out has noticed
-            ways = [self.nodes[(customer.first + n) % len(self.nodes)] for n in range(customer.spread)]
+            ways = [
+                self.nodes[(customer.first_gateway + n) % len(self.nodes)]
+                for n in range(customer.gateway_spread)
+            ]
             node = self.rng.choice([way for way in ways if way.alive] or [node])
         if counted:
             self.figures.counts["tries"] += 1
@@ -138,7 +143,7 @@
             self.clock.call_later(0.001, self.told, ask, counted, "lost", 0.0)
             return
         left = spec.patience * cls.deadline
-        name = f"{ask.number}.{ask.tries}"
+        name = f"{ask.number}.{ask.requests}"
         self.open[name] = ask
         request = messages.Request(
             name,
@@ -147,9 +152,9 @@
             customer.plan.name,
             cls.name,
             1.0,
-            customer.first,
-            customer.spread,
-            ask.tries > 1,
+            customer.first_gateway,
+            customer.gateway_spread,
+            ask.requests > 1,
             cls.effect != "safe",
         )
 
@@ -157,9 +162,9 @@
             del self.open[name]
             self.told(ask, counted, what, wait)
 
-        node.take(request, ask.size, answer)
+        node.take(request, ask.work, answer)
 
-    def told(self, ask: Ask, counted: bool, answer: str, wait: float) -> None:
+    def told(self, ask: ClientCall, counted: bool, answer: str, wait: float) -> None:
         """A try has its answer."""
         count = self.figures.counts
         if counted and answer == "refused":
@@ -167,21 +172,25 @@
             count["refused with room"] += self.judge.room(ask.customer.name, ask.customer.plan.name, 0.0)
             second = self.figures.seconds[int(self.clock.now - START_TIME)]
             second["refused"] += 1
-        again = answer in ("refused", "lost") or (answer == "failed" and ask.work.cls.effect == "safe")
+        again = answer in ("refused", "lost") or (answer == "failed" and ask.workload.cls.effect == "safe")
         spec = self.scenario.customers
-        if again and ask.tries <= spec.retries and self.clock.now - ask.born < ask.work.cls.deadline:
+        if (
+            again
+            and ask.requests <= spec.retries
+            and self.clock.now - ask.created_at < ask.workload.cls.deadline
+        ):
             rest = wait if wait and self.rng.random() < spec.honour else spec.wait * (0.5 + self.rng.random())
             self.clock.call_later(rest, self.attempt, ask, counted)
             return
         if not counted:
             return
-        took, second = self.clock.now - ask.born, self.figures.seconds[int(ask.born - START_TIME)]
+        took, second = self.clock.now - ask.created_at, self.figures.seconds[int(ask.created_at - START_TIME)]
         if answer != "served":
             count["refused" if answer == "refused" else "failed"] += 1
-        elif ask.inside:
+        elif ask.is_within_quota:
             count["served"] += 1
             self.figures.times.append(took)
-            if took <= ask.work.cls.latency_objective:
+            if took <= ask.workload.cls.latency_objective:
                 count["in aim"] += 1
                 second["in aim"] += 1
 
@@ -189,13 +198,13 @@
         """An attempt's last byte has come to a host."""
         ask = self.open.get(attempt.trying.id)
         if ask is not None:  # else it was answered meanwhile
-            inside = self.judge.began(attempt, ask.customer, ask.work.cls)
-            ask.inside = ask.inside if inside is None else inside
+            inside = self.judge.began(attempt, ask.customer, ask.workload.cls)
+            ask.is_within_quota = ask.is_within_quota if inside is None else inside
 
     def shift(self) -> None:
         """One customer after another comes by others of its gateways, each once in the scenario's time."""
         customers, every = self.demand.customers, self.scenario.customers.shift
-        self.demand.lean(customers[self.rng.randrange(len(customers))])
+        self.demand.draw_gateway_preference(customers[self.rng.randrange(len(customers))])
         self.clock.call_later(every / len(customers), self.shift)
 
     # The play
@@ -213,8 +222,8 @@
             clock.call_at(START_TIME + s.warm_up + fault.at, faults.begin, self, fault)
         if s.customers.shift:
             clock.call_later(s.customers.shift, self.shift)
-        wait, ask = self.demand.next(clock.now, self.times)
-        clock.call_later(wait, self.arrive, ask)
+        call = self.demand.next_call(clock.now, self.times)
+        clock.call_at(call.created_at, self.arrive, call)
         clock.run_until(START_TIME + s.warm_up)
         self.figures.on, self.load.wasted, self.load.total = True, 0.0, 0.0
         self.load.since = clock.now
--- a/apigateway/tools/experiment/plan.py
+++ b/apigateway/tools/experiment/plan.py
@@ -20,8 +20,7 @@
 from apigateway.config_validation import ConfigProblem as Wrong
 from apigateway.config_validation import ConfigReader, InvalidConfigFileError, format_value, read_toml
 from apigateway.simulation import baselines
-from apigateway.simulation.faults import KINDS
-from apigateway.simulation.scenario import Scenario
+from apigateway.simulation.scenario import FaultKind, Scenario
 
 MOST_PLAYS = 10_000
 COLUMNS = (
@@ -36,6 +35,7 @@
     "broken",
 )
 MODULE = "module"  # the decision module; "module:FILE" one that stands in a file of its own
+FAULT_KINDS = tuple(kind.value for kind in FaultKind)
 PARTS = {"name", "seeds", "columns", "base", "sweep", "cases"}
 
 
@@ -191,8 +191,8 @@
         )
     for number, fault in enumerate(told.faults):
         at = f"faults[{number}]"
-        if fault.what not in KINDS:
-            bad(f"{at}.what", fault.what, "is no fault", f"known: {', '.join(KINDS)}")
+        if fault.what not in FAULT_KINDS:
+            bad(f"{at}.what", fault.what, "is no fault", f"known: {', '.join(FAULT_KINDS)}")
         if fault.what in ("dark", "cut") and fault.zone not in told.zones:
             bad(f"{at}.zone", fault.zone, "there is no such zone", f"known: {', '.join(told.zones)}")
         if not 0 <= fault.at <= told.length:
--- a/tests/simulation/test_model.py
+++ b/tests/simulation/test_model.py
@@ -9,27 +9,32 @@
 from apigateway.policy import Gateway
 from apigateway.simulation import baselines
 from apigateway.simulation.clock import START_TIME
-from apigateway.simulation.faults import KINDS
-from apigateway.simulation.judge import Store
 from apigateway.simulation.network import Location
 from apigateway.simulation.scenario import (
     FREE,
     NOTICE,
     READ,
     CounterSettings,
-    Customers,
-    Fault,
-    Listing,
-    Machines,
+    CustomerSettings,
+    EndpointListSettings,
+    FaultKind,
+    FaultSettings,
+    HostSettings,
     Scenario,
-    Work,
+    Workload,
 )
+from apigateway.simulation.token_bucket import RecordingTokenBucket
 from apigateway.simulation.world import World
 
 SMALL = Scenario(
-    gateways=12, load=0.6, length=8.0, warm_up=2.0, machines=Machines(count=9), customers=Customers(count=60)
+    gateways=12,
+    load=0.6,
+    length=8.0,
+    warm_up=2.0,
+    machines=HostSettings(count=9),
+    customers=CustomerSettings(count=60),
 )
-ALONE = Machines(count=1, cores=1, slots=1, queue=10000, speed_cv=0.0, thrash=0.0, handshake=0.0)
+ALONE = HostSettings(count=1, cores=1, slots=1, queue=10000, speed_cv=0.0, thrash=0.0, handshake=0.0)
 ONE = Scenario(
     gateways=1,
     zones=("a",),
@@ -37,8 +42,8 @@
     length=600.0,
     policy="random",
     machines=ALONE,
-    works=(Work(READ, 1.0, 0.1),),
-    customers=Customers(count=5, busiest=1.0, retries=0, patience=100.0),
+    works=(Workload(READ, 1.0, 0.1),),
+    customers=CustomerSettings(count=5, busiest=1.0, retries=0, patience=100.0),
 )
 
 
@@ -73,7 +78,7 @@
 
 
 def test_baselines_stand_in_the_order_that_is_known_of_them():
-    s = replace(SMALL, gateways=40, load=0.75, length=20.0, machines=Machines(count=20))
+    s = replace(SMALL, gateways=40, load=0.75, length=20.0, machines=HostSettings(count=20))
     idle = {
         policy: play(replace(s, policy=policy))[1]["idle_waiting"]
         for policy in ("random", "robin", "two", "two:1", "best")
@@ -83,12 +88,14 @@
     assert baselines.known("best:0.5") and not baselines.known("two:x") and not baselines.known("worst")
 
 
-@pytest.mark.parametrize("what", KINDS)
+@pytest.mark.parametrize("what", FaultKind)
 def test_the_module_breaks_no_rule_whatever_fails(what):
     size = 0.5 if what == "slow" else 2.0
-    fault = Fault(what, 2.0, 3.0, part=0.34, size=size, lose=0.3, over=3.0, back=1.5, zone="a", cold=True)
+    fault = FaultSettings(
+        what, 2.0, 3.0, part=0.34, size=size, lose=0.3, over=3.0, back=1.5, zone="a", cold=True
+    )
     quota = messages.Plan("q", 3.0, 8.0, 0, 1.0, 0.0, 0.5, 6.0, 12.0, 1.2)
-    customers = Customers((FREE, quota), (0.5, 0.5), count=40, heavy=0.2, retries=2)
+    customers = CustomerSettings((FREE, quota), (0.5, 0.5), count=40, heavy=0.2, retries=2)
     _, figures = play(replace(SMALL, load=0.45, faults=(fault,), customers=customers))
     assert figures["broken"] == 0 and figures["firsts"] > 300
     assert figures["in_aim"] > (0.3 if what in ("dark", "cut", "surge") else 0.6)
@@ -120,11 +127,11 @@
 @pytest.mark.parametrize(
     "how, works, fault",
     [
-        ("two at once", READ, Fault("surge", 0.0)),
-        ("twice", NOTICE, Fault("err", 0.0, 3.0, part=1.0)),
-        ("drain", READ, Fault("replace", 0.0, part=1.0)),
-        ("ceiling", READ, Fault("surge", 0.0)),
-        ("pushed over", READ, Fault("replace", 0.0, part=1.0)),
+        ("two at once", READ, FaultSettings("surge", 0.0)),
+        ("twice", NOTICE, FaultSettings("err", 0.0, 3.0, part=1.0)),
+        ("drain", READ, FaultSettings("replace", 0.0, part=1.0)),
+        ("ceiling", READ, FaultSettings("surge", 0.0)),
+        ("pushed over", READ, FaultSettings("replace", 0.0, part=1.0)),
     ],
 )
 def test_a_module_that_breaks_a_rule_is_caught(how, works, fault):
@@ -133,10 +140,10 @@
         SMALL,
         gateways=3,
         faults=(fault,),
-        works=(Work(works),),
-        machines=Machines(count=3),
-        customers=Customers((plan,), count=9),
-        listing=Listing(0.1, 0.1),
+        works=(Workload(works),),
+        machines=HostSettings(count=3),
+        customers=CustomerSettings((plan,), count=9),
+        listing=EndpointListSettings(0.1, 0.1),
     )
 
     def make(settings, seed, now):
@@ -190,17 +197,17 @@
 
 
 def test_a_store_tells_what_it_held_before():
-    store = Store(1.0, 3.0, 0.0)
+    store = RecordingTokenBucket(1.0, 3.0, 0.0)
     for at in (10.0, 10.5, 11.0):
-        store.fill(at)
+        store.refill(at)
         store.take()
-    assert [store.was(at) for at in (9.0, 10.0, 10.25, 10.5, 11.0, 11.5, 60.0)] == pytest.approx(
+    assert [store.level_at(at) for at in (9.0, 10.0, 10.25, 10.5, 11.0, 11.5, 60.0)] == pytest.approx(
         [3.0, 2.0, 2.25, 1.5, 1.0, 1.5, 3.0]
     )
 
 
 def test_the_later_a_policy_sees_the_true_state_the_more_passes_beyond_quotas():
-    customers = Customers(plans=(replace(FREE, rate=0.8, burst=3.0, over_quota_cost=0.5),), heavy=0.3)
+    customers = CustomerSettings(plans=(replace(FREE, rate=0.8, burst=3.0, over_quota_cost=0.5),), heavy=0.3)
     base = replace(SMALL, load=0.4, customers=customers)
     told = {way: play(replace(base, policy=way))[1] for way in ("two", "quota:0", "quota:0.5", "quota:2")}
     beyond = [told[way]["over_quota"] for way in ("quota:0", "quota:0.5", "quota:2", "two")]
