--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -32,7 +32,15 @@
 from apigateway.emulators.fleet import Class, Plan, Shape  # noqa: E402
 from apigateway.emulators.ledger import report  # noqa: E402
 from apigateway.policy import Gateway  # noqa: E402
-from apigateway.simulation.scenario import FREE, Customers, Fault, Listing, Machines, Scenario, Work  # noqa: E402
+from apigateway.simulation.scenario import (  # noqa: E402
+    FREE,
+    CustomerSettings,
+    EndpointListSettings,
+    FaultSettings,
+    HostSettings,
+    Scenario,
+    Workload,
+)
 from apigateway.simulation.world import World  # noqa: E402
 
 MEAN, CORES, QUEUE = 0.2, 4, 48  # s of work; of a host
@@ -107,7 +115,7 @@
 def model(args: argparse.Namespace, away: float) -> dict[str, Any]:
     """`away`: s after which the last killed gateway was back, one after another from AWAY on; 0: none was."""
     read = messages.ServiceClass("read", AIM, DEADLINE, "safe", "all", 0.0, 1.0, 0.0, False, 0.0)
-    machines = Machines(
+    machines = HostSettings(
         count=args.hosts,
         cores=CORES,
         slots=CORES,
@@ -120,7 +128,7 @@
         handshake=0.0,
     )
     low, high = (n / args.gateways for n in SPREAD)
-    who = Customers(
+    who = CustomerSettings(
         (FREE,),
         (1.0,),
         count=400,
@@ -135,17 +143,17 @@
         notice=0.0,
     )
     # The model's come back evenly between 0.75 and 1.25 of `back`.
-    faults = (Fault("kill", 0.0, part=KILLED, back=(AWAY + away) / 2),) if away else ()
+    faults = (FaultSettings("kill", 0.0, part=KILLED, back=(AWAY + away) / 2),) if away else ()
     scenario = Scenario(
         gateways=args.gateways,
         load=args.load,
         length=args.seconds,
         warm_up=args.warm_up,
-        works=(Work(read, 1.0, MEAN),),
+        works=(Workload(read, 1.0, MEAN),),
         machines=machines,
         customers=who,
         faults=faults,
-        listing=Listing(0.01, 0.01),
+        listing=EndpointListSettings(0.01, 0.01),
         probes=False,
     )
     world = World(scenario, args.seed, Gateway)
