--- a/apigateway/simulation/faults.py
+++ b/apigateway/simulation/faults.py
@@ -5,7 +5,7 @@
 import dataclasses
 from typing import TYPE_CHECKING, TypeVar
 
-from apigateway.simulation.machine import Machine
+from apigateway.simulation.host import HostMode, SimulatedHost
 from apigateway.simulation.network import LinkFault
 from apigateway.simulation.node import Node
 from apigateway.simulation.scenario import FaultKind, FaultSettings
@@ -32,22 +32,22 @@
             after(world.rng.random() * fault.over, replace, world, machine)
     elif kind in MODES:
         for machine in part_of(world, hosts, fault.part):
-            set_mode(machine, kind)
-            after(fault.lasts, set_mode, machine, "up")
+            machine.set_mode(HostMode(kind))
+            after(fault.lasts, machine.set_mode, HostMode.UP)
     elif kind in ("refuse", "refuse_some"):
         gateways = set(range(len(world.nodes)))
         for machine in part_of(world, hosts, fault.part):
             half = world.rng.sample(sorted(gateways), len(gateways) // 2)
-            machine.refuses = gateways if kind == "refuse" else set(half)
-            after(fault.lasts, machine.refuses.clear)
+            machine.refused_gateways = gateways if kind == "refuse" else set(half)
+            after(fault.lasts, machine.refused_gateways.clear)
     elif kind == "lie":
         for machine in part_of(world, hosts, fault.part):
-            machine.lies = True
+            machine.reporter.is_lying = True
             after(fault.lasts, set_lies, machine)
     elif kind == "slow":
         for machine in part_of(world, hosts, fault.part):
-            set_factor(machine, fault.size)
-            after(fault.lasts, set_factor, machine, 1.0)
+            machine.set_speed_factor(fault.size)
+            after(fault.lasts, machine.set_speed_factor, 1.0)
     elif kind == "dark":
         dark(world, fault)
     elif kind in ("cut", "link"):
@@ -75,9 +75,9 @@
         after(fault.lasts, setattr, world, "times", 1.0)
     elif kind == "stale":
         for machine in hosts:
-            if machine.host.zone == fault.zone:
-                machine.behind = fault.size
-                after(fault.lasts, setattr, machine, "behind", 0.0)
+            if machine.endpoint.zone == fault.zone:
+                machine.reporter.extra_delay = fault.size
+                after(fault.lasts, setattr, machine.reporter, "extra_delay", 0.0)
     elif kind == "list":
         world.late = fault.size
         after(fault.lasts, setattr, world, "late", 0.0)
@@ -94,38 +94,25 @@
         node.start(tuple(node.told.values()))
 
 
-def replace(world: World, machine: Machine) -> None:
+def replace(world: World, machine: SimulatedHost) -> None:
     """It drains, and a cold one takes its place."""
-    if machine.host.id not in world.machines:
+    if machine.endpoint.id not in world.machines:
         return
-    world.tell(dataclasses.replace(machine.host, state="leaving"), True)
-    new = world.add_machine(machine.host.zone, machine.host.cell, world.clock.now)
-    world.tell(new.host, True)
+    world.tell(dataclasses.replace(machine.endpoint, state="leaving"), True)
+    new = world.add_machine(machine.endpoint.zone, machine.endpoint.cell, world.clock.now)
+    world.tell(new.endpoint, True)
     grace = world.scenario.rules.drain_grace + world.scenario.listing.late + world.scenario.listing.spread
     world.clock.call_later(grace + 6.0, remove, world, machine)
 
 
-def remove(world: World, machine: Machine) -> None:
+def remove(world: World, machine: SimulatedHost) -> None:
     machine.stop()
-    world.machines.pop(machine.host.id, None)
-    world.tell(dataclasses.replace(machine.host, state="down"), True)
+    world.machines.pop(machine.endpoint.id, None)
+    world.tell(dataclasses.replace(machine.endpoint, state="down"), True)
 
 
-def set_mode(machine: Machine, mode: str) -> None:
-    if machine.mode != "dead":
-        machine.progress()
-        machine.mode = mode
-        machine.move()
-
-
-def set_lies(machine: Machine) -> None:
-    machine.lies = False
-
-
-def set_factor(machine: Machine, factor: float) -> None:
-    machine.progress()
-    machine.factor = factor
-    machine.move()
+def set_lies(machine: SimulatedHost) -> None:
+    machine.reporter.is_lying = False
 
 
 def add_link(world: World, fault: LinkFault, lasts: float, but: str = "") -> None:
@@ -145,19 +132,19 @@
 
 def dark(world: World, fault: FaultSettings) -> None:
     """A site is lost: its hosts and gateways say nothing, and come back, cold where `cold`."""
-    gone = [m for m in world.machines.values() if m.host.zone == fault.zone]
+    gone = [m for m in world.machines.values() if m.endpoint.zone == fault.zone]
     for machine in gone:
         machine.stop()
-        machine.dark = True
+        machine.is_silent = True
         world.clock.call_later(fault.lasts, come_back, world, machine, fault.cold)
     for node in world.nodes:
         if node.place.zone == fault.zone and node.alive:
             kill(world, node, fault.lasts)
 
 
-def come_back(world: World, machine: Machine, cold: bool) -> None:
-    if world.machines.get(machine.host.id) is not machine:
+def come_back(world: World, machine: SimulatedHost, cold: bool) -> None:
+    if world.machines.get(machine.endpoint.id) is not machine:
         return
-    started = world.clock.now if cold else machine.host.started_at
-    machine.restart(dataclasses.replace(machine.host, started_at=started))
-    world.tell(machine.host, True)
+    started = world.clock.now if cold else machine.endpoint.started_at
+    machine.restart(dataclasses.replace(machine.endpoint, started_at=started))
+    world.tell(machine.endpoint, True)
--- a/apigateway/simulation/node.py
+++ b/apigateway/simulation/node.py
@@ -8,7 +8,7 @@
 
 from apigateway import messages
 from apigateway.simulation.clock import START_TIME
-from apigateway.simulation.machine import Machine, Task
+from apigateway.simulation.host import HostMode, HostTask, SimulatedHost
 from apigateway.simulation.network import Location
 from apigateway.simulation.quota_counter import CounterReply
 
@@ -42,8 +42,8 @@
 
     def __init__(self, trying: Trying, number: int, host: str, since: float) -> None:
         self.trying, self.number, self.host, self.since = trying, number, host, since
-        self.machine: Machine | None = None
-        self.task: Task | None = None
+        self.machine: SimulatedHost | None = None
+        self.task: HostTask | None = None
         # began: its last byte came to the host; turned: which said that it will not run
         self.over = self.began = self.turned = False
 
@@ -182,35 +182,35 @@
         machine = world.machines.get(action.endpoint_id)
         if (
             machine is None
-            or machine.mode == "dead"
-            or world.network.is_partitioned(self.place, machine.place)
+            or machine.mode is HostMode.DEAD
+            or world.network.is_partitioned(self.place, machine.location)
         ):
             world.figures.seconds[int(world.clock.now - START_TIME)]["in vain"] += 1
-        if machine is None or machine.refused(self.index):
+        if machine is None or machine.refuses_connection(self.index):
             world.clock.call_later(0.0005, self.ended, attempt, "connect_failed", self.life)
             return
         attempt.machine = machine
         world.clock.call_at(trying.deadline, self.patience_over, attempt, self.life)
-        idle = self.idle.setdefault(machine.host.id, [])
-        while idle and world.clock.now - idle[-1] > machine.spec.idle_close:
+        idle = self.idle.setdefault(machine.endpoint.id, [])
+        while idle and world.clock.now - idle[-1] > machine.settings.idle_close:
             idle.clear()  # the newest has stood too long, so have the others
         if idle:
             idle.pop()
             self.go(attempt, 0.0, 0.0)
             return
         world.figures.add("connections")
-        transit = world.network.transit_time(self.place, machine.place)
-        is_lost = transit is None and machine.spec.handshake_trips > 0
-        if is_lost or machine.dark:
+        transit = world.network.transit_time(self.place, machine.location)
+        is_lost = transit is None and machine.settings.handshake_trips > 0
+        if is_lost or machine.is_silent:
             world.clock.call_later(CONNECT, self.ended, attempt, "connect_failed", self.life)
         else:
-            extra = (transit or 0.0) * 2 * machine.spec.handshake_trips
-            self.go(attempt, extra, machine.spec.handshake)
+            extra = (transit or 0.0) * 2 * machine.settings.handshake_trips
+            self.go(attempt, extra, machine.settings.handshake)
 
     def go(self, attempt: Attempt, after: float, work: float) -> None:
         machine = attempt.machine
         assert machine is not None
-        way = self.world.network.transit_time(self.place, machine.place)
+        way = self.world.network.transit_time(self.place, machine.location)
         if way is not None:  # else it is lost on the way
             self.world.clock.call_later(after + way, self.arrive, attempt, work, self.life)
 
@@ -220,22 +220,22 @@
         assert machine is not None
         if attempt.over:
             return
-        if machine.mode == "dead":
-            if not machine.dark:
-                self.world.network.send(machine.place, self.place, self.ended, attempt, "reset", life)
+        if machine.mode is HostMode.DEAD:
+            if not machine.is_silent:
+                self.world.network.send(machine.location, self.place, self.ended, attempt, "reset", life)
             return
         attempt.began = True
         self.world.began(attempt)
-        task = Task(attempt.trying.size + work, lambda result: self.answered(attempt, result, life))
+        task = HostTask(attempt.trying.size + work, lambda result: self.answered(attempt, result, life))
         attempt.task = task
         known = self.told.get(attempt.host)
-        machine.offer(task, known is not None and known.started_at >= machine.host.started_at)
+        machine.accept(task, known is not None and known.started_at >= machine.endpoint.started_at)
 
     def answered(self, attempt: Attempt, result: str, life: int) -> None:
         machine, attempt.turned = attempt.machine, result == "full"
         assert machine is not None
-        report = dict(machine.report)
-        self.world.network.send(machine.place, self.place, self.ended, attempt, result, life, report)
+        report = dict(machine.reporter.report)
+        self.world.network.send(machine.location, self.place, self.ended, attempt, result, life, report)
 
     def ended(self, attempt: Attempt, result: str, life: int, report: dict[str, float] | None = None) -> None:
         if life != self.life or attempt.over:
@@ -268,7 +268,7 @@
         attempt.over = True
         machine = attempt.machine
         if machine is not None:
-            self.world.network.send(self.place, machine.place, self.stop, attempt)
+            self.world.network.send(self.place, machine.location, self.stop, attempt)
 
     def stop(self, attempt: Attempt) -> None:
         if attempt.task is not None and attempt.machine is not None:
@@ -294,18 +294,25 @@
         world = self.world
         world.figures.add("probes")
         machine, since, life = world.machines.get(host), world.clock.now, self.life
-        if machine is None or machine.refused(self.index):
+        if machine is None or machine.refuses_connection(self.index):
             world.clock.call_later(0.0005, self.probed, host, "connect_failed", since, life, {})
             return
         world.clock.call_later(CONNECT, self.probed, host, "timeout", since, life, {})
 
         def there() -> None:
-            if machine.mode in ("up", "err", "full"):
+            if machine.mode in (HostMode.UP, HostMode.ERRORING, HostMode.FULL):
                 world.network.send(
-                    machine.place, self.place, self.probed, host, "ok", since, life, dict(machine.report)
+                    machine.location,
+                    self.place,
+                    self.probed,
+                    host,
+                    "ok",
+                    since,
+                    life,
+                    dict(machine.reporter.report),
                 )
 
-        world.network.send(self.place, machine.place, there)
+        world.network.send(self.place, machine.location, there)
 
     def probed(self, host: str, result: str, since: float, life: int, report: dict[str, float]) -> None:
         key = host, since
--- a/apigateway/simulation/world.py
+++ b/apigateway/simulation/world.py
@@ -11,8 +11,9 @@
 from apigateway.simulation.clock import START_TIME, SimulatedClock, random_stream
 from apigateway.simulation.demand import ClientCall, DemandGenerator
 from apigateway.simulation.figures import Figures
+from apigateway.simulation.host import HostHardware, SimulatedHost
+from apigateway.simulation.idle_capacity import IdleCapacityMeter
 from apigateway.simulation.judge import Judge
-from apigateway.simulation.machine import Load, Machine
 from apigateway.simulation.network import Location, Network
 from apigateway.simulation.node import Attempt, Module, Node
 from apigateway.simulation.quota_counter import QuotaCounter
@@ -33,12 +34,12 @@
         self.clock = SimulatedClock()
         self.rng = random_stream(seed, "world")
         self.network = Network(self.clock, scenario.distances, random_stream(seed, "links"))
-        self.load, self.figures = Load(self.clock), Figures()
+        self.idle_meter, self.figures = IdleCapacityMeter(self.clock), Figures()
         self.quota_counter = QuotaCounter(self.clock, scenario.counting)
         self.counter_place = Location("counter", scenario.zones[0])
         self.classes = {w.cls.name: w.cls for w in scenario.works}
-        self.machines: dict[str, Machine] = {}
-        self.former: list[Machine] = []
+        self.machines: dict[str, SimulatedHost] = {}
+        self.former: list[SimulatedHost] = []
         self.states: dict[str, list[float]] = {}
         self.probes_over: set[tuple[str, float]] = set()
         self.born, self.ending = 0, False
@@ -70,7 +71,7 @@
 
         return Node(self, index, settings.zone, make, random_stream(self.seed, "node", index))
 
-    def add_machine(self, zone: str, cell: int, started: float) -> Machine:
+    def add_machine(self, zone: str, cell: int, started: float) -> SimulatedHost:
         spec, rng = self.scenario.machines, random_stream(self.seed, "machine", self.born)
         big = rng.random() < spec.big
         cores = spec.cores * (2 if big else 1)
@@ -78,8 +79,15 @@
             f"h{self.born}", zone, cell, 2.0 if big and spec.weights else 1.0, "k", "up", started
         )
         speed = math.exp(spec.speed_cv * rng.gauss(0, 1) - spec.speed_cv**2 / 2)
-        machine = Machine(
-            self.clock, spec, host, cores, speed, self.load, self.scenario.rules, rng, self.judge.fell
+        machine = SimulatedHost(
+            self.clock,
+            spec,
+            host,
+            HostHardware(cores, speed),
+            self.scenario.rules,
+            self.idle_meter,
+            rng,
+            self.judge.fell,
         )
         self.machines[host.id] = machine
         self.born += 1
@@ -102,12 +110,12 @@
             old = self.states.get(name)
             if old:
                 return old[-min(len(old), max(1, round(age / LOOK)))]
-        return (machine.active + machine.held) / machine.cores
+        return machine.load_per_core()
 
     def look(self) -> None:
         for name, machine in self.machines.items():
             states = self.states.setdefault(name, [])
-            states.append((machine.active + machine.held) / machine.cores)
+            states.append(machine.load_per_core())
             del states[:-KEPT]
         self.clock.call_later(LOOK, self.look)
 
@@ -212,7 +220,7 @@
     def run(self) -> dict[str, Any]:
         """Plays it to its end and gives its figures."""
         s, clock = self.scenario, self.clock
-        hosts = tuple(m.host for m in self.machines.values())
+        hosts = tuple(m.endpoint for m in self.machines.values())
         longest = max(c.deadline for c in self.classes.values())
         for node in self.nodes:
             node.told = {h.id: h for h in hosts}
@@ -225,11 +233,10 @@
         call = self.demand.next_call(clock.now, self.times)
         clock.call_at(call.created_at, self.arrive, call)
         clock.run_until(START_TIME + s.warm_up)
-        self.figures.on, self.load.wasted, self.load.total = True, 0.0, 0.0
-        self.load.since = clock.now
+        self.figures.on = True
+        self.idle_meter.reset()
         clock.run_until(START_TIME + s.warm_up + s.length)
-        self.load.note()
-        wasted = self.load.wasted / max(1e-9, self.load.total)
+        wasted = self.idle_meter.idle_share()
         self.figures.on = False  # what comes now is not counted, what came is played to its end
         self.ending = True
         clock.run_until(
@@ -243,8 +250,8 @@
 
     def shape(self, wasted: float) -> dict[str, Any]:
         """How even it was: `most_host` is the busiest warm host's part of the requests against the mean."""
-        warm = [m for m in self.machines.values() if m.host.started_at == 0.0]
-        taken = sorted(m.taken for m in warm)
+        warm = [m for m in self.machines.values() if m.endpoint.started_at == 0.0]
+        taken = sorted(m.accepted for m in warm)
         mean = sum(taken) / max(1, len(taken))
         spoilt = [
             second["in aim"] / second["inside"]
@@ -254,6 +261,6 @@
         return {
             "idle_waiting": wasted,
             "most_host": taken[-1] / mean if mean else 0.0,
-            "longest": max((m.longest for m in self.machines.values()), default=0),
+            "longest": max((m.max_in_flight for m in self.machines.values()), default=0),
             "worst_second": min(spoilt, default=1.0),
         }
--- a/tests/simulation/test_crowds.py
+++ b/tests/simulation/test_crowds.py
@@ -46,8 +46,8 @@
     )
     world, figures = play(scenario)
     assert figures["broken"] == 0 and figures["in_aim"] > 0.97 and figures["refused"] < 0.01
-    met = sum(m.taken > 0 for m in world.machines.values())
-    asked = sum(m.taken for m in world.machines.values())
+    met = sum(m.accepted > 0 for m in world.machines.values())
+    asked = sum(m.accepted for m in world.machines.values())
     assert met > 0.9 * min(hosts, asked / 3)
 
 
@@ -86,7 +86,7 @@
 def test_hosts_that_tell_what_is_not_so_draw_no_more_than_their_part(fault, least):
     world, figures = play(replace(CROWD, faults=(fault,)))
     assert figures["broken"] == 0 and figures["in_aim"] > least
-    assert max(m.taken for m in world.machines.values()) < 1.8 * figures["firsts"] * 8 / 6 / 20
+    assert max(m.accepted for m in world.machines.values()) < 1.8 * figures["firsts"] * 8 / 6 / 20
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -136,11 +136,13 @@
     for at in (2.0, 3.0, 4.0):
         world.clock.call_at(
             START_TIME + scenario.warm_up + at,
-            lambda: marks.append({name: m.taken for name, m in world.machines.items()}),
+            lambda: marks.append({name: m.accepted for name, m in world.machines.items()}),
         )
     world.clock.call_at(
         START_TIME + scenario.warm_up + 1.0,
-        lambda: marks.append([name for name, m in world.machines.items() if m.mode != "up" or m.refuses]),
+        lambda: marks.append(
+            [name for name, m in world.machines.items() if m.mode != "up" or m.refused_gateways]
+        ),
     )
     assert world.run()["broken"] == 0
     (back,), *counts = marks
