--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -159,7 +159,7 @@
     world = World(scenario, args.seed, Gateway)
     told = world.run()
     return figures(
-        [m.taken for m in world.machines.values()],
+        [m.accepted for m in world.machines.values()],
         world.figures.times,
         told["longest"],
         told["idle_waiting"],
