--- a/apigateway/simulation/__init__.py
+++ b/apigateway/simulation/__init__.py
@@ -1,3 +1,5 @@
-"""A fleet on a simulated clock: real decision modules, modelled hosts, counter, list, clients, links.
+"""A fleet on a simulated clock: real decision modules, all else modelled.
 
-No I/O, no clock but its own: a seed plays the same to the byte."""
+Modelled are hosts, the quota counter, the endpoint list, clients, links and faults. Pure: no I/O, and no
+clock but its own. The same seed comes to the same figures.
+"""
--- a/apigateway/simulation/faults.py
+++ b/apigateway/simulation/faults.py
@@ -1,150 +1,212 @@
-"""Carries out a timeline's faults on a world."""
+"""Injects the faults of a scenario's timeline."""
 
 from __future__ import annotations
 
-import dataclasses
-from typing import TYPE_CHECKING, TypeVar
+import random
+from collections.abc import Sequence
+from dataclasses import replace
+from typing import TypeVar
 
+from apigateway.simulation.client_traffic import ClientTraffic
+from apigateway.simulation.clock import SimulatedClock
+from apigateway.simulation.fleet import Fleet
+from apigateway.simulation.gateway import SimulatedGateway
 from apigateway.simulation.host import HostMode, SimulatedHost
-from apigateway.simulation.network import LinkFault
-from apigateway.simulation.node import Node
-from apigateway.simulation.scenario import FaultKind, FaultSettings
+from apigateway.simulation.network import LinkFault, Network
+from apigateway.simulation.scenario import FaultKind, FaultSettings, Scenario
 
-if TYPE_CHECKING:
-    from apigateway.simulation.world import World
+REMOVAL_MARGIN_S = 6.0  # a drained host stays for so long after the last gateway must have left it
+RESTART_SPREAD = (0.75, 0.5)  # a gateway is back after a random part of `back`: least, width
 
 T = TypeVar("T")
-MODES = (FaultKind.HANG, FaultKind.ERROR, FaultKind.FULL)  # the host mode of the same name
-
-
-def part_of(world: World, things: list[T], part: float) -> list[T]:
-    return world.rng.sample(things, min(len(things), max(1, round(part * len(things))))) if things else []
-
-
-def begin(world: World, fault: FaultSettings) -> None:
-    kind, after = fault.what, world.clock.call_later
-    hosts = list(world.machines.values())
-    if kind == "kill":
-        for node in part_of(world, [n for n in world.nodes if n.alive], fault.part):
-            kill(world, node, fault.back)
-    elif kind == "replace":
-        for machine in part_of(world, hosts, fault.part):
-            after(world.rng.random() * fault.over, replace, world, machine)
-    elif kind in MODES:
-        for machine in part_of(world, hosts, fault.part):
-            machine.set_mode(HostMode(kind))
-            after(fault.lasts, machine.set_mode, HostMode.UP)
-    elif kind in ("refuse", "refuse_some"):
-        gateways = set(range(len(world.nodes)))
-        for machine in part_of(world, hosts, fault.part):
-            half = world.rng.sample(sorted(gateways), len(gateways) // 2)
-            machine.refused_gateways = gateways if kind == "refuse" else set(half)
-            after(fault.lasts, machine.refused_gateways.clear)
-    elif kind == "lie":
-        for machine in part_of(world, hosts, fault.part):
-            machine.reporter.is_lying = True
-            after(fault.lasts, set_lies, machine)
-    elif kind == "slow":
-        for machine in part_of(world, hosts, fault.part):
-            machine.set_speed_factor(fault.size)
-            after(fault.lasts, machine.set_speed_factor, 1.0)
-    elif kind == "dark":
-        dark(world, fault)
-    elif kind in ("cut", "link"):
-        delay, lose = (0.0, 1.0) if kind == "cut" else (fault.size, fault.lose)
-        add_link(
-            world,
-            LinkFault(
-                fault.there if kind == "link" else fault.zone,
-                fault.zone if kind == "link" else "*",
-                delay,
-                lose,
-                kind == "link",
-            ),
-            fault.lasts,
-            fault.zone if kind == "cut" else "",
-        )
-    elif kind == "counter":
-        world.quota_counter.is_silent = True
-        after(fault.lasts, setattr, world.quota_counter, "is_silent", False)
-    elif kind == "shift":
-        for customer in part_of(world, world.demand.customers, fault.part):
-            world.demand.draw_gateway_preference(customer)
-    elif kind == "surge":
-        world.times = fault.size
-        after(fault.lasts, setattr, world, "times", 1.0)
-    elif kind == "stale":
-        for machine in hosts:
-            if machine.endpoint.zone == fault.zone:
-                machine.reporter.extra_delay = fault.size
-                after(fault.lasts, setattr, machine.reporter, "extra_delay", 0.0)
-    elif kind == "list":
-        world.late = fault.size
-        after(fault.lasts, setattr, world, "late", 0.0)
-
-
-def kill(world: World, node: Node, back: float) -> None:
-    """What it held is lost; it comes back with the list as it last had it."""
-    node.die()
-    world.clock.call_later(back * (0.75 + 0.5 * world.rng.random()), revive, node)
-
-
-def revive(node: Node) -> None:
-    if not node.alive:
-        node.start(tuple(node.told.values()))
-
-
-def replace(world: World, machine: SimulatedHost) -> None:
-    """It drains, and a cold one takes its place."""
-    if machine.endpoint.id not in world.machines:
-        return
-    world.tell(dataclasses.replace(machine.endpoint, state="leaving"), True)
-    new = world.add_machine(machine.endpoint.zone, machine.endpoint.cell, world.clock.now)
-    world.tell(new.endpoint, True)
-    grace = world.scenario.rules.drain_grace + world.scenario.listing.late + world.scenario.listing.spread
-    world.clock.call_later(grace + 6.0, remove, world, machine)
-
-
-def remove(world: World, machine: SimulatedHost) -> None:
-    machine.stop()
-    world.machines.pop(machine.endpoint.id, None)
-    world.tell(dataclasses.replace(machine.endpoint, state="down"), True)
-
-
-def set_lies(machine: SimulatedHost) -> None:
-    machine.reporter.is_lying = False
-
-
-def add_link(world: World, fault: LinkFault, lasts: float, but: str = "") -> None:
-    """`but`: a zone that is cut off from all others, and not from itself."""
-    added = [fault]
-    if but:
-        others = {*world.scenario.zones, world.counter_place.zone} - {but}
-        added = [LinkFault(but, other, loss=1.0) for other in sorted(others)]
-    world.network.faults += added
-
-    def heal() -> None:
-        for each in added:
-            world.network.faults.remove(each)
-
-    world.clock.call_later(lasts, heal)
-
-
-def dark(world: World, fault: FaultSettings) -> None:
-    """A site is lost: its hosts and gateways say nothing, and come back, cold where `cold`."""
-    gone = [m for m in world.machines.values() if m.endpoint.zone == fault.zone]
-    for machine in gone:
-        machine.stop()
-        machine.is_silent = True
-        world.clock.call_later(fault.lasts, come_back, world, machine, fault.cold)
-    for node in world.nodes:
-        if node.place.zone == fault.zone and node.alive:
-            kill(world, node, fault.lasts)
-
-
-def come_back(world: World, machine: SimulatedHost, cold: bool) -> None:
-    if world.machines.get(machine.endpoint.id) is not machine:
-        return
-    started = world.clock.now if cold else machine.endpoint.started_at
-    machine.restart(dataclasses.replace(machine.endpoint, started_at=started))
-    world.tell(machine.endpoint, True)
+
+
+class FaultInjector:
+    """Begins the faults of a scenario, and ends each one when it has lasted."""
+
+    def __init__(self, scenario: Scenario, fleet: Fleet, traffic: ClientTraffic, rng: random.Random) -> None:
+        self._scenario = scenario
+        self._fleet = fleet
+        self._traffic = traffic
+        self._rng = rng
+        self._clock: SimulatedClock = fleet.environment.clock
+        self._network: Network = fleet.environment.network
+        self._injectors = {
+            FaultKind.KILL: self._kill_gateways,
+            FaultKind.REPLACE: self._replace_hosts,
+            FaultKind.HANG: self._change_modes,
+            FaultKind.ERROR: self._change_modes,
+            FaultKind.FULL: self._change_modes,
+            FaultKind.REFUSE: self._refuse_connections,
+            FaultKind.REFUSE_SOME: self._refuse_connections,
+            FaultKind.FALSE_REPORT: self._falsify_reports,
+            FaultKind.SLOW: self._slow_hosts,
+            FaultKind.ZONE_OUTAGE: self._lose_zone,
+            FaultKind.ZONE_PARTITION: self._partition_zone,
+            FaultKind.LINK: self._impair_link,
+            FaultKind.COUNTER_SILENT: self._silence_counter,
+            FaultKind.TRAFFIC_SHIFT: self._shift_traffic,
+            FaultKind.SURGE: self._raise_load,
+            FaultKind.ENDPOINT_LIST_DELAY: self._delay_endpoint_list,
+            FaultKind.STALE_REPORTS: self._delay_reports,
+        }
+
+    def begin(self, fault: FaultSettings) -> None:
+        """Begin a fault now."""
+        self._injectors[FaultKind(fault.what)](fault)
+
+    def _draw_part(self, items: Sequence[T], part: float) -> list[T]:
+        """Draw a part of some items: one at least, if there are any."""
+        if not items:
+            return []
+        return self._rng.sample(items, min(len(items), max(1, round(part * len(items)))))
+
+    def _draw_hosts(self, fault: FaultSettings) -> list[SimulatedHost]:
+        return self._draw_part(list(self._fleet.hosts.values()), fault.part)
+
+    # Gateways
+
+    def _kill_gateways(self, fault: FaultSettings) -> None:
+        alive = [gateway for gateway in self._fleet.gateways if gateway.is_alive]
+        for gateway in self._draw_part(alive, fault.part):
+            self._kill(gateway, fault.back)
+
+    def _kill(self, gateway: SimulatedGateway, back: float) -> None:
+        """Kill a gateway, to be restarted after about `back` seconds."""
+        gateway.crash()
+        least, width = RESTART_SPREAD
+        self._clock.call_later(back * (least + width * self._rng.random()), gateway.restart)
+
+    # Hosts
+
+    def _replace_hosts(self, fault: FaultSettings) -> None:
+        for host in self._draw_hosts(fault):
+            self._clock.call_later(self._rng.random() * fault.over, self._replace, host)
+
+    def _replace(self, host: SimulatedHost) -> None:
+        """Drain a host and let a cold one take its place."""
+        endpoint = host.endpoint
+        if endpoint.id not in self._fleet.hosts:
+            return
+        self._fleet.announce(replace(endpoint, state="leaving"), reaches_all=True)
+        successor = self._fleet.add_host(endpoint.zone, endpoint.cell, self._clock.now)
+        self._fleet.announce(successor.endpoint, reaches_all=True)
+        listing = self._scenario.listing
+        grace = self._scenario.rules.drain_grace + listing.late + listing.spread
+        self._clock.call_later(grace + REMOVAL_MARGIN_S, self._remove, host)
+
+    def _remove(self, host: SimulatedHost) -> None:
+        host.stop()
+        self._fleet.hosts.pop(host.endpoint.id, None)
+        self._fleet.announce(replace(host.endpoint, state="down"), reaches_all=True)
+
+    def _change_modes(self, fault: FaultSettings) -> None:
+        mode = HostMode(fault.what)
+        for host in self._draw_hosts(fault):
+            host.set_mode(mode)
+            self._clock.call_later(fault.lasts, host.set_mode, HostMode.UP)
+
+    def _refuse_connections(self, fault: FaultSettings) -> None:
+        all_gateways = range(len(self._fleet.gateways))
+        for host in self._draw_hosts(fault):
+            # Drawn for both kinds, so that what follows is the same.
+            half = self._rng.sample(all_gateways, len(all_gateways) // 2)
+            host.refused_gateways = set(all_gateways if fault.what == FaultKind.REFUSE else half)
+            self._clock.call_later(fault.lasts, host.refused_gateways.clear)
+
+    def _falsify_reports(self, fault: FaultSettings) -> None:
+        def end(host: SimulatedHost) -> None:
+            host.reporter.is_lying = False
+
+        for host in self._draw_hosts(fault):
+            host.reporter.is_lying = True
+            self._clock.call_later(fault.lasts, end, host)
+
+    def _slow_hosts(self, fault: FaultSettings) -> None:
+        for host in self._draw_hosts(fault):
+            host.set_speed_factor(fault.size)
+            self._clock.call_later(fault.lasts, host.set_speed_factor, 1.0)
+
+    def _delay_reports(self, fault: FaultSettings) -> None:
+        def end(host: SimulatedHost) -> None:
+            host.reporter.extra_delay = 0.0
+
+        for host in self._hosts_in(fault.zone):
+            host.reporter.extra_delay = fault.size
+            self._clock.call_later(fault.lasts, end, host)
+
+    # Zones and links
+
+    def _hosts_in(self, zone: str) -> list[SimulatedHost]:
+        return [host for host in self._fleet.hosts.values() if host.endpoint.zone == zone]
+
+    def _lose_zone(self, fault: FaultSettings) -> None:
+        """Lose all hosts and gateways of a zone without a word."""
+        for host in self._hosts_in(fault.zone):
+            host.stop()
+            host.is_silent = True
+            self._clock.call_later(fault.lasts, self._restart, host, fault.cold)
+        for gateway in self._fleet.gateways:
+            if gateway.location.zone == fault.zone and gateway.is_alive:
+                self._kill(gateway, fault.lasts)
+
+    def _restart(self, host: SimulatedHost, is_cold: bool) -> None:
+        """Bring a host back, unless it has been replaced."""
+        endpoint = host.endpoint
+        if self._fleet.hosts.get(endpoint.id) is not host:
+            return
+        started_at = self._clock.now if is_cold else endpoint.started_at
+        host.restart(replace(endpoint, started_at=started_at))
+        self._fleet.announce(host.endpoint, reaches_all=True)
+
+    def _partition_zone(self, fault: FaultSettings) -> None:
+        """Cut a zone off from all others, but not from itself."""
+        counter_zone = self._fleet.environment.counter_location.zone
+        others = {*self._scenario.zones, counter_zone} - {fault.zone}
+        links = [LinkFault(fault.zone, other, loss=1.0) for other in sorted(others)]
+        self._add_links(links, fault.lasts)
+
+    def _impair_link(self, fault: FaultSettings) -> None:
+        link = LinkFault(fault.there, fault.zone, delay=fault.size, loss=fault.lose, is_one_way=True)
+        self._add_links([link], fault.lasts)
+
+    def _add_links(self, links: list[LinkFault], lasts: float) -> None:
+        self._network.faults += links
+
+        def heal() -> None:
+            for link in links:
+                self._network.faults.remove(link)
+
+        self._clock.call_later(lasts, heal)
+
+    # Counter, endpoint list and traffic
+
+    def _silence_counter(self, fault: FaultSettings) -> None:
+        counter = self._fleet.environment.quota_counter
+        counter.is_silent = True
+
+        def end() -> None:
+            counter.is_silent = False
+
+        self._clock.call_later(fault.lasts, end)
+
+    def _delay_endpoint_list(self, fault: FaultSettings) -> None:
+        self._fleet.extra_list_delay = fault.size
+
+        def end() -> None:
+            self._fleet.extra_list_delay = 0.0
+
+        self._clock.call_later(fault.lasts, end)
+
+    def _shift_traffic(self, fault: FaultSettings) -> None:
+        demand = self._traffic.demand
+        for customer in self._draw_part(demand.customers, fault.part):
+            demand.draw_gateway_preference(customer)
+
+    def _raise_load(self, fault: FaultSettings) -> None:
+        self._traffic.load_factor = fault.size
+
+        def end() -> None:
+            self._traffic.load_factor = 1.0
+
+        self._clock.call_later(fault.lasts, end)
--- /dev/null
+++ b/apigateway/simulation/rule_checker.py
@@ -0,0 +1,129 @@
+"""Checks the rules from what passes between the parts of a simulation, not from what a module says."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from apigateway import messages
+from apigateway.simulation.clock import SimulatedClock
+from apigateway.simulation.demand import Customer
+from apigateway.simulation.in_flight import Attempt
+from apigateway.simulation.metrics import Metric, Metrics, Rule
+from apigateway.simulation.token_bucket import RecordingTokenBucket, TokenBucket
+
+CEILING_MARGIN_S = 0.15  # a ceiling's slack is wider by its rate over this time, for what is on its way
+CEILING_ROUNDING = 1e-6  # units
+DRAIN_MARGIN_S = 0.05  # the drain's grace is longer by this
+MAX_INFORMED_SHARE = 2 / 3  # of requests to a host that died of overload: above, its gateways are to blame
+
+
+class RuleChecker:
+    """Judges each attempt, and keeps all customers' quotas and ceilings at one place."""
+
+    def __init__(
+        self,
+        clock: SimulatedClock,
+        metrics: Metrics,
+        rules: messages.Rules,
+        plans: Mapping[str, messages.Plan],
+    ) -> None:
+        self._clock = clock
+        self._metrics = metrics
+        self._rules = rules
+        self._plans = plans
+        self._quotas: dict[str, RecordingTokenBucket] = {}
+        self._ceilings: dict[str, TokenBucket] = {}
+
+    def on_attempt_sent(self, gateway: str, attempt: Attempt, draining_since: float | None) -> None:
+        """Check an attempt as it is sent.
+
+        Args:
+            gateway: The gateway's name.
+            attempt: The attempt.
+            draining_since: When the gateway heard that the host drains or is down; None if it did not.
+        """
+        if draining_since is not None:
+            seconds = self._clock.now - draining_since
+            if seconds > self._rules.drain_grace + DRAIN_MARGIN_S:
+                detail = f"{gateway} to {attempt.endpoint_id}, {seconds:.2f} s after"
+                self._metrics.add_violation(Rule.DRAIN, detail)
+        request = attempt.request
+        if len(request.active) > 1:
+            detail = f"{request.request_id} at {attempt.endpoint_id}"
+            self._metrics.add_violation(Rule.ONE_ATTEMPT_AT_A_TIME, detail)
+
+    def on_attempt_received(
+        self, attempt: Attempt, customer: Customer, service_class: messages.ServiceClass
+    ) -> bool | None:
+        """Check an attempt whose last byte has reached its host, and charge its customer.
+
+        Returns:
+            Whether its request is inside the customer's quota; None if an earlier attempt was charged.
+        """
+        request = attempt.request
+        earlier = [other for other in request.attempts if other is not attempt]
+        if service_class.effect == "unsafe" and any(other.may_be_executed for other in earlier):
+            detail = f"{request.request_id} at {attempt.endpoint_id}"
+            self._metrics.add_violation(Rule.NO_REPEAT, detail)
+        if any(other.is_received for other in earlier):
+            return None
+        self._metrics.count(Metric.UNITS_FORWARDED)
+        is_within_quota = self._take_from_quota(customer)
+        if not is_within_quota:
+            plan = customer.plan
+            cost = service_class.priority_weight * plan.price_weight * plan.over_quota_cost
+            self._metrics.count(Metric.UNITS_OVER_QUOTA)
+            self._metrics.add_over_quota_cost(cost)
+        self._take_from_ceiling(customer)
+        return is_within_quota
+
+    def _take_from_quota(self, customer: Customer) -> bool:
+        """Take a unit if there is one, and return whether there was."""
+        plan = customer.plan
+        if not plan.rate:
+            return True
+        now = self._clock.now
+        quota = self._quotas.get(customer.name)
+        if quota is None:
+            quota = RecordingTokenBucket(plan.rate, plan.burst, now)
+            self._quotas[customer.name] = quota
+        if quota.refill(now) < 1:
+            return False
+        quota.take()
+        return True
+
+    def _take_from_ceiling(self, customer: Customer) -> None:
+        plan = customer.plan
+        if not plan.ceiling_rate:
+            return
+        now = self._clock.now
+        ceiling = self._ceilings.get(customer.name)
+        if ceiling is None:
+            ceiling = TokenBucket(plan.ceiling_rate, plan.ceiling_burst, now)
+            self._ceilings[customer.name] = ceiling
+        ceiling.refill(now)
+        ceiling.take()
+        if ceiling.level < -plan.ceiling_slack - CEILING_MARGIN_S * plan.ceiling_rate - CEILING_ROUNDING:
+            self._metrics.add_violation(Rule.CEILING, f"{customer.name}, {-ceiling.level:.2f} units beyond")
+
+    def has_quota(self, customer: str, plan: str, age: float) -> bool:
+        """Return whether a customer's quota had room for a unit `age` seconds ago."""
+        if not self._plans[plan].rate:
+            return True
+        quota = self._quotas.get(customer)
+        return quota is None or quota.level_at(self._clock.now - age) >= 1
+
+    def on_host_overloaded(self, endpoint_id: str, informed_share: float) -> None:
+        """Check a host that died of overload while it was warming up.
+
+        Args:
+            endpoint_id: The host.
+            informed_share: Share of its requests that came from gateways which knew of its start.
+        """
+        self._metrics.count(Metric.OVERLOADED_HOSTS)
+        if informed_share > MAX_INFORMED_SHARE:
+            self._metrics.add_violation(Rule.SLOW_START, f"{endpoint_id}, cold")
+
+    def on_unanswered(self, request_id: str) -> None:
+        """Note a request that got no answer."""
+        self._metrics.add_violation(Rule.ANSWER, request_id)
--- a/apigateway/tools/experiment/plan.py
+++ b/apigateway/tools/experiment/plan.py
@@ -19,7 +19,7 @@
 
 from apigateway.config_validation import ConfigProblem as Wrong
 from apigateway.config_validation import ConfigReader, InvalidConfigFileError, format_value, read_toml
-from apigateway.simulation import baselines
+from apigateway.simulation.baselines import BaselineKind, is_baseline
 from apigateway.simulation.scenario import FaultKind, Scenario
 
 MOST_PLAYS = 10_000
@@ -160,12 +160,12 @@
         reader.problems.append(Wrong(reader.file, f"{where}.{key}", format_value(value), reason, remedy))
 
     policy = told.policy.partition(":")[0] if told.policy.startswith(MODULE) else told.policy
-    if policy != MODULE and not baselines.known(policy):
+    if policy != MODULE and not is_baseline(policy):
         bad(
             "policy",
             told.policy,
             "is no way to choose",
-            f"{MODULE}, {MODULE}:FILE, {', '.join(baselines.NAMES)}, or one of these :SECONDS behind",
+            f"{MODULE}, {MODULE}:FILE, {', '.join(BaselineKind)}, or one of these :SECONDS behind",
         )
     path = told.policy.partition(":")[2] if policy == MODULE else ""
     if path and not os.path.isfile(path):
--- a/apigateway/tools/experiment/run.py
+++ b/apigateway/tools/experiment/run.py
@@ -5,20 +5,19 @@
 import importlib.util
 import os
 import sys
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from concurrent.futures import ProcessPoolExecutor, as_completed
 from multiprocessing import get_context
 from typing import Any
 
-from apigateway import messages
-from apigateway.simulation.node import Module
-from apigateway.simulation.world import World
+from apigateway.simulation.decision_module import ModuleFactory
+from apigateway.simulation.simulation import Simulation
 from apigateway.tools.experiment.plan import MODULE, Play
 
 SHOWN_RULES = 3  # broken rules of a play that are told
 
 
-def module(policy: str) -> Callable[[messages.Settings, int, float], Module]:
+def module(policy: str) -> ModuleFactory:
     """What makes the decision modules: the program's own, or the class `Gateway` of a file."""
     path = policy.partition(":")[2] if policy.startswith(MODULE + ":") else ""
     if not path:
@@ -31,16 +30,20 @@
     made = importlib.util.module_from_spec(spec)
     sys.modules[spec.name] = made  # its dataclasses look themselves up there
     spec.loader.exec_module(made)
-    other: Callable[[messages.Settings, int, float], Module] = made.Gateway
+    other: ModuleFactory = made.Gateway
     return other
 
 
 def play(one: Play) -> dict[str, Any]:
     """Its figures, and the first of the rules that it broke."""
-    world = World(one.scenario, one.seed, module(one.scenario.policy))
-    figures = world.run()
+    simulation = Simulation(one.scenario, one.seed, module(one.scenario.policy))
+    figures = simulation.run()
     own = one.scenario.policy.startswith(MODULE)
-    return {**figures, "rules": world.figures.rules[:SHOWN_RULES], "module": own}
+    return {
+        **figures,
+        "rules": [str(violation) for violation in simulation.metrics.violations[:SHOWN_RULES]],
+        "module": own,
+    }
 
 
 def play_all(plays: tuple[Play, ...], processes: int = 0) -> Iterator[tuple[int, dict[str, Any]]]:
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -41,7 +41,7 @@
     Scenario,
     Workload,
 )
-from apigateway.simulation.world import World  # noqa: E402
+from apigateway.simulation.simulation import Simulation  # noqa: E402
 
 MEAN, CORES, QUEUE = 0.2, 4, 48  # s of work; of a host
 AIM, DEADLINE = 2.0, 5.0  # s
@@ -156,11 +156,11 @@
         listing=EndpointListSettings(0.01, 0.01),
         probes=False,
     )
-    world = World(scenario, args.seed, Gateway)
-    told = world.run()
+    simulation = Simulation(scenario, args.seed, Gateway)
+    told = simulation.run()
     return figures(
-        [m.accepted for m in world.machines.values()],
-        world.figures.times,
+        [host.accepted for host in simulation.fleet.hosts.values()],
+        simulation.metrics.latencies,
         told["longest"],
         told["idle_waiting"],
         told["served"],
--- a/tests/simulation/test_crowds.py
+++ b/tests/simulation/test_crowds.py
@@ -17,7 +17,7 @@
     Scenario,
     Workload,
 )
-from apigateway.simulation.world import World
+from apigateway.simulation.simulation import Simulation
 
 READS = (Workload(READ, 1.0, 0.2),)
 CROWD = Scenario(
@@ -32,8 +32,8 @@
 
 
 def play(scenario, seed=1):
-    world = World(scenario, seed, Gateway)
-    return world, world.run()
+    simulation = Simulation(scenario, seed, Gateway)
+    return simulation, simulation.run()
 
 
 @pytest.mark.parametrize(
@@ -44,16 +44,16 @@
     scenario = replace(
         CROWD, gateways=gateways, load=load, length=3.0, warm_up=1.0, machines=HostSettings(count=hosts)
     )
-    world, figures = play(scenario)
+    simulation, figures = play(scenario)
     assert figures["broken"] == 0 and figures["in_aim"] > 0.97 and figures["refused"] < 0.01
-    met = sum(m.accepted > 0 for m in world.machines.values())
-    asked = sum(m.accepted for m in world.machines.values())
+    met = sum(m.accepted > 0 for m in simulation.fleet.hosts.values())
+    asked = sum(m.accepted for m in simulation.fleet.hosts.values())
     assert met > 0.9 * min(hosts, asked / 3)
 
 
 def test_one_with_six_times_the_traffic_and_one_that_sees_hardly_any_are_served_alike():
     busy = play(replace(CROWD, customers=CustomerSettings(count=120, busiest=6.0, gateway_skew=1.5)))
-    sends = sorted(node.attempts_made for node in busy[0].nodes)
+    sends = sorted(node.upstream.attempts_made for node in busy[0].fleet.gateways)
     assert sends[0] * 6 < sends[-1] and busy[1]["in_aim"] > 0.97
 
 
@@ -84,9 +84,9 @@
     ids=lambda x: getattr(x, "what", ""),
 )
 def test_hosts_that_tell_what_is_not_so_draw_no_more_than_their_part(fault, least):
-    world, figures = play(replace(CROWD, faults=(fault,)))
+    simulation, figures = play(replace(CROWD, faults=(fault,)))
     assert figures["broken"] == 0 and figures["in_aim"] > least
-    assert max(m.accepted for m in world.machines.values()) < 1.8 * figures["firsts"] * 8 / 6 / 20
+    assert max(m.accepted for m in simulation.fleet.hosts.values()) < 1.8 * figures["firsts"] * 8 / 6 / 20
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -132,19 +132,19 @@
 def test_a_host_that_is_back_is_not_what_all_gateways_go_to(what):
     """It is the emptiest of all, and the only one with a fresh report of that."""
     scenario = replace(CROWD, gateways=200, faults=(FaultSettings(what, 0.0, 2.0, part=0.05),))
-    world, marks = World(scenario, 3, Gateway), []
+    simulation, marks = Simulation(scenario, 3, Gateway), []
     for at in (2.0, 3.0, 4.0):
-        world.clock.call_at(
+        simulation.clock.call_at(
             START_TIME + scenario.warm_up + at,
-            lambda: marks.append({name: m.accepted for name, m in world.machines.items()}),
+            lambda: marks.append({name: m.accepted for name, m in simulation.fleet.hosts.items()}),
         )
-    world.clock.call_at(
+    simulation.clock.call_at(
         START_TIME + scenario.warm_up + 1.0,
         lambda: marks.append(
-            [name for name, m in world.machines.items() if m.mode != "up" or m.refused_gateways]
+            [name for name, m in simulation.fleet.hosts.items() if m.mode != "up" or m.refused_gateways]
         ),
     )
-    assert world.run()["broken"] == 0
+    assert simulation.run()["broken"] == 0
     (back,), *counts = marks
     for before, after in zip(counts, counts[1:], strict=False):
         taken = {name: after[name] - before[name] for name in after}
--- a/tests/simulation/test_model.py
+++ b/tests/simulation/test_model.py
@@ -7,8 +7,9 @@
 
 from apigateway import messages
 from apigateway.policy import Gateway
-from apigateway.simulation import baselines
+from apigateway.simulation.baselines import is_baseline
 from apigateway.simulation.clock import START_TIME
+from apigateway.simulation.metrics import Metric
 from apigateway.simulation.network import Location
 from apigateway.simulation.scenario import (
     FREE,
@@ -23,8 +24,8 @@
     Scenario,
     Workload,
 )
+from apigateway.simulation.simulation import Simulation
 from apigateway.simulation.token_bucket import RecordingTokenBucket
-from apigateway.simulation.world import World
 
 SMALL = Scenario(
     gateways=12,
@@ -48,8 +49,8 @@
 
 
 def play(scenario, seed=1, make=Gateway):
-    world = World(scenario, seed, make)
-    return world, world.run()
+    simulation = Simulation(scenario, seed, make)
+    return simulation, simulation.run()
 
 
 @pytest.mark.parametrize("cores, load, waits", [(1, 0.5, 0.1), (1, 0.7, 0.2333), (4, 0.7, 0.0143 * 2.5)])
@@ -61,8 +62,8 @@
         erlang = terms[4] / (1 - load) / (sum(terms[:4]) + terms[4] / (1 - load))
         waits = 0.1 * erlang / (cores * (1 - load))
     machines = replace(ONE.machines, cores=cores, slots=cores)
-    world, _ = play(replace(ONE, load=load, machines=machines))
-    mean = statistics.fmean(world.figures.times)
+    simulation, _ = play(replace(ONE, load=load, machines=machines))
+    mean = statistics.fmean(simulation.metrics.latencies)
     assert mean == pytest.approx(0.1 + waits, rel=0.12)
 
 
@@ -85,7 +86,7 @@
     }
     assert idle["best"] < idle["two"] < 0.3 * idle["random"]
     assert idle["two"] < 0.5 * idle["two:1"]  # what is a second old tells little
-    assert baselines.known("best:0.5") and not baselines.known("two:x") and not baselines.known("worst")
+    assert is_baseline("best:0.5") and not is_baseline("two:x") and not is_baseline("worst")
 
 
 @pytest.mark.parametrize("what", FaultKind)
@@ -159,41 +160,54 @@
             wrong.handle = handle
         return wrong
 
-    world, figures = play(s, make=make)
-    assert figures["broken"] and any(rule.startswith(how) for rule in world.figures.rules)
+    simulation, figures = play(s, make=make)
+    assert figures["broken"] and any(
+        str(violation).startswith(how) for violation in simulation.metrics.violations
+    )
 
 
 def test_a_module_that_says_nothing_has_its_requests_failed_in_time():
-    world, figures = play(replace(SMALL, load=0.1), make=lambda s, seed, now: Wrong("silent", []))
-    assert figures["broken"] == 0 and figures["served"] == 0 and world.figures.counts["no decision"] > 50
+    simulation, figures = play(replace(SMALL, load=0.1), make=lambda s, seed, now: Wrong("silent", []))
+    assert (
+        figures["broken"] == 0
+        and figures["served"] == 0
+        and simulation.metrics.counts[Metric.UNDECIDED_REQUESTS] > 50
+    )
 
 
 def test_links_lose_and_delay_what_they_are_told_to():
     from apigateway.simulation.network import LinkFault
 
-    world = World(SMALL, 1, Gateway)
+    simulation = Simulation(SMALL, 1, Gateway)
     here, there, got = Location("g1", "a"), Location("h1", "b"), []
-    world.network.faults = [LinkFault("a", "h1", delay=1.0, is_one_way=True), LinkFault("g1", "h2", loss=1.0)]
-    world.network.send(here, there, lambda: got.append(("there", world.clock.now - START_TIME)))
-    world.network.send(there, here, lambda: got.append(("back", world.clock.now - START_TIME)))
-    assert not world.network.send(here, Location("h2", "c"), got.append, "lost")
-    assert not world.network.send(Location("h2", "c"), here, got.append, "lost")
-    world.clock.run_until(START_TIME + 2)
+    simulation.fleet.environment.network.faults = [
+        LinkFault("a", "h1", delay=1.0, is_one_way=True),
+        LinkFault("g1", "h2", loss=1.0),
+    ]
+    simulation.fleet.environment.network.send(
+        here, there, lambda: got.append(("there", simulation.clock.now - START_TIME))
+    )
+    simulation.fleet.environment.network.send(
+        there, here, lambda: got.append(("back", simulation.clock.now - START_TIME))
+    )
+    assert not simulation.fleet.environment.network.send(here, Location("h2", "c"), got.append, "lost")
+    assert not simulation.fleet.environment.network.send(Location("h2", "c"), here, got.append, "lost")
+    simulation.clock.run_until(START_TIME + 2)
     assert [name for name, _ in got] == ["back", "there"] and 1.0 < got[1][1] < 1.01
 
 
 def test_a_counter_that_is_asked_more_than_it_bears_answers_late_and_one_that_is_silent_still_counts():
-    world = World(replace(SMALL, counting=CounterSettings(parts=1, capacity=100.0)), 1, Gateway)
+    simulation = Simulation(replace(SMALL, counting=CounterSettings(parts=1, capacity=100.0)), 1, Gateway)
     told = []
     for _ in range(20):
-        world.quota_counter.add(
-            4, 1.0, 60.0, lambda reply: told.append((world.clock.now - START_TIME, reply.total))
+        simulation.fleet.environment.quota_counter.add(
+            4, 1.0, 60.0, lambda reply: told.append((simulation.clock.now - START_TIME, reply.total))
         )
-    world.clock.run_until(START_TIME + 0.105)
+    simulation.clock.run_until(START_TIME + 0.105)
     assert [total for _, total in told] == [float(n + 1) for n in range(11)]
-    world.quota_counter.is_silent = True
-    world.clock.run_until(START_TIME + 1)
-    assert len(told) == 11 and world.quota_counter.entries[4].total == 20.0
+    simulation.fleet.environment.quota_counter.is_silent = True
+    simulation.clock.run_until(START_TIME + 1)
+    assert len(told) == 11 and simulation.fleet.environment.quota_counter.entries[4].total == 20.0
 
 
 def test_a_store_tells_what_it_held_before():
