--- a/apigateway/simulation/host.py
+++ b/apigateway/simulation/host.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import heapq
 import random
 from collections import deque
 from collections.abc import Callable
@@ -17,11 +16,11 @@
 from apigateway.simulation.network import Location
 from apigateway.simulation.results import AttemptResult
 from apigateway.simulation.scenario import HostSettings
+from apigateway.simulation.shared_processor import HostTask, SharedProcessor
 
 SLOW_START_STEP_S = 0.25  # how often the speed of a host that is warming up is computed anew
 ERROR_LATENCY_S = 0.001  # of a host that answers with an error at once
 REJECTION_LATENCY_S = 0.0002  # of a host that is full
-MIN_SERVICE_RATE = 1e-9  # core seconds a second; keeps the time of the next completion finite
 
 
 class HostMode(StrEnum):
@@ -41,38 +40,12 @@
     speed: float  # core seconds of work that a core does in a second
 
 
-class HostTask:
-    """A request at a host.
-
-    Attributes:
-        work: Core seconds that it takes.
-        on_done: Called with the result, once, unless the task was cancelled or the host died.
-    """
-
-    __slots__ = ("is_over", "is_running", "on_done", "work")
-
-    def __init__(self, work: float, on_done: Callable[[AttemptResult], None]) -> None:
-        self.work = work
-        self.on_done = on_done
-        self.is_running = False
-        self.is_over = False
-
-
-class RunningTask(NamedTuple):
-    """An entry of the heap of tasks in service, ordered by when they complete."""
-
-    completes_at: float  # value of the host's attained service at which it is done
-    sequence: int
-    task: HostTask
-
-
 class SimulatedHost:
     """A host that shares its cores evenly between the requests in its slots (processor sharing).
 
     Attributes:
         endpoint: The host as the endpoint list has it.
         mode: What it does with requests; change it by `set_mode`.
-        active: Requests in slots.
         queued: Requests that wait for a slot.
         accepted: Requests accepted since the start.
         max_in_flight: The most that were in slots and waiting at once.
@@ -124,16 +97,11 @@
         self.reporter = LoadReporter(clock, settings, self.cores, rng)
         self._arrivals = ArrivalWindow(rules.overload_duration)
 
-        self.active = 0
         self.queued = 0
         self.accepted = 0
         self.max_in_flight = 0
-        self._running: list[RunningTask] = []
         self._waiting: deque[HostTask] = deque()
-        self._started_tasks = 0
-        self._attained_service = 0.0  # core seconds that each task in service has had since the host's start
-        self._service_rate = 1.0  # core seconds a second that each task in service gets
-        self._service_updated_at = clock.now
+        self._processor = SharedProcessor(clock)
         self._schedule_version = 0  # a scheduled completion is void once this has advanced
         self._usage = HostUsage(0.0, 0.0, 0.0)
 
@@ -157,9 +125,14 @@
         """Return the core seconds of work that it does in a second."""
         return self.cores * self._speed * self._speed_factor * self.slow_start_factor()
 
+    @property
+    def in_flight(self) -> int:
+        """The requests in slots and those that wait for one."""
+        return self._processor.active + self.queued
+
     def load_per_core(self) -> float:
         """Return the requests that it holds for each core."""
-        return (self.active + self.queued) / self.cores
+        return self.in_flight / self.cores
 
     def _warm_up(self) -> None:
         self._reschedule()
@@ -181,7 +154,7 @@
         if self.mode is HostMode.ERRORING:
             self._clock.call_later(ERROR_LATENCY_S, task.on_done, AttemptResult.ERROR)
             return
-        if self.mode is HostMode.FULL or self.active + self.queued >= self._slots + self._queue_size:
+        if self.mode is HostMode.FULL or self.in_flight >= self._slots + self._queue_size:
             self._clock.call_later(REJECTION_LATENCY_S, task.on_done, AttemptResult.FULL)
             return
         self.accepted += 1
@@ -193,16 +166,16 @@
         self.queued += 1
         self._waiting.append(task)
         self._reschedule()
-        self.max_in_flight = max(self.max_in_flight, self.active + self.queued)
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
 
     def cancel(self, task: HostTask) -> None:
         """Drop a request; nobody is told."""
         if task.is_over:
             return
-        task.is_over = True
         if task.is_running:
-            self.active -= 1
+            self._processor.cancel(task)
         else:
+            task.is_over = True
             self.queued -= 1
         self._reschedule()
 
@@ -222,49 +195,37 @@
         self.stop()
         self._on_overload(self.endpoint.id, informed_share)
 
-    # Processor sharing
-
-    def _accrue_service(self) -> None:
-        self._attained_service += (self._clock.now - self._service_updated_at) * self._service_rate
-        self._service_updated_at = self._clock.now
+    # Scheduling
 
     def _reschedule(self) -> None:
         """Fill free slots, compute the pace anew, and schedule the next completion."""
-        self._accrue_service()
-        while self._running and self._running[0].task.is_over:
-            heapq.heappop(self._running)
-        while self.queued and self.active < self._slots:
+        processor = self._processor
+        processor.advance()
+        processor.drop_cancelled()
+        while self.queued and processor.active < self._slots:
             task = self._waiting.popleft()
             if not task.is_over:
                 self.queued -= 1
-                self._run(task)
-        self._service_rate = self._rate_per_task()
+                processor.start(task)
+        processor.pace = self._pace()
         self._update_usage()
         self._schedule_version += 1
-        if self._running and self.mode not in (HostMode.HANGING, HostMode.DEAD):
-            remaining_service = self._running[0].completes_at - self._attained_service
-            delay = remaining_service / max(self._service_rate, MIN_SERVICE_RATE)
+        delay = processor.time_to_next_completion()
+        if delay is not None and self.mode not in (HostMode.HANGING, HostMode.DEAD):
             self._clock.call_later(delay, self._complete_next, self._schedule_version)
 
-    def _rate_per_task(self) -> float:
-        core_share = min(1.0, self.cores / self.active) if self.active else 1.0
-        crowding = max(0.0, self.active - self.cores) / max(1.0, self._slots - self.cores)
+    def _pace(self) -> float:
+        """Return the core seconds a second that each task in a slot gets."""
+        active = self._processor.active
+        core_share = min(1.0, self.cores / active) if active else 1.0
+        crowding = max(0.0, active - self.cores) / max(1.0, self._slots - self.cores)
         return core_share * self.capacity() / self.cores * (1 - self.settings.thrash * crowding)
 
-    def _run(self, task: HostTask) -> None:
-        self._started_tasks += 1
-        self.active += 1
-        task.is_running = True
-        completes_at = self._attained_service + task.work
-        heapq.heappush(self._running, RunningTask(completes_at, self._started_tasks, task))
-
     def _complete_next(self, schedule_version: int) -> None:
         if schedule_version != self._schedule_version:
             return
-        self._accrue_service()
-        task = heapq.heappop(self._running).task
-        task.is_over = True
-        self.active -= 1
+        self._processor.advance()
+        task = self._processor.complete_next()
         self._reschedule()
         task.on_done(AttemptResult.OK)
 
@@ -273,26 +234,23 @@
     def set_mode(self, mode: HostMode) -> None:
         """Change what it does with requests; a dead host stays dead."""
         if self.mode is not HostMode.DEAD:
-            self._accrue_service()
+            self._processor.advance()
             self.mode = mode
             self._reschedule()
 
     def set_speed_factor(self, factor: float) -> None:
         """Make it work at `factor` of its own speed."""
-        self._accrue_service()
+        self._processor.advance()
         self._speed_factor = factor
         self._reschedule()
 
     def stop(self) -> None:
         """Die: all requests are gone, and no gateway is told."""
         self.mode = HostMode.DEAD
-        for running in self._running:
-            running.task.is_over = True
+        self._processor.clear()
         for task in self._waiting:
             task.is_over = True
-        self._running.clear()
         self._waiting.clear()
-        self.active = 0
         self.queued = 0
         self._schedule_version += 1
         self._update_usage()
@@ -316,8 +274,9 @@
         if self.mode is HostMode.DEAD:
             usage = HostUsage(0.0, 0.0, 0.0)
         else:
-            busy = min(self.cores, self.active)
-            waiting = max(0.0, self.active - self.cores) + self.queued
+            active = self._processor.active
+            busy = min(self.cores, active)
+            waiting = max(0.0, active - self.cores) + self.queued
             usage = HostUsage(self.cores, busy, waiting)
         if usage != self._usage:
             self.reporter.set_busy_cores(usage.busy)
@@ -327,5 +286,5 @@
     def _report_load(self) -> None:
         if self.mode is HostMode.DEAD:
             return
-        self.reporter.sample(queued=self.queued, in_flight=self.active + self.queued)
+        self.reporter.sample(queued=self.queued, in_flight=self.in_flight)
         self._clock.call_later(self.settings.report_period, self._report_load)
--- a/apigateway/simulation/in_flight.py
+++ b/apigateway/simulation/in_flight.py
@@ -5,8 +5,9 @@
 from typing import Protocol
 
 from apigateway import messages
-from apigateway.simulation.host import HostTask, SimulatedHost
+from apigateway.simulation.host import SimulatedHost
 from apigateway.simulation.results import ResponseOutcome
+from apigateway.simulation.shared_processor import HostTask
 
 
 class ResponseListener(Protocol):
