--- a/apigateway/frontends/resp/server.py
+++ b/apigateway/frontends/resp/server.py
@@ -177,6 +177,18 @@
         else:
             self.close_when_done()
 
+    def has_commands_to_read(self) -> bool:
+        """Tell whether a connection that is to end has to be read once more.
+
+        One with too much in work is not read. When all of that is answered in one turn, what its client sent
+        meanwhile is still in the socket, and a close would reset the connection: those commands would be lost
+        and so would answers that are on their way. It ends with their answers, or by time.
+        """
+        if self.broken or self.transport.is_closing() or not self.unread():
+            return False
+        self.server.idle[self] = monotonic()
+        return True
+
     def unread(self) -> bool:
         """Whether the socket holds bytes that were not read yet."""
         return socket_state.has_unread_data(self.transport.get_extra_info("socket"))
@@ -205,7 +217,7 @@
             self.transport.writelines(answers)
         if not pending and not self.deferred:
             self.server.rest(self)
-            if self.closing:
+            if self.closing and not self.has_commands_to_read():
                 self.end()
                 return
         if self.flooded:
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -145,6 +145,30 @@
             assert got == SERVED
 
 
+@on_loop
+async def test_unread_commands_when_a_full_connection_told_to_end_is_answered_at_once_are_served(tmp_path):
+    """It is not read while it has too much in work, and all of that is answered in one turn."""
+    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+        reader, writer = await node.connect()
+        server = node.node.fronts[0].server
+        writer.write(command(b"first"))
+        await host.arrived.get()
+        writer.write(b"*1\r\n$4\r\nPING\r\n" * clients.MOST_PENDING)  # answered behind the first
+        (client,) = server.clients
+        while not client.flooded:
+            await asyncio.sleep(0)
+        host.answer = VALUE
+        writer.write(command(b"last"))
+        while not client.unread():
+            await asyncio.sleep(0)
+        server.finish()
+        for out in host.writers:
+            out.write(VALUE)
+        told = [await read_reply(reader) for _ in range(clients.MOST_PENDING + 2)]
+        assert told[0] == told[-1] == SERVED and set(told[1:-1]) == {b"+PONG\r\n"}
+        assert await read_reply(reader) == b""
+
+
 @on_loop
 async def test_half_a_command_when_connections_are_told_to_end_is_served_once_whole(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
