--- /dev/null
+++ b/apigateway/core/attempts.py
@@ -0,0 +1,117 @@
+"""Carry out the attempts that the decision module asks for, and report their outcomes to it."""
+
+from __future__ import annotations
+
+import logging
+import time
+
+from apigateway import messages
+from apigateway.core.context import CoreContext
+from apigateway.core.event_dispatcher import EventDispatcher
+from apigateway.core.in_flight_request import InFlightRequest
+from apigateway.core.in_flight_table import InFlightTable
+from apigateway.core.interfaces import AttemptResult, RequestOutcome, RequestPlugins, UpstreamAttempt
+from apigateway.core.responses import ResponseSender
+
+# What an attempt carries for the core: its request, and its number among that request's.
+AttemptTag = tuple[InFlightRequest, int]
+
+log = logging.getLogger(__name__)
+
+
+class AttemptHandler:
+    """The handler of `ForwardRequest` and `CancelAttempt`.
+
+    Each attempt that the decision module asks for has one `AttemptOutcome`, also one that is not sent: it
+    would count that as in flight at its endpoint for good.
+    """
+
+    def __init__(
+        self,
+        context: CoreContext,
+        table: InFlightTable,
+        events: EventDispatcher,
+        responses: ResponseSender,
+    ) -> None:
+        self._context = context
+        self._table = table
+        self._events = events
+        self._responses = responses
+
+    def forward(self, action: messages.ForwardRequest) -> None:
+        """Send one attempt, or report that it is moot."""
+        in_flight = self._table.requests.get(action.request_id)
+        if in_flight is None:
+            return
+        number = in_flight.attempt_count
+        in_flight.attempt_count += 1
+        remaining = in_flight.deadline - time.monotonic()
+        can_send = remaining > 0 and self._is_allowed(in_flight, number)
+        if can_send and in_flight.plugins is not None:
+            self._notify_plugins(in_flight, in_flight.plugins, action.endpoint_id)
+            remaining = in_flight.deadline - time.monotonic()
+        if can_send and remaining > 0:
+            timeout = min(remaining, action.timeout) if action.timeout > 0 else remaining
+            self._send(in_flight, number, action.endpoint_id, timeout)
+        else:
+            self._report_moot(in_flight, number, action.endpoint_id)
+
+    def cancel(self, action: messages.CancelAttempt) -> None:
+        """Abandon one attempt of a request."""
+        in_flight = self._table.requests.get(action.request_id)
+        if in_flight is not None and action.attempt in in_flight.active_attempts:
+            attempt = in_flight.active_attempts[action.attempt]
+            self._context.upstream.abandon(attempt, AttemptResult.CANCELLED)
+
+    def _is_allowed(self, in_flight: InFlightRequest, number: int) -> bool:
+        limits = self._context.settings.limits
+        if in_flight.is_finished:  # its end crossed the action
+            return False
+        if number >= limits.max_attempts:
+            return False
+        return not in_flight.active_attempts or limits.can_hedge
+
+    def _notify_plugins(self, in_flight: InFlightRequest, plugins: RequestPlugins, endpoint_id: str) -> None:
+        try:
+            plugins.on_attempt(endpoint_id)
+        except Exception:
+            log.exception("request %s: plug-ins", in_flight.request_id)
+
+    def _send(self, in_flight: InFlightRequest, number: int, endpoint_id: str, timeout: float) -> None:
+        upstream = self._context.upstream
+        payload = in_flight.upstream_request.encode(timeout)
+        tag: AttemptTag = (in_flight, number)
+        attempt = upstream.create_attempt(endpoint_id, payload, self._on_ended, tag)
+        in_flight.active_attempts[number] = attempt
+        upstream.send(attempt, timeout)
+
+    def _report_moot(self, in_flight: InFlightRequest, number: int, endpoint_id: str) -> None:
+        self._events.dispatch(
+            messages.AttemptOutcome(
+                in_flight.request_id, number, endpoint_id, AttemptResult.MOOT, 0.0, in_flight.is_finished
+            )
+        )
+
+    def _on_ended(self, attempt: UpstreamAttempt) -> None:
+        tag: AttemptTag = attempt.tag
+        in_flight, number = tag
+        result = attempt.result
+        del in_flight.active_attempts[number]
+        if in_flight.is_finished:
+            if result == AttemptResult.CONNECT_FAILED:
+                result = AttemptResult.MOOT  # abandoned before it was sent: it says nothing of the endpoint
+            self._table.release_if_ended(in_flight)
+        elif result == AttemptResult.OK:
+            self._responses.finish(in_flight, RequestOutcome.COMPLETED, attempt.value)
+        self._events.dispatch(
+            messages.AttemptOutcome(
+                in_flight.request_id,
+                number,
+                attempt.endpoint_id,
+                result,
+                attempt.elapsed(),
+                in_flight.is_finished,
+                metered_use=attempt.metered_use,
+                load_report=attempt.load_report,
+            )
+        )
--- /dev/null
+++ b/apigateway/core/context.py
@@ -0,0 +1,56 @@
+"""The collaborators of the core and the state that its parts share."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from apigateway import messages
+from apigateway.core.clock import MonotonicUnixClock
+from apigateway.core.interfaces import (
+    DecisionModule,
+    EndpointSource,
+    ExternalRateLimiter,
+    InFlightRegistry,
+    PluginChain,
+    QuotaCounter,
+    Scheduler,
+    UpstreamPool,
+)
+
+if TYPE_CHECKING:  # not loaded where nothing is shed early
+    from apigateway.core.admission import AdmissionController
+
+
+class CoreContext:
+    """What each part of the core is given.
+
+    A reload or a hand-over replaces some of the collaborators, so a part reads them here at each use and
+    keeps no reference of its own.
+    """
+
+    def __init__(
+        self,
+        settings: messages.Settings,
+        module: DecisionModule,
+        upstream: UpstreamPool,
+        counter: QuotaCounter | None,
+        loop: Scheduler,
+        clock: Callable[[], float] | None = None,
+    ) -> None:
+        self.settings = settings
+        self.module = module
+        self.upstream = upstream
+        self.counter = counter
+        self.loop = loop
+        self.clock = clock or MonotonicUnixClock()
+
+        # Set by the daemon where settings want them.
+        self.membership: EndpointSource | None = None
+        self.plugins: PluginChain | None = None
+        self.in_flight_registry: InFlightRegistry | None = None
+        self.admission: AdmissionController | None = None
+        self.external_ratelimit: ExternalRateLimiter | None = None
+
+        self.is_ready = False  # there are endpoints, or were
+        self.is_draining = False  # set by the daemon at the begin of a graceful shutdown
--- /dev/null
+++ b/apigateway/core/endpoint_updates.py
@@ -0,0 +1,46 @@
+"""Pass the endpoint list on to the connection pools and to the decision module."""
+
+from __future__ import annotations
+
+from apigateway import messages
+from apigateway.core.context import CoreContext
+from apigateway.core.event_dispatcher import EventDispatcher
+from apigateway.core.interfaces import Addresses
+
+# Of `messages.Endpoint.state`, `messages.MODES` and `messages.Settings.discovery_mode`.
+_ENDPOINT_UP = "up"
+_LIST_MODE_DELTA = "delta"
+_LIST_MODE_FAILED = "failed"
+_DISCOVERY_POLLED = "ask"
+
+
+class EndpointUpdates:
+    """What an `EndpointSource` reports."""
+
+    def __init__(self, context: CoreContext, events: EventDispatcher) -> None:
+        self._context = context
+        self._events = events
+
+    def on_list(self, endpoint_list: messages.EndpointList, addresses: Addresses) -> None:
+        """Take in a new endpoint list.
+
+        The decision module hears of it between the endpoints that come and those that go: what ends with one
+        that goes is then not sent there once more.
+        """
+        upstream = self._context.upstream
+        up = {endpoint.id for endpoint in endpoint_list.endpoints if endpoint.state == _ENDPOINT_UP}
+        for endpoint_id in up & addresses.keys():
+            upstream.update_endpoint(endpoint_id, addresses[endpoint_id])
+        self._events.dispatch(endpoint_list)
+        listed = {endpoint.id for endpoint in endpoint_list.endpoints}
+        if endpoint_list.mode != _LIST_MODE_DELTA:
+            listed |= upstream.known_endpoints()
+        for endpoint_id in listed - up:
+            upstream.update_endpoint(endpoint_id, None)
+        self._context.is_ready = self._context.is_ready or bool(upstream.known_endpoints())
+
+    def on_list_failed(self) -> None:
+        """Tell the decision module that an endpoint list it asked for could not be had."""
+        membership = self._context.membership
+        if membership is not None and self._context.settings.discovery_mode == _DISCOVERY_POLLED:
+            self._events.dispatch(messages.EndpointList(_LIST_MODE_FAILED, membership.version, ()))
--- a/apigateway/core/gateway_actions.py
+++ b/apigateway/core/gateway_actions.py
@@ -7,34 +7,33 @@
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING
 
 from apigateway import messages
+from apigateway.core.context import CoreContext
+from apigateway.core.event_dispatcher import EventDispatcher
 from apigateway.core.interfaces import UpstreamAttempt
 
-if TYPE_CHECKING:
-    from apigateway.core.request_lifecycle import RequestDispatcher
-
-TIMER_RESOLUTION_S = 0.001  # the event loop's timers tick in milliseconds and may fire that much early
+# Seconds: the event loop's timers tick in milliseconds and may fire that much early.
+TIMER_RESOLUTION_S = 0.001
+# Of `messages.COUNT_RESULTS`: what a call comes to where there is no counter.
+_COUNTER_UNREACHABLE = "connect_failed"
 
 log = logging.getLogger(__name__)
 
 
 class GatewayActions:
-    """The handlers of these actions, each named by its action.
-
-    The collaborators are read from the dispatcher at each call, since a reload replaces some of them.
-    """
+    """The handlers of these actions, each named by its action."""
 
-    def __init__(self, dispatcher: RequestDispatcher) -> None:
-        self._dispatcher = dispatcher
+    def __init__(self, context: CoreContext, events: EventDispatcher) -> None:
+        self._context = context
+        self._events = events
 
     def check_health(self, action: messages.CheckHealth) -> None:
         """Start a health check of an endpoint."""
-        self._dispatcher.upstream.check_health(action.endpoint_id, self._on_health_checked)
+        self._context.upstream.check_health(action.endpoint_id, self._on_health_checked)
 
     def _on_health_checked(self, attempt: UpstreamAttempt) -> None:
-        self._dispatcher.dispatch(
+        self._events.dispatch(
             messages.HealthCheckResult(
                 attempt.endpoint_id, attempt.result, attempt.elapsed(), attempt.load_report
             )
@@ -42,43 +41,43 @@
 
     def add_to_counter(self, action: messages.AddToCounter) -> None:
         """Add to a counter; without a counter it is answered as one that cannot be reached."""
-        dispatcher = self._dispatcher
-        if dispatcher.counter is None:
-            dispatcher.loop.call_soon(self._on_counted, action.counter_key, "connect_failed", 0.0, 0.0)
+        context = self._context
+        if context.counter is None:
+            context.loop.call_soon(self._on_counted, action.counter_key, _COUNTER_UNREACHABLE, 0.0, 0.0)
         else:
-            dispatcher.counter.add(action.counter_key, action.amount, action.lifetime, self._on_counted)
+            context.counter.add(action.counter_key, action.amount, action.lifetime, self._on_counted)
 
     def _on_counted(self, counter_key: int, result: str, total: float, elapsed: float) -> None:
-        self._dispatcher.dispatch(messages.CounterResult(counter_key, result, total, elapsed))
+        self._events.dispatch(messages.CounterResult(counter_key, result, total, elapsed))
 
     def set_timer(self, action: messages.SetTimer) -> None:
         """Start a timer of the decision module."""
-        dispatcher = self._dispatcher
-        due_at = dispatcher.clock() + action.delay
-        dispatcher.loop.call_later(action.delay, self._on_timer, action.label, due_at)
+        context = self._context
+        due_at = context.clock() + action.delay
+        context.loop.call_later(action.delay, self._on_timer, action.label, due_at)
 
     def _on_timer(self, label: int, due_at: float) -> None:
         # The decision module would take an early timer for another one and set no further.
-        dispatcher = self._dispatcher
-        remaining = due_at - dispatcher.clock()
+        context = self._context
+        remaining = due_at - context.clock()
         if remaining > 0:
-            dispatcher.loop.call_later(remaining + TIMER_RESOLUTION_S, self._on_timer, label, due_at)
+            context.loop.call_later(remaining + TIMER_RESOLUTION_S, self._on_timer, label, due_at)
         else:
-            dispatcher.dispatch(messages.TimerExpired(label))
+            self._events.dispatch(messages.TimerExpired(label))
 
     def close_idle_connections(self, action: messages.CloseIdleConnections) -> None:
         """Close the idle connections to an endpoint."""
-        self._dispatcher.upstream.close_idle_connections(action.endpoint_id)
+        self._context.upstream.close_idle_connections(action.endpoint_id)
 
     def fetch_endpoints(self, action: messages.FetchEndpoints) -> None:
         """Ask for the endpoint list once."""
-        if self._dispatcher.membership is not None:
-            self._dispatcher.membership.fetch()
+        if self._context.membership is not None:
+            self._context.membership.fetch()
 
     def watch_endpoints(self, action: messages.WatchEndpoints) -> None:
         """Start or stop watching the endpoint list."""
-        if self._dispatcher.membership is not None:
-            self._dispatcher.membership.watch(action.is_on)
+        if self._context.membership is not None:
+            self._context.membership.watch(action.is_on)
 
     def log_message(self, action: messages.LogMessage) -> None:
         """Write a line of the decision module to the log."""
--- a/apigateway/core/in_flight_request.py
+++ b/apigateway/core/in_flight_request.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from apigateway.core.interfaces import (
-    NOT_REGISTERED,
     RequestPlugins,
     ResponseSink,
+    TimerHandle,
     UpstreamAttempt,
     UpstreamRequest,
 )
@@ -29,7 +29,20 @@
 class InFlightRequest:
     """An accepted request: where its answer goes, what endpoints are sent, and what is outstanding for it.
 
-    `deadline` is in seconds of `time.monotonic`.
+    Attributes:
+        request_id: Unique among the requests in flight.
+        sink: Where its final answer goes.
+        upstream_request: What endpoints are sent for it.
+        frontend: Whose capacity it uses.
+        deadline: By which the decision module is to be done, in seconds of `time.monotonic`.
+        registry_place: For `InFlightRegistry.release`; NOT_REGISTERED if it is in no registry.
+        customer: Who asks.
+        deadline_timer: Of `DeadlineGuard`; None until it is started.
+        attempt_count: Attempts that the decision module asked for, sent or not.
+        active_attempts: Those that have not ended, by their number.
+        is_finished: Whether the final answer was given, or nobody is there to hear one.
+        plugins: Its way through the plug-ins; None where there are none.
+        pending_check: The external rate limiter's handle while it is asked, for `cancel`.
     """
 
     __slots__ = (
@@ -38,13 +51,13 @@
         "upstream_request",
         "frontend",
         "deadline",
+        "registry_place",
+        "customer",
         "deadline_timer",
         "attempt_count",
         "active_attempts",
         "is_finished",
         "plugins",
-        "registry_place",
-        "customer",
         "pending_check",
     )
 
@@ -55,17 +68,19 @@
         upstream_request: UpstreamRequest,
         frontend: object,
         deadline: float,
+        registry_place: int,
+        customer: str,
     ) -> None:
         self.request_id = request_id
         self.sink = sink
         self.upstream_request = upstream_request
         self.frontend = frontend
         self.deadline = deadline
-        self.deadline_timer: Any = None
-        self.attempt_count = 0  # attempts that the decision module asked for, sent or not
-        self.active_attempts: dict[int, UpstreamAttempt] = {}  # by their number
-        self.is_finished = False  # the final answer was given, or nobody is there to hear one
+        self.registry_place = registry_place
+        self.customer = customer
+        self.deadline_timer: TimerHandle | None = None
+        self.attempt_count = 0
+        self.active_attempts: dict[int, UpstreamAttempt] = {}
+        self.is_finished = False
         self.plugins: RequestPlugins | None = None
-        self.registry_place = NOT_REGISTERED  # for `InFlightRegistry.release`
-        self.customer = ""
-        self.pending_check: Any = None  # the external rate limiter's handle, for `cancel`
+        self.pending_check: Any = None
--- a/apigateway/core/interfaces.py
+++ b/apigateway/core/interfaces.py
@@ -26,12 +26,21 @@
 class RequestOutcome(enum.StrEnum):
     """How a request ended. The values are part of the plug-ins' ABI and of records: they do not change."""
 
-    SERVED = "served"  # with an endpoint's value
-    REFUSED = "refused"  # it has not run, and trying again is harmless
+    COMPLETED = "served"  # with an endpoint's value
+    REJECTED = "refused"  # it has not run, and trying again is harmless
     FAILED = "failed"  # it may have run
     GRANTED = "granted"  # a quota check
     DENIED = "denied"  # a quota check
-    GONE = "gone"  # the client went away: nobody was answered
+    DISCONNECTED = "gone"  # the client went away: nobody was answered
+
+
+class AttemptResult(enum.StrEnum):
+    """How an attempt ended, as far as the core tells results apart; the values are of `messages.RESULTS`."""
+
+    OK = "ok"  # the endpoint gave a value
+    CONNECT_FAILED = "connect_failed"  # its last byte was not written: the endpoint has not run it
+    CANCELLED = "cancelled"  # abandoned after it was written: it may have run
+    MOOT = "moot"  # not sent, which says nothing of the endpoint
 
 
 class ResponseSink(Protocol):
@@ -148,7 +157,10 @@
         """Hear of an attempt that is about to be sent."""
 
     def on_end(self, outcome: RequestOutcome) -> None:
-        """Hear of the final answer: SERVED, REFUSED or FAILED; or GONE, nobody was there. Called once."""
+        """Hear of the final answer, once.
+
+        COMPLETED, REJECTED or FAILED; or DISCONNECTED: nobody was there.
+        """
 
 
 class PluginChain(Protocol):
@@ -197,11 +209,18 @@
         """Release what `acquire` gave."""
 
 
+class TimerHandle(Protocol):
+    """A timer that was set."""
+
+    def cancel(self) -> None:
+        """Do not call, unless it was called already."""
+
+
 class Scheduler(Protocol):
     """The event loop's timers, and nothing more of it."""
 
-    def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Any:
-        """Call after `delay` seconds; the handle has `cancel`."""
+    def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> TimerHandle:
+        """Call after `delay` seconds."""
 
     def call_soon(self, callback: Callable[..., object], *args: Any) -> Any:
         """Call in the loop's next turn."""
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from apigateway import messages
-from apigateway.core import request_lifecycle as life
+from apigateway.core import deadlines
 from apigateway.core.budget import RESERVED_FRACTION, Budget
 from apigateway.core.request_lifecycle import DuplicateRequestError, RequestDispatcher
 
@@ -229,7 +229,7 @@
     """A client's end that is noticed while the module works: what it decides next knows of it."""
     w = World()
     place, other = w.take("a"), w.take("b")
-    w.core.action_handlers[messages.LogMessage] = lambda _: (
+    w.core.events.action_handlers[messages.LogMessage] = lambda _: (
         w.core.dispatch(messages.TimerExpired(7)),
         w.core.on_client_disconnected(place),
     )
@@ -329,7 +329,9 @@
                     gone.add(place)
                 w.core.on_client_disconnected(place)
             elif what == "late" and w.core.in_flight:
-                w.core.on_deadline(list(w.core.in_flight.values())[which % len(w.core.in_flight)])
+                w.core.deadline_guard.on_deadline(
+                    list(w.core.in_flight.values())[which % len(w.core.in_flight)]
+                )
             elif what == "timer":
                 w.core.dispatch(messages.TimerExpired(0))
             elif attempt is not None and what == "write":
@@ -391,7 +393,7 @@
 
 
 def test_the_guard_comes_before_the_clients_time_is_up():
-    assert 0 < life.DEADLINE_GUARD_MARGIN_S < life.RESPONSE_MARGIN_S
+    assert 0 < deadlines.DEADLINE_GUARD_MARGIN_S < deadlines.RESPONSE_MARGIN_S
 
 
 class ScriptedRegistry:
@@ -496,7 +498,7 @@
     w.core.unregister_frontend("front")
     w.core.is_draining = True
     w.core.on_client_disconnected(sink)
-    assert not w.core.in_flight and w.core._drained.is_set()
+    assert not w.core.in_flight and w.core.in_flight_table.drained.is_set()
     assert not w.core.request_budget.used and not w.core.request_budget.used_by_frontend
 
 
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -326,7 +326,9 @@
                 gone.add(id) if not places[id].answers else None
                 w.core.on_client_disconnected(places[id])
             elif what == "late" and w.core.in_flight:
-                w.core.on_deadline(list(w.core.in_flight.values())[which % len(w.core.in_flight)])
+                w.core.deadline_guard.on_deadline(
+                    list(w.core.in_flight.values())[which % len(w.core.in_flight)]
+                )
             elif what == "end" and out:
                 out[which % len(out)].end(result)
         for attempt in w.hosts.out:
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -217,7 +217,7 @@
             await asyncio.sleep(0)
         core.module.handle = handle
         asking.front.finish()
-        core.grant_quota(messages.QuotaGranted(held[0].request_id, 4.0, 1.0, 7))
+        core.response_actions.grant_quota(messages.QuotaGranted(held[0].request_id, 4.0, 1.0, 7))
         assert (await call).overall_code == OK
         await asking.front.drained()
 
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -271,14 +271,14 @@
 
 def outcomes(node):
     """What each request ends with from now on, in order; an event for each."""
-    seen, core = asyncio.Queue(), node.node.core
-    finish = core.finish
+    seen, responses = asyncio.Queue(), node.node.core.responses
+    finish = responses.finish
 
     def noted(work, outcome, *told):
         seen.put_nowait((work.request_id, outcome))
         finish(work, outcome, *told)
 
-    core.finish = noted
+    responses.finish = noted
     return seen
 
 
--- a/tests/test_net_gateway.py
+++ b/tests/test_net_gateway.py
@@ -9,7 +9,7 @@
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, terms, write
 
 from apigateway import messages
-from apigateway.core import request_lifecycle as gateway
+from apigateway.core import deadlines
 
 
 @on_loop
@@ -25,7 +25,7 @@
 
 @on_loop
 async def test_a_silent_host_is_answered_for_before_the_client_gives_up(tmp_path, monkeypatch):
-    monkeypatch.setattr(gateway, "RESPONSE_MARGIN_S", 2.0)  # a margin that no busy machine eats up
+    monkeypatch.setattr(deadlines, "RESPONSE_MARGIN_S", 2.0)  # a margin that no busy machine eats up
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         began = time.monotonic()
         assert (await node.ask(write(cls=b"note", d=2300))).startswith(b"-ERR")  # it may have run: no refusal
@@ -65,7 +65,7 @@
 
 @on_loop
 async def test_a_module_that_says_nothing_does_not_lose_the_request(tmp_path, monkeypatch):
-    monkeypatch.setattr(gateway, "DEADLINE_GUARD_MARGIN_S", 2.0)  # as above
+    monkeypatch.setattr(deadlines, "DEADLINE_GUARD_MARGIN_S", 2.0)  # as above
     async with StubHost() as host, Node(host, path=tmp_path) as node:
 
         class Mute:
--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -171,7 +171,7 @@
         await one.arrived.get()
         (attempt,) = node.node.core.in_flight["r1"].active_attempts.values()
         ended = socket.socket(fileno=os.dup(attempt.connection.descriptor))
-        node.node.core.cancel_attempt(messages.CancelAttempt("r1", 0))
+        node.node.core.attempts.cancel(messages.CancelAttempt("r1", 0))
         with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
             ended.send(b"x")
         ended.close()
