--- a/apigateway/core/attempts.py
+++ b/apigateway/core/attempts.py
@@ -10,7 +10,8 @@
 from apigateway.core.event_dispatcher import EventDispatcher
 from apigateway.core.in_flight_request import InFlightRequest
 from apigateway.core.in_flight_table import InFlightTable
-from apigateway.core.interfaces import AttemptResult, RequestOutcome, RequestPlugins, UpstreamAttempt
+from apigateway.core.interfaces import RequestPlugins, UpstreamAttempt
+from apigateway.core.outcomes import AttemptResult, RequestOutcome
 from apigateway.core.responses import ResponseSender
 
 # What an attempt carries for the core: its request, and its number among that request's.
--- a/apigateway/core/in_flight_request.py
+++ b/apigateway/core/in_flight_request.py
@@ -12,6 +12,9 @@
     UpstreamRequest,
 )
 
+# In place of a registry's place, which is 0 or more: none was asked for.
+NOT_REGISTERED = -3
+
 
 class NoUpstreamRequest:
     """What endpoints are sent for a quota check: nothing."""
--- a/apigateway/core/in_flight_table.py
+++ b/apigateway/core/in_flight_table.py
@@ -9,15 +9,9 @@
 from apigateway.core.budget import Budget
 from apigateway.core.context import CoreContext
 from apigateway.core.deadlines import RESPONSE_MARGIN_S
-from apigateway.core.in_flight_request import InFlightRequest
-from apigateway.core.interfaces import (
-    HELD_ELSEWHERE,
-    NOT_REGISTERED,
-    REGISTRY_FULL,
-    InFlightRegistry,
-    ResponseSink,
-    UpstreamRequest,
-)
+from apigateway.core.in_flight_request import NOT_REGISTERED, InFlightRequest
+from apigateway.core.interfaces import InFlightRegistry, ResponseSink, UpstreamRequest
+from apigateway.core.outcomes import AcquireFailure
 
 
 class DuplicateRequestError(Exception):
@@ -83,9 +77,9 @@
                 raise DuplicateRequestError
             return None
         place = registry.acquire(request.request_id, request.remaining + RESPONSE_MARGIN_S)
-        if place == HELD_ELSEWHERE:
+        if place == AcquireFailure.ALREADY_HELD:
             raise DuplicateRequestError
-        return None if place == REGISTRY_FULL else place
+        return None if place == AcquireFailure.NO_FREE_SLOT else place
 
     def add(
         self,
--- a/apigateway/core/request_lifecycle.py
+++ b/apigateway/core/request_lifecycle.py
@@ -24,12 +24,12 @@
     DecisionModule,
     QuotaCheckSink,
     QuotaCounter,
-    RequestOutcome,
     ResponseSink,
     Scheduler,
     UpstreamPool,
     UpstreamRequest,
 )
+from apigateway.core.outcomes import RequestOutcome
 from apigateway.core.request_filters import RequestFilters
 from apigateway.core.response_actions import ResponseActions
 from apigateway.core.responses import ResponseSender
--- a/apigateway/core/response_actions.py
+++ b/apigateway/core/response_actions.py
@@ -6,7 +6,7 @@
 from apigateway.core.context import CoreContext
 from apigateway.core.in_flight_request import InFlightRequest
 from apigateway.core.in_flight_table import InFlightTable
-from apigateway.core.interfaces import RequestOutcome
+from apigateway.core.outcomes import RequestOutcome
 from apigateway.core.responses import ResponseSender
 
 
--- a/apigateway/core/responses.py
+++ b/apigateway/core/responses.py
@@ -10,13 +10,8 @@
 from apigateway.core.event_dispatcher import EventDispatcher
 from apigateway.core.in_flight_request import InFlightRequest
 from apigateway.core.in_flight_table import InFlightTable
-from apigateway.core.interfaces import (
-    AttemptResult,
-    QuotaCheckSink,
-    RequestOutcome,
-    RequestPlugins,
-    ResponseSink,
-)
+from apigateway.core.interfaces import QuotaCheckSink, RequestPlugins, ResponseSink
+from apigateway.core.outcomes import AttemptResult, RequestOutcome
 
 # Events of a request that the decision module may still be asked about.
 _REQUEST_EVENTS = (messages.Request, messages.RejectedByPlugin, messages.AttemptOutcome)
--- a/apigateway/daemon/inflight.py
+++ b/apigateway/daemon/inflight.py
@@ -13,13 +13,12 @@
 
 from __future__ import annotations
 
-import enum
 import hashlib
 import mmap
 import struct
 import time
 
-from apigateway.core.interfaces import HELD_ELSEWHERE, REGISTRY_FULL
+from apigateway.core.outcomes import AcquireFailure
 
 # Marks that one worker can hold.
 SLOTS_PER_REGION = 16_384
@@ -35,13 +34,6 @@
 _NO_SLOT = -1  # no offset of a slot
 
 
-class AcquireFailure(enum.IntEnum):
-    """Why `acquire` returned no offset; below 0, as InFlightRegistry has it."""
-
-    ALREADY_HELD = HELD_ELSEWHERE  # another worker holds the mark, or one that died while it did
-    NO_FREE_SLOT = REGISTRY_FULL
-
-
 class InFlightWriteTable:
     """One worker's view of the marks of all workers."""
 
--- a/tests/daemon/test_inflight.py
+++ b/tests/daemon/test_inflight.py
@@ -6,8 +6,9 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
+from apigateway.core.outcomes import AcquireFailure
 from apigateway.daemon import inflight
-from apigateway.daemon.inflight import AcquireFailure, InFlightWriteTable, shared_memory_size
+from apigateway.daemon.inflight import InFlightWriteTable, shared_memory_size
 
 
 def memory(count):
