--- a/apigateway/core/admission.py
+++ b/apigateway/core/admission.py
@@ -8,51 +8,50 @@
 
 from __future__ import annotations
 
-import logging
 import time
 from collections import deque
 from collections.abc import Callable
 from typing import Protocol
 
 from apigateway.core.interfaces import Scheduler
+from apigateway.core.overload_log import LoadSheddingCounts, OverloadLog
 
 # Seconds between two probes of the loop's lateness.
 LAG_PROBE_INTERVAL_S = 0.02
-# Seconds without any shedding after which an overload is over for the log.
-OVERLOAD_END_AFTER_S = 2.0
 # Seconds for which one turn of the loop reads commands.
 READ_TIME_SLICE_S = 0.002
 
-log = logging.getLogger(__name__)
 
+class OverloadGate(LoadSheddingCounts, Protocol):
+    """The decision of what to shed: `policy.overload_gate`.
 
-class OverloadGate(Protocol):
-    """The decision of what to shed: `policy.overload_gate`. All times are in seconds."""
-
-    shed: int  # requests, while anything was shed
-    passed: int  # likewise
-    lag: float
-
-    @property
-    def tight(self) -> bool:
-        """Whether the gateway is overloaded, so that something is shed."""
+    All times are in seconds. It does no I/O, reads no clock, and may raise nothing.
+    """
 
     def late(self, now: float, lag: float) -> None:
-        """Take in that the loop came `lag` late to something that was due."""
+        """Take in that the loop came `lag` late to a probe.
+
+        Called every LAG_PROBE_INTERVAL_S while requests come or an overload lasts.
+        """
 
     def turned_away(self, now: float, waited: float, worth: int, customer: str, left: float) -> float:
-        """Return the time to wait that a shed request is told, 0 for none; below 0: it may pass.
+        """Return the Retry-After of a request that is shed, 0 for none; below 0: it may pass.
+
+        Called once for each command, before anything is done for it.
 
         Args:
             now: By the controller's clock.
             waited: Time since the request was read.
-            worth: Its priority weight.
+            worth: Its priority weight, on the gate's scale.
             customer: Whose it is.
             left: The time that it has.
         """
 
     def told(self, now: float, customer: str, wait: float) -> None:
-        """Take in that a customer was told to come again in `wait`."""
+        """Take in that the decision module told a customer to come again in `wait`.
+
+        Called while the gateway is overloaded.
+        """
 
 
 class AdmissionController:
@@ -60,6 +59,11 @@
 
     A frontend that sees `is_slice_used_up` puts its connection's continuation on `deferred_connections`,
     and what it has read waits for the next turn of the loop.
+
+    Args:
+        gate: Decides what to shed.
+        loop: The event loop's timers.
+        clock: Monotonic time in seconds.
     """
 
     def __init__(
@@ -71,22 +75,21 @@
         self.slice_started_at = 0.0  # when this turn began to read commands; 0: it has read none
         self.is_slice_used_up = False
         self.deferred_connections: deque[Callable[[], None]] = deque()  # those that have more, in order
+        self._overload_log = OverloadLog(gate)
         self._probe_due_at = 0.0
         self._is_probing = False
         self._was_asked = False  # since the last probe
-        self._overload_began_at = 0.0  # 0: there is none
-        self._last_overloaded_at = 0.0
-        self._shed_before = 0  # the gate's counts when the overload began
-        self._passed_before = 0
 
-    def turned_away(self, worth: int, customer: str, left: float, came: float) -> float:
-        """Ask whether to shed a request; returns what `OverloadGate.turned_away` does.
+    def retry_after_if_shed(
+        self, priority_step: int, customer: str, remaining: float, arrived_at: float
+    ) -> float:
+        """Return the seconds that a request is told to wait if it is to be shed, 0 for none; else below 0.
 
         Args:
-            worth: Its priority weight.
+            priority_step: Its priority weight, on the gate's scale.
             customer: Whose it is.
-            left: The seconds that it has.
-            came: When it was read, by `clock`.
+            remaining: The seconds that it has.
+            arrived_at: When it was read, by `clock`.
         """
         now = self.clock()
         self._was_asked = True
@@ -94,14 +97,7 @@
             self._start_slice(now)
         elif now - self.slice_started_at > READ_TIME_SLICE_S:
             self.is_slice_used_up = True
-        return self.gate.turned_away(now, now - came, worth, customer, left)
-
-    def _start_slice(self, now: float) -> None:
-        self.slice_started_at = now
-        self.loop.call_soon(self.start_turn)
-        if not self._is_probing:
-            self._is_probing = True
-            self._schedule_probe(now + LAG_PROBE_INTERVAL_S)
+        return self.gate.turned_away(now, now - arrived_at, priority_step, customer, remaining)
 
     def start_turn(self) -> None:
         """Begin a new turn of the loop: deferred connections go on, one after another."""
@@ -119,7 +115,12 @@
         if self.gate.tight:
             self.gate.told(self.clock(), customer, retry_after)
 
-    # How late the loop is
+    def _start_slice(self, now: float) -> None:
+        self.slice_started_at = now
+        self.loop.call_soon(self.start_turn)
+        if not self._is_probing:
+            self._is_probing = True
+            self._schedule_probe(now + LAG_PROBE_INTERVAL_S)
 
     def _schedule_probe(self, due_at: float) -> None:
         self._probe_due_at = due_at
@@ -128,36 +129,9 @@
     def _probe_lag(self) -> None:
         now = self.clock()
         self.gate.late(now, max(0.0, now - self._probe_due_at))
-        self._log_overload(now)
-        if self._was_asked or self.gate.tight or self._overload_began_at:
+        self._overload_log.update(now)
+        if self._was_asked or self.gate.tight or self._overload_log.is_overloaded:
             self._was_asked = False
             self._schedule_probe(now + LAG_PROBE_INTERVAL_S)
         else:  # nobody asked: at rest it costs nothing
             self._is_probing = False
-
-    def _log_overload(self, now: float) -> None:
-        """Log the begin and the end of an overload, once each."""
-        if self.gate.tight:
-            self._last_overloaded_at = now
-            if not self._overload_began_at:
-                self._log_overload_began(now)
-        elif self._overload_began_at and now - self._last_overloaded_at > OVERLOAD_END_AFTER_S:
-            self._log_overload_ended()
-
-    def _log_overload_began(self, now: float) -> None:
-        self._overload_began_at = now
-        self._shed_before = self.gate.shed
-        self._passed_before = self.gate.passed
-        log.warning(
-            "overload: requests wait %.0f ms for the core; what is worth least is turned away",
-            self.gate.lag * 1000,
-        )
-
-    def _log_overload_ended(self) -> None:
-        log.warning(
-            "overload over after %.1f s: %d turned away, %d passed",
-            self._last_overloaded_at - self._overload_began_at,
-            self.gate.shed - self._shed_before,
-            self.gate.passed - self._passed_before,
-        )
-        self._overload_began_at = 0.0
--- a/apigateway/core/budget.py
+++ b/apigateway/core/budget.py
@@ -11,6 +11,11 @@
 
     Each of n frontends has `RESERVED_FRACTION / n` of it to itself; the rest goes to whoever asks first. With
     one frontend all of it is that frontend's.
+
+    Attributes:
+        limit: The amount; a reload may change it, also to less than is used.
+        used: Over all frontends.
+        used_by_frontend: Of those that have joined, and of those that have left and still use some.
     """
 
     def __init__(self, limit: float) -> None:
@@ -44,7 +49,7 @@
         self.used_by_frontend[frontend] = self.used_by_frontend.get(frontend, 0.0) + amount
 
     def release(self, frontend: object, amount: float) -> None:
-        """Take back what a frontend used."""
+        """Take back what a frontend used, which `acquire` counted before."""
         if not amount and frontend not in self.used_by_frontend:
             return  # it has left, and a quota check of its holds no bytes
         self.used -= amount
--- a/apigateway/frontends/resp/front.py
+++ b/apigateway/frontends/resp/front.py
@@ -129,7 +129,7 @@
 
     def turned_away(self, door: AdmissionController, seen: Outline, slot: Slot) -> float:
         """Asks the door. Below 0: it may pass, or is one that may be running and is told so."""
-        wait = door.turned_away(seen.worth, seen.customer, seen.left, slot.client.came)
+        wait = door.retry_after_if_shed(seen.worth, seen.customer, seen.left, slot.client.came)
         return -1.0 if wait >= 0 and self.core.is_in_flight(seen.id, seen.write) else wait
 
     def redeemed(self, request: messages.Request, terms: bytes, slot: Slot) -> messages.Request:
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -5,12 +5,8 @@
 import pytest
 from test_request_lifecycle import ManualScheduler
 
-from apigateway.core.admission import (
-    LAG_PROBE_INTERVAL_S,
-    OVERLOAD_END_AFTER_S,
-    READ_TIME_SLICE_S,
-    AdmissionController,
-)
+from apigateway.core.admission import LAG_PROBE_INTERVAL_S, READ_TIME_SLICE_S, AdmissionController
+from apigateway.core.overload_log import OVERLOAD_END_AFTER_S
 
 
 class ScriptedGate:
@@ -35,7 +31,7 @@
         self.door = AdmissionController(self.gate, self.loop, lambda: self.now)
 
     def ask(self, took=0.0, came=None):
-        self.door.turned_away(0, "c", 3.0, self.now if came is None else came)
+        self.door.retry_after_if_shed(0, "c", 3.0, self.now if came is None else came)
         self.now += took
 
     def turn(self):
