--- /dev/null
+++ b/tests/core/test_attempts.py
@@ -0,0 +1,46 @@
+"""Attempts that the decision module asks for: which are sent, and what it hears of each."""
+
+from core.fakes import DispatcherHarness
+
+from apigateway import messages
+
+
+def test_attempt_when_it_succeeds_then_its_request_is_answered_once():
+    harness = DispatcherHarness()
+    sink = harness.submit("a", [messages.ForwardRequest("a", "h1")])
+    harness.upstream.sent[0].end("ok")
+    assert sink.answers == ["served"]
+    assert not harness.core.in_flight and not harness.core.request_budget.used
+    assert harness.module.events[-1] == messages.AttemptOutcome("a", 0, "h1", "ok", 0.01, True)
+    harness.loop.fire_timers()
+    assert sink.answers == ["served"]
+
+
+def test_attempt_when_another_is_active_or_all_are_used_then_moot():
+    harness = DispatcherHarness(max_attempts=2)
+    harness.submit("a", [messages.ForwardRequest("a", "h1"), messages.ForwardRequest("a", "h2")])
+    assert [attempt.endpoint_id for attempt in harness.upstream.sent] == ["h1"]
+    assert harness.module.events[-1].result == "moot"
+    harness.module.next_actions = [messages.ForwardRequest("a", "h2")]
+    harness.upstream.sent[0].end("reset")
+    # the moot one was an attempt too
+    assert [attempt.endpoint_id for attempt in harness.upstream.sent] == ["h1"]
+    assert harness.module.events[-1].result == "moot"
+
+
+def test_attempt_when_it_crossed_the_end_of_its_request_then_moot_and_not_sent():
+    harness = DispatcherHarness()
+    sink = harness.submit("a", [messages.ForwardRequest("a", "h1")])
+    harness.upstream.sent[0].is_written = True
+    harness.core.on_client_disconnected(sink)  # its attempt is active still, for the module to cancel
+    harness.module.next_actions = [messages.ForwardRequest("a", "h2")]
+    harness.core.dispatch(messages.TimerExpired(0))
+    outcome = harness.module.events[-1]
+    assert (
+        outcome.request_id,
+        outcome.attempt,
+        outcome.endpoint_id,
+        outcome.result,
+        outcome.is_final,
+    ) == ("a", 1, "h2", "moot", True)
+    assert len(harness.upstream.sent) == 1
--- /dev/null
+++ b/tests/core/test_deadlines.py
@@ -0,0 +1,16 @@
+"""The guard that answers in time what nobody else answered."""
+
+from core.fakes import DispatcherHarness
+
+from apigateway.core import deadlines
+
+
+def test_deadline_guard_when_the_module_decides_nothing_then_the_request_fails():
+    harness = DispatcherHarness()
+    sink = harness.submit("a")
+    harness.loop.fire_timers()
+    assert sink.answers == ["failed"] and not harness.core.in_flight
+
+
+def test_deadline_guard_margin_when_compared_then_it_fires_before_the_client_gives_up():
+    assert 0 < deadlines.DEADLINE_GUARD_MARGIN_S < deadlines.RESPONSE_MARGIN_S
--- /dev/null
+++ b/tests/core/test_in_flight_table.py
@@ -0,0 +1,83 @@
+"""Which requests are accepted, and that their capacity is released."""
+
+import pytest
+from core.fakes import (
+    DispatcherHarness,
+    FakeUpstreamRequest,
+    RecordingCheckSink,
+    RecordingSink,
+    ScriptedRegistry,
+    make_quota_check,
+    make_write_request,
+)
+
+from apigateway import messages
+from apigateway.core.request_lifecycle import DuplicateRequestError
+
+
+def test_request_when_its_id_is_in_flight_then_no_frontend_accepts_it():
+    harness = DispatcherHarness()
+    harness.core.register_frontend("other")
+    sink = harness.submit("a", [messages.ForwardRequest("a", "h1")])
+    with pytest.raises(DuplicateRequestError):
+        harness.submit("a", frontend="other")
+    harness.upstream.sent[0].end("ok")
+    assert sink.answers == ["served"]
+    # it is over now
+    assert harness.submit("a", [messages.Reject("a")], frontend="other").answers == ["refused"]
+
+
+def test_write_when_held_elsewhere_and_no_capacity_then_it_is_not_rejected_as_not_run():
+    harness = DispatcherHarness(max_in_flight=1)
+    harness.core.in_flight_registry = registry = ScriptedRegistry(7)
+    harness.module.next_actions = [messages.ForwardRequest("a", "h1")]
+    harness.core.submit("front", make_write_request("a"), FakeUpstreamRequest(), RecordingSink())
+    registry.held_elsewhere = {"b"}
+    sink_without_capacity = RecordingSink()
+    with pytest.raises(DuplicateRequestError):
+        harness.core.submit("front", make_write_request("b"), FakeUpstreamRequest(), RecordingSink())
+    harness.core.submit("front", make_write_request("c"), FakeUpstreamRequest(), sink_without_capacity)
+    assert sink_without_capacity.answers == ["refused"]
+    assert [request_id for request_id, _ in registry.acquired] == ["a"]
+    assert harness.core.is_in_flight("a", False) and harness.core.is_in_flight("b", True)
+    assert not harness.core.is_in_flight("b", False) and not harness.core.is_in_flight("c", True)
+
+
+def test_write_when_another_worker_holds_it_then_not_accepted_and_own_place_goes_with_its_request():
+    harness = DispatcherHarness()
+    harness.core.in_flight_registry = registry = ScriptedRegistry(7, -1, -2)
+    accepted_sink = RecordingSink()
+    sink_without_capacity = RecordingSink()
+    harness.module.next_actions = [messages.ForwardRequest("a", "h1")]
+    harness.core.submit("front", make_write_request("a"), FakeUpstreamRequest(), accepted_sink)
+    with pytest.raises(DuplicateRequestError):
+        harness.core.submit("front", make_write_request("b"), FakeUpstreamRequest(), RecordingSink())
+    harness.core.submit("front", make_write_request("c"), FakeUpstreamRequest(), sink_without_capacity)
+    assert sink_without_capacity.answers == ["refused"]
+    assert set(harness.core.in_flight) == {"a"} and harness.core.request_budget.used == 1
+    harness.submit("read")  # repeats of those do no harm: they are not registered
+    assert [request_id for request_id, _ in registry.acquired] == ["a", "b", "c"] and not registry.released
+    harness.upstream.sent[0].end("ok")
+    assert accepted_sink.answers == ["served"] and registry.released == [7]
+
+
+def test_quota_check_when_its_id_is_in_flight_or_no_capacity_then_not_accepted():
+    harness = DispatcherHarness(max_in_flight=1)
+    harness.core.plugins = None
+    harness.core.submit_check("front", make_quota_check("a"), RecordingCheckSink())
+    with pytest.raises(DuplicateRequestError):
+        harness.core.submit_check("front", make_quota_check("a"), RecordingCheckSink())
+    sink_without_capacity = RecordingCheckSink()
+    harness.core.submit_check("front", make_quota_check("b"), sink_without_capacity)
+    assert sink_without_capacity.answers == ["refused"]
+
+
+def test_check_in_flight_when_its_frontend_leaves_then_is_finished_and_the_drain_ends():
+    harness = DispatcherHarness()
+    sink = RecordingCheckSink()
+    harness.core.submit_check("front", make_quota_check("a"), sink)
+    harness.core.unregister_frontend("front")
+    harness.core.is_draining = True
+    harness.core.on_client_disconnected(sink)
+    assert not harness.core.in_flight and harness.core.in_flight_table.drained.is_set()
+    assert not harness.core.request_budget.used and not harness.core.request_budget.used_by_frontend
--- /dev/null
+++ b/tests/core/test_overload_log.py
@@ -0,0 +1,31 @@
+"""The log of an overload, by way of the admission controller that keeps it."""
+
+import logging
+
+from core.test_admission import AdmissionHarness
+
+from apigateway.core.admission import LAG_PROBE_INTERVAL_S
+from apigateway.core.overload_log import OVERLOAD_END_AFTER_S
+
+
+def test_overload_when_it_begins_and_ends_then_each_is_logged_once(caplog):
+    harness = AdmissionHarness()
+    gate = harness.gate
+    with caplog.at_level(logging.WARNING):
+        harness.ask()
+        gate.tight = True
+        gate.lag = 0.04
+        for _ in range(5):
+            harness.fire_probe()
+        gate.tight = False
+        gate.shed = 7
+        gate.passed = 3
+        for _ in range(int(OVERLOAD_END_AFTER_S / LAG_PROBE_INTERVAL_S / 2)):
+            harness.fire_probe()
+        gate.tight = True  # it is the same overload still
+        harness.fire_probe()
+        gate.tight = False
+        while harness.loop.timers:
+            harness.fire_probe()
+    lines = [record.getMessage() for record in caplog.records]
+    assert len(lines) == 2 and "wait 40 ms" in lines[0] and "7 turned away, 3 passed" in lines[1]
--- /dev/null
+++ b/tests/core/test_responses.py
@@ -0,0 +1,27 @@
+"""One final answer, whatever the frontend makes of it."""
+
+import logging
+
+from core.fakes import DispatcherHarness
+
+from apigateway import messages
+
+
+def test_response_when_the_frontend_raises_then_its_request_is_released_like_others(caplog):
+    harness = DispatcherHarness()
+    with caplog.at_level(logging.CRITICAL):
+        broken_sink = harness.submit("a", [messages.Reject("a")], is_sink_broken=True)
+        good_sink = harness.submit("b", [messages.Reject("b")])
+    assert broken_sink.answers == good_sink.answers == ["refused"]
+    assert not harness.core.in_flight
+    assert not harness.core.request_budget.used and not harness.core.body_budget.used
+
+
+def test_response_when_the_client_disconnected_then_none_and_an_unwritten_attempt_is_cancelled():
+    harness = DispatcherHarness()
+    sink = harness.submit("a", [messages.ForwardRequest("a", "h1")])
+    harness.core.on_client_disconnected(sink)
+    assert harness.upstream.sent[0].result == "connect_failed"
+    assert not harness.core.in_flight and sink.answers == []
+    outcomes = [event for event in harness.module.events if isinstance(event, messages.AttemptOutcome)]
+    assert [outcome.result for outcome in outcomes] == ["moot"]
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -9,7 +9,7 @@
 import time
 
 import pytest
-from core.test_request_lifecycle import RecordingSink, StubUpstreamRequest, World, request
+from core.fakes import DispatcherHarness, FakeUpstreamRequest, RecordingSink, make_request
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
@@ -78,7 +78,7 @@
 
 
 def hooked(*seats, recorder=None, **kw):
-    w = World(**kw)
+    w = DispatcherHarness(**kw)
     w.core.plugins = w.hooks = Hooks(version(*seats), lambda: 1000.0, w.loop, 1.0, recorder)
     return w
 
@@ -89,7 +89,7 @@
 
 def test_a_refusal_reaches_the_module_as_barred_and_nothing_else_of_the_request():
     w = hooked(seat(Scripted(on_request(("refuse", "1.5")))))
-    place = w.take("a", [messages.Reject("a", 1.5)])
+    place = w.submit("a", [messages.Reject("a", 1.5)])
     assert (
         w.module.events == [messages.RejectedByPlugin("a", 1.5)]
         and place.answers == ["refused"]
@@ -114,9 +114,9 @@
 def test_a_route_and_tags_go_with_the_request():
     plugin = Scripted(on_request(("route", "batch"), ("tag", "district", "kochi")))
     w = hooked(seat(plugin))
-    w.take("a", [messages.ForwardRequest("a", "h1")])
+    w.submit("a", [messages.ForwardRequest("a", "h1")])
     assert w.module.events[0].route == "batch"
-    w.hosts.out[0].end("ok")
+    w.upstream.sent[0].end("ok")
     assert [(p, o) for p, _, o in plugin.seen] == [(REQUEST, ""), (ATTEMPT, ""), (ANSWER, "served")]
 
 
@@ -125,8 +125,8 @@
 )
 def test_a_plug_in_that_raises_is_skipped_in_each_phase(how):
     w = hooked(seat(Scripted(how)))
-    place = w.take("a", [messages.ForwardRequest("a", "h1")])
-    w.hosts.out[0].end("ok")
+    place = w.submit("a", [messages.ForwardRequest("a", "h1")])
+    w.upstream.sent[0].end("ok")
     assert place.answers == ["served"] and not w.core.in_flight and w.hooks.version.open == 0
     w.hooks.tick()
     assert sum(w.hooks.version.seats[0].failed.values()) == 4
@@ -135,7 +135,7 @@
 def test_past_its_budget_a_request_is_refused_where_settings_say_so():
     w = hooked(seat(Scripted(PluginFailed("fuel"), [REQUEST]), past="refuse", failures=2, rest=30.0))
     for n in range(4):
-        place = w.take(str(n), [messages.Reject(str(n))])
+        place = w.submit(str(n), [messages.Reject(str(n))])
         assert place.answers == ["refused"]
     told = w.hooks.told()["plugins"][0]
     assert told["failed"] == {"fuel": 2} and told["not asked"] == {"out": 2} and told["state"] == "out"
@@ -149,7 +149,7 @@
     seats = [seat(Scripted(lambda phase, view: calls.append(1), [REQUEST]), f"p{n}") for n in range(5)]
     w = hooked()
     w.hooks.version = version(*seats, chain=-1.0)  # it is over with the first
-    w.take("a", [messages.Reject("a")])
+    w.submit("a", [messages.Reject("a")])
     assert len(calls) == 1 and [s.passed for s in seats] == [{}] + [{"chain": 1}] * 4
 
 
@@ -160,10 +160,10 @@
         Scripted(lambda phase, view: seen.append(dict(view.tags))),
     )
     w = hooked(seat(first, "one"), seat(last, "two"))
-    w.take("a")
+    w.submit("a")
     assert seen == [{"a": "1"}]
     first.say = on_request(("refuse", "0"))
-    w.take("b", [messages.Reject("b")])
+    w.submit("b", [messages.Reject("b")])
     assert len(seen) == 2 and ("answer", "b", "refused") in last.seen  # not asked, but told how it ended
 
 
@@ -183,12 +183,12 @@
 @pytest.mark.parametrize("rule, said", FIVE_RULES)
 def test_a_plug_in_that_tries_a_rule_by_name_changes_nothing(rule, said):
     w = hooked(seat(Scripted([Proposal(*p) for p in said])))
-    asked = request("a")
+    asked = make_request("a")
     place = RecordingSink()
-    w.module.next = [messages.ForwardRequest("a", "h1")]
-    w.core.submit("front", asked, StubUpstreamRequest(), place)
-    assert w.module.events[0] == asked and [a.endpoint_id for a in w.hosts.sent] == ["h1"]
-    w.hosts.out[0].end("ok")
+    w.module.next_actions = [messages.ForwardRequest("a", "h1")]
+    w.core.submit("front", asked, FakeUpstreamRequest(), place)
+    assert w.module.events[0] == asked and [a.endpoint_id for a in w.upstream.sent] == ["h1"]
+    w.upstream.sent[0].end("ok")
     assert place.answers == ["served"]
     denied = w.hooks.version.seats[0].denied
     assert sum(denied.values()) == 3 * len(said) and all(what.endswith(": fixed") for what in denied)
@@ -198,13 +198,13 @@
     old, new = Scripted(None), Scripted(None)
     w = hooked(seat(old))
     first, second = (
-        w.take("a", [messages.ForwardRequest("a", "h1")]),
-        w.take("b", [messages.ForwardRequest("b", "h1")]),
+        w.submit("a", [messages.ForwardRequest("a", "h1")]),
+        w.submit("b", [messages.ForwardRequest("b", "h1")]),
     )
     w.hooks.swap(version(seat(new)))
-    w.take("c", [messages.ForwardRequest("c", "h1")])
-    for attempt in list(w.hosts.out):
-        assert not old.closed or attempt is w.hosts.out[2]
+    w.submit("c", [messages.ForwardRequest("c", "h1")])
+    for attempt in list(w.upstream.sent):
+        assert not old.closed or attempt is w.upstream.sent[2]
         attempt.end("ok")
     assert first.answers == second.answers == ["served"]
     assert {id for _, id, _ in old.seen} == {"a", "b"} and {id for _, id, _ in new.seen} == {"c"}
@@ -213,12 +213,12 @@
 
 def test_swapped_with_hundreds_in_flight_the_new_one_trapping_at_its_first_call():
     old = Scripted(on_request(("tag", "a", "1")))
-    w = hooked(seat(old), most=1000, held=10**6)
-    places = [w.take(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(400)]
+    w = hooked(seat(old), max_in_flight=1000, max_body_bytes=10**6)
+    places = [w.submit(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(400)]
     bad = Scripted(PluginFailed("trap"))
     w.hooks.swap(version(seat(bad, failures=3)))
-    places += [w.take(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(400, 800)]
-    for attempt in w.hosts.out:
+    places += [w.submit(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(400, 800)]
+    for attempt in w.upstream.sent:
         attempt.end("ok")
     assert all(place.answers == ["served"] for place in places)
     assert old.closed and len(bad.seen) == 3 and len(old.seen) == 3 * 400
@@ -226,13 +226,13 @@
 
 def test_two_hundred_swaps_in_a_row_leave_nothing_behind():
     made = [Scripted(None, state=b"0")]
-    w = hooked(seat(made[0]), most=1000, held=10**6)
+    w = hooked(seat(made[0]), max_in_flight=1000, max_body_bytes=10**6)
     for n in range(200):
-        w.take(str(n), [messages.ForwardRequest(str(n), "h1")])
+        w.submit(str(n), [messages.ForwardRequest(str(n), "h1")])
         made.append(Scripted(None))
         w.hooks.swap(version(seat(made[-1])))
     assert len(w.hooks.old) == 200 and made[-1].state == b"0"  # each carried it over to the next
-    for attempt in random.Random(1).sample(w.hosts.out, 200):
+    for attempt in random.Random(1).sample(w.upstream.sent, 200):
         attempt.end("ok")
     assert not w.hooks.old and [p.closed for p in made] == [True] * 200 + [False]
     assert w.hooks.told()["version"] == 201
@@ -257,11 +257,11 @@
     w = hooked(same, seat(gone, "gone"))
     w.hooks.swap(version(same))
     assert gone.closed and not kept.closed
-    w.take("a", [messages.ForwardRequest("a", "h1")])
+    w.submit("a", [messages.ForwardRequest("a", "h1")])
     w.hooks.retire()
     w.core.plugins = None
     assert not kept.closed
-    w.hosts.out[0].end("ok")
+    w.upstream.sent[0].end("ok")
     assert kept.closed
 
 
@@ -299,7 +299,7 @@
         made.append(Scripted(lambda phase, view: said[next(turn) % len(said)], state=b"s"))
         return version(seat(made[-1], failures=10**6, share=1.0, span=1000.0))
 
-    w = hooked(most=10_000, held=10**9)
+    w = hooked(max_in_flight=10_000, max_body_bytes=10**9)
     w.hooks.version = one()
     w.module.handle = lambda now, event: (
         [messages.ForwardRequest(event.request_id, "h1")]
@@ -312,11 +312,11 @@
     )
     try:
         for what, which, result in steps:
-            out = [a for a in w.hosts.out if not a.result]
+            out = [a for a in w.upstream.sent if not a.result]
             if what == "take":
                 id = str(len(places))
                 places[id] = RecordingSink()
-                w.core.submit("front", request(id), StubUpstreamRequest(), places[id])
+                w.core.submit("front", make_request(id), FakeUpstreamRequest(), places[id])
             elif what == "swap":
                 w.hooks.swap(one())
             elif what == "tick":
@@ -331,7 +331,7 @@
                 )
             elif what == "end" and out:
                 out[which % len(out)].end(result)
-        for attempt in w.hosts.out:
+        for attempt in w.upstream.sent:
             attempt.end("reset")
         w.loop.timers.clear()
     finally:
@@ -461,14 +461,14 @@
     w.hooks.version = loaded
     for n in range(6):
         place = RecordingSink()
-        w.module.next = [messages.ForwardRequest(str(n), "h1")]
+        w.module.next_actions = [messages.ForwardRequest(str(n), "h1")]
         w.core.submit(
             "front",
             messages.Request(str(n), 3.0, "ff", "basic", "roster-read", 1.0, 0, 1),
-            StubUpstreamRequest(),
+            FakeUpstreamRequest(),
             place,
         )
-        w.hosts.out[-1].end("ok")
+        w.upstream.sent[-1].end("ok")
         assert place.answers == ["served"]
     told = w.hooks.told()["plugins"][0]
     assert told["failed"] == {"trap": 3} and told["state"] == "out" and told["not asked"] == {"out": 3}
@@ -520,12 +520,12 @@
             "(i64.const 0))"
         )
     )
-    w = hooked(most=2000, held=10**6)
+    w = hooked(max_in_flight=2000, max_body_bytes=10**6)
     # Its time is not what this is about: a core that is taken away for 10 ms would count as too long a call.
     budget = BudgetPart(share=0.001, span=5.0, time_ms=1000.0)
     w.hooks.version = loading(tmp_path, part("a", file="a.wat", budget=budget))
-    places = [w.take(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(1000)]
-    for attempt in w.hosts.out:
+    places = [w.submit(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(1000)]
+    for attempt in w.upstream.sent:
         attempt.end("ok")
     (told,) = w.hooks.told()["plugins"]
     assert not told["failed"] and told["state"] == "in"
@@ -546,10 +546,10 @@
     }
     w = hooked(seat(Scripted(lambda phase, view: said.get(phase, lambda v: [])(view))), recorder=recorder)
     for id in "ab":
-        w.take(id, [messages.ForwardRequest(id, "h1")])
-        w.module.next = [messages.ForwardRequest(id, "h2")]
-        w.hosts.out[-1].end("full")
-        w.hosts.out[-1].end("ok")
+        w.submit(id, [messages.ForwardRequest(id, "h1")])
+        w.module.next_actions = [messages.ForwardRequest(id, "h2")]
+        w.upstream.sent[-1].end("full")
+        w.upstream.sent[-1].end("ok")
     w.hooks.close()
     ((number, told),) = read_records(str(file))
     assert (number, told["id"], told["outcome"], told["tags"]) == (1, "a", "served", {"export": "1"})
