--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -195,12 +195,12 @@
 class DispatcherHarness:
     """A dispatcher with one frontend, named "front", at a clock that stands still."""
 
-    def __init__(self, max_in_flight=100, max_body_bytes=10_000, **limits):
+    def __init__(self, max_in_flight=100, max_body_bytes=10_000, discovery_mode="push", **limits):
         self.module = ScriptedModule()
         self.upstream = FakeUpstreamPool()
         self.loop = ManualScheduler()
         self.core = RequestDispatcher(
-            module_settings(limits={"can_hedge": False, **limits}),
+            module_settings(limits={"can_hedge": False, **limits}, discovery_mode=discovery_mode),
             self.module,
             self.upstream,
             None,
--- /dev/null
+++ b/tests/core/test_endpoint_updates.py
@@ -0,0 +1,65 @@
+"""An endpoint list on its way to the connection pools and to the decision module."""
+
+import pytest
+from core.fakes import DispatcherHarness
+
+from apigateway import messages
+
+ADDRESSES = {"h1": ("127.0.0.1", 1), "h2": ("127.0.0.1", 2)}
+
+
+class FakeEndpointSource:
+    """A source whose last list had version 7."""
+
+    version = 7
+
+
+class AddressRecordingModule:
+    """Keep the addresses that the pools have when the module hears of an event."""
+
+    def __init__(self, upstream):
+        self.upstream = upstream
+        self.seen = []
+
+    def handle(self, now, event):
+        self.seen.append(dict(self.upstream.addresses))
+        return []
+
+
+def make_list(mode, **states):
+    endpoints = [messages.Endpoint(name, "z1", 0, 1.0, "k", state, 0.0) for name, state in states.items()]
+    return messages.EndpointList(mode, 1, tuple(endpoints))
+
+
+def test_endpoint_list_when_some_come_and_some_go_then_the_module_hears_of_it_between():
+    harness = DispatcherHarness()
+    harness.core.on_endpoint_list(make_list("full", h1="up"), ADDRESSES)
+    harness.core.module = module = AddressRecordingModule(harness.upstream)
+    harness.core.on_endpoint_list(make_list("full", h2="up"), ADDRESSES)
+    assert module.seen == [ADDRESSES]  # h2 has come, h1 has not gone yet
+    assert harness.upstream.addresses == {"h1": None, "h2": ADDRESSES["h2"]}
+
+
+@pytest.mark.parametrize("state", ["leaving", "down"])
+def test_endpoint_list_when_a_delta_takes_one_away_then_the_others_stay(state):
+    harness = DispatcherHarness()
+    harness.core.on_endpoint_list(make_list("full", h1="up", h2="up"), ADDRESSES)
+    harness.core.on_endpoint_list(make_list("delta", h1=state), {})
+    assert harness.upstream.known_endpoints() == {"h2"}
+
+
+def test_core_when_it_had_endpoints_once_then_it_stays_ready():
+    harness = DispatcherHarness()
+    assert not harness.core.is_ready
+    harness.core.on_endpoint_list(make_list("full", h1="up"), ADDRESSES)
+    assert harness.core.is_ready
+    harness.core.on_endpoint_list(make_list("full"), {})
+    assert harness.core.is_ready and not harness.upstream.known_endpoints()
+
+
+@pytest.mark.parametrize("discovery_mode, is_told", [("ask", True), ("push", False)])
+def test_endpoint_list_when_it_could_not_be_had_then_a_module_that_polls_is_told(discovery_mode, is_told):
+    harness = DispatcherHarness(discovery_mode=discovery_mode)
+    harness.core.membership = FakeEndpointSource()
+    harness.core.on_endpoint_list_failed()
+    assert harness.module.events == [messages.EndpointList("failed", 7, ())] * is_told
--- /dev/null
+++ b/tests/core/test_gateway_actions.py
@@ -0,0 +1,60 @@
+"""Actions of the decision module that belong to no request."""
+
+from core.fakes import DispatcherHarness
+
+from apigateway import messages
+
+
+class ScriptedCounter:
+    """Count at once, up from 40."""
+
+    def add(self, counter_key, amount, lifetime, on_counted):
+        on_counted(counter_key, "ok", 40.0 + amount, 0.002)
+
+
+def run_action(harness, action):
+    """Let the module ask for an action."""
+    harness.module.next_actions = [action]
+    harness.core.dispatch(messages.DrainGateway(False))
+
+
+def test_counter_when_there_is_none_then_the_module_is_told_of_it_later():
+    harness = DispatcherHarness()
+    run_action(harness, messages.AddToCounter(5, 2.0, 1.0))
+    assert len(harness.module.events) == 1
+    ((callback, arguments),) = harness.loop.ready_callbacks
+    callback(*arguments)
+    assert harness.module.events[-1] == messages.CounterResult(5, "connect_failed", 0.0, 0.0)
+
+
+def test_counter_when_it_answers_then_the_module_is_told_the_total():
+    harness = DispatcherHarness()
+    harness.core.counter = ScriptedCounter()
+    run_action(harness, messages.AddToCounter(5, 2.0, 1.0))
+    assert harness.module.events[-1] == messages.CounterResult(5, "ok", 42.0, 0.002)
+
+
+def test_timer_when_it_fires_early_then_the_module_is_told_only_once_it_is_due():
+    harness = DispatcherHarness()
+    now = 1000.0
+    harness.core.clock = lambda: now
+    run_action(harness, messages.SetTimer(0.5, 3))
+    now = 1000.4995
+    harness.loop.timers.pop()[2].fire()
+    assert not [event for event in harness.module.events if isinstance(event, messages.TimerExpired)]
+    now = 1000.5005
+    harness.loop.timers.pop()[2].fire()
+    assert harness.module.events[-1] == messages.TimerExpired(3) and not harness.loop.timers
+
+
+def test_health_check_when_it_ends_then_the_module_is_told_its_result():
+    harness = DispatcherHarness()
+    run_action(harness, messages.CheckHealth("h1"))
+    assert harness.module.events[-1] == messages.HealthCheckResult("h1", "", 0.01, {})
+
+
+def test_endpoint_list_when_there_is_no_source_then_nothing_is_asked():
+    harness = DispatcherHarness()
+    run_action(harness, messages.FetchEndpoints())
+    run_action(harness, messages.WatchEndpoints(True))
+    assert [type(event) for event in harness.module.events] == [messages.DrainGateway] * 2
--- a/tests/core/test_in_flight_table.py
+++ b/tests/core/test_in_flight_table.py
@@ -1,4 +1,6 @@
-"""Which requests are accepted, and that their capacity is released."""
+"""Which requests are accepted, that their capacity is released, and the drain."""
+
+import asyncio
 
 import pytest
 from core.fakes import (
@@ -81,3 +83,35 @@
     harness.core.on_client_disconnected(sink)
     assert not harness.core.in_flight and harness.core.in_flight_table.drained.is_set()
     assert not harness.core.request_budget.used and not harness.core.request_budget.used_by_frontend
+
+
+def test_drain_when_nothing_is_in_flight_then_it_ends_at_once():
+    harness = DispatcherHarness()
+    harness.core.is_draining = True
+    asyncio.run(harness.core.drain(0.0))
+    assert not harness.core.in_flight_table.drained.is_set()  # it did not wait
+
+
+def test_drain_when_the_last_request_ends_then_it_ends():
+    harness = DispatcherHarness()
+    sink = harness.submit("a", [messages.ForwardRequest("a", "h1")])
+    harness.core.is_draining = True
+
+    async def end_while_draining():
+        drain = asyncio.ensure_future(harness.core.drain(60.0))
+        await asyncio.sleep(0)
+        assert not drain.done()
+        harness.upstream.sent[0].end("ok")
+        await drain
+
+    asyncio.run(end_while_draining())
+    assert sink.answers == ["served"] and not harness.core.in_flight
+
+
+def test_drain_when_its_time_is_over_then_what_is_in_flight_fails():
+    harness = DispatcherHarness()
+    sink = harness.submit("a", [messages.ForwardRequest("a", "h1")])
+    harness.core.is_draining = True
+    asyncio.run(harness.core.drain(0.01))
+    assert sink.answers == ["failed"] and not harness.core.in_flight
+    assert harness.upstream.sent[0].result == "connect_failed"
