--- a/apigateway/cli/ratelimit.py
+++ b/apigateway/cli/ratelimit.py
@@ -133,14 +133,14 @@
 async def call(
     address: Address, context: ssl.SSLContext | None, name: str, request: Any, timeout: float
 ) -> tuple[int, str, bytes]:
-    from apigateway.external_ratelimit.client import Channel
+    from apigateway.external_ratelimit.channel import GrpcChannel
 
-    channel, answer = Channel(address, context, name), asyncio.get_running_loop().create_future()
+    channel, answer = GrpcChannel(address, context, name), asyncio.get_running_loop().create_future()
 
     def told(status: int, text: str, message: bytes) -> None:
         answer.set_result((status, text, message))
 
-    channel.ask(METHOD, request.SerializeToString(), timeout, told)
+    channel.call(METHOD, request.SerializeToString(), timeout, told)
     result: tuple[int, str, bytes] = await answer
     channel.close()
     return result
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -21,7 +21,8 @@
 
 if TYPE_CHECKING:
     from apigateway.daemon.node import GatewayNode
-    from apigateway.external_ratelimit.outer import Asked, Outer
+    from apigateway.external_ratelimit.limiter import EnvoyRateLimiter
+    from apigateway.external_ratelimit.service_config import ExternalServiceConfig
     from apigateway.frontends.grpc.front import GrpcFront
     from apigateway.frontends.grpc.settings import RateLimitPart
 
@@ -39,7 +40,7 @@
     keys: Keys | None
     context: ssl.SSLContext | None
     files: tuple[str, ...]  # digests of the files read
-    asked: Asked | None
+    asked: ExternalServiceConfig | None
 
 
 class Files:
@@ -159,12 +160,12 @@
     return context
 
 
-def to_asked(files: Files, settings: Settings) -> Asked | None:
+def to_asked(files: Files, settings: Settings) -> ExternalServiceConfig | None:
     part = settings.ask
     if not part.address:
         return None
-    from apigateway.external_ratelimit.choice import Terms
-    from apigateway.external_ratelimit.outer import Asked
+    from apigateway.external_ratelimit.circuit_breaker import CheckSettings, FailureMode
+    from apigateway.external_ratelimit.service_config import ExternalServiceConfig
 
     context, before = None, len(files.digests)
     if part.tls.on:
@@ -178,12 +179,12 @@
         if part.tls.cert:
             files.pair(context, "ask.tls", part.tls.cert, part.tls.key)
     entries = tuple((key, value) for key, _, value in (entry.partition("=") for entry in part.entries))
-    terms = Terms(
+    checks = CheckSettings(
         frozenset(part.plans),
         frozenset(part.classes),
         part.timeout,
         part.share,
-        part.failing,
+        FailureMode(part.failing),
         part.failures,
         part.rest,
         part.most_rest,
@@ -191,9 +192,9 @@
         part.steady,
         part.max_waiting,
     )
-    return Asked(
+    return ExternalServiceConfig(
         read_address(part.address),
-        terms,
+        checks,
         part.domain,
         entries,
         part.batch,
@@ -222,7 +223,7 @@
     def __init__(self, node: GatewayNode, built: Built) -> None:
         self.node, self.built = node, built
         self.tokens: Tokens | None = None
-        self.outer: Outer | None = None
+        self.outer: EnvoyRateLimiter | None = None
         self.fronts: list[Served] = []
 
     def take_up(self, built: Built | None) -> None:
@@ -253,11 +254,11 @@
                 self.outer.close()
             self.outer = None
         elif self.outer is None:
-            from apigateway.external_ratelimit.outer import Outer
+            from apigateway.external_ratelimit.limiter import EnvoyRateLimiter
 
-            self.outer = Outer(built.asked, node.config.name)
+            self.outer = EnvoyRateLimiter(built.asked, node.config.name)
         else:
-            self.outer.set(built.asked)
+            self.outer.update_config(built.asked)
         node.core.external_ratelimit = self.outer
 
     def front(self, address: Address, most: int, most_partial: int, built: Built) -> GrpcFront:
@@ -275,7 +276,7 @@
         return {
             "listeners": [served.told() for served in self.fronts],
             "tokens": dict(self.tokens.counts) if self.tokens is not None else None,
-            "outer": self.outer.told() if self.outer is not None else None,
+            "outer": self.outer.status() if self.outer is not None else None,
         }
 
     def close(self) -> None:
--- a/apigateway/daemon/settings_schema.py
+++ b/apigateway/daemon/settings_schema.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from apigateway.config_validation import ConfigSection
-from apigateway.external_ratelimit.settings import AskPart
+from apigateway.external_ratelimit.settings import ExternalRateLimitSection
 from apigateway.frontends.grpc.settings import RateLimitPart
 from apigateway.plugins.settings import HooksPart, PluginPart, RecordsPart
 
@@ -241,7 +241,7 @@
     hooks: HooksPart = HooksPart()
     records: RecordsPart = RecordsPart()
     ratelimit: RateLimitPart = RateLimitPart()
-    ask: AskPart = AskPart()
+    ask: ExternalRateLimitSection = ExternalRateLimitSection()
 
 
 def customer_capacity(limits: LimitsSection) -> int:
--- a/apigateway/daemon/settings_validation.py
+++ b/apigateway/daemon/settings_validation.py
@@ -12,7 +12,7 @@
     Settings,
     customer_capacity,
 )
-from apigateway.external_ratelimit.settings import ClientTlsPart
+from apigateway.external_ratelimit.settings import ClientTlsSection
 from apigateway.frontends.grpc.mapping import TAKEN, BadRule
 from apigateway.upstream.address import Address, read_address
 
@@ -198,7 +198,7 @@
     _check_ask_tls(reader, section.tls)
 
 
-def _check_ask_tls(reader: ConfigReader, tls: ClientTlsPart) -> None:
+def _check_ask_tls(reader: ConfigReader, tls: ClientTlsSection) -> None:
     if not tls.on and (tls.ca or tls.cert or tls.key or tls.name):
         reader.add_contradiction(
             ("ask", "tls", "on"), False, "the other keys of ask.tls are for nothing", "set on = true"
--- a/apigateway/external_ratelimit/__init__.py
+++ b/apigateway/external_ratelimit/__init__.py
@@ -1,2 +1,4 @@
-"""Asking an outer rate limit service before a request is sent on (docs/design/grpc.md). Loaded where settings
-name one."""
+"""Client of an external rate limit service, which is asked before the decision module hears of a request.
+
+See docs/design/grpc.md. Loaded only where settings name such a service.
+"""
--- a/apigateway/external_ratelimit/settings.py
+++ b/apigateway/external_ratelimit/settings.py
@@ -1,4 +1,7 @@
-"""The table of an outer service in a settings file. Only its shape: nothing of gRPC is loaded here."""
+"""The table `[ask]` of a settings file: an external rate limit service.
+
+Only its shape: nothing of gRPC is loaded here.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +11,15 @@
 
 from apigateway.config_validation import ConfigSection
 
-Seconds = Annotated[float, msgspec.Meta(gt=0, le=3600)]
-Entry = Annotated[str, msgspec.Meta(pattern=r"^[^=]+=.+$", max_length=256)]
+DEFAULT_ENTRIES = ("customer={customer}", "plan={plan}", "class={class}")
+
+_Seconds = Annotated[float, msgspec.Meta(gt=0, le=3600)]
+_Entry = Annotated[str, msgspec.Meta(pattern=r"^[^=]+=.+$", max_length=256)]
 
-ENTRIES = ("customer={customer}", "plan={plan}", "class={class}")
 
+class ClientTlsSection(ConfigSection, frozen=True, kw_only=True):
+    """`[ask.tls]`: TLS towards the service."""
 
-class ClientTlsPart(ConfigSection, frozen=True, kw_only=True):
     on: bool = False
     ca: str = ""
     cert: str = ""
@@ -22,22 +27,24 @@
     name: str = ""
 
 
-class AskPart(ConfigSection, frozen=True, kw_only=True):
+class ExternalRateLimitSection(ConfigSection, frozen=True, kw_only=True):
+    """`[ask]`: the service, and when it is asked; docs/operate/ratelimit.md has the keys."""
+
     address: str = ""
     plans: list[str] = []
     classes: list[str] = []
     domain: Annotated[str, msgspec.Meta(min_length=1, max_length=256)] = "calicomast"
-    entries: Annotated[list[Entry], msgspec.Meta(min_length=1, max_length=16)] = msgspec.field(
-        default_factory=lambda: list(ENTRIES)
+    entries: Annotated[list[_Entry], msgspec.Meta(min_length=1, max_length=16)] = msgspec.field(
+        default_factory=lambda: list(DEFAULT_ENTRIES)
     )
     timeout: Annotated[float, msgspec.Meta(ge=0.005, le=60)] = 0.1
     share: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.25
     failing: Literal["own", "refuse"] = "own"
     batch: Annotated[int, msgspec.Meta(ge=1, le=100)] = 1
     failures: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 5
-    rest: Seconds = 0.5
-    most_rest: Seconds = 30.0
+    rest: _Seconds = 0.5
+    most_rest: _Seconds = 30.0
     trials: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 3
-    steady: Seconds = 30.0
+    steady: _Seconds = 30.0
     max_waiting: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 1000
-    tls: ClientTlsPart = ClientTlsPart()
+    tls: ClientTlsSection = ClientTlsSection()
--- a/tests/external_ratelimit/test_asking_wire.py
+++ b/tests/external_ratelimit/test_client_session.py
@@ -1,5 +1,4 @@
-"""The client's half of gRPC without a socket: against the server's half, and against bytes that no server
-would send."""
+"""The client's side of gRPC without a socket: against the server's, and against malformed bytes."""
 
 import h2.config
 import h2.connection
@@ -11,7 +10,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from apigateway.external_ratelimit.wire import ClientSession, Over
+from apigateway.external_ratelimit.client_session import CallEnded, ClientSession
 from apigateway.frontends.grpc.wire import Call, Gone, Session
 from apigateway.upstream import rpc
 
@@ -30,21 +29,21 @@
             client=False, initial_values={h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: most}
         )
         self.server.initiate_connection()
-        self.heard, self.told = [], []
+        self.server_events, self.ended = [], []
         self.go()
 
     def go(self):
         while True:
-            data = self.session.take()
+            data = self.session.data_to_send()
             if data:
-                self.heard += self.server.receive_data(data)
+                self.server_events += self.server.receive_data(data)
             back = self.server.data_to_send()
             if not (data or back):
                 return
-            self.told += self.session.receive(back)
+            self.ended += self.session.receive(back)
 
     def ask(self, message=b"hello"):
-        number = self.session.ask(PATH, message, 0.25)
+        number = self.session.start_call(PATH, message, 0.25)
         self.go()
         return number
 
@@ -57,38 +56,38 @@
         self.go()
 
 
-def test_a_call_as_the_servers_half_reads_it():
+def test_call_is_read_by_the_servers_session():
     client, server = ClientSession("host:1"), Session()
-    number = client.ask(PATH, b"hello", 0.25)
-    told = server.receive(client.take())
+    number = client.start_call(PATH, b"hello", 0.25)
+    told = server.receive(client.data_to_send())
     assert told == [Call(number, PATH, b"hello", 0.25)]
     client.receive(server.take())
-    server.receive(client.take())
+    server.receive(client.data_to_send())
     server.answer(number, b"world")
-    assert client.receive(server.take()) == [Over(number, rpc.OK, "", b"world")]
-    number = client.ask(PATH, b"again", 1.0)
-    server.receive(client.take())
+    assert client.receive(server.take()) == [CallEnded(number, rpc.OK, "", b"world")]
+    number = client.start_call(PATH, b"again", 1.0)
+    server.receive(client.data_to_send())
     server.fail(number, rpc.UNAVAILABLE, "50% é")
-    assert client.receive(server.take()) == [Over(number, rpc.UNAVAILABLE, "50% é")]
-    number = client.ask(PATH, b"never mind", 1.0)
-    client.call_off(number)
-    assert server.receive(client.take())[-1] == Gone(number) and not client.out
+    assert client.receive(server.take()) == [CallEnded(number, rpc.UNAVAILABLE, "50% é")]
+    number = client.start_call(PATH, b"never mind", 1.0)
+    client.cancel(number)
+    assert server.receive(client.data_to_send())[-1] == Gone(number) and not client.open_calls
 
 
-def test_a_question_longer_than_the_window_goes_on_when_that_opens():
+def test_request_longer_than_the_window_continues_when_it_opens():
     pair = Pair()
     number = pair.ask(b"x" * 200_000)
-    assert not any(isinstance(event, h2.events.StreamEnded) for event in pair.heard)
+    assert not any(isinstance(event, h2.events.StreamEnded) for event in pair.server_events)
     got = 0
     while got < 200_005:
-        events, pair.heard = pair.heard, []
+        events, pair.server_events = pair.server_events, []
         for event in events:
             if isinstance(event, h2.events.DataReceived):
                 got += len(event.data)
                 pair.server.acknowledge_received_data(event.flow_controlled_length, number)
         pair.go()
     pair.answer(number, rpc.frame_message(b"ok"))
-    assert pair.told == [Over(number, rpc.OK, "", b"ok")]
+    assert pair.ended == [CallEnded(number, rpc.OK, "", b"ok")]
 
 
 @pytest.mark.parametrize(
@@ -104,65 +103,67 @@
         (b"\0\xff\xff\xff\xff", b"0", rpc.RESOURCE_EXHAUSTED),
     ],
 )
-def test_an_answer_that_is_none_is_a_failure_and_the_next_is_heard(data, status, code):
+def test_malformed_response_fails_its_call_and_the_next_is_read(data, status, code):
     pair = Pair()
     try:
         pair.answer(pair.ask(), data, status)
     except h2.exceptions.StreamClosedError:  # it was called off at the first bytes
         pair.go()
-    assert [one.status for one in pair.told] == [code] and not pair.session.out
+    assert [one.status for one in pair.ended] == [code] and not pair.session.open_calls
     pair.answer(pair.ask(), rpc.frame_message(b"ok"))
-    assert pair.told[-1].message == b"ok"
+    assert pair.ended[-1].message == b"ok"
 
 
-def test_what_the_server_never_looked_at_may_be_asked_again():
+def test_refused_stream_is_reported_as_not_processed():
     pair = Pair()
     one, two = pair.ask(), pair.ask()
     pair.server.reset_stream(one, h2.errors.ErrorCodes.REFUSED_STREAM)
     pair.server.reset_stream(two, h2.errors.ErrorCodes.INTERNAL_ERROR)
     pair.go()
-    assert [(t.stream, t.status, t.ran) for t in pair.told] == [
+    assert [(t.stream_id, t.status, t.is_processed) for t in pair.ended] == [
         (one, rpc.UNAVAILABLE, False),
         (two, rpc.UNAVAILABLE, True),
     ]
 
 
-def test_a_goaway_lets_what_is_before_it_end_and_takes_no_more():
+def test_goaway_lets_earlier_calls_end_and_starts_no_more():
     pair = Pair()
     one, two = pair.ask(), pair.ask()
     told = pair.session.receive(GoAwayFrame(0, last_stream_id=one, error_code=0).serialize())
-    assert told == [Over(two, rpc.UNAVAILABLE, "the server ends", ran=False)]
-    assert pair.session.room() == 0 and not pair.session.over
+    assert told == [CallEnded(two, rpc.UNAVAILABLE, "the server ends", is_processed=False)]
+    assert pair.session.available_streams() == 0 and not pair.session.is_finished
     pair.answer(one, rpc.frame_message(b"ok"))
-    assert pair.told == [Over(one, rpc.OK, "", b"ok")] and pair.session.over
+    assert pair.ended == [CallEnded(one, rpc.OK, "", b"ok")] and pair.session.is_finished
 
 
-def test_room_is_what_the_server_allows():
+def test_available_streams_are_those_that_the_server_allows():
     pair = Pair(most=2)
-    assert pair.session.room() == 2
+    assert pair.session.available_streams() == 2
     one = pair.ask()
     pair.ask()
-    assert pair.session.room() == 0
+    assert pair.session.available_streams() == 0
     pair.answer(one, rpc.frame_message(b"ok"))
-    assert pair.session.room() == 1
+    assert pair.session.available_streams() == 1
 
 
-def test_http_errors_are_failures():
+def test_http_errors_fail_their_calls():
     pair = Pair()
     number = pair.ask()
     pair.server.send_headers(number, [(b":status", b"503")], end_stream=True)
     pair.go()
-    assert pair.told == [Over(number, rpc.UNAVAILABLE, "HTTP status 503")]
+    assert pair.ended == [CallEnded(number, rpc.UNAVAILABLE, "HTTP status 503")]
     number = pair.ask()
     pair.server.send_headers(number, [(b":status", b"404")])
     pair.go()
-    assert pair.told[-1].text == "HTTP status 404" and not pair.session.out
+    assert pair.ended[-1].text == "HTTP status 404" and not pair.session.open_calls
 
 
-def test_the_end_of_the_connection_ends_all():
+def test_connection_loss_ends_all_calls():
     pair = Pair()
     numbers = [pair.ask(), pair.ask()]
-    assert [one.stream for one in pair.session.lost("gone")] == numbers and pair.session.over
+    assert [
+        one.stream_id for one in pair.session.connection_lost("gone")
+    ] == numbers and pair.session.is_finished
 
 
 @pytest.mark.parametrize(
@@ -175,7 +176,7 @@
         (1e12, b"99999999S"),
     ],
 )
-def test_time_outs_are_told_rounded_down(seconds, text):
+def test_timeouts_are_rounded_down(seconds, text):
     assert rpc.write_timeout(seconds) == text
     assert rpc.read_timeout(text) <= max(seconds, 0.001)
 
@@ -183,12 +184,12 @@
 @seed(14)
 @settings(max_examples=150, deadline=None, database=None)
 @given(st.lists(st.integers(1, 400), max_size=12), st.binary(max_size=60), st.integers(0, 400))
-def test_whatever_comes_each_question_ends_at_most_once(cuts, noise, place):
+def test_any_bytes_end_each_call_exactly_once(cuts, noise, place):
     session = ClientSession("host:1")
     server = h2.connection.H2Connection(h2.config.H2Configuration(client_side=False, header_encoding=None))
     server.initiate_connection()
-    asked = [session.ask(PATH, b"x" * 50, 1.0) for _ in range(3)]
-    server.receive_data(session.take())
+    asked = [session.start_call(PATH, b"x" * 50, 1.0) for _ in range(3)]
+    server.receive_data(session.data_to_send())
     for number in asked:
         server.send_headers(number, [(b":status", b"200")])
         server.send_data(number, rpc.frame_message(b"y" * 30))
@@ -198,12 +199,12 @@
         stream[min(place, len(stream)) : min(place, len(stream)) + len(noise)] = noise
     told, at = [], 0
     for cut in [*cuts, len(stream)]:
-        if at < len(stream) and not session.over:
+        if at < len(stream) and not session.is_finished:
             told += session.receive(bytes(stream[at : at + cut]))
         at += cut
-        session.take()
-    told += session.lost("the end")
-    ended = [one.stream for one in told]
+        session.data_to_send()
+    told += session.connection_lost("the end")
+    ended = [one.stream_id for one in told]
     assert sorted(ended) == asked
     if not noise:
         assert all(one.message == b"y" * 30 for one in told)
