--- a/apigateway/membership/eureka/parser.py
+++ b/apigateway/membership/eureka/parser.py
@@ -24,6 +24,7 @@
 MAX_NUMBER = 2**63 - 1  # the registry's numbers are Java longs
 MAX_ID_LENGTH = 256  # characters of an instance's id
 _MAX_SHOWN_NUMBER = 40  # characters of what is no number, in an error
+_MAX_SHOWN_TAG = 40  # characters of an unexpected XML element's name, in an error
 _MAX_SHOWN_NAME = 80  # characters of a name, in an error
 
 _STATUS_BY_NAME = {status.value: status for status in InstanceStatus}
@@ -51,7 +52,7 @@
     except (ParseError, defusedxml.DefusedXmlException, RecursionError, ValueError) as err:
         raise MalformedResponseError(f"no XML: {type(err).__name__} {err}") from err
     if root.tag not in ("applications", "application"):
-        raise MalformedResponseError(f"no applications but {root.tag[:40]!r}")
+        raise MalformedResponseError(f"no applications but {root.tag[:_MAX_SHOWN_TAG]!r}")
     apps = [root] if root.tag == "application" else root.findall("application")
     applications = {
         "apps__hashcode": root.findtext("apps__hashcode", ""),
--- a/apigateway/membership/eureka/registration.py
+++ b/apigateway/membership/eureka/registration.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import logging
 import time
 from collections.abc import Mapping
@@ -16,6 +17,8 @@
 
 FINAL_CALL_TIMEOUT_S = 1.0  # of each of the last two calls: a registry that is away must not hold up a stop
 MAX_RETRY_PAUSE_S = 1.0  # after a failure; the renewal interval, where that is shorter
+_UNUSED_SECURE_PORT = 443  # the registry wants one, also where it is not enabled
+_COUNTRY_ID = 1  # the registry wants one and nobody reads it; Netflix's clients send 1
 
 log = logging.getLogger(__name__)
 
@@ -48,8 +51,8 @@
                 "status": status.value,
                 "overriddenstatus": "UNKNOWN",
                 "port": {"$": self.port, "@enabled": "true"},
-                "securePort": {"$": 443, "@enabled": "false"},
-                "countryId": 1,
+                "securePort": {"$": _UNUSED_SECURE_PORT, "@enabled": "false"},
+                "countryId": _COUNTRY_ID,
                 "metadata": dict(self.metadata),
                 "dataCenterInfo": {
                     "@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo",
@@ -130,7 +133,7 @@
             try:
                 await self._renew_or_register()
                 pause = self._settings.renewal_interval
-            except Exception as err:
+            except Exception as err:  # whatever it is, the lease must be renewed once the registry is back
                 log.warning(
                     "registry %s: not told of this gateway: %s %s",
                     self._urls[self._url_index],
@@ -139,11 +142,12 @@
                 )
                 self._url_index = (self._url_index + 1) % len(self._urls)
                 pause = min(MAX_RETRY_PAUSE_S, self._settings.renewal_interval)
-            try:
-                async with asyncio.timeout(pause):
-                    await self._status_changed.wait()
-            except TimeoutError:
-                pass
+            await self._wait_for_status_change(pause)
+
+    async def _wait_for_status_change(self, timeout: float) -> None:
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(timeout):
+                await self._status_changed.wait()
 
     async def _renew_or_register(self) -> None:
         """Renew the lease; register where the registry does not list this gateway, or not as it is now."""
@@ -155,7 +159,7 @@
         if not self._is_registered:
             status = self._status
             response_status = await self._call("POST", self._app_path(), self._settings.to_instance(status))
-            if response_status not in (200, 204):
+            if response_status not in (HTTPStatus.OK, HTTPStatus.NO_CONTENT):
                 raise OSError(f"status {response_status} for a registration")
             self._is_registered = status == self._status  # it may have changed during the call
 
--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -8,6 +8,7 @@
 import asyncio
 import logging
 import random
+import socket
 import time
 from collections.abc import Awaitable, Callable, Collection
 from dataclasses import dataclass, field
@@ -35,6 +36,8 @@
 POLL_JITTER = 0.1  # part of a pause, either way: or all gateways would poll in step
 THREAD_BODY_BYTES = 64 * 1024  # a longer body is parsed in a thread: it must not hold up the serving loop
 THREAD_INSTANCES = 100  # more instances are mapped in a thread, likewise
+MAX_LOGGED_REASON = 200  # characters of why a poll failed
+MAX_LOGGED_VALUE = 80  # characters of a hash or a name that the registry gave
 MAX_LOGGED_MALFORMED = 3  # instances of one response that cannot be read, that are named in the log
 
 _PATH_BY_LOOKUP = {"apps": "apps", "app": "apps/{}", "vip": "vips/{}", "svip": "svips/{}"}
@@ -182,7 +185,7 @@
         self._failures += 1
         is_own_error = isinstance(err, UnusableResponseError | MalformedResponseError)
         reason = str(err) if is_own_error else f"{type(err).__name__} {err}"
-        log.warning("registry %s: %s; the last list stays", self.url, reason[:200])
+        log.warning("registry %s: %s; the last list stays", self.url, reason[:MAX_LOGGED_REASON])
         self._url_index = (self._url_index + 1) % len(self.registry.urls)
         self._forget_registry_state()  # the next one has a list and deltas of its own
         self._on_failure()
@@ -213,8 +216,8 @@
             log.info(
                 "registry %s: its hash is %s, ours %s; asking for the whole list",
                 self.url,
-                delta.hashcode[:80],
-                self.cache.hashcode()[:80],
+                delta.hashcode[:MAX_LOGGED_VALUE],
+                self.cache.hashcode()[:MAX_LOGGED_VALUE],
             )
         # also where a complete list follows: drains among it count at once
         await self._apply(delta, result.deleted_ids, False)
@@ -319,10 +322,13 @@
             try:
                 self._addresses_by_name[name] = await self._resolve(name)
             except OSError as err:
-                log.warning("registry %s: %s cannot be looked up (%s)", self.url, name[:80], err)
+                log.warning(
+                    "registry %s: %s cannot be looked up (%s)", self.url, name[:MAX_LOGGED_VALUE], err
+                )
 
 
 async def resolve(name: str) -> str:
     """Resolve a host name by the system's resolver. Raises OSError."""
-    found = await asyncio.get_running_loop().getaddrinfo(name, None, type=1)
-    return str(found[0][4][0])
+    results = await asyncio.get_running_loop().getaddrinfo(name, None, type=socket.SOCK_STREAM)
+    _, _, _, _, socket_address = results[0]
+    return str(socket_address[0])
--- a/apigateway/upstream/rpc.py
+++ b/apigateway/upstream/rpc.py
@@ -41,11 +41,17 @@
 }
 
 _MESSAGE_PREFIX_BYTES = 5  # before a message: whether it is compressed, and its length
-_FRAME_HEADER_BYTES = 9  # of HTTP/2
+_MESSAGE_LENGTH_BYTES = 4
+_NOT_COMPRESSED = b"\0"
+_FRAME_HEADER_BYTES = 9  # of HTTP/2: length, type, flags, stream id
+_FRAME_LENGTH_BYTES = 3
+_FRAME_TYPE_OFFSET = 3
 _MAX_FRAME_BYTES = 16384  # of a frame's body: HTTP/2's default, which is not raised here
 _GOAWAY = 7  # HTTP/2's frame type
 _GOAWAY_MIN_BYTES = 8  # of its body: the last stream and an error code
+_STREAM_ID_BYTES = 4
 _STREAM_ID_MASK = 0x7FFFFFFF  # the highest bit is reserved
+_MILLISECONDS = 1000  # in a second
 _TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])")
 _TIMEOUT_LIMIT = 10**8  # first number that has more than the eight digits allowed
 _TIMEOUT_UNITS_S = {b"H": 3600.0, b"M": 60.0, b"S": 1.0, b"m": 1e-3, b"u": 1e-6, b"n": 1e-9}
@@ -56,8 +62,8 @@
 class GoAwayFilter:
     """Takes GOAWAY frames out of a stream of HTTP/2 (RFC 9113, 6.8).
 
-    They say that a peer opens or takes no more streams, while the present ones go on; h2 takes them for the
-    end of the connection. `preface` is what precedes the first frame.
+    They say that a peer accepts no more streams, while the present ones go on; h2 takes them for the end of
+    the connection. `preface` is what precedes the first frame.
     """
 
     def __init__(self, preface: bytes = b"") -> None:
@@ -65,9 +71,9 @@
         self._preface_left = len(preface)  # bytes before the first frame
 
     def feed(self, data: bytes) -> tuple[bytes, int | None]:
-        """Return the whole frames without GOAWAY, and the last stream that the peer will process.
+        """Return the complete frames without GOAWAY, and the last stream that the peer will process.
 
-        The latter is None if no GOAWAY came.
+        The latter is None if no GOAWAY came. An incomplete frame is kept for the next call.
         """
         data = self._partial_frame + data
         last_stream: int | None = None
@@ -77,15 +83,15 @@
         start = 0
         while len(data) - position >= _FRAME_HEADER_BYTES:
             body = position + _FRAME_HEADER_BYTES
-            body_size = int.from_bytes(data[position : position + 3], "big")
-            if body_size > _MAX_FRAME_BYTES:  # nothing that was allowed: h2 will say so
+            body_size = int.from_bytes(data[position : position + _FRAME_LENGTH_BYTES], "big")
+            if body_size > _MAX_FRAME_BYTES:  # more than is allowed: h2 will report it
                 position = len(data)
                 break
             end = body + body_size
             if end > len(data):
                 break
-            if data[position + 3] == _GOAWAY and body_size >= _GOAWAY_MIN_BYTES:
-                last_stream = int.from_bytes(data[body : body + 4], "big") & _STREAM_ID_MASK
+            if data[position + _FRAME_TYPE_OFFSET] == _GOAWAY and body_size >= _GOAWAY_MIN_BYTES:
+                last_stream = int.from_bytes(data[body : body + _STREAM_ID_BYTES], "big") & _STREAM_ID_MASK
                 kept.append(data[start:position])
                 start = end
             position = end
@@ -95,7 +101,7 @@
 
 
 class RpcError(Exception):
-    """A call cannot be taken, or an answer not be read: a gRPC status and a text."""
+    """A call or a response that cannot be read; `status` is the gRPC status that says why."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -103,8 +109,8 @@
 
 
 def frame_message(message: bytes) -> bytes:
-    """Put the prefix of an uncompressed message before it."""
-    return b"\0" + len(message).to_bytes(4, "big") + message
+    """Return a message with the prefix of one that is not compressed."""
+    return _NOT_COMPRESSED + len(message).to_bytes(_MESSAGE_LENGTH_BYTES, "big") + message
 
 
 def read_timeout(text: bytes | None) -> float | None:
@@ -120,12 +126,12 @@
 def write_timeout(seconds: float) -> bytes:
     """Format a grpc-timeout header.
 
-    Rounded down to milliseconds, so that the peer gives up no later than is waited; at least one.
+    Rounded down to milliseconds, so that the peer gives up no later than the caller; at least one.
     """
-    milliseconds = max(1, int(seconds * 1000))
+    milliseconds = max(1, int(seconds * _MILLISECONDS))
     if milliseconds < _TIMEOUT_LIMIT:
         return b"%dm" % milliseconds
-    return b"%dS" % min(milliseconds // 1000, _TIMEOUT_LIMIT - 1)
+    return b"%dS" % min(milliseconds // _MILLISECONDS, _TIMEOUT_LIMIT - 1)
 
 
 def percent_encode(text: str) -> bytes:
@@ -139,7 +145,7 @@
 
 
 class MessageBuffer:
-    """Puts the messages of one stream together; each is at most `max_bytes` long."""
+    """Assembles the messages of one stream; each is at most `max_bytes` long."""
 
     __slots__ = ("data", "max_bytes")
 
@@ -148,7 +154,7 @@
         self.max_bytes = max_bytes
 
     def feed(self, data: bytes) -> None:
-        """Append received bytes. Raises RpcError as soon as a prefix shows what cannot be taken."""
+        """Append received bytes. Raises RpcError as soon as a prefix shows a message that is rejected."""
         self.data += data
         if len(self.data) < _MESSAGE_PREFIX_BYTES:
             return
@@ -159,7 +165,7 @@
             raise RpcError(UNIMPLEMENTED, "messages are not compressed here")
 
     def take(self) -> Iterator[bytes]:
-        """Yield the whole messages and remove them. Raises RpcError as `feed`."""
+        """Yield the complete messages and remove them. Raises RpcError as `feed`."""
         while len(self.data) >= _MESSAGE_PREFIX_BYTES:
             end = _MESSAGE_PREFIX_BYTES + self._message_size()
             if len(self.data) < end:
@@ -184,5 +190,5 @@
         return bytes(self.data[_MESSAGE_PREFIX_BYTES:])
 
     def _message_size(self) -> int:
-        """Return the first message's size by its prefix, which is here."""
+        """Return the first message's size; its prefix has to be complete."""
         return int.from_bytes(self.data[1:_MESSAGE_PREFIX_BYTES], "big")
