--- a/apigateway/cli/check.py
+++ b/apigateway/cli/check.py
@@ -1,33 +1,58 @@
-"""`api-gateway check FILE`."""
+"""`api-gateway check FILE`: look through a settings file."""
 
 from __future__ import annotations
 
 import importlib
 import sys
 
+from apigateway.cli.exit_codes import ExitCode
 from apigateway.config_validation import InvalidConfigFileError
-from apigateway.daemon.config import ConfigError
-from apigateway.daemon.serve import OK, UNUSABLE, read
+from apigateway.daemon.config import Config, ConfigError
+from apigateway.daemon.serve import read
+from apigateway.daemon.settings import Settings
 from apigateway.upstream.address import write_address
 
 
 def check(path: str) -> int:
+    """Print what a settings file comes to, or all that is wrong in it; return the exit code."""
     try:
-        told, config = read(path)
-        if told.plugins or told.records.file:
-            importlib.import_module("apigateway.daemon.plugins").check(path, told, config.settings)
-        if config.grpc or told.ratelimit.token_keys or told.ask.address:
-            importlib.import_module("apigateway.daemon.ratelimit").build(path, told, config)
-    except (InvalidConfigFileError, ConfigError) as err:
-        print(err, file=sys.stderr)
-        return UNUSABLE
-    settings = config.settings
+        settings, config = read(path)
+        _check_named_files(path, settings, config)
+    except (InvalidConfigFileError, ConfigError) as error:
+        print(error, file=sys.stderr)
+        return ExitCode.UNUSABLE
+    print(f"{path}: good; {_summarize(settings, config)}")
+    return ExitCode.OK
+
+
+def _check_named_files(path: str, settings: Settings, config: Config) -> None:
+    """Read the files that settings name. Raises InvalidConfigFileError.
+
+    What needs the libraries of an extra is imported only where settings ask for it.
+    """
+    if settings.plugins or settings.records.file:
+        plugins = importlib.import_module("apigateway.daemon.plugins")
+        plugins.check(path, settings, config.settings)
+    if config.grpc or settings.ratelimit.token_keys or settings.ask.address:
+        ratelimit = importlib.import_module("apigateway.daemon.ratelimit")
+        ratelimit.build(path, settings, config)
+
+
+def _summarize(settings: Settings, config: Config) -> str:
+    module_settings = config.settings
     listeners = ", ".join(write_address(address) for address in (config.listen, *config.more))
-    source = "discovery" if config.discovery else "a registry"
-    hosts = f"{len(config.known.hosts.endpoints)} hosts" if config.hosts_file else f"hosts by {source}"
-    print(
-        f"{path}: good; gateway {settings.gateway_index} of {settings.gateway_count} at {listeners}, "
-        f"classes {', '.join(settings.classes)}, plans {', '.join(settings.plans)}, {hosts}"
-        + (f", plug-ins {', '.join(part.name for part in told.plugins)}" if told.plugins else "")
-    )
-    return OK
+    parts = [
+        f"gateway {module_settings.gateway_index} of {module_settings.gateway_count} at {listeners}",
+        f"classes {', '.join(module_settings.classes)}",
+        f"plans {', '.join(module_settings.plans)}",
+        _summarize_hosts(config),
+    ]
+    if settings.plugins:
+        parts.append(f"plug-ins {', '.join(plugin.name for plugin in settings.plugins)}")
+    return ", ".join(parts)
+
+
+def _summarize_hosts(config: Config) -> str:
+    if config.hosts_file:
+        return f"{len(config.known.hosts.endpoints)} hosts"
+    return "hosts by discovery" if config.discovery else "hosts by a registry"
--- a/apigateway/cli/experiment.py
+++ b/apigateway/cli/experiment.py
@@ -1,62 +1,131 @@
-"""`api-gateway experiment`."""
+"""`api-gateway experiment`: play the model of a fleet."""
 
 from __future__ import annotations
 
-import argparse
 import sys
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
+from rich.console import Console
+from rich.progress import Progress
+from rich.table import Table
+
+from apigateway.cli.exit_codes import ExitCode
 from apigateway.config_validation import InvalidConfigFileError
+from apigateway.tools.experiment import report
+from apigateway.tools.experiment.plan import Experiment, read_experiment
+from apigateway.tools.experiment.run import play_all
+
+_PIPE_WIDTH = 200  # characters of a table's line where standard output is no terminal
+_SECOND_COLUMN_WIDTH = 9  # characters of a column of the table by second
+
+_Row = dict[str, Any]  # of `tools.experiment.report`
+
+
+@dataclass(frozen=True, slots=True)
+class ExperimentOptions:
+    """The command's arguments.
+
+    Attributes:
+        path: The experiment's file.
+        seed_count: Seeds 1 to this one in place of the file's; 0: the file's.
+        process_count: Processes side by side; 0: all cores but one.
+        json_path: Where the figures are written; empty: nowhere.
+        compare_path: Figures of an earlier run; empty: none.
+        plot_path: Where the plot is written; empty: nowhere.
+        plot_seconds_path: Where the plot by second is written; empty: nowhere.
+        print_seconds: Whether each case is printed second by second as well.
+    """
 
-OK, FAILED, UNUSABLE = 0, 1, 2
+    path: str
+    seed_count: int
+    process_count: int
+    json_path: str | None
+    compare_path: str | None
+    plot_path: str | None
+    plot_seconds_path: str | None
+    print_seconds: bool
 
 
-def run(told: argparse.Namespace) -> int:
-    """Exit code 1 if a module broke one of the five rules; a baseline keeps none."""
-    from rich.console import Console
-    from rich.progress import Progress
-    from rich.table import Table
+class _Results(NamedTuple):
+    """Figures by the number of the play, and whether the user stopped before the last one."""
 
-    from apigateway.tools.experiment import report
-    from apigateway.tools.experiment.plan import read_experiment
-    from apigateway.tools.experiment.run import play_all
+    figures: dict[int, dict[str, Any]]
+    is_stopped: bool
+
+
+def run(options: ExperimentOptions) -> int:
+    """Play an experiment and print its figures; return the exit code.
+
+    It is FAILED if a module broke one of the five rules, or the user stopped; a baseline keeps none of them.
+    """
 
     try:
-        experiment = read_experiment(told.file, told.seeds)
-        older = report.read_older(told.compare) if told.compare else None
-    except (InvalidConfigFileError, ValueError) as err:
-        print(err, file=sys.stderr)
-        return UNUSABLE
-    results = {}
-    stopped = False
+        experiment = read_experiment(options.path, options.seed_count)
+        older_rows = report.read_older(options.compare_path) if options.compare_path else None
+    except (InvalidConfigFileError, ValueError) as error:
+        print(error, file=sys.stderr)
+        return ExitCode.UNUSABLE
+    results = _play(experiment, options.process_count)
+    rows = report.rows(experiment, results.figures)
+    _write_files(options, experiment, rows)
+    _print_table(experiment, rows, older_rows)
+    if options.print_seconds:
+        _print_seconds(rows)
+    has_broken_rules = _print_broken_rules(rows)
+    if results.is_stopped:
+        print(f"stopped after {len(results.figures)} of {len(experiment.plays)} plays", file=sys.stderr)
+    return ExitCode.FAILED if has_broken_rules or results.is_stopped else ExitCode.OK
+
+
+def _play(experiment: Experiment, process_count: int) -> _Results:
+    """Play everything behind a progress bar, until the user interrupts it."""
+    figures_by_play: dict[int, dict[str, Any]] = {}
     with Progress(console=Console(stderr=True), transient=True) as progress:
         bar = progress.add_task(experiment.name, total=len(experiment.plays))
         try:
-            for number, figures in play_all(experiment.plays, told.processes):
-                results[number] = figures
+            for number, figures in play_all(experiment.plays, process_count):
+                figures_by_play[number] = figures
                 progress.advance(bar)
         except KeyboardInterrupt:
-            stopped = True
-    made = report.rows(experiment, results)
-    if told.json:
-        with open(told.json, "w", encoding="utf-8") as file:
-            file.write(report.as_json(experiment, made) + "\n")
-    if told.plot and made:
-        report.draw(experiment, made, told.plot)
-    if told.plot_seconds and made:
-        report.draw_seconds(experiment, made, told.plot_seconds)
-    heading, *lines = report.table(experiment, made, older)
+            return _Results(figures_by_play, is_stopped=True)
+    return _Results(figures_by_play, is_stopped=False)
+
+
+def _write_files(options: ExperimentOptions, experiment: Experiment, rows: list[_Row]) -> None:
+
+    if options.json_path:
+        with open(options.json_path, "w", encoding="utf-8") as file:
+            file.write(report.as_json(experiment, rows) + "\n")
+    if options.plot_path and rows:
+        report.draw(experiment, rows, options.plot_path)
+    if options.plot_seconds_path and rows:
+        report.draw_seconds(experiment, rows, options.plot_seconds_path)
+
+
+def _print_table(experiment: Experiment, rows: list[_Row], older_rows: list[_Row] | None) -> None:
+
+    heading, *lines = report.table(experiment, rows, older_rows)
     table = Table(title=f"{experiment.name}: median over seeds (least to most)")
     for number, name in enumerate(heading):
         table.add_column(name, justify="right" if number else "left")
     for line in lines:
         table.add_row(*line)
-    Console(width=None if sys.stdout.isatty() else 200).print(table)
-    for row in made if told.seconds else ():
+    Console(width=None if sys.stdout.isatty() else _PIPE_WIDTH).print(table)
+
+
+def _print_seconds(rows: list[_Row]) -> None:
+
+    for row in rows:
         print(report.label(row))
-        print("\n".join("".join(cell.rjust(9) for cell in line) for line in report.second_lines(row)))
-    rules = [f"{report.label(row)}: {rule}" for row in made if row["module"] for rule in row["rules"]]
-    for rule in rules:
+        for line in report.second_lines(row):
+            print("".join(cell.rjust(_SECOND_COLUMN_WIDTH) for cell in line))
+
+
+def _print_broken_rules(rows: list[_Row]) -> bool:
+    """Print the rules that modules broke; return whether there are any."""
+
+    broken = [f"{report.label(row)}: {rule}" for row in rows if row["module"] for rule in row["rules"]]
+    for rule in broken:
         print(f"BROKEN {rule}")
-    if stopped:
-        print(f"stopped after {len(results)} of {len(experiment.plays)} plays", file=sys.stderr)
-    return FAILED if rules or stopped else OK
+    return bool(broken)
--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -1,111 +1,135 @@
-"""`api-gateway hosts FILE`: what a gateway believes of its hosts, or what the registry tells."""
+"""`api-gateway hosts FILE`: what a gateway believes of its hosts, or what the registry reports."""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import sys
 import time
+from collections.abc import Sequence
 from typing import Any
 
 from apigateway import messages
-from apigateway.cli.ask import ask, headed
+from apigateway.cli.exit_codes import ExitCode
+from apigateway.cli.running_gateway import Status, StatusByWorker, format_answers, query_running_gateway
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.node import described
-from apigateway.daemon.serve import FAILED, OK, UNUSABLE
 from apigateway.daemon.settings import Settings, read_settings
 from apigateway.daemon.settings_runtime import build_registry
 from apigateway.membership.listing import Listing
 
-COLUMNS = ("id", "address", "zone", "cell", "kind", "state", "doubt")
-CHOICE = ("subset", "out", "load", "report", "sound")  # what the gateway that runs takes it for
+_HOST_COLUMNS = ("id", "address", "zone", "cell", "kind", "state", "doubt")
+_SELECTION_COLUMNS = ("subset", "out", "load", "report", "sound")  # only of a gateway that runs
+_COLUMN_GAP = "  "
 
+_Row = Sequence[str]
 
-def hosts(path: str, registry: bool, as_json: bool) -> int:
+
+def hosts(path: str, from_registry: bool, as_json: bool) -> int:
+    """Print the hosts as the running gateway or the registry knows them; return the exit code."""
     try:
         settings = read_settings(path)
-        told = {"": asyncio.run(from_registry(settings))} if registry else asyncio.run(ask(settings, "hosts"))
-    except InvalidConfigFileError as err:
-        print(err, file=sys.stderr)
-        return UNUSABLE
-    except (HandoverError, OSError) as err:
-        print(f"api-gateway: {err}", file=sys.stderr)
-        return FAILED
-    if as_json:
-        print(json.dumps(told.get("", told), indent=1))
-    else:
-        print("\n".join(headed(name, table(one)) for name, one in told.items()))
-    return OK
-
-
-async def from_registry(settings: Settings) -> dict[str, Any]:
+        answers = asyncio.run(_query(settings, from_registry))
+    except InvalidConfigFileError as error:
+        print(error, file=sys.stderr)
+        return ExitCode.UNUSABLE
+    except (HandoverError, OSError) as error:
+        print(f"api-gateway: {error}", file=sys.stderr)
+        return ExitCode.FAILED
+    print(format_answers(answers, as_json, _format_status))
+    return ExitCode.OK
+
+
+async def _query(settings: Settings, from_registry: bool) -> StatusByWorker:
+    if from_registry:
+        return {"": await _query_registry(settings)}
+    return await query_running_gateway(settings, "hosts")
+
+
+async def _query_registry(settings: Settings) -> Status:
+    """Poll the registry once; return the form of a gateway's answer. Raises OSError."""
     registry = build_registry(settings)
     if registry is None:
         raise OSError("the file names no registry: hosts.source is not eureka")
     from apigateway.membership.eureka.source import EurekaSource, resolve
 
-    by_name = resolve if registry.mapping.address == "name" else None
     source = EurekaSource(
         registry,
-        Listing(messages.EndpointList("cached", 0, ()), {}),
-        lambda _: None,
-        lambda: None,
-        (),
-        by_name,
+        known=Listing(messages.EndpointList("cached", 0, ()), {}),
+        on_change=lambda _: None,
+        on_failure=lambda: None,
+        resolve=resolve if registry.mapping.address == "name" else None,
     )
     try:
-        for _ in registry.urls:
+        for _ in registry.urls:  # each failure goes over to the next
             if await source.poll():
                 break
         else:
             raise OSError("no registry answers")
-        found = [
-            described(record.accepted.endpoint, record.accepted.address)
-            for record in source.reconciler.records.values()
-        ]
+        accepted = [record.accepted for record in source.reconciler.records.values()]
         return {
             "source": f"registry {source.url}",
             "age": time.time() - source.reconciler.last_update_at,
-            "hosts": found,
+            "hosts": [described(report.endpoint, report.address) for report in accepted],
             "left out": list(source.malformed),
         }
     finally:
         await source.close()
 
 
-def chosen(choice: dict[str, Any]) -> tuple[str, ...]:
+def _format_status(status: Status) -> str:
+    age = "never heard" if status["age"] is None else f"heard {status['age']:.1f} s ago"
+    lines = [f"{status['source']}, {age}, {len(status['hosts'])} hosts"]
+    lines += _format_table(_host_rows(status["hosts"]))
+    if status.get("choices"):
+        lines.append(_format_selection_counts(status["choices"]))
+    lines += [_format_site(zone, site) for zone, site in status.get("sites", {}).items()]
+    lines += [f"left out: {text}" for text in status.get("left out", ())]
+    if status.get("left"):
+        lines.append(f"sites left by the settings: {', '.join(status['left'])}")
+    return "\n".join(lines)
+
+
+def _host_rows(host_statuses: list[dict[str, Any]]) -> list[_Row]:
+    """Return the heading and a row for each host; how it is selected only where that is known of any."""
+    has_selection = any(host.get("choice") for host in host_statuses)
+    rows: list[_Row] = [_HOST_COLUMNS + _SELECTION_COLUMNS if has_selection else _HOST_COLUMNS]
+    for host in host_statuses:
+        row = tuple(str(host[name]) for name in _HOST_COLUMNS)
+        rows.append(row + _selection_cells(host.get("choice")) if has_selection else row)
+    return rows
+
+
+def _selection_cells(choice: dict[str, Any] | None) -> tuple[str, ...]:
+    """Return the cells of `_SELECTION_COLUMNS`."""
     if not choice:
-        return ("",) * len(CHOICE)
-    age = "none" if choice["age"] is None else f"{choice['age']:.1f} s"
-    sound = f"{choice['sound']:.2f}" + " resting" * bool(choice["rests"])
-    return "in" if choice["near"] else "-", str(choice["out"]), f"{choice['load']:.1f}", age, sound
-
-
-def table(told: dict[str, Any]) -> str:
-    age = "never heard" if told["age"] is None else f"heard {told['age']:.1f} s ago"
-    rows = [COLUMNS + CHOICE * any(host.get("choice") for host in told["hosts"])]
-    rows += [
-        (*(str(host[name]) for name in COLUMNS), *chosen(host.get("choice") or {}))[: len(rows[0])]
-        for host in told["hosts"]
-    ]
-    widths = [max(len(row[n]) for row in rows) for n in range(len(rows[0]))]
-    lines = [
-        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows
+        return ("",) * len(_SELECTION_COLUMNS)
+    return (
+        "in" if choice["near"] else "-",
+        str(choice["out"]),
+        f"{choice['load']:.1f}",
+        "none" if choice["age"] is None else f"{choice['age']:.1f} s",
+        f"{choice['sound']:.2f}" + (" resting" if choice["rests"] else ""),
+    )
+
+
+def _format_table(rows: list[_Row]) -> list[str]:
+    widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
+    return [
+        _COLUMN_GAP.join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
+        for row in rows
     ]
-    left = [f"left out: {text}" for text in told.get("left out", ())]
-    left += [f"sites left by the settings: {', '.join(told['left'])}"] if told.get("left") else []
-    moved = [moves(told["choices"])] if told.get("choices") else []
-    moved += [
+
+
+def _format_site(zone: str, site: dict[str, Any]) -> str:
+    return (
         f"site {zone}: {site['silent']} of {site['hosts']} hosts silent since its last answer, for "
         f"{site['for']:.1f} s; gets {site['part']:.2f} of its part"
-        for zone, site in told.get("sites", {}).items()
-    ]
-    return "\n".join([f"{told['source']}, {age}, {len(told['hosts'])} hosts", *lines, *moved, *left])
+    )
 
 
-def moves(counts: dict[str, int]) -> str:
-    """What moved this gateway's choices since its start."""
+def _format_selection_counts(counts: dict[str, int]) -> str:
+    """Return what decided this gateway's selections since its start."""
     return (
         f"choices: {counts['report']} by a fresh report, {counts['mean']} by the mean of all, "
         f"{counts['outside']} outside the subset; drawn and passed over: {counts['doubted']} in doubt or "
--- a/apigateway/cli/load.py
+++ b/apigateway/cli/load.py
@@ -1,36 +1,39 @@
-"""`api-gateway load plan` and `run`."""
+"""`api-gateway load plan` and `run`: rehearse traffic."""
 
 from __future__ import annotations
 
-import argparse
 import sys
 
+from apigateway.cli.exit_codes import ExitCode
 from apigateway.config_validation import InvalidConfigFileError
+from apigateway.tools.load.plan import plan, text
+from apigateway.tools.load.scenario import read_scenario
+from apigateway.tools.load.schedule import TooMany
 
-OK, UNUSABLE = 0, 2
 
+def print_plan(path: str, as_json: bool) -> int:
+    """Print what a scenario will send; return the exit code."""
+    try:
+        print(text(plan(read_scenario(path)), as_json))
+    except (InvalidConfigFileError, TooMany) as error:
+        return _print_unusable(path, error)
+    return ExitCode.OK
 
-def run(told: argparse.Namespace) -> int:
-    from apigateway.tools.load.plan import plan, text
-    from apigateway.tools.load.scenario import read_scenario
-    from apigateway.tools.load.schedule import TooMany
 
+def run(path: str, as_json: bool) -> int:
+    """Send what a scenario says and print the report; return the exit code."""
     try:
-        scenario = read_scenario(told.file)
-        if told.act == "run":
-            if not scenario.targets.gateways:
-                print(
-                    f"api-gateway: {told.file}: targets.gateways: none to send to; name them", file=sys.stderr
-                )
-                return UNUSABLE
-            from apigateway.tools.load.run import run as play
-
-            return play(scenario, told.json)
-        print(text(plan(scenario), told.json))
-    except InvalidConfigFileError as err:
-        print(err, file=sys.stderr)
-        return UNUSABLE
-    except TooMany as err:
-        print(f"api-gateway: {told.file}: {err}", file=sys.stderr)
-        return UNUSABLE
-    return OK
+        scenario = read_scenario(path)
+        if not scenario.targets.gateways:
+            return _print_unusable(path, ValueError("targets.gateways: none to send to; name them"))
+        from apigateway.tools.load.run import run as run_scenario  # its libraries are an extra's
+
+        return run_scenario(scenario, as_json)
+    except (InvalidConfigFileError, TooMany) as error:
+        return _print_unusable(path, error)
+
+
+def _print_unusable(path: str, error: Exception) -> int:
+    names_its_file = isinstance(error, InvalidConfigFileError)
+    print(error if names_its_file else f"api-gateway: {path}: {error}", file=sys.stderr)
+    return ExitCode.UNUSABLE
--- a/apigateway/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -1,4 +1,4 @@
-"""`api-gateway plugin ...`."""
+"""`api-gateway plugin ...`: write, check, try and measure plug-ins."""
 
 from __future__ import annotations
 
@@ -6,72 +6,86 @@
 import asyncio
 import json
 import sys
-from typing import Any
 
-from apigateway.cli.ask import ask, headed
+from apigateway.cli.exit_codes import ExitCode
+from apigateway.cli.running_gateway import Status, format_answers, query_running_gateway
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.handover import HandoverError
-from apigateway.daemon.serve import FAILED, OK, UNUSABLE
 from apigateway.daemon.settings import read_settings
-from apigateway.tools import plugin as tool
+from apigateway.tools import plugin as plugin_tools
 
+_MICROSECONDS = 1e6  # in a second
+_COUNT_GROUPS = ("allowed", "denied", "failed", "not asked", "counters")  # of a plug-in's status
 
-def run(told: argparse.Namespace) -> int:
+
+def run(arguments: argparse.Namespace) -> int:
+    """Run one of the plug-in commands; return the exit code."""
     try:
-        if told.act == "new":
-            print("\n".join(tool.new(told.name, told.kind, told.folder)))
-        elif told.act == "build":
-            print(tool.build(told.file))
-        elif told.act == "check":
-            return shown(tool.check(told.path))
-        elif told.act == "run":
-            return shown(tool.replay(told.path, told.records, told.settings, told.each), told.json)
-        elif told.act == "bench":
-            return shown(tool.bench(told.path, told.calls), told.json)
-        else:
-            print(status(told.file, told.json))
-        return OK
-    except (InvalidConfigFileError, tool.Unusable) as err:
-        print(err, file=sys.stderr)
-        return UNUSABLE
-    except (HandoverError, OSError) as err:
-        print(f"api-gateway: {err}", file=sys.stderr)
-        return FAILED
-
-
-def shown(report: tool.Report, as_json: bool = False) -> int:
-    print(json.dumps(report.figures, indent=1) if as_json else "\n".join(report.lines))
-    return OK if report.good else FAILED
+        return _run_action(arguments)
+    except (InvalidConfigFileError, plugin_tools.Unusable) as error:
+        print(error, file=sys.stderr)
+        return ExitCode.UNUSABLE
+    except (HandoverError, OSError) as error:
+        print(f"api-gateway: {error}", file=sys.stderr)
+        return ExitCode.FAILED
+
 
+def _run_action(arguments: argparse.Namespace) -> int:
+    match arguments.action:
+        case "check":
+            return _print_report(plugin_tools.check(arguments.path))
+        case "run":
+            report = plugin_tools.replay(
+                arguments.path, arguments.records, arguments.settings, arguments.each
+            )
+            return _print_report(report, arguments.json)
+        case "bench":
+            return _print_report(plugin_tools.bench(arguments.path, arguments.calls), arguments.json)
+        case "new":
+            print("\n".join(plugin_tools.new(arguments.name, arguments.kind, arguments.folder)))
+        case "build":
+            print(plugin_tools.build(arguments.file))
+        case "status":
+            answers = asyncio.run(query_running_gateway(read_settings(arguments.file), "plugins"))
+            print(format_answers(answers, arguments.json, _format_status))
+    return ExitCode.OK
 
-def status(path: str, as_json: bool) -> str:
-    told = asyncio.run(ask(read_settings(path), "plugins"))
-    if as_json:
-        return json.dumps(told.get("", told), indent=1)
-    return "\n".join(headed(name, table(one)) for name, one in told.items())
+
+def _print_report(report: plugin_tools.Report, as_json: bool = False) -> int:
+    print(json.dumps(report.figures, indent=1) if as_json else "\n".join(report.lines))
+    return ExitCode.OK if report.good else ExitCode.FAILED
 
 
-def table(told: dict[str, Any]) -> str:
-    if not told["plugins"]:
+def _format_status(status: Status) -> str:
+    if not status["plugins"]:
         return "no plug-ins"
-    lines = [f"version {told['version']}, {told['requests']} requests in work on it"]
-    lines += [
-        f"  version {n}: {count} requests still end on it" for n, count in told["older versions"].items()
-    ]
-    for one in told["plugins"]:
-        calls = sum(one["calls"].values())
-        lines.append(
-            f"{one['name']} ({one['kind']} {one['digest']}): {one['state']}"
-            + (f", back in {one['back in']:.1f} s" if one["back in"] else "")
-            + f", {calls} calls, {one['cpu'] / max(calls, 1) * 1e6:.0f} us each"
-        )
-        for word in ("allowed", "denied", "failed", "not asked", "counters"):
-            if one[word]:
-                lines.append(f"  {word}: " + ", ".join(f"{k} {v:g}" for k, v in sorted(one[word].items())))
-    if told["records"]:
-        one = told["records"]
-        lines.append(
-            f"records: {one['file']}, {one['written']} written, {one['dropped']} dropped, "
-            f"{one['failed']} failed"
-        )
+    lines = [f"version {status['version']}, {status['requests']} requests in work on it"]
+    for version, count in status["older versions"].items():
+        lines.append(f"  version {version}: {count} requests still end on it")
+    for plugin in status["plugins"]:
+        lines += _format_plugin(plugin)
+    if status["records"]:
+        lines.append(_format_records(status["records"]))
     return "\n".join(lines)
+
+
+def _format_plugin(plugin: Status) -> list[str]:
+    calls = sum(plugin["calls"].values())
+    mean_us = plugin["cpu"] / max(calls, 1) * _MICROSECONDS
+    back_in = f", back in {plugin['back in']:.1f} s" if plugin["back in"] else ""
+    lines = [
+        f"{plugin['name']} ({plugin['kind']} {plugin['digest']}): {plugin['state']}{back_in}, "
+        f"{calls} calls, {mean_us:.0f} us each"
+    ]
+    for group in _COUNT_GROUPS:
+        if plugin[group]:
+            counts = ", ".join(f"{name} {count:g}" for name, count in sorted(plugin[group].items()))
+            lines.append(f"  {group}: {counts}")
+    return lines
+
+
+def _format_records(records: Status) -> str:
+    return (
+        f"records: {records['file']}, {records['written']} written, {records['dropped']} dropped, "
+        f"{records['failed']} failed"
+    )
--- /dev/null
+++ b/apigateway/cli/ratelimit_ask.py
@@ -0,0 +1,173 @@
+"""`api-gateway ratelimit ask`: ask a rate limit service once."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import ssl
+import sys
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+from apigateway.cli.exit_codes import ExitCode
+from apigateway.external_ratelimit.service_config import SHOULD_RATE_LIMIT_PATH
+from apigateway.upstream.address import Address, read_address
+
+_UNIT_NAMES = ("", "second", "minute", "hour", "day", "month", "year", "week")  # by rls.proto's number
+_CODE_NAMES = {0: "unknown", 1: "ok", 2: "over limit"}  # by rls.proto's number
+_NANOSECONDS = 1e9  # in a second
+
+_Descriptor = list[tuple[str, str]]  # entries: key and value
+
+
+@dataclass(frozen=True, slots=True)
+class AskOptions:
+    """The command's arguments.
+
+    Attributes:
+        address: HOST:PORT of the service.
+        entries: KEY=VALUE of the first descriptor.
+        descriptors: KEY=VALUE,... of each further one.
+        domain: Of the question.
+        hits: `hits_addend`; 0: none.
+        timeout: Seconds.
+        use_tls: TLS with the system's certificates.
+        ca_file: TLS, with these certificates in their place; empty: not named.
+        cert_file: TLS, with a certificate of the client; empty: none.
+        key_file: Its key; empty: in the same file.
+        server_name: The name that the server's certificate has to have; empty: the address's.
+        as_json: Whether the answer is printed as JSON.
+    """
+
+    address: str
+    entries: list[str]
+    descriptors: list[str]
+    domain: str
+    hits: int
+    timeout: float
+    use_tls: bool
+    ca_file: str
+    cert_file: str
+    key_file: str
+    server_name: str
+    as_json: bool
+
+
+class _Response(NamedTuple):
+    """How the call ended: gRPC status, its text, and the response message."""
+
+    status: int
+    text: str
+    message: bytes
+
+
+def ask(options: AskOptions) -> int:
+    """Ask once and print the answer; return the exit code."""
+    try:
+        address = read_address(options.address)
+        descriptors = _parse_descriptors(options)
+        ssl_context = _create_ssl_context(options)
+    except (ValueError, OSError) as error:
+        print(f"api-gateway: {error}", file=sys.stderr)
+        return ExitCode.UNUSABLE
+    from envoy.service.ratelimit.v3 import rls_pb2
+
+    question = _encode_question(options, descriptors)
+    response = asyncio.run(_call(address, ssl_context, options, question))
+    if response.status:
+        from apigateway.upstream.rpc import STATUS_NAMES
+
+        status_name = STATUS_NAMES.get(response.status, response.status)
+        print(f"api-gateway: {options.address}: {status_name}: {response.text}", file=sys.stderr)
+        return ExitCode.FAILED
+    answer = rls_pb2.RateLimitResponse.FromString(response.message)
+    print(_format_json(answer) if options.as_json else _format_text(descriptors, answer))
+    is_over_limit = answer.overall_code == rls_pb2.RateLimitResponse.OVER_LIMIT
+    return ExitCode.OVER_LIMIT if is_over_limit else ExitCode.OK
+
+
+def _parse_descriptors(options: AskOptions) -> list[_Descriptor]:
+    """Parse all descriptors. Raises ValueError."""
+    descriptors = [_parse_entries(text.split(",")) for text in options.descriptors]
+    if options.entries:
+        descriptors.insert(0, _parse_entries(options.entries))
+    if not descriptors:
+        raise ValueError("no descriptor: say KEY=VALUE, once or more")
+    return descriptors
+
+
+def _parse_entries(texts: list[str]) -> _Descriptor:
+    """Parse KEY=VALUE of each text. Raises ValueError."""
+    entries = []
+    for text in texts:
+        key, separator, value = text.partition("=")
+        if not (key and separator):
+            raise ValueError(f"{text!r} is no KEY=VALUE")
+        entries.append((key, value))
+    return entries
+
+
+def _create_ssl_context(options: AskOptions) -> ssl.SSLContext | None:
+    """Return None without TLS. Raises OSError for files that cannot be used."""
+    if not (options.use_tls or options.ca_file or options.cert_file):
+        return None
+    context = ssl.create_default_context(cafile=options.ca_file or None)
+    context.set_alpn_protocols(["h2"])
+    if options.cert_file:
+        context.load_cert_chain(options.cert_file, options.key_file or None)
+    return context
+
+
+def _encode_question(options: AskOptions, descriptors: list[_Descriptor]) -> bytes:
+    from envoy.service.ratelimit.v3 import rls_pb2
+
+    question = rls_pb2.RateLimitRequest(domain=options.domain, hits_addend=options.hits)
+    for entries in descriptors:
+        descriptor = question.descriptors.add()
+        for key, value in entries:
+            descriptor.entries.add(key=key, value=value)
+    return bytes(question.SerializeToString())
+
+
+async def _call(
+    address: Address, ssl_context: ssl.SSLContext | None, options: AskOptions, question: bytes
+) -> _Response:
+    from apigateway.external_ratelimit.channel import GrpcChannel
+
+    channel = GrpcChannel(address, ssl_context, options.server_name)
+    ended: asyncio.Future[_Response] = asyncio.get_running_loop().create_future()
+
+    def on_response(status: int, text: str, message: bytes) -> None:
+        ended.set_result(_Response(status, text, message))
+
+    channel.call(SHOULD_RATE_LIMIT_PATH, question, options.timeout, on_response)
+    response = await ended
+    channel.close()
+    return response
+
+
+def _format_json(answer: Any) -> str:
+    from google.protobuf.json_format import MessageToDict
+
+    return json.dumps(MessageToDict(answer, preserving_proto_field_name=True), indent=1)
+
+
+def _format_text(descriptors: list[_Descriptor], answer: Any) -> str:
+    lines = [_CODE_NAMES.get(answer.overall_code, str(answer.overall_code))]
+    for entries, status in zip(descriptors, answer.statuses, strict=False):
+        lines.append(_format_descriptor_status(entries, status))
+    lines += [f"  {header.key}: {header.value}" for header in answer.response_headers_to_add]
+    return "\n".join(lines)
+
+
+def _format_descriptor_status(entries: _Descriptor, status: Any) -> str:
+    descriptor = ", ".join(f"{key}={value}" for key, value in entries)
+    text = f"  {descriptor}: {_CODE_NAMES.get(status.code, status.code)}"
+    if not status.HasField("current_limit"):
+        return text
+    limit = status.current_limit
+    reset_s = status.duration_until_reset.ToNanoseconds() / _NANOSECONDS
+    return text + (
+        f"; {limit.requests_per_unit} a {_UNIT_NAMES[limit.unit]} ({limit.name}), "
+        f"{status.limit_remaining} left, window turns in {reset_s:.1f} s"
+    )
