--- a/apigateway/cli/load.py
+++ b/apigateway/cli/load.py
@@ -6,16 +6,16 @@
 
 from apigateway.cli.exit_codes import ExitCode
 from apigateway.config_validation import InvalidConfigFileError
-from apigateway.tools.load.plan import plan, text
+from apigateway.tools.load.plan import format_plan, plan_scenario
 from apigateway.tools.load.scenario import read_scenario
-from apigateway.tools.load.schedule import TooMany
+from apigateway.tools.load.schedule import TooManyRequestsError
 
 
 def print_plan(path: str, as_json: bool) -> int:
     """Print what a scenario will send; return the exit code."""
     try:
-        print(text(plan(read_scenario(path)), as_json))
-    except (InvalidConfigFileError, TooMany) as error:
+        print(format_plan(plan_scenario(read_scenario(path)), as_json))
+    except (InvalidConfigFileError, TooManyRequestsError) as error:
         return _print_unusable(path, error)
     return ExitCode.OK
 
@@ -29,7 +29,7 @@
         from apigateway.tools.load.run import run as run_scenario  # its libraries are an extra's
 
         return run_scenario(scenario, as_json)
-    except (InvalidConfigFileError, TooMany) as error:
+    except (InvalidConfigFileError, TooManyRequestsError) as error:
         return _print_unusable(path, error)
 
 
--- /dev/null
+++ b/apigateway/tools/load/arrivals.py
@@ -0,0 +1,53 @@
+"""When the requests of a stream arrive, by its rate over time. Pure and seeded.
+
+`poisson_arrivals` are drawn by thinning (Lewis and Shedler 1979): candidates at the shape's highest rate,
+each kept with the probability rate / highest rate. Of `even_arrivals` the n-th comes when the integral of the
+rate has reached n.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import math
+import random
+from collections.abc import Iterator
+
+from apigateway.tools.load.shapes import Shape
+
+_MIN_STEP_S = 0.001  # of the integral for even arrivals
+_MAX_STEPS = 1_000_000  # of it; a longer run has longer steps
+
+
+def seeded_random(seed: int, *purpose: object) -> random.Random:
+    """Return a generator of its own for each purpose, so that a change in one moves nothing in the others."""
+    text = "\x1f".join(str(part) for part in (seed, *purpose)).encode()
+    return random.Random(int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big"))
+
+
+def poisson_arrivals(shape: Shape, seconds: float, rng: random.Random) -> Iterator[float]:
+    """Yield the times of a Poisson process, in seconds from the start."""
+    max_rate = shape.max_rate()
+    time = 0.0
+    while max_rate > 0:
+        time -= math.log(1.0 - rng.random()) / max_rate
+        if time >= seconds:
+            return
+        if rng.random() * max_rate < shape.rate_at(time):
+            yield time
+
+
+def even_arrivals(shape: Shape, seconds: float) -> Iterator[float]:
+    """Yield evenly spaced times, in seconds from the start."""
+    if shape.max_rate() <= 0:
+        return
+    next_arrival = 0.0  # the first comes when the integral is at 0 and the rate is not
+    integral = 0.0
+    step_length = max(_MIN_STEP_S, seconds / _MAX_STEPS)
+    for step in range(math.ceil(seconds / step_length)):
+        start = step * step_length
+        end = min(seconds, start + step_length)
+        increase = (shape.rate_at(start) + shape.rate_at(end)) / 2 * (end - start)
+        while increase > 0 and next_arrival < integral + increase:
+            yield start + (next_arrival - integral) / increase * (end - start)
+            next_arrival += 1.0
+        integral += increase
--- a/apigateway/tools/load/run.py
+++ b/apigateway/tools/load/run.py
@@ -1,4 +1,4 @@
-"""`api-gateway load run`: plays a scenario and tells what became of it."""
+"""`api-gateway load run`: play a scenario and print what became of it."""
 
 from __future__ import annotations
 
@@ -8,29 +8,34 @@
 
 import uvloop
 
-from apigateway.tools.load.record import report, text, void
-from apigateway.tools.load.scenario import Scenario, addresses
+from apigateway.tools.load.report import build_report, format_report, void_reason
+from apigateway.tools.load.scenario import Scenario, target_addresses
 from apigateway.tools.load.schedule import schedule
-from apigateway.tools.load.send import Sender
+from apigateway.tools.load.sender import Sender
 
-OK, VOID = 0, 1
+EXIT_OK = 0
+EXIT_VOID = 1  # the run says nothing of its targets
 
 
-async def play(scenario: Scenario) -> Sender:
-    sender = Sender(iter(list(schedule(scenario))), scenario.classes, addresses(scenario))
+def run(scenario: Scenario, as_json: bool) -> int:
+    """Play a scenario and print its report; return the exit code.
+
+    Raises TooManyRequestsError before anything is sent.
+    """
+    sender = uvloop.run(_play(scenario))
+    void = void_reason(sender.record, scenario.run.late_ms, scenario.run.late_share)
+    report = build_report(sender.record, scenario.run.name, void)
+    if sender.is_stopped:
+        report["stopped"] = True
+    print(json.dumps(report, indent=1) if as_json else format_report(report))
+    return EXIT_VOID if void else EXIT_OK
+
+
+async def _play(scenario: Scenario) -> Sender:
+    requests = list(schedule(scenario))  # all drawn before the first is due
+    sender = Sender(iter(requests), scenario.classes, target_addresses(scenario))
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, sender.stop)
     await sender.run()
     return sender
-
-
-def run(scenario: Scenario, as_json: bool) -> int:
-    """Raises schedule.TooMany, before anything is sent."""
-    sender = uvloop.run(play(scenario))
-    why = void(sender.record, scenario.run.late_ms, scenario.run.late_share)
-    told = report(sender.record, scenario.run.name, why)
-    if sender.told.is_set():
-        told["stopped"] = True
-    print(json.dumps(told, indent=1) if as_json else text(told))
-    return VOID if why else OK
--- a/apigateway/tools/load/schedule.py
+++ b/apigateway/tools/load/schedule.py
@@ -1,198 +1,174 @@
-"""A scenario to what is due: every request with its time, employer, gateway and id. Pure, seeded, the same to
-the byte each time.
+"""From a scenario to what is due: every request with its time, customer, gateway and id.
 
-Times are whole microseconds from the begin. Arrivals of a stream with rate r(t) are drawn as a Poisson
-process by thinning (Lewis and Shedler 1979): candidates at the shape's top rate, each kept with chance
-r(t) / top; or `even`: the n-th is due when the integral of r has reached n."""
+Pure and seeded: the same to the byte each time. Times are whole microseconds from the start of the run.
+"""
 
 from __future__ import annotations
 
 import hashlib
 import heapq
-import itertools
-import math
-import random
-from bisect import bisect
 from collections.abc import Iterator
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from apigateway.tools.load.scenario import PlanPart, Scenario, SpellPart
+from apigateway.tools.load.arrivals import even_arrivals, poisson_arrivals, seeded_random
+from apigateway.tools.load.customers import PlanCustomers
+from apigateway.tools.load.scenario import Scenario, SpellSection, StreamSection
 from apigateway.tools.load.shapes import Shape
 
-US = 1_000_000
-STEP, STEPS = 0.001, 1_000_000  # s, of the integral for even arrivals; longer where there would be more
+US_PER_S = 1_000_000
 
 
-@dataclass(frozen=True, slots=True)
-class Due:
-    """One request. `at` in us from the begin; `gateway`: its number among the targets; `first` and `spread`:
-    the set that its employer has."""
+class TooManyRequestsError(Exception):
+    """More requests would be due than `run.max_requests` allows."""
+
 
-    at: int
-    id: str
-    employer: str  # 16 hex digits
+@dataclass(frozen=True, slots=True)
+class ScheduledRequest:
+    """One request.
+
+    Attributes:
+        due_us: When it is due.
+        request_id: Its id.
+        customer: 16 hex digits.
+        plan: The customer's plan.
+        service_class: Its class.
+        units: What it costs.
+        gateway_index: The target that it is sent to.
+        first_gateway: The first of its customer's gateways.
+        gateway_spread: How many gateways its customer uses.
+    """
+
+    due_us: int
+    request_id: str
+    customer: str
     plan: str
-    cls: str
+    service_class: str
     units: float
-    gateway: int
-    first: int
-    spread: int
+    gateway_index: int
+    first_gateway: int
+    gateway_spread: int
 
-    def line(self) -> str:
+    def digest_line(self) -> str:
+        """Return the request as `digest` counts it."""
         return (
-            f"{self.at} {self.id} {self.employer} {self.plan} {self.cls} {self.units:g} {self.gateway} "
-            f"{self.first} {self.spread}\n"
+            f"{self.due_us} {self.request_id} {self.customer} {self.plan} {self.service_class} "
+            f"{self.units:g} {self.gateway_index} {self.first_gateway} {self.gateway_spread}\n"
         )
 
 
-def drawn(seed: int, *parts: object) -> random.Random:
-    """A source of its own for each purpose, so that a change in one moves nothing in the others."""
-    text = "\x1f".join(str(part) for part in (seed, *parts)).encode()
-    return random.Random(int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big"))
-
-
-def poisson(shape: Shape, seconds: float, rng: random.Random) -> Iterator[float]:
-    top, time = shape.top(), 0.0
-    while top > 0:
-        time -= math.log(1.0 - rng.random()) / top
-        if time >= seconds:
-            return
-        if rng.random() * top < shape.at(time):
-            yield time
-
-
-def even(shape: Shape, seconds: float) -> Iterator[float]:
-    if shape.top() <= 0:
-        return
-    due, total = 0.0, 0.0  # the first is due when the integral is at 0 and the rate is not
-    length = max(STEP, seconds / STEPS)
-    for step in range(math.ceil(seconds / length)):
-        begin = step * length
-        end = min(seconds, begin + length)
-        more = (shape.at(begin) + shape.at(end)) / 2 * (end - begin)
-        while more > 0 and due < total + more:
-            yield begin + (due - total) / more * (end - begin)
-            due += 1.0
-        total += more
-
-
-class Employers:
-    """Of one plan: who asks how much, and at which gateways."""
-
-    def __init__(self, plan: PlanPart, name: str, number: int, gateways: int, seed: int) -> None:
-        self.plan, self.name, self.seed, self.gateways = plan, name, seed, max(1, gateways)
-        self.ids = [f"{(number << 24) + n + 1:016x}" for n in range(plan.employers)]
-        self.sums = list(itertools.accumulate((n + 1) ** -plan.skew for n in range(plan.employers)))
-        self.spread = plan.spread or self.gateways
-        sets = drawn(seed, "set", name)
-        self.first = [sets.randrange(self.gateways) for _ in range(plan.employers)]
-
-    def draw(self, rng: random.Random) -> int:
-        return min(len(self.sums) - 1, bisect(self.sums, rng.random() * self.sums[-1]))
-
-    def share(self, employer: int) -> float:
-        """Its part of what the plan asks."""
-        before = self.sums[employer - 1] if employer else 0.0
-        return float((self.sums[employer] - before) / self.sums[-1])
-
-    def gateway(self, employer: int, time: float, rng: random.Random) -> int:
-        """Uneven over its set; which of them are busy changes with each shift."""
-        epoch = int(time / self.plan.shift) if self.plan.shift else 0
-        weights = drawn(self.seed, "weights", self.name, employer, epoch)
-        parts = [weights.random() ** 2 + 0.01 for _ in range(self.spread)]
-        (number,) = rng.choices(range(self.spread), parts)
-        return (self.first[employer] + number) % self.gateways
-
-
-class Spell(Shape, frozen=True, kw_only=True, tag="spell"):
-    """What an employer asks beside its usual part, while a spell lasts."""
+class _Arrival(NamedTuple):
+    """A request before it has an id. Sorted by its fields in this order."""
+
+    due_us: int
+    stream_index: int
+    customer_index: int
+    gateway_index: int
+
+
+class SpellShape(Shape, frozen=True, kw_only=True, tag="spell"):
+    """What a customer asks beside its usual part, while a spell lasts."""
 
     shape: Shape
     factor: float
-    begin: float
+    start: float
     end: float
 
-    def at(self, time: float) -> float:
-        return self.shape.at(time) * self.factor if self.begin <= time < self.end else 0.0
-
-    def top(self) -> float:
-        return self.shape.top() * self.factor
-
+    def rate_at(self, time: float) -> float:
+        """Return the rate at a time."""
+        return self.shape.rate_at(time) * self.factor if self.start <= time < self.end else 0.0
 
-class TooMany(Exception):
-    """More requests would be due than `run.max_requests` allows."""
+    def max_rate(self) -> float:
+        """Return a rate that `rate_at` never exceeds."""
+        return self.shape.max_rate() * self.factor
 
 
-def schedule(scenario: Scenario) -> Iterator[Due]:
-    """All that is due, in order of time. Raises TooMany where it comes to more than is allowed."""
-    run, count = scenario.run, max(1, len(scenario.targets.gateways))
-    plans = {
-        name: Employers(plan, name, number, count, run.seed)
-        for number, (name, plan) in enumerate(scenario.plans.items())
+def schedule(scenario: Scenario) -> Iterator[ScheduledRequest]:
+    """Yield all that is due, in order of time. Raises TooManyRequestsError where it is more than allowed."""
+    run = scenario.run
+    gateway_count = max(1, len(scenario.targets.gateways))
+    customers_by_plan = {
+        name: PlanCustomers(plan, name, index, gateway_count, run.seed)
+        for index, (name, plan) in enumerate(scenario.plans.items())
     }
-    merged = heapq.merge(*(stream(scenario, number, plans) for number in range(len(scenario.streams))))
-    prefix = hashlib.blake2b(f"{run.name}\x1f{run.seed}".encode(), digest_size=4).hexdigest()
-    for n, (at, number, employer, gateway) in enumerate(merged):
-        if n >= run.max_requests:
-            raise TooMany(
-                f"more than run.max_requests = {run.max_requests} would be due: by {at / US:.1f} s there are"
+    streams = [
+        _StreamArrivals(scenario, index, customers_by_plan[stream.plan]).merged()
+        for index, stream in enumerate(scenario.streams)
+    ]
+    id_prefix = hashlib.blake2b(f"{run.name}\x1f{run.seed}".encode(), digest_size=4).hexdigest()
+    for number, arrival in enumerate(heapq.merge(*streams)):
+        if number >= run.max_requests:
+            raise TooManyRequestsError(
+                f"more than run.max_requests = {run.max_requests} would be due: "
+                f"by {arrival.due_us / US_PER_S:.1f} s there are"
             )
-        part = scenario.streams[number]
-        known = plans[part.plan]
-        yield Due(
-            at,
-            f"{prefix}{n:010x}",
-            known.ids[employer],
-            part.plan,
-            part.cls,
-            part.units,
-            gateway,
-            known.first[employer],
-            known.spread,
+        stream = scenario.streams[arrival.stream_index]
+        customers = customers_by_plan[stream.plan]
+        yield ScheduledRequest(
+            due_us=arrival.due_us,
+            request_id=f"{id_prefix}{number:010x}",
+            customer=customers.ids[arrival.customer_index],
+            plan=stream.plan,
+            service_class=stream.cls,
+            units=stream.units,
+            gateway_index=arrival.gateway_index,
+            first_gateway=customers.first_gateways[arrival.customer_index],
+            gateway_spread=customers.gateway_spread,
         )
 
 
-def stream(
-    scenario: Scenario, number: int, plans: dict[str, Employers]
-) -> Iterator[tuple[int, int, int, int]]:
-    """One stream's: time in us, its number, employer, gateway."""
-    part, seed, seconds = scenario.streams[number], scenario.run.seed, scenario.run.seconds
-    known = plans[part.plan]
-
-    def times(shape: Shape, *names: object) -> Iterator[float]:
-        if part.arrivals == "even":
-            return even(shape, seconds)
-        return poisson(shape, seconds, drawn(seed, "times", number, *names))
-
-    def usual() -> Iterator[tuple[int, int, int, int]]:
-        rng = drawn(seed, "who", number)
-        for time in times(part.shape):
-            employer = known.draw(rng)
-            yield int(time * US), number, employer, known.gateway(employer, time, rng)
-
-    def more(spell: SpellPart, place: int, employer: int) -> Iterator[tuple[int, int, int, int]]:
-        rng = drawn(seed, "spell", number, place, employer)
-        shape = Spell(
-            shape=part.shape,
-            factor=(spell.times - 1) * known.share(employer),
-            begin=spell.at_s,
+def digest(requests: Iterator[ScheduledRequest]) -> tuple[int, str]:
+    """Return how many requests there are, and a SHA-256 over them: two runs of a scenario send the same."""
+    count = 0
+    hash_of_lines = hashlib.sha256()
+    for request in requests:
+        hash_of_lines.update(request.digest_line().encode())
+        count += 1
+    return count, hash_of_lines.hexdigest()
+
+
+class _StreamArrivals:
+    """The arrivals of one stream: those of all its customers, and the additional ones of spells."""
+
+    def __init__(self, scenario: Scenario, stream_index: int, customers: PlanCustomers) -> None:
+        self._scenario = scenario
+        self._seed = scenario.run.seed
+        self._stream_index = stream_index
+        self._stream: StreamSection = scenario.streams[stream_index]
+        self._customers = customers
+
+    def merged(self) -> Iterator[_Arrival]:
+        """Return all arrivals in order of time."""
+        sources = [self._usual()]
+        for spell_index, spell in enumerate(self._scenario.spells):
+            if spell.plan == self._stream.plan:
+                rng = seeded_random(self._seed, "spelled", spell_index)
+                chosen = rng.sample(range(len(self._customers.ids)), spell.employers)
+                sources += [self._additional(spell, spell_index, customer) for customer in chosen]
+        return heapq.merge(*sources)
+
+    def _usual(self) -> Iterator[_Arrival]:
+        rng = seeded_random(self._seed, "who", self._stream_index)
+        for time in self._times(self._stream.shape):
+            customer = self._customers.draw_customer(rng)
+            gateway = self._customers.draw_gateway(customer, time, rng)
+            yield _Arrival(int(time * US_PER_S), self._stream_index, customer, gateway)
+
+    def _additional(self, spell: SpellSection, spell_index: int, customer: int) -> Iterator[_Arrival]:
+        rng = seeded_random(self._seed, "spell", self._stream_index, spell_index, customer)
+        shape = SpellShape(
+            shape=self._stream.shape,
+            factor=(spell.times - 1) * self._customers.share(customer),
+            start=spell.at_s,
             end=spell.at_s + spell.length,
         )
-        for time in times(shape, "spell", place, employer):
-            yield int(time * US), number, employer, known.gateway(employer, time, rng)
-
-    sources = [usual()]
-    for place, spell in enumerate(scenario.spells):
-        if spell.plan == part.plan:
-            chosen = drawn(seed, "spelled", place).sample(range(len(known.ids)), spell.employers)
-            sources += [more(spell, place, employer) for employer in chosen]
-    return heapq.merge(*sources)
-
-
-def digest(dues: Iterator[Due]) -> tuple[int, str]:
-    """How many, and a SHA-256 over all of them: two runs of one scenario send the same bytes."""
-    told, count = hashlib.sha256(), 0
-    for due in dues:
-        told.update(due.line().encode())
-        count += 1
-    return count, told.hexdigest()
+        for time in self._times(shape, "spell", spell_index, customer):
+            gateway = self._customers.draw_gateway(customer, time, rng)
+            yield _Arrival(int(time * US_PER_S), self._stream_index, customer, gateway)
+
+    def _times(self, shape: Shape, *purpose: object) -> Iterator[float]:
+        seconds = self._scenario.run.seconds
+        if self._stream.arrivals == "even":
+            return even_arrivals(shape, seconds)
+        rng = seeded_random(self._seed, "times", self._stream_index, *purpose)
+        return poisson_arrivals(shape, seconds, rng)
--- a/apigateway/tools/load/shapes.py
+++ b/apigateway/tools/load/shapes.py
@@ -1,7 +1,8 @@
 """How many requests a second are due, over time: shapes of a scenario, their sums and products. Pure.
 
-Rates are requests a second, times seconds from the begin. Each shape knows a rate that it never passes, by
-which arrivals are drawn."""
+Rates are requests a second; times are seconds from the start of the run. Each shape knows a rate that it
+never exceeds, by which arrivals are drawn. The fields of the shapes are keys of scenario files.
+"""
 
 from __future__ import annotations
 
@@ -10,183 +11,207 @@
 
 import msgspec
 
-Rate = Annotated[float, msgspec.Meta(ge=0, le=1e6)]
-Time = Annotated[float, msgspec.Meta(ge=0, le=1e8)]
-Length = Annotated[float, msgspec.Meta(gt=0, le=1e8)]
-Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
+WORK_STARTS = 0.25  # of `Day`, as a fraction of it: 6 o'clock
+WORK_ENDS = 0.75  # 18 o'clock
+
+_Rate = Annotated[float, msgspec.Meta(ge=0, le=1e6)]
+_Time = Annotated[float, msgspec.Meta(ge=0, le=1e8)]
+_Duration = Annotated[float, msgspec.Meta(gt=0, le=1e8)]
+_Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
 
 class Shape(msgspec.Struct, frozen=True, kw_only=True, tag_field="kind", forbid_unknown_fields=True):
-    def at(self, time: float) -> float:
+    """A rate over time; `kind` of a scenario's table names the subclass."""
+
+    def rate_at(self, time: float) -> float:
+        """Return the rate at a time."""
         raise NotImplementedError
 
-    def top(self) -> float:
-        """A rate that `at` never passes."""
+    def max_rate(self) -> float:
+        """Return a rate that `rate_at` never exceeds."""
         raise NotImplementedError
 
 
 class Constant(Shape, frozen=True, kw_only=True, tag="constant"):
-    rate: Rate
+    """The same rate all the time."""
+
+    rate: _Rate
 
-    def at(self, time: float) -> float:
+    def rate_at(self, time: float) -> float:
         return self.rate
 
-    def top(self) -> float:
+    def max_rate(self) -> float:
         return self.rate
 
 
 class Ramp(Shape, frozen=True, kw_only=True, tag="ramp"):
-    """From `start` to `end`, evenly `over` so long from `at_s` on; before and after as at its ends."""
+    """From `start` to `end`, linearly within `over` seconds from `at_s` on; constant before and after."""
 
-    start: Rate
-    end: Rate
-    over: Length
-    at_s: Time = 0.0
+    start: _Rate
+    end: _Rate
+    over: _Duration
+    at_s: _Time = 0.0
 
-    def at(self, time: float) -> float:
-        part = min(1.0, max(0.0, (time - self.at_s) / self.over))
-        return self.start + (self.end - self.start) * part
+    def rate_at(self, time: float) -> float:
+        progress = min(1.0, max(0.0, (time - self.at_s) / self.over))
+        return self.start + (self.end - self.start) * progress
 
-    def top(self) -> float:
+    def max_rate(self) -> float:
         return max(self.start, self.end)
 
 
 class Steps(Shape, frozen=True, kw_only=True, tag="steps"):
     """Each of `rates` for `each` seconds; the last one stays."""
 
-    rates: Annotated[list[Rate], msgspec.Meta(min_length=1, max_length=10_000)]
-    each: Length
+    rates: Annotated[list[_Rate], msgspec.Meta(min_length=1, max_length=10_000)]
+    each: _Duration
 
-    def at(self, time: float) -> float:
-        return self.rates[min(len(self.rates) - 1, max(0, int(time / self.each)))]
+    def rate_at(self, time: float) -> float:
+        step = max(0, int(time / self.each))
+        return self.rates[min(len(self.rates) - 1, step)]
 
-    def top(self) -> float:
+    def max_rate(self) -> float:
         return max(self.rates)
 
 
 class Burst(Shape, frozen=True, kw_only=True, tag="burst"):
-    """`rate` from `at_s` on for `length`, nothing else. With `every` it comes again and again."""
+    """`rate` from `at_s` on for `length` seconds, else nothing; with `every`, again each so many seconds."""
 
-    rate: Rate
-    at_s: Time
-    length: Length
-    every: Time = 0.0
+    rate: _Rate
+    at_s: _Time
+    length: _Duration
+    every: _Time = 0.0
 
-    def at(self, time: float) -> float:
-        since = time - self.at_s
-        if since < 0:
+    def rate_at(self, time: float) -> float:
+        elapsed = time - self.at_s
+        if elapsed < 0:
             return 0.0
         if self.every:
-            since %= self.every
-        return self.rate if since < self.length else 0.0
+            elapsed %= self.every
+        return self.rate if elapsed < self.length else 0.0
 
-    def top(self) -> float:
+    def max_rate(self) -> float:
         return self.rate
 
 
 class OnOff(Shape, frozen=True, kw_only=True, tag="on-off"):
-    rate: Rate
-    on: Length
-    off: Length
+    """`rate` for `on` seconds, nothing for `off` seconds, and so on."""
 
-    def at(self, time: float) -> float:
+    rate: _Rate
+    on: _Duration
+    off: _Duration
+
+    def rate_at(self, time: float) -> float:
         return self.rate if time % (self.on + self.off) < self.on else 0.0
 
-    def top(self) -> float:
+    def max_rate(self) -> float:
         return self.rate
 
 
 class Sine(Shape, frozen=True, kw_only=True, tag="sine"):
-    """Round `mean`, up and down by `swing` of it each `period`."""
+    """Around `mean`, up and down by the fraction `swing` of it within each `period` seconds."""
 
-    mean: Rate
-    swing: Part
-    period: Length
-    phase: Part = 0.0
+    mean: _Rate
+    swing: _Fraction
+    period: _Duration
+    phase: _Fraction = 0.0
 
-    def at(self, time: float) -> float:
+    def rate_at(self, time: float) -> float:
         return self.mean * (1 + self.swing * math.sin(2 * math.pi * (time / self.period + self.phase)))
 
-    def top(self) -> float:
+    def max_rate(self) -> float:
         return self.mean * (1 + self.swing)
 
 
 class Day(Shape, frozen=True, kw_only=True, tag="day"):
-    """Office hours: `low` of `rate` by night, all of it at noon; a day has `day` seconds and begins at
-    midnight."""
+    """Office hours: the fraction `low` of `rate` by night, all of it at noon.
+
+    A day has `day` seconds and begins at midnight.
+    """
 
-    rate: Rate
-    day: Length = 86_400.0
-    low: Part = 0.1
+    rate: _Rate
+    day: _Duration = 86_400.0
+    low: _Fraction = 0.1
 
-    def at(self, time: float) -> float:
-        hour = time / self.day % 1.0  # work begins at a quarter and ends at three quarters
-        up = max(0.0, math.sin(math.pi * (hour - 0.25) / 0.5)) if 0.25 <= hour <= 0.75 else 0.0
-        return self.rate * (self.low + (1 - self.low) * up)
+    def rate_at(self, time: float) -> float:
+        time_of_day = time / self.day % 1.0
+        height = 0.0  # of the rate over that of the night, from 0 to 1
+        if WORK_STARTS <= time_of_day <= WORK_ENDS:
+            worked = (time_of_day - WORK_STARTS) / (WORK_ENDS - WORK_STARTS)
+            height = max(0.0, math.sin(math.pi * worked))
+        return self.rate * (self.low + (1 - self.low) * height)
 
-    def top(self) -> float:
+    def max_rate(self) -> float:
         return self.rate
 
 
 class BuildUp(Shape, frozen=True, kw_only=True, tag="build-up"):
-    """Weeks before a feast: from `start` to `end` by the same factor each day, `over` so long, with the day's
-    own shape on it."""
+    """Weeks before a holiday: from `start` to `end` by the same factor each day, within `over` seconds.
+
+    The rates are those at noon; each day has the shape of `Day`.
+    """
 
     start: Annotated[float, msgspec.Meta(gt=0, le=1e6)]
     end: Annotated[float, msgspec.Meta(gt=0, le=1e6)]
-    over: Length
-    day: Length = 86_400.0
-    low: Part = 0.1
+    over: _Duration
+    day: _Duration = 86_400.0
+    low: _Fraction = 0.1
 
-    def at(self, time: float) -> float:
-        part = min(1.0, max(0.0, time / self.over))
-        return Day(rate=self.start * (self.end / self.start) ** part, day=self.day, low=self.low).at(time)
+    def rate_at(self, time: float) -> float:
+        progress = min(1.0, max(0.0, time / self.over))
+        noon_rate = self.start * (self.end / self.start) ** progress
+        return Day(rate=noon_rate, day=self.day, low=self.low).rate_at(time)
 
-    def top(self) -> float:
+    def max_rate(self) -> float:
         return max(self.start, self.end)
 
 
 class MonthStart(Shape, frozen=True, kw_only=True, tag="month-start"):
-    """`base`, and from `at_s` on up to `peak` within `rise`; then half of what is above it is gone each
-    `half`."""
-
-    base: Rate
-    peak: Rate
-    at_s: Time
-    rise: Length
-    half: Length
-
-    def at(self, time: float) -> float:
-        since = time - self.at_s
-        if since < 0:
+    """`base`, and from `at_s` on up to `peak` within `rise` seconds, then back.
+
+    What is above `base` halves every `half` seconds.
+    """
+
+    base: _Rate
+    peak: _Rate
+    at_s: _Time
+    rise: _Duration
+    half: _Duration
+
+    def rate_at(self, time: float) -> float:
+        elapsed = time - self.at_s
+        if elapsed < 0:
             return self.base
-        part = since / self.rise if since < self.rise else 0.5 ** ((since - self.rise) / self.half)
-        return self.base + (self.peak - self.base) * part
+        half_lives = (elapsed - self.rise) / self.half
+        height = elapsed / self.rise if elapsed < self.rise else 0.5**half_lives
+        return self.base + (self.peak - self.base) * height
 
-    def top(self) -> float:
+    def max_rate(self) -> float:
         return max(self.base, self.peak)
 
 
 class Sum(Shape, frozen=True, kw_only=True, tag="sum"):
+    """The sum of several shapes."""
+
     of: Annotated[list[AnyShape], msgspec.Meta(min_length=1, max_length=100)]
 
-    def at(self, time: float) -> float:
-        return sum(shape.at(time) for shape in self.of)
+    def rate_at(self, time: float) -> float:
+        return sum(shape.rate_at(time) for shape in self.of)
 
-    def top(self) -> float:
-        return sum(shape.top() for shape in self.of)
+    def max_rate(self) -> float:
+        return sum(shape.max_rate() for shape in self.of)
 
 
 class Product(Shape, frozen=True, kw_only=True, tag="product"):
-    """The first is a rate; the others are factors, as rates of 1 are."""
+    """The product of several shapes: the first is a rate, the others are factors."""
 
     of: Annotated[list[AnyShape], msgspec.Meta(min_length=1, max_length=100)]
 
-    def at(self, time: float) -> float:
-        return math.prod(shape.at(time) for shape in self.of)
+    def rate_at(self, time: float) -> float:
+        return math.prod(shape.rate_at(time) for shape in self.of)
 
-    def top(self) -> float:
-        return math.prod(shape.top() for shape in self.of)
+    def max_rate(self) -> float:
+        return math.prod(shape.max_rate() for shape in self.of)
 
 
 AnyShape = Union[Constant, Ramp, Steps, Burst, OnOff, Sine, Day, BuildUp, MonthStart, Sum, Product]  # noqa: UP007
--- a/tests/load/test_sending.py
+++ b/tests/load/test_sender.py
@@ -16,16 +16,17 @@
 from rig import PROGRAM, ROOT, Site, free_port
 
 from apigateway.emulators.script import Step
-from apigateway.tools.load.record import OUTCOMES, Record, beyond, percentiles, report, text, void
-from apigateway.tools.load.scenario import ClassPart
-from apigateway.tools.load.schedule import US, Due
-from apigateway.tools.load.send import Sender
+from apigateway.tools.load.recorder import LoadRecord, Outcome, count_above
+from apigateway.tools.load.report import build_report, format_report, percentiles_ms, void_reason
+from apigateway.tools.load.scenario import ClassSection
+from apigateway.tools.load.schedule import US_PER_S, ScheduledRequest
+from apigateway.tools.load.sender import Sender
 
 VALUE = b"$5\r\nvalue\r\n"
 
 
 def due(at, n=0, cls="read"):
-    return Due(int(at * US), f"r{n}", f"{n % 5:016x}", "p", cls, 1.0, 0, 0, 1)
+    return ScheduledRequest(int(at * US_PER_S), f"r{n}", f"{n % 5:016x}", "p", cls, 1.0, 0, 0, 1)
 
 
 def evenly(rate, seconds, cls="read"):
@@ -33,11 +34,11 @@
 
 
 async def sent(dues, port, wait=5.0, effect="safe", before=None):
-    sender = Sender(iter(dues), {"read": ClassPart(effect=effect, wait=wait)}, [("127.0.0.1", port)])
+    sender = Sender(iter(dues), {"read": ClassSection(effect=effect, wait=wait)}, [("127.0.0.1", port)])
     if before is not None:
         before(sender)
     record = await sender.run()
-    assert sum(record.counts().values()) == record.late.get_total_count()
+    assert sum(record.counts().values()) == record.lateness.get_total_count()
     return record
 
 
@@ -70,23 +71,26 @@
 
     def freeze(sender):
         async def go():
-            while not (Freezing.lines and time.monotonic() > sender.began + 0.5):
+            while not (Freezing.lines and time.monotonic() > sender.started_at + 0.5):
                 await asyncio.sleep(0.01)
             Freezing.freeze(True)
-            spans.append(time.monotonic() - sender.began)
+            spans.append(time.monotonic() - sender.started_at)
             await asyncio.sleep(1.0)
-            spans.append(time.monotonic() - sender.began)
+            spans.append(time.monotonic() - sender.started_at)
             Freezing.freeze(False)
 
         sender.task = loop.create_task(go())
 
     record = await sent(dues, server.sockets[0].getsockname()[1], before=freeze)
     begin, end = spans
-    told = record.of()
+    told = record.latency_of()
     # New connections are taken on, so what is due in it waits where a kept one is at hand, as it does for
     # clients; each that was out at its begin, and each behind it, shows the whole rest of the freeze.
-    assert beyond(told, (end - begin) * 0.95 * US) >= 1 and told.get_max_value() >= (end - begin) * 0.95 * US
-    assert told.get_total_count() == len(dues) and record.counts()["served"] == len(dues)
+    assert (
+        count_above(told, (end - begin) * 0.95 * US_PER_S) >= 1
+        and told.get_max_value() >= (end - begin) * 0.95 * US_PER_S
+    )
+    assert told.get_total_count() == len(dues) and record.counts()[Outcome.SERVED] == len(dues)
     server.close()
 
 
@@ -99,52 +103,52 @@
 
         def stop(sender):
             async def go():
-                while time.monotonic() < sender.began + 0.7:
+                while time.monotonic() < sender.started_at + 0.7:
                     await asyncio.sleep(0.01)
                 program.send_signal(signal.SIGSTOP)
-                spans.append(time.monotonic() - sender.began)
+                spans.append(time.monotonic() - sender.started_at)
                 await asyncio.sleep(1.0)
-                spans.append(time.monotonic() - sender.began)
+                spans.append(time.monotonic() - sender.started_at)
                 program.send_signal(signal.SIGCONT)
 
             sender.task = asyncio.get_running_loop().create_task(go())
 
         record = await sent(dues, site.port, before=stop)
         begin, end = spans
-        told, total = record.of(), len(dues)
+        told, total = record.latency_of(), len(dues)
         assert told.get_total_count() == total
         for least in (0.2, 0.5, 0.8):
-            in_it = sum(begin <= one.at / US <= end - least for one in dues)
-            assert beyond(told, least * 0.99 * US) >= in_it > 0, least
+            in_it = sum(begin <= one.due_us / US_PER_S <= end - least for one in dues)
+            assert count_above(told, least * 0.99 * US_PER_S) >= in_it > 0, least
         # A client that waited with it would have seen one slow answer.
-        assert percentiles(told)["p90"] >= 200
+        assert percentiles_ms(told)["p90"] >= 200
 
 
 @pytest.mark.parametrize(
-    "step, word",
+    "step, outcome",
     [
-        (Step("silent"), "lost"),
-        (Step("reset"), "lost"),
-        (Step("half"), "lost"),
-        (Step("busy"), "refused"),
-        (Step("error"), "failed"),
+        (Step("silent"), Outcome.LOST),
+        (Step("reset"), Outcome.LOST),
+        (Step("half"), Outcome.LOST),
+        (Step("busy"), Outcome.REFUSED),
+        (Step("error"), Outcome.FAILED),
     ],
 )
 @on_loop
-async def test_each_kind_of_answer_has_its_outcome(step, word):
+async def test_each_kind_of_answer_has_its_outcome(step, outcome):
     async with StubHost() as host:
         host.script.play(step)
         record = await sent(evenly(100, 0.3), host.port, wait=0.4)
-        assert record.counts() == dict.fromkeys(OUTCOMES, 0) | {word: 30}
-        told = record.of(word)
+        assert record.counts() == dict.fromkeys(Outcome, 0) | {outcome: 30}
+        told = record.latency_of(outcome)
         if step.kind == "silent":  # counted for as long as its client would have waited
-            assert told.get_min_value() >= 0.99 * 0.4 * US  # to the resolution of timer and record
+            assert told.get_min_value() >= 0.99 * 0.4 * US_PER_S  # to the resolution of timer and record
 
 
 @on_loop
 async def test_a_target_that_is_not_there_is_recorded_as_not_sent():
     record = await sent(evenly(100, 0.3), free_port())
-    assert record.counts()["unsent"] == 30 and not void(record, 10_000, 1.0)
+    assert record.counts()[Outcome.UNSENT] == 30 and not void_reason(record, 10_000, 1.0)
 
 
 @on_loop
@@ -158,7 +162,7 @@
 
     server = await asyncio.get_running_loop().create_server(Twice, "127.0.0.1", 0)
     record = await sent(evenly(50, 0.4), server.sockets[0].getsockname()[1])
-    assert record.surplus > 0 and record.counts()["served"] == 20
+    assert record.surplus_answers > 0 and record.counts()[Outcome.SERVED] == 20
     server.close()
 
 
@@ -181,8 +185,8 @@
 
     record = await sent(evenly(100, 1.0), host.port, wait=2.0, before=kill)
     counts = record.counts()
-    assert killed and sum(counts.values()) == 100 and counts["served"] > 0
-    assert 0 < counts["lost"] + counts["unsent"] < 60
+    assert killed and sum(counts.values()) == 100 and counts[Outcome.SERVED] > 0
+    assert 0 < counts[Outcome.LOST] + counts[Outcome.UNSENT] < 60
     await host.__aexit__()
 
 
@@ -194,11 +198,13 @@
             asyncio.get_running_loop().call_later(0.1, time.sleep, 0.4)
 
         record = await sent(evenly(100, 0.8), host.port, before=starve)
-        why = void(record, 10.0, 0.001)
-        assert "the generator itself began" in why and record.late.get_max_value() >= 0.3 * US
-        told = report(record, "starved", why)
-        assert "VOID" in text(told) and told["due"] == 80
-        assert percentiles(record.of("served"))["max"] >= 300  # and latency is counted from when it was due
+        why = void_reason(record, 10.0, 0.001)
+        assert "the generator itself began" in why and record.lateness.get_max_value() >= 0.3 * US_PER_S
+        told = build_report(record, "starved", why)
+        assert "VOID" in format_report(told) and told["due"] == 80
+        assert (
+            percentiles_ms(record.latency_of(Outcome.SERVED))["max"] >= 300
+        )  # and latency is counted from when it was due
 
 
 @on_loop
@@ -209,17 +215,17 @@
         class Short(Sender):
             pass
 
-        sender = Short(iter(dues), {"read": ClassPart()}, [("127.0.0.1", host.port)])
+        sender = Short(iter(dues), {"read": ClassSection()}, [("127.0.0.1", host.port)])
         target = sender.targets[0]
 
-        async def none(asked):
-            sender.record.short += 1
-            sender.ended(asked, "unsent")
+        async def none(request):
+            sender.record.descriptor_shortages += 1
+            sender._on_outcome(request, Outcome.UNSENT)
 
         real = type(target).connect
 
-        async def connect(asked):
-            if asked.due.id in ("r3", "r4"):
+        async def connect(request):
+            if request.scheduled.request_id in ("r3", "r4"):
                 error = OSError(errno.EMFILE, "too many")
 
                 async def fails(*_, **__):
@@ -228,18 +234,18 @@
                 class Loop:
                     create_connection = staticmethod(fails)
 
-                monkeypatch.setattr("apigateway.tools.load.send.asyncio.get_running_loop", lambda: Loop)
+                monkeypatch.setattr("apigateway.tools.load.target.asyncio.get_running_loop", lambda: Loop)
                 try:
-                    await real(target, asked)
+                    await real(target, request)
                 finally:
                     monkeypatch.undo()
             else:
-                await real(target, asked)
+                await real(target, request)
 
         target.connect = connect
         target.idle = Never()
         record = await sender.run()
-        assert record.short == 2 and "no descriptor" in void(record, 10_000, 1.0)
+        assert record.descriptor_shortages == 2 and "no descriptor" in void_reason(record, 10_000, 1.0)
 
 
 class Never(list):
@@ -253,9 +259,9 @@
 async def test_none_and_one():
     async with StubHost() as host:
         record = await sent([], host.port)
-        assert report(record, "none", "")["due"] == 0 and percentiles(record.of()) == {}
+        assert build_report(record, "none", "")["due"] == 0 and percentiles_ms(record.latency_of()) == {}
         record = await sent([due(0.05)], host.port)
-        assert record.counts()["served"] == 1
+        assert record.counts()[Outcome.SERVED] == 1
 
 
 @on_loop
@@ -314,22 +320,22 @@
 @settings(max_examples=60, deadline=None, database=None)
 @given(
     st.lists(
-        st.tuples(st.sampled_from(OUTCOMES), st.integers(1, 10_000_000), st.integers(0, 5)),
+        st.tuples(st.sampled_from(Outcome), st.integers(1, 10_000_000), st.integers(0, 5)),
         min_size=1,
         max_size=200,
     ),
     st.integers(0, 200),
 )
 def test_records_of_several_processes_come_to_what_one_would_have(rows, cut):
-    one, parts = Record(), (Record(), Record())
+    one, parts = LoadRecord(), (LoadRecord(), LoadRecord())
     for n, (outcome, latency, second) in enumerate(rows):
         for record in (one, parts[n < cut]):
-            record.began(latency)
-            record.note(second * US, "read", "p", outcome, latency)
+            record.record_start(latency)
+            record.record_outcome(second * US_PER_S, "read", "p", outcome, latency)
     parts[0].add(parts[1])
-    assert report(one, "x", "") == report(parts[0], "x", "")
+    assert build_report(one, "x", "") == build_report(parts[0], "x", "")
     exact = sorted(latency for _, latency, _ in rows)
-    told = one.of()
+    told = one.latency_of()
     for part in (50.0, 90.0, 99.0, 100.0):
         true = exact[max(0, int(part * len(exact) / 100 + 0.5) - 1)]  # to the nearest rank
         assert told.get_value_at_percentile(part) == pytest.approx(true, rel=0.002, abs=1)
