--- a/tests/simulation/test_crowds.py
+++ b/tests/simulation/test_simulated_fleet.py
@@ -1,64 +1,48 @@
-"""Fleets of many sizes and what goes wrong in them, in the model."""
+"""Fleets of many sizes, and what goes wrong in them."""
 
 from collections import Counter
 from dataclasses import replace
 
 import pytest
+from simulation_scenarios import CROWD, run_simulation
 
 from apigateway import messages
 from apigateway.policy import Gateway
 from apigateway.simulation.clock import START_TIME
 from apigateway.simulation.scenario import (
-    READ,
     CustomerSettings,
     EndpointListSettings,
     FaultSettings,
     HostSettings,
-    Scenario,
-    Workload,
 )
 from apigateway.simulation.simulation import Simulation
 
-READS = (Workload(READ, 1.0, 0.2),)
-CROWD = Scenario(
-    gateways=60,
-    load=0.5,
-    length=6.0,
-    warm_up=2.0,
-    works=READS,
-    machines=HostSettings(count=20),
-    customers=CustomerSettings(count=120),
-)
-
-
-def play(scenario, seed=1):
-    simulation = Simulation(scenario, seed, Gateway)
-    return simulation, simulation.run()
-
 
 @pytest.mark.parametrize(
     "gateways, hosts, load",
     [(3, 10, 0.6), (20, 200, 0.15), (200, 10, 0.6), (1000, 50, 0.3), (10, 1000, 0.03)],
 )
-def test_any_number_of_gateways_and_hosts_serves_what_comes_and_leaves_no_host_idle(gateways, hosts, load):
+def test_fleet_of_any_size_serves_all_requests_and_leaves_no_host_idle(gateways, hosts, load):
     scenario = replace(
         CROWD, gateways=gateways, load=load, length=3.0, warm_up=1.0, machines=HostSettings(count=hosts)
     )
-    simulation, figures = play(scenario)
+    simulation, figures = run_simulation(scenario)
     assert figures["broken"] == 0 and figures["in_aim"] > 0.97 and figures["refused"] < 0.01
-    met = sum(m.accepted > 0 for m in simulation.fleet.hosts.values())
-    asked = sum(m.accepted for m in simulation.fleet.hosts.values())
+    met = sum(host.accepted > 0 for host in simulation.fleet.hosts.values())
+    asked = sum(host.accepted for host in simulation.fleet.hosts.values())
     assert met > 0.9 * min(hosts, asked / 3)
 
 
-def test_one_with_six_times_the_traffic_and_one_that_sees_hardly_any_are_served_alike():
-    busy = play(replace(CROWD, customers=CustomerSettings(count=120, busiest=6.0, gateway_skew=1.5)))
-    sends = sorted(node.upstream.attempts_made for node in busy[0].fleet.gateways)
+def test_gateways_when_their_traffic_is_uneven_serve_alike():
+    busy = run_simulation(
+        replace(CROWD, customers=CustomerSettings(count=120, busiest=6.0, gateway_skew=1.5))
+    )
+    sends = sorted(gateway.upstream.attempts_made for gateway in busy[0].fleet.gateways)
     assert sends[0] * 6 < sends[-1] and busy[1]["in_aim"] > 0.97
 
 
 @pytest.mark.parametrize("starts", [0.0, 1.0])
-def test_all_that_start_at_once_with_one_list_and_one_seed_do_not_pick_the_same_host(starts):
+def test_gateways_when_started_at_once_with_one_seed_select_different_hosts(starts):
     """The seeds are the same on purpose: no gateway may count on its own being another's."""
     picked, scenario = Counter(), replace(CROWD, gateways=200, machines=HostSettings(count=50))
     hosts = tuple(messages.Endpoint(f"h{n}", "abc"[n % 3], n // 6, 1.0, "k", "up", 0.0) for n in range(50))
@@ -83,10 +67,12 @@
     ],
     ids=lambda x: getattr(x, "what", ""),
 )
-def test_hosts_that_tell_what_is_not_so_draw_no_more_than_their_part(fault, least):
-    simulation, figures = play(replace(CROWD, faults=(fault,)))
+def test_hosts_when_their_reports_or_answers_mislead_attract_no_more_than_their_share(fault, least):
+    simulation, figures = run_simulation(replace(CROWD, faults=(fault,)))
     assert figures["broken"] == 0 and figures["in_aim"] > least
-    assert max(m.accepted for m in simulation.fleet.hosts.values()) < 1.8 * figures["firsts"] * 8 / 6 / 20
+    assert (
+        max(host.accepted for host in simulation.fleet.hosts.values()) < 1.8 * figures["firsts"] * 8 / 6 / 20
+    )
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -99,10 +85,10 @@
     ],
     ids=["usual", "late by seconds", "misses a fifth"],
 )
-def test_six_in_ten_replaced_by_cold_ones_within_seven_seconds(listing, seed):
+def test_fleet_when_six_hosts_in_ten_are_replaced_by_cold_ones_keeps_serving(listing, seed):
     """Drains are told to all, late to some; where a fifth is missed, it is of what is told besides."""
     fault = FaultSettings("replace", 0.5, part=0.6, over=7.0)
-    _, figures = play(replace(CROWD, load=0.4, length=10.0, listing=listing, faults=(fault,)), seed)
+    _, figures = run_simulation(replace(CROWD, load=0.4, length=10.0, listing=listing, faults=(fault,)), seed)
     assert figures["broken"] == 0 and figures["in_aim"] > 0.85
 
 
@@ -123,25 +109,29 @@
     ],
     ids=["told weights", "untold ones", "no reports", "no probes", "traffic moves", "a tenth lost"],
 )
-def test_what_is_unlike_unknown_or_lossy_costs_little(scenario, least):
-    _, figures = play(scenario)
+def test_fleet_when_hosts_differ_or_links_lose_messages_keeps_serving(scenario, least):
+    _, figures = run_simulation(scenario)
     assert figures["broken"] == 0 and figures["in_aim"] > least and figures["refused"] < 0.03
 
 
 @pytest.mark.parametrize("what", ["hang", "err", "refuse"])
-def test_a_host_that_is_back_is_not_what_all_gateways_go_to(what):
+def test_host_when_it_recovers_is_not_flooded(what):
     """It is the emptiest of all, and the only one with a fresh report of that."""
     scenario = replace(CROWD, gateways=200, faults=(FaultSettings(what, 0.0, 2.0, part=0.05),))
     simulation, marks = Simulation(scenario, 3, Gateway), []
     for at in (2.0, 3.0, 4.0):
         simulation.clock.call_at(
             START_TIME + scenario.warm_up + at,
-            lambda: marks.append({name: m.accepted for name, m in simulation.fleet.hosts.items()}),
+            lambda: marks.append({name: host.accepted for name, host in simulation.fleet.hosts.items()}),
         )
     simulation.clock.call_at(
         START_TIME + scenario.warm_up + 1.0,
         lambda: marks.append(
-            [name for name, m in simulation.fleet.hosts.items() if m.mode != "up" or m.refused_gateways]
+            [
+                name
+                for name, host in simulation.fleet.hosts.items()
+                if host.mode != "up" or host.refused_gateways
+            ]
         ),
     )
     assert simulation.run()["broken"] == 0
