--- a/apigateway/cli/experiment.py
+++ b/apigateway/cli/experiment.py
@@ -4,7 +4,7 @@
 
 import sys
 from dataclasses import dataclass
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from rich.console import Console
 from rich.progress import Progress
@@ -12,15 +12,17 @@
 
 from apigateway.cli.exit_codes import ExitCode
 from apigateway.config_validation import InvalidConfigFileError
-from apigateway.tools.experiment import report
-from apigateway.tools.experiment.plan import Experiment, read_experiment
-from apigateway.tools.experiment.run import play_all
+from apigateway.tools.experiment.experiment import Experiment
+from apigateway.tools.experiment.experiment_file import read_experiment
+from apigateway.tools.experiment.json_report import format_report, read_figures
+from apigateway.tools.experiment.plots import plot_figures, plot_seconds
+from apigateway.tools.experiment.runner import RunResult, run_all
+from apigateway.tools.experiment.summary import FiguresByLabel, SummaryRow, summarize
+from apigateway.tools.experiment.tables import figure_table, second_table
 
 _PIPE_WIDTH = 200  # characters of a table's line where standard output is no terminal
 _SECOND_COLUMN_WIDTH = 9  # characters of a column of the table by second
 
-_Row = dict[str, Any]  # of `tools.experiment.report`
-
 
 @dataclass(frozen=True, slots=True)
 class ExperimentOptions:
@@ -48,9 +50,9 @@
 
 
 class _Results(NamedTuple):
-    """Figures by the number of the play, and whether the user stopped before the last one."""
+    """Results by the number of the run, and whether the user stopped before the last one."""
 
-    figures: dict[int, dict[str, Any]]
+    by_run: dict[int, RunResult]
     is_stopped: bool
 
 
@@ -62,50 +64,52 @@
 
     try:
         experiment = read_experiment(options.path, options.seed_count)
-        older_rows = report.read_older(options.compare_path) if options.compare_path else None
+        older_figures = read_figures(options.compare_path) if options.compare_path else None
     except (InvalidConfigFileError, ValueError) as error:
         print(error, file=sys.stderr)
         return ExitCode.UNUSABLE
     results = _play(experiment, options.process_count)
-    rows = report.rows(experiment, results.figures)
+    rows = summarize(experiment, results.by_run)
     _write_files(options, experiment, rows)
-    _print_table(experiment, rows, older_rows)
+    _print_table(experiment, rows, older_figures)
     if options.print_seconds:
         _print_seconds(rows)
     has_broken_rules = _print_broken_rules(rows)
     if results.is_stopped:
-        print(f"stopped after {len(results.figures)} of {len(experiment.plays)} plays", file=sys.stderr)
+        print(f"stopped after {len(results.by_run)} of {len(experiment.runs)} plays", file=sys.stderr)
     return ExitCode.FAILED if has_broken_rules or results.is_stopped else ExitCode.OK
 
 
 def _play(experiment: Experiment, process_count: int) -> _Results:
     """Play everything behind a progress bar, until the user interrupts it."""
-    figures_by_play: dict[int, dict[str, Any]] = {}
+    results: dict[int, RunResult] = {}
     with Progress(console=Console(stderr=True), transient=True) as progress:
-        bar = progress.add_task(experiment.name, total=len(experiment.plays))
+        bar = progress.add_task(experiment.name, total=len(experiment.runs))
         try:
-            for number, figures in play_all(experiment.plays, process_count):
-                figures_by_play[number] = figures
+            for number, result in run_all(experiment.runs, process_count):
+                results[number] = result
                 progress.advance(bar)
         except KeyboardInterrupt:
-            return _Results(figures_by_play, is_stopped=True)
-    return _Results(figures_by_play, is_stopped=False)
+            return _Results(results, is_stopped=True)
+    return _Results(results, is_stopped=False)
 
 
-def _write_files(options: ExperimentOptions, experiment: Experiment, rows: list[_Row]) -> None:
+def _write_files(options: ExperimentOptions, experiment: Experiment, rows: list[SummaryRow]) -> None:
 
     if options.json_path:
         with open(options.json_path, "w", encoding="utf-8") as file:
-            file.write(report.as_json(experiment, rows) + "\n")
+            file.write(format_report(experiment, rows) + "\n")
     if options.plot_path and rows:
-        report.draw(experiment, rows, options.plot_path)
+        plot_figures(experiment, rows, options.plot_path)
     if options.plot_seconds_path and rows:
-        report.draw_seconds(experiment, rows, options.plot_seconds_path)
+        plot_seconds(experiment, rows, options.plot_seconds_path)
 
 
-def _print_table(experiment: Experiment, rows: list[_Row], older_rows: list[_Row] | None) -> None:
+def _print_table(
+    experiment: Experiment, rows: list[SummaryRow], older_figures: FiguresByLabel | None
+) -> None:
 
-    heading, *lines = report.table(experiment, rows, older_rows)
+    heading, *lines = figure_table(experiment, rows, older_figures)
     table = Table(title=f"{experiment.name}: median over seeds (least to most)")
     for number, name in enumerate(heading):
         table.add_column(name, justify="right" if number else "left")
@@ -114,18 +118,18 @@
     Console(width=None if sys.stdout.isatty() else _PIPE_WIDTH).print(table)
 
 
-def _print_seconds(rows: list[_Row]) -> None:
+def _print_seconds(rows: list[SummaryRow]) -> None:
 
     for row in rows:
-        print(report.label(row))
-        for line in report.second_lines(row):
+        print(row.label)
+        for line in second_table(row):
             print("".join(cell.rjust(_SECOND_COLUMN_WIDTH) for cell in line))
 
 
-def _print_broken_rules(rows: list[_Row]) -> bool:
+def _print_broken_rules(rows: list[SummaryRow]) -> bool:
     """Print the rules that modules broke; return whether there are any."""
 
-    broken = [f"{report.label(row)}: {rule}" for row in rows if row["module"] for rule in row["rules"]]
+    broken = [f"{row.label}: {rule}" for row in rows if row.is_module for rule in row.violations]
     for rule in broken:
         print(f"BROKEN {rule}")
     return bool(broken)
--- a/apigateway/tools/experiment/__init__.py
+++ b/apigateway/tools/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""`api-gateway experiment`: plays of the fleet's model, over cases, sweeps and seeds."""
+"""`api-gateway experiment`: simulations of a fleet, over cases, sweeps and seeds."""
--- /dev/null
+++ b/apigateway/tools/experiment/json_report.py
@@ -0,0 +1,51 @@
+"""The file of figures that an experiment writes, and that a later one is compared with."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+from apigateway.tools.experiment.experiment import Experiment
+from apigateway.tools.experiment.summary import FigureRange, FiguresByLabel, SummaryRow, row_label
+
+FORMAT_VERSION = 1
+
+
+def format_report(experiment: Experiment, rows: list[SummaryRow]) -> str:
+    """Return the text of a file of figures."""
+    report = {"version": FORMAT_VERSION, "name": experiment.name, "rows": [_row_as_json(row) for row in rows]}
+    return json.dumps(report, indent=1)
+
+
+def _row_as_json(row: SummaryRow) -> dict[str, Any]:
+    return {
+        "case": row.case,
+        "swept": row.swept,
+        "seeds": row.seeds,
+        "module": row.is_module,
+        "figures": row.figures,
+        "seconds": [shares._asdict() for shares in row.seconds],
+        "rules": row.violations,
+    }
+
+
+def read_figures(path: str) -> FiguresByLabel:
+    """Read the figures of an earlier run.
+
+    Raises:
+        ValueError: With the reason why the file cannot be read.
+    """
+    try:
+        with open(path, encoding="utf-8") as file:
+            report = json.load(file)
+    except (OSError, ValueError) as error:
+        raise ValueError(f"{path}: cannot be read ({error})") from error
+    is_report = isinstance(report, dict) and report.get("version") == FORMAT_VERSION
+    if not is_report or not isinstance(report.get("rows"), list):
+        raise ValueError(f"{path}: is no file of figures of version {FORMAT_VERSION}")
+    return {
+        row_label(row["case"], row["swept"]): {
+            name: FigureRange(*values) for name, values in row["figures"].items()
+        }
+        for row in report["rows"]
+    }
--- /dev/null
+++ b/apigateway/tools/experiment/scenario_reader.py
@@ -0,0 +1,131 @@
+"""Converts a table of an experiment's file into a scenario, and reports what cannot be simulated."""
+
+from __future__ import annotations
+
+import dataclasses
+import difflib
+import os
+import typing
+from collections.abc import Iterable
+from typing import Any
+
+import msgspec
+
+from apigateway.config_validation import MIN_SIMILARITY, ConfigProblem, ConfigReader, KeyPath, format_path
+from apigateway.simulation.baselines import BaselineKind, is_baseline
+from apigateway.simulation.scenario import FaultKind, FaultSettings, Scenario
+from apigateway.tools.experiment.experiment import MODULE_POLICY, is_module_policy, module_path
+
+FAULT_KINDS = tuple(kind.value for kind in FaultKind)
+ZONE_FAULTS = (FaultKind.ZONE_OUTAGE, FaultKind.ZONE_PARTITION)  # need the name of a zone
+
+
+def suggest_key(key: str, known: Iterable[str]) -> str:
+    """Return the remedy for an unknown key: the most similar one, or all that are known."""
+    known = tuple(known)
+    similar = difflib.get_close_matches(key, known, 1, MIN_SIMILARITY)
+    return f"did you mean `{similar[0]}`?" if similar else f"known here: {', '.join(known)}"
+
+
+def read_scenario(reader: ConfigReader, tree: dict[str, Any], path: KeyPath) -> Scenario | None:
+    """Convert a table into a scenario.
+
+    Args:
+        reader: Collects the problems.
+        tree: The table; what it leaves out keeps the default.
+        path: Where the table stands in the file, for messages.
+
+    Returns:
+        The scenario; None if the reader has problems, from before or now.
+    """
+    _check_keys(reader, tree, Scenario, path)
+    if reader.problems:
+        return None
+    try:
+        scenario = msgspec.convert(tree, Scenario)
+    except (msgspec.ValidationError, ValueError) as error:
+        _add_conversion_problem(reader, error, path)
+        return None
+    _check_values(reader, scenario, path)
+    return None if reader.problems else scenario
+
+
+def _check_keys(reader: ConfigReader, tree: object, schema: Any, path: KeyPath) -> None:
+    """Report each key that the schema, a dataclass, does not have."""
+    if not dataclasses.is_dataclass(schema) or not isinstance(tree, dict):
+        return
+    types = typing.get_type_hints(schema)
+    for key, value in tree.items():
+        if key not in types:
+            reader.add_problem((*path, key), value, "unknown key", suggest_key(key, types))
+            continue
+        inner_schema = types[key]
+        if typing.get_origin(inner_schema) is tuple:
+            inner_schema = typing.get_args(inner_schema)[0]
+        if isinstance(value, list):
+            for number, item in enumerate(value):
+                _check_keys(reader, item, inner_schema, (*path, key, number))
+        else:
+            _check_keys(reader, value, inner_schema, (*path, key))
+
+
+def _add_conversion_problem(reader: ConfigReader, error: Exception, path: KeyPath) -> None:
+    """Report an error of msgspec, which reads `reason - at `$.key``."""
+    reason, _, location = str(error).partition(" - at ")
+    key = format_path(path) + location.strip("`$")
+    problem = ConfigProblem(reader.file, key, "", reason[0].lower() + reason[1:], "mend the value")
+    reader.problems.append(problem)
+
+
+def _check_values(reader: ConfigReader, scenario: Scenario, path: KeyPath) -> None:
+    """Report what no simulation can be made of, though each value is of its type."""
+    _check_policy(reader, scenario.policy, (*path, "policy"))
+    _check_minimums(reader, scenario, path)
+    customers = scenario.customers
+    if len(customers.plans) != len(customers.shares):
+        reason = f"there are {len(customers.plans)} plans"
+        key = (*path, "customers", "shares")
+        reader.add_problem(key, customers.shares, reason, "one share for each")
+    for number, fault in enumerate(scenario.faults):
+        _check_fault(reader, scenario, fault, (*path, "faults", number))
+
+
+def _check_policy(reader: ConfigReader, policy: str, path: KeyPath) -> None:
+    is_known_module = is_module_policy(policy) and policy.partition(":")[0] == MODULE_POLICY
+    if not is_known_module and not is_baseline(policy):
+        kinds = ", ".join(BaselineKind)
+        remedy = f"{MODULE_POLICY}, {MODULE_POLICY}:FILE, {kinds}, or one of these :SECONDS behind"
+        reader.add_problem(path, policy, "is no way to choose", remedy)
+    file = module_path(policy) if is_known_module else ""
+    if file and not os.path.isfile(file):
+        reader.add_problem(path, policy, "there is no such file", "name one that has a class Gateway")
+
+
+def _check_minimums(reader: ConfigReader, scenario: Scenario, path: KeyPath) -> None:
+    machines = scenario.machines
+    counting = scenario.counting
+    minimums: tuple[tuple[KeyPath, float, float], ...] = (
+        (("gateways",), scenario.gateways, 1),
+        (("machines", "count"), machines.count, 1),
+        (("length",), scenario.length, 0.1),
+        (("load",), scenario.load, 0.001),
+        (("machines", "cores"), machines.cores, 0.01),
+        (("machines", "report_period"), machines.report_period, 0.01),
+        (("counting", "parts"), counting.parts, 1),
+        (("counting", "capacity"), counting.capacity, 0.1),
+    )
+    for key, value, minimum in minimums:
+        if value < minimum:
+            reader.add_problem((*path, *key), value, f"is less than {minimum}", "let it be more")
+
+
+def _check_fault(reader: ConfigReader, scenario: Scenario, fault: FaultSettings, path: KeyPath) -> None:
+    if fault.what not in FAULT_KINDS:
+        remedy = f"known: {', '.join(FAULT_KINDS)}"
+        reader.add_problem((*path, "what"), fault.what, "is no fault", remedy)
+    if fault.what in ZONE_FAULTS and fault.zone not in scenario.zones:
+        remedy = f"known: {', '.join(scenario.zones)}"
+        reader.add_problem((*path, "zone"), fault.zone, "there is no such zone", remedy)
+    if not 0 <= fault.at <= scenario.length:
+        remedy = f"0 to {scenario.length:g}"
+        reader.add_problem((*path, "at"), fault.at, "lies outside of the play", remedy)
--- a/tests/experiment/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -6,8 +6,7 @@
 
 from apigateway.cli.main import main
 from apigateway.config_validation import InvalidConfigFileError
-from apigateway.tools.experiment import report
-from apigateway.tools.experiment.plan import read_experiment
+from apigateway.tools.experiment.experiment_file import read_experiment
 
 SMALL = """
 name = "small"
@@ -41,11 +40,11 @@
 
 def test_cases_sweeps_and_seeds_make_plays(tmp_path):
     experiment = read_experiment(written(tmp_path / "e.toml"))
-    assert len(experiment.plays) == 8 and {p.seed for p in experiment.plays} == {1, 2}
-    calm, hang = (next(p.scenario for p in experiment.plays if p.case == case) for case in ("calm", "hang"))
+    assert len(experiment.runs) == 8 and {p.seed for p in experiment.runs} == {1, 2}
+    calm, hang = (next(p.scenario for p in experiment.runs if p.case == case) for case in ("calm", "hang"))
     assert (calm.machines.count, calm.machines.cores, calm.faults) == (5, 4.0, ())
     assert (hang.machines.count, hang.machines.cores) == (5, 2) and hang.faults[0].what == "hang"
-    assert len(read_experiment(str(tmp_path / "e.toml"), seeds=5).plays) == 20
+    assert len(read_experiment(str(tmp_path / "e.toml"), seed_count=5).runs) == 20
 
 
 @pytest.mark.parametrize(
@@ -87,9 +86,9 @@
     told = json.loads((tmp_path / "f.json").read_text())
     assert [row["case"] for row in told["rows"]] == ["calm", "calm", "hang", "hang"]
     assert all(row["seeds"] == [1, 2] for row in told["rows"])
-    older = report.read_older(figures)
-    older[0]["figures"]["in_aim"] = [0.1, 0.0, 0.2]
-    (tmp_path / "g.json").write_text(json.dumps({**told, "rows": older}))
+    older = json.loads((tmp_path / "f.json").read_text())
+    older["rows"][0]["figures"]["in_aim"] = [0.1, 0.0, 0.2]
+    (tmp_path / "g.json").write_text(json.dumps(older))
     assert main(["experiment", path, "--compare", str(tmp_path / "g.json"), "--processes", "2"]) == 0
     out = capsys.readouterr().out
     assert out.count("was") == 1 and "was 0.100" in out  # the same seeds: nothing else has changed
