--- /dev/null
+++ b/apigateway/emulators/gateway_file.py
@@ -0,0 +1,103 @@
+"""The settings file of an emulated installation's gateway, as an operator would write it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from pathlib import Path
+
+from apigateway.emulators.shape import Class, Plan, Shape
+
+MAX_ATTEMPTS = 6
+DOMAIN = "roster"  # of the rate limit service; also the name that hosts have at the registry
+
+
+@dataclass(frozen=True, slots=True)
+class GatewayFile:
+    """What a gateway's file is made from.
+
+    Attributes:
+        port: Of RESP2.
+        checks_port: Of the rate limit service.
+        source: Where it has its hosts from: "discovery" or "eureka".
+        poll: Seconds between two requests to the registry.
+    """
+
+    shape: Shape
+    folder: Path
+    name: str
+    number: int
+    zone: str
+    port: int
+    checks_port: int
+    source: str
+    discovery_port: int
+    registry_url: str
+    poll: float
+    counter_port: int
+
+    def text(self) -> str:
+        """Return the file's text."""
+        tables = self._tables()
+        for name, keys in self.shape.extra.items():
+            tables[name] = tables.get(name, "") + "\n" + keys
+        return (
+            self._listeners()
+            + "".join(f"[{name}]\n{keys}\n" for name, keys in tables.items())
+            + self.shape.plugins
+            + self._records()
+            + self._ratelimit_rules()
+        )
+
+    def _listeners(self) -> str:
+        text = f'[[listeners]]\naddress = "127.0.0.1:{self.port}"\n'
+        if self.shape.grpc:
+            text += f'[[listeners]]\nprotocol = "grpc"\naddress = "127.0.0.1:{self.checks_port}"\n'
+        return text
+
+    def _tables(self) -> dict[str, str]:
+        """Return the keys of each table, by its name."""
+        shape = self.shape
+        tables = {
+            "gateway": f'name = "{self.name}"\nindex = {self.number}\ngateways = {shape.gateways}\n'
+            f'zone = "{self.zone}"\nseed = {self.number + 1}',
+            "limits": f"max_attempts = {MAX_ATTEMPTS}",
+            "rules": f"drain_grace = {shape.drain_grace}\ncold_share = {shape.cold_share}\n"
+            f"cold_time = {shape.cold_time}",
+            "hosts": f'source = "{self.source}"\ndiscovery = "127.0.0.1:{self.discovery_port}"\n'
+            'reports = ["inflight", "queue", "util"]',
+            "eureka": f'urls = ["{self.registry_url}"]\nname = "{DOMAIN}"\npoll = {self.poll}\n'
+            f'user = "{self.name}"\npassword = "none"',
+            "counter": f'address = "127.0.0.1:{self.counter_port}"',
+            "daemon": f'state = "{self.folder / self.name}"',
+        }
+        for name, cls in shape.classes.items():
+            tables[f"classes.{name}"] = _class_keys(cls)
+        for name, plan in shape.plans.items():
+            tables[f"plans.{name}"] = _plan_keys(plan, shape.ceiling_slack)
+        return tables
+
+    def _records(self) -> str:
+        return f'[records]\nfile = "{self.name}.records"\n' if self.shape.plugins else ""
+
+    def _ratelimit_rules(self) -> str:
+        if not self.shape.grpc:
+            return ""
+        return (
+            f'[[ratelimit.rules]]\ndomain = "{DOMAIN}"\nentries = ["customer", "plan"]\n'
+            f'customer = "{{customer}}"\nplan = "{{plan}}"\nclass = "{self.shape.grpc}"\n'
+        )
+
+
+def _class_keys(cls: Class) -> str:
+    keys = f'effect = "{cls.effect}"\naim = {cls.aim}\ndeadline = {cls.deadline}\nworth = {cls.worth}\n'
+    if cls.effect == "keyed":
+        keys += f'scope = "{cls.scope}"\nmemory = {cls.memory}'
+    return keys
+
+
+def _plan_keys(plan: Plan, ceiling_slack: float) -> str:
+    return (
+        f"rate = {plan.rate}\nburst = {plan.burst}\nprice = {plan.price}\n"
+        f"ceiling_rate = {plan.ceiling_rate}\nceiling_burst = {plan.ceiling_burst}\n"
+        f"ceiling_slack = {ceiling_slack * plan.ceiling_burst}"
+    )
--- /dev/null
+++ b/apigateway/emulators/gateway_process.py
@@ -0,0 +1,137 @@
+"""A real gateway in a process of its own, with its settings file and its own discovery."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import signal
+import sys
+from pathlib import Path
+from typing import Protocol
+
+from apigateway.emulators.discovery import StandInDiscovery
+from apigateway.emulators.eureka import StandInEureka
+from apigateway.emulators.gateway_file import GatewayFile
+from apigateway.emulators.ledger import Ledger
+from apigateway.emulators.ports import free_port
+from apigateway.emulators.shape import Shape
+
+READY_TIMEOUT_S = 20.0  # for a gateway to say that it listens
+READY_LOG_TEXT = " listens on "  # in the line by which it says so
+SHOWN_LOG_LINES = 5  # of a gateway that does not start
+
+
+class Installation(Protocol):
+    """What a gateway is installed in."""
+
+    shape: Shape
+    folder: Path
+    source: str
+    poll: float
+    ledger: Ledger
+    registry: StandInEureka
+
+    def counter_port(self, gateway: str) -> int:
+        """Return the port at which this gateway reaches the counter."""
+
+
+class Gateway:
+    """One gateway's settings file and process.
+
+    Attributes:
+        port: Of RESP2.
+        checks: Port of the rate limit service.
+        log: The lines that it has written.
+    """
+
+    def __init__(self, installation: Installation, number: int) -> None:
+        self._installation = installation
+        shape = installation.shape
+        self.number = number
+        self.name = f"g{number}"
+        self.zone = shape.zones[number % len(shape.zones)]
+        self.port = free_port()
+        self.checks = free_port()
+        self.discovery = StandInDiscovery(self.name, installation.ledger)
+        self.file = installation.folder / f"{self.name}.toml"
+        self.process: asyncio.subprocess.Process | None = None
+        self.log: list[str] = []
+        self._log_reader: asyncio.Task[None] | None = None
+        self._listens = asyncio.Event()
+
+    def write(self) -> None:
+        """Write the settings file; discovery, registry and counter must be open."""
+        installation = self._installation
+        settings = GatewayFile(
+            shape=installation.shape,
+            folder=installation.folder,
+            name=self.name,
+            number=self.number,
+            zone=self.zone,
+            port=self.port,
+            checks_port=self.checks,
+            source=installation.source,
+            discovery_port=self.discovery.port,
+            registry_url=installation.registry.url,
+            poll=installation.poll,
+            counter_port=installation.counter_port(self.name),
+        )
+        self.file.write_text(settings.text())
+
+    async def start(self, *arguments: str) -> None:
+        """Start the process and wait until it says that it listens.
+
+        Args:
+            *arguments: Further ones of the command line.
+
+        Raises:
+            RuntimeError: With its last lines, if it does not listen in time.
+        """
+        self._listens.clear()
+        self.process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "apigateway",
+            "serve",
+            str(self.file),
+            *arguments,
+            stderr=asyncio.subprocess.PIPE,
+            env=_environment(),
+        )
+        self._log_reader = asyncio.get_running_loop().create_task(self._read_log(self.process))
+        try:
+            async with asyncio.timeout(READY_TIMEOUT_S):
+                await self._listens.wait()
+                self._installation.ledger.listens(self.name)
+        except TimeoutError as error:
+            last_lines = "\n".join(self.log[-SHOWN_LOG_LINES:])
+            raise RuntimeError(f"{self.name} does not listen:\n{last_lines}") from error
+
+    async def _read_log(self, process: asyncio.subprocess.Process) -> None:
+        assert process.stderr is not None
+        while line := await process.stderr.readline():
+            self.log.append(line.decode("utf-8", "replace").rstrip())
+            if READY_LOG_TEXT in self.log[-1]:
+                self._listens.set()
+
+    async def kill(self) -> None:
+        """Kill it as a loss of power would: what it held is for its clients to ask again."""
+        assert self.process is not None
+        self._installation.ledger.died(self.name)
+        self.process.send_signal(signal.SIGKILL)
+        await self.process.wait()
+
+    async def end(self) -> int:
+        """Stop it by SIGTERM, if it runs, and return its exit code."""
+        if self.process is None or self.process.returncode is not None:
+            return 0
+        self.process.send_signal(signal.SIGTERM)
+        return await self.process.wait()
+
+
+def _environment() -> dict[str, str]:
+    """Return this process's environment without settings of a gateway, and with the program's path."""
+    environment = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
+    root = Path(__file__).resolve().parents[2]
+    environment["PYTHONPATH"] = os.pathsep.join([str(root), environment.get("PYTHONPATH", "")])
+    return environment
