--- a/apigateway/emulators/clients.py
+++ b/apigateway/emulators/clients.py
@@ -12,8 +12,8 @@
 
 import hiredis
 
-from apigateway.emulators.hosts import bulk
 from apigateway.emulators.ledger import Ledger
+from apigateway.emulators.resp import bulk
 
 Address = tuple[str, int]
 GIVE_UP = 1.0  # s past its own time after which a client takes a request for lost
--- a/apigateway/emulators/hosts.py
+++ b/apigateway/emulators/hosts.py
@@ -1,4 +1,4 @@
-"""A stand-in host: RESP2 commands in, values out, with work, cold starts and scripted trouble."""
+"""An emulated host: RESP2 commands in, values out, with work, cold starts and scripted faults."""
 
 from __future__ import annotations
 
@@ -6,78 +6,67 @@
 import time
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from functools import partial
+from typing import Any, NamedTuple
 
 import hiredis
 
 from apigateway.emulators.ledger import Ledger
+from apigateway.emulators.ledger_records import AttemptEnd
 from apigateway.emulators.listener import Listener
-from apigateway.emulators.script import Script, Step
+from apigateway.emulators.pending_answers import PendingAnswer, PendingAnswers
+from apigateway.emulators.resp import BUSY, ERROR, PONG, SPOILT, VALUE, Command, bulk, fields
+from apigateway.emulators.script import Script, Step, StepKind
 
-VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
-BUSY = b"-BUSY\r\n"
-ERROR = b"-ERR failed\r\n"
-SPOILT = b"?what\r\n*-7\r\n"
+__all__ = ["BUSY", "ERROR", "SPOILT", "VALUE", "Answer", "Command", "StandInHost", "bulk", "fields"]
 
-Answer = bytes | None | Callable[[], bytes | None]
-Command = list[bytes]
-
-
-def bulk(data: bytes) -> bytes:
-    return b"$%d\r\n%s\r\n" % (len(data), data)
+READ_BYTES = 65536
+HEALTH_CHECK = "probe"  # how a health check ends; the ledger does not know of it
+CUT_BYTES = 5  # that half an answer lacks
 
-
-def fields(command: Command) -> dict[str, str]:
-    """The names and values of a command, `c=read,t=p,...`; none where there are none."""
-    try:
-        return dict(pair.split("=", 1) for pair in command[3].decode().split(","))
-    except (IndexError, ValueError):
-        return {}
+Answer = bytes | None | Callable[[], bytes | None]
 
 
-class Line:
-    """The answers of one connection, in the order of its commands."""
+class QueuedWork(NamedTuple):
+    """A command that waits for a core."""
 
-    def __init__(self, writer: asyncio.StreamWriter) -> None:
-        self.writer, self.waiting, self.open = writer, deque[Place](), True
+    seconds: float  # of one core at full capacity
+    answer: PendingAnswer
+    command: Command
 
-    def flush(self) -> None:
-        while self.waiting and self.waiting[0].answer is not None:
-            place = self.waiting.popleft()
-            assert place.answer is not None
-            if self.open:
-                self.writer.write(place.answer)
-            place.end(place.how)
-            if place.last:
-                self.writer.close()
 
+class TakenReport(NamedTuple):
+    """A load report, and when it was taken."""
 
-class Place:
-    """One command's place. `ended` is called once: what became of the attempt, as seen on the socket."""
+    at: float
+    text: bytes
 
-    def __init__(self, line: Line, ended: Callable[[str, bytes], None]) -> None:
-        self.line, self.ended, self.how, self.value = line, ended, "", b""
-        self.answer: bytes | None = None
-        self.over = self.last = False
-        line.waiting.append(self)
 
-    def write(self, answer: bytes, how: str, value: bytes = b"", last: bool = False) -> None:
-        self.answer, self.how, self.value, self.last = answer, how, value, last
-        self.line.flush()
+class MadeAnswer(NamedTuple):
+    """An answer, and the value in it that no other request gets."""
 
-    def end(self, how: str) -> None:
-        if not self.over:
-            self.over = True
-            self.ended(how, self.value)
+    reply: bytes
+    value: bytes
 
 
 class StandInHost(Listener):
-    """Answers each command by its script; where that says `answer`, with `answer` or what it returns (None:
-    silence, b"": the connection ends).
-
-    With `work` (a command's seconds at full capacity) it is a server of `cores` at once and `queue` waiting,
-    cold after `restart`: its answers are then made for each id, with a load report, and told to the
-    ledger."""
+    """Answers each command by its script.
+
+    Where the script says `answer`, it answers with `answer` or what that returns: None is silence, b"" ends
+    the connection. With `work`, which returns a command's seconds at full capacity, it is a server of `cores`
+    at once and `queue` waiting, cold after `restart`: its answers are then made for each id, with a load
+    report, and the ledger is told of them.
+
+    Attributes:
+        commands: All that have come.
+        arrived: Each command as it comes; None at a connection's end.
+        running: Commands that have a core.
+        line: Work that waits for a core.
+        started: Unix time of the last start; 0: long ago.
+        draining: While set, commands are rejected.
+        lies: While set, it reports that it is idle.
+        behind: Seconds that its reports are old.
+    """
 
     def __init__(
         self,
@@ -96,22 +85,31 @@
         address: str = "127.0.0.1",
     ) -> None:
         super().__init__(address)
-        self.answer, self.name, self.zone, self.cell = answer, name, zone, cell
-        self.script, self.work, self.cores, self.queue = script or Script(), work, cores, queue
-        self.cold_share, self.cold_time, self.ledger = cold_share, cold_time, ledger
+        self.answer = answer
+        self.name = name
+        self.zone = zone
+        self.cell = cell
+        self.script = script or Script()
+        self.work = work
+        self.cores = cores
+        self.queue = queue
+        self.cold_share = cold_share
+        self.cold_time = cold_time
+        self.ledger = ledger
         self.commands: list[Any] = []
-        self.arrived: asyncio.Queue[Any] = asyncio.Queue()  # each command; None at a connection's end
-        self.connections = self.running = 0
-        self.line: deque[tuple[float, Place, Command]] = deque()  # work that waits for a core
-        self.started = 0.0  # Unix time; 0: long ago
+        self.arrived: asyncio.Queue[Any] = asyncio.Queue()
+        self.connections = 0
+        self.running = 0
+        self.line: deque[QueuedWork] = deque()
+        self.started = 0.0
         self.draining = False
-        self.lies = False  # it reports that it is empty
-        self.behind = 0.0  # s that its reports are old
-        self.reports: deque[tuple[float, bytes]] = deque()  # since when each held, as far as one may be told
-        self.life = 0
+        self.lies = False
+        self.behind = 0.0
+        self._reports: deque[TakenReport] = deque()  # as far back as one may be told
+        self._incarnation = 0  # work of an earlier one is void
 
     def entry(self, state: str = "up") -> dict[str, Any]:
-        """This host in discovery's form."""
+        """Return this host in discovery's form."""
         return {
             "id": self.name,
             "addr": f"{self.address}:{self.port}",
@@ -124,140 +122,170 @@
         }
 
     def warmth(self) -> float:
+        """Return the share of its capacity that it has reached since its start."""
         age = time.time() - self.started
         if not self.started or age >= self.cold_time:
             return 1.0
         return self.cold_share + (1 - self.cold_share) * max(0.0, age) / self.cold_time
 
     async def restart(self, down: float = 0.0) -> None:
-        """Dies, and comes back cold and empty at its address after `down` seconds."""
+        """Die, and come back cold and empty at the same address after `down` seconds."""
         await self.die()
-        self.life += 1
+        self._incarnation += 1
         self.running = 0
         self.line.clear()
         await asyncio.sleep(down)
-        self.started, self.draining = time.time(), False
+        self.started = time.time()
+        self.draining = False
         if self.ledger is not None:
             self.ledger.started(self.name, self.cores, self.cold_share, self.cold_time)
         await self.open()
 
+    # Commands
+
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Take the commands of one connection until it ends."""
         parser = hiredis.Reader(notEnoughData=...)
-        line = Line(writer)
+        answers = PendingAnswers(writer)
         self.connections += 1
-        first = 0.0  # when the first byte of the command now coming in was there
+        first_byte_at = 0.0  # of the command that is coming in; 0: none is
         try:
-            while data := await reader.read(65536):
-                first = first or time.monotonic()
+            while data := await reader.read(READ_BYTES):
+                first_byte_at = first_byte_at or time.monotonic()
                 parser.feed(data)
-                while (got := parser.gets()) is not ...:
-                    self.commands.append(got)
-                    self.arrived.put_nowait(got)
-                    if not self.take(got, line, first):
+                while (command := parser.gets()) is not ...:
+                    self.commands.append(command)
+                    self.arrived.put_nowait(command)
+                    if not self._take(command, answers, first_byte_at):
                         return
-                    first = 0.0
+                    first_byte_at = 0.0
         finally:
-            line.open = False
-            for place in line.waiting:
-                place.end("closed")
+            answers.connection_closed()
             self.connections -= 1
             self.arrived.put_nowait(None)
 
-    def take(self, command: Any, line: Line, first: float) -> bool:
-        """False if the connection is to end."""
-        number = -1
-        if self.ledger is not None and isinstance(command, list) and command[0].startswith(b"API."):
-            told = fields(command)
-            number = self.ledger.arrived(
-                self.name,
-                command[2].decode(),
-                told.get("c", ""),
-                self.cell,
-                self.zone,
-                first,
-                self.work(command) if self.work else 0.0,
-            )
-
-        def ended(how: str, value: bytes) -> None:
-            if self.ledger is not None and number >= 0:
-                self.ledger.ended(number, how, value)
-
-        place = Place(line, ended)
+    def _take(self, command: Any, answers: PendingAnswers, first_byte_at: float) -> bool:
+        """Take a command; return False if the connection is to end."""
+        answer = PendingAnswer(answers, self._note_arrival(command, first_byte_at))
         if command == [b"PING"]:
-            place.write(b"+PONG\r\n", "probe")
+            answer.write(PONG, HEALTH_CHECK)
             return True
         if command == [b"INFO", b"load"] and self.work is not None:
-            place.write(bulk(self.report()), "probe")
+            answer.write(bulk(self.report()), HEALTH_CHECK)
             return True
         step = self.script.next(time.monotonic())
-        if step.kind == "silent":
+        if step.kind == StepKind.SILENT:
+            return True
+        if step.kind == StepKind.RESET:
+            answers.writer.transport.abort()
+            return False
+        return self._answer(answer, command, step)
+
+    def _note_arrival(self, command: Any, first_byte_at: float) -> Callable[[str, bytes], None]:
+        """Tell the ledger of an attempt, and return what tells it of the end."""
+        if self.ledger is None or not isinstance(command, list) or not command[0].startswith(b"API."):
+            return _ignore_end
+        number = self.ledger.arrived(
+            self.name,
+            command[2].decode(),
+            fields(command).get("c", ""),
+            self.cell,
+            self.zone,
+            first_byte_at,
+            self.work(command) if self.work else 0.0,
+        )
+        return partial(self.ledger.ended, number)
+
+    def _answer(self, answer: PendingAnswer, command: Command, step: Step) -> bool:
+        """Answer a command as the script's step says; return False if the connection is to end."""
+        if self.draining:
+            answer.write(BUSY, AttemptEnd.BUSY)
             return True
-        if step.kind == "reset":
-            line.writer.transport.abort()
+        match step.kind:
+            case StepKind.BUSY:
+                answer.write(BUSY, AttemptEnd.BUSY)
+            case StepKind.ERROR:
+                answer.write(ERROR, AttemptEnd.ERROR)
+            case StepKind.SPOILT:
+                answer.write(SPOILT, AttemptEnd.SPOILT)
+            case StepKind.HALF:
+                answer.write(self._make_answer(command).reply[:-CUT_BYTES], AttemptEnd.HALF, is_last=True)
+            case StepKind.STALL:
+                loop = asyncio.get_running_loop()
+                loop.call_later(step.delay, self._finish, answer, command, self._incarnation)
+            case _ if self.work is not None:
+                self._enqueue(answer, command, self.work, step.factor)
+            case _:
+                return self._answer_at_once(answer)
+        return True
+
+    def _answer_at_once(self, answer: PendingAnswer) -> bool:
+        """Answer without work; return False if the connection is to end."""
+        reply = self._plain_reply()
+        if reply == b"":
             return False
-        if step.kind == "busy" or self.draining:
-            place.write(BUSY, "busy")
-        elif step.kind == "error":
-            place.write(ERROR, "error")
-        elif step.kind == "spoilt":
-            place.write(SPOILT, "spoilt")
-        elif step.kind == "half":
-            place.write(self.made(command)[0][:-5], "half", last=True)
-        elif step.kind == "stall":
-            asyncio.get_running_loop().call_later(step.delay, self.finish, place, command, self.life)
-        elif self.work is not None:
-            self.begin(place, command, step)
-        else:
-            answer = self.answer() if callable(self.answer) else self.answer
-            if answer == b"":
-                return False
-            if answer is not None:
-                place.write(answer, "answered")
+        if reply is not None:
+            answer.write(reply, AttemptEnd.ANSWERED)
         return True
 
-    def made(self, command: Command) -> tuple[bytes, bytes]:
-        """The answer, and the value in it that no other request gets."""
+    def _plain_reply(self) -> bytes | None:
+        return self.answer() if callable(self.answer) else self.answer
+
+    def _make_answer(self, command: Command) -> MadeAnswer:
         if self.work is None:
-            answer = self.answer() if callable(self.answer) else self.answer
-            return answer or VALUE, b""
+            return MadeAnswer(self._plain_reply() or VALUE, b"")
         value = b"%s:%s" % (self.name.encode(), command[2])
-        return b"*3\r\n%s$-1\r\n%s" % (bulk(value), bulk(self.report())), value
+        return MadeAnswer(b"*3\r\n%s$-1\r\n%s" % (bulk(value), bulk(self.report())), value)
 
     def report(self) -> bytes:
-        held, now = (0, 0) if self.lies else (self.running, len(self.line)), time.monotonic()
-        text = b"active=%d,waiting=%d,cpu=%.2f" % (held[0] + held[1], held[1], held[0] / self.cores)
+        """Return the load report that it sends now."""
+        now = time.monotonic()
+        running = 0 if self.lies else self.running
+        waiting = 0 if self.lies else len(self.line)
+        text = b"active=%d,waiting=%d,cpu=%.2f" % (running + waiting, waiting, running / self.cores)
         if not self.behind:
             return text
-        self.reports.append((now, text))
-        while len(self.reports) > 1 and self.reports[1][0] <= now - self.behind:
-            self.reports.popleft()
-        return self.reports[0][1]
+        self._reports.append(TakenReport(now, text))
+        while len(self._reports) > 1 and self._reports[1].at <= now - self.behind:
+            self._reports.popleft()
+        return self._reports[0].text
+
+    # Work
 
-    def begin(self, place: Place, command: Command, step: Step) -> None:
-        assert self.work is not None
+    def _enqueue(
+        self, answer: PendingAnswer, command: Command, work: Callable[[Command], float], factor: float
+    ) -> None:
+        """Queue a command's work, `factor` times the usual, or reject it if the queue is full."""
         if self.running >= self.cores and len(self.line) >= self.queue:
-            place.write(BUSY, "busy")
+            answer.write(BUSY, AttemptEnd.BUSY)
             return
-        self.line.append((self.work(command) * step.factor, place, command))
-        self.advance()
+        self.line.append(QueuedWork(work(command) * factor, answer, command))
+        self._start_work()
 
-    def advance(self) -> None:
+    def _start_work(self) -> None:
+        """Give free cores to what waits."""
         while self.line and self.running < self.cores:
-            seconds, place, command = self.line.popleft()
-            if place.over:  # its client has gone: what waits is dropped, what runs goes on
+            work = self.line.popleft()
+            if work.answer.is_over:  # its client has gone: what waits is dropped, what runs goes on
                 continue
             self.running += 1
+            delay = work.seconds / self.warmth()
             asyncio.get_running_loop().call_later(
-                seconds / self.warmth(), self.worked, place, command, self.life
+                delay, self._complete, work.answer, work.command, self._incarnation
             )
 
-    def worked(self, place: Place, command: Command, life: int) -> None:
-        if life == self.life:
+    def _complete(self, answer: PendingAnswer, command: Command, incarnation: int) -> None:
+        """Answer, and free the core."""
+        if incarnation == self._incarnation:
             self.running -= 1
-            self.finish(place, command, life)
-            self.advance()
+            self._finish(answer, command, incarnation)
+            self._start_work()
+
+    def _finish(self, answer: PendingAnswer, command: Command, incarnation: int) -> None:
+        if incarnation == self._incarnation and not answer.is_over:
+            made = self._make_answer(command)
+            answer.write(made.reply, AttemptEnd.ANSWERED, made.value)
+
 
-    def finish(self, place: Place, command: Command, life: int) -> None:
-        if life == self.life and not place.over:
-            answer, value = self.made(command)
-            place.write(answer, "answered", value)
+def _ignore_end(how: str, value: bytes) -> None:
+    """Take the end of a command that the ledger does not know of."""
--- a/apigateway/emulators/script.py
+++ b/apigateway/emulators/script.py
@@ -1,47 +1,52 @@
-"""What a stand-in does, by count or in time: a script is data, so a test or a rehearsal can print and repeat
-it."""
+"""What an emulator does, by count or in time.
+
+A script is data, so that a test or a rehearsal can print and repeat it.
+"""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable
 from dataclasses import dataclass
+from enum import StrEnum
+
+
+class StepKind(StrEnum):
+    """A behaviour."""
 
-KINDS = (
-    "answer",
-    "stall",
-    "silent",
-    "reset",
-    "spoilt",
-    "busy",
-    "error",
-    "half",
-    "slow",
-    "over",
-    "odd",
-    "goaway",
-)  # the last three of a rate limit service
+    ANSWER = "answer"  # as it should be
+    STALL = "stall"  # answered `delay` s late
+    SILENT = "silent"  # never answered
+    RESET = "reset"  # the connection is reset
+    SPOILT = "spoilt"  # bytes that are no message
+    BUSY = "busy"  # rejected
+    ERROR = "error"  # the peer's error
+    HALF = "half"  # half an answer, then the end of the connection
+    SLOW = "slow"  # `factor` times the usual work
+    # Of a rate limit service:
+    OVER_LIMIT = "over"  # over its limit, whatever that is
+    NO_CODE = "odd"  # an answer without a code
+    GOAWAY = "goaway"  # the connection takes no more, from this message on
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One behaviour for `count` messages or `seconds` of time, whichever is set and over first; neither: for
-    good.
+    """One behaviour, a `StepKind`, for some messages or some time, whichever is set and over first.
 
-    answer: as it should be; stall: answered `delay` s late; silent: never answered; reset: the connection
-    breaks off; spoilt: bytes that are no message; busy: turned away; error: the peer's error; half: half an
-    answer, then the end; slow: `factor` times the usual work; over: over its limit, whatever that is; odd: an
-    answer without a code; goaway: the connection takes no more, from this message on."""
+    Attributes:
+        count: Messages that it lasts for; 0: not limited.
+        seconds: Time that it lasts for; 0: not limited.
+    """
 
-    kind: str = "answer"
+    kind: str = StepKind.ANSWER
     count: int = 0
     seconds: float = 0.0
     delay: float = 0.0
     factor: float = 1.0
 
     def __post_init__(self) -> None:
-        if self.kind not in KINDS:
-            raise ValueError(f"unknown step {self.kind!r}, one of {', '.join(KINDS)}")
+        if self.kind not in tuple(StepKind):
+            raise ValueError(f"unknown step {self.kind!r}, one of {', '.join(StepKind)}")
         if min(self.count, self.seconds, self.delay, self.factor) < 0:
             raise ValueError(f"step {self.kind}: negative figure")
 
@@ -50,27 +55,38 @@
 
 
 class Script:
-    """Steps one after another; past the last all is answered. A step in time begins with its first message,
-    or where the step before it was over."""
+    """Steps one after another; past the last all is answered.
+
+    A step in time begins with its first message, or where the step before it was over.
+
+    Attributes:
+        steps: The steps to come, the current one first.
+        used: Messages that the current step has had.
+    """
 
     def __init__(self, steps: Iterable[Step] = ()) -> None:
         self.steps = list(steps)
-        self.used, self.began = 0, math.nan
+        self.used = 0
+        self._began = math.nan  # when the current step began; NaN: not yet
 
     def play(self, *steps: Step) -> None:
-        """Takes the place of all that was still to come."""
-        self.steps, self.used, self.began = list(steps), 0, math.nan
+        """Replace all that was still to come."""
+        self.steps = list(steps)
+        self.used = 0
+        self._began = math.nan
 
     def next(self, now: float) -> Step:
-        """The step for a message that came at `now` (s, any clock that does not run backwards)."""
+        """Return the step for a message that came at `now`, by any clock that does not run backwards."""
         while self.steps:
             step = self.steps[0]
-            began = now if math.isnan(self.began) else self.began
-            over = step.seconds and now - began >= step.seconds
-            if over or (step.count and self.used >= step.count):
-                self.steps.pop(0)
-                self.used, self.began = 0, began + step.seconds if over else now
-                continue
-            self.used, self.began = self.used + 1, began
-            return step
+            began = now if math.isnan(self._began) else self._began
+            is_time_over = step.seconds > 0 and now - began >= step.seconds
+            is_count_over = step.count > 0 and self.used >= step.count
+            if not is_time_over and not is_count_over:
+                self.used += 1
+                self._began = began
+                return step
+            self.steps.pop(0)
+            self.used = 0
+            self._began = began + step.seconds if is_time_over else now
         return ANSWER
