--- a/apigateway/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -12,7 +12,8 @@
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.settings import read_settings
-from apigateway.tools import plugin as plugin_tools
+from apigateway.tools.plugins import bench, check, files, replay
+from apigateway.tools.plugins.report import Report, UnusableArgumentError
 
 _MICROSECONDS = 1e6  # in a second
 _COUNT_GROUPS = ("allowed", "denied", "failed", "not asked", "counters")  # of a plug-in's status
@@ -22,7 +23,7 @@
     """Run one of the plug-in commands; return the exit code."""
     try:
         return _run_action(arguments)
-    except (InvalidConfigFileError, plugin_tools.Unusable) as error:
+    except (InvalidConfigFileError, UnusableArgumentError) as error:
         print(error, file=sys.stderr)
         return ExitCode.UNUSABLE
     except (HandoverError, OSError) as error:
@@ -33,27 +34,25 @@
 def _run_action(arguments: argparse.Namespace) -> int:
     match arguments.action:
         case "check":
-            return _print_report(plugin_tools.check(arguments.path))
+            return _print_report(check.check(arguments.path))
         case "run":
-            report = plugin_tools.replay(
-                arguments.path, arguments.records, arguments.settings, arguments.each
-            )
+            report = replay.replay(arguments.path, arguments.records, arguments.settings, arguments.each)
             return _print_report(report, arguments.json)
         case "bench":
-            return _print_report(plugin_tools.bench(arguments.path, arguments.calls), arguments.json)
+            return _print_report(bench.bench(arguments.path, arguments.calls), arguments.json)
         case "new":
-            print("\n".join(plugin_tools.new(arguments.name, arguments.kind, arguments.folder)))
+            print("\n".join(files.create(arguments.name, arguments.kind, arguments.folder)))
         case "build":
-            print(plugin_tools.build(arguments.file))
+            print(files.assemble(arguments.file))
         case "status":
             answers = asyncio.run(query_running_gateway(read_settings(arguments.file), "plugins"))
             print(format_answers(answers, arguments.json, _format_status))
     return ExitCode.OK
 
 
-def _print_report(report: plugin_tools.Report, as_json: bool = False) -> int:
+def _print_report(report: Report, as_json: bool = False) -> int:
     print(json.dumps(report.figures, indent=1) if as_json else "\n".join(report.lines))
-    return ExitCode.OK if report.good else ExitCode.FAILED
+    return ExitCode.OK if report.is_good else ExitCode.FAILED
 
 
 def _format_status(status: Status) -> str:
--- /dev/null
+++ b/apigateway/tools/plugins/loading.py
@@ -0,0 +1,71 @@
+"""Load plug-ins as a gateway would, from a file of plug-ins or from a gateway's settings."""
+
+from __future__ import annotations
+
+import os
+from typing import NamedTuple
+
+from apigateway import messages
+from apigateway.config_validation import InvalidConfigFileError
+from apigateway.plugins.load import Place, load
+from apigateway.plugins.settings import HooksPart, PluginPart
+from apigateway.plugins.testkit import Kit, read_plugins, settings
+from apigateway.tools.plugins.report import UnusableArgumentError
+
+_GATEWAY_KEYS = ("listeners", "classes", "plans", "gateway")  # only a gateway's settings have them
+
+
+class _PluginSource(NamedTuple):
+    """The file, its plug-ins, and the decision module's settings where it is a gateway's."""
+
+    path: str
+    plugins: list[PluginPart]
+    hooks: HooksPart
+    module_settings: messages.Settings | None
+
+
+def load_plugins(path: str, module_settings: messages.Settings | None = None) -> Kit:
+    """Load the plug-ins of a file, of a folder with plugin.toml or of a gateway's settings.
+
+    Args:
+        path: Of the file or folder.
+        module_settings: Classes, plans and limits; None: those of the gateway, else of the test kit.
+
+    Raises:
+        UnusableArgumentError: it names no plug-in.
+        InvalidConfigFileError: it cannot be used, or a plug-in does not pass its checks.
+    """
+    source = _read_source(path)
+    if not source.plugins:
+        raise UnusableArgumentError(f"{source.path}: names no plug-in")
+    place = Place(source.path, module_settings or source.module_settings or settings())
+    return Kit(load(source.plugins, source.hooks, place))
+
+
+def read_module_settings(path: str) -> messages.Settings:
+    """Return what a gateway's settings file tells the decision module. Raises InvalidConfigFileError."""
+    from apigateway.daemon.settings import read_settings
+    from apigateway.daemon.settings_runtime import build_module_settings
+
+    return build_module_settings(read_settings(path))
+
+
+def _read_source(path: str) -> _PluginSource:
+    if os.path.isdir(path):
+        path = os.path.join(path, "plugin.toml")
+    try:
+        file = read_plugins(path)
+        return _PluginSource(path, file.plugins, file.hooks, None)
+    except InvalidConfigFileError as error:
+        if not any(problem.key in _GATEWAY_KEYS for problem in error.problems):
+            raise
+    return _read_gateway_source(path)
+
+
+def _read_gateway_source(path: str) -> _PluginSource:
+    from apigateway.daemon.settings import read_settings
+    from apigateway.daemon.settings_runtime import build_module_settings
+
+    gateway_settings = read_settings(path)
+    module_settings = build_module_settings(gateway_settings)
+    return _PluginSource(path, gateway_settings.plugins, gateway_settings.hooks, module_settings)
--- /dev/null
+++ b/apigateway/tools/plugins/replay.py
@@ -0,0 +1,148 @@
+"""Run recorded requests through plug-ins as if they came now; attempts and answers are as they were."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
+
+from apigateway import messages
+from apigateway.plugins.records import read_records, view_of
+from apigateway.plugins.terms import View
+from apigateway.plugins.testkit import Kit, Told, settings
+from apigateway.tools.plugins.loading import load_plugins, read_module_settings
+from apigateway.tools.plugins.report import Report, UnusableArgumentError
+
+_DEFAULT_PLANS = ("basic",)  # where nothing was recorded
+
+
+class _RecordedRequest(NamedTuple):
+    """A line of a file of records: its number, the record, and the request as plug-ins see it."""
+
+    line_number: int
+    record: dict[str, Any]
+    view: View
+
+
+@dataclass(slots=True)
+class _Counts:
+    """What the plug-ins proposed over all requests; the names are those of the report."""
+
+    tags: Counter[str] = field(default_factory=Counter)
+    refused: Counter[str] = field(default_factory=Counter)
+    routes: Counter[str] = field(default_factory=Counter)
+    denied: Counter[str] = field(default_factory=Counter)
+    failed: Counter[str] = field(default_factory=Counter)
+    other_tags: int = 0  # requests with other tags than recorded
+
+    def add(self, request: _RecordedRequest, result: Told) -> None:
+        """Count the result of one request."""
+        self.tags.update(f"{key}={value}" for key, value in result.tags.items())
+        if result.refuse is not None:
+            self.refused[request.view.cls] += 1
+        if result.route:
+            self.routes[result.route] += 1
+        self.denied.update(f"{name}: {what}" for name, what in result.denied)
+        self.failed.update(f"{name}: {what}" for name, what in result.failed)
+        self.other_tags += result.tags != request.record.get("tags", {})
+
+    def by_name(self) -> dict[str, Counter[str]]:
+        """Return the counters by their name in the report."""
+        return {
+            "tags": self.tags,
+            "refused": self.refused,
+            "routes": self.routes,
+            "denied": self.denied,
+            "failed": self.failed,
+        }
+
+
+def replay(
+    path: str, records_path: str, settings_path: str | None = None, print_each: bool = False
+) -> Report:
+    """Run the requests of a file of records through the plug-ins of another.
+
+    Args:
+        path: The plug-ins; see `load_plugins`.
+        records_path: A file that a gateway wrote.
+        settings_path: A gateway's settings, for its routes and limits; None: what the records name.
+        print_each: Whether the report has a line for each request.
+
+    Raises:
+        UnusableArgumentError: the records cannot be read, or no plug-in is named.
+        InvalidConfigFileError: plug-ins or settings cannot be used.
+    """
+    requests = _read_requests(records_path)
+    module_settings = _settings_of(requests) if settings_path is None else read_module_settings(settings_path)
+    kit = load_plugins(path, module_settings)
+    report = Report()
+    counts = _Counts()
+    try:
+        for request in requests:
+            result = _play(kit, request)
+            counts.add(request, result)
+            if print_each:
+                report.lines.append(f"{request.line_number} {request.view.id}: {_format_result(result)}")
+        report.figures = {
+            "requests": len(requests),
+            **{name: dict(counter) for name, counter in counts.by_name().items()},
+            "other tags than recorded": counts.other_tags,
+            "counters": {seat.name: dict(seat.plugin.counters()) for seat in kit.seats},
+        }
+    finally:
+        kit.close()
+    report.lines.append(f"{len(requests)} requests, {counts.other_tags} with other tags than recorded")
+    for name, counter in counts.by_name().items():
+        if counter:
+            report.lines.append(f"{name}: " + ", ".join(f"{key} {n}" for key, n in counter.most_common()))
+    report.is_good = not counts.failed
+    return report
+
+
+def _read_requests(path: str) -> list[_RecordedRequest]:
+    try:
+        return [_RecordedRequest(number, record, view_of(record)) for number, record in read_records(path)]
+    except (ValueError, UnicodeDecodeError) as error:
+        raise UnusableArgumentError(f"{path}: no records ({error})") from error
+
+
+def _settings_of(requests: list[_RecordedRequest]) -> messages.Settings:
+    """Return settings with the classes and plans that the records name."""
+    effects = {request.view.cls: "unsafe" if request.view.write else "safe" for request in requests}
+    plans = sorted({request.view.plan for request in requests})
+    return settings(effects or None, plans or _DEFAULT_PLANS)
+
+
+def _play(kit: Kit, request: _RecordedRequest) -> Told:
+    """Take one request through all its phases."""
+    view = request.view
+    result = kit.request(
+        id=view.id,
+        customer=view.customer,
+        plan=view.plan,
+        cls=view.cls,
+        units=view.units,
+        left=view.left,
+        write=view.write,
+        repeat=view.repeat,
+        now=view.now,
+    )
+    if result.refuse is not None:
+        kit.answer(result, "refused", 0.0)
+        return result
+    record = request.record
+    for attempt in record.get("attempts", ()):
+        kit.attempt(result, str(attempt.get("host", "")))
+    kit.answer(result, str(record.get("outcome", "served")), float(record.get("elapsed", 0.0)))
+    return result
+
+
+def _format_result(result: Told) -> str:
+    parts = [f"{key}={value}" for key, value in result.tags.items()]
+    if result.route:
+        parts.append(f"route {result.route}")
+    if result.refuse is not None:
+        parts.append(f"refused, back in {result.refuse:g} s")
+    parts += [f"denied {name} {what}" for name, what in result.denied]
+    parts += [f"failed {name} {what}" for name, what in result.failed]
+    return ", ".join(parts) or "nothing"
--- a/apigateway/tools/skeletons.py
+++ b/apigateway/tools/plugins/skeletons.py
@@ -2,21 +2,21 @@
 
 from __future__ import annotations
 
-SETTINGS = """# For a gateway's settings (its file beside them), `api-gateway plugin` and `demo --plugin`.
+_SETTINGS = """# For a gateway's settings (its file beside them), `api-gateway plugin` and `demo --plugin`.
 [[plugins]]
 name = "{name}"
 file = "{file}"
 settings = {{ class = "roster-read", mark = "first" }}
 """
 
-RULES = """# {name}: docs/operate/plugin-abi.md, The language.
+_RULES = """# {name}: docs/operate/plugin-abi.md, The language.
 [[rules]]
 when = 'class == settings.class'
 tag = {{ mark = 'settings.mark' }}
 count = {{ marked = '1' }}
 """
 
-WAT = """;; {name}: docs/operate/plugin-abi.md. Tags each request with the setting `mark`.
+_WAT = """;; {name}: docs/operate/plugin-abi.md. Tags each request with the setting `mark`.
 (module
   (import "calicomast" "setting" (func $setting (param i32 i32 i32 i32) (result i32)))
   (import "calicomast" "count" (func $count (param i32 i32 f64)))
@@ -44,7 +44,7 @@
     (i32.lt_s (call $setting (i32.const 0) (i32.const 4) (i32.const 521) (i32.const 128)) (i32.const 1))))
 """
 
-TEST = """from pathlib import Path
+_TEST = """from pathlib import Path
 
 from apigateway.plugins.testkit import Kit
 
@@ -59,13 +59,15 @@
 
 
 def skeleton(name: str, kind: str) -> dict[str, str]:
-    """File to text."""
-    file = "rules.toml" if kind == "rules" else f"{name}.wat"
-    body = (
-        RULES if kind == "rules" else WAT.replace("{", "{{").replace("}", "}}").replace("{{name}}", "{name}")
-    )
+    """Return the text of each file of a new plug-in; `kind` is "rules" or "wat"."""
+    if kind == "rules":
+        file_name = "rules.toml"
+        text = _RULES.format(name=name)
+    else:
+        file_name = f"{name}.wat"
+        text = _WAT.replace("{name}", name)
     return {
-        "plugin.toml": SETTINGS.format(name=name, file=file),
-        file: body.format(name=name),
-        f"test_{name.replace('-', '_')}.py": TEST.format(name=name),
+        "plugin.toml": _SETTINGS.format(name=name, file=file_name),
+        file_name: text,
+        f"test_{name.replace('-', '_')}.py": _TEST.format(name=name),
     }
--- a/tests/plugins/test_tools.py
+++ b/tests/plugins/test_tools.py
@@ -9,7 +9,7 @@
 
 from apigateway.cli.main import main
 from apigateway.plugins.testkit import Kit, settings
-from apigateway.tools.skeletons import skeleton
+from apigateway.tools.plugins.skeletons import skeleton
 
 EXAMPLES = ROOT / "examples" / "plugins"
 FORMS = ["wat", "rules"]
