--- a/apigateway/cli/main.py
+++ b/apigateway/cli/main.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import argparse
-import importlib
 import sys
 from collections.abc import Callable, Sequence
 
@@ -81,15 +80,16 @@
 
 
 def _demo(arguments: argparse.Namespace) -> int:
-    demo = importlib.import_module("apigateway.tools.demo")
-    return int(
-        demo.main(
-            arguments.seconds,
-            arguments.seed,
-            arguments.keep,
-            arguments.registry,
-            arguments.plugin,
-            arguments.grpc,
+    from apigateway.tools.demo.main import DemoOptions, main
+
+    return main(
+        DemoOptions(
+            seconds=arguments.seconds,
+            seed=arguments.seed,
+            keep=arguments.keep,
+            source=arguments.registry,
+            plugins=arguments.plugin,
+            use_grpc=arguments.grpc,
         )
     )
 
--- /dev/null
+++ b/apigateway/tools/demo/installation.py
@@ -0,0 +1,72 @@
+"""What the demo installs: classes, plans, customers, and the plug-ins that the user names."""
+
+from __future__ import annotations
+
+import os
+import random
+import re
+from pathlib import Path
+
+from apigateway.emulators.clients import Customer
+from apigateway.emulators.fleet import Class, Plan, Shape
+from apigateway.plugins.testkit import read_plugins
+
+SHAPE = Shape(
+    classes={
+        "roster-read": Class("safe", 1.0, 3.0, 1.0, 0.06, 0.41),
+        "shift-update": Class("keyed", 1.5, 4.0, 5.0, 0.09, 0.40, "cell", 6.0),
+        "staff-notice": Class("unsafe", 1.0, 3.0, 3.0, 0.06, 0.19),
+    },
+    plans={
+        "basic": Plan(1.0, 5.0, 0.88),
+        "standard": Plan(3.0, 12.0, 1.2),
+        "enterprise": Plan(12.0, 24.0, 1.8, 24.0, 48.0),
+    },
+)
+
+GRPC_CLASS = "roster-read"  # of the requests that come by the rate limit service
+
+# What each customer of a plan asks for, in parts of its rate: under, at and over its quota.
+_DEMANDS = {
+    "basic": [0.4] * 8 + [0.95] * 3 + [2.5],
+    "standard": [0.4] * 6 + [0.95] * 2 + [3.0],
+    "enterprise": [0.4, 0.95, 4.0],
+}
+_MIN_GATEWAYS = 2  # that a customer uses
+
+_FILE_KEY = re.compile(r'^file = "', re.MULTILINE)
+
+
+def create_customers(seed: int) -> list[Customer]:
+    """Return the customers; the seed draws the gateways that each uses."""
+    rng = random.Random(seed)
+    customers: list[Customer] = []
+    for plan, demands in _DEMANDS.items():
+        for demand in demands:
+            customers.append(
+                Customer(
+                    f"{len(customers) + 1:016x}",
+                    plan,
+                    demand * SHAPE.plans[plan].rate,
+                    rng.randrange(SHAPE.gateways),
+                    rng.randint(_MIN_GATEWAYS, SHAPE.gateways),
+                )
+            )
+    return customers
+
+
+def read_plugin_settings(paths: list[str]) -> str:
+    """Return the `[[plugins]]` of all files, with the files that they name in full.
+
+    Raises:
+        InvalidConfigFileError: one cannot be used: told now, not by three gateways that do not start.
+        OSError: one cannot be read.
+    """
+    return "\n".join(_read_plugin_file(path) for path in paths)
+
+
+def _read_plugin_file(path: str) -> str:
+    file = Path(path) / "plugin.toml" if Path(path).is_dir() else Path(path)
+    read_plugins(str(file))
+    folder = str(file.resolve().parent) + os.sep
+    return _FILE_KEY.sub(lambda found: found.group() + folder, file.read_text(encoding="utf-8"))
--- /dev/null
+++ b/apigateway/tools/demo/main.py
@@ -0,0 +1,143 @@
+"""Run the demo from its options to its exit code."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+import tempfile
+from dataclasses import dataclass, replace
+from pathlib import Path
+
+import uvloop
+from rich.console import Console
+
+from apigateway.config_validation import InvalidConfigFileError
+from apigateway.daemon.handover import query_gateway
+from apigateway.emulators.fleet import Fleet
+from apigateway.tools.demo.installation import GRPC_CLASS, SHAPE, read_plugin_settings
+from apigateway.tools.demo.session import DemoSession
+from apigateway.tools.demo.tables import checks_table, outcomes_table, plugins_table, verdicts_table
+
+EXIT_OK = 0
+EXIT_BROKEN = 1  # a rule broke
+EXIT_UNUSABLE = 2  # a plug-in cannot be used
+
+_RECORDS_POLL_INTERVAL_S = 0.05
+
+
+@dataclass(frozen=True, slots=True)
+class DemoOptions:
+    """The command's arguments.
+
+    Attributes:
+        seconds: How long traffic runs.
+        seed: Of the traffic.
+        keep: Whether the installation stays up afterwards, until Ctrl-C.
+        source: Where the endpoint list comes from, `discovery` or `eureka`.
+        plugins: Files or folders of plug-ins.
+        use_grpc: Whether half of the requests come by the rate limit service.
+    """
+
+    seconds: float
+    seed: int
+    keep: bool
+    source: str
+    plugins: list[str]
+    use_grpc: bool
+
+
+def main(options: DemoOptions) -> int:
+    """Run the demo; return the exit code."""
+    console = Console()
+    try:
+        read_plugin_settings(options.plugins)
+    except (InvalidConfigFileError, OSError) as error:
+        console.print(f"api-gateway: {error}", soft_wrap=True)
+        return EXIT_UNUSABLE
+    with tempfile.TemporaryDirectory(prefix="apigateway-") as folder:
+        return int(uvloop.run(_run(options, console, Path(folder))))
+
+
+async def _run(options: DemoOptions, console: Console, folder: Path) -> int:
+    source = "a Eureka registry" if options.source == "eureka" else options.source
+    console.print(
+        f"{SHAPE.gateways} gateways, {SHAPE.hosts} hosts in zones {', '.join(SHAPE.zones)}, a counter, "
+        f"{source}; {options.seconds:.0f} s of traffic"
+    )
+    shape = SHAPE
+    if options.plugins:
+        shape = replace(shape, plugins=read_plugin_settings(options.plugins))
+    if options.use_grpc:
+        shape = replace(shape, grpc=GRPC_CLASS)
+    async with Fleet(shape, folder, source=options.source) as fleet:
+        session = DemoSession(fleet, options.seconds, options.seed, console)
+        if options.use_grpc:
+            session.send_half_as_checks()
+        verdicts = await session.run()
+        if console.is_terminal:  # else they were printed as they came
+            for note in session.notes:
+                console.print(note)
+        console.print(outcomes_table(fleet.ledger, session.traffic.latency), verdicts_table(verdicts))
+        if session.checks is not None:
+            checks = session.checks
+            console.print(
+                checks_table(fleet.ledger, checks.counts, checks.latency, session.checking_customers)
+            )
+            await checks.close()
+        if options.plugins:
+            await _wait_for_records(fleet)
+            console.print(plugins_table(fleet.folder))
+        if options.keep:
+            await _keep_up(fleet, console)
+    return EXIT_OK if all(verdict.kept for verdict in verdicts) else EXIT_BROKEN
+
+
+async def _wait_for_records(fleet: Fleet) -> None:
+    """Wait until no gateway has records that its disk has not taken yet."""
+    for gateway in fleet.gateways:
+        socket = str(fleet.folder / gateway.name / "handover")
+        while True:
+            status = await query_gateway(socket, "plugins")
+            if not status["records"] or not status["records"]["waiting"]:
+                break
+            await asyncio.sleep(_RECORDS_POLL_INTERVAL_S)
+
+
+async def _keep_up(fleet: Fleet, console: Console) -> None:
+    """Print how to use the installation by hand, and wait for Ctrl-C."""
+    first = fleet.gateways[0]
+    if fleet.shape.grpc:
+        console.print(
+            "The rate limit service: "
+            f"api-gateway ratelimit ask 127.0.0.1:{first.checks} --domain roster "
+            "customer=00000000000000ff plan=basic",
+            soft_wrap=True,
+        )
+    addresses = ", ".join(f"127.0.0.1:{gateway.port}" for gateway in fleet.gateways)
+    console.print(
+        f"The gateways stay up: {addresses}. Try one:\n"
+        f"  redis-cli -p {first.port} API.READ 00000000000000ff request-1 "
+        f"c=roster-read,t=basic,d=3000,units=1,spread=3,first=0\n"
+        f"Each request needs an id of its own. Settings and state: {fleet.folder}. Ctrl-C ends it.",
+        soft_wrap=True,
+    )
+    hosts_file = fleet.folder / "hosts.toml"
+    hosts_file.write_text(_format_hosts(fleet))
+    console.print(
+        f"For gateways of your own: hosts in {hosts_file}, counter.address "
+        f"127.0.0.1:{fleet.counter.port}, a registry at {fleet.registry.url}.",
+        soft_wrap=True,
+    )
+    stop_requested = asyncio.Event()
+    for number in (signal.SIGINT, signal.SIGTERM):
+        asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
+    await stop_requested.wait()
+
+
+def _format_hosts(fleet: Fleet) -> str:
+    """Return the hosts as a gateway's file of hosts."""
+    return "".join(
+        f'[[hosts]]\nid = "{host.name}"\naddress = "{host.address}:{host.port}"\nzone = "{host.zone}"\n'
+        f"cell = {host.cell}\n"
+        for host in fleet.hosts
+    )
--- /dev/null
+++ b/apigateway/tools/demo/tables.py
@@ -0,0 +1,108 @@
+"""What the demo prints at its end: tables of outcomes, rules, plug-ins and checks."""
+
+from __future__ import annotations
+
+from collections import Counter, defaultdict
+from collections.abc import Sequence
+from pathlib import Path
+from typing import Any
+
+from rich.table import Table
+
+from apigateway.emulators.clients import Customer
+from apigateway.emulators.ledger import Attempt, Ledger, Verdict
+from apigateway.plugins.records import read_records
+
+OUTCOMES = ("served", "refused", "failed", "lost", "with gateway")  # as the ledger names them
+
+_MS_PER_S = 1000
+_MAX_SHOWN_BREACHES = 3  # of a rule
+_SHOWN_CUSTOMER = 4  # last characters of a customer's id
+
+
+def count_outcomes(ledger: Ledger) -> dict[str, int]:
+    """Return how many requests came to each outcome so far."""
+    counts = dict.fromkeys(OUTCOMES, 0)
+    for request in ledger.tries.values():
+        if request.answers:
+            _, outcome, *_ = request.answers[0]
+            counts[outcome] += 1
+    return counts
+
+
+def outcomes_table(ledger: Ledger, latencies: list[float]) -> Table:
+    """Return what became of each request, by plan and class. `latencies` of those served are in seconds."""
+    counts: dict[tuple[str, str], dict[str, int]] = defaultdict(lambda: dict.fromkeys(OUTCOMES, 0))
+    for (plan, service_class, outcome), count in ledger.outcomes().items():
+        counts[plan, service_class][outcome] += count
+    title = f"what became of each request; served in {_median_ms(latencies):.0f} ms (median)"
+    table = Table("plan", "class", *OUTCOMES, title=title)
+    for (plan, service_class), row in sorted(counts.items()):
+        table.add_row(plan, service_class, *(str(row[outcome]) for outcome in OUTCOMES))
+    return table
+
+
+def verdicts_table(verdicts: tuple[Verdict, ...]) -> Table:
+    """Return whether each of the five rules was kept, with some of the breaches."""
+    table = Table("rule", "verdict", "cases", title="the five rules, judged from what passed on the sockets")
+    for verdict in verdicts:
+        table.add_row(verdict.rule, _verdict_word(verdict), str(verdict.checked))
+        for breach in verdict.breaches[:_MAX_SHOWN_BREACHES]:
+            table.add_row("", breach, "")
+    return table
+
+
+def plugins_table(folder: Path) -> Table:
+    """Return what plug-ins did, from the records that the gateways wrote to a folder."""
+    counts: Counter[str] = Counter()
+    for path in sorted(folder.glob("*.records")):
+        for _, record in read_records(str(path)):
+            counts.update(_plugin_effects(record))
+    table = Table("plug-ins", "requests", title="what plug-ins did, from the gateways' records")
+    for effect, count in sorted(counts.items()):
+        table.add_row(effect, str(count))
+    return table
+
+
+def checks_table(
+    ledger: Ledger, counts: Counter[str], latencies: list[float], customers: Sequence[Customer]
+) -> Table:
+    """Return what the rate limit service answered, and how near to its ceiling each customer came."""
+    title = f"the rate limit service; answered in {_median_ms(latencies):.1f} ms (median)"
+    table = Table("checks by gRPC", "count", title=title)
+    for answer, count in sorted(counts.items()):
+        table.add_row(answer, str(count))
+    attempts_by_id: dict[str, list[Attempt]] = defaultdict(list)
+    for attempt in sorted(ledger.attempts, key=lambda attempt: attempt.last):
+        attempts_by_id[attempt.id].append(attempt)
+    plan_by_customer = {customer.id: customer.plan for customer in customers}
+    for customer, (least_remaining, slack) in sorted(ledger.stores(attempts_by_id).items()):
+        name = f"ceiling of {customer[-_SHOWN_CUSTOMER:]} ({plan_by_customer[customer]})"
+        if least_remaining >= 0:
+            table.add_row(name, f"{least_remaining:.1f} left at the least")
+        else:
+            table.add_row(name, f"{-least_remaining:.1f} units past it, {slack:.1f} are its slack")
+    return table
+
+
+def _median_ms(latencies: list[float]) -> float:
+    if not latencies:
+        return 0.0
+    return sorted(latencies)[len(latencies) // 2] * _MS_PER_S
+
+
+def _verdict_word(verdict: Verdict) -> str:
+    if not verdict.kept:
+        return "BROKEN"
+    return "kept" if verdict.checked else "not seen"
+
+
+def _plugin_effects(record: dict[str, Any]) -> list[str]:
+    """Return what plug-ins did to one request."""
+    effects = ["asked about"]
+    effects += [f"tagged {key}={value}" for key, value in record["tags"].items()]
+    if record["route"]:
+        effects.append(f"routed {record['route']}")
+    if record["by"]:
+        effects.append(f"refused by {record['by']}: {record['class']}")
+    return effects
--- a/tests/tools/test_demo.py
+++ b/tests/tools/test_demo.py
@@ -8,7 +8,8 @@
 from rig import ROOT
 
 from apigateway.emulators.ledger import Verdict
-from apigateway.tools import demo
+from apigateway.tools.demo.installation import SHAPE, create_customers
+from apigateway.tools.demo.tables import verdicts_table
 
 
 @pytest.mark.parametrize("source", ["discovery", "eureka"])
@@ -58,13 +59,13 @@
 @pytest.mark.parametrize("breaches, word", [((), "kept"), (("a1 was lost",), "BROKEN")])
 def test_a_broken_rule_is_shown(breaches, word):
     console = Console(record=True, width=100, file=open("/dev/null", "w"))
-    console.print(demo.verdicts_table((Verdict("no request lost", 3, breaches),)))
+    console.print(verdicts_table((Verdict("no request lost", 3, breaches),)))
     text = console.export_text()
     assert word in text and all(b in text for b in breaches)
 
 
 def test_customers_ask_under_at_and_over_their_quotas_by_seed():
-    one, other = demo.customers(1), demo.customers(2)
-    assert one == demo.customers(1) != other
-    rates = {c.rate / demo.SHAPE.plans[c.plan].rate for c in one}
+    one, other = create_customers(1), create_customers(2)
+    assert one == create_customers(1) != other
+    rates = {c.rate / SHAPE.plans[c.plan].rate for c in one}
     assert min(rates) < 0.5 and max(rates) > 2 and any(0.9 < r < 1 for r in rates)
