--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -14,7 +14,7 @@
 
 
 @on_loop
-async def test_a_drained_host_gets_nothing_new_nor_what_waits_for_a_connection(tmp_path):
+async def test_host_when_draining_then_gets_no_new_request_nor_one_that_waits_for_a_connection(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         for n in range(4):
             await node.ask(command(b"a%d" % n))
@@ -29,7 +29,7 @@
 
 
 @on_loop
-async def test_hosts_move_with_the_list(tmp_path):
+async def test_hosts_follow_the_list(tmp_path):
     async with StubHost() as old, StubHost() as new, Node(old, path=tmp_path) as node:
         assert await node.ask(command(b"a")) == SERVED
         await node.discovery.calls.get()
@@ -63,7 +63,7 @@
 
 
 @on_loop
-async def test_an_odd_entry_does_not_hide_the_drains_beside_it(tmp_path):
+async def test_entry_when_malformed_then_does_not_hide_the_drains_beside_it(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         await node.discovery.calls.get()
         node.discovery.change(
@@ -82,7 +82,7 @@
 
 
 @on_loop
-async def test_changes_to_an_older_list_are_not_taken(tmp_path):
+async def test_delta_when_older_than_the_list_then_is_rejected(tmp_path):
     async with StubHost() as one, Node(one, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
@@ -95,7 +95,7 @@
 
 
 @on_loop
-async def test_the_module_hears_of_a_drain_before_what_ends_by_it(tmp_path):
+async def test_module_is_notified_of_a_drain_before_the_attempts_that_it_ends(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         seen, done = [], asyncio.Event()
 
@@ -125,7 +125,7 @@
 
 
 @on_loop
-async def test_silent_discovery_is_asked_again_while_the_last_list_serves(tmp_path, monkeypatch):
+async def test_discovery_when_silent_then_is_called_again_while_the_last_list_serves(tmp_path, monkeypatch):
     schedule = WatchSchedule(
         is_polled=False,
         wait=0.1,
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("grace", [0.3, 0.5, 0.7, 1.0, 2.0, 4.0, 60.0])
-def test_what_a_dead_watch_can_miss_is_heard_before_the_grace_of_a_drain_is_over(grace):
+def test_change_when_a_dead_watch_missed_it_then_is_known_within_the_drain_grace(grace):
     schedule = WatchSchedule.for_agent(grace)
     assert schedule.wait + schedule.overdue + schedule.hedge_after < grace
     # s; a list is not asked for in a busy loop
@@ -162,7 +162,7 @@
 
 
 @on_loop
-async def test_a_silent_discovery_is_asked_again_beside_the_call_that_it_never_answers(tmp_path, monkeypatch):
+async def test_complete_list_when_a_call_is_never_answered_then_is_requested_beside_it(tmp_path, monkeypatch):
     monkeypatch.setattr(watch_schedule, "AGENT_CALL_TIMEOUT_S", 10.0 * PATIENCE)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
@@ -186,7 +186,7 @@
 
 
 @on_loop
-async def test_a_whole_list_that_comes_after_a_newer_one_brings_nothing_back(tmp_path):
+async def test_complete_list_when_older_than_the_last_then_brings_nothing_back(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
@@ -204,7 +204,7 @@
 
 
 @on_loop
-async def test_a_service_that_begins_anew_with_lower_versions_is_believed(tmp_path):
+async def test_complete_list_when_the_service_restarted_with_lower_versions_then_is_accepted(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
@@ -216,7 +216,7 @@
 
 
 @on_loop
-async def test_a_watch_that_ends_with_no_news_costs_the_module_nothing(tmp_path):
+async def test_watch_when_it_ends_without_changes_then_the_module_is_not_notified(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
@@ -235,7 +235,7 @@
 
 
 @on_loop
-async def test_the_old_address_is_not_heard_once_another_is_gone_over_to(tmp_path):
+async def test_old_address_when_replaced_then_its_lists_are_ignored(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
--- a/tests/membership/test_eureka_source.py
+++ b/tests/membership/test_eureka_source.py
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("base, form", [("/eureka/v2", "json"), ("/eureka", "json"), ("/eureka/v2", "xml")])
 @on_loop
-async def test_it_reads_the_list_and_follows_its_changes(base, form):
+async def test_source_reads_the_list_and_follows_its_changes(base, form):
     async with filled(base=base) as registry, Watched(registry, form=form) as seen:
         assert await seen.poll() and seen.states() == dict.fromkeys(
             ["node0", "node1", "node2", "node3"], "up"
@@ -94,7 +94,7 @@
     ],
 )
 @on_loop
-async def test_by_app_vip_or_secure_vip(by, name, ids):
+async def test_lookup_by_app_vip_or_secure_vip_lists_their_instances(by, name, ids):
     async with filled(2) as registry, Watched(registry, lookup=by, name=name) as seen:
         registry.register(instance("node9", 9000, app="OTHER"))
         assert await seen.poll() and set(seen.hosts) == ids
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("how", ["silent", "error", "half", "spoilt", "endless", "raw"])
 @on_loop
-async def test_an_answer_that_cannot_be_used_leaves_the_list(how):
+async def test_response_when_unusable_then_the_list_stays(how):
     async with filled() as registry, Watched(registry, timeout=0.3, max_response_bytes=200_000) as seen:
         registry.etags = False
         await seen.poll()
@@ -124,7 +124,7 @@
 
 
 @on_loop
-async def test_it_comes_back_empty_with_half_and_whole():
+async def test_registry_when_it_returns_empty_or_with_half_then_endpoints_stay():
     now = 1000.0
     async with filled(10) as registry, Watched(registry, clock=lambda: now, delta=False) as seen:
         registry.etags = False
@@ -141,7 +141,7 @@
 
 
 @on_loop
-async def test_the_same_hosts_under_other_ids_and_another_address_under_the_same():
+async def test_hosts_when_ids_or_addresses_change_then_are_replaced():
     async with filled(3) as registry, Watched(registry) as seen:
         await seen.poll()
         registry.restart()
@@ -156,7 +156,7 @@
 
 
 @on_loop
-async def test_a_lost_delta_is_healed_and_a_hash_that_never_fits_makes_no_storm():
+async def test_delta_when_lost_then_a_complete_list_follows_and_a_wrong_hash_causes_no_storm():
     now = 1000.0
     async with filled() as registry, Watched(registry, clock=lambda: now) as seen:
         await seen.poll()
@@ -173,7 +173,7 @@
 
 
 @on_loop
-async def test_one_malformed_instance_of_a_thousand_is_left_out_and_told(caplog):
+async def test_instance_when_malformed_among_a_thousand_then_is_left_out_and_logged(caplog):
     async with filled(1000) as registry, Watched(registry) as seen:
         registry.leases["ROSTER", "node500"].told["port"] = {"$": "eighty"}
         assert await seen.poll() and len(seen.hosts) == 999
@@ -181,7 +181,7 @@
 
 
 @on_loop
-async def test_fail_over_and_two_replicas_that_contradict_each_other():
+async def test_registry_when_away_then_fails_over_and_contradicting_replicas_do_no_harm():
     now = 1000.0
     async with filled() as one, filled() as other, Watched(one, other, clock=lambda: now) as seen:
         await seen.poll()
@@ -199,7 +199,7 @@
 
 
 @on_loop
-async def test_replicas_tell_each_other_late():
+async def test_emulated_replicas_when_lagging_then_register_late():
     async with filled(1) as one, StandInEureka(lag=0.02) as other:
         one.peer = other
         one.register(instance("node5", 8005))
@@ -221,7 +221,7 @@
 
 
 @on_loop
-async def test_names_are_resolved_through_the_seam_and_own_addresses_left_out():
+async def test_host_names_are_resolved_and_own_addresses_left_out():
     looked = []
 
     async def resolve(name):
@@ -255,7 +255,7 @@
 
 
 @on_loop
-async def test_a_watch_polls_by_itself_and_backs_off_while_nobody_answers():
+async def test_watch_polls_by_itself_and_backs_off_while_nothing_answers():
     async with (
         filled(script=Script([Step("error", count=3)])) as registry,
         Watched(registry, poll_interval=0.01) as seen,
@@ -271,7 +271,7 @@
 
 
 @on_loop
-async def test_a_doubt_ends_by_time_between_polls():
+async def test_doubt_ends_by_time_between_polls():
     async with (
         filled(4) as registry,
         Watched(registry, delta=False, reconciler=ReconcilerSettings(doubt_time=0.05)) as seen,
@@ -297,7 +297,7 @@
 
 
 @on_loop
-async def test_a_gateway_registers_renews_comes_up_goes_down_and_leaves():
+async def test_registration_registers_renews_marks_up_and_down_and_deregisters():
     async with StandInEureka() as registry:
         own = Registration((registry.url,), OWN)
         own.start()
@@ -318,7 +318,7 @@
 
 
 @on_loop
-async def test_a_registry_that_is_away_holds_up_neither_the_work_nor_the_end(monkeypatch):
+async def test_registration_when_the_registry_is_away_then_delays_neither_start_nor_stop(monkeypatch):
     monkeypatch.setattr("apigateway.membership.eureka.registration.FINAL_CALL_TIMEOUT_S", 0.05)
     async with StandInEureka(script=Script([Step("error", count=4)])) as registry:
         own = Registration((registry.url, registry.url), OWN)
@@ -351,7 +351,7 @@
 
 
 @on_loop
-async def test_a_foreign_client_registers_renews_and_reads_at_the_stand_in():
+async def test_emulated_registry_serves_a_foreign_client():
     """py-eureka-client, which others wrote: the stand-in speaks the protocol, and our source reads what it
     wrote."""
     async with StandInEureka(base="/eureka") as registry, Watched(registry) as seen:
--- a/tests/upstream/test_idle_connection_policy.py
+++ b/tests/upstream/test_idle_connection_policy.py
@@ -5,7 +5,7 @@
 from apigateway.upstream.idle_connection_policy import IdleConnectionPolicy
 
 
-def test_resets_that_come_by_chance_close_no_connections():
+def test_resets_when_independent_of_idle_time_then_set_no_limit():
     policy = IdleConnectionPolicy()
     for n in range(400):
         lost = n % 11 == 0
@@ -14,7 +14,7 @@
     assert policy.limit == math.inf
 
 
-def test_a_limit_of_rest_is_tried_again_in_time():
+def test_limit_when_resets_stop_then_is_lifted_in_time():
     policy = IdleConnectionPolicy()
     for n in range(60):
         policy.record(0.3, False)
--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -18,7 +18,7 @@
 
 
 @on_loop
-async def test_a_report_that_says_nothing_sound_is_ignored(tmp_path):
+async def test_load_report_when_malformed_then_is_ignored(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         for n, report in enumerate(
             (
@@ -61,7 +61,7 @@
     ],
 )
 @on_loop
-async def test_what_is_no_value_of_a_host_is_not_served(odd, tmp_path):
+async def test_value_when_malformed_then_is_not_served(odd, tmp_path):
     async with StubHost(odd) as host, Node(host, path=tmp_path) as node:
         began = time.process_time()
         assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
@@ -72,7 +72,7 @@
 
 
 @on_loop
-async def test_a_probe_brings_the_load_report(tmp_path):
+async def test_health_check_returns_the_load_report(tmp_path):
     async with StubHost(b"$8\r\nactive=7\r\n") as host, Node(host, path=tmp_path) as node:
         seen, done = [], asyncio.Event()
 
@@ -91,7 +91,7 @@
 
 
 @on_loop
-async def test_a_late_answer_reaches_nobody(tmp_path):
+async def test_answer_when_late_then_reaches_no_request(tmp_path):
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         assert (await node.ask(write(cls=b"note", d=300))).startswith(b"-ERR")
         assert await host.arrived.get() and await host.arrived.get() is None  # the connection went too
@@ -101,14 +101,14 @@
 
 
 @on_loop
-async def test_a_host_that_breaks_off_may_have_run_an_unsafe_request(tmp_path):
+async def test_unsafe_request_when_the_host_resets_then_may_have_run(tmp_path):
     async with StubHost(b"") as one, StubHost(b"") as two, Node(one, two, path=tmp_path) as node:
         assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
         assert len(one.commands) + len(two.commands) == 1
 
 
 @on_loop
-async def test_a_host_that_turns_away_never_ran_it(tmp_path):
+async def test_request_when_the_host_is_full_then_has_not_run(tmp_path):
     turns = iter([b"-BUSY active=3\r\n", VALUE])
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         one.answer = two.answer = lambda: next(turns)
@@ -117,7 +117,7 @@
 
 
 @on_loop
-async def test_a_refused_connection_never_ran_it(tmp_path):
+async def test_request_when_the_connection_is_refused_then_has_not_run(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         host.server.close()
         await host.server.wait_closed()
@@ -125,7 +125,7 @@
 
 
 @on_loop
-async def test_one_connection_is_used_again_and_closed_before_the_host_would(tmp_path, monkeypatch):
+async def test_connection_is_reused_and_closed_before_the_hosts_idle_limit(tmp_path, monkeypatch):
     monkeypatch.setattr(connection_pool, "SETTLE_TIME_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         for n in range(3):
@@ -142,7 +142,7 @@
 
 
 @on_loop
-async def test_the_cap_on_connections_holds(tmp_path):
+async def test_connection_limit_holds(tmp_path):
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         node.node.hosts.max_connections = 2
         roomy(node)
@@ -152,7 +152,7 @@
 
 
 @on_loop
-async def test_an_attempt_called_off_has_left_the_host_before_the_next_goes_out(tmp_path):
+async def test_attempt_when_cancelled_then_is_off_the_host_before_the_next_is_sent(tmp_path):
     """Where second copies are not allowed, one attempt's connection must end before the next is written."""
     async with StubHost(None) as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
 
@@ -180,7 +180,7 @@
 
 
 @on_loop
-async def test_connects_called_off_before_they_began_take_no_room(tmp_path):
+async def test_connects_when_cancelled_before_they_start_then_take_no_capacity(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         hosts = node.node.hosts
         hosts.max_connections = 2
@@ -195,7 +195,7 @@
 
 @pytest.mark.parametrize("together", [True, False])
 @on_loop
-async def test_what_comes_behind_an_answer_is_never_the_next_one(together, tmp_path):
+async def test_bytes_after_an_answer_are_never_the_next_answer(together, tmp_path):
     """A second copy may still wait in the socket when the next request is sent off."""
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         for n in range(3):
@@ -216,7 +216,7 @@
 
 
 @on_loop
-async def test_a_connection_is_looked_at_before_it_is_used_again(tmp_path):
+async def test_connection_is_checked_before_it_is_reused(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command(b"a")) == SERVED
         pool = node.node.hosts.pools["h1"]
@@ -233,7 +233,7 @@
 
 
 @on_loop
-async def test_an_answer_that_cannot_be_handled_ends_its_attempt(tmp_path, monkeypatch):
+async def test_attempt_when_reading_its_answer_raises_then_ends(tmp_path, monkeypatch):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         with monkeypatch.context() as patch:
             patch.setattr("apigateway.upstream.connection.read_reply", lambda *_: 1 / 0)
@@ -243,7 +243,7 @@
 
 
 @on_loop
-async def test_a_connection_that_is_dropped_does_not_close_a_descriptor_by_itself(tmp_path):
+async def test_connection_when_garbage_collected_then_closes_no_descriptor(tmp_path):
     """uvloop drops a transport whose connect is called off without a connection_lost."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         ours, theirs = socket.socketpair()
@@ -288,7 +288,7 @@
 
 
 @on_loop
-async def test_connections_that_are_lost_after_a_rest_are_no_longer_used_after_it(tmp_path):
+async def test_connections_when_idle_ones_are_reset_then_are_not_reused_after_such_an_idle_time(tmp_path):
     async with Forgetful() as host, Node(host, path=tmp_path) as node:
 
         async def ask(n, rest):
@@ -306,7 +306,7 @@
 
 
 @on_loop
-async def test_a_connection_that_comes_up_as_it_is_called_off_is_closed(tmp_path, monkeypatch):
+async def test_connection_when_established_as_it_is_cancelled_then_is_closed(tmp_path, monkeypatch):
     made = Connection.connection_made
 
     def called_off_in_this_turn(conn, transport):
@@ -322,7 +322,7 @@
 
 
 @on_loop
-async def test_a_connection_is_not_used_so_near_to_the_hosts_idle_time(tmp_path, monkeypatch):
+async def test_connection_when_idle_nearly_as_long_as_hosts_allow_then_is_not_reused(tmp_path, monkeypatch):
     """Between two looks for idle ones as well, which are further apart than a short idle time."""
     monkeypatch.setattr(connection_pool, "SETTLE_TIME_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
@@ -334,7 +334,7 @@
 
 
 @on_loop
-async def test_a_second_answer_some_milliseconds_later_is_nobodys(tmp_path, monkeypatch):
+async def test_second_answer_when_some_milliseconds_late_then_reaches_no_request(tmp_path, monkeypatch):
     """Until it could have shown itself the connection rests, whoever waits for one."""
     now = [1000.0]
     for module in (attempts, connection_pool, upstream_connections):
@@ -347,7 +347,7 @@
 
 
 @on_loop
-async def test_a_request_that_breaks_off_before_its_last_byte_was_written_never_ran(tmp_path, monkeypatch):
+async def test_request_when_reset_before_its_last_byte_was_written_then_has_not_run(tmp_path, monkeypatch):
     made, lines = Connection.connection_made, []
 
     def with_little_room(conn, transport):
