--- /dev/null
+++ b/tests/external_ratelimit/test_rls_codec.py
@@ -0,0 +1,113 @@
+"""Questions and answers of rls.proto, as the gateway writes and reads them."""
+
+import pytest
+from envoy.service.ratelimit.v3 import rls_pb2
+
+from apigateway import messages
+from apigateway.external_ratelimit.circuit_breaker import CheckSettings
+from apigateway.external_ratelimit.rls_codec import (
+    CheckDecision,
+    CheckFailure,
+    count_hits,
+    encode_question,
+    read_outcome,
+)
+from apigateway.external_ratelimit.service_config import ExternalServiceConfig
+from apigateway.upstream import rpc
+
+OK = rls_pb2.RateLimitResponse.OK
+OVER_LIMIT = rls_pb2.RateLimitResponse.OVER_LIMIT
+
+
+def request(request_id="r1", units=1.0):
+    return messages.Request(request_id, 3.0, "c1", "basic", "read", units, 0, 1)
+
+
+def config(batch_size=1):
+    entries = (("customer", "{customer}"), ("by", "{gateway}:{plan}:{class}:{units}"))
+    return ExternalServiceConfig(("127.0.0.1", 1), CheckSettings(), "roster", entries, batch_size)
+
+
+def answer(code, statuses=(), header=None):
+    response = rls_pb2.RateLimitResponse(overall_code=code)
+    for status_code, reset_s in statuses:
+        status = response.statuses.add(code=status_code)
+        if reset_s is not None:
+            status.duration_until_reset.FromNanoseconds(int(reset_s * 1e9))
+    if header is not None:
+        response.response_headers_to_add.add(key="Retry-After-Ms", value=header)
+    return response.SerializeToString()
+
+
+def read(message, request_count=1):
+    return read_outcome(rpc.OK, "", message, request_count)
+
+
+def test_question_fills_in_its_entries_and_counts_hits():
+    question = rls_pb2.RateLimitRequest.FromString(encode_question(config(), "g7", [request(units=1.5)]))
+    (descriptor,) = question.descriptors
+    assert question.domain == "roster" and question.hits_addend == 2
+    assert [(entry.key, entry.value) for entry in descriptor.entries] == [
+        ("customer", "c1"),
+        ("by", "g7:basic:read:1.5"),
+    ]
+    assert not descriptor.HasField("hits_addend")
+
+
+def test_question_when_batched_then_each_descriptor_has_its_hits():
+    encoded = encode_question(config(batch_size=2), "g7", [request("r1", 0.2), request("r2", 3.0)])
+    question = rls_pb2.RateLimitRequest.FromString(encoded)
+    assert [descriptor.hits_addend.value for descriptor in question.descriptors] == [1, 3]
+    assert question.hits_addend == 0
+
+
+@pytest.mark.parametrize(("units", "hits"), [(0.0, 1), (0.5, 1), (1.0, 1), (1.1, 2)])
+def test_hits_are_units_rounded_up(units, hits):
+    assert count_hits(request(units=units)) == hits
+
+
+def test_answer_ok_allows_all_whatever_its_statuses_say():
+    assert read(answer(OK, [(OVER_LIMIT, None)] * 2), 2) == CheckDecision([True, True], 0.0)
+
+
+@pytest.mark.parametrize(
+    ("statuses", "allowed"),
+    [
+        ([(OK, None), (OVER_LIMIT, None)], [True, False]),
+        ([(OK, None), (OK, None)], [False, False]),  # over the limit, and it does not say which
+        ([(OK, None)], [False, False]),
+        ([], [False, False]),
+    ],
+)
+def test_answer_over_limit_when_batched_then_allows_what_it_names(statuses, allowed):
+    assert read(answer(OVER_LIMIT, statuses), 2) == CheckDecision(allowed, 0.0)
+
+
+@pytest.mark.parametrize(
+    ("statuses", "header", "retry_after"),
+    [
+        ([(OVER_LIMIT, 1.5), (OVER_LIMIT, 2.5), (OK, 9.0)], None, 2.5),
+        ([(OVER_LIMIT, 1.5)], "700", 0.7),
+        ([(OVER_LIMIT, 1.5)], "soon", 1.5),
+        ([], None, 0.0),
+    ],
+)
+def test_retry_after_is_the_header_or_the_longest_reset(statuses, header, retry_after):
+    decision = read(answer(OVER_LIMIT, statuses, header))
+    assert decision == CheckDecision([False], pytest.approx(retry_after))
+
+
+@pytest.mark.parametrize(
+    ("outcome", "failure"),
+    [
+        (read_outcome(rpc.UNAVAILABLE, "gone", b"", 1), CheckFailure("UNAVAILABLE", "gone")),
+        (read_outcome(99, "odd", b"", 1), CheckFailure("99", "odd")),
+        (read(b"\xff"), CheckFailure("unread", "an answer that cannot be read")),
+        (
+            read(answer(rls_pb2.RateLimitResponse.UNKNOWN)),
+            CheckFailure("no code", "an answer without a code"),
+        ),
+    ],
+)
+def test_outcome_when_there_is_no_usable_answer_then_is_a_failure(outcome, failure):
+    assert outcome == failure
--- a/tests/load/test_scenario.py
+++ b/tests/load/test_scenario.py
@@ -65,13 +65,13 @@
         ("[[streams]]\nclass = 'read'\nplan = 'p'", "streams[1].shape", "missing"),
     ],
 )
-def test_a_fault_is_told_with_its_key(text, key, words, tmp_path):
+def test_problem_is_reported_with_its_key(text, key, words, tmp_path):
     found = faults(tmp_path, GOOD + text)
     assert list(found) == [key] and words in str(found[key])
 
 
 @pytest.mark.parametrize("told", ["127.0.0.1:1", "localhost:1", "[::1]:1", "127.9.9.9:1"])
-def test_loopback_in_all_its_names(told, tmp_path):
+def test_target_when_on_loopback_or_allowed_then_is_accepted(told, tmp_path):
     file = tmp_path / "scenario.toml"
     file.write_text(GOOD + f'[targets]\ngateways = ["{told}"]')
     assert read_scenario(str(file)).targets.gateways == [told]
@@ -89,7 +89,7 @@
     )
 
 
-def test_the_plan_is_printed_and_plotted_before_anything_is_sent(tmp_path):
+def test_plan_command_prints_figures_and_plot(tmp_path):
     ended = command("plan", "examples/load/month-start.toml")
     assert ended.returncode == 0 and "month start: " in ended.stdout and "█" in ended.stdout, ended.stderr
     told = json.loads(command("plan", "examples/load/month-start.toml", "--json").stdout)
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -64,7 +64,7 @@
 
 
 @on_loop
-async def test_a_freeze_is_in_the_record_in_full():
+async def test_freeze_of_the_target_is_recorded_in_full():
     loop = asyncio.get_running_loop()
     server = await loop.create_server(Freezing, "127.0.0.1", 0)
     spans, dues = [], evenly(200, 2.5)
@@ -95,7 +95,7 @@
 
 
 @on_loop
-async def test_a_gateway_that_is_stopped_shows_its_stop_in_every_request_that_was_due(tmp_path):
+async def test_gateway_when_stopped_then_every_request_due_shows_the_stop(tmp_path):
     """SIGSTOP of a real one, for a second: what is due in it waits for the rest of it; none is left out."""
     async with Site(tmp_path) as site:
         program = await site.start()
@@ -135,7 +135,7 @@
     ],
 )
 @on_loop
-async def test_each_kind_of_answer_has_its_outcome(step, outcome):
+async def test_answer_of_each_kind_has_its_outcome(step, outcome):
     async with StubHost() as host:
         host.script.play(step)
         record = await sent(evenly(100, 0.3), host.port, wait=0.4)
@@ -146,13 +146,13 @@
 
 
 @on_loop
-async def test_a_target_that_is_not_there_is_recorded_as_not_sent():
+async def test_target_when_unreachable_then_requests_are_unsent():
     record = await sent(evenly(100, 0.3), free_port())
     assert record.counts()[Outcome.UNSENT] == 30 and not void_reason(record, 10_000, 1.0)
 
 
 @on_loop
-async def test_an_answer_too_many_is_counted_and_is_nobodys():
+async def test_surplus_answers_are_counted_and_serve_no_request():
     class Twice(asyncio.Protocol):
         def connection_made(self, transport):
             self.transport = transport
@@ -167,7 +167,7 @@
 
 
 @on_loop
-async def test_one_killed_in_the_middle_loses_what_it_had_and_no_more():
+async def test_target_when_killed_then_loses_only_what_was_in_flight():
     host = StubHost()
     await host.open()
     host.script.play(Step("stall", delay=0.1))
@@ -191,7 +191,7 @@
 
 
 @on_loop
-async def test_a_generator_that_was_starved_says_so_and_its_run_is_void():
+async def test_run_when_the_generator_was_starved_then_is_void():
     async with StubHost() as host:
 
         def starve(sender):
@@ -208,7 +208,7 @@
 
 
 @on_loop
-async def test_a_generator_without_descriptors_is_void(monkeypatch):
+async def test_run_when_the_generator_has_no_descriptors_then_is_void(monkeypatch):
     async with StubHost() as host:
         dues = evenly(50, 0.2)
 
@@ -256,7 +256,7 @@
 
 
 @on_loop
-async def test_none_and_one():
+async def test_run_of_no_request_and_of_one():
     async with StubHost() as host:
         record = await sent([], host.port)
         assert build_report(record, "none", "")["due"] == 0 and percentiles_ms(record.latency_of()) == {}
@@ -265,14 +265,14 @@
 
 
 @on_loop
-async def test_writes_carry_their_key_and_body():
+async def test_write_command_has_its_key_and_body():
     async with StubHost() as host:
         await sent([due(0.0, 7, "read")], host.port, effect="keyed")
         assert host.commands[0][0] == b"API.WRITE" and b"k=r7" in host.commands[0][3]
 
 
 @on_loop
-async def test_a_run_from_the_command_line_and_one_that_is_stopped_midway(tmp_path):
+async def test_run_command_when_it_ends_or_is_stopped_then_reports(tmp_path):
     scenario = (
         '[run]\nname = "try"\nseconds = {}\nlate_ms = 5000.0\n[classes.read]\n[plans.p]\n'
         'employers = 3\n[[streams]]\nclass = "read"\nplan = "p"\n'
@@ -326,7 +326,7 @@
     ),
     st.integers(0, 200),
 )
-def test_records_of_several_processes_come_to_what_one_would_have(rows, cut):
+def test_records_of_several_processes_add_up_to_that_of_one(rows, cut):
     one, parts = LoadRecord(), (LoadRecord(), LoadRecord())
     for n, (outcome, latency, second) in enumerate(rows):
         for record in (one, parts[n < cut]):
