--- a/apigateway/upstream/attempt.py
+++ b/apigateway/upstream/attempt.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import enum
 import re
 from collections.abc import Callable
 from time import monotonic
@@ -29,10 +30,22 @@
 _VALUE_PARTS = 3  # value, metered use, load report
 
 
+class AttemptResult(enum.StrEnum):
+    """How an attempt ended; the values are those of `messages.RESULTS`, but for `moot`, which is not sent."""
+
+    OK = "ok"  # the host gave a value, or its load report
+    ERROR = "error"  # the host answered that it failed: it may have run
+    FULL = "full"  # the host rejected it: it has not run
+    TIMEOUT = "timeout"  # written and not answered in time: it may have run
+    CONNECT_FAILED = "connect_failed"  # its last byte was not written: it has not run
+    RESET = "reset"  # written, and the connection ended without an answer: it may have run
+    CANCELLED = "cancelled"  # abandoned after it was written: it may have run
+
+
 class Attempt:
     """One command for one host.
 
-    `done` is called with it exactly once, when `result`, one of `messages.RESULTS`, is known.
+    `done` is called with it exactly once, when `result` is known, an `AttemptResult`; until then it is empty.
     """
 
     __slots__ = (
@@ -83,7 +96,7 @@
         return self.connection is not None and self.connection.is_written
 
 
-def read_reply(attempt: Attempt, reply: object) -> str:
+def read_reply(attempt: Attempt, reply: object) -> AttemptResult:
     """Fill in the attempt's fields from the host's reply and return the result.
 
     Raises FramingError for what no host would say: the request may have run, and serving anything for it
@@ -95,10 +108,10 @@
     if isinstance(reply, hiredis.ReplyError):
         words = str(reply).split(" ")
         attempt.load_report = parse_load_report(words[-1])
-        return "full" if words[0] == "BUSY" else "error"
+        return AttemptResult.FULL if words[0] == "BUSY" else AttemptResult.ERROR
     if isinstance(reply, bytes) and is_health_check:
         attempt.load_report = parse_load_report(reply)
-        return "ok"
+        return AttemptResult.OK
     raise FramingError("no answer of a host")
 
 
@@ -112,7 +125,7 @@
     return report if all(figure <= MAX_LOAD_FIGURE for figure in report.values()) else {}
 
 
-def _read_value(attempt: Attempt, reply: list[Any]) -> str:
+def _read_value(attempt: Attempt, reply: list[Any]) -> AttemptResult:
     """Fill in value, metered use and load report from the three parts of a host's answer."""
     if len(reply) != _VALUE_PARTS:
         raise FramingError("no value of a host")
@@ -123,4 +136,4 @@
     if isinstance(metered_use, int) and 0 <= metered_use <= MAX_METERED_USE_PERCENT:
         attempt.metered_use = metered_use
     attempt.load_report = parse_load_report(load_report)
-    return "ok"
+    return AttemptResult.OK
--- a/apigateway/upstream/connection.py
+++ b/apigateway/upstream/connection.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING, cast
 
-from apigateway.upstream.attempt import Attempt, read_reply
+from apigateway.upstream.attempt import Attempt, AttemptResult, read_reply
 from apigateway.upstream.framing import NO_MESSAGE, Framing, FramingError
 
 if TYPE_CHECKING:
@@ -121,7 +121,7 @@
         if attempt is not None:
             if not self.has_response_data:  # an answer that breaks off shows that the request got there
                 self.pool.owner.idle_policy.record(self.idle_time, True)
-            attempt.end("reset" if self.is_written else "connect_failed")
+            attempt.end(AttemptResult.RESET if self.is_written else AttemptResult.CONNECT_FAILED)
 
     @contextlib.contextmanager
     def _borrowed_socket(self) -> Iterator[socket.socket]:
--- a/apigateway/upstream/connection_pool.py
+++ b/apigateway/upstream/connection_pool.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from apigateway.upstream.address import Address
-from apigateway.upstream.attempt import Attempt
+from apigateway.upstream.attempt import Attempt, AttemptResult
 from apigateway.upstream.connection import Connection
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
             connection.close()
         loop = asyncio.get_running_loop()
         if not self.owner.make_room():
-            loop.call_soon(attempt.end, "connect_failed")
+            loop.call_soon(attempt.end, AttemptResult.CONNECT_FAILED)
             return
         self.connecting[attempt] = loop.create_task(self._connect(attempt))
 
@@ -71,7 +71,7 @@
         for attempt, task in list(self.connecting.items()):
             del self.connecting[attempt]
             task.cancel()
-            attempt.end("connect_failed")
+            attempt.end(AttemptResult.CONNECT_FAILED)
 
     def _usable_idle_connections(self) -> list[Connection]:
         """List the connections idle neither too shortly nor too long, the one used last first."""
@@ -98,7 +98,7 @@
                 return
             connection.close()
         if is_waiting:
-            attempt.end("connect_failed")
+            attempt.end(AttemptResult.CONNECT_FAILED)
 
     async def _open_connection(self) -> Connection:
         """Connect to the address. Raises OSError, TimeoutError among them, and ValueError."""
--- a/apigateway/upstream/upstream_connections.py
+++ b/apigateway/upstream/upstream_connections.py
@@ -7,7 +7,7 @@
 from time import monotonic
 
 from apigateway.upstream.address import Address
-from apigateway.upstream.attempt import HEALTH_CHECK, Attempt
+from apigateway.upstream.attempt import HEALTH_CHECK, Attempt, AttemptResult
 from apigateway.upstream.connection import Connection
 from apigateway.upstream.connection_pool import ConnectionPool
 from apigateway.upstream.idle_connection_policy import IdleConnectionPolicy
@@ -55,9 +55,9 @@
         loop = asyncio.get_running_loop()
         pool = self.pools.get(attempt.endpoint_id)
         if pool is None:
-            loop.call_soon(attempt.end, "connect_failed")
+            loop.call_soon(attempt.end, AttemptResult.CONNECT_FAILED)
             return
-        attempt.timer = loop.call_later(timeout, self.abandon, attempt, "timeout")
+        attempt.timer = loop.call_later(timeout, self.abandon, attempt, AttemptResult.TIMEOUT)
         pool.start(attempt)
 
     def check_health(self, endpoint_id: str, done: Callable[[Attempt], None]) -> None:
@@ -75,10 +75,10 @@
         connection = attempt.connection
         if connection is None:
             self._cancel_connect(attempt)
-            attempt.end("connect_failed")
+            attempt.end(AttemptResult.CONNECT_FAILED)
             return
         if not connection.is_written:
-            result = "connect_failed"
+            result = AttemptResult.CONNECT_FAILED
         connection.attempt = None
         connection.close()
         attempt.end(result)
