--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -23,10 +23,10 @@
 @pytest.mark.parametrize(
     ("reply", "tag", "result"),
     [
-        ([b"value", 3, b"inflight=7"], None, AttemptResult.OK),
-        (hiredis.ReplyError("BUSY inflight=7"), None, AttemptResult.FULL),
-        (hiredis.ReplyError("ERR inflight=7"), None, AttemptResult.ERROR),
-        (b"inflight=7", HEALTH_CHECK, AttemptResult.OK),
+        ([b"value", 3, b"active=7"], None, AttemptResult.OK),
+        (hiredis.ReplyError("BUSY active=7"), None, AttemptResult.FULL),
+        (hiredis.ReplyError("ERR active=7"), None, AttemptResult.ERROR),
+        (b"active=7", HEALTH_CHECK, AttemptResult.OK),
     ],
 )
 def test_reply_of_each_kind_has_its_result(reply, tag, result):
@@ -35,7 +35,7 @@
     assert attempt.load_report == {"inflight": 7.0}
 
 
-@pytest.mark.parametrize("reply", [b"inflight=7", [b"value", 3], ["text", 3, b""], 7, None])
+@pytest.mark.parametrize("reply", [b"active=7", [b"value", 3], ["text", 3, b""], 7, None])
 def test_reply_that_no_host_would_give_is_a_framing_error(reply):
     with pytest.raises(FramingError):
         read_reply(Attempt("h1", b"", lambda _: None), reply)
