--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -16,7 +16,7 @@
 from apigateway.core.request_lifecycle import RequestDispatcher
 from apigateway.counter.client import QuotaCounterClient
 from apigateway.daemon.config import Config
-from apigateway.frontends.resp.front import RespFront
+from apigateway.frontends.resp.frontend import RespFrontend
 from apigateway.membership.discovery import DiscoveryClient
 from apigateway.membership.listing import Listing
 from apigateway.membership.watch_schedule import WatchSchedule
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from apigateway.core.admission import AdmissionController
     from apigateway.daemon.ratelimit import Built, RateLimits
-    from apigateway.frontends.grpc.front import GrpcFront
+    from apigateway.frontends.grpc.frontend import GrpcFrontend
     from apigateway.membership.reconciler import EndpointReconciler
     from apigateway.membership.reconciler_driver import ReconcilerDriver
     from apigateway.plugins.live import Hooks as Plugins
@@ -90,7 +90,7 @@
         self.listed_at = time.monotonic()
         self.known = asyncio.Event()  # there are hosts
         self.gate: Gate | None = None
-        self.fronts: list[RespFront | GrpcFront] = []
+        self.fronts: list[RespFrontend | GrpcFrontend] = []
         self.open_door(config)
         self.limits = self.made(limits) if limits is not None else None
         if self.limits is not None:
@@ -112,19 +112,19 @@
 
     def front(
         self, address: Address, config: Config, limits: RateLimits | None = None, built: Built | None = None
-    ) -> RespFront | GrpcFront:
+    ) -> RespFrontend | GrpcFrontend:
         if address in config.grpc:
             assert limits is not None and built is not None
             return limits.front(address, self.room // 2, self.most_held, built)
-        front = RespFront(self.core, self.room // 2, self.most_held, address, config.span)
-        front.take_tokens(limits.tokens if limits is not None else None)
+        front = RespFrontend(self.core, self.room // 2, self.most_held, address, config.span)
+        front.set_tokens(limits.tokens if limits is not None else None)
         return front
 
     def open_door(self, config: Config) -> None:
         """What is turned away early while the core is short, as the settings have it: not on the platform."""
         self.core.admission = self.door(config)
         for front in self.fronts:
-            front.watch_door()
+            front.update_admission()
 
     def door(self, config: Config) -> AdmissionController | None:
         if config.overload is None:
@@ -142,7 +142,7 @@
     def share(self) -> None:
         """Fronts have even parts of the connections and of the bytes of half commands."""
         for front in self.fronts:
-            front.share(self.room // 2 // len(self.fronts), self.most_held // len(self.fronts))
+            front.set_limits(self.room // 2 // len(self.fronts), self.most_held // len(self.fronts))
 
     def source(self, config: Config, version: int) -> Source:
         if config.hosts_file is not None:
@@ -268,7 +268,7 @@
     def swap(
         self,
         config: Config,
-        added: Sequence[RespFront | GrpcFront],
+        added: Sequence[RespFrontend | GrpcFrontend],
         gone: set[Address],
         source: Source | None,
         limits: RateLimits | None = None,
@@ -292,17 +292,17 @@
         for front in leaving:
             if limits is not None:
                 limits.left(front)
-            waited = front.unaccepted
+            waited = front.has_pending_connections
             if not waited:  # at once: who hears that the reload took effect finds the address closed
-                front.finish()
+                front.start_draining()
             self.ending(self.left(front, waited))
 
-    async def left(self, front: RespFront | GrpcFront, waited: bool) -> None:
+    async def left(self, front: RespFrontend | GrpcFrontend, waited: bool) -> None:
         """A front whose listener goes: what it took is answered, then its connections end. `waited`: a
         connection was still to be accepted, and its listener is not closed yet."""
         if waited:
             await self.finish([front])
-        await front.drained()
+        await front.wait_disconnected()
         front.close()
 
     def plug_in(self, plugins: Plugins | None) -> None:
@@ -373,7 +373,7 @@
         """No new connections here; whoever else holds the listening sockets accepts them. The ceilings'
         stores fill no further: from now on the successor's do."""
         for front in self.fronts:
-            front.pause()
+            front.stop_accepting()
         self.core.dispatch(messages.DrainGateway(True))
 
     async def resume(self, sockets: Mapping[Address, socket.socket]) -> None:
@@ -401,21 +401,21 @@
     # The end
 
     @staticmethod
-    async def finish(fronts: Sequence[RespFront | GrpcFront]) -> None:
+    async def finish(fronts: Sequence[RespFrontend | GrpcFrontend]) -> None:
         """Closes listeners and resting connections, once what waited at the listeners has been accepted: the
         kernel took it, and a close would reset it with the requests that it carries."""
         last = time.monotonic() + LAST
-        while any(front.unaccepted for front in fronts) and time.monotonic() < last:
+        while any(front.has_pending_connections for front in fronts) and time.monotonic() < last:
             await asyncio.sleep(READ)
         for front in fronts:
-            front.finish()
+            front.start_draining()
 
     async def stop(self, linger: float | None = None) -> None:
         """After SIGTERM: goes on while connections still come, then finishes what it has taken."""
         began = time.monotonic()
         self.core.is_draining = True
         for front in self.fronts:
-            front.stopping()
+            front.announce_shutdown()
         await asyncio.sleep(self.config.linger if linger is None else linger)
         await self.finish(self.fronts)
         await asyncio.sleep(READ)
@@ -426,10 +426,10 @@
             await asyncio.sleep(0)
         for front in self.fronts:
             most = SETTLE if front.address in self.config.grpc else HALF
-            await front.settled(min(most, max(0.0, until - time.monotonic())))
+            await front.wait_settled(min(most, max(0.0, until - time.monotonic())))
         await self.core.drain(began + self.config.finish - time.monotonic())
         await asyncio.sleep(0)  # the last answers are written at the end of this turn, if they are taken
-        while any(front.owes for front in self.fronts) and time.monotonic() < until:
+        while any(front.has_unwritten_responses for front in self.fronts) and time.monotonic() < until:
             await asyncio.sleep(READ)
         for front in self.fronts:
             front.close()
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from apigateway.daemon.node import GatewayNode
     from apigateway.external_ratelimit.outer import Asked, Outer
-    from apigateway.frontends.grpc.front import GrpcFront
+    from apigateway.frontends.grpc.frontend import GrpcFrontend
     from apigateway.frontends.grpc.settings import RateLimitPart
 
 MOST_KEY = 4096  # bytes of a file with a key for tokens
@@ -231,7 +231,7 @@
         if built is None:
             self.tokens = node.core.external_ratelimit = None
             for front in node.fronts:
-                front.take_tokens(None)
+                front.set_tokens(None)
             self.close()
             self.outer = None
             return
@@ -245,7 +245,7 @@
             self.tokens.keys, self.tokens.seconds = built.keys, part.token_time
             self.tokens.redeemed.most = part.max_tokens
         for front in node.fronts:
-            front.take_tokens(self.tokens)
+            front.set_tokens(self.tokens)
         for served in self.fronts:
             served.take_up(built, self.tokens)
         if built.asked is None:
@@ -260,7 +260,7 @@
             self.outer.set(built.asked)
         node.core.external_ratelimit = self.outer
 
-    def front(self, address: Address, most: int, most_partial: int, built: Built) -> GrpcFront:
+    def front(self, address: Address, most: int, most_partial: int, built: Built) -> GrpcFrontend:
         """A new one, by `built`, which may not be in force yet."""
         served = Served(self.node, address, most, most_partial)
         served.take_up(built, self.tokens)
@@ -287,14 +287,14 @@
     """One listener with its services."""
 
     def __init__(self, node: GatewayNode, address: Address, most: int, most_partial: int) -> None:
-        from apigateway.frontends.grpc.front import GrpcFront
+        from apigateway.frontends.grpc.frontend import GrpcFrontend
         from apigateway.frontends.grpc.health import Health
         from apigateway.frontends.grpc.mapping import Mapping
         from apigateway.frontends.grpc.reflection import Reflection
         from apigateway.frontends.grpc.service import METHOD, NAME, RateLimit, Terms
 
         self.node, core = node, node.core
-        self.front = GrpcFront(core, address, most, most_partial)
+        self.front = GrpcFrontend(core, address, most, most_partial)
         self.service = RateLimit(core, self.front, Terms(Mapping([], (), (), 1)))
         front = self.front
         self.health = Health((NAME,), lambda: core.is_ready and not core.is_draining and not front.ended)
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -37,13 +37,13 @@
 from apigateway.daemon.sockets import bind_listener, match_to_listeners, sockets_from_service_manager
 from apigateway.daemon.supervisor import supervise
 from apigateway.daemon.workers import read_worker_assignment, settings_for_worker
-from apigateway.frontends.resp.front import RespFront
+from apigateway.frontends.resp.frontend import RespFrontend
 from apigateway.membership.listing import read_list, write_list
 from apigateway.upstream.address import Address, read_address, write_address
 
 if TYPE_CHECKING:
     from apigateway.daemon.ratelimit import Built
-    from apigateway.frontends.grpc.front import GrpcFront
+    from apigateway.frontends.grpc.frontend import GrpcFrontend
     from apigateway.membership.eureka.registration import Registration
 
 OK, FAILED, UNUSABLE, TRY_AGAIN = 0, 1, 2, 75  # exit codes; the last as in sysexits.h
@@ -333,7 +333,7 @@
             )
         addresses = [config.listen, *config.more]
         built: dict[Address, socket.socket] = {}
-        fronts: list[RespFront | GrpcFront] = []
+        fronts: list[RespFrontend | GrpcFrontend] = []
         limits = self.node.limits
         if limits is None and built_limits is not None:
             limits = self.node.made(built_limits)
@@ -352,7 +352,7 @@
             if plugins is not None and not isinstance(err, InvalidConfigFileError):
                 self.plugins().drop(plugins.version, self.node.plugins)
             for front in fronts:
-                front.finish()
+                front.start_draining()
                 front.close()
                 if limits is not None:
                     limits.left(front)
--- a/apigateway/frontends/grpc/front.py
+++ b/apigateway/frontends/grpc/frontend.py
@@ -78,7 +78,7 @@
 
 
 class Connection(asyncio.Protocol):
-    def __init__(self, front: GrpcFront) -> None:
+    def __init__(self, front: GrpcFrontend) -> None:
         self.front, self.session = front, Session(front.streams)
         self.asked: dict[int, Asked] = {}
         self.talks: dict[int, Talk] = {}  # those of them that stream
@@ -194,7 +194,7 @@
         self.write()
 
 
-class GrpcFront:
+class GrpcFrontend:
     """One listener of at most `most` connections, which hold at most `most_partial` bytes of half messages.
     `methods` and `streams` by path; `context`: TLS, for connections from now on."""
 
@@ -277,9 +277,9 @@
         self.greeting.discard(task)
         self.rest()
 
-    def share(self, most: int, most_partial: int) -> None:
+    def set_limits(self, max_connections: int, max_partial_bytes: int) -> None:
         """Its part of the connections and of the bytes of what is half."""
-        self.most, self.most_partial = most, most_partial
+        self.most, self.most_partial = max_connections, max_partial_bytes
 
     def holds(self, connection: Connection) -> bool:
         """Counts a connection's half messages; False if that is too much for all together."""
@@ -310,49 +310,49 @@
         for connection in [c for c in self.connections if c.since < now - IDLE and c.session.idle]:
             connection.finish()
 
-    def watch_door(self) -> None:
+    def update_admission(self) -> None:
         """Checks are shed by the decision module only."""
 
-    def take_tokens(self, tokens: object) -> None:
+    def set_tokens(self, tokens: object) -> None:
         """Tokens are shown with requests; what gives them is told by itself."""
 
-    def stopping(self) -> None:
+    def announce_shutdown(self) -> None:
         """Takes on for a while; whoever watches its health is told."""
         if self.ending is not None:
             self.ending()
 
-    def pause(self) -> None:
+    def stop_accepting(self) -> None:
         """No new connections; those that there are go on."""
         if self.listener is not None:
             asyncio.get_running_loop().remove_reader(self.listener)
             self.listener.close()
             self.listener = None
 
-    def finish(self) -> None:
+    def start_draining(self) -> None:
         """No new connections, no new calls; each connection ends when its calls are answered."""
-        self.pause()
+        self.stop_accepting()
         self.ended = True
-        self.stopping()
+        self.announce_shutdown()
         for connection in list(self.connections):
             connection.finish()
 
-    async def settled(self, seconds: float) -> None:
+    async def wait_settled(self, timeout: float) -> None:
         """Until its connections have come to their end, or for so long: after `finish`, before `close`."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(seconds):
-                await self.drained()
+            async with asyncio.timeout(timeout):
+                await self.wait_disconnected()
 
     @property
-    def unaccepted(self) -> bool:
+    def has_pending_connections(self) -> bool:
         """Whether a connection waits at its listener."""
         return self.listener is not None and socket_state.has_pending_connection(self.listener)
 
     @property
-    def owes(self) -> bool:
+    def has_unwritten_responses(self) -> bool:
         """Nothing: `settled` waited for its connections."""
         return False
 
-    async def drained(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Until its last connection has ended."""
         while self.connections or self.greeting:
             self.last = asyncio.get_running_loop().create_future()
@@ -361,7 +361,7 @@
     def close(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.pause()
+        self.stop_accepting()
         for task in list(self.greeting):
             task.cancel()
         for connection in list(self.connections):
--- a/apigateway/frontends/grpc/health.py
+++ b/apigateway/frontends/grpc/health.py
@@ -7,7 +7,7 @@
 
 from grpc_health.v1 import health_pb2 as pb
 
-from apigateway.frontends.grpc.front import Flow, Method, Streams
+from apigateway.frontends.grpc.frontend import Flow, Method, Streams
 from apigateway.upstream.rpc import INTERNAL, NOT_FOUND
 
 CHECK, WATCH, LIST = (f"/grpc.health.v1.Health/{name}" for name in ("Check", "Watch", "List"))
--- a/apigateway/frontends/grpc/reflection.py
+++ b/apigateway/frontends/grpc/reflection.py
@@ -9,7 +9,7 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, text_format
 from grpc_reflection.v1alpha import reflection_pb2 as pb
 
-from apigateway.frontends.grpc.front import Flow, Streams
+from apigateway.frontends.grpc.frontend import Flow, Streams
 from apigateway.upstream.rpc import INTERNAL, NOT_FOUND, UNIMPLEMENTED
 
 PATHS = tuple(f"/grpc.reflection.{v}.ServerReflection/ServerReflectionInfo" for v in ("v1", "v1alpha"))
--- a/apigateway/frontends/resp/front.py
+++ b/apigateway/frontends/resp/frontend.py
@@ -24,7 +24,7 @@
 log = logging.getLogger(__name__)
 
 
-class RespFront:
+class RespFrontend:
     """One listener. `span`: gateways that clients know as one. At most `most` connections and `most_partial`
     bytes of half commands on all of them."""
 
@@ -37,53 +37,53 @@
         self.outliner: Outliner | None = None
         self.span = span
         self.tokens: Any = None  # fronts.grpc.tokens.Tokens, where settings have keys for them
-        self.watch_door()
+        self.update_admission()
         core.register_frontend(self)
 
-    def watch_door(self) -> None:
+    def update_admission(self) -> None:
         """The core's door has come or gone."""
         self.server.door = self.core.admission
 
-    def take_tokens(self, tokens: Any) -> None:
+    def set_tokens(self, tokens: Any) -> None:
         """Of checks, from now on; None: none are taken."""
         self.tokens = tokens
 
-    def share(self, most: int, most_partial: int) -> None:
+    def set_limits(self, most: int, most_partial: int) -> None:
         """Its part of the connections and of the bytes of half commands."""
         self.server.most, self.server.most_partial = most, most_partial
 
-    def stopping(self) -> None:
+    def announce_shutdown(self) -> None:
         """Takes on for a while; PING says so."""
 
     async def listen(self, sock: socket.socket | None = None) -> None:
         """At its address, or on `sock`, which listens already."""
         self.port = await self.server.listen(*self.address, sock)
 
-    def pause(self) -> None:
+    def stop_accepting(self) -> None:
         """No new connections; those that there are go on."""
         self.server.pause()
 
-    def finish(self) -> None:
+    def start_draining(self) -> None:
         """No new connections; each one that there is closes once all it asked has been answered."""
         self.server.finish()
 
-    async def settled(self, seconds: float) -> None:
+    async def wait_settled(self, seconds: float) -> None:
         """Until commands that came in part have come whole, and are taken; the core answers them."""
         until = monotonic() + seconds
         while self.server.partial and monotonic() < until:
             await asyncio.sleep(LOOK)
 
     @property
-    def unaccepted(self) -> bool:
+    def has_pending_connections(self) -> bool:
         """Whether a connection waits at its listener."""
         return self.server.unaccepted
 
     @property
-    def owes(self) -> bool:
+    def has_unwritten_responses(self) -> bool:
         """Whether an answer that was given is not written whole."""
         return self.server.owes
 
-    async def drained(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Until its last connection has ended."""
         await self.server.empty()
 
--- a/benchmarks/check_cost.py
+++ b/benchmarks/check_cost.py
@@ -37,14 +37,14 @@
 
 ECHO = """
 import asyncio, sys, uvloop
-from apigateway.frontends.grpc.front import GrpcFront
+from apigateway.frontends.grpc.frontend import GrpcFrontend
 class Core:
     def join(self, front): pass
     def leave(self, front): pass
 def echo(message, timeout, answered, failed):
     answered(message)
 async def main():
-    front = GrpcFront(Core(), ("127.0.0.1", int(sys.argv[1])), 100)
+    front = GrpcFrontend(Core(), ("127.0.0.1", int(sys.argv[1])), 100)
     front.use({sys.argv[2]: echo})
     await front.listen()
     print("up", flush=True)
--- a/tests/frontends/test_early.py
+++ b/tests/frontends/test_early.py
@@ -26,7 +26,7 @@
 def opened(node, gate):
     node.node.core.admission = AdmissionController(gate, node.node.loop)
     for front in node.node.fronts:
-        front.watch_door()
+        front.update_admission()
     return node.node.core.admission
 
 
@@ -120,7 +120,7 @@
         writer.write(b"".join(command(b"s%d" % n) for n in range(30)))
         while not door.deferred_connections:
             await asyncio.sleep(0)
-        node.node.fronts[0].finish()  # as at SIGTERM: what was read is not forgotten
+        node.node.fronts[0].start_draining()  # as at SIGTERM: what was read is not forgotten
         monkeypatch.setattr(door, "start_turn", turned)
         door.start_turn()
         told = [await read_reply(reader) for _ in range(30)]
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -140,7 +140,7 @@
     async def __aexit__(self, *_):
         for writer in self.writers:
             writer.close()
-        self.node.fronts[0].finish()
+        self.node.fronts[0].start_draining()
         self.node.hosts.close()
         self.node.counter.close()
         await self.node.discovery.close()
--- a/tests/ratelimit/test_daemon.py
+++ b/tests/ratelimit/test_daemon.py
@@ -419,7 +419,7 @@
     code = (
         "import sys; {}; print([m for m in sys.modules if m.split('.')[0] in ('h2', 'hpack', 'envoy', "
         "'google', 'grpc', 'grpc_health', 'grpc_reflection') "
-        "or m in ('apigateway.upstream.rpc', 'apigateway.frontends.grpc.front', "
+        "or m in ('apigateway.upstream.rpc', 'apigateway.frontends.grpc.frontend', "
         "'apigateway.frontends.grpc.tokens') "
         # The package and its settings are plain data.
         "or 'ratelimit' in m and m not in ('apigateway.external_ratelimit', "
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -10,7 +10,7 @@
 
 from apigateway import messages
 from apigateway.emulators.script import Step
-from apigateway.frontends.grpc.front import GrpcFront
+from apigateway.frontends.grpc.frontend import GrpcFrontend
 from apigateway.frontends.grpc.mapping import Mapping, Rule
 from apigateway.frontends.grpc.service import METHOD, RateLimit, Terms
 
@@ -23,7 +23,7 @@
 
     def __init__(self, node, spread=1, **kw):
         core = node.node.core
-        self.front = GrpcFront(core, ("127.0.0.1", 0), 50)
+        self.front = GrpcFrontend(core, ("127.0.0.1", 0), 50)
         rules = [
             Rule("payroll", ("account",), "{account}", "quota", "read", spread=spread),
             Rule("payroll", ("account", "plan"), "{account}", "{plan}", "read"),
@@ -62,7 +62,7 @@
 
     async def __aexit__(self, *_):
         await self.channel.close()
-        self.front.finish()
+        self.front.start_draining()
         self.front.close()
 
 
@@ -216,10 +216,10 @@
         while not held:
             await asyncio.sleep(0)
         core.module.handle = handle
-        asking.front.finish()
+        asking.front.start_draining()
         core.grant_quota(messages.QuotaGranted(held[0].request_id, 4.0, 1.0, 7))
         assert (await call).overall_code == OK
-        await asking.front.drained()
+        await asking.front.wait_disconnected()
 
 
 @on_loop
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -138,7 +138,7 @@
             while not server.clients:
                 await asyncio.sleep(0)
             sock.send(command())  # in the server's socket, which it has not read
-            node.node.fronts[0].finish()
+            node.node.fronts[0].start_draining()
             loop, got = asyncio.get_running_loop(), b""
             while data := await loop.sock_recv(sock, 100):
                 got += data
@@ -168,7 +168,7 @@
 
         class Front(type(node.node.fronts[0])):
             @property
-            def owes(self):
+            def has_unwritten_responses(self):
                 return next(owed, False)
 
         node.node.fronts[0].__class__ = Front
