--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -312,7 +312,7 @@
         "m.startswith(('apigateway.plugins', 'apigateway.cli', "
         "'apigateway.emulators', 'apigateway.tools', 'apigateway.config_validation', "
         "'apigateway.policy.overload_gate', 'apigateway.core.admission', "
-        "'apigateway.frontends.resp.outline', "
+        "'apigateway.frontends.resp.command_scanner', "
         "'apigateway.daemon.serve', 'apigateway.daemon.settings', 'apigateway.membership.file'))])"
     )
     ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
--- a/tests/faults/test_fronts.py
+++ b/tests/faults/test_fronts.py
@@ -9,7 +9,7 @@
 from apigateway import messages
 from apigateway.daemon.config import read_config
 from apigateway.daemon.node import GatewayNode
-from apigateway.frontends.resp.server import Slot
+from apigateway.frontends.resp.client_connection import ResponseSlot
 
 
 class TwoFronts:
@@ -78,7 +78,7 @@
         def broken(slot, command):
             raise RuntimeError("broken")
 
-        monkeypatch.setattr(gate.node.fronts[0], "command", broken)
+        monkeypatch.setattr(gate.node.fronts[0], "on_command", broken)
         for n in range(20):
             reader, writer = await gate.connect(0)
             writer.write(command(b"a%d" % n))
@@ -91,14 +91,14 @@
 @on_loop
 async def test_a_front_whose_answers_raise_keeps_nothing_in_work(tmp_path, monkeypatch):
     async with StubHost() as host, TwoFronts(tmp_path, host) as gate:
-        real = Slot.complete
+        real = ResponseSlot.complete
 
         def broken(slot, value):
-            if slot.client.server is gate.node.fronts[0].server:
+            if slot.connection.server is gate.node.fronts[0].server:
                 raise RuntimeError("broken")
             real(slot, value)
 
-        monkeypatch.setattr(Slot, "complete", broken)
+        monkeypatch.setattr(ResponseSlot, "complete", broken)
         _, writer = await gate.connect(0)
         writer.write(command(b"a"))
         await host.arrived.get()
@@ -117,7 +117,7 @@
         writer.transport.pause_reading()
         for n in range(300):
             writer.write(command(b"a%d" % n))
-        while not gate.node.fronts[0].server.stuck:
+        while not gate.node.fronts[0].server.write_blocked_since:
             await asyncio.sleep(0.01)
         for n in range(20):
             assert (await gate.ask(1, command(b"b%d" % n))).startswith(b"$60000")
--- a/tests/faults/test_workers.py
+++ b/tests/faults/test_workers.py
@@ -339,16 +339,16 @@
 def test_a_set_of_gateways_that_clients_know_as_one_spans_all_its_workers():
     from netkit import SETTINGS
 
-    from apigateway.frontends.resp.command import BadRequest, read_command
+    from apigateway.frontends.resp.command import InvalidCommandError, parse_command
     from apigateway.platform_settings import read_settings as platform
 
     settings = platform(SETTINGS)
     parts = [b"API.READ", b"00000000b4d65521", b"r1", terms(spread="1", first="0")]
-    one, _ = read_command(settings, parts, {})
+    one, _ = parse_command(settings, parts, {})
     assert (one.first_gateway, one.gateway_spread) == (0, 1)
     count = settings.gateway_count
-    whole, _ = read_command(settings, parts, {}, count)  # all gateways are one machine's workers
+    whole, _ = parse_command(settings, parts, {}, count)  # all gateways are one machine's workers
     assert (whole.first_gateway, whole.gateway_spread) == (0, count)
-    with pytest.raises(BadRequest):
-        read_command(settings, [*parts[:3], terms(spread="2", first="0")], {}, count)
+    with pytest.raises(InvalidCommandError):
+        parse_command(settings, [*parts[:3], terms(spread="2", first="0")], {}, count)
     assert command(b"x")
--- a/tests/frontends/test_bytes.py
+++ b/tests/frontends/test_bytes.py
@@ -6,7 +6,7 @@
 from netkit import SETTINGS
 
 from apigateway.frontends.resp import command as commands
-from apigateway.frontends.resp.command import KEPT_TERMS, BadRequest, read_command
+from apigateway.frontends.resp.command import MAX_CACHED_FIELDS, InvalidCommandError, parse_command
 from apigateway.platform_settings import read_settings
 from apigateway.upstream.framing import MAX_BODY_BYTES, NO_MESSAGE, Framing, FramingError
 
@@ -90,23 +90,23 @@
 
 def test_terms_that_are_kept_mean_what_they_meant_and_a_bad_one_is_never_kept():
     settings, kept = read_settings(SETTINGS), {}
-    first, _ = read_command(settings, told(GOOD), kept)
+    first, _ = parse_command(settings, told(GOOD), kept)
     assert len(kept) == 1
-    assert read_command(settings, told(GOOD), kept)[0] == first
+    assert parse_command(settings, told(GOOD), kept)[0] == first
     for verb, terms in ((b"API.WRITE", GOOD), (b"API.READ", GOOD + b",d=1"), (b"API.READ", GOOD[:-1])):
         for _ in "ab":  # also the second time
-            with pytest.raises(BadRequest):
-                read_command(settings, told(terms, verb), kept)
-    with pytest.raises(BadRequest):
-        read_command(settings, told(GOOD, customer=b"x" * 16), kept)
+            with pytest.raises(InvalidCommandError):
+                parse_command(settings, told(terms, verb), kept)
+    with pytest.raises(InvalidCommandError):
+        parse_command(settings, told(GOOD, customer=b"x" * 16), kept)
     assert len(kept) == 1
 
 
 def test_kept_terms_are_bounded_and_those_with_a_key_are_not_kept():
     settings, kept = read_settings(SETTINGS), {}
-    for n in range(3 * KEPT_TERMS):
-        read_command(settings, told(GOOD.replace(b"3000", b"%d" % (n + 100))), kept)
-        assert len(kept) <= KEPT_TERMS
+    for n in range(3 * MAX_CACHED_FIELDS):
+        parse_command(settings, told(GOOD.replace(b"3000", b"%d" % (n + 100))), kept)
+        assert len(kept) <= MAX_CACHED_FIELDS
     before = dict(kept)
-    read_command(settings, told(b"c=write,t=p,d=3000,k=77,units=1,spread=1,first=0", b"API.WRITE"), kept)
-    assert kept == before and commands.KEPT_TERMS == KEPT_TERMS
+    parse_command(settings, told(b"c=write,t=p,d=3000,k=77,units=1,spread=1,first=0", b"API.WRITE"), kept)
+    assert kept == before and commands.MAX_CACHED_FIELDS == MAX_CACHED_FIELDS
--- a/tests/frontends/test_early.py
+++ b/tests/frontends/test_early.py
@@ -105,7 +105,7 @@
         assert set(told[:50]) == {b"-BUSY 250\r\n"} and told[50] == b"-ERR protocol error\r\n"
         assert await reader.read() == b""
         assert await node.ask(command(b"after", customer=B.encode())) == SERVED
-        assert not door.deferred_connections and node.node.fronts[0].server.partial == 0
+        assert not door.deferred_connections and node.node.fronts[0].server.partial_bytes == 0
 
 
 @on_loop
@@ -133,7 +133,7 @@
     monkeypatch.setattr(doors, "READ_TIME_SLICE_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         door = opened(node, Scripted(A))
-        node.node.fronts[0].server.most_partial = 1000  # bytes: half of it may wait
+        node.node.fronts[0].server.max_partial_bytes = 1000  # bytes: half of it may wait
         monkeypatch.setattr(door, "start_turn", lambda: None)
         reader, writer = await node.connect()
         writer.write(b"".join(command(b"m%d" % n, customer=A.encode()) for n in range(100)))
@@ -177,16 +177,16 @@
 def test_an_outline_says_what_reading_it_in_full_does(text):
     from netkit import SETTINGS
 
-    from apigateway.frontends.resp.command import BadRequest, read_command
-    from apigateway.frontends.resp.outline import Outliner
+    from apigateway.frontends.resp.command import InvalidCommandError, parse_command
+    from apigateway.frontends.resp.command_scanner import CommandScanner
     from apigateway.platform_settings import read_settings
 
     told = read_settings(SETTINGS)
     parts = [b"API.READ", b"00000000B4D65521", b"id-1", text]
-    seen = Outliner(told).command(parts)
+    seen = CommandScanner(told).scan(parts)
     try:
-        request, _ = read_command(told, parts, {})
-    except BadRequest:
+        request, _ = parse_command(told, parts, {})
+    except InvalidCommandError:
         assert seen is None
         return
-    assert seen is None or seen == Outliner(told).request(request)
+    assert seen is None or seen == CommandScanner(told).from_request(request)
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -8,7 +8,8 @@
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, roomy, terms
 
 from apigateway import messages
-from apigateway.frontends.resp import server as clients
+from apigateway.frontends.resp import server as resp_server
+from apigateway.frontends.resp.client_connection import MAX_PENDING_COMMANDS
 
 
 @pytest.mark.parametrize(
@@ -120,7 +121,7 @@
         reader, writer = await node.connect()
         writer.write(command(b"first"))
         await host.arrived.get()
-        node.node.fronts[0].server.finish()
+        node.node.fronts[0].server.start_draining()
         writer.write(command(b"second"))
         while (await host.arrived.get())[2] != b"second":
             pass
@@ -135,7 +136,7 @@
         server = node.node.fronts[0].server
         with socket.create_connection(("127.0.0.1", node.port)) as sock:
             sock.setblocking(False)
-            while not server.clients:
+            while not server.connections:
                 await asyncio.sleep(0)
             sock.send(command())  # in the server's socket, which it has not read
             node.node.fronts[0].start_draining()
@@ -151,10 +152,10 @@
         reader, writer = await node.connect()
         front, text = node.node.fronts[0], command()
         writer.write(text[:20])
-        while not front.server.partial:
+        while not front.server.partial_bytes:
             await asyncio.sleep(0)
         ending = asyncio.create_task(node.node.stop(0.0))
-        while not all(client.closing for client in front.server.clients):
+        while not all(client.is_closing for client in front.server.connections):
             await asyncio.sleep(0)
         writer.write(text[20:])
         assert await read_reply(reader) == SERVED and await read_reply(reader) == b""
@@ -181,21 +182,21 @@
 )
 @on_loop
 async def test_a_connection_without_a_request_is_closed_in_time(sent, told, tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "IDLE", 0.1)
+    monkeypatch.setattr(resp_server, "IDLE_TIMEOUT_S", 0.1)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(sent)
         assert (await read_reply(reader)).startswith(told)
         assert await reader.read() == b""
-        while node.node.fronts[0].server.clients:
+        while node.node.fronts[0].server.connections:
             await asyncio.sleep(0.01)
         server = node.node.fronts[0].server
-        assert not (server.idle or server.ending or server.partial)
+        assert not (server.idle_since or server.closing_since or server.partial_bytes)
 
 
 @on_loop
 async def test_a_connection_with_a_request_in_work_is_not_idle(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "IDLE", 0.1)
+    monkeypatch.setattr(resp_server, "IDLE_TIMEOUT_S", 0.1)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         idle, _ = await node.connect()
@@ -221,7 +222,7 @@
 
 @on_loop
 async def test_who_takes_no_answers_is_let_go(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "STUCK", 0.1)
+    monkeypatch.setattr(resp_server, "WRITE_BLOCKED_TIMEOUT_S", 0.1)
     async with StubHost(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as host:
         async with Node(host, path=tmp_path) as node:
             _, writer = await node.connect()
@@ -230,7 +231,7 @@
                 for n in range(400):
                     writer.write(command(b"r%d" % n))
                     await writer.drain()
-            while node.node.fronts[0].server.clients:
+            while node.node.fronts[0].server.connections:
                 await asyncio.sleep(0.01)
             assert not (node.node.core.in_flight or node.node.core.body_budget.used)
 
@@ -238,7 +239,7 @@
 @on_loop
 async def test_at_the_limit_the_longest_idle_goes_and_with_all_busy_the_newcomer(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        node.node.fronts[0].server.most = 2
+        node.node.fronts[0].server.max_connections = 2
         roomy(node)
         first, _ = await node.connect()
         busy = []
@@ -258,7 +259,7 @@
 @on_loop
 async def test_half_commands_together_are_bounded(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.fronts[0].server.most_partial = 100_000
+        node.node.fronts[0].server.max_partial_bytes = 100_000
         readers = []
         for _ in range(3):
             reader, writer = await node.connect()
@@ -289,15 +290,20 @@
         seen, server = outcomes(node), node.node.fronts[0].server
         writer.write(command(b"first", terms(d="60000")))
         await host.arrived.get()
-        writer.write(b"*1\r\n$4\r\nPING\r\n" * clients.MOST_PENDING)  # answered behind the first
-        while not (server.unread or server.clients and next(iter(server.clients)).flooded):
+        writer.write(b"*1\r\n$4\r\nPING\r\n" * MAX_PENDING_COMMANDS)  # answered behind the first
+        while not (
+            server.read_paused or server.connections and next(iter(server.connections)).is_read_paused
+        ):
             await asyncio.sleep(0)
         writer.write(command(b"unread"))
         writer.close()
         assert await seen.get() == ("first", "gone")
-        while server.clients:
+        while server.connections:
             await asyncio.sleep(0)
-        assert not (node.node.core.in_flight or server.unread or server.stuck) and len(host.commands) == 1
+        assert (
+            not (node.node.core.in_flight or server.read_paused or server.write_blocked_since)
+            and len(host.commands) == 1
+        )
 
 
 class BusyDoor:
@@ -317,16 +323,16 @@
 async def test_a_client_that_leaves_while_its_commands_wait_their_turn_has_left(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         server = node.node.fronts[0].server
-        server.door = door = BusyDoor()
+        server.admission = door = BusyDoor()
         _, writer = await node.connect()
         writer.write(command(b"gone"))
         await door.came.wait()
         (waits,) = door.deferred_connections
         writer.close()
-        while server.clients:
+        while server.connections:
             await asyncio.sleep(0.01)
         waits()  # its turn comes
-        server.door = None
+        server.admission = None
         assert await node.ask(command(b"next")) == SERVED
         assert [c[2] for c in host.commands] == [b"next"]
 
@@ -338,9 +344,9 @@
             _, writer = await node.connect()
             writer.transport.pause_reading()
             seen, server = outcomes(node), node.node.fronts[0].server
-            while not server.clients:
+            while not server.connections:
                 await asyncio.sleep(0)
-            (client,) = server.clients
+            (client,) = server.connections
             client.transport.set_write_buffer_limits(high=10**9)  # it is read on, whatever it takes
             for n in range(400):
                 writer.write(command(b"r%d" % n, customer=b"%016x" % n))
