--- a/apigateway/frontends/resp/client_connection.py
+++ b/apigateway/frontends/resp/client_connection.py
@@ -10,6 +10,7 @@
 import asyncio
 import math
 from collections import deque
+from time import monotonic
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from apigateway.upstream import socket_state
@@ -269,7 +270,7 @@
             self.transport.writelines(responses)
         if not pending and not self.is_deferred:
             self.server.on_idle(self)
-            if self.is_closing:
+            if self.is_closing and not self._has_commands_to_read():
                 self._end()
                 return
         if self.is_read_paused:
@@ -307,6 +308,18 @@
         if is_busy_or_gone or not (self.partial_bytes or self.has_unread_data()):
             self.flush()
 
+    def _has_commands_to_read(self) -> bool:
+        """Tell whether a connection that is to end has to be read once more.
+
+        One with too much pending is not read. When all of that is answered in one turn, what its client sent
+        meanwhile is still in the socket, and a close would reset the connection: those commands would be lost
+        and so would responses that are on their way. It ends with their responses, or by the idle timeout.
+        """
+        if self.is_framing_lost or self.transport.is_closing() or not self.has_unread_data():
+            return False
+        self.server.idle_since[self] = monotonic()
+        return True
+
     def has_unread_data(self) -> bool:
         """Tell whether the socket holds bytes that were not read yet."""
         return socket_state.has_unread_data(self.transport.get_extra_info("socket"))
