--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -15,15 +15,15 @@
 from apigateway.daemon.config import Config
 from apigateway.daemon.settings import Settings
 from apigateway.daemon.settings_runtime import compile_ratelimit_rules
-from apigateway.frontends.grpc.mapping import Mapping
-from apigateway.frontends.grpc.tokens import Keys, Redeemed, Tokens, rotated
+from apigateway.frontends.grpc.mapping import DescriptorMapping
+from apigateway.frontends.grpc.tokens import QuotaTokens, RedeemedTokens, TokenKeys
 from apigateway.upstream.address import Address, read_address
 
 if TYPE_CHECKING:
     from apigateway.daemon.node import GatewayNode
     from apigateway.external_ratelimit.outer import Asked, Outer
     from apigateway.frontends.grpc.frontend import GrpcFrontend
-    from apigateway.frontends.grpc.settings import RateLimitPart
+    from apigateway.frontends.grpc.settings import RateLimitSection
 
 MOST_KEY = 4096  # bytes of a file with a key for tokens
 LEAST_KEY = 16
@@ -33,10 +33,10 @@
 class Built:
     """What settings and the files that they name come to. `serves`: there is a listener for it."""
 
-    part: RateLimitPart
+    part: RateLimitSection
     serves: bool
-    mapping: Mapping
-    keys: Keys | None
+    mapping: DescriptorMapping
+    keys: TokenKeys | None
     context: ssl.SSLContext | None
     files: tuple[str, ...]  # digests of the files read
     asked: Asked | None
@@ -122,7 +122,7 @@
     return Built(part, serves(settings), mapping, keys, context, tuple(files.digests), asked)
 
 
-def read_keys(files: Files, names: list[str]) -> Keys | None:
+def read_keys(files: Files, names: list[str]) -> TokenKeys | None:
     found = []
     for number, name in enumerate(names):
         data = files.read(f"ratelimit.token_keys[{number}]", name, MOST_KEY)
@@ -138,13 +138,13 @@
     if len(found) < len(names) or not names:
         return None
     try:
-        return Keys(found)
+        return TokenKeys(found)
     except ValueError as err:
         files.fault("ratelimit.token_keys", ", ".join(names), str(err), "make another key")
         return None
 
 
-def server_context(files: Files, part: RateLimitPart) -> ssl.SSLContext | None:
+def server_context(files: Files, part: RateLimitSection) -> ssl.SSLContext | None:
     """With `client_ca` clients have to show a certificate that it signed."""
     tls = part.tls
     if not tls.cert:
@@ -209,9 +209,9 @@
         return ""
     told = "certificates or keys are read anew"
     if old.keys is not None and new.keys is not None:
-        what = rotated(old.keys, new.keys)
-        told += ", tokens are signed by another key" if what["signs anew"] else ""
-        told += "" if what["old ones hold"] else ", those given before hold no more"
+        rotation = old.keys.compare(new.keys)
+        told += ", tokens are signed by another key" if rotation.is_signing_key_new else ""
+        told += "" if rotation.are_old_tokens_valid else ", those given before hold no more"
     return told
 
 
@@ -221,7 +221,7 @@
 
     def __init__(self, node: GatewayNode, built: Built) -> None:
         self.node, self.built = node, built
-        self.tokens: Tokens | None = None
+        self.tokens: QuotaTokens | None = None
         self.outer: Outer | None = None
         self.fronts: list[Served] = []
 
@@ -239,11 +239,11 @@
         if built.keys is None:
             self.tokens = None
         elif self.tokens is None:
-            used = Redeemed(settings.gateway_index, node.config.span, part.max_tokens)
-            self.tokens = Tokens(built.keys, used, part.token_time, time.time, os.urandom)
+            used = RedeemedTokens(settings.gateway_index, node.config.span, part.max_tokens)
+            self.tokens = QuotaTokens(built.keys, used, part.token_time, time.time, os.urandom)
         else:  # what was used is remembered past a rotation
-            self.tokens.keys, self.tokens.seconds = built.keys, part.token_time
-            self.tokens.redeemed.most = part.max_tokens
+            self.tokens.keys, self.tokens.lifetime = built.keys, part.token_time
+            self.tokens.redeemed.max_tokens = part.max_tokens
         for front in node.fronts:
             front.set_tokens(self.tokens)
         for served in self.fronts:
@@ -288,38 +288,45 @@
 
     def __init__(self, node: GatewayNode, address: Address, most: int, most_partial: int) -> None:
         from apigateway.frontends.grpc.frontend import GrpcFrontend
-        from apigateway.frontends.grpc.health import Health
-        from apigateway.frontends.grpc.mapping import Mapping
-        from apigateway.frontends.grpc.reflection import Reflection
-        from apigateway.frontends.grpc.service import METHOD, NAME, RateLimit, Terms
+        from apigateway.frontends.grpc.health import HealthService
+        from apigateway.frontends.grpc.mapping import DescriptorMapping
+        from apigateway.frontends.grpc.reflection import ReflectionService
+        from apigateway.frontends.grpc.service import (
+            SERVICE_NAME,
+            SHOULD_RATE_LIMIT_PATH,
+            RateLimitService,
+            ServiceSettings,
+        )
 
         self.node, core = node, node.core
         self.front = GrpcFrontend(core, address, most, most_partial)
-        self.service = RateLimit(core, self.front, Terms(Mapping([], (), (), 1)))
+        self.service = RateLimitService(core, self.front, ServiceSettings(DescriptorMapping([], (), (), 1)))
         front = self.front
-        self.health = Health((NAME,), lambda: core.is_ready and not core.is_draining and not front.ended)
-        front.ending = self.health.changed
-        reflection = Reflection((NAME, "grpc.health.v1.Health"))
-        front.use(
-            {METHOD: self.service.call, **self.health.methods()},
+        self.health = HealthService(
+            (SERVICE_NAME,), lambda: core.is_ready and not core.is_draining and not front.is_draining
+        )
+        front.on_shutdown = self.health.notify_watches
+        reflection = ReflectionService((SERVICE_NAME, "grpc.health.v1.Health"))
+        front.set_methods(
+            {SHOULD_RATE_LIMIT_PATH: self.service.should_rate_limit, **self.health.methods()},
             {**self.health.streams(), **reflection.streams()},
         )
 
-    def take_up(self, built: Built, tokens: Tokens | None) -> None:
-        from apigateway.frontends.grpc.service import Terms
+    def take_up(self, built: Built, tokens: QuotaTokens | None) -> None:
+        from apigateway.frontends.grpc.service import ServiceSettings
 
         part = built.part
-        self.service.terms = Terms(
+        self.service.settings = ServiceSettings(
             built.mapping, part.patience, part.unmapped, part.override, part.max_descriptors, tokens
         )
-        self.front.context = built.context
+        self.front.tls_context = built.context
 
     def told(self) -> dict[str, Any]:
         front = self.front
         return {
             "address": f"{front.address[0]}:{front.port}",
-            "tls": front.context is not None,
+            "tls": front.tls_context is not None,
             "connections": len(front.connections),
-            "handshakes failed": front.shaken,
+            "handshakes failed": front.failed_handshakes,
             "answers": dict(self.service.counts),
         }
--- a/apigateway/daemon/settings_runtime.py
+++ b/apigateway/daemon/settings_runtime.py
@@ -12,8 +12,8 @@
 from apigateway import messages
 from apigateway.daemon.config import Config
 from apigateway.daemon.settings_schema import Settings, customer_capacity
-from apigateway.frontends.grpc.mapping import Mapping, Rule
-from apigateway.frontends.grpc.settings import RateLimitPart, RulePart
+from apigateway.frontends.grpc.mapping import DescriptorMapping, MappingRule
+from apigateway.frontends.grpc.settings import RateLimitSection, RuleSection
 from apigateway.membership.file import read_endpoint_file
 from apigateway.membership.listing import Listing
 from apigateway.membership.reconciler import ReconcilerSettings
@@ -191,8 +191,8 @@
 
 
 def compile_ratelimit_rules(
-    section: RateLimitPart, plans: Iterable[str], classes: Iterable[str], gateways: int, span: int = 1
-) -> Mapping:
+    section: RateLimitSection, plans: Iterable[str], classes: Iterable[str], gateways: int, span: int = 1
+) -> DescriptorMapping:
     """Compile the rules that map the descriptors of a check to a customer, plan and class.
 
     Args:
@@ -203,14 +203,14 @@
         span: Gateways that clients, and so the rules, know as one.
 
     Raises:
-        BadRule: A rule cannot be used.
+        InvalidRuleError: A rule cannot be used.
     """
     rules = [_build_rule(rule, gateways, span) for rule in section.rules]
-    return Mapping(rules, plans, classes, gateways)
+    return DescriptorMapping(rules, plans, classes, gateways)
 
 
-def _build_rule(rule: RulePart, gateways: int, span: int) -> Rule:
-    return Rule(
+def _build_rule(rule: RuleSection, gateways: int, span: int) -> MappingRule:
+    return MappingRule(
         rule.domain,
         tuple(rule.entries),
         rule.customer,
--- a/apigateway/daemon/settings_schema.py
+++ b/apigateway/daemon/settings_schema.py
@@ -12,7 +12,7 @@
 
 from apigateway.config_validation import ConfigSection
 from apigateway.external_ratelimit.settings import AskPart
-from apigateway.frontends.grpc.settings import RateLimitPart
+from apigateway.frontends.grpc.settings import RateLimitSection
 from apigateway.plugins.settings import HooksPart, PluginPart, RecordsPart
 
 # Bytes that the decision module keeps of a customer (benchmarks/module_cost.py).
@@ -240,7 +240,7 @@
     plugins: list[PluginPart] = []
     hooks: HooksPart = HooksPart()
     records: RecordsPart = RecordsPart()
-    ratelimit: RateLimitPart = RateLimitPart()
+    ratelimit: RateLimitSection = RateLimitSection()
     ask: AskPart = AskPart()
 
 
--- a/apigateway/daemon/settings_validation.py
+++ b/apigateway/daemon/settings_validation.py
@@ -13,7 +13,7 @@
     customer_capacity,
 )
 from apigateway.external_ratelimit.settings import ClientTlsPart
-from apigateway.frontends.grpc.mapping import TAKEN, BadRule
+from apigateway.frontends.grpc.mapping import PLACEHOLDER, InvalidRuleError
 from apigateway.upstream.address import Address, read_address
 
 # Fields of a request that ask.entries may use.
@@ -131,7 +131,7 @@
         )
     try:
         compile_ratelimit_rules(section, settings.plans, settings.classes, settings.gateway.gateways)
-    except BadRule as err:
+    except InvalidRuleError as err:
         number = err.args[1]
         rule = msgspec.to_builtins(section.rules[number])
         reader.add_contradiction(
@@ -180,7 +180,9 @@
                     f"known: {', '.join(known) or 'none'}",
                 )
     for entry in section.entries:
-        unknown = [name for name in TAKEN.findall(entry.partition("=")[2]) if name not in ASK_ENTRY_FIELDS]
+        unknown = [
+            name for name in PLACEHOLDER.findall(entry.partition("=")[2]) if name not in ASK_ENTRY_FIELDS
+        ]
         if unknown:
             reader.add_contradiction(
                 ("ask", "entries"),
--- a/apigateway/frontends/grpc/frontend.py
+++ b/apigateway/frontends/grpc/frontend.py
@@ -1,4 +1,4 @@
-"""The gRPC front: sockets to sessions (wire.py), their calls to services."""
+"""The gRPC frontend: a listener, TLS, the limits of its connections and their shutdown."""
 
 from __future__ import annotations
 
@@ -9,365 +9,273 @@
 import ssl
 from collections.abc import Callable, Mapping
 from time import monotonic
-from typing import Protocol
 
 from apigateway.core.request_lifecycle import RequestDispatcher
-from apigateway.frontends.grpc.wire import Call, Event, Gone, Heard, Opened, Session
+from apigateway.frontends.grpc.connection import GrpcConnection
+from apigateway.frontends.grpc.methods import StreamingMethod, UnaryMethod
 from apigateway.upstream import socket_state
 from apigateway.upstream.address import Address
-from apigateway.upstream.rpc import INTERNAL, UNAVAILABLE, UNIMPLEMENTED
 
-IDLE = 120.0  # s without a call after which a connection is closed
-ENDING = 0.5  # s that a client has to close a connection that has come to its end
-STUCK = 5.0  # s without the client taking what is written
-HANDSHAKE = 5.0  # s that a client has for TLS
-SWEEP = 1.0  # s between looks for those
-AT_ONCE = 64  # connections accepted in one turn of the loop
+# Seconds without a call after which a connection is closed.
+IDLE_TIMEOUT_S = 120.0
+# Seconds without the client taking what is written; the same for its answer to the end of a connection.
+WRITE_BLOCKED_TIMEOUT_S = 5.0
+# Seconds that a client has for TLS.
+HANDSHAKE_TIMEOUT_S = 5.0
+# Seconds between two checks of those timeouts, and until the next try to accept without a descriptor.
+SWEEP_INTERVAL_S = 1.0
+# Connections accepted in one turn of the loop.
+MAX_ACCEPTS_PER_TURN = 64
+# Connections that the kernel keeps until they are accepted.
+LISTEN_BACKLOG = 1024
+# Bytes of partial messages on all connections together, where nothing else is said.
+DEFAULT_MAX_PARTIAL_BYTES = 1 << 24
 
 log = logging.getLogger(__name__)
 
 
-class Asked(Protocol):
-    """A call that was taken and is not answered."""
-
-    def gone(self) -> None: ...
-
-
-class Flow(Protocol):
-    """The server's side of a call that streams."""
-
-    def say(self, message: bytes) -> None: ...
-
-    def end(self, status: int, text: str = "") -> None:
-        """Status 0: well."""
-
-
-class Talk(Protocol):
-    """What answers a call that streams."""
-
-    def heard(self, message: bytes) -> None: ...
-
-    def done(self) -> None:
-        """The client has said all."""
-
-    def gone(self) -> None: ...
-
-
-# message, time-out in s, what answers, what fails it with a gRPC status: the call, or None if it is over
-Method = Callable[[bytes, float | None, Callable[[bytes], None], Callable[[int, str], None]], Asked | None]
-Streams = Callable[[Flow], Talk]
-
-
-class Side:
-    """A Flow."""
-
-    __slots__ = ("line", "stream")
-
-    def __init__(self, line: Connection, stream: int) -> None:
-        self.line, self.stream = line, stream
-
-    def say(self, message: bytes) -> None:
-        self.line.session.say(self.stream, message)
-        self.line.write()
-
-    def end(self, status: int, text: str = "") -> None:
-        self.line.asked.pop(self.stream, None)
-        self.line.talks.pop(self.stream, None)
-        self.line.session.fail(self.stream, status, text)
-        self.line.write()
-
-
-class Connection(asyncio.Protocol):
-    def __init__(self, front: GrpcFrontend) -> None:
-        self.front, self.session = front, Session(front.streams)
-        self.asked: dict[int, Asked] = {}
-        self.talks: dict[int, Talk] = {}  # those of them that stream
-        self.done = False  # its client is to close it
-        self.reading = False  # calls are being read: what is answered meanwhile is written at the end of that
-        self.held = 0  # bytes of half messages, as the front has counted them
-        self.since = monotonic()
-        self.transport: asyncio.Transport
+class GrpcFrontend:
+    """One gRPC listener over the core.
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport  # type: ignore[assignment]
-        self.front.connections.add(self)
-        self.write()
-        if self.front.ended:  # it was shaking hands when the front came to its end
-            self.finish()
+    Args:
+        core: Knows it as one of the frontends that share its capacity.
+        address: Where it listens.
+        max_connections: At most so many at once, those in their TLS handshake included.
+        max_partial_bytes: Bytes of partial messages on all connections together.
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.front.left(self)
-        self.session.lost()
-        asked, self.asked, self.talks = self.asked, {}, {}
-        for one in asked.values():
-            one.gone()
+    Attributes:
+        tls_context: For connections from now on; None: without TLS.
+        on_shutdown: Called when it takes nothing new.
+    """
 
-    def data_received(self, data: bytes) -> None:
-        self.since, self.reading = monotonic(), True
-        try:
-            for event in self.session.receive(data):
-                self.happened(event)
-        except Exception:  # one connection must not take the others along
-            log.exception("a call could not be read")
-            self.transport.abort()
-            return
-        finally:
-            self.reading = False
-        if self.session.held != self.held and not self.front.holds(self):
-            log.warning("half messages of all connections take too much: one is closed")
-            self.transport.abort()
-            return
-        self.write()
-
-    def happened(self, event: Event) -> None:
-        if isinstance(event, Call):
-            self.call(event)
-        elif isinstance(event, Opened):
-            talk = self.front.streams[event.path](Side(self, event.stream))
-            self.asked[event.stream] = self.talks[event.stream] = talk
-        elif isinstance(event, Gone):
-            one = self.asked.pop(event.stream, None)
-            self.talks.pop(event.stream, None)
-            if one is not None:
-                one.gone()
-        elif event.stream in self.talks:
-            talk = self.talks[event.stream]
-            talk.heard(event.message) if isinstance(event, Heard) else talk.done()
-
-    def call(self, call: Call) -> None:
-        method = self.front.methods.get(call.path)
-        if method is None:
-            self.session.fail(call.stream, UNIMPLEMENTED, f"no method {call.path}")
-            return
+    def __init__(
+        self,
+        core: RequestDispatcher,
+        address: Address,
+        max_connections: int,
+        max_partial_bytes: int = DEFAULT_MAX_PARTIAL_BYTES,
+    ) -> None:
+        self.core = core
+        self.address = address
+        self.port = address[1]
+        self.tls_context: ssl.SSLContext | None = None
+        self.on_shutdown: Callable[[], None] | None = None
+        self.methods: Mapping[str, UnaryMethod] = {}
+        self.streams: Mapping[str, StreamingMethod] = {}
+        self.connections: set[GrpcConnection] = set()
+        self.failed_handshakes = 0
+        self.is_draining = False
+        self._max_connections = max_connections
+        self._max_partial_bytes = max_partial_bytes
+        self._partial_bytes = 0
+        self._handshakes: set[asyncio.Task[None]] = set()  # connections that are not up yet
+        self._write_blocked_since: dict[GrpcConnection, float] = {}
+        self._draining_since: dict[GrpcConnection, float] = {}
+        self._listener: socket.socket | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
+        self._all_disconnected: asyncio.Future[None] | None = None
+        core.register_frontend(self)
 
-        def answered(message: bytes) -> None:
-            self.asked.pop(call.stream, None)
-            self.session.answer(call.stream, message)
-            self.write()
+    # Settings
 
-        def failed(status: int, text: str) -> None:
-            self.asked.pop(call.stream, None)
-            self.session.fail(call.stream, status, text)
-            self.write()
+    def set_methods(
+        self, methods: Mapping[str, UnaryMethod], streams: Mapping[str, StreamingMethod] | None = None
+    ) -> None:
+        """Serve these methods, by path, in place of those before.
 
-        try:
-            one = method(call.message, call.timeout, answered, failed)
-        except Exception:
-            log.exception("%s failed", call.path)
-            self.session.fail(call.stream, INTERNAL, "it failed here")
-            return
-        if one is not None:
-            self.asked[call.stream] = one
+        A path that streams does so for connections from now on.
+        """
+        self.methods = dict(methods)
+        self.streams = dict(streams or {})
 
-    def write(self) -> None:
-        if self.reading or self.transport.is_closing():
-            return
-        data = self.session.take()
-        if data:
-            self.transport.write(data)
-        if self.session.over:
-            self.transport.close()
-        elif self.session.done and not self.done:
-            # Closed here with bytes unread it would be a reset, which can eat the last answers.
-            self.done = True
-            asyncio.get_running_loop().call_later(ENDING, self.transport.close)
-
-    def pause_writing(self) -> None:
-        """Its client does not read: nor is it read, and it ends if that lasts."""
-        self.front.stuck[self] = monotonic()
-        if not self.transport.is_closing():
-            self.transport.pause_reading()
-
-    def resume_writing(self) -> None:
-        self.front.stuck.pop(self, None)
-        if not self.transport.is_closing():
-            self.transport.resume_reading()
-
-    def finish(self) -> None:
-        """Calls that were taken are answered; those that stream without end are ended."""
-        for stream, talk in list(self.talks.items()):
-            del self.asked[stream], self.talks[stream]
-            talk.gone()
-            self.session.fail(stream, UNAVAILABLE, "this server ends")
-        self.front.finishing.setdefault(self, monotonic())
-        self.session.finish()
-        self.write()
+    def set_limits(self, max_connections: int, max_partial_bytes: int) -> None:
+        """Set this frontend's part of the connections and of the bytes of partial messages."""
+        self._max_connections = max_connections
+        self._max_partial_bytes = max_partial_bytes
 
+    def update_admission(self) -> None:
+        """Do nothing: quota checks are shed by the decision module only."""
 
-class GrpcFrontend:
-    """One listener of at most `most` connections, which hold at most `most_partial` bytes of half messages.
-    `methods` and `streams` by path; `context`: TLS, for connections from now on."""
+    def set_tokens(self, tokens: object) -> None:
+        """Do nothing: tokens are shown with requests; the rate limit service has them by itself."""
 
-    def __init__(
-        self, core: RequestDispatcher, address: Address, most: int, most_partial: int = 1 << 24
-    ) -> None:
-        self.core, self.address, self.port, self.most = core, address, address[1], most
-        self.most_partial, self.partial = most_partial, 0
-        self.methods: dict[str, Method] = {}
-        self.streams: dict[str, Streams] = {}
-        self.context: ssl.SSLContext | None = None
-        self.connections: set[Connection] = set()
-        self.greeting: set[asyncio.Task[None]] = set()  # connections that are not up yet: TLS takes a while
-        self.stuck: dict[Connection, float] = {}
-        self.finishing: dict[Connection, float] = {}
-        self.shaken = 0  # handshakes that failed
-        self.ended = False
-        self.ending: Callable[[], None] | None = None  # hears that it takes nothing new
-        self.listener: socket.socket | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.last: asyncio.Future[None] | None = None
-        core.register_frontend(self)
+    # Listening
 
     async def listen(self, sock: socket.socket | None = None) -> None:
-        """At its address, or on `sock`, which listens already."""
+        """Listen at its address, or on `sock`, which listens already."""
         if sock is None:
             family = socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET
             sock = socket.create_server(self.address, family=family)
         sock.setblocking(False)
-        sock.listen(1024)
-        self.listener, self.port = sock, sock.getsockname()[1]
-        self.accept_on()
-        if self.timer is None:
-            self.sweep()
-
-    def accept_on(self) -> None:
-        if self.listener is not None:
-            asyncio.get_running_loop().add_reader(self.listener, self.accept)
-
-    def accept(self) -> None:
-        """Connections are counted from the first, before TLS: who says nothing must not take more than this
-        front's part of the descriptors."""
+        sock.listen(LISTEN_BACKLOG)
+        self._listener = sock
+        self.port = sock.getsockname()[1]
+        self._start_accepting()
+        if self._sweep_timer is None:
+            self._sweep()
+
+    def _start_accepting(self) -> None:
+        if self._listener is not None:
+            asyncio.get_running_loop().add_reader(self._listener, self._accept)
+
+    def _accept(self) -> None:
+        """Accept what waits.
+
+        Connections are counted from here, before TLS: who says nothing must not take more than this
+        frontend's part of the descriptors.
+        """
         loop = asyncio.get_running_loop()
-        for _ in range(AT_ONCE):
-            if self.listener is None:
+        for _ in range(MAX_ACCEPTS_PER_TURN):
+            if self._listener is None:
                 return
             try:
-                sock, _ = self.listener.accept()
+                sock, _ = self._listener.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except OSError as err:  # no descriptor is left: to be told so at once again would be a busy loop
-                log.error("a connection could not be accepted: %s", err)
-                loop.remove_reader(self.listener)
-                loop.call_later(SWEEP, self.accept_on)
+            except (
+                OSError
+            ) as error:  # no descriptor is left: to be told so again at once would be a busy loop
+                log.error("a connection could not be accepted: %s", error)
+                loop.remove_reader(self._listener)
+                loop.call_later(SWEEP_INTERVAL_S, self._start_accepting)
                 return
-            if len(self.connections) + len(self.greeting) >= self.most:
+            if len(self.connections) + len(self._handshakes) >= self._max_connections:
                 sock.close()
                 continue
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            task = loop.create_task(self.greet(sock, self.context))
-            self.greeting.add(task)
-            task.add_done_callback(self.greeted)
+            task = loop.create_task(self._establish(sock, self.tls_context))
+            self._handshakes.add(task)
+            task.add_done_callback(self._on_handshake_ended)
 
-    async def greet(self, sock: socket.socket, context: ssl.SSLContext | None) -> None:
+    async def _establish(self, sock: socket.socket, tls_context: ssl.SSLContext | None) -> None:
+        """Bring a connection up, with TLS if there is a context."""
         loop = asyncio.get_running_loop()
+        timeout = HANDSHAKE_TIMEOUT_S if tls_context is not None else None
         try:
-            if context is None:
-                await loop.connect_accepted_socket(lambda: Connection(self), sock)
-            else:
-                await loop.connect_accepted_socket(
-                    lambda: Connection(self), sock, ssl=context, ssl_handshake_timeout=HANDSHAKE
-                )
-        except (OSError, TimeoutError) as err:  # ssl.SSLError is one
-            self.shaken += 1
-            log.info("a TLS handshake failed: %s", err)
+            await loop.connect_accepted_socket(
+                self._create_connection, sock, ssl=tls_context, ssl_handshake_timeout=timeout
+            )
+        except (OSError, TimeoutError) as error:  # ssl.SSLError is an OSError
+            self.failed_handshakes += 1
+            log.info("a TLS handshake failed: %s", error)
             sock.close()
 
-    def greeted(self, task: asyncio.Task[None]) -> None:
-        self.greeting.discard(task)
-        self.rest()
+    def _create_connection(self) -> GrpcConnection:
+        return GrpcConnection(self)
 
-    def set_limits(self, max_connections: int, max_partial_bytes: int) -> None:
-        """Its part of the connections and of the bytes of what is half."""
-        self.most, self.most_partial = max_connections, max_partial_bytes
+    def _on_handshake_ended(self, task: asyncio.Task[None]) -> None:
+        self._handshakes.discard(task)
+        self._notify_if_all_disconnected()
+
+    # What connections tell (connection.ConnectionOwner)
 
-    def holds(self, connection: Connection) -> bool:
-        """Counts a connection's half messages; False if that is too much for all together."""
-        self.partial += connection.session.held - connection.held
-        connection.held = connection.session.held
-        return not connection.held or self.partial <= self.most_partial
+    def on_connected(self, connection: GrpcConnection) -> None:
+        """Take in a new connection."""
+        self.connections.add(connection)
 
-    def left(self, connection: Connection) -> None:
+    def on_disconnected(self, connection: GrpcConnection) -> None:
+        """Forget a connection."""
         self.connections.discard(connection)
-        self.stuck.pop(connection, None)
-        self.finishing.pop(connection, None)
-        self.partial -= connection.held
-        connection.held = 0
-        self.rest()
-
-    def rest(self) -> None:
-        if not (self.connections or self.greeting) and self.last is not None and not self.last.done():
-            self.last.set_result(None)
-
-    def sweep(self) -> None:
-        self.timer = asyncio.get_running_loop().call_later(SWEEP, self.sweep)
+        self._write_blocked_since.pop(connection, None)
+        self._draining_since.pop(connection, None)
+        self._partial_bytes -= connection.partial_bytes
+        connection.partial_bytes = 0
+        self._notify_if_all_disconnected()
+
+    def on_write_blocked(self, connection: GrpcConnection) -> None:
+        """Start the time that a client has to take what is written."""
+        self._write_blocked_since[connection] = monotonic()
+
+    def on_write_resumed(self, connection: GrpcConnection) -> None:
+        """End that time."""
+        self._write_blocked_since.pop(connection, None)
+
+    def on_draining(self, connection: GrpcConnection) -> None:
+        """Start the time that a client has to hear that its connection ends."""
+        self._draining_since.setdefault(connection, monotonic())
+
+    def hold_partial_bytes(self, connection: GrpcConnection) -> bool:
+        """Count the bytes of a connection's partial messages; False if all together are too many."""
+        size = connection.session.partial_bytes
+        self._partial_bytes += size - connection.partial_bytes
+        connection.partial_bytes = size
+        return not size or self._partial_bytes <= self._max_partial_bytes
+
+    # Timeouts
+
+    def _sweep(self) -> None:
+        """End the connections whose time is over."""
+        self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
         now = monotonic()
-        for connection in [c for c, since in self.stuck.items() if since < now - STUCK]:
+        before = now - WRITE_BLOCKED_TIMEOUT_S
+        for connection in [one for one, since in self._write_blocked_since.items() if since < before]:
             connection.transport.abort()
-        for connection, since in list(self.finishing.items()):
-            if since < now - STUCK and connection.session.idle:
-                connection.transport.abort()  # it never said that it had read of the end
-        for connection in [c for c in self.connections if c.since < now - IDLE and c.session.idle]:
-            connection.finish()
+        for connection, since in list(self._draining_since.items()):
+            if since < before and connection.session.is_idle:
+                connection.transport.abort()  # its client never said that it had read of the end
+        idle_before = now - IDLE_TIMEOUT_S
+        for connection in [one for one in self.connections if one.last_received_at < idle_before]:
+            if connection.session.is_idle:
+                connection.start_draining()
 
-    def update_admission(self) -> None:
-        """Checks are shed by the decision module only."""
-
-    def set_tokens(self, tokens: object) -> None:
-        """Tokens are shown with requests; what gives them is told by itself."""
+    # Shutdown, in this order
 
     def announce_shutdown(self) -> None:
-        """Takes on for a while; whoever watches its health is told."""
-        if self.ending is not None:
-            self.ending()
+        """Tell whoever watches its health; it goes on for a while."""
+        if self.on_shutdown is not None:
+            self.on_shutdown()
+
+    @property
+    def has_pending_connections(self) -> bool:
+        """Whether a connection waits at its listener."""
+        return self._listener is not None and socket_state.has_pending_connection(self._listener)
 
     def stop_accepting(self) -> None:
-        """No new connections; those that there are go on."""
-        if self.listener is not None:
-            asyncio.get_running_loop().remove_reader(self.listener)
-            self.listener.close()
-            self.listener = None
+        """Take no new connections; those that there are go on."""
+        if self._listener is not None:
+            asyncio.get_running_loop().remove_reader(self._listener)
+            self._listener.close()
+            self._listener = None
 
     def start_draining(self) -> None:
-        """No new connections, no new calls; each connection ends when its calls are answered."""
+        """Take no new connections and no new calls; each connection ends when its calls are answered."""
         self.stop_accepting()
-        self.ended = True
+        self.is_draining = True
         self.announce_shutdown()
         for connection in list(self.connections):
-            connection.finish()
+            connection.start_draining()
 
     async def wait_settled(self, timeout: float) -> None:
-        """Until its connections have come to their end, or for so long: after `finish`, before `close`."""
+        """Wait until its connections have ended, for `timeout` seconds at most."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout):
                 await self.wait_disconnected()
 
-    @property
-    def has_pending_connections(self) -> bool:
-        """Whether a connection waits at its listener."""
-        return self.listener is not None and socket_state.has_pending_connection(self.listener)
-
     @property
     def has_unwritten_responses(self) -> bool:
-        """Nothing: `settled` waited for its connections."""
+        """Nothing is owed: `wait_settled` waited for the connections."""
         return False
 
     async def wait_disconnected(self) -> None:
-        """Until its last connection has ended."""
-        while self.connections or self.greeting:
-            self.last = asyncio.get_running_loop().create_future()
-            await self.last
+        """Wait until its last connection has ended."""
+        while self.connections or self._handshakes:
+            self._all_disconnected = asyncio.get_running_loop().create_future()
+            await self._all_disconnected
+
+    def _notify_if_all_disconnected(self) -> None:
+        if self.connections or self._handshakes:
+            return
+        if self._all_disconnected is not None and not self._all_disconnected.done():
+            self._all_disconnected.set_result(None)
 
     def close(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
+        """Close everything and give its capacity to the others."""
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         self.stop_accepting()
-        for task in list(self.greeting):
+        for task in list(self._handshakes):
             task.cancel()
         for connection in list(self.connections):
             connection.transport.close()
         self.core.unregister_frontend(self)
-
-    def use(self, methods: Mapping[str, Method], streams: Mapping[str, Streams] | None = None) -> None:
-        """In place of those before. A path that streams does so for connections from now on."""
-        self.methods, self.streams = dict(methods), dict(streams or {})
--- a/apigateway/frontends/grpc/health.py
+++ b/apigateway/frontends/grpc/health.py
@@ -7,104 +7,117 @@
 
 from grpc_health.v1 import health_pb2 as pb
 
-from apigateway.frontends.grpc.frontend import Flow, Method, Streams
+from apigateway.frontends.grpc.methods import StreamingMethod, StreamResponder, UnaryMethod, UnaryResponder
 from apigateway.upstream.rpc import INTERNAL, NOT_FOUND
 
-CHECK, WATCH, LIST = (f"/grpc.health.v1.Health/{name}" for name in ("Check", "Watch", "List"))
-SERVING, NOT_SERVING = pb.HealthCheckResponse.SERVING, pb.HealthCheckResponse.NOT_SERVING
-UNKNOWN_SERVICE = pb.HealthCheckResponse.SERVICE_UNKNOWN
+SERVICE_NAME = "grpc.health.v1.Health"
+CHECK_PATH = f"/{SERVICE_NAME}/Check"
+WATCH_PATH = f"/{SERVICE_NAME}/Watch"
+LIST_PATH = f"/{SERVICE_NAME}/List"
+SERVER = ""  # the name of the server as a whole
 
+ServingStatus = Any  # of HealthCheckResponse.ServingStatus
+SERVING = pb.HealthCheckResponse.SERVING
+NOT_SERVING = pb.HealthCheckResponse.NOT_SERVING
+SERVICE_UNKNOWN = pb.HealthCheckResponse.SERVICE_UNKNOWN
 
-class Watcher:
-    """One call of Watch: told now, and at each change."""
+_UNREADABLE = "the message cannot be read"
 
-    def __init__(self, health: Health, flow: Flow) -> None:
-        self.health, self.flow, self.service = health, flow, ""
-        self.told: Any = None
-        self.asked = False
 
-    def heard(self, message: bytes) -> None:
-        if self.asked:
-            self.gone()
-            self.flow.end(INTERNAL, "one message only")
-            return
-        try:
-            self.service = pb.HealthCheckRequest.FromString(message).service
-        except Exception:
-            self.flow.end(INTERNAL, "the message cannot be read")
-            return
-        self.asked = True
-        self.health.watchers.add(self)
-        self.tell()
+class HealthService:
+    """The health of some services, which is one and the same.
 
-    def tell(self) -> None:
-        status = self.health.status(self.service)
-        status = UNKNOWN_SERVICE if status is None else status
-        if status != self.told:
-            self.told = status
-            self.flow.say(pb.HealthCheckResponse(status=status).SerializeToString())
+    Args:
+        services: Their full names.
+        is_serving: Whether new calls are taken now.
+    """
 
-    def done(self) -> None:
-        if not self.asked:
-            self.flow.end(INTERNAL, "no message")
+    def __init__(self, services: Iterable[str], is_serving: Callable[[], bool]) -> None:
+        self._services = (SERVER, *services)
+        self._is_serving = is_serving
+        self.watches: set[HealthWatch] = set()
 
-    def gone(self) -> None:
-        self.health.watchers.discard(self)
+    def status(self, service: str) -> ServingStatus:
+        """Return a service's status; None: there is no such service."""
+        if service not in self._services:
+            return None
+        return SERVING if self._is_serving() else NOT_SERVING
 
+    def notify_watches(self) -> None:
+        """Tell those who watch; to be called when `is_serving` may have changed."""
+        for watch in list(self.watches):
+            watch.notify()
 
-class Health:
-    """`serving`: whether new calls are taken now. `changed` is to be called when that may have changed."""
+    def methods(self) -> dict[str, UnaryMethod]:
+        """Return the unary methods by path."""
+        return {CHECK_PATH: self._check, LIST_PATH: self._list}
 
-    def __init__(self, services: Iterable[str], serving: Callable[[], bool]) -> None:
-        self.services, self.serving = ("", *services), serving
-        self.watchers: set[Watcher] = set()
+    def streams(self) -> dict[str, StreamingMethod]:
+        """Return the streaming methods by path."""
+        return {WATCH_PATH: self._watch}
 
-    def status(self, service: str) -> Any:
-        """Of HealthCheckResponse.ServingStatus; None: there is no such service."""
-        if service not in self.services:
-            return None
-        return SERVING if self.serving() else NOT_SERVING
-
-    def changed(self) -> None:
-        for watcher in list(self.watchers):
-            watcher.tell()
-
-    def check(
-        self,
-        message: bytes,
-        timeout: float | None,
-        answered: Callable[[bytes], None],
-        failed: Callable[[int, str], None],
-    ) -> None:
+    def _check(self, message: bytes, timeout: float | None, responder: UnaryResponder) -> None:
         try:
             service = pb.HealthCheckRequest.FromString(message).service
-        except Exception:
-            failed(INTERNAL, "the message cannot be read")
+        except Exception:  # protobuf's DecodeError, and what odd bytes make of it
+            responder.fail(INTERNAL, _UNREADABLE)
             return
         status = self.status(service)
         if status is None:
-            failed(NOT_FOUND, f"no service {service}")
+            responder.fail(NOT_FOUND, f"no service {service}")
         else:
-            answered(pb.HealthCheckResponse(status=status).SerializeToString())
-
-    def list(
-        self,
-        message: bytes,
-        timeout: float | None,
-        answered: Callable[[bytes], None],
-        failed: Callable[[int, str], None],
-    ) -> None:
+            responder.respond(pb.HealthCheckResponse(status=status).SerializeToString())
+
+    def _list(self, message: bytes, timeout: float | None, responder: UnaryResponder) -> None:
         response = pb.HealthListResponse()
-        for service in self.services:
+        for service in self._services:
             status = self.status(service)
-            response.statuses[service].status = UNKNOWN_SERVICE if status is None else status
-        answered(response.SerializeToString())
+            response.statuses[service].status = SERVICE_UNKNOWN if status is None else status
+        responder.respond(response.SerializeToString())
+
+    def _watch(self, responder: StreamResponder) -> HealthWatch:
+        return HealthWatch(self, responder)
 
-    def watch(self, flow: Flow) -> Watcher:
-        return Watcher(self, flow)
 
-    def methods(self) -> dict[str, Method]:
-        return {CHECK: self.check, LIST: self.list}
+class HealthWatch:
+    """One call of Watch: told the status now and at each change."""
 
-    def streams(self) -> dict[str, Streams]:
-        return {WATCH: self.watch}
+    def __init__(self, health: HealthService, responder: StreamResponder) -> None:
+        self._health = health
+        self._responder = responder
+        self._service = ""
+        self._last_status: ServingStatus = None
+        self._has_request = False
+
+    def on_message(self, message: bytes) -> None:
+        """Take the one request."""
+        if self._has_request:
+            self.on_cancelled()
+            self._responder.end(INTERNAL, "one message only")
+            return
+        try:
+            self._service = pb.HealthCheckRequest.FromString(message).service
+        except Exception:  # as in `_check`
+            self._responder.end(INTERNAL, _UNREADABLE)
+            return
+        self._has_request = True
+        self._health.watches.add(self)
+        self.notify()
+
+    def notify(self) -> None:
+        """Send the status if it is another than before."""
+        status = self._health.status(self._service)
+        if status is None:
+            status = SERVICE_UNKNOWN
+        if status != self._last_status:
+            self._last_status = status
+            self._responder.send(pb.HealthCheckResponse(status=status).SerializeToString())
+
+    def on_half_closed(self) -> None:
+        """Go on, unless there was no request."""
+        if not self._has_request:
+            self._responder.end(INTERNAL, "no message")
+
+    def on_cancelled(self) -> None:
+        """Watch no more."""
+        self._health.watches.discard(self)
--- a/apigateway/frontends/grpc/reflection.py
+++ b/apigateway/frontends/grpc/reflection.py
@@ -1,6 +1,7 @@
 """Server reflection, v1 and v1alpha (grpc/reflection/v1/reflection.proto): tools ask a server what it speaks.
 
-Both have the same messages on the wire; only the paths differ. Extensions are none of ours."""
+Both have the same messages on the wire; only the paths differ. Extensions are none of ours.
+"""
 
 from __future__ import annotations
 
@@ -9,85 +10,99 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, text_format
 from grpc_reflection.v1alpha import reflection_pb2 as pb
 
-from apigateway.frontends.grpc.frontend import Flow, Streams
-from apigateway.upstream.rpc import INTERNAL, NOT_FOUND, UNIMPLEMENTED
+from apigateway.frontends.grpc.methods import StreamingMethod, StreamResponder
+from apigateway.upstream.rpc import INTERNAL, NOT_FOUND, OK, UNIMPLEMENTED
 
-PATHS = tuple(f"/grpc.reflection.{v}.ServerReflection/ServerReflectionInfo" for v in ("v1", "v1alpha"))
-V1, ALPHA = "grpc.reflection.v1", "grpc.reflection.v1alpha"
+V1_PACKAGE = "grpc.reflection.v1"
+V1ALPHA_PACKAGE = "grpc.reflection.v1alpha"
 V1_FILE = "grpc/reflection/v1/reflection.proto"
-NAMES = (f"{V1}.ServerReflection", f"{ALPHA}.ServerReflection")
+SERVICE_NAMES = (f"{V1_PACKAGE}.ServerReflection", f"{V1ALPHA_PACKAGE}.ServerReflection")
+PATHS = tuple(f"/{name}/ServerReflectionInfo" for name in SERVICE_NAMES)
 
 
-def renamed() -> descriptor_pb2.FileDescriptorProto:
-    """The file of v1, which no package has: that of v1alpha by its own names."""
-    told = descriptor_pb2.FileDescriptorProto()
-    pb.DESCRIPTOR.CopyToProto(told)
-    text = text_format.MessageToString(told).replace(f".{ALPHA}.", f".{V1}.")
-    made = text_format.Parse(text, descriptor_pb2.FileDescriptorProto())
-    made.name, made.package = V1_FILE, V1
-    return made
+class ReflectionService:
+    """Tell of services and of the files that describe them, which are those of protobuf's pool.
 
-
-class Reflection:
-    """`services` by their full names; their files are those of protobuf's pool."""
+    Args:
+        services: Full names of the services, besides reflection itself.
+    """
 
     def __init__(self, services: Iterable[str]) -> None:
-        self.services = sorted({*services, *NAMES})
-        self.pool = descriptor_pool.Default()
+        self._services = sorted({*services, *SERVICE_NAMES})
+        self._pool = descriptor_pool.Default()
 
-    def file(self, request: pb.ServerReflectionRequest) -> descriptor_pb2.FileDescriptorProto | None:
-        told = descriptor_pb2.FileDescriptorProto()
-        try:
-            if request.WhichOneof("message_request") == "file_by_filename":
-                if request.file_by_filename == V1_FILE:
-                    return renamed()
-                self.pool.FindFileByName(request.file_by_filename).CopyToProto(told)
-            else:
-                if request.file_containing_symbol.startswith(V1 + "."):
-                    return renamed()
-                self.pool.FindFileContainingSymbol(request.file_containing_symbol).CopyToProto(told)
-        except KeyError:
-            return None
-        return told
+    def streams(self) -> dict[str, StreamingMethod]:
+        """Return the streaming methods by path."""
+        return dict.fromkeys(PATHS, self._reflect)
+
+    def _reflect(self, responder: StreamResponder) -> ReflectionCall:
+        return ReflectionCall(self, responder)
 
     def answer(self, request: pb.ServerReflectionRequest) -> pb.ServerReflectionResponse:
+        """Return the response to one request."""
         response = pb.ServerReflectionResponse(valid_host=request.host, original_request=request)
         match request.WhichOneof("message_request"):
             case "list_services":
-                for name in self.services:
+                for name in self._services:
                     response.list_services_response.service.add(name=name)
             case "file_by_filename" | "file_containing_symbol":
-                told = self.file(request)
-                if told is None:
+                file = self._find_file(request)
+                if file is None:
                     response.error_response.error_code = NOT_FOUND
                     response.error_response.error_message = "not known here"
                 else:
-                    response.file_descriptor_response.file_descriptor_proto.append(told.SerializeToString())
+                    response.file_descriptor_response.file_descriptor_proto.append(file.SerializeToString())
             case _:
                 response.error_response.error_code = UNIMPLEMENTED
                 response.error_response.error_message = "there are no extensions here"
         return response
 
-    def streams(self) -> dict[str, Streams]:
-        return {path: lambda flow: Asking(self, flow) for path in PATHS}
+    def _find_file(self, request: pb.ServerReflectionRequest) -> descriptor_pb2.FileDescriptorProto | None:
+        file = descriptor_pb2.FileDescriptorProto()
+        try:
+            if request.WhichOneof("message_request") == "file_by_filename":
+                if request.file_by_filename == V1_FILE:
+                    return _v1_file()
+                self._pool.FindFileByName(request.file_by_filename).CopyToProto(file)
+            else:
+                if request.file_containing_symbol.startswith(V1_PACKAGE + "."):
+                    return _v1_file()
+                self._pool.FindFileContainingSymbol(request.file_containing_symbol).CopyToProto(file)
+        except KeyError:
+            return None
+        return file
 
 
-class Asking:
-    """One call: an answer to each message, and the end when the client has said all."""
+class ReflectionCall:
+    """One call: a response to each message, and the end when the client has sent all."""
 
-    def __init__(self, reflection: Reflection, flow: Flow) -> None:
-        self.reflection, self.flow = reflection, flow
+    def __init__(self, reflection: ReflectionService, responder: StreamResponder) -> None:
+        self._reflection = reflection
+        self._responder = responder
 
-    def heard(self, message: bytes) -> None:
+    def on_message(self, message: bytes) -> None:
+        """Answer a request."""
         try:
             request = pb.ServerReflectionRequest.FromString(message)
-        except Exception:
-            self.flow.end(INTERNAL, "the message cannot be read")
+        except Exception:  # protobuf's DecodeError, and what odd bytes make of it
+            self._responder.end(INTERNAL, "the message cannot be read")
             return
-        self.flow.say(self.reflection.answer(request).SerializeToString())
+        self._responder.send(self._reflection.answer(request).SerializeToString())
+
+    def on_half_closed(self) -> None:
+        """End the call."""
+        self._responder.end(OK)
+
+    def on_cancelled(self) -> None:
+        """Do nothing: nothing is pending."""
 
-    def done(self) -> None:
-        self.flow.end(0)
 
-    def gone(self) -> None:
-        pass
+def _v1_file() -> descriptor_pb2.FileDescriptorProto:
+    """Return the file of v1, which no package has: that of v1alpha by its own names."""
+    v1alpha = descriptor_pb2.FileDescriptorProto()
+    pb.DESCRIPTOR.CopyToProto(v1alpha)
+    text = text_format.MessageToString(v1alpha).replace(f".{V1ALPHA_PACKAGE}.", f".{V1_PACKAGE}.")
+    v1 = text_format.Parse(text, descriptor_pb2.FileDescriptorProto())
+    v1.name = V1_FILE
+    v1.package = V1_PACKAGE
+    return v1
--- a/apigateway/frontends/grpc/settings.py
+++ b/apigateway/frontends/grpc/settings.py
@@ -1,5 +1,7 @@
-"""The tables of the rate limit service in a settings file. Only their shapes: nothing of gRPC is loaded
-here."""
+"""The tables of the rate limit service in a settings file.
+
+Only their shapes: nothing of gRPC is loaded here.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +12,16 @@
 from apigateway.config_validation import ConfigSection
 
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=3600)]
+Text = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
+
 
+class RuleSection(ConfigSection, frozen=True, kw_only=True):
+    """`[[ratelimit.rules]]`: whose quota a descriptor counts against (mapping.py)."""
 
-class RulePart(ConfigSection, frozen=True, kw_only=True):
-    domain: Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
+    domain: Text
     entries: Annotated[list[str], msgspec.Meta(min_length=1, max_length=16)]
-    customer: Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
-    plan: Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
+    customer: Text
+    plan: Text
     cls: str = msgspec.field(name="class")
     units: Annotated[float, msgspec.Meta(gt=0, le=1e6)] = 1.0
     first: Annotated[int, msgspec.Meta(ge=0)] = 0
@@ -25,13 +30,17 @@
     token: bool = False
 
 
-class ServerTlsPart(ConfigSection, frozen=True, kw_only=True):
+class ServerTlsSection(ConfigSection, frozen=True, kw_only=True):
+    """`[ratelimit.tls]`: files of a certificate, its key and the authority of clients' certificates."""
+
     cert: str = ""
     key: str = ""
     client_ca: str = ""
 
 
-class RateLimitPart(ConfigSection, frozen=True, kw_only=True):
+class RateLimitSection(ConfigSection, frozen=True, kw_only=True):
+    """`[ratelimit]`: the rate limit service, and tokens of its checks."""
+
     patience: Seconds = 1.0
     unmapped: Literal["ok", "over", "error"] = "ok"
     override: Literal["ignore", "tighten", "refuse"] = "ignore"
@@ -39,5 +48,5 @@
     token_keys: Annotated[list[str], msgspec.Meta(max_length=16)] = []
     token_time: Annotated[float, msgspec.Meta(gt=0, le=300)] = 5.0
     max_tokens: Annotated[int, msgspec.Meta(ge=1, le=10_000_000)] = 100_000
-    rules: list[RulePart] = []
-    tls: ServerTlsPart = ServerTlsPart()
+    rules: list[RuleSection] = []
+    tls: ServerTlsSection = ServerTlsSection()
--- a/apigateway/frontends/resp/frontend.py
+++ b/apigateway/frontends/resp/frontend.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from apigateway.core.admission import AdmissionController
-    from apigateway.frontends.grpc.tokens import Tokens
+    from apigateway.frontends.grpc.tokens import QuotaTokens
     from apigateway.frontends.resp.command_scanner import CommandScanner, ScannedCommand
 
 # Seconds between two checks whether partial commands have come whole, during a shutdown.
@@ -63,7 +63,7 @@
         self._group_size = group_size
         self._fields_cache: FieldsCache = {}
         self._scanner: CommandScanner | None = None
-        self._tokens: Tokens | None = None  # where settings have keys for them
+        self._tokens: QuotaTokens | None = None  # where settings have keys for them
         self.update_admission()
         core.register_frontend(self)
 
@@ -73,7 +73,7 @@
         """Take up the core's admission controller, which has come or gone."""
         self.server.admission = self.core.admission
 
-    def set_tokens(self, tokens: Tokens | None) -> None:
+    def set_tokens(self, tokens: QuotaTokens | None) -> None:
         """Redeem these tokens of quota checks from now on; None: none."""
         self._tokens = tokens
 
@@ -188,15 +188,14 @@
         slot.reject(retry_after)
         return True
 
-    # Tokens of quota checks
+    # QuotaTokens of quota checks
 
     def _redeem_token(
-        self, tokens: Tokens, request: messages.Request, fields: bytes, slot: ResponseSlot
+        self, tokens: QuotaTokens, request: messages.Request, fields: bytes, slot: ResponseSlot
     ) -> messages.Request:
         """Return a request that spends no units if its token stands for them, else `request`."""
         text = (b"," + fields).partition(b"," + TOKEN_PREFIX)[2].partition(b",")[0].decode("ascii", "replace")
-        purpose = (request.customer, request.plan, request.service_class, request.units)
-        slot.redeemed_token = tokens.take(text, purpose)
+        slot.redeemed_token = tokens.redeem(text, request)
         if slot.redeemed_token is None:
             return request
         return messages.PrepaidRequest(
@@ -219,4 +218,4 @@
         slot.redeemed_token = None
         was_sent = slot.token and slot.token.attempt_count
         if token is not None and self._tokens is not None and not was_sent:
-            self._tokens.give_back(token)
+            self._tokens.restore(token)
--- a/benchmarks/check_cost.py
+++ b/benchmarks/check_cost.py
@@ -41,11 +41,11 @@
 class Core:
     def join(self, front): pass
     def leave(self, front): pass
-def echo(message, timeout, answered, failed):
-    answered(message)
+def echo(message, timeout, responder):
+    responder.respond(message)
 async def main():
     front = GrpcFrontend(Core(), ("127.0.0.1", int(sys.argv[1])), 100)
-    front.use({sys.argv[2]: echo})
+    front.set_methods({sys.argv[2]: echo})
     await front.listen()
     print("up", flush=True)
     await asyncio.Event().wait()
--- a/tests/external_ratelimit/test_asking_wire.py
+++ b/tests/external_ratelimit/test_asking_wire.py
@@ -12,7 +12,8 @@
 from hypothesis import strategies as st
 
 from apigateway.external_ratelimit.wire import ClientSession, Over
-from apigateway.frontends.grpc.wire import Call, Gone, Session
+from apigateway.frontends.grpc.events import CallCancelled, UnaryCall
+from apigateway.frontends.grpc.server_session import ServerSession
 from apigateway.upstream import rpc
 
 PATH = "/a.B/C"
@@ -58,21 +59,21 @@
 
 
 def test_a_call_as_the_servers_half_reads_it():
-    client, server = ClientSession("host:1"), Session()
+    client, server = ClientSession("host:1"), ServerSession()
     number = client.ask(PATH, b"hello", 0.25)
     told = server.receive(client.take())
-    assert told == [Call(number, PATH, b"hello", 0.25)]
-    client.receive(server.take())
+    assert told == [UnaryCall(number, PATH, b"hello", 0.25)]
+    client.receive(server.data_to_send())
     server.receive(client.take())
-    server.answer(number, b"world")
-    assert client.receive(server.take()) == [Over(number, rpc.OK, "", b"world")]
+    server.send_response(number, b"world")
+    assert client.receive(server.data_to_send()) == [Over(number, rpc.OK, "", b"world")]
     number = client.ask(PATH, b"again", 1.0)
     server.receive(client.take())
-    server.fail(number, rpc.UNAVAILABLE, "50% é")
-    assert client.receive(server.take()) == [Over(number, rpc.UNAVAILABLE, "50% é")]
+    server.send_status(number, rpc.UNAVAILABLE, "50% é")
+    assert client.receive(server.data_to_send()) == [Over(number, rpc.UNAVAILABLE, "50% é")]
     number = client.ask(PATH, b"never mind", 1.0)
     client.call_off(number)
-    assert server.receive(client.take())[-1] == Gone(number) and not client.out
+    assert server.receive(client.take())[-1] == CallCancelled(number) and not client.out
 
 
 def test_a_question_longer_than_the_window_goes_on_when_that_opens():
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -11,8 +11,8 @@
 from apigateway import messages
 from apigateway.emulators.script import Step
 from apigateway.frontends.grpc.frontend import GrpcFrontend
-from apigateway.frontends.grpc.mapping import Mapping, Rule
-from apigateway.frontends.grpc.service import METHOD, RateLimit, Terms
+from apigateway.frontends.grpc.mapping import DescriptorMapping, MappingRule
+from apigateway.frontends.grpc.service import SHOULD_RATE_LIMIT_PATH, RateLimitService, ServiceSettings
 
 CONF = SETTINGS | {"plans": [*SETTINGS["plans"], {"name": "quota", "rate": 0.01, "most_at_once": 20.0}]}
 A, B, C = "00000000000000aa", "00000000000000bb", "00000000000000cc"
@@ -25,19 +25,23 @@
         core = node.node.core
         self.front = GrpcFrontend(core, ("127.0.0.1", 0), 50)
         rules = [
-            Rule("payroll", ("account",), "{account}", "quota", "read", spread=spread),
-            Rule("payroll", ("account", "plan"), "{account}", "{plan}", "read"),
-            Rule("payroll", ("account", "cost=two"), "{account}", "quota", "read", units=2.0),
+            MappingRule("payroll", ("account",), "{account}", "quota", "read", gateway_spread=spread),
+            MappingRule("payroll", ("account", "plan"), "{account}", "{plan}", "read"),
+            MappingRule("payroll", ("account", "cost=two"), "{account}", "quota", "read", units_per_hit=2.0),
         ]
-        mapping = Mapping(rules, core.settings.plans, core.settings.classes, core.settings.gateway_count)
-        self.service = RateLimit(core, self.front, Terms(mapping, **{"patience": 2.0, **kw}))
-        self.front.use({METHOD: self.service.call})
+        mapping = DescriptorMapping(
+            rules, core.settings.plans, core.settings.classes, core.settings.gateway_count
+        )
+        self.service = RateLimitService(
+            core, self.front, ServiceSettings(mapping, **{"max_timeout": 2.0, **kw})
+        )
+        self.front.set_methods({SHOULD_RATE_LIMIT_PATH: self.service.should_rate_limit})
 
     async def __aenter__(self):
         await self.front.listen()
         self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{self.front.port}")
         self.call = self.channel.unary_unary(
-            METHOD, pb.RateLimitRequest.SerializeToString, pb.RateLimitResponse.FromString
+            SHOULD_RATE_LIMIT_PATH, pb.RateLimitRequest.SerializeToString, pb.RateLimitResponse.FromString
         )
         return self
 
@@ -157,7 +161,7 @@
         with pytest.raises(grpc.aio.AioRpcError) as told:
             await odd(b"", timeout=5)
         assert told.value.code() == grpc.StatusCode.UNIMPLEMENTED
-        unread = asking.channel.unary_unary(METHOD, bytes, bytes)
+        unread = asking.channel.unary_unary(SHOULD_RATE_LIMIT_PATH, bytes, bytes)
         with pytest.raises(grpc.aio.AioRpcError) as told:
             await unread(b"\xff\xff\xff", timeout=5)
         assert told.value.code() == grpc.StatusCode.INTERNAL
@@ -184,7 +188,7 @@
         while core.in_flight:  # the reset arrives
             await asyncio.sleep(0)
         core.module.handle = handle
-        assert not asking.front.connections or not any(c.asked for c in asking.front.connections)
+        assert not asking.front.connections or not any(c.open_calls for c in asking.front.connections)
         code = await asking.status(A, timeout=0.06)  # no check would come round in its time
         assert code in (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.DEADLINE_EXCEEDED)
         assert (await asking.ask(A)).overall_code == OK
@@ -200,8 +204,8 @@
                 call.cancel()
             await asyncio.gather(*calls, return_exceptions=True)
         assert (await asking.ask(B)).overall_code == OK
-        assert not node.node.core.in_flight and not any(c.asked for c in asking.front.connections)
-        assert all(c.session.idle for c in asking.front.connections)
+        assert not node.node.core.in_flight and not any(c.open_calls for c in asking.front.connections)
+        assert all(c.session.is_idle for c in asking.front.connections)
 
 
 @on_loop
--- a/tests/ratelimit/test_tokens.py
+++ b/tests/ratelimit/test_tokens.py
@@ -6,19 +6,21 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from apigateway.frontends.grpc.tokens import Keys, Purpose, Redeemed, Token, rotated
+from apigateway.frontends.grpc.tokens import KeyRotation, RedeemedTokens, Token, TokenKeys, TokenPurpose
 
 OLD, NEW, OTHER = b"old key " * 4, b"new key " * 4, b"other key" * 4
-PURPOSE = Purpose("00000000000000ff", "basic", "read", 2.0)
+PURPOSE = TokenPurpose("00000000000000ff", "basic", "read", 2.0)
 NOW = 1_000_000.0
 
 
 def token(keys=None, purpose=PURPOSE, gateway=3, until=NOW + 5, name=b"12345678"):
-    return (keys or Keys([OLD])).give(purpose, gateway, until, name)
+    return (keys or TokenKeys([OLD])).sign(purpose, gateway, until, name)
 
 
 def test_what_was_given_is_read():
-    assert Keys([OLD]).read(token(), PURPOSE) == Token(next(iter(Keys([OLD]).by)), 3, NOW + 5, b"12345678")
+    assert TokenKeys([OLD]).verify(token(), PURPOSE) == Token(
+        next(iter(TokenKeys([OLD]).keys_by_id)), 3, NOW + 5, b"12345678"
+    )
 
 
 @pytest.mark.parametrize(
@@ -26,13 +28,13 @@
     [
         PURPOSE._replace(customer="00000000000000fe"),
         PURPOSE._replace(plan="gold"),
-        PURPOSE._replace(cls="write"),
+        PURPOSE._replace(service_class="write"),
         PURPOSE._replace(units=1.0),
         PURPOSE._replace(customer="00000000000000ffb", plan="asic"),
     ],
 )
 def test_it_is_good_for_nothing_else(other):
-    assert Keys([OLD]).read(token(), other) is None
+    assert TokenKeys([OLD]).verify(token(), other) is None
 
 
 def test_every_altered_byte_and_every_other_spelling_is_refused():
@@ -43,7 +45,7 @@
             changed = bytearray(data)
             changed[place] ^= 1 << bit
             again = base64.urlsafe_b64encode(changed).decode().rstrip("=")
-            assert Keys([OLD]).read(again, PURPOSE) is None
+            assert TokenKeys([OLD]).verify(again, PURPOSE) is None
     for odd in (
         "",
         "A",
@@ -54,41 +56,41 @@
         text.replace(text[5], "é"),
         "\x00" * 50,
     ):
-        assert Keys([OLD]).read(odd, PURPOSE) is None
+        assert TokenKeys([OLD]).verify(odd, PURPOSE) is None
 
 
 def test_keys_are_rotated_without_a_gap_and_a_key_that_is_gone_is_not_taken():
-    before, both, after = Keys([OLD]), Keys([NEW, OLD]), Keys([NEW])
+    before, both, after = TokenKeys([OLD]), TokenKeys([NEW, OLD]), TokenKeys([NEW])
     old, new = token(before), token(both)
-    assert both.read(old, PURPOSE) and both.read(new, PURPOSE) and after.read(new, PURPOSE)
-    assert before.read(new, PURPOSE) is None and after.read(old, PURPOSE) is None
-    assert rotated(before, both) == {"signs anew": True, "old ones hold": True}
-    assert rotated(before, after) == {"signs anew": True, "old ones hold": False}
-    assert rotated(both, both) == {"signs anew": False, "old ones hold": True}
+    assert both.verify(old, PURPOSE) and both.verify(new, PURPOSE) and after.verify(new, PURPOSE)
+    assert before.verify(new, PURPOSE) is None and after.verify(old, PURPOSE) is None
+    assert before.compare(both) == KeyRotation(is_signing_key_new=True, are_old_tokens_valid=True)
+    assert before.compare(after) == KeyRotation(is_signing_key_new=True, are_old_tokens_valid=False)
+    assert both.compare(both) == KeyRotation(is_signing_key_new=False, are_old_tokens_valid=True)
 
 
 @pytest.mark.parametrize("keys", [[], [b"short"], [OLD, OLD]])
 def test_keys_that_cannot_be_used(keys):
     with pytest.raises(ValueError):
-        Keys(keys)
+        TokenKeys(keys)
 
 
 def test_a_token_is_taken_once_in_its_time_and_only_near_its_giver():
-    one = Keys([OLD]).read(token(gateway=5), PURPOSE)
-    here, beside, away = Redeemed(5, 4, 10), Redeemed(6, 4, 10), Redeemed(3, 4, 10)
-    assert here.take(one, NOW) and not here.take(one, NOW) and not here.take(one, NOW + 4)
+    one = TokenKeys([OLD]).verify(token(gateway=5), PURPOSE)
+    here, beside, away = RedeemedTokens(5, 4, 10), RedeemedTokens(6, 4, 10), RedeemedTokens(3, 4, 10)
+    assert here.redeem(one, NOW) and not here.redeem(one, NOW) and not here.redeem(one, NOW + 4)
     # another worker of its address: span - 1 at most
-    assert beside.take(one, NOW) and not beside.take(one, NOW)
-    assert not away.take(one, NOW)
-    assert not Redeemed(5, 4, 10).take(one, NOW + 5.1)
+    assert beside.redeem(one, NOW) and not beside.redeem(one, NOW)
+    assert not away.redeem(one, NOW)
+    assert not RedeemedTokens(5, 4, 10).redeem(one, NOW + 5.1)
 
 
 def test_what_is_remembered_is_bounded_and_forgotten_in_time():
-    here = Redeemed(0, 1, 100)
-    taken = [here.take(Token(1, 0, NOW + 5, b"%08d" % n), NOW) for n in range(200)]
-    assert sum(taken) == 100 and len(here.names) == len(here.due) == 100
-    assert here.take(Token(1, 0, NOW + 20, b"later---"), NOW + 6)
-    assert len(here.names) == len(here.due) == 1
+    here = RedeemedTokens(0, 1, 100)
+    taken = [here.redeem(Token(1, 0, NOW + 5, b"%08d" % n), NOW) for n in range(200)]
+    assert sum(taken) == 100 and len(here.nonces) == len(here.expiries) == 100
+    assert here.redeem(Token(1, 0, NOW + 20, b"later---"), NOW + 6)
+    assert len(here.nonces) == len(here.expiries) == 1
 
 
 @seed(14)
@@ -96,12 +98,12 @@
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 3), st.floats(0, 2)), max_size=60))
 def test_units_pass_at_most_once_at_each_gateway_that_is_near(steps):
     span, now, uses = 2, NOW, {}
-    gateways = [Redeemed(n, span, 50) for n in range(4)]
+    gateways = [RedeemedTokens(n, span, 50) for n in range(4)]
     for name, at, gap in steps:
         now += gap
         given_by = name % 4
         one = Token(1, given_by, NOW + 10, b"%08d" % name)
-        if gateways[at].take(one, now):
+        if gateways[at].redeem(one, now):
             assert now <= NOW + 10 and at // span == given_by // span
             uses.setdefault(name, []).append(at)
     for at in uses.values():
@@ -116,4 +118,4 @@
     )
 )
 def test_nothing_that_anybody_makes_up_is_a_token(text):
-    assert Keys([OLD, NEW, OTHER]).read(text, PURPOSE) is None
+    assert TokenKeys([OLD, NEW, OTHER]).verify(text, PURPOSE) is None
--- a/tests/ratelimit/test_tokens_used.py
+++ b/tests/ratelimit/test_tokens_used.py
@@ -6,8 +6,8 @@
 from netkit import SERVED, Node, StubHost, command, on_loop, terms
 from test_service import CONF, OK, Asking, until_over
 
-from apigateway.frontends.grpc.mapping import Mapping, Rule
-from apigateway.frontends.grpc.tokens import Keys, Redeemed, Tokens
+from apigateway.frontends.grpc.mapping import DescriptorMapping, MappingRule
+from apigateway.frontends.grpc.tokens import QuotaTokens, RedeemedTokens, TokenKeys
 
 A, B = "00000000000000aa", "00000000000000bb"
 KEY, OTHER = b"k" * 32, b"o" * 32
@@ -18,16 +18,22 @@
 
     def __init__(self, node, seconds=5.0, index=0, span=1, **kw):
         self.now = 1e9
-        self.tokens = Tokens(Keys([KEY]), Redeemed(index, span, 1000), seconds, lambda: self.now, os.urandom)
+        self.tokens = QuotaTokens(
+            TokenKeys([KEY]), RedeemedTokens(index, span, 1000), seconds, lambda: self.now, os.urandom
+        )
         super().__init__(node, **kw)
         core = node.node.core
         rules = [
-            Rule("payroll", ("account",), "{account}", "quota", "read", token=True),
-            Rule("payroll", ("account", "cost=half"), "{account}", "quota", "read", 0.5, token=True),
-            Rule("payroll", ("account", "plain"), "{account}", "quota", "read"),
+            MappingRule("payroll", ("account",), "{account}", "quota", "read", issues_token=True),
+            MappingRule(
+                "payroll", ("account", "cost=half"), "{account}", "quota", "read", 0.5, issues_token=True
+            ),
+            MappingRule("payroll", ("account", "plain"), "{account}", "quota", "read"),
         ]
-        mapping = Mapping(rules, core.settings.plans, core.settings.classes, core.settings.gateway_count)
-        self.service.terms = type(self.service.terms)(mapping, 2.0, tokens=self.tokens)
+        mapping = DescriptorMapping(
+            rules, core.settings.plans, core.settings.classes, core.settings.gateway_count
+        )
+        self.service.settings = type(self.service.settings)(mapping, 2.0, tokens=self.tokens)
         self.node, self.number = node, 0
         node.node.fronts[0].set_tokens(self.tokens)
 
@@ -94,12 +100,12 @@
     async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Tokened(node) as asking:
         one, two, three = [(await asking.token())[0] for _ in range(3)]
         await until_over(asking, A)
-        asking.tokens.keys = Keys([OTHER, KEY])
+        asking.tokens.keys = TokenKeys([OTHER, KEY])
         assert await asking.use(one) == SERVED
         assert (await asking.use(one)).startswith(b"-BUSY")  # what was used is remembered past a rotation
-        asking.tokens.keys = Keys([OTHER])
+        asking.tokens.keys = TokenKeys([OTHER])
         assert (await asking.use(two)).startswith(b"-BUSY")
-        asking.tokens.keys = Keys([KEY])
+        asking.tokens.keys = TokenKeys([KEY])
         assert await asking.use(three) == SERVED
 
 
@@ -133,11 +139,11 @@
 async def test_a_token_of_another_gateway_is_none_here_and_one_of_a_worker_beside_it_is(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
         async with Tokened(node, index=5, span=2) as asking:
-            from apigateway.frontends.grpc.tokens import Purpose
+            from apigateway.frontends.grpc.tokens import TokenPurpose
 
-            purpose = Purpose(A, "quota", "read", 1.0)
+            purpose = TokenPurpose(A, "quota", "read", 1.0)
             beside, other = [
-                Keys([KEY]).give(purpose, number, asking.now + 5, os.urandom(8)) for number in (4, 6)
+                TokenKeys([KEY]).sign(purpose, number, asking.now + 5, os.urandom(8)) for number in (4, 6)
             ]
             await until_over(asking, A)
             assert (await asking.use(other)).startswith(b"-BUSY")
--- a/tests/ratelimit/test_wire.py
+++ b/tests/ratelimit/test_wire.py
@@ -8,8 +8,15 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from apigateway.frontends.grpc import wire
-from apigateway.frontends.grpc.wire import Call, Done, Gone, Heard, Opened, Session
+from apigateway.frontends.grpc import server_session
+from apigateway.frontends.grpc.events import (
+    CallCancelled,
+    StreamHalfClosed,
+    StreamMessage,
+    StreamOpened,
+    UnaryCall,
+)
+from apigateway.frontends.grpc.server_session import ServerSession
 from apigateway.upstream import rpc
 
 PATH = b"/envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit"
@@ -36,7 +43,7 @@
     """A session, and a client that hears what it says."""
 
     def __init__(self):
-        self.session = Session()
+        self.session = ServerSession()
         self.client = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
         self.client.initiate_connection()
         self.heard, self.told = [], []
@@ -45,7 +52,7 @@
     def go(self):
         while True:
             self.told += self.session.receive(self.client.data_to_send())
-            data = self.session.take()
+            data = self.session.data_to_send()
             if not data:
                 return
             self.heard += self.client.receive_data(data)
@@ -77,14 +84,14 @@
 def test_a_call_and_its_answer():
     pair = Pair()
     number = pair.ask(grpc_timeout=b"250m")
-    assert pair.told == [Call(number, PATH.decode(), b"hello", 0.25)]
-    pair.session.answer(number, b"world", [(b"x-more", b"1")])
+    assert pair.told == [UnaryCall(number, PATH.decode(), b"hello", 0.25)]
+    pair.session.send_response(number, b"world", [(b"x-more", b"1")])
     pair.go()
     assert pair.data(number) == framed(b"world") and pair.status(number) == (0, b"")
-    pair.session.answer(number, b"again")  # once
-    pair.session.fail(number, rpc.UNAVAILABLE, "again")
+    pair.session.send_response(number, b"again")  # once
+    pair.session.send_status(number, rpc.UNAVAILABLE, "again")
     pair.go()
-    assert pair.data(number) == framed(b"world") and pair.session.idle
+    assert pair.data(number) == framed(b"world") and pair.session.is_idle
 
 
 @pytest.mark.parametrize(
@@ -124,9 +131,9 @@
 def test_what_is_no_call_is_refused_and_the_next_is_taken(what, status):
     pair = Pair()
     number = pair.ask(**what)
-    assert pair.status(number)[0] == status and not pair.told and pair.session.idle
+    assert pair.status(number)[0] == status and not pair.told and pair.session.is_idle
     number = pair.ask()
-    assert [call.stream for call in pair.told] == [number]
+    assert [call.stream_id for call in pair.told] == [number]
 
 
 @pytest.mark.parametrize("more", [{"content_type": b"text/html"}, {"content_type": None}])
@@ -148,7 +155,7 @@
     pair.go()
     assert pair.told[0].message == b"hello"
     big = pair.ask(end=False, data=b"\0" + (4 << 20).to_bytes(4, "big") + b"x" * 1000)
-    assert pair.status(big)[0] == rpc.RESOURCE_EXHAUSTED and not pair.session.coming
+    assert pair.status(big)[0] == rpc.RESOURCE_EXHAUSTED and not pair.session.incoming
 
 
 def test_calls_that_are_called_off_by_the_thousand():
@@ -157,28 +164,31 @@
         number = pair.ask()
         pair.client.reset_stream(number)
         pair.go()
-        assert pair.told[-1] == Gone(number)
-        pair.session.answer(number, b"too late")
-    assert pair.session.idle and len(pair.told) == 6000
-    assert pair.ask() == pair.told[-1].stream
+        assert pair.told[-1] == CallCancelled(number)
+        pair.session.send_response(number, b"too late")
+    assert pair.session.is_idle and len(pair.told) == 6000
+    assert pair.ask() == pair.told[-1].stream_id
 
 
 def test_more_streams_than_are_allowed_end_the_connection_and_its_calls():
     pair = Pair()
-    for _ in range(wire.MOST_STREAMS):
+    for _ in range(server_session.MAX_CONCURRENT_STREAMS):
         pair.ask()
     raw = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
     raw.initiate_connection()
-    session = Session()
+    session = ServerSession()
     told = []
-    for _ in range(wire.MOST_STREAMS + 1):  # a client that has not heard the limit yet
+    for _ in range(server_session.MAX_CONCURRENT_STREAMS + 1):  # a client that has not heard the limit yet
         number = raw.get_next_available_stream_id()
         raw.send_headers(number, headers())
         raw.send_data(number, framed(b"x"), end_stream=True)
         told += session.receive(raw.data_to_send())
-    calls = [one.stream for one in told if isinstance(one, Call)]
-    assert len(calls) == wire.MOST_STREAMS and len(pair.told) == wire.MOST_STREAMS
-    assert session.over and [one.stream for one in told if isinstance(one, Gone)] == calls
+    calls = [one.stream_id for one in told if isinstance(one, UnaryCall)]
+    assert (
+        len(calls) == server_session.MAX_CONCURRENT_STREAMS
+        and len(pair.told) == server_session.MAX_CONCURRENT_STREAMS
+    )
+    assert session.must_close and [one.stream_id for one in told if isinstance(one, CallCancelled)] == calls
 
 
 def test_a_client_that_opens_no_window_is_cut_off_before_it_fills_memory():
@@ -187,11 +197,11 @@
     pair.go()
     for _ in range(100):
         number = pair.ask()
-        pair.session.answer(number, b"x" * 60_000)
-        if pair.session.over:
+        pair.session.send_response(number, b"x" * 60_000)
+        if pair.session.must_close:
             break
-    kept = sum(len(data) for data, _ in pair.session.waiting.values())
-    assert pair.session.over and kept <= wire.MOST_WAITING + 60_005
+    kept = sum(len(response.data) for response in pair.session.responses.pending.values())
+    assert pair.session.must_close and kept <= server_session.MAX_UNSENT_BYTES + 60_005
 
 
 def test_an_answer_waits_for_the_window_and_goes_on():
@@ -199,7 +209,7 @@
     pair.client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 10})
     pair.go()
     number = pair.ask()
-    pair.session.answer(number, b"y" * 100)
+    pair.session.send_response(number, b"y" * 100)
     pair.go()
     assert len(pair.data(number)) == 10 and pair.status(number) is None
     pair.client.increment_flow_control_window(200, number)
@@ -210,24 +220,29 @@
 def test_the_end_lets_what_was_taken_be_answered_and_takes_nothing_new():
     pair = Pair()
     number = pair.ask()
-    pair.session.finish()
-    raw, word = pair.client, pair.session.take()
+    pair.session.start_draining()
+    raw, word = pair.client, pair.session.data_to_send()
     late = raw.get_next_available_stream_id()
     raw.send_headers(late, headers())  # sent before the client hears that it ends
     raw.send_data(late, framed(b"late"), end_stream=True)
-    assert [call.stream for call in pair.session.receive(raw.data_to_send())] == [late]
-    assert not pair.session.done
+    assert [call.stream_id for call in pair.session.receive(raw.data_to_send())] == [late]
+    assert not pair.session.is_finished
     left, last = rpc.GoAwayFilter().feed(word)
     assert last == 2**31 - 1
     raw.receive_data(left)  # now it has heard, and says so
     assert not pair.session.receive(raw.data_to_send())
-    assert rpc.GoAwayFilter().feed(pair.session.take())[1] == late
+    assert rpc.GoAwayFilter().feed(pair.session.data_to_send())[1] == late
     later = raw.get_next_available_stream_id()
     raw.send_headers(later, headers(), end_stream=True)  # against its word
     assert not pair.session.receive(raw.data_to_send())
-    pair.session.answer(number, b"in time")
-    pair.session.answer(late, b"in time too")
-    assert not pair.session.done and pair.session.take() and pair.session.done and not pair.session.over
+    pair.session.send_response(number, b"in time")
+    pair.session.send_response(late, b"in time too")
+    assert (
+        not pair.session.is_finished
+        and pair.session.data_to_send()
+        and pair.session.is_finished
+        and not pair.session.must_close
+    )
 
 
 def test_what_is_called_off_in_the_bytes_that_it_came_with_is_no_harm():
@@ -236,7 +251,7 @@
     client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 2})
     pair.go()
     held = pair.ask()
-    pair.session.answer(held, b"waits")
+    pair.session.send_response(held, b"waits")
     for data in (b"\1\0\0\0\1x", framed(b"x") * 2, framed(b"x")):
         number = client.get_next_available_stream_id()
         client.send_headers(number, headers())
@@ -249,14 +264,14 @@
     client.increment_flow_control_window(100, held)
     client.reset_stream(held)
     pair.go()
-    assert pair.session.idle and not pair.session.over
-    assert pair.ask() == pair.told[-1].stream
+    assert pair.session.is_idle and not pair.session.must_close
+    assert pair.ask() == pair.told[-1].stream_id
 
 
 def test_a_text_is_told_as_it_is_however_odd():
     pair = Pair()
     number = pair.ask()
-    pair.session.fail(number, rpc.UNAVAILABLE, "50% é\n")
+    pair.session.send_status(number, rpc.UNAVAILABLE, "50% é\n")
     pair.go()
     assert pair.status(number) == (rpc.UNAVAILABLE, b"50%25 %C3%A9%0A")
 
@@ -274,29 +289,29 @@
     stream = bytearray(client.data_to_send())
     if noise:
         stream[min(place, len(stream)) : min(place, len(stream)) + len(noise)] = noise
-    session, told, at = Session(), [], 0
+    session, told, at = ServerSession(), [], 0
     for cut in [*cuts, len(stream)]:
-        if at < len(stream) and not session.over:
+        if at < len(stream) and not session.must_close:
             told += session.receive(bytes(stream[at : at + cut]))
         at += cut
-        session.take()
-    calls = [one.stream for one in told if isinstance(one, Call)]
+        session.data_to_send()
+    calls = [one.stream_id for one in told if isinstance(one, UnaryCall)]
     assert len(calls) == len(set(calls)) <= 4
     if not noise and sum(cuts) >= 0:
         assert len(calls) == 4 or at < len(stream)
     for number in calls:
-        session.answer(number, b"x") if not session.over else None
-    session.take()
+        session.send_response(number, b"x") if not session.must_close else None
+    session.data_to_send()
 
 
 def test_a_client_that_says_it_ends_still_gets_what_it_asked():
     pair = Pair()
     number = pair.ask()
     pair.session.receive(GoAwayFrame(0, last_stream_id=0, error_code=0).serialize())
-    assert not pair.session.over
-    pair.session.answer(number, b"in time")
+    assert not pair.session.must_close
+    pair.session.send_response(number, b"in time")
     pair.go()
-    assert pair.data(number) == framed(b"in time") and pair.session.done
+    assert pair.data(number) == framed(b"in time") and pair.session.is_finished
 
 
 @seed(14)
@@ -306,7 +321,7 @@
     st.lists(st.integers(1, 50), max_size=20),
 )
 def test_a_sieve_takes_out_goaways_and_nothing_else_however_the_bytes_are_cut(frames, cuts):
-    stream, left, lasts = wire.PREFACE, wire.PREFACE, []
+    stream, left, lasts = server_session.CLIENT_PREFACE, server_session.CLIENT_PREFACE, []
     for kind, body in frames:
         frame = len(body).to_bytes(3, "big") + bytes([kind, 0, 0, 0, 0, 1]) + body
         stream += frame
@@ -314,7 +329,7 @@
             lasts.append(int.from_bytes(body[:4], "big") & 0x7FFFFFFF)
         else:
             left += frame
-    sieve, got, seen, at = rpc.GoAwayFilter(wire.PREFACE), b"", None, 0
+    sieve, got, seen, at = rpc.GoAwayFilter(server_session.CLIENT_PREFACE), b"", None, 0
     for cut in [*cuts, len(stream)]:
         data, last = sieve.feed(stream[at : at + cut])
         at += cut
@@ -328,7 +343,7 @@
 class Talking(Pair):
     def __init__(self):
         super().__init__()
-        self.session.streaming = {STREAM}
+        self.session.streaming_paths = {STREAM}
 
     def open(self, *messages, end=False):
         number = self.client.get_next_available_stream_id()
@@ -345,18 +360,26 @@
 def test_a_stream_is_given_out_message_by_message_and_answered_so():
     pair = Talking()
     number = pair.open(b"one", b"two")
-    assert pair.told == [Opened(number, STREAM), Heard(number, b"one"), Heard(number, b"two")]
-    pair.session.say(number, b"first")
-    pair.session.say(number, b"second")
+    assert pair.told == [
+        StreamOpened(number, STREAM),
+        StreamMessage(number, b"one"),
+        StreamMessage(number, b"two"),
+    ]
+    pair.session.send_message(number, b"first")
+    pair.session.send_message(number, b"second")
     pair.client.send_data(number, framed(b"three") + framed(b"four"), end_stream=True)
     pair.go()
-    assert pair.told[-3:] == [Heard(number, b"three"), Heard(number, b"four"), Done(number)]
-    pair.session.fail(number, 0, "")
+    assert pair.told[-3:] == [
+        StreamMessage(number, b"three"),
+        StreamMessage(number, b"four"),
+        StreamHalfClosed(number),
+    ]
+    pair.session.send_status(number, 0, "")
     pair.go()
     assert pair.data(number) == framed(b"first") + framed(b"second") and pair.status(number)[0] == 0
-    pair.session.say(number, b"late")
+    pair.session.send_message(number, b"late")
     pair.go()
-    assert pair.session.idle and not pair.session.held
+    assert pair.session.is_idle and not pair.session.partial_bytes
 
 
 def test_a_stream_ends_from_either_side():
@@ -364,19 +387,19 @@
     number = pair.open(b"one")
     pair.client.reset_stream(number)
     pair.go()
-    assert pair.told[-1] == Gone(number) and pair.session.idle
+    assert pair.told[-1] == CallCancelled(number) and pair.session.is_idle
     number = pair.open(b"one")
-    pair.session.fail(number, rpc.NOT_FOUND, "none")
+    pair.session.send_status(number, rpc.NOT_FOUND, "none")
     pair.go()
-    assert pair.status(number) == (rpc.NOT_FOUND, b"none") and pair.session.idle
+    assert pair.status(number) == (rpc.NOT_FOUND, b"none") and pair.session.is_idle
     number = pair.open(b"one")
-    pair.session.say(number, b"said")
-    pair.session.fail(number, rpc.UNAVAILABLE, "ends")
+    pair.session.send_message(number, b"said")
+    pair.session.send_status(number, rpc.UNAVAILABLE, "ends")
     pair.go()
-    assert pair.status(number) == (rpc.UNAVAILABLE, b"ends") and pair.session.idle
+    assert pair.status(number) == (rpc.UNAVAILABLE, b"ends") and pair.session.is_idle
     number = pair.open(b"one", end=True)
-    assert pair.told[-1] == Done(number)
-    assert pair.ask() == pair.told[-1].stream  # and calls go on beside them
+    assert pair.told[-1] == StreamHalfClosed(number)
+    assert pair.ask() == pair.told[-1].stream_id  # and calls go on beside them
 
 
 def test_a_stream_that_sends_what_is_no_message_is_ended():
@@ -384,7 +407,11 @@
     number = pair.open(b"one")
     pair.client.send_data(number, b"\1\0\0\0\1x")
     pair.go()
-    assert pair.told[-1] == Gone(number) and pair.status(number)[0] == rpc.UNIMPLEMENTED and pair.session.idle
+    assert (
+        pair.told[-1] == CallCancelled(number)
+        and pair.status(number)[0] == rpc.UNIMPLEMENTED
+        and pair.session.is_idle
+    )
 
 
 def test_a_stream_whose_client_reads_nothing_is_bounded():
@@ -392,10 +419,13 @@
     pair.client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 0})
     number = pair.open(b"one")
     for _ in range(100):
-        pair.session.say(number, b"x" * 60_000)
-        if pair.session.over:
+        pair.session.send_message(number, b"x" * 60_000)
+        if pair.session.must_close:
             break
-    assert pair.session.over and pair.session.unsent <= wire.MOST_WAITING + 60_005
+    assert (
+        pair.session.must_close
+        and pair.session.responses.unsent_bytes <= server_session.MAX_UNSENT_BYTES + 60_005
+    )
 
 
 def test_halves_of_messages_are_bounded_together():
@@ -412,8 +442,8 @@
         numbers.append(number)
     refused = [number for number in numbers if pair.status(number)]
     assert refused and all(pair.status(n)[0] == rpc.RESOURCE_EXHAUSTED for n in refused)
-    assert pair.session.held <= wire.MOST_COMING + 100_000
+    assert pair.session.partial_bytes <= server_session.MAX_PARTIAL_BYTES + 100_000
     for number in set(numbers) - set(refused):
         pair.client.reset_stream(number)
     pair.go()
-    assert pair.session.held == 0
+    assert pair.session.partial_bytes == 0
