--- a/apigateway/frontends/resp/frontend.py
+++ b/apigateway/frontends/resp/frontend.py
@@ -180,7 +180,7 @@
 
         One that may be running is not: a rejection says that it has not run.
         """
-        retry_after = admission.turned_away(
+        retry_after = admission.retry_after_if_shed(
             scanned.priority_step, scanned.customer, scanned.remaining, slot.connection.received_at
         )
         if retry_after < 0 or self.core.is_in_flight(scanned.request_id, scanned.is_write):
