--- a/tests/ratelimit/test_mapping.py
+++ b/tests/frontends/grpc/test_descriptor_mapping.py
@@ -57,7 +57,7 @@
         [("account", "f" * 16), ("plan", "gold")],
     ],
 )
-def test_nobodys(entries):
+def test_a_descriptor_without_a_valid_match_has_no_owner(entries):
     assert mapping(rule("account", "plan", plan="{plan}")).find_owner("payroll", entries) is None
 
 
@@ -128,7 +128,7 @@
     assert told.value.key == key and told.value.args[1] == 1 and str(told.value.args[0])
 
 
-def test_what_is_beyond_all_measure_is_nobodys():
+def test_a_descriptor_beyond_the_limits_has_no_owner():
     told = mapping(rule())
     assert told.find_owner("payroll", [("account", HEX)] + [("k", "v")] * MAX_ENTRIES) is None
     assert told.find_owner("payroll", [("account", HEX), ("k", "v" * 100_000)]) is None
@@ -144,7 +144,7 @@
     st.lists(st.tuples(TEXT, TEXT), max_size=5),
     st.booleans(),
 )
-def test_whatever_comes_it_is_somebody_that_there_is_or_nobody(wanted, entries, named):
+def test_any_descriptor_has_a_valid_owner_or_none(wanted, entries, named):
     try:
         told = mapping(rule(*(f"{key}={value}" for key, value in wanted), customer=HEX, hashes_names=named))
     except InvalidRuleError:
--- a/tests/ratelimit/test_tokens.py
+++ b/tests/frontends/grpc/test_quota_tokens.py
@@ -17,7 +17,7 @@
     return (keys or TokenKeys([OLD])).sign(purpose, gateway, until, name)
 
 
-def test_what_was_given_is_read():
+def test_a_signed_token_is_verified():
     assert TokenKeys([OLD]).verify(token(), PURPOSE) == Token(
         next(iter(TokenKeys([OLD]).keys_by_id)), 3, NOW + 5, b"12345678"
     )
@@ -33,7 +33,7 @@
         PURPOSE._replace(customer="00000000000000ffb", plan="asic"),
     ],
 )
-def test_it_is_good_for_nothing_else(other):
+def test_a_token_when_shown_for_another_purpose_is_refused(other):
     assert TokenKeys([OLD]).verify(token(), other) is None
 
 
@@ -70,12 +70,12 @@
 
 
 @pytest.mark.parametrize("keys", [[], [b"short"], [OLD, OLD]])
-def test_keys_that_cannot_be_used(keys):
+def test_keys_that_cannot_be_used_raise(keys):
     with pytest.raises(ValueError):
         TokenKeys(keys)
 
 
-def test_a_token_is_taken_once_in_its_time_and_only_near_its_giver():
+def test_a_token_is_redeemed_once_in_its_time_and_only_in_its_group():
     one = TokenKeys([OLD]).verify(token(gateway=5), PURPOSE)
     here, beside, away = RedeemedTokens(5, 4, 10), RedeemedTokens(6, 4, 10), RedeemedTokens(3, 4, 10)
     assert here.redeem(one, NOW) and not here.redeem(one, NOW) and not here.redeem(one, NOW + 4)
@@ -85,7 +85,7 @@
     assert not RedeemedTokens(5, 4, 10).redeem(one, NOW + 5.1)
 
 
-def test_what_is_remembered_is_bounded_and_forgotten_in_time():
+def test_redeemed_tokens_are_bounded_and_forgotten_in_time():
     here = RedeemedTokens(0, 1, 100)
     taken = [here.redeem(Token(1, 0, NOW + 5, b"%08d" % n), NOW) for n in range(200)]
     assert sum(taken) == 100 and len(here.nonces) == len(here.expiries) == 100
@@ -96,7 +96,7 @@
 @seed(14)
 @settings(max_examples=300, deadline=None, database=None)
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 3), st.floats(0, 2)), max_size=60))
-def test_units_pass_at_most_once_at_each_gateway_that_is_near(steps):
+def test_a_token_is_redeemed_at_most_once_at_each_gateway_of_its_group(steps):
     span, now, uses = 2, NOW, {}
     gateways = [RedeemedTokens(n, span, 50) for n in range(4)]
     for name, at, gap in steps:
--- a/tests/ratelimit/test_service.py
+++ b/tests/frontends/grpc/test_rate_limit_service.py
@@ -1,5 +1,4 @@
-"""ShouldRateLimit over sockets, asked by a foreign client: grpcio with the messages of the package
-registry."""
+"""ShouldRateLimit over sockets, asked by a foreign client."""
 
 import asyncio
 
@@ -7,87 +6,20 @@
 import pytest
 from envoy.service.ratelimit.v3 import rls_pb2 as pb
 from netkit import SERVED, SETTINGS, Node, StubHost, command, on_loop, terms
+from rate_limit_client import CONF, OK, OVER, A, B, C, RateLimitClient, codes, until_over
 
 from apigateway import messages
 from apigateway.emulators.script import Step
-from apigateway.frontends.grpc.frontend import GrpcFrontend
-from apigateway.frontends.grpc.mapping import DescriptorMapping, MappingRule
-from apigateway.frontends.grpc.service import SHOULD_RATE_LIMIT_PATH, RateLimitService, ServiceSettings
-
-CONF = SETTINGS | {"plans": [*SETTINGS["plans"], {"name": "quota", "rate": 0.01, "most_at_once": 20.0}]}
-A, B, C = "00000000000000aa", "00000000000000bb", "00000000000000cc"
-
-
-class Asking:
-    """A gRPC listener on a gateway, and a client of it."""
-
-    def __init__(self, node, spread=1, **kw):
-        core = node.node.core
-        self.front = GrpcFrontend(core, ("127.0.0.1", 0), 50)
-        rules = [
-            MappingRule("payroll", ("account",), "{account}", "quota", "read", gateway_spread=spread),
-            MappingRule("payroll", ("account", "plan"), "{account}", "{plan}", "read"),
-            MappingRule("payroll", ("account", "cost=two"), "{account}", "quota", "read", units_per_hit=2.0),
-        ]
-        mapping = DescriptorMapping(
-            rules, core.settings.plans, core.settings.classes, core.settings.gateway_count
-        )
-        self.service = RateLimitService(
-            core, self.front, ServiceSettings(mapping, **{"max_timeout": 2.0, **kw})
-        )
-        self.front.set_methods({SHOULD_RATE_LIMIT_PATH: self.service.should_rate_limit})
-
-    async def __aenter__(self):
-        await self.front.listen()
-        self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{self.front.port}")
-        self.call = self.channel.unary_unary(
-            SHOULD_RATE_LIMIT_PATH, pb.RateLimitRequest.SerializeToString, pb.RateLimitResponse.FromString
-        )
-        return self
-
-    async def ask(self, *descriptors, hits=0, timeout=5.0, domain="payroll"):
-        """A descriptor: a customer, or a dict of entries, with `hits` for its own."""
-        request = pb.RateLimitRequest(domain=domain, hits_addend=hits)
-        for one in descriptors:
-            entries = {"account": one} if isinstance(one, str) else dict(one)
-            told = request.descriptors.add()
-            if (own := entries.pop("hits", None)) is not None:
-                told.hits_addend.value = own
-            if (limit := entries.pop("limit", None)) is not None:
-                told.limit.requests_per_unit, told.limit.unit = limit
-            for key, value in entries.items():
-                told.entries.add(key=key, value=value)
-        return await self.call(request, timeout=timeout)
-
-    async def status(self, *descriptors, **kw):
-        with pytest.raises(grpc.aio.AioRpcError) as told:
-            await self.ask(*descriptors, **kw)
-        return told.value.code()
-
-    async def __aexit__(self, *_):
-        await self.channel.close()
-        self.front.start_draining()
-        self.front.close()
-
-
-def codes(response):
-    return [status.code for status in response.statuses]
-
-
-OK, OVER = pb.RateLimitResponse.OK, pb.RateLimitResponse.OVER_LIMIT
-
-
-async def until_over(asking, customer, most=100):
-    for number in range(most):
-        response = await asking.ask(customer)
-        if response.overall_code == OVER:
-            return number, response
-    raise AssertionError("never over its limit")
+from apigateway.frontends.grpc.service import SHOULD_RATE_LIMIT_PATH
 
 
 @on_loop
 async def test_units_are_granted_until_the_quota_is_spent_and_requests_spend_of_the_same(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Asking(node) as asking:
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        RateLimitClient(node) as asking,
+    ):
         first = await asking.ask(A)
         assert first.overall_code == OK and codes(first) == [OK]
         status = first.statuses[0]
@@ -107,7 +39,11 @@
 
 @on_loop
 async def test_any_over_its_limit_makes_the_answer_so_and_the_others_get_theirs_back(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Asking(node) as asking:
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        RateLimitClient(node) as asking,
+    ):
         await until_over(asking, A)
         before = (await asking.ask({"account": B, "hits": 0})).statuses[0].limit_remaining
         for _ in range(10):
@@ -119,7 +55,11 @@
 
 @on_loop
 async def test_hits_of_none_one_two_and_more_than_there_are(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Asking(node) as asking:
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        RateLimitClient(node) as asking,
+    ):
         while (await asking.ask(A)).statuses[0].limit_remaining > 18:
             pass
         none = [(await asking.ask({"account": A, "hits": 0})).statuses[0].limit_remaining for _ in range(5)]
@@ -136,9 +76,9 @@
 
 @pytest.mark.parametrize("unmapped", ["ok", "over", "error"])
 @on_loop
-async def test_what_maps_to_nobody_gets_the_stated_answer(unmapped, tmp_path):
+async def test_an_unmapped_descriptor_gets_the_answer_of_the_settings(unmapped, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
-        async with Asking(node, unmapped=unmapped) as asking:
+        async with RateLimitClient(node, unmapped=unmapped) as asking:
             if unmapped == "error":
                 assert await asking.status("nobody") == grpc.StatusCode.INVALID_ARGUMENT
                 return
@@ -149,8 +89,12 @@
 
 
 @on_loop
-async def test_what_is_no_question_is_told_so(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Asking(node) as asking:
+async def test_an_invalid_request_is_answered_with_its_status(tmp_path):
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        RateLimitClient(node) as asking,
+    ):
         assert await asking.status() == grpc.StatusCode.INVALID_ARGUMENT
         assert await asking.status(A, domain="") == grpc.StatusCode.INVALID_ARGUMENT
         assert await asking.status(*[A] * 101) == grpc.StatusCode.RESOURCE_EXHAUSTED
@@ -170,7 +114,11 @@
 
 @on_loop
 async def test_a_check_whose_caller_left_spends_nothing_and_one_out_of_time_is_unavailable(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Asking(node) as asking:
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        RateLimitClient(node) as asking,
+    ):
         core, held = node.node.core, []
         handle = core.module.handle
 
@@ -195,8 +143,12 @@
 
 
 @on_loop
-async def test_calls_called_off_by_the_thousand_leave_nothing(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Asking(node) as asking:
+async def test_calls_when_cancelled_by_the_thousand_leave_nothing(tmp_path):
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        RateLimitClient(node) as asking,
+    ):
         for _ in range(20):
             calls = [asyncio.ensure_future(asking.ask(A, hits=1)) for _ in range(100)]
             await asyncio.sleep(0)
@@ -209,8 +161,12 @@
 
 
 @on_loop
-async def test_the_end_answers_what_was_taken_and_closes_each_connection(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Asking(node) as asking:
+async def test_draining_answers_what_was_taken_and_closes_each_connection(tmp_path):
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        RateLimitClient(node) as asking,
+    ):
         core, held = node.node.core, []
         handle = core.module.handle
         core.module.handle = lambda now, event: (
@@ -233,7 +189,7 @@
         "plans": [*SETTINGS["plans"], {"name": "quota", "rate": 0.01, "most_at_once": 20.0}],
     }
     async with StubHost() as host, Node(host, path=tmp_path, settings=conf) as node:
-        async with Asking(node, spread=2) as asking:
+        async with RateLimitClient(node, spread=2) as asking:
             node.counter.script.play(Step("silent"))
             told = [(await asking.ask(A)).overall_code for _ in range(30)]
             while told[-1] != OVER and len(told) < 120:  # a busy machine denies more at first
@@ -248,19 +204,19 @@
 
 
 @on_loop
-async def test_a_gateway_that_is_none_of_a_customers_has_no_part_of_its_quota(tmp_path):
+async def test_a_gateway_outside_a_customers_spread_fails_its_precondition(tmp_path):
     conf = CONF | {"group_size": 3, "index": 2}
     async with StubHost() as host, Node(host, path=tmp_path, settings=conf) as node:
-        async with Asking(node, spread=2) as asking:
+        async with RateLimitClient(node, spread=2) as asking:
             assert await asking.status(A) == grpc.StatusCode.FAILED_PRECONDITION
-        async with Asking(node, spread=3) as asking:
+        async with RateLimitClient(node, spread=3) as asking:
             assert (await asking.ask(A)).overall_code == OK
 
 
 @on_loop
 async def test_a_limit_that_a_descriptor_brings_tightens_where_settings_allow_it(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
-        async with Asking(node, override="tighten") as asking:
+        async with RateLimitClient(node, override="tighten") as asking:
 
             def limited(requests, unit):
                 return {"account": A, "limit": (requests, unit)}
@@ -276,8 +232,8 @@
             assert 13 <= granted + codes_told.count(OK) <= 41
             assert (await asking.ask(limited(1000, 1))).overall_code == OVER
             assert await asking.status(limited(3, 6)) == grpc.StatusCode.INVALID_ARGUMENT  # a year
-        async with Asking(node, override="refuse") as asking:
+        async with RateLimitClient(node, override="refuse") as asking:
             assert await asking.status({"account": B, "limit": (3, 1)}) == grpc.StatusCode.INVALID_ARGUMENT
-        async with Asking(node) as asking:
+        async with RateLimitClient(node) as asking:
             told = [(await asking.ask({"account": B, "limit": (1, 4)})).overall_code for _ in range(5)]
             assert told == [OK] * 5
--- a/tests/ratelimit/test_wire.py
+++ b/tests/frontends/grpc/test_server_session.py
@@ -106,7 +106,7 @@
         (None, None),
     ],
 )
-def test_time_outs(text, seconds):
+def test_a_timeout_is_read_in_each_unit(text, seconds):
     pair = Pair()
     pair.ask(grpc_timeout=text)
     told = pair.told[0].timeout
@@ -128,7 +128,7 @@
         (dict(data=b"\0\xff\xff\xff\xff", end=False), rpc.RESOURCE_EXHAUSTED),
     ],
 )
-def test_what_is_no_call_is_refused_and_the_next_is_taken(what, status):
+def test_an_invalid_call_is_refused_and_the_next_is_taken(what, status):
     pair = Pair()
     number = pair.ask(**what)
     assert pair.status(number)[0] == status and not pair.told and pair.session.is_idle
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("more", [{"content_type": b"text/html"}, {"content_type": None}])
-def test_what_is_no_grpc_is_told_so_in_http(more):
+def test_a_request_that_is_no_grpc_is_answered_by_an_http_status(more):
     pair = Pair()
     pair.ask(**more)
     told = next(event for event in pair.heard if isinstance(event, h2.events.ResponseReceived))
@@ -158,7 +158,7 @@
     assert pair.status(big)[0] == rpc.RESOURCE_EXHAUSTED and not pair.session.incoming
 
 
-def test_calls_that_are_called_off_by_the_thousand():
+def test_calls_when_cancelled_by_the_thousand_leave_nothing():
     pair = Pair()
     for _ in range(3000):
         number = pair.ask()
@@ -217,7 +217,7 @@
     assert pair.data(number) == framed(b"y" * 100) and pair.status(number) == (0, b"")
 
 
-def test_the_end_lets_what_was_taken_be_answered_and_takes_nothing_new():
+def test_draining_lets_calls_that_were_taken_be_answered_and_takes_no_new_ones():
     pair = Pair()
     number = pair.ask()
     pair.session.start_draining()
@@ -245,7 +245,7 @@
     )
 
 
-def test_what_is_called_off_in_the_bytes_that_it_came_with_is_no_harm():
+def test_a_call_when_reset_in_the_bytes_that_it_came_with_does_no_harm():
     pair = Pair()
     client = pair.client
     client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 2})
@@ -268,7 +268,7 @@
     assert pair.ask() == pair.told[-1].stream_id
 
 
-def test_a_text_is_told_as_it_is_however_odd():
+def test_a_status_text_is_percent_encoded():
     pair = Pair()
     number = pair.ask()
     pair.session.send_status(number, rpc.UNAVAILABLE, "50% é\n")
@@ -279,7 +279,7 @@
 @seed(14)
 @settings(max_examples=150, deadline=None, database=None)
 @given(st.lists(st.integers(1, 400), max_size=12), st.binary(max_size=60), st.integers(0, 600))
-def test_whatever_comes_and_however_it_is_cut_it_is_read_or_over(cuts, noise, place):
+def test_any_bytes_however_they_are_cut_are_read_or_end_the_connection(cuts, noise, place):
     client = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
     client.initiate_connection()
     for _ in range(4):
@@ -304,7 +304,7 @@
     session.data_to_send()
 
 
-def test_a_client_that_says_it_ends_still_gets_what_it_asked():
+def test_a_client_that_sent_goaway_still_gets_its_responses():
     pair = Pair()
     number = pair.ask()
     pair.session.receive(GoAwayFrame(0, last_stream_id=0, error_code=0).serialize())
@@ -314,33 +314,10 @@
     assert pair.data(number) == framed(b"in time") and pair.session.is_finished
 
 
-@seed(14)
-@settings(max_examples=200, deadline=None, database=None)
-@given(
-    st.lists(st.tuples(st.sampled_from([0, 1, 4, 7]), st.binary(min_size=8, max_size=40)), max_size=8),
-    st.lists(st.integers(1, 50), max_size=20),
-)
-def test_a_sieve_takes_out_goaways_and_nothing_else_however_the_bytes_are_cut(frames, cuts):
-    stream, left, lasts = server_session.CLIENT_PREFACE, server_session.CLIENT_PREFACE, []
-    for kind, body in frames:
-        frame = len(body).to_bytes(3, "big") + bytes([kind, 0, 0, 0, 0, 1]) + body
-        stream += frame
-        if kind == 7:
-            lasts.append(int.from_bytes(body[:4], "big") & 0x7FFFFFFF)
-        else:
-            left += frame
-    sieve, got, seen, at = rpc.GoAwayFilter(server_session.CLIENT_PREFACE), b"", None, 0
-    for cut in [*cuts, len(stream)]:
-        data, last = sieve.feed(stream[at : at + cut])
-        at += cut
-        got, seen = got + data, last if last is not None else seen
-    assert got + sieve._partial_frame == left and seen == (lasts[-1] if lasts else None)
-
-
 STREAM = "/a.B/Talk"
 
 
-class Talking(Pair):
+class StreamingPair(Pair):
     def __init__(self):
         super().__init__()
         self.session.streaming_paths = {STREAM}
@@ -358,7 +335,7 @@
 
 
 def test_a_stream_is_given_out_message_by_message_and_answered_so():
-    pair = Talking()
+    pair = StreamingPair()
     number = pair.open(b"one", b"two")
     assert pair.told == [
         StreamOpened(number, STREAM),
@@ -383,7 +360,7 @@
 
 
 def test_a_stream_ends_from_either_side():
-    pair = Talking()
+    pair = StreamingPair()
     number = pair.open(b"one")
     pair.client.reset_stream(number)
     pair.go()
@@ -403,7 +380,7 @@
 
 
 def test_a_stream_that_sends_what_is_no_message_is_ended():
-    pair = Talking()
+    pair = StreamingPair()
     number = pair.open(b"one")
     pair.client.send_data(number, b"\1\0\0\0\1x")
     pair.go()
@@ -415,7 +392,7 @@
 
 
 def test_a_stream_whose_client_reads_nothing_is_bounded():
-    pair = Talking()
+    pair = StreamingPair()
     pair.client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 0})
     number = pair.open(b"one")
     for _ in range(100):
@@ -428,7 +405,7 @@
     )
 
 
-def test_halves_of_messages_are_bounded_together():
+def test_partial_messages_are_bounded_together():
     pair, numbers = Pair(), []
     for _ in range(20):
         number = pair.client.get_next_available_stream_id()
--- a/tests/ratelimit/test_tokens_used.py
+++ b/tests/frontends/grpc/test_token_redemption.py
@@ -4,7 +4,7 @@
 import os
 
 from netkit import SERVED, Node, StubHost, command, on_loop, terms
-from test_service import CONF, OK, Asking, until_over
+from rate_limit_client import CONF, OK, RateLimitClient, until_over
 
 from apigateway.frontends.grpc.mapping import DescriptorMapping, MappingRule
 from apigateway.frontends.grpc.tokens import QuotaTokens, RedeemedTokens, TokenKeys
@@ -13,7 +13,7 @@
 KEY, OTHER = b"k" * 32, b"o" * 32
 
 
-class Tokened(Asking):
+class TokenClient(RateLimitClient):
     """With tokens, whose time the test moves."""
 
     def __init__(self, node, seconds=5.0, index=0, span=1, **kw):
@@ -56,7 +56,11 @@
 
 @on_loop
 async def test_a_request_with_its_token_is_served_though_the_quota_is_spent_since(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Tokened(node) as asking:
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        TokenClient(node) as asking,
+    ):
         (token,) = await asking.token()
         await until_over(asking, A)
         assert (await asking.use()).startswith(b"-BUSY")
@@ -67,8 +71,12 @@
 
 
 @on_loop
-async def test_it_takes_units_once_where_there_are_some(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Tokened(node) as asking:
+async def test_a_check_with_its_request_spends_units_once(tmp_path):
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        TokenClient(node) as asking,
+    ):
         served = 0
         while token := await asking.token():
             assert await asking.use(token[0]) == SERVED
@@ -77,8 +85,12 @@
 
 
 @on_loop
-async def test_altered_of_another_customer_class_plan_or_units_or_too_late_it_is_no_token(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Tokened(node) as asking:
+async def test_a_token_when_altered_late_or_for_something_else_is_not_redeemed(tmp_path):
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        TokenClient(node) as asking,
+    ):
         (token,) = await asking.token()
         (half,) = await asking.token({"account": A, "cost": "half"})
         await until_over(asking, A)
@@ -96,8 +108,12 @@
 
 
 @on_loop
-async def test_of_a_rotated_key_it_holds_until_the_key_is_taken_away(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Tokened(node) as asking:
+async def test_a_token_of_a_rotated_key_holds_until_the_key_is_taken_away(tmp_path):
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        TokenClient(node) as asking,
+    ):
         one, two, three = [(await asking.token())[0] for _ in range(3)]
         await until_over(asking, A)
         asking.tokens.keys = TokenKeys([OTHER, KEY])
@@ -110,8 +126,12 @@
 
 
 @on_loop
-async def test_one_that_was_refused_before_anything_was_sent_stands_again(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Tokened(node) as asking:
+async def test_a_token_when_its_request_was_rejected_before_it_was_sent_is_restored(tmp_path):
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        TokenClient(node) as asking,
+    ):
         (token,) = await asking.token()
         await until_over(asking, A)
         core = node.node.core
@@ -124,8 +144,12 @@
 
 
 @on_loop
-async def test_each_descriptor_has_its_own_and_a_rule_without_has_none(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Tokened(node) as asking:
+async def test_each_descriptor_has_its_own_token_and_a_rule_without_has_none(tmp_path):
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        TokenClient(node) as asking,
+    ):
         response = await asking.ask(A, {"account": A, "plain": "1"}, B, {"account": A, "hits": 0})
         given = list(response.dynamic_metadata["tokens"])
         assert response.overall_code == OK and [bool(t) for t in given] == [True, False, True, False]
@@ -136,9 +160,9 @@
 
 
 @on_loop
-async def test_a_token_of_another_gateway_is_none_here_and_one_of_a_worker_beside_it_is(tmp_path):
+async def test_a_token_of_another_gateway_is_redeemed_only_within_its_group(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
-        async with Tokened(node, index=5, span=2) as asking:
+        async with TokenClient(node, index=5, span=2) as asking:
             from apigateway.frontends.grpc.tokens import TokenPurpose
 
             purpose = TokenPurpose(A, "quota", "read", 1.0)
@@ -151,8 +175,12 @@
 
 
 @on_loop
-async def test_without_keys_a_token_is_a_term_as_any(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node, Asking(node) as asking:
+async def test_a_token_when_there_are_no_keys_is_a_field_as_any(tmp_path):
+    async with (
+        StubHost() as host,
+        Node(host, path=tmp_path, settings=CONF) as node,
+        RateLimitClient(node) as asking,
+    ):
         response = await asking.ask(A)
         assert not response.response_headers_to_add and not response.dynamic_metadata
         assert await node.ask(command(b"r1", terms() + b",tok=abc")) == SERVED
--- /dev/null
+++ b/tests/frontends/resp/test_client_disconnects.py
@@ -0,0 +1,184 @@
+"""Clients that leave while something is still owed to them."""
+
+import asyncio
+import contextlib
+import socket
+
+import pytest
+from netkit import SERVED, Node, StubHost, command, on_loop, terms
+
+from apigateway import messages
+from apigateway.frontends.resp.client_connection import MAX_PENDING_COMMANDS
+
+
+@on_loop
+async def test_a_client_that_left_has_its_attempt_cancelled(tmp_path):
+    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
+        _, writer = await node.connect()
+        writer.write(command())
+        await host.arrived.get()
+        writer.close()
+        assert await host.arrived.get() is None  # the connection to the host ended
+        assert not node.node.core.in_flight
+
+
+def record_outcomes(node):
+    """What each request ends with from now on, in order; an event for each."""
+    seen, responses = asyncio.Queue(), node.node.core.responses
+    finish = responses.finish
+
+    def noted(work, outcome, *told):
+        seen.put_nowait((work.request_id, outcome))
+        finish(work, outcome, *told)
+
+    responses.finish = noted
+    return seen
+
+
+@on_loop
+async def test_a_client_that_leaves_while_it_is_not_read_has_left(tmp_path):
+    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+        _, writer = await node.connect()
+        seen, server = record_outcomes(node), node.node.fronts[0].server
+        writer.write(command(b"first", terms(d="60000")))
+        await host.arrived.get()
+        writer.write(b"*1\r\n$4\r\nPING\r\n" * MAX_PENDING_COMMANDS)  # answered behind the first
+        while not (
+            server.read_paused or server.connections and next(iter(server.connections)).is_read_paused
+        ):
+            await asyncio.sleep(0)
+        writer.write(command(b"unread"))
+        writer.close()
+        assert await seen.get() == ("first", "gone")
+        while server.connections:
+            await asyncio.sleep(0)
+        assert (
+            not (node.node.core.in_flight or server.read_paused or server.write_blocked_since)
+            and len(host.commands) == 1
+        )
+
+
+class BusyAdmission:
+    """The loop has always read for long enough in this turn; what waits is gone on with by the test."""
+
+    is_slice_used_up, lag = True, 0.0
+
+    def __init__(self):
+        self.deferred_connections, self.came = [], asyncio.Event()
+
+    def clock(self):
+        self.came.set()
+        return 0.0
+
+
+@on_loop
+async def test_a_client_that_leaves_while_its_commands_wait_their_turn_has_left(tmp_path):
+    async with StubHost() as host, Node(host, path=tmp_path) as node:
+        server = node.node.fronts[0].server
+        server.admission = admission = BusyAdmission()
+        _, writer = await node.connect()
+        writer.write(command(b"gone"))
+        await admission.came.wait()
+        (waits,) = admission.deferred_connections
+        writer.close()
+        while server.connections:
+            await asyncio.sleep(0.01)
+        waits()  # its turn comes
+        server.admission = None
+        assert await node.ask(command(b"next")) == SERVED
+        assert [c[2] for c in host.commands] == [b"next"]
+
+
+@on_loop
+async def test_a_client_that_ends_its_sending_and_takes_no_responses_has_left(tmp_path):
+    async with StubHost(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as host:
+        async with Node(host, path=tmp_path) as node:
+            _, writer = await node.connect()
+            writer.transport.pause_reading()
+            seen, server = record_outcomes(node), node.node.fronts[0].server
+            while not server.connections:
+                await asyncio.sleep(0)
+            (client,) = server.connections
+            client.transport.set_write_buffer_limits(high=10**9)  # it is read on, whatever it takes
+            for n in range(400):
+                writer.write(command(b"r%d" % n, customer=b"%016x" % n))
+                assert await seen.get() == (f"r{n}", "served")
+                if client.transport.get_write_buffer_size():
+                    break
+            host.answer = None
+            writer.write(command(b"last", terms(d="60000"), customer=b"%016x" % 999))
+            while host.commands[-1][2] != b"last":
+                await host.arrived.get()
+            writer.write_eof()
+            assert await seen.get() == ("last", "gone") and not node.node.core.in_flight
+
+
+class ScriptedModule:
+    """A module that does what stands here for the next event of a kind."""
+
+    def __init__(self, **does):
+        self.does, self.seen = does, asyncio.Queue()
+
+    def handle(self, now, event):
+        kind = type(event).__name__
+        self.seen.put_nowait(kind)
+        return list(self.does.get(kind, ()))
+
+
+@pytest.mark.parametrize("first", [None, "h1"])
+@on_loop
+async def test_a_request_whose_client_left_while_it_waited_is_never_forwarded(first, tmp_path):
+    """It waits for whatever the module waits for, or between two attempts; `first` turned it away."""
+    async with StubHost(b"-BUSY\r\n") as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+        core = node.node.core
+        begins = [messages.ForwardRequest("r1", first)] if first else []
+        core.module = ScriptedModule(Request=begins, TimerExpired=[messages.ForwardRequest("r1", "h2")])
+        _, writer = await node.connect()
+        writer.write(command())
+        while await core.module.seen.get() != ("AttemptOutcome" if first else "Request"):
+            pass
+        writer.close()
+        while await core.module.seen.get() != "ClientDisconnected":
+            pass
+        core.dispatch(messages.TimerExpired(0))  # the module did not hear of it in time
+        assert not core.in_flight and not node.node.hosts.open_count - len(node.node.hosts.connections)
+        core.module = ScriptedModule(Request=[messages.ForwardRequest("r2", "h2")])
+        assert await node.ask(command(b"r2")) == SERVED
+        assert [c[2] for c in two.commands] == [b"r2"]
+
+
+@on_loop
+async def test_a_request_whose_client_left_while_its_connection_came_up_is_never_forwarded(tmp_path):
+    async with StubHost() as host, Node(host, path=tmp_path) as node:
+        core, loop = node.node.core, asyncio.get_running_loop()
+        with socket.socket() as full, contextlib.ExitStack() as stack:
+            full.bind(("127.0.0.1", 0))
+            full.listen(0)
+            fill = [stack.enter_context(socket.socket()) for _ in range(4)]
+            for sock in fill:  # the queue of those that nobody accepts is full: the next comes up late
+                sock.setblocking(False)
+                sock.connect_ex(full.getsockname())
+            while not node.node.discovery.lists_received:  # its first list names the other address
+                await asyncio.sleep(0)
+            node.node.hosts.update_endpoint("h1", full.getsockname())
+            node.node.hosts.connect_timeout = 60.0
+            core.module = ScriptedModule(Request=[messages.ForwardRequest("r1", "h1")])
+            _, writer = await node.connect()
+            writer.write(command())
+            while await core.module.seen.get() != "Request":
+                pass
+            assert node.node.hosts.pools["h1"].connecting
+            writer.close()
+            while await core.module.seen.get() != "ClientDisconnected":
+                pass
+            assert not node.node.hosts.open_count and not core.in_flight
+            full.setblocking(False)
+            for sock in fill:
+                sock.close()
+            while True:  # what did come up brings no byte
+                try:
+                    got, _ = full.accept()
+                except BlockingIOError:
+                    break
+                with got:
+                    assert await loop.sock_recv(got, 100) == b""
--- a/tests/frontends/test_early.py
+++ b/tests/frontends/resp/test_load_shedding.py
@@ -1,17 +1,18 @@
-"""Early refusals and commands that wait their turn, over sockets. The gate and the end of a turn are the
-test's."""
+"""Early rejections and commands that wait their turn, over sockets.
+
+The gate and the end of a turn are the test's.
+"""
 
 import asyncio
 
-import pytest
 from netkit import SERVED, Node, StubHost, command, on_loop, read_reply, terms, write
 
-from apigateway.core import admission as doors
+from apigateway.core import admission as core_admission
 from apigateway.core.admission import AdmissionController
 from apigateway.policy.overload_gate import MOST_STEP, Gate
 
 
-class Scripted(Gate):
+class ScriptedGate(Gate):
     """Turns away what the test names."""
 
     def __init__(self, *customers, wait=0.25):
@@ -23,7 +24,7 @@
         return self.wait if customer in self.customers else -1.0
 
 
-def opened(node, gate):
+def install_admission(node, gate):
     node.node.core.admission = AdmissionController(gate, node.node.loop)
     for front in node.node.fronts:
         front.update_admission()
@@ -34,9 +35,9 @@
 
 
 @on_loop
-async def test_answers_keep_their_order_among_refusals(tmp_path):
+async def test_responses_keep_their_order_among_rejections(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        opened(node, Scripted(A))
+        install_admission(node, ScriptedGate(A))
         reader, writer = await node.connect()
         asked = [B, A, A, B, A, B]
         writer.write(b"".join(command(b"r%d" % n, customer=c.upper().encode()) for n, c in enumerate(asked)))
@@ -49,9 +50,9 @@
 
 
 @on_loop
-async def test_terms_in_another_order_are_asked_about_too(tmp_path):
+async def test_fields_in_another_order_are_asked_about_too(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        opened(node, gate := Scripted(A))
+        install_admission(node, gate := ScriptedGate(A))
         odd = b"units=1,spread=1,first=0,d=3000,t=p,c=read"
         assert await node.ask(command(b"a", odd, customer=A.encode())) == b"-BUSY 250\r\n"
         assert await node.ask(command(b"b", odd, customer=B.encode())) == SERVED
@@ -59,9 +60,9 @@
 
 
 @on_loop
-async def test_an_id_in_work_is_not_told_that_it_has_not_run(tmp_path):
+async def test_an_id_in_flight_is_not_told_that_it_has_not_run(tmp_path):
     async with StubHost(answer=lambda: None) as host, Node(host, path=tmp_path) as node:
-        opened(node, gate := Scripted())
+        install_admission(node, gate := ScriptedGate())
         _, writer = await node.connect()
         writer.write(write(b"w"))
         await host.arrived.get()
@@ -72,9 +73,9 @@
 
 @on_loop
 async def test_a_flood_waits_its_turn_and_all_of_it_is_answered(tmp_path, monkeypatch):
-    monkeypatch.setattr(doors, "READ_TIME_SLICE_S", 0.0)  # a turn is over after its second command
+    monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)  # a turn is over after its second command
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        door = opened(node, Scripted(A))
+        admission = install_admission(node, ScriptedGate(A))
         lines = [await node.connect() for _ in range(4)]
         for k, (_, writer) in enumerate(lines):
             writer.write(
@@ -85,17 +86,21 @@
             for _ in range(300):
                 assert await read_reply(reader) == b"-BUSY 250\r\n"
             assert await read_reply(reader) == SERVED
-        assert not door.deferred_connections and not door.is_slice_used_up or door.slice_started_at
+        assert (
+            not admission.deferred_connections
+            and not admission.is_slice_used_up
+            or admission.slice_started_at
+        )
         reader, writer = lines[0]
         writer.write(command(b"more", customer=B.encode()))  # it is read again
         assert await read_reply(reader) == SERVED
 
 
 @on_loop
-async def test_lost_framing_and_a_client_that_leaves_while_it_waits(tmp_path, monkeypatch):
-    monkeypatch.setattr(doors, "READ_TIME_SLICE_S", 0.0)
+async def test_lost_framing_and_a_client_that_leaves_while_it_is_deferred_end_alone(tmp_path, monkeypatch):
+    monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        door = opened(node, Scripted(A))
+        admission = install_admission(node, ScriptedGate(A))
         (reader, writer), (_, leaving) = await node.connect(), await node.connect()
         flood = b"".join(command(b"f%d" % n, customer=A.encode()) for n in range(50))
         leaving.write(flood + command(b"gone", customer=B.encode()))
@@ -105,36 +110,38 @@
         assert set(told[:50]) == {b"-BUSY 250\r\n"} and told[50] == b"-ERR protocol error\r\n"
         assert await reader.read() == b""
         assert await node.ask(command(b"after", customer=B.encode())) == SERVED
-        assert not door.deferred_connections and node.node.fronts[0].server.partial_bytes == 0
+        assert not admission.deferred_connections and node.node.fronts[0].server.partial_bytes == 0
 
 
 @on_loop
-async def test_what_was_read_is_answered_when_the_gateway_stops(tmp_path, monkeypatch):
-    monkeypatch.setattr(doors, "READ_TIME_SLICE_S", 0.0)
+async def test_deferred_commands_when_the_gateway_stops_are_answered(tmp_path, monkeypatch):
+    monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        door = opened(node, Scripted())
+        admission = install_admission(node, ScriptedGate())
         reader, writer = await node.connect()
         held = []
-        turned = door.start_turn
-        monkeypatch.setattr(door, "start_turn", lambda: held.append(1))  # turns end when the test says so
+        turned = admission.start_turn
+        monkeypatch.setattr(
+            admission, "start_turn", lambda: held.append(1)
+        )  # turns end when the test says so
         writer.write(b"".join(command(b"s%d" % n) for n in range(30)))
-        while not door.deferred_connections:
+        while not admission.deferred_connections:
             await asyncio.sleep(0)
         node.node.fronts[0].start_draining()  # as at SIGTERM: what was read is not forgotten
-        monkeypatch.setattr(door, "start_turn", turned)
-        door.start_turn()
+        monkeypatch.setattr(admission, "start_turn", turned)
+        admission.start_turn()
         told = [await read_reply(reader) for _ in range(30)]
         assert SERVED in told and set(told) <= {SERVED, b"-BUSY\r\n"}  # the module's own bound on what waits
         assert await reader.read() == b""
 
 
 @on_loop
-async def test_too_much_waiting_is_looked_at_at_once(tmp_path, monkeypatch):
-    monkeypatch.setattr(doors, "READ_TIME_SLICE_S", 0.0)
+async def test_deferred_commands_when_they_are_too_many_bytes_are_taken_at_once(tmp_path, monkeypatch):
+    monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        door = opened(node, Scripted(A))
+        admission = install_admission(node, ScriptedGate(A))
         node.node.fronts[0].server.max_partial_bytes = 1000  # bytes: half of it may wait
-        monkeypatch.setattr(door, "start_turn", lambda: None)
+        monkeypatch.setattr(admission, "start_turn", lambda: None)
         reader, writer = await node.connect()
         writer.write(b"".join(command(b"m%d" % n, customer=A.encode()) for n in range(100)))
         for _ in range(90):
@@ -142,11 +149,11 @@
 
 
 @on_loop
-async def test_the_module_refuses_and_the_customer_is_turned_away_early(tmp_path):
+async def test_a_customer_that_the_module_rejected_is_rejected_early(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         gate = Gate(0.01, 10.0, 2.0, 1)
         gate.share, gate.floor = 0.9, -MOST_STEP - 1  # overload: all are worth enough
-        opened(node, gate)
+        install_admission(node, gate)
         customer = b"00000000000000cc"
         told = b""
         for n in range(200):
@@ -160,33 +167,3 @@
         again = await node.ask(command(b"again", terms(t="small"), customer=customer))
         events_of_again = [event for event in events if getattr(event, "request_id", "") == "again"]
         assert again.startswith(b"-BUSY ") and not events_of_again
-
-
-@pytest.mark.parametrize(
-    "text",
-    [
-        b"c=read,t=p,d=3000,units=1,spread=1,first=0",
-        b"c=no,t=p,d=1,units=1,spread=1,first=0",
-        b"c=read,t=p,d=3000,k=5,units=1,spread=1,first=0",
-        b"",
-        b"c=read",
-        b"c=read,t=p,d=3000,units=1.5.5,spread=1,first=0",
-        b"\xff\xfe=1",
-    ],
-)
-def test_an_outline_says_what_reading_it_in_full_does(text):
-    from netkit import SETTINGS
-
-    from apigateway.frontends.resp.command import InvalidCommandError, parse_command
-    from apigateway.frontends.resp.command_scanner import CommandScanner
-    from apigateway.platform_settings import read_settings
-
-    told = read_settings(SETTINGS)
-    parts = [b"API.READ", b"00000000B4D65521", b"id-1", text]
-    seen = CommandScanner(told).scan(parts)
-    try:
-        request, _ = parse_command(told, parts, {})
-    except InvalidCommandError:
-        assert seen is None
-        return
-    assert seen is None or seen == CommandScanner(told).from_request(request)
