--- a/tests/external_ratelimit/test_client_session.py
+++ b/tests/external_ratelimit/test_client_session.py
@@ -11,7 +11,8 @@
 from hypothesis import strategies as st
 
 from apigateway.external_ratelimit.client_session import CallEnded, ClientSession
-from apigateway.frontends.grpc.wire import Call, Gone, Session
+from apigateway.frontends.grpc.events import CallCancelled, UnaryCall
+from apigateway.frontends.grpc.server_session import ServerSession
 from apigateway.upstream import rpc
 
 PATH = "/a.B/C"
@@ -57,21 +58,21 @@
 
 
 def test_call_is_read_by_the_servers_session():
-    client, server = ClientSession("host:1"), Session()
+    client, server = ClientSession("host:1"), ServerSession()
     number = client.start_call(PATH, b"hello", 0.25)
     told = server.receive(client.data_to_send())
-    assert told == [Call(number, PATH, b"hello", 0.25)]
-    client.receive(server.take())
+    assert told == [UnaryCall(number, PATH, b"hello", 0.25)]
+    client.receive(server.data_to_send())
     server.receive(client.data_to_send())
-    server.answer(number, b"world")
-    assert client.receive(server.take()) == [CallEnded(number, rpc.OK, "", b"world")]
+    server.send_response(number, b"world")
+    assert client.receive(server.data_to_send()) == [CallEnded(number, rpc.OK, "", b"world")]
     number = client.start_call(PATH, b"again", 1.0)
     server.receive(client.data_to_send())
-    server.fail(number, rpc.UNAVAILABLE, "50% é")
-    assert client.receive(server.take()) == [CallEnded(number, rpc.UNAVAILABLE, "50% é")]
+    server.send_status(number, rpc.UNAVAILABLE, "50% é")
+    assert client.receive(server.data_to_send()) == [CallEnded(number, rpc.UNAVAILABLE, "50% é")]
     number = client.start_call(PATH, b"never mind", 1.0)
     client.cancel(number)
-    assert server.receive(client.data_to_send())[-1] == Gone(number) and not client.open_calls
+    assert server.receive(client.data_to_send())[-1] == CallCancelled(number) and not client.open_calls
 
 
 def test_request_longer_than_the_window_continues_when_it_opens():
