--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -30,7 +30,7 @@
     from apigateway.frontends.grpc.front import GrpcFront
     from apigateway.membership.reconciler import EndpointReconciler
     from apigateway.membership.reconciler_driver import ReconcilerDriver
-    from apigateway.plugins.live import Hooks as Plugins
+    from apigateway.plugins.manager import PluginManager as Plugins
     from apigateway.policy.overload_gate import Gate
 
 OWN_MEMORY = 40 * 1024 * 1024  # bytes that the program takes itself, with some to spare
@@ -351,7 +351,7 @@
 
     def plugins_told(self) -> dict[str, Any]:
         """For `api-gateway plugin status`."""
-        return self.plugins.told() if self.plugins is not None else {"plugins": [], "records": None}
+        return self.plugins.status() if self.plugins is not None else {"plugins": [], "records": None}
 
     def limits_told(self) -> dict[str, Any]:
         """For `api-gateway ratelimit status`."""
--- a/apigateway/daemon/plugins.py
+++ b/apigateway/daemon/plugins.py
@@ -12,19 +12,19 @@
 from apigateway.config_validation import ConfigProblem, InvalidConfigFileError
 from apigateway.daemon.node import GatewayNode
 from apigateway.daemon.settings import Settings
-from apigateway.plugins.live import Hooks, SwapRefused
+from apigateway.plugins.chain_version import ChainVersion
 from apigateway.plugins.load import Place, load
-from apigateway.plugins.records import Recorder
+from apigateway.plugins.manager import PluginManager, StateTransferError
+from apigateway.plugins.records import RequestRecorder
 from apigateway.plugins.settings import RecordsPart
-from apigateway.plugins.version import Version
 
 
 @dataclass(slots=True)
 class Built:
     """What a reload is to go over to. `recorder` is None where the one that there is stays."""
 
-    version: Version
-    recorder: Recorder | None
+    version: ChainVersion
+    recorder: RequestRecorder | None
     keeps_recorder: bool
     status: str = ""  # what is other than before, for the log; empty: nothing
 
@@ -37,7 +37,7 @@
     path: str,
     settings: Settings,
     module: messages.Settings,
-    old: Hooks | None = None,
+    old: PluginManager | None = None,
     records: RecordsPart | None = None,
 ) -> Built:
     """`records`: as they were, with `old`. Raises InvalidConfigFileError; nothing of the new is left then."""
@@ -50,7 +50,7 @@
     if part.file:
         file = os.path.join(os.path.dirname(os.path.abspath(path)), part.file)
         try:
-            recorder = Recorder(file, part.only, part.max_mb * 1024 * 1024, part.waiting)
+            recorder = RequestRecorder(file, part.only, part.max_mb * 1024 * 1024, part.waiting)
         except OSError as err:
             drop(version, old)
             raise InvalidConfigFileError(
@@ -67,8 +67,8 @@
     return Built(version, recorder, False, status)
 
 
-def compared(old: Version | None, new: Version | None) -> str:
-    before, after = (one.seats if one is not None else [] for one in (old, new))
+def compared(old: ChainVersion | None, new: ChainVersion | None) -> str:
+    before, after = (one.runners if one is not None else [] for one in (old, new))
     fresh = [f"{seat.name} {seat.digest[:12]}" for seat in after if seat not in before]
     gone = sorted({seat.name for seat in before} - {seat.name for seat in after})
     parts = [f"plug-ins loaded: {', '.join(fresh)}"] if fresh else []
@@ -81,16 +81,16 @@
     load(settings.plugins, settings.hooks, Place(path, module, settings.gateway.seed)).close()
 
 
-def drop(version: Version, old: Hooks | None) -> None:
+def drop(version: ChainVersion, old: PluginManager | None) -> None:
     """A version that will not serve; what it has from the one in force stays."""
-    kept = old.version.seats if old is not None else []
-    for seat in version.seats:
+    kept = old.version.runners if old is not None else []
+    for seat in version.runners:
         if seat not in kept:
             seat.plugin.close()
 
 
 def start(node: GatewayNode, built: Built, tick: float) -> None:
-    hooks = Hooks(built.version, node.clock, node.loop, tick, built.recorder)
+    hooks = PluginManager(built.version, node.clock, node.loop, tick, built.recorder)
     hooks.start()
     node.plug_in(hooks)
 
@@ -103,12 +103,12 @@
         return
     try:
         hooks.swap(built.version, tick)
-    except SwapRefused as err:
+    except StateTransferError as err:
         drop(built.version, hooks)
         if built.recorder is not None:
             built.recorder.finish()
         raise InvalidConfigFileError(
-            [ConfigProblem(path, f"plugins.{err.name}", "", err.reason, "mend its on_load")]
+            [ConfigProblem(path, f"plugins.{err.plugin_name}", "", err.reason, "mend its on_load")]
         ) from err
     if not built.keeps_recorder:
         replaced, hooks.recorder = hooks.recorder, built.recorder
--- a/apigateway/plugins/__init__.py
+++ b/apigateway/plugins/__init__.py
@@ -1,1 +1,4 @@
-"""Plug-ins: what operators write themselves, within budgets, and what of it the rules allow."""
+"""Plug-ins: rules and WebAssembly modules that operators write.
+
+They run within budgets, and what they propose takes effect only as far as the gateway's rules allow.
+"""
--- a/apigateway/plugins/apart.py
+++ b/apigateway/plugins/apart.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from apigateway import messages
-from apigateway.plugins.terms import Budget, PluginFailed
+from apigateway.plugins.interfaces import Budget, PluginError
 
 LONGEST = 20.0  # s for all modules of one load
 
@@ -85,7 +85,7 @@
             plugin.close()
         except BadModule as err:
             why = f"{err}"
-        except PluginFailed as err:
+        except PluginError as err:
             why = f"failed its proof ({err})"
         print(" ".join(why.split()) or "odd", flush=True)
 
--- /dev/null
+++ b/apigateway/plugins/chain_version.py
@@ -0,0 +1,110 @@
+"""One version of the chain of plug-ins, which are asked in turn about each request.
+
+What they propose is judged before it takes effect. A request ends on the version that it began with.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable, Sequence
+
+from apigateway.plugins.circuit_breaker import SkipReason
+from apigateway.plugins.interfaces import BudgetPolicy, Phase, RequestView
+from apigateway.plugins.proposals import ProposalLimits, RequestEffects, evaluate
+from apigateway.plugins.runner import PluginRunner
+
+DEFAULT_MAX_CHAIN_TIME = 0.02  # s
+
+# Globals, for they are needed at each call: a member costs more to look up on its class.
+_REQUEST = Phase.REQUEST
+_REFUSE = BudgetPolicy.REFUSE
+
+
+class ChainVersion:
+    """The plug-ins of one version, in the order of the settings.
+
+    Attributes:
+        max_chain_time: Seconds that all plug-ins together may hold one request up.
+        number: Counts from 1.
+        open_requests: How many began with this version and are not over.
+        on_drained: Set when the version was replaced: called when its last request is over.
+    """
+
+    def __init__(
+        self,
+        runners: list[PluginRunner],
+        limits: ProposalLimits,
+        max_chain_time: float = DEFAULT_MAX_CHAIN_TIME,
+        number: int = 1,
+    ) -> None:
+        self.runners = runners
+        self.limits = limits
+        self.max_chain_time = max_chain_time
+        self.number = number
+        self.open_requests = 0
+        self.on_drained: Callable[[ChainVersion], None] | None = None
+        self.runners_by_phase = {
+            phase: [runner for runner in runners if phase in runner.plugin.phases] for phase in Phase
+        }
+
+    def acquire(self) -> None:
+        """Begin a request on this version."""
+        self.open_requests += 1
+
+    def release(self) -> None:
+        """End a request that began on this version."""
+        self.open_requests -= 1
+        if not self.open_requests and self.on_drained is not None:
+            self.on_drained(self)
+
+    def run_phase(self, phase: Phase, view: RequestView, effects: RequestEffects, now: float) -> float | None:
+        """Ask all plug-ins of a phase in turn, and apply to `effects` what is allowed.
+
+        Returns:
+            The seconds until the client may come back if the request is rejected, which ends the chain; else
+            None.
+        """
+        deadline = now + self.max_chain_time
+        is_first = True
+        for runner in self.runners_by_phase[phase]:
+            if not is_first and time.monotonic() > deadline:
+                proposals = None
+                runner.skip(SkipReason.CHAIN_TIME)
+            else:
+                proposals = runner.run(phase, view, now)
+            is_first = False
+            if proposals is None:
+                if phase == _REQUEST and runner.budget.when_exceeded is _REFUSE:
+                    return self._reject_by_budget(runner, effects, now)
+                continue
+            if not proposals:
+                continue
+            verdict = evaluate(phase, proposals, effects, self.limits)
+            runner.record_verdict(verdict)
+            if verdict.tags or verdict.route:
+                effects.apply(phase, verdict)
+                view.route = effects.route
+            if verdict.retry_after is not None:
+                effects.rejected_by = runner.name
+                return verdict.retry_after
+        return None
+
+    def _reject_by_budget(self, runner: PluginRunner, effects: RequestEffects, now: float) -> float:
+        runner.record_rejection_by_budget()
+        effects.rejected_by = runner.name
+        return min(runner.circuit_breaker.time_until_available(now), self.limits.max_retry_after)
+
+    def tick(self, unix_time: float, now: float) -> None:
+        """Call the plug-ins that have the phase TICK."""
+        if self.runners_by_phase[Phase.TICK]:
+            self.run_phase(Phase.TICK, RequestView(now=unix_time), RequestEffects(is_over=True), now)
+
+    def close(self) -> None:
+        """Close all plug-ins."""
+        close_plugins(self.runners)
+
+
+def close_plugins(runners: Sequence[PluginRunner]) -> None:
+    """Close the plug-ins of these runners."""
+    for runner in runners:
+        runner.plugin.close()
--- a/apigateway/plugins/load.py
+++ b/apigateway/plugins/load.py
@@ -14,11 +14,20 @@
 
 from apigateway import messages
 from apigateway.config_validation import ConfigProblem, ConfigReader, InvalidConfigFileError, read_toml
-from apigateway.plugins.proposals import Allowance
+from apigateway.plugins.chain_version import ChainVersion
+from apigateway.plugins.interfaces import (
+    Budget,
+    BudgetPolicy,
+    Outcome,
+    Phase,
+    Plugin,
+    PluginError,
+    RequestView,
+)
+from apigateway.plugins.proposals import ProposalLimits
 from apigateway.plugins.rules import RuleFault, RulesPlugin
+from apigateway.plugins.runner import PluginRunner
 from apigateway.plugins.settings import HooksPart, PluginPart, RuleFile, RulePart
-from apigateway.plugins.terms import ANSWER, ATTEMPT, OUTCOMES, REQUEST, Budget, Plugin, PluginFailed, View
-from apigateway.plugins.version import Seat, Version
 
 MOST_PLUGINS = 64
 MOST_PROOFS = 12  # requests that each plug-in is proved with
@@ -35,9 +44,9 @@
     settings: messages.Settings
     seed: int = 0
 
-    def allowance(self, hooks: HooksPart) -> Allowance:
+    def allowance(self, hooks: HooksPart) -> ProposalLimits:
         limits = self.settings.limits
-        return Allowance(
+        return ProposalLimits(
             frozenset(self.settings.routes),
             hooks.max_tags,
             hooks.max_tag_bytes,
@@ -63,10 +72,10 @@
         told.span,
         told.key_bytes,
         told.log_lines,
-        failures=told.failures,
-        rest=told.rest,
-        most_rest=max(told.rest, told.most_rest),
-        past=part.past,
+        failure_threshold=told.failures,
+        open_time=told.rest,
+        max_open_time=max(told.rest, told.most_rest),
+        when_exceeded=BudgetPolicy(part.past),
     )
 
 
@@ -127,7 +136,7 @@
             return WasmPlugin(part.name, self.raw, part.settings, self.budget, self.seed)
         except BadModule as err:
             raise Bad("file", part.file, str(err), "`api-gateway plugin check` says more") from err
-        except PluginFailed as err:
+        except PluginError as err:
             raise Bad("file", part.file, f"its start failed ({err})", "mend the module") from err
 
 
@@ -152,14 +161,14 @@
     return Source(part, budget_of(part), raw, rules, seed, path)
 
 
-def proofs(settings: messages.Settings) -> list[View]:
+def proofs(settings: messages.Settings) -> list[RequestView]:
     """Requests of each class and plan that the gateway has."""
-    made: list[View] = []
+    made: list[RequestView] = []
     for cls in settings.classes.values():
         for plan in settings.plans.values():
             number = len(made) + 1
             made.append(
-                View(
+                RequestView(
                     f"proof-{number}",
                     f"{number:016x}",
                     plan.name,
@@ -174,18 +183,22 @@
 
 
 def prove(plugin: Plugin, settings: messages.Settings) -> None:
-    """Its own self-test, then a call of each phase for each kind of request. Raises PluginFailed."""
-    plugin.prove()
+    """Its own self-test, then a call of each phase for each kind of request. Raises PluginError."""
+    plugin.self_test()
     for number, view in enumerate(proofs(settings)):
-        for phase in (REQUEST, ATTEMPT, ANSWER):
+        for phase in (Phase.REQUEST, Phase.ATTEMPT, Phase.ANSWER):
             if phase in plugin.phases:
-                if phase == ATTEMPT:
-                    view.host = "proof-host"
-                if phase == ANSWER:
-                    view.outcome, view.elapsed, view.host = OUTCOMES[number % len(OUTCOMES)], 0.01, ""
+                if phase == Phase.ATTEMPT:
+                    view.endpoint_id = "proof-host"
+                if phase == Phase.ANSWER:
+                    view.outcome, view.elapsed, view.endpoint_id = (
+                        list(Outcome)[number % len(Outcome)],
+                        0.01,
+                        "",
+                    )
                 plugin.call(phase, view)
     if "tick" in plugin.phases:
-        plugin.call("tick", View(now=time.time()))
+        plugin.call(Phase.TICK, RequestView(now=time.time()))
     plugin.reset()
 
 
@@ -209,12 +222,12 @@
     return {number: why for number, why in zip(modules, told, strict=True) if why}
 
 
-def seated(one: Source, place: Place) -> Seat:
+def seated(one: Source, place: Place) -> PluginRunner:
     """Raises Bad."""
     plugin = one.make()
     try:
         prove(plugin, place.settings)
-    except PluginFailed as err:
+    except PluginError as err:
         plugin.close()
         raise Bad(
             "file" if one.part.file else "rules",
@@ -222,17 +235,19 @@
             f"failed its proof ({err})",
             "mend it, or widen its budget",
         ) from err
-    return Seat(one.part.name, plugin, one.budget, one.digest, time.monotonic())
+    return PluginRunner(one.part.name, plugin, one.budget, one.digest, time.monotonic())
 
 
-def load(parts: Sequence[PluginPart], hooks: HooksPart, place: Place, old: Version | None = None) -> Version:
+def load(
+    parts: Sequence[PluginPart], hooks: HooksPart, place: Place, old: ChainVersion | None = None
+) -> ChainVersion:
     """All plug-ins, proved. One whose file and settings are what they were goes on as it is, with its state
     and
     its figures. Raises InvalidConfigFileError with all that is wrong; then nothing of the new is left."""
     folder = os.path.dirname(os.path.abspath(place.path))
-    before = {seat.name: seat for seat in old.seats} if old is not None else {}
+    before = {seat.name: seat for seat in old.runners} if old is not None else {}
     faults: list[ConfigProblem] = []
-    seats: list[Seat] = []
+    seats: list[PluginRunner] = []
     names: set[str] = set()
 
     def fault(number: int, err: Bad) -> None:
@@ -282,4 +297,4 @@
             if seat not in before.values():
                 seat.plugin.close()
         raise InvalidConfigFileError(faults)
-    return Version(seats, place.allowance(hooks), hooks.time_ms / 1000)
+    return ChainVersion(seats, place.allowance(hooks), hooks.time_ms / 1000)
--- a/apigateway/plugins/records.py
+++ b/apigateway/plugins/records.py
@@ -1,5 +1,7 @@
-"""Records of requests that are over, a line of JSON each, written by a thread: the disk never holds up what
-serves."""
+"""Records of requests that are over, a line of JSON each.
+
+A thread writes them, so that the disk never holds up what serves.
+"""
 
 from __future__ import annotations
 
@@ -8,142 +10,163 @@
 import os
 import queue
 import threading
-from collections.abc import Iterator
-from typing import Any
+from collections.abc import Iterator, Sequence
+from typing import Any, TextIO
+
+from apigateway.plugins.interfaces import RequestView
+from apigateway.plugins.proposals import RequestEffects
 
-from apigateway.plugins.proposals import Standing
-from apigateway.plugins.terms import View
+ROTATED_SUFFIX = ".1"
 
-ROTATED = ".1"
+_CLOSE_TIMEOUT = 5.0  # s that an end waits for the disk: one that hangs must not hold it up
+_FULL_QUEUE_TIMEOUT = 1.0  # s of them for a place in the queue
 
 log = logging.getLogger(__name__)
 
 
-def record(view: View, standing: Standing, hosts: list[str]) -> dict[str, Any]:
+def build_record(view: RequestView, effects: RequestEffects, endpoint_ids: Sequence[str]) -> dict[str, Any]:
+    """Return the record of a request that is over; `endpoint_ids` are those of its attempts."""
     return {
         "at": round(view.now, 6),
-        "id": view.id,
+        "id": view.request_id,
         "customer": view.customer,
         "plan": view.plan,
-        "class": view.cls,
+        "class": view.service_class,
         "units": view.units,
-        "left": round(view.left, 3),
-        "write": view.write,
-        "repeat": view.repeat,
-        "tags": standing.tags,
-        "route": standing.route,
+        "left": round(view.remaining, 3),
+        "write": view.is_write,
+        "repeat": view.is_retry,
+        "tags": effects.tags,
+        "route": effects.route,
         "attempts": [
-            {"host": host, "tags": tags} for host, tags in zip(hosts, standing.attempts, strict=False)
+            {"host": endpoint_id, "tags": tags}
+            for endpoint_id, tags in zip(endpoint_ids, effects.attempt_tags, strict=False)
         ],
         "outcome": view.outcome,
-        "by": standing.by,
+        "by": effects.rejected_by,
         "elapsed": round(view.elapsed, 6),
     }
 
 
-def view_of(told: dict[str, Any]) -> View:
-    """A recorded request as it was when it was taken. Raises ValueError where it is none."""
+def parse_record(record: dict[str, Any]) -> RequestView:
+    """Return a recorded request as it was when it was taken. Raises ValueError where it is none."""
     try:
-        return View(
-            id=str(told["id"]),
-            customer=str(told["customer"]),
-            plan=str(told["plan"]),
-            cls=str(told["class"]),
-            units=float(told["units"]),
-            left=float(told["left"]),
-            now=float(told["at"]) - float(told.get("elapsed", 0.0)),
-            write=bool(told.get("write")),
-            repeat=bool(told.get("repeat")),
+        return RequestView(
+            request_id=str(record["id"]),
+            customer=str(record["customer"]),
+            plan=str(record["plan"]),
+            service_class=str(record["class"]),
+            units=float(record["units"]),
+            remaining=float(record["left"]),
+            now=float(record["at"]) - float(record.get("elapsed", 0.0)),
+            is_write=bool(record.get("write")),
+            is_retry=bool(record.get("repeat")),
         )
     except (KeyError, TypeError) as err:
         raise ValueError(f"a record without {err}") from err
 
 
 def read_records(path: str) -> Iterator[tuple[int, dict[str, Any]]]:
-    """Number of the line and record. A last line that was cut short is left out. Raises ValueError."""
+    """Yield line number and record of each line, but for a last one that was cut short. Raises ValueError."""
     with open(path, encoding="utf-8") as file:
         for number, line in enumerate(file, 1):
             if not line.endswith("\n"):
                 return
-            told = json.loads(line)
-            if not isinstance(told, dict):
+            record = json.loads(line)
+            if not isinstance(record, dict):
                 raise ValueError(f"line {number} is no record")
-            yield number, told
-
-
-class Recorder:
-    """`only`: a tag; records without it are not kept. At `most` bytes the file becomes FILE.1, in place of
-    the one
-    before. `waiting` records at most wait for the disk; what comes then is dropped and counted."""
-
-    def __init__(self, path: str, only: str, most: float, waiting: int) -> None:
-        self.path, self.only, self.most = path, only, most
-        self.taken = self.written = self.dropped = self.failed = 0
-        self.size = 0
-        self.file = self.open()  # a path that cannot be written is told at the start
-        self.queue: queue.Queue[dict[str, Any] | None] = queue.Queue(waiting)
-        self.thread = threading.Thread(target=self.run, name="records", daemon=True)
+            yield number, record
+
+
+class RequestRecorder:
+    """Writes records to a file from a thread of its own.
+
+    Attributes:
+        only_tag: Requests without this tag are not recorded; empty: all are.
+        max_bytes: At this size the file becomes FILE.1, in place of the one before.
+        accepted: Records that were put into the queue.
+        dropped: Records for which the queue had no room.
+    """
+
+    def __init__(self, path: str, only_tag: str, max_bytes: float, queue_size: int) -> None:
+        """Open the file and start the thread. Raises OSError where it cannot be written."""
+        self.path = path
+        self.only_tag = only_tag
+        self.max_bytes = max_bytes
+        self.accepted = 0
+        self.written = 0
+        self.dropped = 0
+        self.failed = 0
+        self._size = 0  # bytes
+        self._file = self._open()
+        self._queue: queue.Queue[dict[str, Any] | None] = queue.Queue(queue_size)  # None: the end
+        self.thread = threading.Thread(target=self._run, name="records", daemon=True)
         self.thread.start()
 
-    def open(self) -> Any:
-        file = open(self.path, "a", encoding="utf-8")
-        self.size = file.tell()
+    def _open(self) -> TextIO:
+        file = open(self.path, "a", encoding="utf-8")  # noqa: SIM115 - open for as long as the recorder is
+        self._size = file.tell()
         return file
 
-    def note(self, view: View, standing: Standing, hosts: list[str]) -> None:
-        if self.only and self.only not in standing.tags:
+    def record(self, view: RequestView, effects: RequestEffects, endpoint_ids: Sequence[str]) -> None:
+        """Take a request that is over, if it is to be recorded; never waits."""
+        if self.only_tag and self.only_tag not in effects.tags:
             return
         try:
-            self.queue.put_nowait(record(view, standing, list(hosts)))
-            self.taken += 1
+            self._queue.put_nowait(build_record(view, effects, list(endpoint_ids)))
+            self.accepted += 1
         except queue.Full:
             self.dropped += 1
 
-    def run(self) -> None:
-        while (told := self.queue.get()) is not None:
+    def _run(self) -> None:
+        while (record := self._queue.get()) is not None:
             try:
-                self.write(told)
+                self._write(record)
             except (OSError, ValueError) as err:
                 self.failed += 1
                 if self.failed == 1:
                     log.error("records: %s: %s", self.path, err)
-        self.file.close()
-
-    def write(self, told: dict[str, Any]) -> None:
-        if self.file.closed:
-            self.file = self.open()
-        line = json.dumps(told, ensure_ascii=True) + "\n"
-        if self.size and self.size + len(line) > self.most:
-            self.file.close()
-            os.replace(self.path, self.path + ROTATED)
-            self.file = self.open()
-        self.file.write(line)
-        if self.queue.empty():
-            self.file.flush()
-        self.size += len(line)
+        self._file.close()
+
+    def _write(self, record: dict[str, Any]) -> None:
+        if self._file.closed:
+            self._file = self._open()
+        line = json.dumps(record, ensure_ascii=True) + "\n"
+        if self._size and self._size + len(line) > self.max_bytes:
+            self._rotate()
+        self._file.write(line)
+        if self._queue.empty():
+            self._file.flush()
+        self._size += len(line)
         self.written += 1
 
-    def figures(self) -> dict[str, Any]:
+    def _rotate(self) -> None:
+        self._file.close()
+        os.replace(self.path, self.path + ROTATED_SUFFIX)
+        self._file = self._open()
+
+    def status(self) -> dict[str, Any]:
+        """Return what was recorded so far, for operators."""
         return {
             "file": self.path,
-            "only": self.only,
+            "only": self.only_tag,
             "written": self.written,
             "dropped": self.dropped,
             "failed": self.failed,
-            "waiting": self.taken - self.written - self.failed,
+            "waiting": self.accepted - self.written - self.failed,
         }
 
     def finish(self) -> None:
-        """Takes no more and writes what it has, without being waited for."""
+        """Take no more and write what there is, without being waited for."""
         try:
-            self.queue.put_nowait(None)
+            self._queue.put_nowait(None)
         except queue.Full:
             self.dropped += 1
 
     def close(self) -> None:
-        """All that was noted is written first. At most 5 s: a disk that hangs must not hold up an end."""
+        """Write what there is, and wait for it for a bounded time."""
         try:
-            self.queue.put(None, timeout=1.0)
+            self._queue.put(None, timeout=_FULL_QUEUE_TIMEOUT)
         except queue.Full:
             return
-        self.thread.join(5.0)
+        self.thread.join(_CLOSE_TIMEOUT)
--- a/apigateway/plugins/rules.py
+++ b/apigateway/plugins/rules.py
@@ -7,13 +7,13 @@
 from operator import attrgetter
 from typing import Any
 
+from apigateway.plugins.interfaces import Budget, FailureReason, Phase, PluginError, Proposal, RequestView
 from apigateway.plugins.language.compiler import NUMBER, TAGS, TEXT, TRUTH, Compiled, Run, compile_text
 from apigateway.plugins.language.library import RunError, text
 from apigateway.plugins.language.parser import LanguageError
-from apigateway.plugins.memory import Counters, Ration
-from apigateway.plugins.proposals import KEY
+from apigateway.plugins.plugin_state import Counters, LogRateLimiter
+from apigateway.plugins.proposals import TAG_KEY_PATTERN
 from apigateway.plugins.settings import RulePart
-from apigateway.plugins.terms import ANSWER, ATTEMPT, REQUEST, TICK, Budget, PluginFailed, Proposal, View
 
 MOST_RULES = 200
 MOST_LINE = 200  # characters of a log line
@@ -27,34 +27,34 @@
 
 NOW = {"now": field("now", NUMBER)}
 OF_REQUEST = NOW | {
-    "id": field("id", TEXT),
+    "id": field("request_id", TEXT),
     "customer": field("customer", TEXT),
     "plan": field("plan", TEXT),
-    "class": field("cls", TEXT),
+    "class": field("service_class", TEXT),
     "units": field("units", NUMBER),
-    "left": field("left", NUMBER),
-    "write": field("write", TRUTH),
-    "repeat": field("repeat", TRUTH),
+    "left": field("remaining", NUMBER),
+    "write": field("is_write", TRUTH),
+    "repeat": field("is_retry", TRUTH),
     "tags": field("tags", TAGS),
     "route": field("route", TEXT),
 }
 FIELDS: dict[str, dict[str, tuple[str, Run]]] = {
-    REQUEST: OF_REQUEST,
-    ATTEMPT: OF_REQUEST | {"host": field("host", TEXT), "attempt": field("attempt", NUMBER)},
-    ANSWER: OF_REQUEST
+    Phase.REQUEST: OF_REQUEST,
+    Phase.ATTEMPT: OF_REQUEST | {"host": field("endpoint_id", TEXT), "attempt": field("attempt", NUMBER)},
+    Phase.ANSWER: OF_REQUEST
     | {
         "attempts": field("attempt", NUMBER),
         "outcome": field("outcome", TEXT),
         "elapsed": field("elapsed", NUMBER),
     },
-    TICK: NOW,
+    Phase.TICK: NOW,
 }
 # What a rule may say in which phase: all else is refused when it is loaded.
 MAY = {
-    REQUEST: ("tag", "refuse", "route", "count", "log"),
-    ATTEMPT: ("tag", "count", "log"),
-    ANSWER: ("count", "log"),
-    TICK: ("count", "log"),
+    Phase.REQUEST: ("tag", "refuse", "route", "count", "log"),
+    Phase.ATTEMPT: ("tag", "count", "log"),
+    Phase.ANSWER: ("count", "log"),
+    Phase.TICK: ("count", "log"),
 }
 
 
@@ -71,7 +71,7 @@
 
     def __init__(self, part: RulePart, at: str, settings: Mapping[str, Any], seed: int) -> None:
         self.part, self.at, self.settings, self.seed = part, at, settings, seed
-        self.phase, self.stop = part.on, part.stop
+        self.phase, self.stop = Phase(part.on), part.stop
         for verb in ("tag", "refuse", "route", "count", "log"):
             if getattr(part, verb) and verb not in MAY[self.phase]:
                 raise RuleFault(
@@ -83,7 +83,7 @@
         self.always = part.when.strip() == "true"
         self.tags = [(key, *self.value(f"tag.{key}", told)) for key, told in part.tag.items()]
         for key in part.tag:
-            if not KEY.fullmatch(key):
+            if not TAG_KEY_PATTERN.fullmatch(key):
                 raise RuleFault(f"{at}.tag", key, "a tag's name is small letters, digits and _.-, 32 at most")
         self.refuse = self.compiled("refuse", part.refuse, NUMBER).run if part.refuse else None
         self.route = self.compiled("route", part.route, TEXT).run if part.route else None
@@ -105,7 +105,7 @@
         made = self.compiled(key, told, TEXT, NUMBER, TRUTH)
         return made.run, made.type == TEXT
 
-    def act(self, view: View, counters: Counters, lines: list[str]) -> list[Proposal]:
+    def act(self, view: RequestView, counters: Counters, lines: list[str]) -> list[Proposal]:
         said: list[Proposal] = []
         for key, run, plain in self.tags:
             value = run(view)
@@ -134,7 +134,7 @@
             raise RuleFault("rules", None, "no rule")
         if len(parts) > MOST_RULES:
             raise RuleFault("rules", len(parts), f"more than {MOST_RULES} rules")
-        self.rules: dict[str, list[Rule]] = {}
+        self.rules: dict[Phase, list[Rule]] = {}
         for number, part in enumerate(parts):
             rule = Rule(part, f"rules[{number}]", settings, seed)
             self.rules.setdefault(rule.phase, []).append(rule)
@@ -142,9 +142,9 @@
         self.reset()
 
     def reset(self) -> None:
-        self.tallies, self.ration = Counters(), Ration(self.budget.log_lines)
+        self.tallies, self.ration = Counters(), LogRateLimiter(self.budget.log_lines)
 
-    def call(self, phase: str, view: View) -> list[Proposal]:
+    def call(self, phase: Phase, view: RequestView) -> list[Proposal]:
         said: list[Proposal] = []
         lines: list[str] = []
         try:
@@ -154,27 +154,27 @@
                     if rule.stop:
                         break
         except RunError as err:
-            raise PluginFailed("error", str(err)) from err
+            raise PluginError(FailureReason.ERROR, str(err)) from err
         except (ArithmeticError, ValueError, TypeError, RecursionError) as err:
-            raise PluginFailed("error", f"{type(err).__name__} {err}") from err
+            raise PluginError(FailureReason.ERROR, f"{type(err).__name__} {err}") from err
         for line in lines:
-            if self.ration.may(view.now):
+            if self.ration.try_acquire(view.now):
                 log.info("%s: %s", self.name, cleaned(line))
         return said
 
-    def prove(self) -> None:
+    def self_test(self) -> None:
         """Rules bring no self-test of their own."""
 
-    def save(self) -> bytes | None:
+    def save_state(self) -> bytes | None:
         return None
 
-    def load(self, state: bytes) -> bool:
+    def load_state(self, state: bytes) -> bool:
         return False
 
     def counters(self) -> dict[str, float]:
         return self.tallies.values
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         return {"log lines dropped": self.ration.dropped, "counts dropped": self.tallies.dropped}
 
     def close(self) -> None:
--- a/apigateway/plugins/testkit.py
+++ b/apigateway/plugins/testkit.py
@@ -19,15 +19,26 @@
 
 from apigateway import messages
 from apigateway.config_validation import ConfigReader, ConfigSection, InvalidConfigFileError, read_toml
+from apigateway.plugins.chain_version import ChainVersion
+from apigateway.plugins.interfaces import Phase, RequestView
 from apigateway.plugins.load import Place, load
-from apigateway.plugins.proposals import Standing
+from apigateway.plugins.proposals import RequestEffects
+from apigateway.plugins.runner import PluginRunner
 from apigateway.plugins.settings import HooksPart, PluginPart
-from apigateway.plugins.terms import ANSWER, ATTEMPT, REQUEST, View
-from apigateway.plugins.version import Seat, Version
 
 CLASSES = {"roster-read": "safe", "shift-update": "keyed", "staff-notice": "unsafe"}
 PLANS = ("basic", "standard", "enterprise")
 
+# The keywords of `Kit.request`, which are the rules' words, where a view's field has another name.
+_VIEW_FIELDS = {
+    "id": "request_id",
+    "cls": "service_class",
+    "left": "remaining",
+    "write": "is_write",
+    "repeat": "is_retry",
+    "host": "endpoint_id",
+}
+
 PRELUDE = """(module
   (import "calicomast" "setting" (func $setting (param i32 i32 i32 i32) (result i32)))
   (import "calicomast" "setting_number" (func $setting_number (param i32 i32) (result f64)))
@@ -115,23 +126,23 @@
     """What came of one request. `refuse` in seconds; `denied` by plug-in, as `verb: reason`; `failed`
     likewise."""
 
-    view: View
-    standing: Standing
+    view: RequestView
+    effects: RequestEffects
     refuse: float | None = None
     denied: list[tuple[str, str]] = field(default_factory=list)
     failed: list[tuple[str, str]] = field(default_factory=list)
 
     @property
     def tags(self) -> dict[str, str]:
-        return self.standing.tags
+        return self.effects.tags
 
     @property
     def route(self) -> str:
-        return self.standing.route
+        return self.effects.route
 
 
 class Kit:
-    def __init__(self, version: Version, now: float = 1_790_000_000.0) -> None:
+    def __init__(self, version: ChainVersion, now: float = 1_790_000_000.0) -> None:
         """`now`: Unix time that plug-ins are told."""
         self.version, self.now, self.requests = version, now, 0
 
@@ -144,56 +155,57 @@
         return cls(load(told.plugins, told.hooks, Place(path, place or settings())))
 
     @property
-    def seats(self) -> list[Seat]:
-        return self.version.seats
+    def runners(self) -> list[PluginRunner]:
+        return self.version.runners
 
-    def seat(self, name: str) -> Seat:
-        return next(seat for seat in self.seats if seat.name == name)
+    def runner(self, name: str) -> PluginRunner:
+        return next(runner for runner in self.runners if runner.name == name)
 
     def request(self, *, now: float | None = None, **fields: Any) -> Told:
-        """`fields` are those of terms.View."""
+        """`fields`: id, customer, plan, cls, units, left, write, repeat."""
         self.requests += 1
-        standing = Standing()
-        given = {
-            "id": f"request-{self.requests}",
+        effects = RequestEffects()
+        given: dict[str, Any] = {
+            "request_id": f"request-{self.requests}",
             "customer": f"{self.requests:016x}",
             "plan": PLANS[0],
-            "cls": "roster-read",
+            "service_class": "roster-read",
             "units": 1.0,
-            "left": 3.0,
+            "remaining": 3.0,
             "now": now if now is not None else self.now,
         }
-        view = View(**{**given, **fields}, tags=standing.tags)
-        told = Told(view, standing)
-        told.refuse = self.ask(REQUEST, told)
+        given |= {_VIEW_FIELDS.get(name, name): value for name, value in fields.items()}
+        view = RequestView(**given, tags=effects.tags)
+        told = Told(view, effects)
+        told.refuse = self.ask(Phase.REQUEST, told)
         return told
 
     def attempt(self, told: Told, host: str = "h1") -> dict[str, str]:
         """An attempt of it is about to be sent; the attempt's tags."""
-        told.standing.attempts.append({})
-        told.view.host, told.view.attempt = host, len(told.standing.attempts) - 1
-        self.ask(ATTEMPT, told)
-        return told.standing.attempts[-1]
+        told.effects.attempt_tags.append({})
+        told.view.endpoint_id, told.view.attempt = host, len(told.effects.attempt_tags) - 1
+        self.ask(Phase.ATTEMPT, told)
+        return told.effects.attempt_tags[-1]
 
     def answer(self, told: Told, outcome: str = "served", elapsed: float = 0.05) -> None:
-        told.standing.over = True
-        told.view.outcome, told.view.elapsed, told.view.host = outcome, elapsed, ""
-        told.view.attempt = len(told.standing.attempts)
-        self.ask(ANSWER, told)
+        told.effects.is_over = True
+        told.view.outcome, told.view.elapsed, told.view.endpoint_id = outcome, elapsed, ""
+        told.view.attempt = len(told.effects.attempt_tags)
+        self.ask(Phase.ANSWER, told)
 
     def tick(self) -> None:
         self.version.tick(self.now, time.monotonic())
 
-    def ask(self, phase: str, told: Told) -> float | None:
-        before = [(seat.denied.copy(), seat.failed.copy()) for seat in self.seats]
-        refuse = self.version.ask(phase, told.view, told.standing, time.monotonic())
-        for seat, (denied, failed) in zip(self.seats, before, strict=True):
-            told.denied += [(seat.name, what) for what in (seat.denied - denied).elements()]
-            told.failed += [(seat.name, what) for what in (seat.failed - failed).elements()]
+    def ask(self, phase: Phase, told: Told) -> float | None:
+        before = [(runner.denied.copy(), runner.failures.copy()) for runner in self.runners]
+        refuse = self.version.run_phase(phase, told.view, told.effects, time.monotonic())
+        for runner, (denied, failed) in zip(self.runners, before, strict=True):
+            told.denied += [(runner.name, what) for what in (runner.denied - denied).elements()]
+            told.failed += [(runner.name, what) for what in (runner.failures - failed).elements()]
         return refuse
 
     def counters(self, name: str) -> dict[str, float]:
-        return self.seat(name).plugin.counters()
+        return self.runner(name).plugin.counters()
 
     def close(self) -> None:
         self.version.close()
--- a/apigateway/plugins/wasm.py
+++ b/apigateway/plugins/wasm.py
@@ -19,9 +19,9 @@
 from wasmtime import FuncType, ValType
 
 from apigateway.plugins import abi
-from apigateway.plugins.memory import MOST_NAME, Counters, Keys, Ration
+from apigateway.plugins.interfaces import Budget, FailureReason, Phase, PluginError, Proposal, RequestView
+from apigateway.plugins.plugin_state import MAX_COUNTER_NAME_LENGTH, Counters, KeyValueStore, LogRateLimiter
 from apigateway.plugins.rules import MOST_LINE, cleaned
-from apigateway.plugins.terms import PHASES, Budget, PluginFailed, Proposal, View
 
 STEP = 0.005  # s between epochs: a call's wall time is bounded to that grain
 IDLE = 200  # epochs without a call, after which the clock rests
@@ -32,11 +32,11 @@
 
 I32, I64, F64 = ValType.i32(), ValType.i64(), ValType.f64()
 REASONS = {
-    wasmtime.TrapCode.OUT_OF_FUEL: "fuel",
-    wasmtime.TrapCode.INTERRUPT: "time",
-    wasmtime.TrapCode.STACK_OVERFLOW: "stack",
-    wasmtime.TrapCode.MEMORY_OUT_OF_BOUNDS: "memory",
-    wasmtime.TrapCode.ALLOCATION_TOO_LARGE: "memory",
+    wasmtime.TrapCode.OUT_OF_FUEL: FailureReason.FUEL,
+    wasmtime.TrapCode.INTERRUPT: FailureReason.TIME,
+    wasmtime.TrapCode.STACK_OVERFLOW: FailureReason.STACK,
+    wasmtime.TrapCode.MEMORY_OUT_OF_BOUNDS: FailureReason.MEMORY,
+    wasmtime.TrapCode.ALLOCATION_TOO_LARGE: FailureReason.MEMORY,
 }
 
 
@@ -137,12 +137,12 @@
 }
 # Which of them may be called when. A module's start may call none: it has no budget yet.
 READS = frozenset(("setting", "setting_number", "get"))
-MAY = {
+MAY: dict[str, frozenset[str]] = {
     "start": frozenset[str](),
     "save": READS,
     "load": READS | {"put"},
     "self_test": frozenset(FUNCTIONS),
-    **{phase: frozenset(FUNCTIONS) for phase in PHASES},
+    **{phase: frozenset(FUNCTIONS) for phase in Phase},
 }
 EXPORTS = {
     **{name: ([I32], [I64]) for name in abi.EXPORT.values()},
@@ -160,7 +160,7 @@
     return [str(t) for t in told[0]], [str(t) for t in told[1]]
 
 
-def examine(module: wasmtime.Module) -> frozenset[str]:
+def examine(module: wasmtime.Module) -> frozenset[Phase]:
     """The module's phases. Raises BadModule where imports or exports are not those of the ABI."""
     for item in module.imports:
         name = f"{item.module}.{item.name}"
@@ -186,7 +186,7 @@
 
 
 class WasmPlugin:
-    """terms.Plugin. `raw` is the file's content. Raises BadModule; and PluginFailed where its start fails."""
+    """terms.Plugin. `raw` is the file's content. Raises BadModule; and PluginError where its start fails."""
 
     kind = "wasm"
 
@@ -201,7 +201,7 @@
             raise BadModule(f"is no sound module: {first_line(err)}") from err
         self.phases = examine(self.module)
         self.names = {item.name for item in self.module.exports}
-        self.ticks = max(1, math.ceil(budget.time / STEP)) + 1
+        self.ticks = max(1, math.ceil(budget.call_time / STEP)) + 1
         self.starts = -1  # how often it was made anew after a failure
         self.offence = ""
         self.phase = "start"
@@ -213,8 +213,8 @@
         self.reset()
 
     def reset(self) -> None:
-        self.keys, self.tallies = Keys(self.budget.keys), Counters()
-        self.ration, self.random = Ration(self.budget.log_lines), random.Random(self.seed)
+        self.keys, self.tallies = KeyValueStore(self.budget.key_value_bytes), Counters()
+        self.ration, self.random = LogRateLimiter(self.budget.log_lines), random.Random(self.seed)
         self.starts = -1
         self.make()
 
@@ -224,7 +224,7 @@
         self.starts += 1
         store = wasmtime.Store(self.machine.engine)
         store.set_limits(
-            memory_size=self.budget.memory, table_elements=10_000, instances=1, tables=4, memories=1
+            memory_size=self.budget.memory_bytes, table_elements=10_000, instances=1, tables=4, memories=1
         )
         linker = wasmtime.Linker(self.machine.engine)
         for name, (takes, gives) in FUNCTIONS.items():
@@ -239,7 +239,7 @@
             raise self.failure(err) from err
         if self.offence:
             self.drop()
-            raise PluginFailed("trap", self.offence)
+            raise PluginError(FailureReason.TRAP, self.offence)
         self.memory = self.exports["memory"]
         version, self.base, self.room = (
             int(self.exports[name].value(store)) & 0xFFFF_FFFF
@@ -273,14 +273,17 @@
 
     # A call
 
-    def failure(self, err: Exception) -> PluginFailed:
+    def failure(self, err: Exception) -> PluginError:
         if self.offence:
-            return PluginFailed("trap", self.offence)
+            return PluginError(FailureReason.TRAP, self.offence)
         if isinstance(err, wasmtime.Trap):
-            return PluginFailed(
-                REASONS.get(err.trap_code, "trap") if err.trap_code is not None else "trap", first_line(err)
+            return PluginError(
+                REASONS.get(err.trap_code, FailureReason.TRAP)
+                if err.trap_code is not None
+                else FailureReason.TRAP,
+                first_line(err),
             )
-        return PluginFailed("trap", first_line(err))
+        return PluginError(FailureReason.TRAP, first_line(err))
 
     def enter(self, phase: str, function: str, *values: int) -> int:
         """One call of the module. A failed one leaves no instance: the next call makes a new one."""
@@ -297,7 +300,7 @@
             raise self.failure(err) from err
         if self.offence:
             self.drop()
-            raise PluginFailed("trap", self.offence)
+            raise PluginError(FailureReason.TRAP, self.offence)
         return int(given)
 
     def write(self, data: bytearray) -> None:
@@ -310,7 +313,7 @@
             return b""
         try:
             address, length = abi.where(packed, self.memory.data_len(self.store), most)
-        except PluginFailed:
+        except PluginError:
             self.drop()
             raise
         return bytes(self.memory.read(self.store, address, address + length))
@@ -319,33 +322,35 @@
         """Of the last call that did not fail."""
         return self.budget.fuel - self.store.get_fuel() if self.store is not None else self.budget.fuel
 
-    def call(self, phase: str, view: View) -> list[Proposal]:
+    def call(self, phase: Phase, view: RequestView) -> list[Proposal]:
         self.now = view.now
         try:
             data = abi.pack(phase, view, self.base, self.room)
             self.write(data)
             packed = self.enter(phase, abi.EXPORT[phase], len(data))
             return abi.proposals(self.text(packed, abi.MOST_OUTPUT)) if packed else []
-        except PluginFailed:
+        except PluginError:
             raise
         except Exception as err:  # the binding's own: whatever a module does must end here
             self.drop()
-            raise PluginFailed("error", f"{type(err).__name__} {err}") from err
+            raise PluginError(FailureReason.ERROR, f"{type(err).__name__} {err}") from err
 
-    def prove(self) -> None:
+    def self_test(self) -> None:
         if "self_test" in self.names and (told := self.enter("self_test", "self_test")) != 0:
-            raise PluginFailed("self-test", f"gave {told}")
+            raise PluginError(FailureReason.SELF_TEST, f"gave {told}")
 
-    def save(self) -> bytes | None:
+    def save_state(self) -> bytes | None:
         if "on_save" not in self.names:
             return None
         return self.text(self.enter("save", "on_save"), abi.MOST_STATE)
 
-    def load(self, state: bytes) -> bool:
+    def load_state(self, state: bytes) -> bool:
         if "on_load" not in self.names:
             return False
         if len(state) > self.room:
-            raise PluginFailed("nonsense", f"{len(state)} bytes were saved, it keeps {self.room} for input")
+            raise PluginError(
+                FailureReason.NONSENSE, f"{len(state)} bytes were saved, it keeps {self.room} for input"
+            )
         if state:
             self.write(bytearray(state))
         return self.enter("load", "on_load", len(state)) == 0
@@ -353,11 +358,11 @@
     def counters(self) -> dict[str, float]:
         return self.tallies.values
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         size = self.memory.data_len(self.store) if self.store is not None else 0
         return {
             "memory": size,
-            "key bytes": self.keys.held,
+            "key bytes": self.keys.used_bytes,
             "made anew": self.starts,
             "log lines dropped": self.ration.dropped,
             "counts dropped": self.tallies.dropped,
@@ -376,7 +381,7 @@
                 return self.offend(f"called {name} in the phase {self.phase}", nothing)
             try:
                 return act(*values)
-            except PluginFailed as err:
+            except PluginError as err:
                 return self.offend(f"{name}: {err}", nothing)
             except Exception as err:
                 return self.offend(f"{name}: {type(err).__name__} {err}", nothing)
@@ -392,14 +397,14 @@
     def taken(self, address: int, length: int, most: int = MOST_SETTING) -> bytes:
         address, length = address & 0xFFFF_FFFF, length & 0xFFFF_FFFF
         if length > most or address + length > self.memory.data_len(self.store):
-            raise PluginFailed("memory", f"{length} bytes at {address}")
+            raise PluginError(FailureReason.MEMORY, f"{length} bytes at {address}")
         return bytes(self.memory.read(self.store, address, address + length)) if length else b""
 
     def given(self, value: bytes | None, address: int, most: int) -> int:
         """Its length; nothing is written where it is longer than `most`."""
         address, most = address & 0xFFFF_FFFF, most & 0xFFFF_FFFF
         if address + most > self.memory.data_len(self.store):
-            raise PluginFailed("memory", f"{most} bytes at {address}")
+            raise PluginError(FailureReason.MEMORY, f"{most} bytes at {address}")
         if value is None:
             return -1
         if value and len(value) <= most:
@@ -433,16 +438,22 @@
 
     def host_put(self, address: int, length: int, value: int, size: int) -> int:
         return (
-            0 if self.keys.put(self.taken(address, length), self.taken(value, size, self.budget.keys)) else -1
+            0
+            if self.keys.put(
+                self.taken(address, length), self.taken(value, size, self.budget.key_value_bytes)
+            )
+            else -1
         )
 
     def host_log(self, address: int, length: int) -> None:
         line = self.taken(address, length)
-        if self.ration.may(self.now):
+        if self.ration.try_acquire(self.now):
             log.info("%s: %s", self.name, cleaned(line[: 4 * MOST_LINE].decode("utf-8", "replace")))
 
     def host_count(self, address: int, length: int, amount: float) -> None:
-        self.tallies.add(self.taken(address, length, MOST_NAME).decode("utf-8", "replace"), amount)
+        self.tallies.add(
+            self.taken(address, length, MAX_COUNTER_NAME_LENGTH).decode("utf-8", "replace"), amount
+        )
 
     def host_random(self) -> float:
         return self.random.random()
--- a/apigateway/tools/plugin.py
+++ b/apigateway/tools/plugin.py
@@ -12,12 +12,12 @@
 
 from apigateway import messages
 from apigateway.config_validation import InvalidConfigFileError
+from apigateway.plugins.interfaces import Phase, RequestView
 from apigateway.plugins.load import Place, load, proofs
-from apigateway.plugins.records import read_records, view_of
+from apigateway.plugins.records import parse_record, read_records
+from apigateway.plugins.runner import PluginRunner
 from apigateway.plugins.settings import HooksPart, PluginPart
-from apigateway.plugins.terms import ANSWER, ATTEMPT, PHASES, TICK, View
 from apigateway.plugins.testkit import Kit, Told, read_plugins, settings
-from apigateway.plugins.version import Seat
 from apigateway.tools.skeletons import skeleton
 
 NAME = re.compile(r"[a-z][a-z0-9_-]{0,31}")
@@ -94,31 +94,31 @@
     """Raises InvalidConfigFileError with all that is wrong."""
     kit, report = loaded(path), Report()
     try:
-        for seat in kit.seats:
+        for seat in kit.runners:
             most = most_fuel(seat, kit)
             used = f", {most} of {seat.budget.fuel} fuel at most in its proof" if most is not None else ""
-            phases = ", ".join(phase for phase in PHASES if phase in seat.plugin.phases)
+            phases = ", ".join(phase for phase in Phase if phase in seat.plugin.phases)
             report.lines.append(f"{seat.name}: good; {seat.plugin.kind}, phases {phases}{used}")
     finally:
         kit.close()
     return report
 
 
-def most_fuel(seat: Seat, kit: Kit) -> int | None:
+def most_fuel(seat: PluginRunner, kit: Kit) -> int | None:
     plugin: Any = seat.plugin
     if not hasattr(plugin, "fuel_used"):
         return None
     most = 0
     for view in proofs(settings()):
         for phase in seat.plugin.phases:
-            plugin.call(phase, View(now=view.now) if phase == TICK else view)
+            plugin.call(phase, RequestView(now=view.now) if phase == Phase.TICK else view)
             most = max(most, plugin.fuel_used())
     return most
 
 
-def recorded(path: str) -> list[tuple[int, dict[str, Any], View]]:
+def recorded(path: str) -> list[tuple[int, dict[str, Any], RequestView]]:
     try:
-        return [(number, told, view_of(told)) for number, told in read_records(path)]
+        return [(number, told, parse_record(told)) for number, told in read_records(path)]
     except (ValueError, UnicodeDecodeError) as err:
         raise Unusable(f"{path}: no records ({err})") from err
 
@@ -127,7 +127,7 @@
     """Each recorded request through the plug-ins as if it came now; attempts and answer as they were."""
     told = recorded(records)
     place = settings(
-        {view.cls: "unsafe" if view.write else "safe" for _, _, view in told} or None,
+        {view.service_class: "unsafe" if view.is_write else "safe" for _, _, view in told} or None,
         sorted({view.plan for _, _, view in told}) or ("basic",),
     )
     if gateway is not None:
@@ -146,13 +146,13 @@
         for number, record, view in told:
             result = play(kit, record, view)
             tags.update(f"{key}={value}" for key, value in result.tags.items())
-            refused.update([view.cls] if result.refuse is not None else [])
+            refused.update([view.service_class] if result.refuse is not None else [])
             routes.update([result.route] if result.route else [])
             denied.update(f"{name}: {what}" for name, what in result.denied)
             failed.update(f"{name}: {what}" for name, what in result.failed)
             changed += result.tags != record.get("tags", {})
             if each:
-                report.lines.append(f"{number} {view.id}: {spoken(result)}")
+                report.lines.append(f"{number} {view.request_id}: {spoken(result)}")
         report.figures = {
             "requests": len(told),
             "tags": dict(tags),
@@ -161,7 +161,7 @@
             "denied": dict(denied),
             "failed": dict(failed),
             "other tags than recorded": changed,
-            "counters": {seat.name: dict(seat.plugin.counters()) for seat in kit.seats},
+            "counters": {seat.name: dict(seat.plugin.counters()) for seat in kit.runners},
         }
     finally:
         kit.close()
@@ -179,16 +179,16 @@
     return report
 
 
-def play(kit: Kit, record: dict[str, Any], view: View) -> Told:
+def play(kit: Kit, record: dict[str, Any], view: RequestView) -> Told:
     result = kit.request(
-        id=view.id,
+        id=view.request_id,
         customer=view.customer,
         plan=view.plan,
-        cls=view.cls,
+        cls=view.service_class,
         units=view.units,
-        left=view.left,
-        write=view.write,
-        repeat=view.repeat,
+        left=view.remaining,
+        write=view.is_write,
+        repeat=view.is_retry,
         now=view.now,
     )
     if result.refuse is not None:
@@ -213,8 +213,8 @@
     """CPU of a call in microseconds, each plug-in and phase by itself; budgets do not stop it here."""
     kit, report = loaded(path), Report()
     try:
-        for seat in kit.seats:
-            for phase in PHASES:
+        for seat in kit.runners:
+            for phase in Phase:
                 if phase in seat.plugin.phases:
                     report.figures[f"{seat.name} {phase}"] = figures = cost(seat, phase, max(1, calls))
                     report.lines.append(
@@ -227,12 +227,12 @@
     return report
 
 
-def cost(seat: Seat, phase: str, calls: int) -> dict[str, float]:
-    views = [View(now=time.time())] if phase == TICK else proofs(settings())
+def cost(seat: PluginRunner, phase: Phase, calls: int) -> dict[str, float]:
+    views = [RequestView(now=time.time())] if phase == Phase.TICK else proofs(settings())
     for view in views:
-        if phase in (ATTEMPT, ANSWER):
-            view.host = "bench-host"
-        if phase == ANSWER:
+        if phase in (Phase.ATTEMPT, Phase.ANSWER):
+            view.endpoint_id = "bench-host"
+        if phase == Phase.ANSWER:
             view.outcome = "served"
     plugin, clock, spent = seat.plugin, time.perf_counter, []
     for number in range(calls):
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -171,7 +171,7 @@
 import msgspec, apigateway.config_validation
 before = held()
 from apigateway.plugins.load import Place, load
-from apigateway.plugins.live import Hooks
+from apigateway.plugins.manager import PluginManager
 from apigateway.plugins.settings import HooksPart, PluginPart
 from apigateway.plugins.testkit import settings
 def parts(turn):
@@ -179,7 +179,7 @@
             for n in range({count})]
 place = Place("/", settings())
 began = time.perf_counter(); first = load(parts(0), HooksPart(), place); loaded = time.perf_counter() - began
-hooks = Hooks(first, time.time, None, 1.0)
+hooks = PluginManager(first, time.time, None, 1.0)
 began = time.perf_counter(); second = load(parts(1), HooksPart(), place, first)
 again = time.perf_counter() - began
 began = time.perf_counter(); hooks.swap(second); swapped = time.perf_counter() - began
@@ -207,9 +207,9 @@
 def inside(count: int, kind: str, requests: int = 20_000) -> float:
     """us that the plug-ins' own code takes for one request: taken, one attempt, answered."""
     from apigateway import messages
-    from apigateway.plugins.live import Hooks
     from apigateway.plugins.load import Place
     from apigateway.plugins.load import load as load_plugins
+    from apigateway.plugins.manager import PluginManager
     from apigateway.plugins.settings import BudgetPart, HooksPart, PluginPart
     from apigateway.plugins.testkit import settings
 
@@ -219,7 +219,7 @@
         PluginPart(name=f"p{n}", file=file, settings={"district": table}, budget=BudgetPart(share=1.0))
         for n in range(count)
     ]
-    hooks = Hooks(
+    hooks = PluginManager(
         load_plugins(parts, HooksPart(), Place("/", settings())), time.time, asyncio.new_event_loop(), 1.0
     )
     asked = [
--- a/tests/plugins/test_language.py
+++ b/tests/plugins/test_language.py
@@ -4,10 +4,10 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
+from apigateway.plugins.interfaces import RequestView
 from apigateway.plugins.language import LanguageError, compile_text
 from apigateway.plugins.language.library import MOST_LENGTH, RunError
 from apigateway.plugins.rules import FIELDS
-from apigateway.plugins.terms import View
 
 SETTINGS = {
     "district": {"a": "kochi", "b": "thrissur"},
@@ -22,14 +22,14 @@
 
 
 def run(text, phase="request", **fields):
-    view = View(
+    view = RequestView(
         **{
-            "id": "r1",
+            "request_id": "r1",
             "customer": "a",
-            "cls": "read",
+            "service_class": "read",
             "plan": "basic",
             "units": 2.0,
-            "left": 3.0,
+            "remaining": 3.0,
             "now": 1798761600.0,
             "tags": {"x": "1"},
             **fields,
@@ -150,8 +150,8 @@
 
 
 def test_a_sample_is_the_same_for_a_request_and_about_its_share_of_all():
-    drawn = [run("sample(0.25)", id=f"r{n}") for n in range(2000)]
-    assert drawn == [run("sample(0.25)", id=f"r{n}") for n in range(2000)]
+    drawn = [run("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
+    assert drawn == [run("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
     assert 400 < sum(drawn) < 600
 
 
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -16,18 +16,19 @@
 from apigateway import messages
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.plugins.apart import ENDED, Trial, tried
-from apigateway.plugins.live import Hooks, SwapRefused
+from apigateway.plugins.chain_version import ChainVersion
+from apigateway.plugins.interfaces import Budget, BudgetPolicy, FailureReason, Phase, PluginError, Proposal
 from apigateway.plugins.load import Place as At
 from apigateway.plugins.load import load
-from apigateway.plugins.proposals import Allowance
-from apigateway.plugins.records import Recorder, read_records, view_of
+from apigateway.plugins.manager import PluginManager, StateTransferError
+from apigateway.plugins.proposals import ProposalLimits
+from apigateway.plugins.records import RequestRecorder, parse_record, read_records
+from apigateway.plugins.runner import PluginRunner
 from apigateway.plugins.settings import BudgetPart, HooksPart, PluginPart, RulePart
-from apigateway.plugins.terms import ANSWER, ATTEMPT, PHASES, REQUEST, Budget, PluginFailed, Proposal
 from apigateway.plugins.testkit import module, says
 from apigateway.plugins.testkit import settings as gateway
-from apigateway.plugins.version import Seat, Version
 
-ALLOWANCE = Allowance(frozenset(["batch"]), 8, 512, 2.0)
+ALLOWANCE = ProposalLimits(frozenset(["batch"]), 8, 512, 2.0)
 
 
 class Scripted:
@@ -35,24 +36,24 @@
 
     kind = "scripted"
 
-    def __init__(self, say, phases=PHASES, state=None):
+    def __init__(self, say, phases=Phase, state=None):
         self.say, self.phases, self.state = say, frozenset(phases), state
         self.seen, self.closed = [], False
 
     def call(self, phase, view):
         assert not self.closed, "called after its end"
-        self.seen.append((phase, view.id, view.outcome))
+        self.seen.append((phase, view.request_id, view.outcome))
         said = self.say(phase, view) if callable(self.say) else self.say
         if isinstance(said, Exception):
             raise said
         return said or []
 
-    def save(self):
+    def save_state(self):
         if isinstance(self.state, Exception):
             raise self.state
         return self.state
 
-    def load(self, state):
+    def load_state(self, state):
         if isinstance(self.state, Exception):
             raise self.state
         self.state = state
@@ -61,7 +62,7 @@
     def counters(self):
         return {}
 
-    def figures(self):
+    def status(self):
         return {}
 
     def close(self):
@@ -70,21 +71,21 @@
 
 
 def seat(plugin, name="p", **budget):
-    return Seat(name, plugin, Budget(**budget), f"{id(plugin)}", 0.0)
+    return PluginRunner(name, plugin, Budget(**budget), f"{id(plugin)}", 0.0)
 
 
 def version(*seats, chain=5.0):
-    return Version(list(seats), ALLOWANCE, chain)
+    return ChainVersion(list(seats), ALLOWANCE, chain)
 
 
 def hooked(*seats, recorder=None, **kw):
     w = World(**kw)
-    w.core.plugins = w.hooks = Hooks(version(*seats), lambda: 1000.0, w.loop, 1.0, recorder)
+    w.core.plugins = w.hooks = PluginManager(version(*seats), lambda: 1000.0, w.loop, 1.0, recorder)
     return w
 
 
 def on_request(*said):
-    return lambda phase, view: [Proposal(*p) for p in said] if phase == REQUEST else []
+    return lambda phase, view: [Proposal(*p) for p in said] if phase == Phase.REQUEST else []
 
 
 def test_a_refusal_reaches_the_module_as_barred_and_nothing_else_of_the_request():
@@ -95,7 +96,7 @@
         and place.answers == ["refused"]
         and not w.core.in_flight
     )
-    assert w.hooks.version.open == 0
+    assert w.hooks.version.open_requests == 0
 
 
 def test_the_module_answers_a_barred_request_at_once_and_takes_no_units():
@@ -117,27 +118,38 @@
     w.take("a", [messages.ForwardRequest("a", "h1")])
     assert w.module.events[0].route == "batch"
     w.hosts.out[0].end("ok")
-    assert [(p, o) for p, _, o in plugin.seen] == [(REQUEST, ""), (ATTEMPT, ""), (ANSWER, "served")]
+    assert [(p, o) for p, _, o in plugin.seen] == [
+        (Phase.REQUEST, ""),
+        (Phase.ATTEMPT, ""),
+        (Phase.ANSWER, "served"),
+    ]
 
 
 @pytest.mark.parametrize(
-    "how", [RuntimeError("broken"), PluginFailed("trap"), MemoryError(), RecursionError()]
+    "how", [RuntimeError("broken"), PluginError(FailureReason.TRAP), MemoryError(), RecursionError()]
 )
 def test_a_plug_in_that_raises_is_skipped_in_each_phase(how):
     w = hooked(seat(Scripted(how)))
     place = w.take("a", [messages.ForwardRequest("a", "h1")])
     w.hosts.out[0].end("ok")
-    assert place.answers == ["served"] and not w.core.in_flight and w.hooks.version.open == 0
+    assert place.answers == ["served"] and not w.core.in_flight and w.hooks.version.open_requests == 0
     w.hooks.tick()
-    assert sum(w.hooks.version.seats[0].failed.values()) == 4
+    assert sum(w.hooks.version.runners[0].failures.values()) == 4
 
 
 def test_past_its_budget_a_request_is_refused_where_settings_say_so():
-    w = hooked(seat(Scripted(PluginFailed("fuel"), [REQUEST]), past="refuse", failures=2, rest=30.0))
+    w = hooked(
+        seat(
+            Scripted(PluginError(FailureReason.FUEL), [Phase.REQUEST]),
+            when_exceeded=BudgetPolicy.REFUSE,
+            failure_threshold=2,
+            open_time=30.0,
+        )
+    )
     for n in range(4):
         place = w.take(str(n), [messages.Reject(str(n))])
         assert place.answers == ["refused"]
-    told = w.hooks.told()["plugins"][0]
+    told = w.hooks.status()["plugins"][0]
     assert told["failed"] == {"fuel": 2} and told["not asked"] == {"out": 2} and told["state"] == "out"
     # cut to what may be told
     told = w.module.events[-1]
@@ -146,11 +158,11 @@
 
 def test_all_plug_ins_together_hold_a_request_up_for_no_longer_than_the_chain():
     calls = []
-    seats = [seat(Scripted(lambda phase, view: calls.append(1), [REQUEST]), f"p{n}") for n in range(5)]
+    seats = [seat(Scripted(lambda phase, view: calls.append(1), [Phase.REQUEST]), f"p{n}") for n in range(5)]
     w = hooked()
     w.hooks.version = version(*seats, chain=-1.0)  # it is over with the first
     w.take("a", [messages.Reject("a")])
-    assert len(calls) == 1 and [s.passed for s in seats] == [{}] + [{"chain": 1}] * 4
+    assert len(calls) == 1 and [s.skipped for s in seats] == [{}] + [{"chain": 1}] * 4
 
 
 def test_later_plug_ins_see_the_tags_of_earlier_ones_and_a_refusal_ends_the_chain():
@@ -190,7 +202,7 @@
     assert w.module.events[0] == asked and [a.endpoint_id for a in w.hosts.sent] == ["h1"]
     w.hosts.out[0].end("ok")
     assert place.answers == ["served"]
-    denied = w.hooks.version.seats[0].denied
+    denied = w.hooks.version.runners[0].denied
     assert sum(denied.values()) == 3 * len(said) and all(what.endswith(": fixed") for what in denied)
 
 
@@ -208,15 +220,15 @@
         attempt.end("ok")
     assert first.answers == second.answers == ["served"]
     assert {id for _, id, _ in old.seen} == {"a", "b"} and {id for _, id, _ in new.seen} == {"c"}
-    assert old.closed and not new.closed and not w.hooks.old
+    assert old.closed and not new.closed and not w.hooks.draining_versions
 
 
 def test_swapped_with_hundreds_in_flight_the_new_one_trapping_at_its_first_call():
     old = Scripted(on_request(("tag", "a", "1")))
     w = hooked(seat(old), most=1000, held=10**6)
     places = [w.take(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(400)]
-    bad = Scripted(PluginFailed("trap"))
-    w.hooks.swap(version(seat(bad, failures=3)))
+    bad = Scripted(PluginError(FailureReason.TRAP))
+    w.hooks.swap(version(seat(bad, failure_threshold=3)))
     places += [w.take(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(400, 800)]
     for attempt in w.hosts.out:
         attempt.end("ok")
@@ -231,20 +243,22 @@
         w.take(str(n), [messages.ForwardRequest(str(n), "h1")])
         made.append(Scripted(None))
         w.hooks.swap(version(seat(made[-1])))
-    assert len(w.hooks.old) == 200 and made[-1].state == b"0"  # each carried it over to the next
+    assert (
+        len(w.hooks.draining_versions) == 200 and made[-1].state == b"0"
+    )  # each carried it over to the next
     for attempt in random.Random(1).sample(w.hosts.out, 200):
         attempt.end("ok")
-    assert not w.hooks.old and [p.closed for p in made] == [True] * 200 + [False]
-    assert w.hooks.told()["version"] == 201
+    assert not w.hooks.draining_versions and [p.closed for p in made] == [True] * 200 + [False]
+    assert w.hooks.status()["version"] == 201
 
 
 def test_a_version_that_cannot_take_the_state_leaves_the_old_in_force():
-    old, bad = Scripted(None, state=b"x"), Scripted(None, state=PluginFailed("trap"))
+    old, bad = Scripted(None, state=b"x"), Scripted(None, state=PluginError(FailureReason.TRAP))
     w = hooked(seat(old))
-    with pytest.raises(SwapRefused):
+    with pytest.raises(StateTransferError):
         w.hooks.swap(version(seat(bad)))
-    assert w.hooks.version.seats[0].plugin is old and not old.closed
-    broken = Scripted(None, state=PluginFailed("trap"))
+    assert w.hooks.version.runners[0].plugin is old and not old.closed
+    broken = Scripted(None, state=PluginError(FailureReason.TRAP))
     w = hooked(seat(broken))
     fresh = Scripted(None)
     w.hooks.swap(version(seat(fresh)))  # the one that is replaced may be the broken one
@@ -287,7 +301,10 @@
 @seed(5)
 @settings(max_examples=150, deadline=None, database=None)
 @given(
-    STEPS, st.lists(st.one_of(SAID, st.sampled_from([PluginFailed("trap"), RuntimeError("x")])), min_size=1)
+    STEPS,
+    st.lists(
+        st.one_of(SAID, st.sampled_from([PluginError(FailureReason.TRAP), RuntimeError("x")])), min_size=1
+    ),
 )
 def test_whatever_plug_ins_say_and_when_they_are_swapped_each_request_ends_once(steps, said):
     """The module is the test's and answers soundly: it sends what it hears of and refuses what is barred."""
@@ -297,7 +314,7 @@
 
     def one():
         made.append(Scripted(lambda phase, view: said[next(turn) % len(said)], state=b"s"))
-        return version(seat(made[-1], failures=10**6, share=1.0, span=1000.0))
+        return version(seat(made[-1], failure_threshold=10**6, cpu_share=1.0, cpu_share_window=1000.0))
 
     w = hooked(most=10_000, held=10**9)
     w.hooks.version = one()
@@ -336,11 +353,11 @@
         logging.disable(logging.NOTSET)
     for id, place in places.items():
         assert len(place.answers) == (id not in gone), (id, place.answers)
-    assert not w.core.in_flight and not w.hooks.old and w.hooks.version.open == 0
+    assert not w.core.in_flight and not w.hooks.draining_versions and w.hooks.version.open_requests == 0
     assert [p.closed for p in made] == [True] * (len(made) - 1) + [False]
     for plugin in made:  # each request that a plug-in was asked about it was told the end of, once
-        begun = [id for phase, id, _ in plugin.seen if phase == REQUEST]
-        ended = [id for phase, id, _ in plugin.seen if phase == ANSWER]
+        begun = [id for phase, id, _ in plugin.seen if phase == Phase.REQUEST]
+        ended = [id for phase, id, _ in plugin.seen if phase == Phase.ANSWER]
         assert sorted(begun) == sorted(ended)
 
 
@@ -430,7 +447,7 @@
     monkeypatch.setitem(sys.modules, "wasmtime", None)
     with pytest.raises(InvalidConfigFileError, match="needs wasmtime.*pip install"):
         loading(tmp_path, part("a", file="a.wat"))
-    assert loading(tmp_path, part("b", rules=[RulePart()])).seats  # rules need none
+    assert loading(tmp_path, part("b", rules=[RulePart()])).runners  # rules need none
 
 
 def test_what_did_not_change_goes_on_with_its_state(tmp_path):
@@ -438,12 +455,12 @@
     parts = [part("a", file="a.wat"), part("b", rules=[RulePart(tag={"b": "'1'"})])]
     old = loading(tmp_path, *parts)
     same = loading(tmp_path, *parts, old=old)
-    assert [s in old.seats for s in same.seats] == [True, True]
+    assert [s in old.runners for s in same.runners] == [True, True]
     (tmp_path / "a.wat").write_text(module(says("tag a 2")))
     new = loading(tmp_path, *parts, old=old)
-    assert [s in old.seats for s in new.seats] == [False, True]
+    assert [s in old.runners for s in new.runners] == [False, True]
     wider = loading(tmp_path, part("a", file="a.wat", budget=BudgetPart(fuel=5000)), parts[1], old=new)
-    assert [s in new.seats for s in wider.seats] == [False, True]
+    assert [s in new.runners for s in wider.runners] == [False, True]
 
 
 def test_it_passes_its_proof_and_fails_in_service(tmp_path):
@@ -468,7 +485,7 @@
         )
         w.hosts.out[-1].end("ok")
         assert place.answers == ["served"]
-    told = w.hooks.told()["plugins"][0]
+    told = w.hooks.status()["plugins"][0]
     assert told["failed"] == {"trap": 3} and told["state"] == "out" and told["not asked"] == {"out": 3}
 
 
@@ -525,7 +542,7 @@
     places = [w.take(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(1000)]
     for attempt in w.hosts.out:
         attempt.end("ok")
-    (told,) = w.hooks.told()["plugins"]
+    (told,) = w.hooks.status()["plugins"]
     assert not told["failed"] and told["state"] == "in"
     assert told["calls"]["request"] + told["not asked"]["share"] == 1000
     assert told["not asked"]["share"] > 500
@@ -537,10 +554,10 @@
 
 def test_records_tell_what_came_of_each_request_and_only_the_tagged_ones(tmp_path):
     file = tmp_path / "records.jsonl"
-    recorder = Recorder(str(file), "export", 10**6, 100)
+    recorder = RequestRecorder(str(file), "export", 10**6, 100)
     said = {
-        REQUEST: lambda v: [Proposal("tag", "export", "1")] if v.id == "a" else [],
-        ATTEMPT: lambda v: [Proposal("tag", "host", v.host)],
+        Phase.REQUEST: lambda v: [Proposal("tag", "export", "1")] if v.request_id == "a" else [],
+        Phase.ATTEMPT: lambda v: [Proposal("tag", "host", v.endpoint_id)],
     }
     w = hooked(seat(Scripted(lambda phase, view: said.get(phase, lambda v: [])(view))), recorder=recorder)
     for id in "ab":
@@ -555,31 +572,31 @@
         {"host": "h1", "tags": {"host": "h1"}},
         {"host": "h2", "tags": {"host": "h2"}},
     ]
-    assert view_of(told).cls == "read"
+    assert parse_record(told).service_class == "read"
 
 
 def test_records_are_rotated_dropped_and_counted_and_a_cut_line_is_left_out(tmp_path):
-    from apigateway.plugins.proposals import Standing
-    from apigateway.plugins.terms import View
+    from apigateway.plugins.interfaces import RequestView
+    from apigateway.plugins.proposals import RequestEffects
 
     file = tmp_path / "r.jsonl"
-    recorder = Recorder(str(file), "", 2000, 1000)
+    recorder = RequestRecorder(str(file), "", 2000, 1000)
     for n in range(20):
-        recorder.note(View(str(n)), Standing(), [])
+        recorder.record(RequestView(str(n)), RequestEffects(), [])
     recorder.close()
     assert recorder.written == 20 and file.stat().st_size <= 2000 and (tmp_path / "r.jsonl.1").exists()
     whole = list(read_records(str(file)))
     with open(file, "a") as out:
         out.write('{"id": "cut')
     assert list(read_records(str(file))) == whole and json.loads(file.read_text().splitlines()[0])
-    full = Recorder(str(file), "", 10**6, 1)
+    full = RequestRecorder(str(file), "", 10**6, 1)
     full.thread.join(0)
-    full.write = lambda told: blocked.wait()  # a disk that hangs
+    full._write = lambda told: blocked.wait()  # a disk that hangs
     import threading
 
     blocked = threading.Event()
     for n in range(10):
-        full.note(View(str(n)), Standing(), [])
+        full.record(RequestView(str(n)), RequestEffects(), [])
     assert full.dropped >= 8
     blocked.set()
     full.close()
--- a/tests/plugins/test_modules.py
+++ b/tests/plugins/test_modules.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from apigateway.plugins.terms import ANSWER, ATTEMPT, REQUEST, TICK, Budget, PluginFailed, View
+from apigateway.plugins.interfaces import Budget, Phase, PluginError, RequestView
 from apigateway.plugins.testkit import module, says
 from apigateway.plugins.wasm import BadModule, WasmPlugin, assembled
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples" / "plugins"
-BUDGET = Budget(fuel=50_000, memory=1024 * 1024)
-SLOW = Budget(fuel=50_000, memory=1024 * 1024, time=5.0)  # for a call that its fuel is to end
-VIEW = View("r1", "c1", "basic", "read", 1.0, 3.0, 100.0)
+BUDGET = Budget(fuel=50_000, memory_bytes=1024 * 1024)
+SLOW = Budget(fuel=50_000, memory_bytes=1024 * 1024, call_time=5.0)  # for a call that its fuel is to end
+VIEW = RequestView("r1", "c1", "basic", "read", 1.0, 3.0, 100.0)
 
 
 def made(body, settings=None, budget=BUDGET):
@@ -72,10 +72,10 @@
     # Its fuel is to end it, not its time, which a busy machine spends for it.
     plugin = made('(data (i32.const 40960) "tag")\n' + on("request", sound + body), budget=SLOW)
     for _ in range(3):
-        with pytest.raises(PluginFailed) as caught:
-            plugin.call(REQUEST, VIEW)
+        with pytest.raises(PluginError) as caught:
+            plugin.call(Phase.REQUEST, VIEW)
         assert caught.value.reason in reason
-        assert plugin.call(REQUEST, View("other")) == [("tag", "", "")]
+        assert plugin.call(Phase.REQUEST, RequestView("other")) == [("tag", "", "")]
     assert plugin.starts >= 2 and plugin.memory.read(plugin.store, 900, 904) == b"\0\0\0\0"
     plugin.close()
 
@@ -86,24 +86,26 @@
         "(i64.const 1)))" + on("request", "(call $f (i64.const 1))"),
         budget=Budget(fuel=10**9),
     )
-    with pytest.raises(PluginFailed) as caught:
-        plugin.call(REQUEST, VIEW)
+    with pytest.raises(PluginError) as caught:
+        plugin.call(Phase.REQUEST, VIEW)
     assert caught.value.reason == "stack"
 
 
 def test_a_loop_with_fuel_without_end_is_stopped_by_time():
-    plugin = made(on("request", "(loop $l (br $l)) (i64.const 0)"), budget=Budget(fuel=10**12, time=0.02))
-    with pytest.raises(PluginFailed) as caught:
-        plugin.call(REQUEST, VIEW)
+    plugin = made(
+        on("request", "(loop $l (br $l)) (i64.const 0)"), budget=Budget(fuel=10**12, call_time=0.02)
+    )
+    with pytest.raises(PluginError) as caught:
+        plugin.call(Phase.REQUEST, VIEW)
     assert caught.value.reason == "time"
 
 
 def test_texts_that_are_not_utf8_and_a_thousand_tags():
     plugin = made('(data (i32.const 40960) "tag a \\ff\\fe")' + on("request", "(i64.const 0xa00000000008)"))
-    with pytest.raises(PluginFailed) as caught:
-        plugin.call(REQUEST, VIEW)
+    with pytest.raises(PluginError) as caught:
+        plugin.call(Phase.REQUEST, VIEW)
     assert caught.value.reason == "nonsense"
-    said = made(says("\n".join(f"tag t{n} {n}" for n in range(1000)))).call(REQUEST, VIEW)
+    said = made(says("\n".join(f"tag t{n} {n}" for n in range(1000)))).call(Phase.REQUEST, VIEW)
     assert len(said) == 1000
 
 
@@ -115,7 +117,7 @@
     ],
 )
 def test_a_start_that_calls_the_host_or_never_ends_is_no_plug_in(phase, body):
-    with pytest.raises(PluginFailed):
+    with pytest.raises(PluginError):
         made(body)
 
 
@@ -124,9 +126,9 @@
         on("request", "(i64.const 0)") + '(func (export "on_save") (result i64)'
         "(drop (call $put (i32.const 0) (i32.const 1) (i32.const 0) (i32.const 1))) (i64.const 0))"
     )
-    with pytest.raises(PluginFailed, match="called put in the phase save"):
-        plugin.save()
-    assert plugin.call(REQUEST, VIEW) == [] and plugin.keys.values == {}
+    with pytest.raises(PluginError, match="called put in the phase save"):
+        plugin.save_state()
+    assert plugin.call(Phase.REQUEST, VIEW) == [] and plugin.keys.values == {}
 
 
 def test_a_host_call_from_the_wrong_phase_ends_the_call_at_once():
@@ -134,8 +136,8 @@
         on("request", "(i64.const 0)") + '(func (export "on_load") (param i32) (result i32)'
         "(call $log (i32.const 0) (i32.const 1)) (loop $l (br $l)) (i32.const 0))"
     )
-    with pytest.raises(PluginFailed, match="called log in the phase load"):
-        plugin.load(b"x")
+    with pytest.raises(PluginError, match="called log in the phase load"):
+        plugin.load_state(b"x")
 
 
 @pytest.mark.parametrize(
@@ -190,8 +192,8 @@
 
 
 def test_a_memory_past_the_budget_is_refused_at_the_start():
-    with pytest.raises(PluginFailed):
-        made(on("request", "(i64.const 0)"), budget=Budget(memory=1024))
+    with pytest.raises(PluginError):
+        made(on("request", "(i64.const 0)"), budget=Budget(memory_bytes=1024))
 
 
 def test_every_cut_of_a_module_is_refused_or_sound():
@@ -217,11 +219,11 @@
         ),
         {"key": {"a": "v w"}, "n": 2.5},
     )
-    assert plugin.call(REQUEST, VIEW) == [("tag", "v", "w")]
+    assert plugin.call(Phase.REQUEST, VIEW) == [("tag", "v", "w")]
     assert plugin.keys.values == {b"n": b"v w"} and plugin.counters() == {"n": 2.5}
     one, two = (made(on("request", "(f64.store (i32.const 200) (call $random)) (i64.const 0)")) for _ in "ab")
     for plugin in (one, two):
-        plugin.call(REQUEST, VIEW)
+        plugin.call(Phase.REQUEST, VIEW)
     drawn = one.memory.read(one.store, 200, 208)
     assert drawn == two.memory.read(two.store, 200, 208) != bytes(8)
 
@@ -240,7 +242,7 @@
         (i64.const 0)""",
         )
     )
-    assert plugin.call(REQUEST, VIEW) == []
+    assert plugin.call(Phase.REQUEST, VIEW) == []
 
 
 def test_log_lines_are_rationed_and_cannot_forge_others(caplog):
@@ -250,7 +252,7 @@
     )
     with caplog.at_level(logging.INFO, "apigateway.plugin"):
         for _ in range(20):
-            plugin.call(REQUEST, VIEW)
+            plugin.call(Phase.REQUEST, VIEW)
     assert [r.getMessage() for r in caplog.records] == ["p: a?b"] * 5 and plugin.ration.dropped == 15
 
 
@@ -267,22 +269,22 @@
         )
         + '(data (i32.const 0) "p")'
     )
-    assert plugin.phases == {REQUEST, ATTEMPT, ANSWER, TICK}
-    for phase in (REQUEST, ATTEMPT, ANSWER, TICK):
+    assert plugin.phases == {Phase.REQUEST, Phase.ATTEMPT, Phase.ANSWER, Phase.TICK}
+    for phase in (Phase.REQUEST, Phase.ATTEMPT, Phase.ANSWER, Phase.TICK):
         plugin.call(phase, VIEW)
     assert plugin.counters() == {"p": 10.0}
 
 
 def test_the_self_test_decides_and_state_goes_over():
     plugin = made(on("request", "(i64.const 0)") + '(func (export "self_test") (result i32) (i32.const 3))')
-    with pytest.raises(PluginFailed, match="gave 3"):
-        plugin.prove()
+    with pytest.raises(PluginError, match="gave 3"):
+        plugin.self_test()
     whole = (EXAMPLES / "sampler" / "sampler.wat").read_bytes()
     old, new = (WasmPlugin("s", whole, {"share": 0.0}, BUDGET) for _ in "ab")
     for _ in range(5):
-        old.call(REQUEST, VIEW)
-    assert new.load(old.save()) and int.from_bytes(new.save(), "little") == 5
-    assert not new.load(b"odd")
+        old.call(Phase.REQUEST, VIEW)
+    assert new.load_state(old.save_state()) and int.from_bytes(new.save_state(), "little") == 5
+    assert not new.load_state(b"odd")
 
 
 def test_mutated_modules_do_no_harm():
@@ -303,7 +305,7 @@
                 raw.insert(at, rng.randrange(256))
         try:
             plugin = WasmPlugin("m", bytes(raw), settings, BUDGET)
-        except (BadModule, PluginFailed):
+        except (BadModule, PluginError):
             refused += 1
             continue
         for phase in plugin.phases:
@@ -311,18 +313,20 @@
                 try:
                     plugin.call(phase, VIEW)
                     served += 1
-                except PluginFailed:
+                except PluginError:
                     pass
         plugin.close()
     assert refused > 100 and served > 50
 
 
 def test_the_clock_of_epochs_rests_and_wakes():
-    plugin = made(on("request", "(loop $l (br $l)) (i64.const 0)"), budget=Budget(fuel=10**12, time=0.005))
+    plugin = made(
+        on("request", "(loop $l (br $l)) (i64.const 0)"), budget=Budget(fuel=10**12, call_time=0.005)
+    )
     until = time.monotonic() + 30
     while plugin.machine.awake and time.monotonic() < until:
         time.sleep(0.05)  # until it has seen no call for IDLE epochs
     assert not plugin.machine.awake
-    with pytest.raises(PluginFailed) as caught:
-        plugin.call(REQUEST, VIEW)
+    with pytest.raises(PluginError) as caught:
+        plugin.call(Phase.REQUEST, VIEW)
     assert caught.value.reason == "time"
