--- a/apigateway/plugins/abi.py
+++ b/apigateway/plugins/abi.py
@@ -1,103 +1,141 @@
-"""The ABI's bytes, version 1: what a module finds in its memory, and the text that it gives back. Pure.
+"""The ABI of WebAssembly modules, version 1: the bytes of their input and the text that they return. Pure.
 
-docs/operate/plugin-abi.md has the whole ABI.
+docs/operate/plugin-abi.md describes the whole ABI.
 """
 
 from __future__ import annotations
 
 import struct
+from typing import NamedTuple
 
 from apigateway.plugins.interfaces import FailureReason, Outcome, Phase, PluginError, Proposal, RequestView
 
-VERSION = 1
-MODULE = "calicomast"  # of the imports
-HEAD = struct.Struct("<II4dIII I")  # version, phase, now, left, units, elapsed, flags, attempt, outcome, 0
-STRINGS = 8  # places of (address, length) behind the head: id, customer, plan, class, host, route, tags, none
-TABLE = struct.Struct(f"<{2 * STRINGS}I")
-START = HEAD.size + TABLE.size  # where the strings begin: 120
-LEAST_INPUT = 2048  # bytes that a module keeps for it
-MOST_OUTPUT = 65_536  # bytes of text of one call
-MOST_STATE = 1024 * 1024  # bytes that are carried over
-MOST_LINES = 1000
-PHASE = {Phase.REQUEST: 1, Phase.ATTEMPT: 2, Phase.ANSWER: 3, Phase.TICK: 4}
-EXPORT = {
+ABI_VERSION = 1
+IMPORT_MODULE = "calicomast"  # the module that imports are from
+VERSION_GLOBAL = "calicomast_abi"
+INPUT_ADDRESS_GLOBAL = "calicomast_input"
+INPUT_SIZE_GLOBAL = "calicomast_input_size"
+
+MIN_INPUT_SIZE = 2048  # bytes that a module keeps for its input
+MAX_OUTPUT_SIZE = 65_536  # bytes of text that a call returns
+MAX_STATE_SIZE = 1024 * 1024  # bytes that are handed to a successor
+MAX_OUTPUT_LINES = 1000
+
+PHASE_EXPORTS = {
     Phase.REQUEST: "on_request",
     Phase.ATTEMPT: "on_attempt",
     Phase.ANSWER: "on_answer",
     Phase.TICK: "on_tick",
 }
-OUTCOME: dict[str, int] = {"": 0, **{name: number for number, name in enumerate(Outcome, 1)}}
-WRITE, REPEAT, CUT = 1, 2, 4  # flags
-
-
-def pack(phase: Phase, view: RequestView, base: int, most: int) -> bytearray:
-    """What is written at `base`, `most` bytes at most. Tags that do not fit are left out, with the flag CUT.
-    Raises
-    PluginError if even the rest does not."""
-    flags = WRITE * view.is_write | REPEAT * view.is_retry
-    parts = [
-        text.encode("utf-8", "replace")
-        for text in (
-            view.request_id,
-            view.customer,
-            view.plan,
-            view.service_class,
-            view.endpoint_id,
-            view.route,
-        )
-    ]
-    parts.append("".join([f"{key}={value}\n" for key, value in view.tags.items()]).encode("utf-8", "replace"))
-    size = START + sum(map(len, parts))
-    if size > most:
-        size -= len(parts[-1])
-        parts[-1], flags = b"", flags | CUT
-        if size > most:
+
+FLAG_WRITE = 1
+FLAG_RETRY = 2
+FLAG_TAGS_CUT = 4  # there was no room for the tags
+
+# version, phase, now, remaining, units, elapsed, flags, attempt, outcome, 0
+_HEADER = struct.Struct("<II4dIII I")
+_STRING_COUNT = 8  # (address, length) of: id, customer, plan, class, endpoint, route, tags, none
+_STRING_TABLE = struct.Struct(f"<{2 * _STRING_COUNT}I")
+_STRINGS_OFFSET = _HEADER.size + _STRING_TABLE.size  # 120
+_PHASE_NUMBERS = {Phase.REQUEST: 1, Phase.ATTEMPT: 2, Phase.ANSWER: 3, Phase.TICK: 4}
+_OUTCOME_NUMBERS: dict[str, int] = {
+    "": 0,
+    Outcome.SERVED: 1,
+    Outcome.REFUSED: 2,
+    Outcome.FAILED: 3,
+    Outcome.GONE: 4,
+}
+_U32_MASK = 0xFFFF_FFFF
+_U64_MASK = 0xFFFF_FFFF_FFFF_FFFF
+
+
+class MemorySlice(NamedTuple):
+    """A part of a module's memory, in bytes."""
+
+    address: int
+    length: int
+
+
+def encode_input(phase: Phase, view: RequestView, address: int, max_size: int) -> bytearray:
+    """Return what is written at `address` before a call, `max_size` bytes at most.
+
+    Tags that do not fit are left out, with FLAG_TAGS_CUT. Raises PluginError if even the rest does not fit.
+    """
+    flags = FLAG_WRITE * view.is_write | FLAG_RETRY * view.is_retry
+    texts = (
+        view.request_id,
+        view.customer,
+        view.plan,
+        view.service_class,
+        view.endpoint_id,
+        view.route,
+        "".join([f"{key}={value}\n" for key, value in view.tags.items()]),
+    )
+    strings = [text.encode("utf-8", "replace") for text in texts]
+    size = _STRINGS_OFFSET + sum(map(len, strings))
+    if size > max_size:
+        size -= len(strings[-1])
+        strings[-1] = b""
+        flags |= FLAG_TAGS_CUT
+        if size > max_size:
             raise PluginError(
-                FailureReason.NONSENSE, f"the request needs {size} bytes of input, it keeps {most}"
+                FailureReason.NONSENSE, f"the request needs {size} bytes of input, it keeps {max_size}"
             )
-    table, at = [], base + START
-    for part in parts:
-        table += [at, len(part)]
-        at += len(part)
-    table += [0] * (2 * STRINGS - len(table))
-    head = HEAD.pack(
-        VERSION,
-        PHASE[phase],
+    header = _HEADER.pack(
+        ABI_VERSION,
+        _PHASE_NUMBERS[phase],
         view.now,
         view.remaining,
         view.units,
         view.elapsed,
         flags,
         view.attempt,
-        OUTCOME[view.outcome],
+        _OUTCOME_NUMBERS[view.outcome],
         0,
     )
-    return bytearray(b"".join((head, TABLE.pack(*table), *parts)))
+    table = _encode_string_table(strings, address + _STRINGS_OFFSET)
+    return bytearray(b"".join((header, table, *strings)))
+
 
+def _encode_string_table(strings: list[bytes], address: int) -> bytes:
+    """Return address and length of each string; the first one lies at `address`."""
+    entries: list[int] = []
+    for string in strings:
+        entries += (address, len(string))
+        address += len(string)
+    entries += [0] * (2 * _STRING_COUNT - len(entries))
+    return _STRING_TABLE.pack(*entries)
 
-def where(packed: int, size: int, most: int) -> tuple[int, int]:
-    """Address and length of what a call gave back. Raises PluginError where that is not in its memory."""
-    packed &= 0xFFFF_FFFF_FFFF_FFFF
-    address, length = packed >> 32, packed & 0xFFFF_FFFF
-    if address + length > size:
-        raise PluginError(FailureReason.NONSENSE, f"{length} bytes at {address} of a memory of {size}")
-    if length > most:
-        raise PluginError(FailureReason.NONSENSE, f"{length} bytes of text, {most} at most")
-    return address, length
 
+def decode_pointer(packed: int, memory_size: int, max_length: int) -> MemorySlice:
+    """Return where a call's result lies. Raises PluginError where that is not in its memory."""
+    packed &= _U64_MASK
+    address = packed >> 32
+    length = packed & _U32_MASK
+    if address + length > memory_size:
+        raise PluginError(FailureReason.NONSENSE, f"{length} bytes at {address} of a memory of {memory_size}")
+    if length > max_length:
+        raise PluginError(FailureReason.NONSENSE, f"{length} bytes of text, {max_length} at most")
+    return MemorySlice(address, length)
 
-def proposals(raw: bytes) -> list[Proposal]:
-    """Lines of `tag KEY VALUE`, `refuse SECONDS`, `route NAME`. What is none of these stays in, for it is
-    counted.
-    Raises PluginError if it is not UTF-8."""
+
+def decode_proposals(raw: bytes) -> list[Proposal]:
+    """Return the proposals of `tag KEY VALUE`, `refuse SECONDS` and `route NAME`, a line each.
+
+    Lines that are none of these become proposals too, for they are counted. Raises PluginError if the text is
+    not UTF-8.
+    """
     try:
         text = raw.decode("utf-8")
     except UnicodeDecodeError as err:
         raise PluginError(FailureReason.NONSENSE, f"its text is not UTF-8 (byte {err.start})") from err
-    said = []
-    for line in text.split("\n", MOST_LINES)[:MOST_LINES]:
-        if line:
-            verb, _, rest = line.partition(" ")
-            one, _, two = rest.partition(" ") if verb == "tag" else (rest, "", "")
-            said.append(Proposal(verb, one, two))
-    return said
+    lines = text.split("\n", MAX_OUTPUT_LINES)[:MAX_OUTPUT_LINES]
+    return [_decode_line(line) for line in lines if line]
+
+
+def _decode_line(line: str) -> Proposal:
+    verb, _, rest = line.partition(" ")
+    if verb != "tag":
+        return Proposal(verb, rest)
+    key, _, value = rest.partition(" ")
+    return Proposal(verb, key, value)
--- a/apigateway/plugins/apart.py
+++ b/apigateway/plugins/apart.py
@@ -74,7 +74,7 @@
 def main() -> None:
     """One line for each trial on stdin: `good`, or why not."""
     from apigateway.plugins.load import prove
-    from apigateway.plugins.wasm import BadModule, WasmPlugin
+    from apigateway.plugins.wasm import InvalidModuleError, WasmPlugin
 
     stream = io.BytesIO(sys.stdin.buffer.read())
     while stream.tell() < len(stream.getbuffer()):
@@ -83,7 +83,7 @@
             plugin = WasmPlugin(trial.name, trial.raw, trial.settings, trial.budget, trial.seed)
             prove(plugin, trial.gateway)
             plugin.close()
-        except BadModule as err:
+        except InvalidModuleError as err:
             why = f"{err}"
         except PluginError as err:
             why = f"failed its proof ({err})"
--- a/apigateway/plugins/load.py
+++ b/apigateway/plugins/load.py
@@ -130,11 +130,14 @@
                 raise Bad(
                     err.key, err.value, err.reason, "mend the rule", self.path if part.file else ""
                 ) from err
-        from apigateway.plugins.wasm import BadModule, WasmPlugin  # the engine: only where a module is loaded
+        from apigateway.plugins.wasm import (  # the engine: only where a module is loaded
+            InvalidModuleError,
+            WasmPlugin,
+        )
 
         try:
             return WasmPlugin(part.name, self.raw, part.settings, self.budget, self.seed)
-        except BadModule as err:
+        except InvalidModuleError as err:
             raise Bad("file", part.file, str(err), "`api-gateway plugin check` says more") from err
         except PluginError as err:
             raise Bad("file", part.file, f"its start failed ({err})", "mend the module") from err
--- a/apigateway/plugins/rules.py
+++ b/apigateway/plugins/rules.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Mapping, Sequence
 from operator import attrgetter
 from typing import Any
@@ -11,14 +10,12 @@
 from apigateway.plugins.language.compiler import NUMBER, TAGS, TEXT, TRUTH, Compiled, Run, compile_text
 from apigateway.plugins.language.library import RunError, text
 from apigateway.plugins.language.parser import LanguageError
-from apigateway.plugins.plugin_state import Counters, LogRateLimiter
+from apigateway.plugins.plugin_log import PluginLog
+from apigateway.plugins.plugin_state import Counters
 from apigateway.plugins.proposals import TAG_KEY_PATTERN
 from apigateway.plugins.settings import RulePart
 
 MOST_RULES = 200
-MOST_LINE = 200  # characters of a log line
-
-log = logging.getLogger("apigateway.plugin")
 
 
 def field(name: str, kind: str) -> tuple[str, Run]:
@@ -142,7 +139,7 @@
         self.reset()
 
     def reset(self) -> None:
-        self.tallies, self.ration = Counters(), LogRateLimiter(self.budget.log_lines)
+        self.tallies, self.log = Counters(), PluginLog(self.name, self.budget.log_lines)
 
     def call(self, phase: Phase, view: RequestView) -> list[Proposal]:
         said: list[Proposal] = []
@@ -158,8 +155,7 @@
         except (ArithmeticError, ValueError, TypeError, RecursionError) as err:
             raise PluginError(FailureReason.ERROR, f"{type(err).__name__} {err}") from err
         for line in lines:
-            if self.ration.try_acquire(view.now):
-                log.info("%s: %s", self.name, cleaned(line))
+            self.log.write(line, view.now)
         return said
 
     def self_test(self) -> None:
@@ -175,12 +171,7 @@
         return self.tallies.values
 
     def status(self) -> dict[str, Any]:
-        return {"log lines dropped": self.ration.dropped, "counts dropped": self.tallies.dropped}
+        return {"log lines dropped": self.log.dropped, "counts dropped": self.tallies.dropped}
 
     def close(self) -> None:
         pass
-
-
-def cleaned(line: str) -> str:
-    """One line of a log, whatever a plug-in makes of it."""
-    return "".join(c if c.isprintable() else "?" for c in line[:MOST_LINE])
--- a/apigateway/tools/plugin.py
+++ b/apigateway/tools/plugin.py
@@ -50,15 +50,15 @@
 
 
 def build(path: str) -> str:
-    from apigateway.plugins.wasm import BadModule, assembled
+    from apigateway.plugins.wasm import InvalidModuleError, assemble
 
     if not path.endswith(".wat"):
         raise Unusable(f"{path}: name a .wat file")
     with open(path, "rb") as file:
         raw = file.read()
     try:
-        made = assembled(raw)
-    except BadModule as err:
+        made = assemble(raw)
+    except InvalidModuleError as err:
         raise Unusable(f"{path}: {err}") from err
     out = path.removesuffix(".wat") + ".wasm"
     with open(out, "wb") as target:
--- a/tests/faults/test_plugins.py
+++ b/tests/faults/test_plugins.py
@@ -18,7 +18,7 @@
 from apigateway.emulators.script import Step
 from apigateway.plugins.records import read_records
 from apigateway.plugins.testkit import module, says
-from apigateway.plugins.wasm import assembled
+from apigateway.plugins.wasm import assemble
 
 BUSY = b"-BUSY\r\n"
 
@@ -254,7 +254,7 @@
             '(func (export "on_save") (result i64) (i64.const 8))'
             '(func (export "on_load") (param i32) (result i32) (i32.const 0))'
         )
-        good = assembled(module(says("tag v old") + state).encode())
+        good = assemble(module(says("tag v old") + state).encode())
         file.write_bytes(good)
         site.plug(plugin("a", file="a.wasm") + '[records]\nfile = "records"\n')
         program = await site.start()
@@ -266,13 +266,13 @@
             elif how == "gone":
                 file.unlink()
             elif how == "traps":
-                replaced(file, assembled(on_request("unreachable").encode()))
+                replaced(file, assemble(on_request("unreachable").encode()))
             elif how == "no rule":
                 site.plug(plugin("a", "[[plugins.rules]]\nwhen = 'nix'"))
             else:
                 replaced(
                     file,
-                    assembled(
+                    assemble(
                         module(
                             says("tag v new")
                             + state.replace("(result i32) (i32.const 0)", "(result i32) unreachable")
@@ -303,7 +303,7 @@
 @on_loop
 async def test_mutated_modules_swapped_in_traffic_do_no_harm(tmp_path):
     ledger, rng = Ledger(TERMS), random.Random(7)
-    whole = assembled(module(says("tag v 0") + says("tag w 0", "answer").replace("40960", "45056")).encode())
+    whole = assemble(module(says("tag v 0") + says("tag w 0", "answer").replace("40960", "45056")).encode())
     async with Plugged(tmp_path, ledger=ledger) as site:
         file = tmp_path / "a.wasm"
         file.write_bytes(whole)
--- a/tests/plugins/test_decided.py
+++ b/tests/plugins/test_decided.py
@@ -234,7 +234,7 @@
     view = RequestView(
         "r1", "c1", "basic", "read", 2.5, 3.0, 100.25, True, True, {"a": "1"}, "batch", "h1", 4, "failed", 0.5
     )
-    raw = abi.pack(Phase.ANSWER, view, 4096, 2048)
+    raw = abi.encode_input(Phase.ANSWER, view, 4096, 2048)
     assert struct.unpack_from("<II4dIII", raw) == (1, 3, 100.25, 3.0, 2.5, 0.5, 3, 4, 3)
     table = struct.unpack_from("<16I", raw, 56)
     texts = [raw[a - 4096 : a - 4096 + n].decode() for a, n in zip(table[::2], table[1::2], strict=True) if a]
@@ -242,10 +242,10 @@
 
 
 def test_tags_that_do_not_fit_are_cut_and_a_request_that_does_not_is_told():
-    raw = abi.pack(Phase.REQUEST, RequestView("r1", tags={"a": "x" * 3000}), 0, 2048)
-    assert struct.unpack_from("<I", raw, 40)[0] == abi.CUT and len(raw) < 2048
+    raw = abi.encode_input(Phase.REQUEST, RequestView("r1", tags={"a": "x" * 3000}), 0, 2048)
+    assert struct.unpack_from("<I", raw, 40)[0] == abi.FLAG_TAGS_CUT and len(raw) < 2048
     with pytest.raises(PluginError):
-        abi.pack(Phase.REQUEST, RequestView("r" * 3000), 0, 2048)
+        abi.encode_input(Phase.REQUEST, RequestView("r" * 3000), 0, 2048)
 
 
 @pytest.mark.parametrize(
@@ -262,10 +262,10 @@
 )
 def test_pointers_are_held_against_the_memory(packed, fits):
     if fits:
-        abi.where(packed, 128, 64)
+        abi.decode_pointer(packed, 128, 64)
     else:
         with pytest.raises(PluginError):
-            abi.where(packed, 128, 64)
+            abi.decode_pointer(packed, 128, 64)
 
 
 @seed(4)
@@ -273,16 +273,16 @@
 @given(st.one_of(st.binary(max_size=200), st.text(max_size=100).map(str.encode)))
 def test_whatever_text_comes_back_is_read_or_refused(raw):
     try:
-        said = abi.proposals(raw)
+        said = abi.decode_proposals(raw)
     except PluginError as err:
         assert err.reason == "nonsense"
         return
     evaluate(Phase.REQUEST, said, RequestEffects(), ALLOWANCE)
-    assert len(said) <= abi.MOST_LINES
+    assert len(said) <= abi.MAX_OUTPUT_LINES
 
 
 def test_proposals_as_lines():
-    assert abi.proposals(b"tag a b c\nrefuse 1.5\n\nroute x\nsend h1 now") == [
+    assert abi.decode_proposals(b"tag a b c\nrefuse 1.5\n\nroute x\nsend h1 now") == [
         ("tag", "a", "b c"),
         ("refuse", "1.5", ""),
         ("route", "x", ""),
--- a/tests/plugins/test_modules.py
+++ b/tests/plugins/test_modules.py
@@ -10,7 +10,7 @@
 
 from apigateway.plugins.interfaces import Budget, Phase, PluginError, RequestView
 from apigateway.plugins.testkit import module, says
-from apigateway.plugins.wasm import BadModule, WasmPlugin, assembled
+from apigateway.plugins.wasm import InvalidModuleError, WasmPlugin, assemble
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples" / "plugins"
 BUDGET = Budget(fuel=50_000, memory_bytes=1024 * 1024)
@@ -76,7 +76,7 @@
             plugin.call(Phase.REQUEST, VIEW)
         assert caught.value.reason in reason
         assert plugin.call(Phase.REQUEST, RequestView("other")) == [("tag", "", "")]
-    assert plugin.starts >= 2 and plugin.memory.read(plugin.store, 900, 904) == b"\0\0\0\0"
+    assert plugin.reinstantiations >= 2 and plugin.instance.memory.read(900, 4, 4) == b"\0\0\0\0"
     plugin.close()
 
 
@@ -128,7 +128,7 @@
     )
     with pytest.raises(PluginError, match="called put in the phase save"):
         plugin.save_state()
-    assert plugin.call(Phase.REQUEST, VIEW) == [] and plugin.keys.values == {}
+    assert plugin.call(Phase.REQUEST, VIEW) == [] and plugin.host.key_values.values == {}
 
 
 def test_a_host_call_from_the_wrong_phase_ends_the_call_at_once():
@@ -186,7 +186,7 @@
     ],
 )
 def test_what_is_no_plug_in_is_refused_with_its_reason(raw, words):
-    with pytest.raises(BadModule, match=".") as caught:
+    with pytest.raises(InvalidModuleError, match=".") as caught:
         WasmPlugin("p", raw, {}, BUDGET)
     assert words in str(caught.value)
 
@@ -197,9 +197,9 @@
 
 
 def test_every_cut_of_a_module_is_refused_or_sound():
-    whole = assembled((EXAMPLES / "sampler" / "sampler.wat").read_bytes())
+    whole = assemble((EXAMPLES / "sampler" / "sampler.wat").read_bytes())
     for end in range(0, len(whole), 7):
-        with pytest.raises(BadModule):
+        with pytest.raises(InvalidModuleError):
             WasmPlugin("p", whole[:end], {}, BUDGET)
 
 
@@ -220,12 +220,12 @@
         {"key": {"a": "v w"}, "n": 2.5},
     )
     assert plugin.call(Phase.REQUEST, VIEW) == [("tag", "v", "w")]
-    assert plugin.keys.values == {b"n": b"v w"} and plugin.counters() == {"n": 2.5}
+    assert plugin.host.key_values.values == {b"n": b"v w"} and plugin.counters() == {"n": 2.5}
     one, two = (made(on("request", "(f64.store (i32.const 200) (call $random)) (i64.const 0)")) for _ in "ab")
     for plugin in (one, two):
         plugin.call(Phase.REQUEST, VIEW)
-    drawn = one.memory.read(one.store, 200, 208)
-    assert drawn == two.memory.read(two.store, 200, 208) != bytes(8)
+    drawn = one.instance.memory.read(200, 8, 8)
+    assert drawn == two.instance.memory.read(200, 8, 8) != bytes(8)
 
 
 def test_missing_settings_and_keys_are_told_as_such():
@@ -253,7 +253,7 @@
     with caplog.at_level(logging.INFO, "apigateway.plugin"):
         for _ in range(20):
             plugin.call(Phase.REQUEST, VIEW)
-    assert [r.getMessage() for r in caplog.records] == ["p: a?b"] * 5 and plugin.ration.dropped == 15
+    assert [r.getMessage() for r in caplog.records] == ["p: a?b"] * 5 and plugin.host.log.dropped == 15
 
 
 def test_each_phase_is_told_which_it_is():
@@ -290,7 +290,7 @@
 def test_mutated_modules_do_no_harm():
     """Seeded: bytes of a sound module changed, taken out, put in. Each is refused or stays within its
     budget."""
-    whole, rng = assembled((EXAMPLES / "calendar" / "calendar.wat").read_bytes()), random.Random(12)
+    whole, rng = assemble((EXAMPLES / "calendar" / "calendar.wat").read_bytes()), random.Random(12)
     settings = {"class": "read", "from": 1.0, "until": 1e12, "wait": 1}
     served = refused = 0
     for _ in range(400):
@@ -305,7 +305,7 @@
                 raw.insert(at, rng.randrange(256))
         try:
             plugin = WasmPlugin("m", bytes(raw), settings, BUDGET)
-        except (BadModule, PluginError):
+        except (InvalidModuleError, PluginError):
             refused += 1
             continue
         for phase in plugin.phases:
@@ -324,9 +324,9 @@
         on("request", "(loop $l (br $l)) (i64.const 0)"), budget=Budget(fuel=10**12, call_time=0.005)
     )
     until = time.monotonic() + 30
-    while plugin.machine.awake and time.monotonic() < until:
-        time.sleep(0.05)  # until it has seen no call for IDLE epochs
-    assert not plugin.machine.awake
+    while plugin.engine.is_clock_running and time.monotonic() < until:
+        time.sleep(0.05)  # until it has seen no call for IDLE_EPOCHS epochs
+    assert not plugin.engine.is_clock_running
     with pytest.raises(PluginError) as caught:
         plugin.call(Phase.REQUEST, VIEW)
     assert caught.value.reason == "time"
