--- a/apigateway/daemon/plugins.py
+++ b/apigateway/daemon/plugins.py
@@ -13,10 +13,10 @@
 from apigateway.daemon.node import GatewayNode
 from apigateway.daemon.settings import Settings
 from apigateway.plugins.chain_version import ChainVersion
-from apigateway.plugins.load import Place, load
+from apigateway.plugins.loader import PluginEnvironment, load_plugins
 from apigateway.plugins.manager import PluginManager, StateTransferError
 from apigateway.plugins.records import RequestRecorder
-from apigateway.plugins.settings import RecordsPart
+from apigateway.plugins.settings import RecordsSection
 
 
 @dataclass(slots=True)
@@ -38,11 +38,11 @@
     settings: Settings,
     module: messages.Settings,
     old: PluginManager | None = None,
-    records: RecordsPart | None = None,
+    records: RecordsSection | None = None,
 ) -> Built:
     """`records`: as they were, with `old`. Raises InvalidConfigFileError; nothing of the new is left then."""
-    place = Place(path, module, settings.gateway.seed)
-    version = load(settings.plugins, settings.hooks, place, old.version if old is not None else None)
+    place = PluginEnvironment(path, module, settings.gateway.seed)
+    version = load_plugins(settings.plugins, settings.hooks, place, old.version if old is not None else None)
     part, status = settings.records, compared(old.version if old is not None else None, version)
     if old is not None and part == records:
         return Built(version, None, True, status)
@@ -78,7 +78,9 @@
 
 def check(path: str, settings: Settings, module: messages.Settings) -> None:
     """Loads and proves all, and lets it go again. Raises InvalidConfigFileError."""
-    load(settings.plugins, settings.hooks, Place(path, module, settings.gateway.seed)).close()
+    load_plugins(
+        settings.plugins, settings.hooks, PluginEnvironment(path, module, settings.gateway.seed)
+    ).close()
 
 
 def drop(version: ChainVersion, old: PluginManager | None) -> None:
--- a/apigateway/daemon/settings_schema.py
+++ b/apigateway/daemon/settings_schema.py
@@ -13,7 +13,7 @@
 from apigateway.config_validation import ConfigSection
 from apigateway.external_ratelimit.settings import AskPart
 from apigateway.frontends.grpc.settings import RateLimitPart
-from apigateway.plugins.settings import HooksPart, PluginPart, RecordsPart
+from apigateway.plugins.settings import HooksSection, PluginSection, RecordsSection
 
 # Bytes that the decision module keeps of a customer (benchmarks/module_cost.py).
 BYTES_PER_CUSTOMER = 700
@@ -237,9 +237,9 @@
     workers: WorkersSection = WorkersSection()
     overload: OverloadSection = OverloadSection()
     routes: dict[str, RouteSection] = {}
-    plugins: list[PluginPart] = []
-    hooks: HooksPart = HooksPart()
-    records: RecordsPart = RecordsPart()
+    plugins: list[PluginSection] = []
+    hooks: HooksSection = HooksSection()
+    records: RecordsSection = RecordsSection()
     ratelimit: RateLimitPart = RateLimitPart()
     ask: AskPart = AskPart()
 
--- a/apigateway/plugins/rules.py
+++ b/apigateway/plugins/rules.py
@@ -1,177 +1,207 @@
-"""A plug-in written as rules: conditions and tags in the language of expressions."""
+"""A plug-in that is written as rules: conditions and effects in the language of expressions."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from operator import attrgetter
-from typing import Any
-
-from apigateway.plugins.interfaces import Budget, FailureReason, Phase, PluginError, Proposal, RequestView
-from apigateway.plugins.language.compiler import NUMBER, TAGS, TEXT, TRUTH, Compiled, Run, compile_text
+from typing import Any, NamedTuple
+
+from apigateway.plugins.interfaces import (
+    Budget,
+    FailureReason,
+    Phase,
+    PluginError,
+    Proposal,
+    RequestView,
+    Verb,
+)
+from apigateway.plugins.language.compiler import NUMBER, TEXT, TRUTH, Compiled, Run, compile_text
 from apigateway.plugins.language.library import RunError, text
 from apigateway.plugins.language.parser import LanguageError
 from apigateway.plugins.plugin_log import PluginLog
 from apigateway.plugins.plugin_state import Counters
 from apigateway.plugins.proposals import TAG_KEY_PATTERN
-from apigateway.plugins.settings import RulePart
-
-MOST_RULES = 200
-
-
-def field(name: str, kind: str) -> tuple[str, Run]:
-    return kind, attrgetter(name)
-
-
-NOW = {"now": field("now", NUMBER)}
-OF_REQUEST = NOW | {
-    "id": field("request_id", TEXT),
-    "customer": field("customer", TEXT),
-    "plan": field("plan", TEXT),
-    "class": field("service_class", TEXT),
-    "units": field("units", NUMBER),
-    "left": field("remaining", NUMBER),
-    "write": field("is_write", TRUTH),
-    "repeat": field("is_retry", TRUTH),
-    "tags": field("tags", TAGS),
-    "route": field("route", TEXT),
-}
-FIELDS: dict[str, dict[str, tuple[str, Run]]] = {
-    Phase.REQUEST: OF_REQUEST,
-    Phase.ATTEMPT: OF_REQUEST | {"host": field("endpoint_id", TEXT), "attempt": field("attempt", NUMBER)},
-    Phase.ANSWER: OF_REQUEST
-    | {
-        "attempts": field("attempt", NUMBER),
-        "outcome": field("outcome", TEXT),
-        "elapsed": field("elapsed", NUMBER),
-    },
-    Phase.TICK: NOW,
-}
-# What a rule may say in which phase: all else is refused when it is loaded.
-MAY = {
-    Phase.REQUEST: ("tag", "refuse", "route", "count", "log"),
-    Phase.ATTEMPT: ("tag", "count", "log"),
-    Phase.ANSWER: ("count", "log"),
-    Phase.TICK: ("count", "log"),
-}
-
-
-class RuleFault(Exception):
-    """`key` as in `rules[2].when`."""
+from apigateway.plugins.rule_vocabulary import FIELDS, PERMITTED_ACTIONS, RuleAction
+from apigateway.plugins.settings import RuleSection
+
+MAX_RULES = 200
+
+_ALWAYS = "true"  # a condition that need not be asked
+
+# Globals, for they are needed at each call: a member costs more to look up on its class.
+_TAG = Verb.TAG
+_ROUTE = Verb.ROUTE
+_REFUSE = Verb.REFUSE
+
+
+class InvalidRuleError(Exception):
+    """A rule cannot be used; `key` is as in `rules[2].when`."""
 
     def __init__(self, key: str, value: object, reason: str) -> None:
-        self.key, self.value, self.reason = key, value, reason
+        self.key = key
+        self.value = value
+        self.reason = reason
         super().__init__(f"{key}: {reason}")
 
 
+class TagExpression(NamedTuple):
+    """A tag that a rule sets."""
+
+    key: str
+    evaluate: Run
+    is_text: bool  # else its value is to be made one
+
+
+class CounterExpression(NamedTuple):
+    """A counter that a rule adds to."""
+
+    name: str
+    evaluate: Run
+
+
 class Rule:
-    """One rule, compiled."""
-
-    def __init__(self, part: RulePart, at: str, settings: Mapping[str, Any], seed: int) -> None:
-        self.part, self.at, self.settings, self.seed = part, at, settings, seed
-        self.phase, self.stop = Phase(part.on), part.stop
-        for verb in ("tag", "refuse", "route", "count", "log"):
-            if getattr(part, verb) and verb not in MAY[self.phase]:
-                raise RuleFault(
-                    f"{at}.{verb}",
-                    getattr(part, verb),
-                    f"not in the phase {self.phase}: a rule may {', '.join(MAY[self.phase])} there",
-                )
-        self.when = self.compiled("when", part.when, TRUTH).run
-        self.always = part.when.strip() == "true"
-        self.tags = [(key, *self.value(f"tag.{key}", told)) for key, told in part.tag.items()]
-        for key in part.tag:
-            if not TAG_KEY_PATTERN.fullmatch(key):
-                raise RuleFault(f"{at}.tag", key, "a tag's name is small letters, digits and _.-, 32 at most")
-        self.refuse = self.compiled("refuse", part.refuse, NUMBER).run if part.refuse else None
-        self.route = self.compiled("route", part.route, TEXT).run if part.route else None
-        self.counts = [
-            (key, self.compiled(f"count.{key}", told, NUMBER).run) for key, told in part.count.items()
+    """One rule, compiled.
+
+    Attributes:
+        condition: Whether the rule applies to a view; None: it always does.
+        stops: No later rule is looked at if this one applies.
+    """
+
+    def __init__(self, section: RuleSection, key: str, settings: Mapping[str, Any], seed: int) -> None:
+        """Compile a rule; `key` is its place, as `rules[2]`. Raises InvalidRuleError."""
+        self.phase = Phase(section.on)
+        self.stops = section.stop
+        self._key = key
+        self._settings = settings
+        self._seed = seed
+        self._check_actions(section)
+        condition = self._compile("when", section.when, TRUTH).run
+        self.condition = None if section.when.strip() == _ALWAYS else condition
+        self._tags = self._compile_tags(section.tag)
+        self._refuse = self._compile_optional("refuse", section.refuse, NUMBER)
+        self._route = self._compile_optional("route", section.route, TEXT)
+        self._counters = [
+            CounterExpression(name, self._compile(f"count.{name}", amount, NUMBER).run)
+            for name, amount in section.count.items()
         ]
-        self.line = self.compiled("log", part.log, TEXT).run if part.log else None
+        self._log_line = self._compile_optional("log", section.log, TEXT)
+
+    def _check_actions(self, section: RuleSection) -> None:
+        permitted = PERMITTED_ACTIONS[self.phase]
+        for action in RuleAction:
+            value = getattr(section, action)
+            if value and action not in permitted:
+                reason = f"not in the phase {self.phase}: a rule may {', '.join(permitted)} there"
+                raise InvalidRuleError(f"{self._key}.{action}", value, reason)
+
+    def _compile_tags(self, tags: Mapping[str, str]) -> list[TagExpression]:
+        expressions: list[TagExpression] = []
+        for key, value in tags.items():
+            compiled = self._compile(f"tag.{key}", value, TEXT, NUMBER, TRUTH)
+            expressions.append(TagExpression(key, compiled.run, compiled.type == TEXT))
+        for key in tags:
+            if not TAG_KEY_PATTERN.fullmatch(key):
+                reason = "a tag's name is small letters, digits and _.-, 32 at most"
+                raise InvalidRuleError(f"{self._key}.tag", key, reason)
+        return expressions
+
+    def _compile_optional(self, key: str, source: str, *types: str) -> Run | None:
+        return self._compile(key, source, *types).run if source else None
 
-    def compiled(self, key: str, told: str, *types: str) -> Compiled:
+    def _compile(self, key: str, source: str, *types: str) -> Compiled:
         try:
-            made = compile_text(told, FIELDS[self.phase], self.settings, self.seed)
+            compiled = compile_text(source, FIELDS[self.phase], self._settings, self._seed)
         except LanguageError as err:
-            raise RuleFault(f"{self.at}.{key}", told, str(err)) from err
-        if made.type not in types:
-            raise RuleFault(f"{self.at}.{key}", told, f"gives {made.type}, not {' or '.join(types)}")
-        return made
-
-    def value(self, key: str, told: str) -> tuple[Run, bool]:
-        made = self.compiled(key, told, TEXT, NUMBER, TRUTH)
-        return made.run, made.type == TEXT
-
-    def act(self, view: RequestView, counters: Counters, lines: list[str]) -> list[Proposal]:
-        said: list[Proposal] = []
-        for key, run, plain in self.tags:
-            value = run(view)
-            said.append(Proposal("tag", key, value if plain else text(value)))
-        if self.route is not None:
-            said.append(Proposal("route", self.route(view)))
-        if self.refuse is not None:
-            said.append(Proposal("refuse", repr(self.refuse(view))))
-        for key, run in self.counts:
-            counters.add(key, run(view))
-        if self.line is not None:
-            lines.append(self.line(view))
-        return said
+            raise InvalidRuleError(f"{self._key}.{key}", source, str(err)) from err
+        if compiled.type not in types:
+            reason = f"gives {compiled.type}, not {' or '.join(types)}"
+            raise InvalidRuleError(f"{self._key}.{key}", source, reason)
+        return compiled
+
+    def apply(self, view: RequestView, counters: Counters, log_lines: list[str]) -> list[Proposal]:
+        """Return what it proposes; add to counters and log lines."""
+        proposals: list[Proposal] = []
+        for key, evaluate, is_text in self._tags:
+            value = evaluate(view)
+            proposals.append(Proposal(_TAG, key, value if is_text else text(value)))
+        if self._route is not None:
+            proposals.append(Proposal(_ROUTE, self._route(view)))
+        if self._refuse is not None:
+            proposals.append(Proposal(_REFUSE, repr(self._refuse(view))))
+        for name, evaluate in self._counters:
+            counters.add(name, evaluate(view))
+        if self._log_line is not None:
+            log_lines.append(self._log_line(view))
+        return proposals
 
 
 class RulesPlugin:
-    """terms.Plugin. `name` for its log lines. Raises RuleFault."""
+    """An interfaces.Plugin. It brings no self-test and carries no state over."""
 
     kind = "rules"
 
     def __init__(
-        self, name: str, parts: Sequence[RulePart], settings: Mapping[str, Any], budget: Budget, seed: int = 0
+        self,
+        name: str,
+        sections: Sequence[RuleSection],
+        settings: Mapping[str, Any],
+        budget: Budget,
+        seed: int = 0,
     ) -> None:
-        self.name, self.budget = name, budget
-        if not parts:
-            raise RuleFault("rules", None, "no rule")
-        if len(parts) > MOST_RULES:
-            raise RuleFault("rules", len(parts), f"more than {MOST_RULES} rules")
-        self.rules: dict[Phase, list[Rule]] = {}
-        for number, part in enumerate(parts):
-            rule = Rule(part, f"rules[{number}]", settings, seed)
-            self.rules.setdefault(rule.phase, []).append(rule)
-        self.phases = frozenset(self.rules)
+        """Compile the rules; `name` is for log lines. Raises InvalidRuleError."""
+        self.name = name
+        self._budget = budget
+        if not sections:
+            raise InvalidRuleError("rules", None, "no rule")
+        if len(sections) > MAX_RULES:
+            raise InvalidRuleError("rules", len(sections), f"more than {MAX_RULES} rules")
+        self._rules_by_phase: dict[Phase, list[Rule]] = {}
+        for index, section in enumerate(sections):
+            rule = Rule(section, f"rules[{index}]", settings, seed)
+            self._rules_by_phase.setdefault(rule.phase, []).append(rule)
+        self.phases = frozenset(self._rules_by_phase)
         self.reset()
 
     def reset(self) -> None:
-        self.tallies, self.log = Counters(), PluginLog(self.name, self.budget.log_lines)
+        """Forget counters and the log's rate."""
+        self._counters = Counters()
+        self._log = PluginLog(self.name, self._budget.log_lines)
 
     def call(self, phase: Phase, view: RequestView) -> list[Proposal]:
-        said: list[Proposal] = []
-        lines: list[str] = []
+        """Return what the rules of a phase propose. Raises PluginError."""
+        proposals: list[Proposal] = []
+        log_lines: list[str] = []
         try:
-            for rule in self.rules.get(phase, ()):
-                if rule.always or rule.when(view):
-                    said += rule.act(view, self.tallies, lines)
-                    if rule.stop:
+            for rule in self._rules_by_phase.get(phase, ()):
+                if rule.condition is None or rule.condition(view):
+                    proposals += rule.apply(view, self._counters, log_lines)
+                    if rule.stops:
                         break
         except RunError as err:
             raise PluginError(FailureReason.ERROR, str(err)) from err
         except (ArithmeticError, ValueError, TypeError, RecursionError) as err:
             raise PluginError(FailureReason.ERROR, f"{type(err).__name__} {err}") from err
-        for line in lines:
-            self.log.write(line, view.now)
-        return said
+        for line in log_lines:
+            self._log.write(line, view.now)
+        return proposals
 
     def self_test(self) -> None:
-        """Rules bring no self-test of their own."""
+        """Do nothing: rules bring no self-test of their own."""
 
     def save_state(self) -> bytes | None:
+        """Return None: rules keep nothing that a successor could use."""
         return None
 
     def load_state(self, state: bytes) -> bool:
+        """Return False: rules take no state."""
         return False
 
     def counters(self) -> dict[str, float]:
-        return self.tallies.values
+        """Return the rules' counters by name."""
+        return self._counters.values
 
     def status(self) -> dict[str, Any]:
-        return {"log lines dropped": self.log.dropped, "counts dropped": self.tallies.dropped}
+        """Return what it holds, for operators."""
+        return {"log lines dropped": self._log.dropped, "counts dropped": self._counters.dropped}
 
     def close(self) -> None:
-        pass
+        """Do nothing: rules hold nothing that must be freed."""
--- a/apigateway/plugins/settings.py
+++ b/apigateway/plugins/settings.py
@@ -1,5 +1,7 @@
-"""The tables of plug-ins in a settings file, and a file of rules. Only their shapes: nothing is loaded
-here."""
+"""The tables of plug-ins in a settings file, and a file of rules. Only their shapes: nothing is loaded here.
+
+docs/operate/plugins.md describes the keys, docs/operate/plugin-abi.md those of a rule.
+"""
 
 from __future__ import annotations
 
@@ -9,28 +11,32 @@
 
 from apigateway.config_validation import ConfigSection
 
-Name = Annotated[str, msgspec.Meta(pattern=r"^[a-z][a-z0-9_-]{0,31}$")]
-Text = Annotated[str, msgspec.Meta(min_length=1, max_length=2000)]
+PluginName = Annotated[str, msgspec.Meta(pattern=r"^[a-z][a-z0-9_-]{0,31}$")]
+ExpressionText = Annotated[str, msgspec.Meta(min_length=1, max_length=2000)]
 
 
-class RulePart(ConfigSection, frozen=True, kw_only=True):
-    """All but `on` and `stop` are expressions: docs/operate/plugin-abi.md, The language."""
+class RuleSection(ConfigSection, frozen=True, kw_only=True):
+    """One rule; all but `on` and `stop` are expressions."""
 
     on: Literal["request", "attempt", "answer", "tick"] = "request"
-    when: Text = "true"
-    tag: dict[str, Text] = {}
-    refuse: Text = ""
-    route: Text = ""
-    count: dict[str, Text] = {}
-    log: Text = ""
+    when: ExpressionText = "true"
+    tag: dict[str, ExpressionText] = {}
+    refuse: ExpressionText = ""  # left out
+    route: ExpressionText = ""  # left out
+    count: dict[str, ExpressionText] = {}
+    log: ExpressionText = ""  # left out
     stop: bool = False  # no later rule of this plug-in is looked at
 
 
 class RuleFile(ConfigSection, frozen=True, kw_only=True):
-    rules: list[RulePart] = []
+    """A file of [[rules]]."""
+
+    rules: list[RuleSection] = []
+
 
+class BudgetSection(ConfigSection, frozen=True, kw_only=True):
+    """[plugins.budget]: what one plug-in may use."""
 
-class BudgetPart(ConfigSection, frozen=True, kw_only=True):
     fuel: Annotated[int, msgspec.Meta(ge=1000, le=1_000_000_000)] = 200_000
     time_ms: Annotated[float, msgspec.Meta(ge=1, le=1000)] = 10.0
     memory_mb: Annotated[float, msgspec.Meta(ge=0.0625, le=1024)] = 4.0
@@ -43,16 +49,20 @@
     most_rest: Annotated[float, msgspec.Meta(gt=0, le=86_400)] = 300.0
 
 
-class PluginPart(ConfigSection, frozen=True, kw_only=True):
-    name: Name
+class PluginSection(ConfigSection, frozen=True, kw_only=True):
+    """One of [[plugins]]: a file or rules."""
+
+    name: PluginName
     file: str = ""
-    rules: list[RulePart] = []
+    rules: list[RuleSection] = []
     past: Literal["skip", "refuse"] = "skip"
     settings: dict[str, Any] = {}
-    budget: BudgetPart = BudgetPart()
+    budget: BudgetSection = BudgetSection()
+
 
+class HooksSection(ConfigSection, frozen=True, kw_only=True):
+    """[hooks]: what holds for all plug-ins together."""
 
-class HooksPart(ConfigSection, frozen=True, kw_only=True):
     tick: Annotated[float, msgspec.Meta(gt=0, le=3600)] = 1.0
     time_ms: Annotated[float, msgspec.Meta(ge=1, le=1000)] = 20.0
     max_tags: Annotated[int, msgspec.Meta(ge=0, le=64)] = 8
@@ -60,7 +70,9 @@
     max_file_mb: Annotated[float, msgspec.Meta(gt=0, le=64)] = 4.0
 
 
-class RecordsPart(ConfigSection, frozen=True, kw_only=True):
+class RecordsSection(ConfigSection, frozen=True, kw_only=True):
+    """[records]: where requests that are over are recorded."""
+
     file: str = ""
     only: str = ""
     max_mb: Annotated[float, msgspec.Meta(gt=0, le=100_000)] = 100.0
--- a/apigateway/tools/plugin.py
+++ b/apigateway/tools/plugin.py
@@ -13,11 +13,12 @@
 from apigateway import messages
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.plugins.interfaces import Phase, RequestView
-from apigateway.plugins.load import Place, load, proofs
+from apigateway.plugins.loader import PluginEnvironment, load_plugins
 from apigateway.plugins.records import parse_record, read_records
 from apigateway.plugins.runner import PluginRunner
-from apigateway.plugins.settings import HooksPart, PluginPart
-from apigateway.plugins.testkit import Kit, Told, read_plugins, settings
+from apigateway.plugins.settings import HooksSection, PluginSection
+from apigateway.plugins.testkit import Kit, RequestResult, read_plugins, settings
+from apigateway.plugins.validation import sample_requests
 from apigateway.tools.skeletons import skeleton
 
 NAME = re.compile(r"[a-z][a-z0-9_-]{0,31}")
@@ -66,7 +67,7 @@
     return f"{out}: {len(made)} bytes"
 
 
-def read(path: str) -> tuple[str, list[PluginPart], HooksPart, messages.Settings | None]:
+def read(path: str) -> tuple[str, list[PluginSection], HooksSection, messages.Settings | None]:
     """The file, its plug-ins, and what its gateway tells the decision module where it is a gateway's."""
     if os.path.isdir(path):
         path = os.path.join(path, "plugin.toml")
@@ -87,7 +88,7 @@
     file, plugins, hooks, own = read(path)
     if not plugins:
         raise Unusable(f"{file}: names no plug-in")
-    return Kit(load(plugins, hooks, Place(file, place or own or settings())))
+    return Kit(load_plugins(plugins, hooks, PluginEnvironment(file, place or own or settings())))
 
 
 def check(path: str) -> Report:
@@ -109,7 +110,7 @@
     if not hasattr(plugin, "fuel_used"):
         return None
     most = 0
-    for view in proofs(settings()):
+    for view in sample_requests(settings()):
         for phase in seat.plugin.phases:
             plugin.call(phase, RequestView(now=view.now) if phase == Phase.TICK else view)
             most = max(most, plugin.fuel_used())
@@ -179,7 +180,7 @@
     return report
 
 
-def play(kit: Kit, record: dict[str, Any], view: RequestView) -> Told:
+def play(kit: Kit, record: dict[str, Any], view: RequestView) -> RequestResult:
     result = kit.request(
         id=view.request_id,
         customer=view.customer,
@@ -200,7 +201,7 @@
     return result
 
 
-def spoken(told: Told) -> str:
+def spoken(told: RequestResult) -> str:
     parts = [f"{key}={value}" for key, value in told.tags.items()]
     parts += [f"route {told.route}"] if told.route else []
     parts += [f"refused, back in {told.refuse:g} s"] if told.refuse is not None else []
@@ -228,7 +229,7 @@
 
 
 def cost(seat: PluginRunner, phase: Phase, calls: int) -> dict[str, float]:
-    views = [RequestView(now=time.time())] if phase == Phase.TICK else proofs(settings())
+    views = [RequestView(now=time.time())] if phase == Phase.TICK else sample_requests(settings())
     for view in views:
         if phase in (Phase.ATTEMPT, Phase.ANSWER):
             view.endpoint_id = "bench-host"
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -170,22 +170,23 @@
     return next(int(l.split()[1]) for l in open("/proc/self/status") if l.startswith("VmRSS"))
 import msgspec, apigateway.config_validation
 before = held()
-from apigateway.plugins.load import Place, load
+from apigateway.plugins.loader import PluginEnvironment, load_plugins
 from apigateway.plugins.manager import PluginManager
-from apigateway.plugins.settings import HooksPart, PluginPart
+from apigateway.plugins.settings import HooksSection, PluginSection
 from apigateway.plugins.testkit import settings
 def parts(turn):
-    return [PluginPart(name=f"p{{n}}", file={file!r}, settings={{"district": {{"a": f"{{turn}}"}}}})
+    return [PluginSection(name=f"p{{n}}", file={file!r}, settings={{"district": {{"a": f"{{turn}}"}}}})
             for n in range({count})]
-place = Place("/", settings())
-began = time.perf_counter(); first = load(parts(0), HooksPart(), place); loaded = time.perf_counter() - began
+place = PluginEnvironment("/", settings())
+began = time.perf_counter(); first = load_plugins(parts(0), HooksSection(), place)
+loaded = time.perf_counter() - began
 hooks = PluginManager(first, time.time, None, 1.0)
-began = time.perf_counter(); second = load(parts(1), HooksPart(), place, first)
+began = time.perf_counter(); second = load_plugins(parts(1), HooksSection(), place, first)
 again = time.perf_counter() - began
 began = time.perf_counter(); hooks.swap(second); swapped = time.perf_counter() - began
 after = held()
 for turn in range(2, 8):
-    hooks.swap(load(parts(turn), HooksPart(), place, hooks.version))
+    hooks.swap(load_plugins(parts(turn), HooksSection(), place, hooks.version))
 print(json.dumps({{"load_s": loaded, "again_s": again, "swap_ms": swapped * 1000, "memory_kb": after - before,
                    "six_more_kb": held() - after}}))
 """
@@ -207,20 +208,22 @@
 def inside(count: int, kind: str, requests: int = 20_000) -> float:
     """us that the plug-ins' own code takes for one request: taken, one attempt, answered."""
     from apigateway import messages
-    from apigateway.plugins.load import Place
-    from apigateway.plugins.load import load as load_plugins
+    from apigateway.plugins.loader import PluginEnvironment, load_plugins
     from apigateway.plugins.manager import PluginManager
-    from apigateway.plugins.settings import BudgetPart, HooksPart, PluginPart
+    from apigateway.plugins.settings import BudgetSection, HooksSection, PluginSection
     from apigateway.plugins.testkit import settings
 
     file = str(EXAMPLE / ("rules.toml" if kind == "rules" else "districts.wat"))
     table = {f"{n:016x}": f"d{n % 7}" for n in range(1, 98)}
     parts = [
-        PluginPart(name=f"p{n}", file=file, settings={"district": table}, budget=BudgetPart(share=1.0))
+        PluginSection(name=f"p{n}", file=file, settings={"district": table}, budget=BudgetSection(share=1.0))
         for n in range(count)
     ]
     hooks = PluginManager(
-        load_plugins(parts, HooksPart(), Place("/", settings())), time.time, asyncio.new_event_loop(), 1.0
+        load_plugins(parts, HooksSection(), PluginEnvironment("/", settings())),
+        time.time,
+        asyncio.new_event_loop(),
+        1.0,
     )
     asked = [
         messages.Request(f"r{n}", 3.0, f"{n + 1:016x}", "basic", "roster-read", 1.0, 0, 1) for n in range(97)
--- a/tests/plugins/test_language.py
+++ b/tests/plugins/test_language.py
@@ -7,7 +7,7 @@
 from apigateway.plugins.interfaces import RequestView
 from apigateway.plugins.language import LanguageError, compile_text
 from apigateway.plugins.language.library import MOST_LENGTH, RunError
-from apigateway.plugins.rules import FIELDS
+from apigateway.plugins.rule_vocabulary import FIELDS
 
 SETTINGS = {
     "district": {"a": "kochi", "b": "thrissur"},
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -15,16 +15,15 @@
 
 from apigateway import messages
 from apigateway.config_validation import InvalidConfigFileError
-from apigateway.plugins.apart import ENDED, Trial, tried
 from apigateway.plugins.chain_version import ChainVersion
 from apigateway.plugins.interfaces import Budget, BudgetPolicy, FailureReason, Phase, PluginError, Proposal
-from apigateway.plugins.load import Place as At
-from apigateway.plugins.load import load
+from apigateway.plugins.isolated_validation import PROCESS_ENDED, ValidationJob, validate_isolated
+from apigateway.plugins.loader import PluginEnvironment, load_plugins
 from apigateway.plugins.manager import PluginManager, StateTransferError
 from apigateway.plugins.proposals import ProposalLimits
 from apigateway.plugins.records import RequestRecorder, parse_record, read_records
 from apigateway.plugins.runner import PluginRunner
-from apigateway.plugins.settings import BudgetPart, HooksPart, PluginPart, RulePart
+from apigateway.plugins.settings import BudgetSection, HooksSection, PluginSection, RuleSection
 from apigateway.plugins.testkit import module, says
 from apigateway.plugins.testkit import settings as gateway
 
@@ -365,11 +364,13 @@
 
 
 def part(name="p", **kw):
-    return PluginPart(name=name, **kw)
+    return PluginSection(name=name, **kw)
 
 
 def loading(tmp_path, *parts, old=None):
-    return load(parts, HooksPart(), At(str(tmp_path / "gateway.toml"), gateway()), old)
+    return load_plugins(
+        parts, HooksSection(), PluginEnvironment(str(tmp_path / "gateway.toml"), gateway()), old
+    )
 
 
 @pytest.mark.parametrize(
@@ -407,14 +408,18 @@
             "plugins[0].file",
             "failed its proof (fuel",
         ),
-        (lambda p: part(rules=[RulePart(when="1")]), "plugins[0].rules[0].when", "gives number"),
-        (lambda p: part(rules=[RulePart(tag={"A b": "id"})]), "plugins[0].rules[0].tag", "small letters"),
+        (lambda p: part(rules=[RuleSection(when="1")]), "plugins[0].rules[0].when", "gives number"),
+        (lambda p: part(rules=[RuleSection(tag={"A b": "id"})]), "plugins[0].rules[0].tag", "small letters"),
         (
-            lambda p: part(rules=[RulePart(on="answer", refuse="1")]),
+            lambda p: part(rules=[RuleSection(on="answer", refuse="1")]),
             "plugins[0].rules[0].refuse",
             "not in the phase",
         ),
-        (lambda p: part(rules=[RulePart(tag={"a": "1 / 0"})]), "plugins[0].rules", "failed its proof (error"),
+        (
+            lambda p: part(rules=[RuleSection(tag={"a": "1 / 0"})]),
+            "plugins[0].rules",
+            "failed its proof (error",
+        ),
         (
             lambda p: (p / "r.toml").write_text("[[rules]]\nwhen = 'nix'") and part(file="r.toml"),
             "rules[0].when",
@@ -438,7 +443,7 @@
 
 def test_all_faults_are_told_at_once_and_names_are_each_ones_own(tmp_path):
     with pytest.raises(InvalidConfigFileError) as caught:
-        loading(tmp_path, part(rules=[RulePart()]), part(rules=[RulePart()]), part("q", file="nix.wat"))
+        loading(tmp_path, part(rules=[RuleSection()]), part(rules=[RuleSection()]), part("q", file="nix.wat"))
     assert [fault.key for fault in caught.value.problems] == ["plugins[1].name", "plugins[2].file"]
 
 
@@ -447,19 +452,19 @@
     monkeypatch.setitem(sys.modules, "wasmtime", None)
     with pytest.raises(InvalidConfigFileError, match="needs wasmtime.*pip install"):
         loading(tmp_path, part("a", file="a.wat"))
-    assert loading(tmp_path, part("b", rules=[RulePart()])).runners  # rules need none
+    assert loading(tmp_path, part("b", rules=[RuleSection()])).runners  # rules need none
 
 
 def test_what_did_not_change_goes_on_with_its_state(tmp_path):
     (tmp_path / "a.wat").write_text(module(says("tag a 1")))
-    parts = [part("a", file="a.wat"), part("b", rules=[RulePart(tag={"b": "'1'"})])]
+    parts = [part("a", file="a.wat"), part("b", rules=[RuleSection(tag={"b": "'1'"})])]
     old = loading(tmp_path, *parts)
     same = loading(tmp_path, *parts, old=old)
     assert [s in old.runners for s in same.runners] == [True, True]
     (tmp_path / "a.wat").write_text(module(says("tag a 2")))
     new = loading(tmp_path, *parts, old=old)
     assert [s in old.runners for s in new.runners] == [False, True]
-    wider = loading(tmp_path, part("a", file="a.wat", budget=BudgetPart(fuel=5000)), parts[1], old=new)
+    wider = loading(tmp_path, part("a", file="a.wat", budget=BudgetSection(fuel=5000)), parts[1], old=new)
     assert [s in new.runners for s in wider.runners] == [False, True]
 
 
@@ -471,7 +476,7 @@
             "(i32.const 102)) (then unreachable)) (i64.const 0))"
         )
     )  # a customer that begins with f
-    loaded = loading(tmp_path, part("a", file="a.wat", budget=BudgetPart(failures=3, rest=100.0)))
+    loaded = loading(tmp_path, part("a", file="a.wat", budget=BudgetSection(failures=3, rest=100.0)))
     w = hooked()
     w.hooks.version = loaded
     for n in range(6):
@@ -504,9 +509,9 @@
 @pytest.mark.parametrize("how, words", [(Ends(), "exit code -6"), (Hangs(), "not done in 5 s")])
 def test_a_module_that_ends_the_process_is_found_out_in_one_of_its_own(how, words):
     raw = module(says("tag a 1")).encode()
-    made = [Trial("p", raw, settings, Budget(), 0, gateway()) for settings in ({}, how, {}, {})]
-    made[3] = Trial("p", b"(module", {}, Budget(), 0, gateway())
-    told = tried(made, 5.0)
+    made = [ValidationJob("p", raw, settings, Budget(), 0, gateway()) for settings in ({}, how, {}, {})]
+    made[3] = ValidationJob("p", b"(module", {}, Budget(), 0, gateway())
+    told = validate_isolated(made, 5.0)
     assert told[0] == told[2] == "" and words in told[1] and "cannot be assembled" in told[3]
 
 
@@ -522,8 +527,10 @@
 )
 def test_parts_of_the_standard_that_the_engines_interface_lacks_are_refused(body):
     """They ended the process: found by mutated modules."""
-    (why,) = tried([Trial("p", module(says("") + body).encode(), {}, Budget(), 0, gateway())])
-    assert why and ENDED not in why
+    (why,) = validate_isolated(
+        [ValidationJob("p", module(says("") + body).encode(), {}, Budget(), 0, gateway())]
+    )
+    assert why and PROCESS_ENDED not in why
 
 
 def test_one_that_burns_just_under_its_fuel_at_every_call_is_held_to_its_share(tmp_path):
@@ -537,7 +544,7 @@
     )
     w = hooked(most=2000, held=10**6)
     # Its time is not what this is about: a core that is taken away for 10 ms would count as too long a call.
-    budget = BudgetPart(share=0.001, span=5.0, time_ms=1000.0)
+    budget = BudgetSection(share=0.001, span=5.0, time_ms=1000.0)
     w.hooks.version = loading(tmp_path, part("a", file="a.wat", budget=budget))
     places = [w.take(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(1000)]
     for attempt in w.hosts.out:
