--- a/apigateway/tools/plugins/bench.py
+++ b/apigateway/tools/plugins/bench.py
@@ -5,10 +5,10 @@
 import statistics
 import time
 
-from apigateway.plugins.load import proofs
-from apigateway.plugins.terms import ANSWER, ATTEMPT, PHASES, TICK, View
+from apigateway.plugins.interfaces import Phase, RequestView
+from apigateway.plugins.runner import PluginRunner
 from apigateway.plugins.testkit import settings
-from apigateway.plugins.version import Seat
+from apigateway.plugins.validation import sample_requests
 from apigateway.tools.plugins.loading import load_plugins
 from apigateway.tools.plugins.report import Report
 
@@ -21,20 +21,20 @@
     kit = load_plugins(path)
     report = Report()
     try:
-        for seat in kit.seats:
-            for phase in PHASES:
-                if phase in seat.plugin.phases:
-                    figures = _measure(seat, phase, max(1, call_count))
-                    report.figures[f"{seat.name} {phase}"] = figures
-                    report.lines.append(_format_figures(seat, phase, figures))
+        for runner in kit.runners:
+            for phase in Phase:
+                if phase in runner.plugin.phases:
+                    figures = _measure(runner, phase, max(1, call_count))
+                    report.figures[f"{runner.name} {phase}"] = figures
+                    report.lines.append(_format_figures(runner, phase, figures))
     finally:
         kit.close()
     return report
 
 
-def _measure(seat: Seat, phase: str, call_count: int) -> dict[str, float]:
+def _measure(runner: PluginRunner, phase: Phase, call_count: int) -> dict[str, float]:
     """Call one phase; return median and 99th percentile in microseconds, and the last call's fuel if any."""
-    plugin = seat.plugin
+    plugin = runner.plugin
     clock = time.perf_counter
     views = _views(phase)
     durations = []
@@ -54,22 +54,22 @@
     return figures
 
 
-def _views(phase: str) -> list[View]:
+def _views(phase: Phase) -> list[RequestView]:
     """Return what the plug-in is called with."""
-    if phase == TICK:
-        return [View(now=time.time())]
-    views = proofs(settings())
+    if phase == Phase.TICK:
+        return [RequestView(now=time.time())]
+    views = sample_requests(settings())
     for view in views:
-        if phase in (ATTEMPT, ANSWER):
-            view.host = _HOST
-        if phase == ANSWER:
+        if phase in (Phase.ATTEMPT, Phase.ANSWER):
+            view.endpoint_id = _HOST
+        if phase == Phase.ANSWER:
             view.outcome = "served"
     return views
 
 
-def _format_figures(seat: Seat, phase: str, figures: dict[str, float]) -> str:
+def _format_figures(runner: PluginRunner, phase: Phase, figures: dict[str, float]) -> str:
     fuel = f", fuel {figures['fuel']:.0f}" if "fuel" in figures else ""
     return (
-        f"{seat.name}, {phase}: median {figures['median']:.1f} us, "
+        f"{runner.name}, {phase}: median {figures['median']:.1f} us, "
         f"99th percentile {figures['p99']:.1f} us{fuel}"
     )
--- a/apigateway/tools/plugins/check.py
+++ b/apigateway/tools/plugins/check.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from apigateway.plugins.load import proofs
-from apigateway.plugins.terms import PHASES, TICK, View
+from apigateway.plugins.interfaces import Phase, RequestView
+from apigateway.plugins.runner import PluginRunner
 from apigateway.plugins.testkit import settings
-from apigateway.plugins.version import Seat
+from apigateway.plugins.validation import sample_requests
 from apigateway.tools.plugins.loading import load_plugins
 from apigateway.tools.plugins.report import Report
 
@@ -16,26 +16,26 @@
     """Load the plug-ins and report what they are. Raises InvalidConfigFileError with all that is wrong."""
     kit = load_plugins(path)
     try:
-        return Report([_describe(seat) for seat in kit.seats])
+        return Report([_describe(runner) for runner in kit.runners])
     finally:
         kit.close()
 
 
-def _describe(seat: Seat) -> str:
-    fuel = _max_fuel(seat)
-    fuel_text = "" if fuel is None else f", {fuel} of {seat.budget.fuel} fuel at most in its proof"
-    phases = ", ".join(phase for phase in PHASES if phase in seat.plugin.phases)
-    return f"{seat.name}: good; {seat.plugin.kind}, phases {phases}{fuel_text}"
+def _describe(runner: PluginRunner) -> str:
+    fuel = _max_fuel(runner)
+    fuel_text = "" if fuel is None else f", {fuel} of {runner.budget.fuel} fuel at most in its proof"
+    phases = ", ".join(phase for phase in Phase if phase in runner.plugin.phases)
+    return f"{runner.name}: good; {runner.plugin.kind}, phases {phases}{fuel_text}"
 
 
-def _max_fuel(seat: Seat) -> int | None:
+def _max_fuel(runner: PluginRunner) -> int | None:
     """Return the most fuel that a call of the proof takes; None for a plug-in that needs none."""
-    plugin: Any = seat.plugin
+    plugin: Any = runner.plugin
     if not hasattr(plugin, "fuel_used"):
         return None
     max_fuel = 0
-    for view in proofs(settings()):
-        for phase in seat.plugin.phases:
-            plugin.call(phase, View(now=view.now) if phase == TICK else view)
+    for view in sample_requests(settings()):
+        for phase in runner.plugin.phases:
+            plugin.call(phase, RequestView(now=view.now) if phase == Phase.TICK else view)
             max_fuel = max(max_fuel, plugin.fuel_used())
     return max_fuel
--- a/apigateway/tools/plugins/files.py
+++ b/apigateway/tools/plugins/files.py
@@ -40,15 +40,16 @@
         UnusableArgumentError: it is no module's text.
         OSError: a file cannot be read or written.
     """
-    from apigateway.plugins.wasm import BadModule, assembled
+    from apigateway.plugins.wasm import InvalidModuleError
+    from apigateway.plugins.wasm import assemble as assemble_module
 
     if not path.endswith(".wat"):
         raise UnusableArgumentError(f"{path}: name a .wat file")
     with open(path, "rb") as file:
         text = file.read()
     try:
-        module = assembled(text)
-    except BadModule as error:
+        module = assemble_module(text)
+    except InvalidModuleError as error:
         raise UnusableArgumentError(f"{path}: {error}") from error
     module_path = path.removesuffix(".wat") + ".wasm"
     with open(module_path, "wb") as file:
--- a/apigateway/tools/plugins/loading.py
+++ b/apigateway/tools/plugins/loading.py
@@ -7,8 +7,9 @@
 
 from apigateway import messages
 from apigateway.config_validation import InvalidConfigFileError
-from apigateway.plugins.load import Place, load
-from apigateway.plugins.settings import HooksPart, PluginPart
+from apigateway.plugins.loader import PluginEnvironment
+from apigateway.plugins.loader import load_plugins as load_plugin_chain
+from apigateway.plugins.settings import HooksSection, PluginSection
 from apigateway.plugins.testkit import Kit, read_plugins, settings
 from apigateway.tools.plugins.report import UnusableArgumentError
 
@@ -19,8 +20,8 @@
     """The file, its plug-ins, and the decision module's settings where it is a gateway's."""
 
     path: str
-    plugins: list[PluginPart]
-    hooks: HooksPart
+    plugins: list[PluginSection]
+    hooks: HooksSection
     module_settings: messages.Settings | None
 
 
@@ -38,8 +39,8 @@
     source = _read_source(path)
     if not source.plugins:
         raise UnusableArgumentError(f"{source.path}: names no plug-in")
-    place = Place(source.path, module_settings or source.module_settings or settings())
-    return Kit(load(source.plugins, source.hooks, place))
+    environment = PluginEnvironment(source.path, module_settings or source.module_settings or settings())
+    return Kit(load_plugin_chain(source.plugins, source.hooks, environment))
 
 
 def read_module_settings(path: str) -> messages.Settings:
--- a/apigateway/tools/plugins/replay.py
+++ b/apigateway/tools/plugins/replay.py
@@ -7,9 +7,9 @@
 from typing import Any, NamedTuple
 
 from apigateway import messages
-from apigateway.plugins.records import read_records, view_of
-from apigateway.plugins.terms import View
-from apigateway.plugins.testkit import Kit, Told, settings
+from apigateway.plugins.interfaces import RequestView
+from apigateway.plugins.records import parse_record, read_records
+from apigateway.plugins.testkit import Kit, RequestResult, settings
 from apigateway.tools.plugins.loading import load_plugins, read_module_settings
 from apigateway.tools.plugins.report import Report, UnusableArgumentError
 
@@ -21,7 +21,7 @@
 
     line_number: int
     record: dict[str, Any]
-    view: View
+    view: RequestView
 
 
 @dataclass(slots=True)
@@ -35,11 +35,11 @@
     failed: Counter[str] = field(default_factory=Counter)
     other_tags: int = 0  # requests with other tags than recorded
 
-    def add(self, request: _RecordedRequest, result: Told) -> None:
+    def add(self, request: _RecordedRequest, result: RequestResult) -> None:
         """Count the result of one request."""
         self.tags.update(f"{key}={value}" for key, value in result.tags.items())
         if result.refuse is not None:
-            self.refused[request.view.cls] += 1
+            self.refused[request.view.service_class] += 1
         if result.route:
             self.routes[result.route] += 1
         self.denied.update(f"{name}: {what}" for name, what in result.denied)
@@ -82,12 +82,14 @@
             result = _play(kit, request)
             counts.add(request, result)
             if print_each:
-                report.lines.append(f"{request.line_number} {request.view.id}: {_format_result(result)}")
+                report.lines.append(
+                    f"{request.line_number} {request.view.request_id}: {_format_result(result)}"
+                )
         report.figures = {
             "requests": len(requests),
             **{name: dict(counter) for name, counter in counts.by_name().items()},
             "other tags than recorded": counts.other_tags,
-            "counters": {seat.name: dict(seat.plugin.counters()) for seat in kit.seats},
+            "counters": {runner.name: dict(runner.plugin.counters()) for runner in kit.runners},
         }
     finally:
         kit.close()
@@ -101,30 +103,34 @@
 
 def _read_requests(path: str) -> list[_RecordedRequest]:
     try:
-        return [_RecordedRequest(number, record, view_of(record)) for number, record in read_records(path)]
+        return [
+            _RecordedRequest(number, record, parse_record(record)) for number, record in read_records(path)
+        ]
     except (ValueError, UnicodeDecodeError) as error:
         raise UnusableArgumentError(f"{path}: no records ({error})") from error
 
 
 def _settings_of(requests: list[_RecordedRequest]) -> messages.Settings:
     """Return settings with the classes and plans that the records name."""
-    effects = {request.view.cls: "unsafe" if request.view.write else "safe" for request in requests}
+    effects = {
+        request.view.service_class: "unsafe" if request.view.is_write else "safe" for request in requests
+    }
     plans = sorted({request.view.plan for request in requests})
     return settings(effects or None, plans or _DEFAULT_PLANS)
 
 
-def _play(kit: Kit, request: _RecordedRequest) -> Told:
+def _play(kit: Kit, request: _RecordedRequest) -> RequestResult:
     """Take one request through all its phases."""
     view = request.view
     result = kit.request(
-        id=view.id,
+        id=view.request_id,
         customer=view.customer,
         plan=view.plan,
-        cls=view.cls,
+        cls=view.service_class,
         units=view.units,
-        left=view.left,
-        write=view.write,
-        repeat=view.repeat,
+        left=view.remaining,
+        write=view.is_write,
+        repeat=view.is_retry,
         now=view.now,
     )
     if result.refuse is not None:
@@ -137,7 +143,7 @@
     return result
 
 
-def _format_result(result: Told) -> str:
+def _format_result(result: RequestResult) -> str:
     parts = [f"{key}={value}" for key, value in result.tags.items()]
     if result.route:
         parts.append(f"route {result.route}")
