--- a/apigateway/cli/ratelimit_ask.py
+++ b/apigateway/cli/ratelimit_ask.py
@@ -75,10 +75,10 @@
     question = _encode_question(options, descriptors)
     response = asyncio.run(_call(address, ssl_context, options, question))
     if response.status:
-        from apigateway.upstream.rpc import STATUS_NAMES
+        from apigateway.upstream.rpc import status_name
 
-        status_name = STATUS_NAMES.get(response.status, response.status)
-        print(f"api-gateway: {options.address}: {status_name}: {response.text}", file=sys.stderr)
+        name = status_name(response.status)
+        print(f"api-gateway: {options.address}: {name}: {response.text}", file=sys.stderr)
         return ExitCode.FAILED
     answer = rls_pb2.RateLimitResponse.FromString(response.message)
     print(_format_json(answer) if options.as_json else _format_text(descriptors, answer))
--- a/apigateway/external_ratelimit/channel.py
+++ b/apigateway/external_ratelimit/channel.py
@@ -13,7 +13,7 @@
 from apigateway.external_ratelimit.client_session import CallEnded, ClientSession
 from apigateway.external_ratelimit.connection import GrpcConnection, PendingCall, ResponseCallback
 from apigateway.upstream.address import Address, write_address
-from apigateway.upstream.rpc import DEADLINE_EXCEEDED, RESOURCE_EXHAUSTED, UNAVAILABLE
+from apigateway.upstream.rpc import GrpcStatus
 
 _CONNECT_TIMEOUT = 1.0  # s for a connection, TLS included
 _MIN_BACKOFF = 0.05  # s between attempts to connect; doubles with each
@@ -71,7 +71,7 @@
         call = PendingCall(path, message, monotonic() + timeout, on_response)
         call.deadline_timer = loop.call_later(timeout, self._on_deadline, call)
         if self._is_closed or len(self._waiting) >= self._max_waiting:
-            status = UNAVAILABLE if self._is_closed else RESOURCE_EXHAUSTED
+            status = GrpcStatus.UNAVAILABLE if self._is_closed else GrpcStatus.RESOURCE_EXHAUSTED
             loop.call_soon(self._end, call, status, "no room for another question", b"")
             return call
         self._waiting[call] = None
@@ -90,7 +90,7 @@
         if self._connect_task is not None:
             self._connect_task.cancel()
         for call in list(self._waiting):
-            self._end(call, UNAVAILABLE, "closed", b"")
+            self._end(call, GrpcStatus.UNAVAILABLE, "closed", b"")
         for connection in list(self._connections):
             connection.transport.close()
 
@@ -134,7 +134,7 @@
     # The end of a call
 
     def _on_deadline(self, call: PendingCall) -> None:
-        self._end(call, DEADLINE_EXCEEDED, self._connect_error or "no answer in time", b"")
+        self._end(call, GrpcStatus.DEADLINE_EXCEEDED, self._connect_error or "no answer in time", b"")
 
     def _can_retry(self, call: PendingCall, ended: CallEnded) -> bool:
         if ended.is_processed or self._is_closed or call.is_over:
--- a/apigateway/external_ratelimit/client_session.py
+++ b/apigateway/external_ratelimit/client_session.py
@@ -17,11 +17,8 @@
 import h2.settings
 
 from apigateway.upstream.rpc import (
-    INTERNAL,
-    OK,
-    UNAVAILABLE,
-    UNKNOWN,
     GoAwayFilter,
+    GrpcStatus,
     MessageBuffer,
     RpcError,
     frame_message,
@@ -152,7 +149,7 @@
         """End all calls: the connection is gone, or of no use any more."""
         self.is_finished = True
         self.is_draining = True
-        ended = [CallEnded(stream_id, UNAVAILABLE, reason) for stream_id in self.open_calls]
+        ended = [CallEnded(stream_id, GrpcStatus.UNAVAILABLE, reason) for stream_id in self.open_calls]
         self.open_calls.clear()
         return ended
 
@@ -185,7 +182,7 @@
             case h2.events.TrailersReceived():
                 return self._on_headers(event.stream_id or 0, event.headers or (), is_last=True)
             case h2.events.StreamEnded():
-                return self._end(event.stream_id or 0, UNKNOWN, "it ended without a status")
+                return self._end(event.stream_id or 0, GrpcStatus.UNKNOWN, "it ended without a status")
             case h2.events.StreamReset():
                 return self._on_reset(event)
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
@@ -212,7 +209,7 @@
         http_status = values.get(b":status", _HTTP_OK)
         if http_status != _HTTP_OK:
             text = f"HTTP status {http_status.decode('ascii', 'replace')}"
-            ended = self._end(stream_id, UNAVAILABLE, text)
+            ended = self._end(stream_id, GrpcStatus.UNAVAILABLE, text)
             if not is_last:
                 self._reset(stream_id)
             return ended
@@ -220,7 +217,7 @@
             return None
         status = values.get(b"grpc-status", b"")
         if not status.isdigit() or len(status) > _MAX_STATUS_DIGITS:
-            return self._end(stream_id, UNKNOWN, "it ended without a status")
+            return self._end(stream_id, GrpcStatus.UNKNOWN, "it ended without a status")
         return self._end(stream_id, int(status), percent_decode(values.get(b"grpc-message", b"")))
 
     def _on_reset(self, event: h2.events.StreamReset) -> CallEnded | None:
@@ -228,7 +225,7 @@
         if self.open_calls.pop(stream_id, None) is None:
             return None
         is_processed = event.error_code != h2.errors.ErrorCodes.REFUSED_STREAM
-        return CallEnded(stream_id, UNAVAILABLE, "it was reset", is_processed=is_processed)
+        return CallEnded(stream_id, GrpcStatus.UNAVAILABLE, "it was reset", is_processed=is_processed)
 
     def _on_goaway(self, last_processed_id: int) -> list[CallEnded]:
         """Take no more calls, and end those that the server will not look at."""
@@ -236,19 +233,19 @@
         ended = []
         for stream_id in [one for one in self.open_calls if one > last_processed_id]:
             del self.open_calls[stream_id]
-            ended.append(CallEnded(stream_id, UNAVAILABLE, "the server ends", is_processed=False))
+            ended.append(CallEnded(stream_id, GrpcStatus.UNAVAILABLE, "the server ends", is_processed=False))
         return ended
 
     def _end(self, stream_id: int, status: int, text: str) -> CallEnded | None:
         call = self.open_calls.pop(stream_id, None)
         if call is None:
             return None
-        if status != OK:
+        if status != GrpcStatus.OK:
             return CallEnded(stream_id, status, text)
         try:
-            return CallEnded(stream_id, OK, text, call.response.only())
+            return CallEnded(stream_id, GrpcStatus.OK, text, call.response.only())
         except RpcError as error:
-            return CallEnded(stream_id, INTERNAL, str(error))
+            return CallEnded(stream_id, GrpcStatus.INTERNAL, str(error))
 
 
 def _create_h2_connection() -> h2.connection.H2Connection:
--- a/apigateway/external_ratelimit/rls_codec.py
+++ b/apigateway/external_ratelimit/rls_codec.py
@@ -12,7 +12,7 @@
 
 from apigateway import messages
 from apigateway.external_ratelimit.service_config import ExternalServiceConfig
-from apigateway.upstream.rpc import OK, STATUS_NAMES
+from apigateway.upstream.rpc import GrpcStatus, status_name
 
 _CODE_OK = rls_pb2.RateLimitResponse.OK
 _CODE_OVER_LIMIT = rls_pb2.RateLimitResponse.OVER_LIMIT
@@ -80,8 +80,8 @@
     status: int, status_text: str, message: bytes, request_count: int
 ) -> CheckDecision | CheckFailure:
     """Read how a call ended that asked about `request_count` requests."""
-    if status != OK:
-        return CheckFailure(STATUS_NAMES.get(status, str(status)), status_text)
+    if status != GrpcStatus.OK:
+        return CheckFailure(status_name(status), status_text)
     try:
         response = rls_pb2.RateLimitResponse.FromString(message)
     except Exception:  # protobuf's DecodeError, and what malformed bytes make of it
--- a/apigateway/frontends/grpc/connection.py
+++ b/apigateway/frontends/grpc/connection.py
@@ -18,7 +18,7 @@
 )
 from apigateway.frontends.grpc.methods import OpenCall, StreamHandler, StreamingMethod, UnaryMethod
 from apigateway.frontends.grpc.server_session import ServerSession
-from apigateway.upstream.rpc import INTERNAL, UNAVAILABLE, UNIMPLEMENTED
+from apigateway.upstream.rpc import GrpcStatus
 
 # Seconds that a client has to close a connection that has come to its end.
 CLIENT_CLOSE_TIMEOUT_S = 0.5
@@ -147,13 +147,13 @@
     def _start_unary_call(self, event: UnaryCall) -> None:
         method = self._owner.methods.get(event.path)
         if method is None:
-            self.session.send_status(event.stream_id, UNIMPLEMENTED, f"no method {event.path}")
+            self.session.send_status(event.stream_id, GrpcStatus.UNIMPLEMENTED, f"no method {event.path}")
             return
         try:
             call = method(event.message, event.timeout, _UnaryResponse(self, event.stream_id))
         except Exception:
             log.exception("%s failed", event.path)
-            self.session.send_status(event.stream_id, INTERNAL, "it failed here")
+            self.session.send_status(event.stream_id, GrpcStatus.INTERNAL, "it failed here")
             return
         if call is not None:
             self.open_calls[event.stream_id] = call
@@ -189,7 +189,7 @@
         for stream_id, handler in list(self._stream_handlers.items()):
             self.forget_call(stream_id)
             handler.on_cancelled()
-            self.session.send_status(stream_id, UNAVAILABLE, "this server ends")
+            self.session.send_status(stream_id, GrpcStatus.UNAVAILABLE, "this server ends")
         self._owner.on_draining(self)
         self.session.start_draining()
         self.write()
--- a/apigateway/frontends/grpc/health.py
+++ b/apigateway/frontends/grpc/health.py
@@ -8,7 +8,7 @@
 from grpc_health.v1 import health_pb2 as pb
 
 from apigateway.frontends.grpc.methods import StreamingMethod, StreamResponder, UnaryMethod, UnaryResponder
-from apigateway.upstream.rpc import INTERNAL, NOT_FOUND
+from apigateway.upstream.rpc import GrpcStatus
 
 SERVICE_NAME = "grpc.health.v1.Health"
 CHECK_PATH = f"/{SERVICE_NAME}/Check"
@@ -60,11 +60,11 @@
         try:
             service = pb.HealthCheckRequest.FromString(message).service
         except Exception:  # protobuf's DecodeError, and what odd bytes make of it
-            responder.fail(INTERNAL, _UNREADABLE)
+            responder.fail(GrpcStatus.INTERNAL, _UNREADABLE)
             return
         status = self.status(service)
         if status is None:
-            responder.fail(NOT_FOUND, f"no service {service}")
+            responder.fail(GrpcStatus.NOT_FOUND, f"no service {service}")
         else:
             responder.respond(pb.HealthCheckResponse(status=status).SerializeToString())
 
@@ -93,12 +93,12 @@
         """Take the one request."""
         if self._has_request:
             self.on_cancelled()
-            self._responder.end(INTERNAL, "one message only")
+            self._responder.end(GrpcStatus.INTERNAL, "one message only")
             return
         try:
             self._service = pb.HealthCheckRequest.FromString(message).service
         except Exception:  # as in `_check`
-            self._responder.end(INTERNAL, _UNREADABLE)
+            self._responder.end(GrpcStatus.INTERNAL, _UNREADABLE)
             return
         self._has_request = True
         self._health.watches.add(self)
@@ -116,7 +116,7 @@
     def on_half_closed(self) -> None:
         """Go on, unless there was no request."""
         if not self._has_request:
-            self._responder.end(INTERNAL, "no message")
+            self._responder.end(GrpcStatus.INTERNAL, "no message")
 
     def on_cancelled(self) -> None:
         """Watch no more."""
--- a/apigateway/frontends/grpc/rate_limit_call.py
+++ b/apigateway/frontends/grpc/rate_limit_call.py
@@ -27,7 +27,7 @@
 from apigateway.frontends.grpc.limits import MAX_HITS, limit_message
 from apigateway.frontends.grpc.methods import UnaryResponder
 from apigateway.frontends.grpc.tokens import QuotaTokens
-from apigateway.upstream.rpc import UNAVAILABLE
+from apigateway.upstream.rpc import GrpcStatus
 
 # In the response's dynamic metadata: a token for each descriptor, empty where there is none.
 TOKENS_METADATA_KEY = "tokens"
@@ -124,7 +124,7 @@
         elif UNKNOWN in codes:  # shed, out of time, no capacity: nobody can say
             self._return_granted()
             context.counts[CallCount.UNDECIDED] += 1
-            self._responder.fail(UNAVAILABLE, "not decided: too much at once, or no time left")
+            self._responder.fail(GrpcStatus.UNAVAILABLE, "not decided: too much at once, or no time left")
             return
         else:
             overall_code = OK
--- a/apigateway/frontends/grpc/reflection.py
+++ b/apigateway/frontends/grpc/reflection.py
@@ -11,7 +11,7 @@
 from grpc_reflection.v1alpha import reflection_pb2 as pb
 
 from apigateway.frontends.grpc.methods import StreamingMethod, StreamResponder
-from apigateway.upstream.rpc import INTERNAL, NOT_FOUND, OK, UNIMPLEMENTED
+from apigateway.upstream.rpc import GrpcStatus
 
 V1_PACKAGE = "grpc.reflection.v1"
 V1ALPHA_PACKAGE = "grpc.reflection.v1alpha"
@@ -48,12 +48,12 @@
             case "file_by_filename" | "file_containing_symbol":
                 file = self._find_file(request)
                 if file is None:
-                    response.error_response.error_code = NOT_FOUND
+                    response.error_response.error_code = GrpcStatus.NOT_FOUND
                     response.error_response.error_message = "not known here"
                 else:
                     response.file_descriptor_response.file_descriptor_proto.append(file.SerializeToString())
             case _:
-                response.error_response.error_code = UNIMPLEMENTED
+                response.error_response.error_code = GrpcStatus.UNIMPLEMENTED
                 response.error_response.error_message = "there are no extensions here"
         return response
 
@@ -85,13 +85,13 @@
         try:
             request = pb.ServerReflectionRequest.FromString(message)
         except Exception:  # protobuf's DecodeError, and what odd bytes make of it
-            self._responder.end(INTERNAL, "the message cannot be read")
+            self._responder.end(GrpcStatus.INTERNAL, "the message cannot be read")
             return
         self._responder.send(self._reflection.answer(request).SerializeToString())
 
     def on_half_closed(self) -> None:
         """End the call."""
-        self._responder.end(OK)
+        self._responder.end(GrpcStatus.OK)
 
     def on_cancelled(self) -> None:
         """Do nothing: nothing is pending."""
--- a/apigateway/frontends/grpc/server_session.py
+++ b/apigateway/frontends/grpc/server_session.py
@@ -30,10 +30,8 @@
 )
 from apigateway.frontends.grpc.response_writer import CLOSED_STREAM_ERRORS, Headers, ResponseWriter
 from apigateway.upstream.rpc import (
-    OK,
-    RESOURCE_EXHAUSTED,
-    UNIMPLEMENTED,
     GoAwayFilter,
+    GrpcStatus,
     MessageBuffer,
     RpcError,
     frame_message,
@@ -58,7 +56,7 @@
 
 _MESSAGE_PREFIX_BYTES = 5  # before a message: whether it is compressed, and its length
 _RESPONSE_HEADERS = [(b":status", b"200"), (b"content-type", b"application/grpc")]
-_OK_TRAILERS = [(b"grpc-status", b"%d" % OK)]
+_OK_TRAILERS = [(b"grpc-status", b"%d" % GrpcStatus.OK)]
 _CONTENT_TYPE = b"application/grpc"
 _METHOD_NOT_ALLOWED = b"405"  # HTTP statuses
 _UNSUPPORTED_MEDIA_TYPE = b"415"
@@ -210,7 +208,8 @@
                     events.append(StreamMessage(stream_id, message))
             elif self.partial_bytes > MAX_PARTIAL_BYTES and not is_ended:
                 raise RpcError(
-                    RESOURCE_EXHAUSTED, f"over {MAX_PARTIAL_BYTES} bytes of messages that are not whole"
+                    GrpcStatus.RESOURCE_EXHAUSTED,
+                    f"over {MAX_PARTIAL_BYTES} bytes of messages that are not whole",
                 )
         except RpcError as error:
             self._forget_incoming(stream_id)
@@ -368,7 +367,7 @@
 def _call_timeout(headers: Mapping[bytes, bytes]) -> float | None:
     """Check a call's headers and return its timeout in seconds, if it has one. Raises RpcError."""
     if headers.get(b"grpc-encoding", b"identity") != b"identity":
-        raise RpcError(UNIMPLEMENTED, "messages are not compressed here")
+        raise RpcError(GrpcStatus.UNIMPLEMENTED, "messages are not compressed here")
     return read_timeout(headers.get(b"grpc-timeout"))
 
 
--- a/apigateway/frontends/grpc/service.py
+++ b/apigateway/frontends/grpc/service.py
@@ -22,13 +22,7 @@
 from apigateway.frontends.grpc.methods import UnaryResponder
 from apigateway.frontends.grpc.rate_limit_call import CallCount, RateLimitCall
 from apigateway.frontends.grpc.tokens import QuotaTokens
-from apigateway.upstream.rpc import (
-    FAILED_PRECONDITION,
-    INTERNAL,
-    INVALID_ARGUMENT,
-    RESOURCE_EXHAUSTED,
-    RpcError,
-)
+from apigateway.upstream.rpc import GrpcStatus, RpcError
 
 SERVICE_NAME = "envoy.service.ratelimit.v3.RateLimitService"
 SHOULD_RATE_LIMIT_PATH = f"/{SERVICE_NAME}/ShouldRateLimit"
@@ -108,7 +102,7 @@
                 continue
             self.counts[CallCount.UNMAPPED] += 1
             if settings.unmapped == "error":
-                raise RpcError(INVALID_ARGUMENT, "a descriptor that no rule says whose it is")
+                raise RpcError(GrpcStatus.INVALID_ARGUMENT, "a descriptor that no rule says whose it is")
             call.checks.append(())
         return call
 
@@ -117,13 +111,13 @@
         try:
             request = pb.RateLimitRequest.FromString(message)
         except Exception as error:  # protobuf's DecodeError, and what odd bytes make of it
-            raise RpcError(INTERNAL, "the message cannot be read") from error
+            raise RpcError(GrpcStatus.INTERNAL, "the message cannot be read") from error
         count = len(request.descriptors)
         max_descriptors = self.settings.max_descriptors
         if count > max_descriptors:
-            raise RpcError(RESOURCE_EXHAUSTED, f"{count} descriptors: {max_descriptors} at most")
+            raise RpcError(GrpcStatus.RESOURCE_EXHAUSTED, f"{count} descriptors: {max_descriptors} at most")
         if not request.domain or not count:
-            raise RpcError(INVALID_ARGUMENT, "a domain and a descriptor are needed")
+            raise RpcError(GrpcStatus.INVALID_ARGUMENT, "a domain and a descriptor are needed")
         return request
 
     def _create_checks(
@@ -144,9 +138,11 @@
             return (plan_check,)
         seconds = descriptor_unit_seconds(descriptor.limit.unit)
         if seconds is None:
-            raise RpcError(INVALID_ARGUMENT, "a descriptor's own limit: SECOND, MINUTE, HOUR or DAY only")
+            raise RpcError(
+                GrpcStatus.INVALID_ARGUMENT, "a descriptor's own limit: SECOND, MINUTE, HOUR or DAY only"
+            )
         if self.settings.override == "refuse":
-            raise RpcError(INVALID_ARGUMENT, "limits of a descriptor's own are not taken here")
+            raise RpcError(GrpcStatus.INVALID_ARGUMENT, "limits of a descriptor's own are not taken here")
         max_hits = descriptor.limit.requests_per_unit
         return (self._create_limit_check(call, owner, remaining, hits, max_hits, seconds), plan_check)
 
@@ -156,7 +152,7 @@
         distance = (settings.gateway_index - owner.first_gateway) % settings.gateway_count
         if distance >= owner.gateway_spread:
             raise RpcError(
-                FAILED_PRECONDITION,
+                GrpcStatus.FAILED_PRECONDITION,
                 f"this gateway, {settings.gateway_index}, is none of the "
                 f"{owner.gateway_spread} from {owner.first_gateway} of that customer",
             )
--- a/apigateway/upstream/rpc.py
+++ b/apigateway/upstream/rpc.py
@@ -5,41 +5,11 @@
 
 from __future__ import annotations
 
+import enum
 import re
 from collections.abc import Iterator
 from urllib.parse import quote, unquote
 
-OK = 0
-CANCELLED = 1
-UNKNOWN = 2
-INVALID_ARGUMENT = 3
-DEADLINE_EXCEEDED = 4
-NOT_FOUND = 5
-RESOURCE_EXHAUSTED = 8
-FAILED_PRECONDITION = 9
-UNIMPLEMENTED = 12
-INTERNAL = 13
-UNAVAILABLE = 14
-STATUS_NAMES = {
-    0: "OK",
-    1: "CANCELLED",
-    2: "UNKNOWN",
-    3: "INVALID_ARGUMENT",
-    4: "DEADLINE_EXCEEDED",
-    5: "NOT_FOUND",
-    6: "ALREADY_EXISTS",
-    7: "PERMISSION_DENIED",
-    8: "RESOURCE_EXHAUSTED",
-    9: "FAILED_PRECONDITION",
-    10: "ABORTED",
-    11: "OUT_OF_RANGE",
-    12: "UNIMPLEMENTED",
-    13: "INTERNAL",
-    14: "UNAVAILABLE",
-    15: "DATA_LOSS",
-    16: "UNAUTHENTICATED",
-}
-
 _MESSAGE_PREFIX_BYTES = 5  # before a message: whether it is compressed, and its length
 _MESSAGE_LENGTH_BYTES = 4
 _NOT_COMPRESSED = b"\0"
@@ -59,6 +29,36 @@
 _UNESCAPED = "".join(chr(code) for code in range(0x20, 0x7F) if chr(code) != "%")
 
 
+class GrpcStatus(enum.IntEnum):
+    """Status codes of gRPC. A peer may send others, which stay plain numbers."""
+
+    OK = 0
+    CANCELLED = 1
+    UNKNOWN = 2
+    INVALID_ARGUMENT = 3
+    DEADLINE_EXCEEDED = 4
+    NOT_FOUND = 5
+    ALREADY_EXISTS = 6
+    PERMISSION_DENIED = 7
+    RESOURCE_EXHAUSTED = 8
+    FAILED_PRECONDITION = 9
+    ABORTED = 10
+    OUT_OF_RANGE = 11
+    UNIMPLEMENTED = 12
+    INTERNAL = 13
+    UNAVAILABLE = 14
+    DATA_LOSS = 15
+    UNAUTHENTICATED = 16
+
+
+def status_name(status: int) -> str:
+    """Return the name of a status; of an unknown one its number."""
+    try:
+        return GrpcStatus(status).name
+    except ValueError:
+        return str(status)
+
+
 class GoAwayFilter:
     """Takes GOAWAY frames out of a stream of HTTP/2 (RFC 9113, 6.8).
 
@@ -119,7 +119,7 @@
         return None
     found = _TIMEOUT.fullmatch(text)
     if not found:
-        raise RpcError(INTERNAL, "odd grpc-timeout")
+        raise RpcError(GrpcStatus.INTERNAL, "odd grpc-timeout")
     return int(found[1]) * _TIMEOUT_UNITS_S[found[2]]
 
 
@@ -160,9 +160,11 @@
             return
         size = self._message_size()
         if size > self.max_bytes:
-            raise RpcError(RESOURCE_EXHAUSTED, f"a message of {size} bytes: {self.max_bytes} at most")
+            raise RpcError(
+                GrpcStatus.RESOURCE_EXHAUSTED, f"a message of {size} bytes: {self.max_bytes} at most"
+            )
         if self.data[0]:
-            raise RpcError(UNIMPLEMENTED, "messages are not compressed here")
+            raise RpcError(GrpcStatus.UNIMPLEMENTED, "messages are not compressed here")
 
     def take(self) -> Iterator[bytes]:
         """Yield the complete messages and remove them. Raises RpcError as `feed`."""
@@ -181,12 +183,12 @@
         Raises RpcError if there is none, part of one, or more.
         """
         if len(self.data) < _MESSAGE_PREFIX_BYTES:
-            raise RpcError(INTERNAL, "a message that is not whole")
+            raise RpcError(GrpcStatus.INTERNAL, "a message that is not whole")
         end = _MESSAGE_PREFIX_BYTES + self._message_size()
         if len(self.data) < end:
-            raise RpcError(INTERNAL, "a message that is not whole")
+            raise RpcError(GrpcStatus.INTERNAL, "a message that is not whole")
         if len(self.data) > end:
-            raise RpcError(INTERNAL, "more than one message")
+            raise RpcError(GrpcStatus.INTERNAL, "more than one message")
         return bytes(self.data[_MESSAGE_PREFIX_BYTES:])
 
     def _message_size(self) -> int:
--- a/tests/external_ratelimit/test_client_session.py
+++ b/tests/external_ratelimit/test_client_session.py
@@ -14,6 +14,7 @@
 from apigateway.frontends.grpc.events import CallCancelled, UnaryCall
 from apigateway.frontends.grpc.server_session import ServerSession
 from apigateway.upstream import rpc
+from apigateway.upstream.rpc import GrpcStatus
 
 PATH = "/a.B/C"
 
@@ -65,11 +66,11 @@
     client.receive(server.data_to_send())
     server.receive(client.data_to_send())
     server.send_response(number, b"world")
-    assert client.receive(server.data_to_send()) == [CallEnded(number, rpc.OK, "", b"world")]
+    assert client.receive(server.data_to_send()) == [CallEnded(number, GrpcStatus.OK, "", b"world")]
     number = client.start_call(PATH, b"again", 1.0)
     server.receive(client.data_to_send())
-    server.send_status(number, rpc.UNAVAILABLE, "50% é")
-    assert client.receive(server.data_to_send()) == [CallEnded(number, rpc.UNAVAILABLE, "50% é")]
+    server.send_status(number, GrpcStatus.UNAVAILABLE, "50% é")
+    assert client.receive(server.data_to_send()) == [CallEnded(number, GrpcStatus.UNAVAILABLE, "50% é")]
     number = client.start_call(PATH, b"never mind", 1.0)
     client.cancel(number)
     assert server.receive(client.data_to_send())[-1] == CallCancelled(number) and not client.open_calls
@@ -88,20 +89,20 @@
                 pair.server.acknowledge_received_data(event.flow_controlled_length, number)
         pair.go()
     pair.answer(number, rpc.frame_message(b"ok"))
-    assert pair.ended == [CallEnded(number, rpc.OK, "", b"ok")]
+    assert pair.ended == [CallEnded(number, GrpcStatus.OK, "", b"ok")]
 
 
 @pytest.mark.parametrize(
     "data, status, code",
     [
         (rpc.frame_message(b"ok"), b"5", 5),
-        (rpc.frame_message(b"ok"), None, rpc.UNKNOWN),
-        (rpc.frame_message(b"ok"), b"soon", rpc.UNKNOWN),
-        (b"\0\0\0", b"0", rpc.INTERNAL),
-        (b"", b"0", rpc.INTERNAL),
-        (rpc.frame_message(b"a") * 2, b"0", rpc.INTERNAL),
-        (b"\1\0\0\0\1x", b"0", rpc.UNIMPLEMENTED),
-        (b"\0\xff\xff\xff\xff", b"0", rpc.RESOURCE_EXHAUSTED),
+        (rpc.frame_message(b"ok"), None, GrpcStatus.UNKNOWN),
+        (rpc.frame_message(b"ok"), b"soon", GrpcStatus.UNKNOWN),
+        (b"\0\0\0", b"0", GrpcStatus.INTERNAL),
+        (b"", b"0", GrpcStatus.INTERNAL),
+        (rpc.frame_message(b"a") * 2, b"0", GrpcStatus.INTERNAL),
+        (b"\1\0\0\0\1x", b"0", GrpcStatus.UNIMPLEMENTED),
+        (b"\0\xff\xff\xff\xff", b"0", GrpcStatus.RESOURCE_EXHAUSTED),
     ],
 )
 def test_malformed_response_fails_its_call_and_the_next_is_read(data, status, code):
@@ -122,8 +123,8 @@
     pair.server.reset_stream(two, h2.errors.ErrorCodes.INTERNAL_ERROR)
     pair.go()
     assert [(t.stream_id, t.status, t.is_processed) for t in pair.ended] == [
-        (one, rpc.UNAVAILABLE, False),
-        (two, rpc.UNAVAILABLE, True),
+        (one, GrpcStatus.UNAVAILABLE, False),
+        (two, GrpcStatus.UNAVAILABLE, True),
     ]
 
 
@@ -131,10 +132,10 @@
     pair = Pair()
     one, two = pair.ask(), pair.ask()
     told = pair.session.receive(GoAwayFrame(0, last_stream_id=one, error_code=0).serialize())
-    assert told == [CallEnded(two, rpc.UNAVAILABLE, "the server ends", is_processed=False)]
+    assert told == [CallEnded(two, GrpcStatus.UNAVAILABLE, "the server ends", is_processed=False)]
     assert pair.session.available_streams() == 0 and not pair.session.is_finished
     pair.answer(one, rpc.frame_message(b"ok"))
-    assert pair.ended == [CallEnded(one, rpc.OK, "", b"ok")] and pair.session.is_finished
+    assert pair.ended == [CallEnded(one, GrpcStatus.OK, "", b"ok")] and pair.session.is_finished
 
 
 def test_available_streams_are_those_that_the_server_allows():
@@ -152,7 +153,7 @@
     number = pair.ask()
     pair.server.send_headers(number, [(b":status", b"503")], end_stream=True)
     pair.go()
-    assert pair.ended == [CallEnded(number, rpc.UNAVAILABLE, "HTTP status 503")]
+    assert pair.ended == [CallEnded(number, GrpcStatus.UNAVAILABLE, "HTTP status 503")]
     number = pair.ask()
     pair.server.send_headers(number, [(b":status", b"404")])
     pair.go()
--- a/tests/external_ratelimit/test_rls_codec.py
+++ b/tests/external_ratelimit/test_rls_codec.py
@@ -13,7 +13,7 @@
     read_outcome,
 )
 from apigateway.external_ratelimit.service_config import ExternalServiceConfig
-from apigateway.upstream import rpc
+from apigateway.upstream.rpc import GrpcStatus
 
 OK = rls_pb2.RateLimitResponse.OK
 OVER_LIMIT = rls_pb2.RateLimitResponse.OVER_LIMIT
@@ -40,7 +40,7 @@
 
 
 def read(message, request_count=1):
-    return read_outcome(rpc.OK, "", message, request_count)
+    return read_outcome(GrpcStatus.OK, "", message, request_count)
 
 
 def test_question_fills_in_its_entries_and_counts_hits():
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize(
     ("outcome", "failure"),
     [
-        (read_outcome(rpc.UNAVAILABLE, "gone", b"", 1), CheckFailure("UNAVAILABLE", "gone")),
+        (read_outcome(GrpcStatus.UNAVAILABLE, "gone", b"", 1), CheckFailure("UNAVAILABLE", "gone")),
         (read_outcome(99, "odd", b"", 1), CheckFailure("99", "odd")),
         (read(b"\xff"), CheckFailure("unread", "an answer that cannot be read")),
         (
--- a/tests/frontends/grpc/test_server_session.py
+++ b/tests/frontends/grpc/test_server_session.py
@@ -18,6 +18,7 @@
 )
 from apigateway.frontends.grpc.server_session import ServerSession
 from apigateway.upstream import rpc
+from apigateway.upstream.rpc import GrpcStatus
 
 PATH = b"/envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit"
 
@@ -89,7 +90,7 @@
     pair.go()
     assert pair.data(number) == framed(b"world") and pair.status(number) == (0, b"")
     pair.session.send_response(number, b"again")  # once
-    pair.session.send_status(number, rpc.UNAVAILABLE, "again")
+    pair.session.send_status(number, GrpcStatus.UNAVAILABLE, "again")
     pair.go()
     assert pair.data(number) == framed(b"world") and pair.session.is_idle
 
@@ -116,16 +117,16 @@
 @pytest.mark.parametrize(
     "what, status",
     [
-        (dict(grpc_timeout=b"soon"), rpc.INTERNAL),
-        (dict(grpc_timeout=b"123456789S"), rpc.INTERNAL),
-        (dict(grpc_timeout=b"-1S"), rpc.INTERNAL),
-        (dict(grpc_encoding=b"gzip"), rpc.UNIMPLEMENTED),
-        (dict(data=b"\1\0\0\0\1x"), rpc.UNIMPLEMENTED),
-        (dict(data=framed(b"a") * 2), rpc.INTERNAL),
-        (dict(data=framed(b"abc")[:-1]), rpc.INTERNAL),
-        (dict(data=b"\0\0"), rpc.INTERNAL),
-        (dict(data=b""), rpc.INTERNAL),
-        (dict(data=b"\0\xff\xff\xff\xff", end=False), rpc.RESOURCE_EXHAUSTED),
+        (dict(grpc_timeout=b"soon"), GrpcStatus.INTERNAL),
+        (dict(grpc_timeout=b"123456789S"), GrpcStatus.INTERNAL),
+        (dict(grpc_timeout=b"-1S"), GrpcStatus.INTERNAL),
+        (dict(grpc_encoding=b"gzip"), GrpcStatus.UNIMPLEMENTED),
+        (dict(data=b"\1\0\0\0\1x"), GrpcStatus.UNIMPLEMENTED),
+        (dict(data=framed(b"a") * 2), GrpcStatus.INTERNAL),
+        (dict(data=framed(b"abc")[:-1]), GrpcStatus.INTERNAL),
+        (dict(data=b"\0\0"), GrpcStatus.INTERNAL),
+        (dict(data=b""), GrpcStatus.INTERNAL),
+        (dict(data=b"\0\xff\xff\xff\xff", end=False), GrpcStatus.RESOURCE_EXHAUSTED),
     ],
 )
 def test_an_invalid_call_is_refused_and_the_next_is_taken(what, status):
@@ -155,7 +156,7 @@
     pair.go()
     assert pair.told[0].message == b"hello"
     big = pair.ask(end=False, data=b"\0" + (4 << 20).to_bytes(4, "big") + b"x" * 1000)
-    assert pair.status(big)[0] == rpc.RESOURCE_EXHAUSTED and not pair.session.incoming
+    assert pair.status(big)[0] == GrpcStatus.RESOURCE_EXHAUSTED and not pair.session.incoming
 
 
 def test_calls_when_cancelled_by_the_thousand_leave_nothing():
@@ -271,9 +272,9 @@
 def test_a_status_text_is_percent_encoded():
     pair = Pair()
     number = pair.ask()
-    pair.session.send_status(number, rpc.UNAVAILABLE, "50% é\n")
+    pair.session.send_status(number, GrpcStatus.UNAVAILABLE, "50% é\n")
     pair.go()
-    assert pair.status(number) == (rpc.UNAVAILABLE, b"50%25 %C3%A9%0A")
+    assert pair.status(number) == (GrpcStatus.UNAVAILABLE, b"50%25 %C3%A9%0A")
 
 
 @seed(14)
@@ -366,14 +367,14 @@
     pair.go()
     assert pair.told[-1] == CallCancelled(number) and pair.session.is_idle
     number = pair.open(b"one")
-    pair.session.send_status(number, rpc.NOT_FOUND, "none")
+    pair.session.send_status(number, GrpcStatus.NOT_FOUND, "none")
     pair.go()
-    assert pair.status(number) == (rpc.NOT_FOUND, b"none") and pair.session.is_idle
+    assert pair.status(number) == (GrpcStatus.NOT_FOUND, b"none") and pair.session.is_idle
     number = pair.open(b"one")
     pair.session.send_message(number, b"said")
-    pair.session.send_status(number, rpc.UNAVAILABLE, "ends")
+    pair.session.send_status(number, GrpcStatus.UNAVAILABLE, "ends")
     pair.go()
-    assert pair.status(number) == (rpc.UNAVAILABLE, b"ends") and pair.session.is_idle
+    assert pair.status(number) == (GrpcStatus.UNAVAILABLE, b"ends") and pair.session.is_idle
     number = pair.open(b"one", end=True)
     assert pair.told[-1] == StreamHalfClosed(number)
     assert pair.ask() == pair.told[-1].stream_id  # and calls go on beside them
@@ -386,7 +387,7 @@
     pair.go()
     assert (
         pair.told[-1] == CallCancelled(number)
-        and pair.status(number)[0] == rpc.UNIMPLEMENTED
+        and pair.status(number)[0] == GrpcStatus.UNIMPLEMENTED
         and pair.session.is_idle
     )
 
@@ -418,7 +419,7 @@
             pair.go()
         numbers.append(number)
     refused = [number for number in numbers if pair.status(number)]
-    assert refused and all(pair.status(n)[0] == rpc.RESOURCE_EXHAUSTED for n in refused)
+    assert refused and all(pair.status(n)[0] == GrpcStatus.RESOURCE_EXHAUSTED for n in refused)
     assert pair.session.partial_bytes <= server_session.MAX_PARTIAL_BYTES + 100_000
     for number in set(numbers) - set(refused):
         pair.client.reset_stream(number)
