--- a/apigateway/core/admission.py
+++ b/apigateway/core/admission.py
@@ -29,7 +29,7 @@
     """
 
     def late(self, now: float, lag: float) -> None:
-        """Take in that the loop came `lag` late to a probe.
+        """Record that the loop came `lag` late to a probe.
 
         Called every LAG_PROBE_INTERVAL_S while requests come or an overload lasts.
         """
@@ -48,7 +48,7 @@
         """
 
     def told(self, now: float, customer: str, wait: float) -> None:
-        """Take in that the decision module told a customer to come again in `wait`.
+        """Record the Retry-After, `wait`, that the decision module gave a customer.
 
         Called while the gateway is overloaded.
         """
@@ -83,7 +83,7 @@
     def retry_after_if_shed(
         self, priority_step: int, customer: str, remaining: float, arrived_at: float
     ) -> float:
-        """Return the seconds that a request is told to wait if it is to be shed, 0 for none; else below 0.
+        """Return the Retry-After, in seconds, of a request to be shed, 0 for none; below 0: it is admitted.
 
         Args:
             priority_step: Its priority weight, on the gate's scale.
@@ -111,7 +111,7 @@
                 self.loop.call_soon(self.start_turn)
 
     def on_retry_after(self, customer: str, retry_after: float) -> None:
-        """Take in that the decision module told a customer to come again in `retry_after` seconds."""
+        """Record the Retry-After, in seconds, that the decision module gave a customer."""
         if self.gate.tight:
             self.gate.told(self.clock(), customer, retry_after)
 
--- a/apigateway/core/endpoint_updates.py
+++ b/apigateway/core/endpoint_updates.py
@@ -22,9 +22,9 @@
         self._events = events
 
     def on_list(self, endpoint_list: messages.EndpointList, addresses: Addresses) -> None:
-        """Take in a new endpoint list.
+        """Apply a new endpoint list.
 
-        The decision module hears of it between the endpoints that come and those that go: what ends with one
+        The decision module is notified between the endpoints that come and those that go: what ends with one
         that goes is then not sent there once more.
         """
         upstream = self._context.upstream
--- a/apigateway/core/in_flight_request.py
+++ b/apigateway/core/in_flight_request.py
@@ -43,7 +43,7 @@
         deadline_timer: Of `DeadlineGuard`; None until it is started.
         attempt_count: Attempts that the decision module asked for, sent or not.
         active_attempts: Those that have not ended, by their number.
-        is_finished: Whether the final answer was given, or nobody is there to hear one.
+        is_finished: Whether the final answer was given, or its client has disconnected.
         plugins: Its way through the plug-ins; None where there are none.
         pending_check: The external rate limiter's handle while it is asked, for `cancel`.
     """
--- a/apigateway/core/interfaces.py
+++ b/apigateway/core/interfaces.py
@@ -122,7 +122,7 @@
         """Close the connections to an endpoint that carry nothing; it may be one that is not known."""
 
     def update_endpoint(self, endpoint_id: str, address: Address | None) -> None:
-        """Take in where an endpoint is; it may be one that is not known.
+        """Set where an endpoint is; it may be one that is not known.
 
         None: nothing new goes there from now on, and attempts that wait for a connection to it end with
         `connect_failed`.
@@ -165,30 +165,30 @@
     """One request's way through the plug-ins; what it raises is logged and changes nothing."""
 
     def on_attempt(self, endpoint_id: str) -> None:
-        """Hear of an attempt that is about to be sent, unless this takes all the time that its client has."""
+        """Notify of an attempt about to be sent, unless this takes all the time that its client has."""
 
     def on_end(self, outcome: RequestOutcome) -> None:
-        """Hear of the final answer, once, after it was given.
+        """Notify of the final answer, once, after it was given.
 
         COMPLETED, REJECTED or FAILED; or DISCONNECTED: nobody was there.
         """
 
 
 class PluginChain(Protocol):
-    """Operators' plug-ins. What they say is within the rules already; the core takes no other word."""
+    """Operators' plug-ins. They change or reject a request only as the rules allow, which they see to."""
 
     def on_request(
         self, request: messages.Request
     ) -> tuple[RequestPlugins, messages.Request | messages.RejectedByPlugin]:
-        """Return what the decision module is to hear of a request, before it does.
+        """Return the event that the decision module is given for a request.
 
         Called once for each request that was accepted, quota checks excepted. If it raises, the decision
-        module hears of the request as it was.
+        module is given the request as it was.
         """
 
 
 class ExternalRateLimiter(Protocol):
-    """A service that is asked about some requests before the decision module hears of them.
+    """A service that is asked about some requests before the decision module is given them.
 
     It can only tighten.
     """
--- a/apigateway/core/overload_log.py
+++ b/apigateway/core/overload_log.py
@@ -35,7 +35,7 @@
         self._passed_before = 0
 
     def update(self, now: float) -> None:
-        """Take in the gate's state at time `now`, in seconds; to be called a few times a second."""
+        """Look at the gate's state at time `now`, in seconds; to be called a few times a second."""
         if self._gate.tight:
             self._last_overloaded_at = now
             if not self.is_overloaded:
--- a/apigateway/core/request_filters.py
+++ b/apigateway/core/request_filters.py
@@ -1,4 +1,4 @@
-"""Let plug-ins and the external rate limiter judge a request before the decision module hears of it."""
+"""Ask plug-ins and the external rate limiter about a request before the decision module is given it."""
 
 from __future__ import annotations
 
--- a/apigateway/core/request_lifecycle.py
+++ b/apigateway/core/request_lifecycle.py
@@ -168,11 +168,11 @@
         self.events.dispatch(event)
 
     def on_endpoint_list(self, endpoint_list: messages.EndpointList, addresses: Addresses) -> None:
-        """Take in a new endpoint list, with the addresses of its endpoints."""
+        """Apply a new endpoint list, with the addresses of its endpoints."""
         self.endpoint_updates.on_list(endpoint_list, addresses)
 
     def on_endpoint_list_failed(self) -> None:
-        """Take in that an endpoint list which was asked for could not be had."""
+        """Report to the decision module that an endpoint list could not be had."""
         self.endpoint_updates.on_list_failed()
 
     async def drain(self, seconds: float) -> None:
--- a/apigateway/core/response_actions.py
+++ b/apigateway/core/response_actions.py
@@ -48,7 +48,7 @@
             self._responses.finish(in_flight, RequestOutcome.DENIED, action)
 
     def _note_retry_after(self, in_flight: InFlightRequest, retry_after: float) -> None:
-        """Let admission know when a customer was told to come again, in seconds from now."""
+        """Notify admission of the Retry-After, in seconds, that a customer was given."""
         admission = self._context.admission
         if admission is not None and retry_after > 0:
             admission.on_retry_after(in_flight.customer, retry_after)
--- a/apigateway/core/responses.py
+++ b/apigateway/core/responses.py
@@ -70,7 +70,7 @@
         Args:
             in_flight: The request.
             outcome: How it ends.
-            answer: What its sink is told, by outcome: the endpoint's value, the seconds until the client may
+            answer: What its sink is given, by outcome: the endpoint's value, the seconds until the client may
                 come again, or the decision module's answer to a quota check.
         """
         if in_flight.is_finished:
@@ -116,7 +116,7 @@
                 case RequestOutcome.DENIED:
                     cast(QuotaCheckSink, sink).deny(answer)
                 case RequestOutcome.DISCONNECTED:
-                    pass  # nobody is there to hear it
+                    pass  # there is no client to answer
         except Exception:  # a frontend that raises must not keep the request's capacity from being released
             log.exception("request %s: its front could not answer", in_flight.request_id)
 
