--- a/apigateway/plugins/abi.py
+++ b/apigateway/plugins/abi.py
@@ -40,10 +40,10 @@
 _PHASE_NUMBERS = {Phase.REQUEST: 1, Phase.ATTEMPT: 2, Phase.ANSWER: 3, Phase.TICK: 4}
 _OUTCOME_NUMBERS: dict[str, int] = {
     "": 0,
-    Outcome.SERVED: 1,
-    Outcome.REFUSED: 2,
+    Outcome.COMPLETED: 1,
+    Outcome.REJECTED: 2,
     Outcome.FAILED: 3,
-    Outcome.GONE: 4,
+    Outcome.DISCONNECTED: 4,
 }
 _U32_MASK = 0xFFFF_FFFF
 _U64_MASK = 0xFFFF_FFFF_FFFF_FFFF
--- a/apigateway/plugins/chain_version.py
+++ b/apigateway/plugins/chain_version.py
@@ -17,7 +17,7 @@
 
 # Globals, for they are needed at each call: a member costs more to look up on its class.
 _REQUEST = Phase.REQUEST
-_REFUSE = BudgetPolicy.REFUSE
+_REJECT = BudgetPolicy.REJECT
 
 
 class ChainVersion:
@@ -74,7 +74,7 @@
                 proposals = runner.run(phase, view, now)
             is_first = False
             if proposals is None:
-                if phase == _REQUEST and runner.budget.when_exceeded is _REFUSE:
+                if phase == _REQUEST and runner.budget.when_exceeded is _REJECT:
                     return self._reject_by_budget(runner, effects, now)
                 continue
             if not proposals:
--- a/apigateway/plugins/interfaces.py
+++ b/apigateway/plugins/interfaces.py
@@ -19,17 +19,17 @@
 class Outcome(enum.StrEnum):
     """How a request ended. The values are part of the ABI, of the rules and of records."""
 
-    SERVED = "served"
-    REFUSED = "refused"
+    COMPLETED = "served"
+    REJECTED = "refused"
     FAILED = "failed"
-    GONE = "gone"  # the client went away: nobody was answered
+    DISCONNECTED = "gone"  # the client went away: nobody was answered
 
 
 class Verb(enum.StrEnum):
     """What a plug-in may propose. The values are part of the ABI and of the rules."""
 
     TAG = "tag"
-    REFUSE = "refuse"
+    REJECT = "refuse"
     ROUTE = "route"
 
 
@@ -50,7 +50,7 @@
     """What becomes of a request that a plug-in could not be asked about. The values are settings."""
 
     SKIP = "skip"  # the request goes on without it
-    REFUSE = "refuse"
+    REJECT = "refuse"
 
 
 class Proposal(NamedTuple):
--- a/apigateway/plugins/language/compiler.py
+++ b/apigateway/plugins/language/compiler.py
@@ -1,339 +1,205 @@
 """A tree to a closure over one request's view, with each type known before it ever runs.
 
-Types: number (there is one kind), text, truth, list of numbers or texts, table (of settings: its values are
-of
-one type; or the tags). What can still go wrong when it runs (a key that a table lacks, a division by 0, too
-long a text) raises RunError, and the rule has failed for that request.
+What can still go wrong when it runs (a key that a table lacks, a division by 0, too long a text) raises
+EvaluationError, and the rule has failed for that request.
 """
 
 from __future__ import annotations
 
 import datetime
-import math
-import operator
-from collections.abc import Callable, Mapping
-from dataclasses import dataclass
+from collections.abc import Mapping
 from typing import Any
 
-from apigateway.plugins.language.library import FUNCTIONS, RunError, bounded
-from apigateway.plugins.language.parser import LanguageError, Node, parse
-
-Run = Callable[[Any], Any]
-
-NUMBER, TEXT, TRUTH, TAGS, LIST = "number", "text", "truth", "tags", "list of "
-MOST_ITEMS = 100  # of a list that is written out
-
-
-@dataclass(frozen=True, slots=True)
-class Compiled:
-    """`run` takes a view. `constant`: known when it was compiled, as settings are."""
-
-    type: str
-    run: Run
-    constant: bool = False
-    value: Any = None
-
-
-def compile_text(
-    text: str, fields: Mapping[str, tuple[str, Run]], settings: Mapping[str, Any], seed: int = 0
-) -> Compiled:
-    """`fields`: name to type and how to get it from a view. Raises LanguageError."""
-    return Compiler(fields, settings, seed).node(parse(text))
-
-
-def constant(type: str, value: Any) -> Compiled:
-    return Compiled(type, lambda _: value, True, value)
-
-
-class Compiler:
-    def __init__(self, fields: Mapping[str, tuple[str, Run]], settings: Mapping[str, Any], seed: int) -> None:
-        self.fields, self.settings, self.seed = fields, settings, seed
-
-    def node(self, node: Node) -> Compiled:
-        made: Compiled = getattr(self, node.kind)(node)
-        return made
-
-    def need(self, node: Node, *types: str) -> Compiled:
-        made = self.node(node)
-        if made.type not in types:
-            raise LanguageError(node.at, f"expected {' or '.join(types)}, this is {made.type}")
-        return made
-
-    def number(self, node: Node) -> Compiled:
-        return constant(NUMBER, node.value)
-
-    def text(self, node: Node) -> Compiled:
-        return constant(TEXT, bounded(str(node.value)))
-
-    def name(self, node: Node) -> Compiled:
-        if node.name in ("true", "false"):
-            return constant(TRUTH, node.name == "true")
-        if node.name == "settings":
-            return constant("settings", self.settings)
-        if node.name not in self.fields:
-            known = ", ".join(sorted([*self.fields, "settings"]))
-            raise LanguageError(node.at, f"no field {node.name!r} in this phase; there are {known}")
-        type, get = self.fields[node.name]
-        return Compiled(type, get)
-
-    def list(self, node: Node) -> Compiled:
-        if len(node.parts) > MOST_ITEMS:
-            raise LanguageError(node.at, f"more than {MOST_ITEMS} items; put them into the settings")
-        made = [self.need(part, NUMBER, TEXT) for part in node.parts]
-        types = {item.type for item in made}
+from apigateway.plugins.language.errors import ExpressionError
+from apigateway.plugins.language.functions import compile_call, find_function, hash_share, to_unix_time
+from apigateway.plugins.language.lookups import compile_get, compile_has, compile_index, compile_member
+from apigateway.plugins.language.nodes import (
+    Binary,
+    Call,
+    Conditional,
+    Index,
+    ListLiteral,
+    Member,
+    Name,
+    Node,
+    NumberLiteral,
+    TextLiteral,
+    Unary,
+)
+from apigateway.plugins.language.operators import (
+    compile_binary,
+    compile_conditional,
+    compile_logic,
+    compile_membership,
+    compile_negation,
+    compile_not,
+)
+from apigateway.plugins.language.parser import parse
+from apigateway.plugins.language.values import (
+    LIST_TYPES,
+    Expression,
+    Field,
+    ValueType,
+    bounded,
+    check_type,
+    constant,
+)
+
+MAX_LIST_ITEMS = 100  # of a list that is written out
+
+_SETTINGS_NAME = "settings"
+_ID_FIELD = "id"  # by which a request is sampled
+
+
+def compile_expression(
+    text: str, fields: Mapping[str, Field], settings: Mapping[str, Any], seed: int = 0
+) -> Expression:
+    """Compile an expression.
+
+    Args:
+        fields: What it may read of a view, by name.
+        settings: The plug-in's.
+        seed: Of its samples.
+
+    Raises:
+        ExpressionError: It cannot be used.
+    """
+    return _Compiler(fields, settings, seed).compile(parse(text))
+
+
+class _Compiler:
+    def __init__(self, fields: Mapping[str, Field], settings: Mapping[str, Any], seed: int) -> None:
+        self._fields = fields
+        self._settings = settings
+        self._seed = seed
+
+    def compile(self, node: Node) -> Expression:
+        match node:
+            case NumberLiteral(value=number):
+                return constant(ValueType.NUMBER, number)
+            case TextLiteral(value=text):
+                return constant(ValueType.TEXT, bounded(text))
+            case Name():
+                return self._compile_name(node)
+            case ListLiteral():
+                return self._compile_list(node)
+            case Member():
+                return compile_member(node, self.compile(node.container))
+            case Index():
+                container = self.compile(node.container)
+                return compile_index(node, container, self._compile_typed(node.key, ValueType.TEXT))
+            case Unary():
+                return self._compile_unary(node)
+            case Binary():
+                return self._compile_binary(node)
+            case Conditional():
+                condition = self._compile_typed(node.condition, ValueType.TRUTH)
+                if_true = self.compile(node.if_true)
+                return compile_conditional(node, condition, if_true, self.compile(node.if_false))
+            case Call():
+                return self._compile_call(node)
+
+    def _compile_typed(self, node: Node, *types: ValueType) -> Expression:
+        return check_type(node.position, self.compile(node), *types)
+
+    def _compile_name(self, node: Name) -> Expression:
+        match node.name:
+            case "true" | "false":
+                return constant(ValueType.TRUTH, node.name == "true")
+            case "settings":
+                return constant(ValueType.SETTINGS, self._settings)
+        field = self._fields.get(node.name)
+        if field is None:
+            known = ", ".join(sorted([*self._fields, _SETTINGS_NAME]))
+            raise ExpressionError(node.position, f"no field {node.name!r} in this phase; there are {known}")
+        return Expression(field.type, field.get)
+
+    def _compile_list(self, node: ListLiteral) -> Expression:
+        if len(node.items) > MAX_LIST_ITEMS:
+            reason = f"more than {MAX_LIST_ITEMS} items; put them into the settings"
+            raise ExpressionError(node.position, reason)
+        items = [self._compile_typed(item, ValueType.NUMBER, ValueType.TEXT) for item in node.items]
+        types = {item.type for item in items}
         if len(types) > 1:
-            raise LanguageError(node.at, "a list of numbers and texts")
-        kind = types.pop() if types else TEXT
-        if all(item.constant for item in made):
-            return constant(LIST + kind, tuple(item.value for item in made))
-        runs = [item.run for item in made]
-        return Compiled(LIST + kind, lambda v: tuple(run(v) for run in runs))
-
-    def setting(self, at: int, value: Any) -> Compiled:
-        """A value from the plug-in's settings, as TOML gave it."""
-        if isinstance(value, bool):
-            return constant(TRUTH, value)
-        if isinstance(value, int | float):
-            return constant(NUMBER, float(value))
-        if isinstance(value, str):
-            return constant(TEXT, value)
-        if isinstance(value, datetime.date | datetime.datetime):
-            return constant(NUMBER, moment(value))
-        if isinstance(value, dict):
-            return constant("settings", value)
-        if isinstance(value, list) and all(isinstance(v, str) for v in value):
-            return constant(LIST + TEXT, frozenset(value))
-        if isinstance(value, list) and all(isinstance(v, int | float) for v in value):
-            return constant(LIST + NUMBER, frozenset(float(v) for v in value))
-        raise LanguageError(at, f"a setting of this type cannot be used: {type(value).__name__}")
-
-    def member(self, node: Node) -> Compiled:
-        made, name = self.node(node.parts[0]), node.name
-        if made.type == TAGS:
-            get = made.run
-            return Compiled(TEXT, lambda v: get(v).get(name, ""))
-        if made.type != "settings":
-            raise LanguageError(node.at, f"{made.type} has no member {name!r}")
-        if name not in made.value:
-            raise LanguageError(node.at, f"no setting {name!r}; there are {', '.join(made.value) or 'none'}")
-        return self.setting(node.at, made.value[name])
-
-    def index(self, node: Node) -> Compiled:
-        made, key = self.node(node.parts[0]), self.need(node.parts[1], TEXT)
-        get, find = made.run, key.run
-        if made.type == TAGS:
-            return Compiled(TEXT, lambda v: get(v).get(find(v), ""))
-        if made.type != "settings":
-            raise LanguageError(node.at, f"{made.type} is not looked up by a key")
-        table, kind = self.table(node.at, made.value)
-
-        def look(v: Any) -> Any:
-            found = table.get(find(v))
-            if found is None:
-                raise RunError("a key that its table lacks")
-            return found
-
-        return Compiled(kind, look)
-
-    def table(self, at: int, values: Mapping[str, Any]) -> tuple[dict[str, Any], str]:
-        """A table of settings with values of one type, as it is looked up in."""
-        made = {key: self.setting(at, value) for key, value in values.items()}
-        types = {item.type for item in made.values()}
-        if len(types) > 1 or types - {NUMBER, TEXT, TRUTH}:
-            raise LanguageError(at, "a table that is looked up in holds values of one type, no tables")
-        return {key: item.value for key, item in made.items()}, types.pop() if types else TEXT
-
-    def unary(self, node: Node) -> Compiled:
-        made = self.need(node.parts[0], TRUTH if node.name == "!" else NUMBER)
-        run = made.run
-        if made.constant:
-            return constant(made.type, (not made.value) if node.name == "!" else -made.value)
-        if node.name == "!":
-            return Compiled(TRUTH, lambda v: not run(v))
-        return Compiled(NUMBER, lambda v: -run(v))
-
-    def choice(self, node: Node) -> Compiled:
-        test, yes, no = self.need(node.parts[0], TRUTH), self.node(node.parts[1]), self.node(node.parts[2])
-        if yes.type != no.type:
-            raise LanguageError(node.at, f"either {yes.type} or {no.type}; both must be of one type")
-        if test.constant:
-            return yes if test.value else no
-        ask, one, other = test.run, yes.run, no.run
-        return Compiled(yes.type, lambda v: one(v) if ask(v) else other(v))
-
-    def binary(self, node: Node) -> Compiled:
-        if node.name in ("&&", "||"):
-            return self.logic(node)
-        if node.name == "in":
-            return self.within(node)
-        left, right = self.node(node.parts[0]), self.node(node.parts[1])
-        if left.type != right.type:
-            raise LanguageError(node.at, f"{left.type} {node.name} {right.type}: both must be of one type")
-        kind = left.type
-        if node.name in ("==", "!="):
-            self.only(node, kind, NUMBER, TEXT, TRUTH)
-            return self.operator(operator.eq if node.name == "==" else operator.ne, TRUTH, left, right)
-        if node.name in RELATIONS:
-            self.only(node, kind, NUMBER, TEXT)
-            return self.operator(RELATIONS[node.name], TRUTH, left, right)
-        if node.name == "+" and kind == TEXT:
-            a, b = left.run, right.run
-            return Compiled(TEXT, lambda v: bounded(a(v) + b(v)))
-        self.only(node, kind, NUMBER)
-        return self.operator(ARITHMETIC[node.name], NUMBER, left, right)
-
-    @staticmethod
-    def only(node: Node, kind: str, *types: str) -> None:
-        if kind not in types:
-            raise LanguageError(node.at, f"{node.name} does not go with {kind}")
-
-    @staticmethod
-    def operator(act: Callable[[Any, Any], Any], kind: str, left: Compiled, right: Compiled) -> Compiled:
-        a, b = left.run, right.run
-        if right.constant and not left.constant:  # the common form, a field against a constant
-            value = right.value
-            return Compiled(kind, lambda v: act(a(v), value))
-        return Compiled(kind, lambda v: act(a(v), b(v)))
-
-    def logic(self, node: Node) -> Compiled:
-        left, right = self.need(node.parts[0], TRUTH), self.need(node.parts[1], TRUTH)
-        a, b = left.run, right.run
-        if node.name == "&&":
-            return Compiled(TRUTH, lambda v: a(v) and b(v))
-        return Compiled(TRUTH, lambda v: a(v) or b(v))
-
-    def within(self, node: Node) -> Compiled:
-        item, place = self.need(node.parts[0], NUMBER, TEXT), self.node(node.parts[1])
-        a, b = item.run, place.run
-        if place.type == "settings" and item.type == TEXT:
-            keys = frozenset(place.value)
-            return Compiled(TRUTH, lambda v: a(v) in keys)
-        if place.type not in (LIST + item.type, TAGS):
-            raise LanguageError(node.at, f"{item.type} in {place.type}: expected a list or table of such")
-        if place.constant:
-            items = frozenset(place.value)
-            return Compiled(TRUTH, lambda v: a(v) in items)
-        return Compiled(TRUTH, lambda v: a(v) in b(v))
-
-    def call(self, node: Node) -> Compiled:
-        if node.name == "has":  # whether a tag or setting is there at all
-            return self.has(node)
-        if node.name == "get":
-            return self.get(node)
-        if node.name == "sample":
-            return self.sample(node)
-        if node.name == "date":
-            return self.date(node)
-        if node.name not in FUNCTIONS:
-            raise LanguageError(
-                node.at, f"no function {node.name!r}; there are {', '.join(sorted([*FUNCTIONS, *SPECIAL]))}"
-            )
-        forms, act, kind = FUNCTIONS[node.name]
-        made = [self.node(part) for part in node.parts]
-        types = tuple("list" if part.type.startswith(LIST) else part.type for part in made)
-        if types not in forms:
-            wanted = " or ".join(f"({', '.join(form)})" for form in forms)
-            raise LanguageError(node.at, f"{node.name} takes {wanted}, not ({', '.join(types)})")
-        runs = [part.run for part in made]
-        if len(runs) == 1:
-            one = runs[0]
-            return Compiled(kind, lambda v: act(one(v)))
-        if len(runs) == 2:
-            one, two = runs
-            return Compiled(kind, lambda v: act(one(v), two(v)))
-        return Compiled(kind, lambda v: act(*[run(v) for run in runs]))
-
-    def parts(self, node: Node, count: int) -> tuple[Node, ...]:
-        if len(node.parts) != count:
-            raise LanguageError(node.at, f"{node.name} takes {count} values, not {len(node.parts)}")
-        return node.parts
-
-    def has(self, node: Node) -> Compiled:
-        (part,) = self.parts(node, 1)
-        if part.kind != "member":
-            raise LanguageError(node.at, "has takes a member: has(tags.name) or has(settings.name)")
-        made, name = self.node(part.parts[0]), part.name
-        if made.type == "settings":
-            return constant(TRUTH, name in made.value)
-        if made.type != TAGS:
-            raise LanguageError(part.at, f"{made.type} has no members")
-        get = made.run
-        return Compiled(TRUTH, lambda v: name in get(v))
-
-    def get(self, node: Node) -> Compiled:
-        place, key, other = self.parts(node, 3)
-        made, find, default = self.node(place), self.need(key, TEXT).run, self.node(other)
-        miss = default.run
-        if made.type == TAGS and default.type == TEXT:
-            tags = made.run
-            return Compiled(TEXT, lambda v: tags(v).get(find(v)) or miss(v))
-        if made.type != "settings":
-            raise LanguageError(place.at, f"get takes a table of settings, this is {made.type}")
-        table, kind = self.table(place.at, made.value)
-        if table and default.type != kind:
-            raise LanguageError(other.at, f"the table holds {kind}, the default is {default.type}")
-
-        def look(v: Any) -> Any:
-            found = table.get(find(v))
-            return miss(v) if found is None else found
-
-        return Compiled(default.type, look)
-
-    def sample(self, node: Node) -> Compiled:
+            raise ExpressionError(node.position, "a list of numbers and texts")
+        list_type = LIST_TYPES[types.pop() if types else ValueType.TEXT]
+        if all(item.is_constant for item in items):
+            return constant(list_type, tuple(item.value for item in items))
+        evaluators = [item.evaluate for item in items]
+        return Expression(list_type, lambda view: tuple(evaluate(view) for evaluate in evaluators))
+
+    def _compile_unary(self, node: Unary) -> Expression:
+        if node.operator == "!":
+            return compile_not(self._compile_typed(node.operand, ValueType.TRUTH))
+        return compile_negation(self._compile_typed(node.operand, ValueType.NUMBER))
+
+    def _compile_binary(self, node: Binary) -> Expression:
+        match node.operator:
+            case "&&" | "||":
+                left = self._compile_typed(node.left, ValueType.TRUTH)
+                return compile_logic(node, left, self._compile_typed(node.right, ValueType.TRUTH))
+            case "in":
+                item = self._compile_typed(node.left, ValueType.NUMBER, ValueType.TEXT)
+                return compile_membership(node, item, self.compile(node.right))
+            case _:
+                left = self.compile(node.left)
+                return compile_binary(node, left, self.compile(node.right))
+
+    def _compile_call(self, node: Call) -> Expression:
+        match node.function:
+            case "has":
+                return self._compile_has(node)
+            case "get":
+                return self._compile_get(node)
+            case "sample":
+                return self._compile_sample(node)
+            case "date":
+                return self._compile_date(node)
+            case _:
+                function = find_function(node)
+                return compile_call(node, function, [self.compile(argument) for argument in node.arguments])
+
+    def _compile_has(self, node: Call) -> Expression:
+        (argument,) = _arguments(node, 1)
+        if not isinstance(argument, Member):
+            reason = "has takes a member: has(tags.name) or has(settings.name)"
+            raise ExpressionError(node.position, reason)
+        return compile_has(argument, self.compile(argument.container))
+
+    def _compile_get(self, node: Call) -> Expression:
+        container, key, default = _arguments(node, 3)
+        return compile_get(
+            node,
+            self.compile(container),
+            self._compile_typed(key, ValueType.TEXT),
+            self.compile(default),
+        )
+
+    def _compile_sample(self, node: Call) -> Expression:
         """True for a part of all requests, the same for a request wherever and whenever it is asked."""
-        made = self.need(self.parts(node, 1)[0], NUMBER)
-        if "id" not in self.fields:
-            raise LanguageError(node.at, "sample goes with a request; this phase has none")
-        run, get, seed = made.run, self.fields["id"][1], self.seed
-        share = FUNCTIONS["share"][1]
-        return Compiled(TRUTH, lambda v: share(get(v), seed) < run(v))
-
-    def date(self, node: Node) -> Compiled:
-        (part,) = self.parts(node, 1)
-        made = self.need(part, TEXT)
-        if not made.constant:
-            raise LanguageError(part.at, 'date takes a text that is written out, "2026-08-26T00:00+05:30"')
+        (argument,) = _arguments(node, 1)
+        share = self._compile_typed(argument, ValueType.NUMBER).evaluate
+        if _ID_FIELD not in self._fields:
+            raise ExpressionError(node.position, "sample goes with a request; this phase has none")
+        get_id = self._fields[_ID_FIELD].get
+        seed = self._seed
+        return Expression(ValueType.TRUTH, lambda view: hash_share(get_id(view), seed) < share(view))
+
+    def _compile_date(self, node: Call) -> Expression:
+        (argument,) = _arguments(node, 1)
+        text = self._compile_typed(argument, ValueType.TEXT)
+        if not text.is_constant:
+            reason = 'date takes a text that is written out, "2026-08-26T00:00+05:30"'
+            raise ExpressionError(argument.position, reason)
         try:
-            told = datetime.datetime.fromisoformat(made.value)
+            date = datetime.datetime.fromisoformat(text.value)
         except ValueError as err:
-            raise LanguageError(part.at, f"{made.value!r} is no date") from err
-        return constant(NUMBER, moment(told))
-
-
-SPECIAL = ("date", "get", "has", "sample")
-RELATIONS: dict[str, Callable[[Any, Any], Any]] = {
-    "<": operator.lt,
-    "<=": operator.le,
-    ">": operator.gt,
-    ">=": operator.ge,
-}
-
-
-def quotient(a: float, b: float) -> float:
-    if b == 0:
-        raise RunError("division by 0")
-    return a / b
-
-
-def remainder(a: float, b: float) -> float:
-    if b == 0 or not math.isfinite(a):
-        raise RunError("division by 0")
-    return math.fmod(a, b)
-
-
-ARITHMETIC: dict[str, Callable[[Any, Any], Any]] = {
-    "+": operator.add,
-    "-": operator.sub,
-    "*": operator.mul,
-    "/": quotient,
-    "%": remainder,
-}
+            raise ExpressionError(argument.position, f"{text.value!r} is no date") from err
+        return constant(ValueType.NUMBER, to_unix_time(date))
 
 
-def moment(told: datetime.date) -> float:
-    """Unix seconds; without a zone it is UTC."""
-    if not isinstance(told, datetime.datetime):
-        told = datetime.datetime(told.year, told.month, told.day)
-    if told.tzinfo is None:
-        told = told.replace(tzinfo=datetime.UTC)
-    return told.timestamp()
+def _arguments(node: Call, count: int) -> tuple[Node, ...]:
+    if len(node.arguments) != count:
+        reason = f"{node.function} takes {count} values, not {len(node.arguments)}"
+        raise ExpressionError(node.position, reason)
+    return node.arguments
--- a/apigateway/plugins/language/parser.py
+++ b/apigateway/plugins/language/parser.py
@@ -1,28 +1,36 @@
-"""Text to a tree of nodes. Precedence as in CEL: `?:`, `||`, `&&`, relations, sums, products, unary,
-members."""
+"""Tokens to a tree of nodes.
+
+Precedence as in CEL: `?:`, `||`, `&&`, relations, sums, products, unary operators, members.
+"""
 
 from __future__ import annotations
 
-import re
-from dataclasses import dataclass
-
-MOST_TEXT = 2000  # characters of an expression
-MOST_NODES = 300
-MOST_DEPTH = 40  # nested brackets, calls and conditions: the compiler walks the tree by recursion
-
-TOKEN = re.compile(
-    r"""
-    (?P<blank>\s+)
-  | (?P<number>\d+(?:\.\d+)?(?:[eE][+-]?\d{1,3})?)
-  | (?P<text>"(?:[^"\\\n]|\\.)*"|'(?:[^'\\\n]|\\.)*')
-  | (?P<name>[A-Za-z_][A-Za-z0-9_]*)
-  | (?P<sign>\|\||&&|==|!=|<=|>=|[-+*/%<>!?:.,()\[\]])
-""",
-    re.VERBOSE,
+import math
+from typing import TypeVar
+
+from apigateway.plugins.language.errors import ExpressionError
+from apigateway.plugins.language.lexer import Token, TokenKind, tokenize, unquote
+from apigateway.plugins.language.nodes import (
+    Binary,
+    Call,
+    Conditional,
+    Index,
+    ListLiteral,
+    Member,
+    Name,
+    Node,
+    NumberLiteral,
+    TextLiteral,
+    Unary,
 )
-ESCAPE = re.compile(r"\\(.)")
-ESCAPES = {"n": "\n", "t": "\t", "\\": "\\", '"': '"', "'": "'"}
-BINARY = {
+
+MAX_TEXT_LENGTH = 2000  # characters of an expression
+MAX_NODES = 300
+MAX_DEPTH = 40  # nested brackets, calls and conditions: the compiler walks the tree by recursion
+
+_UNARY_OPERATORS = ("!", "-")
+_LOWEST_PRECEDENCE = 1
+_BINARY_PRECEDENCES = {
     "||": 1,
     "&&": 2,
     "==": 3,
@@ -39,175 +47,151 @@
     "%": 5,
 }
 
+_N = TypeVar("_N", bound=Node)
 
-class LanguageError(Exception):
-    """What is wrong with an expression, and at which character, from 0."""
-
-    def __init__(self, at: int, reason: str) -> None:
-        self.at, self.reason = at, reason
-        super().__init__(f"{reason} (character {at})")
-
-
-@dataclass(frozen=True, slots=True)
-class Node:
-    """`kind`: number, text, name, list, call, member, index, unary, binary or choice. `name` is the operator,
-    the name or the function's; a method call has its object as first of `parts`."""
-
-    kind: str
-    at: int
-    name: str = ""
-    value: float | str = 0.0
-    parts: tuple[Node, ...] = ()
-
-
-@dataclass(frozen=True, slots=True)
-class Token:
-    kind: str  # number, text, name, sign or end
-    text: str
-    at: int
 
+def parse(text: str) -> Node:
+    """Return the tree of an expression. Raises ExpressionError."""
+    return _Parser(text).parse()
 
-def tokens(text: str) -> list[Token]:
-    found, at = list[Token](), 0
-    while at < len(text):
-        match = TOKEN.match(text, at)
-        if match is None:
-            raise LanguageError(at, f"{text[at]!r} has no meaning here")
-        if match.lastgroup != "blank":
-            found.append(Token(str(match.lastgroup), match.group(), at))
-        at = match.end()
-    return [*found, Token("end", "the end", len(text))]
-
-
-def unquoted(token: Token) -> str:
-    def one(match: re.Match[str]) -> str:
-        if match.group(1) not in ESCAPES:
-            raise LanguageError(token.at, f"unknown escape \\{match.group(1)}")
-        return ESCAPES[match.group(1)]
-
-    return ESCAPE.sub(one, token.text[1:-1])
 
+class _Parser:
+    """Recursive descent: a method for each level of precedence."""
 
-class Parser:
     def __init__(self, text: str) -> None:
-        if len(text) > MOST_TEXT:
-            raise LanguageError(MOST_TEXT, f"longer than {MOST_TEXT} characters")
-        self.tokens, self.next = tokens(text), 0
-        self.nodes = self.depth = 0
+        if len(text) > MAX_TEXT_LENGTH:
+            raise ExpressionError(MAX_TEXT_LENGTH, f"longer than {MAX_TEXT_LENGTH} characters")
+        self._tokens = tokenize(text)
+        self._index = 0
+        self._node_count = 0
+        self._depth = 0
 
     @property
-    def token(self) -> Token:
-        return self.tokens[self.next]
+    def _token(self) -> Token:
+        return self._tokens[self._index]
 
-    def step(self) -> Token:
-        token = self.token
-        self.next += 1
+    def _advance(self) -> Token:
+        token = self._token
+        self._index += 1
         return token
 
-    def accept(self, text: str) -> bool:
-        if self.token.kind in ("sign", "name") and self.token.text == text:
-            self.next += 1
+    def _is_sign(self, text: str) -> bool:
+        return self._token.kind == TokenKind.SIGN and self._token.text == text
+
+    def _accept(self, text: str) -> bool:
+        if self._token.kind in (TokenKind.SIGN, TokenKind.NAME) and self._token.text == text:
+            self._index += 1
             return True
         return False
 
-    def expect(self, text: str) -> None:
-        if not self.accept(text):
-            raise LanguageError(self.token.at, f"expected {text!r}, found {self.token.text!r}")
-
-    def node(
-        self, kind: str, at: int, name: str = "", value: float | str = 0.0, parts: tuple[Node, ...] = ()
-    ) -> Node:
-        self.nodes += 1
-        if self.nodes > MOST_NODES:
-            raise LanguageError(at, f"more than {MOST_NODES} parts")
-        return Node(kind, at, name, value, parts)
-
-    def whole(self) -> Node:
-        made = self.choice()
-        if self.token.kind != "end":
-            raise LanguageError(self.token.at, f"{self.token.text!r} follows a whole expression")
-        return made
-
-    def choice(self) -> Node:
-        self.depth += 1
-        if self.depth > MOST_DEPTH:
-            raise LanguageError(self.token.at, f"nested more than {MOST_DEPTH} deep")
-        made = self.binary(1)
-        if self.token.text == "?" and self.token.kind == "sign":
-            at = self.step().at
-            yes = self.choice()
-            self.expect(":")
-            made = self.node("choice", at, parts=(made, yes, self.choice()))
-        self.depth -= 1
-        return made
-
-    def binary(self, least: int) -> Node:
-        left = self.unary()
-        while self.token.kind in ("sign", "name") and BINARY.get(self.token.text, 0) >= least:
-            token = self.step()
-            right = self.binary(BINARY[token.text] + 1)
-            left = self.node("binary", token.at, token.text, parts=(left, right))
+    def _expect(self, text: str) -> None:
+        if not self._accept(text):
+            raise ExpressionError(self._token.position, f"expected {text!r}, found {self._token.text!r}")
+
+    def _add(self, node: _N) -> _N:
+        """Count a node."""
+        self._node_count += 1
+        if self._node_count > MAX_NODES:
+            raise ExpressionError(node.position, f"more than {MAX_NODES} parts")
+        return node
+
+    def _descend(self, position: int) -> None:
+        """Count a level of nesting; `_depth` is set back by the caller."""
+        self._depth += 1
+        if self._depth > MAX_DEPTH:
+            raise ExpressionError(position, f"nested more than {MAX_DEPTH} deep")
+
+    def parse(self) -> Node:
+        node = self._parse_conditional()
+        if self._token.kind != TokenKind.END:
+            raise ExpressionError(self._token.position, f"{self._token.text!r} follows a whole expression")
+        return node
+
+    def _parse_conditional(self) -> Node:
+        self._descend(self._token.position)
+        node = self._parse_binary(_LOWEST_PRECEDENCE)
+        if self._is_sign("?"):
+            position = self._advance().position
+            if_true = self._parse_conditional()
+            self._expect(":")
+            node = self._add(Conditional(position, node, if_true, self._parse_conditional()))
+        self._depth -= 1
+        return node
+
+    def _parse_binary(self, min_precedence: int) -> Node:
+        left = self._parse_unary()
+        while self._binary_precedence() >= min_precedence:
+            operator = self._advance()
+            right = self._parse_binary(_BINARY_PRECEDENCES[operator.text] + 1)
+            left = self._add(Binary(operator.position, operator.text, left, right))
         return left
 
-    def unary(self) -> Node:
-        if self.token.kind == "sign" and self.token.text in "!-":
-            token = self.step()
-            self.depth += 1
-            if self.depth > MOST_DEPTH:
-                raise LanguageError(token.at, f"nested more than {MOST_DEPTH} deep")
-            made = self.node("unary", token.at, token.text, parts=(self.unary(),))
-            self.depth -= 1
-            return made
-        return self.members(self.primary())
-
-    def members(self, made: Node) -> Node:
+    def _binary_precedence(self) -> int:
+        """Return the precedence of the next token, 0 if it is no binary operator."""
+        if self._token.kind not in (TokenKind.SIGN, TokenKind.NAME):
+            return 0
+        return _BINARY_PRECEDENCES.get(self._token.text, 0)
+
+    def _parse_unary(self) -> Node:
+        if self._token.kind == TokenKind.SIGN and self._token.text in _UNARY_OPERATORS:
+            operator = self._advance()
+            self._descend(operator.position)
+            node = self._add(Unary(operator.position, operator.text, self._parse_unary()))
+            self._depth -= 1
+            return node
+        return self._parse_members(self._parse_primary())
+
+    def _parse_members(self, node: Node) -> Node:
         while True:
-            at = self.token.at
-            if self.accept("."):
-                name = self.step()
-                if name.kind != "name":
-                    raise LanguageError(name.at, f"expected a name after '.', found {name.text!r}")
-                if self.accept("("):
-                    made = self.node("call", name.at, name.text, parts=(made, *self.listed(")")))
-                else:
-                    made = self.node("member", name.at, name.text, parts=(made,))
-            elif self.accept("["):
-                made = self.node("index", at, parts=(made, self.choice()))
-                self.expect("]")
+            position = self._token.position
+            if self._accept("."):
+                node = self._parse_member(node)
+            elif self._accept("["):
+                node = self._add(Index(position, node, self._parse_conditional()))
+                self._expect("]")
             else:
-                return made
-
-    def listed(self, end: str) -> tuple[Node, ...]:
-        parts: list[Node] = []
-        if not self.accept(end):
-            parts.append(self.choice())
-            while self.accept(","):
-                parts.append(self.choice())
-            self.expect(end)
-        return tuple(parts)
-
-    def primary(self) -> Node:
-        token = self.step()
-        if token.kind == "number":
-            value = float(token.text)
-            if value == float("inf"):
-                raise LanguageError(token.at, "too large a number")
-            return self.node("number", token.at, value=value)
-        if token.kind == "text":
-            return self.node("text", token.at, value=unquoted(token))
-        if token.kind == "name" and token.text not in BINARY:
-            if self.accept("("):
-                return self.node("call", token.at, token.text, parts=self.listed(")"))
-            return self.node("name", token.at, token.text)
-        if token.kind == "sign" and token.text == "(":
-            made = self.choice()
-            self.expect(")")
-            return made
-        if token.kind == "sign" and token.text == "[":
-            return self.node("list", token.at, parts=self.listed("]"))
-        raise LanguageError(token.at, f"expected a value, found {token.text!r}")
-
-
-def parse(text: str) -> Node:
-    """Raises LanguageError."""
-    return Parser(text).whole()
+                return node
+
+    def _parse_member(self, container: Node) -> Node:
+        name = self._advance()
+        if name.kind != TokenKind.NAME:
+            raise ExpressionError(name.position, f"expected a name after '.', found {name.text!r}")
+        if self._accept("("):
+            arguments = (container, *self._parse_items(")"))
+            return self._add(Call(name.position, name.text, arguments))
+        return self._add(Member(name.position, container, name.text))
+
+    def _parse_items(self, closing: str) -> tuple[Node, ...]:
+        items: list[Node] = []
+        if not self._accept(closing):
+            items.append(self._parse_conditional())
+            while self._accept(","):
+                items.append(self._parse_conditional())
+            self._expect(closing)
+        return tuple(items)
+
+    def _parse_primary(self) -> Node:
+        token = self._advance()
+        match token.kind:
+            case TokenKind.NUMBER:
+                return self._parse_number(token)
+            case TokenKind.TEXT:
+                return self._add(TextLiteral(token.position, unquote(token)))
+            case TokenKind.NAME if token.text not in _BINARY_PRECEDENCES:
+                if self._accept("("):
+                    return self._add(Call(token.position, token.text, self._parse_items(")")))
+                return self._add(Name(token.position, token.text))
+            case TokenKind.SIGN if token.text == "(":
+                node = self._parse_conditional()
+                self._expect(")")
+                return node
+            case TokenKind.SIGN if token.text == "[":
+                return self._add(ListLiteral(token.position, self._parse_items("]")))
+            case _:
+                raise ExpressionError(token.position, f"expected a value, found {token.text!r}")
+
+    def _parse_number(self, token: Token) -> Node:
+        value = float(token.text)
+        if value == math.inf:
+            raise ExpressionError(token.position, "too large a number")
+        return self._add(NumberLiteral(token.position, value))
--- a/apigateway/plugins/rule_vocabulary.py
+++ b/apigateway/plugins/rule_vocabulary.py
@@ -6,14 +6,14 @@
 from operator import attrgetter
 
 from apigateway.plugins.interfaces import Phase
-from apigateway.plugins.language.compiler import NUMBER, TAGS, TEXT, TRUTH, Run
+from apigateway.plugins.language import Field, ValueType
 
 
 class RuleAction(enum.StrEnum):
     """What a rule does. The values are the keys of a rule."""
 
     TAG = "tag"
-    REFUSE = "refuse"
+    REJECT = "refuse"
     ROUTE = "route"
     COUNT = "count"
     LOG = "log"
@@ -28,32 +28,32 @@
 }
 
 
-def _field(attribute: str, kind: str) -> tuple[str, Run]:
+def _field(attribute: str, value_type: ValueType) -> Field:
     """Return a field of rules that is this attribute of a RequestView."""
-    return kind, attrgetter(attribute)
+    return Field(value_type, attrgetter(attribute))
 
 
-_TICK_FIELDS = {"now": _field("now", NUMBER)}
+_TICK_FIELDS = {"now": _field("now", ValueType.NUMBER)}
 _REQUEST_FIELDS = _TICK_FIELDS | {
-    "id": _field("request_id", TEXT),
-    "customer": _field("customer", TEXT),
-    "plan": _field("plan", TEXT),
-    "class": _field("service_class", TEXT),
-    "units": _field("units", NUMBER),
-    "left": _field("remaining", NUMBER),
-    "write": _field("is_write", TRUTH),
-    "repeat": _field("is_retry", TRUTH),
-    "tags": _field("tags", TAGS),
-    "route": _field("route", TEXT),
+    "id": _field("request_id", ValueType.TEXT),
+    "customer": _field("customer", ValueType.TEXT),
+    "plan": _field("plan", ValueType.TEXT),
+    "class": _field("service_class", ValueType.TEXT),
+    "units": _field("units", ValueType.NUMBER),
+    "left": _field("remaining", ValueType.NUMBER),
+    "write": _field("is_write", ValueType.TRUTH),
+    "repeat": _field("is_retry", ValueType.TRUTH),
+    "tags": _field("tags", ValueType.TAGS),
+    "route": _field("route", ValueType.TEXT),
 }
 _ATTEMPT_FIELDS = _REQUEST_FIELDS | {
-    "host": _field("endpoint_id", TEXT),
-    "attempt": _field("attempt", NUMBER),
+    "host": _field("endpoint_id", ValueType.TEXT),
+    "attempt": _field("attempt", ValueType.NUMBER),
 }
 _ANSWER_FIELDS = _REQUEST_FIELDS | {
-    "attempts": _field("attempt", NUMBER),
-    "outcome": _field("outcome", TEXT),
-    "elapsed": _field("elapsed", NUMBER),
+    "attempts": _field("attempt", ValueType.NUMBER),
+    "outcome": _field("outcome", ValueType.TEXT),
+    "elapsed": _field("elapsed", ValueType.NUMBER),
 }
 FIELDS = {
     Phase.REQUEST: _REQUEST_FIELDS,
--- a/apigateway/plugins/rules.py
+++ b/apigateway/plugins/rules.py
@@ -14,9 +14,15 @@
     RequestView,
     Verb,
 )
-from apigateway.plugins.language.compiler import NUMBER, TEXT, TRUTH, Compiled, Run, compile_text
-from apigateway.plugins.language.library import RunError, text
-from apigateway.plugins.language.parser import LanguageError
+from apigateway.plugins.language import (
+    EvaluationError,
+    Evaluator,
+    Expression,
+    ExpressionError,
+    ValueType,
+    compile_expression,
+)
+from apigateway.plugins.language.functions import to_text
 from apigateway.plugins.plugin_log import PluginLog
 from apigateway.plugins.plugin_state import Counters
 from apigateway.plugins.proposals import TAG_KEY_PATTERN
@@ -30,7 +36,7 @@
 # Globals, for they are needed at each call: a member costs more to look up on its class.
 _TAG = Verb.TAG
 _ROUTE = Verb.ROUTE
-_REFUSE = Verb.REFUSE
+_REJECT = Verb.REJECT
 
 
 class InvalidRuleError(Exception):
@@ -47,7 +53,7 @@
     """A tag that a rule sets."""
 
     key: str
-    evaluate: Run
+    evaluate: Evaluator
     is_text: bool  # else its value is to be made one
 
 
@@ -55,11 +61,11 @@
     """A counter that a rule adds to."""
 
     name: str
-    evaluate: Run
+    evaluate: Evaluator
 
 
 class Rule:
-    """One rule, compiled.
+    """One rule, expression.
 
     Attributes:
         condition: Whether the rule applies to a view; None: it always does.
@@ -74,16 +80,16 @@
         self._settings = settings
         self._seed = seed
         self._check_actions(section)
-        condition = self._compile("when", section.when, TRUTH).run
+        condition = self._compile("when", section.when, ValueType.TRUTH).evaluate
         self.condition = None if section.when.strip() == _ALWAYS else condition
         self._tags = self._compile_tags(section.tag)
-        self._refuse = self._compile_optional("refuse", section.refuse, NUMBER)
-        self._route = self._compile_optional("route", section.route, TEXT)
+        self._refuse = self._compile_optional("refuse", section.refuse, ValueType.NUMBER)
+        self._route = self._compile_optional("route", section.route, ValueType.TEXT)
         self._counters = [
-            CounterExpression(name, self._compile(f"count.{name}", amount, NUMBER).run)
+            CounterExpression(name, self._compile(f"count.{name}", amount, ValueType.NUMBER).evaluate)
             for name, amount in section.count.items()
         ]
-        self._log_line = self._compile_optional("log", section.log, TEXT)
+        self._log_line = self._compile_optional("log", section.log, ValueType.TEXT)
 
     def _check_actions(self, section: RuleSection) -> None:
         permitted = PERMITTED_ACTIONS[self.phase]
@@ -96,37 +102,38 @@
     def _compile_tags(self, tags: Mapping[str, str]) -> list[TagExpression]:
         expressions: list[TagExpression] = []
         for key, value in tags.items():
-            compiled = self._compile(f"tag.{key}", value, TEXT, NUMBER, TRUTH)
-            expressions.append(TagExpression(key, compiled.run, compiled.type == TEXT))
+            expression = self._compile(f"tag.{key}", value, ValueType.TEXT, ValueType.NUMBER, ValueType.TRUTH)
+            is_text = expression.type == ValueType.TEXT
+            expressions.append(TagExpression(key, expression.evaluate, is_text))
         for key in tags:
             if not TAG_KEY_PATTERN.fullmatch(key):
                 reason = "a tag's name is small letters, digits and _.-, 32 at most"
                 raise InvalidRuleError(f"{self._key}.tag", key, reason)
         return expressions
 
-    def _compile_optional(self, key: str, source: str, *types: str) -> Run | None:
-        return self._compile(key, source, *types).run if source else None
+    def _compile_optional(self, key: str, source: str, *types: ValueType) -> Evaluator | None:
+        return self._compile(key, source, *types).evaluate if source else None
 
-    def _compile(self, key: str, source: str, *types: str) -> Compiled:
+    def _compile(self, key: str, source: str, *types: ValueType) -> Expression:
         try:
-            compiled = compile_text(source, FIELDS[self.phase], self._settings, self._seed)
-        except LanguageError as err:
+            expression = compile_expression(source, FIELDS[self.phase], self._settings, self._seed)
+        except ExpressionError as err:
             raise InvalidRuleError(f"{self._key}.{key}", source, str(err)) from err
-        if compiled.type not in types:
-            reason = f"gives {compiled.type}, not {' or '.join(types)}"
+        if expression.type not in types:
+            reason = f"gives {expression.type}, not {' or '.join(types)}"
             raise InvalidRuleError(f"{self._key}.{key}", source, reason)
-        return compiled
+        return expression
 
     def apply(self, view: RequestView, counters: Counters, log_lines: list[str]) -> list[Proposal]:
         """Return what it proposes; add to counters and log lines."""
         proposals: list[Proposal] = []
         for key, evaluate, is_text in self._tags:
             value = evaluate(view)
-            proposals.append(Proposal(_TAG, key, value if is_text else text(value)))
+            proposals.append(Proposal(_TAG, key, value if is_text else to_text(value)))
         if self._route is not None:
             proposals.append(Proposal(_ROUTE, self._route(view)))
         if self._refuse is not None:
-            proposals.append(Proposal(_REFUSE, repr(self._refuse(view))))
+            proposals.append(Proposal(_REJECT, repr(self._refuse(view))))
         for name, evaluate in self._counters:
             counters.add(name, evaluate(view))
         if self._log_line is not None:
@@ -176,7 +183,7 @@
                     proposals += rule.apply(view, self._counters, log_lines)
                     if rule.stops:
                         break
-        except RunError as err:
+        except EvaluationError as err:
             raise PluginError(FailureReason.ERROR, str(err)) from err
         except (ArithmeticError, ValueError, TypeError, RecursionError) as err:
             raise PluginError(FailureReason.ERROR, f"{type(err).__name__} {err}") from err
--- a/apigateway/plugins/runner.py
+++ b/apigateway/plugins/runner.py
@@ -99,7 +99,7 @@
         if verdict.tags:
             self.allowed[Verb.TAG] += len(verdict.tags)
         if verdict.retry_after is not None:
-            self.allowed[Verb.REFUSE] += 1
+            self.allowed[Verb.REJECT] += 1
         if verdict.route:
             self.allowed[Verb.ROUTE] += 1
         for verb, reason in verdict.denied:
--- a/apigateway/plugins/testkit.py
+++ b/apigateway/plugins/testkit.py
@@ -272,7 +272,7 @@
         return attempt_tags[-1]
 
     def answer(
-        self, result: RequestResult, outcome: str = Outcome.SERVED, elapsed: float = DEFAULT_ELAPSED
+        self, result: RequestResult, outcome: str = Outcome.COMPLETED, elapsed: float = DEFAULT_ELAPSED
     ) -> None:
         """End a request; `elapsed` is in seconds."""
         result.effects.is_over = True
--- a/apigateway/plugins/wasm/host_functions.py
+++ b/apigateway/plugins/wasm/host_functions.py
@@ -18,7 +18,7 @@
 
 from apigateway.plugins import abi
 from apigateway.plugins.interfaces import Budget, PluginError
-from apigateway.plugins.language.compiler import moment
+from apigateway.plugins.language.functions import to_unix_time
 from apigateway.plugins.plugin_log import MAX_LINE_LENGTH, PluginLog
 from apigateway.plugins.plugin_state import MAX_COUNTER_NAME_LENGTH, Counters, KeyValueStore
 from apigateway.plugins.wasm.memory import ModuleMemory
@@ -153,7 +153,7 @@
     def _setting_number(self, address: int, length: int) -> float:
         value = self._find_setting(address, length)
         if isinstance(value, datetime.date):
-            return moment(value)
+            return to_unix_time(value)
         return float(value) if isinstance(value, int | float) else math.nan
 
     def _get(self, address: int, length: int, out_address: int, out_size: int) -> int:
--- a/tests/plugins/test_language.py
+++ b/tests/plugins/test_language.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 
 from apigateway.plugins.interfaces import RequestView
-from apigateway.plugins.language import LanguageError, compile_text
-from apigateway.plugins.language.library import MOST_LENGTH, RunError
+from apigateway.plugins.language import EvaluationError, ExpressionError, compile_expression
+from apigateway.plugins.language.values import MAX_TEXT_LENGTH
 from apigateway.plugins.rule_vocabulary import FIELDS
 
 SETTINGS = {
@@ -35,7 +35,7 @@
             **fields,
         }
     )
-    return compile_text(text, FIELDS[phase], SETTINGS, 7).run(view)
+    return compile_expression(text, FIELDS[phase], SETTINGS, 7).evaluate(view)
 
 
 @pytest.mark.parametrize(
@@ -122,9 +122,9 @@
     ],
 )
 def test_what_it_refuses_and_where(text, words):
-    with pytest.raises(LanguageError, match=".") as caught:
+    with pytest.raises(ExpressionError, match=".") as caught:
         run(text)
-    assert words in caught.value.reason and 0 <= caught.value.at <= len(text)
+    assert words in caught.value.reason and 0 <= caught.value.position <= len(text)
 
 
 @pytest.mark.parametrize(
@@ -140,13 +140,13 @@
     ],
 )
 def test_a_value_that_there_is_not(text):
-    with pytest.raises(RunError):
+    with pytest.raises(EvaluationError):
         run(text)
 
 
 def test_texts_cannot_be_grown_without_end():
-    with pytest.raises(RunError):
-        run("+".join(["plan"] * 2), plan="x" * (MOST_LENGTH - 1))
+    with pytest.raises(EvaluationError):
+        run("+".join(["plan"] * 2), plan="x" * (MAX_TEXT_LENGTH - 1))
 
 
 def test_a_sample_is_the_same_for_a_request_and_about_its_share_of_all():
@@ -207,7 +207,7 @@
     """Nothing but the two exceptions of the language ever comes out."""
     try:
         run(text)
-    except (LanguageError, RunError):
+    except (ExpressionError, EvaluationError):
         pass
 
 
@@ -226,7 +226,7 @@
 def test_sound_expressions_end_in_a_number(text):
     try:
         assert isinstance(run(text), float)
-    except RunError as err:
+    except EvaluationError as err:
         assert "division" in str(err)
-    except LanguageError as err:
+    except ExpressionError as err:
         assert "parts" in err.reason or "nested" in err.reason
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -140,7 +140,7 @@
     w = hooked(
         seat(
             Scripted(PluginError(FailureReason.FUEL), [Phase.REQUEST]),
-            when_exceeded=BudgetPolicy.REFUSE,
+            when_exceeded=BudgetPolicy.REJECT,
             failure_threshold=2,
             open_time=30.0,
         )
