--- a/apigateway/plugins/wasm/engine.py
+++ b/apigateway/plugins/wasm/engine.py
@@ -85,7 +85,7 @@
     return WasmEngine()
 
 
-def assemble(raw: bytes) -> bytes:
+def assemble_module(raw: bytes) -> bytes:
     """Return a module's binary, given that or its text. Raises InvalidModuleError."""
     if raw.startswith(_BINARY_MAGIC):
         return raw
@@ -99,7 +99,7 @@
 
 def compile_module(engine: WasmEngine, raw: bytes) -> wasmtime.Module:
     """Return a compiled module, given its binary or text. Raises InvalidModuleError."""
-    binary = assemble(raw)
+    binary = assemble_module(raw)
     try:
         return wasmtime.Module(engine.engine, binary)
     except wasmtime.WasmtimeError as err:
--- a/tests/plugins/test_modules.py
+++ b/tests/plugins/test_modules.py
@@ -10,7 +10,7 @@
 
 from apigateway.plugins.interfaces import Budget, Phase, PluginError, RequestView
 from apigateway.plugins.testkit import module, says
-from apigateway.plugins.wasm import InvalidModuleError, WasmPlugin, assemble
+from apigateway.plugins.wasm import InvalidModuleError, WasmPlugin, assemble_module
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples" / "plugins"
 BUDGET = Budget(fuel=50_000, memory_bytes=1024 * 1024)
@@ -197,7 +197,7 @@
 
 
 def test_every_cut_of_a_module_is_refused_or_sound():
-    whole = assemble((EXAMPLES / "sampler" / "sampler.wat").read_bytes())
+    whole = assemble_module((EXAMPLES / "sampler" / "sampler.wat").read_bytes())
     for end in range(0, len(whole), 7):
         with pytest.raises(InvalidModuleError):
             WasmPlugin("p", whole[:end], {}, BUDGET)
@@ -290,7 +290,7 @@
 def test_mutated_modules_do_no_harm():
     """Seeded: bytes of a sound module changed, taken out, put in. Each is refused or stays within its
     budget."""
-    whole, rng = assemble((EXAMPLES / "calendar" / "calendar.wat").read_bytes()), random.Random(12)
+    whole, rng = assemble_module((EXAMPLES / "calendar" / "calendar.wat").read_bytes()), random.Random(12)
     settings = {"class": "read", "from": 1.0, "until": 1e12, "wait": 1}
     served = refused = 0
     for _ in range(400):
