--- a/apigateway/plugins/language/compiler.py
+++ b/apigateway/plugins/language/compiler.py
@@ -75,29 +75,34 @@
 
     def compile(self, node: Node) -> Expression:
         match node:
-            case NumberLiteral(value=number):
-                return constant(ValueType.NUMBER, number)
-            case TextLiteral(value=text):
-                return constant(ValueType.TEXT, bounded(text))
-            case Name():
-                return self._compile_name(node)
+            case NumberLiteral() | TextLiteral() | Name():
+                expression = self._compile_leaf(node)
             case ListLiteral():
-                return self._compile_list(node)
+                expression = self._compile_list(node)
             case Member():
-                return compile_member(node, self.compile(node.container))
+                expression = compile_member(node, self.compile(node.container))
             case Index():
                 container = self.compile(node.container)
-                return compile_index(node, container, self._compile_typed(node.key, ValueType.TEXT))
+                key = self._compile_typed(node.key, ValueType.TEXT)
+                expression = compile_index(node, container, key)
             case Unary():
-                return self._compile_unary(node)
+                expression = self._compile_unary(node)
             case Binary():
-                return self._compile_binary(node)
+                expression = self._compile_binary(node)
             case Conditional():
-                condition = self._compile_typed(node.condition, ValueType.TRUTH)
-                if_true = self.compile(node.if_true)
-                return compile_conditional(node, condition, if_true, self.compile(node.if_false))
+                expression = self._compile_conditional(node)
             case Call():
-                return self._compile_call(node)
+                expression = self._compile_call(node)
+        return expression
+
+    def _compile_leaf(self, node: NumberLiteral | TextLiteral | Name) -> Expression:
+        match node:
+            case NumberLiteral(value=number):
+                return constant(ValueType.NUMBER, number)
+            case TextLiteral(value=text):
+                return constant(ValueType.TEXT, bounded(text))
+            case Name():
+                return self._compile_name(node)
 
     def _compile_typed(self, node: Node, *types: ValueType) -> Expression:
         return check_type(node.position, self.compile(node), *types)
@@ -145,6 +150,12 @@
                 left = self.compile(node.left)
                 return compile_binary(node, left, self.compile(node.right))
 
+    def _compile_conditional(self, node: Conditional) -> Expression:
+        condition = self._compile_typed(node.condition, ValueType.TRUTH)
+        if_true = self.compile(node.if_true)
+        if_false = self.compile(node.if_false)
+        return compile_conditional(node, condition, if_true, if_false)
+
     def _compile_call(self, node: Call) -> Expression:
         match node.function:
             case "has":
--- a/apigateway/plugins/language/lookups.py
+++ b/apigateway/plugins/language/lookups.py
@@ -35,13 +35,17 @@
             return constant(ValueType.NUMBER, to_unix_time(value))
         case dict():
             return constant(ValueType.SETTINGS, value)
-        case list() if all(isinstance(item, str) for item in value):
-            return constant(ValueType.TEXTS, frozenset(value))
-        case list() if all(isinstance(item, int | float) for item in value):
-            return constant(ValueType.NUMBERS, frozenset(float(item) for item in value))
         case _:
-            kind = type(value).__name__
-            raise ExpressionError(position, f"a setting of this type cannot be used: {kind}")
+            return _compile_list_setting(position, value)
+
+
+def _compile_list_setting(position: int, value: Any) -> Expression:
+    if isinstance(value, list) and all(isinstance(item, str) for item in value):
+        return constant(ValueType.TEXTS, frozenset(value))
+    if isinstance(value, list) and all(isinstance(item, int | float) for item in value):
+        return constant(ValueType.NUMBERS, frozenset(float(item) for item in value))
+    kind = type(value).__name__
+    raise ExpressionError(position, f"a setting of this type cannot be used: {kind}")
 
 
 def compile_member(node: Member, container: Expression) -> Expression:
