--- a/apigateway/plugins/loader.py
+++ b/apigateway/plugins/loader.py
@@ -54,7 +54,7 @@
         )
 
 
-def load_plugins(
+def load_chain(
     sections: Sequence[PluginSection],
     hooks: HooksSection,
     environment: PluginEnvironment,
--- a/apigateway/plugins/testkit.py
+++ b/apigateway/plugins/testkit.py
@@ -21,7 +21,7 @@
 from apigateway.config_validation import ConfigReader, ConfigSection, InvalidConfigFileError, read_toml
 from apigateway.plugins.chain_version import ChainVersion
 from apigateway.plugins.interfaces import Outcome, Phase, RequestView
-from apigateway.plugins.loader import PluginEnvironment, load_plugins
+from apigateway.plugins.loader import PluginEnvironment, load_chain
 from apigateway.plugins.proposals import RequestEffects
 from apigateway.plugins.runner import PluginRunner
 from apigateway.plugins.settings import HooksSection, PluginSection
@@ -227,7 +227,7 @@
         file = find_plugin_file(path)
         plugin_file = read_plugins(file)
         environment = PluginEnvironment(file, gateway_settings or settings())
-        return cls(load_plugins(plugin_file.plugins, plugin_file.hooks, environment))
+        return cls(load_chain(plugin_file.plugins, plugin_file.hooks, environment))
 
     @property
     def runners(self) -> list[PluginRunner]:
@@ -272,7 +272,7 @@
         return attempt_tags[-1]
 
     def answer(
-        self, result: RequestResult, outcome: str = Outcome.SERVED, elapsed: float = DEFAULT_ELAPSED
+        self, result: RequestResult, outcome: str = Outcome.COMPLETED, elapsed: float = DEFAULT_ELAPSED
     ) -> None:
         """End a request; `elapsed` is in seconds."""
         result.effects.is_over = True
--- a/apigateway/tools/plugins/loading.py
+++ b/apigateway/tools/plugins/loading.py
@@ -7,8 +7,7 @@
 
 from apigateway import messages
 from apigateway.config_validation import InvalidConfigFileError
-from apigateway.plugins.loader import PluginEnvironment
-from apigateway.plugins.loader import load_plugins as load_plugin_chain
+from apigateway.plugins.loader import PluginEnvironment, load_chain
 from apigateway.plugins.settings import HooksSection, PluginSection
 from apigateway.plugins.testkit import Kit, read_plugins, settings
 from apigateway.tools.plugins.report import UnusableArgumentError
@@ -40,7 +39,7 @@
     if not source.plugins:
         raise UnusableArgumentError(f"{source.path}: names no plug-in")
     environment = PluginEnvironment(source.path, module_settings or source.module_settings or settings())
-    return Kit(load_plugin_chain(source.plugins, source.hooks, environment))
+    return Kit(load_chain(source.plugins, source.hooks, environment))
 
 
 def read_module_settings(path: str) -> messages.Settings:
--- a/tests/plugins/test_live.py
+++ b/tests/plugins/test_live.py
@@ -18,7 +18,7 @@
 from apigateway.plugins.chain_version import ChainVersion
 from apigateway.plugins.interfaces import Budget, BudgetPolicy, FailureReason, Phase, PluginError, Proposal
 from apigateway.plugins.isolated_validation import PROCESS_ENDED, ValidationJob, validate_isolated
-from apigateway.plugins.loader import PluginEnvironment, load_plugins
+from apigateway.plugins.loader import PluginEnvironment, load_chain
 from apigateway.plugins.manager import PluginManager, StateTransferError
 from apigateway.plugins.proposals import ProposalLimits
 from apigateway.plugins.records import RequestRecorder, parse_record, read_records
@@ -140,7 +140,7 @@
     w = hooked(
         seat(
             Scripted(PluginError(FailureReason.FUEL), [Phase.REQUEST]),
-            when_exceeded=BudgetPolicy.REFUSE,
+            when_exceeded=BudgetPolicy.REJECT,
             failure_threshold=2,
             open_time=30.0,
         )
@@ -370,7 +370,7 @@
 
 
 def loading(tmp_path, *parts, old=None):
-    return load_plugins(
+    return load_chain(
         parts, HooksSection(), PluginEnvironment(str(tmp_path / "gateway.toml"), gateway()), old
     )
 
