--- /dev/null
+++ b/apigateway/frontends/grpc/call_headers.py
@@ -0,0 +1,37 @@
+"""Headers of gRPC calls and of their responses ("gRPC over HTTP2")."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from apigateway.upstream.rpc import OK, UNIMPLEMENTED, RpcError, percent_encode, read_timeout
+
+Headers = list[tuple[bytes, bytes]]
+
+CONTENT_TYPE = b"application/grpc"
+RESPONSE_HEADERS: Headers = [(b":status", b"200"), (b"content-type", CONTENT_TYPE)]
+OK_TRAILERS: Headers = [(b"grpc-status", b"%d" % OK)]
+
+_METHOD_NOT_ALLOWED = b"405"  # HTTP statuses
+_UNSUPPORTED_MEDIA_TYPE = b"415"
+
+
+def http_error(headers: Mapping[bytes, bytes]) -> bytes | None:
+    """Return the HTTP status for what is no gRPC call; None for one that is."""
+    if headers.get(b":method") != b"POST":
+        return _METHOD_NOT_ALLOWED
+    if not headers.get(b"content-type", b"").startswith(CONTENT_TYPE):
+        return _UNSUPPORTED_MEDIA_TYPE
+    return None
+
+
+def call_timeout(headers: Mapping[bytes, bytes]) -> float | None:
+    """Check a call's headers and return its timeout in seconds, if it has one. Raises RpcError."""
+    if headers.get(b"grpc-encoding", b"identity") != b"identity":
+        raise RpcError(UNIMPLEMENTED, "messages are not compressed here")
+    return read_timeout(headers.get(b"grpc-timeout"))
+
+
+def status_headers(status: int, text: str) -> Headers:
+    """Return the headers, or trailers, with a gRPC status and its text."""
+    return [(b"grpc-status", b"%d" % status), (b"grpc-message", percent_encode(text))]
--- a/apigateway/frontends/grpc/response_writer.py
+++ b/apigateway/frontends/grpc/response_writer.py
@@ -7,7 +7,7 @@
 import h2.connection
 import h2.exceptions
 
-Headers = list[tuple[bytes, bytes]]
+from apigateway.frontends.grpc.call_headers import Headers
 
 # What h2 raises for a stream that it has closed, or closed and forgotten.
 CLOSED_STREAM_ERRORS = (h2.exceptions.NoSuchStreamError, h2.exceptions.StreamIDTooLowError)
--- a/apigateway/frontends/grpc/server_session.py
+++ b/apigateway/frontends/grpc/server_session.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Container, Iterable, Mapping
+from collections.abc import Container, Iterable
 from contextlib import suppress
 from dataclasses import dataclass
 
@@ -20,6 +20,14 @@
 import h2.settings
 from hyperframe.frame import GoAwayFrame, PingFrame
 
+from apigateway.frontends.grpc.call_headers import (
+    OK_TRAILERS,
+    RESPONSE_HEADERS,
+    Headers,
+    call_timeout,
+    http_error,
+    status_headers,
+)
 from apigateway.frontends.grpc.events import (
     CallCancelled,
     SessionEvent,
@@ -28,17 +36,13 @@
     StreamOpened,
     UnaryCall,
 )
-from apigateway.frontends.grpc.response_writer import CLOSED_STREAM_ERRORS, Headers, ResponseWriter
+from apigateway.frontends.grpc.response_writer import CLOSED_STREAM_ERRORS, ResponseWriter
 from apigateway.upstream.rpc import (
-    OK,
     RESOURCE_EXHAUSTED,
-    UNIMPLEMENTED,
     GoAwayFilter,
     MessageBuffer,
     RpcError,
     frame_message,
-    percent_encode,
-    read_timeout,
 )
 
 # Streams of one connection at once.
@@ -57,11 +61,6 @@
 DRAIN_PING_DATA = b"the last"  # of the PING behind the first GOAWAY of a shutdown; eight bytes
 
 _MESSAGE_PREFIX_BYTES = 5  # before a message: whether it is compressed, and its length
-_RESPONSE_HEADERS = [(b":status", b"200"), (b"content-type", b"application/grpc")]
-_OK_TRAILERS = [(b"grpc-status", b"%d" % OK)]
-_CONTENT_TYPE = b"application/grpc"
-_METHOD_NOT_ALLOWED = b"405"  # HTTP statuses
-_UNSUPPORTED_MEDIA_TYPE = b"415"
 
 
 @dataclass(slots=True)
@@ -169,14 +168,14 @@
             self._reset_stream(stream_id, h2.errors.ErrorCodes.REFUSED_STREAM)
             return
         self._last_stream_id = max(self._last_stream_id, stream_id)
-        http_error = _http_error(headers)
-        if http_error is not None:
+        http_status = http_error(headers)
+        if http_status is not None:
             with suppress(*CLOSED_STREAM_ERRORS):
-                self._connection.send_headers(stream_id, [(b":status", http_error)], end_stream=True)
+                self._connection.send_headers(stream_id, [(b":status", http_status)], end_stream=True)
             self._stop_reading(stream_id)
             return
         try:
-            timeout = _call_timeout(headers)
+            timeout = call_timeout(headers)
         except RpcError as error:
             self._send_status_alone(stream_id, error.status, str(error))
             self._stop_reading(stream_id)
@@ -265,8 +264,8 @@
         if stream_id not in self._open_calls:
             return
         self._open_calls.discard(stream_id)
-        self._connection.send_headers(stream_id, [*_RESPONSE_HEADERS, *headers])
-        self._write(stream_id, frame_message(message), _OK_TRAILERS)
+        self._connection.send_headers(stream_id, [*RESPONSE_HEADERS, *headers])
+        self._write(stream_id, frame_message(message), OK_TRAILERS)
 
     def send_message(self, stream_id: int, message: bytes) -> None:
         """Send one message of a stream."""
@@ -274,7 +273,7 @@
             return
         if stream_id not in self._started_streams:
             self._started_streams.add(stream_id)
-            self._connection.send_headers(stream_id, _RESPONSE_HEADERS)
+            self._connection.send_headers(stream_id, RESPONSE_HEADERS)
         self._write(stream_id, frame_message(message), None)
 
     def send_status(self, stream_id: int, status: int, text: str) -> None:
@@ -285,7 +284,7 @@
         has_unread_messages = self._forget_incoming(stream_id) is not None
         if stream_id in self._started_streams:
             self._started_streams.discard(stream_id)
-            self._write(stream_id, b"", _status_headers(status, text))
+            self._write(stream_id, b"", status_headers(status, text))
         else:
             self._send_status_alone(stream_id, status, text)
         if has_unread_messages and stream_id not in self.responses.pending:
@@ -295,7 +294,7 @@
         """Answer with a status and no message."""
         with suppress(*CLOSED_STREAM_ERRORS):  # cancelled in what was read with it
             self._connection.send_headers(
-                stream_id, [*_RESPONSE_HEADERS, *_status_headers(status, text)], end_stream=True
+                stream_id, [*RESPONSE_HEADERS, *status_headers(status, text)], end_stream=True
             )
 
     def _stop_reading(self, stream_id: int) -> None:
@@ -354,23 +353,3 @@
     connection.max_inbound_frame_size = connection.local_settings.max_frame_size
     connection.initiate_connection()
     return connection
-
-
-def _http_error(headers: Mapping[bytes, bytes]) -> bytes | None:
-    """Return the HTTP status for what is no gRPC call; None for one that is."""
-    if headers.get(b":method") != b"POST":
-        return _METHOD_NOT_ALLOWED
-    if not headers.get(b"content-type", b"").startswith(_CONTENT_TYPE):
-        return _UNSUPPORTED_MEDIA_TYPE
-    return None
-
-
-def _call_timeout(headers: Mapping[bytes, bytes]) -> float | None:
-    """Check a call's headers and return its timeout in seconds, if it has one. Raises RpcError."""
-    if headers.get(b"grpc-encoding", b"identity") != b"identity":
-        raise RpcError(UNIMPLEMENTED, "messages are not compressed here")
-    return read_timeout(headers.get(b"grpc-timeout"))
-
-
-def _status_headers(status: int, text: str) -> Headers:
-    return [(b"grpc-status", b"%d" % status), (b"grpc-message", percent_encode(text))]
--- a/apigateway/frontends/resp/command.py
+++ b/apigateway/frontends/resp/command.py
@@ -38,6 +38,7 @@
 
 _MAX_CUSTOMERS = 2**33  # customer numbers are below it
 _WAIT_PREFIX = b"," + WAIT_MS_FIELD + b"="
+_WAIT_VALUE_OFFSET = len(_WAIT_PREFIX) - 1  # the comma was put before the first field
 _IDEMPOTENCY_KEY_PREFIX = IDEMPOTENCY_KEY_FIELD + b"="
 # The protocol's forms: int() and float() take blanks, signs, `1_0`, `0x1` and more besides.
 _INTEGER = re.compile(rb"[0-9]{1,9}")
@@ -78,7 +79,7 @@
     def encode(self, remaining: float) -> bytes:
         """Return the message of an attempt that is waited for `remaining` seconds."""
         fields = self.parts[FIELDS_PART]
-        start = (b"," + fields).index(_WAIT_PREFIX) + len(_WAIT_PREFIX) - 1
+        start = (b"," + fields).index(_WAIT_PREFIX) + _WAIT_VALUE_OFFSET
         end = fields.find(b",", start)
         rest = fields[end:] if end >= 0 else b""
         fields = b"%s%d%s" % (fields[:start], max(1, int(remaining * 1000)), rest)
