--- a/apigateway/frontends/grpc/call_headers.py
+++ b/apigateway/frontends/grpc/call_headers.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Mapping
 
-from apigateway.upstream.rpc import OK, UNIMPLEMENTED, RpcError, percent_encode, read_timeout
+from apigateway.upstream.rpc import GrpcStatus, RpcError, percent_encode, read_timeout
 
 Headers = list[tuple[bytes, bytes]]
 
 CONTENT_TYPE = b"application/grpc"
 RESPONSE_HEADERS: Headers = [(b":status", b"200"), (b"content-type", CONTENT_TYPE)]
-OK_TRAILERS: Headers = [(b"grpc-status", b"%d" % OK)]
+OK_TRAILERS: Headers = [(b"grpc-status", b"%d" % GrpcStatus.OK)]
 
 _METHOD_NOT_ALLOWED = b"405"  # HTTP statuses
 _UNSUPPORTED_MEDIA_TYPE = b"415"
@@ -28,7 +28,7 @@
 def call_timeout(headers: Mapping[bytes, bytes]) -> float | None:
     """Check a call's headers and return its timeout in seconds, if it has one. Raises RpcError."""
     if headers.get(b"grpc-encoding", b"identity") != b"identity":
-        raise RpcError(UNIMPLEMENTED, "messages are not compressed here")
+        raise RpcError(GrpcStatus.UNIMPLEMENTED, "messages are not compressed here")
     return read_timeout(headers.get(b"grpc-timeout"))
 
 
--- a/apigateway/frontends/grpc/server_session.py
+++ b/apigateway/frontends/grpc/server_session.py
@@ -38,8 +38,8 @@
 )
 from apigateway.frontends.grpc.response_writer import CLOSED_STREAM_ERRORS, ResponseWriter
 from apigateway.upstream.rpc import (
-    RESOURCE_EXHAUSTED,
     GoAwayFilter,
+    GrpcStatus,
     MessageBuffer,
     RpcError,
     frame_message,
@@ -209,7 +209,8 @@
                     events.append(StreamMessage(stream_id, message))
             elif self.partial_bytes > MAX_PARTIAL_BYTES and not is_ended:
                 raise RpcError(
-                    RESOURCE_EXHAUSTED, f"over {MAX_PARTIAL_BYTES} bytes of messages that are not whole"
+                    GrpcStatus.RESOURCE_EXHAUSTED,
+                    f"over {MAX_PARTIAL_BYTES} bytes of messages that are not whole",
                 )
         except RpcError as error:
             self._forget_incoming(stream_id)
