--- a/apigateway/frontends/grpc/events.py
+++ b/apigateway/frontends/grpc/events.py
@@ -12,7 +12,7 @@
     stream_id: int
     path: str
     message: bytes
-    timeout: float | None  # seconds; None: the client told none
+    timeout: float | None  # seconds; None: the client set none
 
 
 @dataclass(frozen=True, slots=True)
--- a/apigateway/frontends/grpc/frontend.py
+++ b/apigateway/frontends/grpc/frontend.py
@@ -132,9 +132,8 @@
                 sock, _ = self._listener.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except (
-                OSError
-            ) as error:  # no descriptor is left: to be told so again at once would be a busy loop
+            except OSError as error:
+                # No descriptor is left: trying again at once would be a busy loop.
                 log.error("a connection could not be accepted: %s", error)
                 loop.remove_reader(self._listener)
                 loop.call_later(SWEEP_INTERVAL_S, self._start_accepting)
--- a/apigateway/frontends/grpc/limits.py
+++ b/apigateway/frontends/grpc/limits.py
@@ -28,7 +28,7 @@
 _COUNTED_FOR_S = 20.0
 # Units, and units a second, that stand for none.
 _NO_UNITS = 1e-9
-# By which part a limit may differ from a whole number and still be told as one.
+# Relative difference from a whole number up to which a limit is shown as that number.
 _WHOLE_TOLERANCE = 1e-6
 # Limits whose message is cached: plans, and limits that descriptors bring.
 _MAX_CACHED_LIMITS = 1024
--- a/apigateway/frontends/grpc/mapping.py
+++ b/apigateway/frontends/grpc/mapping.py
@@ -121,7 +121,7 @@
             compiled_rules.sort(key=lambda one: one.sort_key)
 
     def find_owner(self, domain: str, entries: Entries) -> QuotaOwner | None:
-        """Return whose quota a descriptor counts against, by the longest rule that matches; None: nobody's.
+        """Return whose quota a descriptor counts against, by the longest rule that matches, if one does.
 
         Rules for any domain are looked at where the domain's own have no match.
         """
@@ -158,7 +158,7 @@
         self.sort_key = (-len(rule.entries), -literal_count, index)
 
     def find_owner(self, domain: str, values: dict[str, str]) -> QuotaOwner | None:
-        """Return the owner; None: it does not match, or what it takes from the descriptor is nobody."""
+        """Return the owner; None: the rule does not match, or yields no valid customer or plan."""
         for key, pattern in self._patterns:
             if key not in values or (pattern is not None and not pattern.fullmatch(values[key])):
                 return None
--- a/apigateway/frontends/grpc/rate_limit_call.py
+++ b/apigateway/frontends/grpc/rate_limit_call.py
@@ -42,7 +42,7 @@
     OVER_LIMIT = "over"
     UNDECIDED = "undecided"
     CANCELLED = "called off"
-    UNMAPPED = "nobody's"  # descriptors
+    UNMAPPED = "nobody's"  # descriptors without an owner, not calls
     INVALID = "not taken"
 
 
@@ -55,7 +55,7 @@
 
     @property
     def unmapped_code(self) -> Code:
-        """The code of a descriptor that is nobody's."""
+        """The code of a descriptor without an owner."""
 
     @property
     def tokens(self) -> QuotaTokens | None:
@@ -66,7 +66,7 @@
     """A call that is answered by `responder`, once, unless it is cancelled before.
 
     Attributes:
-        checks: Of each descriptor, its plan's last; none: it is nobody's.
+        checks: Of each descriptor, that of its plan last; empty for one without an owner.
     """
 
     def __init__(self, context: CallContext, responder: UnaryResponder) -> None:
--- a/apigateway/frontends/grpc/server_session.py
+++ b/apigateway/frontends/grpc/server_session.py
@@ -1,7 +1,7 @@
 """gRPC over HTTP/2 as a server speaks it, apart from I/O: bytes in, events out; responses in, bytes out.
 
 Frames, header compression and flow control are h2's. Here is what gRPC makes of them (`upstream/rpc.py`, its
-"gRPC over HTTP2" page): calls of one message and one response, and, for the paths that are told, streams of
+"gRPC over HTTP2" page): calls of one message and one response, and, for the given paths, streams of
 either side. Everything that a client may send without end is bounded: streams at once, headers, a message,
 partial messages together, what waits for a window that it does not open.
 """
@@ -335,7 +335,7 @@
 
 
 def _create_connection() -> h2.connection.H2Connection:
-    """Return h2's side of a connection, with our limits told to the client."""
+    """Return h2's side of a connection, with our limits announced to the client."""
     # What a client may not say in headers h2 still checks; ours are written here.
     config = h2.config.H2Configuration(
         client_side=False,
--- a/apigateway/frontends/grpc/service.py
+++ b/apigateway/frontends/grpc/service.py
@@ -35,7 +35,7 @@
     Attributes:
         mapping: Whose quota a descriptor counts against.
         max_timeout: Seconds that a call has at most, and has if it names no time.
-        unmapped: What a descriptor that is nobody's is told; "error" fails the whole call.
+        unmapped: The answer for a descriptor without an owner; "error" fails the whole call.
         override: What becomes of a limit that a descriptor brings: it is ignored, it tightens, or the call is
             refused.
         max_descriptors: Of one call.
@@ -64,7 +64,7 @@
 
     @property
     def unmapped_code(self) -> Code:
-        """The code of a descriptor that is nobody's."""
+        """The code of a descriptor without an owner."""
         return OVER_LIMIT if self.settings.unmapped == "over" else OK
 
     @property
