--- a/tests/plugins/test_language.py
+++ b/tests/plugins/language/test_expressions.py
@@ -1,4 +1,4 @@
-"""The language of rules: what it means, what it refuses, and that nothing an operator types can do harm."""
+"""The language of rules: what it means, what it rejects, and that nothing an operator types can do harm."""
 
 import pytest
 from hypothesis import given, seed, settings
@@ -21,7 +21,7 @@
 }
 
 
-def run(text, phase="request", **fields):
+def evaluate(text, phase="request", **fields):
     view = RequestView(
         **{
             "request_id": "r1",
@@ -79,8 +79,8 @@
         ("sample(1) && !sample(0)", True),
     ],
 )
-def test_what_it_means(text, value):
-    assert run(text) == value
+def test_expression_has_its_value(text, value):
+    assert evaluate(text) == value
 
 
 @pytest.mark.parametrize(
@@ -121,9 +121,9 @@
         ("size(1)", "size takes"),
     ],
 )
-def test_what_it_refuses_and_where(text, words):
+def test_invalid_expression_is_rejected_with_reason_and_position(text, words):
     with pytest.raises(ExpressionError, match=".") as caught:
-        run(text)
+        evaluate(text)
     assert words in caught.value.reason and 0 <= caught.value.position <= len(text)
 
 
@@ -139,19 +139,19 @@
         "substring(id, 1e308 * 10, 2)",
     ],
 )
-def test_a_value_that_there_is_not(text):
+def test_expression_without_a_value_for_a_request_raises(text):
     with pytest.raises(EvaluationError):
-        run(text)
+        evaluate(text)
 
 
-def test_texts_cannot_be_grown_without_end():
+def test_text_that_grows_too_long_raises():
     with pytest.raises(EvaluationError):
-        run("+".join(["plan"] * 2), plan="x" * (MAX_TEXT_LENGTH - 1))
+        evaluate("+".join(["plan"] * 2), plan="x" * (MAX_TEXT_LENGTH - 1))
 
 
-def test_a_sample_is_the_same_for_a_request_and_about_its_share_of_all():
-    drawn = [run("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
-    assert drawn == [run("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
+def test_sample_is_the_same_for_a_request_and_near_its_share_of_all():
+    drawn = [evaluate("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
+    assert drawn == [evaluate("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
     assert 400 < sum(drawn) < 600
 
 
@@ -203,15 +203,15 @@
 @seed(12)
 @settings(max_examples=400, deadline=None, database=None)
 @given(st.one_of(st.text(max_size=60), st.lists(PIECES, max_size=14).map(" ".join)))
-def test_whatever_is_typed_is_refused_or_gives_a_value(text):
+def test_whatever_is_typed_is_rejected_or_has_a_value(text):
     """Nothing but the two exceptions of the language ever comes out."""
     try:
-        run(text)
+        evaluate(text)
     except (ExpressionError, EvaluationError):
         pass
 
 
-def numbers(children):
+def arithmetic(children):
     return st.one_of(
         st.tuples(children, st.sampled_from(["+", "-", "*", "/", "%"]), children).map(
             lambda t: f"({t[0]} {t[1]} {t[2]})"
@@ -222,10 +222,10 @@
 
 @seed(13)
 @settings(max_examples=200, deadline=None, database=None)
-@given(st.recursive(st.sampled_from(["1", "0", "units", "left", "1e300"]), numbers, max_leaves=12))
-def test_sound_expressions_end_in_a_number(text):
+@given(st.recursive(st.sampled_from(["1", "0", "units", "left", "1e300"]), arithmetic, max_leaves=12))
+def test_sound_arithmetic_gives_a_number(text):
     try:
-        assert isinstance(run(text), float)
+        assert isinstance(evaluate(text), float)
     except EvaluationError as err:
         assert "division" in str(err)
     except ExpressionError as err:
--- /dev/null
+++ b/tests/plugins/test_isolated_validation.py
@@ -0,0 +1,52 @@
+"""Modules that end or hang the process that they are validated in."""
+
+import os
+import time
+
+import pytest
+
+from apigateway.plugins.interfaces import Budget
+from apigateway.plugins.isolated_validation import PROCESS_ENDED, ValidationJob, validate_isolated
+from apigateway.plugins.testkit import module, says
+from apigateway.plugins.testkit import settings as gateway_settings
+
+
+class EndsProcess:
+    """Ends the process that reads it from a pickle."""
+
+    def __reduce__(self):
+        return os.abort, ()
+
+
+class HangsProcess:
+    def __reduce__(self):
+        return time.sleep, (600,)
+
+
+@pytest.mark.parametrize("how, words", [(EndsProcess(), "exit code -6"), (HangsProcess(), "not done in 5 s")])
+def test_module_that_ends_or_hangs_its_process_is_found_out_and_the_others_are_validated(how, words):
+    raw = module(says("tag a 1")).encode()
+    jobs = [
+        ValidationJob("p", raw, settings, Budget(), 0, gateway_settings()) for settings in ({}, how, {}, {})
+    ]
+    jobs[3] = ValidationJob("p", b"(module", {}, Budget(), 0, gateway_settings())
+    reasons = validate_isolated(jobs, 5.0)
+    assert reasons[0] == reasons[2] == "" and words in reasons[1] and "cannot be assembled" in reasons[3]
+
+
+@pytest.mark.parametrize(
+    "body",
+    [
+        '(func (export "on_answer") (param (ref null any)))',
+        '(func (export "self_test") (param exnref))',
+        '(type $t (func)) (func (export "on_tick") (param (ref $t)))',
+        '(func (export "on_load") (param (ref func)))',
+        '(func (export "on_save") (param i31ref))',
+    ],
+)
+def test_types_that_the_engines_interface_lacks_are_rejected_without_ending_the_process(body):
+    """They ended the process: found by mutated modules."""
+    (reason,) = validate_isolated(
+        [ValidationJob("p", module(says("") + body).encode(), {}, Budget(), 0, gateway_settings())]
+    )
+    assert reason and PROCESS_ENDED not in reason
--- /dev/null
+++ b/tests/plugins/test_plugin_imports.py
@@ -0,0 +1,28 @@
+"""What is not used is not imported."""
+
+import subprocess
+import sys
+
+from plugins.example_plugins import copy_example
+from rig import ROOT
+
+
+def test_gateway_without_plugins_imports_only_their_settings():
+    code = (
+        "import sys, apigateway.daemon.serve, apigateway.daemon.node; "
+        "print(sorted(m for m in sys.modules if m.startswith(('apigateway.plugins', 'wasmtime'))))"
+    )
+    ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
+    assert ended.stdout == "['apigateway.plugins', 'apigateway.plugins.settings']\n", (
+        ended.stderr
+    )  # shapes alone
+
+
+def test_rules_do_not_import_the_engine(tmp_path):
+    folder = copy_example("districts", "rules", tmp_path)
+    code = (
+        f"import sys; from apigateway.plugins.testkit import Kit; Kit.load({str(folder)!r}); "
+        "print('wasmtime' in sys.modules)"
+    )
+    ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
+    assert ended.stdout == "False\n", ended.stderr
--- /dev/null
+++ b/tests/plugins/test_plugin_records.py
@@ -0,0 +1,60 @@
+"""Records of requests that are over."""
+
+import json
+import threading
+
+from plugins.plugin_fakes import ScriptedPlugin, make_harness, make_runner
+
+from apigateway import messages
+from apigateway.plugins.interfaces import Phase, Proposal, RequestView
+from apigateway.plugins.proposals import RequestEffects
+from apigateway.plugins.records import RequestRecorder, parse_record, read_records
+
+
+def test_records_tell_what_came_of_the_tagged_requests(tmp_path):
+    file = tmp_path / "records.jsonl"
+    recorder = RequestRecorder(str(file), "export", 10**6, 100)
+    responses = {
+        Phase.REQUEST: lambda v: [Proposal("tag", "export", "1")] if v.request_id == "a" else [],
+        Phase.ATTEMPT: lambda v: [Proposal("tag", "host", v.endpoint_id)],
+    }
+    harness = make_harness(
+        make_runner(ScriptedPlugin(lambda phase, view: responses.get(phase, lambda v: [])(view))),
+        recorder=recorder,
+    )
+    for id in "ab":
+        harness.submit(id, [messages.ForwardRequest(id, "h1")])
+        harness.module.next_actions = [messages.ForwardRequest(id, "h2")]
+        harness.upstream.sent[-1].end("full")
+        harness.upstream.sent[-1].end("ok")
+    harness.manager.close()
+    ((number, record),) = read_records(str(file))
+    assert (number, record["id"], record["outcome"], record["tags"]) == (1, "a", "served", {"export": "1"})
+    assert record["attempts"] == [
+        {"host": "h1", "tags": {"host": "h1"}},
+        {"host": "h2", "tags": {"host": "h2"}},
+    ]
+    assert parse_record(record).service_class == "read"
+
+
+def test_recorder_rotates_drops_and_counts_and_a_cut_line_is_left_out(tmp_path):
+
+    file = tmp_path / "r.jsonl"
+    recorder = RequestRecorder(str(file), "", 2000, 1000)
+    for n in range(20):
+        recorder.record(RequestView(str(n)), RequestEffects(), [])
+    recorder.close()
+    assert recorder.written == 20 and file.stat().st_size <= 2000 and (tmp_path / "r.jsonl.1").exists()
+    complete = list(read_records(str(file)))
+    with open(file, "a") as out:
+        out.write('{"id": "cut')
+    assert list(read_records(str(file))) == complete and json.loads(file.read_text().splitlines()[0])
+    full = RequestRecorder(str(file), "", 10**6, 1)
+    full.thread.join(0)
+    full._write = lambda record: blocked.wait()  # a disk that hangs
+    blocked = threading.Event()
+    for n in range(10):
+        full.record(RequestView(str(n)), RequestEffects(), [])
+    assert full.dropped >= 8
+    blocked.set()
+    full.close()
--- /dev/null
+++ b/tests/plugins/test_plugin_testkit.py
@@ -0,0 +1,39 @@
+"""The kit for those who write plug-ins."""
+
+from apigateway.plugins.testkit import Kit, settings
+
+
+def test_kit_reports_what_was_denied_and_what_failed(tmp_path):
+    (tmp_path / "plugin.toml").write_text("""
+[[plugins]]
+name = "odd"
+[[plugins.rules]]
+tag = { a = '"1"' }
+refuse = '9'
+when = 'class == "roster-read"'
+[[plugins.rules]]
+when = 'class == "shift-update"'
+tag = { b = 'customer == "f" ? string(1 / 0) : "2"' }
+[[plugins.rules]]
+on = "attempt"
+tag = { a = 'host', n = 'attempt' }
+[[plugins.rules]]
+on = "answer"
+count = { slow = 'elapsed > 1 ? 1 : 0', served = 'outcome == "served" ? 1 : 0' }
+[[plugins.rules]]
+on = "tick"
+count = { ticks = '1' }
+""")
+    kit = Kit.load(str(tmp_path / "plugin.toml"), settings(routes={"batch": ["b"]}))
+    result = kit.request()
+    assert (result.tags, result.refuse, result.denied) == ({"a": "1"}, 2.0, [("odd", "refuse: wait cut")])
+    result = kit.request(cls="shift-update", customer="f")
+    assert result.tags == {} and result.failed == [("odd", "error")]
+    assert kit.attempt(result, "h7") == {"a": "h7", "n": "0"} and kit.attempt(result, "h8") == {
+        "a": "h8",
+        "n": "1",
+    }
+    kit.answer(result, elapsed=2.0)
+    kit.tick()
+    assert kit.counters("odd") == {"slow": 1.0, "served": 1.0, "ticks": 1.0}
+    kit.close()
--- /dev/null
+++ b/tests/plugins/wasm/test_wasm_plugin.py
@@ -0,0 +1,183 @@
+"""Modules that fail in every way there is: each ends in its reason, and the next call is sound."""
+
+import random
+
+import pytest
+from plugins.wasm.wasm_plugins import BUDGET, EXAMPLES, VIEW, export_phase, make_plugin
+
+from apigateway.plugins.interfaces import Budget, Phase, PluginError, RequestView
+from apigateway.plugins.testkit import says
+from apigateway.plugins.wasm import InvalidModuleError, WasmPlugin, assemble_module
+
+SLOW_BUDGET = Budget(
+    fuel=50_000, memory_bytes=1024 * 1024, call_time=5.0
+)  # for a call that its fuel is to end
+
+
+FAILING_BODIES = {
+    "loops forever": ("(loop $l (br $l)) (i64.const 0)", "fuel"),
+    "traps": ("unreachable", "trap"),
+    "divides by zero": ("(i64.div_u (i64.const 1) (i64.const 0))", "trap"),
+    "reads outside": ("(i64.load (i32.const -8))", "memory"),
+    "allocates without end": ("(loop $l (drop (memory.grow (i32.const 1))) (br $l)) (i64.const 0)", "fuel"),
+    "allocates, then uses what it did not get": (
+        "(i64.store (i32.mul (memory.grow (i32.const 100)) (i32.const 65536)) (i64.const 1)) (i64.const 0)",
+        "memory",
+    ),
+    "gives an address outside": ("(i64.const 0x7fffffff00000008)", "nonsense"),
+    "gives a length outside": ("(i64.const 0x00000000ffffffff)", "nonsense"),
+    "gives all bits": ("(i64.const -1)", "nonsense"),
+    "logs from outside": ("(call $log (i32.const 65530) (i32.const 100)) (i64.const 0)", "trap"),
+    "asks for a setting with a negative length": (
+        "(drop (call $setting (i32.const 0) (i32.const -1) (i32.const 0) (i32.const 8)))(i64.const 0)",
+        "trap",
+    ),
+    "has a setting written outside": (
+        "(drop (call $setting (i32.const 0) (i32.const 1) (i32.const 65530) (i32.const 100))) (i64.const 0)",
+        "trap",
+    ),
+    "puts a value from outside": (
+        "(drop (call $put (i32.const 0) (i32.const 1) (i32.const 65536) (i32.const 1)))(i64.const 0)",
+        "trap",
+    ),
+    "fills memory for ever": (
+        "(loop $l (memory.fill (i32.const 0) (i32.const 1) (i32.const 65536)) (br $l))(i64.const 0)",
+        "fuel",
+    ),
+    "calls the host for ever": ("(loop $l (drop (call $random)) (br $l)) (i64.const 0)", ("fuel", "time")),
+}
+
+
+@pytest.mark.parametrize("name", FAILING_BODIES)
+def test_failed_call_ends_in_its_reason_and_leaves_nothing_behind(name):
+    body, reason = FAILING_BODIES[name]
+    # Sound for every request but r1, so that the next one shows what the failed call left.
+    sound = (
+        "(if (i32.ne (i32.load (i32.const 4156)) (i32.const 2))"
+        "(then (return (i64.const 0xa00000000003))))"
+        "(i32.store (i32.const 900) (i32.const 77))"
+    )
+    # Its fuel is to end it, not its time, which a busy machine spends for it.
+    plugin = make_plugin(
+        '(data (i32.const 40960) "tag")\n' + export_phase("request", sound + body), budget=SLOW_BUDGET
+    )
+    for _ in range(3):
+        with pytest.raises(PluginError) as caught:
+            plugin.call(Phase.REQUEST, VIEW)
+        assert caught.value.reason in reason
+        assert plugin.call(Phase.REQUEST, RequestView("other")) == [("tag", "", "")]
+    assert plugin.reinstantiations >= 2 and plugin.instance.memory.read(900, 4, 4) == b"\0\0\0\0"
+    plugin.close()
+
+
+def test_endless_recursion_is_stopped_by_the_stack():
+    plugin = make_plugin(
+        "(func $f (param i64) (result i64) (i64.add (call $f (i64.add (local.get 0) (i64.const 1)))"
+        "(i64.const 1)))" + export_phase("request", "(call $f (i64.const 1))"),
+        budget=Budget(fuel=10**9),
+    )
+    with pytest.raises(PluginError) as caught:
+        plugin.call(Phase.REQUEST, VIEW)
+    assert caught.value.reason == "stack"
+
+
+def test_endless_loop_with_endless_fuel_is_stopped_by_time():
+    plugin = make_plugin(
+        export_phase("request", "(loop $l (br $l)) (i64.const 0)"), budget=Budget(fuel=10**12, call_time=0.02)
+    )
+    with pytest.raises(PluginError) as caught:
+        plugin.call(Phase.REQUEST, VIEW)
+    assert caught.value.reason == "time"
+
+
+def test_output_that_is_not_utf8_fails_and_a_thousand_tags_are_read():
+    plugin = make_plugin(
+        '(data (i32.const 40960) "tag a \\ff\\fe")' + export_phase("request", "(i64.const 0xa00000000008)")
+    )
+    with pytest.raises(PluginError) as caught:
+        plugin.call(Phase.REQUEST, VIEW)
+    assert caught.value.reason == "nonsense"
+    proposals = make_plugin(says("\n".join(f"tag t{n} {n}" for n in range(1000)))).call(Phase.REQUEST, VIEW)
+    assert len(proposals) == 1000
+
+
+@pytest.mark.parametrize(
+    "phase, body",
+    [
+        ("start", "(func $s (drop (call $random))) (start $s)" + export_phase("request", "(i64.const 0)")),
+        ("start", "(func $s (loop $l (br $l))) (start $s)" + export_phase("request", "(i64.const 0)")),
+    ],
+)
+def test_start_that_calls_the_host_or_never_ends_is_rejected(phase, body):
+    with pytest.raises(PluginError):
+        make_plugin(body)
+
+
+def test_memory_beyond_the_budget_is_rejected_at_the_start():
+    with pytest.raises(PluginError):
+        make_plugin(export_phase("request", "(i64.const 0)"), budget=Budget(memory_bytes=1024))
+
+
+def test_module_hears_which_phase_it_is_called_for():
+    body = "(i64.const 0)"
+    plugin = make_plugin(
+        "".join(
+            export_phase(
+                phase,
+                "(call $count (i32.const 0) (i32.const 1) (f64.convert_i32_u (i32.load "
+                "(i32.const 4100)))) " + body,
+            )
+            for phase in ("request", "attempt", "answer", "tick")
+        )
+        + '(data (i32.const 0) "p")'
+    )
+    assert plugin.phases == {Phase.REQUEST, Phase.ATTEMPT, Phase.ANSWER, Phase.TICK}
+    for phase in (Phase.REQUEST, Phase.ATTEMPT, Phase.ANSWER, Phase.TICK):
+        plugin.call(phase, VIEW)
+    assert plugin.counters() == {"p": 10.0}
+
+
+def test_self_test_decides_and_state_goes_to_the_successor():
+    plugin = make_plugin(
+        export_phase("request", "(i64.const 0)") + '(func (export "self_test") (result i32) (i32.const 3))'
+    )
+    with pytest.raises(PluginError, match="gave 3"):
+        plugin.self_test()
+    raw = (EXAMPLES / "sampler" / "sampler.wat").read_bytes()
+    old, new = (WasmPlugin("s", raw, {"share": 0.0}, BUDGET) for _ in "ab")
+    for _ in range(5):
+        old.call(Phase.REQUEST, VIEW)
+    assert new.load_state(old.save_state()) and int.from_bytes(new.save_state(), "little") == 5
+    assert not new.load_state(b"odd")
+
+
+def test_mutated_modules_do_no_harm():
+    """Seeded: bytes of a sound module changed, taken out, put in. Each is rejected or stays within its
+    budget."""
+    binary, rng = assemble_module((EXAMPLES / "calendar" / "calendar.wat").read_bytes()), random.Random(12)
+    settings = {"class": "read", "from": 1.0, "until": 1e12, "wait": 1}
+    served = rejected = 0
+    for _ in range(400):
+        raw = bytearray(binary)
+        for _ in range(rng.randint(1, 2)):
+            at = rng.randrange(8, len(raw))
+            if rng.random() < 0.7:
+                raw[at] = rng.randrange(256)
+            elif rng.random() < 0.5:
+                del raw[at]
+            else:
+                raw.insert(at, rng.randrange(256))
+        try:
+            plugin = WasmPlugin("m", bytes(raw), settings, BUDGET)
+        except (InvalidModuleError, PluginError):
+            rejected += 1
+            continue
+        for phase in plugin.phases:
+            for _ in range(3):
+                try:
+                    plugin.call(phase, VIEW)
+                    served += 1
+                except PluginError:
+                    pass
+        plugin.close()
+    assert rejected > 100 and served > 50
