--- a/apigateway/plugins/language/nodes.py
+++ b/apigateway/plugins/language/nodes.py
@@ -1,4 +1,4 @@
-"""The tree of an expression. Each node knows the character that it is told of by, from 0."""
+"""The tree of an expression. A position is the character that errors name, from 0."""
 
 from __future__ import annotations
 
--- a/apigateway/plugins/loader.py
+++ b/apigateway/plugins/loader.py
@@ -131,7 +131,7 @@
         }
         if not modules:
             return
-        if importlib.util.find_spec(_ENGINE_PACKAGE) is None:  # told plainly, not as a process that ended
+        if importlib.util.find_spec(_ENGINE_PACKAGE) is None:  # said plainly, not as a process that ended
             reasons = [_ENGINE_MISSING] * len(modules)
         else:
             reasons = validate_isolated([self._validation_job(source) for source in modules.values()])
--- a/apigateway/plugins/rules.py
+++ b/apigateway/plugins/rules.py
@@ -83,7 +83,7 @@
         condition = self._compile("when", section.when, ValueType.TRUTH).evaluate
         self.condition = None if section.when.strip() == _ALWAYS else condition
         self._tags = self._compile_tags(section.tag)
-        self._refuse = self._compile_optional("refuse", section.refuse, ValueType.NUMBER)
+        self._retry_after = self._compile_optional("refuse", section.refuse, ValueType.NUMBER)
         self._route = self._compile_optional("route", section.route, ValueType.TEXT)
         self._counters = [
             CounterExpression(name, self._compile(f"count.{name}", amount, ValueType.NUMBER).evaluate)
@@ -132,8 +132,8 @@
             proposals.append(Proposal(_TAG, key, value if is_text else to_text(value)))
         if self._route is not None:
             proposals.append(Proposal(_ROUTE, self._route(view)))
-        if self._refuse is not None:
-            proposals.append(Proposal(_REJECT, repr(self._refuse(view))))
+        if self._retry_after is not None:
+            proposals.append(Proposal(_REJECT, repr(self._retry_after(view))))
         for name, evaluate in self._counters:
             counters.add(name, evaluate(view))
         if self._log_line is not None:
--- a/apigateway/plugins/settings.py
+++ b/apigateway/plugins/settings.py
@@ -21,10 +21,10 @@
     on: Literal["request", "attempt", "answer", "tick"] = "request"
     when: ExpressionText = "true"
     tag: dict[str, ExpressionText] = {}
-    refuse: ExpressionText = ""  # left out
-    route: ExpressionText = ""  # left out
+    refuse: ExpressionText = ""  # empty: left out
+    route: ExpressionText = ""  # empty: left out
     count: dict[str, ExpressionText] = {}
-    log: ExpressionText = ""  # left out
+    log: ExpressionText = ""  # empty: left out
     stop: bool = False  # no later rule of this plug-in is looked at
 
 
--- a/apigateway/plugins/testkit.py
+++ b/apigateway/plugins/testkit/kit.py
@@ -1,19 +1,9 @@
-"""For those who write plug-ins: what a gateway would make of one, without a gateway.
-
-    kit = Kit.load("plugin.toml")
-    result = kit.request(customer="00000000b4d65521", cls="read")
-    assert result.tags == {"district": "ernakulam"} and result.refuse is None
-    kit.close()
-
-Plug-ins are loaded, validated and judged as a gateway does it, under their budgets. Time is the test's:
-`kit.now`.
-"""
+"""Plug-ins without a gateway, called by a test."""
 
 from __future__ import annotations
 
 import os
 import time
-from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 from typing import Any
 
@@ -25,17 +15,12 @@
 from apigateway.plugins.proposals import RequestEffects
 from apigateway.plugins.runner import PluginRunner
 from apigateway.plugins.settings import HooksSection, PluginSection
-
-# The classes, by their effects, and the plans of a test's gateway that names none.
-CLASSES = {"roster-read": "safe", "shift-update": "keyed", "staff-notice": "unsafe"}
-PLANS = ("basic", "standard", "enterprise")
+from apigateway.plugins.testkit.gateway_settings import PLANS, settings
 
 DEFAULT_NOW = 1_790_000_000.0  # Unix time that plug-ins see, in seconds
 DEFAULT_ELAPSED = 0.05  # s that a request takes
 
 _PLUGIN_FILE = "plugin.toml"
-_DEDUPLICATION_WINDOW = 6.0  # s, of keyed classes
-_OUTPUT_ADDRESS = 40_960  # of the text that `says` proposes, behind the room for input
 
 # The keywords of `Kit.request`, which are the words of rules, where a view's attribute has another name.
 _VIEW_ATTRIBUTES = {
@@ -47,117 +32,6 @@
     "host": "endpoint_id",
 }
 
-PRELUDE = """(module
-  (import "calicomast" "setting" (func $setting (param i32 i32 i32 i32) (result i32)))
-  (import "calicomast" "setting_number" (func $setting_number (param i32 i32) (result f64)))
-  (import "calicomast" "get" (func $get (param i32 i32 i32 i32) (result i32)))
-  (import "calicomast" "put" (func $put (param i32 i32 i32 i32) (result i32)))
-  (import "calicomast" "log" (func $log (param i32 i32)))
-  (import "calicomast" "count" (func $count (param i32 i32 f64)))
-  (import "calicomast" "random" (func $random (result f64)))
-  (memory (export "memory") 1)
-  (global (export "calicomast_abi") i32 (i32.const 1))
-  (global (export "calicomast_input") i32 (i32.const 4096))
-  (global (export "calicomast_input_size") i32 (i32.const 32768))
-"""
-
-
-def module(body: str) -> str:
-    """Return a module's text: the ABI's imports, memory and globals, then `body`."""
-    return PRELUDE + body + ")\n"
-
-
-def says(text: str, phase: str = Phase.REQUEST) -> str:
-    """Return a module's body that always proposes `text`."""
-    data = text.encode()
-    escaped = "".join(f"\\{byte:02x}" for byte in data)
-    packed = (_OUTPUT_ADDRESS << 32) | len(data)
-    return (
-        f'(data (i32.const {_OUTPUT_ADDRESS}) "{escaped}")\n'
-        f'(func (export "on_{phase}") (param i32) (result i64) (i64.const {packed}))\n'
-    )
-
-
-def settings(
-    classes: Mapping[str, str] | None = None,
-    plans: Sequence[str] = PLANS,
-    routes: Mapping[str, Sequence[str]] | None = None,
-    max_wait: float = 2.0,
-) -> messages.Settings:
-    """Return a gateway's settings.
-
-    Args:
-        classes: Names with their effects.
-        routes: Names with the kinds of their hosts.
-        max_wait: Longest wait that a rejection tells, in seconds.
-    """
-    return messages.Settings(
-        gateway_index=0,
-        gateway_count=1,
-        zone="a",
-        classes={name: _service_class(name, effect) for name, effect in (classes or CLASSES).items()},
-        plans={name: _plan(name) for name in plans},
-        limits=messages.Limits(
-            can_cancel=True,
-            can_hedge=False,
-            can_check_health=False,
-            can_message_peers=False,
-            can_tell_retry_after=True,
-            max_attempts=3,
-            max_retry_after=max_wait,
-        ),
-        rules=messages.Rules(
-            answer_slack=0.0,
-            drain_grace=2.0,
-            initial_capacity=0.15,
-            slow_start_duration=17.0,
-            overload_multiple=2.0,
-            overload_duration=2.0,
-            max_poll_interval=0.0,
-        ),
-        prices={},
-        has_counter=False,
-        counter_price=0.0,
-        counter_timeout=0.08,
-        meter_period=0.0,
-        settles_units=False,
-        max_units=1.0,
-        discovery_mode="push",
-        load_report_fields=(),
-        weight_meaning="none",
-        routes={name: messages.Route(name, tuple(kinds), True) for name, kinds in (routes or {}).items()},
-    )
-
-
-def _service_class(name: str, effect: str) -> messages.ServiceClass:
-    return messages.ServiceClass(
-        name,
-        latency_objective=1.0,
-        deadline=3.0,
-        effect=effect,
-        deduplication_scope="all",
-        deduplication_window=_DEDUPLICATION_WINDOW if effect == "keyed" else 0.0,
-        priority_weight=1.0,
-        late_priority_weight=0.0,
-        is_streaming=False,
-        latency_objective_stretch=0.0,
-    )
-
-
-def _plan(name: str) -> messages.Plan:
-    return messages.Plan(
-        name,
-        rate=10.0,
-        burst=100.0,
-        concurrency_limit=0,
-        price_weight=1.0,
-        over_quota_weight=0.0,
-        over_quota_cost=0.5,
-        ceiling_rate=0.0,
-        ceiling_burst=0.0,
-        ceiling_slack=0.0,
-    )
-
 
 class PluginFile(ConfigSection, frozen=True, kw_only=True):
     """A file of [[plugins]] alone, as one writes it beside a module."""
--- a/tests/plugins/test_plugin_records.py
+++ b/tests/plugins/test_plugin_records.py
@@ -38,7 +38,6 @@
 
 
 def test_recorder_rotates_drops_and_counts_and_a_cut_line_is_left_out(tmp_path):
-
     file = tmp_path / "r.jsonl"
     recorder = RequestRecorder(str(file), "", 2000, 1000)
     for n in range(20):
