--- a/apigateway/upstream/attempt.py
+++ b/apigateway/upstream/attempt.py
@@ -7,16 +7,13 @@
 import re
 from collections.abc import Callable
 from time import monotonic
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 import hiredis
 
 from apigateway.platform_settings import read_report
 from apigateway.upstream.framing import MAX_BODY_BYTES, FramingError
 
-if TYPE_CHECKING:
-    from apigateway.upstream.connection import Connection
-
 HEALTH_CHECK = object()
 """The tag of an attempt that is a health check."""
 
@@ -42,6 +39,16 @@
     CANCELLED = "cancelled"  # abandoned after it was written: it may have run
 
 
+class AttemptConnection(Protocol):
+    """The connection that an attempt was sent on."""
+
+    is_written: bool  # whether the socket took every byte
+    attempt: Attempt | None  # that waits for an answer
+
+    def close(self) -> None:
+        """End the connection now, and the attempt on it."""
+
+
 class Attempt:
     """One command for one host.
 
@@ -74,7 +81,7 @@
         self.value = b""
         self.metered_use = 0  # percent of the customer's rate
         self.load_report: LoadReport = {}
-        self.connection: Connection | None = None
+        self.connection: AttemptConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def elapsed(self) -> float:
--- a/apigateway/upstream/connection.py
+++ b/apigateway/upstream/connection.py
@@ -10,22 +10,35 @@
 import logging
 import socket
 from collections.abc import Iterator
-from typing import TYPE_CHECKING, cast
+from typing import Protocol, cast
 
 from apigateway.upstream.attempt import Attempt, AttemptResult, read_reply
 from apigateway.upstream.framing import NO_MESSAGE, Framing, FramingError
-
-if TYPE_CHECKING:
-    from apigateway.upstream.connection_pool import ConnectionPool
+from apigateway.upstream.idle_connection_policy import IdleConnectionPolicy
 
 log = logging.getLogger(__name__)
 
 
+class ConnectionOwner(Protocol):
+    """The pool that a connection belongs to."""
+
+    @property
+    def idle_policy(self) -> IdleConnectionPolicy:
+        """What learns from resets how long a connection may be idle."""
+
+    def release(self, connection: Connection) -> None:
+        """Take back a connection whose attempt has ended."""
+
+    def discard(self, connection: Connection) -> None:
+        """Forget a connection that has ended."""
+
+
 class Connection(asyncio.Protocol):
     """The protocol of one connection: sends an attempt's payload and reads its answer."""
 
-    def __init__(self, pool: ConnectionPool) -> None:
+    def __init__(self, pool: ConnectionOwner) -> None:
         self.pool = pool
+        self._idle_policy = pool.idle_policy
         self.framing = Framing()
         self.attempt: Attempt | None = None
         self.is_written = True  # whether the socket took every byte
@@ -98,7 +111,7 @@
             self.close()
             return
         self.attempt = None
-        self.pool.owner.idle_policy.record(self.idle_time, False)
+        self._idle_policy.record(self.idle_time, False)
         if self.framing.buffer:  # more than belongs to this answer: the next would be read from it
             self.close()
         else:
@@ -120,7 +133,7 @@
             self.transport.abort()
         if attempt is not None:
             if not self.has_response_data:  # an answer that breaks off shows that the request got there
-                self.pool.owner.idle_policy.record(self.idle_time, True)
+                self._idle_policy.record(self.idle_time, True)
             attempt.end(AttemptResult.RESET if self.is_written else AttemptResult.CONNECT_FAILED)
 
     @contextlib.contextmanager
--- a/apigateway/upstream/connection_pool.py
+++ b/apigateway/upstream/connection_pool.py
@@ -5,18 +5,28 @@
 import asyncio
 import math
 from time import monotonic
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from apigateway.upstream.address import Address
 from apigateway.upstream.attempt import Attempt, AttemptResult
 from apigateway.upstream.connection import Connection
-
-if TYPE_CHECKING:
-    from apigateway.upstream.upstream_connections import UpstreamConnections
+from apigateway.upstream.idle_connection_policy import IdleConnectionPolicy
 
 SETTLE_TIME_S = 0.02  # after an answer, in which what came behind it, a second copy or noise, can still show
 
 
+class PoolOwner(Protocol):
+    """What all pools share; durations are in seconds."""
+
+    connect_timeout: float
+    max_idle_time: float
+    idle_policy: IdleConnectionPolicy
+    connections: set[Connection]  # of all endpoints
+
+    def make_room(self) -> bool:
+        """Tell whether one more connection may be made."""
+
+
 class ConnectionPool:
     """The connections to one endpoint at one address.
 
@@ -24,8 +34,9 @@
     attempts that wait for a connection of their own.
     """
 
-    def __init__(self, owner: UpstreamConnections, address: Address) -> None:
+    def __init__(self, owner: PoolOwner, address: Address) -> None:
         self.owner = owner
+        self.idle_policy = owner.idle_policy
         self.address = address
         self.is_open = True
         self.idle: list[Connection] = []
@@ -77,7 +88,7 @@
         """List the connections idle neither too shortly nor too long, the one used last first."""
         now = monotonic()
         latest = now - SETTLE_TIME_S
-        earliest = now - min(self.owner.idle_policy.limit, self.owner.max_idle_time)
+        earliest = now - min(self.idle_policy.limit, self.owner.max_idle_time)
         return [
             connection for connection in reversed(self.idle) if earliest < connection.idle_since <= latest
         ]
