--- a/apigateway/membership/eureka/mapping.py
+++ b/apigateway/membership/eureka/mapping.py
@@ -5,6 +5,7 @@
 import math
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
+from typing import Literal
 
 from apigateway import messages
 from apigateway.membership.eureka.model import EurekaInstance, InstanceStatus, MalformedResponseError
@@ -23,6 +24,9 @@
 }
 _MAX_SHOWN_ID = 80  # characters of an instance's id, in an error
 
+AddressSource = Literal["ip", "name"]
+"""Whether an endpoint's address is the instance's IP address or its host name, resolved."""
+
 
 @dataclass(frozen=True, slots=True)
 class InstanceMapping:
@@ -33,7 +37,7 @@
     kind_key: str = "kind"
     weight_key: str = "weight"
     default_zone: str = "a"
-    address: str = "ip"  # or "name"
+    address: AddressSource = "ip"
     secure: bool = False  # whether the secure port is used
     states: Mapping[str, str] = field(default_factory=lambda: dict(DEFAULT_STATES))
 
--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -13,6 +13,7 @@
 from collections.abc import Awaitable, Callable, Collection
 from dataclasses import dataclass, field
 from http import HTTPStatus
+from typing import Literal
 
 import aiohttp
 
@@ -47,6 +48,12 @@
 log = logging.getLogger(__name__)
 
 Resolve = Callable[[str], Awaitable[str]]
+"""Resolves a host name to an IP address; raises OSError."""
+
+Lookup = Literal["apps", "app", "vip", "svip"]
+"""Which instances are requested: all, or those of one application, VIP or secure VIP address."""
+
+ResponseForm = Literal["json", "xml"]
 
 
 class UnusableResponseError(Exception):
@@ -61,9 +68,9 @@
     """
 
     urls: tuple[str, ...]
-    lookup: str = "apps"  # or "app", "vip", "svip"
+    lookup: Lookup = "apps"
     name: str = ""  # of the app or vip; with `apps`, only this app's instances where it is set
-    form: str = "json"  # or "xml"
+    form: ResponseForm = "json"
     poll_interval: float = 5.0  # s
     timeout: float = 2.0  # s
     max_response_bytes: int = 32 * 1024 * 1024  # unpacked
