--- a/tests/external_ratelimit/test_circuit_breaker.py
+++ b/tests/external_ratelimit/test_circuit_breaker.py
@@ -46,8 +46,10 @@
 
 @pytest.mark.parametrize("mode", ["own", "refuse"])
 def test_request_without_time_for_a_check_falls_back_to_the_failure_mode(mode):
-    told = CircuitBreaker(CheckSettings(failure_mode=FailureMode(mode))).request_permit(0.0, MIN_TIMEOUT_S)
-    assert told == Fallback(mode == "refuse", pytest.approx(0.1 if mode == "refuse" else 0.0))
+    decision = CircuitBreaker(CheckSettings(failure_mode=FailureMode(mode))).request_permit(
+        0.0, MIN_TIMEOUT_S
+    )
+    assert decision == Fallback(mode == "refuse", pytest.approx(0.1 if mode == "refuse" else 0.0))
 
 
 def test_consecutive_failures_open_it_and_successful_probes_close_it():
@@ -155,9 +157,9 @@
         if what == "wait":
             now += amount
         elif what == "ask":
-            told = breaker.request_permit(now, 3.0)
-            if isinstance(told, CheckPermit):
-                outstanding.append(told)
+            decision = breaker.request_permit(now, 3.0)
+            if isinstance(decision, CheckPermit):
+                outstanding.append(decision)
         elif outstanding:
             permit = outstanding.pop(int(amount * 10) % len(outstanding))
             match what:
@@ -176,7 +178,7 @@
         breaker.on_cancelled(permit)
     for _ in range(10):  # from here on it answers
         now = max(now, breaker.open_until) + 0.1
-        told = breaker.request_permit(now, 3.0)
-        assert isinstance(told, CheckPermit)
-        breaker.on_success(now, told)
+        decision = breaker.request_permit(now, 3.0)
+        assert isinstance(decision, CheckPermit)
+        breaker.on_success(now, decision)
     assert breaker.state is BreakerState.CLOSED and not math.isnan(breaker.failure_ratio)
--- a/tests/external_ratelimit/test_client_session.py
+++ b/tests/external_ratelimit/test_client_session.py
@@ -61,8 +61,8 @@
 def test_call_is_read_by_the_servers_session():
     client, server = ClientSession("host:1"), ServerSession()
     number = client.start_call(PATH, b"hello", 0.25)
-    told = server.receive(client.data_to_send())
-    assert told == [UnaryCall(number, PATH, b"hello", 0.25)]
+    events = server.receive(client.data_to_send())
+    assert events == [UnaryCall(number, PATH, b"hello", 0.25)]
     client.receive(server.data_to_send())
     server.receive(client.data_to_send())
     server.send_response(number, b"world")
@@ -131,8 +131,8 @@
 def test_goaway_lets_earlier_calls_end_and_starts_no_more():
     pair = Pair()
     one, two = pair.ask(), pair.ask()
-    told = pair.session.receive(GoAwayFrame(0, last_stream_id=one, error_code=0).serialize())
-    assert told == [CallEnded(two, GrpcStatus.UNAVAILABLE, "the server ends", is_processed=False)]
+    ended_calls = pair.session.receive(GoAwayFrame(0, last_stream_id=one, error_code=0).serialize())
+    assert ended_calls == [CallEnded(two, GrpcStatus.UNAVAILABLE, "the server ends", is_processed=False)]
     assert pair.session.available_streams() == 0 and not pair.session.is_finished
     pair.answer(one, rpc.frame_message(b"ok"))
     assert pair.ended == [CallEnded(one, GrpcStatus.OK, "", b"ok")] and pair.session.is_finished
@@ -199,14 +199,14 @@
     stream = bytearray(server.data_to_send())
     if noise:
         stream[min(place, len(stream)) : min(place, len(stream)) + len(noise)] = noise
-    told, at = [], 0
+    ended_calls, at = [], 0
     for cut in [*cuts, len(stream)]:
         if at < len(stream) and not session.is_finished:
-            told += session.receive(bytes(stream[at : at + cut]))
+            ended_calls += session.receive(bytes(stream[at : at + cut]))
         at += cut
         session.data_to_send()
-    told += session.connection_lost("the end")
-    ended = [one.stream_id for one in told]
+    ended_calls += session.connection_lost("the end")
+    ended = [one.stream_id for one in ended_calls]
     assert sorted(ended) == asked
     if not noise:
-        assert all(one.message == b"y" * 30 for one in told)
+        assert all(one.message == b"y" * 30 for one in ended_calls)
--- a/tests/external_ratelimit/test_limiter.py
+++ b/tests/external_ratelimit/test_limiter.py
@@ -56,9 +56,9 @@
     async with StandInRateLimit({A: 1}, reset_s=0.7) as service, asking(tmp_path, service) as node:
         assert [await ask(node, units="0.5"), await ask(node)] == [SERVED, b"-BUSY 700\r\n"]
         assert await ask(node, B) == SERVED
-        told = service.questions[0]
-        assert told.domain == "roster" and told.hits_addend == 1  # what is begun counts
-        assert {e.key: e.value for e in told.descriptors[0].entries} == {
+        question = service.questions[0]
+        assert question.domain == "roster" and question.hits_addend == 1  # what is begun counts
+        assert {e.key: e.value for e in question.descriptors[0].entries} == {
             "customer": A,
             "class": "read",
             "by": "g7:0.5",
--- a/tests/load/test_plan.py
+++ b/tests/load/test_plan.py
@@ -12,7 +12,7 @@
 
 @pytest.mark.parametrize("name, least", [("month-start", 3000), ("onam", 10_000)])
 def test_examples_can_be_planned_and_their_figures_add_up(name, least):
-    told = plan_scenario(read_scenario(str(ROOT / "examples" / "load" / f"{name}.toml")))
-    assert told.requests > least and sum(told.by_plan_and_class.values()) == told.requests
-    assert sum(told.by_gateway.values()) == told.requests
-    assert sum(told.rates) * told.seconds / len(told.rates) == pytest.approx(told.requests)
+    planned = plan_scenario(read_scenario(str(ROOT / "examples" / "load" / f"{name}.toml")))
+    assert planned.requests > least and sum(planned.by_plan_and_class.values()) == planned.requests
+    assert sum(planned.by_gateway.values()) == planned.requests
+    assert sum(planned.rates) * planned.seconds / len(planned.rates) == pytest.approx(planned.requests)
--- a/tests/load/test_scenario.py
+++ b/tests/load/test_scenario.py
@@ -1,4 +1,4 @@
-"""A scenario file: each fault is told with its key; nothing is sent off loopback unless it says so."""
+"""A scenario file: each problem is reported with its key; nothing is sent off loopback unless it says so."""
 
 import json
 import subprocess
@@ -20,12 +20,12 @@
 """
 
 
-def faults(tmp_path, text):
+def read_problems(tmp_path, text):
     file = tmp_path / "scenario.toml"
     file.write_text(text)
     with pytest.raises(InvalidConfigFileError) as caught:
         read_scenario(str(file))
-    return {fault.key: fault for fault in caught.value.problems}
+    return {problem.key: problem for problem in caught.value.problems}
 
 
 @pytest.mark.parametrize(
@@ -66,15 +66,15 @@
     ],
 )
 def test_problem_is_reported_with_its_key(text, key, words, tmp_path):
-    found = faults(tmp_path, GOOD + text)
+    found = read_problems(tmp_path, GOOD + text)
     assert list(found) == [key] and words in str(found[key])
 
 
-@pytest.mark.parametrize("told", ["127.0.0.1:1", "localhost:1", "[::1]:1", "127.9.9.9:1"])
-def test_target_when_on_loopback_or_allowed_then_is_accepted(told, tmp_path):
+@pytest.mark.parametrize("address", ["127.0.0.1:1", "localhost:1", "[::1]:1", "127.9.9.9:1"])
+def test_target_when_on_loopback_or_allowed_then_is_accepted(address, tmp_path):
     file = tmp_path / "scenario.toml"
-    file.write_text(GOOD + f'[targets]\ngateways = ["{told}"]')
-    assert read_scenario(str(file)).targets.gateways == [told]
+    file.write_text(GOOD + f'[targets]\ngateways = ["{address}"]')
+    assert read_scenario(str(file)).targets.gateways == [address]
     file.write_text(GOOD + '[targets]\ngateways = ["10.0.0.1:1"]\noff_loopback = true')
     assert read_scenario(str(file)).targets.off_loopback
 
@@ -92,8 +92,8 @@
 def test_plan_command_prints_figures_and_plot(tmp_path):
     ended = command("plan", "examples/load/month-start.toml")
     assert ended.returncode == 0 and "month start: " in ended.stdout and "█" in ended.stdout, ended.stderr
-    told = json.loads(command("plan", "examples/load/month-start.toml", "--json").stdout)
-    assert f"{told['requests']} requests" in ended.stdout and told["sha256"][:16] in ended.stdout
+    document = json.loads(command("plan", "examples/load/month-start.toml", "--json").stdout)
+    assert f"{document['requests']} requests" in ended.stdout and document["sha256"][:16] in ended.stdout
     file = tmp_path / "scenario.toml"
     file.write_text(GOOD + "[run]\nmax_requests = 5")
     ended = command("plan", str(file))
--- a/tests/load/test_schedule.py
+++ b/tests/load/test_schedule.py
@@ -23,12 +23,16 @@
 
 
 def test_stream_when_added_then_moves_no_request_of_the_others():
-    told = scenario()
-    two = msgspec.structs.replace(
-        told, streams=[*told.streams, msgspec.structs.replace(told.streams[0], shape=Constant(rate=30.0))]
+    one_stream = scenario()
+    two_streams = msgspec.structs.replace(
+        one_stream,
+        streams=[
+            *one_stream.streams,
+            msgspec.structs.replace(one_stream.streams[0], shape=Constant(rate=30.0)),
+        ],
     )
-    key = [(d.due_us, d.customer, d.gateway_index) for d in schedule(told)]
-    more = Counter((d.due_us, d.customer, d.gateway_index) for d in schedule(two))
+    key = [(d.due_us, d.customer, d.gateway_index) for d in schedule(one_stream)]
+    more = Counter((d.due_us, d.customer, d.gateway_index) for d in schedule(two_streams))
     assert all(more[one] for one in key) and sum(more.values()) > len(key)
 
 
@@ -42,9 +46,9 @@
 )
 def test_schedule_when_nothing_is_due_then_is_empty(shape, seconds):
     for arrivals in ("poisson", "even"):
-        told = scenario(shape, seconds, arrivals=arrivals)
-        assert list(schedule(told)) == []
-        assert plan_scenario(told).requests == 0
+        nothing_due = scenario(shape, seconds, arrivals=arrivals)
+        assert list(schedule(nothing_due)) == []
+        assert plan_scenario(nothing_due).requests == 0
 
 
 def test_schedule_of_one_request_and_of_more_than_allowed():
@@ -95,8 +99,8 @@
     st.sampled_from(["poisson", "even"]),
 )
 def test_any_sum_of_shapes_comes_in_order_within_the_run(shapes, number, seconds, arrivals):
-    told = scenario(Sum(of=shapes), seconds, arrivals=arrivals, seed=number)
-    dues = list(schedule(told))
+    mixed = scenario(Sum(of=shapes), seconds, arrivals=arrivals, seed=number)
+    dues = list(schedule(mixed))
     assert all(a.due_us <= b.due_us for a, b in pairwise(dues))
     assert all(0 <= d.due_us < seconds * US_PER_S for d in dues)
-    assert digest(iter(dues)) == digest(schedule(told))
+    assert digest(iter(dues)) == digest(schedule(mixed))
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -83,14 +83,14 @@
 
     record = await sent(dues, server.sockets[0].getsockname()[1], before=freeze)
     begin, end = spans
-    told = record.latency_of()
+    latencies = record.latency_of()
     # New connections are taken on, so what is due in it waits where a kept one is at hand, as it does for
     # clients; each that was out at its begin, and each behind it, shows the whole rest of the freeze.
     assert (
-        count_above(told, (end - begin) * 0.95 * US_PER_S) >= 1
-        and told.get_max_value() >= (end - begin) * 0.95 * US_PER_S
+        count_above(latencies, (end - begin) * 0.95 * US_PER_S) >= 1
+        and latencies.get_max_value() >= (end - begin) * 0.95 * US_PER_S
     )
-    assert told.get_total_count() == len(dues) and record.counts()[Outcome.SERVED] == len(dues)
+    assert latencies.get_total_count() == len(dues) and record.counts()[Outcome.SERVED] == len(dues)
     server.close()
 
 
@@ -115,13 +115,13 @@
 
         record = await sent(dues, site.port, before=stop)
         begin, end = spans
-        told, total = record.latency_of(), len(dues)
-        assert told.get_total_count() == total
+        latencies, total = record.latency_of(), len(dues)
+        assert latencies.get_total_count() == total
         for least in (0.2, 0.5, 0.8):
             in_it = sum(begin <= one.due_us / US_PER_S <= end - least for one in dues)
-            assert count_above(told, least * 0.99 * US_PER_S) >= in_it > 0, least
+            assert count_above(latencies, least * 0.99 * US_PER_S) >= in_it > 0, least
         # A client that waited with it would have seen one slow answer.
-        assert percentiles_ms(told)["p90"] >= 200
+        assert percentiles_ms(latencies)["p90"] >= 200
 
 
 @pytest.mark.parametrize(
@@ -140,9 +140,9 @@
         host.script.play(step)
         record = await sent(evenly(100, 0.3), host.port, wait=0.4)
         assert record.counts() == dict.fromkeys(Outcome, 0) | {outcome: 30}
-        told = record.latency_of(outcome)
+        latencies = record.latency_of(outcome)
         if step.kind == "silent":  # counted for as long as its client would have waited
-            assert told.get_min_value() >= 0.99 * 0.4 * US_PER_S  # to the resolution of timer and record
+            assert latencies.get_min_value() >= 0.99 * 0.4 * US_PER_S  # to the resolution of timer and record
 
 
 @on_loop
@@ -200,8 +200,8 @@
         record = await sent(evenly(100, 0.8), host.port, before=starve)
         why = void_reason(record, 10.0, 0.001)
         assert "the generator itself began" in why and record.lateness.get_max_value() >= 0.3 * US_PER_S
-        told = build_report(record, "starved", why)
-        assert "VOID" in format_report(told) and told["due"] == 80
+        document = build_report(record, "starved", why)
+        assert "VOID" in format_report(document) and document["due"] == 80
         assert (
             percentiles_ms(record.latency_of(Outcome.SERVED))["max"] >= 300
         )  # and latency is counted from when it was due
@@ -302,9 +302,9 @@
                 program.send_signal(signal.SIGINT)
             out, err = await program.communicate()
             assert program.returncode == 0, err
-            told = json.loads(out)
-            assert told["due"] == sum(told["counts"].values()) > 0 and not told["void"]
-            assert told.get("stopped", False) is (seconds > 10) and told["counts"]["served"] > 0
+            document = json.loads(out)
+            assert document["due"] == sum(document["counts"].values()) > 0 and not document["void"]
+            assert document.get("stopped", False) is (seconds > 10) and document["counts"]["served"] > 0
         file.write_text(scenario.format(1.0, 1).replace('"127.0.0.1:1"', ""))
         ended = await asyncio.to_thread(
             subprocess.run,
@@ -335,7 +335,7 @@
     parts[0].add(parts[1])
     assert build_report(one, "x", "") == build_report(parts[0], "x", "")
     exact = sorted(latency for _, latency, _ in rows)
-    told = one.latency_of()
+    latencies = one.latency_of()
     for part in (50.0, 90.0, 99.0, 100.0):
         true = exact[max(0, int(part * len(exact) / 100 + 0.5) - 1)]  # to the nearest rank
-        assert told.get_value_at_percentile(part) == pytest.approx(true, rel=0.002, abs=1)
+        assert latencies.get_value_at_percentile(part) == pytest.approx(true, rel=0.002, abs=1)
--- a/tests/membership/test_eureka_model.py
+++ b/tests/membership/test_eureka_model.py
@@ -132,14 +132,14 @@
 @settings(max_examples=400, deadline=None, database=None)
 @given(ANY)
 def test_any_tree_when_read_then_raises_nothing_but_malformed_response(tree):
-    for told in (
+    for response in (
         tree,
         {"applications": tree},
         wrapped(tree),
         wrapped(ONE | tree if isinstance(tree, dict) else tree),
     ):
         try:
-            answer = read_applications(told)
+            answer = read_applications(response)
         except MalformedResponseError:
             continue
         entries, malformed = read_endpoints(InstanceMapping(), answer.instances)
@@ -160,8 +160,8 @@
     ],
 )
 def test_each_status_has_its_state(status, overridden, state):
-    told = read_instance(ONE | {"status": status, "overriddenstatus": overridden})
-    assert read_endpoint(InstanceMapping(), told).endpoint.state == state
+    instance = read_instance(ONE | {"status": status, "overriddenstatus": overridden})
+    assert read_endpoint(InstanceMapping(), instance).endpoint.state == state
 
 
 def test_a_status_means_what_settings_say():
@@ -171,8 +171,8 @@
 
 
 def test_instance_when_mapped_then_metadata_and_lease_make_the_endpoint():
-    told = read_instance(ONE | {"leaseInfo": {"serviceUpTimestamp": 5000, "registrationTimestamp": 4000}})
-    entry = read_endpoint(InstanceMapping(), told)
+    instance = read_instance(ONE | {"leaseInfo": {"serviceUpTimestamp": 5000, "registrationTimestamp": 4000}})
+    entry = read_endpoint(InstanceMapping(), instance)
     assert (entry.endpoint.zone, entry.endpoint.cell, entry.endpoint.weight, entry.endpoint.started_at) == (
         "east",
         2,
@@ -180,7 +180,7 @@
         5.0,
     )
     assert entry.address == ("127.0.0.1", 8080) and entry.stamp > 0
-    named = read_endpoint(InstanceMapping(address="name"), told, {"node7.rota.example.org": "10.0.0.7"})
+    named = read_endpoint(InstanceMapping(address="name"), instance, {"node7.rota.example.org": "10.0.0.7"})
     assert named.address == ("10.0.0.7", 8080)
 
 
@@ -255,6 +255,6 @@
             truth.pop(n, None)
         else:
             truth[n] = make_instance(f"i{n}", status)
-        told = hashcode(truth.values())
-        _, whole = cache.apply_delta(1e6, [make_instance(f"i{n}", status, action)], told)
-        assert not whole and cache.hashcode() == told
+        true_hashcode = hashcode(truth.values())
+        _, whole = cache.apply_delta(1e6, [make_instance(f"i{n}", status, action)], true_hashcode)
+        assert not whole and cache.hashcode() == true_hashcode
--- a/tests/membership/test_reconciler.py
+++ b/tests/membership/test_reconciler.py
@@ -177,14 +177,14 @@
     for wait, is_complete, named, gone, stamp in walk:
         now, had = now + wait, bool(heard)
         gone = {f"h{n}" for n in gone} - {f"h{n}" for n in named}
-        told = [report(f"h{n}", state, stamp) for n, state in named.items()]
-        for changed in (reconciler.advance(now), reconciler.apply(now, told, gone, is_complete)):
+        reports = [report(f"h{n}", state, stamp) for n, state in named.items()]
+        for changed in (reconciler.advance(now), reconciler.apply(now, reports, gone, is_complete)):
             for host in changed.hosts.endpoints if changed else ():
                 heard[host.id] = host.state
                 if host.state == "down":
                     del heard[host.id]
         assert heard == states(reconciler)  # who follows the changes believes the same
-        for one in told:  # what is told to drain never stays up
+        for one in reports:  # what is reported to drain never stays up
             if one.endpoint.state == "leaving":
                 assert heard[one.endpoint.id] == "leaving"
         assert not gone & heard.keys()
