--- a/apigateway/daemon/plugins.py
+++ b/apigateway/daemon/plugins.py
@@ -13,7 +13,7 @@
 from apigateway.daemon.node import GatewayNode
 from apigateway.daemon.settings import Settings
 from apigateway.plugins.chain_version import ChainVersion
-from apigateway.plugins.loader import PluginEnvironment, load_plugins
+from apigateway.plugins.loader import PluginEnvironment, load_chain
 from apigateway.plugins.manager import PluginManager, StateTransferError
 from apigateway.plugins.records import RequestRecorder
 from apigateway.plugins.settings import RecordsSection
@@ -42,7 +42,7 @@
 ) -> Built:
     """`records`: as they were, with `old`. Raises InvalidConfigFileError; nothing of the new is left then."""
     place = PluginEnvironment(path, module, settings.gateway.seed)
-    version = load_plugins(settings.plugins, settings.hooks, place, old.version if old is not None else None)
+    version = load_chain(settings.plugins, settings.hooks, place, old.version if old is not None else None)
     part, status = settings.records, compared(old.version if old is not None else None, version)
     if old is not None and part == records:
         return Built(version, None, True, status)
@@ -78,7 +78,7 @@
 
 def check(path: str, settings: Settings, module: messages.Settings) -> None:
     """Loads and proves all, and lets it go again. Raises InvalidConfigFileError."""
-    load_plugins(
+    load_chain(
         settings.plugins, settings.hooks, PluginEnvironment(path, module, settings.gateway.seed)
     ).close()
 
--- a/apigateway/tools/plugins/files.py
+++ b/apigateway/tools/plugins/files.py
@@ -40,8 +40,7 @@
         UnusableArgumentError: it is no module's text.
         OSError: a file cannot be read or written.
     """
-    from apigateway.plugins.wasm import InvalidModuleError
-    from apigateway.plugins.wasm import assemble as assemble_module
+    from apigateway.plugins.wasm import InvalidModuleError, assemble_module
 
     if not path.endswith(".wat"):
         raise UnusableArgumentError(f"{path}: name a .wat file")
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -170,7 +170,7 @@
     return next(int(l.split()[1]) for l in open("/proc/self/status") if l.startswith("VmRSS"))
 import msgspec, apigateway.config_validation
 before = held()
-from apigateway.plugins.loader import PluginEnvironment, load_plugins
+from apigateway.plugins.loader import PluginEnvironment, load_chain
 from apigateway.plugins.manager import PluginManager
 from apigateway.plugins.settings import HooksSection, PluginSection
 from apigateway.plugins.testkit import settings
@@ -178,15 +178,15 @@
     return [PluginSection(name=f"p{{n}}", file={file!r}, settings={{"district": {{"a": f"{{turn}}"}}}})
             for n in range({count})]
 place = PluginEnvironment("/", settings())
-began = time.perf_counter(); first = load_plugins(parts(0), HooksSection(), place)
+began = time.perf_counter(); first = load_chain(parts(0), HooksSection(), place)
 loaded = time.perf_counter() - began
 hooks = PluginManager(first, time.time, None, 1.0)
-began = time.perf_counter(); second = load_plugins(parts(1), HooksSection(), place, first)
+began = time.perf_counter(); second = load_chain(parts(1), HooksSection(), place, first)
 again = time.perf_counter() - began
 began = time.perf_counter(); hooks.swap(second); swapped = time.perf_counter() - began
 after = held()
 for turn in range(2, 8):
-    hooks.swap(load_plugins(parts(turn), HooksSection(), place, hooks.version))
+    hooks.swap(load_chain(parts(turn), HooksSection(), place, hooks.version))
 print(json.dumps({{"load_s": loaded, "again_s": again, "swap_ms": swapped * 1000, "memory_kb": after - before,
                    "six_more_kb": held() - after}}))
 """
@@ -208,7 +208,7 @@
 def inside(count: int, kind: str, requests: int = 20_000) -> float:
     """us that the plug-ins' own code takes for one request: taken, one attempt, answered."""
     from apigateway import messages
-    from apigateway.plugins.loader import PluginEnvironment, load_plugins
+    from apigateway.plugins.loader import PluginEnvironment, load_chain
     from apigateway.plugins.manager import PluginManager
     from apigateway.plugins.settings import BudgetSection, HooksSection, PluginSection
     from apigateway.plugins.testkit import settings
@@ -220,7 +220,7 @@
         for n in range(count)
     ]
     hooks = PluginManager(
-        load_plugins(parts, HooksSection(), PluginEnvironment("/", settings())),
+        load_chain(parts, HooksSection(), PluginEnvironment("/", settings())),
         time.time,
         asyncio.new_event_loop(),
         1.0,
