--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -6,7 +6,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import ClassVar
 
 EFFECTS = ("safe", "keyed", "unsafe")
 SCOPES = ("all", "zone", "cell")
@@ -35,6 +37,11 @@
     is_streaming: bool
     latency_objective_stretch: float
 
+    @property
+    def is_repeatable(self) -> bool:
+        """Whether it does no harm to execute a request twice, wherever that is."""
+        return self.effect == "safe" or (self.effect == "keyed" and self.deduplication_scope == "all")
+
     def __post_init__(self) -> None:
         _need(self.effect in EFFECTS, f"class {self.name}: unknown effect {self.effect!r}")
         _need(
@@ -96,6 +103,10 @@
     max_retry_after: float
     connect_timeout: float = 0.0  # s after which an attempt that was sent reaches its host at the latest
 
+    def retry_after(self, wait: float) -> float:
+        """Return how many of the seconds that a client should wait it may be told."""
+        return min(max(wait, 0.0), self.max_retry_after if self.can_tell_retry_after else 0.0)
+
     def __post_init__(self) -> None:
         _need(self.max_attempts >= 1, "max_attempts must be at least 1")
 
@@ -126,6 +137,12 @@
     endpoint_kinds: tuple[str, ...]
     fallback: bool  # while none of them is up it goes to any
 
+    def allowed_kinds(self, endpoints: Iterable[Endpoint]) -> tuple[str, ...]:
+        """Return the kinds that a request may go to while these hosts are up; none: any."""
+        if self.fallback and all(host.kind not in self.endpoint_kinds for host in endpoints):
+            return ()
+        return self.endpoint_kinds
+
     def __post_init__(self) -> None:
         _need(bool(self.endpoint_kinds), f"route {self.name}: no kind of host")
 
@@ -161,6 +178,11 @@
         _need(bool(self.classes), "no request classes")
         _need(self.max_customers >= 0, "most_accounts must not be negative")
 
+    def plan_of(self, request: Request) -> Plan:
+        """Return the plan that a request is judged by: its own limit, or that of its customer."""
+        plan = self.plans[request.plan]
+        return (request.limit or plan) if isinstance(request, CustomLimitCheck) else plan
+
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
@@ -174,6 +196,12 @@
     state: str  # "up", "leaving" or "down"
     started_at: float  # clock time of its last start; 0: long ago
 
+    def shares_scope(self, other: Endpoint, scope: str) -> bool:
+        """Return whether a repeat of what another host has executed is discarded by this one."""
+        if scope == "zone":
+            return self.zone == other.zone
+        return scope == "all" or self.cell == other.cell
+
     def __post_init__(self) -> None:
         _need(self.state in ("up", "leaving", "down"), f"host {self.id}: unknown state {self.state!r}")
 
@@ -194,6 +222,10 @@
 class Request:
     """A client's request, as it was read."""
 
+    is_check: ClassVar[bool] = False  # it is forwarded to no host: its units are all that is asked for
+    is_reservation: ClassVar[bool] = False  # it spends units for a request that may come later
+    is_prepaid: ClassVar[bool] = False  # a check has spent its units
+
     request_id: str
     remaining: float  # until the client gives up
     customer: str
@@ -216,6 +248,8 @@
     """May this customer use so many units now? It spends them as a request would, goes to no host, and is
     answered by Granted or Denied. Any number of units: 0 spends nothing, more than a burst never fits."""
 
+    is_check: ClassVar[bool] = True
+
 
 @dataclass(frozen=True, slots=True)
 class QuotaReservation(QuotaCheck):
@@ -223,6 +257,8 @@
     that request once more when it is sent, each by itself: neither what is granted nor what is sent on passes
     it, however far apart the two are."""
 
+    is_reservation: ClassVar[bool] = True
+
 
 @dataclass(frozen=True, slots=True)
 class CustomLimitCheck(QuotaCheck):
@@ -243,12 +279,16 @@
 class PrepaidRequest(Request):
     """A request whose units a Reserve has spent: it takes none of the quota."""
 
+    is_prepaid: ClassVar[bool] = True
+
 
 @dataclass(frozen=True, slots=True)
 class ReturnUnits:
     """Units that a Check of this customer was granted, and that were not used: another one of the same
     question was denied. They count as unspent again while the window is the one that they were spent in."""
 
+    is_reservation: ClassVar[bool] = False
+
     customer: str
     units: float
     window_index: int  # as Granted told it
@@ -258,6 +298,8 @@
 class ReturnReservation(ReturnUnits):
     """Likewise, of a Reserve."""
 
+    is_reservation: ClassVar[bool] = True
+
 
 @dataclass(frozen=True, slots=True)
 class RejectedByPlugin:
@@ -282,6 +324,16 @@
     actual_units: float = 0  # units that the request really counted; 0: none
     load_report: dict[str, float] = field(default_factory=dict)
 
+    @property
+    def may_have_executed(self) -> bool:
+        """Whether the request may have been executed, though there is no response."""
+        return self.result in ("error", "timeout", "reset", "cancelled")
+
+    @property
+    def tells_health(self) -> bool:
+        """Whether the result says that the endpoint works or that it does not."""
+        return self.result in ("connect_failed", "full", "error", "reset", "ok")
+
     def __post_init__(self) -> None:
         _need(self.result in RESULTS, f"unknown result {self.result!r}")
 
--- /dev/null
+++ b/apigateway/routing/attempt_history.py
@@ -0,0 +1,59 @@
+"""The attempts of one request: which are in flight, which may have executed it, which are late."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+
+class SentAttempt(NamedTuple):
+    """An attempt that was sent."""
+
+    endpoint_id: str
+    at: float  # when it was sent
+
+
+@dataclass(slots=True, eq=False, kw_only=True)
+class AttemptHistory:
+    """Attempts by number, from 0, in the order in which they were sent."""
+
+    attempt_count: int = 0
+    in_flight: dict[int, SentAttempt] = field(default_factory=dict)
+    possibly_executed: list[SentAttempt] = field(default_factory=list)  # those that have ended
+    tried: set[str] = field(default_factory=set)  # ids of endpoints
+    _timed_out: set[int] = field(default_factory=set)
+    _given_up: set[int] = field(default_factory=set)
+
+    def begin_attempt(self, endpoint_id: str, now: float) -> int:
+        """Note an attempt that is sent, and return its number."""
+        number = self.attempt_count
+        self.in_flight[number] = SentAttempt(endpoint_id, now)
+        self.tried.add(endpoint_id)
+        self.attempt_count += 1
+        return number
+
+    def end_attempt(self, number: int, may_have_executed: bool) -> None:
+        """Note that an attempt has ended, whatever came of it."""
+        attempt = self.in_flight.pop(number, None)
+        if may_have_executed and attempt is not None:
+            self.possibly_executed.append(attempt)
+
+    def unproven(self) -> list[SentAttempt]:
+        """Return the attempts that may execute the request or have done so."""
+        return self.possibly_executed + list(self.in_flight.values())
+
+    def late_attempts(self, now: float, patience: float) -> list[int]:
+        """Return the numbers of the attempts that have been in flight for `patience` seconds."""
+        return [number for number, attempt in self.in_flight.items() if now - attempt.at >= patience]
+
+    def mark_timed_out(self, numbers: list[int]) -> set[int]:
+        """Note attempts as timed out, and return those that were not before."""
+        new = set(numbers) - self._timed_out
+        self._timed_out.update(numbers)
+        return new
+
+    def mark_given_up(self, numbers: list[int]) -> set[int]:
+        """Note attempts as given up, and return those that were not before."""
+        new = set(numbers) - self._given_up
+        self._given_up.update(numbers)
+        return new
--- /dev/null
+++ b/apigateway/routing/endpoint_health.py
@@ -0,0 +1,61 @@
+"""What the results of attempts say of endpoints: outliers, zones out of reach, pauses after failures."""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Hashable, Iterator
+from typing import Generic, Protocol, TypeVar
+
+from apigateway.messages import Endpoint
+from apigateway.routing.failure_backoff import FailureBackoff
+from apigateway.routing.outlier_detection import OutlierDetector
+from apigateway.routing.zone_health import ZoneHealth
+
+
+class Tracked(Hashable, Protocol):
+    """An endpoint, as far as its health is concerned."""
+
+    host: Endpoint
+    backoff: FailureBackoff
+
+
+Item = TypeVar("Item", bound=Tracked)
+
+
+class EndpointHealth(Generic[Item]):
+    """The health of all endpoints. Scopes are those of one kind of request, the widest first."""
+
+    def __init__(self) -> None:
+        self.outliers = OutlierDetector()
+        self.zone_health = ZoneHealth()
+        self.paused: set[Item] = set()  # those that have failed since they last succeeded
+
+    def on_available(self, endpoints: Collection[Item]) -> None:
+        """Take up which endpoints may be sent to."""
+        self.zone_health.listed([endpoint.host.zone for endpoint in endpoints])
+        self.paused = {endpoint for endpoint in endpoints if endpoint.backoff}
+
+    def on_result(self, endpoint: Item, result: str, scope: tuple[str, ...], now: float) -> None:
+        """Take up the result of an attempt that tells whether the endpoint works."""
+        if result == "connect_failed":  # which says nothing of a class or a plan
+            scope = scope[:1]
+        self.zone_health.on_result(endpoint.host.zone, endpoint.host.id, result, now)
+        self.outliers.record(endpoint.host.id, scope, result != "ok", now)
+        if result == "ok":
+            endpoint.backoff.on_success(scope[:2])
+        else:
+            endpoint.backoff.on_failure(scope[:2][-1], now)
+        if endpoint.backoff:
+            self.paused.add(endpoint)
+        else:
+            self.paused.discard(endpoint)
+
+    def success_probability(self, endpoint: Item, scope: tuple[str, ...], now: float) -> float:
+        """Return how likely an attempt there succeeds, by the endpoint and its zone."""
+        probability = self.outliers.success_probability(endpoint.host.id, scope, now)
+        if self.zone_health.doubted:
+            probability *= self.zone_health.part(endpoint.host.zone, now)
+        return probability
+
+    def pause_ends(self, now: float) -> Iterator[tuple[Item, float]]:
+        """Iterate over paused endpoints and the ends of their pauses, as far as they are to come."""
+        return ((one, at) for one in self.paused for _, at in one.backoff.pauses() if at > now)
--- /dev/null
+++ b/apigateway/routing/event_rate.py
@@ -0,0 +1,26 @@
+"""An exponentially decaying estimate of how many events a second there are."""
+
+from __future__ import annotations
+
+import math
+
+
+class EventRate:
+    """Events a second, each counted with a weight that fades over `span` seconds."""
+
+    __slots__ = ("_observed_at", "_rate", "_span")
+
+    def __init__(self, span: float) -> None:
+        self._span = span
+        self._rate = 0.0
+        self._observed_at = 0.0
+
+    def at(self, now: float) -> float:
+        """Return the rate as it has faded until now."""
+        return self._rate * math.exp((self._observed_at - now) / self._span)
+
+    def observe(self, now: float) -> float:
+        """Count an event, and return the rate with it."""
+        self._rate = self.at(now) + 1.0 / self._span
+        self._observed_at = now
+        return self._rate
--- /dev/null
+++ b/apigateway/routing/keyed_fifo.py
@@ -0,0 +1,32 @@
+"""First-in, first-out queues by key, of which the empty ones take no memory."""
+
+from __future__ import annotations
+
+from collections.abc import Hashable
+from typing import Generic, TypeVar
+
+Key = TypeVar("Key", bound=Hashable)
+Item = TypeVar("Item")
+
+
+class KeyedFifo(Generic[Key, Item]):
+    """A queue of items for each key."""
+
+    __slots__ = ("_queues",)
+
+    def __init__(self) -> None:
+        self._queues: dict[Key, list[Item]] = {}
+
+    def push(self, key: Key, item: Item) -> None:
+        """Add an item behind the others of its key."""
+        self._queues.setdefault(key, []).append(item)
+
+    def pop(self, key: Key) -> Item | None:
+        """Remove and return the oldest item of a key; None if there is none."""
+        queue = self._queues.get(key)
+        if queue is None:
+            return None
+        item = queue.pop(0)
+        if not queue:
+            del self._queues[key]
+        return item
--- a/apigateway/routing/priority_queue.py
+++ b/apigateway/routing/priority_queue.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import bisect
+import heapq
 import itertools
-from collections.abc import Hashable
+from collections.abc import Callable, Hashable
 from typing import Any, Generic, NamedTuple, Protocol, TypeVar
 
 DISCARDED_SLACK = 4  # discarded entries kept beyond as many as wait: a short queue is not rebuilt each time
@@ -88,6 +89,22 @@
         self.waiting_count -= 1
         self.entry_count -= 1
 
+    def drain(self, serve: Callable[[Item], bool]) -> None:
+        """Serve the items in order; `serve` returns whether it did, and if not its route is over."""
+        heads = [head for route in list(self.queues_by_route) if (head := self.head(route))]
+        heapq.heapify(heads)
+        while heads:
+            route = heads[0][-1]
+            if not serve(self.first(route)):  # nor could what stands behind it be served
+                heapq.heappop(heads)
+                continue
+            self.pop(route)
+            head = self.head(route)
+            if head:
+                heapq.heapreplace(heads, head)
+            else:
+                heapq.heappop(heads)
+
     def lowest_priority(self) -> Item | None:
         """Return the item that would go last. It stays until it is done."""
         lowest: QueueEntry[Item] | None = None
--- a/apigateway/routing/token_bucket.py
+++ b/apigateway/routing/token_bucket.py
@@ -64,6 +64,15 @@
             self.reserved = min(self.capacity, self.tokens + self.reserved + units) - tokens
         self.tokens = tokens
 
+    def charge(self, units: float, is_reserved: bool, is_reservation: bool) -> None:
+        """Use units, or those that were reserved for this use before, or reserve them for a later one."""
+        if is_reserved:
+            self.take_reserved(units)
+        elif is_reservation:
+            self.reserve(units)
+        else:
+            self.take(units)
+
     def take(self, units: float) -> None:
         """Use units; more than there are leave a debt."""
         self.tokens -= units
@@ -77,6 +86,13 @@
         """Use units that were reserved before."""
         self.reserved -= units
 
+    def give_back(self, units: float, is_reservation: bool) -> None:
+        """Add units that were used, or reserved, in vain."""
+        if is_reservation:
+            self.cancel_reserved(units)
+        else:
+            self.add(units)
+
     def cancel_reserved(self, units: float) -> None:
         """Add units that were reserved and not used: what is used was never charged with them."""
         used = self.tokens + self.reserved
--- a/apigateway/routing/zone_health.py
+++ b/apigateway/routing/zone_health.py
@@ -60,6 +60,13 @@
         site.failed.add(host)
         site.at = now
 
+    def on_result(self, zone: str, host: str, result: str, now: float) -> None:
+        """Take up the result of an attempt; a reset may come from the host as well as from the way there."""
+        if result == "connect_failed":
+            self.silent(zone, host, now)
+        elif result in ("error", "full", "ok"):
+            self.answered(zone)
+
     def part(self, zone: str, now: float) -> float:
         """Of what its hosts would get, 0 to 1."""
         site = self.known.get(zone)
--- /dev/null
+++ b/tests/routing/test_containers.py
@@ -0,0 +1,64 @@
+"""The small containers: queues by key, keys that expire, counts that decay, the latest values."""
+
+import pytest
+
+from apigateway.routing.decaying_counts import DecayingCounts
+from apigateway.routing.expiring_keys import ExpiringKeys
+from apigateway.routing.fault_scope import FaultScopes
+from apigateway.routing.keyed_fifo import KeyedFifo
+from apigateway.routing.recent_values import RecentValues
+from apigateway.routing.retry_budget import RetryBudget
+
+
+def test_keyed_fifo_when_a_key_has_several_items_then_gives_the_oldest():
+    fifo = KeyedFifo()
+    fifo.push("a", 1)
+    fifo.push("a", 2)
+    fifo.push("b", 3)
+    assert [fifo.pop("a"), fifo.pop("b"), fifo.pop("a"), fifo.pop("a")] == [1, 3, 2, None]
+
+
+def test_expiring_keys_when_there_are_too_many_then_forget_all():
+    keys = ExpiringKeys(2)
+    keys.add("a", 5.0)
+    assert (
+        keys.remaining("a", 3.0) == 2.0
+        and keys.remaining("a", 6.0) == 0.0
+        and keys.remaining("b", 1.0) == 0.0
+    )
+    keys.add("b", 5.0)
+    keys.add("c", 5.0)
+    assert list(keys) == ["c"]
+
+
+def test_decaying_counts_when_a_part_is_asked_for_then_tell_its_lowest_level():
+    counts = DecayingCounts()
+    for level in (1, 1, 2, 3):
+        counts.add(level)
+    assert counts.top_part(0.25) == (3, 1.0) and counts.top_part(0.75) == (1, 0.5)
+    assert DecayingCounts().top_part(0.5) is None
+    counts.decay(0.004)
+    assert len(counts) == 0
+
+
+def test_recent_values_when_full_then_rank_among_the_latest():
+    values = RecentValues(4)
+    for value in (9.0, 1.0, 2.0, 2.0, 3.0):
+        values.add(value)
+    assert len(values) == 4
+    assert values.rank(2.0, 0.5) == 2.0 and values.rank(9.0, 0.5) == 4.0 and values.rank(0.0, 1.0) == 0.0
+
+
+def test_retry_budget_when_it_is_full_then_takes_no_more():
+    budget = RetryBudget(1.0, 2.0)
+    budget.deposit(0.5)
+    assert budget.retries == 1.5
+    budget.deposit(0.7)
+    assert budget.retries == pytest.approx(2.0)
+
+
+def test_fault_scopes_when_asked_again_then_give_the_same_object():
+    scopes = FaultScopes()
+    first = scopes.get("read", "basic", "basic")
+    assert first[:] == ("host", "class read", "plan basic")
+    assert scopes.get("read", "basic", "other") is first and scopes.get("read", "gold", "gold") is not first
--- a/tests/routing/test_priority_queue.py
+++ b/tests/routing/test_priority_queue.py
@@ -64,3 +64,20 @@
     queue.discard()
     assert queue.lowest_priority() is items[1]
     assert PriorityQueue().lowest_priority() is None
+
+
+def test_drain_when_a_route_is_stuck_then_serves_the_others():
+    queue, items = filled(
+        ("a", True, 1.0), ("a", True, 3.0), ("b", True, 2.0), ("b", True, 4.0), ("c", True, 5.0)
+    )
+    served = []
+
+    def serve(item):
+        if item is items[2]:
+            return False
+        served.append(item)
+        return True
+
+    queue.drain(serve)
+    assert served == [items[4], items[3], items[1], items[0]]
+    assert queue.waiting_count == 1 and queue.first("b") is items[2]
--- a/tests/routing/test_token_bucket.py
+++ b/tests/routing/test_token_bucket.py
@@ -96,3 +96,17 @@
             used -= amount * (what != "reserve")
         assert share.tokens == pytest.approx(granted)
         assert share.tokens + share.reserved == pytest.approx(used)
+
+
+def test_charge_and_give_back_when_reserved_then_move_between_the_two_buckets():
+    share = bucket(tokens=10.0)
+    share.charge(2.0, False, False)
+    assert (share.tokens, share.reserved) == (8.0, 0.0)
+    share.charge(3.0, False, True)
+    assert (share.tokens, share.reserved) == (5.0, 3.0)
+    share.charge(1.0, True, False)
+    assert (share.tokens, share.reserved) == (5.0, 2.0)
+    share.give_back(2.0, True)
+    assert (share.tokens, share.reserved) == (7.0, 0.0)
+    share.give_back(1.0, False)
+    assert (share.tokens, share.reserved) == (8.0, 0.0)
