--- a/apigateway/daemon/choice.py
+++ b/apigateway/daemon/choice.py
@@ -4,7 +4,8 @@
 
 from typing import Any
 
-from apigateway.policy.endpoint_pool import REPORT_HALF_LIFE, EndpointPool
+from apigateway.policy.endpoint_pool import EndpointPool
+from apigateway.routing.load_estimate import REPORT_HALF_LIFE
 
 
 def taken_for(pool: EndpointPool, host: str, now: float) -> dict[str, Any]:
@@ -26,6 +27,6 @@
         "load": round(len(endpoint.attempts_out) + others, 2),
         "told": round(report_weight, 3),
         "age": round(age, 3) if is_reported else None,
-        "sound": round(pool.outliers.success_probability(host, ("host",), now), 3),
+        "sound": round(pool.health.outliers.success_probability(host, ("host",), now), 3),
         "rests": rests,
     }
--- a/apigateway/policy/counter_health.py
+++ b/apigateway/policy/counter_health.py
@@ -1,34 +1,31 @@
 """Whether the shared counter may be called, and which calls are worth its time."""
 
-from __future__ import annotations
-
 from apigateway import messages
+from apigateway.routing import CallHealth
+
+RATIONED_CONGESTION = 0.5  # part of the time-out that calls take, from which they are rationed
+CONGESTION_PRICE = 4.0  # price of a call, in requests, times what the congestion is beyond that
+HALF_CROWD = 20.0  # gateways that are taken for half a crowd, before the counter has been heard
+MAX_PAUSE = 1.0  # s; between calls of a counter that does not answer
+QUICK_GAIN = 0.15  # weight of the latest call in the congestion: a change must show in a few calls
+SIDE_CALL_GAIN = 0.15  # of a call that only mends a count for others, or finds a limit seldom reached
 
-CROWDED, CROWD_STEEP = 0.5, 4.0  # part of the time-out from which a call is rationed; price there, in tries
-CROWD_OF = 20.0  # gateways that are half a crowd, before the counter has been heard
-MAX_BACKOFF = 1.0  # s; longest pause between tries of a counter that does not answer
-QUICK = 0.15  # weight of the latest call in the congestion: a change must show in a few calls
 
+class CounterHealth(CallHealth):
+    """The counter as this gateway sees it; calls are rationed as they take longer."""
 
-class CounterHealth:
     def __init__(self, settings: messages.Settings) -> None:
+        congestion = 0.5 * settings.gateway_count / (settings.gateway_count + HALF_CROWD)
+        super().__init__(settings.counter_timeout, congestion, QUICK_GAIN, MAX_PAUSE)
         self.is_configured = settings.has_counter
-        self.timeout, self.price = settings.counter_timeout, settings.counter_price
-        self.failures, self.retry_at = int(not self.is_configured), 0.0
-        count = settings.gateway_count
-        self.congestion = 0.5 * count / (count + CROWD_OF)  # many start as in a crowd
+        self.failures = 0 if settings.has_counter else 1
+        self.price = settings.counter_price
 
     def is_usable(self, now: float) -> bool:
+        """Return whether the counter may be called."""
         return self.is_configured and now >= self.retry_at
 
     def call_probability(self, gain: float) -> float:
-        """Chance that a call is made: the less it can change the decision, the sooner it gives way."""
-        return min(1.0, gain / max(1e-9, self.price + CROWD_STEEP * max(0.0, self.congestion - CROWDED)))
-
-    def observe(self, now: float, ok: bool, elapsed: float) -> None:
-        self.congestion += QUICK * ((min(1.0, elapsed / self.timeout) if ok else 1.0) - self.congestion)
-        if ok:
-            self.failures = 0
-        elif now >= self.retry_at:  # a burst of failures counts once
-            self.failures += 1
-            self.retry_at = now + min(MAX_BACKOFF, self.timeout * 2.0 ** self.failures)
+        """Return how likely a call is made: the less it can change a decision, the sooner it gives way."""
+        congestion_price = CONGESTION_PRICE * max(0.0, self.congestion - RATIONED_CONGESTION)
+        return min(1.0, gain / max(1e-9, self.price + congestion_price))
--- a/apigateway/policy/pending_queue.py
+++ b/apigateway/policy/pending_queue.py
@@ -1,49 +1,56 @@
-"""Requests that this gateway works on, and the queue of those that wait for an endpoint."""
+"""Requests in progress, and the queue of those that wait for an endpoint."""
 
-from __future__ import annotations
-
-from dataclasses import dataclass, field
+from dataclasses import dataclass
+from enum import StrEnum
 
 from apigateway import messages
 from apigateway.policy.customer_quota import CustomerQuota
-from apigateway.routing.fault_scope import FaultScope
-from apigateway.routing.priority_queue import PriorityQueue
+from apigateway.routing import AttemptHistory, FaultScope, PriorityQueue
+
+OWN_SLOT = -1  # of this gateway's part of a concurrency limit
+
+
+class Stage(StrEnum):
+    """What a pending request waits for."""
+
+    UNITS = "units"  # units of its customer's quota
+    SLOT = "slot"  # a slot of its customer's concurrency limit
+    CEILING = "ceiling"  # its customer's ceiling to fill
+    QUEUE = "queue"  # an endpoint
+    SENT = "sent"  # the outcome of an attempt
 
 
 @dataclass(slots=True, eq=False)
-class PendingRequest:
+class PendingRequest(AttemptHistory):
+    """A request that has no response yet, and what has come of it so far."""
+
     request: messages.Request
-    cls: messages.ServiceClass
+    service_class: messages.ServiceClass
     plan: messages.Plan
     quota: CustomerQuota
     arrived_at: float
     deadline: float
-    worth: float
-    value: float  # worth a unit of work
+    worth: float  # priority weight of all its units
+    value: float  # worth a second of an endpoint's time
     fault_scope: FaultScope
-    stage: str = "units"  # units, slot, queue, sent
-    over_quota: bool = False
-    slot: int = 0  # open attempt held: own part -1, or the epoch of the shared count
-    sends: int = 0
+    kept_units: float  # of the quota, kept for classes of more weight
+    allowed_kinds: tuple[str, ...]  # of the endpoints that its route keeps it to; none: any
+    stage: Stage = Stage.UNITS
+    grant_odds: float = 1.0  # that its quota has units for it, as far as is known without asking
+    is_over_quota: bool = False  # forwarded all the same
+    slot: int = 0  # held of the concurrency limit: OWN_SLOT, or the epoch of the shared count; 0: none
     is_streaming: bool = False
-    allowed_kinds: tuple[str, ...] = ()  # of the hosts that its route keeps it to; none: any
-    in_flight: dict[int, tuple[str, float]] = field(default_factory=dict)
-    possibly_executed: list[tuple[str, float]] = field(default_factory=list)  # ended, but may have run
-    timed_out: set[int] = field(default_factory=set)  # attempts whose silence was noted,
-    given_up: set[int] = field(default_factory=set)  # and once more, past the time to try another
-    tried: set[str] = field(default_factory=set)
     done: bool = False
-    is_check: bool = False  # goes to no host: its units are all that is asked for
-    is_prepaid: bool = False  # a check has spent its units
-    odds: float = 1.0  # that its customer's quota has room for it, as far as is known without asking
-    is_over_limit: bool = False  # refused for its customer's quota or ceiling
 
 
 class PendingQueue(PriorityQueue[PendingRequest]):
     """Requests that wait for an endpoint; those on one route may go to the same endpoints."""
 
-    def add(self, job: PendingRequest) -> None:
-        """What is not proven not to have run, or was tried before, has fewer hosts left."""
-        alone = (job.possibly_executed or job.in_flight) and job.cls.effect != "safe"
-        route = job.cls.name, job.allowed_kinds, frozenset(job.tried), job.request.request_id if alone else ""
-        self.insert(route, not job.over_quota, job.value, job)
+    def add(self, pending: PendingRequest) -> None:
+        """Let a request wait, on a route of its own if it may not be repeated anywhere."""
+        pending.stage = Stage.QUEUE
+        is_unproven = pending.possibly_executed or pending.in_flight
+        alone = is_unproven and pending.service_class.effect != "safe"
+        request_id = pending.request.request_id if alone else ""
+        route = pending.service_class.name, pending.allowed_kinds, frozenset(pending.tried), request_id
+        self.insert(route, not pending.is_over_quota, pending.value, pending)
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -45,7 +45,7 @@
 CHILD = r"""
 import collections, random, sys, time
 from apigateway import messages
-from apigateway.policy import gateway as policy
+from apigateway.policy import dispatch
 from apigateway.policy import Gateway
 
 def settings(refused):
@@ -100,13 +100,13 @@
         feed(messages.Request(f"r{number}", 3.0, f"{number % customers:016x}", "p", cls, 1.0, 0, 1))
 
     if queued:
-        policy.QUEUE_LEAST = 10 ** 6
+        dispatch.MIN_QUEUE_LENGTH = 10 ** 6
     for _ in range(queued + 40 if queued else 0):  # all hosts are full
         now += 0.00001
         ask()
     most = 39 if queued else most
     for _ in range(held):  # they wait: nothing is answered
-        gateway.pool.reported_mean_load, gateway.pool.congestion = 1.0, 0.0
+        gateway.pool.reported_mean_load, gateway.pool.congestion.value = 1.0, 0.0
         ask()
     if customers > 1000:
         for _ in range(customers):
--- a/tests/routing/test_estimators.py
+++ b/tests/routing/test_estimators.py
@@ -1,4 +1,4 @@
-"""The small estimators: rates, means that fade, shares, response times, health of calls, load of endpoints."""
+"""The small estimators: rates, fading means, shares, response times, health of calls, load of endpoints."""
 
 import math
 
--- a/tests/routing/test_zone_health.py
+++ b/tests/routing/test_zone_health.py
@@ -92,7 +92,7 @@
             bad = int(sends[0].endpoint_id[1:]) % 8 == 0  # one in eight, in all sites
             acts = w.end(sends[0], "connect_failed" if bad else "ok", attempt=attempt, final=not bad)
             attempt += 1
-        low = min(low, *(w.gw.pool.zone_health.part(zone, w.now) for zone in "abc"))
+        low = min(low, *(w.gw.pool.health.zone_health.part(zone, w.now) for zone in "abc"))
         w.now += 0.3
     assert low >= 0.2
 
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -119,7 +119,8 @@
 
 def test_in_overload_of_the_hosts_checks_are_shed_as_requests_are():
     w = world(gateway_count=8, plans=[plan(rate=1000.0, burst=1000.0)])
-    w.gw.admitted_share, w.gw.pool.congestion, w.gw.pool.congestion_at = 0.1, 1.0, w.now
+    w.gw.load_shedder.admitted.share = 0.1
+    w.gw.pool.congestion.value, w.gw.pool.congestion.observed_at = 1.0, w.now
     told = [check(w, f"c{n}") for n in range(200)]
     shed = [one for one in told if isinstance(one, messages.QuotaDenied)]
     assert len(shed) > 100 and not any(one.is_over_quota for one in shed)
@@ -216,4 +217,4 @@
     answered = [a.request_id for _, a in w.log if isinstance(a, messages.QuotaGranted | messages.QuotaDenied)]
     assert len(answered) == len(set(answered)) and set(answered) <= set(asked)
     assert set(asked) - set(answered) <= gone
-    assert READ.deadline > 1.0 and not [job for job in w.gw.pending.values() if job.is_check]
+    assert READ.deadline > 1.0 and not [job for job in w.gw.pending.values() if job.request.is_check]
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -9,7 +9,8 @@
 from hypothesis import strategies as st
 
 from apigateway import messages
-from apigateway.policy.endpoint_pool import COMPARED, TICK
+from apigateway.policy.endpoint_pool import TICK
+from apigateway.policy.selection import MAX_COMPARED
 
 BIG = plan(rate=100000.0, burst=400000.0)
 
@@ -74,7 +75,7 @@
     assert all(fleet.with_capacity[s.position] is s for s in fleet.with_capacity)
     assert all((s.position >= 0) == (s.host.id in free) for s in fleet.available)
     assert fleet.attempts_out == sum(len(s.attempts_out) for s in fleet.endpoints.values())
-    assert {s for s in fleet.available if s.backoff} <= fleet.paused
+    assert {s for s in fleet.available if s.backoff} <= fleet.health.paused
     if now >= fleet.full_until:
         assert fleet.any_capacity(now) == any(fleet.has_capacity(s, now) for s in fleet.available)
 
@@ -90,7 +91,7 @@
 
 @seed(13)
 @tries(max_examples=120, deadline=None, database=None)
-@given(st.integers(3, 3 * COMPARED), st.integers(1, 4), STEPS)
+@given(st.integers(3, 3 * MAX_COMPARED), st.integers(1, 4), STEPS)
 def test_each_host_that_is_chosen_was_allowed_and_the_index_is_true(count, gateways, steps):
     routes = {"batch": messages.Route("batch", ("slow",), False)}
     hosts = [
@@ -244,7 +245,7 @@
     w.do(messages.EndpointList("full", 99, tuple(many(3))))
     w.now += 100.0
     w.do(messages.EndpointList("full", 100, tuple(many(3))))
-    assert len(w.gw.pool.endpoints) == 3 and len(w.gw.pool.outliers.hosts) <= 3
+    assert len(w.gw.pool.endpoints) == 3 and len(w.gw.pool.health.outliers.hosts) <= 3
 
 
 def test_no_work_of_a_choice_grows_with_the_fleet():
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from apigateway import messages
-from apigateway.policy.gateway import FREED_AT_ONCE, IDLE_MOST
+from apigateway.policy.customers import CHECKED_PER_REQUEST, MIN_IDLE
 
 HOSTS = [host(f"h{n}") for n in range(4)]
 
@@ -54,10 +54,10 @@
         w.now += 0.0005
         asked(w, f"{n:016x}")
     assert len(w.gw.quotas) == 2_000
-    w.now += IDLE_MOST + 30
+    w.now += MIN_IDLE + 30
     for n in range(1_000):
         asked(w, f"late-{n}")
-    assert len(w.gw.quotas) <= 1_000 + 2_000 - FREED_AT_ONCE * 400
+    assert len(w.gw.quotas) <= 1_000 + 2_000 - CHECKED_PER_REQUEST * 400
 
 
 def test_one_customer_with_a_tenth_of_all_keeps_to_its_quota_among_ever_new_ones():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -65,7 +65,7 @@
         w.do(messages.EndpointList("full" if n % 3 else "delta", n, hosts))
         w.now += 2.0
     assert len(w.gw.pool.endpoints) < 40 and len(w.gw.pool.available) == 1
-    assert len(w.gw.pool.outliers.hosts) < 40
+    assert len(w.gw.pool.health.outliers.hosts) < 40
 
 
 def test_a_host_that_is_gone_is_known_while_something_is_out_there():
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from apigateway import messages
-from apigateway.policy import gateway as policy
+from apigateway.policy import dispatch, selection
 from apigateway.policy.pending_queue import PendingQueue
 from apigateway.routing.priority_queue import DISCARDED_SLACK
 
@@ -22,7 +22,9 @@
         self.jobs = []
 
     def add(self, job):
-        at = sum(1 for one in self.jobs if (not one.over_quota, one.value) <= (not job.over_quota, job.value))
+        at = sum(
+            1 for one in self.jobs if (not one.is_over_quota, one.value) <= (not job.is_over_quota, job.value)
+        )
         self.jobs.insert(at, job)
 
     def drain(self, send):
@@ -42,26 +44,13 @@
     """As much of pending_queue.PendingRequest as the queue looks at."""
 
     def __init__(self, number, lane, value, beyond):
-        self.lane, self.value, self.over_quota, self.done = lane, value, beyond, False
-        self.cls = messages.ServiceClass(lane, 1, 3, "safe", "all", 0, 1, 0, False, 0)
+        self.lane, self.value, self.is_over_quota, self.done = lane, value, beyond, False
+        self.service_class = messages.ServiceClass(lane, 1, 3, "safe", "all", 0, 1, 0, False, 0)
         self.allowed_kinds, self.tried = (), set()
         self.possibly_executed, self.in_flight = [], {}
         self.request = messages.Request(f"r{number}", 3, "c", "p", lane, 1, 0, 1)
 
 
-def drained(queue, send):
-    """As policy.Gateway.drain_queue goes over it."""
-    heads = [head for key in list(queue.queues_by_route) if (head := queue.head(key))]
-    while heads:
-        head = min(heads)
-        heads.remove(head)
-        job = queue.first(head[-1])
-        if send(job):
-            queue.pop(head[-1])
-            after = queue.head(head[-1])
-            heads += [after] if after else []
-
-
 class Room:
     """So many of each lane can be sent."""
 
@@ -100,7 +89,7 @@
             assert queue.entry_count <= 2 * queue.waiting_count + DISCARDED_SLACK  # no pile
         elif what == "drain":
             room = Room(a, b)
-            drained(queue, room.send)
+            queue.drain(room.send)
             other = Room(a, b)
             plain.drain(other.send)
             assert room.sent == other.sent
@@ -112,7 +101,7 @@
 
 def waiting_world(monkeypatch, held):
     """A gateway whose hosts are all full, with so many that wait."""
-    monkeypatch.setattr(policy, "QUEUE_LEAST", held + 100)
+    monkeypatch.setattr(dispatch, "MIN_QUEUE_LENGTH", held + 100)
     plan = messages.Plan("p", 1e6, 1e6, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)
     w = World(module_settings(gateway_count=1, plans=[plan]), [host(f"h{n}") for n in range(4)])
     out = []
@@ -126,8 +115,10 @@
 @pytest.mark.parametrize("held", [200, 20_000])
 def test_what_waits_is_not_looked_through(monkeypatch, held):
     w, out = waiting_world(monkeypatch, held)
-    tried, choose = [], w.gw.select_endpoint
-    monkeypatch.setattr(w.gw, "select_endpoint", lambda now, job: tried.append(job) or choose(now, job))
+    tried, choose = [], selection.select_endpoint
+    monkeypatch.setattr(
+        selection, "select_endpoint", lambda state, job: tried.append(job) or choose(state, job)
+    )
     for send in out[:10]:
         w.end(send)
     assert len(tried) <= 30  # for each that ends one is sent, and one finds that there is no more room
--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -36,7 +36,7 @@
         ):
             host.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
             assert await node.ask(command(b"r%d" % n)) == b"$1\r\nv\r\n"
-        assert not node.node.core.module.pool.has_reports
+        assert node.node.core.module.pool.reported_mean_load is None
 
 
 @pytest.mark.parametrize(
