--- a/tests/external_ratelimit/test_client_session.py
+++ b/tests/external_ratelimit/test_client_session.py
@@ -11,8 +11,10 @@
 from hypothesis import strategies as st
 
 from apigateway.external_ratelimit.client_session import CallEnded, ClientSession
-from apigateway.frontends.grpc.wire import Call, Gone, Session
+from apigateway.frontends.grpc.events import CallCancelled, UnaryCall
+from apigateway.frontends.grpc.server_session import ServerSession
 from apigateway.upstream import rpc
+from apigateway.upstream.rpc import GrpcStatus
 
 PATH = "/a.B/C"
 
@@ -57,21 +59,21 @@
 
 
 def test_call_is_read_by_the_servers_session():
-    client, server = ClientSession("host:1"), Session()
+    client, server = ClientSession("host:1"), ServerSession()
     number = client.start_call(PATH, b"hello", 0.25)
-    told = server.receive(client.data_to_send())
-    assert told == [Call(number, PATH, b"hello", 0.25)]
-    client.receive(server.take())
+    events = server.receive(client.data_to_send())
+    assert events == [UnaryCall(number, PATH, b"hello", 0.25)]
+    client.receive(server.data_to_send())
     server.receive(client.data_to_send())
-    server.answer(number, b"world")
-    assert client.receive(server.take()) == [CallEnded(number, rpc.OK, "", b"world")]
+    server.send_response(number, b"world")
+    assert client.receive(server.data_to_send()) == [CallEnded(number, GrpcStatus.OK, "", b"world")]
     number = client.start_call(PATH, b"again", 1.0)
     server.receive(client.data_to_send())
-    server.fail(number, rpc.UNAVAILABLE, "50% é")
-    assert client.receive(server.take()) == [CallEnded(number, rpc.UNAVAILABLE, "50% é")]
+    server.send_status(number, GrpcStatus.UNAVAILABLE, "50% é")
+    assert client.receive(server.data_to_send()) == [CallEnded(number, GrpcStatus.UNAVAILABLE, "50% é")]
     number = client.start_call(PATH, b"never mind", 1.0)
     client.cancel(number)
-    assert server.receive(client.data_to_send())[-1] == Gone(number) and not client.open_calls
+    assert server.receive(client.data_to_send())[-1] == CallCancelled(number) and not client.open_calls
 
 
 def test_request_longer_than_the_window_continues_when_it_opens():
@@ -87,20 +89,20 @@
                 pair.server.acknowledge_received_data(event.flow_controlled_length, number)
         pair.go()
     pair.answer(number, rpc.frame_message(b"ok"))
-    assert pair.ended == [CallEnded(number, rpc.OK, "", b"ok")]
+    assert pair.ended == [CallEnded(number, GrpcStatus.OK, "", b"ok")]
 
 
 @pytest.mark.parametrize(
     "data, status, code",
     [
         (rpc.frame_message(b"ok"), b"5", 5),
-        (rpc.frame_message(b"ok"), None, rpc.UNKNOWN),
-        (rpc.frame_message(b"ok"), b"soon", rpc.UNKNOWN),
-        (b"\0\0\0", b"0", rpc.INTERNAL),
-        (b"", b"0", rpc.INTERNAL),
-        (rpc.frame_message(b"a") * 2, b"0", rpc.INTERNAL),
-        (b"\1\0\0\0\1x", b"0", rpc.UNIMPLEMENTED),
-        (b"\0\xff\xff\xff\xff", b"0", rpc.RESOURCE_EXHAUSTED),
+        (rpc.frame_message(b"ok"), None, GrpcStatus.UNKNOWN),
+        (rpc.frame_message(b"ok"), b"soon", GrpcStatus.UNKNOWN),
+        (b"\0\0\0", b"0", GrpcStatus.INTERNAL),
+        (b"", b"0", GrpcStatus.INTERNAL),
+        (rpc.frame_message(b"a") * 2, b"0", GrpcStatus.INTERNAL),
+        (b"\1\0\0\0\1x", b"0", GrpcStatus.UNIMPLEMENTED),
+        (b"\0\xff\xff\xff\xff", b"0", GrpcStatus.RESOURCE_EXHAUSTED),
     ],
 )
 def test_malformed_response_fails_its_call_and_the_next_is_read(data, status, code):
@@ -121,19 +123,19 @@
     pair.server.reset_stream(two, h2.errors.ErrorCodes.INTERNAL_ERROR)
     pair.go()
     assert [(t.stream_id, t.status, t.is_processed) for t in pair.ended] == [
-        (one, rpc.UNAVAILABLE, False),
-        (two, rpc.UNAVAILABLE, True),
+        (one, GrpcStatus.UNAVAILABLE, False),
+        (two, GrpcStatus.UNAVAILABLE, True),
     ]
 
 
 def test_goaway_lets_earlier_calls_end_and_starts_no_more():
     pair = Pair()
     one, two = pair.ask(), pair.ask()
-    told = pair.session.receive(GoAwayFrame(0, last_stream_id=one, error_code=0).serialize())
-    assert told == [CallEnded(two, rpc.UNAVAILABLE, "the server ends", is_processed=False)]
+    ended_calls = pair.session.receive(GoAwayFrame(0, last_stream_id=one, error_code=0).serialize())
+    assert ended_calls == [CallEnded(two, GrpcStatus.UNAVAILABLE, "the server ends", is_processed=False)]
     assert pair.session.available_streams() == 0 and not pair.session.is_finished
     pair.answer(one, rpc.frame_message(b"ok"))
-    assert pair.ended == [CallEnded(one, rpc.OK, "", b"ok")] and pair.session.is_finished
+    assert pair.ended == [CallEnded(one, GrpcStatus.OK, "", b"ok")] and pair.session.is_finished
 
 
 def test_available_streams_are_those_that_the_server_allows():
@@ -151,7 +153,7 @@
     number = pair.ask()
     pair.server.send_headers(number, [(b":status", b"503")], end_stream=True)
     pair.go()
-    assert pair.ended == [CallEnded(number, rpc.UNAVAILABLE, "HTTP status 503")]
+    assert pair.ended == [CallEnded(number, GrpcStatus.UNAVAILABLE, "HTTP status 503")]
     number = pair.ask()
     pair.server.send_headers(number, [(b":status", b"404")])
     pair.go()
@@ -197,14 +199,14 @@
     stream = bytearray(server.data_to_send())
     if noise:
         stream[min(place, len(stream)) : min(place, len(stream)) + len(noise)] = noise
-    told, at = [], 0
+    ended_calls, at = [], 0
     for cut in [*cuts, len(stream)]:
         if at < len(stream) and not session.is_finished:
-            told += session.receive(bytes(stream[at : at + cut]))
+            ended_calls += session.receive(bytes(stream[at : at + cut]))
         at += cut
         session.data_to_send()
-    told += session.connection_lost("the end")
-    ended = [one.stream_id for one in told]
+    ended_calls += session.connection_lost("the end")
+    ended = [one.stream_id for one in ended_calls]
     assert sorted(ended) == asked
     if not noise:
-        assert all(one.message == b"y" * 30 for one in told)
+        assert all(one.message == b"y" * 30 for one in ended_calls)
--- a/tests/plugins/test_language.py
+++ b/tests/plugins/language/test_expressions.py
@@ -1,13 +1,13 @@
-"""The language of rules: what it means, what it refuses, and that nothing an operator types can do harm."""
+"""The language of rules: what it means, what it rejects, and that nothing an operator types can do harm."""
 
 import pytest
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from apigateway.plugins.language import LanguageError, compile_text
-from apigateway.plugins.language.library import MOST_LENGTH, RunError
-from apigateway.plugins.rules import FIELDS
-from apigateway.plugins.terms import View
+from apigateway.plugins.interfaces import RequestView
+from apigateway.plugins.language import EvaluationError, ExpressionError, compile_expression
+from apigateway.plugins.language.values import MAX_TEXT_LENGTH
+from apigateway.plugins.rule_vocabulary import FIELDS
 
 SETTINGS = {
     "district": {"a": "kochi", "b": "thrissur"},
@@ -21,21 +21,21 @@
 }
 
 
-def run(text, phase="request", **fields):
-    view = View(
+def evaluate(text, phase="request", **fields):
+    view = RequestView(
         **{
-            "id": "r1",
+            "request_id": "r1",
             "customer": "a",
-            "cls": "read",
+            "service_class": "read",
             "plan": "basic",
             "units": 2.0,
-            "left": 3.0,
+            "remaining": 3.0,
             "now": 1798761600.0,
             "tags": {"x": "1"},
             **fields,
         }
     )
-    return compile_text(text, FIELDS[phase], SETTINGS, 7).run(view)
+    return compile_expression(text, FIELDS[phase], SETTINGS, 7).evaluate(view)
 
 
 @pytest.mark.parametrize(
@@ -79,8 +79,8 @@
         ("sample(1) && !sample(0)", True),
     ],
 )
-def test_what_it_means(text, value):
-    assert run(text) == value
+def test_expression_has_its_value(text, value):
+    assert evaluate(text) == value
 
 
 @pytest.mark.parametrize(
@@ -121,10 +121,10 @@
         ("size(1)", "size takes"),
     ],
 )
-def test_what_it_refuses_and_where(text, words):
-    with pytest.raises(LanguageError, match=".") as caught:
-        run(text)
-    assert words in caught.value.reason and 0 <= caught.value.at <= len(text)
+def test_invalid_expression_is_rejected_with_reason_and_position(text, words):
+    with pytest.raises(ExpressionError, match=".") as caught:
+        evaluate(text)
+    assert words in caught.value.reason and 0 <= caught.value.position <= len(text)
 
 
 @pytest.mark.parametrize(
@@ -139,19 +139,19 @@
         "substring(id, 1e308 * 10, 2)",
     ],
 )
-def test_a_value_that_there_is_not(text):
-    with pytest.raises(RunError):
-        run(text)
+def test_expression_without_a_value_for_a_request_raises(text):
+    with pytest.raises(EvaluationError):
+        evaluate(text)
 
 
-def test_texts_cannot_be_grown_without_end():
-    with pytest.raises(RunError):
-        run("+".join(["plan"] * 2), plan="x" * (MOST_LENGTH - 1))
+def test_text_that_grows_too_long_raises():
+    with pytest.raises(EvaluationError):
+        evaluate("+".join(["plan"] * 2), plan="x" * (MAX_TEXT_LENGTH - 1))
 
 
-def test_a_sample_is_the_same_for_a_request_and_about_its_share_of_all():
-    drawn = [run("sample(0.25)", id=f"r{n}") for n in range(2000)]
-    assert drawn == [run("sample(0.25)", id=f"r{n}") for n in range(2000)]
+def test_sample_is_the_same_for_a_request_and_near_its_share_of_all():
+    drawn = [evaluate("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
+    assert drawn == [evaluate("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
     assert 400 < sum(drawn) < 600
 
 
@@ -203,15 +203,15 @@
 @seed(12)
 @settings(max_examples=400, deadline=None, database=None)
 @given(st.one_of(st.text(max_size=60), st.lists(PIECES, max_size=14).map(" ".join)))
-def test_whatever_is_typed_is_refused_or_gives_a_value(text):
+def test_whatever_is_typed_is_rejected_or_has_a_value(text):
     """Nothing but the two exceptions of the language ever comes out."""
     try:
-        run(text)
-    except (LanguageError, RunError):
+        evaluate(text)
+    except (ExpressionError, EvaluationError):
         pass
 
 
-def numbers(children):
+def arithmetic(children):
     return st.one_of(
         st.tuples(children, st.sampled_from(["+", "-", "*", "/", "%"]), children).map(
             lambda t: f"({t[0]} {t[1]} {t[2]})"
@@ -222,11 +222,11 @@
 
 @seed(13)
 @settings(max_examples=200, deadline=None, database=None)
-@given(st.recursive(st.sampled_from(["1", "0", "units", "left", "1e300"]), numbers, max_leaves=12))
-def test_sound_expressions_end_in_a_number(text):
+@given(st.recursive(st.sampled_from(["1", "0", "units", "left", "1e300"]), arithmetic, max_leaves=12))
+def test_sound_arithmetic_gives_a_number(text):
     try:
-        assert isinstance(run(text), float)
-    except RunError as err:
+        assert isinstance(evaluate(text), float)
+    except EvaluationError as err:
         assert "division" in str(err)
-    except LanguageError as err:
+    except ExpressionError as err:
         assert "parts" in err.reason or "nested" in err.reason
