--- a/apigateway/emulators/clients.py
+++ b/apigateway/emulators/clients.py
@@ -1,5 +1,7 @@
-"""Clients that speak RESP2 to gateways and write down what comes back, and customers whose traffic they
-carry."""
+"""Clients that speak RESP2 to gateways, and customers whose traffic they carry.
+
+The ledger is told of each request and of what comes back.
+"""
 
 from __future__ import annotations
 
@@ -8,167 +10,147 @@
 import random
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
-from typing import Any
+from typing import NamedTuple
 
 import hiredis
 
+from apigateway.emulators.client_messages import Answer, Order, ResultKind, read_answer
 from apigateway.emulators.ledger import Ledger
-from apigateway.emulators.resp import bulk
-
-Address = tuple[str, int]
-GIVE_UP = 1.0  # s past its own time after which a client takes a request for lost
-
-
-@dataclass(frozen=True, slots=True)
-class Order:
-    """One request. `wait`: seconds that its client waits; `spread` gateways in a row from `first` may get
-    it."""
-
-    id: str
-    customer: str  # 16 hex digits
-    plan: str
-    cls: str
-    effect: str  # safe, keyed, unsafe
-    wait: float
-    units: float = 1.0
-    spread: int = 1
-    first: int = 0
-    again: bool = False
-
-    def message(self) -> bytes:
-        terms = (
-            f"c={self.cls},t={self.plan},d={int(self.wait * 1000)},units={self.units:g},"
-            f"spread={self.spread},first={self.first}"
-        )
-        terms += f",k={self.id}" * (self.effect == "keyed") + ",r=1" * self.again
-        write = self.effect != "safe"
-        parts = [
-            b"API.WRITE" if write else b"API.READ",
-            self.customer.encode(),
-            self.id.encode(),
-            terms.encode(),
-        ]
-        parts += [b"BODY"] * write
-        return b"*%d\r\n%s" % (len(parts), b"".join(bulk(part) for part in parts))
-
-
-@dataclass(frozen=True, slots=True)
-class Answer:
-    """`kind`: served, refused, failed; lost: the connection ended or nothing came; unreachable: never
-    sent."""
 
-    kind: str
-    value: bytes = b""
-    come_again: float = 0.0  # s, with a refusal
+__all__ = ["Address", "Answer", "Client", "Customer", "Kind", "Order", "Traffic", "read_answer"]
 
+Address = tuple[str, int]
+GIVE_UP_MARGIN_S = 1.0  # past its own time, after which a client takes a request for lost
+CONNECT_TIMEOUT_S = 1.0
+MIN_RETRY_WAIT_S = 0.1
+ID_PREFIX_BITS = 32  # of the ids of one traffic
 
-def read_answer(reply: Any) -> Answer:
-    if isinstance(reply, bytes):
-        return Answer("served", reply)
-    words = str(reply).split()
-    if isinstance(reply, hiredis.ReplyError) and words[0] == "BUSY":
-        return Answer("refused", b"", int(words[1]) / 1000 if len(words) > 1 else 0.0)
-    return Answer("failed")
 
+class ClientConnection(asyncio.Protocol):
+    """A connection that is kept, with one request on it at a time.
 
-class Line(asyncio.Protocol):
-    """A kept connection with one request on it at a time."""
+    Attributes:
+        answered: Requests that were answered on it.
+        is_open: Whether the gateway has not ended it.
+    """
 
     def __init__(self, client: Client, gateway: str) -> None:
-        self.client, self.gateway = client, gateway
-        self.parser = hiredis.Reader(notEnoughData=...)
-        self.waiting: asyncio.Future[Answer] | None = None
-        self.used = 0  # requests that were answered on it
-        self.open = True
+        self._client = client
+        self._parser = hiredis.Reader(notEnoughData=...)
+        self._pending: asyncio.Future[Answer] | None = None
+        self.gateway = gateway
+        self.answered = 0
+        self.is_open = True
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self.transport = transport  # type: ignore[assignment]
 
     def data_received(self, data: bytes) -> None:
-        self.parser.feed(data)
-        while (got := self.parser.gets()) is not ...:
-            if self.waiting is None or self.waiting.done():
-                self.client.ledger.unasked(self.gateway)
+        """Hand the replies over; one that nobody waits for goes to the ledger."""
+        self._parser.feed(data)
+        while (reply := self._parser.gets()) is not ...:
+            if self._pending is None or self._pending.done():
+                self._client.ledger.unasked(self.gateway)
             else:
-                self.used += 1
-                self.waiting.set_result(read_answer(got))
+                self.answered += 1
+                self._pending.set_result(read_answer(reply))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.open = False
-        idle = self.client.idle[self.gateway]
-        if self in idle:
-            idle.remove(self)
-        if self.waiting is not None and not self.waiting.done():
-            self.waiting.set_result(Answer("lost"))
+        """Take the request that waits for lost."""
+        self.is_open = False
+        self._client.forget(self)
+        if self._pending is not None and not self._pending.done():
+            self._pending.set_result(Answer(ResultKind.LOST))
 
     async def ask(self, message: bytes, seconds: float) -> Answer:
-        self.waiting = asyncio.get_running_loop().create_future()
+        """Send a request and wait for its answer; after so many seconds it is lost."""
+        self._pending = asyncio.get_running_loop().create_future()
         self.transport.write(message)
         try:
             async with asyncio.timeout(seconds):
-                answer = await self.waiting
+                answer = await self._pending
         except TimeoutError:
             self.transport.abort()
-            return Answer("lost")
-        self.waiting = None
+            return Answer(ResultKind.LOST)
+        self._pending = None
         return answer
 
 
 class Client:
-    """Requests to gateways by name. `refused` counts connections that were refused."""
+    """Sends requests to gateways by name.
+
+    Attributes:
+        refused: Connections that were refused.
+    """
 
     def __init__(self, ledger: Ledger, gateways: Mapping[str, Address]) -> None:
-        self.ledger, self.gateways = ledger, gateways
-        self.idle: dict[str, list[Line]] = {name: [] for name in gateways}
+        self.ledger = ledger
+        self.gateways = gateways
+        self._idle: dict[str, list[ClientConnection]] = {name: [] for name in gateways}
         self.refused = 0
 
-    async def line(self, gateway: str, fresh: bool = False) -> Line | None:
-        """None if the gateway cannot be reached."""
-        if self.idle[gateway] and not fresh:
-            return self.idle[gateway].pop()
-        try:
-            async with asyncio.timeout(1.0):
-                loop = asyncio.get_running_loop()
-                _, line = await loop.create_connection(lambda: Line(self, gateway), *self.gateways[gateway])
-        except (OSError, TimeoutError):
-            self.refused += 1
-            return None
-        return line
-
     async def ask(self, gateway: str, order: Order) -> Answer:
-        """The gateway may close a connection between requests; what crosses that goes once more on a new
-        one."""
-        line = await self.line(gateway)
-        if line is None:
-            return Answer("unreachable")
-        kept, answer = line.used > 0, await self.on(line, order)
-        if answer.kind == "lost" and kept:
-            again = await self.line(gateway, fresh=True)
-            if again is not None:
-                line, answer = again, await self.on(again, order)
-        if answer.kind == "lost":
+        """Send a request and return its answer, which the ledger is told.
+
+        The gateway may close a connection between requests; a request that crosses that is sent once more, on
+        a new connection.
+        """
+        connection = await self._connection(gateway)
+        if connection is None:
+            return Answer(ResultKind.UNREACHABLE)
+        was_used = connection.answered > 0
+        answer = await self._ask_on(connection, order)
+        if answer.kind == ResultKind.LOST and was_used:
+            new_connection = await self._connection(gateway, is_new=True)
+            if new_connection is not None:
+                connection = new_connection
+                answer = await self._ask_on(connection, order)
+        if answer.kind == ResultKind.LOST:
             self.ledger.broke_off(order.id)
         else:
             self.ledger.answered(order.id, answer.kind, answer.value)
-            if line.open:
-                self.idle[gateway].append(line)
+            if connection.is_open:
+                self._idle[gateway].append(connection)
         return answer
 
-    async def on(self, line: Line, order: Order) -> Answer:
+    async def _connection(self, gateway: str, is_new: bool = False) -> ClientConnection | None:
+        """Return an idle connection or a new one; None if the gateway cannot be reached."""
+        if self._idle[gateway] and not is_new:
+            return self._idle[gateway].pop()
+        loop = asyncio.get_running_loop()
+        try:
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                _, connection = await loop.create_connection(
+                    lambda: ClientConnection(self, gateway), *self.gateways[gateway]
+                )
+        except (OSError, TimeoutError):
+            self.refused += 1
+            return None
+        return connection
+
+    async def _ask_on(self, connection: ClientConnection, order: Order) -> Answer:
         self.ledger.asked(
-            order.id, line.gateway, order.wait, order.customer, order.plan, order.cls, order.units
+            order.id, connection.gateway, order.wait, order.customer, order.plan, order.cls, order.units
         )
-        return await line.ask(order.message(), order.wait + GIVE_UP)
+        return await connection.ask(order.message(), order.wait + GIVE_UP_MARGIN_S)
+
+    def forget(self, connection: ClientConnection) -> None:
+        """Keep a connection no longer: it has ended."""
+        idle = self._idle[connection.gateway]
+        if connection in idle:
+            idle.remove(connection)
 
     def close(self) -> None:
-        for line in itertools.chain.from_iterable(list(lines) for lines in self.idle.values()):
-            line.transport.close()
+        """Close the idle connections."""
+        for connection in itertools.chain.from_iterable(list(idle) for idle in self._idle.values()):
+            connection.transport.close()
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A class as customers use it: its share of requests and how long they wait."""
+    """A class as customers use it: its share of requests and how many seconds they wait."""
 
     name: str
     effect: str
@@ -178,6 +160,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
+    """A customer: it comes through `spread` gateways in a row from `first` on."""
+
     id: str
     plan: str
     rate: float  # requests a second that it asks for
@@ -185,10 +169,23 @@
     spread: int
 
 
+class DueRequest(NamedTuple):
+    """When a customer asks next, by its number."""
+
+    at: float  # s from the start of the traffic
+    customer: int
+
+
 class Traffic:
-    """Customers' requests by a schedule of their own (Poisson), whatever the gateways do. Whom a gateway
-    refuses comes once more, after the time that it was told; whom it does not reach tries another gateway of
-    its set."""
+    """Customers' requests by a schedule of their own (Poisson), whatever the gateways do.
+
+    Whom a gateway refuses comes once more, after the time that it was told; whom it does not reach tries
+    another gateway of its set.
+
+    Attributes:
+        tasks: The requests that are under way.
+        latency: Seconds of each request that was served.
+    """
 
     def __init__(
         self,
@@ -198,67 +195,94 @@
         seed: int = 1,
         retries: float = 0.5,
     ) -> None:
-        self.client, self.customers, self.kinds, self.retries = client, customers, kinds, retries
-        self.rng = random.Random(seed)
-        self.names = list(client.gateways)
+        """Prepare the traffic.
+
+        Args:
+            client: Sends the requests.
+            customers: Who asks.
+            kinds: What they ask for.
+            seed: Of the schedule.
+            retries: Part of those refused that come again.
+        """
+        self.client = client
+        self.customers = customers
+        self.kinds = kinds
+        self.retries = retries
         self.tasks: set[asyncio.Task[None]] = set()
-        self.latency: list[float] = []  # s, of what was served
-        self.ids = 0
-        self.prefix = f"{self.rng.getrandbits(32):08x}"
-
-    def order(self, customer: Customer, kind: Kind, again: bool = False) -> Order:
-        self.ids += 1
-        return Order(
-            f"{self.prefix}{self.ids:08x}",
-            customer.id,
-            customer.plan,
-            kind.name,
-            kind.effect,
-            kind.wait,
-            1.0,
-            customer.spread,
-            customer.first,
-            again,
-        )
+        self.latency: list[float] = []
+        self._rng = random.Random(seed)
+        self._gateways = list(client.gateways)
+        self._orders = 0
+        self._id_prefix = f"{self._rng.getrandbits(ID_PREFIX_BITS):08x}"
 
-    async def one(self, customer: Customer, kind: Kind) -> None:
+    async def run(self, seconds: float) -> None:
+        """Send requests for so long, and wait until each has come to its end."""
         loop = asyncio.get_running_loop()
-        began, again = loop.time(), False
-        while True:
-            count = len(self.names)
-            places = [self.names[(customer.first + n) % count] for n in range(customer.spread)]
-            self.rng.shuffle(places)
-            answer = Answer("unreachable")
-            for place in places:
-                answer = await self.client.ask(place, self.order(customer, kind, again))
-                if answer.kind != "unreachable":
-                    break
-            if answer.kind == "served":
-                self.latency.append(loop.time() - began)
-            if again or answer.kind != "refused" or self.rng.random() >= self.retries:
-                return
-            again = True
-            await asyncio.sleep(max(0.1, answer.come_again))
+        schedule = self._draw_schedule(seconds)
+        began = loop.time()
+        for due in schedule:
+            await asyncio.sleep(max(0.0, began + due.at - loop.time()))
+            self.start(self.customers[due.customer])
+        while self.tasks:
+            await asyncio.wait(list(self.tasks))
+
+    def _draw_schedule(self, seconds: float) -> list[DueRequest]:
+        due = [
+            DueRequest(self._rng.expovariate(customer.rate), number)
+            for number, customer in enumerate(self.customers)
+            if customer.rate > 0
+        ]
+        schedule: list[DueRequest] = []
+        while due:
+            request = due.pop()
+            if request.at < seconds:
+                schedule.append(request)
+                interval = self._rng.expovariate(self.customers[request.customer].rate)
+                due.append(DueRequest(request.at + interval, request.customer))
+        return sorted(schedule)
 
     def start(self, customer: Customer) -> None:
-        kind = self.rng.choices(self.kinds, [k.share for k in self.kinds])[0]
-        task = asyncio.get_running_loop().create_task(self.one(customer, kind))
+        """Begin a request of a customer."""
+        kind = self._rng.choices(self.kinds, [kind.share for kind in self.kinds])[0]
+        task = asyncio.get_running_loop().create_task(self._request(customer, kind))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def run(self, seconds: float) -> None:
-        """Ends once each request has come to its end."""
+    async def _request(self, customer: Customer, kind: Kind) -> None:
+        """Send a request, and once more if it is refused."""
         loop = asyncio.get_running_loop()
-        due = [(self.rng.expovariate(c.rate), n) for n, c in enumerate(self.customers) if c.rate > 0]
-        schedule = []
-        while due:
-            at, n = due.pop()
-            if at < seconds:
-                schedule.append((at, n))
-                due.append((at + self.rng.expovariate(self.customers[n].rate), n))
         began = loop.time()
-        for at, n in sorted(schedule):
-            await asyncio.sleep(max(0.0, began + at - loop.time()))
-            self.start(self.customers[n])
-        while self.tasks:
-            await asyncio.wait(list(self.tasks))
+        is_retry = False
+        while True:
+            answer = await self._try_gateways(customer, kind, is_retry)
+            if answer.kind == ResultKind.SERVED:
+                self.latency.append(loop.time() - began)
+            if is_retry or answer.kind != ResultKind.REFUSED or self._rng.random() >= self.retries:
+                return
+            is_retry = True
+            await asyncio.sleep(max(MIN_RETRY_WAIT_S, answer.come_again))
+
+    async def _try_gateways(self, customer: Customer, kind: Kind, is_retry: bool) -> Answer:
+        """Send a request to the customer's gateways in a random order, until one is reached."""
+        count = len(self._gateways)
+        gateways = [self._gateways[(customer.first + n) % count] for n in range(customer.spread)]
+        self._rng.shuffle(gateways)
+        for gateway in gateways:
+            answer = await self.client.ask(gateway, self._new_order(customer, kind, is_retry))
+            if answer.kind != ResultKind.UNREACHABLE:
+                return answer
+        return Answer(ResultKind.UNREACHABLE)
+
+    def _new_order(self, customer: Customer, kind: Kind, is_retry: bool) -> Order:
+        self._orders += 1
+        return Order(
+            id=f"{self._id_prefix}{self._orders:08x}",
+            customer=customer.id,
+            plan=customer.plan,
+            cls=kind.name,
+            effect=kind.effect,
+            wait=kind.wait,
+            spread=customer.spread,
+            first=customer.first,
+            again=is_retry,
+        )
--- a/apigateway/emulators/relay.py
+++ b/apigateway/emulators/relay.py
@@ -6,21 +6,36 @@
 import itertools
 import random
 from dataclasses import dataclass
+from enum import StrEnum
 
-KINDS = ("sound", "delay", "silent", "stall", "cut", "refuse", "lose")
+BACKLOG = 512  # connections; hundreds of gateways connect at once
+SEEDS_PER_LINKS = 10_000  # relays of one `Links` have seeds of their own
+
+
+class WeatherKind(StrEnum):
+    """What a link does to what passes it."""
+
+    SOUND = "sound"  # nothing
+    DELAY = "delay"  # each piece comes `seconds` late, and up to `jitter` later, in order
+    SILENT = "silent"  # nothing passes and nobody is told; connections stay open
+    STALL = "stall"  # as SILENT, and all of it passes when the weather changes
+    CUT = "cut"  # each connection is reset once `after` bytes have come back
+    REFUSE = "refuse"  # new connections are reset, open ones stay
+    LOSE = "lose"  # a `part` of the connections, drawn with each piece that comes back, says nothing more
+
+
+MUTE_KINDS = (WeatherKind.SILENT, WeatherKind.STALL)
 
 
 @dataclass(frozen=True, slots=True)
 class Weather:
-    """What a link does to what passes it.
+    """What a link does, a `WeatherKind`, and its figures.
 
-    sound: nothing. delay: each piece comes `seconds` late, and up to `jitter` later, in order. silent:
-    nothing passes and nobody is told, `one_way` of what comes back alone; connections stay open. stall: as
-    silent, and all of it passes when the weather changes. cut: each connection is reset once `after` bytes
-    have come back. refuse: new connections are reset, open ones stay. lose: a `part` of the connections, each
-    drawn with its next piece that comes back, says nothing from then on."""
+    Attributes:
+        one_way: Of SILENT: what goes to the target passes, and only what comes back does not.
+    """
 
-    kind: str = "sound"
+    kind: str = WeatherKind.SOUND
     seconds: float = 0.0
     jitter: float = 0.0
     one_way: bool = False
@@ -28,8 +43,8 @@
     part: float = 0.0
 
     def __post_init__(self) -> None:
-        if self.kind not in KINDS:
-            raise ValueError(f"unknown weather {self.kind!r}, one of {', '.join(KINDS)}")
+        if self.kind not in tuple(WeatherKind):
+            raise ValueError(f"unknown weather {self.kind!r}, one of {', '.join(WeatherKind)}")
         if min(self.seconds, self.jitter, self.after, self.part) < 0 or self.part > 1:
             raise ValueError(f"weather {self.kind}: figure out of range")
 
@@ -37,149 +52,219 @@
 SOUND = Weather()
 
 
-class End(asyncio.Protocol):
-    """One side of a connection through a relay."""
+class RelayEnd(asyncio.Protocol):
+    """One side of a connection through a relay.
+
+    Attributes:
+        faces_target: Whether it faces what is connected to, and not the one that connects.
+        peer: The other side; None until that is up.
+        transport: Its own connection; None until that is up.
+    """
 
-    def __init__(self, relay: Relay, there: bool) -> None:
-        self.relay, self.there = relay, there  # there: it faces what is connected to
-        self.other: End | None = None
+    def __init__(self, relay: Relay, faces_target: bool) -> None:
+        self._relay = relay
+        self.faces_target = faces_target
+        self.peer: RelayEnd | None = None
         self.transport: asyncio.Transport | None = None
-        self.held: list[bytes] = []  # before the other side is up, or while the link stalls
-        self.passed, self.mute, self.due = 0, False, 0.0
+        self._held: list[bytes] = []  # before the other side is up, or while the link stalls
+        self._passed_bytes = 0
+        self._is_mute = False
+        self._due = 0.0  # when the last piece passes
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Connect to the target, for the side that faces the one that connects."""
         self.transport = transport  # type: ignore[assignment]
-        self.relay.ends.add(self)
-        if not self.there:
-            self.relay.join(self)
+        self._relay.ends.add(self)
+        if not self.faces_target:
+            self._relay.join(self)
 
     def data_received(self, data: bytes) -> None:
-        relay, now = self.relay, asyncio.get_running_loop().time()
-        weather = relay.weather
-        if weather.kind == "lose" and self.there and relay.rng.random() < weather.part:
-            self.mute = True
-        if self.mute or (weather.kind == "silent" and (self.there or not weather.one_way)):
+        """Pass a piece on, as the weather lets it."""
+        weather = self._relay.weather
+        if self._drops(weather):
             return
-        if weather.kind == "stall" or self.other is None or self.other.transport is None:
-            self.held.append(data)
+        if weather.kind == WeatherKind.STALL or self.peer is None or self.peer.transport is None:
+            self._held.append(data)
             return
-        if weather.kind == "cut" and self.there and self.passed + len(data) > weather.after:
-            self.write(data[: max(0, weather.after - self.passed)])
+        is_cut = weather.kind == WeatherKind.CUT and self.faces_target
+        if is_cut and self._passed_bytes + len(data) > weather.after:
+            self._write(data[: max(0, weather.after - self._passed_bytes)])
             self.abort()
             return
-        late = weather.seconds + weather.jitter * relay.rng.random() if weather.kind == "delay" else 0.0
-        self.due = max(self.due, now + late)  # in order, whatever the jitter
-        if self.due > now:
-            asyncio.get_running_loop().call_at(self.due, self.write, data)
+        self._write_in_time(data, weather)
+
+    def _drops(self, weather: Weather) -> bool:
+        """Return whether a piece that comes now does not pass."""
+        is_lossy = weather.kind == WeatherKind.LOSE and self.faces_target
+        if is_lossy and self._relay.rng.random() < weather.part:
+            self._is_mute = True
+        is_silent = weather.kind == WeatherKind.SILENT and (self.faces_target or not weather.one_way)
+        return self._is_mute or is_silent
+
+    def _write_in_time(self, data: bytes, weather: Weather) -> None:
+        """Pass a piece on, after the delay that the weather asks for."""
+        loop = asyncio.get_running_loop()
+        now = loop.time()
+        delay = 0.0
+        if weather.kind == WeatherKind.DELAY:
+            delay = weather.seconds + weather.jitter * self._relay.rng.random()
+        self._due = max(self._due, now + delay)  # in order, whatever the jitter
+        if self._due > now:
+            loop.call_at(self._due, self._write, data)
         else:
-            self.write(data)
+            self._write(data)
 
-    def write(self, data: bytes) -> None:
-        self.passed += len(data)
-        there = self.other.transport if self.other is not None else None
-        if there is not None and data and not there.is_closing():  # it may end while a stall holds this back
-            there.write(data)
+    def _write(self, data: bytes) -> None:
+        self._passed_bytes += len(data)
+        transport = self.peer.transport if self.peer is not None else None
+        # The other side may end while a stall holds this back.
+        if transport is not None and data and not transport.is_closing():
+            transport.write(data)
 
     def release(self) -> None:
-        held, self.held = self.held, []
+        """Pass on what was held back."""
+        held = self._held
+        self._held = []
         for data in held:
-            self.write(data)
+            self._write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.relay.ends.discard(self)
-        if self.other is not None and self.other.transport is not None and self.relay.tells_ends():
-            self.other.transport.close() if exc is None else self.other.transport.abort()
+        """End the other side in the same way, if the weather lets it know."""
+        self._relay.ends.discard(self)
+        peer = self.peer
+        if peer is None or peer.transport is None or not self._relay.tells_ends():
+            return
+        if exc is None:
+            peer.transport.close()
+        else:
+            peer.transport.abort()
 
     def abort(self) -> None:
-        for end in (self, self.other):
+        """Reset both sides."""
+        for end in (self, self.peer):
             if end is not None and end.transport is not None:
                 end.transport.abort()
 
 
 class Relay:
-    """A listener whose connections go on to `target`, through the `weather` that a test sets in time."""
+    """A listener whose connections go on to a target, through the weather that a test sets in time.
+
+    Attributes:
+        weather: The weather now; change it by `set`.
+        ends: The sides of all connections that are up.
+        connections: Connections that there ever were.
+    """
 
     def __init__(self, target: tuple[str, int], seed: int = 0) -> None:
-        self.target, self.weather, self.rng = target, SOUND, random.Random(f"relay/{seed}")
-        self.ends: set[End] = set()
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.port = self.connections = 0
-        self.server: asyncio.Server
+        self._target = target
+        self.weather = SOUND
+        self.rng = random.Random(f"relay/{seed}")
+        self.ends: set[RelayEnd] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
+        self.port = 0
+        self.connections = 0
+        self._server: asyncio.Server
 
     async def open(self) -> None:
+        """Listen on a free port."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: End(self, False), "127.0.0.1", 0, backlog=512)
-        self.port = self.server.sockets[0].getsockname()[1]
+        self._server = await loop.create_server(
+            lambda: RelayEnd(self, faces_target=False), "127.0.0.1", 0, backlog=BACKLOG
+        )
+        self.port = self._server.sockets[0].getsockname()[1]
 
-    def join(self, near: End) -> None:
+    def join(self, near: RelayEnd) -> None:
+        """Connect a new connection to the target, or reset it."""
         self.connections += 1
-        if self.weather.kind == "refuse":
+        if self.weather.kind == WeatherKind.REFUSE:
             near.abort()
             return
-        task = asyncio.get_running_loop().create_task(self.connect(near))
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        task = asyncio.get_running_loop().create_task(self._connect(near))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def connect(self, near: End) -> None:
-        far = End(self, True)
+    async def _connect(self, near: RelayEnd) -> None:
+        far = RelayEnd(self, faces_target=True)
         try:
-            await asyncio.get_running_loop().create_connection(lambda: far, *self.target)
-        except OSError:  # what it goes to has died: as the one that connects would be told
+            await asyncio.get_running_loop().create_connection(lambda: far, *self._target)
+        except OSError:  # the target has died: the one that connects learns it as it would without a relay
             near.abort()
             return
-        far.other, near.other = near, far
+        far.peer = near
+        near.peer = far
         if near.transport is None or near.transport.is_closing():
             far.abort()
-        elif self.weather.kind != "stall":
+        elif self.weather.kind != WeatherKind.STALL:
             near.release()
 
     def tells_ends(self) -> bool:
-        """Whether one side's end is told to the other: not while nothing passes."""
-        return self.weather.kind not in ("silent", "stall")
+        """Return whether one side's end is told to the other: not while nothing passes."""
+        return self.weather.kind not in MUTE_KINDS
 
     def set(self, weather: Weather) -> None:
-        """From now on. What a stall held passes; a connection of which nothing came through silence is reset,
-        as its sender would find out when the link is back."""
-        before, self.weather = self.weather, weather
+        """Change the weather.
+
+        What a stall held passes. After a silence all connections are reset, as their senders would find out
+        when the link is back.
+        """
+        before = self.weather
+        self.weather = weather
         for end in list(self.ends):
-            if before.kind == "stall":
+            if before.kind == WeatherKind.STALL:
                 end.release()
-            elif before.kind == "silent":
+            elif before.kind == WeatherKind.SILENT:
                 end.abort()
 
     async def close(self) -> None:
-        self.server.close()
-        for task in list(self.tasks):
+        """Stop listening and reset all connections."""
+        self._server.close()
+        for task in list(self._tasks):
             task.cancel()
         for end in list(self.ends):
             end.abort()
 
 
 class Links:
-    """Relays between gateways and hosts, one for each zone of gateways and each host, and one for each
-    gateway to the counter: hundreds of gateways do not need a relay for each pair."""
+    """The relays of an installation.
+
+    There is one for each zone of gateways and each host, and one for each gateway to the counter: hundreds of
+    gateways do not need a relay for each pair.
+
+    Attributes:
+        hosts: By the gateways' zone and the host's name.
+        counter: By the gateway's name.
+    """
 
     def __init__(self, seed: int = 0) -> None:
-        self.hosts: dict[tuple[str, str], Relay] = {}  # gateways' zone, host
-        self.counter: dict[str, Relay] = {}  # gateway
-        self.numbers, self.seed = itertools.count(), seed
+        self.hosts: dict[tuple[str, str], Relay] = {}
+        self.counter: dict[str, Relay] = {}
+        self._seed = seed
+        self._numbers = itertools.count()
 
     async def to_host(self, zone: str, host: str, target: tuple[str, int]) -> Relay:
-        self.hosts[zone, host] = relay = Relay(target, self.seed * 10_000 + next(self.numbers))
+        """Open the relay from the gateways of a zone to a host."""
+        relay = self._new_relay(target)
+        self.hosts[zone, host] = relay
         await relay.open()
         return relay
 
     async def to_counter(self, gateway: str, target: tuple[str, int]) -> Relay:
-        self.counter[gateway] = relay = Relay(target, self.seed * 10_000 + next(self.numbers))
+        """Open the relay from a gateway to the counter."""
+        relay = self._new_relay(target)
+        self.counter[gateway] = relay
         await relay.open()
         return relay
 
+    def _new_relay(self, target: tuple[str, int]) -> Relay:
+        return Relay(target, self._seed * SEEDS_PER_LINKS + next(self._numbers))
+
     def between(self, weather: Weather, zones: set[str] | None = None, hosts: set[str] | None = None) -> None:
-        """Sets it on the links of gateways of these zones to these hosts; None: of all."""
+        """Set the weather on the links of gateways of these zones to these hosts; None: of all."""
         for (zone, host), relay in self.hosts.items():
             if (zones is None or zone in zones) and (hosts is None or host in hosts):
                 relay.set(weather)
 
     async def close(self) -> None:
+        """Close all relays."""
         for relay in (*self.hosts.values(), *self.counter.values()):
             await relay.close()
--- a/tests/emulators/test_standins.py
+++ b/tests/emulators/test_standins.py
@@ -163,7 +163,7 @@
 @pytest.mark.parametrize("answers, broken", [(0, {RULES[0], RULES[1]}), (2, {RULES[0], RULES[1]})])
 @on_loop
 async def test_the_ledger_finds_a_rogue_out(answers, broken, monkeypatch):
-    monkeypatch.setattr("apigateway.emulators.clients.GIVE_UP", 0.0)
+    monkeypatch.setattr("apigateway.emulators.clients.GIVE_UP_MARGIN_S", 0.0)
     ledger = Ledger(TERMS)
     async with (
         StandInHost(name="h1", work=lambda _: 0.2, ledger=ledger) as one,
