--- a/apigateway/emulators/checks.py
+++ b/apigateway/emulators/checks.py
@@ -1,5 +1,7 @@
-"""Clients of a rate limit service (grpcio, a foreign client) that carry customers' checks and write down what
-they were granted."""
+"""Clients of a rate limit service that carry customers' checks and tell the ledger what they were granted.
+
+They are those of grpcio, which shares no code with the gateway.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +9,7 @@
 import random
 from collections import Counter
 from collections.abc import Mapping, Sequence
+from typing import NamedTuple
 
 import grpc
 from envoy.service.ratelimit.v3 import rls_pb2 as pb
@@ -15,17 +18,30 @@
 from apigateway.emulators.ledger import Ledger
 
 METHOD = "/envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit"
-OK, OVER = pb.RateLimitResponse.OK, pb.RateLimitResponse.OVER_LIMIT
+OK = pb.RateLimitResponse.OK
+
+
+class DueCheck(NamedTuple):
+    """When a customer checks next, by its number."""
+
+    at: float  # s from the start
+    customer: int
 
 
 class Checks:
-    """Asks gateways, by name, in `domain`, with a customer's id and plan as entries. Answers are counted as
-    ok, over, and failed with its gRPC status."""
+    """Asks gateways, by name, with a customer's id and plan as entries.
+
+    Attributes:
+        counts: Answers by "ok", "over", and "failed" with their gRPC status.
+        failures: The details of those that failed.
+        latency: Seconds of each that was answered.
+    """
 
     def __init__(
         self, ledger: Ledger, gateways: Mapping[str, tuple[str, int]], domain: str = "roster"
     ) -> None:
-        self.ledger, self.domain = ledger, domain
+        self.ledger = ledger
+        self.domain = domain
         self.channels = {
             name: grpc.aio.insecure_channel(f"{host}:{port}") for name, (host, port) in gateways.items()
         }
@@ -37,53 +53,65 @@
         }
         self.counts: Counter[str] = Counter()
         self.failures: list[str] = []
-        self.latency: list[float] = []  # s, of what was answered
+        self.latency: list[float] = []
 
     async def ask(
         self, gateway: str, customer: str, plan: str, hits: int = 1, timeout: float = 1.0
     ) -> pb.RateLimitResponse | None:
-        """None: nobody could say."""
+        """Check so many hits of a customer; return None if nobody could say."""
         loop = asyncio.get_running_loop()
         request = pb.RateLimitRequest(domain=self.domain, hits_addend=hits)
         descriptor = request.descriptors.add()
-        for key, value in (("customer", customer), ("plan", plan)):
-            descriptor.entries.add(key=key, value=value)
+        descriptor.entries.add(key="customer", value=customer)
+        descriptor.entries.add(key="plan", value=plan)
         began = loop.time()
         try:
             response: pb.RateLimitResponse = await self.calls[gateway](request, timeout=timeout)
-        except grpc.aio.AioRpcError as err:
-            self.counts[f"failed {err.code().name}"] += 1
-            self.failures.append(err.details() or "")
+        except grpc.aio.AioRpcError as error:
+            self.counts[f"failed {error.code().name}"] += 1
+            self.failures.append(error.details() or "")
             return None
         self.latency.append(loop.time() - began)
         if response.overall_code == OK:
             self.ledger.granted(customer, plan, float(hits))
-        self.counts["ok" if response.overall_code == OK else "over"] += 1
+            self.counts["ok"] += 1
+        else:
+            self.counts["over"] += 1
         return response
 
     async def run(self, customers: Sequence[Customer], seconds: float, seed: int = 1) -> None:
-        """Customers' checks by a schedule of their own (Poisson), each at a gateway of its customer's set."""
-        loop, rng, names = asyncio.get_running_loop(), random.Random(seed), list(self.calls)
-        due = sorted((at, n) for n, c in enumerate(customers) for at in times(rng, c.rate, seconds))
-        tasks, began = set[asyncio.Task[object]](), loop.time()
-        for at, n in due:
-            await asyncio.sleep(max(0.0, began + at - loop.time()))
-            customer = customers[n]
-            place = names[(customer.first + rng.randrange(customer.spread)) % len(names)]
-            task = loop.create_task(self.ask(place, customer.id, customer.plan))
+        """Send checks by a schedule of their own (Poisson), each to a gateway of its customer."""
+        loop = asyncio.get_running_loop()
+        rng = random.Random(seed)
+        gateways = list(self.calls)
+        schedule = sorted(
+            DueCheck(at, number)
+            for number, customer in enumerate(customers)
+            for at in arrival_times(rng, customer.rate, seconds)
+        )
+        tasks: set[asyncio.Task[object]] = set()
+        began = loop.time()
+        for due in schedule:
+            await asyncio.sleep(max(0.0, began + due.at - loop.time()))
+            customer = customers[due.customer]
+            gateway = gateways[(customer.first + rng.randrange(customer.spread)) % len(gateways)]
+            task = loop.create_task(self.ask(gateway, customer.id, customer.plan))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         while tasks:
             await asyncio.wait(list(tasks))
 
     async def close(self) -> None:
+        """Close the channels."""
         for channel in self.channels.values():
             await channel.close()
 
 
-def times(rng: random.Random, rate: float, seconds: float) -> list[float]:
-    found, at = [], rng.expovariate(rate) if rate > 0 else seconds
+def arrival_times(rng: random.Random, rate: float, seconds: float) -> list[float]:
+    """Draw the times of a Poisson process of so many a second."""
+    times: list[float] = []
+    at = rng.expovariate(rate) if rate > 0 else seconds
     while at < seconds:
-        found.append(at)
+        times.append(at)
         at += rng.expovariate(rate)
-    return found
+    return times
--- a/apigateway/emulators/counter.py
+++ b/apigateway/emulators/counter.py
@@ -1,85 +1,119 @@
-"""A stand-in counter: named totals with a life, by the platform's protocol of lines."""
+"""An emulated quota counter: totals by name, each with a lifetime, by the platform's protocol of lines."""
 
 from __future__ import annotations
 
 import asyncio
 import time
+from typing import NamedTuple
 
 from apigateway.emulators.listener import Listener
-from apigateway.emulators.script import Script
+from apigateway.emulators.script import Script, StepKind
 
-MOST_LIFE = 60.0  # s
+MAX_LIFETIME_S = 60.0
+ADD_VERB = b"incr"
+ADD_WORDS = 4  # of the command: verb, name, amount, lifetime in ms
+HALF_BYTES = 2  # of half an answer
+
+
+class HeldAnswer(NamedTuple):
+    """An answer that is not sent yet."""
+
+    writer: asyncio.StreamWriter
+    answer: bytes
 
 
 class StandInCounter(Listener):
-    """Adds and tells the total. `silent` leaves calls unanswered (but added) until `answer_all`.
+    """Adds and tells the total.
 
-    Script: silent and stall are added and answered never or late; busy and error add nothing; reset breaks
-    off after adding; spoilt is added and answered with what is no total; half breaks off within the
-    answer."""
+    By its script, silent and stall are added and answered never or late; busy and error add nothing; reset
+    ends the connection after adding; spoilt is added and answered with what is no total; half ends within the
+    answer.
+
+    Attributes:
+        calls: The words of all calls.
+        ends: When each name is forgotten.
+        silent: While set, calls are added and not answered until `answer_all`.
+        held: The answers that wait for that.
+        arrived: Each call as it comes.
+    """
 
     def __init__(self, address: str = "127.0.0.1", script: Script | None = None) -> None:
         super().__init__(address)
+        self.script = script or Script()
         self.calls: list[list[bytes]] = []
         self.totals: dict[bytes, float] = {}
-        self.ends: dict[bytes, float] = {}  # when a name is forgotten
-        self.silent, self.script = False, script or Script()
-        self.held: list[tuple[asyncio.StreamWriter, bytes]] = []
+        self.ends: dict[bytes, float] = {}
+        self.silent = False
+        self.held: list[HeldAnswer] = []
         self.arrived: asyncio.Queue[list[bytes]] = asyncio.Queue()
 
     async def restart(self, down: float = 0.0) -> None:
-        """Dies, and comes back empty at its address."""
+        """Die, and come back empty at the same address after `down` seconds."""
         await self.die()
-        self.totals, self.ends, self.held = {}, {}, []
+        self.totals = {}
+        self.ends = {}
+        self.held = []
         await asyncio.sleep(down)
         await self.open()
 
     def add(self, name: bytes, amount: float, life: float) -> float:
+        """Add to a name, which is forgotten `life` seconds after it was new, and return its total."""
         now = time.monotonic()
         if self.ends.get(name, now) < now:
             del self.totals[name]
         if name not in self.totals:
-            self.ends[name] = now + min(MOST_LIFE, life)
+            self.ends[name] = now + min(MAX_LIFETIME_S, life)
         self.totals[name] = self.totals.get(name, 0.0) + amount
         return self.totals[name]
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Take the calls of one connection until it ends."""
         while line := await reader.readline():
             words = line.split()
             if words == [b"ping"]:
                 writer.write(b"pong\r\n")
-                continue
-            if len(words) != 4 or words[0] != b"incr":
+            elif len(words) != ADD_WORDS or words[0] != ADD_VERB:
                 writer.write(b"error\r\n")
-                continue
-            self.calls.append(words)
-            self.arrived.put_nowait(words)
-            step = self.script.next(time.monotonic())
-            if step.kind in ("busy", "error"):
-                writer.write(step.kind.encode() + b"\r\n")
-                continue
-            answer = b"ok %.7g\r\n" % self.add(words[1], float(words[2]), float(words[3]) / 1000)
-            if self.silent or step.kind == "silent":
-                self.held.append((writer, answer))
-            elif step.kind == "reset":
-                writer.transport.abort()
+            elif not self._take(words, writer):
                 return
-            elif step.kind == "spoilt":
+
+    def _take(self, words: list[bytes], writer: asyncio.StreamWriter) -> bool:
+        """Take a call; return False if the connection is to end."""
+        self.calls.append(words)
+        self.arrived.put_nowait(words)
+        step = self.script.next(time.monotonic())
+        if step.kind in (StepKind.BUSY, StepKind.ERROR):
+            writer.write(step.kind.encode() + b"\r\n")
+            return True
+        _, name, amount, lifetime_ms = words
+        answer = b"ok %.7g\r\n" % self.add(name, float(amount), float(lifetime_ms) / 1000)
+        if self.silent:
+            self.held.append(HeldAnswer(writer, answer))
+            return True
+        match step.kind:
+            case StepKind.SILENT:
+                self.held.append(HeldAnswer(writer, answer))
+            case StepKind.RESET:
+                writer.transport.abort()
+                return False
+            case StepKind.SPOILT:
                 writer.write(b"ok {}\r\n")
-            elif step.kind == "half":
-                writer.write(answer[:2])
-                return
-            elif step.kind in ("stall", "slow"):
-                asyncio.get_running_loop().call_later(step.delay, self.late, writer, answer)
-            else:
+            case StepKind.HALF:
+                writer.write(answer[:HALF_BYTES])
+                return False
+            case StepKind.STALL | StepKind.SLOW:
+                asyncio.get_running_loop().call_later(step.delay, _write_late, writer, answer)
+            case _:
                 writer.write(answer)
-
-    @staticmethod
-    def late(writer: asyncio.StreamWriter, answer: bytes) -> None:
-        if not writer.is_closing():
-            writer.write(answer)
+        return True
 
     def answer_all(self) -> None:
-        for writer, answer in self.held:
-            writer.write(answer)
+        """Send the answers that were held back."""
+        for held in self.held:
+            held.writer.write(held.answer)
         self.held = []
+
+
+def _write_late(writer: asyncio.StreamWriter, answer: bytes) -> None:
+    if not writer.is_closing():
+        writer.write(answer)
--- a/apigateway/emulators/crowd.py
+++ b/apigateway/emulators/crowd.py
@@ -1,4 +1,4 @@
-"""A crowd of gateway processes under a stream of requests, with what came of it: for tests and benchmarks."""
+"""Many gateway processes under a stream of requests, and what came of it: for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -14,10 +14,12 @@
 from apigateway.emulators.fleet import Fleet, Gateway, Shape
 from apigateway.emulators.hosts import Command, StandInHost
 from apigateway.emulators.ledger import Verdict
+from apigateway.emulators.ledger_records import AnswerKind
 from apigateway.emulators.relay import Links
 
-LOOK = 0.05  # s between two looks at what hosts hold
-STEP = 0.01  # s between two looks at whether something has come about
+SAMPLE_PERIOD_S = 0.05  # between two samples of what hosts hold
+POLL_PERIOD_S = 0.01  # between two looks at whether something has come about
+TRAFFIC_SIGMA = 0.7  # of the logarithm of customers' traffic
 
 
 def customers(
@@ -28,25 +30,39 @@
     seed: int = 1,
     spread: tuple[int, int] = (2, 6),
 ) -> list[Customer]:
-    """`count` of them, `rate` requests a second in all, shared unevenly; each comes through some gateways in
-    a row."""
+    """Draw customers that share the traffic unevenly.
+
+    Args:
+        gateways: Each customer comes through some of these in a row.
+        plans: Dealt out in turn.
+        rate: Requests a second, of all customers.
+        count: How many there are.
+        seed: Of what is drawn.
+        spread: Gateways of a customer: the least, the most.
+    """
     rng = random.Random(f"customers/{seed}")
-    pulls = [rng.lognormvariate(0.0, 0.7) for _ in range(count)]
-    total = sum(pulls)
+    weights = [rng.lognormvariate(0.0, TRAFFIC_SIGMA) for _ in range(count)]
+    total = sum(weights)
     return [
         Customer(
-            f"{n:016x}",
-            plans[n % len(plans)],
-            rate * pull / total,
-            rng.randrange(gateways),
-            min(gateways, rng.randint(*spread)),
+            id=f"{number:016x}",
+            plan=plans[number % len(plans)],
+            rate=rate * weight / total,
+            first=rng.randrange(gateways),
+            spread=min(gateways, rng.randint(*spread)),
         )
-        for n, pull in enumerate(pulls)
+        for number, weight in enumerate(weights)
     ]
 
 
 class Crowd:
-    """`async with` starts it, and ends it whatever happens. `rate`: requests a second, over all customers."""
+    """An installation and its clients; as a context manager it is started, and ended whatever happens.
+
+    Attributes:
+        longest: The most requests that each host held at once.
+        idle: Sum over all samples of the cores that idled while as many requests waited elsewhere.
+        looks: Sum over all samples of all cores.
+    """
 
     def __init__(
         self,
@@ -59,9 +75,11 @@
     ) -> None:
         self.links = Links(seed) if links else None
         self.fleet = Fleet(shape, folder, work=work, links=self.links)
-        self.people, self.seed = people, seed
-        self.longest: Counter[str] = Counter()  # most that a host held at once
-        self.idle = self.looks = 0.0  # looks at cores that idled while as much waited elsewhere; at all cores
+        self.people = people
+        self.seed = seed
+        self.longest: Counter[str] = Counter()
+        self.idle = 0.0
+        self.looks = 0.0
         self.tasks: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> Self:
@@ -81,27 +99,32 @@
         await self.fleet.__aexit__()
 
     def begin(self, seconds: float) -> asyncio.Task[None]:
-        """Requests, for so long; the task ends once each has come to its end."""
+        """Send requests for so long; the task that is returned ends once each has come to its end."""
         loop = asyncio.get_running_loop()
-        self.tasks += [loop.create_task(self.look()), loop.create_task(self.traffic.run(seconds))]
-        return self.tasks[-1]
+        sampling = loop.create_task(self._sample())
+        playing = loop.create_task(self.traffic.run(seconds))
+        self.tasks += [sampling, playing]
+        return playing
 
-    async def look(self) -> None:
+    async def _sample(self) -> None:
+        """Sample what hosts hold, again and again."""
         while True:
-            await asyncio.sleep(LOOK)
-            busy = waiting = cores = 0
-            for host in self.fleet.hosts:
+            await asyncio.sleep(SAMPLE_PERIOD_S)
+            hosts = self.fleet.hosts
+            for host in hosts:
                 held = host.running + len(host.line)
                 self.longest[host.name] = max(self.longest[host.name], held)
-                busy, waiting, cores = busy + host.running, waiting + len(host.line), cores + host.cores
+            busy = sum(host.running for host in hosts)
+            waiting = sum(len(host.line) for host in hosts)
+            cores = sum(host.cores for host in hosts)
             self.idle += min(cores - busy, waiting)
             self.looks += cores
 
     async def served(self, more: int, playing: asyncio.Task[None]) -> None:
-        """Until so many more have been served, or all has been played."""
+        """Wait until so many more have been served, or all has been played."""
         until = len(self.traffic.latency) + more
         while len(self.traffic.latency) < until and not playing.done():
-            await asyncio.sleep(STEP)
+            await asyncio.sleep(POLL_PERIOD_S)
 
     async def end(self, playing: asyncio.Task[None]) -> None:
         """Send nothing more, and wait until all that was sent has come to its end."""
@@ -110,39 +133,43 @@
             await asyncio.wait(list(self.traffic.tasks))
 
     def taken(self) -> Counter[str]:
-        """Requests that have come to each host so far."""
+        """Return the requests that have come to each host so far."""
         return Counter({host.name: len(host.commands) for host in self.fleet.hosts})
 
     async def replace(self, old: StandInHost, grace: float) -> None:
-        """It drains; past the grace it dies and comes back at its address, cold, and is told as new."""
+        """Drain a host; past the grace it dies and comes back at its address, cold, and is told as new."""
         self.fleet.tell((old, "draining"))
         await asyncio.sleep(grace)
         await old.restart()
         self.fleet.tell((old, "up"))
 
     async def kill(self, gone: Sequence[Gateway]) -> None:
+        """Kill gateways at once."""
         await asyncio.gather(*(gateway.kill() for gateway in gone))
 
     async def revive(self, gone: Sequence[Gateway], at_once: int = 0) -> None:
-        """`at_once`: so many start side by side, which leaves the others their cores; 0: all."""
-        turn = asyncio.Semaphore(at_once or len(gone) or 1)
+        """Start gateways again, so many side by side, which leaves the others their cores; 0: all at once."""
+        slots = asyncio.Semaphore(at_once or len(gone) or 1)
 
-        async def one(gateway: Gateway) -> None:
-            async with turn:
+        async def start(gateway: Gateway) -> None:
+            async with slots:
                 await gateway.start()
 
-        await asyncio.gather(*(one(gateway) for gateway in gone))
+        await asyncio.gather(*(start(gateway) for gateway in gone))
 
     def part_served(self) -> float:
-        told = self.fleet.ledger.outcomes()
-        return sum(n for (*_, how), n in told.items() if how == "served") / max(1, sum(told.values()))
+        """Return the part of all requests that was served."""
+        counts = self.fleet.ledger.outcomes()
+        served = sum(count for (*_, outcome), count in counts.items() if outcome == AnswerKind.SERVED)
+        return served / max(1, sum(counts.values()))
 
     def verdicts(self) -> Sequence[Verdict]:
+        """Return the ledger's verdicts."""
         return self.fleet.ledger.judge()
 
 
 def exponential(mean: float, seed: int = 1) -> Any:
-    """Work of a request in seconds of one core, drawn anew for each."""
+    """Return what draws the work of each request, in seconds of one core."""
     rng = random.Random(f"work/{seed}")
 
     def work(command: Command) -> float:
--- a/apigateway/emulators/discovery.py
+++ b/apigateway/emulators/discovery.py
@@ -1,8 +1,10 @@
-"""A stand-in of the platform's discovery: one list, told to each gateway by an agent of its own."""
+"""An emulated discovery of the platform: one list, told to each gateway by an agent of its own."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
+from collections.abc import Mapping
 from dataclasses import dataclass
 from typing import Any, Self
 
@@ -37,43 +39,61 @@
 
 
 class StandInDiscovery:
-    """`servers` is the list. `change` ends the watches with entries that changed; `raw` is answered once in
-    place of the next answer; `silent`: it never answers what is asked meanwhile, not even later; `held`:
-    whole lists are written once it is set, as they were when they were asked for; `lag`: seconds until a
-    change is told; `capacity`: of a service that is polled, where it is limited; `rejected`: calls that it
-    had no capacity for."""
+    """Answers with the whole list, or with what has changed since a version, once something has.
+
+    Attributes:
+        servers: The list.
+        silent: While set, what is asked is never answered, not even later.
+        lag: Seconds until a change is told.
+        raw: Answered once in place of the next answer.
+        capacity: Of a service that is polled; None: not limited.
+        rejected: Calls that it had no capacity for.
+        held: Complete lists are written once it is set, as they were when they were asked for.
+        calls: The query of each call.
+        log: What changed with each version.
+        woken: Set at the next change; then replaced.
+        silenced: Times that all open watches fell silent.
+    """
 
     def __init__(self, gateway: str = "", ledger: Ledger | None = None) -> None:
-        self.gateway, self.ledger = gateway, ledger
+        self.gateway = gateway
+        self.ledger = ledger
         self.servers: list[Entry] = []
-        self.version, self.silent, self.lag = 1, False, 0.0
+        self.version = 1
+        self.silent = False
+        self.lag = 0.0
         self.raw: str | None = None
         self.capacity: CallCapacity | None = None
         self.rejected = 0
         self.held: asyncio.Event | None = None
         self.calls: asyncio.Queue[dict[str, str]] = asyncio.Queue()
-        self.log: list[tuple[int, list[Entry]]] = []  # what changed with each version
+        self.log: list[tuple[int, list[Entry]]] = []
         self.woken = asyncio.Event()
-        self.silenced = 0  # times that all open watches fell silent
+        self.silenced = 0
         self.port = 0
 
     def change(self, entries: list[Entry]) -> None:
-        """Entries as they are from now on; none: the watches end with no news. They may be odd on purpose."""
+        """Set entries as they are from now on; without any the watches end with no news.
+
+        They may be malformed on purpose.
+        """
         if entries:
             self.version += 1
             self.log.append((self.version, entries))
             new = {e["id"]: e for e in entries if isinstance(e, dict) and "state" in e}
             kept = [new.pop(e["id"], e) for e in self.servers]
             self.servers = [e for e in [*kept, *new.values()] if e["state"] != "removed"]
-        woken, self.woken = self.woken, asyncio.Event()
+        woken = self.woken
+        self.woken = asyncio.Event()
         woken.set()
 
     def silence_watches(self) -> None:
-        """The watches that are open now are never answered, as on connections that a peer has lost."""
+        """Never answer the watches that are open now, as on connections that a peer has lost."""
         self.silenced += 1
         self.woken = asyncio.Event()
 
     async def answer(self, request: web.Request) -> web.Response:
+        """Answer a call: the whole list, or a watch from an index on."""
         self.calls.put_nowait(dict(request.query))
         if self.silent:
             await asyncio.Event().wait()
@@ -85,28 +105,32 @@
                 return web.Response(status=503)
             await asyncio.sleep(ready - now)
         if self.raw is not None:
-            raw, self.raw = self.raw, None
+            raw = self.raw
+            self.raw = None
             return web.Response(text=raw)
-        if "index" not in request.query:
-            told = {"version": self.version, "full": True, "servers": self.servers}
-            if (held := self.held) is not None:
-                await held.wait()
-            return self.tell(told)
-        index = int(request.query["index"])
+        if "index" in request.query:
+            return await self._answer_watch(request.query)
+        complete = {"version": self.version, "full": True, "servers": self.servers}
+        if (held := self.held) is not None:
+            await held.wait()
+        return self.tell(complete)
+
+    async def _answer_watch(self, query: Mapping[str, str]) -> web.Response:
+        """Answer with what has changed since the version `index`, once something has or its wait ends."""
+        index = int(query["index"])
         if index >= self.version:
             silenced = self.silenced
-            try:
-                async with asyncio.timeout(int(request.query["wait"]) / 1000):
+            with contextlib.suppress(TimeoutError):
+                async with asyncio.timeout(int(query["wait"]) / 1000):
                     await self.woken.wait()
                     await asyncio.sleep(self.lag)
-            except TimeoutError:
-                pass
             if self.silenced > silenced:
                 await asyncio.Event().wait()
-        changed = [e for version, entries in self.log if version > index for e in entries]
+        changed = [entry for version, entries in self.log if version > index for entry in entries]
         return self.tell({"version": self.version, "full": False, "servers": changed})
 
     def tell(self, answer: dict[str, Any]) -> web.Response:
+        """Write an answer, and tell the ledger of it."""
         if self.ledger is not None:
             for entry in answer["servers"]:
                 self.ledger.told(self.gateway, entry["id"], entry["state"])
