--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -1,20 +1,101 @@
 """The typed contract of the decision module: settings, events in, actions out.
 
-Times are seconds (floats), clock readings come with each event, ids are opaque text.
-Effects: "safe" (repeat freely), "keyed" (repeats discarded within a scope), "unsafe".
+Times are seconds (floats), clock readings come with each event, ids are opaque text. Members of the
+enumerations equal the words of the wire, so that either may be passed.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import ClassVar
 
-EFFECTS = ("safe", "keyed", "unsafe")
-SCOPES = ("all", "zone", "cell")
-RESULTS = ("ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot")
-COUNT_RESULTS = ("ok", "full", "connect_failed", "timeout", "spoilt")  # spoilt: added, total not known
-MODES = ("delta", "full", "cached", "failed")
+
+class Effect(StrEnum):
+    """What executing a request of a class more than once does."""
+
+    SAFE = "safe"  # no harm
+    KEYED = "keyed"  # no harm where repeats are discarded: within a scope, for some time
+    UNSAFE = "unsafe"  # harm
+
+
+class DeduplicationScope(StrEnum):
+    """The hosts that discard a repeat of what one of them has executed."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+class AttemptResult(StrEnum):
+    """How an attempt ended."""
+
+    OK = "ok"
+    ERROR = "error"  # the host answered that it failed: it may have executed the request
+    FULL = "full"  # the host rejected it
+    TIMEOUT = "timeout"  # there was no answer in time
+    CONNECT_FAILED = "connect_failed"  # it was not sent
+    RESET = "reset"  # the connection ended without an answer
+    CANCELLED = "cancelled"
+    MOOT = "moot"  # nobody waits for it any more
+
+
+class CounterCallResult(StrEnum):
+    """How a call of the counter ended."""
+
+    OK = "ok"
+    FULL = "full"  # rejected: nothing was added
+    CONNECT_FAILED = "connect_failed"  # not sent: nothing was added
+    TIMEOUT = "timeout"  # it may have been added
+    SPOILT = "spoilt"  # added, but the total is not known
+
+
+class EndpointStatus(StrEnum):
+    """What the endpoint list says of a host."""
+
+    UP = "up"
+    LEAVING = "leaving"  # it drains: nothing new is to be sent there
+    DOWN = "down"
+
+
+class ListMode(StrEnum):
+    """What news of the endpoint list there is."""
+
+    DELTA = "delta"  # changes
+    FULL = "full"  # the complete list
+    CACHED = "cached"  # the complete list, as it was known before
+    FAILED = "failed"  # none: the call failed
+
+
+class DiscoveryMode(StrEnum):
+    """How news of the endpoint list comes."""
+
+    PUSH = "push"
+    POLL = "ask"
+
+
+EFFECTS = tuple(Effect)
+SCOPES = tuple(DeduplicationScope)
+RESULTS = tuple(AttemptResult)
+COUNT_RESULTS = tuple(CounterCallResult)
+STATUSES = tuple(EndpointStatus)
+MODES = tuple(ListMode)
+
+# Results of attempts after which a request may have been executed, though there is no response.
+_POSSIBLY_EXECUTED = frozenset(
+    {AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED}
+)
+# Results that say whether the endpoint works; silence is judged before it ends.
+_TELLING_HEALTH = frozenset(
+    {
+        AttemptResult.CONNECT_FAILED,
+        AttemptResult.FULL,
+        AttemptResult.ERROR,
+        AttemptResult.RESET,
+        AttemptResult.OK,
+    }
+)
 
 
 def _need(ok: bool, text: str) -> None:
@@ -29,8 +110,8 @@
     name: str
     latency_objective: float  # an answer within this earns full worth
     deadline: float
-    effect: str
-    deduplication_scope: str  # keyed only: the hosts that discard a repeat
+    effect: str  # an Effect
+    deduplication_scope: str  # a DeduplicationScope; keyed only
     deduplication_window: float  # keyed only: for how long they do
     priority_weight: float
     late_priority_weight: float
@@ -40,7 +121,18 @@
     @property
     def is_repeatable(self) -> bool:
         """Whether it does no harm to execute a request twice, wherever that is."""
-        return self.effect == "safe" or (self.effect == "keyed" and self.deduplication_scope == "all")
+        is_discarded = self.effect == Effect.KEYED and self.deduplication_scope == DeduplicationScope.ALL
+        return self.is_safe or is_discarded
+
+    @property
+    def is_safe(self) -> bool:
+        """Whether a request may be executed any number of times, anywhere."""
+        return self.effect == Effect.SAFE
+
+    @property
+    def is_unsafe(self) -> bool:
+        """Whether a request that may have been executed must not be sent again."""
+        return self.effect == Effect.UNSAFE
 
     def __post_init__(self) -> None:
         _need(self.effect in EFFECTS, f"class {self.name}: unknown effect {self.effect!r}")
@@ -165,7 +257,7 @@
     meter_period: float
     settles_units: bool
     max_units: float
-    discovery_mode: str  # "push" or "ask"
+    discovery_mode: str  # a DiscoveryMode
     load_report_fields: tuple[str, ...]
     weight_meaning: str  # meaning of a host's weight
     routes: dict[str, Route] = field(default_factory=dict)
@@ -173,7 +265,7 @@
 
     def __post_init__(self) -> None:
         _need(0 <= self.gateway_index < self.gateway_count, "index must lie in 0..gateways-1")
-        _need(self.discovery_mode in ("push", "ask"), f"unknown discovery mode {self.discovery_mode!r}")
+        _need(self.discovery_mode in tuple(DiscoveryMode), f"unknown discovery mode {self.discovery_mode!r}")
         _need(not self.has_counter or self.counter_timeout > 0, "a counter needs a time-out")
         _need(bool(self.classes), "no request classes")
         _need(self.max_customers >= 0, "most_accounts must not be negative")
@@ -193,27 +285,37 @@
     cell: int
     weight: float
     kind: str
-    state: str  # "up", "leaving" or "down"
+    state: str  # an EndpointStatus
     started_at: float  # clock time of its last start; 0: long ago
 
+    @property
+    def is_up(self) -> bool:
+        """Whether it may get requests."""
+        return self.state == EndpointStatus.UP
+
     def shares_scope(self, other: Endpoint, scope: str) -> bool:
         """Return whether a repeat of what another host has executed is discarded by this one."""
-        if scope == "zone":
+        if scope == DeduplicationScope.ZONE:
             return self.zone == other.zone
-        return scope == "all" or self.cell == other.cell
+        return scope == DeduplicationScope.ALL or self.cell == other.cell
 
     def __post_init__(self) -> None:
-        _need(self.state in ("up", "leaving", "down"), f"host {self.id}: unknown state {self.state!r}")
+        _need(self.state in STATUSES, f"host {self.id}: unknown state {self.state!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
     """News of the endpoint list: changes, a complete list, the list as cached, or a call that failed."""
 
-    mode: str  # one of MODES
+    mode: str  # a ListMode
     version: int
     endpoints: tuple[Endpoint, ...]
 
+    @property
+    def is_complete(self) -> bool:
+        """Whether hosts that it does not name are gone."""
+        return self.mode in (ListMode.FULL, ListMode.CACHED)
+
     def __post_init__(self) -> None:
         _need(self.mode in MODES, f"unknown list mode {self.mode!r}")
 
@@ -317,7 +419,7 @@
     request_id: str
     attempt: int
     endpoint_id: str
-    result: str
+    result: str  # an AttemptResult
     elapsed: float
     is_final: bool
     metered_use: int = 0  # 1 + percent of the customer's rate used in the last metered period; 0: none
@@ -327,12 +429,12 @@
     @property
     def may_have_executed(self) -> bool:
         """Whether the request may have been executed, though there is no response."""
-        return self.result in ("error", "timeout", "reset", "cancelled")
+        return self.result in _POSSIBLY_EXECUTED
 
     @property
     def tells_health(self) -> bool:
         """Whether the result says that the endpoint works or that it does not."""
-        return self.result in ("connect_failed", "full", "error", "reset", "ok")
+        return self.result in _TELLING_HEALTH
 
     def __post_init__(self) -> None:
         _need(self.result in RESULTS, f"unknown result {self.result!r}")
@@ -343,10 +445,15 @@
     """A call of the quota counter has ended."""
 
     counter_key: int
-    result: str
+    result: str  # a CounterCallResult
     total: float
     elapsed: float
 
+    @property
+    def was_added(self) -> bool:
+        """Whether the amount has surely been added."""
+        return self.result in (CounterCallResult.OK, CounterCallResult.SPOILT)
+
     def __post_init__(self) -> None:
         _need(self.result in COUNT_RESULTS, f"unknown counter result {self.result!r}")
 
@@ -356,7 +463,7 @@
     """A health check has ended."""
 
     endpoint_id: str
-    result: str
+    result: str  # an AttemptResult
     elapsed: float
     load_report: dict[str, float] = field(default_factory=dict)
 
--- a/apigateway/policy/concurrency_limit.py
+++ b/apigateway/policy/concurrency_limit.py
@@ -2,7 +2,7 @@
 
 from functools import partial
 
-from apigateway.messages import CounterResult
+from apigateway.messages import CounterCallResult, CounterResult
 from apigateway.policy import dispatch
 from apigateway.policy.counter_health import SIDE_CALL_GAIN
 from apigateway.policy.pending_queue import OWN_SLOT, PendingRequest, Stage
@@ -49,7 +49,7 @@
 
 def _on_slot_counted(state: GatewayState, pending: PendingRequest, epoch: int, event: CounterResult) -> None:
     quota = pending.quota
-    is_counted = event.result == "ok"
+    is_counted = event.result == CounterCallResult.OK
     is_full = is_counted and event.total > quota.plan.concurrency_limit % quota.spread
     if is_counted and (pending.done or is_full):
         state.count_slot(quota.name, epoch, -1)
--- a/apigateway/policy/endpoint.py
+++ b/apigateway/policy/endpoint.py
@@ -32,7 +32,7 @@
     def __init__(self, host: messages.Endpoint, now: float, draw: float, out: AttemptTimes) -> None:
         super().__init__(out)
         self.host = host
-        self.is_up = host.state == "up"
+        self.is_up = host.is_up
         self.gone_at = math.inf
         self.max_attempts = 0  # out at once
         self.rounding_draw = draw  # rounds it: the part of one gateway may be less than one
--- a/apigateway/policy/endpoint_pool.py
+++ b/apigateway/policy/endpoint_pool.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from apigateway import messages, routing
-from apigateway.messages import AttemptOutcome
+from apigateway.messages import AttemptOutcome, AttemptResult
 from apigateway.policy.endpoint import EndpointState
 
 TICK = 0.02  # s; coarsest delay of a check on pending requests; far under any latency objective
@@ -54,15 +54,14 @@
 
     def on_endpoint_list(self, now: float, event: messages.EndpointList) -> None:
         """Take up what is listed now, or what has changed."""
-        is_complete = event.mode not in ("delta", "failed")
-        self.endpoints.update_listed(now, event.endpoints, is_complete, partial(self._new_endpoint, now))
+        self.endpoints.update_listed(now, event.endpoints, event.is_complete, partial(self._create, now))
         for endpoint in self.endpoints.gone_for(now, GONE_LIFE):
             if not endpoint.attempts_out:
                 del self.endpoints[endpoint.host.id]
                 self.health.outliers.forget(endpoint.host.id)
         self.refresh(now)
 
-    def _new_endpoint(self, now: float, host: messages.Endpoint, old: EndpointState | None) -> EndpointState:
+    def _create(self, now: float, host: messages.Endpoint, old: EndpointState | None) -> EndpointState:
         return EndpointState(host, now, self.rng.random(), old.attempts_out if old else {})
 
     def refresh(self, now: float) -> None:
@@ -159,7 +158,7 @@
             return
         own_attempts = len(endpoint.attempts_out)
         self.remove_attempt(endpoint, (event.request_id, event.attempt))
-        is_congested = event.result == "timeout"
+        is_congested = event.result == AttemptResult.TIMEOUT
         if event.load_report:
             held = routing.requests_held(event.load_report, ENDPOINT_CONCURRENCY)
             endpoint.note_report(now, held, own_attempts)
@@ -171,8 +170,8 @@
         if event.tells_health:
             self.health.on_result(endpoint, event.result, scope, now)
             endpoint.scores.clear()
-        if event.load_report or event.result in ("ok", "timeout"):
+        if event.load_report or event.result in (AttemptResult.OK, AttemptResult.TIMEOUT):
             self.congestion.observe(now, is_congested)
-        if event.result == "ok" and class_name is not None:
+        if event.result == AttemptResult.OK and class_name is not None:
             ratio = self.response_times.observe(class_name, event.elapsed)
             endpoint.time_ratio += QUICK_GAIN * (ratio - endpoint.time_ratio)
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -3,7 +3,7 @@
 import math
 
 from apigateway import messages
-from apigateway.messages import Request
+from apigateway.messages import CounterCallResult, DiscoveryMode, ListMode, Request
 from apigateway.policy import ceiling, concurrency_limit, customers, dispatch, quota_leasing, retries
 from apigateway.policy.customer_quota import CustomerQuota
 from apigateway.policy.endpoint_pool import GAIN
@@ -66,9 +66,9 @@
 
     def _on_endpoint_list(self, event: messages.EndpointList) -> None:
         self.pool.on_endpoint_list(self.now, event)
-        if event.mode == "failed":
+        if event.mode == ListMode.FAILED:
             self.watch_at = self.now + WATCH_RETRY
-        elif event.mode == "cached" and self.settings.discovery_mode == "ask":
+        elif event.mode == ListMode.CACHED and self.settings.discovery_mode == DiscoveryMode.POLL:
             self.actions.append(messages.WatchEndpoints(True))
 
     def _on_request(self, request: Request) -> None:
@@ -116,9 +116,10 @@
         if on_result is None:
             return
         # A spoilt answer, or a connection that broke before the time was up, says nothing of the next call.
-        is_lost = event.result == "timeout" and event.elapsed < CALL_LOST * self.counter.timeout
-        if event.result != "spoilt" and not is_lost:
-            self.counter.observe(self.now, event.result == "ok", event.elapsed)
+        is_early = event.elapsed < CALL_LOST * self.counter.timeout
+        is_lost = is_early and event.result == CounterCallResult.TIMEOUT
+        if event.result != CounterCallResult.SPOILT and not is_lost:
+            self.counter.observe(self.now, event.result == CounterCallResult.OK, event.elapsed)
         on_result(event)
 
     def _on_timer(self) -> None:
--- a/apigateway/policy/pending_queue.py
+++ b/apigateway/policy/pending_queue.py
@@ -50,7 +50,7 @@
         """Let a request wait, on a route of its own if it may not be repeated anywhere."""
         pending.stage = Stage.QUEUE
         is_unproven = pending.possibly_executed or pending.in_flight
-        alone = is_unproven and pending.service_class.effect != "safe"
+        alone = is_unproven and not pending.service_class.is_safe
         request_id = pending.request.request_id if alone else ""
         route = pending.service_class.name, pending.allowed_kinds, frozenset(pending.tried), request_id
         self.insert(route, not pending.is_over_quota, pending.value, pending)
--- a/apigateway/policy/quota_leasing.py
+++ b/apigateway/policy/quota_leasing.py
@@ -4,7 +4,7 @@
 from functools import partial
 
 from apigateway.hashing import stable_hash
-from apigateway.messages import CounterResult, ReturnUnits
+from apigateway.messages import CounterCallResult, CounterResult, ReturnUnits
 from apigateway.policy import concurrency_limit, dispatch
 from apigateway.policy.counter_health import RATIONED_CONGESTION, SIDE_CALL_GAIN
 from apigateway.policy.customer_quota import CustomerQuota
@@ -117,7 +117,7 @@
     quota.is_known = True
     quota.advance_window(state.now)
     if entry.window == quota.window_index:
-        if event.result == "ok":
+        if event.result == CounterCallResult.OK:
             _on_total(state, quota, event.total, entry)
         else:
             quota.on_no_total(event.result, entry)
@@ -125,9 +125,9 @@
 
 
 def _on_correction_counted(quota: CustomerQuota, entry: LedgerEntry, event: CounterResult) -> None:
-    if entry.window == quota.window_index and event.result not in ("ok", "spoilt"):
+    if entry.window == quota.window_index and not event.was_added:
         quota.reported_units -= entry.amount  # else what was never added would be taken for lost
-        quota.unconfirmed_units += entry.amount * (event.result == "timeout")
+        quota.unconfirmed_units += entry.amount * (event.result == CounterCallResult.TIMEOUT)
 
 
 def _on_total(state: GatewayState, quota: CustomerQuota, total: float, entry: LedgerEntry) -> None:
--- a/apigateway/policy/retries.py
+++ b/apigateway/policy/retries.py
@@ -2,17 +2,17 @@
 
 import math
 
-from apigateway import messages
+from apigateway.messages import AttemptOutcome, AttemptResult, CancelAttempt
 from apigateway.policy import dispatch, selection
 from apigateway.policy.endpoint_pool import TICK
 from apigateway.policy.pending_queue import PendingRequest
 from apigateway.policy.state import GatewayState
 
-COST_BY_RESULT = {"connect_failed": 0.0, "full": 0.2}  # of a retry after it, if not 1: no work was done
-QUEUED = ("connect_failed", "full", "reset")  # results after which it may wait for another endpoint
+RETRY_COSTS: dict[str, float] = {AttemptResult.CONNECT_FAILED: 0.0, AttemptResult.FULL: 0.2}  # if not 1
+QUEUED = (AttemptResult.CONNECT_FAILED, AttemptResult.FULL, AttemptResult.RESET)  # may wait after these
 
 
-def on_outcome(state: GatewayState, event: messages.AttemptOutcome) -> None:
+def on_outcome(state: GatewayState, event: AttemptOutcome) -> None:
     """Take up the outcome of an attempt."""
     pending = state.pending.get(event.request_id)
     if pending is None:
@@ -31,9 +31,9 @@
 
 def _retry(state: GatewayState, pending: PendingRequest, result: str) -> None:
     budget = state.retry_budget
-    cost = COST_BY_RESULT.get(result, 1.0)
+    cost = RETRY_COSTS.get(result, 1.0)
     response_time = max(TICK, state.pool.response_times[pending.service_class.name].mean)
-    is_late = state.now + response_time > pending.deadline or result == "moot"
+    is_late = state.now + response_time > pending.deadline or result == AttemptResult.MOOT
     if is_late or budget.retries < cost:
         state.reject(pending)
     elif dispatch.send(state, pending):
@@ -74,7 +74,7 @@
         state.pool.on_silence(state.now, pending.in_flight[number].endpoint_id, pending.fault_scope)
     limits = state.settings.limits
     may_cancel = limits.can_cancel and pending.attempt_count < limits.max_attempts
-    is_unsafe = pending.service_class.effect == "unsafe"
+    is_unsafe = pending.service_class.is_unsafe
     if not silent or len(pending.in_flight) > 1 or is_unsafe or state.retry_budget.retries < 1.0:
         return
     if limits.can_hedge:
@@ -83,4 +83,4 @@
         return  # all are slow: another endpoint would take as long, and the work done at this one is lost
     elif may_cancel and selection.select_endpoint(state, pending):
         # The outcome of this attempt starts the next one.
-        state.actions.append(messages.CancelAttempt(pending.request.request_id, silent[0]))
+        state.actions.append(CancelAttempt(pending.request.request_id, silent[0]))
--- a/apigateway/policy/selection.py
+++ b/apigateway/policy/selection.py
@@ -27,11 +27,11 @@
         return False
     service_class = pending.service_class
     unproven = pending.unproven()
-    if not unproven or service_class.effect == "safe":
+    if not unproven or service_class.is_safe:
         return True
     arrival_time = max(TICK, state.settings.limits.connect_timeout)  # of an attempt that is sent now, at most
     discarded_until = min(attempt.at for attempt in unproven) + service_class.deduplication_window
-    if service_class.effect == "unsafe" or state.now >= discarded_until - arrival_time:
+    if service_class.is_unsafe or state.now >= discarded_until - arrival_time:
         return False
     others = [state.pool.endpoints.get(attempt.endpoint_id) for attempt in unproven]
     scope = service_class.deduplication_scope
--- a/apigateway/routing/endpoint_health.py
+++ b/apigateway/routing/endpoint_health.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Hashable, Iterator
 from typing import Generic, Protocol, TypeVar
 
-from apigateway.messages import Endpoint
+from apigateway.messages import AttemptResult, Endpoint
 from apigateway.routing.failure_backoff import FailureBackoff
 from apigateway.routing.outlier_detection import OutlierDetector
 from apigateway.routing.zone_health import ZoneHealth
@@ -36,11 +36,11 @@
 
     def on_result(self, endpoint: Item, result: str, scope: tuple[str, ...], now: float) -> None:
         """Take up the result of an attempt that tells whether the endpoint works."""
-        if result == "connect_failed":  # which says nothing of a class or a plan
+        if result == AttemptResult.CONNECT_FAILED:  # which says nothing of a class or a plan
             scope = scope[:1]
         self.zone_health.on_result(endpoint.host.zone, endpoint.host.id, result, now)
-        self.outliers.record(endpoint.host.id, scope, result != "ok", now)
-        if result == "ok":
+        self.outliers.record(endpoint.host.id, scope, result != AttemptResult.OK, now)
+        if result == AttemptResult.OK:
             endpoint.backoff.on_success(scope[:2])
         else:
             endpoint.backoff.on_failure(scope[:2][-1], now)
--- a/apigateway/routing/lease_ledger.py
+++ b/apigateway/routing/lease_ledger.py
@@ -11,6 +11,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from apigateway.messages import CounterCallResult
+
 LOCAL_SHARE_GAIN = 0.5  # weight of the latest window in the part of the use that is here
 TOTAL_PRECISION = 1e-4  # part of a total, seven digits of which are exact: less than that is no difference
 
@@ -145,11 +147,11 @@
         return entry
 
     def on_no_total(self, result: str, entry: LedgerEntry) -> None:
-        """Take up that a call has told no total; `result`: "spoilt" or "timeout", else it added nothing."""
-        if result == "spoilt":  # its units were added: the next call uses what was asked for
+        """Take up that a call has told no total; `result` says whether it added its units."""
+        if result == CounterCallResult.SPOILT:  # its units were added: the next call uses what was asked for
             self.reported_units += entry.amount
             self.spare_units += entry.asked
-        elif result == "timeout":
+        elif result == CounterCallResult.TIMEOUT:
             self.unconfirmed_units += entry.amount
         else:
             self.unreported_units += entry.reported
--- a/apigateway/routing/roster.py
+++ b/apigateway/routing/roster.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection
 from typing import Protocol, TypeVar
 
-from apigateway.messages import Endpoint
+from apigateway.messages import Endpoint, EndpointStatus
 
 
 class Listed(Protocol):
@@ -42,13 +42,13 @@
             self._mark_gone(now, {host.id for host in hosts})
         for host in hosts:
             item = self.get(host.id)
-            if item is None or (host.state == "up" and host.started_at > item.host.started_at):
+            if item is None or (host.is_up and host.started_at > item.host.started_at):
                 item = make(host, item)
                 self[host.id] = item
             else:
                 item.host = host
-                item.is_up = host.state == "up"
-            item.gone_at = min(item.gone_at, now) if host.state == "down" else math.inf
+                item.is_up = host.is_up
+            item.gone_at = min(item.gone_at, now) if host.state == EndpointStatus.DOWN else math.inf
 
     def _mark_gone(self, now: float, listed: set[str]) -> None:
         for name, item in self.items():
--- a/apigateway/routing/zone_health.py
+++ b/apigateway/routing/zone_health.py
@@ -9,6 +9,8 @@
 
 from typing import Any
 
+from apigateway.messages import AttemptResult
+
 LEAST_HOSTS = 6  # of a site; of fewer the hosts themselves tell as fast
 PARTS = (1.0, 0.7, 0.25, 0.08)  # of what it would get, by how many of its hosts failed since its last answer
 LEAST_PART = 0.04  # goes on as trials: over all gateways a returning site is found in a fraction of a second
@@ -62,9 +64,9 @@
 
     def on_result(self, zone: str, host: str, result: str, now: float) -> None:
         """Take up the result of an attempt; a reset may come from the host as well as from the way there."""
-        if result == "connect_failed":
+        if result == AttemptResult.CONNECT_FAILED:
             self.silent(zone, host, now)
-        elif result in ("error", "full", "ok"):
+        elif result in (AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.OK):
             self.answered(zone)
 
     def part(self, zone: str, now: float) -> float:
