--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/node.py
@@ -346,7 +346,7 @@
                 host["choice"] = taken_for(self.core.module.pool, host["id"], self.core.clock())
             told["choices"] = dict(self.core.module.pool.choice_counts)
             told["left"] = list(self.config.leave)
-            told["sites"] = self.core.module.pool.health.zone_health.told(self.core.clock())
+            told["sites"] = self.core.module.pool.health.zone_health.status(self.core.clock())
         return told
 
     def plugins_told(self) -> dict[str, Any]:
--- a/apigateway/routing/capacity_estimator.py
+++ b/apigateway/routing/capacity_estimator.py
@@ -9,31 +9,40 @@
 
 from collections.abc import Mapping
 
-IDLE, FULL = 0.1, 0.8  # part of the CPU busy; under it a report says little, past it some requests wait
-KEEP = 0.99  # of what was heard before, with each report
-ENOUGH = 4  # reports before it is believed: one of many gateways hears few, and sheds meanwhile
-STEP = 0.15  # change, as a part, that is told: decisions that rest on it are made anew then
+MIN_UTILISATION = 0.1  # part of the CPU busy under which a report says little
+MAX_UTILISATION = 0.8  # part past which some requests wait
+KEPT_PART = 0.99  # of what was heard before, with each report
+MIN_REPORTS = 4  # before it is believed: one of many gateways hears few, and sheds meanwhile
+MIN_CHANGE = 0.15  # as a part, that is told: decisions that rest on it are made anew then
 
 
 class CapacityEstimator:
-    """`usual`: requests at once that a host is taken to work on while nothing tells. `scale`: by how much
-    hosts are larger than that, 1 at least: what suits small ones is left as it is."""
+    """How much larger hosts are than usual.
+
+    Args:
+        usual: requests at once that a host is taken to work on while nothing tells.
+    """
 
     def __init__(self, usual: float) -> None:
-        self.usual, self.scale = usual, 1.0
-        self.held, self.busy, self.heard = 0.0, 0.0, 0
+        self.scale = 1.0  # 1 at least: what suits small hosts is left as it is
+        self._usual = usual
+        self._held = 0.0
+        self._busy = 0.0
+        self._reports = 0
 
     def note(self, report: Mapping[str, float]) -> bool:
-        """Whether `scale` has changed by it."""
-        held, util = report.get("inflight", 0.0), report.get("util", 0.0)
-        if not (held > 0 and IDLE <= util <= FULL):
+        """Take up a load report, and return whether `scale` has changed by it."""
+        held = report.get("inflight", 0.0)
+        utilisation = report.get("util", 0.0)
+        if not (held > 0 and MIN_UTILISATION <= utilisation <= MAX_UTILISATION):
             return False
-        self.held, self.busy = self.held * KEEP + held, self.busy * KEEP + util
-        self.heard += 1
-        if self.heard < ENOUGH:
+        self._held = self._held * KEPT_PART + held
+        self._busy = self._busy * KEPT_PART + utilisation
+        self._reports += 1
+        if self._reports < MIN_REPORTS:
             return False
-        scale = max(1.0, self.held / self.busy / self.usual)
-        if abs(scale - self.scale) < STEP * self.scale:
+        scale = max(1.0, self._held / self._busy / self._usual)
+        if abs(scale - self.scale) < MIN_CHANGE * self.scale:
             return False
         self.scale = scale
         return True
--- a/tests/routing/test_capacity_estimator.py
+++ b/tests/routing/test_capacity_estimator.py
@@ -4,14 +4,14 @@
 from helpers import World, host, of, plan, settings
 
 from apigateway import messages
-from apigateway.routing.capacity_estimator import ENOUGH, CapacityEstimator
+from apigateway.routing.capacity_estimator import MIN_REPORTS, CapacityEstimator
 
 BIG = plan(rate=0.0)
 
 
 def heard(*reports):
     size = CapacityEstimator(4.0)
-    for report in reports * ENOUGH:
+    for report in reports * MIN_REPORTS:
         size.note(report)
     return size.scale
 
@@ -58,7 +58,7 @@
 
 def test_few_gateways_have_as_many_out_at_large_hosts_as_these_work_on():
     w = World(settings(plans=[BIG]), [host("h0")])
-    for _ in range(ENOUGH):
+    for _ in range(MIN_REPORTS):
         for s in of(w.ask()[1], messages.ForwardRequest):
             w.end(s, load_report={"inflight": 8.0, "util": 0.5}, elapsed=0.2)
     assert sum(len(of(w.ask()[1], messages.ForwardRequest)) for _ in range(20)) in (8, 9)
--- a/tests/routing/test_zone_health.py
+++ b/tests/routing/test_zone_health.py
@@ -33,7 +33,7 @@
     known.answered("a")
     assert known.part("a", 10.0) == 1.0 and known.part("b", 10.0) < 0.1 and known.doubted == 1
     part = round(known.part("b", 12.5), 3)
-    assert known.told(12.5) == {"b": {"silent": 3, "hosts": 9, "for": 2.5, "part": part}}
+    assert known.status(12.5) == {"b": {"silent": 3, "hosts": 9, "for": 2.5, "part": part}}
     known.answered("b")
     known.answered("b")
     assert known.doubted == 0
@@ -53,9 +53,9 @@
     known.silent("a", "h0", 10.0)
     known.silent("b", "h1", 10.0)
     known.listed(["b"] * 9 + ["c"] * 9)
-    assert known.doubted == 1 and list(known.told(11.0)) == ["b"]
+    assert known.doubted == 1 and list(known.status(11.0)) == ["b"]
     known.answered("b")
-    assert known.doubted == 0 and not known.told(11.0)
+    assert known.doubted == 0 and not known.status(11.0)
 
 
 def test_a_site_of_few_hosts_is_left_to_what_is_known_of_each():
