--- a/apigateway/adapter.py
+++ b/apigateway/adapter.py
@@ -8,34 +8,60 @@
 import math
 import sys
 import traceback
+from collections.abc import Callable, Iterable
+from functools import partial
 from typing import Any, TextIO
 
 from apigateway import messages
 from apigateway.platform_settings import NS, flag, read_report, read_settings, seconds
 from apigateway.policy import Gateway
 
-STATE = {"U": "up", "L": "leaving", "D": "down"}
-RESULT = {
-    "GOOD": "ok",
-    "BAD": "error",
-    "FULL": "full",
-    "LATE": "timeout",
-    "NOCONN": "connect_failed",
-    "RST": "reset",
-    "CXL": "cancelled",
-    "NOP": "moot",
+STATUSES = {
+    "U": messages.EndpointStatus.UP,
+    "L": messages.EndpointStatus.LEAVING,
+    "D": messages.EndpointStatus.DOWN,
 }
+RESULTS = {
+    "GOOD": messages.AttemptResult.OK,
+    "BAD": messages.AttemptResult.ERROR,
+    "FULL": messages.AttemptResult.FULL,
+    "LATE": messages.AttemptResult.TIMEOUT,
+    "NOCONN": messages.AttemptResult.CONNECT_FAILED,
+    "RST": messages.AttemptResult.RESET,
+    "CXL": messages.AttemptResult.CANCELLED,
+    "NOP": messages.AttemptResult.MOOT,
+}
+RETRY_MARK = 2  # bit of a work item's marks: a client's repeat
+WRITE_MARK = 4  # bit of a work item's marks: it writes
+INSTANCE_FIELDS = ("i", "nonce64")  # of a PROVISION, beside the settings
+SHOWN_LINE = 200  # characters of a faulty line that are shown
+
+Fields = dict[str, str]
 
 
 class WireError(Exception):
-    """A line that does not follow the wire; `inst` is the instance it named, if any."""
+    """A line that does not follow the wire; `instance` is the one that it named, if any."""
 
-    def __init__(self, text: str, inst: int | None = None) -> None:
+    def __init__(self, text: str, instance: int | None = None) -> None:
         super().__init__(text)
-        self.inst = inst
+        self.instance = instance
+
+
+# Reading
+
+
+def _fields(parts: list[str]) -> Fields:
+    fields: Fields = {}
+    for part in parts:
+        name, equals, value = part.partition("=")
+        if not equals:
+            raise WireError(f"{part!r} is not name=value")
+        fields[name] = value
+    return fields
 
 
-def _tree(pairs: dict[str, str]) -> dict[str, Any]:
+def _read_tree(pairs: Fields) -> dict[str, Any]:
+    """Return nested objects for names with dots."""
     root: dict[str, Any] = {}
     for path, value in pairs.items():
         node = root
@@ -48,98 +74,129 @@
     return root
 
 
-def _stats(f: dict[str, str]) -> dict[str, float]:
-    return read_report(pair.split(":", 1) for pair in f.get("server_stats", "").split(",") if ":" in pair)
+def _read_load_report(fields: Fields) -> dict[str, float]:
+    pairs = fields.get("server_stats", "").split(",")
+    return read_report(pair.split(":", 1) for pair in pairs if ":" in pair)
 
 
-def _host(f: dict[str, str]) -> messages.Endpoint:
+def _read_host(fields: Fields) -> messages.Endpoint:
     return messages.Endpoint(
-        id=f["host"],
-        zone=f.get("zone", ""),
-        cell=int(f.get("unit_group", 0)),
-        weight=float(f.get("heft", 1)),
-        kind=f.get("flavor", ""),
-        state=STATE[f["availability"]],
-        started_at=seconds(f.get("ready_at", "0")),
+        id=fields["host"],
+        zone=fields.get("zone", ""),
+        cell=int(fields.get("unit_group", 0)),
+        weight=float(fields.get("heft", 1)),
+        kind=fields.get("flavor", ""),
+        state=STATUSES[fields["availability"]],
+        started_at=seconds(fields.get("ready_at", "0")),
     )
 
 
-def _work_item(f: dict[str, str]) -> messages.Request:
-    marks = int(f.get("marks", 0))
+def _read_request(fields: Fields) -> messages.Request:
+    marks = int(fields.get("marks", 0))
     return messages.Request(
-        request_id=f["txn"],
-        remaining=seconds(f["patience_left"]),
-        customer=f["customer"],
-        plan=f["tier"],
-        service_class=f["type"],
-        units=float(f["cost_units"]),
-        first_gateway=int(float(f.get("first", 0))),
-        gateway_spread=int(float(f["n_entries"])),
-        is_retry=bool(marks & 2),
-        is_write=bool(marks & 4),
+        request_id=fields["txn"],
+        remaining=seconds(fields["patience_left"]),
+        customer=fields["customer"],
+        plan=fields["tier"],
+        service_class=fields["type"],
+        units=float(fields["cost_units"]),
+        first_gateway=int(float(fields.get("first", 0))),
+        gateway_spread=int(float(fields["n_entries"])),
+        is_retry=bool(marks & RETRY_MARK),
+        is_write=bool(marks & WRITE_MARK),
     )
 
 
-def _outcome(f: dict[str, str]) -> messages.AttemptOutcome:
+def _read_outcome(fields: Fields) -> messages.AttemptOutcome:
     return messages.AttemptOutcome(
-        request_id=f["txn"],
-        attempt=int(f["attempt"]),
-        endpoint_id=f["host"],
-        result=RESULT[f["reason"]],
-        elapsed=seconds(f.get("time_taken", "0")),
-        is_final=flag(f, "terminal"),
-        metered_use=int(float(f.get("fleet_use", 0))),
-        actual_units=float(f.get("actual", 0)),
-        load_report=_stats(f),
+        request_id=fields["txn"],
+        attempt=int(fields["attempt"]),
+        endpoint_id=fields["host"],
+        result=RESULTS[fields["reason"]],
+        elapsed=seconds(fields.get("time_taken", "0")),
+        is_final=flag(fields, "terminal"),
+        metered_use=int(float(fields.get("fleet_use", 0))),
+        actual_units=float(fields.get("actual", 0)),
+        load_report=_read_load_report(fields),
+    )
+
+
+def _read_counter_result(fields: Fields) -> messages.CounterResult:
+    return messages.CounterResult(
+        counter_key=int(fields["entry_name"]),
+        result=RESULTS[fields["reason"]],
+        total=float(fields.get("now_at", 0)),
+        elapsed=seconds(fields.get("time_taken", "0")),
     )
 
 
-def _memo(f: dict[str, str]) -> messages.PeerMessage:
-    return messages.PeerMessage(sender=int(f["from"]), data=bytes.fromhex(f["octets"].strip("-")))
-
-
-READERS = {
-    "WORK_ITEM": _work_item,
-    "REPORT_BACK": _outcome,
-    "ADDED": lambda f: messages.CounterResult(
-        counter_key=int(f["entry_name"]),
-        result=RESULT[f["reason"]],
-        total=float(f.get("now_at", 0)),
-        elapsed=seconds(f.get("time_taken", "0")),
-    ),
-    "PING_RESULT": lambda f: messages.HealthCheckResult(
-        endpoint_id=f["host"],
-        result=RESULT[f["reason"]],
-        elapsed=seconds(f.get("time_taken", "0")),
-        load_report=_stats(f),
-    ),
-    "DUE": lambda f: messages.TimerExpired(label=int(f["label"])),
-    "BEGUN": lambda f: messages.StreamStarted(
-        request_id=f["txn"],
-        attempt=int(f["attempt"]),
-        endpoint_id=f["host"],
-        elapsed=seconds(f.get("time_taken", "0")),
-    ),
-    "DROPPED": lambda f: messages.ClientDisconnected(request_id=f["txn"]),
-    "MEMO": _memo,
+def _read_health_check(fields: Fields) -> messages.HealthCheckResult:
+    return messages.HealthCheckResult(
+        endpoint_id=fields["host"],
+        result=RESULTS[fields["reason"]],
+        elapsed=seconds(fields.get("time_taken", "0")),
+        load_report=_read_load_report(fields),
+    )
+
+
+def _read_timer(fields: Fields) -> messages.TimerExpired:
+    return messages.TimerExpired(label=int(fields["label"]))
+
+
+def _read_stream_start(fields: Fields) -> messages.StreamStarted:
+    return messages.StreamStarted(
+        request_id=fields["txn"],
+        attempt=int(fields["attempt"]),
+        endpoint_id=fields["host"],
+        elapsed=seconds(fields.get("time_taken", "0")),
+    )
+
+
+def _read_disconnect(fields: Fields) -> messages.ClientDisconnected:
+    return messages.ClientDisconnected(request_id=fields["txn"])
+
+
+def _read_peer_message(fields: Fields) -> messages.PeerMessage:
+    return messages.PeerMessage(sender=int(fields["from"]), data=bytes.fromhex(fields["octets"].strip("-")))
+
+
+READERS: dict[str, Callable[[Fields], messages.Event]] = {
+    "WORK_ITEM": _read_request,
+    "REPORT_BACK": _read_outcome,
+    "ADDED": _read_counter_result,
+    "PING_RESULT": _read_health_check,
+    "DUE": _read_timer,
+    "BEGUN": _read_stream_start,
+    "DROPPED": _read_disconnect,
+    "MEMO": _read_peer_message,
 }
 
 
-def _ns(seconds: float) -> int:
-    return math.ceil(seconds * NS)
+# Writing
 
 
-WRITERS = {
-    messages.ForwardRequest: lambda i, a: (
-        f"ASSIGN i={i} txn={a.request_id} timeout={_ns(a.timeout)} host={a.endpoint_id}"
-    ),
-    messages.Reject: lambda i, a: f"DECLINE i={i} txn={a.request_id} hold_off={_ns(a.retry_after)}",
+def _nanoseconds(duration: float) -> int:
+    return math.ceil(duration * NS)
+
+
+def _write_forward(instance: int, action: messages.ForwardRequest) -> str:
+    timeout = _nanoseconds(action.timeout)
+    return f"ASSIGN i={instance} txn={action.request_id} timeout={timeout} host={action.endpoint_id}"
+
+
+def _write_add(instance: int, action: messages.AddToCounter) -> str:
+    lifetime = _nanoseconds(action.lifetime)
+    entry = f"entry_name={action.counter_key} by={action.amount:.7g}"
+    return f"CHARGE_COUNTER i={instance} {entry} forget_after={lifetime}"
+
+
+WRITERS: dict[type, Callable[[int, Any], str]] = {
+    messages.ForwardRequest: _write_forward,
+    messages.Reject: lambda i, a: f"DECLINE i={i} txn={a.request_id} hold_off={_nanoseconds(a.retry_after)}",
     messages.Fail: lambda i, a: f"DROP_REQUEST i={i} txn={a.request_id}",
     messages.CancelAttempt: lambda i, a: f"REVOKE i={i} txn={a.request_id} attempt={a.attempt}",
-    messages.AddToCounter: lambda i, a: (
-        f"CHARGE_COUNTER i={i} entry_name={a.counter_key} by={a.amount:.7g} forget_after={_ns(a.lifetime)}"
-    ),
-    messages.SetTimer: lambda i, a: f"AFTER i={i} sleep_for={_ns(a.delay)} label={a.label}",
+    messages.AddToCounter: _write_add,
+    messages.SetTimer: lambda i, a: f"AFTER i={i} sleep_for={_nanoseconds(a.delay)} label={a.label}",
     messages.CheckHealth: lambda i, a: f"TOUCH i={i} host={a.endpoint_id}",
     messages.CloseIdleConnections: lambda i, a: f"RELEASE i={i} host={a.endpoint_id}",
     messages.FetchEndpoints: lambda i, a: f"PULL i={i}",
@@ -148,83 +205,29 @@
 }
 
 
-def _fields(parts: list[str]) -> dict[str, str]:
-    out: dict[str, str] = {}
-    for part in parts:
-        name, eq, value = part.partition("=")
-        if not eq:
-            raise WireError(f"{part!r} is not name=value")
-        out[name] = value
-    return out
-
-
 class Adapter:
-    def __init__(self, source: TextIO, sink: TextIO) -> None:
-        self.source, self.sink, self.line_no, self.line = source, sink, 0, ""
-        self.gateways: dict[int, Gateway] = {}
+    """One conversation on the wire: batches of events in, their actions out."""
 
-    def _next(self) -> str | None:
-        line = self.source.readline()
-        if not line:
-            return None
-        self.line_no += 1
-        self.line = line.rstrip("\r\n")
-        return self.line
-
-    def _hosts(self, count: int) -> tuple[messages.Endpoint, ...]:
-        hosts = []
-        for _ in range(count):
-            line = self._next() or ""
-            word, *parts = line.split(" ")
-            if word != "HOST":
-                raise WireError(f"expected HOST, found {word!r}")
-            hosts.append(_host(_fields(parts)))
-        return tuple(hosts)
+    def __init__(self, source: TextIO, sink: TextIO) -> None:
+        self.source = source
+        self.sink = sink
+        self.line_number = 0
+        self.line = ""
+        self.gateways: dict[int, Gateway] = {}  # by instance
 
-    def _event(self, now: float, out: list[str]) -> None:
-        word, *parts = self.line.split(" ")
-        inst: int | None = None
-        try:
-            f = _fields(parts)
-            inst = int(f["i"])
-            if word == "PROVISION":
-                seed = int(f["nonce64"])
-                options = {k: v for k, v in f.items() if k not in ("i", "nonce64")}
-                settings = read_settings(_tree(options))
-                event: messages.Event | None = None
-            elif word == "DETACH":
-                self.gateways.pop(inst, None)
-                return
-            elif word == "TARGETS":
-                event = messages.EndpointList(
-                    mode=f["mode"],
-                    version=int(f.get("index", 0)),
-                    endpoints=self._hosts(int(f.get("rows_in", 0))),
-                )
-            elif word in READERS:
-                event = READERS[word](f)
-            else:
-                raise WireError(f"unknown event {word!r}")
-            if word != "PROVISION" and inst not in self.gateways:
-                raise WireError(f"instance {inst} has not been set up")
-        except WireError as err:
-            raise WireError(str(err), inst) from err
-        except KeyError as err:
-            raise WireError(f"missing or unknown {err}", inst) from err
-        except ValueError as err:
-            raise WireError(str(err), inst) from err
+    def run(self) -> int:
+        """Answer batches until the input ends, and return the exit code."""
         try:
-            if event is None:
-                self.gateways[inst] = Gateway(settings, seed, now)
-                return
-            actions = self.gateways[inst].handle(now, event)
-            out.extend(WRITERS[type(a)](inst, a) for a in actions)
-        except Exception as err:  # the wire's own way to say that the decision code failed
-            traceback.print_exc(file=sys.stderr)
-            words = " ".join(f"{type(err).__name__}: {err}".split())
-            out.append(f"INTERNAL_ERROR i={inst} words={words}")
+            while self._answer_batch():
+                pass
+        except WireError as error:
+            shown = self.line[:SHOWN_LINE]
+            print(f"api-gateway: line {self.line_number}: {error}: {shown}", file=sys.stderr)
+            return 1
+        return 0
 
-    def _batch(self) -> bool:
+    def _answer_batch(self) -> bool:
+        """Answer one batch, and return whether there was one."""
         line = self._next()
         while line == "":
             line = self._next()
@@ -232,42 +235,107 @@
             return False
         out: list[str] = []
         try:
-            word, *parts = line.split(" ")
-            if word != "ROUND":
-                raise WireError(f"expected ROUND, found {word!r}")
-            try:
-                now = seconds(_fields(parts)["at_time"])
-            except (KeyError, ValueError) as err:
-                raise WireError(f"bad clock: {err}") from err
-            while (line := self._next()) != "GO":
-                if line is None:
-                    raise WireError("input ended inside a batch")
-                if line:
-                    self._event(now, out)
-        except WireError as err:
-            if err.inst is not None:
-                out.append(f"INTERNAL_ERROR i={err.inst} words=line {self.line_no}: {err}")
+            self._handle_batch(line, out)
+        except WireError as error:
+            if error.instance is not None:
+                words = f"line {self.line_number}: {error}"
+                out.append(f"INTERNAL_ERROR i={error.instance} words={words}")
                 self._reply(out)
             raise
         self._reply(out)
         return True
 
+    def _handle_batch(self, line: str, out: list[str]) -> None:
+        word, *parts = line.split(" ")
+        if word != "ROUND":
+            raise WireError(f"expected ROUND, found {word!r}")
+        try:
+            now = seconds(_fields(parts)["at_time"])
+        except (KeyError, ValueError) as error:
+            raise WireError(f"bad clock: {error}") from error
+        while (event_line := self._next()) != "GO":
+            if event_line is None:
+                raise WireError("input ended inside a batch")
+            if event_line:
+                self._handle_line(now, out)
+
+    def _handle_line(self, now: float, out: list[str]) -> None:
+        """Read the current line and carry it out."""
+        instance: int | None = None
+        try:
+            word, *parts = self.line.split(" ")
+            fields = _fields(parts)
+            instance = int(fields["i"])
+            if word == "DETACH":
+                self.gateways.pop(instance, None)
+                return
+            if word == "PROVISION":
+                seed = int(fields["nonce64"])
+                options = {name: value for name, value in fields.items() if name not in INSTANCE_FIELDS}
+                settings = read_settings(_read_tree(options))
+                carry_out: Callable[[], Iterable[str]] = partial(self._set_up, instance, settings, seed, now)
+            else:
+                event = self._read_event(word, fields)
+                if instance not in self.gateways:
+                    raise WireError(f"instance {instance} has not been set up")
+                carry_out = partial(self._hand_over, instance, event, now)
+        except WireError as error:
+            raise WireError(str(error), instance) from error
+        except KeyError as error:
+            raise WireError(f"missing or unknown {error}", instance) from error
+        except ValueError as error:
+            raise WireError(str(error), instance) from error
+        try:
+            out.extend(carry_out())
+        except Exception as error:  # the wire's own way to say that the decision code failed
+            traceback.print_exc(file=sys.stderr)
+            words = " ".join(f"{type(error).__name__}: {error}".split())
+            out.append(f"INTERNAL_ERROR i={instance} words={words}")
+
+    def _read_event(self, word: str, fields: Fields) -> messages.Event:
+        if word == "TARGETS":
+            mode = fields["mode"]
+            version = int(fields.get("index", 0))
+            return messages.EndpointList(mode, version, self._read_hosts(int(fields.get("rows_in", 0))))
+        if word not in READERS:
+            raise WireError(f"unknown event {word!r}")
+        return READERS[word](fields)
+
+    def _read_hosts(self, count: int) -> tuple[messages.Endpoint, ...]:
+        hosts = []
+        for _ in range(count):
+            line = self._next() or ""
+            word, *parts = line.split(" ")
+            if word != "HOST":
+                raise WireError(f"expected HOST, found {word!r}")
+            hosts.append(_read_host(_fields(parts)))
+        return tuple(hosts)
+
+    def _set_up(self, instance: int, settings: messages.Settings, seed: int, now: float) -> Iterable[str]:
+        self.gateways[instance] = Gateway(settings, seed, now)
+        return ()
+
+    def _hand_over(self, instance: int, event: messages.Event, now: float) -> Iterable[str]:
+        actions = self.gateways[instance].handle(now, event)
+        return (WRITERS[type(action)](instance, action) for action in actions)
+
+    def _next(self) -> str | None:
+        """Read the next line; None: the input has ended."""
+        line = self.source.readline()
+        if not line:
+            return None
+        self.line_number += 1
+        self.line = line.rstrip("\r\n")
+        return self.line
+
     def _reply(self, out: list[str]) -> None:
         out.append("ACK\n")
         self.sink.write("\n".join(out))
         self.sink.flush()
 
-    def run(self) -> int:
-        try:
-            while self._batch():
-                pass
-        except WireError as err:
-            print(f"api-gateway: line {self.line_no}: {err}: {self.line[:200]}", file=sys.stderr)
-            return 1
-        return 0
-
 
 def main() -> int:
+    """Speak the wire on standard input and output."""
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     return Adapter(sys.stdin, sys.stdout).run()
--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -300,7 +300,8 @@
         return scope == DeduplicationScope.ALL or self.cell == other.cell
 
     def __post_init__(self) -> None:
-        _need(self.state in STATUSES, f"host {self.id}: unknown state {self.state!r}")
+        if self.state not in STATUSES:
+            raise ValueError(f"host {self.id}: unknown state {self.state!r}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -437,7 +438,8 @@
         return self.result in _TELLING_HEALTH
 
     def __post_init__(self) -> None:
-        _need(self.result in RESULTS, f"unknown result {self.result!r}")
+        if self.result not in RESULTS:
+            raise ValueError(f"unknown result {str(self.result)!r}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -455,7 +457,8 @@
         return self.result in (CounterCallResult.OK, CounterCallResult.SPOILT)
 
     def __post_init__(self) -> None:
-        _need(self.result in COUNT_RESULTS, f"unknown counter result {self.result!r}")
+        if self.result not in COUNT_RESULTS:
+            raise ValueError(f"unknown counter result {str(self.result)!r}")
 
 
 @dataclass(frozen=True, slots=True)
--- a/apigateway/platform_settings.py
+++ b/apigateway/platform_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a deployment: the wire's names and nanoseconds to interface.Settings.
+"""The settings of a deployment: the wire's names and nanoseconds to `messages.Settings`.
 
 The simulator sends them as flat text, a real gateway finds them as nested JSON; both are read here.
 """
@@ -10,8 +10,12 @@
 
 from apigateway import messages
 
-EFFECT = {"pure": "safe", "token": "keyed", "side_effect": "unsafe"}
-DISCOVERY = {"pushed": "push", "on_request": "ask"}
+EFFECT = {
+    "pure": messages.Effect.SAFE,
+    "token": messages.Effect.KEYED,
+    "side_effect": messages.Effect.UNSAFE,
+}
+DISCOVERY = {"pushed": messages.DiscoveryMode.PUSH, "on_request": messages.DiscoveryMode.POLL}
 REPORT = {
     "active": "inflight",
     "waiting": "queue",
@@ -20,17 +24,105 @@
     "rps": "rps",
     "err_rps": "errors",
 }
+LATENCY_FIELD = "avg_ms"  # of a load report, the only one in milliseconds
 BOOL = {"true": True, "1": True, "false": False, "0": False}
-NS = 1e9
+NS = 1e9  # nanoseconds a second
+MS = 1000  # milliseconds a second
 
+Node = dict[str, Any]  # an object of JSON
 
-def _items(node: Any) -> list[dict[str, Any]]:
-    """A list of objects: as JSON has it, or as the simulator's flat paths count it."""
-    return node if isinstance(node, list) else [node[str(k)] for k in range(int(node["count"]))]
 
+def read_settings(tree: Node) -> messages.Settings:
+    """Read the settings from nested names, as JSON or as the simulator sends them."""
+    classes = [_read_class(node) for node in _items(tree["services"])]
+    plans = [_read_plan(node) for node in _items(tree["plans"])]
+    limits = tree["limits"]
+    rules = tree["rules"]
+    specifics = tree["specifics"]
+    report_names = _names(tree.get("reporting", {}).get("names", ""))
+    return messages.Settings(
+        gateway_index=int(tree["index"]),
+        gateway_count=int(tree["group_size"]),
+        zone=tree["locality"],
+        classes={one.name: one for one in classes},
+        plans={one.name: one for one in plans},
+        limits=_read_limits(limits),
+        rules=_read_rules(rules),
+        prices={name: float(price) for name, price in tree.get("prices", {}).items()},
+        has_counter=flag(specifics, "shared_counter"),
+        counter_price=_number(specifics, "counter_price"),
+        counter_timeout=seconds(specifics.get("counter_timeout", "0")),
+        meter_period=seconds(specifics.get("meter_period", "0")),
+        settles_units=flag(specifics, "settles"),
+        max_units=float(specifics.get("units_top", 1)),
+        discovery_mode=DISCOVERY[tree["registry_mode"]],
+        load_report_fields=tuple(REPORT[name] for name in report_names if name in REPORT),
+        weight_meaning=tree.get("weights", "none"),
+    )
+
+
+def _read_class(node: Node) -> messages.ServiceClass:
+    return messages.ServiceClass(
+        name=node["name"],
+        latency_objective=seconds(node["slo"]),
+        deadline=seconds(node["deadline"]),
+        effect=EFFECT[node["effect"]],
+        deduplication_scope=node.get("dedup_scope", "all"),
+        deduplication_window=seconds(node.get("memory_span", "0")),
+        priority_weight=float(node["gain"]),
+        late_priority_weight=_number(node, "late_value"),
+        is_streaming=flag(node, "streaming"),
+        latency_objective_stretch=_number(node, "aim_stretch"),
+    )
+
+
+def _read_plan(node: Node) -> messages.Plan:
+    return messages.Plan(
+        name=node["name"],
+        rate=_number(node, "rate"),
+        burst=_number(node, "most_at_once"),
+        concurrency_limit=int(_number(node, "parallel")),
+        price_weight=float(node.get("value_factor", 1)),
+        over_quota_weight=_number(node, "beyond_earns"),
+        over_quota_cost=_number(node, "over_cost"),
+        ceiling_rate=_number(node, "cap_rate"),
+        ceiling_burst=_number(node, "cap_depth"),
+        ceiling_slack=_number(node, "hard_slack"),
+    )
+
+
+def _read_limits(node: Node) -> messages.Limits:
+    return messages.Limits(
+        can_cancel=flag(node, "cancel"),
+        can_hedge=flag(node, "second_copies"),
+        can_check_health=flag(node, "probes"),
+        can_message_peers=flag(node, "peers"),
+        can_tell_retry_after=flag(node, "retry_after"),
+        max_attempts=int(node["max_attempts"]),
+        max_retry_after=seconds(node.get("max_retry_after", "0")),
+        connect_timeout=seconds(node.get("connect_timeout", "0")),
+    )
+
+
+def _read_rules(node: Node) -> messages.Rules:
+    return messages.Rules(
+        answer_slack=seconds(node["answer_slack"]),
+        drain_grace=seconds(node["drain_grace"]),
+        initial_capacity=float(node["start_capacity"]),
+        slow_start_duration=seconds(node["cold"]),
+        overload_multiple=float(node["fall_multiple"]),
+        overload_duration=seconds(node["tip_after"]),
+        max_poll_interval=seconds(node.get("must_ask_in", "0")),
+    )
 
-def _names(node: Any) -> list[str]:
-    return node if isinstance(node, list) else node.split(",")
+
+def read_report(pairs: Iterable[tuple[str, str] | list[str]]) -> dict[str, float]:
+    """Return the fields of a load report that are known and have a value; latency in seconds."""
+    return {
+        REPORT[name]: float(value) / MS if name == LATENCY_FIELD else float(value)
+        for name, value in pairs
+        if name in REPORT and value
+    }
 
 
 def seconds(value: Any) -> float:
@@ -38,91 +130,23 @@
     return int(value) / NS
 
 
-def flag(node: dict[str, Any], name: str, default: bool = False) -> bool:
+def flag(node: Node, name: str, default: bool = False) -> bool:
     """Return a flag of the settings, in either of its forms."""
     return BOOL[str(node[name]).lower()] if name in node else default
 
 
-def _num(node: dict[str, Any], name: str) -> float:
+def _number(node: Node, name: str) -> float:
     return float(node.get(name, 0))
 
 
-def read_settings(t: dict[str, Any]) -> messages.Settings:
-    """Read the settings from nested names, as JSON or as the simulator sends them."""
-    classes = {
-        c["name"]: messages.ServiceClass(
-            name=c["name"],
-            latency_objective=seconds(c["slo"]),
-            deadline=seconds(c["deadline"]),
-            effect=EFFECT[c["effect"]],
-            deduplication_scope=c.get("dedup_scope", "all"),
-            deduplication_window=seconds(c.get("memory_span", "0")),
-            priority_weight=float(c["gain"]),
-            late_priority_weight=_num(c, "late_value"),
-            is_streaming=flag(c, "streaming"),
-            latency_objective_stretch=_num(c, "aim_stretch"),
-        )
-        for c in _items(t["services"])
-    }
-    plans = {
-        p["name"]: messages.Plan(
-            name=p["name"],
-            rate=_num(p, "rate"),
-            burst=_num(p, "most_at_once"),
-            concurrency_limit=int(_num(p, "parallel")),
-            price_weight=float(p.get("value_factor", 1)),
-            over_quota_weight=_num(p, "beyond_earns"),
-            over_quota_cost=_num(p, "over_cost"),
-            ceiling_rate=_num(p, "cap_rate"),
-            ceiling_burst=_num(p, "cap_depth"),
-            ceiling_slack=_num(p, "hard_slack"),
-        )
-        for p in _items(t["plans"])
-    }
-    lim, rules, spec = t["limits"], t["rules"], t["specifics"]
-    names = t.get("reporting", {}).get("names", "")
-    return messages.Settings(
-        gateway_index=int(t["index"]),
-        gateway_count=int(t["group_size"]),
-        zone=t["locality"],
-        classes=classes,
-        plans=plans,
-        limits=messages.Limits(
-            can_cancel=flag(lim, "cancel"),
-            can_hedge=flag(lim, "second_copies"),
-            can_check_health=flag(lim, "probes"),
-            can_message_peers=flag(lim, "peers"),
-            can_tell_retry_after=flag(lim, "retry_after"),
-            max_attempts=int(lim["max_attempts"]),
-            max_retry_after=seconds(lim.get("max_retry_after", "0")),
-            connect_timeout=seconds(lim.get("connect_timeout", "0")),
-        ),
-        rules=messages.Rules(
-            answer_slack=seconds(rules["answer_slack"]),
-            drain_grace=seconds(rules["drain_grace"]),
-            initial_capacity=float(rules["start_capacity"]),
-            slow_start_duration=seconds(rules["cold"]),
-            overload_multiple=float(rules["fall_multiple"]),
-            overload_duration=seconds(rules["tip_after"]),
-            max_poll_interval=seconds(rules.get("must_ask_in", "0")),
-        ),
-        prices={k: float(v) for k, v in t.get("prices", {}).items()},
-        has_counter=flag(spec, "shared_counter"),
-        counter_price=_num(spec, "counter_price"),
-        counter_timeout=seconds(spec.get("counter_timeout", "0")),
-        meter_period=seconds(spec.get("meter_period", "0")),
-        settles_units=flag(spec, "settles"),
-        max_units=float(spec.get("units_top", 1)),
-        discovery_mode=DISCOVERY[t["registry_mode"]],
-        load_report_fields=tuple(REPORT[n] for n in _names(names) if n in REPORT),
-        weight_meaning=t.get("weights", "none"),
-    )
+def _items(node: Any) -> list[Node]:
+    """Return a list of objects: as JSON has it, or as the simulator's flat paths count it."""
+    if isinstance(node, list):
+        return node
+    return [node[str(index)] for index in range(int(node["count"]))]
 
 
-def read_report(pairs: Iterable[tuple[str, str] | list[str]]) -> dict[str, float]:
-    """The fields of a load report that are known and have a value; latency in seconds."""
-    return {
-        REPORT[name]: float(value) / 1000 if name == "avg_ms" else float(value)
-        for name, value in pairs
-        if name in REPORT and value
-    }
+def _names(node: Any) -> list[str]:
+    """Return a list of names: as JSON has it, or separated by commas."""
+    names: list[str] = node if isinstance(node, list) else node.split(",")
+    return names
