--- a/apigateway/plugins/interfaces.py
+++ b/apigateway/plugins/interfaces.py
@@ -7,6 +7,13 @@
 from typing import Any, NamedTuple, Protocol
 
 
+class PluginKind(enum.StrEnum):
+    """How a plug-in is written. The values are part of statuses."""
+
+    RULES = "rules"
+    WASM = "wasm"
+
+
 class Phase(enum.StrEnum):
     """When a plug-in is called. The values are part of the rules, of settings and of statuses."""
 
@@ -133,7 +140,7 @@
 class Plugin(Protocol):
     """One loaded plug-in."""
 
-    kind: str
+    kind: PluginKind
     phases: frozenset[Phase]
 
     def call(self, phase: Phase, view: RequestView) -> list[Proposal]:
--- a/apigateway/plugins/rules.py
+++ b/apigateway/plugins/rules.py
@@ -10,6 +10,7 @@
     FailureReason,
     Phase,
     PluginError,
+    PluginKind,
     Proposal,
     RequestView,
     Verb,
@@ -144,7 +145,7 @@
 class RulesPlugin:
     """An interfaces.Plugin. It brings no self-test and carries no state over."""
 
-    kind = "rules"
+    kind = PluginKind.RULES
 
     def __init__(
         self,
--- a/apigateway/plugins/runner.py
+++ b/apigateway/plugins/runner.py
@@ -14,6 +14,7 @@
     Phase,
     Plugin,
     PluginError,
+    PluginKind,
     Proposal,
     RequestView,
     Verb,
@@ -59,7 +60,7 @@
         # What the machine takes from the gateway is not a plug-in's doing, so that a module is charged by the
         # CPU of the thread: its calls are long enough for the price of that clock, a system call. A rule ends
         # within microseconds.
-        self._clock = time.thread_time if plugin.kind == "wasm" else time.monotonic
+        self._clock = time.thread_time if plugin.kind == PluginKind.WASM else time.monotonic
 
     def run(self, phase: Phase, view: RequestView, now: float) -> list[Proposal] | None:
         """Return what the plug-in proposes, None if it could not be called or failed."""
--- a/apigateway/plugins/wasm/plugin.py
+++ b/apigateway/plugins/wasm/plugin.py
@@ -6,7 +6,15 @@
 from typing import Any, Concatenate, ParamSpec, TypeVar
 
 from apigateway.plugins import abi
-from apigateway.plugins.interfaces import Budget, FailureReason, Phase, PluginError, Proposal, RequestView
+from apigateway.plugins.interfaces import (
+    Budget,
+    FailureReason,
+    Phase,
+    PluginError,
+    PluginKind,
+    Proposal,
+    RequestView,
+)
 from apigateway.plugins.wasm.engine import shared_engine
 from apigateway.plugins.wasm.host_functions import HostFunctions
 from apigateway.plugins.wasm.instance import CheckedModule, WasmInstance
@@ -28,7 +36,7 @@
         reinstantiations: How often it was made anew after a failure.
     """
 
-    kind = "wasm"
+    kind = PluginKind.WASM
 
     def __init__(
         self, name: str, raw: bytes, settings: Mapping[str, Any], budget: Budget, seed: int = 0
