--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -11,8 +11,8 @@
 from apigateway import messages
 from apigateway.cli.ask import ask, headed
 from apigateway.config_validation import InvalidConfigFileError
+from apigateway.daemon.gateway_server import described
 from apigateway.daemon.handover import HandoverError
-from apigateway.daemon.node import described
 from apigateway.daemon.serve import FAILED, OK, UNUSABLE
 from apigateway.daemon.settings import Settings, read_settings
 from apigateway.daemon.settings_runtime import build_registry
--- a/apigateway/daemon/node.py
+++ b/apigateway/daemon/gateway_server.py
@@ -60,7 +60,7 @@
     async def close(self) -> None: ...
 
 
-class GatewayNode:
+class GatewayServer:
     """`start`, `reload`, `stop`; for a hand-over `prepare`, `begin`, `pause`, `resume` in their place.
     `limits`: what is to be built of a rate limit service; None: nothing of it is loaded."""
 
@@ -70,7 +70,7 @@
         self.room = max(config.sockets - SPARE_SOCKETS, config.sockets // 2)
         # Bodies in work and half commands are bounded: past the limit of memory the program is killed.
         self.most_held = max(LEAST_HELD, (config.memory - OWN_MEMORY) // 4)
-        self.hosts = UpstreamConnections(config.connect_timeout, config.idle_close, self.room // 2)
+        self.upstream = UpstreamConnections(config.connect_timeout, config.idle_close, self.room // 2)
         settings = config.settings
         self.counter = (
             QuotaCounterClient(config.counter, settings.counter_timeout) if config.counter else None
@@ -79,7 +79,7 @@
         self.core = RequestDispatcher(
             settings,
             self.module(),
-            self.hosts,
+            self.upstream,
             self.counter,
             self.loop,
             config.max_open,
@@ -90,15 +90,15 @@
         self.listed_at = time.monotonic()
         self.known = asyncio.Event()  # there are hosts
         self.gate: Gate | None = None
-        self.fronts: list[RespFront | GrpcFront] = []
+        self.frontends: list[RespFront | GrpcFront] = []
         self.open_door(config)
         self.limits = self.made(limits) if limits is not None else None
         if self.limits is not None:
             self.limits.take_up(limits)
-        self.fronts = [
+        self.frontends = [
             self.front(address, config, self.limits, limits) for address in (config.listen, *config.more)
         ]
-        self.core.membership = self.discovery = self.source(config, config.known.hosts.version)
+        self.core.membership = self.endpoint_source = self.source(config, config.known.hosts.version)
         self.plugins: Plugins | None = None
         self.endings: set[asyncio.Task[None]] = set()  # what a reload replaced, until it has ended
 
@@ -123,7 +123,7 @@
     def open_door(self, config: Config) -> None:
         """What is turned away early while the core is short, as the settings have it: not on the platform."""
         self.core.admission = self.door(config)
-        for front in self.fronts:
+        for front in self.frontends:
             front.watch_door()
 
     def door(self, config: Config) -> AdmissionController | None:
@@ -141,8 +141,8 @@
 
     def share(self) -> None:
         """Fronts have even parts of the connections and of the bytes of half commands."""
-        for front in self.fronts:
-            front.share(self.room // 2 // len(self.fronts), self.most_held // len(self.fronts))
+        for front in self.frontends:
+            front.share(self.room // 2 // len(self.frontends), self.most_held // len(self.frontends))
 
     def source(self, config: Config, version: int) -> Source:
         if config.hosts_file is not None:
@@ -150,7 +150,7 @@
 
             return EndpointFileSource(config.hosts_file, self.listed, self.core.on_endpoint_list_failed)
         # the reconciler of the last source goes on, with its doubts and its age
-        last_source = getattr(self, "discovery", None)
+        last_source = getattr(self, "endpoint_source", None)
         reconciler: EndpointReconciler | None = getattr(last_source, "reconciler", None)
         if config.discovery is None:
             from apigateway.membership.eureka.source import EurekaSource, resolve
@@ -181,7 +181,9 @@
             return ReconciledDiscovery(
                 config.discovery, version, judge, self.core.on_endpoint_list_failed, schedule
             )
-        is_start = not hasattr(self, "discovery")  # after a reload another service has versions of its own
+        is_start = not hasattr(
+            self, "endpoint_source"
+        )  # after a reload another service has versions of its own
         return DiscoveryClient(
             config.discovery,
             version,
@@ -215,20 +217,20 @@
         self.listed(self.config.known)
         if self.config.leave:
             self.leave(self.config.leave)
-        self.hosts.start_checks()
+        self.upstream.start_checks()
         if self.counter:
             self.counter.start()
         if self.core.settings.discovery_mode == "push":
-            self.discovery.watch(True)
+            self.endpoint_source.watch(True)
 
     async def listen(self, sockets: Mapping[Address, socket.socket] | None = None) -> int:
         """Returns the first front's port. `sockets` are used, and kept open, in place of new ones; each front
         gets a duplicate."""
         self.share()
-        for front in self.fronts:
+        for front in self.frontends:
             given = sockets.get(front.address) if sockets else None
             await front.listen(given.dup() if given is not None else None)
-        return self.fronts[0].port
+        return self.frontends[0].port
 
     async def start(self) -> int:
         """Returns the port that clients connect to."""
@@ -244,14 +246,14 @@
             log.warning("only new addresses of discovery and counter are taken up before the next start")
         if self.counter and config.counter:
             self.counter.change_address(config.counter)
-        self.go_over(self.source(config, self.discovery.version))
+        self.go_over(self.source(config, self.endpoint_source.version))
         if config.discovery:
             log.info("new configuration: discovery %s:%d", *config.discovery)
 
     def go_over(self, source: Source) -> None:
         """Takes the list of hosts from elsewhere from now on; the last list stays until that one tells its
         own."""
-        replaced, self.discovery = self.discovery, source
+        replaced, self.endpoint_source = self.endpoint_source, source
         self.core.membership = source
         if replaced.watching:  # the watch begins with the whole list: another service has versions of its own
             source.watch(True)
@@ -283,8 +285,8 @@
             self.leave(config.leave)
         self.core.request_budget.limit = config.max_open
         self.open_door(config)
-        leaving = [front for front in self.fronts if front.address in gone]
-        self.fronts = [*(front for front in self.fronts if front.address not in gone), *added]
+        leaving = [front for front in self.frontends if front.address in gone]
+        self.frontends = [*(front for front in self.frontends if front.address not in gone), *added]
         self.share()
         if limits is not None:
             self.limits = limits
@@ -316,7 +318,7 @@
 
     def hosts_believed(self) -> dict[str, Any]:
         """For `api-gateway hosts`. Times in seconds."""
-        reconciler: EndpointReconciler | None = getattr(self.discovery, "reconciler", None)
+        reconciler: EndpointReconciler | None = getattr(self.endpoint_source, "reconciler", None)
         if reconciler is not None:
             now = self.core.clock()
             age = now - reconciler.last_update_at
@@ -364,7 +366,7 @@
     def source_name(self) -> str:
         if self.config.hosts_file is not None:
             return f"file {self.config.hosts_file}"
-        url = getattr(self.discovery, "url", "")
+        url = getattr(self.endpoint_source, "url", "")
         return f"{'discovery' if self.config.discovery else 'registry'} {url}"
 
     # A hand-over
@@ -372,7 +374,7 @@
     async def pause(self) -> None:
         """No new connections here; whoever else holds the listening sockets accepts them. The ceilings'
         stores fill no further: from now on the successor's do."""
-        for front in self.fronts:
+        for front in self.frontends:
             front.pause()
         self.core.dispatch(messages.DrainGateway(True))
 
@@ -391,12 +393,12 @@
         late = [h for h in listing.hosts.endpoints if h.state != "up" and h.id in up]
         if not late:
             return
-        judge: ReconcilerDriver | None = getattr(self.discovery, "driver", None)
+        judge: ReconcilerDriver | None = getattr(self.endpoint_source, "driver", None)
         if judge is not None:  # through its belief, or what it tells later would not be a change
             judge.mark_draining(h.id for h in late)
         else:
             self.listed(Listing(messages.EndpointList("delta", self.listing.hosts.version, tuple(late)), {}))
-        self.discovery.fetch()
+        self.endpoint_source.fetch()
 
     # The end
 
@@ -414,29 +416,29 @@
         """After SIGTERM: goes on while connections still come, then finishes what it has taken."""
         began = time.monotonic()
         self.core.is_draining = True
-        for front in self.fronts:
+        for front in self.frontends:
             front.stopping()
         await asyncio.sleep(self.config.linger if linger is None else linger)
-        await self.finish(self.fronts)
+        await self.finish(self.frontends)
         await asyncio.sleep(READ)
         door, until = self.core.admission, began + self.config.finish
         while (
             door is not None and door.deferred_connections and time.monotonic() < until
         ):  # read, and not looked at yet
             await asyncio.sleep(0)
-        for front in self.fronts:
+        for front in self.frontends:
             most = SETTLE if front.address in self.config.grpc else HALF
             await front.settled(min(most, max(0.0, until - time.monotonic())))
         await self.core.drain(began + self.config.finish - time.monotonic())
         await asyncio.sleep(0)  # the last answers are written at the end of this turn, if they are taken
-        while any(front.owes for front in self.fronts) and time.monotonic() < until:
+        while any(front.owes for front in self.frontends) and time.monotonic() < until:
             await asyncio.sleep(READ)
-        for front in self.fronts:
+        for front in self.frontends:
             front.close()
-        self.hosts.close()
+        self.upstream.close()
         if self.counter:
             self.counter.close()
-        await self.discovery.close()
+        await self.endpoint_source.close()
         if self.plugins is not None:
             self.plugins.close()
         if self.limits is not None:
--- a/apigateway/daemon/platform.py
+++ b/apigateway/daemon/platform.py
@@ -12,8 +12,8 @@
 
 from apigateway.daemon import pending_signals
 from apigateway.daemon.config import Config, ConfigError, read_config
+from apigateway.daemon.gateway_server import GatewayServer
 from apigateway.daemon.logs import start_log
-from apigateway.daemon.node import GatewayNode
 
 EXIT_OK = 0
 EXIT_UNUSABLE_CONFIG = 2  # also where the address cannot be bound
@@ -27,7 +27,7 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop_requested.set)
-    node = GatewayNode(config)
+    node = GatewayServer(config)
     loop.add_signal_handler(signal.SIGHUP, reload, node)
     port = await node.start()
     gc.freeze()  # what the start made stays for good: no collection need look at it again
@@ -38,7 +38,7 @@
     await node.stop()
 
 
-def reload(node: GatewayNode) -> None:
+def reload(node: GatewayServer) -> None:
     """Read the configuration again, after SIGHUP; one that cannot be used leaves the old in force."""
     try:
         node.reload(read_config(again=True))
--- a/apigateway/daemon/plugins.py
+++ b/apigateway/daemon/plugins.py
@@ -10,7 +10,7 @@
 
 from apigateway import messages
 from apigateway.config_validation import ConfigProblem, InvalidConfigFileError
-from apigateway.daemon.node import GatewayNode
+from apigateway.daemon.gateway_server import GatewayServer
 from apigateway.daemon.settings import Settings
 from apigateway.plugins.live import Hooks, SwapRefused
 from apigateway.plugins.load import Place, load
@@ -89,13 +89,13 @@
             seat.plugin.close()
 
 
-def start(node: GatewayNode, built: Built, tick: float) -> None:
+def start(node: GatewayServer, built: Built, tick: float) -> None:
     hooks = Hooks(built.version, node.clock, node.loop, tick, built.recorder)
     hooks.start()
     node.plug_in(hooks)
 
 
-def swap(path: str, node: GatewayNode, built: Built, tick: float) -> None:
+def swap(path: str, node: GatewayServer, built: Built, tick: float) -> None:
     """Raises InvalidConfigFileError; the old is then as it was."""
     hooks = node.plugins
     if hooks is None:
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -20,7 +20,7 @@
 from apigateway.upstream.address import Address, read_address
 
 if TYPE_CHECKING:
-    from apigateway.daemon.node import GatewayNode
+    from apigateway.daemon.gateway_server import GatewayServer
     from apigateway.external_ratelimit.outer import Asked, Outer
     from apigateway.frontends.grpc.front import GrpcFront
     from apigateway.frontends.grpc.settings import RateLimitPart
@@ -219,7 +219,7 @@
     """What a gateway has of it, once `take_up` was called. That goes over to what a reload built, in one step
     that cannot fail."""
 
-    def __init__(self, node: GatewayNode, built: Built) -> None:
+    def __init__(self, node: GatewayServer, built: Built) -> None:
         self.node, self.built = node, built
         self.tokens: Tokens | None = None
         self.outer: Outer | None = None
@@ -230,7 +230,7 @@
         node = self.node
         if built is None:
             self.tokens = node.core.external_ratelimit = None
-            for front in node.fronts:
+            for front in node.frontends:
                 front.take_tokens(None)
             self.close()
             self.outer = None
@@ -244,7 +244,7 @@
         else:  # what was used is remembered past a rotation
             self.tokens.keys, self.tokens.seconds = built.keys, part.token_time
             self.tokens.redeemed.most = part.max_tokens
-        for front in node.fronts:
+        for front in node.frontends:
             front.take_tokens(self.tokens)
         for served in self.fronts:
             served.take_up(built, self.tokens)
@@ -286,7 +286,7 @@
 class Served:
     """One listener with its services."""
 
-    def __init__(self, node: GatewayNode, address: Address, most: int, most_partial: int) -> None:
+    def __init__(self, node: GatewayServer, address: Address, most: int, most_partial: int) -> None:
         from apigateway.frontends.grpc.front import GrpcFront
         from apigateway.frontends.grpc.health import Health
         from apigateway.frontends.grpc.mapping import Mapping
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -20,6 +20,7 @@
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon import pending_signals
 from apigateway.daemon.config import Config, ConfigError, read_config
+from apigateway.daemon.gateway_server import GatewayServer, Source
 from apigateway.daemon.handover import (
     HandoverError,
     HandoverInProgressError,
@@ -29,7 +30,6 @@
 )
 from apigateway.daemon.lock import StateFolderLock, StateFolderLockedError
 from apigateway.daemon.logs import LogRateLimiter, start_log
-from apigateway.daemon.node import GatewayNode, Source
 from apigateway.daemon.notify import Notifier
 from apigateway.daemon.settings import Settings, read_settings
 from apigateway.daemon.settings_reload import compare_settings, reloadable_keys
@@ -94,7 +94,7 @@
         self.lock: StateFolderLock | None = None
         self.keeper: HandoverPredecessor | None = None
         self.heir: HandoverSuccessor | None = None
-        self.node: GatewayNode
+        self.node: GatewayServer
         self.reloading: asyncio.Task[None] | None = None
         self.again = False  # told to reload while a reload was under way
         self.handed_over = False
@@ -138,7 +138,7 @@
             if address not in self.sockets:
                 self.sockets[address] = bind_listener(address)
         plugins = await self.build_plugins(self.settings)  # raises before anything is served
-        self.node = GatewayNode(self.config, await self.build_limits(self.settings, self.config))
+        self.node = GatewayServer(self.config, await self.build_limits(self.settings, self.config))
         self.node.core.in_flight_registry = share.open_in_flight_table() if share is not None else None
         if plugins is not None:
             self.plugins().start(self.node, plugins, self.settings.hooks.tick)
@@ -180,7 +180,7 @@
         if self.registration is not None:
             self.registration.mark_up()
         gc.freeze()  # what the start made stays for good: no collection need look at it again
-        for front in self.node.fronts:
+        for front in self.node.frontends:
             log.info("%s listens on %s", self.config.name, write_address((front.address[0], front.port)))
         self.notifier.ready(f"serving as {self.config.name}", main=take_over)
         return True
@@ -407,7 +407,7 @@
             old.trust,
         )
         beside = bool(os.environ.get("RELAY_CONFIG"))
-        return None if same or beside else self.node.source(config, self.node.discovery.version)
+        return None if same or beside else self.node.source(config, self.node.endpoint_source.version)
 
     # The end
 
--- a/tests/faults/test_fronts.py
+++ b/tests/faults/test_fronts.py
@@ -8,7 +8,7 @@
 
 from apigateway import messages
 from apigateway.daemon.config import read_config
-from apigateway.daemon.node import GatewayNode
+from apigateway.daemon.gateway_server import GatewayServer
 from apigateway.frontends.resp.server import Slot
 
 
@@ -28,9 +28,9 @@
         config = replace(
             read_config({"RELAY_CONFIG": str(file)}), more=(("127.0.0.1", 0),), linger=0.0, **self.limits
         )
-        self.node = GatewayNode(config)
+        self.node = GatewayServer(config)
         await self.node.start()
-        self.ports = [front.port for front in self.node.fronts]
+        self.ports = [front.port for front in self.node.frontends]
         return self
 
     async def connect(self, which):
@@ -78,7 +78,7 @@
         def broken(slot, command):
             raise RuntimeError("broken")
 
-        monkeypatch.setattr(gate.node.fronts[0], "command", broken)
+        monkeypatch.setattr(gate.node.frontends[0], "command", broken)
         for n in range(20):
             reader, writer = await gate.connect(0)
             writer.write(command(b"a%d" % n))
@@ -94,7 +94,7 @@
         real = Slot.complete
 
         def broken(slot, value):
-            if slot.client.server is gate.node.fronts[0].server:
+            if slot.client.server is gate.node.frontends[0].server:
                 raise RuntimeError("broken")
             real(slot, value)
 
@@ -117,7 +117,7 @@
         writer.transport.pause_reading()
         for n in range(300):
             writer.write(command(b"a%d" % n))
-        while not gate.node.fronts[0].server.stuck:
+        while not gate.node.frontends[0].server.stuck:
             await asyncio.sleep(0.01)
         for n in range(20):
             assert (await gate.ask(1, command(b"b%d" % n))).startswith(b"$60000")
@@ -137,7 +137,7 @@
         while "quiet" not in gate.node.core.in_flight and not asked.done():
             await asyncio.sleep(0)
         assert (
-            not asked.done() and gate.node.core.request_budget.used_by_frontend[gate.node.fronts[0]] == 30
+            not asked.done() and gate.node.core.request_budget.used_by_frontend[gate.node.frontends[0]] == 30
         )  # 40 less a quarter
         host.answer = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
         for out in host.writers:
--- a/tests/frontends/test_early.py
+++ b/tests/frontends/test_early.py
@@ -25,7 +25,7 @@
 
 def opened(node, gate):
     node.node.core.admission = AdmissionController(gate, node.node.loop)
-    for front in node.node.fronts:
+    for front in node.node.frontends:
         front.watch_door()
     return node.node.core.admission
 
@@ -105,7 +105,7 @@
         assert set(told[:50]) == {b"-BUSY 250\r\n"} and told[50] == b"-ERR protocol error\r\n"
         assert await reader.read() == b""
         assert await node.ask(command(b"after", customer=B.encode())) == SERVED
-        assert not door.deferred_connections and node.node.fronts[0].server.partial == 0
+        assert not door.deferred_connections and node.node.frontends[0].server.partial == 0
 
 
 @on_loop
@@ -120,7 +120,7 @@
         writer.write(b"".join(command(b"s%d" % n) for n in range(30)))
         while not door.deferred_connections:
             await asyncio.sleep(0)
-        node.node.fronts[0].finish()  # as at SIGTERM: what was read is not forgotten
+        node.node.frontends[0].finish()  # as at SIGTERM: what was read is not forgotten
         monkeypatch.setattr(door, "start_turn", turned)
         door.start_turn()
         told = [await read_reply(reader) for _ in range(30)]
@@ -133,7 +133,7 @@
     monkeypatch.setattr(doors, "READ_TIME_SLICE_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         door = opened(node, Scripted(A))
-        node.node.fronts[0].server.most_partial = 1000  # bytes: half of it may wait
+        node.node.frontends[0].server.most_partial = 1000  # bytes: half of it may wait
         monkeypatch.setattr(door, "start_turn", lambda: None)
         reader, writer = await node.connect()
         writer.write(b"".join(command(b"m%d" % n, customer=A.encode()) for n in range(100)))
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -78,7 +78,7 @@
         )
         while (await node.discovery.calls.get()).get("index") != "2":
             pass
-        assert set(node.node.hosts.pools) == {"h2"}
+        assert set(node.node.upstream.pools) == {"h2"}
 
 
 @on_loop
@@ -114,7 +114,7 @@
 
         node.node.core.module = Sender()
         asked = asyncio.create_task(node.ask(command()))
-        pool = node.node.hosts.pools["h1"]
+        pool = node.node.upstream.pools["h1"]
         while not pool.connecting:  # the attempt waits for its connection
             await asyncio.sleep(0)
         seen.clear()
@@ -174,7 +174,7 @@
         node.discovery.silent = False
         while "index" not in await node.discovery.calls.get():
             pass  # it was told the whole list, and watches again
-        assert len(await quiet(node.node.discovery)) == 1  # those that were never answered are not kept
+        assert len(await quiet(node.node.endpoint_source)) == 1  # those that were never answered are not kept
 
 
 async def quiet(source):
@@ -191,16 +191,16 @@
         while "index" not in await node.discovery.calls.get():
             pass
         node.discovery.held = held = asyncio.Event()
-        node.node.discovery.fetch()
-        (fetching,) = node.node.discovery.fetching
+        node.node.endpoint_source.fetch()
+        (fetching,) = node.node.endpoint_source.fetching
         while "index" in await node.discovery.calls.get():
             pass  # it has been asked, and its answer is of before the change
         node.discovery.change([entry(one, "h1", "draining")])
-        while set(node.node.hosts.pools) != {"h2"}:
+        while set(node.node.upstream.pools) != {"h2"}:
             await asyncio.sleep(0)
         held.set()
         await fetching
-        assert set(node.node.hosts.pools) == {"h2"} and node.node.discovery.version == 2
+        assert set(node.node.upstream.pools) == {"h2"} and node.node.endpoint_source.version == 2
 
 
 @on_loop
@@ -208,11 +208,11 @@
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
-        node.node.discovery.version = 9
-        node.node.discovery.fetch()
-        (fetching,) = node.node.discovery.fetching
+        node.node.endpoint_source.version = 9
+        node.node.endpoint_source.fetch()
+        (fetching,) = node.node.endpoint_source.fetching
         assert await fetching is CallResult.ANSWERED
-        assert node.node.discovery.version == 1
+        assert node.node.endpoint_source.version == 1
 
 
 @on_loop
@@ -239,7 +239,7 @@
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
-        old, heard, answer = node.node.discovery, [], node.node.loop.create_future()
+        old, heard, answer = node.node.endpoint_source, [], node.node.loop.create_future()
         asked = asyncio.Event()
 
         async def request(params, timeout):
--- a/tests/membership/test_polled_discovery.py
+++ b/tests/membership/test_polled_discovery.py
@@ -26,7 +26,7 @@
 
 async def until_all(nodes, condition):
     """Wait until the condition holds at all gateways."""
-    while not all(condition(node.node.hosts.pools) for node in nodes):
+    while not all(condition(node.node.upstream.pools) for node in nodes):
         await asyncio.sleep(0.01)
 
 
@@ -92,7 +92,7 @@
         service.capacity = None
         nodes = await start_fleet(stack, service, hosts, tmp_path, 0.5)
         service.lag = 1.0  # past the time for which the watch is held: the answer is overdue
-        schedule = nodes[0].node.discovery.schedule
+        schedule = nodes[0].node.endpoint_source.schedule
         assert schedule.overdue < service.lag < schedule.overdue + schedule.late_answer
         service.held = asyncio.Event()  # the complete lists that are requested meanwhile never come
         service.change([entry(hosts[0], "h1", "draining")])
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from apigateway.daemon.config import read_config
-from apigateway.daemon.node import GatewayNode
+from apigateway.daemon.gateway_server import GatewayServer
 from apigateway.emulators.counter import StandInCounter as StubCounter
 from apigateway.emulators.discovery import StandInDiscovery as StubDiscovery
 from apigateway.emulators.hosts import VALUE
@@ -120,7 +120,7 @@
             self.discovery.servers = listed
         file = self.path / "config.json"
         file.write_text(json.dumps(told(listed, self.discovery.port, self.counter.port, self.settings)))
-        self.node = GatewayNode(read_config({"RELAY_CONFIG": str(file)}))
+        self.node = GatewayServer(read_config({"RELAY_CONFIG": str(file)}))
         self.port = await self.node.start()
         return self
 
@@ -140,10 +140,10 @@
     async def __aexit__(self, *_):
         for writer in self.writers:
             writer.close()
-        self.node.fronts[0].finish()
-        self.node.hosts.close()
+        self.node.frontends[0].finish()
+        self.node.upstream.close()
         self.node.counter.close()
-        await self.node.discovery.close()
+        await self.node.endpoint_source.close()
         if not self.is_discovery_shared:
             await self.discovery.__aexit__()
         await self.counter.__aexit__()
--- a/tests/plugins/test_tools.py
+++ b/tests/plugins/test_tools.py
@@ -251,7 +251,7 @@
 
 def test_what_is_off_is_not_imported():
     code = (
-        "import sys, apigateway.daemon.serve, apigateway.daemon.node; "
+        "import sys, apigateway.daemon.serve, apigateway.daemon.gateway_server; "
         "print(sorted(m for m in sys.modules if m.startswith(('apigateway.plugins', 'wasmtime'))))"
     )
     ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
--- a/tests/ratelimit/test_tokens_used.py
+++ b/tests/ratelimit/test_tokens_used.py
@@ -29,7 +29,7 @@
         mapping = Mapping(rules, core.settings.plans, core.settings.classes, core.settings.gateway_count)
         self.service.terms = type(self.service.terms)(mapping, 2.0, tokens=self.tokens)
         self.node, self.number = node, 0
-        node.node.fronts[0].take_tokens(self.tokens)
+        node.node.frontends[0].take_tokens(self.tokens)
 
     async def token(self, *descriptors, **kw):
         response = await self.ask(*(descriptors or [A]), **kw)
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -120,7 +120,7 @@
         reader, writer = await node.connect()
         writer.write(command(b"first"))
         await host.arrived.get()
-        node.node.fronts[0].server.finish()
+        node.node.frontends[0].server.finish()
         writer.write(command(b"second"))
         while (await host.arrived.get())[2] != b"second":
             pass
@@ -132,13 +132,13 @@
 @on_loop
 async def test_what_lies_unread_when_connections_are_told_to_end_is_served(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        server = node.node.fronts[0].server
+        server = node.node.frontends[0].server
         with socket.create_connection(("127.0.0.1", node.port)) as sock:
             sock.setblocking(False)
             while not server.clients:
                 await asyncio.sleep(0)
             sock.send(command())  # in the server's socket, which it has not read
-            node.node.fronts[0].finish()
+            node.node.frontends[0].finish()
             loop, got = asyncio.get_running_loop(), b""
             while data := await loop.sock_recv(sock, 100):
                 got += data
@@ -149,7 +149,7 @@
 async def test_half_a_command_when_connections_are_told_to_end_is_served_once_whole(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
-        front, text = node.node.fronts[0], command()
+        front, text = node.node.frontends[0], command()
         writer.write(text[:20])
         while not front.server.partial:
             await asyncio.sleep(0)
@@ -166,12 +166,12 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         owed = iter([True, True, False])
 
-        class Front(type(node.node.fronts[0])):
+        class Front(type(node.node.frontends[0])):
             @property
             def owes(self):
                 return next(owed, False)
 
-        node.node.fronts[0].__class__ = Front
+        node.node.frontends[0].__class__ = Front
         await node.node.stop(0.0)
         assert next(owed, None) is None  # asked until nothing was owed
 
@@ -187,9 +187,9 @@
         writer.write(sent)
         assert (await read_reply(reader)).startswith(told)
         assert await reader.read() == b""
-        while node.node.fronts[0].server.clients:
+        while node.node.frontends[0].server.clients:
             await asyncio.sleep(0.01)
-        server = node.node.fronts[0].server
+        server = node.node.frontends[0].server
         assert not (server.idle or server.ending or server.partial)
 
 
@@ -230,7 +230,7 @@
                 for n in range(400):
                     writer.write(command(b"r%d" % n))
                     await writer.drain()
-            while node.node.fronts[0].server.clients:
+            while node.node.frontends[0].server.clients:
                 await asyncio.sleep(0.01)
             assert not (node.node.core.in_flight or node.node.core.body_budget.used)
 
@@ -238,7 +238,7 @@
 @on_loop
 async def test_at_the_limit_the_longest_idle_goes_and_with_all_busy_the_newcomer(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        node.node.fronts[0].server.most = 2
+        node.node.frontends[0].server.most = 2
         roomy(node)
         first, _ = await node.connect()
         busy = []
@@ -258,7 +258,7 @@
 @on_loop
 async def test_half_commands_together_are_bounded(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.fronts[0].server.most_partial = 100_000
+        node.node.frontends[0].server.most_partial = 100_000
         readers = []
         for _ in range(3):
             reader, writer = await node.connect()
@@ -286,7 +286,7 @@
 async def test_a_client_that_leaves_while_it_is_not_read_has_left(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         _, writer = await node.connect()
-        seen, server = outcomes(node), node.node.fronts[0].server
+        seen, server = outcomes(node), node.node.frontends[0].server
         writer.write(command(b"first", terms(d="60000")))
         await host.arrived.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n" * clients.MOST_PENDING)  # answered behind the first
@@ -316,7 +316,7 @@
 @on_loop
 async def test_a_client_that_leaves_while_its_commands_wait_their_turn_has_left(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        server = node.node.fronts[0].server
+        server = node.node.frontends[0].server
         server.door = door = BusyDoor()
         _, writer = await node.connect()
         writer.write(command(b"gone"))
@@ -337,7 +337,7 @@
         async with Node(host, path=tmp_path) as node:
             _, writer = await node.connect()
             writer.transport.pause_reading()
-            seen, server = outcomes(node), node.node.fronts[0].server
+            seen, server = outcomes(node), node.node.frontends[0].server
             while not server.clients:
                 await asyncio.sleep(0)
             (client,) = server.clients
@@ -383,7 +383,7 @@
         while await core.module.seen.get() != "ClientDisconnected":
             pass
         core.dispatch(messages.TimerExpired(0))  # the module did not hear of it in time
-        assert not core.in_flight and not node.node.hosts.open_count - len(node.node.hosts.connections)
+        assert not core.in_flight and not node.node.upstream.open_count - len(node.node.upstream.connections)
         core.module = Waiting(Request=[messages.ForwardRequest("r2", "h2")])
         assert await node.ask(command(b"r2")) == SERVED
         assert [c[2] for c in two.commands] == [b"r2"]
@@ -400,20 +400,20 @@
             for sock in fill:  # the queue of those that nobody accepts is full: the next comes up late
                 sock.setblocking(False)
                 sock.connect_ex(full.getsockname())
-            while not node.node.discovery.lists_received:  # its first list names the other address
+            while not node.node.endpoint_source.lists_received:  # its first list names the other address
                 await asyncio.sleep(0)
-            node.node.hosts.update_endpoint("h1", full.getsockname())
-            node.node.hosts.connect_timeout = 60.0
+            node.node.upstream.update_endpoint("h1", full.getsockname())
+            node.node.upstream.connect_timeout = 60.0
             core.module = Waiting(Request=[messages.ForwardRequest("r1", "h1")])
             _, writer = await node.connect()
             writer.write(command())
             while await core.module.seen.get() != "Request":
                 pass
-            assert node.node.hosts.pools["h1"].connecting
+            assert node.node.upstream.pools["h1"].connecting
             writer.close()
             while await core.module.seen.get() != "ClientDisconnected":
                 pass
-            assert not node.node.hosts.open_count and not core.in_flight
+            assert not node.node.upstream.open_count and not core.in_flight
             full.setblocking(False)
             for sock in fill:
                 sock.close()
--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -131,12 +131,12 @@
         for n in range(3):
             assert await node.ask(command(b"r%d" % n)) == SERVED
         assert len(host.writers) == 1
-        (conn,) = node.node.hosts.pools["h1"].idle
-        node.node.hosts.close_stale_connections()
-        assert node.node.hosts.pools["h1"].idle == [conn]
+        (conn,) = node.node.upstream.pools["h1"].idle
+        node.node.upstream.close_stale_connections()
+        assert node.node.upstream.pools["h1"].idle == [conn]
         conn.idle_since -= 28.0  # of the 30 s after which the host would close it
-        node.node.hosts.close_stale_connections()
-        assert node.node.hosts.pools["h1"].idle == []
+        node.node.upstream.close_stale_connections()
+        assert node.node.upstream.pools["h1"].idle == []
         while await host.arrived.get() is not None:
             pass
 
@@ -144,11 +144,11 @@
 @on_loop
 async def test_the_cap_on_connections_holds(tmp_path):
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
-        node.node.hosts.max_connections = 2
+        node.node.upstream.max_connections = 2
         roomy(node)
         asked = [asyncio.create_task(node.ask(command(b"r%d" % n, terms=terms(d="500")))) for n in range(6)]
         await asyncio.gather(*asked)
-        assert len(host.writers) <= 2 * 3 and node.node.hosts.open_count <= 2
+        assert len(host.writers) <= 2 * 3 and node.node.upstream.open_count <= 2
 
 
 @on_loop
@@ -182,7 +182,7 @@
 @on_loop
 async def test_connects_called_off_before_they_began_take_no_room(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        hosts = node.node.hosts
+        hosts = node.node.upstream
         hosts.max_connections = 2
         for _ in range(5):
             attempt = Attempt("h1", command(), lambda attempt: None)
@@ -208,7 +208,7 @@
                 writer.write(own + own)
             else:  # two packets: the gateway reads the first alone
                 writer.write(own)
-                conns = [c for c in node.node.hosts.connections if c.attempt is not None]
+                conns = [c for c in node.node.upstream.connections if c.attempt is not None]
                 while any(c.attempt is not None for c in conns):
                     await asyncio.sleep(0)
                 writer.write(own)
@@ -219,7 +219,7 @@
 async def test_a_connection_is_looked_at_before_it_is_used_again(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command(b"a")) == SERVED
-        pool = node.node.hosts.pools["h1"]
+        pool = node.node.upstream.pools["h1"]
         (conn,) = pool.idle
         conn.idle_since -= 1.0
         assert conn.is_reusable()
@@ -229,7 +229,7 @@
         while conn.is_reusable():
             await asyncio.sleep(0)
         assert await node.ask(command(b"b")) == SERVED
-        assert len(host.writers) == 2 and conn not in node.node.hosts.connections
+        assert len(host.writers) == 2 and conn not in node.node.upstream.connections
 
 
 @on_loop
@@ -238,7 +238,7 @@
         with monkeypatch.context() as patch:
             patch.setattr("apigateway.upstream.connection.read_reply", lambda *_: 1 / 0)
             assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
-        assert not node.node.hosts.connections
+        assert not node.node.upstream.connections
         assert await node.ask(command(b"r2")) == SERVED
 
 
@@ -255,7 +255,7 @@
             def is_closing(self):
                 return False
 
-        conn = Connection(node.node.hosts.pools["h1"])
+        conn = Connection(node.node.upstream.pools["h1"])
         conn.connection_made(Transport({"socket": ours}))
         assert conn.is_reusable()
         del conn
@@ -293,7 +293,7 @@
 
         async def ask(n, rest):
             """A request once the host's connections have rested so long."""
-            for pool in node.node.hosts.pools.values():
+            for pool in node.node.upstream.pools.values():
                 for conn in pool.idle:
                     conn.idle_since = time.monotonic() - rest
             return await node.ask(command(b"r%d" % n))
@@ -312,13 +312,13 @@
     def called_off_in_this_turn(conn, transport):
         made(conn, transport)
         for attempt in list(conn.pool.connecting):
-            node.node.hosts.abandon(attempt, "cancelled")
+            node.node.upstream.abandon(attempt, "cancelled")
 
     monkeypatch.setattr(Connection, "connection_made", called_off_in_this_turn)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         assert (await node.ask(write(cls=b"note"))).startswith((b"-BUSY", b"-ERR"))
         assert await host.arrived.get() is None and not host.commands  # it ended, and nothing came on it
-        assert not node.node.hosts.connections and not node.node.hosts.open_count
+        assert not node.node.upstream.connections and not node.node.upstream.open_count
 
 
 @on_loop
@@ -327,7 +327,7 @@
     monkeypatch.setattr(connection_pool, "SETTLE_TIME_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command(b"a")) == SERVED
-        (conn,) = node.node.hosts.pools["h1"].idle
+        (conn,) = node.node.upstream.pools["h1"].idle
         conn.idle_since -= 28.0  # of the 30 s after which the host would close it
         assert await node.ask(command(b"b")) == SERVED
         assert len(host.writers) == 2
@@ -363,10 +363,10 @@
             stuck.bind(("127.0.0.1", 0))
             stuck.listen()
             stuck.setblocking(False)
-            while not node.node.discovery.lists_received:  # its first list names the other address
+            while not node.node.endpoint_source.lists_received:  # its first list names the other address
                 await asyncio.sleep(0)
-            node.node.hosts.update_endpoint("h1", stuck.getsockname())
-            node.node.hosts.connect_timeout = 60.0  # one connection, however busy this machine is
+            node.node.upstream.update_endpoint("h1", stuck.getsockname())
+            node.node.upstream.connect_timeout = 60.0  # one connection, however busy this machine is
             text = command(b"r1", terms(c="note", d="60000"), b"API.WRITE", body=b"x" * 60_000)
             asked = asyncio.create_task(node.ask(text))
             got, _ = await loop.sock_accept(stuck)
