--- a/apigateway/cli/check.py
+++ b/apigateway/cli/check.py
@@ -7,17 +7,20 @@
 
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.config import ConfigError
-from apigateway.daemon.serve import OK, UNUSABLE, read
+from apigateway.daemon.configuration import read_configuration
+from apigateway.daemon.exit_codes import OK, UNUSABLE
 from apigateway.upstream.address import write_address
 
 
 def check(path: str) -> int:
     try:
-        told, config = read(path)
+        told, config = read_configuration(path)
         if told.plugins or told.records.file:
-            importlib.import_module("apigateway.daemon.plugins").check(path, told, config.settings)
+            importlib.import_module("apigateway.daemon.plugins").check_plugins(path, told, config.settings)
         if config.grpc or told.ratelimit.token_keys or told.ask.address:
-            importlib.import_module("apigateway.daemon.ratelimit").build(path, told, config)
+            importlib.import_module("apigateway.daemon.ratelimit_config").build_ratelimit_config(
+                path, told, config
+            )
     except (InvalidConfigFileError, ConfigError) as err:
         print(err, file=sys.stderr)
         return UNUSABLE
--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -11,9 +11,9 @@
 from apigateway import messages
 from apigateway.cli.ask import ask, headed
 from apigateway.config_validation import InvalidConfigFileError
-from apigateway.daemon.gateway_server import described
+from apigateway.daemon.exit_codes import FAILED, OK, UNUSABLE
+from apigateway.daemon.gateway_status import EndpointStatus
 from apigateway.daemon.handover import HandoverError
-from apigateway.daemon.serve import FAILED, OK, UNUSABLE
 from apigateway.daemon.settings import Settings, read_settings
 from apigateway.daemon.settings_runtime import build_registry
 from apigateway.membership.listing import Listing
@@ -61,7 +61,7 @@
         else:
             raise OSError("no registry answers")
         found = [
-            described(record.accepted.endpoint, record.accepted.address)
+            EndpointStatus(record.accepted.endpoint, record.accepted.address).as_json()
             for record in source.reconciler.records.values()
         ]
         return {
--- a/apigateway/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -10,8 +10,8 @@
 
 from apigateway.cli.ask import ask, headed
 from apigateway.config_validation import InvalidConfigFileError
+from apigateway.daemon.exit_codes import FAILED, OK, UNUSABLE
 from apigateway.daemon.handover import HandoverError
-from apigateway.daemon.serve import FAILED, OK, UNUSABLE
 from apigateway.daemon.settings import read_settings
 from apigateway.tools import plugin as tool
 
--- a/apigateway/cli/ratelimit.py
+++ b/apigateway/cli/ratelimit.py
@@ -12,8 +12,8 @@
 from apigateway.cli.ask import ask as ask_gateway
 from apigateway.cli.ask import headed
 from apigateway.config_validation import InvalidConfigFileError
+from apigateway.daemon.exit_codes import FAILED, OK, UNUSABLE
 from apigateway.daemon.handover import HandoverError
-from apigateway.daemon.serve import FAILED, OK, UNUSABLE
 from apigateway.daemon.settings import read_settings
 from apigateway.upstream.address import Address, read_address
 
--- /dev/null
+++ b/apigateway/daemon/endpoint_list.py
@@ -0,0 +1,71 @@
+"""The endpoint list as last received, and the way by which each change of it reaches the core."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+
+from apigateway import messages
+from apigateway.core.request_lifecycle import RequestDispatcher
+from apigateway.membership.listing import Listing
+
+log = logging.getLogger(__name__)
+
+
+class EndpointListState:
+    """The whole endpoint list, kept up to date from the changes that the source reports.
+
+    Attributes:
+        listing: The list, with the endpoints' addresses.
+        received_at: When a source last reported, by the system's monotonic clock.
+        is_known: Set once the core has endpoints.
+    """
+
+    def __init__(self, core: RequestDispatcher, listing: Listing) -> None:
+        self.listing = listing
+        self.received_at = time.monotonic()
+        self.is_known = asyncio.Event()
+        self._core = core
+
+    def apply(self, change: Listing) -> None:
+        """Take in a list or a change from the source, and tell the core."""
+        self.received_at = time.monotonic()
+        if self._core.is_ready and change.hosts.mode == "delta" and not change.hosts.endpoints:
+            return  # a watch that ended without a change
+        self.listing = merge_listing(self.listing, change)
+        self._core.on_endpoint_list(change.hosts, change.addresses)
+        if self._core.is_ready:
+            self.is_known.set()
+
+    def evacuate_zones(self, zones: tuple[str, ...]) -> None:
+        """Send nothing new to endpoints of these zones from now on, as long as there are others."""
+        self._core.dispatch(messages.EvacuateZones(zones))
+        known_zones = {endpoint.zone for endpoint in self.listing.hosts.endpoints}
+        if known_zones and known_zones <= set(zones):
+            log.warning(
+                "sites.leave names all zones of the list (%s): none is left", " ".join(sorted(known_zones))
+            )
+        else:
+            log.info("sites left by the settings: %s", ", ".join(zones) or "none")
+
+    def available_but_draining_in(self, other: Listing) -> tuple[messages.Endpoint, ...]:
+        """Return the endpoints, as in the other list, that are up here and not there."""
+        up = {endpoint.id for endpoint in self.listing.hosts.endpoints if endpoint.state == "up"}
+        return tuple(
+            endpoint for endpoint in other.hosts.endpoints if endpoint.state != "up" and endpoint.id in up
+        )
+
+
+def merge_listing(old: Listing, change: Listing) -> Listing:
+    """Return the whole list after a change; one that is itself a whole list replaces the old."""
+    if change.hosts.mode != "delta":
+        return change
+    by_id = {endpoint.id: endpoint for endpoint in old.hosts.endpoints}
+    by_id |= {endpoint.id: endpoint for endpoint in change.hosts.endpoints}
+    kept = tuple(endpoint for endpoint in by_id.values() if endpoint.state != "down")
+    addresses = {**old.addresses, **change.addresses}
+    return Listing(
+        messages.EndpointList("full", change.hosts.version, kept),
+        {endpoint.id: addresses[endpoint.id] for endpoint in kept if endpoint.id in addresses},
+    )
--- /dev/null
+++ b/apigateway/daemon/endpoint_source.py
@@ -0,0 +1,131 @@
+"""Create the source of the endpoint list that the configuration names: a file, a registry or a discovery."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from apigateway.core.request_lifecycle import RequestDispatcher
+from apigateway.daemon.config import Config
+from apigateway.daemon.endpoint_list import EndpointListState
+from apigateway.membership.discovery import DiscoveryClient
+from apigateway.membership.watch_schedule import WatchSchedule
+from apigateway.upstream.address import Address
+
+if TYPE_CHECKING:
+    from apigateway.daemon.interfaces import EndpointSource
+    from apigateway.membership.eureka.source import EurekaSource, RegistrySettings
+    from apigateway.membership.reconciler import EndpointReconciler, ReconcilerSettings
+    from apigateway.membership.reconciler_driver import ReconcilerDriver
+
+
+class EndpointSourceFactory:
+    """Creates sources that report to one endpoint list; a later one goes on where the last one was."""
+
+    def __init__(self, core: RequestDispatcher, endpoint_list: EndpointListState) -> None:
+        self._core = core
+        self._endpoint_list = endpoint_list
+
+    def create(self, config: Config, previous: EndpointSource | None = None) -> EndpointSource:
+        """Return the source that a configuration names; it does nothing yet.
+
+        Args:
+            config: Names the source.
+            previous: The source so far; None at the start.
+        """
+        if config.hosts_file is not None:
+            from apigateway.membership.file import EndpointFileSource  # not loaded on the platform
+
+            return EndpointFileSource(
+                config.hosts_file, self._endpoint_list.apply, self._core.on_endpoint_list_failed
+            )
+        reconciler = reconciler_of(previous)  # goes on, with its doubts and its age
+        if config.discovery is None:
+            assert config.registry is not None
+            return self._create_eureka_source(config, config.registry, reconciler)
+        version = config.known.hosts.version if previous is None else previous.version
+        schedule = _watch_schedule(config)
+        if config.trust is not None:
+            driver = self._create_reconciler_driver(config.trust, reconciler)
+            return ReconciledDiscovery(
+                config.discovery, version, driver, self._core.on_endpoint_list_failed, schedule
+            )
+        return DiscoveryClient(
+            config.discovery,
+            version,
+            self._endpoint_list.apply,
+            self._core.on_endpoint_list_failed,
+            schedule,
+            # After a reload it is another service, with versions of its own.
+            is_list_known=previous is None and bool(config.known.hosts.endpoints),
+        )
+
+    def _create_eureka_source(
+        self, config: Config, registry: RegistrySettings, reconciler: EndpointReconciler | None
+    ) -> EurekaSource:
+        from apigateway.membership.eureka.source import EurekaSource, resolve  # not loaded on the platform
+
+        own_addresses = {config.listen, *config.more}
+        if config.own is not None:
+            own_addresses.add((config.own.ip, config.own.port))
+        return EurekaSource(
+            registry,
+            self._endpoint_list.listing,
+            self._endpoint_list.apply,
+            self._core.on_endpoint_list_failed,
+            own_addresses,
+            resolve if registry.mapping.address == "name" else None,
+            self._core.clock,
+            reconciler=reconciler,
+        )
+
+    def _create_reconciler_driver(
+        self, settings: ReconcilerSettings, reconciler: EndpointReconciler | None
+    ) -> ReconcilerDriver:
+        from apigateway.membership.reconciler_driver import ReconcilerDriver  # not loaded on the platform
+
+        return ReconcilerDriver(
+            settings, self._endpoint_list.listing, self._endpoint_list.apply, self._core.clock, reconciler
+        )
+
+
+class ReconciledDiscovery(DiscoveryClient):
+    """A discovery whose lists pass a reconciler: not on the platform, whose agents can be believed.
+
+    Attributes:
+        driver: Drives the reconciler.
+        reconciler: Says what of the lists is accepted.
+    """
+
+    def __init__(
+        self,
+        address: Address,
+        version: int,
+        driver: ReconcilerDriver,
+        on_failure: Callable[[], None],
+        schedule: WatchSchedule,
+    ) -> None:
+        super().__init__(address, version, driver.apply_listing, on_failure, schedule)
+        self.driver = driver
+        self.reconciler = driver.reconciler
+
+    async def close(self) -> None:
+        """End the watch and the reconciler's timer."""
+        self.driver.close()
+        await super().close()
+
+
+def reconciler_of(source: EndpointSource | None) -> EndpointReconciler | None:
+    """Return the reconciler of a source that has one."""
+    return getattr(source, "reconciler", None)
+
+
+def reconciler_driver_of(source: EndpointSource | None) -> ReconcilerDriver | None:
+    """Return the reconciler's driver of a source that has one."""
+    return getattr(source, "driver", None)
+
+
+def _watch_schedule(config: Config) -> WatchSchedule:
+    if config.settings.discovery_mode == "ask":
+        return WatchSchedule.for_polled_service()
+    return WatchSchedule.for_agent(config.settings.rules.drain_grace)
--- a/apigateway/daemon/platform.py
+++ b/apigateway/daemon/platform.py
@@ -27,21 +27,21 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop_requested.set)
-    node = GatewayServer(config)
-    loop.add_signal_handler(signal.SIGHUP, reload, node)
-    port = await node.start()
+    server = GatewayServer(config)
+    loop.add_signal_handler(signal.SIGHUP, reload, server)
+    port = await server.start()
     gc.freeze()  # what the start made stays for good: no collection need look at it again
     log.info("%s listens on %s:%d", config.name, config.listen[0], port)
     if pending_signals.take_reload_request():
-        reload(node)
+        reload(server)
     await stop_requested.wait()
-    await node.stop()
+    await server.stop()
 
 
-def reload(node: GatewayServer) -> None:
+def reload(server: GatewayServer) -> None:
     """Read the configuration again, after SIGHUP; one that cannot be used leaves the old in force."""
     try:
-        node.reload(read_config(again=True))
+        server.reload(read_config(again=True))
     except ConfigError as err:
         log.error("the old configuration stays: %s", err)
 
--- a/apigateway/daemon/plugins.py
+++ b/apigateway/daemon/plugins.py
@@ -1,6 +1,6 @@
-"""Plug-ins as the daemon has them: built from settings beside the loop, swapped on a reload. Imported only
-where
-settings name some, or records.
+"""Build plug-ins and the recorder of requests from the settings, and swap them in at a reload.
+
+Imported only where settings name some.
 """
 
 from __future__ import annotations
@@ -18,99 +18,135 @@
 from apigateway.plugins.settings import RecordsPart
 from apigateway.plugins.version import Version
 
+BYTES_PER_MB = 1024 * 1024  # as the settings count them
+DIGEST_DIGITS = 12  # of a plug-in's digest, in the log
+
 
 @dataclass(slots=True)
-class Built:
-    """What a reload is to go over to. `recorder` is None where the one that there is stays."""
+class PluginUpdate:
+    """What a start or a reload is to go over to.
+
+    Attributes:
+        version: The plug-ins.
+        recorder: Of requests; None: there is none, or the present one stays.
+        keeps_recorder: Whether the present one stays.
+        changes: What is other than before, for the log; empty: nothing.
+    """
 
     version: Version
     recorder: Recorder | None
     keeps_recorder: bool
-    status: str = ""  # what is other than before, for the log; empty: nothing
+    changes: str = ""
 
 
-def wanted(settings: Settings) -> bool:
-    return bool(settings.plugins or settings.records.file)
-
-
-def build(
+def build_plugins(
     path: str,
     settings: Settings,
-    module: messages.Settings,
+    module_settings: messages.Settings,
     old: Hooks | None = None,
-    records: RecordsPart | None = None,
-) -> Built:
-    """`records`: as they were, with `old`. Raises InvalidConfigFileError; nothing of the new is left then."""
-    place = Place(path, module, settings.gateway.seed)
-    version = load(settings.plugins, settings.hooks, place, old.version if old is not None else None)
-    part, status = settings.records, compared(old.version if old is not None else None, version)
-    if old is not None and part == records:
-        return Built(version, None, True, status)
-    recorder = None
-    if part.file:
-        file = os.path.join(os.path.dirname(os.path.abspath(path)), part.file)
-        try:
-            recorder = Recorder(file, part.only, part.max_mb * 1024 * 1024, part.waiting)
-        except OSError as err:
-            drop(version, old)
-            raise InvalidConfigFileError(
-                [
-                    ConfigProblem(
-                        path,
-                        "records.file",
-                        repr(part.file),
-                        f"cannot be written ({err.strerror})",
-                        "check the path and its rights",
-                    )
-                ]
-            ) from err
-    return Built(version, recorder, False, status)
-
-
-def compared(old: Version | None, new: Version | None) -> str:
-    before, after = (one.seats if one is not None else [] for one in (old, new))
-    fresh = [f"{seat.name} {seat.digest[:12]}" for seat in after if seat not in before]
-    gone = sorted({seat.name for seat in before} - {seat.name for seat in after})
-    parts = [f"plug-ins loaded: {', '.join(fresh)}"] if fresh else []
-    parts += [f"plug-ins gone: {', '.join(gone)}"] if gone else []
+    old_records: RecordsPart | None = None,
+) -> PluginUpdate:
+    """Load and verify the plug-ins that settings name, on another thread than the event loop's.
+
+    Args:
+        path: Of the settings file.
+        settings: As checked.
+        module_settings: Of the decision module.
+        old: The plug-ins in force, if there are any.
+        old_records: The settings of their recorder.
+
+    Raises:
+        InvalidConfigFileError: One cannot be used; nothing of the new is left.
+    """
+    place = Place(path, module_settings, settings.gateway.seed)
+    old_version = old.version if old is not None else None
+    version = load(settings.plugins, settings.hooks, place, old_version)
+    changes = describe_changes(old_version, version)
+    if old is not None and settings.records == old_records:
+        return PluginUpdate(version, None, keeps_recorder=True, changes=changes)
+    try:
+        recorder = _create_recorder(path, settings.records)
+    except InvalidConfigFileError:
+        discard(version, old)
+        raise
+    return PluginUpdate(version, recorder, keeps_recorder=False, changes=changes)
+
+
+def _create_recorder(path: str, section: RecordsPart) -> Recorder | None:
+    if not section.file:
+        return None
+    file = os.path.join(os.path.dirname(os.path.abspath(path)), section.file)
+    try:
+        return Recorder(file, section.only, section.max_mb * BYTES_PER_MB, section.waiting)
+    except OSError as err:
+        problem = ConfigProblem(
+            path,
+            "records.file",
+            repr(section.file),
+            f"cannot be written ({err.strerror})",
+            "check the path and its rights",
+        )
+        raise InvalidConfigFileError([problem]) from err
+
+
+def describe_changes(old: Version | None, new: Version | None) -> str:
+    """Say for the log which plug-ins are loaded or gone; empty: none."""
+    old_seats = old.seats if old is not None else []
+    new_seats = new.seats if new is not None else []
+    loaded = [f"{seat.name} {seat.digest[:DIGEST_DIGITS]}" for seat in new_seats if seat not in old_seats]
+    gone = sorted({seat.name for seat in old_seats} - {seat.name for seat in new_seats})
+    parts = []
+    if loaded:
+        parts.append(f"plug-ins loaded: {', '.join(loaded)}")
+    if gone:
+        parts.append(f"plug-ins gone: {', '.join(gone)}")
     return "; ".join(parts)
 
 
-def check(path: str, settings: Settings, module: messages.Settings) -> None:
-    """Loads and proves all, and lets it go again. Raises InvalidConfigFileError."""
-    load(settings.plugins, settings.hooks, Place(path, module, settings.gateway.seed)).close()
+def check_plugins(path: str, settings: Settings, module_settings: messages.Settings) -> None:
+    """Load and verify all plug-ins, and let them go again.
 
+    Raises:
+        InvalidConfigFileError: One cannot be used.
+    """
+    load(settings.plugins, settings.hooks, Place(path, module_settings, settings.gateway.seed)).close()
 
-def drop(version: Version, old: Hooks | None) -> None:
-    """A version that will not serve; what it has from the one in force stays."""
-    kept = old.version.seats if old is not None else []
+
+def discard(version: Version, old: Hooks | None) -> None:
+    """Close a version that will not serve, but for what it shares with the one in force."""
+    shared = old.version.seats if old is not None else []
     for seat in version.seats:
-        if seat not in kept:
+        if seat not in shared:
             seat.plugin.close()
 
 
-def start(node: GatewayServer, built: Built, tick: float) -> None:
-    hooks = Hooks(built.version, node.clock, node.loop, tick, built.recorder)
-    hooks.start()
-    node.plug_in(hooks)
+def start_plugins(server: GatewayServer, update: PluginUpdate, tick_s: float) -> None:
+    """Have a gateway that asks no plug-ins ask these, and call them every `tick_s` seconds."""
+    plugins = Hooks(update.version, server.clock, server.loop, tick_s, update.recorder)
+    plugins.start()
+    server.set_plugins(plugins)
+
 
+def swap_plugins(path: str, server: GatewayServer, update: PluginUpdate, tick_s: float) -> None:
+    """Have a gateway ask these plug-ins in place of its present ones, whose saved state they take over.
 
-def swap(path: str, node: GatewayServer, built: Built, tick: float) -> None:
-    """Raises InvalidConfigFileError; the old is then as it was."""
-    hooks = node.plugins
-    if hooks is None:
-        start(node, built, tick)
+    Raises:
+        InvalidConfigFileError: They could not; the present ones are as they were.
+    """
+    plugins = server.plugins
+    if plugins is None:
+        start_plugins(server, update, tick_s)
         return
     try:
-        hooks.swap(built.version, tick)
+        plugins.swap(update.version, tick_s)
     except SwapRefused as err:
-        drop(built.version, hooks)
-        if built.recorder is not None:
-            built.recorder.finish()
-        raise InvalidConfigFileError(
-            [ConfigProblem(path, f"plugins.{err.name}", "", err.reason, "mend its on_load")]
-        ) from err
-    if not built.keeps_recorder:
-        replaced, hooks.recorder = hooks.recorder, built.recorder
+        discard(update.version, plugins)
+        if update.recorder is not None:
+            update.recorder.finish()
+        problem = ConfigProblem(path, f"plugins.{err.name}", "", err.reason, "mend its on_load")
+        raise InvalidConfigFileError([problem]) from err
+    if not update.keeps_recorder:
+        replaced = plugins.recorder
+        plugins.recorder = update.recorder
         if replaced is not None:
             replaced.finish()
--- /dev/null
+++ b/apigateway/daemon/reload.py
@@ -0,0 +1,308 @@
+"""Reload the settings, as SIGHUP asks for.
+
+1. The files are read and checked on another thread.
+2. All that is new is built beside the gateway that serves: rate limit services, plug-ins, listeners, the
+   endpoint source. Whatever fails up to here leaves the old settings in force, and nothing of the new.
+3. The new is swapped in, in one step that does not wait and cannot fail.
+
+A request during a reload becomes one more reload after it.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+from collections.abc import Iterable
+from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
+
+from apigateway.config_validation import InvalidConfigFileError
+from apigateway.daemon.config import Config, ConfigError
+from apigateway.daemon.configuration import Configuration, is_beside_platform, read_configuration
+from apigateway.daemon.gateway_server import GatewayServer
+from apigateway.daemon.handover import HandoverPredecessor
+from apigateway.daemon.logs import LogRateLimiter
+from apigateway.daemon.notify import Notifier
+from apigateway.daemon.optional_services import build_plugins, build_ratelimit_config
+from apigateway.daemon.replacement import Replacement, swap_in
+from apigateway.daemon.settings import Settings
+from apigateway.daemon.settings_reload import SettingsChange, compare_settings, effective_settings
+from apigateway.daemon.sockets import bind_listener
+from apigateway.upstream.address import Address, write_address
+
+if TYPE_CHECKING:
+    from apigateway.daemon.interfaces import EndpointSource
+
+REJECTED = "refused, the old settings stay"
+UNCHANGED = "nothing changed"
+
+log = logging.getLogger(__name__)
+
+
+class ReloadRejectedError(Exception):
+    """The new settings cannot take effect; `reasons` are lines for the log."""
+
+    def __init__(self, reasons: Iterable[str]) -> None:
+        self.reasons = tuple(reasons)
+        super().__init__("\n".join(self.reasons))
+
+
+@dataclass(slots=True)
+class RunningGateway:
+    """A gateway in its process, and what it is configured by; a reload changes it.
+
+    Attributes:
+        path: Of the settings file.
+        settings: In force.
+        config: In force.
+        server: The gateway.
+        sockets: Its listening sockets, kept open for a hand-over.
+        predecessor: Its side of a hand-over; None: there is none yet, or the settings want none.
+        log_rate_limiter: None: the log is not limited.
+    """
+
+    path: str
+    settings: Settings
+    config: Config
+    server: GatewayServer
+    sockets: dict[Address, socket.socket]
+    predecessor: HandoverPredecessor | None = None
+    log_rate_limiter: LogRateLimiter | None = None
+
+
+class SettingsReloader:
+    """Reloads one gateway's settings, one reload at a time."""
+
+    def __init__(self, gateway: RunningGateway, notifier: Notifier) -> None:
+        self._gateway = gateway
+        self._notifier = notifier
+        self._task: asyncio.Task[None] | None = None
+        self._is_requested_again = False
+
+    def request(self) -> None:
+        """Start a reload, or have the one under way followed by another."""
+        if self._task is not None:
+            self._is_requested_again = True
+        else:
+            self._task = asyncio.get_running_loop().create_task(self._run())
+
+    async def cancel(self) -> None:
+        """Cancel the reload under way, if there is one; the old settings stay."""
+        if self._task is not None:
+            self._task.cancel()
+            await asyncio.gather(self._task, return_exceptions=True)
+
+    async def _run(self) -> None:
+        try:
+            while True:
+                self._is_requested_again = False
+                self._notifier.reloading()
+                status = await self._reload()
+                log.info("reload: %s", status)
+                self._notifier.ready(status)
+                if not self._is_requested_again:
+                    return
+        finally:
+            self._task = None
+
+    async def _reload(self) -> str:
+        """Reload once, and return for the log what changed."""
+        try:
+            replacement = await self._build(await self._read())
+        except ReloadRejectedError as err:
+            for reason in err.reasons:
+                log.error("%s", reason)
+            return REJECTED
+        return self._swap_in(replacement)
+
+    async def _read(self) -> Configuration:
+        try:
+            configuration = await asyncio.to_thread(read_configuration, self._gateway.path, True)
+        except (InvalidConfigFileError, ConfigError) as err:
+            raise ReloadRejectedError(str(err).splitlines()) from err
+        self._check_protocols(configuration.config)
+        return configuration
+
+    def _check_protocols(self, config: Config) -> None:
+        old = self._gateway.config
+        kept = set(_listeners_of(old)) & set(_listeners_of(config))
+        for address in (old.grpc ^ config.grpc) & kept:
+            raise ReloadRejectedError(
+                [
+                    f"{self._gateway.path}: listeners: {write_address(address)}: "
+                    "its protocol changes by a restart or a hand-over only"
+                ]
+            )
+
+    # Build
+
+    async def _build(self, configuration: Configuration) -> Replacement:
+        """Build all that is new beside the old; the last step swaps the plug-ins."""
+        replacement = await self._build_services(configuration)
+        try:
+            await self._open_listeners(replacement)
+            replacement.endpoint_source = self._create_changed_source(replacement.config)
+            # The last step that can fail: plug-ins take over what those before them have saved.
+            replacement.plugin_changes = self._swap_plugins(replacement)
+        except InvalidConfigFileError as err:  # of the plug-ins, which are discarded already
+            replacement.close_listeners()
+            raise ReloadRejectedError([str(err)]) from err
+        except OSError as err:
+            self._discard(replacement)
+            reason = f"{self._gateway.path}: listeners: {err.strerror}; choose another address"
+            raise ReloadRejectedError([reason]) from err
+        except BaseException:  # also a stop in the middle of it
+            self._discard(replacement)
+            raise
+        return replacement
+
+    async def _build_services(self, configuration: Configuration) -> Replacement:
+        gateway = self._gateway
+        settings, config = configuration
+        try:
+            ratelimit_config = await build_ratelimit_config(gateway.path, settings, config)
+            plugin_update = await build_plugins(
+                gateway.path,
+                settings,
+                gateway.config.settings,
+                gateway.server.plugins,
+                gateway.settings.records,
+            )
+        except InvalidConfigFileError as err:
+            raise ReloadRejectedError(str(err).splitlines()) from err
+        ratelimit = gateway.server.ratelimit
+        if ratelimit is None and ratelimit_config is not None:
+            ratelimit = gateway.server.create_ratelimit_services(ratelimit_config)
+        new_config = config if is_beside_platform() else reloaded_config(gateway.config, config)
+        return Replacement(settings, new_config, ratelimit, ratelimit_config, plugin_update)
+
+    async def _open_listeners(self, replacement: Replacement) -> None:
+        for address in _listeners_of(replacement.config):
+            if address not in self._gateway.sockets:
+                replacement.sockets[address] = bind_listener(address)
+        for address, sock in replacement.sockets.items():
+            frontend = self._gateway.server.create_frontend(
+                address, replacement.config, replacement.ratelimit, replacement.ratelimit_config
+            )
+            replacement.frontends.append(frontend)
+            await frontend.listen(sock.dup())
+
+    def _create_changed_source(self, config: Config) -> EndpointSource | None:
+        """Return where the endpoint list comes from now on; None: from where it came before.
+
+        The platform's sources are switched by `GatewayServer.reload`.
+        """
+        old = self._gateway.config
+        is_same = (config.hosts_file, config.discovery, config.registry, config.trust) == (
+            old.hosts_file,
+            old.discovery,
+            old.registry,
+            old.trust,
+        )
+        if is_same or is_beside_platform():
+            return None
+        return self._gateway.server.create_endpoint_source(config)
+
+    def _swap_plugins(self, replacement: Replacement) -> str:
+        """Swap the plug-ins, and return for the log what changed.
+
+        Raises:
+            InvalidConfigFileError: The old ones are as they were.
+        """
+        server = self._gateway.server
+        update = replacement.plugin_update
+        if update is None:
+            return self._remove_plugins()
+        from apigateway.daemon.plugins import swap_plugins  # loaded only where there are any
+
+        swap_plugins(self._gateway.path, server, update, replacement.settings.hooks.tick)
+        return update.changes
+
+    def _remove_plugins(self) -> str:
+        server = self._gateway.server
+        old = server.plugins
+        server.set_plugins(None)
+        if old is None:
+            return ""
+        from apigateway.daemon.plugins import describe_changes
+
+        return describe_changes(old.version, None)
+
+    def _discard(self, replacement: Replacement) -> None:
+        if replacement.plugin_update is not None:
+            from apigateway.daemon import plugins
+
+            plugins.discard(replacement.plugin_update.version, self._gateway.server.plugins)
+        replacement.close_listeners()
+
+    # Swap: from here on nothing waits and nothing can fail
+
+    def _swap_in(self, replacement: Replacement) -> str:
+        """Put the replacement in force, and return for the log what changed."""
+        gateway = self._gateway
+        settings_change = compare_settings(gateway.settings, replacement.settings)
+        file_changes = _ratelimit_file_changes(replacement)
+        removed = gateway.sockets.keys() - set(_listeners_of(replacement.config))
+        if is_beside_platform():
+            gateway.server.reload(replacement.config)
+        swap_in(gateway.server, replacement, removed)
+        for address in removed:
+            gateway.sockets.pop(address).close()
+        gateway.sockets.update(replacement.sockets)
+        gateway.config = replacement.config
+        gateway.settings = effective_settings(gateway.settings, replacement.settings)
+        self._apply_process_settings(replacement.settings)
+        return _describe(settings_change, replacement.plugin_changes, file_changes)
+
+    def _apply_process_settings(self, settings: Settings) -> None:
+        gateway = self._gateway
+        if gateway.log_rate_limiter is not None:
+            gateway.log_rate_limiter.max_lines_per_second = settings.daemon.log_lines
+        if gateway.predecessor is not None:
+            gateway.predecessor.ready_timeout_s = settings.daemon.handover_wait
+
+
+def reloaded_config(old: Config, new: Config) -> Config:
+    """Return what a gateway runs with after a reload: of the new config only what a reload takes up.
+
+    A counter is not added by a reload: the decision module was built without one.
+    """
+    return replace(
+        old,
+        more=new.more,
+        listen=new.listen,
+        grpc=new.grpc,
+        hosts_file=new.hosts_file,
+        discovery=new.discovery,
+        registry=new.registry,
+        trust=new.trust,
+        counter=new.counter if old.counter else None,
+        max_open=new.max_open,
+        overload=new.overload,
+        linger=new.linger,
+        finish=new.finish,
+        leave=new.leave,
+    )
+
+
+def _listeners_of(config: Config) -> tuple[Address, ...]:
+    return (config.listen, *config.more)
+
+
+def _ratelimit_file_changes(replacement: Replacement) -> str:
+    if replacement.ratelimit is None:
+        return ""
+    from apigateway.daemon.ratelimit_config import describe_file_changes
+
+    return describe_file_changes(replacement.ratelimit.config, replacement.ratelimit_config)
+
+
+def _describe(change: SettingsChange, plugin_changes: str, file_changes: str) -> str:
+    parts = []
+    if change.reloaded:
+        parts.append(f"took effect: {', '.join(change.reloaded)}")
+    parts += [text for text in (plugin_changes, file_changes) if text]
+    if change.needs_restart:
+        parts.append(f"needs a restart or a hand-over: {', '.join(change.needs_restart)}")
+    return "; ".join(parts) or UNCHANGED
--- a/apigateway/daemon/settings_reload.py
+++ b/apigateway/daemon/settings_reload.py
@@ -49,6 +49,19 @@
     return SettingsChange(reloaded, needs_restart)
 
 
+def effective_settings(old: Settings, new: Settings) -> Settings:
+    """Return what holds after a reload: the new values of the keys that it takes up, else the old ones."""
+    tree = msgspec.to_builtins(old)
+    new_tree = msgspec.to_builtins(new)
+    for key in reloadable_keys(old, new):
+        table, _, name = key.partition(".")
+        if name:
+            tree[table][name] = new_tree[table][name]
+        else:
+            tree[table] = new_tree[table]
+    return msgspec.convert(tree, Settings)
+
+
 def reloadable_keys(old: Settings, new: Settings) -> list[str]:
     """Return the keys that a reload between these versions takes up.
 
--- a/apigateway/daemon/settings_runtime.py
+++ b/apigateway/daemon/settings_runtime.py
@@ -190,6 +190,21 @@
     )
 
 
+def wants_plugins(settings: Settings) -> bool:
+    """Return whether plug-ins or records of requests have to be loaded."""
+    return bool(settings.plugins or settings.records.file)
+
+
+def wants_ratelimit(settings: Settings) -> bool:
+    """Return whether a rate limit service, tokens or an external service have to be loaded."""
+    return bool(has_grpc_listener(settings) or settings.ratelimit.token_keys or settings.ask.address)
+
+
+def has_grpc_listener(settings: Settings) -> bool:
+    """Return whether a listener speaks gRPC, as the rate limit service does."""
+    return any(listener.protocol == "grpc" for listener in settings.listeners)
+
+
 def compile_ratelimit_rules(
     section: RateLimitPart, plans: Iterable[str], classes: Iterable[str], gateways: int, span: int = 1
 ) -> Mapping:
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -12,9 +12,13 @@
 
 from apigateway import __version__, messages
 from apigateway.config_validation import MAX_FILE_BYTES, InvalidConfigFileError
-from apigateway.daemon.serve import in_force
 from apigateway.daemon.settings import Settings, read_settings
-from apigateway.daemon.settings_reload import RELOADABLE_KEYS, compare_settings, differences
+from apigateway.daemon.settings_reload import (
+    RELOADABLE_KEYS,
+    compare_settings,
+    differences,
+    effective_settings,
+)
 from apigateway.daemon.settings_runtime import build_config, build_module_settings
 from apigateway.daemon.settings_schema import CounterSection
 from apigateway.membership.file import read_endpoint_file
@@ -245,16 +249,18 @@
     live, restart = compare_settings(old, new)
     assert live == ["limits.max_open", "listeners"]
     assert restart == ["classes.more", "limits.max_attempts", "plans.p.rate"]
-    now = in_force(old, new)
+    now = effective_settings(old, new)
     assert now.limits.max_open == 7 and now.limits.max_attempts == 3 and now.plans["p"].rate == 2.0
     assert compare_settings(now, new) == ([], restart)  # never silently left
 
 
 def test_a_counter_comes_or_goes_by_a_restart_only():
     none, one, other = (Settings(counter=CounterSection(address=address)) for address in ("", "h:1", "h:2"))
-    assert compare_settings(one, other) == (["counter.address"], []) and in_force(one, other) == other
+    assert (
+        compare_settings(one, other) == (["counter.address"], []) and effective_settings(one, other) == other
+    )
     for old, new in ((none, one), (one, none)):
-        assert compare_settings(old, new) == ([], ["counter.address"]) and in_force(old, new) == old
+        assert compare_settings(old, new) == ([], ["counter.address"]) and effective_settings(old, new) == old
 
 
 def test_what_a_reload_takes_up_are_keys_that_exist():
@@ -313,7 +319,9 @@
         "'apigateway.emulators', 'apigateway.tools', 'apigateway.config_validation', "
         "'apigateway.policy.overload_gate', 'apigateway.core.admission', "
         "'apigateway.frontends.resp.outline', "
-        "'apigateway.daemon.serve', 'apigateway.daemon.settings', 'apigateway.membership.file'))])"
+        "'apigateway.daemon.serve', 'apigateway.daemon.settings', 'apigateway.daemon.gateway_process', "
+        "'apigateway.daemon.reload', 'apigateway.daemon.gateway_status', 'apigateway.daemon.interfaces', "
+        "'apigateway.membership.file'))])"
     )
     ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert ended.stdout == "[]\n", ended.stderr
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -183,7 +183,7 @@
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         node.discovery.silent = True  # nothing mends it meanwhile
         mine, yours = ([entry(one, "h1", state), entry(two, "h2")] for state in (ours, theirs))
-        node.node.listed(read_list({"version": 2, "full": True, "servers": mine}))
+        node.node.endpoint_list.apply(read_list({"version": 2, "full": True, "servers": mine}))
         node.node.begin(read_list({"version": 1, "full": True, "servers": yours}, "cached"))
         assert [s.host.id for s in node.node.core.module.pool.available] == ["h2"]
         for n in range(4):
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -7,6 +7,7 @@
 from netkit import PATIENCE, SERVED, Node, StubHost, command, entry, on_loop
 
 from apigateway import messages
+from apigateway.daemon.gateway_status import endpoint_list_status
 from apigateway.membership import watch_schedule
 from apigateway.membership.discovery import CallResult
 from apigateway.membership.listing import read_list
@@ -118,7 +119,9 @@
         while not pool.connecting:  # the attempt waits for its connection
             await asyncio.sleep(0)
         seen.clear()
-        node.node.listed(read_list({"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]}))
+        node.node.endpoint_list.apply(
+            read_list({"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]})
+        )
         await done.wait()
         assert seen == [messages.EndpointList, messages.AttemptOutcome, "connect_failed"]
         assert (await asked).startswith(b"-ERR") and not host.commands
@@ -251,7 +254,7 @@
         node.discovery.change([])
         await asked.wait()
         answer.set_result("a list")  # it is here, and the call goes on in the next turn of the loop
-        node.node.go_over(node.node.source(node.node.config, old.version))
+        node.node.switch_endpoint_source(node.node.create_endpoint_source(node.node.config))
         while "index" not in await node.discovery.calls.get():
             pass
         assert not heard
@@ -261,4 +264,4 @@
 async def test_status_when_discovery_is_the_source_then_names_its_url(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         url = f"http://127.0.0.1:{node.discovery.port}/v1/endpoints"
-        assert node.node.hosts_believed()["source"] == f"discovery {url}"
+        assert endpoint_list_status(node.node).as_json()["source"] == f"discovery {url}"
