--- a/apigateway/cli/ask.py
+++ b/apigateway/cli/ask.py
@@ -6,8 +6,8 @@
 import os
 from typing import Any
 
-from apigateway.daemon.handover import query_gateway
 from apigateway.daemon.settings import Settings
+from apigateway.daemon.status_query import query_gateway
 
 
 async def ask(settings: Settings, what: str) -> dict[str, dict[str, Any]]:
--- a/apigateway/daemon/gateway_process.py
+++ b/apigateway/daemon/gateway_process.py
@@ -24,7 +24,9 @@
 from apigateway.daemon.config import Config
 from apigateway.daemon.configuration import Configuration
 from apigateway.daemon.gateway_server import GatewayServer
-from apigateway.daemon.handover import HandoverError, HandoverOffer, HandoverPredecessor, HandoverSuccessor
+from apigateway.daemon.handover import HandoverError, HandoverOffer
+from apigateway.daemon.handover_predecessor import HandoverPredecessor
+from apigateway.daemon.handover_successor import HandoverSuccessor
 from apigateway.daemon.lock import StateFolderLock
 from apigateway.daemon.logs import LogRateLimiter
 from apigateway.daemon.notify import Notifier
--- a/apigateway/daemon/reload.py
+++ b/apigateway/daemon/reload.py
@@ -21,7 +21,7 @@
 from apigateway.daemon.config import Config, ConfigError
 from apigateway.daemon.configuration import Configuration, is_beside_platform, read_configuration
 from apigateway.daemon.gateway_server import GatewayServer
-from apigateway.daemon.handover import HandoverPredecessor
+from apigateway.daemon.handover_predecessor import HandoverPredecessor
 from apigateway.daemon.logs import LogRateLimiter
 from apigateway.daemon.notify import Notifier
 from apigateway.daemon.optional_services import build_plugins, build_ratelimit_config
--- a/apigateway/daemon/supervisor.py
+++ b/apigateway/daemon/supervisor.py
@@ -22,9 +22,9 @@
 from apigateway.daemon.handover import (
     HandoverError,
     HandoverOffer,
-    HandoverPredecessor,
-    HandoverSuccessor,
 )
+from apigateway.daemon.handover_predecessor import HandoverPredecessor
+from apigateway.daemon.handover_successor import HandoverSuccessor
 from apigateway.daemon.inflight import shared_memory_size
 from apigateway.daemon.lock import StateFolderLock
 from apigateway.daemon.notify import Notifier
--- a/apigateway/daemon/takeover.py
+++ b/apigateway/daemon/takeover.py
@@ -7,7 +7,8 @@
 from collections.abc import Collection
 from typing import NamedTuple
 
-from apigateway.daemon.handover import HandoverError, HandoverSuccessor
+from apigateway.daemon.handover import HandoverError
+from apigateway.daemon.handover_successor import HandoverSuccessor
 from apigateway.daemon.lock import StateFolderLock
 from apigateway.membership.listing import Listing, read_list
 from apigateway.upstream.address import Address, write_address
--- a/apigateway/tools/demo.py
+++ b/apigateway/tools/demo.py
@@ -22,7 +22,7 @@
 from rich.table import Table
 
 from apigateway.config_validation import InvalidConfigFileError
-from apigateway.daemon.handover import query_gateway
+from apigateway.daemon.status_query import query_gateway
 from apigateway.emulators.clients import Client, Customer, Traffic
 from apigateway.emulators.fleet import Class, Fleet, Plan, Shape
 from apigateway.emulators.ledger import Attempt, Ledger, Verdict
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -12,7 +12,7 @@
 from rig import TERMS, Load, Site, free_port
 
 from apigateway import messages
-from apigateway.daemon.handover import HandoverChannel
+from apigateway.daemon.handover_channel import HandoverChannel
 from apigateway.emulators.ledger import Ledger
 from apigateway.membership.listing import Listing, read_list
 from apigateway.membership.reconciler import ReconcilerSettings, ReportedEndpoint
--- a/tests/faults/test_plugins.py
+++ b/tests/faults/test_plugins.py
@@ -11,7 +11,7 @@
 from netkit import SERVED, command, on_loop, read_reply
 from rig import TERMS, Load, Site
 
-from apigateway.daemon.handover import query_gateway
+from apigateway.daemon.status_query import query_gateway
 from apigateway.emulators.clients import Client, Customer, Traffic
 from apigateway.emulators.fleet import Class, Fleet, Plan, Shape
 from apigateway.emulators.ledger import Ledger, report
