--- a/apigateway/daemon/gateway_status.py
+++ b/apigateway/daemon/gateway_status.py
@@ -19,6 +19,7 @@
 
 if TYPE_CHECKING:
     from apigateway.daemon.gateway_server import GatewayServer
+    from apigateway.external_ratelimit.limiter import LimiterStatus
     from apigateway.membership.listing import Listing
     from apigateway.membership.reconciler import EndpointReconciler
 
@@ -149,7 +150,7 @@
 
     listeners: Sequence[RateLimitListenerStatus] = ()
     token_counts: dict[str, int] | None = None
-    external_service: dict[str, Any] | None = None
+    external_service: LimiterStatus | None = None
 
     def as_json(self) -> dict[str, Any]:
         """Return it as JSON."""
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -20,7 +20,8 @@
 
 if TYPE_CHECKING:
     from apigateway.daemon.interfaces import Frontend
-    from apigateway.external_ratelimit.outer import Asked, Outer
+    from apigateway.external_ratelimit.limiter import EnvoyRateLimiter
+    from apigateway.external_ratelimit.service_config import ExternalServiceConfig
     from apigateway.frontends.grpc.front import GrpcFront
 
 HEALTH_SERVICE = "grpc.health.v1.Health"
@@ -48,7 +49,7 @@
         self._gateway_name = config.name
         self._gateway_index = config.settings.gateway_index
         self._span = config.span
-        self._external_service: Outer | None = None
+        self._external_service: EnvoyRateLimiter | None = None
         self._listeners: list[RateLimitListener] = []
 
     def take_up(self, config: RateLimitConfig | None, frontends: Iterable[Frontend]) -> None:
@@ -91,7 +92,7 @@
         return RateLimitStatus(
             [listener.status() for listener in self._listeners],
             dict(self.tokens.counts) if self.tokens is not None else None,
-            external_service.told() if external_service is not None else None,
+            external_service.status() if external_service is not None else None,
         )
 
     def close(self) -> None:
@@ -111,16 +112,16 @@
             self.tokens.seconds = section.token_time
             self.tokens.redeemed.most = section.max_tokens
 
-    def _apply_external_service(self, service: Asked | None) -> None:
+    def _apply_external_service(self, service: ExternalServiceConfig | None) -> None:
         if service is None:
             self.close()
             self._external_service = None
         elif self._external_service is None:
-            from apigateway.external_ratelimit.outer import Outer  # loaded only where it is used
+            from apigateway.external_ratelimit.limiter import EnvoyRateLimiter  # loaded only where it is used
 
-            self._external_service = Outer(service, self._gateway_name)
+            self._external_service = EnvoyRateLimiter(service, self._gateway_name)
         else:
-            self._external_service.set(service)
+            self._external_service.update_config(service)
 
 
 class RateLimitListener:
--- a/apigateway/daemon/ratelimit_config.py
+++ b/apigateway/daemon/ratelimit_config.py
@@ -21,9 +21,9 @@
 from apigateway.upstream.address import read_address
 
 if TYPE_CHECKING:
-    from apigateway.external_ratelimit.choice import Terms
-    from apigateway.external_ratelimit.outer import Asked
-    from apigateway.external_ratelimit.settings import AskPart
+    from apigateway.external_ratelimit.circuit_breaker import CheckSettings
+    from apigateway.external_ratelimit.service_config import ExternalServiceConfig
+    from apigateway.external_ratelimit.settings import ExternalRateLimitSection
     from apigateway.frontends.grpc.settings import RateLimitPart
 
 # Bytes of a file with a certificate.
@@ -54,7 +54,7 @@
     token_keys: Keys | None
     tls_context: ssl.SSLContext | None
     file_digests: tuple[str, ...]
-    external_service: Asked | None
+    external_service: ExternalServiceConfig | None
 
 
 def build_ratelimit_config(path: str, settings: Settings, config: Config) -> RateLimitConfig | None:
@@ -204,7 +204,7 @@
     return context
 
 
-def _create_client_context(files: SettingsFiles, section: AskPart) -> ssl.SSLContext | None:
+def _create_client_context(files: SettingsFiles, section: ExternalRateLimitSection) -> ssl.SSLContext | None:
     tls = section.tls
     if not tls.on:
         return None
@@ -225,10 +225,14 @@
     return context
 
 
-def _build_external_service(files: SettingsFiles, section: AskPart) -> Asked | None:
+def _build_external_service(
+    files: SettingsFiles, section: ExternalRateLimitSection
+) -> ExternalServiceConfig | None:
     if not section.address:
         return None
-    from apigateway.external_ratelimit.outer import Asked  # loaded only where it is used
+    from apigateway.external_ratelimit.service_config import (
+        ExternalServiceConfig,  # loaded only where it is used
+    )
 
     digest_count = len(files.digests)
     context = _create_client_context(files, section)
@@ -236,9 +240,9 @@
     for entry in section.entries:
         key, _, value = entry.partition("=")
         entries.append((key, value))
-    return Asked(
+    return ExternalServiceConfig(
         read_address(section.address),
-        _external_service_terms(section),
+        _build_check_settings(section),
         section.domain,
         tuple(entries),
         section.batch,
@@ -248,15 +252,15 @@
     )
 
 
-def _external_service_terms(section: AskPart) -> Terms:
-    from apigateway.external_ratelimit.choice import Terms
+def _build_check_settings(section: ExternalRateLimitSection) -> CheckSettings:
+    from apigateway.external_ratelimit.circuit_breaker import CheckSettings, FailureMode
 
-    return Terms(
+    return CheckSettings(
         frozenset(section.plans),
         frozenset(section.classes),
         section.timeout,
         section.share,
-        section.failing,
+        FailureMode(section.failing),
         section.failures,
         section.rest,
         section.most_rest,
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -9,7 +9,6 @@
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.config import ConfigError
 from apigateway.daemon.configuration import Configuration, is_beside_platform, read_configuration
-from apigateway.daemon.exit_codes import FAILED, OK, TRY_AGAIN, UNUSABLE
 from apigateway.daemon.gateway_process import GatewayProcess
 from apigateway.daemon.handover import HandoverError, HandoverInProgressError
 from apigateway.daemon.lock import StateFolderLockedError
@@ -17,6 +16,14 @@
 from apigateway.daemon.supervisor import supervise
 from apigateway.daemon.workers import read_worker_assignment
 
+# Exit codes.
+OK = 0
+FAILED = 1
+# The settings cannot be used.
+UNUSABLE = 2
+# Another successor is taking over; EX_TEMPFAIL of sysexits.h.
+TRY_AGAIN = 75
+
 
 def serve(path: str, take_over: bool = False, workers: int = 0) -> int:
     """Run until SIGTERM and return the exit code.
