--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -9,6 +9,7 @@
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.config import ConfigError
 from apigateway.daemon.configuration import Configuration, is_beside_platform, read_configuration
+from apigateway.daemon.exit_codes import ExitCode
 from apigateway.daemon.gateway_process import GatewayProcess
 from apigateway.daemon.handover import HandoverError, HandoverInProgressError
 from apigateway.daemon.lock import StateFolderLockedError
@@ -16,14 +17,6 @@
 from apigateway.daemon.supervisor import supervise
 from apigateway.daemon.workers import read_worker_assignment
 
-# Exit codes.
-OK = 0
-FAILED = 1
-# The settings cannot be used.
-UNUSABLE = 2
-# Another successor is taking over; EX_TEMPFAIL of sysexits.h.
-TRY_AGAIN = 75
-
 
 def serve(path: str, take_over: bool = False, workers: int = 0) -> int:
     """Run until SIGTERM and return the exit code.
@@ -40,13 +33,13 @@
     except (InvalidConfigFileError, ConfigError) as err:
         for line in str(err).splitlines():
             _print_error(line)
-        return UNUSABLE
+        return ExitCode.UNUSABLE
     except HandoverInProgressError as err:
         _print_error(f"{err}; try again")
-        return TRY_AGAIN
+        return ExitCode.TRY_AGAIN
     except (OSError, StateFolderLockedError, HandoverError, ValueError) as err:
         _print_error(str(err))
-        return FAILED
+        return ExitCode.FAILED
 
 
 async def _run(
@@ -55,7 +48,7 @@
     log_rate_limiter: LogRateLimiter,
     take_over: bool,
     workers: int,
-) -> int:
+) -> ExitCode:
     settings, config = configuration
     count = workers or settings.workers.count
     if count > 1 and read_worker_assignment() is None:
@@ -63,7 +56,7 @@
             raise ValueError("several workers need a counter, and are not for the platform")
         return await supervise(path, settings, count, take_over)
     await GatewayProcess(path, configuration, log_rate_limiter).run(take_over)
-    return OK
+    return ExitCode.OK
 
 
 def _print_error(text: str) -> None:
--- a/apigateway/daemon/settings_validation.py
+++ b/apigateway/daemon/settings_validation.py
@@ -14,6 +14,7 @@
 )
 from apigateway.external_ratelimit.settings import ClientTlsSection
 from apigateway.frontends.grpc.mapping import TAKEN, BadRule
+from apigateway.frontends.grpc.settings import ServerTlsPart
 from apigateway.upstream.address import Address, read_address
 
 # Fields of a request that ask.entries may use.
@@ -129,6 +130,12 @@
             "no rule says whose a check is",
             "add [[ratelimit.rules]] with domain, entries, customer, plan and class",
         )
+    _check_ratelimit_rules(reader, settings)
+    _check_ratelimit_tls(reader, section.tls)
+
+
+def _check_ratelimit_rules(reader: ConfigReader, settings: Settings) -> None:
+    section = settings.ratelimit
     try:
         compile_ratelimit_rules(section, settings.plans, settings.classes, settings.gateway.gateways)
     except BadRule as err:
@@ -148,15 +155,18 @@
                 "there is no key to sign tokens with",
                 "name files with keys in ratelimit.token_keys",
             )
-    if bool(section.tls.cert) != bool(section.tls.key):
-        missing = "key" if section.tls.cert else "cert"
+
+
+def _check_ratelimit_tls(reader: ConfigReader, tls: ServerTlsPart) -> None:
+    if bool(tls.cert) != bool(tls.key):
+        missing = "key" if tls.cert else "cert"
         reader.add_contradiction(
             ("ratelimit", "tls", missing), "", "a certificate and its key go together", "name both files"
         )
-    elif section.tls.client_ca and not section.tls.cert:
+    elif tls.client_ca and not tls.cert:
         reader.add_contradiction(
             ("ratelimit", "tls", "client_ca"),
-            section.tls.client_ca,
+            tls.client_ca,
             "without TLS no client shows a certificate",
             "name cert and key",
         )
@@ -170,8 +180,21 @@
             reader.add_contradiction(
                 ("ask", "plans"), None, "nothing is asked about", "name plans or classes"
             )
+    _check_ask_scope(reader, settings)
+    _check_ask_entries(reader, section.entries)
+    if section.most_rest < section.rest:
+        reader.add_contradiction(
+            ("ask", "most_rest"),
+            section.most_rest,
+            f"is shorter than rest = {section.rest}",
+            "let it be longer",
+        )
+    _check_ask_tls(reader, section.tls)
+
+
+def _check_ask_scope(reader: ConfigReader, settings: Settings) -> None:
     for key, known in (("plans", settings.plans), ("classes", settings.classes)):
-        for name in getattr(section, key):
+        for name in getattr(settings.ask, key):
             if name not in known:
                 reader.add_contradiction(
                     ("ask", key),
@@ -179,7 +202,10 @@
                     f"there is no such one of [{key}]",
                     f"known: {', '.join(known) or 'none'}",
                 )
-    for entry in section.entries:
+
+
+def _check_ask_entries(reader: ConfigReader, entries: list[str]) -> None:
+    for entry in entries:
         unknown = [name for name in TAKEN.findall(entry.partition("=")[2]) if name not in ASK_ENTRY_FIELDS]
         if unknown:
             reader.add_contradiction(
@@ -188,14 +214,6 @@
                 f"{{{unknown[0]}}} is nothing of a request",
                 f"known: {', '.join(ASK_ENTRY_FIELDS)}",
             )
-    if section.most_rest < section.rest:
-        reader.add_contradiction(
-            ("ask", "most_rest"),
-            section.most_rest,
-            f"is shorter than rest = {section.rest}",
-            "let it be longer",
-        )
-    _check_ask_tls(reader, section.tls)
 
 
 def _check_ask_tls(reader: ConfigReader, tls: ClientTlsSection) -> None:
--- a/apigateway/daemon/supervisor.py
+++ b/apigateway/daemon/supervisor.py
@@ -15,14 +15,11 @@
 import shutil
 import signal
 import socket
-import sys
 import tempfile
 
 from apigateway.config_validation import InvalidConfigFileError
-from apigateway.daemon.handover import (
-    HandoverError,
-    HandoverOffer,
-)
+from apigateway.daemon.exit_codes import ExitCode
+from apigateway.daemon.handover import HandoverError, HandoverOffer
 from apigateway.daemon.handover_predecessor import HandoverPredecessor
 from apigateway.daemon.handover_successor import HandoverSuccessor
 from apigateway.daemon.inflight import shared_memory_size
@@ -30,8 +27,10 @@
 from apigateway.daemon.notify import Notifier
 from apigateway.daemon.settings import Settings, read_settings
 from apigateway.daemon.sockets import bind_listener
-from apigateway.daemon.worker_lifecycle import RestartPolicy, WorkerLifecycle
-from apigateway.daemon.workers import InFlightRegions, worker_environment
+from apigateway.daemon.takeover import create_successor, handover_path
+from apigateway.daemon.worker_pool import WorkerPool, WorkerResources
+from apigateway.daemon.worker_process import WorkerProcess
+from apigateway.daemon.workers import InFlightRegions
 from apigateway.upstream.address import Address, read_address, write_address
 
 # The shared memory's name beside the listeners of a hand-over.
@@ -40,47 +39,10 @@
 WORKER_QUERIES = ("hosts", "plugins", "ratelimit")
 CHECK_INTERVAL_S = 0.1  # between checks of the workers
 TAKE_OVER_CHECK_INTERVAL_S = CHECK_INTERVAL_S / 10  # requests wait in the kernel's queue meanwhile
-EXIT_MARGIN_S = 5.0  # past its own time limit that a worker has to exit before it is killed
-MAX_NOTIFICATION_BYTES = 4096
-PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-MIB = 1024 * 1024
-# Variables by which the supervisor's own service manager addresses the supervisor alone.
-SUPERVISOR_VARIABLES = ("LISTEN_FDS", "LISTEN_PID", "WATCHDOG_PID")
 
 log = logging.getLogger(__name__)
 
 
-class Worker:
-    """A worker process and the socket on which it sends its state.
-
-    Attributes:
-        number: From 0.
-        lifecycle: Decides when it is started or killed.
-        notify_path: Path of its notify socket.
-        notify_socket: Receives its heartbeats.
-        process: None while it does not run.
-        is_terminating: It was told to exit or killed, and is to be started again.
-        is_handed_over: A successor's worker serves in its place.
-    """
-
-    def __init__(self, number: int, policy: RestartPolicy, now: float, folder: str) -> None:
-        self.number = number
-        self.lifecycle = WorkerLifecycle(policy, now)
-        self.notify_path = os.path.join(folder, f"worker-{number}")
-        self.notify_socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC)
-        self.notify_socket.setblocking(False)
-        self.notify_socket.bind(self.notify_path)
-        self.process: asyncio.subprocess.Process | None = None
-        self.is_terminating = False
-        self.is_handed_over = False
-
-    def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to its process, if there is one."""
-        if self.process is not None:
-            with contextlib.suppress(ProcessLookupError):
-                self.process.send_signal(number)
-
-
 class Supervisor:
     """Starts the workers, restarts those that fail, and passes signals and hand-overs on to them."""
 
@@ -98,28 +60,16 @@
         self._count = count
         self._take_over = take_over
         self._loop = asyncio.get_running_loop()
-        section = settings.workers
-        self._policy = RestartPolicy(
-            watchdog_timeout_s=section.watchdog,
-            ready_timeout_s=section.patience,
-            backoff_s=section.rest,
-            max_backoff_s=section.most_rest,
-            stable_after_s=section.steady,
-            crash_loop_threshold=section.crashes,
-        )
         self._stop_requested = asyncio.Event()
-        self._has_failed = False
-        self._has_notified_ready = False
         self._notifier = Notifier()
-        self._workers: list[Worker] = []
-        self._exit_waits: set[asyncio.Task[None]] = set()  # one for each process
+        self._pool: WorkerPool | None = None
         self._sockets: dict[Address, socket.socket] = {}
         self._marks: InFlightRegions | None = None
         self._lock: StateFolderLock | None = None
         self._predecessor: HandoverPredecessor | None = None  # this supervisor, as one that hands over
         self._successor: HandoverSuccessor | None = None  # this supervisor, as one that takes over
 
-    async def run(self) -> int:
+    async def run(self) -> ExitCode:
         """Supervise until it is told to stop or a worker is in a crash loop.
 
         Returns:
@@ -132,22 +82,23 @@
         folder = tempfile.mkdtemp(prefix="apigateway-")
         try:
             await self._acquire_resources()
-            self._create_workers(folder)
+            pool = self._create_pool(folder)
             if self._successor is not None:
-                await self._take_over_workers(self._successor)
+                await self._take_over_workers(pool, self._successor)
             if self._lock is not None:
                 self._lock.record_holder()
                 self._open_handover()
             while not self._stop_requested.is_set():
-                await self._check_workers()
+                await pool.check()
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self._stop_requested.wait(), CHECK_INTERVAL_S)
             self._notifier.stopping()
-            ended_in_time = await self._end_workers()
-            return 0 if ended_in_time and not self._has_failed else 1
+            ended_in_time = await self._end_workers(pool)
+            return ExitCode.OK if ended_in_time and not pool.has_failed else ExitCode.FAILED
         except BaseException:  # a hand-over that failed: its workers end, and the predecessor's go on
             self._stop_requested.set()
-            await self._end_workers()
+            if self._pool is not None:
+                await self._end_workers(self._pool)
             raise
         finally:
             self._release_resources(folder)
@@ -158,6 +109,7 @@
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     async def _acquire_resources(self) -> None:
+        """Get the lock, the listening sockets and the marks, from a predecessor if there is one."""
         state = self._settings.daemon.state
         if self._take_over:
             await self._inherit_resources(state)
@@ -181,19 +133,32 @@
         self._marks = marks._replace(region_count=region_count)
         os.ftruncate(marks.descriptor, shared_memory_size(region_count))
 
-    def _create_workers(self, folder: str) -> None:
-        now = self._loop.time()
-        for number in range(self._count):
-            worker = Worker(number, self._policy, now, folder)
-            self._workers.append(worker)
-            self._loop.add_reader(worker.notify_socket, self._on_notification, worker)
+    def _create_pool(self, folder: str) -> WorkerPool:
+        resources = WorkerResources(self._listener_descriptors(), self._marks, folder)
+        self._pool = WorkerPool(
+            self._path,
+            self._settings,
+            self._count,
+            resources,
+            self._stop_requested,
+            self._is_handing_over,
+            self._on_all_ready,
+        )
+        return self._pool
+
+    def _on_all_ready(self) -> None:
+        log.info(
+            "%d workers listen on %s",
+            self._count,
+            ", ".join(listener.address for listener in self._settings.listeners),
+        )
+        self._notifier.ready(f"{self._count} workers serve", main=self._take_over)
 
     def _release_resources(self, folder: str) -> None:
         if self._predecessor is not None:
             self._predecessor.close()
-        for worker in self._workers:
-            self._loop.remove_reader(worker.notify_socket)
-            worker.notify_socket.close()
+        if self._pool is not None:
+            self._pool.close()
         shutil.rmtree(folder, ignore_errors=True)
         for sock in self._sockets.values():
             sock.close()
@@ -207,7 +172,7 @@
 
     def _open_handover(self) -> None:
         self._predecessor = HandoverPredecessor(
-            self._handover_path(),
+            handover_path(self._settings.daemon.state),
             self._offer,
             self._leave_to_workers,
             self._leave_to_workers,
@@ -218,9 +183,6 @@
             self._predecessor.status_queries[name] = lambda: {"workers": self._count}
         self._predecessor.open()
 
-    def _handover_path(self) -> str:
-        return os.path.join(self._settings.daemon.state, "handover")
-
     def _is_handing_over(self) -> bool:
         return self._predecessor is not None and self._predecessor.is_in_progress
 
@@ -248,9 +210,7 @@
         Raises:
             HandoverError: Nothing runs there, or it has another number of workers.
         """
-        if not state:
-            raise HandoverError("daemon.state names no folder, so there is nobody to take over from")
-        self._successor = HandoverSuccessor(self._handover_path())
+        self._successor = create_successor(state)
         names, descriptors, known = await self._successor.take_over()
         if known.get("workers") != self._count:
             for descriptor in descriptors:
@@ -278,126 +238,34 @@
         region_count = os.fstat(descriptor).st_size // shared_memory_size(1)
         return InFlightRegions(descriptor, first_region, region_count)
 
-    async def _take_over_workers(self, successor: HandoverSuccessor) -> None:
+    async def _take_over_workers(self, pool: WorkerPool, successor: HandoverSuccessor) -> None:
         """Start one worker after another in place of the predecessor's.
 
         Raises:
             HandoverError: One of them could not take over; the predecessor's go on.
         """
-        for worker in self._workers:
-            await self._start_worker(worker, take_over=True)
-            process = worker.process
-            deadline = self._loop.time() + self._settings.daemon.handover_wait
-            while not worker.lifecycle.is_ready:
-                if process is None or process.returncode is not None or self._loop.time() > deadline:
-                    raise HandoverError(f"worker {worker.number} could not take over")
-                if self._stop_requested.is_set():
-                    raise HandoverError("told to stop")
-                await asyncio.sleep(TAKE_OVER_CHECK_INTERVAL_S)
+        for worker in pool.workers:
+            await pool.start(worker, take_over=True)
+            await self._wait_until_ready(worker)
         await successor.announce_ready()
         await successor.announce_serving()
 
-    # Workers
-
-    async def _check_workers(self) -> None:
-        now = self._loop.time()
-        is_handing_over = self._is_handing_over()
-        for worker in self._workers:
-            if worker.is_handed_over and not is_handing_over:  # the successor failed, its worker has ended
-                worker.is_handed_over = False
-                worker.lifecycle.start_again(now)
-            if worker.lifecycle.is_due(now):
-                await self._start_worker(worker)
-            elif worker.process is not None and not worker.is_terminating:
-                self._check_health(worker, worker.process.pid, now)
-
-    def _check_health(self, worker: Worker, pid: int, now: float) -> None:
-        if worker.lifecycle.is_hung(now):
-            log.error("worker %d shows no sign of life: killed", worker.number)
-            worker.is_terminating = True
-            worker.send_signal(signal.SIGKILL)
-        elif _resident_bytes(pid) > self._settings.limits.memory_mb * MIB:
-            log.error(
-                "worker %d holds more than limits.memory_mb: it is to finish, and is made anew",
-                worker.number,
-            )
-            worker.is_terminating = True
-            worker.send_signal(signal.SIGTERM)
-
-    async def _start_worker(self, worker: Worker, take_over: bool = False) -> None:
-        listeners = self._listener_descriptors()
-        marks = [self._marks.descriptor] if self._marks is not None else []
-        worker.is_terminating = False
-        worker.lifecycle.on_started(self._loop.time())
-        worker.process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "apigateway",
-            "serve",
-            self._path,
-            *(["--take-over"] if take_over else []),
-            env=self._environment_of(worker, listeners),
-            pass_fds=listeners + marks,
-        )
-        exit_wait = self._loop.create_task(self._wait_for_exit(worker, worker.process))
-        self._exit_waits.add(exit_wait)
-        exit_wait.add_done_callback(self._exit_waits.discard)
-
-    def _environment_of(self, worker: Worker, listeners: list[int]) -> dict[str, str]:
-        environment = {name: value for name, value in os.environ.items() if name not in SUPERVISOR_VARIABLES}
-        environment |= worker_environment(worker.number, self._count, listeners, self._marks)
-        environment["NOTIFY_SOCKET"] = worker.notify_path
-        environment["WATCHDOG_USEC"] = str(int(self._policy.watchdog_timeout_s * 1e6))
-        return environment
-
-    async def _wait_for_exit(self, worker: Worker, process: asyncio.subprocess.Process) -> None:
-        code = await process.wait()
-        worker.process = None
-        if self._stop_requested.is_set():
-            # One that was told to end while it still started had taken nothing.
-            ended_at_start = code == -signal.SIGTERM and not worker.lifecycle.is_ready
-            self._has_failed = self._has_failed or (code != 0 and not ended_at_start)
-            worker.lifecycle.is_running = False
-        elif code == 0 and self._is_handing_over():
-            worker.is_handed_over = True
-            worker.lifecycle.on_handed_over()
-        else:
-            self._on_worker_failed(worker, code)
-
-    def _on_worker_failed(self, worker: Worker, code: int) -> None:
-        lifecycle = worker.lifecycle
-        is_restarted = lifecycle.on_ended(self._loop.time())
-        log.error(
-            "worker %d ended (%s)%s",
-            worker.number,
-            f"signal {-code}" if code < 0 else f"exit code {code}",
-            f"; again in {lifecycle.next_start_at - self._loop.time():.1f} s" if is_restarted else "",
-        )
-        if not is_restarted:
-            log.error(
-                "worker %d ended %d times in a row: given up, all end",
-                worker.number,
-                lifecycle.failures_in_row,
-            )
-            self._has_failed = True
-            self._stop_requested.set()
+    async def _wait_until_ready(self, worker: WorkerProcess) -> None:
+        """Wait until a worker that takes over serves.
 
-    def _on_notification(self, worker: Worker) -> None:
-        with contextlib.suppress(BlockingIOError):
-            while True:
-                datagram = worker.notify_socket.recv(MAX_NOTIFICATION_BYTES)
-                lines = datagram.decode("utf-8", "replace").split("\n")
-                worker.lifecycle.on_heartbeat(self._loop.time(), "READY=1" in lines)
-        if not self._has_notified_ready and all(one.lifecycle.is_ready for one in self._workers):
-            self._has_notified_ready = True
-            log.info(
-                "%d workers listen on %s",
-                self._count,
-                ", ".join(listener.address for listener in self._settings.listeners),
-            )
-            self._notifier.ready(f"{self._count} workers serve", main=self._take_over)
+        Raises:
+            HandoverError: It failed or took too long, or this supervisor was told to stop.
+        """
+        process = worker.process
+        deadline = self._loop.time() + self._settings.daemon.handover_wait
+        while not worker.lifecycle.is_ready:
+            if process is None or process.returncode is not None or self._loop.time() > deadline:
+                raise HandoverError(f"worker {worker.number} could not take over")
+            if self._stop_requested.is_set():
+                raise HandoverError("told to stop")
+            await asyncio.sleep(TAKE_OVER_CHECK_INTERVAL_S)
 
-    # Reload and end act on all
+    # Reload and shutdown act on all
 
     def _reload(self) -> None:
         """Have the workers reload; reject for all what would need another supervisor."""
@@ -418,9 +286,9 @@
             log.info("reload: refused, the old settings stay")
             return
         self._settings = new
-        for worker in self._workers:
-            if worker.lifecycle.is_ready:
-                worker.send_signal(signal.SIGHUP)
+        if self._pool is not None:
+            self._pool.settings = new
+            self._pool.reload()
 
     def _can_reload(self, new: Settings) -> bool:
         old = self._settings
@@ -430,37 +298,15 @@
             and new.daemon.state == old.daemon.state
         )
 
-    async def _end_workers(self) -> bool:
+    async def _end_workers(self, pool: WorkerPool) -> bool:
         """Stop all workers, and kill those that are late; return whether none was."""
         if self._predecessor is None or not self._predecessor.is_completed:
-            for worker in self._workers:
-                worker.send_signal(signal.SIGTERM)
+            pool.stop()
         # Else each has been replaced by its successor, and ends by itself.
-        if not self._exit_waits:
-            return True
-        section = self._settings.daemon
-        timeout_s = section.linger + section.finish + EXIT_MARGIN_S
-        _, late = await asyncio.wait(list(self._exit_waits), timeout=timeout_s)
-        if not late:
-            return True
-        for worker in self._workers:
-            log.error("worker %d did not end in time: killed", worker.number)
-            worker.send_signal(signal.SIGKILL)
-        await asyncio.wait(late)
-        return False
-
-
-def _resident_bytes(pid: int) -> int:
-    """Return the process's resident memory; 0 if it cannot be read, as of one that has just ended."""
-    try:
-        with open(f"/proc/{pid}/statm", encoding="ascii") as file:
-            resident_pages = int(file.read().split()[1])
-    except (OSError, ValueError, IndexError):
-        return 0
-    return resident_pages * PAGE_BYTES
-
-
-async def supervise(path: str, settings: Settings, count: int, take_over: bool) -> int:
+        return await pool.wait_until_ended()
+
+
+async def supervise(path: str, settings: Settings, count: int, take_over: bool) -> ExitCode:
     """Run a supervisor and return the exit code.
 
     Raises:
