--- a/tests/daemon/test_lifecycle.py
+++ b/tests/daemon/test_gateway_process.py
@@ -2,19 +2,13 @@
 
 import asyncio
 import json
-import os
 import signal
 import socket
 import sys
 
-import pytest
 from netkit import SERVED, Held, StubCounter, StubDiscovery, StubHost, command, entry, on_loop, told
 from rig import PROGRAM, ROOT, Site, free_port
 
-from apigateway.daemon.lock import StateFolderLock, StateFolderLockedError
-from apigateway.daemon.notify import Notifier
-from apigateway.daemon.sockets import bind_listener, match_to_listeners
-
 
 class Manager:
     """A service manager's notify socket."""
@@ -35,7 +29,7 @@
 
 
 @on_loop
-async def test_the_service_manager_hears_of_each_step(tmp_path):
+async def test_service_manager_when_it_starts_reloads_and_stops_then_is_notified(tmp_path):
     manager = Manager(tmp_path)
     async with Site(tmp_path) as site:
         program = await site.start(env={"NOTIFY_SOCKET": manager.path, "WATCHDOG_USEC": "200000"})
@@ -53,7 +47,7 @@
 
 
 @on_loop
-async def test_a_successor_is_the_services_main_process(tmp_path):
+async def test_take_over_when_it_serves_then_it_is_the_services_main_process(tmp_path):
     manager = Manager(tmp_path)
     async with Site(tmp_path) as site:
         first = await site.start()
@@ -64,7 +58,7 @@
 
 
 @on_loop
-async def test_it_is_ready_only_once_it_has_hosts(tmp_path):
+async def test_start_when_no_endpoints_are_known_then_it_waits_for_a_list(tmp_path):
     from apigateway.emulators.discovery import StandInDiscovery
 
     async with Site(tmp_path) as site, StandInDiscovery() as discovery:
@@ -79,7 +73,7 @@
 
 
 @on_loop
-async def test_a_stop_before_it_is_ready_ends_it(tmp_path):
+async def test_sigterm_before_it_is_ready_then_it_ends(tmp_path):
     from apigateway.emulators.discovery import StandInDiscovery
 
     async with Site(tmp_path) as site, StandInDiscovery() as discovery:
@@ -92,7 +86,7 @@
 
 
 @on_loop
-async def test_sockets_that_are_passed_in_are_served(tmp_path):
+async def test_sockets_when_they_are_passed_in_then_are_served(tmp_path):
     async with Site(tmp_path) as site:
         with socket.create_server(("127.0.0.1", 0)) as sock:
             port = sock.getsockname()[1]
@@ -116,44 +110,8 @@
         assert (await site.ask(command(), port)).startswith(b"$")
 
 
-def test_a_socket_that_is_no_listeners_is_told():
-    with socket.create_server(("127.0.0.1", 0)) as sock:
-        assert match_to_listeners([sock], [sock.getsockname()]) == {sock.getsockname(): sock}
-        with pytest.raises(ValueError, match="which is no listener's"):
-            match_to_listeners([sock], [("127.0.0.1", 1)])
-
-
-def test_an_address_that_is_taken_is_named():
-    port = free_port()
-    with bind_listener(("127.0.0.1", port)), pytest.raises(OSError, match=f"127.0.0.1:{port}"):
-        bind_listener(("127.0.0.1", port))
-
-
-def test_one_instance_a_folder(tmp_path):
-    lock = StateFolderLock(str(tmp_path / "state"))
-    lock.record_holder()
-    with pytest.raises(StateFolderLockedError, match=f"process {os.getpid()}"):
-        StateFolderLock(str(tmp_path / "state"))
-    successor = StateFolderLock(str(tmp_path / "state"), os.dup(lock.descriptor))
-    lock.close()
-    with pytest.raises(StateFolderLockedError):  # a lock that was passed on holds
-        StateFolderLock(str(tmp_path / "state"))
-    successor.close()
-    StateFolderLock(str(tmp_path / "state")).close()
-
-
-def test_without_a_manager_nothing_is_told_and_another_processs_watchdog_is_not_ours():
-    quiet = Notifier({})
-    quiet.ready("x")
-    assert quiet.socket is None and quiet.keepalive_interval_s == 0.0
-    assert Notifier({"WATCHDOG_USEC": "1000000", "WATCHDOG_PID": "1"}).keepalive_interval_s == 0.0
-    assert (
-        Notifier({"WATCHDOG_USEC": "1000000", "WATCHDOG_PID": str(os.getpid())}).keepalive_interval_s == 0.5
-    )
-
-
 @on_loop
-async def test_beside_the_platforms_configuration_it_adds_a_listener_and_a_hand_over(tmp_path):
+async def test_start_beside_the_platform_then_it_adds_a_listener_and_a_hand_over(tmp_path):
     async with (
         StubHost() as host,
         StubCounter() as counter,
@@ -185,7 +143,7 @@
 
 
 @on_loop
-async def test_a_sighup_while_its_configuration_is_read_is_taken_up_once_it_serves(tmp_path):
+async def test_sighup_while_its_configuration_is_read_then_it_reloads_once_it_serves(tmp_path):
     """The settings were read before: the file that is there by then has another number."""
     async with (
         StubHost() as host,
--- a/tests/test_net_gateway.py
+++ b/tests/daemon/test_gateway_server.py
@@ -13,7 +13,7 @@
 
 
 @on_loop
-async def test_serves_the_value_as_the_host_gave_it(tmp_path):
+async def test_request_when_the_host_answers_then_gets_its_value_unchanged(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         host.answer = b"*3\r\n$6\r\na\r\nb\x00c\r\n:42\r\n$18\r\nactive=1,waiting=0\r\n"
         assert await node.ask(command()) == b"$6\r\na\r\nb\x00c\r\n"
@@ -24,7 +24,7 @@
 
 
 @on_loop
-async def test_a_silent_host_is_answered_for_before_the_client_gives_up(tmp_path, monkeypatch):
+async def test_request_when_the_host_is_silent_then_fails_before_the_client_gives_up(tmp_path, monkeypatch):
     monkeypatch.setattr(deadlines, "RESPONSE_MARGIN_S", 2.0)  # a margin that no busy machine eats up
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         began = time.monotonic()
@@ -34,7 +34,7 @@
 
 
 @on_loop
-async def test_a_refusal_tells_when_to_come_back_at_once(tmp_path):
+async def test_rejection_when_over_quota_then_tells_retry_after_at_once(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         small, replies = terms(t="small"), []
         began = time.monotonic()
@@ -46,7 +46,7 @@
 
 
 @on_loop
-async def test_an_exception_in_the_module_fails_that_request_only(tmp_path, caplog):
+async def test_decision_module_when_it_raises_then_only_that_request_fails(tmp_path, caplog):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         module, real = node.node.core.module, node.node.core.module.handle
 
@@ -64,7 +64,7 @@
 
 
 @on_loop
-async def test_a_module_that_says_nothing_does_not_lose_the_request(tmp_path, monkeypatch):
+async def test_decision_module_when_it_says_nothing_then_the_request_fails_in_time(tmp_path, monkeypatch):
     monkeypatch.setattr(deadlines, "DEADLINE_GUARD_MARGIN_S", 2.0)  # as above
     async with StubHost() as host, Node(host, path=tmp_path) as node:
 
@@ -79,7 +79,7 @@
 
 
 @on_loop
-async def test_a_timer_never_reaches_the_module_early(tmp_path):
+async def test_timer_never_reaches_the_decision_module_early(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
 
         class Clocked:
@@ -104,7 +104,7 @@
 
 
 @on_loop
-async def test_the_end_serves_what_was_taken_and_closes(tmp_path):
+async def test_stop_when_requests_are_in_flight_then_completes_them_and_closes(tmp_path):
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         _, idle_writer = idle = await node.connect()
         reader, writer = await node.connect()
@@ -128,7 +128,7 @@
 
 
 @on_loop
-async def test_what_the_kernel_took_before_the_listener_closes_is_served(tmp_path, monkeypatch):
+async def test_stop_when_the_kernel_took_a_connection_just_before_then_serves_it(tmp_path, monkeypatch):
     """A connection that comes with its request in the last turn before the close: nobody has accepted it."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         sleep, came = asyncio.sleep, []
@@ -146,7 +146,7 @@
 
 
 @on_loop
-async def test_a_second_copy_is_not_sent_where_it_is_not_allowed(tmp_path):
+async def test_hedged_request_where_it_is_not_allowed_then_is_not_sent(tmp_path):
     async with StubHost(None) as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
 
         class Doubler:
@@ -170,7 +170,7 @@
 
 @pytest.mark.parametrize("turned_away", [False, True], ids=["refuses connections", "turns requests away"])
 @on_loop
-async def test_a_host_that_fails_at_once_does_not_draw_what_waits_for_a_busy_one(turned_away, tmp_path):
+async def test_host_that_fails_at_once_then_does_not_attract_what_waits_for_a_busy_one(turned_away, tmp_path):
     asked = 8  # twice what the sound host may get at once
     async with StubHost(answer=None) as sound, StubHost(answer=b"-BUSY\r\n") as failing:
         async with Node(sound, failing, path=tmp_path) as node:
--- a/tests/daemon/test_inflight.py
+++ b/tests/daemon/test_inflight.py
@@ -17,7 +17,7 @@
     return descriptor
 
 
-def test_what_one_has_marked_no_other_takes_until_it_is_cleared():
+def test_acquire_when_another_worker_holds_the_mark_then_fails_until_it_is_released():
     file = memory(3)
     one, two = InFlightWriteTable(file, 0, 3), InFlightWriteTable(file, 2, 3)
     place = one.acquire("a", 3.0)
@@ -31,7 +31,7 @@
     assert two.acquire("a", 3.0) >= 0
 
 
-def test_the_marks_of_one_that_died_hold_for_its_successor_too_until_the_clients_time_is_over(monkeypatch):
+def test_mark_when_its_worker_has_died_then_holds_until_the_deadline_has_passed(monkeypatch):
     file = memory(2)
     InFlightWriteTable(file, 0, 2).acquire("a", 3.0)
     for number in (0, 1):
@@ -41,7 +41,7 @@
     assert InFlightWriteTable(file, 1, 2).acquire("a", 3.0) >= 0
 
 
-def test_where_there_is_no_place_nothing_is_taken(monkeypatch):
+def test_acquire_when_no_slot_is_free_then_fails(monkeypatch):
     monkeypatch.setattr(inflight, "MAX_PROBES", 2)
     monkeypatch.setattr(inflight, "SLOTS_PER_REGION", 4)
     marks = InFlightWriteTable(memory(1), 0, 1)
@@ -52,7 +52,7 @@
 @seed(3)
 @settings(max_examples=100, deadline=None, database=None)
 @given(st.lists(st.tuples(st.integers(0, 2), st.sampled_from("abcdef"), st.booleans()), max_size=60))
-def test_never_two_at_once(steps):
+def test_acquire_in_any_order_then_a_mark_never_has_two_holders(steps):
     file, held = memory(3), {}
     views = [InFlightWriteTable(file, n, 3) for n in range(3)]
     for number, id, clear in steps:
--- a/tests/test_net_process.py
+++ b/tests/daemon/test_platform.py
@@ -25,7 +25,7 @@
 from apigateway.counter.client import CONNECTION_COUNT
 from apigateway.daemon.config import read_config
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 PING = b"*1\r\n$4\r\nPING\r\n"
 PROGRAM = [sys.executable, "-B", "-m", "apigateway.daemon"]
 
@@ -49,7 +49,7 @@
         (spoilt(listen="127.0.0.1:99999999"), "99999999"),
     ],
 )
-def test_a_bad_configuration_is_one_plain_line(text, word, tmp_path):
+def test_configuration_when_it_is_wrong_then_one_line_says_why(text, word, tmp_path):
     env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
     if text is not None:
         (tmp_path / "config.json").write_text(text)
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("longest, finish", [(0.3, 0.7), (1.8, 2.2), (3.0, 3.4), (6.0, 3.4), (60.0, 3.4)])
-def test_everything_is_answered_before_the_platforms_kill_whatever_the_deadlines(longest, finish, tmp_path):
+def test_shutdown_with_any_deadlines_then_ends_before_the_platforms_kill(longest, finish, tmp_path):
     tree = told([entry(None, port=1)], 1, 2)
     for part in tree["settings"]["services"]:
         part["deadline"], part["slo"] = int(longest * 1e9), int(longest * 5e8)
@@ -71,7 +71,7 @@
 
 
 @on_loop
-async def test_sigterm_ends_the_program_after_what_it_has_taken(tmp_path):
+async def test_sigterm_when_requests_are_in_flight_then_completes_them(tmp_path):
     async with StubHost(None) as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config = tmp_path / "config.json"
@@ -99,7 +99,7 @@
     "behind", [(signal.SIGTERM,), (signal.SIGHUP,), (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)]
 )
 @on_loop
-async def test_signals_behind_a_sigterm_take_nothing_from_what_was_taken(behind, tmp_path):
+async def test_signals_behind_a_sigterm_then_change_nothing(behind, tmp_path):
     """Also half a command that came before it, and a SIGHUP just ahead."""
     async with StubHost(None) as host, StubCounter() as counter, StubDiscovery() as discovery:
         config = tmp_path / "config.json"
@@ -134,7 +134,7 @@
 
 
 @on_loop
-async def test_a_sighup_before_there_is_a_gateway_is_taken_up_once_there_is(tmp_path):
+async def test_sighup_before_there_is_a_gateway_then_reloads_once_there_is(tmp_path):
     """The program reads its configuration just then, which is not the newest any more."""
     async with StubCounter() as counter, StubDiscovery() as discovery, StubDiscovery() as new:
         config = tmp_path / "config.json"
@@ -151,7 +151,7 @@
 
 
 @on_loop
-async def test_a_sigterm_before_there_is_a_gateway_ends_it(tmp_path):
+async def test_sigterm_before_there_is_a_gateway_then_ends_it(tmp_path):
     config = tmp_path / "config.json"
     held = Held(config)
     program = await asyncio.create_subprocess_exec(
@@ -164,7 +164,7 @@
 
 
 @on_loop
-async def test_a_killed_gateway_starts_again_at_its_address(tmp_path):
+async def test_start_after_a_kill_then_serves_at_the_same_address(tmp_path):
     async with StubHost() as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config, port = tmp_path / "config.json", 0
@@ -183,7 +183,7 @@
 
 
 @on_loop
-async def test_sighup_moves_to_the_addresses_in_the_file(tmp_path):
+async def test_sighup_when_the_file_has_other_addresses_then_moves_to_them(tmp_path):
     async with (
         StubHost(None) as host,
         StubHost() as new,
@@ -222,3 +222,19 @@
         program.send_signal(signal.SIGTERM)
         program.send_signal(signal.SIGHUP)
         assert await program.wait() == 0
+
+
+def test_imports_of_the_platforms_program_then_lack_what_only_serve_needs():
+    code = (
+        "import sys, apigateway.daemon.platform; "
+        "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'rich', 'wasmtime') or "
+        "m.startswith(('apigateway.plugins', 'apigateway.cli', "
+        "'apigateway.emulators', 'apigateway.tools', 'apigateway.config_validation', "
+        "'apigateway.policy.overload_gate', 'apigateway.core.admission', "
+        "'apigateway.frontends.resp.outline', "
+        "'apigateway.daemon.serve', 'apigateway.daemon.settings', 'apigateway.daemon.gateway_process', "
+        "'apigateway.daemon.reload', 'apigateway.daemon.gateway_status', 'apigateway.daemon.interfaces', "
+        "'apigateway.membership.file'))])"
+    )
+    ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
+    assert ended.stdout == "[]\n", ended.stderr
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -13,14 +13,7 @@
 from apigateway import __version__, messages
 from apigateway.config_validation import MAX_FILE_BYTES, InvalidConfigFileError
 from apigateway.daemon.settings import Settings, read_settings
-from apigateway.daemon.settings_reload import (
-    RELOADABLE_KEYS,
-    compare_settings,
-    differences,
-    effective_settings,
-)
 from apigateway.daemon.settings_runtime import build_config, build_module_settings
-from apigateway.daemon.settings_schema import CounterSection
 from apigateway.membership.file import read_endpoint_file
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -45,7 +38,7 @@
     return {fault.key: fault for fault in caught.value.problems}
 
 
-def test_the_file_in_deploy_is_good_and_at_its_defaults():
+def test_deploy_file_when_it_is_read_then_is_valid_and_at_its_defaults():
     told = msgspec.to_builtins(read_settings(str(ROOT / "deploy" / "gateway.toml")))
     default = msgspec.to_builtins(Settings())
     for part in default.keys() - {"classes", "plans"}:
@@ -56,7 +49,7 @@
     assert isinstance(config.settings, messages.Settings) and len(config.known.hosts.endpoints) == 1
 
 
-def test_every_key_stands_in_the_file_in_deploy():
+def test_deploy_file_has_every_key():
     text = (ROOT / "deploy" / "gateway.toml").read_text()
     for part, keys in msgspec.to_builtins(Settings()).items():
         for key in keys if isinstance(keys, dict) else ():
@@ -137,12 +130,12 @@
         ("[overload]\nlag = 0.5", "overload.turn", "shorter than the lag"),
     ],
 )
-def test_a_fault_is_told_with_its_key(text, key, words, tmp_path):
+def test_problem_when_a_value_is_wrong_then_names_its_key(text, key, words, tmp_path):
     found = faults(tmp_path, text + GOOD)
     assert list(found) == [key] and words in str(found[key])
 
 
-def test_all_faults_are_told_at_once(tmp_path):
+def test_problems_when_there_are_several_then_all_are_reported(tmp_path):
     found = faults(
         tmp_path,
         """
@@ -171,7 +164,7 @@
     }
 
 
-def test_what_is_no_settings_file(tmp_path):
+def test_file_when_it_is_no_settings_file_then_is_rejected(tmp_path):
     for text, word in (
         (b"\xff\xfe", "UTF-8 (byte 0)"),
         (b"[limits]\nmax_op", "half written"),
@@ -193,7 +186,7 @@
         read_settings(str(big))
 
 
-def test_beside_the_platforms_configuration_only_what_it_does_not_tell(tmp_path):
+def test_settings_beside_the_platform_then_have_only_what_it_lacks(tmp_path):
     found = faults(tmp_path, GOOD + "[daemon]\nlinger = 0.1\n[limits]\nmax_open = 3\n", beside=True)
     assert set(found) == {"classes", "plans", "limits"} and "RELAY_CONFIG" in str(found["plans"])
     (tmp_path / "gateway.toml").write_text("[daemon]\nlinger = 0.1\n")
@@ -215,7 +208,7 @@
         TREES | st.dictionaries(st.sampled_from(["rate", "index", "address", "aim", "x"]), TREES),
     )
 )
-def test_no_tree_gets_past_the_check_by_an_exception(tree):
+def test_check_of_any_tree_then_raises_nothing(tree):
     from apigateway.config_validation import ConfigReader
     from apigateway.daemon.settings_validation import check_settings
 
@@ -227,50 +220,6 @@
         assert isinstance(build_module_settings(told), messages.Settings)
 
 
-def test_a_reload_tells_what_it_takes_up_and_what_it_does_not(tmp_path):
-    file = tmp_path / "gateway.toml"
-    file.write_text(GOOD)
-    old = read_settings(str(file))
-    file.write_text(
-        GOOD.replace("rate = 2.0", "rate = 3.0")
-        + """
-        [limits]
-        max_open = 7
-        max_attempts = 2
-        [[listeners]]
-        address = "127.0.0.1:7"
-        [classes.more]
-        effect = "safe"
-        aim = 1.0
-        deadline = 1.0
-        """
-    )
-    new = read_settings(str(file))
-    live, restart = compare_settings(old, new)
-    assert live == ["limits.max_open", "listeners"]
-    assert restart == ["classes.more", "limits.max_attempts", "plans.p.rate"]
-    now = effective_settings(old, new)
-    assert now.limits.max_open == 7 and now.limits.max_attempts == 3 and now.plans["p"].rate == 2.0
-    assert compare_settings(now, new) == ([], restart)  # never silently left
-
-
-def test_a_counter_comes_or_goes_by_a_restart_only():
-    none, one, other = (Settings(counter=CounterSection(address=address)) for address in ("", "h:1", "h:2"))
-    assert (
-        compare_settings(one, other) == (["counter.address"], []) and effective_settings(one, other) == other
-    )
-    for old, new in ((none, one), (one, none)):
-        assert compare_settings(old, new) == ([], ["counter.address"]) and effective_settings(old, new) == old
-
-
-def test_what_a_reload_takes_up_are_keys_that_exist():
-    tree = msgspec.to_builtins(Settings())
-    for key in RELOADABLE_KEYS:
-        part, _, name = key.partition(".")
-        assert part in tree and (not name or name in tree[part]), key
-    assert list(differences(tree, tree, "")) == []
-
-
 @pytest.mark.parametrize(
     "text, word",
     [
@@ -282,14 +231,14 @@
         ("[[hosts]]\nid='a'\naddress='h:1'\nstate='asleep'\n", "asleep"),
     ],
 )
-def test_a_bad_file_of_hosts(text, word, tmp_path):
+def test_hosts_file_when_it_is_wrong_then_is_rejected(text, word, tmp_path):
     (tmp_path / "hosts.toml").write_text(text)
     with pytest.raises(InvalidConfigFileError) as caught:
         read_endpoint_file(str(tmp_path / "hosts.toml"))
     assert word in str(caught.value)
 
 
-def test_check_and_version_on_the_command_line(tmp_path):
+def test_command_line_check_and_version(tmp_path):
     def run(*arguments):
         return subprocess.run(
             [sys.executable, "-B", "-m", "apigateway", *arguments],
@@ -309,19 +258,3 @@
     served = run("serve", str(tmp_path / "bad.toml"))
     assert served.returncode == 2 and "api-gateway: " in served.stderr
     assert run("nonsense").returncode == 2 and "usage" in run("--help").stdout
-
-
-def test_the_platforms_program_loads_none_of_it():
-    code = (
-        "import sys, apigateway.daemon.platform; "
-        "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'rich', 'wasmtime') or "
-        "m.startswith(('apigateway.plugins', 'apigateway.cli', "
-        "'apigateway.emulators', 'apigateway.tools', 'apigateway.config_validation', "
-        "'apigateway.policy.overload_gate', 'apigateway.core.admission', "
-        "'apigateway.frontends.resp.outline', "
-        "'apigateway.daemon.serve', 'apigateway.daemon.settings', 'apigateway.daemon.gateway_process', "
-        "'apigateway.daemon.reload', 'apigateway.daemon.gateway_status', 'apigateway.daemon.interfaces', "
-        "'apigateway.membership.file'))])"
-    )
-    ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert ended.stdout == "[]\n", ended.stderr
--- a/tests/daemon/test_worker_lifecycle.py
+++ b/tests/daemon/test_worker_lifecycle.py
@@ -15,7 +15,7 @@
 )
 
 
-def test_an_end_is_followed_by_a_rest_that_doubles_and_a_crash_loop_ends():
+def test_backoff_when_exits_repeat_then_doubles_until_the_crash_loop():
     one, now, rests = WorkerLifecycle(CARE, 0.0), 0.0, []
     for _ in range(4):
         one.on_started(now)
@@ -29,7 +29,7 @@
     assert not one.on_ended(now + 1)
 
 
-def test_one_that_was_steady_begins_anew():
+def test_exit_when_the_worker_was_stable_then_the_backoff_starts_again():
     one = WorkerLifecycle(CARE, 0.0)
     for _ in range(20):
         one.on_started(0.0)
@@ -37,7 +37,7 @@
         assert one.on_ended(11.0) and one.next_start_at == 11.2
 
 
-def test_one_that_hangs_is_seen_by_its_silence_or_by_never_getting_ready():
+def test_is_hung_when_it_is_silent_or_never_ready_then_true():
     one = WorkerLifecycle(CARE, 0.0)
     assert not one.is_hung(1000.0)  # it does not run
     one.on_started(0.0)
@@ -52,7 +52,7 @@
 @seed(1)
 @settings(max_examples=200, deadline=None, database=None)
 @given(st.lists(st.tuples(st.floats(0, 30), st.sampled_from(["start", "ready", "sign", "end"])), max_size=60))
-def test_never_two_at_once_never_sooner_than_its_rest_and_given_up_only_in_a_row(steps):
+def test_restarts_after_any_events_then_respect_the_backoff_and_the_crash_loop_threshold(steps):
     one, now, quick = WorkerLifecycle(CARE, 0.0), 0.0, 0
     for step, what in steps:
         now += step
