--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -22,7 +22,7 @@
 from apigateway.daemon.endpoint_list import EndpointListState
 from apigateway.daemon.endpoint_source import EndpointSourceFactory, reconciler_driver_of
 from apigateway.daemon.graceful_shutdown import complete_requests, retire_frontend
-from apigateway.frontends.resp.front import RespFront
+from apigateway.frontends.resp.frontend import RespFrontend
 from apigateway.membership.listing import Listing
 from apigateway.policy import Gateway
 from apigateway.upstream.address import Address
@@ -147,10 +147,10 @@
             return ratelimit.create_frontend(
                 address, self._max_client_connections, self._max_body_bytes, ratelimit_config
             )
-        frontend = RespFront(
+        frontend = RespFrontend(
             self.core, self._max_client_connections, self._max_body_bytes, address, config.span
         )
-        frontend.take_tokens(ratelimit.tokens if ratelimit is not None else None)
+        frontend.set_tokens(ratelimit.tokens if ratelimit is not None else None)
         return frontend
 
     # Start
@@ -190,7 +190,7 @@
         """Give each frontend an even part of the connections and of the bytes of incomplete commands."""
         count = len(self.frontends)
         for frontend in self.frontends:
-            frontend.share(self._max_client_connections // count, self._max_body_bytes // count)
+            frontend.set_limits(self._max_client_connections // count, self._max_body_bytes // count)
 
     # Reconfiguration: nothing here waits, and nothing can fail
 
@@ -233,7 +233,7 @@
         """Shed load early, or not, as a configuration says; never on the platform."""
         self.core.admission = self._admission_controller(config)
         for frontend in self.frontends:
-            frontend.watch_door()
+            frontend.update_admission()
 
     def _admission_controller(self, config: Config) -> AdmissionController | None:
         if config.overload is None:
@@ -259,9 +259,9 @@
 
     def retire_frontend(self, frontend: Frontend) -> None:
         """Complete what a frontend has accepted, in the background, and close it."""
-        has_waiting_connections = frontend.unaccepted
+        has_waiting_connections = frontend.has_pending_connections
         if not has_waiting_connections:  # at once: who hears of the reload finds the address closed
-            frontend.finish()
+            frontend.start_draining()
         self._close_in_background(retire_frontend(frontend, is_listener_open=has_waiting_connections))
 
     def set_plugins(self, plugins: Plugins | None) -> None:
@@ -285,7 +285,7 @@
         The ceilings' token buckets fill no further: from now on the successor's do.
         """
         for frontend in self.frontends:
-            frontend.pause()
+            frontend.stop_accepting()
         self.core.dispatch(messages.DrainGateway(True))
 
     async def resume(self, sockets: Mapping[Address, socket.socket]) -> None:
@@ -323,7 +323,7 @@
         started_at = time.monotonic()
         self.core.is_draining = True
         for frontend in self.frontends:
-            frontend.stopping()
+            frontend.announce_shutdown()
         await asyncio.sleep(self.config.linger if linger_s is None else linger_s)
         deadline = started_at + self.config.finish
         await complete_requests(self.core, self.frontends, self.config.grpc, deadline)
--- a/apigateway/daemon/graceful_shutdown.py
+++ b/apigateway/daemon/graceful_shutdown.py
@@ -32,10 +32,10 @@
     The kernel has accepted those connections: a close would reset them with the requests that they carry.
     """
     deadline = time.monotonic() + MAX_ACCEPT_WAIT_S
-    while any(frontend.unaccepted for frontend in frontends) and time.monotonic() < deadline:
+    while any(frontend.has_pending_connections for frontend in frontends) and time.monotonic() < deadline:
         await asyncio.sleep(READ_INTERVAL_S)
     for frontend in frontends:
-        frontend.finish()
+        frontend.start_draining()
 
 
 async def retire_frontend(frontend: Frontend, is_listener_open: bool) -> None:
@@ -47,7 +47,7 @@
     """
     if is_listener_open:
         await close_listeners([frontend])
-    await frontend.drained()
+    await frontend.wait_disconnected()
     frontend.close()
 
 
@@ -70,10 +70,10 @@
     await _handle_deferred_commands(core, deadline)
     for frontend in frontends:
         max_wait_s = GRPC_SETTLE_S if frontend.address in grpc_addresses else RESP_SETTLE_S
-        await frontend.settled(min(max_wait_s, max(0.0, deadline - time.monotonic())))
+        await frontend.wait_settled(min(max_wait_s, max(0.0, deadline - time.monotonic())))
     await core.drain(deadline - time.monotonic())
     await asyncio.sleep(0)  # the last answers are written at the end of this turn of the loop, if they fit
-    while any(frontend.owes for frontend in frontends) and time.monotonic() < deadline:
+    while any(frontend.has_unwritten_responses for frontend in frontends) and time.monotonic() < deadline:
         await asyncio.sleep(READ_INTERVAL_S)
     for frontend in frontends:
         frontend.close()
--- a/apigateway/daemon/interfaces.py
+++ b/apigateway/daemon/interfaces.py
@@ -18,39 +18,39 @@
     address: Address
     port: int
 
-    def watch_door(self) -> None:
+    def update_admission(self) -> None:
         """Take up the core's admission controller, which was set or removed."""
 
-    def take_tokens(self, tokens: Any) -> None:
+    def set_tokens(self, tokens: Any) -> None:
         """Use these tokens of checks from now on; None: none are used."""
 
-    def share(self, most: int, most_partial: int) -> None:
+    def set_limits(self, max_connections: int, max_partial_bytes: int) -> None:
         """Limit its connections, and the bytes of incomplete commands on all of them."""
 
-    def stopping(self) -> None:
+    def announce_shutdown(self) -> None:
         """Hear that a graceful shutdown has begun."""
 
     async def listen(self, sock: socket.socket | None = None) -> None:
         """Accept connections, on this socket if there is one."""
 
-    def pause(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept no new connections; the present ones go on."""
 
-    def finish(self) -> None:
+    def start_draining(self) -> None:
         """Close the listener, and each connection once its commands are answered."""
 
-    async def settled(self, seconds: float) -> None:
+    async def wait_settled(self, timeout: float) -> None:
         """Wait at most so long until commands that were received in part are complete."""
 
     @property
-    def unaccepted(self) -> bool:
+    def has_pending_connections(self) -> bool:
         """Whether a connection waits to be accepted."""
 
     @property
-    def owes(self) -> bool:
+    def has_unwritten_responses(self) -> bool:
         """Whether an answer is not written to the end."""
 
-    async def drained(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Wait until the last connection has ended."""
 
     def close(self) -> None:
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -15,14 +15,14 @@
 from apigateway.daemon.config import Config
 from apigateway.daemon.gateway_status import RateLimitListenerStatus, RateLimitStatus
 from apigateway.daemon.ratelimit_config import RateLimitConfig
-from apigateway.frontends.grpc.tokens import Keys, Redeemed, Tokens
+from apigateway.frontends.grpc.tokens import QuotaTokens, RedeemedTokens, TokenKeys
 from apigateway.upstream.address import Address
 
 if TYPE_CHECKING:
     from apigateway.daemon.interfaces import Frontend
     from apigateway.external_ratelimit.limiter import EnvoyRateLimiter
     from apigateway.external_ratelimit.service_config import ExternalServiceConfig
-    from apigateway.frontends.grpc.front import GrpcFront
+    from apigateway.frontends.grpc.frontend import GrpcFrontend
 
 HEALTH_SERVICE = "grpc.health.v1.Health"
 
@@ -44,7 +44,7 @@
             ratelimit_config: For the first `take_up`.
         """
         self.config = ratelimit_config
-        self.tokens: Tokens | None = None
+        self.tokens: QuotaTokens | None = None
         self._core = core
         self._gateway_name = config.name
         self._gateway_index = config.settings.gateway_index
@@ -67,7 +67,7 @@
             self.tokens = None
             self._apply_external_service(None)
         for frontend in frontends:
-            frontend.take_tokens(self.tokens)
+            frontend.set_tokens(self.tokens)
         if config is not None:
             for listener in self._listeners:
                 listener.apply(config, self.tokens)
@@ -75,7 +75,7 @@
 
     def create_frontend(
         self, address: Address, max_connections: int, max_partial_bytes: int, config: RateLimitConfig
-    ) -> GrpcFront:
+    ) -> GrpcFrontend:
         """Return a new listener's frontend; `config` may not be in force yet."""
         listener = RateLimitListener(self._core, address, max_connections, max_partial_bytes)
         listener.apply(config, self.tokens)
@@ -100,17 +100,17 @@
         if self._external_service is not None:
             self._external_service.close()
 
-    def _apply_token_keys(self, keys: Keys | None) -> None:
+    def _apply_token_keys(self, keys: TokenKeys | None) -> None:
         section = self.config.section
         if keys is None:
             self.tokens = None
         elif self.tokens is None:
-            redeemed = Redeemed(self._gateway_index, self._span, section.max_tokens)
-            self.tokens = Tokens(keys, redeemed, section.token_time, time.time, os.urandom)
+            redeemed = RedeemedTokens(self._gateway_index, self._span, section.max_tokens)
+            self.tokens = QuotaTokens(keys, redeemed, section.token_time, time.time, os.urandom)
         else:  # which tokens were redeemed is remembered past a rotation of keys
             self.tokens.keys = keys
-            self.tokens.seconds = section.token_time
-            self.tokens.redeemed.most = section.max_tokens
+            self.tokens.lifetime = section.token_time
+            self.tokens.redeemed.max_tokens = section.max_tokens
 
     def _apply_external_service(self, service: ExternalServiceConfig | None) -> None:
         if service is None:
@@ -134,29 +134,38 @@
     def __init__(
         self, core: RequestDispatcher, address: Address, max_connections: int, max_partial_bytes: int
     ) -> None:
-        from apigateway.frontends.grpc.front import GrpcFront  # loaded only where there is such a listener
-        from apigateway.frontends.grpc.health import Health
-        from apigateway.frontends.grpc.mapping import Mapping
-        from apigateway.frontends.grpc.reflection import Reflection
-        from apigateway.frontends.grpc.service import METHOD, NAME, RateLimit, Terms
+        from apigateway.frontends.grpc.frontend import (
+            GrpcFrontend,  # loaded only where there is such a listener
+        )
+        from apigateway.frontends.grpc.health import HealthService
+        from apigateway.frontends.grpc.mapping import DescriptorMapping
+        from apigateway.frontends.grpc.reflection import ReflectionService
+        from apigateway.frontends.grpc.service import (
+            SERVICE_NAME,
+            SHOULD_RATE_LIMIT_PATH,
+            RateLimitService,
+            ServiceSettings,
+        )
 
-        frontend = GrpcFront(core, address, max_connections, max_partial_bytes)
+        frontend = GrpcFrontend(core, address, max_connections, max_partial_bytes)
         self.frontend = frontend
-        self._service = RateLimit(core, frontend, Terms(Mapping([], (), (), 1)))
-        health = Health((NAME,), lambda: core.is_ready and not core.is_draining and not frontend.ended)
-        frontend.ending = health.changed
-        reflection = Reflection((NAME, HEALTH_SERVICE))
-        frontend.use(
-            {METHOD: self._service.call, **health.methods()},
+        self._service = RateLimitService(core, frontend, ServiceSettings(DescriptorMapping([], (), (), 1)))
+        health = HealthService(
+            (SERVICE_NAME,), lambda: core.is_ready and not core.is_draining and not frontend.is_draining
+        )
+        frontend.on_shutdown = health.notify_watches
+        reflection = ReflectionService((SERVICE_NAME, HEALTH_SERVICE))
+        frontend.set_methods(
+            {SHOULD_RATE_LIMIT_PATH: self._service.should_rate_limit, **health.methods()},
             {**health.streams(), **reflection.streams()},
         )
 
-    def apply(self, config: RateLimitConfig, tokens: Tokens | None) -> None:
+    def apply(self, config: RateLimitConfig, tokens: QuotaTokens | None) -> None:
         """Go over to another configuration."""
-        from apigateway.frontends.grpc.service import Terms
+        from apigateway.frontends.grpc.service import ServiceSettings
 
         section = config.section
-        self._service.terms = Terms(
+        self._service.settings = ServiceSettings(
             config.mapping,
             section.patience,
             section.unmapped,
@@ -164,15 +173,15 @@
             section.max_descriptors,
             tokens,
         )
-        self.frontend.context = config.tls_context
+        self.frontend.tls_context = config.tls_context
 
     def status(self) -> RateLimitListenerStatus:
         """Return the state for operators."""
         frontend = self.frontend
         return RateLimitListenerStatus(
             address=f"{frontend.address[0]}:{frontend.port}",
-            is_tls=frontend.context is not None,
+            is_tls=frontend.tls_context is not None,
             connection_count=len(frontend.connections),
-            failed_handshake_count=frontend.shaken,
+            failed_handshake_count=frontend.failed_handshakes,
             answer_counts=dict(self._service.counts),
         )
--- a/apigateway/daemon/ratelimit_config.py
+++ b/apigateway/daemon/ratelimit_config.py
@@ -16,15 +16,15 @@
 from apigateway.daemon.config import Config
 from apigateway.daemon.settings import Settings
 from apigateway.daemon.settings_runtime import compile_ratelimit_rules, has_grpc_listener, wants_ratelimit
-from apigateway.frontends.grpc.mapping import Mapping
-from apigateway.frontends.grpc.tokens import Keys, rotated
+from apigateway.frontends.grpc.mapping import DescriptorMapping
+from apigateway.frontends.grpc.tokens import TokenKeys
 from apigateway.upstream.address import read_address
 
 if TYPE_CHECKING:
     from apigateway.external_ratelimit.circuit_breaker import CheckSettings
     from apigateway.external_ratelimit.service_config import ExternalServiceConfig
     from apigateway.external_ratelimit.settings import ExternalRateLimitSection
-    from apigateway.frontends.grpc.settings import RateLimitPart
+    from apigateway.frontends.grpc.settings import RateLimitSection
 
 # Bytes of a file with a certificate.
 MAX_FILE_BYTES = 1024 * 1024
@@ -48,10 +48,10 @@
         external_service: Whom to ask; None: nobody.
     """
 
-    section: RateLimitPart
+    section: RateLimitSection
     has_listener: bool
-    mapping: Mapping
-    token_keys: Keys | None
+    mapping: DescriptorMapping
+    token_keys: TokenKeys | None
     tls_context: ssl.SSLContext | None
     file_digests: tuple[str, ...]
     external_service: ExternalServiceConfig | None
@@ -93,10 +93,10 @@
         return ""
     text = "certificates or keys are read anew"
     if old.token_keys is not None and new.token_keys is not None:
-        rotation = rotated(old.token_keys, new.token_keys)
-        if rotation["signs anew"]:
+        rotation = old.token_keys.compare(new.token_keys)
+        if rotation.is_signing_key_new:
             text += ", tokens are signed by another key"
-        if not rotation["old ones hold"]:
+        if not rotation.are_old_tokens_valid:
             text += ", those given before hold no more"
     return text
 
@@ -165,7 +165,7 @@
     return str(getattr(err, "reason", "") or err.__class__.__name__).lower().replace("_", " ")
 
 
-def _read_token_keys(files: SettingsFiles, names: list[str]) -> Keys | None:
+def _read_token_keys(files: SettingsFiles, names: list[str]) -> TokenKeys | None:
     found = []
     for number, name in enumerate(names):
         settings_key = f"ratelimit.token_keys[{number}]"
@@ -185,13 +185,13 @@
     if len(found) < len(names) or not names:
         return None
     try:
-        return Keys(found)
+        return TokenKeys(found)
     except ValueError as err:
         files.add_problem("ratelimit.token_keys", ", ".join(names), str(err), "make another key")
         return None
 
 
-def _create_server_context(files: SettingsFiles, section: RateLimitPart) -> ssl.SSLContext | None:
+def _create_server_context(files: SettingsFiles, section: RateLimitSection) -> ssl.SSLContext | None:
     """Return the listeners' TLS; with `client_ca` clients have to show a certificate that it signed."""
     tls = section.tls
     if not tls.cert:
--- a/apigateway/daemon/replacement.py
+++ b/apigateway/daemon/replacement.py
@@ -48,7 +48,7 @@
     def close_listeners(self) -> None:
         """Close the added listeners, which are not to serve."""
         for frontend in self.frontends:
-            frontend.finish()
+            frontend.start_draining()
             frontend.close()
             if self.ratelimit is not None:
                 self.ratelimit.forget_frontend(frontend)
--- a/apigateway/daemon/settings_validation.py
+++ b/apigateway/daemon/settings_validation.py
@@ -13,8 +13,8 @@
     customer_capacity,
 )
 from apigateway.external_ratelimit.settings import ClientTlsSection
-from apigateway.frontends.grpc.mapping import TAKEN, BadRule
-from apigateway.frontends.grpc.settings import ServerTlsPart
+from apigateway.frontends.grpc.mapping import PLACEHOLDER, InvalidRuleError
+from apigateway.frontends.grpc.settings import ServerTlsSection
 from apigateway.upstream.address import Address, read_address
 
 # Fields of a request that ask.entries may use.
@@ -138,7 +138,7 @@
     section = settings.ratelimit
     try:
         compile_ratelimit_rules(section, settings.plans, settings.classes, settings.gateway.gateways)
-    except BadRule as err:
+    except InvalidRuleError as err:
         number = err.args[1]
         rule = msgspec.to_builtins(section.rules[number])
         reader.add_contradiction(
@@ -157,7 +157,7 @@
             )
 
 
-def _check_ratelimit_tls(reader: ConfigReader, tls: ServerTlsPart) -> None:
+def _check_ratelimit_tls(reader: ConfigReader, tls: ServerTlsSection) -> None:
     if bool(tls.cert) != bool(tls.key):
         missing = "key" if tls.cert else "cert"
         reader.add_contradiction(
@@ -206,7 +206,9 @@
 
 def _check_ask_entries(reader: ConfigReader, entries: list[str]) -> None:
     for entry in entries:
-        unknown = [name for name in TAKEN.findall(entry.partition("=")[2]) if name not in ASK_ENTRY_FIELDS]
+        unknown = [
+            name for name in PLACEHOLDER.findall(entry.partition("=")[2]) if name not in ASK_ENTRY_FIELDS
+        ]
         if unknown:
             reader.add_contradiction(
                 ("ask", "entries"),
--- a/tests/daemon/test_platform.py
+++ b/tests/daemon/test_platform.py
@@ -231,7 +231,7 @@
         "m.startswith(('apigateway.plugins', 'apigateway.cli', "
         "'apigateway.emulators', 'apigateway.tools', 'apigateway.config_validation', "
         "'apigateway.policy.overload_gate', 'apigateway.core.admission', "
-        "'apigateway.frontends.resp.outline', "
+        "'apigateway.frontends.resp.command_scanner', "
         "'apigateway.daemon.serve', 'apigateway.daemon.settings', 'apigateway.daemon.gateway_process', "
         "'apigateway.daemon.reload', 'apigateway.daemon.gateway_status', 'apigateway.daemon.interfaces', "
         "'apigateway.membership.file'))])"
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -140,7 +140,7 @@
     async def __aexit__(self, *_):
         for writer in self.writers:
             writer.close()
-        self.node.frontends[0].finish()
+        self.node.frontends[0].start_draining()
         self.node.upstream.close()
         self.node.counter.close()
         await self.node.endpoint_source.close()
