--- a/apigateway/cli/check.py
+++ b/apigateway/cli/check.py
@@ -33,14 +33,14 @@
     if settings.plugins or settings.records.file:
         plugins = importlib.import_module("apigateway.daemon.plugins")
         plugins.check_plugins(path, settings, config.settings)
-    if config.grpc or settings.ratelimit.token_keys or settings.ask.address:
+    if config.grpc_listeners or settings.ratelimit.token_keys or settings.ask.address:
         ratelimit = importlib.import_module("apigateway.daemon.ratelimit_config")
         ratelimit.build_ratelimit_config(path, settings, config)
 
 
 def _summarize(settings: Settings, config: Config) -> str:
     module_settings = config.settings
-    listeners = ", ".join(write_address(address) for address in (config.listen, *config.more))
+    listeners = ", ".join(write_address(address) for address in config.listeners)
     parts = [
         f"gateway {module_settings.gateway_index} of {module_settings.gateway_count} at {listeners}",
         f"classes {', '.join(module_settings.classes)}",
@@ -53,6 +53,6 @@
 
 
 def _summarize_hosts(config: Config) -> str:
-    if config.hosts_file:
-        return f"{len(config.known.hosts.endpoints)} hosts"
+    if config.endpoint_file:
+        return f"{len(config.known_endpoints.hosts.endpoints)} hosts"
     return "hosts by discovery" if config.discovery else "hosts by a registry"
--- a/apigateway/daemon/config.py
+++ b/apigateway/daemon/config.py
@@ -6,7 +6,7 @@
 import os
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from apigateway import messages
 from apigateway.membership.listing import Listing, read_list
@@ -31,33 +31,64 @@
     """The configuration cannot be used; the text says why in one line."""
 
 
+class OverloadSettings(NamedTuple):
+    """When the event loop is overloaded, in seconds."""
+
+    target_lag: float
+    max_turn: float  # of one turn of the loop
+
+
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What a gateway runs with; durations are in seconds."""
+    """What a gateway runs with; durations are in seconds.
+
+    Attributes:
+        name: The gateway's.
+        listeners: Addresses, one at least.
+        discovery: Address of the discovery service; None: endpoints come from elsewhere.
+        counter: Address of the quota counter; None: there is none.
+        seed: Of all random choices.
+        memory_bytes: Past these the process is killed.
+        max_descriptors: Files and sockets that the process may hold.
+        known_endpoints: As this gateway last had them; they may be old.
+        settings: Of the decision module.
+        connect_timeout: Of a connection to an endpoint.
+        idle_timeout: Endpoints close a connection that has been idle for this long.
+        max_in_flight: Requests at once.
+        grpc_listeners: Those of `listeners` that speak gRPC; the others speak RESP2.
+        endpoint_file: In place of a discovery.
+        registry: Likewise.
+        reconciler: What of a discovery's lists is accepted; None: all.
+        gateways_at_address: Gateways that clients know as one: workers on one address.
+        registration: How this gateway registers itself with Eureka; None: it does not.
+        overload: When load is shed early; None: never.
+        evacuated_zones: Nothing new goes to them, by the operator's word.
+        linger: How long connections are still accepted after SIGTERM.
+        shutdown_timeout: How long after SIGTERM everything is answered.
+    """
 
     name: str
-    listen: Address
+    listeners: tuple[Address, ...]
     discovery: Address | None
     counter: Address | None
     seed: int
-    memory: int  # bytes past which the process is killed
-    sockets: int  # file descriptors that the process may hold
-    known: Listing  # the hosts as this gateway last had them; it may be old
+    memory_bytes: int
+    max_descriptors: int
+    known_endpoints: Listing
     settings: messages.Settings
     connect_timeout: float
-    idle_close: float  # hosts close a connection that has stood idle for this long
-    max_open: int  # requests in work at once
-    more: tuple[Address, ...] = ()  # further listeners
-    grpc: frozenset[Address] = frozenset()  # those that speak gRPC; the others speak RESP2
-    hosts_file: str | None = None  # in place of a discovery
-    registry: RegistrySettings | None = None  # likewise
-    trust: ReconcilerSettings | None = None  # what of a discovery's lists is believed; None: all
-    span: int = 1  # gateways that clients know as one: workers on one address
-    own: RegistrationSettings | None = None  # how this gateway registers itself
-    overload: tuple[float, float] | None = None  # s: aim for the loop's lag, and most of one turn; None: off
-    leave: tuple[str, ...] = ()  # zones to which nothing new goes, by the operator's word
-    linger: float = 0.5  # s after SIGTERM in which connections still come
-    finish: float = 3.4  # s after SIGTERM by which everything is answered
+    idle_timeout: float
+    max_in_flight: int
+    grpc_listeners: frozenset[Address] = frozenset()
+    endpoint_file: str | None = None
+    registry: RegistrySettings | None = None
+    reconciler: ReconcilerSettings | None = None
+    gateways_at_address: int = 1
+    registration: RegistrationSettings | None = None
+    overload: OverloadSettings | None = None
+    evacuated_zones: tuple[str, ...] = ()
+    linger: float = 0.5
+    shutdown_timeout: float = 3.4
 
 
 def read_config(env: Mapping[str, str] = os.environ, again: bool = False) -> Config:
@@ -91,21 +122,21 @@
         raise ValueError("the settings allow a counter but no address is given")
     return Config(
         name=env.get("RELAY_NAME") or tree["name"],
-        listen=read_address(env.get("RELAY_LISTEN") or tree["listen"]),
+        listeners=(read_address(env.get("RELAY_LISTEN") or tree["listen"]),),
         discovery=read_address((not again and env.get("RELAY_DISCOVERY")) or tree["discovery"]),
         counter=read_address(counter) if counter else None,
         seed=int(tree["seed"], 16),
-        memory=int(tree["limits"]["memory_mb"]) * MIB,
-        sockets=int(tree["limits"]["sockets"]),
-        known=read_list(tree["known"], "cached"),
+        memory_bytes=int(tree["limits"]["memory_mb"]) * MIB,
+        max_descriptors=int(tree["limits"]["sockets"]),
+        known_endpoints=read_list(tree["known"], "cached"),
         settings=settings,
         connect_timeout=seconds(limits["connect_timeout"]),
-        idle_close=seconds(limits["idle_close"]),
-        max_open=int(limits["max_open"]),
-        finish=_shutdown_time_limit(settings),
+        idle_timeout=seconds(limits["idle_close"]),
+        max_in_flight=int(limits["max_open"]),
+        shutdown_timeout=_shutdown_timeout(settings),
     )
 
 
-def _shutdown_time_limit(settings: messages.Settings) -> float:
+def _shutdown_timeout(settings: messages.Settings) -> float:
     longest_deadline = max(service_class.deadline for service_class in settings.classes.values())
     return min(MAX_SHUTDOWN_DEADLINE_S, longest_deadline) + KILL_DELAY_S - KILL_MARGIN_S
--- a/apigateway/daemon/configuration.py
+++ b/apigateway/daemon/configuration.py
@@ -49,16 +49,17 @@
 def _read_beside_platform(path: str, again: bool) -> Configuration:
     settings = read_settings(path, beside=True)
     further_listeners = tuple(read_address(listener.address) for listener in settings.listeners)
+    config = read_config(again=again)
     config = replace(
-        read_config(again=again),
-        more=further_listeners,
+        config,
+        listeners=config.listeners + further_listeners,
         linger=settings.daemon.linger,
-        finish=settings.daemon.finish,
+        shutdown_timeout=settings.daemon.finish,
     )
     return Configuration(settings, config)
 
 
 def _configuration_of_worker(path: str, settings: Settings, assignment: WorkerAssignment) -> Configuration:
-    span = assignment.count if settings.workers.address == "shared" else 1
+    gateways_at_address = assignment.count if settings.workers.address == "shared" else 1
     worker_settings = settings_for_worker(settings, assignment)
-    return Configuration(worker_settings, build_config(path, worker_settings, span))
+    return Configuration(worker_settings, build_config(path, worker_settings, gateways_at_address))
--- a/apigateway/daemon/endpoint_source.py
+++ b/apigateway/daemon/endpoint_source.py
@@ -33,20 +33,20 @@
             config: Names the source.
             previous: The source so far; None at the start.
         """
-        if config.hosts_file is not None:
+        if config.endpoint_file is not None:
             from apigateway.membership.file import EndpointFileSource  # not loaded on the platform
 
             return EndpointFileSource(
-                config.hosts_file, self._endpoint_list.apply, self._core.on_endpoint_list_failed
+                config.endpoint_file, self._endpoint_list.apply, self._core.on_endpoint_list_failed
             )
         reconciler = reconciler_of(previous)  # goes on, with its doubts and its age
         if config.discovery is None:
             assert config.registry is not None
             return self._create_eureka_source(config, config.registry, reconciler)
-        version = config.known.hosts.version if previous is None else previous.version
+        version = config.known_endpoints.hosts.version if previous is None else previous.version
         schedule = _watch_schedule(config)
-        if config.trust is not None:
-            driver = self._create_reconciler_driver(config.trust, reconciler)
+        if config.reconciler is not None:
+            driver = self._create_reconciler_driver(config.reconciler, reconciler)
             return ReconciledDiscovery(
                 config.discovery, version, driver, self._core.on_endpoint_list_failed, schedule
             )
@@ -57,7 +57,7 @@
             self._core.on_endpoint_list_failed,
             schedule,
             # After a reload it is another service, with versions of its own.
-            is_list_known=previous is None and bool(config.known.hosts.endpoints),
+            is_list_known=previous is None and bool(config.known_endpoints.hosts.endpoints),
         )
 
     def _create_eureka_source(
@@ -65,9 +65,9 @@
     ) -> EurekaSource:
         from apigateway.membership.eureka.source import EurekaSource, resolve  # not loaded on the platform
 
-        own_addresses = {config.listen, *config.more}
-        if config.own is not None:
-            own_addresses.add((config.own.ip, config.own.port))
+        own_addresses = set(config.listeners)
+        if config.registration is not None:
+            own_addresses.add((config.registration.ip, config.registration.port))
         return EurekaSource(
             registry,
             self._endpoint_list.listing,
--- a/apigateway/daemon/gateway_process.py
+++ b/apigateway/daemon/gateway_process.py
@@ -142,7 +142,7 @@
 
     async def _acquire_sockets(self, assignment: WorkerAssignment | None, take_over: bool) -> None:
         """Get the lock and all listening sockets: passed in, inherited or bound."""
-        listeners = (self._config.listen, *self._config.more)
+        listeners = self._config.listeners
         passed_in = assignment.adopt_listeners() if assignment is not None else sockets_from_service_manager()
         self._sockets = match_to_listeners(passed_in, listeners)
         if take_over:
@@ -160,7 +160,7 @@
         inherited = await inherit_resources(self._successor, state, listeners)
         self._lock = inherited.lock
         if inherited.known is not None:
-            self._config = replace(self._config, known=inherited.known)
+            self._config = replace(self._config, known_endpoints=inherited.known)
         for address in inherited.sockets.keys() & self._sockets.keys():
             self._sockets.pop(address).close()  # a worker's, passed in by its supervisor too
         self._sockets |= inherited.sockets
@@ -191,7 +191,7 @@
 
     def _start_registration(self) -> None:
         """Register with Eureka, as starting, if the settings say so."""
-        own = self._config.own
+        own = self._config.registration
         registry = self._config.registry
         if own is None or registry is None:
             return
--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -78,15 +78,19 @@
         self.loop = asyncio.get_running_loop()
         self.clock = MonotonicUnixClock()
         # Half of all connections are clients'; the other half goes to endpoints.
-        self._max_client_connections = max(config.sockets - RESERVED_DESCRIPTORS, config.sockets // 2) // 2
+        self._max_client_connections = (
+            max(config.max_descriptors - RESERVED_DESCRIPTORS, config.max_descriptors // 2) // 2
+        )
         # Past its limit of memory the process is killed.
-        self._max_body_bytes = max(MIN_BODY_BYTES, (config.memory - PROGRAM_BYTES) // BODY_MEMORY_DIVISOR)
+        self._max_body_bytes = max(
+            MIN_BODY_BYTES, (config.memory_bytes - PROGRAM_BYTES) // BODY_MEMORY_DIVISOR
+        )
         self.upstream = UpstreamConnections(
-            config.connect_timeout, config.idle_close, self._max_client_connections
+            config.connect_timeout, config.idle_timeout, self._max_client_connections
         )
         self.counter = _create_counter(config)
         self.core = self._create_core()
-        self.endpoint_list = EndpointListState(self.core, config.known)
+        self.endpoint_list = EndpointListState(self.core, config.known_endpoints)
         self.frontends: list[Frontend] = []
         self._overload_gate: Gate | None = None
         self.apply_overload_settings(config)
@@ -96,7 +100,7 @@
             self.ratelimit.take_up(ratelimit_config, self.frontends)
         self.frontends = [
             self.create_frontend(address, config, self.ratelimit, ratelimit_config)
-            for address in (config.listen, *config.more)
+            for address in config.listeners
         ]
         self._source_factory = EndpointSourceFactory(self.core, self.endpoint_list)
         self.endpoint_source: EndpointSource = self._source_factory.create(config)
@@ -113,7 +117,7 @@
             self.upstream,
             self.counter,
             self.loop,
-            self.config.max_open,
+            self.config.max_in_flight,
             self._max_body_bytes,
             self.clock,
         )
@@ -142,13 +146,13 @@
             ratelimit: Serves those listeners that speak gRPC.
             ratelimit_config: Likewise; it may not be in force yet.
         """
-        if address in config.grpc:
+        if address in config.grpc_listeners:
             assert ratelimit is not None and ratelimit_config is not None
             return ratelimit.create_frontend(
                 address, self._max_client_connections, self._max_body_bytes, ratelimit_config
             )
         frontend = RespFrontend(
-            self.core, self._max_client_connections, self._max_body_bytes, address, config.span
+            self.core, self._max_client_connections, self._max_body_bytes, address, config.gateways_at_address
         )
         frontend.set_tokens(ratelimit.tokens if ratelimit is not None else None)
         return frontend
@@ -162,9 +166,9 @@
 
     def prepare(self) -> None:
         """Start everything but the listeners, so that endpoints are known before the first request."""
-        self.endpoint_list.apply(self.config.known)
-        if self.config.leave:
-            self.endpoint_list.evacuate_zones(self.config.leave)
+        self.endpoint_list.apply(self.config.known_endpoints)
+        if self.config.evacuated_zones:
+            self.endpoint_list.evacuate_zones(self.config.evacuated_zones)
         self.upstream.start_checks()
         if self.counter:
             self.counter.start()
@@ -203,7 +207,7 @@
             return
         old = self.config
         self.config = config
-        if (old.settings, old.listen, old.sockets) != (config.settings, config.listen, config.sockets):
+        if _platform_settings_of(old) != _platform_settings_of(config):
             log.warning("only new addresses of discovery and counter are taken up before the next start")
         self.change_counter_address(config.counter)
         self.switch_endpoint_source(self.create_endpoint_source(config))
@@ -325,8 +329,8 @@
         for frontend in self.frontends:
             frontend.announce_shutdown()
         await asyncio.sleep(self.config.linger if linger_s is None else linger_s)
-        deadline = started_at + self.config.finish
-        await complete_requests(self.core, self.frontends, self.config.grpc, deadline)
+        deadline = started_at + self.config.shutdown_timeout
+        await complete_requests(self.core, self.frontends, self.config.grpc_listeners, deadline)
         await self._close()
 
     async def _close(self) -> None:
@@ -343,6 +347,11 @@
         await asyncio.gather(*self._closing_tasks, return_exceptions=True)
 
 
+def _platform_settings_of(config: Config) -> tuple[object, ...]:
+    """Return what of a platform configuration takes effect at a start only, and is watched for changes."""
+    return (config.settings, config.listeners[0], config.max_descriptors)
+
+
 def _create_counter(config: Config) -> QuotaCounterClient | None:
     if not config.counter:
         return None
--- a/apigateway/daemon/gateway_status.py
+++ b/apigateway/daemon/gateway_status.py
@@ -191,8 +191,8 @@
 
 
 def _source_name(server: GatewayServer) -> str:
-    if server.config.hosts_file is not None:
-        return f"file {server.config.hosts_file}"
+    if server.config.endpoint_file is not None:
+        return f"file {server.config.endpoint_file}"
     url = getattr(server.endpoint_source, "url", "")
     return f"{'discovery' if server.config.discovery else 'registry'} {url}"
 
@@ -207,7 +207,7 @@
     return SelectionStatus(
         {endpoint_id: estimate for endpoint_id, estimate in estimates.items() if estimate is not None},
         dict(pool.choice_counts),
-        server.config.leave,
+        server.config.evacuated_zones,
         pool.zone_health.told(now),
     )
 
--- a/apigateway/daemon/platform.py
+++ b/apigateway/daemon/platform.py
@@ -31,7 +31,7 @@
     loop.add_signal_handler(signal.SIGHUP, reload, server)
     port = await server.start()
     gc.freeze()  # what the start made stays for good: no collection need look at it again
-    log.info("%s listens on %s:%d", config.name, config.listen[0], port)
+    log.info("%s listens on %s:%d", config.name, config.listeners[0][0], port)
     if pending_signals.take_reload_request():
         reload(server)
     await stop_requested.wait()
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -48,7 +48,7 @@
         self._core = core
         self._gateway_name = config.name
         self._gateway_index = config.settings.gateway_index
-        self._span = config.span
+        self._gateways_at_address = config.gateways_at_address
         self._external_service: EnvoyRateLimiter | None = None
         self._listeners: list[RateLimitListener] = []
 
@@ -105,7 +105,7 @@
         if keys is None:
             self.tokens = None
         elif self.tokens is None:
-            redeemed = RedeemedTokens(self._gateway_index, self._span, section.max_tokens)
+            redeemed = RedeemedTokens(self._gateway_index, self._gateways_at_address, section.max_tokens)
             self.tokens = QuotaTokens(keys, redeemed, section.token_time, time.time, os.urandom)
         else:  # which tokens were redeemed is remembered past a rotation of keys
             self.tokens.keys = keys
--- a/apigateway/daemon/ratelimit_config.py
+++ b/apigateway/daemon/ratelimit_config.py
@@ -75,7 +75,11 @@
     module_settings = config.settings
     has_listener = has_grpc_listener(settings)
     mapping = compile_ratelimit_rules(  # which were checked with the settings
-        section, module_settings.plans, module_settings.classes, module_settings.gateway_count, config.span
+        section,
+        module_settings.plans,
+        module_settings.classes,
+        module_settings.gateway_count,
+        config.gateways_at_address,
     )
     token_keys = _read_token_keys(files, section.token_keys)
     tls_context = _create_server_context(files, section) if has_listener else None
--- a/apigateway/daemon/reload.py
+++ b/apigateway/daemon/reload.py
@@ -126,8 +126,8 @@
 
     def _check_protocols(self, config: Config) -> None:
         old = self._gateway.config
-        kept = set(_listeners_of(old)) & set(_listeners_of(config))
-        for address in (old.grpc ^ config.grpc) & kept:
+        kept = set(old.listeners) & set(config.listeners)
+        for address in (old.grpc_listeners ^ config.grpc_listeners) & kept:
             raise ReloadRejectedError(
                 [
                     f"{self._gateway.path}: listeners: {write_address(address)}: "
@@ -178,7 +178,7 @@
         return Replacement(settings, new_config, ratelimit, ratelimit_config, plugin_update)
 
     async def _open_listeners(self, replacement: Replacement) -> None:
-        for address in _listeners_of(replacement.config):
+        for address in replacement.config.listeners:
             if address not in self._gateway.sockets:
                 replacement.sockets[address] = bind_listener(address)
         for address, sock in replacement.sockets.items():
@@ -194,11 +194,11 @@
         The platform's sources are switched by `GatewayServer.reload`.
         """
         old = self._gateway.config
-        is_same = (config.hosts_file, config.discovery, config.registry, config.trust) == (
-            old.hosts_file,
+        is_same = (config.endpoint_file, config.discovery, config.registry, config.reconciler) == (
+            old.endpoint_file,
             old.discovery,
             old.registry,
-            old.trust,
+            old.reconciler,
         )
         if is_same or is_beside_platform():
             return None
@@ -243,7 +243,7 @@
         gateway = self._gateway
         settings_change = compare_settings(gateway.settings, replacement.settings)
         file_changes = _ratelimit_file_changes(replacement)
-        removed = gateway.sockets.keys() - set(_listeners_of(replacement.config))
+        removed = gateway.sockets.keys() - set(replacement.config.listeners)
         if is_beside_platform():
             gateway.server.reload(replacement.config)
         swap_in(gateway.server, replacement, removed)
@@ -270,26 +270,21 @@
     """
     return replace(
         old,
-        more=new.more,
-        listen=new.listen,
-        grpc=new.grpc,
-        hosts_file=new.hosts_file,
+        listeners=new.listeners,
+        grpc_listeners=new.grpc_listeners,
+        endpoint_file=new.endpoint_file,
         discovery=new.discovery,
         registry=new.registry,
-        trust=new.trust,
+        reconciler=new.reconciler,
         counter=new.counter if old.counter else None,
-        max_open=new.max_open,
+        max_in_flight=new.max_in_flight,
         overload=new.overload,
         linger=new.linger,
-        finish=new.finish,
-        leave=new.leave,
+        shutdown_timeout=new.shutdown_timeout,
+        evacuated_zones=new.evacuated_zones,
     )
 
 
-def _listeners_of(config: Config) -> tuple[Address, ...]:
-    return (config.listen, *config.more)
-
-
 def _ratelimit_file_changes(replacement: Replacement) -> str:
     if replacement.ratelimit is None:
         return ""
--- a/apigateway/daemon/replacement.py
+++ b/apigateway/daemon/replacement.py
@@ -71,9 +71,9 @@
         server.change_counter_address(config.counter)
     if replacement.endpoint_source is not None:
         server.switch_endpoint_source(replacement.endpoint_source)
-    if config.leave != old.leave:
-        server.endpoint_list.evacuate_zones(config.leave)
-    server.core.request_budget.limit = config.max_open
+    if config.evacuated_zones != old.evacuated_zones:
+        server.endpoint_list.evacuate_zones(config.evacuated_zones)
+    server.core.request_budget.limit = config.max_in_flight
     server.apply_overload_settings(config)
     retired = server.replace_frontends(replacement.frontends, removed)
     ratelimit = replacement.ratelimit
--- a/apigateway/daemon/settings_runtime.py
+++ b/apigateway/daemon/settings_runtime.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from apigateway import messages
-from apigateway.daemon.config import Config
+from apigateway.daemon.config import Config, OverloadSettings
 from apigateway.daemon.settings_schema import Settings, customer_capacity
 from apigateway.frontends.grpc.mapping import DescriptorMapping, MappingRule
 from apigateway.frontends.grpc.settings import RateLimitSection, RuleSection
@@ -28,50 +28,56 @@
 MIB = 1024 * 1024
 
 
-def build_config(path: str, settings: Settings, span: int = 1) -> Config:
+def build_config(path: str, settings: Settings, gateways_at_address: int = 1) -> Config:
     """Return what a gateway runs with.
 
     Args:
         path: Of the settings file; the file of hosts is named relative to its folder, and read.
         settings: As checked.
-        span: Gateways that clients know as one: workers on one address.
+        gateways_at_address: Gateways that clients know as one: workers on one address.
 
     Raises:
         InvalidConfigFileError: With all that is wrong in the file of hosts.
     """
     listeners = [read_address(listener.address) for listener in settings.listeners]
-    hosts_file = None
-    known = Listing(messages.EndpointList("cached", 0, ()), {})
+    endpoint_file = None
+    known_endpoints = Listing(messages.EndpointList("cached", 0, ()), {})
     if settings.hosts.source == "file":
-        hosts_file = os.path.join(os.path.dirname(os.path.abspath(path)), settings.hosts.file)
-        known = read_endpoint_file(hosts_file, "cached")
+        endpoint_file = os.path.join(os.path.dirname(os.path.abspath(path)), settings.hosts.file)
+        known_endpoints = read_endpoint_file(endpoint_file, "cached")
     return Config(
-        grpc=frozenset(read_address(one.address) for one in settings.listeners if one.protocol == "grpc"),
+        grpc_listeners=frozenset(
+            read_address(one.address) for one in settings.listeners if one.protocol == "grpc"
+        ),
         registry=build_registry(settings),
-        own=_build_registration(settings, listeners[0][1]),
-        trust=ReconcilerSettings(**msgspec.to_builtins(settings.trust)),
+        registration=_build_registration(settings, listeners[0][1]),
+        reconciler=ReconcilerSettings(**msgspec.to_builtins(settings.trust)),
         name=settings.gateway.name,
-        listen=listeners[0],
-        more=tuple(listeners[1:]),
+        listeners=tuple(listeners),
         discovery=read_address(settings.hosts.discovery) if settings.hosts.source == "discovery" else None,
-        hosts_file=hosts_file,
+        endpoint_file=endpoint_file,
         counter=read_address(settings.counter.address) if settings.counter.address else None,
         seed=settings.gateway.seed or random.SystemRandom().getrandbits(63),
-        memory=settings.limits.memory_mb * MIB,
-        sockets=settings.limits.sockets,
-        known=known,
+        memory_bytes=settings.limits.memory_mb * MIB,
+        max_descriptors=settings.limits.sockets,
+        known_endpoints=known_endpoints,
         settings=build_module_settings(settings),
         connect_timeout=settings.limits.connect_timeout,
-        idle_close=settings.hosts.idle_close,
-        max_open=settings.limits.max_open,
+        idle_timeout=settings.hosts.idle_close,
+        max_in_flight=settings.limits.max_open,
         linger=settings.daemon.linger,
-        finish=settings.daemon.finish,
-        span=span,
-        leave=tuple(settings.sites.leave),
-        overload=(settings.overload.lag, settings.overload.turn) if settings.overload.on else None,
+        shutdown_timeout=settings.daemon.finish,
+        gateways_at_address=gateways_at_address,
+        evacuated_zones=tuple(settings.sites.leave),
+        overload=_build_overload_settings(settings),
     )
 
 
+def _build_overload_settings(settings: Settings) -> OverloadSettings | None:
+    section = settings.overload
+    return OverloadSettings(section.lag, section.turn) if section.on else None
+
+
 def _build_registration(settings: Settings, port: int) -> RegistrationSettings | None:
     """Return how this gateway registers itself with Eureka; None: it does not."""
     if not settings.register.on:
--- a/tests/daemon/test_platform.py
+++ b/tests/daemon/test_platform.py
@@ -67,7 +67,9 @@
     file = tmp_path / "config.json"
     file.write_text(json.dumps(tree))
     config = read_config({"RELAY_CONFIG": str(file)})
-    assert config.finish == pytest.approx(finish) and config.finish < min(longest, 3.0) + 0.7
+    assert (
+        config.shutdown_timeout == pytest.approx(finish) and config.shutdown_timeout < min(longest, 3.0) + 0.7
+    )
 
 
 @on_loop
--- a/tests/faults/test_fronts.py
+++ b/tests/faults/test_fronts.py
@@ -25,9 +25,8 @@
         self.discovery.servers = [entry(h, f"h{n}") for n, h in enumerate(self.hosts, 1)]
         file = self.path / "config.json"
         file.write_text(json.dumps(told(self.discovery.servers, self.discovery.port, self.counter.port)))
-        config = replace(
-            read_config({"RELAY_CONFIG": str(file)}), more=(("127.0.0.1", 0),), linger=0.0, **self.limits
-        )
+        config = read_config({"RELAY_CONFIG": str(file)})
+        config = replace(config, listeners=(*config.listeners, ("127.0.0.1", 0)), linger=0.0, **self.limits)
         self.node = GatewayServer(config)
         await self.node.start()
         self.ports = [front.port for front in self.node.frontends]
@@ -126,7 +125,7 @@
 
 @on_loop
 async def test_a_flood_of_sound_commands_on_one_front_leaves_room_on_the_other(tmp_path):
-    async with StubHost(None) as host, TwoFronts(tmp_path, host, max_open=40) as gate:
+    async with StubHost(None) as host, TwoFronts(tmp_path, host, max_in_flight=40) as gate:
         gate.node.core.module = Eager()
         _, writer = await gate.connect(0)
         for n in range(200):
