--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -33,7 +33,7 @@
     from apigateway.daemon.interfaces import EndpointSource, Frontend
     from apigateway.daemon.ratelimit import RateLimitServices
     from apigateway.daemon.ratelimit_config import RateLimitConfig
-    from apigateway.plugins.live import Hooks as Plugins
+    from apigateway.plugins.manager import PluginManager
     from apigateway.policy.overload_gate import Gate
 
 # Bytes that the program takes itself, with some to spare.
@@ -105,7 +105,7 @@
         self._source_factory = EndpointSourceFactory(self.core, self.endpoint_list)
         self.endpoint_source: EndpointSource = self._source_factory.create(config)
         self.core.membership = self.endpoint_source
-        self.plugins: Plugins | None = None
+        self.plugins: PluginManager | None = None
         self._closing_tasks: set[asyncio.Task[None]] = set()  # of what a reload replaced
 
     # Assembly
@@ -268,7 +268,7 @@
             frontend.start_draining()
         self._close_in_background(retire_frontend(frontend, is_listener_open=has_waiting_connections))
 
-    def set_plugins(self, plugins: Plugins | None) -> None:
+    def set_plugins(self, plugins: PluginManager | None) -> None:
         """Ask these about the requests from now on; None: ask none."""
         replaced = self.plugins
         self.plugins = plugins
--- a/apigateway/daemon/gateway_status.py
+++ b/apigateway/daemon/gateway_status.py
@@ -214,7 +214,7 @@
 
 def plugins_status(server: GatewayServer) -> dict[str, Any]:
     """Return the plug-ins' status as JSON, as they tell it."""
-    return server.plugins.told() if server.plugins is not None else {"plugins": [], "records": None}
+    return server.plugins.status() if server.plugins is not None else {"plugins": [], "records": None}
 
 
 def ratelimit_status(server: GatewayServer) -> RateLimitStatus:
--- a/apigateway/daemon/optional_services.py
+++ b/apigateway/daemon/optional_services.py
@@ -16,16 +16,16 @@
 if TYPE_CHECKING:
     from apigateway.daemon.plugins import PluginUpdate
     from apigateway.daemon.ratelimit_config import RateLimitConfig
-    from apigateway.plugins.live import Hooks as Plugins
-    from apigateway.plugins.settings import RecordsPart
+    from apigateway.plugins.manager import PluginManager
+    from apigateway.plugins.settings import RecordsSection
 
 
 async def build_plugins(
     path: str,
     settings: Settings,
     module_settings: messages.Settings,
-    old: Plugins | None = None,
-    old_records: RecordsPart | None = None,
+    old: PluginManager | None = None,
+    old_records: RecordsSection | None = None,
 ) -> PluginUpdate | None:
     """Return the plug-ins that settings name; None: they name none.
 
--- a/apigateway/daemon/plugins.py
+++ b/apigateway/daemon/plugins.py
@@ -12,11 +12,11 @@
 from apigateway.config_validation import ConfigProblem, InvalidConfigFileError
 from apigateway.daemon.gateway_server import GatewayServer
 from apigateway.daemon.settings import Settings
-from apigateway.plugins.live import Hooks, SwapRefused
-from apigateway.plugins.load import Place, load
-from apigateway.plugins.records import Recorder
-from apigateway.plugins.settings import RecordsPart
-from apigateway.plugins.version import Version
+from apigateway.plugins.chain_version import ChainVersion
+from apigateway.plugins.loader import PluginEnvironment, load_chain
+from apigateway.plugins.manager import PluginManager, StateTransferError
+from apigateway.plugins.records import RequestRecorder
+from apigateway.plugins.settings import RecordsSection
 
 BYTES_PER_MB = 1024 * 1024  # as the settings count them
 DIGEST_DIGITS = 12  # of a plug-in's digest, in the log
@@ -33,8 +33,8 @@
         changes: What is other than before, for the log; empty: nothing.
     """
 
-    version: Version
-    recorder: Recorder | None
+    version: ChainVersion
+    recorder: RequestRecorder | None
     keeps_recorder: bool
     changes: str = ""
 
@@ -43,8 +43,8 @@
     path: str,
     settings: Settings,
     module_settings: messages.Settings,
-    old: Hooks | None = None,
-    old_records: RecordsPart | None = None,
+    old: PluginManager | None = None,
+    old_records: RecordsSection | None = None,
 ) -> PluginUpdate:
     """Load and verify the plug-ins that settings name, on another thread than the event loop's.
 
@@ -58,9 +58,9 @@
     Raises:
         InvalidConfigFileError: One cannot be used; nothing of the new is left.
     """
-    place = Place(path, module_settings, settings.gateway.seed)
+    environment = PluginEnvironment(path, module_settings, settings.gateway.seed)
     old_version = old.version if old is not None else None
-    version = load(settings.plugins, settings.hooks, place, old_version)
+    version = load_chain(settings.plugins, settings.hooks, environment, old_version)
     changes = describe_changes(old_version, version)
     if old is not None and settings.records == old_records:
         return PluginUpdate(version, None, keeps_recorder=True, changes=changes)
@@ -72,12 +72,12 @@
     return PluginUpdate(version, recorder, keeps_recorder=False, changes=changes)
 
 
-def _create_recorder(path: str, section: RecordsPart) -> Recorder | None:
+def _create_recorder(path: str, section: RecordsSection) -> RequestRecorder | None:
     if not section.file:
         return None
     file = os.path.join(os.path.dirname(os.path.abspath(path)), section.file)
     try:
-        return Recorder(file, section.only, section.max_mb * BYTES_PER_MB, section.waiting)
+        return RequestRecorder(file, section.only, section.max_mb * BYTES_PER_MB, section.waiting)
     except OSError as err:
         problem = ConfigProblem(
             path,
@@ -89,12 +89,16 @@
         raise InvalidConfigFileError([problem]) from err
 
 
-def describe_changes(old: Version | None, new: Version | None) -> str:
+def describe_changes(old: ChainVersion | None, new: ChainVersion | None) -> str:
     """Say for the log which plug-ins are loaded or gone; empty: none."""
-    old_seats = old.seats if old is not None else []
-    new_seats = new.seats if new is not None else []
-    loaded = [f"{seat.name} {seat.digest[:DIGEST_DIGITS]}" for seat in new_seats if seat not in old_seats]
-    gone = sorted({seat.name for seat in old_seats} - {seat.name for seat in new_seats})
+    old_runners = old.runners if old is not None else []
+    new_runners = new.runners if new is not None else []
+    loaded = [
+        f"{runner.name} {runner.digest[:DIGEST_DIGITS]}"
+        for runner in new_runners
+        if runner not in old_runners
+    ]
+    gone = sorted({runner.name for runner in old_runners} - {runner.name for runner in new_runners})
     parts = []
     if loaded:
         parts.append(f"plug-ins loaded: {', '.join(loaded)}")
@@ -109,20 +113,22 @@
     Raises:
         InvalidConfigFileError: One cannot be used.
     """
-    load(settings.plugins, settings.hooks, Place(path, module_settings, settings.gateway.seed)).close()
+    load_chain(
+        settings.plugins, settings.hooks, PluginEnvironment(path, module_settings, settings.gateway.seed)
+    ).close()
 
 
-def discard(version: Version, old: Hooks | None) -> None:
+def discard(version: ChainVersion, old: PluginManager | None) -> None:
     """Close a version that will not serve, but for what it shares with the one in force."""
-    shared = old.version.seats if old is not None else []
-    for seat in version.seats:
-        if seat not in shared:
-            seat.plugin.close()
+    shared = old.version.runners if old is not None else []
+    for runner in version.runners:
+        if runner not in shared:
+            runner.plugin.close()
 
 
 def start_plugins(server: GatewayServer, update: PluginUpdate, tick_s: float) -> None:
     """Have a gateway that asks no plug-ins ask these, and call them every `tick_s` seconds."""
-    plugins = Hooks(update.version, server.clock, server.loop, tick_s, update.recorder)
+    plugins = PluginManager(update.version, server.clock, server.loop, tick_s, update.recorder)
     plugins.start()
     server.set_plugins(plugins)
 
@@ -139,11 +145,11 @@
         return
     try:
         plugins.swap(update.version, tick_s)
-    except SwapRefused as err:
+    except StateTransferError as err:
         discard(update.version, plugins)
         if update.recorder is not None:
             update.recorder.finish()
-        problem = ConfigProblem(path, f"plugins.{err.name}", "", err.reason, "mend its on_load")
+        problem = ConfigProblem(path, f"plugins.{err.plugin_name}", "", err.reason, "mend its on_load")
         raise InvalidConfigFileError([problem]) from err
     if not update.keeps_recorder:
         replaced = plugins.recorder
