--- a/apigateway/daemon/settings_runtime.py
+++ b/apigateway/daemon/settings_runtime.py
@@ -11,7 +11,14 @@
 
 from apigateway import messages
 from apigateway.daemon.config import Config, OverloadSettings
-from apigateway.daemon.settings_schema import Settings, customer_capacity
+from apigateway.daemon.settings_schema import (
+    ClassSection,
+    LimitsSection,
+    PlanSection,
+    RulesSection,
+    Settings,
+    customer_capacity,
+)
 from apigateway.frontends.grpc.mapping import DescriptorMapping, MappingRule
 from apigateway.frontends.grpc.settings import RateLimitSection, RuleSection
 from apigateway.membership.file import read_endpoint_file
@@ -133,52 +140,19 @@
 
 
 def build_module_settings(settings: Settings) -> messages.Settings:
-    """Return the settings of the decision module."""
-    limits, rules = settings.limits, settings.rules
+    """Return the settings of the decision module.
+
+    What a gateway of its own settings file does not know (streams, meters, peers, health checks) is off.
+    """
+    limits = settings.limits
     return messages.Settings(
         gateway_index=settings.gateway.index,
         gateway_count=settings.gateway.gateways,
         zone=settings.gateway.zone,
-        classes={
-            name: messages.ServiceClass(
-                name, c.aim, c.deadline, c.effect, c.scope, c.memory, c.worth, 0.0, False, 0.0
-            )
-            for name, c in settings.classes.items()
-        },
-        plans={
-            name: messages.Plan(
-                name,
-                p.rate,
-                p.burst,
-                p.open_limit,
-                p.price,
-                p.over_worth,
-                p.over_cost,
-                p.ceiling_rate,
-                p.ceiling_burst,
-                p.ceiling_slack,
-            )
-            for name, p in settings.plans.items()
-        },
-        limits=messages.Limits(
-            limits.cancel,
-            limits.second_copies,
-            False,
-            False,
-            limits.retry_after,
-            limits.max_attempts,
-            limits.max_retry_after,
-            limits.connect_timeout,
-        ),
-        rules=messages.Rules(
-            0.0,
-            rules.drain_grace,
-            rules.cold_share,
-            rules.cold_time,
-            rules.fall_multiple,
-            rules.fall_time,
-            0.0,
-        ),
+        classes={name: _build_class(name, section) for name, section in settings.classes.items()},
+        plans={name: _build_plan(name, section) for name, section in settings.plans.items()},
+        limits=_build_limits(limits),
+        rules=_build_rules(settings.rules),
         prices={"cross_zone": settings.hosts.cross_zone},
         has_counter=bool(settings.counter.address),
         counter_price=settings.counter.price,
@@ -191,11 +165,67 @@
         weight_meaning="none",
         max_customers=limits.max_customers or customer_capacity(limits),
         routes={
-            name: messages.Route(name, tuple(r.kinds), r.fallback) for name, r in settings.routes.items()
+            name: messages.Route(name, tuple(section.kinds), section.fallback)
+            for name, section in settings.routes.items()
         },
     )
 
 
+def _build_class(name: str, section: ClassSection) -> messages.ServiceClass:
+    return messages.ServiceClass(
+        name,
+        latency_objective=section.aim,
+        deadline=section.deadline,
+        effect=section.effect,
+        deduplication_scope=section.scope,
+        deduplication_window=section.memory,
+        priority_weight=section.worth,
+        late_priority_weight=0.0,
+        is_streaming=False,
+        latency_objective_stretch=0.0,
+    )
+
+
+def _build_plan(name: str, section: PlanSection) -> messages.Plan:
+    return messages.Plan(
+        name,
+        rate=section.rate,
+        burst=section.burst,
+        concurrency_limit=section.open_limit,
+        price_weight=section.price,
+        over_quota_weight=section.over_worth,
+        over_quota_cost=section.over_cost,
+        ceiling_rate=section.ceiling_rate,
+        ceiling_burst=section.ceiling_burst,
+        ceiling_slack=section.ceiling_slack,
+    )
+
+
+def _build_limits(section: LimitsSection) -> messages.Limits:
+    return messages.Limits(
+        can_cancel=section.cancel,
+        can_hedge=section.second_copies,
+        can_check_health=False,
+        can_message_peers=False,
+        can_tell_retry_after=section.retry_after,
+        max_attempts=section.max_attempts,
+        max_retry_after=section.max_retry_after,
+        connect_timeout=section.connect_timeout,
+    )
+
+
+def _build_rules(section: RulesSection) -> messages.Rules:
+    return messages.Rules(
+        answer_slack=0.0,
+        drain_grace=section.drain_grace,
+        initial_capacity=section.cold_share,
+        slow_start_duration=section.cold_time,
+        overload_multiple=section.fall_multiple,
+        overload_duration=section.fall_time,
+        max_poll_interval=0.0,
+    )
+
+
 def wants_plugins(settings: Settings) -> bool:
     """Return whether plug-ins or records of requests have to be loaded."""
     return bool(settings.plugins or settings.records.file)
