--- a/apigateway/daemon/load_estimate.py
+++ b/apigateway/daemon/endpoint_load.py
@@ -6,14 +6,15 @@
 from dataclasses import dataclass
 from typing import Any
 
-from apigateway.policy.endpoint_pool import REPORT_HALF_LIFE, EndpointPool
+from apigateway.policy.endpoint_pool import EndpointPool
+from apigateway.routing.load_estimate import REPORT_HALF_LIFE
 
 _DIGITS = 3  # after the point, of what is told
 _LOAD_DIGITS = 2
 
 
 @dataclass(frozen=True, slots=True)
-class LoadEstimate:
+class EndpointLoad:
     """An endpoint's load, as the selection counts it now.
 
     Attributes:
@@ -48,8 +49,8 @@
         }
 
 
-def estimate_load(pool: EndpointPool, endpoint_id: str, now: float) -> LoadEstimate | None:
-    """Return the estimate for an endpoint at Unix time `now`; None: the pool does not know it."""
+def assumed_load(pool: EndpointPool, endpoint_id: str, now: float) -> EndpointLoad | None:
+    """Return the load assumed at an endpoint at Unix time `now`; None: the pool does not know it."""
     endpoint = pool.endpoints.get(endpoint_id)
     if endpoint is None:
         return None
@@ -58,12 +59,12 @@
     report_weight = 0.5 ** (report_age_s / REPORT_HALF_LIFE) if is_reported else 0.0
     load_of_others = report_weight * endpoint.reported_load + (1 - report_weight) * pool.mean_load()
     attempts_out = len(endpoint.attempts_out)
-    return LoadEstimate(
+    return EndpointLoad(
         is_in_subset=endpoint.in_subset,
         attempts_out=attempts_out,
         load=attempts_out + load_of_others,
         report_weight=report_weight,
         report_age_s=report_age_s if is_reported else None,
-        success_probability=pool.outliers.success_probability(endpoint_id, ("host",), now),
+        success_probability=pool.health.outliers.success_probability(endpoint_id, ("host",), now),
         backoff_scopes=[scope for scope, until in endpoint.backoff.pauses() if until > now],
     )
--- a/apigateway/daemon/gateway_status.py
+++ b/apigateway/daemon/gateway_status.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING, Any
 
 from apigateway import messages
+from apigateway.daemon.endpoint_load import EndpointLoad, assumed_load
 from apigateway.daemon.endpoint_source import reconciler_of
-from apigateway.daemon.load_estimate import LoadEstimate, estimate_load
 from apigateway.policy import Gateway
 from apigateway.upstream.address import Address, write_address
 
@@ -61,21 +61,21 @@
     """What the decision module knows of the endpoints it selects from.
 
     Attributes:
-        load_estimates: By endpoint id; endpoints that it does not know are absent.
+        loads: By endpoint id; endpoints that it does not know are absent.
         choice_counts: What decided its choices since the start.
         evacuated_zones: By the settings.
         zones_with_faults: By zone, as the decision module's zone health tells.
     """
 
-    load_estimates: dict[str, LoadEstimate]
+    loads: dict[str, EndpointLoad]
     choice_counts: dict[str, int]
     evacuated_zones: Sequence[str]
     zones_with_faults: dict[str, dict[str, Any]]
 
     def choice_of(self, endpoint_id: str) -> dict[str, Any]:
-        """Return an endpoint's load estimate as JSON; empty: it is not known."""
-        estimate = self.load_estimates.get(endpoint_id)
-        return estimate.as_json() if estimate is not None else {}
+        """Return an endpoint's load as JSON; empty: it is not known."""
+        load = self.loads.get(endpoint_id)
+        return load.as_json() if load is not None else {}
 
 
 @dataclass(frozen=True, slots=True)
@@ -203,12 +203,12 @@
         return None
     pool = module.pool
     now = server.clock()
-    estimates = {endpoint_id: estimate_load(pool, endpoint_id, now) for endpoint_id in pool.endpoints}
+    loads = {endpoint_id: assumed_load(pool, endpoint_id, now) for endpoint_id in pool.endpoints}
     return SelectionStatus(
-        {endpoint_id: estimate for endpoint_id, estimate in estimates.items() if estimate is not None},
+        {endpoint_id: load for endpoint_id, load in loads.items() if load is not None},
         dict(pool.choice_counts),
         server.config.evacuated_zones,
-        pool.zone_health.told(now),
+        pool.health.zone_health.told(now),
     )
 
 
