--- a/apigateway/cli/running_gateway.py
+++ b/apigateway/cli/running_gateway.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from apigateway.daemon.handover import query_gateway
 from apigateway.daemon.settings import Settings
+from apigateway.daemon.status_query import query_gateway
 
 Status = dict[str, Any]
 """A gateway's answer to a query; its keys are those of the JSON that is printed."""
--- a/tests/frontends/resp/test_client_connection.py
+++ b/tests/frontends/resp/test_client_connection.py
@@ -107,7 +107,7 @@
         reader, writer = await node.connect()
         writer.write(command(b"first"))
         await host.arrived.get()
-        node.node.fronts[0].server.start_draining()
+        node.node.frontends[0].server.start_draining()
         writer.write(command(b"second"))
         while (await host.arrived.get())[2] != b"second":
             pass
@@ -119,13 +119,13 @@
 @on_loop
 async def test_commands_that_lie_unread_when_draining_starts_are_served(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        server = node.node.fronts[0].server
+        server = node.node.frontends[0].server
         with socket.create_connection(("127.0.0.1", node.port)) as sock:
             sock.setblocking(False)
             while not server.connections:
                 await asyncio.sleep(0)
             sock.send(command())  # in the server's socket, which it has not read
-            node.node.fronts[0].start_draining()
+            node.node.frontends[0].start_draining()
             loop, got = asyncio.get_running_loop(), b""
             while data := await loop.sock_recv(sock, 100):
                 got += data
@@ -139,7 +139,7 @@
     """It is not read while it has too much in work, and all of that is answered in one turn."""
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
-        server = node.node.fronts[0].server
+        server = node.node.frontends[0].server
         writer.write(command(b"first"))
         await host.arrived.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n" * MAX_PENDING_COMMANDS)  # answered behind the first
@@ -162,7 +162,7 @@
 async def test_half_a_command_when_draining_starts_is_served_once_whole(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
-        front, text = node.node.fronts[0], command()
+        front, text = node.node.frontends[0], command()
         writer.write(text[:20])
         while not front.server.partial_bytes:
             await asyncio.sleep(0)
@@ -179,12 +179,12 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         owed = iter([True, True, False])
 
-        class Front(type(node.node.fronts[0])):
+        class Front(type(node.node.frontends[0])):
             @property
             def has_unwritten_responses(self):
                 return next(owed, False)
 
-        node.node.fronts[0].__class__ = Front
+        node.node.frontends[0].__class__ = Front
         await node.node.stop(0.0)
         assert next(owed, None) is None  # asked until nothing was owed
 
--- a/tests/frontends/resp/test_load_shedding.py
+++ b/tests/frontends/resp/test_load_shedding.py
@@ -26,7 +26,7 @@
 
 def install_admission(node, gate):
     node.node.core.admission = AdmissionController(gate, node.node.loop)
-    for front in node.node.fronts:
+    for front in node.node.frontends:
         front.update_admission()
     return node.node.core.admission
 
@@ -110,7 +110,7 @@
         assert set(told[:50]) == {b"-BUSY 250\r\n"} and told[50] == b"-ERR protocol error\r\n"
         assert await reader.read() == b""
         assert await node.ask(command(b"after", customer=B.encode())) == SERVED
-        assert not admission.deferred_connections and node.node.fronts[0].server.partial_bytes == 0
+        assert not admission.deferred_connections and node.node.frontends[0].server.partial_bytes == 0
 
 
 @on_loop
@@ -127,7 +127,7 @@
         writer.write(b"".join(command(b"s%d" % n) for n in range(30)))
         while not admission.deferred_connections:
             await asyncio.sleep(0)
-        node.node.fronts[0].start_draining()  # as at SIGTERM: what was read is not forgotten
+        node.node.frontends[0].start_draining()  # as at SIGTERM: what was read is not forgotten
         monkeypatch.setattr(admission, "start_turn", turned)
         admission.start_turn()
         told = [await read_reply(reader) for _ in range(30)]
@@ -140,7 +140,7 @@
     monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         admission = install_admission(node, ScriptedGate(A))
-        node.node.fronts[0].server.max_partial_bytes = 1000  # bytes: half of it may wait
+        node.node.frontends[0].server.max_partial_bytes = 1000  # bytes: half of it may wait
         monkeypatch.setattr(admission, "start_turn", lambda: None)
         reader, writer = await node.connect()
         writer.write(b"".join(command(b"m%d" % n, customer=A.encode()) for n in range(100)))
