--- a/apigateway/core/attempts.py
+++ b/apigateway/core/attempts.py
@@ -11,8 +11,9 @@
 from apigateway.core.in_flight_request import InFlightRequest
 from apigateway.core.in_flight_table import InFlightTable
 from apigateway.core.interfaces import RequestPlugins, UpstreamAttempt
-from apigateway.core.outcomes import AttemptResult, RequestOutcome
+from apigateway.core.outcomes import RequestOutcome
 from apigateway.core.responses import ResponseSender
+from apigateway.messages import AttemptResult
 
 # What an attempt carries for the core: its request, and its number among that request's.
 AttemptTag = tuple[InFlightRequest, int]
--- a/apigateway/core/outcomes.py
+++ b/apigateway/core/outcomes.py
@@ -16,15 +16,6 @@
     DISCONNECTED = "gone"  # the client went away: nobody was answered
 
 
-class AttemptResult(enum.StrEnum):
-    """How an attempt ended, as far as the core tells results apart; the values are of `messages.RESULTS`."""
-
-    OK = "ok"  # the endpoint gave a value
-    CONNECT_FAILED = "connect_failed"  # its last byte was not written: the endpoint has not run it
-    CANCELLED = "cancelled"  # abandoned after it was written: it may have run
-    MOOT = "moot"  # not sent, which says nothing of the endpoint
-
-
 class AcquireFailure(enum.IntEnum):
     """Why `InFlightRegistry.acquire` gave no place. Places are 0 or more, so that none is one of these."""
 
--- a/apigateway/core/responses.py
+++ b/apigateway/core/responses.py
@@ -11,7 +11,8 @@
 from apigateway.core.in_flight_request import InFlightRequest
 from apigateway.core.in_flight_table import InFlightTable
 from apigateway.core.interfaces import QuotaCheckSink, RequestPlugins, ResponseSink
-from apigateway.core.outcomes import AttemptResult, RequestOutcome
+from apigateway.core.outcomes import RequestOutcome
+from apigateway.messages import AttemptResult
 
 # Events of a request that the decision module may still be asked about.
 _REQUEST_EVENTS = (messages.Request, messages.RejectedByPlugin, messages.AttemptOutcome)
--- a/apigateway/upstream/attempt.py
+++ b/apigateway/upstream/attempt.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import enum
 import re
 from collections.abc import Callable
 from time import monotonic
@@ -11,6 +10,7 @@
 
 import hiredis
 
+from apigateway.messages import AttemptResult
 from apigateway.platform_settings import read_report
 from apigateway.upstream.framing import MAX_BODY_BYTES, FramingError
 
@@ -27,18 +27,6 @@
 _VALUE_PARTS = 3  # value, metered use, load report
 
 
-class AttemptResult(enum.StrEnum):
-    """How an attempt ended; the values are those of `messages.RESULTS`, but for `moot`, which is not sent."""
-
-    OK = "ok"  # the host gave a value, or its load report
-    ERROR = "error"  # the host answered that it failed: it may have run
-    FULL = "full"  # the host rejected it: it has not run
-    TIMEOUT = "timeout"  # written and not answered in time: it may have run
-    CONNECT_FAILED = "connect_failed"  # its last byte was not written: it has not run
-    RESET = "reset"  # written, and the connection ended without an answer: it may have run
-    CANCELLED = "cancelled"  # abandoned after it was written: it may have run
-
-
 class AttemptConnection(Protocol):
     """The connection that an attempt was sent on."""
 
--- a/apigateway/upstream/connection.py
+++ b/apigateway/upstream/connection.py
@@ -12,7 +12,8 @@
 from collections.abc import Iterator
 from typing import Protocol, cast
 
-from apigateway.upstream.attempt import Attempt, AttemptResult, read_reply
+from apigateway.messages import AttemptResult
+from apigateway.upstream.attempt import Attempt, read_reply
 from apigateway.upstream.framing import NO_MESSAGE, Framing, FramingError
 from apigateway.upstream.idle_connection_policy import IdleConnectionPolicy
 
--- a/apigateway/upstream/connection_pool.py
+++ b/apigateway/upstream/connection_pool.py
@@ -7,8 +7,9 @@
 from time import monotonic
 from typing import Protocol
 
+from apigateway.messages import AttemptResult
 from apigateway.upstream.address import Address
-from apigateway.upstream.attempt import Attempt, AttemptResult
+from apigateway.upstream.attempt import Attempt
 from apigateway.upstream.connection import Connection
 from apigateway.upstream.idle_connection_policy import IdleConnectionPolicy
 
--- a/apigateway/upstream/upstream_connections.py
+++ b/apigateway/upstream/upstream_connections.py
@@ -6,8 +6,9 @@
 from collections.abc import Callable
 from time import monotonic
 
+from apigateway.messages import AttemptResult
 from apigateway.upstream.address import Address
-from apigateway.upstream.attempt import HEALTH_CHECK, Attempt, AttemptResult
+from apigateway.upstream.attempt import HEALTH_CHECK, Attempt
 from apigateway.upstream.connection import Connection
 from apigateway.upstream.connection_pool import ConnectionPool
 from apigateway.upstream.idle_connection_policy import IdleConnectionPolicy
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -4,12 +4,14 @@
 import pytest
 
 from apigateway import messages
-from apigateway.upstream.attempt import HEALTH_CHECK, Attempt, AttemptResult, read_reply
+from apigateway.messages import AttemptResult
+from apigateway.upstream.attempt import HEALTH_CHECK, Attempt, read_reply
 from apigateway.upstream.framing import FramingError
 
 
 def test_results_when_compared_with_the_messages_then_are_the_same_words():
-    assert {*AttemptResult, "moot"} == set(messages.RESULTS)
+    names = {"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"}
+    assert set(AttemptResult) == set(messages.RESULTS) == names
 
 
 def test_end_when_called_twice_then_the_first_result_stays_and_is_reported_once():
