--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -1,294 +1,142 @@
-"""The rate limit service and the outer service as the daemon has them: built from settings beside the loop,
-taken up whole on a reload. Imported only where settings have a listener that speaks gRPC, keys for tokens, or
-an outer service; each of them loads what it needs and no more."""
+"""Run the rate limit service's listeners and the client of an external one, and reconfigure them.
+
+Imported only where settings have a listener that speaks gRPC, keys for tokens, or an external service; each
+of them loads what it needs and no more.
+"""
 
 from __future__ import annotations
 
-import hashlib
 import os
-import ssl
 import time
-from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from collections.abc import Iterable
+from typing import TYPE_CHECKING
 
-from apigateway.config_validation import ConfigProblem, InvalidConfigFileError
+from apigateway.core.request_lifecycle import RequestDispatcher
 from apigateway.daemon.config import Config
-from apigateway.daemon.settings import Settings
-from apigateway.daemon.settings_runtime import compile_ratelimit_rules
-from apigateway.frontends.grpc.mapping import DescriptorMapping
+from apigateway.daemon.gateway_status import RateLimitListenerStatus, RateLimitStatus
+from apigateway.daemon.ratelimit_config import RateLimitConfig
 from apigateway.frontends.grpc.tokens import QuotaTokens, RedeemedTokens, TokenKeys
-from apigateway.upstream.address import Address, read_address
+from apigateway.upstream.address import Address
 
 if TYPE_CHECKING:
-    from apigateway.daemon.node import GatewayNode
+    from apigateway.daemon.interfaces import Frontend
     from apigateway.external_ratelimit.limiter import EnvoyRateLimiter
     from apigateway.external_ratelimit.service_config import ExternalServiceConfig
     from apigateway.frontends.grpc.frontend import GrpcFrontend
-    from apigateway.frontends.grpc.settings import RateLimitSection
-
-MOST_KEY = 4096  # bytes of a file with a key for tokens
-LEAST_KEY = 16
-
-
-@dataclass(frozen=True, slots=True)
-class Built:
-    """What settings and the files that they name come to. `serves`: there is a listener for it."""
-
-    part: RateLimitSection
-    serves: bool
-    mapping: DescriptorMapping
-    keys: TokenKeys | None
-    context: ssl.SSLContext | None
-    files: tuple[str, ...]  # digests of the files read
-    asked: ExternalServiceConfig | None
-
-
-class Files:
-    """Files that settings name, beside them. All that is wrong is told at once."""
-
-    def __init__(self, path: str) -> None:
-        self.path, self.folder = path, os.path.dirname(os.path.abspath(path))
-        self.faults: list[ConfigProblem] = []
-        self.digests: list[str] = []
-
-    def fault(self, key: str, name: str, reason: str, remedy: str) -> None:
-        self.faults.append(ConfigProblem(self.path, key, repr(name), reason, remedy))
-
-    def read(self, key: str, name: str, most: int = 1024 * 1024) -> bytes | None:
-        try:
-            with open(os.path.join(self.folder, name), "rb") as file:
-                data = file.read(most + 1)
-        except OSError as err:
-            self.fault(key, name, f"cannot be read ({err.strerror})", "check the path and its rights")
-            return None
-        if len(data) > most:
-            self.fault(key, name, f"is longer than {most} bytes", "is it the right file?")
-            return None
-        self.digests.append(hashlib.sha256(data).hexdigest())
-        return data
-
-    def place(self, name: str) -> str:
-        return os.path.join(self.folder, name)
-
-    def pair(self, context: ssl.SSLContext, at: str, cert: str, key: str) -> None:
-        """A certificate with its key."""
-        found = [self.read(f"{at}.{what}", name) for what, name in (("cert", cert), ("key", key))]
-        if None in found:
-            return
-        try:
-            context.load_cert_chain(self.place(cert), self.place(key), password=lambda: b"")
-        except (ssl.SSLError, OSError, ValueError) as err:
-            self.fault(
-                f"{at}.cert",
-                cert,
-                f"is no certificate with the key {key!r} ({told(err)})",
-                "give a PEM chain and its key without a password",
-            )
-
-    def authority(self, context: ssl.SSLContext, key: str, name: str) -> None:
-        if self.read(key, name) is None:
-            return
-        try:
-            context.load_verify_locations(self.place(name))
-        except (ssl.SSLError, OSError) as err:
-            self.fault(key, name, f"holds no certificates ({told(err)})", "give them as PEM")
-
-
-def told(err: Exception) -> str:
-    return str(getattr(err, "reason", "") or err.__class__.__name__).lower().replace("_", " ")
-
-
-def wanted(settings: Settings) -> bool:
-    return serves(settings) or bool(settings.ratelimit.token_keys or settings.ask.address)
-
-
-def serves(settings: Settings) -> bool:
-    return any(one.protocol == "grpc" for one in settings.listeners)
-
-
-def build(path: str, settings: Settings, config: Config) -> Built | None:
-    """None: settings want nothing of it. Reads files: to be called beside the loop. Raises
-    InvalidConfigFileError."""
-    if not wanted(settings):
-        return None
-    files, part, module = Files(path), settings.ratelimit, config.settings
-    mapping = compile_ratelimit_rules(
-        part, module.plans, module.classes, module.gateway_count, config.span
-    )  # checked at load
-    keys = read_keys(files, part.token_keys)
-    context = server_context(files, part) if serves(settings) else None
-    asked = to_asked(files, settings)
-    if files.faults:
-        raise InvalidConfigFileError(files.faults)
-    return Built(part, serves(settings), mapping, keys, context, tuple(files.digests), asked)
 
+HEALTH_SERVICE = "grpc.health.v1.Health"
 
-def read_keys(files: Files, names: list[str]) -> TokenKeys | None:
-    found = []
-    for number, name in enumerate(names):
-        data = files.read(f"ratelimit.token_keys[{number}]", name, MOST_KEY)
-        if data is not None and len(data.strip()) < LEAST_KEY:
-            files.fault(
-                f"ratelimit.token_keys[{number}]",
-                name,
-                f"holds less than {LEAST_KEY} bytes",
-                "make one by: head -c 32 /dev/urandom | base64",
-            )
-        elif data is not None:
-            found.append(data.strip())
-    if len(found) < len(names) or not names:
-        return None
-    try:
-        return TokenKeys(found)
-    except ValueError as err:
-        files.fault("ratelimit.token_keys", ", ".join(names), str(err), "make another key")
-        return None
 
+class RateLimitServices:
+    """All rate limit services of one gateway, in force once `take_up` was called.
 
-def server_context(files: Files, part: RateLimitSection) -> ssl.SSLContext | None:
-    """With `client_ca` clients have to show a certificate that it signed."""
-    tls = part.tls
-    if not tls.cert:
-        return None
-    context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    context.minimum_version = ssl.TLSVersion.TLSv1_2
-    context.set_alpn_protocols(["h2"])
-    files.pair(context, "ratelimit.tls", tls.cert, tls.key)
-    if tls.client_ca:
-        context.verify_mode = ssl.CERT_REQUIRED
-        files.authority(context, "ratelimit.tls.client_ca", tls.client_ca)
-    return context
+    Attributes:
+        config: In force, or what `take_up` is to be called with first.
+        tokens: None: none are given.
+    """
 
+    def __init__(self, core: RequestDispatcher, config: Config, ratelimit_config: RateLimitConfig) -> None:
+        """Store the collaborators.
 
-def to_asked(files: Files, settings: Settings) -> ExternalServiceConfig | None:
-    part = settings.ask
-    if not part.address:
-        return None
-    from apigateway.external_ratelimit.circuit_breaker import CheckSettings, FailureMode
-    from apigateway.external_ratelimit.service_config import ExternalServiceConfig
-
-    context, before = None, len(files.digests)
-    if part.tls.on:
-        context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-        context.minimum_version = ssl.TLSVersion.TLSv1_2
-        context.set_alpn_protocols(["h2"])
-        if part.tls.ca:
-            files.authority(context, "ask.tls.ca", part.tls.ca)
+        Args:
+            core: Takes the checks, and asks the external service.
+            config: The gateway's; of it only what no reload changes is used.
+            ratelimit_config: For the first `take_up`.
+        """
+        self.config = ratelimit_config
+        self.tokens: QuotaTokens | None = None
+        self._core = core
+        self._gateway_name = config.name
+        self._gateway_index = config.settings.gateway_index
+        self._gateways_at_address = config.gateways_at_address
+        self._external_service: EnvoyRateLimiter | None = None
+        self._listeners: list[RateLimitListener] = []
+
+    def take_up(self, config: RateLimitConfig | None, frontends: Iterable[Frontend]) -> None:
+        """Go over to what a reload built, in one step that cannot fail.
+
+        Args:
+            config: None: the settings want no rate limit service any more.
+            frontends: All of the gateway's.
+        """
+        if config is not None:
+            self.config = config
+            self._apply_token_keys(config.token_keys)
+            self._apply_external_service(config.external_service)
         else:
-            context.load_default_certs()
-        if part.tls.cert:
-            files.pair(context, "ask.tls", part.tls.cert, part.tls.key)
-    entries = tuple((key, value) for key, _, value in (entry.partition("=") for entry in part.entries))
-    checks = CheckSettings(
-        frozenset(part.plans),
-        frozenset(part.classes),
-        part.timeout,
-        part.share,
-        FailureMode(part.failing),
-        part.failures,
-        part.rest,
-        part.most_rest,
-        part.trials,
-        part.steady,
-        part.max_waiting,
-    )
-    return ExternalServiceConfig(
-        read_address(part.address),
-        checks,
-        part.domain,
-        entries,
-        part.batch,
-        part.tls.name,
-        context,
-        ("on" if part.tls.on else "", *files.digests[before:]),
-    )
-
-
-def compared(old: Built | None, new: Built | None) -> str:
-    """What a reload read anew, for the log; empty: nothing."""
-    if old is None or new is None or old.files == new.files:
-        return ""
-    told = "certificates or keys are read anew"
-    if old.keys is not None and new.keys is not None:
-        rotation = old.keys.compare(new.keys)
-        told += ", tokens are signed by another key" if rotation.is_signing_key_new else ""
-        told += "" if rotation.are_old_tokens_valid else ", those given before hold no more"
-    return told
-
-
-class RateLimits:
-    """What a gateway has of it, once `take_up` was called. That goes over to what a reload built, in one step
-    that cannot fail."""
+            self.tokens = None
+            self._apply_external_service(None)
+        for frontend in frontends:
+            frontend.set_tokens(self.tokens)
+        if config is not None:
+            for listener in self._listeners:
+                listener.apply(config, self.tokens)
+        self._core.external_ratelimit = self._external_service
+
+    def create_frontend(
+        self, address: Address, max_connections: int, max_partial_bytes: int, config: RateLimitConfig
+    ) -> GrpcFrontend:
+        """Return a new listener's frontend; `config` may not be in force yet."""
+        listener = RateLimitListener(self._core, address, max_connections, max_partial_bytes)
+        listener.apply(config, self.tokens)
+        self._listeners.append(listener)
+        return listener.frontend
+
+    def forget_frontend(self, frontend: Frontend) -> None:
+        """Leave out a frontend that is retired, if it is one of these listeners'."""
+        self._listeners = [listener for listener in self._listeners if listener.frontend is not frontend]
+
+    def status(self) -> RateLimitStatus:
+        """Return the state for operators."""
+        external_service = self._external_service
+        return RateLimitStatus(
+            [listener.status() for listener in self._listeners],
+            dict(self.tokens.counts) if self.tokens is not None else None,
+            external_service.status() if external_service is not None else None,
+        )
 
-    def __init__(self, node: GatewayNode, built: Built) -> None:
-        self.node, self.built = node, built
-        self.tokens: QuotaTokens | None = None
-        self.outer: EnvoyRateLimiter | None = None
-        self.fronts: list[Served] = []
+    def close(self) -> None:
+        """Close the connection to the external service."""
+        if self._external_service is not None:
+            self._external_service.close()
 
-    def take_up(self, built: Built | None) -> None:
-        """None: settings want nothing of it any more."""
-        node = self.node
-        if built is None:
-            self.tokens = node.core.external_ratelimit = None
-            for front in node.fronts:
-                front.set_tokens(None)
-            self.close()
-            self.outer = None
-            return
-        self.built, part, settings = built, built.part, node.config.settings
-        if built.keys is None:
+    def _apply_token_keys(self, keys: TokenKeys | None) -> None:
+        section = self.config.section
+        if keys is None:
             self.tokens = None
         elif self.tokens is None:
-            used = RedeemedTokens(settings.gateway_index, node.config.span, part.max_tokens)
-            self.tokens = QuotaTokens(built.keys, used, part.token_time, time.time, os.urandom)
-        else:  # what was used is remembered past a rotation
-            self.tokens.keys, self.tokens.lifetime = built.keys, part.token_time
-            self.tokens.redeemed.max_tokens = part.max_tokens
-        for front in node.fronts:
-            front.set_tokens(self.tokens)
-        for served in self.fronts:
-            served.take_up(built, self.tokens)
-        if built.asked is None:
-            if self.outer is not None:
-                self.outer.close()
-            self.outer = None
-        elif self.outer is None:
-            from apigateway.external_ratelimit.limiter import EnvoyRateLimiter
+            redeemed = RedeemedTokens(self._gateway_index, self._gateways_at_address, section.max_tokens)
+            self.tokens = QuotaTokens(keys, redeemed, section.token_time, time.time, os.urandom)
+        else:  # which tokens were redeemed is remembered past a rotation of keys
+            self.tokens.keys = keys
+            self.tokens.lifetime = section.token_time
+            self.tokens.redeemed.max_tokens = section.max_tokens
+
+    def _apply_external_service(self, service: ExternalServiceConfig | None) -> None:
+        if service is None:
+            self.close()
+            self._external_service = None
+        elif self._external_service is None:
+            from apigateway.external_ratelimit.limiter import EnvoyRateLimiter  # loaded only where it is used
 
-            self.outer = EnvoyRateLimiter(built.asked, node.config.name)
+            self._external_service = EnvoyRateLimiter(service, self._gateway_name)
         else:
-            self.outer.update_config(built.asked)
-        node.core.external_ratelimit = self.outer
-
-    def front(self, address: Address, most: int, most_partial: int, built: Built) -> GrpcFrontend:
-        """A new one, by `built`, which may not be in force yet."""
-        served = Served(self.node, address, most, most_partial)
-        served.take_up(built, self.tokens)
-        self.fronts.append(served)
-        return served.front
-
-    def left(self, front: object) -> None:
-        self.fronts = [served for served in self.fronts if served.front is not front]
+            self._external_service.update_config(service)
 
-    def told(self) -> dict[str, Any]:
-        """For `api-gateway ratelimit status`."""
-        return {
-            "listeners": [served.told() for served in self.fronts],
-            "tokens": dict(self.tokens.counts) if self.tokens is not None else None,
-            "outer": self.outer.status() if self.outer is not None else None,
-        }
-
-    def close(self) -> None:
-        if self.outer is not None:
-            self.outer.close()
 
+class RateLimitListener:
+    """One listener that speaks gRPC, with its services: rate limits, health, reflection.
 
-class Served:
-    """One listener with its services."""
+    Attributes:
+        frontend: Its connections.
+    """
 
-    def __init__(self, node: GatewayNode, address: Address, most: int, most_partial: int) -> None:
-        from apigateway.frontends.grpc.frontend import GrpcFrontend
+    def __init__(
+        self, core: RequestDispatcher, address: Address, max_connections: int, max_partial_bytes: int
+    ) -> None:
+        from apigateway.frontends.grpc.frontend import (
+            GrpcFrontend,  # loaded only where there is such a listener
+        )
         from apigateway.frontends.grpc.health import HealthService
         from apigateway.frontends.grpc.mapping import DescriptorMapping
         from apigateway.frontends.grpc.reflection import ReflectionService
@@ -299,35 +147,41 @@
             ServiceSettings,
         )
 
-        self.node, core = node, node.core
-        self.front = GrpcFrontend(core, address, most, most_partial)
-        self.service = RateLimitService(core, self.front, ServiceSettings(DescriptorMapping([], (), (), 1)))
-        front = self.front
-        self.health = HealthService(
-            (SERVICE_NAME,), lambda: core.is_ready and not core.is_draining and not front.is_draining
+        frontend = GrpcFrontend(core, address, max_connections, max_partial_bytes)
+        self.frontend = frontend
+        self._service = RateLimitService(core, frontend, ServiceSettings(DescriptorMapping([], (), (), 1)))
+        health = HealthService(
+            (SERVICE_NAME,), lambda: core.is_ready and not core.is_draining and not frontend.is_draining
         )
-        front.on_shutdown = self.health.notify_watches
-        reflection = ReflectionService((SERVICE_NAME, "grpc.health.v1.Health"))
-        front.set_methods(
-            {SHOULD_RATE_LIMIT_PATH: self.service.should_rate_limit, **self.health.methods()},
-            {**self.health.streams(), **reflection.streams()},
+        frontend.on_shutdown = health.notify_watches
+        reflection = ReflectionService((SERVICE_NAME, HEALTH_SERVICE))
+        frontend.set_methods(
+            {SHOULD_RATE_LIMIT_PATH: self._service.should_rate_limit, **health.methods()},
+            {**health.streams(), **reflection.streams()},
         )
 
-    def take_up(self, built: Built, tokens: QuotaTokens | None) -> None:
+    def apply(self, config: RateLimitConfig, tokens: QuotaTokens | None) -> None:
+        """Go over to another configuration."""
         from apigateway.frontends.grpc.service import ServiceSettings
 
-        part = built.part
-        self.service.settings = ServiceSettings(
-            built.mapping, part.patience, part.unmapped, part.override, part.max_descriptors, tokens
+        section = config.section
+        self._service.settings = ServiceSettings(
+            config.mapping,
+            section.patience,
+            section.unmapped,
+            section.override,
+            section.max_descriptors,
+            tokens,
+        )
+        self.frontend.tls_context = config.tls_context
+
+    def status(self) -> RateLimitListenerStatus:
+        """Return the state for operators."""
+        frontend = self.frontend
+        return RateLimitListenerStatus(
+            address=f"{frontend.address[0]}:{frontend.port}",
+            is_tls=frontend.tls_context is not None,
+            connection_count=len(frontend.connections),
+            failed_handshake_count=frontend.failed_handshakes,
+            answer_counts=dict(self._service.counts),
         )
-        self.front.tls_context = built.context
-
-    def told(self) -> dict[str, Any]:
-        front = self.front
-        return {
-            "address": f"{front.address[0]}:{front.port}",
-            "tls": front.tls_context is not None,
-            "connections": len(front.connections),
-            "handshakes failed": front.failed_handshakes,
-            "answers": dict(self.service.counts),
-        }
--- a/apigateway/daemon/settings_runtime.py
+++ b/apigateway/daemon/settings_runtime.py
@@ -10,8 +10,15 @@
 import msgspec
 
 from apigateway import messages
-from apigateway.daemon.config import Config
-from apigateway.daemon.settings_schema import Settings, customer_capacity
+from apigateway.daemon.config import Config, OverloadSettings
+from apigateway.daemon.settings_schema import (
+    ClassSection,
+    LimitsSection,
+    PlanSection,
+    RulesSection,
+    Settings,
+    customer_capacity,
+)
 from apigateway.frontends.grpc.mapping import DescriptorMapping, MappingRule
 from apigateway.frontends.grpc.settings import RateLimitSection, RuleSection
 from apigateway.membership.file import read_endpoint_file
@@ -28,50 +35,56 @@
 MIB = 1024 * 1024
 
 
-def build_config(path: str, settings: Settings, span: int = 1) -> Config:
+def build_config(path: str, settings: Settings, gateways_at_address: int = 1) -> Config:
     """Return what a gateway runs with.
 
     Args:
         path: Of the settings file; the file of hosts is named relative to its folder, and read.
         settings: As checked.
-        span: Gateways that clients know as one: workers on one address.
+        gateways_at_address: Gateways that clients know as one: workers on one address.
 
     Raises:
         InvalidConfigFileError: With all that is wrong in the file of hosts.
     """
     listeners = [read_address(listener.address) for listener in settings.listeners]
-    hosts_file = None
-    known = Listing(messages.EndpointList("cached", 0, ()), {})
+    endpoint_file = None
+    known_endpoints = Listing(messages.EndpointList("cached", 0, ()), {})
     if settings.hosts.source == "file":
-        hosts_file = os.path.join(os.path.dirname(os.path.abspath(path)), settings.hosts.file)
-        known = read_endpoint_file(hosts_file, "cached")
+        endpoint_file = os.path.join(os.path.dirname(os.path.abspath(path)), settings.hosts.file)
+        known_endpoints = read_endpoint_file(endpoint_file, "cached")
     return Config(
-        grpc=frozenset(read_address(one.address) for one in settings.listeners if one.protocol == "grpc"),
+        grpc_listeners=frozenset(
+            read_address(one.address) for one in settings.listeners if one.protocol == "grpc"
+        ),
         registry=build_registry(settings),
-        own=_build_registration(settings, listeners[0][1]),
-        trust=ReconcilerSettings(**msgspec.to_builtins(settings.trust)),
+        registration=_build_registration(settings, listeners[0][1]),
+        reconciler=ReconcilerSettings(**msgspec.to_builtins(settings.trust)),
         name=settings.gateway.name,
-        listen=listeners[0],
-        more=tuple(listeners[1:]),
+        listeners=tuple(listeners),
         discovery=read_address(settings.hosts.discovery) if settings.hosts.source == "discovery" else None,
-        hosts_file=hosts_file,
+        endpoint_file=endpoint_file,
         counter=read_address(settings.counter.address) if settings.counter.address else None,
         seed=settings.gateway.seed or random.SystemRandom().getrandbits(63),
-        memory=settings.limits.memory_mb * MIB,
-        sockets=settings.limits.sockets,
-        known=known,
+        memory_bytes=settings.limits.memory_mb * MIB,
+        max_descriptors=settings.limits.sockets,
+        known_endpoints=known_endpoints,
         settings=build_module_settings(settings),
         connect_timeout=settings.limits.connect_timeout,
-        idle_close=settings.hosts.idle_close,
-        max_open=settings.limits.max_open,
+        idle_timeout=settings.hosts.idle_close,
+        max_in_flight=settings.limits.max_open,
         linger=settings.daemon.linger,
-        finish=settings.daemon.finish,
-        span=span,
-        leave=tuple(settings.sites.leave),
-        overload=(settings.overload.lag, settings.overload.turn) if settings.overload.on else None,
+        shutdown_timeout=settings.daemon.finish,
+        gateways_at_address=gateways_at_address,
+        evacuated_zones=tuple(settings.sites.leave),
+        overload=_build_overload_settings(settings),
     )
 
 
+def _build_overload_settings(settings: Settings) -> OverloadSettings | None:
+    section = settings.overload
+    return OverloadSettings(section.lag, section.turn) if section.on else None
+
+
 def _build_registration(settings: Settings, port: int) -> RegistrationSettings | None:
     """Return how this gateway registers itself with Eureka; None: it does not."""
     if not settings.register.on:
@@ -127,52 +140,19 @@
 
 
 def build_module_settings(settings: Settings) -> messages.Settings:
-    """Return the settings of the decision module."""
-    limits, rules = settings.limits, settings.rules
+    """Return the settings of the decision module.
+
+    What a gateway of its own settings file does not know (streams, meters, peers, health checks) is off.
+    """
+    limits = settings.limits
     return messages.Settings(
         gateway_index=settings.gateway.index,
         gateway_count=settings.gateway.gateways,
         zone=settings.gateway.zone,
-        classes={
-            name: messages.ServiceClass(
-                name, c.aim, c.deadline, c.effect, c.scope, c.memory, c.worth, 0.0, False, 0.0
-            )
-            for name, c in settings.classes.items()
-        },
-        plans={
-            name: messages.Plan(
-                name,
-                p.rate,
-                p.burst,
-                p.open_limit,
-                p.price,
-                p.over_worth,
-                p.over_cost,
-                p.ceiling_rate,
-                p.ceiling_burst,
-                p.ceiling_slack,
-            )
-            for name, p in settings.plans.items()
-        },
-        limits=messages.Limits(
-            limits.cancel,
-            limits.second_copies,
-            False,
-            False,
-            limits.retry_after,
-            limits.max_attempts,
-            limits.max_retry_after,
-            limits.connect_timeout,
-        ),
-        rules=messages.Rules(
-            0.0,
-            rules.drain_grace,
-            rules.cold_share,
-            rules.cold_time,
-            rules.fall_multiple,
-            rules.fall_time,
-            0.0,
-        ),
+        classes={name: _build_class(name, section) for name, section in settings.classes.items()},
+        plans={name: _build_plan(name, section) for name, section in settings.plans.items()},
+        limits=_build_limits(limits),
+        rules=_build_rules(settings.rules),
         prices={"cross_zone": settings.hosts.cross_zone},
         has_counter=bool(settings.counter.address),
         counter_price=settings.counter.price,
@@ -185,11 +165,82 @@
         weight_meaning="none",
         max_customers=limits.max_customers or customer_capacity(limits),
         routes={
-            name: messages.Route(name, tuple(r.kinds), r.fallback) for name, r in settings.routes.items()
+            name: messages.Route(name, tuple(section.kinds), section.fallback)
+            for name, section in settings.routes.items()
         },
     )
 
 
+def _build_class(name: str, section: ClassSection) -> messages.ServiceClass:
+    return messages.ServiceClass(
+        name,
+        latency_objective=section.aim,
+        deadline=section.deadline,
+        effect=section.effect,
+        deduplication_scope=section.scope,
+        deduplication_window=section.memory,
+        priority_weight=section.worth,
+        late_priority_weight=0.0,
+        is_streaming=False,
+        latency_objective_stretch=0.0,
+    )
+
+
+def _build_plan(name: str, section: PlanSection) -> messages.Plan:
+    return messages.Plan(
+        name,
+        rate=section.rate,
+        burst=section.burst,
+        concurrency_limit=section.open_limit,
+        price_weight=section.price,
+        over_quota_weight=section.over_worth,
+        over_quota_cost=section.over_cost,
+        ceiling_rate=section.ceiling_rate,
+        ceiling_burst=section.ceiling_burst,
+        ceiling_slack=section.ceiling_slack,
+    )
+
+
+def _build_limits(section: LimitsSection) -> messages.Limits:
+    return messages.Limits(
+        can_cancel=section.cancel,
+        can_hedge=section.second_copies,
+        can_check_health=False,
+        can_message_peers=False,
+        can_tell_retry_after=section.retry_after,
+        max_attempts=section.max_attempts,
+        max_retry_after=section.max_retry_after,
+        connect_timeout=section.connect_timeout,
+    )
+
+
+def _build_rules(section: RulesSection) -> messages.Rules:
+    return messages.Rules(
+        answer_slack=0.0,
+        drain_grace=section.drain_grace,
+        initial_capacity=section.cold_share,
+        slow_start_duration=section.cold_time,
+        overload_multiple=section.fall_multiple,
+        overload_duration=section.fall_time,
+        max_poll_interval=0.0,
+    )
+
+
+def wants_plugins(settings: Settings) -> bool:
+    """Return whether plug-ins or records of requests have to be loaded."""
+    return bool(settings.plugins or settings.records.file)
+
+
+def wants_ratelimit(settings: Settings) -> bool:
+    """Return whether a rate limit service, tokens or an external service have to be loaded."""
+    return bool(has_grpc_listener(settings) or settings.ratelimit.token_keys or settings.ask.address)
+
+
+def has_grpc_listener(settings: Settings) -> bool:
+    """Return whether a listener speaks gRPC, as the rate limit service does."""
+    return any(listener.protocol == "grpc" for listener in settings.listeners)
+
+
 def compile_ratelimit_rules(
     section: RateLimitSection, plans: Iterable[str], classes: Iterable[str], gateways: int, span: int = 1
 ) -> DescriptorMapping:
--- a/tests/frontends/resp/test_client_disconnects.py
+++ b/tests/frontends/resp/test_client_disconnects.py
@@ -39,7 +39,7 @@
 async def test_a_client_that_leaves_while_it_is_not_read_has_left(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         _, writer = await node.connect()
-        seen, server = record_outcomes(node), node.node.fronts[0].server
+        seen, server = record_outcomes(node), node.node.frontends[0].server
         writer.write(command(b"first", terms(d="60000")))
         await host.arrived.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n" * MAX_PENDING_COMMANDS)  # answered behind the first
@@ -74,7 +74,7 @@
 @on_loop
 async def test_a_client_that_leaves_while_its_commands_wait_their_turn_has_left(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        server = node.node.fronts[0].server
+        server = node.node.frontends[0].server
         server.admission = admission = BusyAdmission()
         _, writer = await node.connect()
         writer.write(command(b"gone"))
@@ -95,7 +95,7 @@
         async with Node(host, path=tmp_path) as node:
             _, writer = await node.connect()
             writer.transport.pause_reading()
-            seen, server = record_outcomes(node), node.node.fronts[0].server
+            seen, server = record_outcomes(node), node.node.frontends[0].server
             while not server.connections:
                 await asyncio.sleep(0)
             (client,) = server.connections
@@ -141,7 +141,7 @@
         while await core.module.seen.get() != "ClientDisconnected":
             pass
         core.dispatch(messages.TimerExpired(0))  # the module did not hear of it in time
-        assert not core.in_flight and not node.node.hosts.open_count - len(node.node.hosts.connections)
+        assert not core.in_flight and not node.node.upstream.open_count - len(node.node.upstream.connections)
         core.module = ScriptedModule(Request=[messages.ForwardRequest("r2", "h2")])
         assert await node.ask(command(b"r2")) == SERVED
         assert [c[2] for c in two.commands] == [b"r2"]
@@ -158,20 +158,20 @@
             for sock in fill:  # the queue of those that nobody accepts is full: the next comes up late
                 sock.setblocking(False)
                 sock.connect_ex(full.getsockname())
-            while not node.node.discovery.lists_received:  # its first list names the other address
+            while not node.node.endpoint_source.lists_received:  # its first list names the other address
                 await asyncio.sleep(0)
-            node.node.hosts.update_endpoint("h1", full.getsockname())
-            node.node.hosts.connect_timeout = 60.0
+            node.node.upstream.update_endpoint("h1", full.getsockname())
+            node.node.upstream.connect_timeout = 60.0
             core.module = ScriptedModule(Request=[messages.ForwardRequest("r1", "h1")])
             _, writer = await node.connect()
             writer.write(command())
             while await core.module.seen.get() != "Request":
                 pass
-            assert node.node.hosts.pools["h1"].connecting
+            assert node.node.upstream.pools["h1"].connecting
             writer.close()
             while await core.module.seen.get() != "ClientDisconnected":
                 pass
-            assert not node.node.hosts.open_count and not core.in_flight
+            assert not node.node.upstream.open_count and not core.in_flight
             full.setblocking(False)
             for sock in fill:
                 sock.close()
--- a/tests/plugins/test_plugin_imports.py
+++ b/tests/plugins/test_plugin_imports.py
@@ -9,7 +9,7 @@
 
 def test_gateway_without_plugins_imports_only_their_settings():
     code = (
-        "import sys, apigateway.daemon.serve, apigateway.daemon.node; "
+        "import sys, apigateway.daemon.serve, apigateway.daemon.gateway_server; "
         "print(sorted(m for m in sys.modules if m.startswith(('apigateway.plugins', 'wasmtime'))))"
     )
     ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
