--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -5,7 +5,6 @@
 from apigateway import messages
 from apigateway.messages import CounterCallResult, DiscoveryMode, ListMode, Request
 from apigateway.policy import ceiling, concurrency_limit, customers, dispatch, quota_leasing, retries
-from apigateway.policy.customer_quota import CustomerQuota
 from apigateway.policy.endpoint_pool import GAIN
 from apigateway.policy.pending_queue import PendingRequest, Stage
 from apigateway.policy.state import CHECK_MARGIN, GatewayState
@@ -72,14 +71,12 @@
             self.actions.append(messages.WatchEndpoints(True))
 
     def _on_request(self, request: Request) -> None:
-        plan = self.settings.plan_of(request)
-        quota = customers.acquire(self, request, plan)
-        if quota is None:
+        pending = self._new_pending(request)
+        if pending is None:
             wait = self.settings.limits.retry_after(UNKNOWN_RETRY_AFTER)
             denied = messages.QuotaDenied(request.request_id, False, wait, 0.0, 0.0)
             self.actions.append(denied if request.is_check else messages.Reject(request.request_id, wait))
             return
-        pending = self._new_pending(request, plan, quota)
         self.pending[request.request_id] = pending
         is_late = request.remaining < CHECK_MARGIN  # no check would come in time
         is_congested = self.pool.is_congested(self.now)
@@ -89,18 +86,21 @@
         wait = ceiling.wait_time(self, pending)
         if wait > ceiling.max_wait(self, pending):
             self.reject(pending, wait, is_over_limit=True)
-        elif plan.rate and not request.is_prepaid:
+        elif pending.plan.rate and not request.is_prepaid:
             quota_leasing.acquire_units(self, pending)
         else:
             concurrency_limit.acquire_slot(self, pending)
 
-    def _new_pending(self, request: Request, plan: messages.Plan, quota: CustomerQuota) -> PendingRequest:
+    def _new_pending(self, request: Request) -> PendingRequest | None:
         service_class = self.settings.classes[request.service_class]
+        plan = self.settings.plan_of(request)
+        quota = customers.acquire(self, request, plan)
+        if quota is None:
+            return None
         units = min(request.units, self.settings.max_units)  # a check may ask for any number
         worth = service_class.priority_weight * plan.price_weight * units
         self.mean_worth += (GAIN if self.mean_worth else 1.0) * (worth - self.mean_worth)
-        response_time = self.pool.response_times[service_class.name].mean
-        value = worth / max(response_time, 1e-6)
+        value = worth / max(self.pool.response_times[service_class.name].mean, 1e-6)
         priority = service_class.priority_weight / self.max_priority if self.max_priority else 1.0
         kept_units = KEPT_PART * plan.burst * (1 - priority)
         route = self.settings.routes.get(request.route) if request.route else None
