--- a/apigateway/policy/endpoint_pool.py
+++ b/apigateway/policy/endpoint_pool.py
@@ -17,8 +17,8 @@
 CONGESTION_LIFE = 1.0  # s without an answer after which it fades
 MAX_CONGESTION_GAIN = 0.5  # weight of one answer after a long silence
 SHED_CONGESTION = 0.5  # part of answers from congested endpoints that sheds load
-LIMIT_MOST = 4.0  # attempts out per endpoint over all gateways
-SPARE_LOAD = 0.6  # part of that, below which there is spare capacity
+MAX_ATTEMPTS_PER_ENDPOINT = 4.0  # attempts out per endpoint over all gateways
+SPARE_PART = 0.6  # part of that, below which there is spare capacity
 MAX_OUT_SHARE = 2.0  # times its even part of all attempts out that one gateway may have: traffic is uneven
 MIN_MAX_OUT = 20.0  # attempts out that any gateway may have
 ENDPOINT_CONCURRENCY = 2.0  # requests an endpoint works on at once, when nothing tells more
@@ -44,7 +44,7 @@
         priors = {one.name: min(one.latency_objective / 5, one.deadline) for one in classes}
         self.response_times = routing.ResponseTimes(priors, GAIN)
         self.send_rate = routing.EventRate(SEND_RATE_SPAN)
-        self.capacity = routing.CapacityEstimator(LIMIT_MOST)
+        self.capacity = routing.CapacityEstimator(MAX_ATTEMPTS_PER_ENDPOINT)
         self.congestion = routing.FadedMean(CONGESTION_SPAN, QUICK_GAIN / 2, MAX_CONGESTION_GAIN)
         self.reported_mean_load: float | None = None  # None: no report has come
         self.max_out = 2.0  # own attempts out
@@ -68,7 +68,7 @@
         """Work out what may be chosen, of what is listed and by the operator's word."""
         up = sorted((s for s in self.endpoints.values() if s.is_up), key=lambda s: s.ring_position)
         self.available = [s for s in up if s.host.zone not in self.health.zone_health.left] or up
-        max_held = LIMIT_MOST * self.capacity.scale  # attempts out at an endpoint, over all gateways
+        max_held = MAX_ATTEMPTS_PER_ENDPOINT * self.capacity.scale  # over all gateways
         price = self.settings.prices.get("cross_zone", 0.0)
         even_part = max(1.0, max_held / self.settings.gateway_count)
         for endpoint in self.endpoints.values():
@@ -89,7 +89,7 @@
 
     def has_spare_capacity(self) -> bool:
         """Return whether endpoints have capacity for what need not be done."""
-        return self.mean_load() < SPARE_LOAD * LIMIT_MOST * self.capacity.scale
+        return self.mean_load() < SPARE_PART * MAX_ATTEMPTS_PER_ENDPOINT * self.capacity.scale
 
     def is_congested(self, now: float) -> bool:
         """Return whether most answers come from endpoints that hold too much."""
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -80,7 +80,7 @@
         self.pending[request.request_id] = pending
         is_late = request.remaining < CHECK_MARGIN  # no check would come in time
         is_congested = self.pool.is_congested(self.now)
-        if is_late or self.load_shedder.should_shed(self.now, pending.value, is_congested, self.rng):
+        if is_late or self.load_shedder.should_shed(self.now, pending, is_congested, self.rng.random()):
             self.reject(pending)
             return
         wait = ceiling.wait_time(self, pending)
@@ -98,17 +98,17 @@
         if quota is None:
             return None
         units = min(request.units, self.settings.max_units)  # a check may ask for any number
-        worth = service_class.priority_weight * plan.price_weight * units
-        self.mean_worth += (GAIN if self.mean_worth else 1.0) * (worth - self.mean_worth)
-        value = worth / max(self.pool.response_times[service_class.name].mean, 1e-6)
-        priority = service_class.priority_weight / self.max_priority if self.max_priority else 1.0
-        kept_units = KEPT_PART * plan.burst * (1 - priority)
+        priority = service_class.priority_weight * plan.price_weight * units
+        self.mean_priority += (GAIN if self.mean_priority else 1.0) * (priority - self.mean_priority)
+        density = priority / max(self.pool.response_times[service_class.name].mean, 1e-6)
+        rank = service_class.priority_weight / self.max_weight if self.max_weight else 1.0
+        kept_units = KEPT_PART * plan.burst * (1 - rank)
         route = self.settings.routes.get(request.route) if request.route else None
         kinds = route.allowed_kinds(one.host for one in self.pool.available) if route else ()
         scope = self.fault_scopes.get(request.service_class, request.plan, plan.name)
         end = self.now + request.remaining
         return PendingRequest(
-            request, service_class, plan, quota, self.now, end, worth, value, scope, kept_units, kinds
+            request, service_class, plan, quota, self.now, end, priority, density, scope, kept_units, kinds
         )
 
     def _on_counter_result(self, event: messages.CounterResult) -> None:
--- a/apigateway/policy/load_shedding.py
+++ b/apigateway/policy/load_shedding.py
@@ -1,14 +1,13 @@
-"""Load shedding: while endpoints hold too much, what is worth least a unit of work is rejected first."""
+"""Load shedding: while endpoints hold too much, requests of least priority for their work are rejected."""
 
-from random import Random
-
-from apigateway.policy.endpoint_pool import LIMIT_MOST
+from apigateway.policy.endpoint_pool import MAX_ATTEMPTS_PER_ENDPOINT
+from apigateway.policy.pending_queue import PendingRequest
 from apigateway.routing import AdmittedShare, RecentValues
 
 DECREASE_RATE = 0.7  # 1/s; how fast the admitted share falls while endpoints are congested
 RECOVERY_RATE = 0.15  # 1/s; how fast it comes back
 MIN_ADMITTED_SHARE = 0.05  # still passes, so that the end of the congestion is seen
-VALUES_COMPARED = 64  # latest requests
+REQUESTS_COMPARED = 64  # latest requests
 
 
 class LoadShedder:
@@ -16,13 +15,12 @@
 
     def __init__(self, now: float, gateway_count: int) -> None:
         self.admitted = AdmittedShare(now, DECREASE_RATE, RECOVERY_RATE, MIN_ADMITTED_SHARE)
-        self._has_many_gateways = gateway_count > LIMIT_MOST
-        self._values = RecentValues(VALUES_COMPARED)
+        self._has_many_gateways = gateway_count > MAX_ATTEMPTS_PER_ENDPOINT
+        self._densities = RecentValues(REQUESTS_COMPARED)
 
-    def should_shed(self, now: float, value: float, is_congested: bool, rng: Random) -> bool:
-        """Take up a request, and return whether to reject it."""
-        draw = rng.random()  # decides among those worth the same
-        self._values.add(value)
+    def should_shed(self, now: float, pending: PendingRequest, is_congested: bool, draw: float) -> bool:
+        """Take up a request, and return whether to reject it; `draw` decides among those of one density."""
+        self._densities.add(pending.priority_density)
         share = self.admitted.update(now, is_congested)
-        shed_count = (1 - share) * len(self._values) * self._has_many_gateways
-        return shed_count > 0 and self._values.rank(value, draw) < shed_count
+        shed_count = (1 - share) * len(self._densities) * self._has_many_gateways
+        return shed_count > 0 and self._densities.rank(pending.priority_density, draw) < shed_count
--- a/apigateway/policy/pending_queue.py
+++ b/apigateway/policy/pending_queue.py
@@ -30,8 +30,8 @@
     quota: CustomerQuota
     arrived_at: float
     deadline: float
-    worth: float  # priority weight of all its units
-    value: float  # worth a second of an endpoint's time
+    priority: float  # priority weight of all its units
+    priority_density: float  # its priority a second of an endpoint's time
     fault_scope: FaultScope
     kept_units: float  # of the quota, kept for classes of more weight
     allowed_kinds: tuple[str, ...]  # of the endpoints that its route keeps it to; none: any
@@ -53,4 +53,4 @@
         alone = is_unproven and not pending.service_class.is_safe
         request_id = pending.request.request_id if alone else ""
         route = pending.service_class.name, pending.allowed_kinds, frozenset(pending.tried), request_id
-        self.insert(route, not pending.is_over_quota, pending.value, pending)
+        self.insert(route, not pending.is_over_quota, pending.priority_density, pending)
--- a/apigateway/policy/quota_leasing.py
+++ b/apigateway/policy/quota_leasing.py
@@ -16,7 +16,7 @@
 REPORTED_PART = 0.5  # part of the local allowance that is used, after which it is reported
 CALL_TIME_COST = 0.3  # cost of a call, times the squared congestion: it grows as the counter slows
 MAX_SAMPLE = 4.0  # requests that one which asks stands for at most: more makes the count jump
-MIN_LOAD_COST = 0.2  # least cost of a unit forwarded beyond quota, in its worth: it loads what all share
+MIN_LOAD_COST = 0.2  # least cost of a unit forwarded beyond quota, in its priority: it loads what all share
 
 
 def acquire_units(state: GatewayState, pending: PendingRequest) -> None:
@@ -26,14 +26,14 @@
     # Of one far beyond its quota a gateway hears more than an even part, so its demand here tells enough.
     odds = quota.demand.observe(state.now, quota.rate / quota.spread)
     pending.grant_odds = odds * state.grant_shares[pending.plan.name, pending.request.is_retry].share
-    worth = pending.worth / max(state.mean_worth, 1e-9)
-    probability = state.counter.call_probability(worth * min(pending.grant_odds, _overuse_cost(pending)))
+    priority = pending.priority / max(state.mean_priority, 1e-9)
+    probability = state.counter.call_probability(priority * min(pending.grant_odds, _overuse_cost(pending)))
     _decide(state, pending, state.rng.random() < probability)
     _renew_lease(state, quota, min(MAX_SAMPLE, 1 / max(probability, 1e-9)))  # for those unasked too
 
 
 def _overuse_cost(pending: PendingRequest) -> float:
-    """Return what it costs in the mean to let a request in, in its worth."""
+    """Return what it costs in the mean to let a request in, as a part of its priority."""
     cost = pending.plan.over_quota_cost - pending.plan.over_quota_weight
     return (1 - pending.grant_odds) * max(MIN_LOAD_COST, cost)
 
@@ -151,10 +151,10 @@
 
 
 def _decide_waiting(state: GatewayState, quota: CustomerQuota) -> None:
-    """Decide on the requests that wait for a customer's units, those worth most a unit first."""
+    """Decide on the requests that wait for a customer's units, those of most priority a unit first."""
     waiting = _waiting(state, quota)
     quota.waiting_ids = []
-    for pending in sorted(waiting, key=lambda one: -one.worth / max(one.request.units, 1e-9)):
+    for pending in sorted(waiting, key=lambda one: -one.priority / max(one.request.units, 1e-9)):
         remaining = quota.remaining(state.now)
         if remaining + quota.leased_units < pending.request.units:
             quota.exhausted_until = state.now + max(0.0, 1 - remaining) / quota.rate
--- a/apigateway/policy/state.py
+++ b/apigateway/policy/state.py
@@ -49,8 +49,8 @@
         max_retries = max(MIN_SAVED_RETRIES, MAX_SAVED_RETRIES / settings.gateway_count)
         self.retry_budget = RetryBudget(INITIAL_RETRIES / settings.gateway_count, max_retries)
         self.load_shedder = LoadShedder(now, settings.gateway_count)
-        self.max_priority = max(one.priority_weight for one in settings.classes.values())
-        self.mean_worth = 0.0
+        self.max_weight = max(one.priority_weight for one in settings.classes.values())
+        self.mean_priority = 0.0  # of the latest requests
         self.fault_scopes = FaultScopes()
         self.draining_since = math.inf  # since when another process fills this gateway's part of the ceilings
 
@@ -59,7 +59,7 @@
         self.checks.push(min(at, pending.deadline - CHECK_MARGIN), pending.request.request_id)
 
     def may_call(self, gain: float) -> bool:
-        """Decide whether the counter is called for something of this worth."""
+        """Decide whether the counter is called for something that gains so much, in requests."""
         return self.counter.is_usable(self.now) and self.rng.random() < self.counter.call_probability(gain)
 
     def add_to_counter(self, key: int, amount: float, lifetime: float, on_result: OnResult) -> None:
--- a/tests/policy/test_pending_queue.py
+++ b/tests/policy/test_pending_queue.py
@@ -23,7 +23,9 @@
 
     def add(self, job):
         at = sum(
-            1 for one in self.jobs if (not one.is_over_quota, one.value) <= (not job.is_over_quota, job.value)
+            1
+            for one in self.jobs
+            if (not one.is_over_quota, one.priority_density) <= (not job.is_over_quota, job.priority_density)
         )
         self.jobs.insert(at, job)
 
@@ -44,7 +46,7 @@
     """As much of pending_queue.PendingRequest as the queue looks at."""
 
     def __init__(self, number, lane, value, beyond):
-        self.lane, self.value, self.is_over_quota, self.done = lane, value, beyond, False
+        self.lane, self.priority_density, self.is_over_quota, self.done = lane, value, beyond, False
         self.service_class = messages.ServiceClass(lane, 1, 3, "safe", "all", 0, 1, 0, False, 0)
         self.allowed_kinds, self.tried = (), set()
         self.possibly_executed, self.in_flight = [], {}
--- a/tests/routing/test_priority_queue.py
+++ b/tests/routing/test_priority_queue.py
@@ -1,4 +1,4 @@
-"""The priority queue by route, with lazy deletion. Its order under any steps: tests/policy/test_pending_queue.py."""
+"""The priority queue by route, with lazy deletion. Its order: tests/policy/test_pending_queue.py."""
 
 from apigateway.routing.priority_queue import DISCARDED_SLACK, PriorityQueue
 
