--- a/apigateway/daemon/settings_validation.py
+++ b/apigateway/daemon/settings_validation.py
@@ -1,24 +1,21 @@
-"""Check what no single key of the settings file shows: contradictions between keys, and addresses."""
+"""Check what no single key of the settings file shows: contradictions between keys, and addresses.
 
-from __future__ import annotations
+The tables of rate limit services are checked in settings_validation_grpc.py.
+"""
 
-import msgspec
+from __future__ import annotations
 
 from apigateway.config_validation import ConfigReader, KeyPath
-from apigateway.daemon.settings_runtime import compile_ratelimit_rules
 from apigateway.daemon.settings_schema import (
     ClassSection,
     PlanSection,
     Settings,
     customer_capacity,
 )
-from apigateway.external_ratelimit.settings import ClientTlsSection
-from apigateway.frontends.grpc.mapping import PLACEHOLDER, InvalidRuleError
-from apigateway.frontends.grpc.settings import ServerTlsSection
-from apigateway.upstream.address import Address, read_address
+from apigateway.daemon.settings_validation_address import check_address
+from apigateway.daemon.settings_validation_grpc import check_external_ratelimit, check_ratelimit
+from apigateway.upstream.address import Address
 
-# Fields of a request that ask.entries may use.
-ASK_ENTRY_FIELDS = ("customer", "plan", "class", "units", "gateway")
 # Tables without which nothing can be served, and what to add.
 REQUIRED_TABLES = {
     "listeners": "one [[listeners]]",
@@ -43,22 +40,22 @@
             reader.add_contradiction((name,), None, "none", f"add {remedy}")
     _check_counter(reader, settings)
     if settings.hosts.source == "discovery":
-        _check_address(reader, ("hosts", "discovery"), settings.hosts.discovery)
+        check_address(reader, ("hosts", "discovery"), settings.hosts.discovery)
     _check_eureka(reader, settings)
     _check_limits(reader, settings)
     for name, service_class in settings.classes.items():
         _check_class(reader, ("classes", name), service_class, settings.daemon.finish)
     for name, plan in settings.plans.items():
         _check_plan(reader, ("plans", name), plan, settings.limits.max_units)
-    _check_ratelimit(reader, settings)
-    _check_ask(reader, settings)
+    check_ratelimit(reader, settings)
+    check_external_ratelimit(reader, settings)
 
 
 def _check_listeners(reader: ConfigReader, settings: Settings, beside_platform: bool) -> None:
     keys_by_address: dict[Address, str] = {}
     for number, listener in enumerate(settings.listeners):
         path: KeyPath = ("listeners", number, "address")
-        address = _check_address(reader, path, listener.address)
+        address = check_address(reader, path, listener.address)
         if address is not None and address[1] and address in keys_by_address:
             reader.add_contradiction(
                 path,
@@ -100,7 +97,7 @@
             "name the counter",
         )
     if settings.counter.address:
-        _check_address(reader, ("counter", "address"), settings.counter.address)
+        check_address(reader, ("counter", "address"), settings.counter.address)
 
 
 def _check_limits(reader: ConfigReader, settings: Settings) -> None:
@@ -120,126 +117,6 @@
         )
 
 
-def _check_ratelimit(reader: ConfigReader, settings: Settings) -> None:
-    section = settings.ratelimit
-    grpc_listeners = [n for n, listener in enumerate(settings.listeners) if listener.protocol == "grpc"]
-    if grpc_listeners and not section.rules:
-        reader.add_contradiction(
-            ("listeners", grpc_listeners[0], "protocol"),
-            "grpc",
-            "no rule says whose a check is",
-            "add [[ratelimit.rules]] with domain, entries, customer, plan and class",
-        )
-    _check_ratelimit_rules(reader, settings)
-    _check_ratelimit_tls(reader, section.tls)
-
-
-def _check_ratelimit_rules(reader: ConfigReader, settings: Settings) -> None:
-    section = settings.ratelimit
-    try:
-        compile_ratelimit_rules(section, settings.plans, settings.classes, settings.gateway.gateways)
-    except InvalidRuleError as err:
-        number = err.args[1]
-        rule = msgspec.to_builtins(section.rules[number])
-        reader.add_contradiction(
-            ("ratelimit", "rules", number, err.key),
-            rule[err.key],
-            str(err.args[0]),
-            "mend the rule: docs/operate/ratelimit.md",
-        )
-    for number, rule in enumerate(section.rules):
-        if rule.token and not section.token_keys:
-            reader.add_contradiction(
-                ("ratelimit", "rules", number, "token"),
-                True,
-                "there is no key to sign tokens with",
-                "name files with keys in ratelimit.token_keys",
-            )
-
-
-def _check_ratelimit_tls(reader: ConfigReader, tls: ServerTlsSection) -> None:
-    if bool(tls.cert) != bool(tls.key):
-        missing = "key" if tls.cert else "cert"
-        reader.add_contradiction(
-            ("ratelimit", "tls", missing), "", "a certificate and its key go together", "name both files"
-        )
-    elif tls.client_ca and not tls.cert:
-        reader.add_contradiction(
-            ("ratelimit", "tls", "client_ca"),
-            tls.client_ca,
-            "without TLS no client shows a certificate",
-            "name cert and key",
-        )
-
-
-def _check_ask(reader: ConfigReader, settings: Settings) -> None:
-    section = settings.ask
-    if section.address:
-        _check_address(reader, ("ask", "address"), section.address)
-        if not (section.plans or section.classes):
-            reader.add_contradiction(
-                ("ask", "plans"), None, "nothing is asked about", "name plans or classes"
-            )
-    _check_ask_scope(reader, settings)
-    _check_ask_entries(reader, section.entries)
-    if section.most_rest < section.rest:
-        reader.add_contradiction(
-            ("ask", "most_rest"),
-            section.most_rest,
-            f"is shorter than rest = {section.rest}",
-            "let it be longer",
-        )
-    _check_ask_tls(reader, section.tls)
-
-
-def _check_ask_scope(reader: ConfigReader, settings: Settings) -> None:
-    for key, known in (("plans", settings.plans), ("classes", settings.classes)):
-        for name in getattr(settings.ask, key):
-            if name not in known:
-                reader.add_contradiction(
-                    ("ask", key),
-                    name,
-                    f"there is no such one of [{key}]",
-                    f"known: {', '.join(known) or 'none'}",
-                )
-
-
-def _check_ask_entries(reader: ConfigReader, entries: list[str]) -> None:
-    for entry in entries:
-        unknown = [
-            name for name in PLACEHOLDER.findall(entry.partition("=")[2]) if name not in ASK_ENTRY_FIELDS
-        ]
-        if unknown:
-            reader.add_contradiction(
-                ("ask", "entries"),
-                entry,
-                f"{{{unknown[0]}}} is nothing of a request",
-                f"known: {', '.join(ASK_ENTRY_FIELDS)}",
-            )
-
-
-def _check_ask_tls(reader: ConfigReader, tls: ClientTlsSection) -> None:
-    if not tls.on and (tls.ca or tls.cert or tls.key or tls.name):
-        reader.add_contradiction(
-            ("ask", "tls", "on"), False, "the other keys of ask.tls are for nothing", "set on = true"
-        )
-    elif bool(tls.cert) != bool(tls.key):
-        missing = "key" if tls.cert else "cert"
-        reader.add_contradiction(
-            ("ask", "tls", missing), "", "a certificate and its key go together", "name both files"
-        )
-
-
-def _check_address(reader: ConfigReader, path: KeyPath, text: str) -> Address | None:
-    try:
-        return read_address(text)
-    except ValueError:
-        reader.add_contradiction(
-            path, text, "is no address", "write it as HOST:PORT, an IPv6 host in brackets"
-        )
-        return None
-
-
 def _check_eureka(reader: ConfigReader, settings: Settings) -> None:
     if (settings.hosts.source == "eureka" or settings.register.on) and not settings.eureka.urls:
         reader.add_contradiction(
