--- a/apigateway/daemon/gateway_process.py
+++ b/apigateway/daemon/gateway_process.py
@@ -20,7 +20,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from apigateway.daemon import gateway_status, pending_signals
+from apigateway.daemon import pending_signals
 from apigateway.daemon.config import Config
 from apigateway.daemon.configuration import Configuration
 from apigateway.daemon.gateway_server import GatewayServer
@@ -34,6 +34,7 @@
 from apigateway.daemon.reload import RunningGateway, SettingsReloader
 from apigateway.daemon.settings import Settings
 from apigateway.daemon.sockets import bind_listener, match_to_listeners, sockets_from_service_manager
+from apigateway.daemon.status_answers import status_queries
 from apigateway.daemon.takeover import create_successor, handover_path, inherit_resources
 from apigateway.daemon.workers import WorkerAssignment, read_worker_assignment
 from apigateway.membership.listing import read_list, write_list
@@ -266,11 +267,7 @@
             self._on_handed_over,
             gateway.settings.daemon.handover_wait,
         )
-        predecessor.status_queries = {
-            "hosts": lambda: gateway_status.endpoint_list_status(server).as_json(),
-            "plugins": lambda: gateway_status.plugins_status(server),
-            "ratelimit": lambda: gateway_status.ratelimit_status(server).as_json(),
-        }
+        predecessor.status_queries = status_queries(gateway.server)
         self._predecessor = predecessor
         gateway.predecessor = predecessor
         predecessor.open()
--- a/apigateway/daemon/gateway_status.py
+++ b/apigateway/daemon/gateway_status.py
@@ -5,23 +5,16 @@
 
 from __future__ import annotations
 
-import math
-import time
 from collections.abc import Sequence
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
 from apigateway import messages
-from apigateway.daemon.endpoint_load import EndpointLoad, assumed_load
-from apigateway.daemon.endpoint_source import reconciler_of
-from apigateway.policy import Gateway
+from apigateway.daemon.endpoint_load import EndpointLoad
 from apigateway.upstream.address import Address, write_address
 
 if TYPE_CHECKING:
-    from apigateway.daemon.gateway_server import GatewayServer
     from apigateway.external_ratelimit.limiter import LimiterStatus
-    from apigateway.membership.listing import Listing
-    from apigateway.membership.reconciler import EndpointReconciler
 
 # The decision module's words for states of an endpoint, in those of operators; others are the same.
 _STATE_FOR_OPERATORS = {"leaving": "draining", "down": "gone"}
@@ -159,64 +152,3 @@
             "tokens": self.token_counts,
             "outer": self.external_service,
         }
-
-
-def endpoint_list_status(server: GatewayServer) -> EndpointListStatus:
-    """Return what a gateway knows of its endpoints."""
-    reconciler = reconciler_of(server.endpoint_source)
-    if reconciler is not None:
-        age_s = server.clock() - reconciler.last_update_at
-        endpoints = _reconciled_endpoints(reconciler, server.clock())
-    else:
-        age_s = time.monotonic() - server.endpoint_list.received_at
-        endpoints = _received_endpoints(server.endpoint_list.listing)
-    return EndpointListStatus(
-        _source_name(server), age_s if age_s < math.inf else None, endpoints, _selection_status(server)
-    )
-
-
-def _reconciled_endpoints(reconciler: EndpointReconciler, now: float) -> list[EndpointStatus]:
-    return [
-        EndpointStatus(
-            record.accepted.endpoint, record.accepted.address, record.doubt, now - record.state_since
-        )
-        for record in reconciler.records.values()
-    ]
-
-
-def _received_endpoints(listing: Listing) -> list[EndpointStatus]:
-    return [
-        EndpointStatus(endpoint, listing.addresses.get(endpoint.id)) for endpoint in listing.hosts.endpoints
-    ]
-
-
-def _source_name(server: GatewayServer) -> str:
-    if server.config.endpoint_file is not None:
-        return f"file {server.config.endpoint_file}"
-    url = getattr(server.endpoint_source, "url", "")
-    return f"{'discovery' if server.config.discovery else 'registry'} {url}"
-
-
-def _selection_status(server: GatewayServer) -> SelectionStatus | None:
-    module = server.core.module
-    if not isinstance(module, Gateway):
-        return None
-    pool = module.pool
-    now = server.clock()
-    loads = {endpoint_id: assumed_load(pool, endpoint_id, now) for endpoint_id in pool.endpoints}
-    return SelectionStatus(
-        {endpoint_id: load for endpoint_id, load in loads.items() if load is not None},
-        dict(pool.choice_counts),
-        server.config.evacuated_zones,
-        pool.health.zone_health.told(now),
-    )
-
-
-def plugins_status(server: GatewayServer) -> dict[str, Any]:
-    """Return the plug-ins' status as JSON, as they tell it."""
-    return server.plugins.status() if server.plugins is not None else {"plugins": [], "records": None}
-
-
-def ratelimit_status(server: GatewayServer) -> RateLimitStatus:
-    """Return the state of a gateway's rate limit services."""
-    return server.ratelimit.status() if server.ratelimit is not None else RateLimitStatus()
--- a/tests/daemon/test_gateway_process.py
+++ b/tests/daemon/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""The service manager's side: what it is told, and the sockets that it passes."""
+"""A gateway's process: what the service manager is notified of, sockets passed in, signals, hand-over."""
 
 import asyncio
 import json
--- a/tests/daemon/test_gateway_server.py
+++ b/tests/daemon/test_gateway_server.py
@@ -1,4 +1,4 @@
-"""Each request's one answer, the module's failures, timers, the end."""
+"""A gateway server in this process: each request's one answer, the decision module's failures, timers, the stop."""
 
 import asyncio
 import logging
--- a/tests/daemon/test_platform.py
+++ b/tests/daemon/test_platform.py
@@ -235,7 +235,8 @@
         "'apigateway.policy.overload_gate', 'apigateway.core.admission', "
         "'apigateway.frontends.resp.command_scanner', "
         "'apigateway.daemon.serve', 'apigateway.daemon.settings', 'apigateway.daemon.gateway_process', "
-        "'apigateway.daemon.reload', 'apigateway.daemon.gateway_status', 'apigateway.daemon.interfaces', "
+        "'apigateway.daemon.reload', 'apigateway.daemon.gateway_status', 'apigateway.daemon.status_answers', "
+        "'apigateway.daemon.interfaces', "
         "'apigateway.membership.file'))])"
     )
     ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -7,7 +7,7 @@
 from netkit import PATIENCE, SERVED, Node, StubHost, command, entry, on_loop
 
 from apigateway import messages
-from apigateway.daemon.gateway_status import endpoint_list_status
+from apigateway.daemon.status_answers import endpoint_list_status
 from apigateway.membership import watch_schedule
 from apigateway.membership.discovery import CallResult
 from apigateway.membership.listing import read_list
