--- a/apigateway/policy/customer_quota.py
+++ b/apigateway/policy/customer_quota.py
@@ -5,7 +5,7 @@
 
 from apigateway.hashing import stable_hash
 from apigateway.messages import Plan, Request
-from apigateway.routing import DemandEstimator, LeaseLedger, TokenBucketShare
+from apigateway.routing import LeaseLedger, TokenBucketShare
 
 LOCAL_PART = 0.5  # part of an even share of what remains that is used without a lease
 MIN_STRAND_COST = 0.05  # least chance that an unspent unit is missed elsewhere, customer nearly idle
@@ -18,6 +18,8 @@
 class CustomerQuota(LeaseLedger):
     """A customer's units of the current window and its ceiling, as far as they are known here."""
 
+    __slots__ = ("ceiling", "is_known", "last_seen_at", "name", "open_attempts", "plan", "waiting_ids")
+
     def __init__(self, request: Request, plan: Plan, born: float, now: float, rng: Random) -> None:
         phase = stable_hash(request.customer, "phase") % PHASES / PHASES
         super().__init__(plan.rate, plan.burst, request.gateway_spread, phase, now, rng.random)
@@ -25,10 +27,8 @@
         self.plan = plan
         self.last_seen_at = now
         self.is_known = True  # False: was evicted within its windows, so what it used is asked for first
-        self.is_call_out = False  # of the counter, about its units
         self.waiting_ids: list[str] = []  # of requests that wait for it
         self.open_attempts = 0  # that hold a slot of this gateway
-        self.demand = DemandEstimator(now)
         # No failure can pass an even share. It is empty at a start: the last process's use is unknown.
         tokens = min(plan.ceiling_burst, (now - born) * plan.ceiling_rate) / self.spread
         self.ceiling = TokenBucketShare(plan.ceiling_rate, plan.ceiling_burst, self.spread, tokens, now)
@@ -40,14 +40,14 @@
 
     def widen(self, spread: int) -> None:
         """Spread it over more gateways: requests may name sets of their own, and the largest fits all."""
-        self.spread = spread
+        self.set_spread(spread)
         self.ceiling.set_parts(spread)
 
     def window_limit(self, now: float) -> float:
         """Return what all may have used by now; less of a thin one: its overdraft is not carried along."""
-        if not self.is_thin:
-            return super().window_limit(now)
         elapsed = now - self.window_start
+        if not self.is_thin:
+            return self.burst + self.rate * elapsed
         opened = min(1.0, OPENING_PART + (1 - OPENING_PART) * elapsed / (OPENING_SPAN * self.window_length))
         return min(self.burst, max(1.0, self.burst * opened)) + THIN_REFILL * self.rate * elapsed
 
--- a/apigateway/policy/endpoint_pool.py
+++ b/apigateway/policy/endpoint_pool.py
@@ -103,7 +103,8 @@
     def has_capacity(self, endpoint: EndpointState, now: float, scope: Scope = ("host",)) -> bool:
         """Return whether an endpoint may get another attempt now."""
         is_full = self.attempts_out >= self.max_out or len(endpoint.attempts_out) >= endpoint.max_attempts
-        if not endpoint.is_up or is_full or (endpoint.backoff and endpoint.backoff.is_paused(scope, now)):
+        backoff = endpoint.backoff
+        if not endpoint.is_up or is_full or (backoff.failures and backoff.is_paused(scope, now)):
             return False
         return not endpoint.host.started_at or self._has_slow_start_token(endpoint, now)
 
--- a/apigateway/policy/quota_leasing.py
+++ b/apigateway/policy/quota_leasing.py
@@ -96,7 +96,6 @@
     if asked + quota.unreported_units <= 0:
         _decide_waiting(state, quota)
         return
-    quota.is_call_out = True
     entry = quota.begin_call(asked, needed * (sample - 1))
     _count(state, quota, entry, partial(_on_counted, state, quota, entry))
 
--- a/apigateway/policy/selection.py
+++ b/apigateway/policy/selection.py
@@ -55,16 +55,12 @@
     if count < len(endpoints) or len(endpoints) > MAX_COMPARED:
         candidates = _draw(state, pending, endpoints, min(count, MAX_CANDIDATES))
     if not candidates:
-        candidates = [one for one in endpoints if _fits(state, pending, one)]
+        candidates = [one for one in endpoints if pool.has_capacity(one, state.now, pending.fault_scope)]
+        if pending.tried or pending.allowed_kinds:
+            candidates = [one for one in candidates if is_eligible(state, pending, one)]
     return _least_costly(state, pending.fault_scope, candidates)
 
 
-def _fits(state: GatewayState, pending: PendingRequest, endpoint: EndpointState) -> bool:
-    if not state.pool.has_capacity(endpoint, state.now, pending.fault_scope):
-        return False
-    return not (pending.tried or pending.allowed_kinds) or is_eligible(state, pending, endpoint)
-
-
 def _draw(state: GatewayState, pending: PendingRequest, endpoints: Endpoints, count: int) -> Endpoints:
     """Draw endpoints that fit, each as likely as its weight, health and slow start say."""
     pool = state.pool
@@ -131,7 +127,8 @@
     first = int(state.rng.random() * size)
     for step in range(size):
         endpoint = pool.available[(first + step) % size]
-        if not endpoint.in_subset and _fits(state, pending, endpoint):
+        has_capacity = not endpoint.in_subset and pool.has_capacity(endpoint, state.now, pending.fault_scope)
+        if has_capacity and is_eligible(state, pending, endpoint):
             pool.choice_counts["outside"] += 1
             return endpoint
     return None
--- a/apigateway/routing/lease_ledger.py
+++ b/apigateway/routing/lease_ledger.py
@@ -12,6 +12,7 @@
 from dataclasses import dataclass
 
 from apigateway.messages import CounterCallResult
+from apigateway.routing.demand import DemandEstimator
 
 LOCAL_SHARE_GAIN = 0.5  # weight of the latest window in the part of the use that is here
 TOTAL_PRECISION = 1e-4  # part of a total, seven digits of which are exact: less than that is no difference
@@ -45,23 +46,52 @@
         draw: returns random numbers from 0 to 1; one is kept for each window.
     """
 
+    __slots__ = (  # there is one for each customer
+        "_draw",
+        "burst",
+        "carried_units",
+        "debt_units",
+        "demand",
+        "exhausted_until",
+        "is_call_out",
+        "is_thin",
+        "leased_units",
+        "local_share",
+        "previous_used_units",
+        "rate",
+        "reported_units",
+        "rounding_draw",
+        "spare_units",
+        "spread",
+        "total_units",
+        "unconfirmed_units",
+        "unreported_units",
+        "used_units",
+        "window_index",
+        "window_length",
+        "window_offset",
+        "window_start",
+    )
+
     def __init__(
         self, rate: float, burst: float, spread: int, phase: float, now: float, draw: Callable[[], float]
     ) -> None:
         self.rate = rate
         self.burst = burst
-        self.spread = spread
         self._draw = draw
+        self.set_spread(spread)
         self.local_share = 1.0 / spread  # of the quota's use that is here
+        self.demand = DemandEstimator(now)
+        self.is_call_out = False  # one that reports or asks for units
         self.used_units = 0.0  # here, in this window
         self.window_length = burst / rate if rate else 1.0  # s
         self.window_offset = phase * self.window_length
         self._open_window(self._window_at(now), 0.0)
 
-    @property
-    def is_thin(self) -> bool:
-        """Whether an even part of the burst is less than a unit."""
-        return 0 < self.burst < self.spread
+    def set_spread(self, spread: int) -> None:
+        """Set how many users share the quota."""
+        self.spread = spread
+        self.is_thin = 0 < self.burst < spread  # an even part of the burst is less than a unit
 
     @property
     def window_end(self) -> float:
@@ -139,7 +169,16 @@
             self.used_units -= units
 
     def begin_call(self, asked: float, extra: float) -> LedgerEntry:
-        """Return what a call adds that reports all units and asks for others; `extra` corrects the count."""
+        """Begin a call that reports all units and asks for others; its end sets `is_call_out` back.
+
+        Args:
+            asked: units to lease.
+            extra: units to correct the count.
+
+        Returns:
+            What it adds.
+        """
+        self.is_call_out = True
         entry = LedgerEntry(self.window_index, self.unreported_units, asked, extra, self.spare_units)
         self.total_units += self.unreported_units
         self.unreported_units = 0.0
--- a/tests/daemon/test_gateway_server.py
+++ b/tests/daemon/test_gateway_server.py
@@ -1,4 +1,4 @@
-"""A gateway server in this process: each request's one answer, the decision module's failures, timers, the stop."""
+"""A gateway server in this process: one answer for each request, failures of the module, timers, the stop."""
 
 import asyncio
 import logging
