--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -12,8 +12,8 @@
 from apigateway.cli.exit_codes import ExitCode
 from apigateway.cli.running_gateway import Status, StatusByWorker, format_answers, query_running_gateway
 from apigateway.config_validation import InvalidConfigFileError
+from apigateway.daemon.gateway_status import EndpointStatus
 from apigateway.daemon.handover import HandoverError
-from apigateway.daemon.node import described
 from apigateway.daemon.settings import Settings, read_settings
 from apigateway.daemon.settings_runtime import build_registry
 from apigateway.membership.listing import Listing
@@ -70,7 +70,7 @@
         return {
             "source": f"registry {source.url}",
             "age": time.time() - source.reconciler.last_update_at,
-            "hosts": [described(report.endpoint, report.address) for report in accepted],
+            "hosts": [EndpointStatus(report.endpoint, report.address).as_json() for report in accepted],
             "left out": list(source.malformed),
         }
     finally:
--- /dev/null
+++ b/apigateway/daemon/gateway_server.py
@@ -0,0 +1,358 @@
+"""Assemble one gateway from its configuration, and start, reconfigure and stop it.
+
+What it is made of: the core, frontends, connections to endpoints, the quota counter's client, the endpoint
+list and its source; rate limit services and plug-ins where the settings have some.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+import time
+from collections.abc import Collection, Coroutine, Mapping, Sequence
+from dataclasses import replace
+from typing import TYPE_CHECKING
+
+from apigateway import messages
+from apigateway.core.clock import MonotonicUnixClock
+from apigateway.core.request_lifecycle import RequestDispatcher
+from apigateway.counter.client import QuotaCounterClient
+from apigateway.daemon.config import Config
+from apigateway.daemon.endpoint_list import EndpointListState
+from apigateway.daemon.endpoint_source import EndpointSourceFactory, reconciler_driver_of
+from apigateway.daemon.graceful_shutdown import complete_requests, retire_frontend
+from apigateway.frontends.resp.frontend import RespFrontend
+from apigateway.membership.listing import Listing
+from apigateway.policy import Gateway
+from apigateway.upstream.address import Address
+from apigateway.upstream.upstream_connections import UpstreamConnections
+
+if TYPE_CHECKING:
+    from apigateway.core.admission import AdmissionController
+    from apigateway.daemon.interfaces import EndpointSource, Frontend
+    from apigateway.daemon.ratelimit import RateLimitServices
+    from apigateway.daemon.ratelimit_config import RateLimitConfig
+    from apigateway.plugins.manager import PluginManager
+    from apigateway.policy.overload_gate import Gate
+
+# Bytes that the program takes itself, with some to spare.
+PROGRAM_BYTES = 40 * 1024 * 1024
+# Bytes of request bodies, and as many of incomplete commands, for which there is always room.
+MIN_BODY_BYTES = 4 * 1024 * 1024
+# Part of the memory left by the program that request bodies may take, and likewise incomplete commands.
+BODY_MEMORY_DIVISOR = 4
+# File descriptors that are neither clients' nor endpoints' connections.
+RESERVED_DESCRIPTORS = 64
+
+log = logging.getLogger(__name__)
+
+
+class GatewayServer:
+    """One gateway. `start` and `stop` are its life.
+
+    A process that takes over from another calls `prepare`, `begin` and `listen` in place of `start`; one that
+    hands over calls `pause`, and `resume` if the successor failed.
+
+    Attributes:
+        config: In force.
+        clock: Unix time in seconds that never steps; one for the decision module's start and all its events.
+        core: The requests in flight.
+        upstream: Connections to the endpoints.
+        counter: None where the configuration has none.
+        endpoint_list: As last received.
+        endpoint_source: Where it comes from.
+        frontends: One for each listener.
+        ratelimit: Rate limit services; None: the settings want none.
+        plugins: Plug-ins that are asked about requests; None: none are.
+    """
+
+    def __init__(self, config: Config, ratelimit_config: RateLimitConfig | None = None) -> None:
+        """Build all parts; nothing runs yet.
+
+        Args:
+            config: What it runs with.
+            ratelimit_config: What to build of rate limit services; None: nothing of them is loaded.
+        """
+        self.config = config
+        self.loop = asyncio.get_running_loop()
+        self.clock = MonotonicUnixClock()
+        # Half of all connections are clients'; the other half goes to endpoints.
+        self._max_client_connections = (
+            max(config.max_descriptors - RESERVED_DESCRIPTORS, config.max_descriptors // 2) // 2
+        )
+        # Past its limit of memory the process is killed.
+        self._max_body_bytes = max(
+            MIN_BODY_BYTES, (config.memory_bytes - PROGRAM_BYTES) // BODY_MEMORY_DIVISOR
+        )
+        self.upstream = UpstreamConnections(
+            config.connect_timeout, config.idle_timeout, self._max_client_connections
+        )
+        self.counter = _create_counter(config)
+        self.core = self._create_core()
+        self.endpoint_list = EndpointListState(self.core, config.known_endpoints)
+        self.frontends: list[Frontend] = []
+        self._overload_gate: Gate | None = None
+        self.apply_overload_settings(config)
+        self.ratelimit: RateLimitServices | None = None
+        if ratelimit_config is not None:
+            self.ratelimit = self.create_ratelimit_services(ratelimit_config)
+            self.ratelimit.take_up(ratelimit_config, self.frontends)
+        self.frontends = [
+            self.create_frontend(address, config, self.ratelimit, ratelimit_config)
+            for address in config.listeners
+        ]
+        self._source_factory = EndpointSourceFactory(self.core, self.endpoint_list)
+        self.endpoint_source: EndpointSource = self._source_factory.create(config)
+        self.core.membership = self.endpoint_source
+        self.plugins: PluginManager | None = None
+        self._closing_tasks: set[asyncio.Task[None]] = set()  # of what a reload replaced
+
+    # Assembly
+
+    def _create_core(self) -> RequestDispatcher:
+        return RequestDispatcher(
+            self.config.settings,
+            self._create_decision_module(),
+            self.upstream,
+            self.counter,
+            self.loop,
+            self.config.max_in_flight,
+            self._max_body_bytes,
+            self.clock,
+        )
+
+    def _create_decision_module(self) -> Gateway:
+        return Gateway(self.config.settings, self.config.seed, self.clock())
+
+    def create_ratelimit_services(self, ratelimit_config: RateLimitConfig) -> RateLimitServices:
+        """Return rate limit services that are not in force yet."""
+        from apigateway.daemon.ratelimit import RateLimitServices  # loaded only where settings want it
+
+        return RateLimitServices(self.core, self.config, ratelimit_config)
+
+    def create_frontend(
+        self,
+        address: Address,
+        config: Config,
+        ratelimit: RateLimitServices | None = None,
+        ratelimit_config: RateLimitConfig | None = None,
+    ) -> Frontend:
+        """Return a frontend for a listener's address; it does not listen yet.
+
+        Args:
+            address: Of the listener.
+            config: Names the listener; it may not be in force yet.
+            ratelimit: Serves those listeners that speak gRPC.
+            ratelimit_config: Likewise; it may not be in force yet.
+        """
+        if address in config.grpc_listeners:
+            assert ratelimit is not None and ratelimit_config is not None
+            return ratelimit.create_frontend(
+                address, self._max_client_connections, self._max_body_bytes, ratelimit_config
+            )
+        frontend = RespFrontend(
+            self.core, self._max_client_connections, self._max_body_bytes, address, config.gateways_at_address
+        )
+        frontend.set_tokens(ratelimit.tokens if ratelimit is not None else None)
+        return frontend
+
+    # Start
+
+    async def start(self) -> int:
+        """Start serving and return the port that clients connect to."""
+        self.prepare()
+        return await self.listen()
+
+    def prepare(self) -> None:
+        """Start everything but the listeners, so that endpoints are known before the first request."""
+        self.endpoint_list.apply(self.config.known_endpoints)
+        if self.config.evacuated_zones:
+            self.endpoint_list.evacuate_zones(self.config.evacuated_zones)
+        self.upstream.start_checks()
+        if self.counter:
+            self.counter.start()
+        if self.core.settings.discovery_mode == "push":
+            self.endpoint_source.watch(True)
+
+    async def listen(self, sockets: Mapping[Address, socket.socket] | None = None) -> int:
+        """Accept connections.
+
+        Args:
+            sockets: Used in place of new ones; each frontend gets a duplicate, and these stay open.
+
+        Returns:
+            The first frontend's port.
+        """
+        self._share_limits()
+        for frontend in self.frontends:
+            sock = sockets.get(frontend.address) if sockets else None
+            await frontend.listen(sock.dup() if sock is not None else None)
+        return self.frontends[0].port
+
+    def _share_limits(self) -> None:
+        """Give each frontend an even part of the connections and of the bytes of incomplete commands."""
+        count = len(self.frontends)
+        for frontend in self.frontends:
+            frontend.set_limits(self._max_client_connections // count, self._max_body_bytes // count)
+
+    # Reconfiguration: nothing here waits, and nothing can fail
+
+    def reload(self, config: Config) -> None:
+        """Switch to the addresses of a new platform configuration.
+
+        The rest of it takes effect at the next start.
+        """
+        if self.core.is_draining:
+            return
+        old = self.config
+        self.config = config
+        if _platform_settings_of(old) != _platform_settings_of(config):
+            log.warning("only new addresses of discovery and counter are taken up before the next start")
+        self.change_counter_address(config.counter)
+        self.switch_endpoint_source(self.create_endpoint_source(config))
+        if config.discovery:
+            log.info("new configuration: discovery %s:%d", *config.discovery)
+
+    def change_counter_address(self, address: Address | None) -> None:
+        """Go to another address, if there is a counter now and in the new configuration."""
+        if self.counter and address:
+            self.counter.change_address(address)
+
+    def create_endpoint_source(self, config: Config) -> EndpointSource:
+        """Return a source for `switch_endpoint_source`."""
+        return self._source_factory.create(config, self.endpoint_source)
+
+    def switch_endpoint_source(self, source: EndpointSource) -> None:
+        """Take the endpoint list from another source; the last list stays until that one reports its own."""
+        replaced = self.endpoint_source
+        self.endpoint_source = source
+        self.core.membership = source
+        if replaced.watching:  # the watch begins with the whole list: another service has its own versions
+            source.watch(True)
+        replaced.watch(False)  # at once: what it receives in this turn of the loop is not heard any more
+        self._close_in_background(replaced.close())
+
+    def apply_overload_settings(self, config: Config) -> None:
+        """Shed load early, or not, as a configuration says; never on the platform."""
+        self.core.admission = self._admission_controller(config)
+        for frontend in self.frontends:
+            frontend.update_admission()
+
+    def _admission_controller(self, config: Config) -> AdmissionController | None:
+        if config.overload is None:
+            return None
+        from apigateway.core.admission import AdmissionController
+        from apigateway.policy.overload_gate import Gate
+
+        limits = config.settings.limits
+        max_retry_after = limits.max_retry_after if limits.can_tell_retry_after else 0.0
+        terms = (*config.overload, max_retry_after)
+        if self._overload_gate is None:
+            self._overload_gate = Gate(*terms, config.seed)
+        self._overload_gate.set(*terms)
+        return self.core.admission or AdmissionController(self._overload_gate, self.loop)
+
+    def replace_frontends(self, added: Sequence[Frontend], removed: Collection[Address]) -> list[Frontend]:
+        """Serve other listeners from now on, and return the frontends that are to be retired."""
+        retired = [frontend for frontend in self.frontends if frontend.address in removed]
+        kept = [frontend for frontend in self.frontends if frontend.address not in removed]
+        self.frontends = [*kept, *added]
+        self._share_limits()
+        return retired
+
+    def retire_frontend(self, frontend: Frontend) -> None:
+        """Complete what a frontend has accepted, in the background, and close it."""
+        has_waiting_connections = frontend.has_pending_connections
+        if not has_waiting_connections:  # at once: who hears of the reload finds the address closed
+            frontend.start_draining()
+        self._close_in_background(retire_frontend(frontend, is_listener_open=has_waiting_connections))
+
+    def set_plugins(self, plugins: PluginManager | None) -> None:
+        """Ask these about the requests from now on; None: ask none."""
+        replaced = self.plugins
+        self.plugins = plugins
+        self.core.plugins = plugins
+        if replaced is not None and replaced is not plugins:
+            replaced.retire()
+
+    def _close_in_background(self, coroutine: Coroutine[object, object, None]) -> None:
+        task = self.loop.create_task(coroutine)
+        self._closing_tasks.add(task)
+        task.add_done_callback(self._closing_tasks.discard)
+
+    # Hand-over
+
+    async def pause(self) -> None:
+        """Accept no new connections: whoever else holds the listening sockets does.
+
+        The ceilings' token buckets fill no further: from now on the successor's do.
+        """
+        for frontend in self.frontends:
+            frontend.stop_accepting()
+        self.core.dispatch(messages.DrainGateway(True))
+
+    async def resume(self, sockets: Mapping[Address, socket.socket]) -> None:
+        """Go on as before: the successor failed."""
+        self.core.dispatch(messages.DrainGateway(False))
+        await self.listen(sockets)
+
+    def begin(self, predecessor_listing: Listing) -> None:
+        """Start the decision module anew, with the endpoints that this process knows.
+
+        An endpoint drains if either process was told that it does: the gateway was told. The source is asked
+        again, so that a drain which is over ends.
+        """
+        self.core.module = self._create_decision_module()
+        self.core.dispatch(replace(self.endpoint_list.listing.hosts, mode="cached"))
+        draining = self.endpoint_list.available_but_draining_in(predecessor_listing)
+        if not draining:
+            return
+        driver = reconciler_driver_of(self.endpoint_source)
+        if driver is not None:  # through the reconciler, or what it reports later would not be a change
+            driver.mark_draining(endpoint.id for endpoint in draining)
+        else:
+            version = self.endpoint_list.listing.hosts.version
+            self.endpoint_list.apply(Listing(messages.EndpointList("delta", version, draining), {}))
+        self.endpoint_source.fetch()
+
+    # Shutdown
+
+    async def stop(self, linger_s: float | None = None) -> None:
+        """Go on accepting for a while, complete what was accepted, and close everything.
+
+        Args:
+            linger_s: How long connections are still accepted; None: as the configuration says.
+        """
+        started_at = time.monotonic()
+        self.core.is_draining = True
+        for frontend in self.frontends:
+            frontend.announce_shutdown()
+        await asyncio.sleep(self.config.linger if linger_s is None else linger_s)
+        deadline = started_at + self.config.shutdown_timeout
+        await complete_requests(self.core, self.frontends, self.config.grpc_listeners, deadline)
+        await self._close()
+
+    async def _close(self) -> None:
+        self.upstream.close()
+        if self.counter:
+            self.counter.close()
+        await self.endpoint_source.close()
+        if self.plugins is not None:
+            self.plugins.close()
+        if self.ratelimit is not None:
+            self.ratelimit.close()
+        for task in list(self._closing_tasks):
+            task.cancel()
+        await asyncio.gather(*self._closing_tasks, return_exceptions=True)
+
+
+def _platform_settings_of(config: Config) -> tuple[object, ...]:
+    """Return what of a platform configuration takes effect at a start only, and is watched for changes."""
+    return (config.settings, config.listeners[0], config.max_descriptors)
+
+
+def _create_counter(config: Config) -> QuotaCounterClient | None:
+    if not config.counter:
+        return None
+    return QuotaCounterClient(config.counter, config.settings.counter_timeout)
--- a/apigateway/tools/demo/main.py
+++ b/apigateway/tools/demo/main.py
@@ -12,7 +12,7 @@
 from rich.console import Console
 
 from apigateway.config_validation import InvalidConfigFileError
-from apigateway.daemon.handover import query_gateway
+from apigateway.daemon.status_query import query_gateway
 from apigateway.emulators.fleet import Fleet
 from apigateway.tools.demo.installation import GRPC_CLASS, SHAPE, read_plugin_settings
 from apigateway.tools.demo.session import DemoSession
--- a/tests/frontends/grpc/test_token_redemption.py
+++ b/tests/frontends/grpc/test_token_redemption.py
@@ -35,7 +35,7 @@
         )
         self.service.settings = type(self.service.settings)(mapping, 2.0, tokens=self.tokens)
         self.node, self.number = node, 0
-        node.node.fronts[0].set_tokens(self.tokens)
+        node.node.frontends[0].set_tokens(self.tokens)
 
     async def token(self, *descriptors, **kw):
         response = await self.ask(*(descriptors or [A]), **kw)
--- a/tests/frontends/resp/test_resp_server.py
+++ b/tests/frontends/resp/test_resp_server.py
@@ -20,9 +20,9 @@
         writer.write(sent)
         assert (await read_reply(reader)).startswith(told)
         assert await reader.read() == b""
-        while node.node.fronts[0].server.connections:
+        while node.node.frontends[0].server.connections:
             await asyncio.sleep(0.01)
-        server = node.node.fronts[0].server
+        server = node.node.frontends[0].server
         assert not (server.idle_since or server.closing_since or server.partial_bytes)
 
 
@@ -50,7 +50,7 @@
                 for n in range(400):
                     writer.write(command(b"r%d" % n))
                     await writer.drain()
-            while node.node.fronts[0].server.connections:
+            while node.node.frontends[0].server.connections:
                 await asyncio.sleep(0.01)
             assert not (node.node.core.in_flight or node.node.core.body_budget.used)
 
@@ -58,7 +58,7 @@
 @on_loop
 async def test_at_the_limit_the_longest_idle_connection_is_closed_or_else_the_new_one(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        node.node.fronts[0].server.max_connections = 2
+        node.node.frontends[0].server.max_connections = 2
         roomy(node)
         first, _ = await node.connect()
         busy = []
@@ -78,7 +78,7 @@
 @on_loop
 async def test_partial_commands_of_all_connections_are_bounded(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.fronts[0].server.max_partial_bytes = 100_000
+        node.node.frontends[0].server.max_partial_bytes = 100_000
         readers = []
         for _ in range(3):
             reader, writer = await node.connect()
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -7,6 +7,7 @@
 from netkit import PATIENCE, SERVED, Node, StubHost, command, entry, on_loop
 
 from apigateway import messages
+from apigateway.daemon.gateway_status import endpoint_list_status
 from apigateway.membership import watch_schedule
 from apigateway.membership.discovery import CallResult
 from apigateway.membership.listing import read_list
@@ -78,7 +79,7 @@
         )
         while (await node.discovery.calls.get()).get("index") != "2":
             pass
-        assert set(node.node.hosts.pools) == {"h2"}
+        assert set(node.node.upstream.pools) == {"h2"}
 
 
 @on_loop
@@ -114,11 +115,13 @@
 
         node.node.core.module = Sender()
         asked = asyncio.create_task(node.ask(command()))
-        pool = node.node.hosts.pools["h1"]
+        pool = node.node.upstream.pools["h1"]
         while not pool.connecting:  # the attempt waits for its connection
             await asyncio.sleep(0)
         seen.clear()
-        node.node.listed(read_list({"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]}))
+        node.node.endpoint_list.apply(
+            read_list({"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]})
+        )
         await done.wait()
         assert seen == [messages.EndpointList, messages.AttemptOutcome, "connect_failed"]
         assert (await asked).startswith(b"-ERR") and not host.commands
@@ -174,7 +177,7 @@
         node.discovery.silent = False
         while "index" not in await node.discovery.calls.get():
             pass  # it was told the whole list, and watches again
-        assert len(await quiet(node.node.discovery)) == 1  # those that were never answered are not kept
+        assert len(await quiet(node.node.endpoint_source)) == 1  # those that were never answered are not kept
 
 
 async def quiet(source):
@@ -191,16 +194,16 @@
         while "index" not in await node.discovery.calls.get():
             pass
         node.discovery.held = held = asyncio.Event()
-        node.node.discovery.fetch()
-        (fetching,) = node.node.discovery.fetching
+        node.node.endpoint_source.fetch()
+        (fetching,) = node.node.endpoint_source.fetching
         while "index" in await node.discovery.calls.get():
             pass  # it has been asked, and its answer is of before the change
         node.discovery.change([entry(one, "h1", "draining")])
-        while set(node.node.hosts.pools) != {"h2"}:
+        while set(node.node.upstream.pools) != {"h2"}:
             await asyncio.sleep(0)
         held.set()
         await fetching
-        assert set(node.node.hosts.pools) == {"h2"} and node.node.discovery.version == 2
+        assert set(node.node.upstream.pools) == {"h2"} and node.node.endpoint_source.version == 2
 
 
 @on_loop
@@ -208,11 +211,11 @@
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
-        node.node.discovery.version = 9
-        node.node.discovery.fetch()
-        (fetching,) = node.node.discovery.fetching
+        node.node.endpoint_source.version = 9
+        node.node.endpoint_source.fetch()
+        (fetching,) = node.node.endpoint_source.fetching
         assert await fetching is CallResult.ANSWERED
-        assert node.node.discovery.version == 1
+        assert node.node.endpoint_source.version == 1
 
 
 @on_loop
@@ -239,7 +242,7 @@
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
-        old, heard, answer = node.node.discovery, [], node.node.loop.create_future()
+        old, heard, answer = node.node.endpoint_source, [], node.node.loop.create_future()
         asked = asyncio.Event()
 
         async def request(params, timeout):
@@ -251,7 +254,7 @@
         node.discovery.change([])
         await asked.wait()
         answer.set_result("a list")  # it is here, and the call goes on in the next turn of the loop
-        node.node.go_over(node.node.source(node.node.config, old.version))
+        node.node.switch_endpoint_source(node.node.create_endpoint_source(node.node.config))
         while "index" not in await node.discovery.calls.get():
             pass
         assert not heard
@@ -261,4 +264,4 @@
 async def test_status_when_discovery_is_the_source_then_names_its_url(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         url = f"http://127.0.0.1:{node.discovery.port}/v1/endpoints"
-        assert node.node.hosts_believed()["source"] == f"discovery {url}"
+        assert endpoint_list_status(node.node).as_json()["source"] == f"discovery {url}"
