--- a/apigateway/daemon/gateway_process.py
+++ b/apigateway/daemon/gateway_process.py
@@ -20,6 +20,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
+from apigateway import messages
 from apigateway.daemon import pending_signals
 from apigateway.daemon.config import Config
 from apigateway.daemon.configuration import Configuration
@@ -235,7 +236,7 @@
             HandoverError: The predecessor has disconnected, and accepts again: there must not be two.
         """
         known = await successor.announce_ready()
-        server.begin(read_list(known, "cached"))
+        server.begin(read_list(known, messages.ListMode.CACHED))
         await server.listen(self._sockets)
         try:
             await successor.announce_serving()
--- a/apigateway/daemon/gateway_status.py
+++ b/apigateway/daemon/gateway_status.py
@@ -17,11 +17,14 @@
     from apigateway.external_ratelimit.limiter import LimiterStatus
 
 # The decision module's words for states of an endpoint, in those of operators; others are the same.
-_STATE_FOR_OPERATORS = {"leaving": "draining", "down": "gone"}
+_STATE_FOR_OPERATORS: dict[str, str] = {
+    messages.EndpointStatus.LEAVING: "draining",
+    messages.EndpointStatus.DOWN: "gone",
+}
 
 
 @dataclass(frozen=True, slots=True)
-class EndpointStatus:
+class ListedEndpoint:
     """An endpoint as the source tells of it.
 
     Attributes:
@@ -84,7 +87,7 @@
 
     source: str
     age_s: float | None
-    endpoints: list[EndpointStatus]
+    endpoints: list[ListedEndpoint]
     selection: SelectionStatus | None
 
     def as_json(self) -> dict[str, Any]:
--- a/apigateway/daemon/status_answers.py
+++ b/apigateway/daemon/status_answers.py
@@ -12,7 +12,7 @@
 from apigateway.daemon.gateway_server import GatewayServer
 from apigateway.daemon.gateway_status import (
     EndpointListStatus,
-    EndpointStatus,
+    ListedEndpoint,
     RateLimitStatus,
     SelectionStatus,
 )
@@ -46,18 +46,18 @@
     )
 
 
-def _reconciled_endpoints(reconciler: EndpointReconciler, now: float) -> list[EndpointStatus]:
+def _reconciled_endpoints(reconciler: EndpointReconciler, now: float) -> list[ListedEndpoint]:
     return [
-        EndpointStatus(
+        ListedEndpoint(
             record.accepted.endpoint, record.accepted.address, record.doubt, now - record.state_since
         )
         for record in reconciler.records.values()
     ]
 
 
-def _received_endpoints(listing: Listing) -> list[EndpointStatus]:
+def _received_endpoints(listing: Listing) -> list[ListedEndpoint]:
     return [
-        EndpointStatus(endpoint, listing.addresses.get(endpoint.id)) for endpoint in listing.hosts.endpoints
+        ListedEndpoint(endpoint, listing.addresses.get(endpoint.id)) for endpoint in listing.hosts.endpoints
     ]
 
 
@@ -79,7 +79,7 @@
         {endpoint_id: load for endpoint_id, load in loads.items() if load is not None},
         dict(pool.choice_counts),
         server.config.evacuated_zones,
-        pool.health.zone_health.told(now),
+        pool.health.zone_health.status(now),
     )
 
 
--- a/apigateway/daemon/takeover.py
+++ b/apigateway/daemon/takeover.py
@@ -7,6 +7,7 @@
 from collections.abc import Collection
 from typing import NamedTuple
 
+from apigateway import messages
 from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.handover_successor import HandoverSuccessor
 from apigateway.daemon.lock import StateFolderLock
@@ -62,7 +63,7 @@
     *socket_descriptors, lock_descriptor = offer.descriptors
     sockets = [_open_socket(descriptor) for descriptor in socket_descriptors]
     lock = StateFolderLock(state_folder, lock_descriptor)
-    known = read_list(offer.known, "cached") if offer.known else None
+    known = read_list(offer.known, messages.ListMode.CACHED) if offer.known else None
     return InheritedResources(_match_by_name(offer.listeners, sockets, listeners), lock, known)
 
 
--- a/tests/daemon/test_gateway_server.py
+++ b/tests/daemon/test_gateway_server.py
@@ -1,4 +1,4 @@
-"""A gateway server in this process: each request's one answer, the decision module's failures, timers, the stop."""
+"""A gateway server in this process: the one answer of each request, faults of the module, timers, stop."""
 
 import asyncio
 import logging
