--- a/apigateway/daemon/endpoint_list.py
+++ b/apigateway/daemon/endpoint_list.py
@@ -31,7 +31,11 @@
     def apply(self, change: Listing) -> None:
         """Take in a list or a change from the source, and tell the core."""
         self.received_at = time.monotonic()
-        if self._core.is_ready and change.hosts.mode == "delta" and not change.hosts.endpoints:
+        if (
+            self._core.is_ready
+            and change.hosts.mode == messages.ListMode.DELTA
+            and not change.hosts.endpoints
+        ):
             return  # a watch that ended without a change
         self.listing = merge_listing(self.listing, change)
         self._core.on_endpoint_list(change.hosts, change.addresses)
@@ -51,21 +55,27 @@
 
     def available_but_draining_in(self, other: Listing) -> tuple[messages.Endpoint, ...]:
         """Return the endpoints, as in the other list, that are up here and not there."""
-        up = {endpoint.id for endpoint in self.listing.hosts.endpoints if endpoint.state == "up"}
+        up = {
+            endpoint.id
+            for endpoint in self.listing.hosts.endpoints
+            if endpoint.state == messages.EndpointStatus.UP
+        }
         return tuple(
-            endpoint for endpoint in other.hosts.endpoints if endpoint.state != "up" and endpoint.id in up
+            endpoint
+            for endpoint in other.hosts.endpoints
+            if endpoint.state != messages.EndpointStatus.UP and endpoint.id in up
         )
 
 
 def merge_listing(old: Listing, change: Listing) -> Listing:
     """Return the whole list after a change; one that is itself a whole list replaces the old."""
-    if change.hosts.mode != "delta":
+    if change.hosts.mode != messages.ListMode.DELTA:
         return change
     by_id = {endpoint.id: endpoint for endpoint in old.hosts.endpoints}
     by_id |= {endpoint.id: endpoint for endpoint in change.hosts.endpoints}
-    kept = tuple(endpoint for endpoint in by_id.values() if endpoint.state != "down")
+    kept = tuple(endpoint for endpoint in by_id.values() if endpoint.state != messages.EndpointStatus.DOWN)
     addresses = {**old.addresses, **change.addresses}
     return Listing(
-        messages.EndpointList("full", change.hosts.version, kept),
+        messages.EndpointList(messages.ListMode.FULL, change.hosts.version, kept),
         {endpoint.id: addresses[endpoint.id] for endpoint in kept if endpoint.id in addresses},
     )
--- a/tests/daemon/test_gateway_status.py
+++ b/tests/daemon/test_gateway_status.py
@@ -4,7 +4,7 @@
 from apigateway.daemon.endpoint_load import EndpointLoad
 from apigateway.daemon.gateway_status import (
     EndpointListStatus,
-    EndpointStatus,
+    ListedEndpoint,
     RateLimitListenerStatus,
     RateLimitStatus,
     SelectionStatus,
@@ -33,8 +33,8 @@
 
 
 def test_endpoint_when_its_address_is_not_known_then_it_is_empty():
-    assert EndpointStatus(HOST, ("127.0.0.1", 7)).as_json() == HOST_JSON
-    assert EndpointStatus(HOST, None, "silent", 2.5).as_json() == HOST_JSON | {
+    assert ListedEndpoint(HOST, ("127.0.0.1", 7)).as_json() == HOST_JSON
+    assert ListedEndpoint(HOST, None, "silent", 2.5).as_json() == HOST_JSON | {
         "address": "",
         "doubt": "silent",
         "since": 2.5,
@@ -42,14 +42,14 @@
 
 
 def test_endpoint_list_when_the_decision_module_is_unknown_then_says_nothing_of_selection():
-    status = EndpointListStatus("file hosts.toml", None, [EndpointStatus(HOST, ("127.0.0.1", 7))], None)
+    status = EndpointListStatus("file hosts.toml", None, [ListedEndpoint(HOST, ("127.0.0.1", 7))], None)
     assert status.as_json() == {"source": "file hosts.toml", "age": None, "hosts": [HOST_JSON]}
 
 
 def test_endpoint_list_when_a_load_is_known_then_it_is_rounded_else_empty():
     other = messages.Endpoint("h2", zone="", cell=0, weight=1.0, kind="", state="up", started_at=0.0)
     selection = SelectionStatus({"h1": LOAD}, {"report": 3}, ("west",), {"west": {"silent": 1}})
-    endpoints = [EndpointStatus(HOST, ("127.0.0.1", 7)), EndpointStatus(other, None)]
+    endpoints = [ListedEndpoint(HOST, ("127.0.0.1", 7)), ListedEndpoint(other, None)]
     tree = EndpointListStatus("discovery x", 0.5, endpoints, selection).as_json()
     assert tree["hosts"][0]["choice"] == {
         "near": True,
