--- a/apigateway/core/admission.py
+++ b/apigateway/core/admission.py
@@ -22,19 +22,21 @@
 READ_TIME_SLICE_S = 0.002
 
 
-class OverloadGate(LoadSheddingCounts, Protocol):
+class LoadSheddingPolicy(LoadSheddingCounts, Protocol):
     """The decision of what to shed: `policy.overload_gate`.
 
     All times are in seconds. It does no I/O, reads no clock, and may raise nothing.
     """
 
-    def late(self, now: float, lag: float) -> None:
+    def on_loop_lag(self, now: float, lag: float) -> None:
         """Record that the loop came `lag` late to a probe.
 
         Called every LAG_PROBE_INTERVAL_S while requests come or an overload lasts.
         """
 
-    def turned_away(self, now: float, waited: float, worth: int, customer: str, left: float) -> float:
+    def retry_after_if_shed(
+        self, now: float, waited: float, step: int, customer: str, remaining: float
+    ) -> float:
         """Return the Retry-After of a request that is shed, 0 for none; below 0: it may pass.
 
         Called once for each command, before anything is done for it.
@@ -42,13 +44,13 @@
         Args:
             now: By the controller's clock.
             waited: Time since the request was read.
-            worth: Its priority weight, on the gate's scale.
+            step: Of its priority, on the gate's scale.
             customer: Whose it is.
-            left: The time that it has.
+            remaining: The time that it has.
         """
 
-    def told(self, now: float, customer: str, wait: float) -> None:
-        """Record the Retry-After, `wait`, that the decision module gave a customer.
+    def on_retry_after(self, now: float, customer: str, retry_after: float) -> None:
+        """Record the Retry-After that the decision module gave a customer.
 
         Called while the gateway is overloaded.
         """
@@ -67,7 +69,7 @@
     """
 
     def __init__(
-        self, gate: OverloadGate, loop: Scheduler, clock: Callable[[], float] = time.monotonic
+        self, gate: LoadSheddingPolicy, loop: Scheduler, clock: Callable[[], float] = time.monotonic
     ) -> None:
         self.gate = gate
         self.loop = loop
@@ -97,7 +99,7 @@
             self._start_slice(now)
         elif now - self.slice_started_at > READ_TIME_SLICE_S:
             self.is_slice_used_up = True
-        return self.gate.turned_away(now, now - arrived_at, priority_step, customer, remaining)
+        return self.gate.retry_after_if_shed(now, now - arrived_at, priority_step, customer, remaining)
 
     def start_turn(self) -> None:
         """Begin a new turn of the loop: deferred connections go on, one after another."""
@@ -112,8 +114,8 @@
 
     def on_retry_after(self, customer: str, retry_after: float) -> None:
         """Record the Retry-After, in seconds, that the decision module gave a customer."""
-        if self.gate.tight:
-            self.gate.told(self.clock(), customer, retry_after)
+        if self.gate.is_overloaded:
+            self.gate.on_retry_after(self.clock(), customer, retry_after)
 
     def _start_slice(self, now: float) -> None:
         self.slice_started_at = now
@@ -128,9 +130,9 @@
 
     def _probe_lag(self) -> None:
         now = self.clock()
-        self.gate.late(now, max(0.0, now - self._probe_due_at))
+        self.gate.on_loop_lag(now, max(0.0, now - self._probe_due_at))
         self._overload_log.update(now)
-        if self._was_asked or self.gate.tight or self._overload_log.is_overloaded:
+        if self._was_asked or self.gate.is_overloaded or self._overload_log.is_overloaded:
             self._was_asked = False
             self._schedule_probe(now + LAG_PROBE_INTERVAL_S)
         else:  # nobody asked: at rest it costs nothing
--- a/apigateway/core/overload_log.py
+++ b/apigateway/core/overload_log.py
@@ -14,12 +14,12 @@
 class LoadSheddingCounts(Protocol):
     """What the log tells of an overload gate; its figures are read at each `OverloadLog.update`."""
 
-    shed: int  # requests, while anything was shed
-    passed: int  # likewise
+    shed_count: int  # requests, during overloads
+    admitted_count: int  # likewise
     lag: float  # seconds
 
     @property
-    def tight(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether the gateway is overloaded, so that something is shed."""
 
 
@@ -32,11 +32,11 @@
         self._began_at = 0.0
         self._last_overloaded_at = 0.0
         self._shed_before = 0  # the gate's counts when the overload began
-        self._passed_before = 0
+        self._admitted_before = 0
 
     def update(self, now: float) -> None:
         """Look at the gate's state at time `now`, in seconds; to be called a few times a second."""
-        if self._gate.tight:
+        if self._gate.is_overloaded:
             self._last_overloaded_at = now
             if not self.is_overloaded:
                 self._log_begin(now)
@@ -46,8 +46,8 @@
     def _log_begin(self, now: float) -> None:
         self.is_overloaded = True
         self._began_at = now
-        self._shed_before = self._gate.shed
-        self._passed_before = self._gate.passed
+        self._shed_before = self._gate.shed_count
+        self._admitted_before = self._gate.admitted_count
         log.warning(
             "overload: requests wait %.0f ms for the core; what is worth least is turned away",
             self._gate.lag * 1000,
@@ -58,6 +58,6 @@
         log.warning(
             "overload over after %.1f s: %d turned away, %d passed",
             self._last_overloaded_at - self._began_at,
-            self._gate.shed - self._shed_before,
-            self._gate.passed - self._passed_before,
+            self._gate.shed_count - self._shed_before,
+            self._gate.admitted_count - self._admitted_before,
         )
--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -34,7 +34,7 @@
     from apigateway.daemon.ratelimit import RateLimitServices
     from apigateway.daemon.ratelimit_config import RateLimitConfig
     from apigateway.plugins.manager import PluginManager
-    from apigateway.policy.overload_gate import Gate
+    from apigateway.policy.overload_gate import OverloadGate
 
 # Bytes that the program takes itself, with some to spare.
 PROGRAM_BYTES = 40 * 1024 * 1024
@@ -92,7 +92,7 @@
         self.core = self._create_core()
         self.endpoint_list = EndpointListState(self.core, config.known_endpoints)
         self.frontends: list[Frontend] = []
-        self._overload_gate: Gate | None = None
+        self._overload_gate: OverloadGate | None = None
         self.apply_overload_settings(config)
         self.ratelimit: RateLimitServices | None = None
         if ratelimit_config is not None:
@@ -243,14 +243,14 @@
         if config.overload is None:
             return None
         from apigateway.core.admission import AdmissionController
-        from apigateway.policy.overload_gate import Gate
+        from apigateway.policy.overload_gate import OverloadGate
 
         limits = config.settings.limits
         max_retry_after = limits.max_retry_after if limits.can_tell_retry_after else 0.0
         terms = (*config.overload, max_retry_after)
         if self._overload_gate is None:
-            self._overload_gate = Gate(*terms, config.seed)
-        self._overload_gate.set(*terms)
+            self._overload_gate = OverloadGate(*terms, config.seed)
+        self._overload_gate.configure(*terms)
         return self.core.admission or AdmissionController(self._overload_gate, self.loop)
 
     def replace_frontends(self, added: Sequence[Frontend], removed: Collection[Address]) -> list[Frontend]:
--- a/apigateway/frontends/resp/command_scanner.py
+++ b/apigateway/frontends/resp/command_scanner.py
@@ -32,7 +32,7 @@
 
     customer: str
     request_id: str
-    priority_step: int  # its priority weight on the scale of overload_gate.step
+    priority_step: int  # its priority weight on the scale of overload_gate.priority_step
     remaining: float  # seconds that its client waits
     is_write: bool
 
@@ -94,4 +94,4 @@
     def _priority_step(self, class_name: str, plan: str, units: float) -> int:
         service_class = self._settings.classes[class_name]
         price_weight = self._settings.plans[plan].price_weight
-        return overload_gate.step(service_class.priority_weight * price_weight * units)
+        return overload_gate.priority_step(service_class.priority_weight * price_weight * units)
--- a/apigateway/policy/overload_gate.py
+++ b/apigateway/policy/overload_gate.py
@@ -1,4 +1,4 @@
-"""What is rejected before anything is done for it: in overload of the core that is most of the work."""
+"""Shed load before any work is done for a request: in an overload of the process that is most of the load."""
 
 import math
 import random
@@ -7,99 +7,102 @@
 from apigateway.routing import DecayingCounts, ExpiringKeys, LoopLag
 
 WINDOW = 0.05  # s over which the lag is taken
-LATE_FOR = 0.1  # s that the loop is late without a break, before anything is shed: a pause is no overload
-DOWN = 0.1  # part of the admitted share that each multiple of the objective takes off in a window
-DOWN_LEAST = 0.5  # part of it that a window leaves at least
-UP = 1.02  # factor of the admitted share in a window that was in time
-UP_CLEAR = 1.05  # likewise, if the lag was well below the objective
-UP_LEAST = 0.003  # and what is added to it
-CLEAR = 0.5  # part of the objective that is well below it
-LEAST = 0.02  # part that passes whatever the lag, so that an end of the overload is seen
-STEPS = 4  # steps of a doubling of worth
-MOST_STEP = 100
-FADE = 0.8  # part of the counts of worth kept each window
-RETURN = 0.25  # s after which a rejected one may come again, when all but none are; spread evenly
-MOST_BACK = 10_000  # customers whose time to come back is known
+MIN_LAG_DURATION = 0.1  # s of lag without a break before anything is shed: a pause is no overload
+DECREASE = 0.1  # part of the admitted share that each multiple of the objective takes off in a window
+MAX_DECREASE_FACTOR = 0.5  # part of it that a window leaves at least
+INCREASE = 1.02  # factor of the admitted share in a window that was in time
+LOW_LAG_INCREASE = 1.05  # likewise, if the lag was well below the objective
+MIN_INCREASE = 0.003  # and what is added to it
+LOW_LAG = 0.5  # part of the objective that is well below it
+MIN_ADMITTED_SHARE = 0.02  # whatever the lag, so that an end of the overload is seen
+STEPS_PER_DOUBLING = 4  # of the priority weight
+MAX_STEP = 100
+COUNT_DECAY = 0.8  # part of the counts by priority kept each window
+RETRY_AFTER = 0.25  # s, mean over a uniform spread, when all but none are shed
+MAX_CUSTOMERS = 10_000  # whose Retry-After is known
 
 
-def step(worth: float) -> int:
-    """Return worth on a scale of few steps: what is on the same one is worth the same here."""
-    return max(-MOST_STEP, min(MOST_STEP, round(STEPS * math.log2(worth)))) if worth > 0 else -MOST_STEP
+def priority_step(weight: float) -> int:
+    """Return a priority weight on a scale of few steps: weights on the same one have equal priority here."""
+    step = round(STEPS_PER_DOUBLING * math.log2(weight)) if weight > 0 else -MAX_STEP
+    return max(-MAX_STEP, min(MAX_STEP, step))
 
 
-class Gate:
-    """Admits the part of requests that the event loop has time for, what is worth most first."""
+class OverloadGate:
+    """Admits the part of requests that the event loop has time for, by priority."""
 
-    def __init__(self, aim: float, most: float, most_wait: float, seed: int) -> None:
-        self.set(aim, most, most_wait)
+    def __init__(self, lag_objective: float, max_wait: float, max_retry_after: float, seed: int) -> None:
+        self.configure(lag_objective, max_wait, max_retry_after)
         self.random: Callable[[], float] = random.Random(seed).random
-        self.share = 1.0  # that passes
+        self.admitted_share = 1.0
         self.loop_lag = LoopLag(WINDOW)
         self.lag = 0.0  # s; of the last window
-        self.late_since = math.inf
-        self.counts = DecayingCounts()  # of the latest requests, by step of worth
-        self.floor = -MOST_STEP - 1  # step of worth below which all are rejected;
-        self.luck = 1.0  # the chance to pass of what is on it
-        self.back = ExpiringKeys(MOST_BACK)  # customers who were told to come later
-        self.shed = 0  # requests, while anything was shed
-        self.passed = 0  # likewise
+        self.lagging_since = math.inf
+        self.counts = DecayingCounts()  # of the latest requests, by priority step
+        self.floor = -MAX_STEP - 1  # priority step below which all are shed;
+        self.floor_probability = 1.0  # the chance to pass of those on it
+        self.retry_times = ExpiringKeys(MAX_CUSTOMERS)  # of customers who were given a Retry-After
+        self.shed_count = 0  # requests, during overloads
+        self.admitted_count = 0  # likewise
 
     @property
-    def tight(self) -> bool:
-        """Whether anything is shed by its worth."""
-        return self.share < 1.0
+    def is_overloaded(self) -> bool:
+        """Whether anything is shed by its priority."""
+        return self.admitted_share < 1.0
 
-    def set(self, aim: float, most: float, most_wait: float) -> None:
+    def configure(self, lag_objective: float, max_wait: float, max_retry_after: float) -> None:
         """Take up new settings; what was learned stays."""
-        self.aim = aim  # s; lag above which the core is overloaded
-        self.most = most  # s; lag of a request past which it is rejected, whatever it is worth
-        self.most_wait = most_wait  # s; longest time to come back that is told; 0: none is
+        self.lag_objective = lag_objective  # s; lag above which the process is overloaded
+        self.max_wait = max_wait  # s; wait of a request past which it is shed, whatever its priority
+        self.max_retry_after = max_retry_after  # s; 0: none is given
 
-    def late(self, now: float, lag: float) -> None:
-        """Take up that the loop came `lag` seconds late to something that was due."""
+    def on_loop_lag(self, now: float, lag: float) -> None:
+        """Take up that the loop came `lag` seconds late to a probe."""
         if not self.loop_lag.add_lateness(now, lag):
             return
         self.lag = self.loop_lag.seconds
-        if self.lag <= self.aim:
-            self.late_since = math.inf
-            up = UP_CLEAR if self.lag <= CLEAR * self.aim else UP
-            self.share = min(1.0, self.share * up + UP_LEAST)
-        elif self.late_since == math.inf:
-            self.late_since = now
-        if self.lag > self.aim and (self.tight or self.late_since <= now - LATE_FOR):
-            down = 1 - DOWN * (self.lag / self.aim - 1)
-            self.share = max(LEAST, self.share * max(DOWN_LEAST, down))
-        if self.tight:
-            self.rank()
+        if self.lag <= self.lag_objective:
+            self.lagging_since = math.inf
+            increase = LOW_LAG_INCREASE if self.lag <= LOW_LAG * self.lag_objective else INCREASE
+            self.admitted_share = min(1.0, self.admitted_share * increase + MIN_INCREASE)
         else:
-            self.back.clear()
-        self.counts.decay(FADE)
+            self.lagging_since = min(self.lagging_since, now)
+            if self.is_overloaded or self.lagging_since <= now - MIN_LAG_DURATION:
+                factor = max(MAX_DECREASE_FACTOR, 1 - DECREASE * (self.lag / self.lag_objective - 1))
+                self.admitted_share = max(MIN_ADMITTED_SHARE, self.admitted_share * factor)
+        if self.is_overloaded:
+            self.update_floor()
+        else:
+            self.retry_times.clear()
+        self.counts.decay(COUNT_DECAY)
 
-    def rank(self) -> None:
-        """Set the floor so that `share` of the latest requests pass, those worth most first."""
-        self.floor, self.luck = self.counts.top_part(self.share) or (-MOST_STEP - 1, 1.0)
+    def update_floor(self) -> None:
+        """Set the floor so that `admitted_share` of the latest requests pass, by priority."""
+        self.floor, self.floor_probability = self.counts.top_part(self.admitted_share) or (-MAX_STEP - 1, 1.0)
 
-    def turned_away(self, now: float, waited: float, worth: int, customer: str, left: float) -> float:
-        """Return below 0 if a request may pass, else the seconds after which it may come again; 0: not known.
+    def retry_after_if_shed(
+        self, now: float, waited: float, step: int, customer: str, remaining: float
+    ) -> float:
+        """Return the Retry-After of a request that is shed, 0 for none; below 0: it is admitted.
 
-        `waited`: s since it was read. `worth`: its step. `left`: s until its client gives up."""
-        self.counts.add(worth)
+        `waited`: s since it was read. `step`: of its priority. `remaining`: s until its client gives up."""
+        self.counts.add(step)
         self.loop_lag.add_wait(waited)
-        if waited <= self.most and not self.tight:
+        if waited <= self.max_wait and not self.is_overloaded:
             return -1.0
-        if waited <= self.most:
-            wait = self.back.remaining(customer, now)
-            if wait > 0:
-                self.shed += 1
-                return wait
-            passes = worth > self.floor or (worth == self.floor and self.random() < self.luck)
-            if passes and left > 2 * self.lag:  # else it would surely be answered too late
-                self.passed += 1
+        if waited <= self.max_wait:
+            if (retry_after := self.retry_times.remaining(customer, now)) > 0:
+                self.shed_count += 1
+                return retry_after
+            passes = step > self.floor or (step == self.floor and self.random() < self.floor_probability)
+            if passes and remaining > 2 * self.lag:  # else it would surely be answered too late
+                self.admitted_count += 1
                 return -1.0
-        self.shed += 1
-        return min(self.most_wait, RETURN / self.share * 2 * self.random()) if self.most_wait else 0.0
+        self.shed_count += 1
+        mean = RETRY_AFTER / self.admitted_share
+        return min(self.max_retry_after, 2 * mean * self.random()) if self.max_retry_after else 0.0
 
-    def told(self, now: float, customer: str, wait: float) -> None:
-        """Take up that the decision module rejects this customer's requests for `wait` seconds."""
-        if self.tight and wait > 0:
-            self.back.add(customer, now + wait)
+    def on_retry_after(self, now: float, customer: str, retry_after: float) -> None:
+        """Take up that the decision module rejects this customer's requests for `retry_after` seconds."""
+        if self.is_overloaded and retry_after > 0:
+            self.retry_times.add(customer, now + retry_after)
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -10,23 +10,23 @@
     """Let everything pass, and keep what it is told."""
 
     def __init__(self):
-        self.tight = False
-        self.shed = 0
-        self.passed = 0
+        self.is_overloaded = False
+        self.shed_count = 0
+        self.admitted_count = 0
         self.lag = 0.0
         self.waits = []
         self.lags = []
         self.retry_afters = []
 
-    def late(self, now, lag):
+    def on_loop_lag(self, now, lag):
         self.lags.append(lag)
 
-    def turned_away(self, now, waited, worth, customer, left):
+    def retry_after_if_shed(self, now, waited, step, customer, remaining):
         self.waits.append(waited)
         return -1.0
 
-    def told(self, now, customer, wait):
-        self.retry_afters.append((customer, wait))
+    def on_retry_after(self, now, customer, retry_after):
+        self.retry_afters.append((customer, retry_after))
 
 
 class AdmissionHarness:
@@ -119,6 +119,6 @@
 def test_retry_after_when_overloaded_only_then_the_gate_is_told():
     harness = AdmissionHarness()
     harness.admission.on_retry_after("c", 1.0)
-    harness.gate.tight = True
+    harness.gate.is_overloaded = True
     harness.admission.on_retry_after("d", 1.0)
     assert harness.gate.retry_afters == [("d", 1.0)]
--- a/tests/core/test_overload_log.py
+++ b/tests/core/test_overload_log.py
@@ -13,18 +13,18 @@
     gate = harness.gate
     with caplog.at_level(logging.WARNING):
         harness.ask()
-        gate.tight = True
+        gate.is_overloaded = True
         gate.lag = 0.04
         for _ in range(5):
             harness.fire_probe()
-        gate.tight = False
-        gate.shed = 7
-        gate.passed = 3
+        gate.is_overloaded = False
+        gate.shed_count = 7
+        gate.admitted_count = 3
         for _ in range(int(OVERLOAD_END_AFTER_S / LAG_PROBE_INTERVAL_S / 2)):
             harness.fire_probe()
-        gate.tight = True  # it is the same overload still
+        gate.is_overloaded = True  # it is the same overload still
         harness.fire_probe()
-        gate.tight = False
+        gate.is_overloaded = False
         while harness.loop.timers:
             harness.fire_probe()
     lines = [record.getMessage() for record in caplog.records]
--- a/tests/frontends/resp/test_load_shedding.py
+++ b/tests/frontends/resp/test_load_shedding.py
@@ -9,17 +9,17 @@
 
 from apigateway.core import admission as core_admission
 from apigateway.core.admission import AdmissionController
-from apigateway.policy.overload_gate import MOST_STEP, Gate
+from apigateway.policy.overload_gate import MAX_STEP, OverloadGate
 
 
-class ScriptedGate(Gate):
+class ScriptedGate(OverloadGate):
     """Turns away what the test names."""
 
     def __init__(self, *customers, wait=0.25):
         super().__init__(0.01, 10.0, 2.0, 1)
         self.customers, self.wait, self.asked = customers, wait, 0
 
-    def turned_away(self, now, waited, worth, customer, left):
+    def retry_after_if_shed(self, now, waited, step, customer, remaining):
         self.asked += 1
         return self.wait if customer in self.customers else -1.0
 
@@ -151,8 +151,8 @@
 @on_loop
 async def test_a_customer_that_the_module_rejected_is_rejected_early(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        gate = Gate(0.01, 10.0, 2.0, 1)
-        gate.share, gate.floor = 0.9, -MOST_STEP - 1  # overload: all are worth enough
+        gate = OverloadGate(0.01, 10.0, 2.0, 1)
+        gate.admitted_share, gate.floor = 0.9, -MAX_STEP - 1  # overload: all are worth enough
         install_admission(node, gate)
         customer = b"00000000000000cc"
         told = b""
