--- a/apigateway/simulation/baselines.py
+++ b/apigateway/simulation/baselines.py
@@ -104,7 +104,7 @@
 
     def _on_endpoint_list(self, event: messages.EndpointList) -> None:
         for endpoint in event.endpoints:
-            if endpoint.state == "up":
+            if endpoint.state == messages.EndpointStatus.UP:
                 self._available[endpoint.id] = endpoint
             else:
                 self._available.pop(endpoint.id, None)
@@ -121,10 +121,10 @@
         """Retry if that is safe."""
         request = self._requests[event.request_id]
         match event.result:
-            case "connect_failed" | "full":
+            case messages.AttemptResult.CONNECT_FAILED | messages.AttemptResult.FULL:
                 may_retry = True
-            case "error" | "reset":
-                may_retry = request.service_class.effect == "safe"
+            case messages.AttemptResult.ERROR | messages.AttemptResult.RESET:
+                may_retry = request.service_class.effect == messages.Effect.SAFE
             case _:
                 may_retry = False
         return self._forward(event.request_id) if may_retry else self._fail(event.request_id)
--- a/apigateway/simulation/counter_client.py
+++ b/apigateway/simulation/counter_client.py
@@ -7,7 +7,7 @@
 from apigateway.simulation.metrics import Metric
 from apigateway.simulation.quota_counter import CounterReply
 
-TIMED_OUT = CounterReply(result="timeout", total=0.0)
+TIMED_OUT = CounterReply(result=messages.CounterCallResult.TIMEOUT, total=0.0)
 
 
 class CounterCall:
--- a/apigateway/simulation/faults.py
+++ b/apigateway/simulation/faults.py
@@ -7,6 +7,7 @@
 from dataclasses import replace
 from typing import TypeVar
 
+from apigateway.messages import EndpointStatus
 from apigateway.simulation.client_traffic import ClientTraffic
 from apigateway.simulation.clock import SimulatedClock
 from apigateway.simulation.fleet import Fleet
@@ -88,7 +89,7 @@
         endpoint = host.endpoint
         if endpoint.id not in self._fleet.hosts:
             return
-        self._fleet.announce(replace(endpoint, state="leaving"), reaches_all=True)
+        self._fleet.announce(replace(endpoint, state=EndpointStatus.LEAVING), reaches_all=True)
         successor = self._fleet.add_host(endpoint.zone, endpoint.cell, self._clock.now)
         self._fleet.announce(successor.endpoint, reaches_all=True)
         listing = self._scenario.listing
@@ -98,7 +99,7 @@
     def _remove(self, host: SimulatedHost) -> None:
         host.stop()
         self._fleet.hosts.pop(host.endpoint.id, None)
-        self._fleet.announce(replace(host.endpoint, state="down"), reaches_all=True)
+        self._fleet.announce(replace(host.endpoint, state=EndpointStatus.DOWN), reaches_all=True)
 
     def _change_modes(self, fault: FaultSettings) -> None:
         mode = HostMode(fault.what)
--- a/apigateway/simulation/fleet.py
+++ b/apigateway/simulation/fleet.py
@@ -116,7 +116,7 @@
             cell=cell,
             weight=BIG_HOST_FACTOR if is_big and settings.weights else 1.0,
             kind=HOST_KIND,
-            state="up",
+            state=messages.EndpointStatus.UP,
             started_at=started_at,
         )
         hardware = HostHardware(
--- a/apigateway/simulation/gateway.py
+++ b/apigateway/simulation/gateway.py
@@ -71,7 +71,7 @@
         self._module = self._make_module()
         self._context.in_flight.clear()
         self.upstream.reset()
-        self._dispatch(messages.EndpointList("cached", 1, endpoints))
+        self._dispatch(messages.EndpointList(messages.ListMode.CACHED, 1, endpoints))
 
     def crash(self) -> None:
         """Die: all connections end, hosts drop its requests, and its clients see that."""
@@ -87,14 +87,15 @@
     def on_endpoint_changed(self, endpoint: messages.Endpoint) -> None:
         """Take in a change of the endpoint list."""
         context = self._context
-        if endpoint.state != "up":
+        if endpoint.state != messages.EndpointStatus.UP:
             context.draining_since.setdefault(endpoint.id, self._environment.clock.now)
         else:
             context.draining_since.pop(endpoint.id, None)
         context.known_endpoints[endpoint.id] = endpoint
         if self.is_alive:
             self._list_version += 1
-            self._dispatch(messages.EndpointList("delta", self._list_version, (endpoint,)))
+            mode = messages.ListMode.DELTA
+            self._dispatch(messages.EndpointList(mode, self._list_version, (endpoint,)))
 
     # Clients
 
--- a/apigateway/simulation/health_checker.py
+++ b/apigateway/simulation/health_checker.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from apigateway import messages
+from apigateway.messages import AttemptResult
 from apigateway.simulation.gateway_context import (
     CONNECT_REFUSED_S,
     CONNECT_TIMEOUT_S,
@@ -11,7 +12,6 @@
 )
 from apigateway.simulation.host import HostMode, SimulatedHost
 from apigateway.simulation.metrics import Metric
-from apigateway.simulation.results import AttemptResult
 
 ANSWERING_MODES = (HostMode.UP, HostMode.ERRORING, HostMode.FULL)
 
--- a/apigateway/simulation/host.py
+++ b/apigateway/simulation/host.py
@@ -9,12 +9,12 @@
 from typing import NamedTuple
 
 from apigateway import messages
+from apigateway.messages import AttemptResult
 from apigateway.simulation.arrival_window import Arrival, ArrivalWindow
 from apigateway.simulation.clock import SimulatedClock
 from apigateway.simulation.idle_capacity import HostUsage, IdleCapacityMeter
 from apigateway.simulation.load_report import LoadReporter
 from apigateway.simulation.network import Location
-from apigateway.simulation.results import AttemptResult
 from apigateway.simulation.scenario import HostSettings
 from apigateway.simulation.shared_processor import HostTask, SharedProcessor
 
--- a/apigateway/simulation/metrics.py
+++ b/apigateway/simulation/metrics.py
@@ -9,8 +9,8 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
+from apigateway.messages import AttemptResult
 from apigateway.simulation.clock import START_TIME
-from apigateway.simulation.results import AttemptResult
 
 MIN_WEIGHT = 1e-9  # keeps the quota cost of a simulation without requests defined
 MIN_REQUESTS_OF_SECOND = 20  # a second with fewer first requests says nothing about the worst one
--- a/apigateway/simulation/quota_counter.py
+++ b/apigateway/simulation/quota_counter.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from apigateway.messages import CounterCallResult
 from apigateway.simulation.clock import SimulatedClock
 from apigateway.simulation.scenario import CounterSettings
 
@@ -12,9 +13,9 @@
 
 
 class CounterReply(NamedTuple):
-    """What the counter answers: a result of `messages.CounterResult` and the key's total."""
+    """What the counter answers: the result of the call and the key's total."""
 
-    result: str
+    result: CounterCallResult
     total: float
 
 
@@ -26,7 +27,7 @@
 
 
 NO_ENTRY = CounterEntry(total=0.0, expires_at=0.0)
-OVERLOADED = CounterReply(result="full", total=0.0)
+OVERLOADED = CounterReply(result=CounterCallResult.FULL, total=0.0)
 
 
 class QuotaCounter:
@@ -47,7 +48,7 @@
         self.calls = 0
 
     def add(self, key: int, amount: float, lifetime: float, reply: Callable[[CounterReply], None]) -> None:
-        """Add to a key and reply with its total, or with "full" if the partition's queue is too long.
+        """Add to a key and reply with its total, or with FULL if the partition's queue is too long.
 
         Args:
             key: The counter key.
@@ -75,4 +76,4 @@
         entry = CounterEntry(entry.total + amount, entry.expires_at)
         self.entries[key] = entry
         if not self.is_silent:
-            reply(CounterReply("ok", entry.total))
+            reply(CounterReply(CounterCallResult.OK, entry.total))
--- a/apigateway/simulation/shared_processor.py
+++ b/apigateway/simulation/shared_processor.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from apigateway.messages import AttemptResult
 from apigateway.simulation.clock import SimulatedClock
-from apigateway.simulation.results import AttemptResult
 
 MIN_PACE = 1e-9  # core seconds a second; keeps the time of the next completion finite
 
--- a/apigateway/simulation/upstream.py
+++ b/apigateway/simulation/upstream.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 from apigateway import messages
+from apigateway.messages import AttemptResult
 from apigateway.simulation.gateway_context import CONNECT_REFUSED_S, CONNECT_TIMEOUT_S, GatewayContext
 from apigateway.simulation.host import HostMode, SimulatedHost
 from apigateway.simulation.in_flight import Attempt, InFlightRequest
 from apigateway.simulation.metrics import Metric
-from apigateway.simulation.results import AttemptResult, ResponseOutcome
+from apigateway.simulation.results import ResponseOutcome
 from apigateway.simulation.shared_processor import HostTask
 
 # After these the connection is open and idle.
