--- a/apigateway/emulators/ratelimit.py
+++ b/apigateway/emulators/ratelimit.py
@@ -1,5 +1,8 @@
-"""A stand-in rate limit service (Envoy's rls.proto over gRPC), scripted: slow, silent, wrong codes, streams
-reset, GOAWAY in the middle, storms of OVER_LIMIT. Its HTTP/2 is h2's; nothing of it is the gateway's code."""
+"""An emulated rate limit service (Envoy's rls.proto over gRPC), by script.
+
+It may be slow or silent, answer with wrong codes or storms of OVER_LIMIT, reset streams and send GOAWAY in
+the middle. Its HTTP/2 is h2's; nothing of it is the gateway's code.
+"""
 
 from __future__ import annotations
 
@@ -18,15 +21,33 @@
 from hyperframe.frame import GoAwayFrame
 
 from apigateway.emulators.listener import Listener
-from apigateway.emulators.script import Script, Step
+from apigateway.emulators.script import Script, Step, StepKind
 
-OK, OVER = pb.RateLimitResponse.OK, pb.RateLimitResponse.OVER_LIMIT
-LAST = 2**31 - 1
+OK = pb.RateLimitResponse.OK
+OVER = pb.RateLimitResponse.OVER_LIMIT
+MAX_STREAM_ID = 2**31 - 1
+STREAM_ID_STEP = 2  # between the streams that a client opens
+MESSAGE_HEAD_BYTES = 5  # of gRPC: whether it is compressed, and its length
+READ_BYTES = 65536
+INTERNAL = "13"  # the gRPC status
+RESPONSE_HEADERS = [(":status", "200"), ("content-type", "application/grpc")]
+SPOILT_MESSAGE = b"\xff\xff\xff"
+UNANSWERED_KINDS = (StepKind.GOAWAY, StepKind.SILENT, StepKind.BUSY)
 
 
 class StandInRateLimit(Listener):
-    """`limits`: hits left by customer, the value of the entry `key`; others have no limit. `questions` are
-    those whose answer was decided, in order. With `reset_s` an answer of OVER_LIMIT names that time."""
+    """Counts hits against limits and answers by its script.
+
+    Attributes:
+        limits: Hits left by customer, the value of the entry `key`; others have no limit.
+        most_streams: What it announces as MAX_CONCURRENT_STREAMS.
+        reset_s: The time until a reset that an answer of OVER_LIMIT names; 0: none.
+        questions: The requests whose answer was decided, in order.
+        timeouts: The `grpc-timeout` of each call.
+        hits: Counted, by customer.
+        called_off: Streams that the caller has reset.
+        arrived: Each request as it comes.
+    """
 
     def __init__(
         self,
@@ -36,25 +57,29 @@
         reset_s: float = 0.0,
     ) -> None:
         super().__init__()
-        self.limits, self.key, self.most_streams = dict(limits or {}), key, most_streams
+        self.limits = dict(limits or {})
+        self.key = key
+        self.most_streams = most_streams
         self.reset_s = reset_s
         self.script = Script()
         self.questions: list[pb.RateLimitRequest] = []
-        self.timeouts: list[bytes] = []  # as told in grpc-timeout
-        self.hits: dict[str, int] = defaultdict(int)  # counted, by customer
+        self.timeouts: list[bytes] = []
+        self.hits: dict[str, int] = defaultdict(int)
         self.called_off = 0
         self.arrived: asyncio.Queue[pb.RateLimitRequest] = asyncio.Queue()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await Served(self, reader, writer).run()
+        """Serve one connection until it ends."""
+        await RateLimitConnection(self, reader, writer).run()
 
     def decide(self, request: pb.RateLimitRequest, step: Step) -> pb.RateLimitResponse:
+        """Count a request's hits and return the answer."""
         response = pb.RateLimitResponse(overall_code=OK)
         for descriptor in request.descriptors:
             own = descriptor.HasField("hits_addend")
             count = descriptor.hits_addend.value if own else request.hits_addend or 1
             name = next((entry.value for entry in descriptor.entries if entry.key == self.key), "")
-            over = step.kind == "over" or self.limits.get(name, count) < count
+            over = step.kind == StepKind.OVER_LIMIT or self.limits.get(name, count) < count
             if not over and name in self.limits:
                 self.limits[name] -= count
             self.hits[name] += count
@@ -63,107 +88,117 @@
                 response.overall_code = OVER
                 if self.reset_s:
                     status.duration_until_reset.FromNanoseconds(int(self.reset_s * 1e9))
-        if step.kind == "odd":
+        if step.kind == StepKind.NO_CODE:
             response.overall_code = pb.RateLimitResponse.UNKNOWN
         return response
 
 
-class Served:
-    """One connection."""
+class RateLimitConnection:
+    """One connection of a rate limit service: the events of h2 in, its bytes out."""
 
     def __init__(
         self, service: StandInRateLimit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self.service, self.reader, self.writer = service, reader, writer
-        self.conn = h2.connection.H2Connection(
+        self._service = service
+        self._reader = reader
+        self._writer = writer
+        self._connection = h2.connection.H2Connection(
             h2.config.H2Configuration(client_side=False, header_encoding=None)
         )
-        self.conn.local_settings = h2.settings.Settings(
+        self._connection.local_settings = h2.settings.Settings(
             client=False,
             initial_values={h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: service.most_streams},
         )
-        self.data: dict[int, bytearray] = {}
-        self.last = LAST  # stream that is looked at
-        self.tasks: set[asyncio.Task[None]] = set()
+        self._bodies: dict[int, bytearray] = {}  # of the requests that come in, by stream
+        self._last_stream = MAX_STREAM_ID  # later ones are not looked at
+        self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        self.conn.initiate_connection()
-        self.write()
+        """Take what comes until the connection ends."""
+        self._connection.initiate_connection()
+        self._flush()
         try:
-            while data := await self.reader.read(65536):
-                for event in self.conn.receive_data(data):
-                    self.happened(event)
-                self.write()
+            while data := await self._reader.read(READ_BYTES):
+                for event in self._connection.receive_data(data):
+                    self._on_event(event)
+                self._flush()
         except h2.exceptions.ProtocolError:
-            self.write()
+            self._flush()
         finally:
-            for task in self.tasks:
+            for task in self._tasks:
                 task.cancel()
 
-    def write(self) -> None:
-        if not self.writer.is_closing():
-            self.writer.write(self.conn.data_to_send())
+    def _flush(self) -> None:
+        if not self._writer.is_closing():
+            self._writer.write(self._connection.data_to_send())
 
-    def happened(self, event: h2.events.Event) -> None:
+    def _on_event(self, event: h2.events.Event) -> None:
         match event:
             case h2.events.RequestReceived():
-                self.data[event.stream_id or 0] = bytearray()
+                self._bodies[event.stream_id or 0] = bytearray()
                 told = dict(event.headers or ())
-                self.service.timeouts.append(bytes(told.get(b"grpc-timeout", b"")))
+                self._service.timeouts.append(bytes(told.get(b"grpc-timeout", b"")))
             case h2.events.DataReceived():
-                self.data[event.stream_id or 0] += event.data or b""
-                self.conn.acknowledge_received_data(event.flow_controlled_length or 0, event.stream_id or 0)
+                self._bodies[event.stream_id or 0] += event.data or b""
+                self._connection.acknowledge_received_data(
+                    event.flow_controlled_length or 0, event.stream_id or 0
+                )
             case h2.events.StreamReset():
-                self.data.pop(event.stream_id or 0, None)
-                self.service.called_off += 1
+                self._bodies.pop(event.stream_id or 0, None)
+                self._service.called_off += 1
             case h2.events.StreamEnded():
-                number = event.stream_id or 0
-                task = asyncio.get_running_loop().create_task(self.asked(number, self.data.pop(number, None)))
-                self.tasks.add(task)
-                task.add_done_callback(self.tasks.discard)
-
-    async def asked(self, number: int, data: bytearray | None) -> None:
-        if data is None or number > self.last:
+                stream = event.stream_id or 0
+                body = self._bodies.pop(stream, None)
+                task = asyncio.get_running_loop().create_task(self._on_request(stream, body))
+                self._tasks.add(task)
+                task.add_done_callback(self._tasks.discard)
+
+    async def _on_request(self, stream: int, body: bytearray | None) -> None:
+        if body is None or stream > self._last_stream:
             return
-        service, request = self.service, pb.RateLimitRequest.FromString(bytes(data[5:]))
+        service = self._service
+        request = pb.RateLimitRequest.FromString(bytes(body[MESSAGE_HEAD_BYTES:]))
         step = service.script.next(time.monotonic())
-        if step.kind not in ("goaway", "silent", "busy"):
+        if step.kind not in UNANSWERED_KINDS:
             service.questions.append(request)
         service.arrived.put_nowait(request)
-        if step.kind == "stall":
+        if step.kind == StepKind.STALL:
             await asyncio.sleep(step.delay)
         with contextlib.suppress(h2.exceptions.ProtocolError):  # it was called off, or is closed
-            self.answer(number, request, step)
-        self.write()
-        if step.kind == "half":
-            self.writer.close()
-
-    def answer(self, number: int, request: pb.RateLimitRequest, step: Step) -> None:
-        head = [(":status", "200"), ("content-type", "application/grpc")]
-        if step.kind == "silent":
-            return
-        if step.kind == "reset":
-            self.conn.reset_stream(number, h2.errors.ErrorCodes.INTERNAL_ERROR)
-        elif step.kind == "busy":  # never looked at
-            self.conn.reset_stream(number, h2.errors.ErrorCodes.REFUSED_STREAM)
-        elif step.kind == "error":
-            self.conn.send_headers(
-                number, [*head, ("grpc-status", "13"), ("grpc-message", "it failed")], end_stream=True
-            )
-        elif step.kind == "goaway":  # this one, and what follows it, was not looked at
-            self.last = max(0, number - 2)
-            self.writer.write(self.conn.data_to_send())
-            self.writer.write(GoAwayFrame(0, last_stream_id=self.last, error_code=0).serialize())
-        else:
-            message = service_bytes(self.service.decide(request, step), step)
-            self.conn.send_headers(number, head)
-            if step.kind == "half":
-                self.conn.send_data(number, message[:-1])
+            self._answer(stream, request, step)
+        self._flush()
+        if step.kind == StepKind.HALF:
+            self._writer.close()
+
+    def _answer(self, stream: int, request: pb.RateLimitRequest, step: Step) -> None:
+        """Answer a request as the script's step says."""
+        connection = self._connection
+        match step.kind:
+            case StepKind.SILENT:
                 return
-            self.conn.send_data(number, message)
-            self.conn.send_headers(number, [("grpc-status", "0")], end_stream=True)
-
-
-def service_bytes(response: pb.RateLimitResponse, step: Step) -> bytes:
-    message = b"\xff\xff\xff" if step.kind == "spoilt" else response.SerializeToString()
-    return b"\0" + len(message).to_bytes(4, "big") + message
+            case StepKind.RESET:
+                connection.reset_stream(stream, h2.errors.ErrorCodes.INTERNAL_ERROR)
+            case StepKind.BUSY:  # never looked at
+                connection.reset_stream(stream, h2.errors.ErrorCodes.REFUSED_STREAM)
+            case StepKind.ERROR:
+                failure = [("grpc-status", INTERNAL), ("grpc-message", "it failed")]
+                connection.send_headers(stream, [*RESPONSE_HEADERS, *failure], end_stream=True)
+            case StepKind.GOAWAY:  # this one, and what follows it, was not looked at
+                self._last_stream = max(0, stream - STREAM_ID_STEP)
+                self._writer.write(connection.data_to_send())
+                goaway = GoAwayFrame(0, last_stream_id=self._last_stream, error_code=0)
+                self._writer.write(goaway.serialize())
+            case _:
+                message = _message(self._service.decide(request, step), step)
+                connection.send_headers(stream, RESPONSE_HEADERS)
+                if step.kind == StepKind.HALF:
+                    connection.send_data(stream, message[:-1])
+                    return
+                connection.send_data(stream, message)
+                connection.send_headers(stream, [("grpc-status", "0")], end_stream=True)
+
+
+def _message(response: pb.RateLimitResponse, step: Step) -> bytes:
+    """Return the response as a message of gRPC, not compressed."""
+    body = SPOILT_MESSAGE if step.kind == StepKind.SPOILT else response.SerializeToString()
+    return b"\0" + len(body).to_bytes(4, "big") + body
