--- a/apigateway/emulators/eureka.py
+++ b/apigateway/emulators/eureka.py
@@ -1,6 +1,8 @@
-"""A stand-in Eureka registry after Netflix's REST operations: registrations, leases, overrides, deltas, two
-replicas with lag, JSON and XML. It can be scripted to be silent, fail, lie, cut its answers and come back
-empty."""
+"""An emulated Eureka registry after Netflix's REST operations.
+
+It has registrations, leases, overrides, deltas, two replicas with lag, JSON and XML. By script it is silent,
+fails, lies, cuts its answers and comes back empty.
+"""
 
 from __future__ import annotations
 
@@ -10,17 +12,19 @@
 import json
 import time
 from collections import Counter
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from typing import Any, Self
-from xml.sax.saxutils import escape
 
 from aiohttp import web
 
+from apigateway.emulators.eureka_format import Told, instance, instance_id, to_xml
 from apigateway.emulators.ledger import Ledger
-from apigateway.emulators.script import Script
+from apigateway.emulators.script import Script, Step, StepKind
+
+__all__ = ["Lease", "StandInEureka", "Told", "instance"]
 
-Told = dict[str, Any]
-PORT_KEYS = ("port", "securePort")
+DEFAULT_LEASE_S = 90
+CHUNK_BYTES = 65536  # of an answer without end
 
 
 class Lease:
@@ -28,22 +32,39 @@
 
     def __init__(self, told: Told, now: float) -> None:
         lease = told.get("leaseInfo") or {}
-        self.told, self.duration = told, float(lease.get("durationInSecs", 90))
-        self.registered, self.renewed, self.up_at = now, now, 0.0
+        self.told = told
+        self.duration = float(lease.get("durationInSecs", DEFAULT_LEASE_S))
+        self.registered = now
+        self.renewed = now
+        self.up_at = 0.0
         self.override = ""
 
     @property
     def status(self) -> str:
+        """The status that callers are told."""
         return self.override or str(self.told.get("status", "UNKNOWN"))
 
 
 class StandInEureka:
-    """`base` is its path. Leases that are not renewed in time are dropped at each request (`expire`), unless
-    `protect` (self-preservation) is on. Deltas go back `retention` seconds.
+    """A registry; leases that are not renewed in time are dropped at each request.
 
     Script, for each read: silent; error (500); half (a cut answer); spoilt (no JSON); stall; slow is stall.
-    Lies: `hashcode` (told in place of the right one), `lost` (deltas that are told empty), `endless` (bytes
-    of an answer without end), `clock` (s that its clock is ahead)."""
+
+    Attributes:
+        base: Its path.
+        retention: Seconds that deltas go back.
+        protect: Whether leases are kept that are not renewed (self-preservation).
+        lag: Seconds until `peer`, if there is one, hears of changes here.
+        log: What changed when, for deltas.
+        hashcode: Told in place of the right one.
+        lost: Deltas that are told empty, in place of what they hold.
+        endless: Bytes of an answer that does not end as it should.
+        clock_off: Seconds that its clock is ahead.
+        raw: Told in place of any read.
+        auth: The value of Authorization that is wanted.
+        calls: By method and kind of path.
+        asked: The kind of path of each read, as it comes.
+    """
 
     def __init__(
         self,
@@ -56,36 +77,49 @@
         ledger: Ledger | None = None,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        self.base, self.script, self.retention = base, script or Script(), retention
-        self.protect, self.lag = protect, lag
-        self.gateway, self.ledger, self.real = gateway, ledger, clock
+        self.base = base
+        self.script = script or Script()
+        self.retention = retention
+        self.protect = protect
+        self.lag = lag
+        self.gateway = gateway
+        self.ledger = ledger
+        self._clock = clock
         self.leases: dict[tuple[str, str], Lease] = {}
-        self.log: list[tuple[float, str, Told]] = []  # what changed when, for deltas
-        self.peer: StandInEureka | None = None  # it hears of changes here after `lag`
+        self.log: list[tuple[float, str, Told]] = []
+        self.peer: StandInEureka | None = None
         self.hashcode: str | None = None
-        self.lost, self.endless, self.clock_off = 0, 0, 0.0
-        self.raw: bytes | None = None  # told in place of any read
-        self.etags = self.deltas = True
-        self.auth: str | None = None  # value of Authorization that is wanted
-        self.calls: Counter[str] = Counter()  # by method and kind of path
+        self.lost = 0
+        self.endless = 0
+        self.clock_off = 0.0
+        self.raw: bytes | None = None
+        self.etags = True
+        self.deltas = True
+        self.auth: str | None = None
+        self.calls: Counter[str] = Counter()
         self.asked: asyncio.Queue[str] = asyncio.Queue()
         self.ending = asyncio.Event()
         self.port = 0
 
     def now(self) -> float:
-        return self.real() + self.clock_off
+        """Return the time by its own clock."""
+        return self._clock() + self.clock_off
 
     @property
     def url(self) -> str:
+        """The address that clients are given."""
         return f"http://127.0.0.1:{self.port}{self.base}"
 
     # What it holds
 
     def register(self, told: Told, replicated: bool = False) -> None:
-        key = (str(told["app"]).upper(), str(told.get("instanceId") or told.get("hostName")))
-        old, lease = self.leases.get(key), Lease(told, self.now())
+        """Register an instance, for the first time or again."""
+        key = (str(told["app"]).upper(), instance_id(told))
+        old = self.leases.get(key)
+        lease = Lease(told, self.now())
         if old is not None:
-            lease.override, lease.up_at = old.override, old.up_at
+            lease.override = old.override
+            lease.up_at = old.up_at
         if lease.status == "UP" and (old is None or old.status != "UP"):
             lease.up_at = self.now()
         self.leases[key] = lease
@@ -93,11 +127,13 @@
         self.replicate(replicated, "register", told)
 
     def long_ago(self, app: str, id: str) -> None:
-        """This instance has been there for long: it is not cold."""
+        """Let an instance have been there for long: it is not cold."""
         lease = self.leases[app.upper(), id]
-        lease.registered = lease.up_at = 0.0
+        lease.registered = 0.0
+        lease.up_at = 0.0
 
     def renew(self, app: str, id: str, replicated: bool = False) -> bool:
+        """Renew a lease; return False if there is none."""
         lease = self.leases.get((app.upper(), id))
         if lease is None:
             return False
@@ -106,6 +142,7 @@
         return True
 
     def cancel(self, app: str, id: str, replicated: bool = False) -> bool:
+        """End a lease; return False if there is none."""
         key = (app.upper(), id)
         if key not in self.leases:
             return False
@@ -115,22 +152,25 @@
         return True
 
     def override(self, app: str, id: str, status: str, replicated: bool = False) -> bool:
-        """`status` empty: the override is taken off."""
+        """Override a status, or take the override off by an empty one; return False if there is no lease."""
         lease = self.leases.get((app.upper(), id))
         if lease is None:
             return False
-        was, lease.override = lease.status, status
-        if lease.status == "UP" and was != "UP":
+        before = lease.status
+        lease.override = status
+        if lease.status == "UP" and before != "UP":
             lease.up_at = self.now()
         self.note("MODIFIED", (app.upper(), id))
         self.replicate(replicated, "override", app, id, status)
         return True
 
     def restart(self) -> None:
-        """Empty: it has forgotten all leases and deltas."""
-        self.leases, self.log = {}, []
+        """Forget all leases and deltas."""
+        self.leases = {}
+        self.log = []
 
     def expire(self) -> None:
+        """Drop the leases that were not renewed in time."""
         now = self.now()
         for key in [key for key, lease in self.leases.items() if now - lease.renewed > lease.duration]:
             if not self.protect:
@@ -138,9 +178,11 @@
                 del self.leases[key]
 
     def note(self, action: str, key: tuple[str, str]) -> None:
+        """Log a change, for deltas."""
         self.log.append((self.now(), action, self.written(key, action)))
 
     def replicate(self, replicated: bool, what: str, *told: Any) -> None:
+        """Let the peer do as was done here, after the lag, unless it was done by replication."""
         if self.peer is not None and not replicated:
             asyncio.get_running_loop().call_later(
                 self.lag, lambda: getattr(self.peer, what)(*told, replicated=True)
@@ -149,6 +191,7 @@
     # As it is written
 
     def written(self, key: tuple[str, str], action: str = "") -> Told:
+        """Return an instance as callers are told of it."""
         lease = self.leases[key]
         told = {
             **lease.told,
@@ -167,13 +210,14 @@
         return {**told, "actionType": action} if action else told
 
     def hash(self) -> str:
+        """Return the hash of all statuses, by which clients check their deltas."""
         if self.hashcode is not None:
             return self.hashcode
         counts = Counter(lease.status for lease in self.leases.values())
         return "".join(f"{status}_{count}_" for status, count in sorted(counts.items()))
 
     def applications(self, instances: list[Told]) -> Told:
-        """Oddity: one instance of an app is an object, several are a list."""
+        """Return instances by application; a single one is an object, several are a list (an oddity)."""
         apps: dict[str, list[Told]] = {}
         for told in instances:
             apps.setdefault(str(told["app"]), []).append(told)
@@ -189,13 +233,16 @@
         }
 
     def whole(self, wanted: Callable[[Told], bool] = lambda _: True) -> list[Told]:
+        """Return all instances that are wanted."""
         return [told for key in self.leases if wanted(told := self.written(key))]
 
     def delta(self) -> list[Told]:
-        since, latest = self.now() - self.retention, dict[tuple[str, str], Told]()
+        """Return what has changed within the retention, each instance once."""
+        since = self.now() - self.retention
+        latest: dict[tuple[str, str], Told] = {}
         for at, action, told in self.log:
             if at >= since:
-                key = (str(told["app"]), str(told.get("instanceId") or told.get("hostName")))
+                key = (str(told["app"]), instance_id(told))
                 now = self.written(key, action) if key in self.leases and action != "DELETED" else told
                 latest[key] = {**now, "actionType": action}
         return list(latest.values())
@@ -203,45 +250,72 @@
     # Reads
 
     async def read(self, request: web.Request) -> web.StreamResponse:
+        """Answer a read as the script says."""
         path = request.match_info["path"].strip("/")
         kind = "delta" if path == "apps/delta" else path.split("/")[0]
         self.calls[f"GET {kind}"] += 1
         self.asked.put_nowait(kind)
-        if self.auth is not None and request.headers.get("Authorization") != self.auth:
+        if not self._is_authorized(request):
             return web.Response(status=401)
         self.expire()
         step = self.script.next(time.monotonic())
-        if step.kind == "silent":
-            await self.ending.wait()
-            return web.Response(status=503)
-        if step.kind == "error":
-            return web.Response(status=500)
-        if step.kind in ("stall", "slow"):
-            await asyncio.sleep(step.delay)
+        failure = await self._fail_or_wait(step)
+        if failure is not None:
+            return failure
         if self.endless:
             return await self.without_end(request)
-        if kind == "delta" and not self.deltas:
-            return web.Response(status=404)
-        instances = self.instances(path)
+        instances = self._select(kind, path)
         if instances is None:
             return web.Response(status=404)
-        if kind == "delta" and self.lost:
-            self.lost -= 1
-            instances = []
-        tree = self.applications(instances)
         xml = "json" not in request.headers.get("Accept", "")  # XML is a registry's own choice
-        body = self.xml(tree).encode() if xml else json.dumps(tree).encode()
-        if self.raw is not None:
-            body = self.raw
-        if step.kind == "spoilt":
-            body = b"{what"
-        if step.kind not in ("half", "spoilt") and self.raw is None:  # else nothing was told whole
+        body = self._body(instances, xml, step)
+        is_complete = step.kind not in (StepKind.HALF, StepKind.SPOILT) and self.raw is None
+        if is_complete:
             self.tell_ledger(instances, asked_by(request) or self.gateway)
-        return await self.send(request, body, xml, kind, step.kind == "half")
+        return await self.send(request, body, xml, kind, step.kind == StepKind.HALF)
+
+    def _is_authorized(self, request: web.Request) -> bool:
+        return self.auth is None or request.headers.get("Authorization") == self.auth
+
+    async def _fail_or_wait(self, step: Step) -> web.Response | None:
+        """Return the answer of a read that fails; else wait as the script says, and return None."""
+        match step.kind:
+            case StepKind.SILENT:
+                await self.ending.wait()
+                return web.Response(status=503)
+            case StepKind.ERROR:
+                return web.Response(status=500)
+            case StepKind.STALL | StepKind.SLOW:
+                await asyncio.sleep(step.delay)
+        return None
+
+    def _select(self, kind: str, path: str) -> list[Told] | None:
+        """Return the instances that a read is told; None: it is not found."""
+        if kind != "delta":
+            return self.instances(path)
+        if not self.deltas:
+            return None
+        if self.lost:
+            self.lost -= 1
+            return []
+        return self.delta()
+
+    def _body(self, instances: list[Told], xml: bool, step: Step) -> bytes:
+        if step.kind == StepKind.SPOILT:
+            return b"{what"
+        if self.raw is not None:
+            return self.raw
+        tree = self.applications(instances)
+        return self.xml(tree).encode() if xml else json.dumps(tree).encode()
+
+    def xml(self, tree: Told) -> str:
+        """Return a tree of applications as XML."""
+        return to_xml(tree)
 
     async def send(
         self, request: web.Request, body: bytes, xml: bool, kind: str, half: bool
     ) -> web.StreamResponse:
+        """Send an answer, or `half` of it."""
         headers = {"Content-Type": "application/xml" if xml else "application/json"}
         if self.etags and kind != "delta":
             headers["ETag"] = f'"{hash(body) & 0xFFFFFFFF:x}"'
@@ -255,20 +329,22 @@
                 request.transport.abort()
             return answer
         if "gzip" in request.headers.get("Accept-Encoding", ""):
-            body, headers["Content-Encoding"] = gzip.compress(body, 1), "gzip"
+            body = gzip.compress(body, 1)
+            headers["Content-Encoding"] = "gzip"
         return web.Response(body=body, headers=headers)
 
     async def without_end(self, request: web.Request) -> web.StreamResponse:
+        """Send `endless` bytes that are never a complete answer."""
         answer = web.StreamResponse(headers={"Content-Type": "application/json"})
         await answer.prepare(request)
-        left = self.endless
-        while left > 0:
-            await answer.write(b"[" * 65536)
-            left -= 65536
+        remaining = self.endless
+        while remaining > 0:
+            await answer.write(b"[" * CHUNK_BYTES)
+            remaining -= CHUNK_BYTES
         return answer
 
     def instances(self, path: str) -> list[Told] | None:
-        """What a path names; None: nothing known by it."""
+        """Return what a path names; None: nothing is known by it."""
         if path == "apps":
             return self.whole()
         if path == "apps/delta":
@@ -282,46 +358,21 @@
         return found or None
 
     def tell_ledger(self, instances: list[Told], gateway: str) -> None:
-        """What a gateway was told by name, for the drain rule."""
+        """Tell the ledger what a gateway was told, for the drain rule."""
         if self.ledger is not None:
             for told in instances:
                 state = "up" if told["status"] == "UP" and told.get("actionType") != "DELETED" else "draining"
-                self.ledger.told(gateway, str(told.get("instanceId") or told.get("hostName")), state)
-
-    def xml(self, tree: Told) -> str:
-        applications = tree["applications"]
-        parts = [
-            "<applications><versions__delta>1</versions__delta>"
-            f"<apps__hashcode>{applications['apps__hashcode']}</apps__hashcode>"
-        ]
-        for app in applications["application"]:
-            told = app["instance"] if isinstance(app["instance"], list) else [app["instance"]]
-            inner = "".join(f"<instance>{''.join(self.elements(one))}</instance>" for one in told)
-            parts.append(f"<application><name>{escape(app['name'])}</name>{inner}</application>")
-        return "".join(parts) + "</applications>"
-
-    def elements(self, told: Told) -> Iterator[str]:
-        for name, value in told.items():
-            if name in PORT_KEYS and isinstance(value, dict):
-                yield f'<{name} enabled="{value["@enabled"]}">{value["$"]}</{name}>'
-            elif isinstance(value, dict):
-                inner = "".join(
-                    f"<{k}>{escape(str(v))}</{k}>" for k, v in value.items() if not k.startswith("@")
-                )
-                kind = f' class="{escape(str(value["@class"]))}"' if "@class" in value else ""
-                yield f"<{name}{kind}>{inner}</{name}>"
-            else:
-                yield f"<{name}>{escape(str(value))}</{name}>"
+                self.ledger.told(gateway, instance_id(told), state)
 
     # Writes
 
     async def write(self, request: web.Request) -> web.Response:
-        """POST apps/APP; PUT apps/APP/ID; DELETE apps/APP/ID; PUT and DELETE apps/APP/ID/status."""
+        """Carry out POST apps/APP; PUT, DELETE apps/APP/ID; PUT, DELETE apps/APP/ID/status."""
         parts = request.match_info["path"].strip("/").split("/")
         self.calls[f"{request.method} {parts[0]}{' status' if parts[-1] == 'status' else ''}"] += 1
-        if self.auth is not None and request.headers.get("Authorization") != self.auth:
+        if not self._is_authorized(request):
             return web.Response(status=401)
-        if self.script.next(time.monotonic()).kind == "error":
+        if self.script.next(time.monotonic()).kind == StepKind.ERROR:
             return web.Response(status=500)
         self.expire()
         if request.method == "POST" and len(parts) == 2:
@@ -354,44 +405,9 @@
 
 
 def asked_by(request: web.Request) -> str:
-    """The user of basic credentials, by which one registry tells several gateways apart."""
+    """Return the user of basic credentials, by which one registry tells several gateways apart."""
     try:
         told = request.headers["Authorization"].removeprefix("Basic ")
         return base64.b64decode(told).decode().split(":")[0]
     except (KeyError, ValueError):
         return ""
-
-
-def instance(
-    id: str,
-    port: int,
-    app: str = "ROSTER",
-    status: str = "UP",
-    duration: int = 90,
-    ip: str = "127.0.0.1",
-    **metadata: str,
-) -> Told:
-    """An instance as a client would register it, oddities included."""
-    stamp = str(int(time.time() * 1000))
-    return {
-        "instanceId": id,
-        "hostName": f"{id}.rota.example.org",
-        "app": app,
-        "ipAddr": ip,
-        "status": status,
-        "overriddenstatus": "UNKNOWN",
-        "port": {"$": port, "@enabled": "true"},
-        "securePort": {"$": 443, "@enabled": "false"},
-        "countryId": 1,
-        "dataCenterInfo": {
-            "@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo",
-            "name": "MyOwn",
-        },
-        "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": duration},
-        "metadata": metadata or {"@class": "java.util.Collections$EmptyMap"},
-        "vipAddress": app.lower(),
-        "secureVipAddress": app.lower(),
-        "isCoordinatingDiscoveryServer": "false",
-        "lastUpdatedTimestamp": stamp,
-        "lastDirtyTimestamp": stamp,
-    }
--- /dev/null
+++ b/apigateway/emulators/eureka_format.py
@@ -0,0 +1,82 @@
+"""Eureka's forms of an instance: as a client registers it, and as XML, with the oddities of both."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Iterator
+from typing import Any
+from xml.sax.saxutils import escape
+
+Told = dict[str, Any]  # an instance or a tree of applications, as JSON has it
+PORT_KEYS = ("port", "securePort")
+
+
+def instance(
+    id: str,
+    port: int,
+    app: str = "ROSTER",
+    status: str = "UP",
+    duration: int = 90,
+    ip: str = "127.0.0.1",
+    **metadata: str,
+) -> Told:
+    """Return an instance as a client would register it, oddities included."""
+    stamp = str(int(time.time() * 1000))
+    return {
+        "instanceId": id,
+        "hostName": f"{id}.rota.example.org",
+        "app": app,
+        "ipAddr": ip,
+        "status": status,
+        "overriddenstatus": "UNKNOWN",
+        "port": {"$": port, "@enabled": "true"},
+        "securePort": {"$": 443, "@enabled": "false"},
+        "countryId": 1,
+        "dataCenterInfo": {
+            "@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo",
+            "name": "MyOwn",
+        },
+        "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": duration},
+        "metadata": metadata or {"@class": "java.util.Collections$EmptyMap"},
+        "vipAddress": app.lower(),
+        "secureVipAddress": app.lower(),
+        "isCoordinatingDiscoveryServer": "false",
+        "lastUpdatedTimestamp": stamp,
+        "lastDirtyTimestamp": stamp,
+    }
+
+
+def instance_id(told: Told) -> str:
+    """Return an instance's id; an instance without one goes by its host's name."""
+    return str(told.get("instanceId") or told.get("hostName"))
+
+
+def to_xml(tree: Told) -> str:
+    """Return a tree of applications as XML."""
+    applications = tree["applications"]
+    parts = [
+        "<applications><versions__delta>1</versions__delta>"
+        f"<apps__hashcode>{applications['apps__hashcode']}</apps__hashcode>"
+    ]
+    for app in applications["application"]:
+        instances = app["instance"] if isinstance(app["instance"], list) else [app["instance"]]
+        inner = "".join(f"<instance>{''.join(_elements(told))}</instance>" for told in instances)
+        parts.append(f"<application><name>{escape(app['name'])}</name>{inner}</application>")
+    return "".join(parts) + "</applications>"
+
+
+def _elements(told: Told) -> Iterator[str]:
+    """Yield the elements of an instance."""
+    for name, value in told.items():
+        if name in PORT_KEYS and isinstance(value, dict):
+            yield f'<{name} enabled="{value["@enabled"]}">{value["$"]}</{name}>'
+        elif isinstance(value, dict):
+            inner = "".join(
+                f"<{key}>{escape(str(item))}</{key}>"
+                for key, item in value.items()
+                if not key.startswith("@")
+            )
+            attribute = f' class="{escape(str(value["@class"]))}"' if "@class" in value else ""
+            yield f"<{name}{attribute}>{inner}</{name}>"
+        else:
+            yield f"<{name}>{escape(str(value))}</{name}>"
