--- a/apigateway/daemon/config.py
+++ b/apigateway/daemon/config.py
@@ -128,7 +128,7 @@
         seed=int(tree["seed"], 16),
         memory_bytes=int(tree["limits"]["memory_mb"]) * MIB,
         max_descriptors=int(tree["limits"]["sockets"]),
-        known_endpoints=read_list(tree["known"], "cached"),
+        known_endpoints=read_list(tree["known"], messages.ListMode.CACHED),
         settings=settings,
         connect_timeout=seconds(limits["connect_timeout"]),
         idle_timeout=seconds(limits["idle_close"]),
--- a/apigateway/daemon/endpoint_source.py
+++ b/apigateway/daemon/endpoint_source.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+from apigateway import messages
 from apigateway.core.request_lifecycle import RequestDispatcher
 from apigateway.daemon.config import Config
 from apigateway.daemon.endpoint_list import EndpointListState
@@ -126,6 +127,6 @@
 
 
 def _watch_schedule(config: Config) -> WatchSchedule:
-    if config.settings.discovery_mode == "ask":
+    if config.settings.discovery_mode == messages.DiscoveryMode.POLL:
         return WatchSchedule.for_polled_service()
     return WatchSchedule.for_agent(config.settings.rules.drain_grace)
--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -172,7 +172,7 @@
         self.upstream.start_checks()
         if self.counter:
             self.counter.start()
-        if self.core.settings.discovery_mode == "push":
+        if self.core.settings.discovery_mode == messages.DiscoveryMode.PUSH:
             self.endpoint_source.watch(True)
 
     async def listen(self, sockets: Mapping[Address, socket.socket] | None = None) -> int:
@@ -304,7 +304,7 @@
         again, so that a drain which is over ends.
         """
         self.core.module = self._create_decision_module()
-        self.core.dispatch(replace(self.endpoint_list.listing.hosts, mode="cached"))
+        self.core.dispatch(replace(self.endpoint_list.listing.hosts, mode=messages.ListMode.CACHED))
         draining = self.endpoint_list.available_but_draining_in(predecessor_listing)
         if not draining:
             return
@@ -313,7 +313,9 @@
             driver.mark_draining(endpoint.id for endpoint in draining)
         else:
             version = self.endpoint_list.listing.hosts.version
-            self.endpoint_list.apply(Listing(messages.EndpointList("delta", version, draining), {}))
+            self.endpoint_list.apply(
+                Listing(messages.EndpointList(messages.ListMode.DELTA, version, draining), {})
+            )
         self.endpoint_source.fetch()
 
     # Shutdown
--- a/apigateway/daemon/settings_runtime.py
+++ b/apigateway/daemon/settings_runtime.py
@@ -48,10 +48,10 @@
     """
     listeners = [read_address(listener.address) for listener in settings.listeners]
     endpoint_file = None
-    known_endpoints = Listing(messages.EndpointList("cached", 0, ()), {})
+    known_endpoints = Listing(messages.EndpointList(messages.ListMode.CACHED, 0, ()), {})
     if settings.hosts.source == "file":
         endpoint_file = os.path.join(os.path.dirname(os.path.abspath(path)), settings.hosts.file)
-        known_endpoints = read_endpoint_file(endpoint_file, "cached")
+        known_endpoints = read_endpoint_file(endpoint_file, messages.ListMode.CACHED)
     return Config(
         grpc_listeners=frozenset(
             read_address(one.address) for one in settings.listeners if one.protocol == "grpc"
@@ -160,7 +160,7 @@
         meter_period=0.0,
         settles_units=False,
         max_units=limits.max_units,
-        discovery_mode="push",
+        discovery_mode=messages.DiscoveryMode.PUSH,
         load_report_fields=tuple(settings.hosts.reports),
         weight_meaning="none",
         max_customers=limits.max_customers or customer_capacity(limits),
--- a/tests/daemon/test_gateway_server.py
+++ b/tests/daemon/test_gateway_server.py
@@ -1,4 +1,4 @@
-"""Each request's one answer, the module's failures, timers, the end."""
+"""A gateway server in this process: one answer for each request, failures of the module, timers, the stop."""
 
 import asyncio
 import logging
