--- a/apigateway/emulators/__init__.py
+++ b/apigateway/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in outside systems on loopback, scripted."""
+"""Emulated outside systems on loopback, by script."""
