--- a/apigateway/tools/experiment/scenario_reader.py
+++ b/apigateway/tools/experiment/scenario_reader.py
@@ -5,7 +5,6 @@
 import dataclasses
 import difflib
 import os
-import typing
 from collections.abc import Iterable
 from typing import Any
 
@@ -15,6 +14,7 @@
 from apigateway.simulation.baselines import BaselineKind, is_baseline
 from apigateway.simulation.scenario import FaultKind, FaultSettings, Scenario
 from apigateway.tools.experiment.experiment import MODULE_POLICY, is_module_policy, module_path
+from apigateway.tools.experiment.file_keys import item_type, key_of_field, key_types, rename_keys
 
 FAULT_KINDS = tuple(kind.value for kind in FaultKind)
 ZONE_FAULTS = (FaultKind.ZONE_OUTAGE, FaultKind.ZONE_PARTITION)  # need the name of a zone
@@ -42,7 +42,7 @@
     if reader.problems:
         return None
     try:
-        scenario = msgspec.convert(tree, Scenario)
+        scenario = msgspec.convert(rename_keys(tree, Scenario), Scenario)
     except (msgspec.ValidationError, ValueError) as error:
         _add_conversion_problem(reader, error, path)
         return None
@@ -54,14 +54,12 @@
     """Report each key that the schema, a dataclass, does not have."""
     if not dataclasses.is_dataclass(schema) or not isinstance(tree, dict):
         return
-    types = typing.get_type_hints(schema)
+    types = key_types(schema)
     for key, value in tree.items():
         if key not in types:
             reader.add_problem((*path, key), value, "unknown key", suggest_key(key, types))
             continue
-        inner_schema = types[key]
-        if typing.get_origin(inner_schema) is tuple:
-            inner_schema = typing.get_args(inner_schema)[0]
+        inner_schema = item_type(types[key])
         if isinstance(value, list):
             for number, item in enumerate(value):
                 _check_keys(reader, item, inner_schema, (*path, key, number))
@@ -72,7 +70,8 @@
 def _add_conversion_problem(reader: ConfigReader, error: Exception, path: KeyPath) -> None:
     """Report an error of msgspec, which reads `reason - at `$.key``."""
     reason, _, location = str(error).partition(" - at ")
-    key = format_path(path) + location.strip("`$")
+    parents, dot, field = location.strip("`$").rpartition(".")
+    key = format_path(path) + parents + dot + key_of_field(field)
     problem = ConfigProblem(reader.file, key, "", reason[0].lower() + reason[1:], "mend the value")
     reader.problems.append(problem)
 
