--- a/apigateway/adapter.py
+++ b/apigateway/adapter.py
@@ -16,6 +16,7 @@
 from apigateway.platform_settings import NS, flag, read_report, read_settings, seconds
 from apigateway.policy import Gateway
 
+LIST_MODES = {mode.value: mode for mode in messages.ListMode}
 STATUSES = {
     "U": messages.EndpointStatus.UP,
     "L": messages.EndpointStatus.LEAVING,
@@ -31,6 +32,11 @@
     "CXL": messages.AttemptResult.CANCELLED,
     "NOP": messages.AttemptResult.MOOT,
 }
+COUNTER_RESULTS = {
+    word: messages.CounterCallResult(result)
+    for word, result in RESULTS.items()
+    if result.value in messages.COUNT_RESULTS
+}
 RETRY_MARK = 2  # bit of a work item's marks: a client's repeat
 WRITE_MARK = 4  # bit of a work item's marks: it writes
 INSTANCE_FIELDS = ("i", "nonce64")  # of a PROVISION, beside the settings
@@ -121,15 +127,27 @@
     )
 
 
+def _read_list_mode(word: str) -> messages.ListMode:
+    if word not in LIST_MODES:
+        raise ValueError(f"unknown list mode {word!r}")
+    return LIST_MODES[word]
+
+
 def _read_counter_result(fields: Fields) -> messages.CounterResult:
     return messages.CounterResult(
         counter_key=int(fields["entry_name"]),
-        result=RESULTS[fields["reason"]],
+        result=_read_counter_call_result(fields["reason"]),
         total=float(fields.get("now_at", 0)),
         elapsed=seconds(fields.get("time_taken", "0")),
     )
 
 
+def _read_counter_call_result(word: str) -> messages.CounterCallResult:
+    if word not in COUNTER_RESULTS:
+        raise ValueError(f"unknown counter result {str(RESULTS[word])!r}")
+    return COUNTER_RESULTS[word]
+
+
 def _read_health_check(fields: Fields) -> messages.HealthCheckResult:
     return messages.HealthCheckResult(
         endpoint_id=fields["host"],
@@ -296,7 +314,8 @@
         if word == "TARGETS":
             mode = fields["mode"]
             version = int(fields.get("index", 0))
-            return messages.EndpointList(mode, version, self._read_hosts(int(fields.get("rows_in", 0))))
+            hosts = self._read_hosts(int(fields.get("rows_in", 0)))
+            return messages.EndpointList(_read_list_mode(mode), version, hosts)
         if word not in READERS:
             raise WireError(f"unknown event {word!r}")
         return READERS[word](fields)
--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -55,7 +55,7 @@
 
     source = EurekaSource(
         registry,
-        known=Listing(messages.EndpointList("cached", 0, ()), {}),
+        known=Listing(messages.EndpointList(messages.ListMode.CACHED, 0, ()), {}),
         on_change=lambda _: None,
         on_failure=lambda: None,
         resolve=resolve if registry.mapping.address == "name" else None,
--- a/apigateway/core/endpoint_updates.py
+++ b/apigateway/core/endpoint_updates.py
@@ -6,12 +6,7 @@
 from apigateway.core.context import CoreContext
 from apigateway.core.event_dispatcher import EventDispatcher
 from apigateway.core.interfaces import Addresses
-
-# Of `messages.Endpoint.state`, `messages.MODES` and `messages.Settings.discovery_mode`.
-_ENDPOINT_UP = "up"
-_LIST_MODE_DELTA = "delta"
-_LIST_MODE_FAILED = "failed"
-_DISCOVERY_POLLED = "ask"
+from apigateway.messages import DiscoveryMode, EndpointStatus, ListMode
 
 
 class EndpointUpdates:
@@ -28,12 +23,12 @@
         that goes is then not sent there once more.
         """
         upstream = self._context.upstream
-        up = {endpoint.id for endpoint in endpoint_list.endpoints if endpoint.state == _ENDPOINT_UP}
+        up = {endpoint.id for endpoint in endpoint_list.endpoints if endpoint.state == EndpointStatus.UP}
         for endpoint_id in up & addresses.keys():
             upstream.update_endpoint(endpoint_id, addresses[endpoint_id])
         self._events.dispatch(endpoint_list)
         listed = {endpoint.id for endpoint in endpoint_list.endpoints}
-        if endpoint_list.mode != _LIST_MODE_DELTA:
+        if endpoint_list.mode != ListMode.DELTA:
             listed |= upstream.known_endpoints()
         for endpoint_id in listed - up:
             upstream.update_endpoint(endpoint_id, None)
@@ -42,5 +37,5 @@
     def on_list_failed(self) -> None:
         """Tell the decision module that an endpoint list it asked for could not be had."""
         membership = self._context.membership
-        if membership is not None and self._context.settings.discovery_mode == _DISCOVERY_POLLED:
-            self._events.dispatch(messages.EndpointList(_LIST_MODE_FAILED, membership.version, ()))
+        if membership is not None and self._context.settings.discovery_mode == DiscoveryMode.POLL:
+            self._events.dispatch(messages.EndpointList(ListMode.FAILED, membership.version, ()))
--- a/apigateway/core/gateway_actions.py
+++ b/apigateway/core/gateway_actions.py
@@ -12,11 +12,10 @@
 from apigateway.core.context import CoreContext
 from apigateway.core.event_dispatcher import EventDispatcher
 from apigateway.core.interfaces import UpstreamAttempt
+from apigateway.messages import CounterCallResult
 
 # Seconds: the event loop's timers tick in milliseconds and may fire that much early.
 TIMER_RESOLUTION_S = 0.001
-# Of `messages.COUNT_RESULTS`: what a call comes to where there is no counter.
-_COUNTER_UNREACHABLE = "connect_failed"
 
 log = logging.getLogger(__name__)
 
@@ -43,11 +42,12 @@
         """Add to a counter; without a counter it is answered as one that cannot be reached."""
         context = self._context
         if context.counter is None:
-            context.loop.call_soon(self._on_counted, action.counter_key, _COUNTER_UNREACHABLE, 0.0, 0.0)
+            result = CounterCallResult.CONNECT_FAILED
+            context.loop.call_soon(self._on_counted, action.counter_key, result, 0.0, 0.0)
         else:
             context.counter.add(action.counter_key, action.amount, action.lifetime, self._on_counted)
 
-    def _on_counted(self, counter_key: int, result: str, total: float, elapsed: float) -> None:
+    def _on_counted(self, counter_key: int, result: CounterCallResult, total: float, elapsed: float) -> None:
         self._events.dispatch(messages.CounterResult(counter_key, result, total, elapsed))
 
     def set_timer(self, action: messages.SetTimer) -> None:
--- a/apigateway/core/interfaces.py
+++ b/apigateway/core/interfaces.py
@@ -16,8 +16,8 @@
 Address = tuple[str, int]  # IP address, port
 Addresses = Mapping[str, Address]  # by endpoint id
 
-# Called with the counter's key, the result (of messages.COUNT_RESULTS), the total, and the seconds it took.
-CounterCallback = Callable[[int, str, float, float], None]
+# Called with the counter's key, the result, the total, and the seconds it took.
+CounterCallback = Callable[[int, messages.CounterCallResult, float, float], None]
 
 # Called with whether a request may go on, and else the seconds until it may come again.
 DecisionCallback = Callable[[bool, float], None]
@@ -77,7 +77,7 @@
     """
 
     endpoint_id: str
-    result: str  # of messages.RESULTS
+    result: messages.AttemptResult
     value: bytes  # the endpoint's; empty unless the result is `ok`
     metered_use: int  # as `messages.AttemptOutcome` has it
     load_report: dict[str, float]
@@ -109,7 +109,7 @@
     def send(self, attempt: Any, timeout: float) -> None:
         """Begin an attempt that is waited for `timeout` seconds, which are above 0. Called once for each."""
 
-    def abandon(self, attempt: Any, result: str) -> None:
+    def abandon(self, attempt: Any, result: messages.AttemptResult) -> None:
         """End an attempt at once, with `connect_failed` if its last byte was not written, else `result`.
 
         `on_ended` is called before this returns. Does nothing if the attempt has ended.
--- a/apigateway/counter/client.py
+++ b/apigateway/counter/client.py
@@ -6,7 +6,8 @@
 
 from apigateway.counter import wire
 from apigateway.counter.connection import CounterConnection
-from apigateway.counter.pending_call import CounterCallResult, PendingCall, ResultCallback
+from apigateway.counter.pending_call import PendingCall, ResultCallback
+from apigateway.messages import CounterCallResult
 from apigateway.upstream.address import Address
 
 CONNECTION_COUNT = 4  # so that a part of the counter that is slow does not hold up the keys of the others
--- a/apigateway/counter/connection.py
+++ b/apigateway/counter/connection.py
@@ -10,7 +10,8 @@
 from typing import cast
 
 from apigateway.counter import wire
-from apigateway.counter.pending_call import CounterCallResult, PendingCall
+from apigateway.counter.pending_call import PendingCall
+from apigateway.messages import CounterCallResult
 from apigateway.upstream.address import Address
 
 PING_KEY = -1  # in place of a counter key, which is never negative
--- a/apigateway/counter/pending_call.py
+++ b/apigateway/counter/pending_call.py
@@ -3,20 +3,10 @@
 from __future__ import annotations
 
 import asyncio
-import enum
 from collections.abc import Callable
 from time import monotonic
 
-
-class CounterCallResult(enum.StrEnum):
-    """How a call to the counter ended; the values are those of `messages.COUNT_RESULTS`."""
-
-    OK = "ok"  # added, and the new total is known
-    FULL = "full"  # the counter rejected it: nothing was added
-    CONNECT_FAILED = "connect_failed"  # not written: nothing was added
-    TIMEOUT = "timeout"  # written and not answered in time: it may have been added
-    SPOILT = "spoilt"  # added, but the reply with the total could not be read
-
+from apigateway.messages import CounterCallResult
 
 ResultCallback = Callable[[int, CounterCallResult, float, float], None]
 """Called with the counter key, the result, the new total (0 unless `OK`) and the elapsed seconds."""
--- a/apigateway/daemon/gateway_status.py
+++ b/apigateway/daemon/gateway_status.py
@@ -17,7 +17,7 @@
     from apigateway.external_ratelimit.limiter import LimiterStatus
 
 # The decision module's words for states of an endpoint, in those of operators; others are the same.
-_STATE_FOR_OPERATORS: dict[str, str] = {
+_STATE_FOR_OPERATORS: dict[messages.EndpointStatus, str] = {
     messages.EndpointStatus.LEAVING: "draining",
     messages.EndpointStatus.DOWN: "gone",
 }
--- a/apigateway/membership/discovery.py
+++ b/apigateway/membership/discovery.py
@@ -17,6 +17,7 @@
 
 from apigateway.membership.listing import Listing, read_list
 from apigateway.membership.watch_schedule import WatchPacer, WatchSchedule
+from apigateway.messages import ListMode
 from apigateway.upstream.address import Address
 
 REJECTION_STATUSES = (429, 503)  # of a service that has no capacity for the call
@@ -130,7 +131,7 @@
             body = await _read_body(response)
         listing = read_list(json.loads(body))
         if listing.hosts.version < self.version:
-            if listing.hosts.mode == "delta":  # it may bring back what is gone
+            if listing.hosts.mode == ListMode.DELTA:  # it may bring back what is gone
                 raise ValueError("changes to an older list than the last")
             if self.lists_received > received_before:  # so may a list requested earlier that arrives later
                 return
--- a/apigateway/membership/eureka/mapping.py
+++ b/apigateway/membership/eureka/mapping.py
@@ -10,9 +10,14 @@
 from apigateway import messages
 from apigateway.membership.eureka.model import EurekaInstance, InstanceStatus, MalformedResponseError
 from apigateway.membership.reconciler import ReportedEndpoint
+from apigateway.messages import EndpointStatus
 from apigateway.upstream.address import Address
 
-_STATE_BY_SETTING = {"up": "up", "draining": "leaving", "gone": "down"}
+_STATE_BY_SETTING = {
+    "up": EndpointStatus.UP,
+    "draining": EndpointStatus.LEAVING,
+    "gone": EndpointStatus.DOWN,
+}
 _SEVERITY_BY_SETTING = {"up": 0, "draining": 1, "gone": 2}  # a higher one is worse
 _DEFAULT_STATE_SETTING = "draining"  # of a status that the settings leave out
 DEFAULT_STATES = {
@@ -110,7 +115,7 @@
     return host, port
 
 
-def _read_state(mapping: InstanceMapping, instance: EurekaInstance) -> str:
+def _read_state(mapping: InstanceMapping, instance: EurekaInstance) -> EndpointStatus:
     """Return the endpoint's state. An override can only make it worse than the status does.
 
     Where an override holds, the registry has put it into the status.
--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -29,6 +29,7 @@
 from apigateway.membership.listing import Listing
 from apigateway.membership.reconciler import EndpointReconciler, ReconcilerSettings, ReportedEndpoint
 from apigateway.membership.reconciler_driver import ReconcilerDriver
+from apigateway.messages import EndpointStatus
 from apigateway.upstream.address import Address
 
 MAX_BACKOFF_S = 30.0  # between polls while no registry answers
@@ -296,8 +297,8 @@
         endpoints, malformed = await self._read_endpoints(instances)
         self._record_malformed((*response.malformed, *malformed))
         others = [one for one in endpoints if one.address not in self._own_addresses]
-        removed_ids = {one.endpoint.id for one in others if one.endpoint.state == "down"}
-        reported = [one for one in others if one.endpoint.state != "down"]
+        removed_ids = {one.endpoint.id for one in others if one.endpoint.state == EndpointStatus.DOWN}
+        reported = [one for one in others if one.endpoint.state != EndpointStatus.DOWN]
         self.driver.apply(reported, deleted_ids | removed_ids, is_complete)
 
     async def _read_endpoints(
--- a/apigateway/membership/file.py
+++ b/apigateway/membership/file.py
@@ -17,10 +17,11 @@
 from apigateway import messages
 from apigateway.config_validation import ConfigReader, InvalidConfigFileError, read_toml
 from apigateway.membership.listing import Listing
+from apigateway.messages import EndpointStatus, ListMode
 from apigateway.upstream.address import Address, read_address
 
 POLL_INTERVAL_S = 0.5  # soon enough for an operator who edits the file, and only one stat()
-_STATE_BY_FILE_NAME = {"up": "up", "draining": "leaving"}
+_STATE_BY_FILE_NAME = {"up": EndpointStatus.UP, "draining": EndpointStatus.LEAVING}
 
 log = logging.getLogger(__name__)
 
@@ -50,7 +51,7 @@
     inode: int
 
 
-def read_endpoint_file(path: str, mode: str = "full", version: int = 1) -> Listing:
+def read_endpoint_file(path: str, mode: ListMode = ListMode.FULL, version: int = 1) -> Listing:
     """Read the file of endpoints.
 
     Raises:
--- a/apigateway/membership/listing.py
+++ b/apigateway/membership/listing.py
@@ -7,9 +7,14 @@
 from typing import Any
 
 from apigateway import messages
+from apigateway.messages import EndpointStatus, ListMode
 from apigateway.upstream.address import Address, read_address, write_address
 
-_STATE_BY_WIRE_NAME = {"up": "up", "draining": "leaving", "removed": "down"}
+_STATE_BY_WIRE_NAME = {
+    "up": EndpointStatus.UP,
+    "draining": EndpointStatus.LEAVING,
+    "removed": EndpointStatus.DOWN,
+}
 _WIRE_NAME_BY_STATE = {state: name for name, state in _STATE_BY_WIRE_NAME.items()}
 
 # What a field of the wrong type or out of range raises while a list or an entry is read
@@ -25,14 +30,14 @@
     addresses: dict[str, Address]
 
 
-def read_list(body: dict[str, Any], mode: str | None = None) -> Listing:
+def read_list(body: dict[str, Any], mode: ListMode | None = None) -> Listing:
     """Read an endpoint list in discovery's form.
 
     An entry that cannot be read is left out; the others, drains among them, count all the same.
 
     Args:
         body: the decoded JSON.
-        mode: of the list; None: "full" or "delta", as the body says.
+        mode: of the list; None: FULL or DELTA, as the body says.
 
     Raises:
         ValueError: the body is no endpoint list in discovery's form.
@@ -40,7 +45,7 @@
     endpoints: list[messages.Endpoint] = []
     addresses: dict[str, Address] = {}
     try:
-        list_mode = mode or ("full" if body["full"] else "delta")
+        list_mode = mode or (ListMode.FULL if body["full"] else ListMode.DELTA)
         version = int(body["version"])
         entries = list(body["servers"])
     except _LIST_ERRORS as err:
--- a/apigateway/membership/reconciler.py
+++ b/apigateway/membership/reconciler.py
@@ -27,9 +27,11 @@
 
 from apigateway import messages
 from apigateway.membership.listing import Listing
+from apigateway.messages import EndpointStatus, ListMode
 from apigateway.upstream.address import Address
 
-_SEVERITY = {"up": 0, "leaving": 1, "down": 2}  # of an endpoint's state: a higher one is worse
+# Of an endpoint's state: a higher one is worse.
+_SEVERITY = {EndpointStatus.UP: 0, EndpointStatus.LEAVING: 1, EndpointStatus.DOWN: 2}
 
 
 class Doubt(StrEnum):
@@ -108,7 +110,7 @@
     def restore(self, now: float, listing: Listing) -> None:
         """Accept a list from another source, process or file, until it is reported otherwise."""
         for endpoint in listing.hosts.endpoints:
-            if endpoint.id in listing.addresses and endpoint.state != "down":
+            if endpoint.id in listing.addresses and endpoint.state != EndpointStatus.DOWN:
                 reported = ReportedEndpoint(endpoint, listing.addresses[endpoint.id])
                 self.records.setdefault(endpoint.id, EndpointRecord(reported, reported, now))
         self.version = max(self.version, listing.hosts.version)
@@ -218,11 +220,13 @@
         reported_state = reported.endpoint.state
         state = record.accepted.endpoint.state
         falls = record.went_down_at
-        if state == "up" and reported_state != "up":
+        was_up = state == EndpointStatus.UP
+        is_up = reported_state == EndpointStatus.UP
+        if was_up and not is_up:
             falls.append(now)
         while falls and falls[0] <= now - self.settings.flap_time:
             falls.popleft()
-        if state != "up" and reported_state == "up" and len(falls) >= self.settings.flaps:
+        if not was_up and is_up and len(falls) >= self.settings.flaps:
             record.stable_at = falls[-1] + self.settings.calm_time
             if now < record.stable_at:
                 record.accepted = replace(reported, endpoint=replace(reported.endpoint, state=state))
@@ -273,14 +277,14 @@
             record = self.records.get(endpoint_id)
             if record is None:
                 if before is not None:
-                    endpoints.append(replace(before.endpoint, state="down"))
+                    endpoints.append(replace(before.endpoint, state=EndpointStatus.DOWN))
             elif not _is_same_but_for_stamp(before, record.accepted):
                 endpoints.append(record.accepted.endpoint)
                 addresses[endpoint_id] = record.accepted.address
         if not endpoints:
             return None
         self.version += 1
-        return Listing(messages.EndpointList("delta", self.version, tuple(endpoints)), addresses)
+        return Listing(messages.EndpointList(ListMode.DELTA, self.version, tuple(endpoints)), addresses)
 
 
 def _latest_by_address(reported: Iterable[ReportedEndpoint]) -> dict[str, ReportedEndpoint]:
--- a/apigateway/membership/reconciler_driver.py
+++ b/apigateway/membership/reconciler_driver.py
@@ -12,6 +12,7 @@
 
 from apigateway.membership.listing import Listing
 from apigateway.membership.reconciler import EndpointReconciler, ReconcilerSettings, ReportedEndpoint
+from apigateway.messages import EndpointStatus, ListMode
 
 MIN_TIMER_DELAY_S = 0.01  # a timer that comes a little early must not become a busy loop
 
@@ -58,18 +59,16 @@
         reported = [
             ReportedEndpoint(endpoint, listing.addresses[endpoint.id])
             for endpoint in endpoints
-            if endpoint.id in listing.addresses and endpoint.state != "down"
+            if endpoint.id in listing.addresses and endpoint.state != EndpointStatus.DOWN
         ]
-        deleted = {endpoint.id for endpoint in endpoints if endpoint.state == "down"}
-        self.apply(reported, deleted, listing.hosts.mode != "delta")
+        deleted = {endpoint.id for endpoint in endpoints if endpoint.state == EndpointStatus.DOWN}
+        self.apply(reported, deleted, listing.hosts.mode != ListMode.DELTA)
 
     def mark_draining(self, ids: Iterable[str]) -> None:
         """Drain endpoints of which another process of this gateway was notified, and this one not yet."""
         records = self.reconciler.records
         accepted = [records[name].accepted for name in ids if name in records]
-        self.apply(
-            [replace(one, endpoint=replace(one.endpoint, state="leaving"), stamp=0) for one in accepted]
-        )
+        self.apply([_draining(report) for report in accepted])
 
     def close(self) -> None:
         """Stop the timer."""
@@ -88,3 +87,7 @@
 
     def _on_timer(self) -> None:
         self._publish(self.reconciler.advance(self._clock()))
+
+
+def _draining(report: ReportedEndpoint) -> ReportedEndpoint:
+    return replace(report, endpoint=replace(report.endpoint, state=EndpointStatus.LEAVING), stamp=0)
--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -1,7 +1,7 @@
 """The typed contract of the decision module: settings, events in, actions out.
 
-Times are seconds (floats), clock readings come with each event, ids are opaque text. Members of the
-enumerations equal the words of the wire, so that either may be passed.
+Times are seconds (floats), clock readings come with each event, ids are opaque text. Fields of the
+enumerations' types hold members; whoever reads a wire or a file turns its words into them.
 """
 
 from __future__ import annotations
@@ -44,11 +44,11 @@
 class CounterCallResult(StrEnum):
     """How a call of the counter ended."""
 
-    OK = "ok"
+    OK = "ok"  # added, and the new total is known
     FULL = "full"  # rejected: nothing was added
-    CONNECT_FAILED = "connect_failed"  # not sent: nothing was added
-    TIMEOUT = "timeout"  # it may have been added
-    SPOILT = "spoilt"  # added, but the total is not known
+    CONNECT_FAILED = "connect_failed"  # not written: nothing was added
+    TIMEOUT = "timeout"  # written and not answered in time: it may have been added
+    SPOILT = "spoilt"  # added, but the reply with the total could not be read
 
 
 class EndpointStatus(StrEnum):
@@ -110,8 +110,8 @@
     name: str
     latency_objective: float  # an answer within this earns full worth
     deadline: float
-    effect: str  # an Effect
-    deduplication_scope: str  # a DeduplicationScope; keyed only
+    effect: Effect
+    deduplication_scope: DeduplicationScope  # keyed only
     deduplication_window: float  # keyed only: for how long they do
     priority_weight: float
     late_priority_weight: float
@@ -257,7 +257,7 @@
     meter_period: float
     settles_units: bool
     max_units: float
-    discovery_mode: str  # a DiscoveryMode
+    discovery_mode: DiscoveryMode
     load_report_fields: tuple[str, ...]
     weight_meaning: str  # meaning of a host's weight
     routes: dict[str, Route] = field(default_factory=dict)
@@ -285,7 +285,7 @@
     cell: int
     weight: float
     kind: str
-    state: str  # an EndpointStatus
+    state: EndpointStatus
     started_at: float  # clock time of its last start; 0: long ago
 
     @property
@@ -293,7 +293,7 @@
         """Whether it may get requests."""
         return self.state == EndpointStatus.UP
 
-    def shares_scope(self, other: Endpoint, scope: str) -> bool:
+    def shares_scope(self, other: Endpoint, scope: DeduplicationScope) -> bool:
         """Return whether a repeat of what another host has executed is discarded by this one."""
         if scope == DeduplicationScope.ZONE:
             return self.zone == other.zone
@@ -308,7 +308,7 @@
 class EndpointList:
     """News of the endpoint list: changes, a complete list, the list as cached, or a call that failed."""
 
-    mode: str  # a ListMode
+    mode: ListMode
     version: int
     endpoints: tuple[Endpoint, ...]
 
@@ -420,7 +420,7 @@
     request_id: str
     attempt: int
     endpoint_id: str
-    result: str  # an AttemptResult
+    result: AttemptResult
     elapsed: float
     is_final: bool
     metered_use: int = 0  # 1 + percent of the customer's rate used in the last metered period; 0: none
@@ -447,7 +447,7 @@
     """A call of the quota counter has ended."""
 
     counter_key: int
-    result: str  # a CounterCallResult
+    result: CounterCallResult
     total: float
     elapsed: float
 
@@ -466,7 +466,7 @@
     """A health check has ended."""
 
     endpoint_id: str
-    result: str  # an AttemptResult
+    result: AttemptResult
     elapsed: float
     load_report: dict[str, float] = field(default_factory=dict)
 
--- a/apigateway/platform_settings.py
+++ b/apigateway/platform_settings.py
@@ -67,15 +67,23 @@
         latency_objective=seconds(node["slo"]),
         deadline=seconds(node["deadline"]),
         effect=EFFECT[node["effect"]],
-        deduplication_scope=node.get("dedup_scope", "all"),
         deduplication_window=seconds(node.get("memory_span", "0")),
         priority_weight=float(node["gain"]),
         late_priority_weight=_number(node, "late_value"),
         is_streaming=flag(node, "streaming"),
         latency_objective_stretch=_number(node, "aim_stretch"),
+        deduplication_scope=_read_scope(node),
     )
 
 
+def _read_scope(node: Node) -> messages.DeduplicationScope:
+    scope = node.get("dedup_scope", messages.DeduplicationScope.ALL)
+    try:
+        return messages.DeduplicationScope(scope)
+    except ValueError:
+        raise ValueError(f"class {node['name']}: unknown scope {scope!r}") from None
+
+
 def _read_plan(node: Node) -> messages.Plan:
     return messages.Plan(
         name=node["name"],
--- a/apigateway/plugins/validation.py
+++ b/apigateway/plugins/validation.py
@@ -11,7 +11,6 @@
 
 _SAMPLE_ENDPOINT_ID = "proof-host"
 _SAMPLE_ELAPSED = 0.01  # s
-_SAFE_EFFECT = "safe"
 
 
 def sample_requests(settings: messages.Settings) -> list[RequestView]:
@@ -26,7 +25,7 @@
             units=1.0,
             remaining=cls.deadline,
             now=time.time(),
-            is_write=cls.effect != _SAFE_EFFECT,
+            is_write=not cls.is_safe,
         )
         for number, (cls, plan) in enumerate(kinds[:MAX_SAMPLE_REQUESTS], 1)
     ]
--- a/apigateway/policy/retries.py
+++ b/apigateway/policy/retries.py
@@ -8,7 +8,7 @@
 from apigateway.policy.pending_queue import PendingRequest
 from apigateway.policy.state import GatewayState
 
-RETRY_COSTS: dict[str, float] = {AttemptResult.CONNECT_FAILED: 0.0, AttemptResult.FULL: 0.2}  # if not 1
+RETRY_COSTS = {AttemptResult.CONNECT_FAILED: 0.0, AttemptResult.FULL: 0.2}  # if not 1
 QUEUED = (AttemptResult.CONNECT_FAILED, AttemptResult.FULL, AttemptResult.RESET)  # may wait after these
 
 
@@ -29,7 +29,7 @@
         _retry(state, pending, event.result)
 
 
-def _retry(state: GatewayState, pending: PendingRequest, result: str) -> None:
+def _retry(state: GatewayState, pending: PendingRequest, result: AttemptResult) -> None:
     budget = state.retry_budget
     cost = RETRY_COSTS.get(result, 1.0)
     response_time = max(TICK, state.pool.response_times[pending.service_class.name].mean)
--- a/apigateway/routing/endpoint_health.py
+++ b/apigateway/routing/endpoint_health.py
@@ -34,7 +34,7 @@
         self.zone_health.listed([endpoint.host.zone for endpoint in endpoints])
         self.paused = {endpoint for endpoint in endpoints if endpoint.backoff}
 
-    def on_result(self, endpoint: Item, result: str, scope: tuple[str, ...], now: float) -> None:
+    def on_result(self, endpoint: Item, result: AttemptResult, scope: tuple[str, ...], now: float) -> None:
         """Take up the result of an attempt that tells whether the endpoint works."""
         if result == AttemptResult.CONNECT_FAILED:  # which says nothing of a class or a plan
             scope = scope[:1]
--- a/apigateway/routing/lease_ledger.py
+++ b/apigateway/routing/lease_ledger.py
@@ -185,7 +185,7 @@
         self.spare_units = 0.0
         return entry
 
-    def on_no_total(self, result: str, entry: LedgerEntry) -> None:
+    def on_no_total(self, result: CounterCallResult, entry: LedgerEntry) -> None:
         """Take up that a call has told no total; `result` says whether it added its units."""
         if result == CounterCallResult.SPOILT:  # its units were added: the next call uses what was asked for
             self.reported_units += entry.amount
--- a/apigateway/routing/zone_health.py
+++ b/apigateway/routing/zone_health.py
@@ -69,7 +69,7 @@
         zone.failed.add(host)
         zone.failed_at = now
 
-    def on_result(self, name: str, host: str, result: str, now: float) -> None:
+    def on_result(self, name: str, host: str, result: AttemptResult, now: float) -> None:
         """Take up the result of an attempt; a reset may come from the host as well as from the way there."""
         if result == AttemptResult.CONNECT_FAILED:
             self.silent(name, host, now)
--- a/apigateway/upstream/attempt.py
+++ b/apigateway/upstream/attempt.py
@@ -40,7 +40,7 @@
 class Attempt:
     """One command for one host.
 
-    `done` is called with it exactly once, when `result` is known, an `AttemptResult`; until then it is empty.
+    `done` is called with it exactly once, when `result` is known. Before that `result` is not set.
     """
 
     __slots__ = (
@@ -49,6 +49,7 @@
         "done",
         "tag",
         "started",
+        "is_ended",
         "result",
         "value",
         "metered_use",
@@ -57,6 +58,8 @@
         "timer",
     )
 
+    result: AttemptResult
+
     def __init__(
         self, endpoint_id: str, payload: bytes, done: Callable[[Attempt], None], tag: Any = None
     ) -> None:
@@ -65,7 +68,7 @@
         self.done = done
         self.tag = tag
         self.started = monotonic()
-        self.result = ""
+        self.is_ended = False
         self.value = b""
         self.metered_use = 0  # percent of the customer's rate
         self.load_report: LoadReport = {}
@@ -76,10 +79,11 @@
         """Return the seconds since the attempt was created."""
         return monotonic() - self.started
 
-    def end(self, result: str) -> None:
+    def end(self, result: AttemptResult) -> None:
         """Set the result and call `done`, unless the attempt has ended before."""
-        if self.result:
+        if self.is_ended:
             return
+        self.is_ended = True
         self.result = result
         if self.timer is not None:
             self.timer.cancel()
--- a/apigateway/upstream/connection_pool.py
+++ b/apigateway/upstream/connection_pool.py
@@ -122,4 +122,4 @@
     def _may_start(self, attempt: Attempt, connection: Connection) -> bool:
         """Tell whether the attempt and its new connection are both still alive."""
         assert connection.transport is not None
-        return not attempt.result and self.is_open and not connection.transport.is_closing()
+        return not attempt.is_ended and self.is_open and not connection.transport.is_closing()
--- a/apigateway/upstream/upstream_connections.py
+++ b/apigateway/upstream/upstream_connections.py
@@ -66,12 +66,12 @@
         attempt = Attempt(endpoint_id, HEALTH_CHECK_PAYLOAD, done, HEALTH_CHECK)
         self.send(attempt, self.connect_timeout)
 
-    def abandon(self, attempt: Attempt, result: str) -> None:
+    def abandon(self, attempt: Attempt, result: AttemptResult) -> None:
         """Stop waiting for an attempt.
 
         The connection goes too: a late answer must not meet the next request on it.
         """
-        if attempt.result:
+        if attempt.is_ended:
             return
         connection = attempt.connection
         if connection is None:
--- a/tests/counter/test_pending_call.py
+++ b/tests/counter/test_pending_call.py
@@ -6,7 +6,8 @@
 from netkit import on_loop
 
 from apigateway import messages
-from apigateway.counter.pending_call import CounterCallResult, PendingCall
+from apigateway.counter.pending_call import PendingCall
+from apigateway.messages import CounterCallResult
 
 
 def test_results_when_compared_with_the_messages_then_are_the_same_words():
