--- a/benchmarks/check_cost.py
+++ b/benchmarks/check_cost.py
@@ -39,14 +39,14 @@
 import asyncio, sys, uvloop
 from apigateway.frontends.grpc.frontend import GrpcFrontend
 class Core:
-    def join(self, front): pass
-    def leave(self, front): pass
+    def register_frontend(self, frontend): pass
+    def unregister_frontend(self, frontend): pass
 def echo(message, timeout, responder):
     responder.respond(message)
 async def main():
-    front = GrpcFrontend(Core(), ("127.0.0.1", int(sys.argv[1])), 100)
-    front.set_methods({sys.argv[2]: echo})
-    await front.listen()
+    frontend = GrpcFrontend(Core(), ("127.0.0.1", int(sys.argv[1])), 100)
+    frontend.set_methods({sys.argv[2]: echo})
+    await frontend.listen()
     print("up", flush=True)
     await asyncio.Event().wait()
 uvloop.run(main())
