--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -1,4 +1,4 @@
-"""`api-gateway hosts FILE`: what a gateway believes of its hosts, or what the registry reports."""
+"""`api-gateway hosts FILE`: the endpoints that a gateway has accepted, or what the registry reports."""
 
 from __future__ import annotations
 
--- a/apigateway/core/in_flight_request.py
+++ b/apigateway/core/in_flight_request.py
@@ -22,7 +22,7 @@
     body_size = 0  # bytes
 
     def encode(self, remaining: float) -> bytes:
-        """Refuse: a quota check is answered by the decision module alone."""
+        """Raise: a quota check is answered by the decision module alone."""
         raise AssertionError("a check goes to no host")
 
 
--- a/apigateway/core/interfaces.py
+++ b/apigateway/core/interfaces.py
@@ -19,7 +19,7 @@
 # Called with the counter's key, the result, the total, and the seconds it took.
 CounterCallback = Callable[[int, messages.CounterCallResult, float, float], None]
 
-# Called with whether a request may go on, and else the seconds until it may come again.
+# Called with whether a request may go on, and else the seconds until it may be retried.
 DecisionCallback = Callable[[bool, float], None]
 
 
--- a/apigateway/core/responses.py
+++ b/apigateway/core/responses.py
@@ -72,7 +72,7 @@
             in_flight: The request.
             outcome: How it ends.
             answer: What its sink is given, by outcome: the endpoint's value, the seconds until the client may
-                come again, or the decision module's answer to a quota check.
+                retry, or the decision module's answer to a quota check.
         """
         if in_flight.is_finished:
             return
--- a/apigateway/daemon/endpoint_list.py
+++ b/apigateway/daemon/endpoint_list.py
@@ -68,7 +68,7 @@
 
 
 def merge_listing(old: Listing, change: Listing) -> Listing:
-    """Return the whole list after a change; one that is itself a whole list replaces the old."""
+    """Return the complete list after a change; a change that is a complete list replaces the old one."""
     if change.hosts.mode != messages.ListMode.DELTA:
         return change
     by_id = {endpoint.id: endpoint for endpoint in old.hosts.endpoints}
--- a/apigateway/daemon/endpoint_load.py
+++ b/apigateway/daemon/endpoint_load.py
@@ -9,7 +9,7 @@
 from apigateway.policy.endpoint_pool import EndpointPool
 from apigateway.routing.load_estimate import REPORT_HALF_LIFE
 
-_DIGITS = 3  # after the point, of what is told
+_DIGITS = 3  # after the point, of the figures in the status
 _LOAD_DIGITS = 2
 
 
--- a/apigateway/daemon/endpoint_source.py
+++ b/apigateway/daemon/endpoint_source.py
@@ -91,7 +91,7 @@
 
 
 class ReconciledDiscovery(DiscoveryClient):
-    """A discovery whose lists pass a reconciler: not on the platform, whose agents can be believed.
+    """A discovery whose lists pass a reconciler: not on the platform, whose agents are trusted.
 
     Attributes:
         driver: Drives the reconciler.
--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -228,9 +228,9 @@
         replaced = self.endpoint_source
         self.endpoint_source = source
         self.core.membership = source
-        if replaced.watching:  # the watch begins with the whole list: another service has its own versions
+        if replaced.watching:  # the watch begins with the complete list: another service has its own versions
             source.watch(True)
-        replaced.watch(False)  # at once: what it receives in this turn of the loop is not heard any more
+        replaced.watch(False)  # at once: what it receives in this turn of the loop is not read any more
         self._close_in_background(replaced.close())
 
     def apply_overload_settings(self, config: Config) -> None:
@@ -264,7 +264,7 @@
     def retire_frontend(self, frontend: Frontend) -> None:
         """Complete what a frontend has accepted, in the background, and close it."""
         has_waiting_connections = frontend.has_pending_connections
-        if not has_waiting_connections:  # at once: who hears of the reload finds the address closed
+        if not has_waiting_connections:  # at once: who learns of the reload finds the address closed
             frontend.start_draining()
         self._close_in_background(retire_frontend(frontend, is_listener_open=has_waiting_connections))
 
--- a/apigateway/daemon/graceful_shutdown.py
+++ b/apigateway/daemon/graceful_shutdown.py
@@ -20,7 +20,7 @@
 MAX_ACCEPT_WAIT_S = 0.1
 # For the loop to read what lay in the sockets when the connections were told to end; also between checks.
 READ_INTERVAL_S = 0.005
-# For clients of gRPC to hear that connections end, and to let them.
+# For clients of gRPC to receive GOAWAY and close their connections.
 GRPC_SETTLE_S = 1.0
 # For the rest of an incomplete command to arrive once connections end.
 RESP_SETTLE_S = 0.25
--- a/apigateway/daemon/logs.py
+++ b/apigateway/daemon/logs.py
@@ -5,7 +5,7 @@
 import logging
 import sys
 
-# CPU time is rationed, and trouble that repeats must not use it up for logging.
+# CPU time is rationed, and a fault that repeats must not use it up for logging.
 DEFAULT_MAX_LINES_PER_SECOND = 5
 
 
--- a/apigateway/daemon/settings_schema.py
+++ b/apigateway/daemon/settings_schema.py
@@ -123,7 +123,7 @@
 
 
 class TrustSection(ConfigSection, frozen=True, kw_only=True):
-    """How far a changed endpoint list is believed at once."""
+    """How much of a changed endpoint list is accepted at once."""
 
     doubt_share: Fraction = 0.34
     doubt_time: SecondsOrNone = 30.0
--- a/apigateway/external_ratelimit/circuit_breaker.py
+++ b/apigateway/external_ratelimit/circuit_breaker.py
@@ -84,7 +84,7 @@
 class Fallback:
     """The failure mode decides about a request: it is rejected, or own quotas alone decide.
 
-    `retry_after`: seconds after which a rejected one may come again.
+    `retry_after`: seconds after which a rejected one may be retried.
     """
 
     is_rejected: bool
--- a/apigateway/external_ratelimit/limiter.py
+++ b/apigateway/external_ratelimit/limiter.py
@@ -48,7 +48,7 @@
 _log = logging.getLogger(__name__)
 
 DecisionCallback = Callable[[bool, float], None]
-"""Called with whether the request may go on, else the seconds until it may come again."""
+"""Called with whether the request may go on, else the seconds until it may be retried."""
 
 
 class LimiterStatus(TypedDict):
--- a/apigateway/external_ratelimit/rls_codec.py
+++ b/apigateway/external_ratelimit/rls_codec.py
@@ -26,7 +26,7 @@
 class CheckDecision:
     """The service's answer: whether each request of the question is allowed, in their order.
 
-    `retry_after`: seconds after which those that are not may come again; 0 where the service does not say.
+    `retry_after`: seconds after which those that are not may be retried; 0 where the service does not say.
     """
 
     allowed: list[bool]
--- a/apigateway/frontends/grpc/frontend.py
+++ b/apigateway/frontends/grpc/frontend.py
@@ -191,7 +191,7 @@
         self._write_blocked_since.pop(connection, None)
 
     def on_draining(self, connection: GrpcConnection) -> None:
-        """Start the time that a client has to hear that its connection ends."""
+        """Start the time that a client has to read that its connection ends."""
         self._draining_since.setdefault(connection, monotonic())
 
     def hold_partial_bytes(self, connection: GrpcConnection) -> bool:
--- a/apigateway/frontends/grpc/server_session.py
+++ b/apigateway/frontends/grpc/server_session.py
@@ -214,7 +214,7 @@
                 )
         except RpcError as error:
             self._forget_incoming(stream_id)
-            if stream_id in self._open_calls:  # it streams: whoever answers it hears of the end
+            if stream_id in self._open_calls:  # it streams: whoever answers it is notified of the end
                 self._open_calls.discard(stream_id)
                 events.append(CallCancelled(stream_id))
             self._send_status_alone(stream_id, error.status, str(error))
--- a/apigateway/frontends/resp/frontend.py
+++ b/apigateway/frontends/resp/frontend.py
@@ -176,7 +176,7 @@
     def _reject_early(
         self, admission: AdmissionController, scanned: ScannedCommand, slot: ResponseSlot
     ) -> bool:
-        """Reject a command if the gateway is overloaded and others are worth more; tell whether it was.
+        """Reject a command if the gateway is overloaded and others have priority; tell whether it was.
 
         One that may be running is not: a rejection says that it has not run.
         """
--- a/apigateway/membership/discovery.py
+++ b/apigateway/membership/discovery.py
@@ -43,7 +43,7 @@
         on_list: called with each list, complete or delta.
         on_failure: called after each call that failed.
         schedule: when calls are made.
-        is_list_known: whether `version` is of a list that this service told before. A polled service is then
+        is_list_known: whether `version` is of a list that this service gave before. A polled service is then
             watched from there on at once, since its complete list would cost it more.
     """
 
--- a/apigateway/membership/eureka/registration.py
+++ b/apigateway/membership/eureka/registration.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistrationSettings:
-    """What the registry is told of this gateway. Times in seconds."""
+    """What is registered of this gateway. Times in seconds."""
 
     app: str
     id: str
--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -60,7 +60,7 @@
 
 
 class ListMode(StrEnum):
-    """What news of the endpoint list there is."""
+    """What an update of the endpoint list contains."""
 
     DELTA = "delta"  # changes
     FULL = "full"  # the complete list
@@ -69,7 +69,7 @@
 
 
 class DiscoveryMode(StrEnum):
-    """How news of the endpoint list comes."""
+    """How updates of the endpoint list are received."""
 
     PUSH = "push"
     POLL = "ask"
@@ -105,10 +105,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """What is asked of one class of requests, and what it is worth against the others."""
+    """The objectives of one class of requests, and its priority against the others."""
 
     name: str
-    latency_objective: float  # an answer within this earns full worth
+    latency_objective: float  # an answer within this earns the full priority weight
     deadline: float
     effect: Effect
     deduplication_scope: DeduplicationScope  # keyed only
@@ -196,7 +196,7 @@
     connect_timeout: float = 0.0  # s after which an attempt that was sent reaches its host at the latest
 
     def retry_after(self, wait: float) -> float:
-        """Return how many of the seconds that a client should wait it may be told."""
+        """Return the Retry-After, in seconds, that a client may be given where it should wait so long."""
         return min(max(wait, 0.0), self.max_retry_after if self.can_tell_retry_after else 0.0)
 
     def __post_init__(self) -> None:
@@ -223,7 +223,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Hosts that a request may be kept to: those of some kinds."""
+    """The kinds of hosts that a request is restricted to."""
 
     name: str
     endpoint_kinds: tuple[str, ...]
@@ -306,7 +306,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """News of the endpoint list: changes, a complete list, the list as cached, or a call that failed."""
+    """An update of the endpoint list: changes, a complete list, the list as cached, or a call that failed."""
 
     mode: ListMode
     version: int
@@ -348,17 +348,17 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaCheck(Request):
-    """May this customer use so many units now? It spends them as a request would, goes to no host, and is
-    answered by Granted or Denied. Any number of units: 0 spends nothing, more than a burst never fits."""
+    """Asks whether a customer may use so many units now. It spends them as a request would, goes to no host,
+    and is answered by QuotaGranted or QuotaDenied. 0 units spend nothing, more than a burst never fits."""
 
     is_check: ClassVar[bool] = True
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaReservation(QuotaCheck):
-    """A check whose units a Paid request may come for. The ceiling counts it when it is granted, and counts
-    that request once more when it is sent, each by itself: neither what is granted nor what is sent on passes
-    it, however far apart the two are."""
+    """A check whose units a PrepaidRequest may use later. The ceiling counts it when it is granted, and that
+    request once more when it is forwarded, each by itself: neither what is granted nor what is forwarded
+    passes it, however far apart the two are."""
 
     is_reservation: ClassVar[bool] = True
 
@@ -366,7 +366,7 @@
 @dataclass(frozen=True, slots=True)
 class CustomLimitCheck(QuotaCheck):
     """A check against a limit of its own, in place of its plan's: of `customer`, which is then a name made
-    for that limit. Its class and plan tell what it is worth."""
+    for that limit. Its class and plan give its priority."""
 
     limit: Plan | None = None
 
@@ -380,37 +380,37 @@
 
 @dataclass(frozen=True, slots=True)
 class PrepaidRequest(Request):
-    """A request whose units a Reserve has spent: it takes none of the quota."""
+    """A request whose units a QuotaReservation has spent: it takes none of the quota."""
 
     is_prepaid: ClassVar[bool] = True
 
 
 @dataclass(frozen=True, slots=True)
 class ReturnUnits:
-    """Units that a Check of this customer was granted, and that were not used: another one of the same
-    question was denied. They count as unspent again while the window is the one that they were spent in."""
+    """Units that a QuotaCheck of this customer was granted, and that were not used: another check of the same
+    call was denied. They count as unspent again while the window is the one that they were spent in."""
 
     is_reservation: ClassVar[bool] = False
 
     customer: str
     units: float
-    window_index: int  # as Granted told it
+    window_index: int  # of the QuotaGranted
 
 
 @dataclass(frozen=True, slots=True)
 class ReturnReservation(ReturnUnits):
-    """Likewise, of a Reserve."""
+    """Units of a QuotaReservation that were not used."""
 
     is_reservation: ClassVar[bool] = True
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedByPlugin:
-    """A request that a plug-in or an outer service would have refused, before anything was taken for it. It
-    was not told of before."""
+    """A request that a plug-in or an external service rejected before it took anything of the quota. The
+    decision module was not given it before."""
 
     request_id: str
-    retry_after: float  # s until its client may come again
+    retry_after: float  # s until its client may retry
 
 
 @dataclass(frozen=True, slots=True)
@@ -558,7 +558,7 @@
     # units of the customer's quota left in this window, as far as is known here; inf: no quota
     remaining: float
     reset_after: float  # s until the window turns; 0: no quota
-    window_index: int  # for GiveBack
+    window_index: int  # for ReturnUnits
 
 
 @dataclass(frozen=True, slots=True)
@@ -628,7 +628,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Ask discovery for the whole list, once."""
+    """Ask discovery for the complete list, once."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/apigateway/plugins/chain_version.py
+++ b/apigateway/plugins/chain_version.py
@@ -61,7 +61,7 @@
         """Ask all plug-ins of a phase in turn, and apply to `effects` what is allowed.
 
         Returns:
-            The seconds until the client may come back if the request is rejected, which ends the chain; else
+            The seconds until the client may retry if the request is rejected, which ends the chain; else
             None.
         """
         deadline = now + self.max_chain_time
--- a/apigateway/plugins/interfaces.py
+++ b/apigateway/plugins/interfaces.py
@@ -17,7 +17,7 @@
 class Phase(enum.StrEnum):
     """When a plug-in is called. The values are part of the rules, of settings and of statuses."""
 
-    REQUEST = "request"  # a request was taken, before the decision module hears of it
+    REQUEST = "request"  # a request was taken, before the decision module is given it
     ATTEMPT = "attempt"  # an attempt is about to be sent to an endpoint
     ANSWER = "answer"  # the request is over
     TICK = "tick"  # some time has passed; there is no request
--- a/apigateway/plugins/manager.py
+++ b/apigateway/plugins/manager.py
@@ -15,7 +15,7 @@
 from apigateway.plugins.records import RequestRecorder
 from apigateway.plugins.runner import PluginRunner
 
-MIN_DEDUCTED_TIME = 0.001  # s that plug-ins took, from which on the module is told that less time is left
+MIN_DEDUCTED_TIME = 0.001  # s that plug-ins took, from which on the module is given less remaining time
 
 # Globals, for they are needed at each call: a member costs more to look up on its class.
 _REQUEST = Phase.REQUEST
@@ -83,7 +83,7 @@
         self._version.run_phase(_ATTEMPT, view, self._effects, now)
 
     def on_end(self, outcome: str) -> None:
-        """Hear that the final answer was given, or that nobody is there to hear it. Called once."""
+        """Notify of the final answer, or of a client that disconnected before it. Called once."""
         now = time.monotonic()
         view = self._view
         effects = self._effects
@@ -144,7 +144,7 @@
     def on_request(
         self, request: messages.Request
     ) -> tuple[RequestSession, messages.Request | messages.RejectedByPlugin]:
-        """Return what the decision module is to hear of: the request, with its route, or its rejection."""
+        """Return the event for the decision module: the request, with its route, or its rejection."""
         version = self.version
         started_at = time.monotonic()
         effects = RequestEffects()
--- a/apigateway/plugins/proposals.py
+++ b/apigateway/plugins/proposals.py
@@ -106,7 +106,7 @@
 
     Attributes:
         tag_bytes: What `tags` come to.
-        retry_after: Seconds until the client of a rejected request may come back; None: not rejected.
+        retry_after: Seconds until the client of a rejected request may retry; None: not rejected.
     """
 
     tags: dict[str, str] = field(default_factory=dict)
--- a/apigateway/plugins/testkit/kit.py
+++ b/apigateway/plugins/testkit/kit.py
@@ -61,7 +61,7 @@
     """What came of one request.
 
     Attributes:
-        refuse: Seconds until the client of a rejected request may come back; None: it was not rejected.
+        refuse: Seconds until the client of a rejected request may retry; None: it was not rejected.
         denied: Proposals without effect: plug-in, and `verb: reason`.
         failed: Failed calls: plug-in, and reason.
     """
--- a/apigateway/policy/counter_health.py
+++ b/apigateway/policy/counter_health.py
@@ -5,7 +5,7 @@
 
 RATIONED_CONGESTION = 0.5  # part of the time-out that calls take, from which they are rationed
 CONGESTION_PRICE = 4.0  # price of a call, in requests, times what the congestion is beyond that
-HALF_CROWD = 20.0  # gateways that are taken for half a crowd, before the counter has been heard
+HALF_CROWD = 20.0  # gateways that are taken for half a crowd, before the counter has answered
 MAX_PAUSE = 1.0  # s; between calls of a counter that does not answer
 QUICK_GAIN = 0.15  # weight of the latest call in the congestion: a change must show in a few calls
 SIDE_CALL_GAIN = 0.15  # of a call that only mends a count for others, or finds a limit seldom reached
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -14,7 +14,7 @@
 CALL_LOST = 0.9  # part of the time-out before which a call without answer was lost with its connection
 WATCH_RETRY = 1.0  # s after a failed watch of the endpoint list
 MAX_CALLS = 2.0  # time-outs of the counter that a request may wait for its units
-UNKNOWN_RETRY_AFTER = 1.0  # s; told to a customer that cannot be known while all others are in use
+UNKNOWN_RETRY_AFTER = 1.0  # s; given to a customer that cannot be known while all others are in use
 
 
 class Gateway(GatewayState):
--- a/apigateway/routing/capacity_estimator.py
+++ b/apigateway/routing/capacity_estimator.py
@@ -11,9 +11,9 @@
 
 MIN_UTILISATION = 0.1  # part of the CPU busy under which a report says little
 MAX_UTILISATION = 0.8  # part past which some requests wait
-KEPT_PART = 0.99  # of what was heard before, with each report
-MIN_REPORTS = 4  # before it is believed: one of many gateways hears few, and sheds meanwhile
-MIN_CHANGE = 0.15  # as a part, that is told: decisions that rest on it are made anew then
+KEPT_PART = 0.99  # of the earlier reports' weight, with each report
+MIN_REPORTS = 4  # before they are used: one of many gateways gets few, and sheds load meanwhile
+MIN_CHANGE = 0.15  # as a part, that is reported: decisions that rest on it are made anew then
 
 
 class CapacityEstimator:
--- a/apigateway/routing/lease_ledger.py
+++ b/apigateway/routing/lease_ledger.py
@@ -1,4 +1,4 @@
-"""One user's account of a quota that several users share by a count: units leased, used and reported.
+"""One user's ledger of a quota that several users share by a count: units leased, used and reported.
 
 The quota turns in windows of fixed length. Each user adds to the shared count what it has used (reported)
 and what it wants to use (a lease), and learns the total of all. A call may be lost, or its answer; the ledger
@@ -109,7 +109,7 @@
         self.reported_units = 0.0  # added to the count from here
         self.spare_units = 0.0  # added by calls whose answers were spoilt: ours, but not leased yet
         self.unconfirmed_units = 0.0  # of calls without answer: they may have been added
-        self.total_units = debt  # of all users, as the count last told
+        self.total_units = debt  # of all users, by the count's last answer
         self.debt_units = debt  # brought along from earlier windows
         self.carried_units = debt  # part of the total that is no use in this window
         self.previous_used_units = self.used_units  # in the last window
@@ -123,7 +123,7 @@
         if index == self.window_index:
             return
         known_use = self.total_units - self.carried_units
-        if self.reported_units > 0 and known_use >= 1:  # the count has told what all used
+        if self.reported_units > 0 and known_use >= 1:  # the count has given what all used
             self.local_share += LOCAL_SHARE_GAIN * (min(1.0, self.used_units / known_use) - self.local_share)
         # Where an even part is less than a unit, the few users that use one unreported say nothing of the
         # others: taken times the spread, one such unit would be a debt of many windows, for all.
@@ -186,7 +186,7 @@
         return entry
 
     def on_no_total(self, result: CounterCallResult, entry: LedgerEntry) -> None:
-        """Take up that a call has told no total; `result` says whether it added its units."""
+        """Take up that a call has given no total; `result` says whether it added its units."""
         if result == CounterCallResult.SPOILT:  # its units were added: the next call uses what was asked for
             self.reported_units += entry.amount
             self.spare_units += entry.asked
--- a/apigateway/routing/outlier_detection.py
+++ b/apigateway/routing/outlier_detection.py
@@ -14,7 +14,7 @@
     """How likely a host fails, at the level where the symptom shows: the whole host, a class, a plan there.
 
     One answer to errors, silence, lost connections and `full`: evidence at each level, by how much of the
-    fleet fails there, so that an answer of another kind clears nothing. In trouble proven hosts come first.
+    fleet fails there, so that an answer of another kind clears nothing. In a fault proven hosts come first.
     Harm: after a chance failure a sound host gets less until half is forgotten.
     """
 
--- a/apigateway/routing/zone_health.py
+++ b/apigateway/routing/zone_health.py
@@ -45,7 +45,7 @@
             zone.host_count = 0
         for name in zones:
             self.known.setdefault(name, Zone()).host_count += 1
-        # One without hosts is never answered for: what is known of it would stay, and be told, for good.
+        # One without hosts is never answered for: what is known of it would stay, and be reported, for good.
         self.known = {name: zone for name, zone in self.known.items() if zone.host_count}
         self.doubted = sum(bool(zone.failed) for zone in self.known.values())
 
--- a/apigateway/upstream/framing.py
+++ b/apigateway/upstream/framing.py
@@ -1,6 +1,6 @@
 """Cuts a RESP2 stream into messages.
 
-Lengths are checked here before anything believes them. hiredis makes room for `*1000000000` at once, and
+Lengths are checked here before anything relies on them. hiredis makes room for `*1000000000` at once, and
 giving that back takes it a second of CPU; nor does it check that CRLF stands behind a string. So it gets
 whole messages only, whose framing was found to hold.
 """
