--- a/apigateway/cli/check.py
+++ b/apigateway/cli/check.py
@@ -5,11 +5,11 @@
 import importlib
 import sys
 
-from apigateway.cli.exit_codes import ExitCode
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.config import Config, ConfigError
 from apigateway.daemon.configuration import read_configuration
 from apigateway.daemon.settings import Settings
+from apigateway.exit_codes import ExitCode
 from apigateway.upstream.address import write_address
 
 
--- a/apigateway/cli/experiment.py
+++ b/apigateway/cli/experiment.py
@@ -10,8 +10,8 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from apigateway.cli.exit_codes import ExitCode
 from apigateway.config_validation import InvalidConfigFileError
+from apigateway.exit_codes import ExitCode
 from apigateway.tools.experiment.experiment import Experiment
 from apigateway.tools.experiment.experiment_file import read_experiment
 from apigateway.tools.experiment.json_report import format_report, read_figures
--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -2,19 +2,15 @@
 
 from __future__ import annotations
 
-import asyncio
-import sys
 import time
 from collections.abc import Sequence
+from functools import partial
 from typing import Any
 
 from apigateway import messages
-from apigateway.cli.exit_codes import ExitCode
-from apigateway.cli.running_gateway import Status, StatusByWorker, format_answers, query_running_gateway
-from apigateway.config_validation import InvalidConfigFileError
+from apigateway.cli.running_gateway import Status, StatusByWorker, print_answers, query_running_gateway
 from apigateway.daemon.gateway_status import ListedEndpoint
-from apigateway.daemon.handover import HandoverError
-from apigateway.daemon.settings import Settings, read_settings
+from apigateway.daemon.settings import Settings
 from apigateway.daemon.settings_runtime import build_registry
 from apigateway.membership.listing import Listing
 
@@ -27,20 +23,10 @@
 
 def hosts(path: str, from_registry: bool, as_json: bool) -> int:
     """Print the hosts as the running gateway or the registry knows them; return the exit code."""
-    try:
-        settings = read_settings(path)
-        answers = asyncio.run(_query(settings, from_registry))
-    except InvalidConfigFileError as error:
-        print(error, file=sys.stderr)
-        return ExitCode.UNUSABLE
-    except (HandoverError, OSError) as error:
-        print(f"api-gateway: {error}", file=sys.stderr)
-        return ExitCode.FAILED
-    print(format_answers(answers, as_json, _format_status))
-    return ExitCode.OK
-
-
-async def _query(settings: Settings, from_registry: bool) -> StatusByWorker:
+    return print_answers(path, partial(_query, from_registry=from_registry), _format_status, as_json)
+
+
+async def _query(settings: Settings, *, from_registry: bool) -> StatusByWorker:
     if from_registry:
         return {"": await _query_registry(settings)}
     return await query_running_gateway(settings, "hosts")
--- a/apigateway/cli/load.py
+++ b/apigateway/cli/load.py
@@ -4,8 +4,8 @@
 
 import sys
 
-from apigateway.cli.exit_codes import ExitCode
 from apigateway.config_validation import InvalidConfigFileError
+from apigateway.exit_codes import ExitCode
 from apigateway.tools.load.plan import format_plan, plan_scenario
 from apigateway.tools.load.scenario import read_scenario
 from apigateway.tools.load.schedule import TooManyRequestsError
--- a/apigateway/cli/main.py
+++ b/apigateway/cli/main.py
@@ -11,7 +11,7 @@
 
 from apigateway import __version__
 from apigateway.cli.arguments import build_parser
-from apigateway.cli.exit_codes import ExitCode
+from apigateway.exit_codes import ExitCode
 
 _EXTRA_BY_LIBRARY = {  # libraries that only some installations have, and the extra that brings them
     "msgspec": "daemon",
--- a/apigateway/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -7,11 +7,11 @@
 import json
 import sys
 
-from apigateway.cli.exit_codes import ExitCode
 from apigateway.cli.running_gateway import Status, format_answers, query_running_gateway
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.settings import read_settings
+from apigateway.exit_codes import ExitCode
 from apigateway.tools.plugins import bench, check, files, replay
 from apigateway.tools.plugins.report import Report, UnusableArgumentError
 
--- a/apigateway/cli/ratelimit_ask.py
+++ b/apigateway/cli/ratelimit_ask.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from apigateway.cli.exit_codes import ExitCode
+from apigateway.exit_codes import ExitCode
 from apigateway.external_ratelimit.service_config import SHOULD_RATE_LIMIT_PATH
 from apigateway.upstream.address import Address, read_address
 
--- a/apigateway/cli/ratelimit_status.py
+++ b/apigateway/cli/ratelimit_status.py
@@ -2,28 +2,14 @@
 
 from __future__ import annotations
 
-import asyncio
-import sys
+from functools import partial
 
-from apigateway.cli.exit_codes import ExitCode
-from apigateway.cli.running_gateway import Status, format_answers, query_running_gateway
-from apigateway.config_validation import InvalidConfigFileError
-from apigateway.daemon.handover import HandoverError
-from apigateway.daemon.settings import read_settings
+from apigateway.cli.running_gateway import Status, print_answers, query_running_gateway
 
 
 def print_status(path: str, as_json: bool) -> int:
     """Print the status of the gateway that runs with a settings file; return the exit code."""
-    try:
-        answers = asyncio.run(query_running_gateway(read_settings(path), "ratelimit"))
-    except InvalidConfigFileError as error:
-        print(error, file=sys.stderr)
-        return ExitCode.UNUSABLE
-    except (HandoverError, OSError) as error:
-        print(f"api-gateway: {error}", file=sys.stderr)
-        return ExitCode.FAILED
-    print(format_answers(answers, as_json, _format_status))
-    return ExitCode.OK
+    return print_answers(path, partial(query_running_gateway, query="ratelimit"), _format_status, as_json)
 
 
 def _format_status(status: Status) -> str:
--- a/apigateway/cli/running_gateway.py
+++ b/apigateway/cli/running_gateway.py
@@ -5,11 +5,15 @@
 import asyncio
 import json
 import os
-from collections.abc import Callable
+import sys
+from collections.abc import Awaitable, Callable
 from typing import Any
 
-from apigateway.daemon.settings import Settings
+from apigateway.config_validation import InvalidConfigFileError
+from apigateway.daemon.handover import HandoverError
+from apigateway.daemon.settings import Settings, read_settings
 from apigateway.daemon.status_query import query_gateway
+from apigateway.exit_codes import ExitCode
 
 Status = dict[str, Any]
 """A gateway's answer to a query; its keys are those of the JSON that is printed."""
@@ -37,6 +41,29 @@
     return dict(zip(names, answers, strict=True))
 
 
+def print_answers(
+    path: str,
+    query: Callable[[Settings], Awaitable[StatusByWorker]],
+    format_status: Callable[[Status], str],
+    as_json: bool,
+) -> int:
+    """Print what a query answers for a settings file; return the exit code."""
+
+    async def read_and_query() -> StatusByWorker:
+        return await query(read_settings(path))
+
+    try:
+        answers = asyncio.run(read_and_query())
+    except InvalidConfigFileError as error:
+        print(error, file=sys.stderr)
+        return ExitCode.UNUSABLE
+    except (HandoverError, OSError) as error:
+        print(f"api-gateway: {error}", file=sys.stderr)
+        return ExitCode.FAILED
+    print(format_answers(answers, as_json, format_status))
+    return ExitCode.OK
+
+
 def format_answers(answers: StatusByWorker, as_json: bool, format_status: Callable[[Status], str]) -> str:
     """Return the answers as JSON, or as text under the name of each worker."""
     if as_json:
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -9,13 +9,13 @@
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.config import ConfigError
 from apigateway.daemon.configuration import Configuration, is_beside_platform, read_configuration
-from apigateway.daemon.exit_codes import ExitCode
 from apigateway.daemon.gateway_process import GatewayProcess
 from apigateway.daemon.handover import HandoverError, HandoverInProgressError
 from apigateway.daemon.lock import StateFolderLockedError
 from apigateway.daemon.logs import LogRateLimiter, start_log
 from apigateway.daemon.supervisor import supervise
 from apigateway.daemon.workers import read_worker_assignment
+from apigateway.exit_codes import ExitCode
 
 
 def serve(path: str, take_over: bool = False, workers: int = 0) -> int:
--- a/apigateway/daemon/supervisor.py
+++ b/apigateway/daemon/supervisor.py
@@ -18,7 +18,6 @@
 import tempfile
 
 from apigateway.config_validation import InvalidConfigFileError
-from apigateway.daemon.exit_codes import ExitCode
 from apigateway.daemon.handover import HandoverError, HandoverOffer
 from apigateway.daemon.handover_predecessor import HandoverPredecessor
 from apigateway.daemon.handover_successor import HandoverSuccessor
@@ -31,6 +30,7 @@
 from apigateway.daemon.worker_pool import WorkerPool, WorkerResources
 from apigateway.daemon.worker_process import WorkerProcess
 from apigateway.daemon.workers import InFlightRegions
+from apigateway.exit_codes import ExitCode
 from apigateway.upstream.address import Address, read_address, write_address
 
 # The shared memory's name beside the listeners of a hand-over.
--- a/apigateway/tools/demo/main.py
+++ b/apigateway/tools/demo/main.py
@@ -14,14 +14,11 @@
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.status_query import query_gateway
 from apigateway.emulators.fleet import Fleet
+from apigateway.exit_codes import ExitCode
 from apigateway.tools.demo.installation import GRPC_CLASS, SHAPE, read_plugin_settings
 from apigateway.tools.demo.session import DemoSession
 from apigateway.tools.demo.tables import checks_table, outcomes_table, plugins_table, verdicts_table
 
-EXIT_OK = 0
-EXIT_BROKEN = 1  # a rule broke
-EXIT_UNUSABLE = 2  # a plug-in cannot be used
-
 _RECORDS_POLL_INTERVAL_S = 0.05
 
 
@@ -53,7 +50,7 @@
         read_plugin_settings(options.plugins)
     except (InvalidConfigFileError, OSError) as error:
         console.print(f"api-gateway: {error}", soft_wrap=True)
-        return EXIT_UNUSABLE
+        return ExitCode.UNUSABLE
     with tempfile.TemporaryDirectory(prefix="apigateway-") as folder:
         return int(uvloop.run(_run(options, console, Path(folder))))
 
@@ -89,7 +86,7 @@
             console.print(plugins_table(fleet.folder))
         if options.keep:
             await _keep_up(fleet, console)
-    return EXIT_OK if all(verdict.kept for verdict in verdicts) else EXIT_BROKEN
+    return ExitCode.OK if all(verdict.kept for verdict in verdicts) else ExitCode.FAILED
 
 
 async def _wait_for_records(fleet: Fleet) -> None:
--- a/apigateway/tools/load/run.py
+++ b/apigateway/tools/load/run.py
@@ -8,14 +8,12 @@
 
 import uvloop
 
+from apigateway.exit_codes import ExitCode
 from apigateway.tools.load.report import build_report, format_report, void_reason
 from apigateway.tools.load.scenario import Scenario, target_addresses
 from apigateway.tools.load.schedule import schedule
 from apigateway.tools.load.sender import Sender
 
-EXIT_OK = 0
-EXIT_VOID = 1  # the run says nothing of its targets
-
 
 def run(scenario: Scenario, as_json: bool) -> int:
     """Play a scenario and print its report; return the exit code.
@@ -28,7 +26,7 @@
     if sender.is_stopped:
         report["stopped"] = True
     print(json.dumps(report, indent=1) if as_json else format_report(report))
-    return EXIT_VOID if void else EXIT_OK
+    return ExitCode.FAILED if void else ExitCode.OK
 
 
 async def _play(scenario: Scenario) -> Sender:
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -4,8 +4,8 @@
 
 from apigateway import __version__
 from apigateway.cli.arguments import build_parser
-from apigateway.cli.exit_codes import ExitCode
 from apigateway.cli.main import _COMMANDS, main
+from apigateway.exit_codes import ExitCode
 
 
 def test_each_command_of_the_parser_has_a_function():
