--- a/apigateway/emulators/counter.py
+++ b/apigateway/emulators/counter.py
@@ -22,7 +22,7 @@
     answer: bytes
 
 
-class StandInCounter(Listener):
+class EmulatedCounter(Listener):
     """Adds and tells the total.
 
     By its script, silent and stall are added and answered never or late; busy and error add nothing; reset
--- a/apigateway/emulators/discovery.py
+++ b/apigateway/emulators/discovery.py
@@ -38,7 +38,7 @@
         return ready
 
 
-class StandInDiscovery:
+class EmulatedDiscovery:
     """Answers with the whole list, or with what has changed since a version, once something has.
 
     Attributes:
--- a/apigateway/emulators/eureka.py
+++ b/apigateway/emulators/eureka.py
@@ -21,7 +21,7 @@
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.script import Script, Step, StepKind
 
-__all__ = ["Lease", "StandInEureka", "Told", "instance"]
+__all__ = ["Lease", "EmulatedEureka", "Told", "instance"]
 
 DEFAULT_LEASE_S = 90
 CHUNK_BYTES = 65536  # of an answer without end
@@ -45,7 +45,7 @@
         return self.override or str(self.told.get("status", "UNKNOWN"))
 
 
-class StandInEureka:
+class EmulatedEureka:
     """A registry; leases that are not renewed in time are dropped at each request.
 
     Script, for each read: silent; error (500); half (a cut answer); spoilt (no JSON); stall; slow is stall.
@@ -87,7 +87,7 @@
         self._clock = clock
         self.leases: dict[tuple[str, str], Lease] = {}
         self.log: list[tuple[float, str, Told]] = []
-        self.peer: StandInEureka | None = None
+        self.peer: EmulatedEureka | None = None
         self.hashcode: str | None = None
         self.lost = 0
         self.endless = 0
--- a/apigateway/emulators/fleet.py
+++ b/apigateway/emulators/fleet.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from typing import Any, Self
 
-from apigateway.emulators.counter import StandInCounter
-from apigateway.emulators.eureka import StandInEureka, instance
+from apigateway.emulators.counter import EmulatedCounter
+from apigateway.emulators.eureka import EmulatedEureka, instance
 from apigateway.emulators.gateway_process import Gateway
-from apigateway.emulators.hosts import Command, StandInHost, fields
+from apigateway.emulators.hosts import Command, EmulatedHost, fields
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.relay import Links
 from apigateway.emulators.shape import Class, Plan, Shape
@@ -53,16 +53,16 @@
         self.poll = poll
         self.links = links
         self.ledger = Ledger(shape.terms())
-        self.counter = StandInCounter()
-        self.registry = StandInEureka(ledger=self.ledger)
+        self.counter = EmulatedCounter()
+        self.registry = EmulatedEureka(ledger=self.ledger)
         self._renewal: asyncio.Task[None] | None = None
         self.hosts = [self._new_host(number, work or self.work) for number in range(shape.hosts)]
         self.gateways = [Gateway(self, number) for number in range(shape.gateways)]
 
-    def _new_host(self, number: int, work: Callable[[Command], float]) -> StandInHost:
+    def _new_host(self, number: int, work: Callable[[Command], float]) -> EmulatedHost:
         shape = self.shape
         zone_number = number % len(shape.zones)
-        return StandInHost(
+        return EmulatedHost(
             name=f"h{number}",
             zone=shape.zones[zone_number],
             cell=zone_number,
@@ -86,7 +86,7 @@
 
     # Discovery and registry
 
-    def tell(self, *changed: tuple[StandInHost, str]) -> None:
+    def tell(self, *changed: tuple[EmulatedHost, str]) -> None:
         """Let discovery and registry tell of hosts that are now up, draining or removed."""
         for gateway in self.gateways:
             gateway.discovery.change([self.entry(gateway, host, state) for host, state in changed])
@@ -99,14 +99,14 @@
             else:
                 self.registry.cancel(HOST_APP, host.name)
 
-    def entry(self, gateway: Gateway, host: StandInHost, state: str = "up") -> dict[str, Any]:
+    def entry(self, gateway: Gateway, host: EmulatedHost, state: str = "up") -> dict[str, Any]:
         """Return a host as a gateway's discovery names it: at its relay, where there is one."""
         entry = host.entry(state)
         if self.links is not None:
             entry["addr"] = f"127.0.0.1:{self.links.hosts[gateway.zone, host.name].port}"
         return entry
 
-    def register(self, host: StandInHost) -> None:
+    def register(self, host: EmulatedHost) -> None:
         """Register a host at the registry."""
         self.registry.register(
             instance(host.name, host.port, zone=host.zone, cell=str(host.cell), kind=HOST_KIND)
--- a/apigateway/emulators/gateway_process.py
+++ b/apigateway/emulators/gateway_process.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Protocol
 
-from apigateway.emulators.discovery import StandInDiscovery
-from apigateway.emulators.eureka import StandInEureka
+from apigateway.emulators.discovery import EmulatedDiscovery
+from apigateway.emulators.eureka import EmulatedEureka
 from apigateway.emulators.gateway_file import GatewayFile
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.ports import free_port
@@ -29,7 +29,7 @@
     source: str
     poll: float
     ledger: Ledger
-    registry: StandInEureka
+    registry: EmulatedEureka
 
     def counter_port(self, gateway: str) -> int:
         """Return the port at which this gateway reaches the counter."""
@@ -52,7 +52,7 @@
         self.zone = shape.zones[number % len(shape.zones)]
         self.port = free_port()
         self.checks = free_port()
-        self.discovery = StandInDiscovery(self.name, installation.ledger)
+        self.discovery = EmulatedDiscovery(self.name, installation.ledger)
         self.file = installation.folder / f"{self.name}.toml"
         self.process: asyncio.subprocess.Process | None = None
         self.log: list[str] = []
--- a/apigateway/emulators/hosts.py
+++ b/apigateway/emulators/hosts.py
@@ -18,7 +18,7 @@
 from apigateway.emulators.resp import BUSY, ERROR, PONG, SPOILT, VALUE, Command, bulk, fields
 from apigateway.emulators.script import Script, Step, StepKind
 
-__all__ = ["BUSY", "ERROR", "SPOILT", "VALUE", "Answer", "Command", "StandInHost", "bulk", "fields"]
+__all__ = ["BUSY", "ERROR", "SPOILT", "VALUE", "Answer", "Command", "EmulatedHost", "bulk", "fields"]
 
 READ_BYTES = 65536
 HEALTH_CHECK = "probe"  # how a health check ends; the ledger does not know of it
@@ -49,7 +49,7 @@
     value: bytes
 
 
-class StandInHost(Listener):
+class EmulatedHost(Listener):
     """Answers each command by its script.
 
     Where the script says `answer`, it answers with `answer` or what that returns: None is silence, b"" ends
--- a/apigateway/emulators/crowd.py
+++ b/apigateway/emulators/loaded_fleet.py
@@ -12,7 +12,7 @@
 
 from apigateway.emulators.clients import Client, Customer, Traffic
 from apigateway.emulators.fleet import Fleet, Gateway, Shape
-from apigateway.emulators.hosts import Command, StandInHost
+from apigateway.emulators.hosts import Command, EmulatedHost
 from apigateway.emulators.ledger import Verdict
 from apigateway.emulators.ledger_records import AnswerKind
 from apigateway.emulators.relay import Links
@@ -55,7 +55,7 @@
     ]
 
 
-class Crowd:
+class LoadedFleet:
     """An installation and its clients; as a context manager it is started, and ended whatever happens.
 
     Attributes:
@@ -136,7 +136,7 @@
         """Return the requests that have come to each host so far."""
         return Counter({host.name: len(host.commands) for host in self.fleet.hosts})
 
-    async def replace(self, old: StandInHost, grace: float) -> None:
+    async def replace(self, old: EmulatedHost, grace: float) -> None:
         """Drain a host; past the grace it dies and comes back at its address, cold, and is told as new."""
         self.fleet.tell((old, "draining"))
         await asyncio.sleep(grace)
--- a/apigateway/emulators/ratelimit.py
+++ b/apigateway/emulators/ratelimit.py
@@ -35,7 +35,7 @@
 UNANSWERED_KINDS = (StepKind.GOAWAY, StepKind.SILENT, StepKind.BUSY)
 
 
-class StandInRateLimit(Listener):
+class EmulatedRateLimitService(Listener):
     """Counts hits against limits and answers by its script.
 
     Attributes:
@@ -97,7 +97,7 @@
     """One connection of a rate limit service: the events of h2 in, its bytes out."""
 
     def __init__(
-        self, service: StandInRateLimit, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, service: EmulatedRateLimitService, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._service = service
         self._reader = reader
--- a/apigateway/emulators/relay.py
+++ b/apigateway/emulators/relay.py
@@ -12,30 +12,30 @@
 SEEDS_PER_LINKS = 10_000  # relays of one `Links` have seeds of their own
 
 
-class WeatherKind(StrEnum):
+class LinkFaultKind(StrEnum):
     """What a link does to what passes it."""
 
-    SOUND = "sound"  # nothing
+    NO_FAULT = "sound"  # nothing
     DELAY = "delay"  # each piece comes `seconds` late, and up to `jitter` later, in order
     SILENT = "silent"  # nothing passes and nobody is told; connections stay open
-    STALL = "stall"  # as SILENT, and all of it passes when the weather changes
+    STALL = "stall"  # as SILENT, and all of it passes when the fault changes
     CUT = "cut"  # each connection is reset once `after` bytes have come back
     REFUSE = "refuse"  # new connections are reset, open ones stay
     LOSE = "lose"  # a `part` of the connections, drawn with each piece that comes back, says nothing more
 
 
-MUTE_KINDS = (WeatherKind.SILENT, WeatherKind.STALL)
+MUTE_KINDS = (LinkFaultKind.SILENT, LinkFaultKind.STALL)
 
 
 @dataclass(frozen=True, slots=True)
-class Weather:
-    """What a link does, a `WeatherKind`, and its figures.
+class LinkFault:
+    """What a link does, a `LinkFaultKind`, and its figures.
 
     Attributes:
         one_way: Of SILENT: what goes to the target passes, and only what comes back does not.
     """
 
-    kind: str = WeatherKind.SOUND
+    kind: str = LinkFaultKind.NO_FAULT
     seconds: float = 0.0
     jitter: float = 0.0
     one_way: bool = False
@@ -43,13 +43,13 @@
     part: float = 0.0
 
     def __post_init__(self) -> None:
-        if self.kind not in tuple(WeatherKind):
-            raise ValueError(f"unknown weather {self.kind!r}, one of {', '.join(WeatherKind)}")
+        if self.kind not in tuple(LinkFaultKind):
+            raise ValueError(f"unknown link fault {self.kind!r}, one of {', '.join(LinkFaultKind)}")
         if min(self.seconds, self.jitter, self.after, self.part) < 0 or self.part > 1:
-            raise ValueError(f"weather {self.kind}: figure out of range")
+            raise ValueError(f"link fault {self.kind}: figure out of range")
 
 
-SOUND = Weather()
+NO_FAULT = LinkFault()
 
 
 class RelayEnd(asyncio.Protocol):
@@ -79,35 +79,35 @@
             self._relay.join(self)
 
     def data_received(self, data: bytes) -> None:
-        """Pass a piece on, as the weather lets it."""
-        weather = self._relay.weather
-        if self._drops(weather):
+        """Pass a piece on, as the fault lets it."""
+        fault = self._relay.fault
+        if self._drops(fault):
             return
-        if weather.kind == WeatherKind.STALL or self.peer is None or self.peer.transport is None:
+        if fault.kind == LinkFaultKind.STALL or self.peer is None or self.peer.transport is None:
             self._held.append(data)
             return
-        is_cut = weather.kind == WeatherKind.CUT and self.faces_target
-        if is_cut and self._passed_bytes + len(data) > weather.after:
-            self._write(data[: max(0, weather.after - self._passed_bytes)])
+        is_cut = fault.kind == LinkFaultKind.CUT and self.faces_target
+        if is_cut and self._passed_bytes + len(data) > fault.after:
+            self._write(data[: max(0, fault.after - self._passed_bytes)])
             self.abort()
             return
-        self._write_in_time(data, weather)
+        self._write_in_time(data, fault)
 
-    def _drops(self, weather: Weather) -> bool:
+    def _drops(self, fault: LinkFault) -> bool:
         """Return whether a piece that comes now does not pass."""
-        is_lossy = weather.kind == WeatherKind.LOSE and self.faces_target
-        if is_lossy and self._relay.rng.random() < weather.part:
+        is_lossy = fault.kind == LinkFaultKind.LOSE and self.faces_target
+        if is_lossy and self._relay.rng.random() < fault.part:
             self._is_mute = True
-        is_silent = weather.kind == WeatherKind.SILENT and (self.faces_target or not weather.one_way)
+        is_silent = fault.kind == LinkFaultKind.SILENT and (self.faces_target or not fault.one_way)
         return self._is_mute or is_silent
 
-    def _write_in_time(self, data: bytes, weather: Weather) -> None:
-        """Pass a piece on, after the delay that the weather asks for."""
+    def _write_in_time(self, data: bytes, fault: LinkFault) -> None:
+        """Pass a piece on, after the delay that the fault asks for."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         delay = 0.0
-        if weather.kind == WeatherKind.DELAY:
-            delay = weather.seconds + weather.jitter * self._relay.rng.random()
+        if fault.kind == LinkFaultKind.DELAY:
+            delay = fault.seconds + fault.jitter * self._relay.rng.random()
         self._due = max(self._due, now + delay)  # in order, whatever the jitter
         if self._due > now:
             loop.call_at(self._due, self._write, data)
@@ -129,7 +129,7 @@
             self._write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the other side in the same way, if the weather lets it know."""
+        """End the other side in the same way, if the fault lets it know."""
         self._relay.ends.discard(self)
         peer = self.peer
         if peer is None or peer.transport is None or not self._relay.tells_ends():
@@ -147,17 +147,17 @@
 
 
 class Relay:
-    """A listener whose connections go on to a target, through the weather that a test sets in time.
+    """A listener whose connections go on to a target, through the fault that a test sets in time.
 
     Attributes:
-        weather: The weather now; change it by `set`.
+        fault: The fault now; change it by `set`.
         ends: The sides of all connections that are up.
         connections: Connections that there ever were.
     """
 
     def __init__(self, target: tuple[str, int], seed: int = 0) -> None:
         self._target = target
-        self.weather = SOUND
+        self.fault = NO_FAULT
         self.rng = random.Random(f"relay/{seed}")
         self.ends: set[RelayEnd] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -176,7 +176,7 @@
     def join(self, near: RelayEnd) -> None:
         """Connect a new connection to the target, or reset it."""
         self.connections += 1
-        if self.weather.kind == WeatherKind.REFUSE:
+        if self.fault.kind == LinkFaultKind.REFUSE:
             near.abort()
             return
         task = asyncio.get_running_loop().create_task(self._connect(near))
@@ -194,25 +194,25 @@
         near.peer = far
         if near.transport is None or near.transport.is_closing():
             far.abort()
-        elif self.weather.kind != WeatherKind.STALL:
+        elif self.fault.kind != LinkFaultKind.STALL:
             near.release()
 
     def tells_ends(self) -> bool:
         """Return whether one side's end is told to the other: not while nothing passes."""
-        return self.weather.kind not in MUTE_KINDS
+        return self.fault.kind not in MUTE_KINDS
 
-    def set(self, weather: Weather) -> None:
-        """Change the weather.
+    def set(self, fault: LinkFault) -> None:
+        """Change the fault.
 
         What a stall held passes. After a silence all connections are reset, as their senders would find out
         when the link is back.
         """
-        before = self.weather
-        self.weather = weather
+        before = self.fault
+        self.fault = fault
         for end in list(self.ends):
-            if before.kind == WeatherKind.STALL:
+            if before.kind == LinkFaultKind.STALL:
                 end.release()
-            elif before.kind == WeatherKind.SILENT:
+            elif before.kind == LinkFaultKind.SILENT:
                 end.abort()
 
     async def close(self) -> None:
@@ -258,11 +258,11 @@
     def _new_relay(self, target: tuple[str, int]) -> Relay:
         return Relay(target, self._seed * SEEDS_PER_LINKS + next(self._numbers))
 
-    def between(self, weather: Weather, zones: set[str] | None = None, hosts: set[str] | None = None) -> None:
-        """Set the weather on the links of gateways of these zones to these hosts; None: of all."""
+    def between(self, fault: LinkFault, zones: set[str] | None = None, hosts: set[str] | None = None) -> None:
+        """Set the fault on the links of gateways of these zones to these hosts; None: of all."""
         for (zone, host), relay in self.hosts.items():
             if (zones is None or zone in zones) and (hosts is None or host in hosts):
-                relay.set(weather)
+                relay.set(fault)
 
     async def close(self) -> None:
         """Close all relays."""
--- a/benchmarks/check_cost.py
+++ b/benchmarks/check_cost.py
@@ -32,7 +32,7 @@
 from grpc_servers import CLIENT, METHOD  # noqa: E402
 from request_cost import FastHost, cpu, memory  # noqa: E402
 
-from apigateway.emulators.counter import StandInCounter  # noqa: E402
+from apigateway.emulators.counter import EmulatedCounter  # noqa: E402
 from apigateway.emulators.ports import free_port  # noqa: E402
 
 ECHO = """
@@ -133,7 +133,7 @@
     ports = [host.sockets[0].getsockname()[1] for host in hosts]
     port, grpc, plain, echo = (free_port() for _ in range(4))
     rows: dict[str, list[tuple[float, float, float]]] = {}
-    async with StandInCounter() as counter:
+    async with EmulatedCounter() as counter:
         both = await gateway(folder, "both", ports, counter.port, port, grpc)
         alone = await gateway(folder, "alone", ports, counter.port, plain, 0)
         bare = await asyncio.create_subprocess_exec(
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -28,9 +28,9 @@
 sys.path.insert(0, str(ROOT))
 
 from apigateway import messages  # noqa: E402
-from apigateway.emulators.crowd import Crowd, customers, exponential  # noqa: E402
 from apigateway.emulators.fleet import Class, Plan, Shape  # noqa: E402
 from apigateway.emulators.ledger import report  # noqa: E402
+from apigateway.emulators.loaded_fleet import LoadedFleet, customers, exponential  # noqa: E402
 from apigateway.policy import Gateway  # noqa: E402
 from apigateway.simulation.scenario import (  # noqa: E402
     FREE,
@@ -80,7 +80,7 @@
     rate = args.load * args.hosts * CORES / MEAN
     people = customers(args.gateways, ["p"], rate, 400, args.seed, SPREAD)
     with tempfile.TemporaryDirectory() as folder:
-        crowd = Crowd(Path(folder), shape, people, seed=args.seed, work=exponential(MEAN, args.seed))
+        crowd = LoadedFleet(Path(folder), shape, people, seed=args.seed, work=exponential(MEAN, args.seed))
         began, away = time.monotonic(), 0.0
         async with crowd:
             started = time.monotonic() - began
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -34,7 +34,7 @@
 
 from apigateway import messages  # noqa: E402
 from apigateway.emulators.clients import Client, Customer, Traffic  # noqa: E402
-from apigateway.emulators.eureka import StandInEureka, instance  # noqa: E402
+from apigateway.emulators.eureka import EmulatedEureka, instance  # noqa: E402
 from apigateway.emulators.fleet import Class, Fleet, Plan, Shape  # noqa: E402
 from apigateway.emulators.ledger import report  # noqa: E402
 from apigateway.emulators.script import Step  # noqa: E402
@@ -108,7 +108,7 @@
     return rows
 
 
-class Touched(StandInEureka):
+class Touched(EmulatedEureka):
     """Each PUT changes ten instances, and deltas tell those alone."""
 
     turn = 0
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -33,8 +33,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from apigateway.emulators.counter import StandInCounter  # noqa: E402
-from apigateway.emulators.discovery import StandInDiscovery  # noqa: E402
+from apigateway.emulators.counter import EmulatedCounter  # noqa: E402
+from apigateway.emulators.discovery import EmulatedDiscovery  # noqa: E402
 from apigateway.emulators.hosts import VALUE  # noqa: E402
 from apigateway.emulators.platform import SETTINGS, configuration, entry  # noqa: E402
 from apigateway.emulators.ports import free_port  # noqa: E402
@@ -231,7 +231,7 @@
     entries = [entry(f"h{n}", port) for n, port in enumerate(ports)]
     folder = Path(tempfile.mkdtemp(prefix="request-cost-"))
     programs: list[Program] = []
-    async with StandInCounter() as counter, StandInDiscovery() as discovery:
+    async with EmulatedCounter() as counter, EmulatedDiscovery() as discovery:
         discovery.servers = entries
         try:
             old = folder / "before"
--- a/benchmarks/workers.py
+++ b/benchmarks/workers.py
@@ -31,7 +31,7 @@
 
 from request_cost import FastHost  # noqa: E402
 
-from apigateway.emulators.counter import StandInCounter  # noqa: E402
+from apigateway.emulators.counter import EmulatedCounter  # noqa: E402
 from apigateway.emulators.ports import free_port  # noqa: E402
 
 HOSTS, CONNECTIONS = 9, 48
@@ -103,7 +103,7 @@
             for n, host in enumerate(hosts)
         )
     )
-    async with StandInCounter() as counter:
+    async with EmulatedCounter() as counter:
         (folder / "gateway.toml").write_text(
             f'[[listeners]]\naddress = "127.0.0.1:{port}"\n[counter]\naddress = "127.0.0.1:{counter.port}"\n'
             '[classes.read]\neffect = "safe"\naim = 1.0\ndeadline = 3.0\n'
--- a/tests/daemon/test_gateway_process.py
+++ b/tests/daemon/test_gateway_process.py
@@ -59,9 +59,9 @@
 
 @on_loop
 async def test_start_when_no_endpoints_are_known_then_it_waits_for_a_list(tmp_path):
-    from apigateway.emulators.discovery import StandInDiscovery
+    from apigateway.emulators.discovery import EmulatedDiscovery
 
-    async with Site(tmp_path) as site, StandInDiscovery() as discovery:
+    async with Site(tmp_path) as site, EmulatedDiscovery() as discovery:
         discovery.silent = True
         site.write(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
         program = await site.start(ready=False)
@@ -74,9 +74,9 @@
 
 @on_loop
 async def test_sigterm_before_it_is_ready_then_it_ends(tmp_path):
-    from apigateway.emulators.discovery import StandInDiscovery
+    from apigateway.emulators.discovery import EmulatedDiscovery
 
-    async with Site(tmp_path) as site, StandInDiscovery() as discovery:
+    async with Site(tmp_path) as site, EmulatedDiscovery() as discovery:
         discovery.silent = True
         site.write(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
         program = await site.start(ready=False)
--- a/tests/emulators/test_standins.py
+++ b/tests/emulators/test_emulated_systems.py
@@ -8,9 +8,9 @@
 from netkit import command, on_loop, read_reply
 
 from apigateway.emulators.clients import Client, Order
-from apigateway.emulators.counter import StandInCounter
-from apigateway.emulators.discovery import StandInDiscovery
-from apigateway.emulators.hosts import StandInHost
+from apigateway.emulators.counter import EmulatedCounter
+from apigateway.emulators.discovery import EmulatedDiscovery
+from apigateway.emulators.hosts import EmulatedHost
 from apigateway.emulators.ledger import RULES, Kind, Ledger, Terms
 from apigateway.emulators.listener import Listener
 from apigateway.emulators.script import Script, Step
@@ -45,13 +45,13 @@
 )
 @on_loop
 async def test_a_host_does_what_its_script_says(step, answer):
-    async with StandInHost(script=Script([step]), work=lambda _: 0.001) as host:
+    async with EmulatedHost(script=Script([step]), work=lambda _: 0.001) as host:
         assert await ask(host.port, command()) == answer
 
 
 @on_loop
 async def test_a_host_that_resets_and_one_that_is_silent():
-    async with StandInHost(script=Script([Step("reset", count=1), Step("silent", count=1)])) as host:
+    async with EmulatedHost(script=Script([Step("reset", count=1), Step("silent", count=1)])) as host:
         assert await ask(host.port, command()) in (b"reset", b"")
         reader, writer = await asyncio.open_connection("127.0.0.1", host.port)
         writer.write(command(b"a") + command(b"b"))
@@ -63,7 +63,7 @@
 
 @on_loop
 async def test_a_host_has_so_many_cores_and_so_much_room():
-    async with StandInHost(work=lambda _: 60.0, cores=1, queue=1) as host:
+    async with EmulatedHost(work=lambda _: 60.0, cores=1, queue=1) as host:
         first = [await asyncio.open_connection("127.0.0.1", host.port) for _ in range(2)]
         for n, (_, writer) in enumerate(first):
             writer.write(command(b"r%d" % n))
@@ -81,7 +81,7 @@
 @on_loop
 async def test_a_host_that_restarts_is_cold_and_has_forgotten_its_work():
     ledger = Ledger(TERMS)
-    async with StandInHost(work=lambda _: 60.0, cold_share=0.2, ledger=ledger) as host:
+    async with EmulatedHost(work=lambda _: 60.0, cold_share=0.2, ledger=ledger) as host:
         reader, writer = await asyncio.open_connection("127.0.0.1", host.port)
         writer.write(command())
         await host.arrived.get()
@@ -104,7 +104,7 @@
         Step("reset", count=1),
         Step("stall", count=1, delay=0.01),
     ]
-    async with StandInCounter(script=Script(steps)) as counter:
+    async with EmulatedCounter(script=Script(steps)) as counter:
         said = [await ask(counter.port, b"incr n 1 60000\r\n") for _ in range(7)]
         assert said[:4] == [b"busy\r\n", b"error\r\n", b"ok {}\r\n", b"ok"] and said[4] in (b"reset", b"")
         assert said[5:] == [b"ok 4\r\n", b"ok 5\r\n"]  # busy and error added nothing, the others did
@@ -119,9 +119,9 @@
 @on_loop
 async def test_discovery_tells_changes_to_the_watch_and_the_ledger_when():
     ledger = Ledger(TERMS)
-    async with StandInDiscovery("g0", ledger) as discovery, aiohttp.ClientSession() as session:
+    async with EmulatedDiscovery("g0", ledger) as discovery, aiohttp.ClientSession() as session:
         url = f"http://127.0.0.1:{discovery.port}/v1/endpoints"
-        one = StandInHost(name="h1")
+        one = EmulatedHost(name="h1")
         discovery.servers = [one.entry()]
 
         async def get(**query):
@@ -166,8 +166,8 @@
     monkeypatch.setattr("apigateway.emulators.clients.GIVE_UP_MARGIN_S", 0.0)
     ledger = Ledger(TERMS)
     async with (
-        StandInHost(name="h1", work=lambda _: 0.2, ledger=ledger) as one,
-        StandInHost(name="h2", work=lambda _: 0.2, ledger=ledger) as two,
+        EmulatedHost(name="h1", work=lambda _: 0.2, ledger=ledger) as one,
+        EmulatedHost(name="h2", work=lambda _: 0.2, ledger=ledger) as two,
         Rogue([one, two], answers) as rogue,
     ):
         client = Client(ledger, {"g0": ("127.0.0.1", rogue.port)})
--- a/tests/external_ratelimit/test_limiter.py
+++ b/tests/external_ratelimit/test_limiter.py
@@ -6,7 +6,7 @@
 import pytest
 from netkit import SERVED, SETTINGS, Node, StubHost, command, on_loop, terms
 
-from apigateway.emulators.ratelimit import StandInRateLimit
+from apigateway.emulators.ratelimit import EmulatedRateLimitService
 from apigateway.emulators.script import Step
 from apigateway.external_ratelimit.circuit_breaker import BreakerState, CheckSettings, FailureMode
 from apigateway.external_ratelimit.limiter import EnvoyRateLimiter
@@ -53,7 +53,7 @@
 
 @on_loop
 async def test_check_is_sent_as_settings_say_and_over_limit_rejects(tmp_path):
-    async with StandInRateLimit({A: 1}, reset_s=0.7) as service, asking(tmp_path, service) as node:
+    async with EmulatedRateLimitService({A: 1}, reset_s=0.7) as service, asking(tmp_path, service) as node:
         assert [await ask(node, units="0.5"), await ask(node)] == [SERVED, b"-BUSY 700\r\n"]
         assert await ask(node, B) == SERVED
         question = service.questions[0]
@@ -69,7 +69,7 @@
 
 @on_loop
 async def test_request_passes_only_if_service_and_own_quota_allow_it(tmp_path):
-    async with StandInRateLimit({B: 0}) as service, asking(tmp_path, service) as node:
+    async with EmulatedRateLimitService({B: 0}) as service, asking(tmp_path, service) as node:
         answers = [await ask(node, plan="quota") for _ in range(14)]
         assert 5 <= answers.count(SERVED) <= 10 and answers[-1].startswith(b"-BUSY")
         assert service.hits[A] == 14  # it said yes to each
@@ -95,7 +95,7 @@
 @on_loop
 async def test_failure_mode_decides_while_the_service_fails_until_it_recovers(step, mode, tmp_path):
     slow = step.kind in ("stall", "silent")
-    async with StandInRateLimit() as service:
+    async with EmulatedRateLimitService() as service:
         async with asking(
             tmp_path, service, failure_mode=FailureMode(mode), timeout=0.05 if slow else 2.0
         ) as node:
@@ -112,7 +112,7 @@
 
 @on_loop
 async def test_over_limit_answers_do_not_open_the_breaker(tmp_path):
-    async with StandInRateLimit() as service, asking(tmp_path, service) as node:
+    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as node:
         service.script.play(Step("over", count=40))
         answers = await asyncio.gather(*(ask(node) for _ in range(40)))
         assert all(a.startswith(b"-BUSY") for a in answers) and not node.host.commands
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize("kind", ["goaway", "busy"])
 @on_loop
 async def test_check_that_was_not_processed_is_sent_once_more(kind, tmp_path):
-    async with StandInRateLimit() as service, asking(tmp_path, service) as node:
+    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as node:
         assert await ask(node) == SERVED
         service.script.play(Step(kind, count=1))
         assert await ask(node) == SERVED
@@ -132,7 +132,7 @@
 
 @on_loop
 async def test_goaway_among_many_checks_loses_none(tmp_path):
-    async with StandInRateLimit() as service, asking(tmp_path, service) as node:
+    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as node:
         assert await ask(node) == SERVED
         service.script.play(Step("answer", count=5), Step("goaway", count=1))
         answers = await asyncio.gather(*(ask(node) for _ in range(30)))
@@ -142,7 +142,7 @@
 
 @on_loop
 async def test_unreachable_service_is_used_once_it_comes_up(tmp_path):
-    service = StandInRateLimit({A: 0})
+    service = EmulatedRateLimitService({A: 0})
     await service.open()
     await service.die()
     async with asking(tmp_path, service, max_consecutive_failures=2, timeout=0.05) as node:
@@ -157,7 +157,7 @@
 
 @on_loop
 async def test_client_disconnect_cancels_its_check(tmp_path):
-    async with StandInRateLimit() as service, asking(tmp_path, service) as node:
+    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as node:
         service.script.play(Step("stall", count=1, delay=1.0))
         _, writer = await node.connect()
         writer.write(command(b"left"))
@@ -175,7 +175,7 @@
 
 @on_loop
 async def test_late_answer_changes_nothing(tmp_path):
-    async with StandInRateLimit() as service, asking(tmp_path, service, timeout=0.05) as node:
+    async with EmulatedRateLimitService() as service, asking(tmp_path, service, timeout=0.05) as node:
         service.script.play(Step("stall", count=1, delay=0.2), Step("over", count=1))
         assert await ask(node) == SERVED  # unasked, as the mode says
         assert (await ask(node)).startswith(b"-BUSY")
@@ -186,7 +186,7 @@
 
 @on_loop
 async def test_batched_requests_each_get_their_own_answer(tmp_path):
-    async with StandInRateLimit({A: 3, B: 0}) as service, asking(tmp_path, service, batch=10) as node:
+    async with EmulatedRateLimitService({A: 3, B: 0}) as service, asking(tmp_path, service, batch=10) as node:
         _, writer = await node.connect()
         reader, writer = await node.connect()
         texts = []
@@ -207,7 +207,7 @@
 
 @on_loop
 async def test_checks_wait_for_a_stream_when_the_server_limits_them(tmp_path):
-    async with StandInRateLimit(most_streams=2) as service, asking(tmp_path, service) as node:
+    async with EmulatedRateLimitService(most_streams=2) as service, asking(tmp_path, service) as node:
         assert await ask(node) == SERVED  # its settings are known now
         service.script.play(Step("stall", count=4, delay=0.05))
         assert await asyncio.gather(*(ask(node) for _ in range(12))) == [SERVED] * 12
@@ -216,7 +216,11 @@
 
 @on_loop
 async def test_config_update_sends_new_checks_to_the_new_address(tmp_path):
-    async with StandInRateLimit() as one, StandInRateLimit({A: 0}) as two, asking(tmp_path, one) as node:
+    async with (
+        EmulatedRateLimitService() as one,
+        EmulatedRateLimitService({A: 0}) as two,
+        asking(tmp_path, one) as node,
+    ):
         assert await ask(node) == SERVED
         one.script.play(Step("stall", count=1, delay=0.1))
         waits = asyncio.ensure_future(ask(node))
@@ -234,7 +238,7 @@
 @on_loop
 async def test_each_request_is_answered_once_through_a_walk_of_faults(tmp_path):
     kinds = ["stall", "silent", "reset", "error", "spoilt", "odd", "half", "over", "goaway", "busy", "answer"]
-    async with StandInRateLimit() as service, asking(tmp_path, service, timeout=0.05) as node:
+    async with EmulatedRateLimitService() as service, asking(tmp_path, service, timeout=0.05) as node:
         service.script.play(*(Step(kind, count=1 + n % 3, delay=0.1) for n, kind in enumerate(kinds * 4)))
         for _ in range(30):
             answers = await asyncio.gather(*(ask(node) for _ in range(6)))
--- a/tests/faults/test_links.py
+++ b/tests/faults/test_links.py
@@ -12,10 +12,10 @@
 from netkit import on_loop
 
 from apigateway.emulators.clients import Customer
-from apigateway.emulators.crowd import Crowd
 from apigateway.emulators.fleet import Class, Plan, Shape
 from apigateway.emulators.ledger import report
-from apigateway.emulators.relay import SOUND, Relay, Weather
+from apigateway.emulators.loaded_fleet import LoadedFleet
+from apigateway.emulators.relay import NO_FAULT, LinkFault, Relay
 from apigateway.emulators.script import Script, Step
 
 CLASSES = {
@@ -31,7 +31,7 @@
 DOZEN = [Customer(f"{n:016x}", "capped" if n % 4 == 0 else "free", 6.0, n % 12, 2 + n % 5) for n in range(24)]
 
 
-class Play(Crowd):
+class Play(LoadedFleet):
     """The dozen, until it has been judged."""
 
     def __init__(self, folder, shape=SHAPE, people=DOZEN):
@@ -45,25 +45,25 @@
 
 
 @pytest.mark.parametrize(
-    "weather, zones, hosts, least",
+    "fault, zones, hosts, least",
     [
-        (Weather("delay", 0.05, 0.05), {"a"}, None, 0.9),
-        (Weather("lose", part=0.1), {"b"}, None, 0.7),
-        (Weather("stall"), {"a"}, {"h1", "h4"}, 0.6),
-        (Weather("silent", one_way=True), None, {"h2"}, 0.6),
-        (Weather("cut", after=2000), None, None, 0.6),
-        (Weather("refuse"), {"a", "b"}, {"h0"}, 0.9),
+        (LinkFault("delay", 0.05, 0.05), {"a"}, None, 0.9),
+        (LinkFault("lose", part=0.1), {"b"}, None, 0.7),
+        (LinkFault("stall"), {"a"}, {"h1", "h4"}, 0.6),
+        (LinkFault("silent", one_way=True), None, {"h2"}, 0.6),
+        (LinkFault("cut", after=2000), None, None, 0.6),
+        (LinkFault("refuse"), {"a", "b"}, {"h0"}, 0.9),
     ],
-    ids=lambda x: x.kind if isinstance(x, Weather) else "",
+    ids=lambda x: x.kind if isinstance(x, LinkFault) else "",
 )
 @on_loop
-async def test_rules_hold_and_most_is_served_through_bad_links(weather, zones, hosts, least, tmp_path):
+async def test_rules_hold_and_most_is_served_through_bad_links(fault, zones, hosts, least, tmp_path):
     async with Play(tmp_path) as play:
         task = play.begin(6.0)
         await play.served(100, task)
-        play.links.between(weather, zones, hosts)
+        play.links.between(fault, zones, hosts)
         await play.served(250, task)
-        play.links.between(SOUND)
+        play.links.between(NO_FAULT)
         await task
         assert play.part_served() >= least
 
@@ -93,13 +93,13 @@
         task = play.begin(7.0)
         await play.served(100, task)
         there = {host.name for host in play.fleet.hosts if host.zone == "c"}
-        play.links.between(Weather("silent"), {"a", "b"}, there)
+        play.links.between(LinkFault("silent"), {"a", "b"}, there)
         for gateway in play.fleet.gateways[::2]:
-            play.links.counter[gateway.name].set(Weather("silent"))
+            play.links.counter[gateway.name].set(LinkFault("silent"))
         await play.served(250, task)
-        play.links.between(SOUND)
+        play.links.between(NO_FAULT)
         for relay in play.links.counter.values():
-            relay.set(SOUND)
+            relay.set(NO_FAULT)
         await task
         assert play.part_served() > 0.5
 
@@ -163,7 +163,7 @@
             return sum(relay.connections for relay in ways)
 
         await play.served(150, task)
-        play.links.between(Weather("silent"), {"a", "b"}, there)
+        play.links.between(LinkFault("silent"), {"a", "b"}, there)
         await play.served(150, task)  # by now it is known
         before = tries()
         await play.served(150, task)
@@ -178,7 +178,7 @@
             stdout=asyncio.subprocess.PIPE,
         )
         assert b"site c: " in (await asked.communicate())[0]
-        play.links.between(SOUND)
+        play.links.between(NO_FAULT)
         back = play.taken()
         await play.served(250, task)
         found = play.taken() - back
@@ -225,23 +225,23 @@
 
 
 @pytest.mark.parametrize(
-    "weather", [Weather("silent"), Weather("refuse"), Weather("delay", 0.3)], ids=lambda w: w.kind
+    "fault", [LinkFault("silent"), LinkFault("refuse"), LinkFault("delay", 0.3)], ids=lambda w: w.kind
 )
 @pytest.mark.parametrize("meanwhile", [killed_with_it, stopped, reloaded, drained])
 @on_loop
-async def test_a_site_is_lost_and_something_else_happens_in_the_middle_of_it(meanwhile, weather, tmp_path):
+async def test_a_site_is_lost_and_something_else_happens_in_the_middle_of_it(meanwhile, fault, tmp_path):
     async with Play(tmp_path, replace(SHAPE, hosts=18, cores=2)) as play:
         task = play.begin(6.0)
         there = {host.name for host in play.fleet.hosts if host.zone == "c"}
         await play.served(80, task)
-        play.links.between(weather, {"a", "b"}, there)
+        play.links.between(fault, {"a", "b"}, there)
         await play.served(40, task)
         steps = meanwhile(play)
         await anext(steps)
         await play.served(80, task)
         await anext(steps, None)
         await play.served(40, task)
-        play.links.between(SOUND)
+        play.links.between(NO_FAULT)
         await task
         assert play.part_served() > 0.4 and len(play.traffic.latency) > 250
 
@@ -285,36 +285,36 @@
 
 
 @pytest.mark.parametrize(
-    "weather, got",
+    "fault, got",
     [
-        (SOUND, b"hello"),
-        (Weather("delay", 0.01, 0.01), b"hello"),
-        (Weather("cut", after=3), b"hel"),
-        (Weather("refuse"), b""),
-        (Weather("stall"), b"hello"),
-        (Weather("silent"), b""),
-        (Weather("silent", one_way=True), b""),
-        (Weather("lose", part=1.0), None),
+        (NO_FAULT, b"hello"),
+        (LinkFault("delay", 0.01, 0.01), b"hello"),
+        (LinkFault("cut", after=3), b"hel"),
+        (LinkFault("refuse"), b""),
+        (LinkFault("stall"), b"hello"),
+        (LinkFault("silent"), b""),
+        (LinkFault("silent", one_way=True), b""),
+        (LinkFault("lose", part=1.0), None),
     ],
-    ids=lambda x: f"{x.kind}{'-one-way' * x.one_way}" if isinstance(x, Weather) else "",
+    ids=lambda x: f"{x.kind}{'-one-way' * x.one_way}" if isinstance(x, LinkFault) else "",
 )
 @on_loop
-async def test_a_relay_does_what_its_weather_says(weather, got):
+async def test_a_relay_does_what_its_fault_says(fault, got):
     loop = asyncio.get_running_loop()
     server = await loop.create_server(Echo, "127.0.0.1", 0)
     relay = Relay(server.sockets[0].getsockname()[:2])
     await relay.open()
     try:
-        relay.set(weather)
+        relay.set(fault)
         reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         writer.write(b"hello")
-        if weather.kind in ("stall", "silent"):
+        if fault.kind in ("stall", "silent"):
             while not relay.connections:
                 await asyncio.sleep(0)
             task = asyncio.ensure_future(reader.read(100))
             done, _ = await asyncio.wait([task], timeout=0.05)
             assert not done
-            relay.set(SOUND)  # a stall lets pass what it held; after silence the connection is reset
+            relay.set(NO_FAULT)  # a stall lets pass what it held; after silence the connection is reset
         else:
             task = asyncio.ensure_future(reader.read(100))
         if got is None:
@@ -333,7 +333,7 @@
         server.close()
 
 
-def test_weather_that_no_link_has_is_refused():
+def test_fault_that_no_link_has_is_refused():
     for wrong in (dict(kind="rain"), dict(kind="lose", part=1.5), dict(kind="delay", seconds=-1.0)):
         with pytest.raises(ValueError):
-            Weather(**wrong)
+            LinkFault(**wrong)
--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -11,7 +11,7 @@
 from netkit import command, on_loop, read_reply
 from rig import PROGRAM, ROOT, TERMS, Load, Site
 
-from apigateway.emulators.eureka import StandInEureka, instance
+from apigateway.emulators.eureka import EmulatedEureka, instance
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.script import Step
 
@@ -21,7 +21,7 @@
 
     def __init__(self, path, hosts=3, ledger=None, register="", **kw):
         super().__init__(path, hosts, ledger=ledger, **kw)
-        self.registry, self.register = StandInEureka(gateway="g", ledger=ledger), register
+        self.registry, self.register = EmulatedEureka(gateway="g", ledger=ledger), register
 
     async def __aenter__(self):
         await self.registry.__aenter__()
--- a/tests/faults/test_reload.py
+++ b/tests/faults/test_reload.py
@@ -9,7 +9,7 @@
 from netkit import SERVED, command, on_loop, read_reply
 from rig import TERMS, Load, Site, free_port
 
-from apigateway.emulators.counter import StandInCounter
+from apigateway.emulators.counter import EmulatedCounter
 from apigateway.emulators.ledger import Ledger
 
 
@@ -149,7 +149,7 @@
         assert await site.ask(command(b"a")) == SERVED and len(site.hosts[0].commands) == 1
         others = f'[[hosts]]\nid = "h9"\naddress = "127.0.0.1:{site.hosts[1].port}"\n'
         (tmp_path / "others.toml").write_text(others)
-        async with StandInCounter() as other:
+        async with EmulatedCounter() as other:
             site.write(hosts='file = "others.toml"')
             site.file.write_text(site.file.read_text().replace(str(site.counter.port), str(other.port)))
             program.send_signal(signal.SIGHUP)
--- a/tests/frontends/grpc/test_rate_limit_daemon.py
+++ b/tests/frontends/grpc/test_rate_limit_daemon.py
@@ -20,7 +20,7 @@
 
 from apigateway.emulators.checks import Checks
 from apigateway.emulators.ledger import Ledger
-from apigateway.emulators.ratelimit import StandInRateLimit
+from apigateway.emulators.ratelimit import EmulatedRateLimitService
 
 NAME = "envoy.service.ratelimit.v3.RateLimitService"
 RULE = """[[ratelimit.rules]]
@@ -346,7 +346,7 @@
 
 @on_loop
 async def test_asking_an_outer_service_by_settings_and_no_more_by_a_reload(tmp_path):
-    async with StandInRateLimit({A: 0}) as service, GrpcSite(tmp_path) as site:
+    async with EmulatedRateLimitService({A: 0}) as service, GrpcSite(tmp_path) as site:
         ask = f'[ask]\naddress = "127.0.0.1:{service.port}"\nplans = ["p"]\ntimeout = 2.0\nshare = 1.0\n'
         site.write(rules=ask + RULE)
         program = await site.start()
--- a/tests/membership/test_eureka_model.py
+++ b/tests/membership/test_eureka_model.py
@@ -6,7 +6,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from apigateway.emulators.eureka import StandInEureka, instance
+from apigateway.emulators.eureka import EmulatedEureka, instance
 from apigateway.membership.eureka.mapping import (
     DEFAULT_STATES,
     InstanceMapping,
@@ -67,7 +67,7 @@
 
 
 def test_json_and_xml_say_the_same():
-    registry = StandInEureka()
+    registry = EmulatedEureka()
     for n in range(3):
         registry.register(instance(f"node{n}", 8000 + n, app="ROSTER" if n else "OTHER", zone="a&b"))
     registry.override("ROSTER", "node1", "OUT_OF_SERVICE")
--- a/tests/membership/test_eureka_source.py
+++ b/tests/membership/test_eureka_source.py
@@ -9,7 +9,7 @@
 from netkit import on_loop
 
 from apigateway import messages
-from apigateway.emulators.eureka import StandInEureka, instance
+from apigateway.emulators.eureka import EmulatedEureka, instance
 from apigateway.emulators.script import Script, Step
 from apigateway.membership.eureka.mapping import InstanceMapping
 from apigateway.membership.eureka.registration import Registration, RegistrationSettings
@@ -60,7 +60,7 @@
 
 
 def filled(count=4, **kw):
-    registry = StandInEureka(**kw)
+    registry = EmulatedEureka(**kw)
     for n in range(count):
         registry.register(instance(f"node{n}", 8000 + n))
     return registry
@@ -200,7 +200,7 @@
 
 @on_loop
 async def test_emulated_replicas_when_lagging_then_register_late():
-    async with filled(1) as one, StandInEureka(lag=0.02) as other:
+    async with filled(1) as one, EmulatedEureka(lag=0.02) as other:
         one.peer = other
         one.register(instance("node5", 8005))
         assert not other.leases
@@ -244,7 +244,7 @@
 async def test_leases_expire_but_not_under_self_preservation():
     now = 1000.0
     for protect, left in ((False, {"node9"}), (True, {"node9", "node0"})):
-        registry = StandInEureka(protect=protect, clock=lambda: now)  # noqa: B023 - read in this turn only
+        registry = EmulatedEureka(protect=protect, clock=lambda: now)  # noqa: B023 - read in this turn only
         registry.register(instance("node0", 8000, duration=10))
         registry.register(instance("node9", 8009, duration=10))
         now += 8.0
@@ -298,7 +298,7 @@
 
 @on_loop
 async def test_registration_registers_renews_marks_up_and_down_and_deregisters():
-    async with StandInEureka() as registry:
+    async with EmulatedEureka() as registry:
         own = Registration((registry.url,), OWN)
         own.start()
         while our(registry) != "STARTING":
@@ -320,7 +320,7 @@
 @on_loop
 async def test_registration_when_the_registry_is_away_then_delays_neither_start_nor_stop(monkeypatch):
     monkeypatch.setattr("apigateway.membership.eureka.registration.FINAL_CALL_TIMEOUT_S", 0.05)
-    async with StandInEureka(script=Script([Step("error", count=4)])) as registry:
+    async with EmulatedEureka(script=Script([Step("error", count=4)])) as registry:
         own = Registration((registry.url, registry.url), OWN)
         own.start()
         own.mark_up()
@@ -354,7 +354,7 @@
 async def test_emulated_registry_serves_a_foreign_client():
     """py-eureka-client, which others wrote: the stand-in speaks the protocol, and our source reads what it
     wrote."""
-    async with StandInEureka(base="/eureka") as registry, Watched(registry) as seen:
+    async with EmulatedEureka(base="/eureka") as registry, Watched(registry) as seen:
         pipe = asyncio.subprocess.PIPE
         foreign = await asyncio.create_subprocess_exec(
             sys.executable,
--- a/tests/membership/test_reconciler_driver.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -4,7 +4,7 @@
 from rig import Site
 
 from apigateway import messages
-from apigateway.emulators.discovery import StandInDiscovery
+from apigateway.emulators.discovery import EmulatedDiscovery
 from apigateway.membership.listing import Listing, read_list
 from apigateway.membership.reconciler import ReconcilerSettings, ReportedEndpoint
 from apigateway.membership.reconciler_driver import ReconcilerDriver
@@ -55,7 +55,7 @@
 
 @on_loop
 async def test_gateway_when_discovery_comes_back_empty_then_serves_on(tmp_path):
-    async with Site(tmp_path, hosts=2) as site, StandInDiscovery() as discovery:
+    async with Site(tmp_path, hosts=2) as site, EmulatedDiscovery() as discovery:
         discovery.servers = [h.entry() for h in site.hosts]
         site.write(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
         program = await site.start()
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -10,10 +10,10 @@
 
 from apigateway.daemon.config import read_config
 from apigateway.daemon.gateway_server import GatewayServer
-from apigateway.emulators.counter import StandInCounter as StubCounter
-from apigateway.emulators.discovery import StandInDiscovery as StubDiscovery
+from apigateway.emulators.counter import EmulatedCounter as StubCounter
+from apigateway.emulators.discovery import EmulatedDiscovery as StubDiscovery
 from apigateway.emulators.hosts import VALUE
-from apigateway.emulators.hosts import StandInHost as StubHost
+from apigateway.emulators.hosts import EmulatedHost as StubHost
 from apigateway.emulators.platform import SETTINGS
 from apigateway.emulators.platform import configuration as told
 from apigateway.emulators.platform import entry as platform_entry
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -10,8 +10,8 @@
 from netkit import read_reply
 
 from apigateway.emulators.clients import Client, Customer, Kind, Traffic
-from apigateway.emulators.counter import StandInCounter
-from apigateway.emulators.hosts import StandInHost
+from apigateway.emulators.counter import EmulatedCounter
+from apigateway.emulators.hosts import EmulatedHost
 from apigateway.emulators.ledger import Kind as Class
 from apigateway.emulators.ledger import Terms, report
 from apigateway.emulators.ports import free_port
@@ -42,12 +42,12 @@
         self.path, self.file = path, path / "gateway.toml"
         make = dict(ledger=ledger, work=(lambda command: 0.005) if answer is None else None)
         self.hosts = [
-            StandInHost(
+            EmulatedHost(
                 **make, **({"answer": answer} if answer is not None else {}), name=f"h{n}", cores=8, queue=500
             )
             for n in range(hosts)
         ]
-        self.counter = StandInCounter()
+        self.counter = EmulatedCounter()
         self.port, self.programs, self.logs = free_port(), [], {}
 
     async def __aenter__(self):
