--- a/apigateway/core/attempts.py
+++ b/apigateway/core/attempts.py
@@ -18,6 +18,10 @@
 # What an attempt carries for the core: its request, and its number among that request's.
 AttemptTag = tuple[InFlightRequest, int]
 
+# Bound once: every attempt is compared with them, and a member is slow to look up in its class.
+_OK = AttemptResult.OK
+_CONNECT_FAILED = AttemptResult.CONNECT_FAILED
+
 log = logging.getLogger(__name__)
 
 
@@ -100,10 +104,10 @@
         result = attempt.result
         del in_flight.active_attempts[number]
         if in_flight.is_finished:
-            if result == AttemptResult.CONNECT_FAILED:
+            if result == _CONNECT_FAILED:
                 result = AttemptResult.MOOT  # abandoned before it was sent: it says nothing of the endpoint
             self._table.release_if_ended(in_flight)
-        elif result == AttemptResult.OK:
+        elif result == _OK:
             self._responses.finish(in_flight, RequestOutcome.COMPLETED, attempt.value)
         self._events.dispatch(
             messages.AttemptOutcome(
--- a/apigateway/upstream/attempt.py
+++ b/apigateway/upstream/attempt.py
@@ -25,6 +25,7 @@
 # The protocol's form of a load report; float() alone would accept more.
 _LOAD_REPORT = re.compile(r"(\w+=([0-9]{1,9}(\.[0-9]{1,9})?)?(,|$))+")
 _VALUE_PARTS = 3  # value, metered use, load report
+_OK = AttemptResult.OK  # bound once: a member is slow to look up in its class
 
 
 class AttemptConnection(Protocol):
@@ -110,7 +111,7 @@
         return AttemptResult.FULL if words[0] == "BUSY" else AttemptResult.ERROR
     if isinstance(reply, bytes) and is_health_check:
         attempt.load_report = parse_load_report(reply)
-        return AttemptResult.OK
+        return _OK
     raise FramingError("no answer of a host")
 
 
@@ -135,4 +136,4 @@
     if isinstance(metered_use, int) and 0 <= metered_use <= MAX_METERED_USE_PERCENT:
         attempt.metered_use = metered_use
     attempt.load_report = parse_load_report(load_report)
-    return AttemptResult.OK
+    return _OK
--- a/apigateway/upstream/upstream_connections.py
+++ b/apigateway/upstream/upstream_connections.py
@@ -15,6 +15,7 @@
 
 IDLE_MARGIN = 0.1  # part of the hosts' idle time by which a connection is closed before them
 IDLE_CHECK_INTERVAL_S = 0.5  # between checks for connections that are idle for too long
+_TIMEOUT = AttemptResult.TIMEOUT  # bound once: a member is slow to look up in its class
 HEALTH_CHECK_PAYLOAD = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"
 
 
@@ -58,7 +59,7 @@
         if pool is None:
             loop.call_soon(attempt.end, AttemptResult.CONNECT_FAILED)
             return
-        attempt.timer = loop.call_later(timeout, self.abandon, attempt, AttemptResult.TIMEOUT)
+        attempt.timer = loop.call_later(timeout, self.abandon, attempt, _TIMEOUT)
         pool.start(attempt)
 
     def check_health(self, endpoint_id: str, done: Callable[[Attempt], None]) -> None:
