--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -1,4 +1,4 @@
-"""`api-gateway hosts FILE`: what a gateway believes of its hosts, or what the registry reports."""
+"""`api-gateway hosts FILE`: the endpoints that a gateway has accepted, or what the registry reports."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
     source = EurekaSource(
         registry,
-        known=Listing(messages.EndpointList("cached", 0, ()), {}),
+        known=Listing(messages.EndpointList(messages.ListMode.CACHED, 0, ()), {}),
         on_change=lambda _: None,
         on_failure=lambda: None,
         resolve=resolve if registry.mapping.address == "name" else None,
--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -1,7 +1,7 @@
 """The typed contract of the decision module: settings, events in, actions out.
 
-Times are seconds (floats), clock readings come with each event, ids are opaque text. Members of the
-enumerations equal the words of the wire, so that either may be passed.
+Times are seconds (floats), clock readings come with each event, ids are opaque text. Fields of the
+enumerations' types hold members; whoever reads a wire or a file turns its words into them.
 """
 
 from __future__ import annotations
@@ -44,11 +44,11 @@
 class CounterCallResult(StrEnum):
     """How a call of the counter ended."""
 
-    OK = "ok"
+    OK = "ok"  # added, and the new total is known
     FULL = "full"  # rejected: nothing was added
-    CONNECT_FAILED = "connect_failed"  # not sent: nothing was added
-    TIMEOUT = "timeout"  # it may have been added
-    SPOILT = "spoilt"  # added, but the total is not known
+    CONNECT_FAILED = "connect_failed"  # not written: nothing was added
+    TIMEOUT = "timeout"  # written and not answered in time: it may have been added
+    SPOILT = "spoilt"  # added, but the reply with the total could not be read
 
 
 class EndpointStatus(StrEnum):
@@ -60,7 +60,7 @@
 
 
 class ListMode(StrEnum):
-    """What news of the endpoint list there is."""
+    """What an update of the endpoint list contains."""
 
     DELTA = "delta"  # changes
     FULL = "full"  # the complete list
@@ -69,7 +69,7 @@
 
 
 class DiscoveryMode(StrEnum):
-    """How news of the endpoint list comes."""
+    """How updates of the endpoint list are received."""
 
     PUSH = "push"
     POLL = "ask"
@@ -105,13 +105,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """What is asked of one class of requests, and what it is worth against the others."""
+    """The objectives of one class of requests, and its priority against the others."""
 
     name: str
-    latency_objective: float  # an answer within this earns full worth
+    latency_objective: float  # an answer within this earns the full priority weight
     deadline: float
-    effect: str  # an Effect
-    deduplication_scope: str  # a DeduplicationScope; keyed only
+    effect: Effect
+    deduplication_scope: DeduplicationScope  # keyed only
     deduplication_window: float  # keyed only: for how long they do
     priority_weight: float
     late_priority_weight: float
@@ -196,7 +196,7 @@
     connect_timeout: float = 0.0  # s after which an attempt that was sent reaches its host at the latest
 
     def retry_after(self, wait: float) -> float:
-        """Return how many of the seconds that a client should wait it may be told."""
+        """Return the Retry-After, in seconds, that a client may be given where it should wait so long."""
         return min(max(wait, 0.0), self.max_retry_after if self.can_tell_retry_after else 0.0)
 
     def __post_init__(self) -> None:
@@ -223,7 +223,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Hosts that a request may be kept to: those of some kinds."""
+    """The kinds of hosts that a request is restricted to."""
 
     name: str
     endpoint_kinds: tuple[str, ...]
@@ -257,7 +257,7 @@
     meter_period: float
     settles_units: bool
     max_units: float
-    discovery_mode: str  # a DiscoveryMode
+    discovery_mode: DiscoveryMode
     load_report_fields: tuple[str, ...]
     weight_meaning: str  # meaning of a host's weight
     routes: dict[str, Route] = field(default_factory=dict)
@@ -285,7 +285,7 @@
     cell: int
     weight: float
     kind: str
-    state: str  # an EndpointStatus
+    state: EndpointStatus
     started_at: float  # clock time of its last start; 0: long ago
 
     @property
@@ -293,7 +293,7 @@
         """Whether it may get requests."""
         return self.state == EndpointStatus.UP
 
-    def shares_scope(self, other: Endpoint, scope: str) -> bool:
+    def shares_scope(self, other: Endpoint, scope: DeduplicationScope) -> bool:
         """Return whether a repeat of what another host has executed is discarded by this one."""
         if scope == DeduplicationScope.ZONE:
             return self.zone == other.zone
@@ -306,9 +306,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """News of the endpoint list: changes, a complete list, the list as cached, or a call that failed."""
+    """An update of the endpoint list: changes, a complete list, the list as cached, or a call that failed."""
 
-    mode: str  # a ListMode
+    mode: ListMode
     version: int
     endpoints: tuple[Endpoint, ...]
 
@@ -348,17 +348,17 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaCheck(Request):
-    """May this customer use so many units now? It spends them as a request would, goes to no host, and is
-    answered by Granted or Denied. Any number of units: 0 spends nothing, more than a burst never fits."""
+    """Asks whether a customer may use so many units now. It spends them as a request would, goes to no host,
+    and is answered by QuotaGranted or QuotaDenied. 0 units spend nothing, more than a burst never fits."""
 
     is_check: ClassVar[bool] = True
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaReservation(QuotaCheck):
-    """A check whose units a Paid request may come for. The ceiling counts it when it is granted, and counts
-    that request once more when it is sent, each by itself: neither what is granted nor what is sent on passes
-    it, however far apart the two are."""
+    """A check whose units a PrepaidRequest may use later. The ceiling counts it when it is granted, and that
+    request once more when it is forwarded, each by itself: neither what is granted nor what is forwarded
+    passes it, however far apart the two are."""
 
     is_reservation: ClassVar[bool] = True
 
@@ -366,7 +366,7 @@
 @dataclass(frozen=True, slots=True)
 class CustomLimitCheck(QuotaCheck):
     """A check against a limit of its own, in place of its plan's: of `customer`, which is then a name made
-    for that limit. Its class and plan tell what it is worth."""
+    for that limit. Its class and plan give its priority."""
 
     limit: Plan | None = None
 
@@ -380,37 +380,37 @@
 
 @dataclass(frozen=True, slots=True)
 class PrepaidRequest(Request):
-    """A request whose units a Reserve has spent: it takes none of the quota."""
+    """A request whose units a QuotaReservation has spent: it takes none of the quota."""
 
     is_prepaid: ClassVar[bool] = True
 
 
 @dataclass(frozen=True, slots=True)
 class ReturnUnits:
-    """Units that a Check of this customer was granted, and that were not used: another one of the same
-    question was denied. They count as unspent again while the window is the one that they were spent in."""
+    """Units that a QuotaCheck of this customer was granted, and that were not used: another check of the same
+    call was denied. They count as unspent again while the window is the one that they were spent in."""
 
     is_reservation: ClassVar[bool] = False
 
     customer: str
     units: float
-    window_index: int  # as Granted told it
+    window_index: int  # of the QuotaGranted
 
 
 @dataclass(frozen=True, slots=True)
 class ReturnReservation(ReturnUnits):
-    """Likewise, of a Reserve."""
+    """Units of a QuotaReservation that were not used."""
 
     is_reservation: ClassVar[bool] = True
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedByPlugin:
-    """A request that a plug-in or an outer service would have refused, before anything was taken for it. It
-    was not told of before."""
+    """A request that a plug-in or an external service rejected before it took anything of the quota. The
+    decision module was not given it before."""
 
     request_id: str
-    retry_after: float  # s until its client may come again
+    retry_after: float  # s until its client may retry
 
 
 @dataclass(frozen=True, slots=True)
@@ -420,7 +420,7 @@
     request_id: str
     attempt: int
     endpoint_id: str
-    result: str  # an AttemptResult
+    result: AttemptResult
     elapsed: float
     is_final: bool
     metered_use: int = 0  # 1 + percent of the customer's rate used in the last metered period; 0: none
@@ -447,7 +447,7 @@
     """A call of the quota counter has ended."""
 
     counter_key: int
-    result: str  # a CounterCallResult
+    result: CounterCallResult
     total: float
     elapsed: float
 
@@ -466,7 +466,7 @@
     """A health check has ended."""
 
     endpoint_id: str
-    result: str  # an AttemptResult
+    result: AttemptResult
     elapsed: float
     load_report: dict[str, float] = field(default_factory=dict)
 
@@ -558,7 +558,7 @@
     # units of the customer's quota left in this window, as far as is known here; inf: no quota
     remaining: float
     reset_after: float  # s until the window turns; 0: no quota
-    window_index: int  # for GiveBack
+    window_index: int  # for ReturnUnits
 
 
 @dataclass(frozen=True, slots=True)
@@ -628,7 +628,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Ask discovery for the whole list, once."""
+    """Ask discovery for the complete list, once."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/apigateway/routing/zone_health.py
+++ b/apigateway/routing/zone_health.py
@@ -45,7 +45,7 @@
             zone.host_count = 0
         for name in zones:
             self.known.setdefault(name, Zone()).host_count += 1
-        # One without hosts is never answered for: what is known of it would stay, and be told, for good.
+        # One without hosts is never answered for: what is known of it would stay, and be reported, for good.
         self.known = {name: zone for name, zone in self.known.items() if zone.host_count}
         self.doubted = sum(bool(zone.failed) for zone in self.known.values())
 
@@ -69,7 +69,7 @@
         zone.failed.add(host)
         zone.failed_at = now
 
-    def on_result(self, name: str, host: str, result: str, now: float) -> None:
+    def on_result(self, name: str, host: str, result: AttemptResult, now: float) -> None:
         """Take up the result of an attempt; a reset may come from the host as well as from the way there."""
         if result == AttemptResult.CONNECT_FAILED:
             self.silent(name, host, now)
--- a/apigateway/upstream/attempt.py
+++ b/apigateway/upstream/attempt.py
@@ -25,6 +25,7 @@
 # The protocol's form of a load report; float() alone would accept more.
 _LOAD_REPORT = re.compile(r"(\w+=([0-9]{1,9}(\.[0-9]{1,9})?)?(,|$))+")
 _VALUE_PARTS = 3  # value, metered use, load report
+_OK = AttemptResult.OK  # bound once: a member is slow to look up in its class
 
 
 class AttemptConnection(Protocol):
@@ -40,7 +41,7 @@
 class Attempt:
     """One command for one host.
 
-    `done` is called with it exactly once, when `result` is known, an `AttemptResult`; until then it is empty.
+    `done` is called with it exactly once, when `result` is known. Before that `result` is not set.
     """
 
     __slots__ = (
@@ -49,6 +50,7 @@
         "done",
         "tag",
         "started",
+        "is_ended",
         "result",
         "value",
         "metered_use",
@@ -57,6 +59,8 @@
         "timer",
     )
 
+    result: AttemptResult
+
     def __init__(
         self, endpoint_id: str, payload: bytes, done: Callable[[Attempt], None], tag: Any = None
     ) -> None:
@@ -65,7 +69,7 @@
         self.done = done
         self.tag = tag
         self.started = monotonic()
-        self.result = ""
+        self.is_ended = False
         self.value = b""
         self.metered_use = 0  # percent of the customer's rate
         self.load_report: LoadReport = {}
@@ -76,10 +80,11 @@
         """Return the seconds since the attempt was created."""
         return monotonic() - self.started
 
-    def end(self, result: str) -> None:
+    def end(self, result: AttemptResult) -> None:
         """Set the result and call `done`, unless the attempt has ended before."""
-        if self.result:
+        if self.is_ended:
             return
+        self.is_ended = True
         self.result = result
         if self.timer is not None:
             self.timer.cancel()
@@ -106,7 +111,7 @@
         return AttemptResult.FULL if words[0] == "BUSY" else AttemptResult.ERROR
     if isinstance(reply, bytes) and is_health_check:
         attempt.load_report = parse_load_report(reply)
-        return AttemptResult.OK
+        return _OK
     raise FramingError("no answer of a host")
 
 
@@ -131,4 +136,4 @@
     if isinstance(metered_use, int) and 0 <= metered_use <= MAX_METERED_USE_PERCENT:
         attempt.metered_use = metered_use
     attempt.load_report = parse_load_report(load_report)
-    return AttemptResult.OK
+    return _OK
