--- a/tests/faults/test_plugins.py
+++ b/tests/faults/test_plugins.py
@@ -73,7 +73,7 @@
     async with Plugged(tmp_path, ledger=ledger) as site:
         (tmp_path / "loop.wat").write_text(LOOPS)
         site.plug(
-            plugin("loop", "[plugins.budget]\nfailures = 4\nrest = 600.0", file="loop.wat")
+            plugin("loop", f"[plugins.budget]\nfailures = 4\nrest = 600.0\n{UNHURRIED}", file="loop.wat")
             + plugin("mark", "[[plugins.rules]]\ntag = { a = '\"1\"' }")
         )
         program = await site.start()
@@ -95,7 +95,12 @@
     async with Plugged(tmp_path) as site:
         (tmp_path / "loop.wat").write_text(LOOPS)
         site.plug(
-            plugin("loop", "[plugins.budget]\nfailures = 4\nrest = 600.0", file="loop.wat", past="refuse")
+            plugin(
+                "loop",
+                f"[plugins.budget]\nfailures = 4\nrest = 600.0\n{UNHURRIED}",
+                file="loop.wat",
+                past="refuse",
+            )
         )
         await site.start()
         assert [await site.ask(command(b"z%d" % n)) for n in range(3)] == [BUSY] * 3
@@ -146,7 +151,7 @@
         zones=("a", "b"),
         cold_time=3.0,
         plugins="".join(
-            plugin(phase, file=f"{phase}.wat", budget={}).replace("budget = {}\n", "")
+            plugin(phase, f"[plugins.budget]\n{UNHURRIED}", file=f"{phase}.wat")
             for phase in ("request", "attempt", "answer", "tick")
         ),
     )
@@ -211,7 +216,7 @@
         file = tmp_path / "a.wat"
         file.write_text(module(says("tag v 0")))
         site.plug(
-            plugin("a", "[plugins.budget]\nfailures = 2\nrest = 600.0", file="a.wat")
+            plugin("a", f"[plugins.budget]\nfailures = 2\nrest = 600.0\n{UNHURRIED}", file="a.wat")
             + '[records]\nfile = "records"\n'
         )
         program = await site.start()
@@ -263,7 +268,9 @@
         )
         good = assemble_module(module(says("tag v old") + state).encode())
         file.write_bytes(good)
-        site.plug(plugin("a", file="a.wasm") + '[records]\nfile = "records"\n')
+        site.plug(
+            plugin("a", f"[plugins.budget]\n{UNHURRIED}", file="a.wasm") + '[records]\nfile = "records"\n'
+        )
         program = await site.start()
         async with Load(site, ledger) as load:
             if how == "half written":
