--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -111,6 +111,7 @@
 async def test_request_when_the_host_is_full_then_has_not_run(tmp_path):
     turns = iter([b"-BUSY active=3\r\n", VALUE])
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+        node.node.upstream.connect_timeout = 60.0  # one connection to each, however busy this machine is
         one.answer = two.answer = lambda: next(turns)
         assert await node.ask(write(cls=b"note")) == SERVED
         assert [c[2] for c in one.commands + two.commands] == [b"r1", b"r1"]
