--- a/tests/counter/test_counter_client.py
+++ b/tests/counter/test_counter_client.py
@@ -4,7 +4,7 @@
 import json
 
 import pytest
-from netkit import SERVED, SETTINGS, Node, StubCounter, StubHost, command, on_loop, terms
+from netkit import SERVED, SETTINGS, EmulatedCounter, EmulatedHost, Node, command, on_loop, terms
 
 from apigateway.counter.client import CONNECTION_COUNT
 
@@ -21,7 +21,7 @@
 
 @on_loop
 async def test_reply_when_it_comes_after_the_deadline_then_keeps_its_turn(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         counter = node.node.counter
         results = asyncio.Queue()
 
@@ -44,7 +44,7 @@
     """Silence within the time that the settings give a call is no reason to reconnect."""
     tree = json.loads(json.dumps(SETTINGS))
     tree["specifics"]["counter_timeout"] = 5_000_000_000
-    async with StubHost() as host, Node(host, path=tmp_path, settings=tree) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=tree) as node:
         counter = node.node.counter
         results = asyncio.Queue()
         await until_connected(counter.connections)
@@ -62,7 +62,7 @@
 
 @on_loop
 async def test_call_when_no_connection_is_up_then_fails_until_it_reconnected(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         counter = node.node.counter
         results = asyncio.Queue()
 
@@ -96,7 +96,7 @@
 )
 @on_loop
 async def test_reply_when_unreadable_then_costs_only_the_connection(unreadable, tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         counter = node.node.counter
         results = asyncio.Queue()
         await until_connected(counter.connections[:1])
@@ -114,7 +114,7 @@
 
 @on_loop
 async def test_change_of_address_when_calls_are_pending_then_they_finish_and_old_connections_close(tmp_path):
-    async with StubCounter() as new, StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedCounter() as new, EmulatedHost() as host, Node(host, path=tmp_path) as node:
         counter = node.node.counter
         results = asyncio.Queue()
 
@@ -144,7 +144,7 @@
 
 @on_loop
 async def test_call_when_its_connection_reconnects_then_uses_another(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         counter = node.node.counter
         results = asyncio.Queue()
 
@@ -167,7 +167,7 @@
 async def test_quota_when_totals_are_rounded_then_nothing_is_held_lost(tmp_path):
     """Amounts and totals have seven digits on the wire; what is missing by them was never lost."""
     few = {**SETTINGS, "plans": [{"name": "p", "rate": 1.0, "most_at_once": 40.0}]}
-    async with StubHost() as host, Node(host, path=tmp_path, settings=few) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=few) as node:
         await until_connected(node.node.counter.connections)
         await node.ask(command())
         (acct,) = node.node.core.module.quotas.values()
@@ -183,7 +183,7 @@
 @on_loop
 async def test_quota_when_the_counter_is_lost_then_the_customer_keeps_its_local_part(tmp_path):
     two = {**SETTINGS, "group_size": 2, "plans": [{"name": "p", "rate": 10.0, "most_at_once": 20.0}]}
-    async with StubHost() as host, Node(host, path=tmp_path, settings=two) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=two) as node:
         connections = node.node.counter.connections
         await until_connected(connections)
 
--- a/tests/daemon/test_gateway_process.py
+++ b/tests/daemon/test_gateway_process.py
@@ -6,7 +6,17 @@
 import socket
 import sys
 
-from netkit import SERVED, Held, StubCounter, StubDiscovery, StubHost, command, entry, on_loop, told
+from netkit import (
+    SERVED,
+    EmulatedCounter,
+    EmulatedDiscovery,
+    EmulatedHost,
+    Held,
+    command,
+    entry,
+    on_loop,
+    told,
+)
 from rig import PROGRAM, ROOT, Site, free_port
 
 
@@ -113,9 +123,9 @@
 @on_loop
 async def test_start_beside_the_platform_then_it_adds_a_listener_and_a_hand_over(tmp_path):
     async with (
-        StubHost() as host,
-        StubCounter() as counter,
-        StubDiscovery() as discovery,
+        EmulatedHost() as host,
+        EmulatedCounter() as counter,
+        EmulatedDiscovery() as discovery,
         Site(tmp_path) as site,
     ):
         discovery.servers = [entry(host)]
@@ -146,9 +156,9 @@
 async def test_sighup_while_its_configuration_is_read_then_it_reloads_once_it_serves(tmp_path):
     """The settings were read before: the file that is there by then has another number."""
     async with (
-        StubHost() as host,
-        StubCounter() as counter,
-        StubDiscovery() as discovery,
+        EmulatedHost() as host,
+        EmulatedCounter() as counter,
+        EmulatedDiscovery() as discovery,
         Site(tmp_path) as site,
     ):
         discovery.servers = [entry(host)]
--- a/tests/daemon/test_gateway_server.py
+++ b/tests/daemon/test_gateway_server.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from netkit import SERVED, VALUE, HeldHost, Node, StubHost, command, on_loop, read_reply, terms, write
+from netkit import SERVED, VALUE, EmulatedHost, HeldHost, Node, command, on_loop, read_reply, terms, write
 
 from apigateway import messages
 from apigateway.core import deadlines
@@ -15,7 +15,7 @@
 
 @on_loop
 async def test_request_when_the_host_answers_then_gets_its_value_unchanged(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         host.answer = b"*3\r\n$6\r\na\r\nb\x00c\r\n:42\r\n$18\r\nactive=1,waiting=0\r\n"
         assert await node.ask(command()) == b"$6\r\na\r\nb\x00c\r\n"
         assert host.commands[0][:3] == [b"API.READ", b"00000000b4d65521", b"r1"]
@@ -27,7 +27,7 @@
 @on_loop
 async def test_request_when_the_host_is_silent_then_fails_before_the_client_gives_up(tmp_path, monkeypatch):
     monkeypatch.setattr(deadlines, "RESPONSE_MARGIN_S", 2.0)  # a margin that no busy machine eats up
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(answer=None) as host, Node(host, path=tmp_path) as node:
         began = time.monotonic()
         assert (await node.ask(write(cls=b"note", d=2300))).startswith(b"-ERR")  # it may have run: no refusal
         assert time.monotonic() - began < 2.3
@@ -36,7 +36,7 @@
 
 @on_loop
 async def test_rejection_when_over_quota_then_tells_retry_after_at_once(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         small, replies = terms(t="small"), []
         began = time.monotonic()
         for n in range(4):
@@ -48,7 +48,7 @@
 
 @on_loop
 async def test_decision_module_when_it_raises_then_only_that_request_fails(tmp_path, caplog):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         module, real = node.node.core.module, node.node.core.module.handle
 
         class Broken:
@@ -67,7 +67,7 @@
 @on_loop
 async def test_decision_module_when_it_says_nothing_then_the_request_fails_in_time(tmp_path, monkeypatch):
     monkeypatch.setattr(deadlines, "DEADLINE_GUARD_MARGIN_S", 2.0)  # as above
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
 
         class Mute:
             def handle(self, now, event):
@@ -81,7 +81,7 @@
 
 @on_loop
 async def test_timer_never_reaches_the_decision_module_early(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
 
         class Clocked:
             def __init__(self):
@@ -106,7 +106,7 @@
 
 @on_loop
 async def test_stop_when_requests_are_in_flight_then_completes_them_and_closes(tmp_path):
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(answer=None) as host, Node(host, path=tmp_path) as node:
         _, idle_writer = idle = await node.connect()
         reader, writer = await node.connect()
         writer.write(command(b"before"))
@@ -131,7 +131,7 @@
 @on_loop
 async def test_stop_when_the_kernel_took_a_connection_just_before_then_serves_it(tmp_path, monkeypatch):
     """A connection that comes with its request in the last turn before the close: nobody has accepted it."""
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         sleep, came = asyncio.sleep, []
 
         async def last_turn(seconds, *rest):
@@ -148,7 +148,7 @@
 
 @on_loop
 async def test_hedged_request_where_it_is_not_allowed_then_is_not_sent(tmp_path):
-    async with StubHost(None) as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with EmulatedHost(None) as one, EmulatedHost() as two, Node(one, two, path=tmp_path) as node:
 
         class Doubler:
             results = []
@@ -173,7 +173,7 @@
 @on_loop
 async def test_host_that_fails_at_once_then_does_not_attract_what_waits_for_a_busy_one(turned_away, tmp_path):
     asked = 8  # twice what the sound host may get at once
-    async with HeldHost() as sound, StubHost(answer=b"-BUSY\r\n") as failing:
+    async with HeldHost() as sound, EmulatedHost(answer=b"-BUSY\r\n") as failing:
         async with Node(sound, failing, path=tmp_path) as node:
             if not turned_away:
                 failing.server.close()  # its process died, and the list does not tell it yet
--- a/tests/daemon/test_platform.py
+++ b/tests/daemon/test_platform.py
@@ -11,10 +11,10 @@
 import pytest
 from netkit import (
     SERVED,
+    EmulatedCounter,
+    EmulatedDiscovery,
+    EmulatedHost,
     Held,
-    StubCounter,
-    StubDiscovery,
-    StubHost,
     command,
     entry,
     on_loop,
@@ -74,7 +74,7 @@
 
 @on_loop
 async def test_sigterm_when_requests_are_in_flight_then_completes_them(tmp_path):
-    async with StubHost(None) as host, StubCounter() as counter, StubDiscovery() as discovery:
+    async with EmulatedHost(None) as host, EmulatedCounter() as counter, EmulatedDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config = tmp_path / "config.json"
         config.write_text(json.dumps(told([entry(host)], discovery.port, counter.port)))
@@ -103,7 +103,7 @@
 @on_loop
 async def test_signals_behind_a_sigterm_then_change_nothing(behind, tmp_path):
     """Also half a command that came before it, and a SIGHUP just ahead."""
-    async with StubHost(None) as host, StubCounter() as counter, StubDiscovery() as discovery:
+    async with EmulatedHost(None) as host, EmulatedCounter() as counter, EmulatedDiscovery() as discovery:
         config = tmp_path / "config.json"
         discovery.servers = [entry(host)]
         config.write_text(json.dumps(told(discovery.servers, discovery.port, counter.port)))
@@ -138,7 +138,7 @@
 @on_loop
 async def test_sighup_before_there_is_a_gateway_then_reloads_once_there_is(tmp_path):
     """The program reads its configuration just then, which is not the newest any more."""
-    async with StubCounter() as counter, StubDiscovery() as discovery, StubDiscovery() as new:
+    async with EmulatedCounter() as counter, EmulatedDiscovery() as discovery, EmulatedDiscovery() as new:
         config = tmp_path / "config.json"
         held = Held(config, json.dumps(told([], new.port, counter.port)))
         env = {**os.environ, "RELAY_CONFIG": str(config), "RELAY_DISCOVERY": f"127.0.0.1:{discovery.port}"}
@@ -167,7 +167,7 @@
 
 @on_loop
 async def test_start_after_a_kill_then_serves_at_the_same_address(tmp_path):
-    async with StubHost() as host, StubCounter() as counter, StubDiscovery() as discovery:
+    async with EmulatedHost() as host, EmulatedCounter() as counter, EmulatedDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config, port = tmp_path / "config.json", 0
         for life in (b"first", b"second"):
@@ -187,12 +187,12 @@
 @on_loop
 async def test_sighup_when_the_file_has_other_addresses_then_moves_to_them(tmp_path):
     async with (
-        StubHost(None) as host,
-        StubHost() as new,
-        StubCounter() as counter,
-        StubCounter() as counter2,
-        StubDiscovery() as discovery,
-        StubDiscovery() as discovery2,
+        EmulatedHost(None) as host,
+        EmulatedHost() as new,
+        EmulatedCounter() as counter,
+        EmulatedCounter() as counter2,
+        EmulatedDiscovery() as discovery,
+        EmulatedDiscovery() as discovery2,
     ):
         discovery.servers, discovery2.servers, discovery2.version = [entry(host)], [entry(new, "h2")], 1
         config = tmp_path / "config.json"
--- a/tests/external_ratelimit/test_limiter.py
+++ b/tests/external_ratelimit/test_limiter.py
@@ -4,7 +4,7 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from netkit import SERVED, SETTINGS, Node, StubHost, command, on_loop, terms
+from netkit import SERVED, SETTINGS, EmulatedHost, Node, command, on_loop, terms
 
 from apigateway.emulators.ratelimit import EmulatedRateLimitService
 from apigateway.emulators.script import Step
@@ -29,7 +29,7 @@
         "required_probes": 2,
     }
     checks = CheckSettings(frozenset({"p", "quota"}), **defaults | kw)
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
         config = ExternalServiceConfig(("127.0.0.1", service.port), checks, "roster", ENTRIES, batch)
         limiter = EnvoyRateLimiter(config, "g7")
         node.node.core.external_ratelimit = limiter
--- a/tests/faults/test_fronts.py
+++ b/tests/faults/test_fronts.py
@@ -4,7 +4,17 @@
 import json
 from dataclasses import replace
 
-from netkit import SERVED, StubCounter, StubDiscovery, StubHost, command, entry, on_loop, read_reply, told
+from netkit import (
+    SERVED,
+    EmulatedCounter,
+    EmulatedDiscovery,
+    EmulatedHost,
+    command,
+    entry,
+    on_loop,
+    read_reply,
+    told,
+)
 
 from apigateway import messages
 from apigateway.daemon.config import read_config
@@ -19,7 +29,7 @@
         self.path, self.hosts, self.limits = path, hosts, limits
 
     async def __aenter__(self):
-        self.counter, self.discovery = StubCounter(), StubDiscovery()
+        self.counter, self.discovery = EmulatedCounter(), EmulatedDiscovery()
         await self.counter.__aenter__()
         await self.discovery.__aenter__()
         self.discovery.servers = [entry(h, f"h{n}") for n, h in enumerate(self.hosts, 1)]
@@ -59,7 +69,7 @@
 
 @on_loop
 async def test_one_id_on_two_fronts_at_once_is_in_work_once(tmp_path):
-    async with StubHost(None) as host, TwoFronts(tmp_path, host) as gate:
+    async with EmulatedHost(None) as host, TwoFronts(tmp_path, host) as gate:
         first = asyncio.ensure_future(gate.ask(0, command(b"same")))
         await host.arrived.get()
         assert await gate.ask(1, command(b"same")) == b"-ERR this id is in work\r\n"
@@ -72,7 +82,7 @@
 
 @on_loop
 async def test_a_front_that_raises_on_every_request_leaves_the_others_serving(tmp_path, monkeypatch):
-    async with StubHost() as host, TwoFronts(tmp_path, host) as gate:
+    async with EmulatedHost() as host, TwoFronts(tmp_path, host) as gate:
 
         def broken(slot, command):
             raise RuntimeError("broken")
@@ -89,7 +99,7 @@
 
 @on_loop
 async def test_a_front_whose_answers_raise_keeps_nothing_in_work(tmp_path, monkeypatch):
-    async with StubHost() as host, TwoFronts(tmp_path, host) as gate:
+    async with EmulatedHost() as host, TwoFronts(tmp_path, host) as gate:
         real = ResponseSlot.complete
 
         def broken(slot, value):
@@ -110,8 +120,9 @@
 @on_loop
 async def test_a_front_whose_clients_take_no_answers_does_not_hold_up_the_others(tmp_path):
     big = b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)
-    async with StubHost(big) as host, TwoFronts(tmp_path, host) as gate:
-        gate.node.core.module = Eager()
+    async with EmulatedHost(big) as host, TwoFronts(tmp_path, host) as gate:
+        gate.node.core.module = Eager()  # which tries nothing twice
+        gate.node.upstream.connect_timeout = 60.0  # hundreds at once, however busy this machine is
         _, writer = await gate.connect(0)
         writer.transport.pause_reading()
         for n in range(300):
@@ -125,7 +136,7 @@
 
 @on_loop
 async def test_a_flood_of_sound_commands_on_one_front_leaves_room_on_the_other(tmp_path):
-    async with StubHost(None) as host, TwoFronts(tmp_path, host, max_in_flight=40) as gate:
+    async with EmulatedHost(None) as host, TwoFronts(tmp_path, host, max_in_flight=40) as gate:
         gate.node.core.module = Eager()
         _, writer = await gate.connect(0)
         for n in range(200):
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -8,7 +8,7 @@
 import socket
 
 import pytest
-from netkit import SERVED, Node, StubHost, command, entry, on_loop
+from netkit import SERVED, EmulatedHost, Node, command, entry, on_loop
 from rig import TERMS, Load, Site, free_port
 
 from apigateway import messages
@@ -180,7 +180,7 @@
 @pytest.mark.parametrize("ours, theirs", [("draining", "up"), ("up", "draining"), ("draining", "draining")])
 @on_loop
 async def test_what_either_process_was_told_to_drain_drains(ours, theirs, tmp_path):
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with EmulatedHost() as one, EmulatedHost() as two, Node(one, two, path=tmp_path) as node:
         node.discovery.silent = True  # nothing mends it meanwhile
         mine, yours = ([entry(one, "h1", state), entry(two, "h2")] for state in (ours, theirs))
         node.node.endpoint_list.apply(read_list({"version": 2, "full": True, "servers": mine}))
--- a/tests/frontends/grpc/test_rate_limit_service.py
+++ b/tests/frontends/grpc/test_rate_limit_service.py
@@ -5,7 +5,7 @@
 import grpc
 import pytest
 from envoy.service.ratelimit.v3 import rls_pb2 as pb
-from netkit import SERVED, SETTINGS, Node, StubHost, command, on_loop, terms
+from netkit import SERVED, SETTINGS, EmulatedHost, Node, command, on_loop, terms
 from rate_limit_client import CONF, OK, OVER, A, B, C, RateLimitClient, codes, until_over
 
 from apigateway import messages
@@ -16,7 +16,7 @@
 @on_loop
 async def test_units_are_granted_until_the_quota_is_spent_and_requests_spend_of_the_same(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         RateLimitClient(node) as asking,
     ):
@@ -40,7 +40,7 @@
 @on_loop
 async def test_any_over_its_limit_makes_the_answer_so_and_the_others_get_theirs_back(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         RateLimitClient(node) as asking,
     ):
@@ -56,7 +56,7 @@
 @on_loop
 async def test_hits_of_none_one_two_and_more_than_there_are(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         RateLimitClient(node) as asking,
     ):
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize("unmapped", ["ok", "over", "error"])
 @on_loop
 async def test_an_unmapped_descriptor_gets_the_answer_of_the_settings(unmapped, tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
         async with RateLimitClient(node, unmapped=unmapped) as asking:
             if unmapped == "error":
                 assert await asking.status("nobody") == grpc.StatusCode.INVALID_ARGUMENT
@@ -91,7 +91,7 @@
 @on_loop
 async def test_an_invalid_request_is_answered_with_its_status(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         RateLimitClient(node) as asking,
     ):
@@ -115,7 +115,7 @@
 @on_loop
 async def test_a_check_whose_caller_left_spends_nothing_and_one_out_of_time_is_unavailable(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         RateLimitClient(node) as asking,
     ):
@@ -145,7 +145,7 @@
 @on_loop
 async def test_calls_when_cancelled_by_the_thousand_leave_nothing(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         RateLimitClient(node) as asking,
     ):
@@ -163,7 +163,7 @@
 @on_loop
 async def test_draining_answers_what_was_taken_and_closes_each_connection(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         RateLimitClient(node) as asking,
     ):
@@ -188,7 +188,7 @@
         "group_size": 2,
         "plans": [*SETTINGS["plans"], {"name": "quota", "rate": 0.01, "most_at_once": 20.0}],
     }
-    async with StubHost() as host, Node(host, path=tmp_path, settings=conf) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=conf) as node:
         async with RateLimitClient(node, spread=2) as asking:
             node.counter.script.play(Step("silent"))
             told = [(await asking.ask(A)).overall_code for _ in range(30)]
@@ -206,7 +206,7 @@
 @on_loop
 async def test_a_gateway_outside_a_customers_spread_fails_its_precondition(tmp_path):
     conf = CONF | {"group_size": 3, "index": 2}
-    async with StubHost() as host, Node(host, path=tmp_path, settings=conf) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=conf) as node:
         async with RateLimitClient(node, spread=2) as asking:
             assert await asking.status(A) == grpc.StatusCode.FAILED_PRECONDITION
         async with RateLimitClient(node, spread=3) as asking:
@@ -215,7 +215,7 @@
 
 @on_loop
 async def test_a_limit_that_a_descriptor_brings_tightens_where_settings_allow_it(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
         async with RateLimitClient(node, override="tighten") as asking:
 
             def limited(requests, unit):
--- a/tests/frontends/grpc/test_token_redemption.py
+++ b/tests/frontends/grpc/test_token_redemption.py
@@ -3,7 +3,7 @@
 
 import os
 
-from netkit import SERVED, Node, StubHost, command, on_loop, terms
+from netkit import SERVED, EmulatedHost, Node, command, on_loop, terms
 from rate_limit_client import CONF, OK, RateLimitClient, until_over
 
 from apigateway.frontends.grpc.mapping import DescriptorMapping, MappingRule
@@ -57,7 +57,7 @@
 @on_loop
 async def test_a_request_with_its_token_is_served_though_the_quota_is_spent_since(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         TokenClient(node) as asking,
     ):
@@ -73,7 +73,7 @@
 @on_loop
 async def test_a_check_with_its_request_spends_units_once(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         TokenClient(node) as asking,
     ):
@@ -87,7 +87,7 @@
 @on_loop
 async def test_a_token_when_altered_late_or_for_something_else_is_not_redeemed(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         TokenClient(node) as asking,
     ):
@@ -110,7 +110,7 @@
 @on_loop
 async def test_a_token_of_a_rotated_key_holds_until_the_key_is_taken_away(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         TokenClient(node) as asking,
     ):
@@ -128,7 +128,7 @@
 @on_loop
 async def test_a_token_when_its_request_was_rejected_before_it_was_sent_is_restored(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         TokenClient(node) as asking,
     ):
@@ -146,7 +146,7 @@
 @on_loop
 async def test_each_descriptor_has_its_own_token_and_a_rule_without_has_none(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         TokenClient(node) as asking,
     ):
@@ -161,7 +161,7 @@
 
 @on_loop
 async def test_a_token_of_another_gateway_is_redeemed_only_within_its_group(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
         async with TokenClient(node, index=5, span=2) as asking:
             from apigateway.frontends.grpc.tokens import TokenPurpose
 
@@ -177,7 +177,7 @@
 @on_loop
 async def test_a_token_when_there_are_no_keys_is_a_field_as_any(tmp_path):
     async with (
-        StubHost() as host,
+        EmulatedHost() as host,
         Node(host, path=tmp_path, settings=CONF) as node,
         RateLimitClient(node) as asking,
     ):
--- a/tests/frontends/resp/test_client_connection.py
+++ b/tests/frontends/resp/test_client_connection.py
@@ -4,7 +4,7 @@
 import socket
 
 import pytest
-from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, terms
+from netkit import SERVED, VALUE, EmulatedHost, Node, command, on_loop, read_reply, terms
 
 from apigateway.frontends.resp.client_connection import MAX_PENDING_COMMANDS
 
@@ -52,7 +52,7 @@
 )
 @on_loop
 async def test_bad_commands_are_answered_and_the_connection_goes_on(bad, tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(bad + b"*1\r\n$4\r\nPING\r\n")
         assert (await read_reply(reader)).startswith(b"-ERR")
@@ -81,7 +81,7 @@
 )
 @on_loop
 async def test_lost_framing_ends_only_its_own_connection(bad, tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(bad)
         assert (await read_reply(reader)).startswith(b"-ERR")
@@ -91,7 +91,7 @@
 
 @on_loop
 async def test_responses_come_in_the_order_of_the_commands(tmp_path):
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(answer=None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"slow"))
         await host.arrived.get()
@@ -103,7 +103,7 @@
 
 @on_loop
 async def test_commands_that_come_when_a_connection_is_to_close_are_served(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"first"))
         await host.arrived.get()
@@ -118,7 +118,7 @@
 
 @on_loop
 async def test_commands_that_lie_unread_when_draining_starts_are_served(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         server = node.node.frontends[0].server
         with socket.create_connection(("127.0.0.1", node.port)) as sock:
             sock.setblocking(False)
@@ -137,7 +137,7 @@
     tmp_path,
 ):
     """It is not read while it has too much in work, and all of that is answered in one turn."""
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         server = node.node.frontends[0].server
         writer.write(command(b"first"))
@@ -160,7 +160,7 @@
 
 @on_loop
 async def test_half_a_command_when_draining_starts_is_served_once_whole(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         front, text = node.node.frontends[0], command()
         writer.write(text[:20])
@@ -176,7 +176,7 @@
 
 @on_loop
 async def test_shutdown_waits_for_a_response_that_is_half_written(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         owed = iter([True, True, False])
 
         class Front(type(node.node.frontends[0])):
@@ -191,7 +191,7 @@
 
 @on_loop
 async def test_lost_framing_does_not_wait_for_pending_commands(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command())
         await host.arrived.get()
--- a/tests/frontends/resp/test_client_disconnects.py
+++ b/tests/frontends/resp/test_client_disconnects.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from netkit import SERVED, Node, StubHost, command, on_loop, terms
+from netkit import SERVED, EmulatedHost, Node, command, on_loop, terms
 
 from apigateway import messages
 from apigateway.frontends.resp.client_connection import MAX_PENDING_COMMANDS
@@ -13,7 +13,7 @@
 
 @on_loop
 async def test_a_client_that_left_has_its_attempt_cancelled(tmp_path):
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(answer=None) as host, Node(host, path=tmp_path) as node:
         _, writer = await node.connect()
         writer.write(command())
         await host.arrived.get()
@@ -37,7 +37,7 @@
 
 @on_loop
 async def test_a_client_that_leaves_while_it_is_not_read_has_left(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(None) as host, Node(host, path=tmp_path) as node:
         _, writer = await node.connect()
         seen, server = record_outcomes(node), node.node.frontends[0].server
         writer.write(command(b"first", terms(d="60000")))
@@ -73,7 +73,7 @@
 
 @on_loop
 async def test_a_client_that_leaves_while_its_commands_wait_their_turn_has_left(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         server = node.node.frontends[0].server
         server.admission = admission = BusyAdmission()
         _, writer = await node.connect()
@@ -91,7 +91,7 @@
 
 @on_loop
 async def test_a_client_that_ends_its_sending_and_takes_no_responses_has_left(tmp_path):
-    async with StubHost(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as host:
+    async with EmulatedHost(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as host:
         async with Node(host, path=tmp_path) as node:
             _, writer = await node.connect()
             writer.transport.pause_reading()
@@ -129,7 +129,11 @@
 @on_loop
 async def test_a_request_whose_client_left_while_it_waited_is_never_forwarded(first, tmp_path):
     """It waits for whatever the module waits for, or between two attempts; `first` turned it away."""
-    async with StubHost(b"-BUSY\r\n") as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with (
+        EmulatedHost(b"-BUSY\r\n") as one,
+        EmulatedHost() as two,
+        Node(one, two, path=tmp_path) as node,
+    ):
         core = node.node.core
         begins = [messages.ForwardRequest("r1", first)] if first else []
         core.module = ScriptedModule(Request=begins, TimerExpired=[messages.ForwardRequest("r1", "h2")])
@@ -149,7 +153,7 @@
 
 @on_loop
 async def test_a_request_whose_client_left_while_its_connection_came_up_is_never_forwarded(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         core, loop = node.node.core, asyncio.get_running_loop()
         with socket.socket() as full, contextlib.ExitStack() as stack:
             full.bind(("127.0.0.1", 0))
--- a/tests/frontends/resp/test_load_shedding.py
+++ b/tests/frontends/resp/test_load_shedding.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from netkit import SERVED, Node, StubHost, command, on_loop, read_reply, terms, write
+from netkit import SERVED, EmulatedHost, Node, command, on_loop, read_reply, terms, write
 
 from apigateway.core import admission as core_admission
 from apigateway.core.admission import AdmissionController
@@ -36,7 +36,7 @@
 
 @on_loop
 async def test_responses_keep_their_order_among_rejections(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         install_admission(node, ScriptedGate(A))
         reader, writer = await node.connect()
         asked = [B, A, A, B, A, B]
@@ -51,7 +51,7 @@
 
 @on_loop
 async def test_fields_in_another_order_are_asked_about_too(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         install_admission(node, gate := ScriptedGate(A))
         odd = b"units=1,spread=1,first=0,d=3000,t=p,c=read"
         assert await node.ask(command(b"a", odd, customer=A.encode())) == b"-BUSY 250\r\n"
@@ -61,7 +61,7 @@
 
 @on_loop
 async def test_an_id_in_flight_is_not_told_that_it_has_not_run(tmp_path):
-    async with StubHost(answer=lambda: None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(answer=lambda: None) as host, Node(host, path=tmp_path) as node:
         install_admission(node, gate := ScriptedGate())
         _, writer = await node.connect()
         writer.write(write(b"w"))
@@ -74,7 +74,7 @@
 @on_loop
 async def test_a_flood_waits_its_turn_and_all_of_it_is_answered(tmp_path, monkeypatch):
     monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)  # a turn is over after its second command
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         admission = install_admission(node, ScriptedGate(A))
         lines = [await node.connect() for _ in range(4)]
         for k, (_, writer) in enumerate(lines):
@@ -99,7 +99,7 @@
 @on_loop
 async def test_lost_framing_and_a_client_that_leaves_while_it_is_deferred_end_alone(tmp_path, monkeypatch):
     monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         admission = install_admission(node, ScriptedGate(A))
         (reader, writer), (_, leaving) = await node.connect(), await node.connect()
         flood = b"".join(command(b"f%d" % n, customer=A.encode()) for n in range(50))
@@ -116,7 +116,7 @@
 @on_loop
 async def test_deferred_commands_when_the_gateway_stops_are_answered(tmp_path, monkeypatch):
     monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         admission = install_admission(node, ScriptedGate())
         reader, writer = await node.connect()
         held = []
@@ -138,7 +138,7 @@
 @on_loop
 async def test_deferred_commands_when_they_are_too_many_bytes_are_taken_at_once(tmp_path, monkeypatch):
     monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         admission = install_admission(node, ScriptedGate(A))
         node.node.frontends[0].server.max_partial_bytes = 1000  # bytes: half of it may wait
         monkeypatch.setattr(admission, "start_turn", lambda: None)
@@ -150,7 +150,7 @@
 
 @on_loop
 async def test_a_customer_that_the_module_rejected_is_rejected_early(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         gate = OverloadGate(0.01, 10.0, 2.0, 1)
         gate.admitted_share, gate.floor = 0.9, -MAX_STEP - 1  # overload: all are worth enough
         install_admission(node, gate)
--- a/tests/frontends/resp/test_redis_client.py
+++ b/tests/frontends/resp/test_redis_client.py
@@ -2,7 +2,7 @@
 
 import pytest
 import redis.asyncio as redis
-from netkit import Node, StubHost, on_loop
+from netkit import EmulatedHost, Node, on_loop
 from redis.exceptions import BusyLoadingError, ResponseError
 
 TERMS = "c=read,t=p,d=3000,units=1,spread=1,first=0"
@@ -14,7 +14,7 @@
 
 @on_loop
 async def test_a_common_client_is_served(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node, client(node) as outside:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node, client(node) as outside:
         assert await outside.ping()
         for n in range(3):
             assert await outside.execute_command("API.READ", "00000000000000ff", f"r{n}", TERMS) == b"value"
@@ -24,7 +24,7 @@
 @on_loop
 async def test_it_hears_refusals_and_failures_as_errors(tmp_path):
     async with (
-        StubHost(b"-ERR failed\r\n") as host,
+        EmulatedHost(b"-ERR failed\r\n") as host,
         Node(host, path=tmp_path) as node,
         client(node) as outside,
     ):
--- a/tests/frontends/resp/test_resp_server.py
+++ b/tests/frontends/resp/test_resp_server.py
@@ -4,7 +4,7 @@
 import contextlib
 
 import pytest
-from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, roomy
+from netkit import SERVED, VALUE, EmulatedHost, Node, command, on_loop, read_reply, roomy
 
 from apigateway.frontends.resp import server as resp_server
 
@@ -15,7 +15,7 @@
 @on_loop
 async def test_a_connection_without_a_request_is_closed_in_time(sent, told, tmp_path, monkeypatch):
     monkeypatch.setattr(resp_server, "IDLE_TIMEOUT_S", 0.1)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(sent)
         assert (await read_reply(reader)).startswith(told)
@@ -29,7 +29,7 @@
 @on_loop
 async def test_a_connection_with_a_pending_request_is_not_idle(tmp_path, monkeypatch):
     monkeypatch.setattr(resp_server, "IDLE_TIMEOUT_S", 0.1)
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         idle, _ = await node.connect()
         writer.write(command())
@@ -42,7 +42,7 @@
 @on_loop
 async def test_a_client_that_takes_no_responses_is_disconnected(tmp_path, monkeypatch):
     monkeypatch.setattr(resp_server, "WRITE_BLOCKED_TIMEOUT_S", 0.1)
-    async with StubHost(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as host:
+    async with EmulatedHost(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as host:
         async with Node(host, path=tmp_path) as node:
             _, writer = await node.connect()
             writer.transport.pause_reading()
@@ -57,7 +57,7 @@
 
 @on_loop
 async def test_at_the_limit_the_longest_idle_connection_is_closed_or_else_the_new_one(tmp_path):
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(None) as host, Node(host, path=tmp_path) as node:
         node.node.frontends[0].server.max_connections = 2
         roomy(node)
         first, _ = await node.connect()
@@ -77,7 +77,7 @@
 
 @on_loop
 async def test_partial_commands_of_all_connections_are_bounded(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         node.node.frontends[0].server.max_partial_bytes = 100_000
         readers = []
         for _ in range(3):
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -12,7 +12,7 @@
 import pytest
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
-from netkit import StubHost, on_loop
+from netkit import EmulatedHost, on_loop
 from rig import PROGRAM, ROOT, Site, free_port
 
 from apigateway.emulators.script import Step
@@ -136,7 +136,7 @@
 )
 @on_loop
 async def test_answer_of_each_kind_has_its_outcome(step, outcome):
-    async with StubHost() as host:
+    async with EmulatedHost() as host:
         host.script.play(step)
         record = await sent(evenly(100, 0.3), host.port, wait=0.4)
         assert record.counts() == dict.fromkeys(Outcome, 0) | {outcome: 30}
@@ -168,7 +168,7 @@
 
 @on_loop
 async def test_target_when_killed_then_loses_only_what_was_in_flight():
-    host = StubHost()
+    host = EmulatedHost()
     await host.open()
     host.script.play(Step("stall", delay=0.1))
     killed = []
@@ -192,7 +192,7 @@
 
 @on_loop
 async def test_run_when_the_generator_was_starved_then_is_void():
-    async with StubHost() as host:
+    async with EmulatedHost() as host:
 
         def starve(sender):
             asyncio.get_running_loop().call_later(0.1, time.sleep, 0.4)
@@ -209,7 +209,7 @@
 
 @on_loop
 async def test_run_when_the_generator_has_no_descriptors_then_is_void(monkeypatch):
-    async with StubHost() as host:
+    async with EmulatedHost() as host:
         dues = evenly(50, 0.2)
 
         class Short(Sender):
@@ -257,7 +257,7 @@
 
 @on_loop
 async def test_run_of_no_request_and_of_one():
-    async with StubHost() as host:
+    async with EmulatedHost() as host:
         record = await sent([], host.port)
         assert build_report(record, "none", "")["due"] == 0 and percentiles_ms(record.latency_of()) == {}
         record = await sent([due(0.05)], host.port)
@@ -266,7 +266,7 @@
 
 @on_loop
 async def test_write_command_has_its_key_and_body():
-    async with StubHost() as host:
+    async with EmulatedHost() as host:
         await sent([due(0.0, 7, "read")], host.port, effect="keyed")
         assert host.commands[0][0] == b"API.WRITE" and b"k=r7" in host.commands[0][3]
 
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -4,7 +4,7 @@
 import json
 
 import pytest
-from netkit import PATIENCE, SERVED, Node, StubHost, command, entry, on_loop
+from netkit import PATIENCE, SERVED, EmulatedHost, Node, command, entry, on_loop
 
 from apigateway import messages
 from apigateway.daemon.status_answers import endpoint_list_status
@@ -16,7 +16,7 @@
 
 @on_loop
 async def test_host_when_draining_then_gets_no_new_request_nor_one_that_waits_for_a_connection(tmp_path):
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with EmulatedHost() as one, EmulatedHost() as two, Node(one, two, path=tmp_path) as node:
         for n in range(4):
             await node.ask(command(b"a%d" % n))
         await node.discovery.calls.get()
@@ -31,7 +31,7 @@
 
 @on_loop
 async def test_hosts_follow_the_list(tmp_path):
-    async with StubHost() as old, StubHost() as new, Node(old, path=tmp_path) as node:
+    async with EmulatedHost() as old, EmulatedHost() as new, Node(old, path=tmp_path) as node:
         assert await node.ask(command(b"a")) == SERVED
         await node.discovery.calls.get()
         node.discovery.change([entry(new, "h1")])
@@ -52,7 +52,7 @@
 )
 @on_loop
 async def test_malformed_lists_leave_the_last_one_in_force(raw, tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         await node.discovery.calls.get()
         await node.discovery.calls.get()
         node.discovery.raw = raw
@@ -65,7 +65,7 @@
 
 @on_loop
 async def test_entry_when_malformed_then_does_not_hide_the_drains_beside_it(tmp_path):
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with EmulatedHost() as one, EmulatedHost() as two, Node(one, two, path=tmp_path) as node:
         await node.discovery.calls.get()
         node.discovery.change(
             [
@@ -84,7 +84,7 @@
 
 @on_loop
 async def test_delta_when_older_than_the_list_then_is_rejected(tmp_path):
-    async with StubHost() as one, Node(one, path=tmp_path) as node:
+    async with EmulatedHost() as one, Node(one, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
         gone = entry(one, "h1", "removed")
@@ -97,7 +97,7 @@
 
 @on_loop
 async def test_module_is_notified_of_a_drain_before_the_attempts_that_it_ends(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         seen, done = [], asyncio.Event()
 
         class Sender:
@@ -141,7 +141,7 @@
         jitter=0.0,
     )
     monkeypatch.setattr(WatchSchedule, "for_agent", lambda drain_grace: schedule)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
         node.discovery.silent = True
@@ -167,7 +167,7 @@
 @on_loop
 async def test_complete_list_when_a_call_is_never_answered_then_is_requested_beside_it(tmp_path, monkeypatch):
     monkeypatch.setattr(watch_schedule, "AGENT_CALL_TIMEOUT_S", 10.0 * PATIENCE)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
         node.discovery.silent = True
@@ -190,7 +190,7 @@
 
 @on_loop
 async def test_complete_list_when_older_than_the_last_then_brings_nothing_back(tmp_path):
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with EmulatedHost() as one, EmulatedHost() as two, Node(one, two, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
         node.discovery.held = held = asyncio.Event()
@@ -208,7 +208,7 @@
 
 @on_loop
 async def test_complete_list_when_the_service_restarted_with_lower_versions_then_is_accepted(tmp_path):
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with EmulatedHost() as one, EmulatedHost() as two, Node(one, two, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
         node.node.endpoint_source.version = 9
@@ -220,7 +220,7 @@
 
 @on_loop
 async def test_watch_when_it_ends_without_changes_then_the_module_is_not_notified(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
         seen, module = [], node.node.core.module
@@ -239,7 +239,7 @@
 
 @on_loop
 async def test_old_address_when_replaced_then_its_lists_are_ignored(tmp_path):
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with EmulatedHost() as one, EmulatedHost() as two, Node(one, two, path=tmp_path) as node:
         while "index" not in await node.discovery.calls.get():
             pass
         old, heard, answer = node.node.endpoint_source, [], node.node.loop.create_future()
@@ -262,6 +262,6 @@
 
 @on_loop
 async def test_status_when_discovery_is_the_source_then_names_its_url(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         url = f"http://127.0.0.1:{node.discovery.port}/v1/endpoints"
         assert endpoint_list_status(node.node).as_json()["source"] == f"discovery {url}"
--- a/tests/membership/test_polled_discovery.py
+++ b/tests/membership/test_polled_discovery.py
@@ -6,7 +6,7 @@
 from contextlib import AsyncExitStack
 
 import pytest
-from netkit import SERVED, SETTINGS, Node, StubDiscovery, StubHost, command, entry, on_loop
+from netkit import SERVED, SETTINGS, EmulatedDiscovery, EmulatedHost, Node, command, entry, on_loop
 
 from apigateway.emulators.discovery import CallCapacity
 from apigateway.membership.watch_schedule import WatchPacer, WatchSchedule
@@ -44,8 +44,8 @@
 
 async def open_service(stack):
     """A service that bears three calls a second and lets none wait for over two seconds."""
-    hosts = [await stack.enter_async_context(StubHost()) for _ in range(3)]
-    service = await stack.enter_async_context(StubDiscovery())
+    hosts = [await stack.enter_async_context(EmulatedHost()) for _ in range(3)]
+    service = await stack.enter_async_context(EmulatedDiscovery())
     service.servers = [entry(host, f"h{number}") for number, host in enumerate(hosts[:2], 1)]
     service.change([entry(hosts[2], "h3")])
     service.capacity = CallCapacity(call_s=0.33, rejection_s=0.03, max_wait_s=2.0)
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -10,16 +10,15 @@
 
 from apigateway.daemon.config import read_config
 from apigateway.daemon.gateway_server import GatewayServer
-from apigateway.emulators.counter import EmulatedCounter as StubCounter
-from apigateway.emulators.discovery import EmulatedDiscovery as StubDiscovery
-from apigateway.emulators.hosts import VALUE
-from apigateway.emulators.hosts import EmulatedHost as StubHost
+from apigateway.emulators.counter import EmulatedCounter
+from apigateway.emulators.discovery import EmulatedDiscovery
+from apigateway.emulators.hosts import VALUE, EmulatedHost
 from apigateway.emulators.ledger_records import AttemptEnd
 from apigateway.emulators.platform import SETTINGS
 from apigateway.emulators.platform import configuration as told
 from apigateway.emulators.platform import entry as platform_entry
 
-__all__ = ["SETTINGS", "VALUE", "told", "StubCounter", "StubDiscovery", "StubHost"]
+__all__ = ["SETTINGS", "VALUE", "told", "EmulatedCounter", "EmulatedDiscovery", "EmulatedHost"]
 
 PATIENCE = 90  # s for a test as a whole: far over what any needs
 TERMS = b"c=read,t=p,d=3000,units=1,spread=1,first=0"
@@ -63,7 +62,7 @@
     return line
 
 
-class HeldHost(StubHost):
+class HeldHost(EmulatedHost):
     """A host that holds its answers back until `release`; what comes after that it answers at once.
 
     A reply that a test writes to a connection by hand leaves the command without an answer in the host's
@@ -132,7 +131,7 @@
 
     def __init__(self, *hosts, path, settings=None, service=None):
         self.hosts, self.path, self.settings = hosts, path, settings
-        self.counter, self.discovery, self.writers = StubCounter(), service or StubDiscovery(), []
+        self.counter, self.discovery, self.writers = EmulatedCounter(), service or EmulatedDiscovery(), []
         self.is_discovery_shared = service is not None
 
     async def __aenter__(self):
--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, roomy, terms, write
+from netkit import SERVED, VALUE, EmulatedHost, Node, command, on_loop, roomy, terms, write
 
 from apigateway import messages
 from apigateway.upstream import attempt as attempts
@@ -19,7 +19,7 @@
 
 @on_loop
 async def test_load_report_when_malformed_then_is_ignored(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         for n, report in enumerate(
             (
                 b"$-1\r\n",
@@ -62,7 +62,7 @@
 )
 @on_loop
 async def test_value_when_malformed_then_is_not_served(odd, tmp_path):
-    async with StubHost(odd) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(odd) as host, Node(host, path=tmp_path) as node:
         began = time.process_time()
         assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
         assert time.process_time() - began < 0.5  # CPU is rationed; hiredis took over a second for some
@@ -73,7 +73,7 @@
 
 @on_loop
 async def test_health_check_returns_the_load_report(tmp_path):
-    async with StubHost(b"$8\r\nactive=7\r\n") as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(b"$8\r\nactive=7\r\n") as host, Node(host, path=tmp_path) as node:
         seen, done = [], asyncio.Event()
 
         class Watcher:
@@ -92,7 +92,7 @@
 
 @on_loop
 async def test_answer_when_late_then_reaches_no_request(tmp_path):
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(answer=None) as host, Node(host, path=tmp_path) as node:
         assert (await node.ask(write(cls=b"note", d=300))).startswith(b"-ERR")
         assert await host.arrived.get() and await host.arrived.get() is None  # the connection went too
         host.writers[0].write(b"*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n")
@@ -102,7 +102,7 @@
 
 @on_loop
 async def test_unsafe_request_when_the_host_resets_then_may_have_run(tmp_path):
-    async with StubHost(b"") as one, StubHost(b"") as two, Node(one, two, path=tmp_path) as node:
+    async with EmulatedHost(b"") as one, EmulatedHost(b"") as two, Node(one, two, path=tmp_path) as node:
         assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
         assert len(one.commands) + len(two.commands) == 1
 
@@ -110,7 +110,7 @@
 @on_loop
 async def test_request_when_the_host_is_full_then_has_not_run(tmp_path):
     turns = iter([b"-BUSY active=3\r\n", VALUE])
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with EmulatedHost() as one, EmulatedHost() as two, Node(one, two, path=tmp_path) as node:
         node.node.upstream.connect_timeout = 60.0  # one connection to each, however busy this machine is
         one.answer = two.answer = lambda: next(turns)
         assert await node.ask(write(cls=b"note")) == SERVED
@@ -119,7 +119,7 @@
 
 @on_loop
 async def test_request_when_the_connection_is_refused_then_has_not_run(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         host.server.close()
         await host.server.wait_closed()
         assert (await node.ask(write(cls=b"note"))).startswith(b"-BUSY")  # harmless to try again
@@ -128,7 +128,7 @@
 @on_loop
 async def test_connection_is_reused_and_closed_before_the_hosts_idle_limit(tmp_path, monkeypatch):
     monkeypatch.setattr(connection_pool, "SETTLE_TIME_S", 0.0)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         for n in range(3):
             assert await node.ask(command(b"r%d" % n)) == SERVED
         assert len(host.writers) == 1
@@ -144,7 +144,7 @@
 
 @on_loop
 async def test_connection_limit_holds(tmp_path):
-    async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(answer=None) as host, Node(host, path=tmp_path) as node:
         node.node.upstream.max_connections = 2
         roomy(node)
         asked = [asyncio.create_task(node.ask(command(b"r%d" % n, terms=terms(d="500")))) for n in range(6)]
@@ -155,7 +155,7 @@
 @on_loop
 async def test_attempt_when_cancelled_then_is_off_the_host_before_the_next_is_sent(tmp_path):
     """Where second copies are not allowed, one attempt's connection must end before the next is written."""
-    async with StubHost(None) as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
+    async with EmulatedHost(None) as one, EmulatedHost() as two, Node(one, two, path=tmp_path) as node:
 
         class Mover:
             def handle(self, now, event):
@@ -182,7 +182,7 @@
 
 @on_loop
 async def test_connects_when_cancelled_before_they_start_then_take_no_capacity(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         hosts = node.node.upstream
         hosts.max_connections = 2
         for _ in range(5):
@@ -198,7 +198,7 @@
 @on_loop
 async def test_bytes_after_an_answer_are_never_the_next_answer(together, tmp_path):
     """A second copy may still wait in the socket when the next request is sent off."""
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(None) as host, Node(host, path=tmp_path) as node:
         for n in range(3):
             asked = asyncio.create_task(node.ask(command(b"a%d" % n)))
             while not (got := await host.arrived.get()):
@@ -218,7 +218,7 @@
 
 @on_loop
 async def test_connection_is_checked_before_it_is_reused(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command(b"a")) == SERVED
         pool = node.node.upstream.pools["h1"]
         (conn,) = pool.idle
@@ -235,7 +235,7 @@
 
 @on_loop
 async def test_attempt_when_reading_its_answer_raises_then_ends(tmp_path, monkeypatch):
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         with monkeypatch.context() as patch:
             patch.setattr("apigateway.upstream.connection.read_reply", lambda *_: 1 / 0)
             assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
@@ -246,7 +246,7 @@
 @on_loop
 async def test_connection_when_garbage_collected_then_closes_no_descriptor(tmp_path):
     """uvloop drops a transport whose connect is called off without a connection_lost."""
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         ours, theirs = socket.socketpair()
 
         class Transport(asyncio.Transport):
@@ -267,7 +267,7 @@
         theirs.close()
 
 
-class Forgetful(StubHost):
+class Forgetful(EmulatedHost):
     """Behind something that drops connections at rest: the second request on one is reset while `dropped`."""
 
     def __init__(self):
@@ -316,7 +316,7 @@
             node.node.upstream.abandon(attempt, "cancelled")
 
     monkeypatch.setattr(Connection, "connection_made", called_off_in_this_turn)
-    async with StubHost(None) as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost(None) as host, Node(host, path=tmp_path) as node:
         assert (await node.ask(write(cls=b"note"))).startswith((b"-BUSY", b"-ERR"))
         assert await host.arrived.get() is None and not host.commands  # it ended, and nothing came on it
         assert not node.node.upstream.connections and not node.node.upstream.open_count
@@ -326,7 +326,7 @@
 async def test_connection_when_idle_nearly_as_long_as_hosts_allow_then_is_not_reused(tmp_path, monkeypatch):
     """Between two looks for idle ones as well, which are further apart than a short idle time."""
     monkeypatch.setattr(connection_pool, "SETTLE_TIME_S", 0.0)
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command(b"a")) == SERVED
         (conn,) = node.node.upstream.pools["h1"].idle
         conn.idle_since -= 28.0  # of the 30 s after which the host would close it
@@ -340,7 +340,7 @@
     now = [1000.0]
     for module in (attempts, connection_pool, upstream_connections):
         monkeypatch.setattr(module, "monotonic", lambda: now[0])
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         for id, later, lines in ((b"a", 0.0, 1), (b"b", 0.012, 2), (b"c", 0.3, 2)):
             now[0] += later
             assert await node.ask(command(id)) == SERVED
@@ -358,7 +358,7 @@
 
     monkeypatch.setattr(Connection, "connection_made", with_little_room)
     loop = asyncio.get_running_loop()
-    async with StubHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         with socket.socket() as stuck:  # a host that reads nothing
             stuck.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             stuck.bind(("127.0.0.1", 0))
