--- a/apigateway/adapter.py
+++ b/apigateway/adapter.py
@@ -19,23 +19,23 @@
 LIST_MODES = {mode.value: mode for mode in messages.ListMode}
 STATUSES = {
     "U": messages.EndpointStatus.UP,
-    "L": messages.EndpointStatus.LEAVING,
+    "L": messages.EndpointStatus.DRAINING,
     "D": messages.EndpointStatus.DOWN,
 }
 RESULTS = {
     "GOOD": messages.AttemptResult.OK,
     "BAD": messages.AttemptResult.ERROR,
-    "FULL": messages.AttemptResult.FULL,
+    "FULL": messages.AttemptResult.REJECTED,
     "LATE": messages.AttemptResult.TIMEOUT,
     "NOCONN": messages.AttemptResult.CONNECT_FAILED,
     "RST": messages.AttemptResult.RESET,
     "CXL": messages.AttemptResult.CANCELLED,
-    "NOP": messages.AttemptResult.MOOT,
+    "NOP": messages.AttemptResult.ABANDONED,
 }
 COUNTER_RESULTS = {
     word: messages.CounterCallResult(result)
     for word, result in RESULTS.items()
-    if result.value in messages.COUNT_RESULTS
+    if result.value in messages.COUNTER_CALL_RESULTS
 }
 RETRY_MARK = 2  # bit of a work item's marks: a client's repeat
 WRITE_MARK = 4  # bit of a work item's marks: it writes
--- a/apigateway/core/attempts.py
+++ b/apigateway/core/attempts.py
@@ -94,7 +94,7 @@
     def _report_moot(self, in_flight: InFlightRequest, number: int, endpoint_id: str) -> None:
         self._events.dispatch(
             messages.AttemptOutcome(
-                in_flight.request_id, number, endpoint_id, AttemptResult.MOOT, 0.0, in_flight.is_finished
+                in_flight.request_id, number, endpoint_id, AttemptResult.ABANDONED, 0.0, in_flight.is_finished
             )
         )
 
@@ -105,7 +105,9 @@
         del in_flight.active_attempts[number]
         if in_flight.is_finished:
             if result == _CONNECT_FAILED:
-                result = AttemptResult.MOOT  # abandoned before it was sent: it says nothing of the endpoint
+                result = (
+                    AttemptResult.ABANDONED
+                )  # abandoned before it was sent: it says nothing of the endpoint
             self._table.release_if_ended(in_flight)
         elif result == _OK:
             self._responses.finish(in_flight, RequestOutcome.COMPLETED, attempt.value)
--- a/apigateway/counter/connection.py
+++ b/apigateway/counter/connection.py
@@ -149,7 +149,7 @@
         if verb == wire.REPLY_OK and len(words) == _TOTAL_REPLY_WORDS:
             return self._handle_total(words[1])
         if verb in wire.REPLY_REJECTIONS:
-            self.pending_calls.popleft().finish(CounterCallResult.FULL)
+            self.pending_calls.popleft().finish(CounterCallResult.REJECTED)
             return True
         if is_ping:
             self.pending_calls.popleft().finish(CounterCallResult.OK)
@@ -167,7 +167,7 @@
         """Abort the connection: the call was added, and the replies behind it can't be told apart."""
         _log.warning("counter: unexpected answer %r", reply[:_MAX_LOGGED_BYTES])
         if self.pending_calls and self.pending_calls[0].counter_key != PING_KEY:
-            self.pending_calls.popleft().finish(CounterCallResult.SPOILT)
+            self.pending_calls.popleft().finish(CounterCallResult.MALFORMED_REPLY)
         self._abort()
 
     async def _keep_connected(self) -> None:
--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -246,7 +246,7 @@
         from apigateway.policy.overload_gate import OverloadGate
 
         limits = config.settings.limits
-        max_retry_after = limits.max_retry_after if limits.can_tell_retry_after else 0.0
+        max_retry_after = limits.max_retry_after if limits.can_send_retry_after else 0.0
         terms = (*config.overload, max_retry_after)
         if self._overload_gate is None:
             self._overload_gate = OverloadGate(*terms, config.seed)
--- a/apigateway/daemon/gateway_status.py
+++ b/apigateway/daemon/gateway_status.py
@@ -18,7 +18,7 @@
 
 # The decision module's words for states of an endpoint, in those of operators; others are the same.
 _STATE_FOR_OPERATORS: dict[messages.EndpointStatus, str] = {
-    messages.EndpointStatus.LEAVING: "draining",
+    messages.EndpointStatus.DRAINING: "draining",
     messages.EndpointStatus.DOWN: "gone",
 }
 
--- a/apigateway/frontends/resp/command.py
+++ b/apigateway/frontends/resp/command.py
@@ -37,8 +37,8 @@
 MAX_CACHED_FIELDS_BYTES = 256
 
 # Bound once: each command is checked against them.
-_KEYED = messages.Effect.KEYED
-_SAFE = messages.Effect.SAFE
+_KEYED = messages.Idempotency.KEYED
+_SAFE = messages.Idempotency.SAFE
 _MAX_CUSTOMERS = 2**33  # customer numbers are below it
 _WAIT_PREFIX = b"," + WAIT_MS_FIELD + b"="
 _WAIT_VALUE_OFFSET = len(_WAIT_PREFIX) - 1  # the comma was put before the first field
@@ -217,8 +217,8 @@
 
 def _check_effect(service_class: messages.ServiceClass, fields: dict[bytes, bytes], is_write: bool) -> None:
     """Check that a class goes with the verb, and has its idempotency key if it needs one."""
-    is_key_missing = service_class.effect == _KEYED and not _NAME.fullmatch(
+    is_key_missing = service_class.idempotency == _KEYED and not _NAME.fullmatch(
         fields.get(IDEMPOTENCY_KEY_FIELD, b"")
     )
-    if is_write == (service_class.effect == _SAFE) or is_key_missing:
+    if is_write == (service_class.idempotency == _SAFE) or is_key_missing:
         raise InvalidCommandError("class does not go with this command")
--- a/apigateway/membership/eureka/mapping.py
+++ b/apigateway/membership/eureka/mapping.py
@@ -15,7 +15,7 @@
 
 _STATE_BY_SETTING = {
     "up": EndpointStatus.UP,
-    "draining": EndpointStatus.LEAVING,
+    "draining": EndpointStatus.DRAINING,
     "gone": EndpointStatus.DOWN,
 }
 _SEVERITY_BY_SETTING = {"up": 0, "draining": 1, "gone": 2}  # a higher one is worse
--- a/apigateway/membership/file.py
+++ b/apigateway/membership/file.py
@@ -21,7 +21,7 @@
 from apigateway.upstream.address import Address, read_address
 
 POLL_INTERVAL_S = 0.5  # soon enough for an operator who edits the file, and only one stat()
-_STATE_BY_FILE_NAME = {"up": EndpointStatus.UP, "draining": EndpointStatus.LEAVING}
+_STATE_BY_FILE_NAME = {"up": EndpointStatus.UP, "draining": EndpointStatus.DRAINING}
 
 log = logging.getLogger(__name__)
 
--- a/apigateway/membership/listing.py
+++ b/apigateway/membership/listing.py
@@ -12,7 +12,7 @@
 
 _STATE_BY_WIRE_NAME = {
     "up": EndpointStatus.UP,
-    "draining": EndpointStatus.LEAVING,
+    "draining": EndpointStatus.DRAINING,
     "removed": EndpointStatus.DOWN,
 }
 _WIRE_NAME_BY_STATE = {state: name for name, state in _STATE_BY_WIRE_NAME.items()}
--- a/apigateway/membership/reconciler.py
+++ b/apigateway/membership/reconciler.py
@@ -31,7 +31,7 @@
 from apigateway.upstream.address import Address
 
 # Of an endpoint's state: a higher one is worse.
-_SEVERITY = {EndpointStatus.UP: 0, EndpointStatus.LEAVING: 1, EndpointStatus.DOWN: 2}
+_SEVERITY = {EndpointStatus.UP: 0, EndpointStatus.DRAINING: 1, EndpointStatus.DOWN: 2}
 
 
 class Doubt(StrEnum):
--- a/apigateway/membership/reconciler_driver.py
+++ b/apigateway/membership/reconciler_driver.py
@@ -90,4 +90,4 @@
 
 
 def _draining(report: ReportedEndpoint) -> ReportedEndpoint:
-    return replace(report, endpoint=replace(report.endpoint, state=EndpointStatus.LEAVING), stamp=0)
+    return replace(report, endpoint=replace(report.endpoint, state=EndpointStatus.DRAINING), stamp=0)
--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -12,7 +12,7 @@
 from typing import ClassVar
 
 
-class Effect(StrEnum):
+class Idempotency(StrEnum):
     """What executing a request of a class more than once does."""
 
     SAFE = "safe"  # no harm
@@ -33,29 +33,29 @@
 
     OK = "ok"
     ERROR = "error"  # the host answered that it failed: it may have executed the request
-    FULL = "full"  # the host rejected it
+    REJECTED = "full"  # the host rejected it
     TIMEOUT = "timeout"  # there was no answer in time
     CONNECT_FAILED = "connect_failed"  # it was not sent
     RESET = "reset"  # the connection ended without an answer
     CANCELLED = "cancelled"
-    MOOT = "moot"  # nobody waits for it any more
+    ABANDONED = "moot"  # nobody waits for it any more
 
 
 class CounterCallResult(StrEnum):
     """How a call of the counter ended."""
 
     OK = "ok"  # added, and the new total is known
-    FULL = "full"  # rejected: nothing was added
+    REJECTED = "full"  # rejected: nothing was added
     CONNECT_FAILED = "connect_failed"  # not written: nothing was added
     TIMEOUT = "timeout"  # written and not answered in time: it may have been added
-    SPOILT = "spoilt"  # added, but the reply with the total could not be read
+    MALFORMED_REPLY = "spoilt"  # added, but the reply with the total could not be read
 
 
 class EndpointStatus(StrEnum):
     """What the endpoint list says of a host."""
 
     UP = "up"
-    LEAVING = "leaving"  # it drains: nothing new is to be sent there
+    DRAINING = "leaving"  # it drains: nothing new is to be sent there
     DOWN = "down"
 
 
@@ -75,22 +75,22 @@
     POLL = "ask"
 
 
-EFFECTS = tuple(Effect)
-SCOPES = tuple(DeduplicationScope)
-RESULTS = tuple(AttemptResult)
-COUNT_RESULTS = tuple(CounterCallResult)
-STATUSES = tuple(EndpointStatus)
-MODES = tuple(ListMode)
+IDEMPOTENCIES = tuple(Idempotency)
+DEDUPLICATION_SCOPES = tuple(DeduplicationScope)
+ATTEMPT_RESULTS = tuple(AttemptResult)
+COUNTER_CALL_RESULTS = tuple(CounterCallResult)
+ENDPOINT_STATUSES = tuple(EndpointStatus)
+LIST_MODES = tuple(ListMode)
 
 # Results of attempts after which a request may have been executed, though there is no response.
 _POSSIBLY_EXECUTED = frozenset(
     {AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED}
 )
 # Results that say whether the endpoint works; silence is judged before it ends.
-_TELLING_HEALTH = frozenset(
+_HEALTH_SIGNALS = frozenset(
     {
         AttemptResult.CONNECT_FAILED,
-        AttemptResult.FULL,
+        AttemptResult.REJECTED,
         AttemptResult.ERROR,
         AttemptResult.RESET,
         AttemptResult.OK,
@@ -98,7 +98,7 @@
 )
 
 
-def _need(ok: bool, text: str) -> None:
+def _require(ok: bool, text: str) -> None:
     if not ok:
         raise ValueError(text)
 
@@ -110,7 +110,7 @@
     name: str
     latency_objective: float  # an answer within this earns the full priority weight
     deadline: float
-    effect: Effect
+    idempotency: Idempotency
     deduplication_scope: DeduplicationScope  # keyed only
     deduplication_window: float  # keyed only: for how long they do
     priority_weight: float
@@ -121,30 +121,32 @@
     @property
     def is_repeatable(self) -> bool:
         """Whether it does no harm to execute a request twice, wherever that is."""
-        is_discarded = self.effect == Effect.KEYED and self.deduplication_scope == DeduplicationScope.ALL
+        is_discarded = (
+            self.idempotency == Idempotency.KEYED and self.deduplication_scope == DeduplicationScope.ALL
+        )
         return self.is_safe or is_discarded
 
     @property
     def is_safe(self) -> bool:
         """Whether a request may be executed any number of times, anywhere."""
-        return self.effect == Effect.SAFE
+        return self.idempotency == Idempotency.SAFE
 
     @property
     def is_unsafe(self) -> bool:
         """Whether a request that may have been executed must not be sent again."""
-        return self.effect == Effect.UNSAFE
+        return self.idempotency == Idempotency.UNSAFE
 
     def __post_init__(self) -> None:
-        _need(self.effect in EFFECTS, f"class {self.name}: unknown effect {self.effect!r}")
-        _need(
-            self.deduplication_scope in SCOPES,
+        _require(self.idempotency in IDEMPOTENCIES, f"class {self.name}: unknown effect {self.idempotency!r}")
+        _require(
+            self.deduplication_scope in DEDUPLICATION_SCOPES,
             f"class {self.name}: unknown scope {self.deduplication_scope!r}",
         )
-        _need(
+        _require(
             self.latency_objective > 0 and self.deadline > 0,
             f"class {self.name}: aim and deadline must be above 0",
         )
-        _need(
+        _require(
             self.deduplication_window >= 0 and self.priority_weight >= 0,
             f"class {self.name}: negative memory or worth",
         )
@@ -177,9 +179,11 @@
             self.ceiling_burst,
             self.ceiling_slack,
         )
-        _need(low >= 0, f"plan {self.name}: negative figure")
-        _need(self.rate == 0 or self.burst > 0, f"plan {self.name}: a rate needs a burst")
-        _need(self.ceiling_rate == 0 or self.ceiling_burst > 0, f"plan {self.name}: a ceiling needs a burst")
+        _require(low >= 0, f"plan {self.name}: negative figure")
+        _require(self.rate == 0 or self.burst > 0, f"plan {self.name}: a rate needs a burst")
+        _require(
+            self.ceiling_rate == 0 or self.ceiling_burst > 0, f"plan {self.name}: a ceiling needs a burst"
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -190,17 +194,17 @@
     can_hedge: bool
     can_check_health: bool
     can_message_peers: bool
-    can_tell_retry_after: bool
+    can_send_retry_after: bool
     max_attempts: int
     max_retry_after: float
     connect_timeout: float = 0.0  # s after which an attempt that was sent reaches its host at the latest
 
     def retry_after(self, wait: float) -> float:
         """Return the Retry-After, in seconds, that a client may be given where it should wait so long."""
-        return min(max(wait, 0.0), self.max_retry_after if self.can_tell_retry_after else 0.0)
+        return min(max(wait, 0.0), self.max_retry_after if self.can_send_retry_after else 0.0)
 
     def __post_init__(self) -> None:
-        _need(self.max_attempts >= 1, "max_attempts must be at least 1")
+        _require(self.max_attempts >= 1, "max_attempts must be at least 1")
 
 
 @dataclass(frozen=True, slots=True)
@@ -216,9 +220,9 @@
     max_poll_interval: float  # discovery on request only
 
     def __post_init__(self) -> None:
-        _need(0 <= self.initial_capacity <= 1, "cold_share must lie in 0..1")
+        _require(0 <= self.initial_capacity <= 1, "cold_share must lie in 0..1")
         low = min(self.drain_grace, self.slow_start_duration, self.overload_multiple, self.overload_duration)
-        _need(low >= 0, "negative rule figure")
+        _require(low >= 0, "negative rule figure")
 
 
 @dataclass(frozen=True, slots=True)
@@ -236,7 +240,7 @@
         return self.endpoint_kinds
 
     def __post_init__(self) -> None:
-        _need(bool(self.endpoint_kinds), f"route {self.name}: no kind of host")
+        _require(bool(self.endpoint_kinds), f"route {self.name}: no kind of host")
 
 
 @dataclass(frozen=True, slots=True)
@@ -255,7 +259,7 @@
     counter_price: float
     counter_timeout: float
     meter_period: float
-    settles_units: bool
+    charges_actual_units: bool
     max_units: float
     discovery_mode: DiscoveryMode
     load_report_fields: tuple[str, ...]
@@ -264,11 +268,13 @@
     max_customers: int = 0  # customers known at once; 0: as many as come
 
     def __post_init__(self) -> None:
-        _need(0 <= self.gateway_index < self.gateway_count, "index must lie in 0..gateways-1")
-        _need(self.discovery_mode in tuple(DiscoveryMode), f"unknown discovery mode {self.discovery_mode!r}")
-        _need(not self.has_counter or self.counter_timeout > 0, "a counter needs a time-out")
-        _need(bool(self.classes), "no request classes")
-        _need(self.max_customers >= 0, "most_accounts must not be negative")
+        _require(0 <= self.gateway_index < self.gateway_count, "index must lie in 0..gateways-1")
+        _require(
+            self.discovery_mode in tuple(DiscoveryMode), f"unknown discovery mode {self.discovery_mode!r}"
+        )
+        _require(not self.has_counter or self.counter_timeout > 0, "a counter needs a time-out")
+        _require(bool(self.classes), "no request classes")
+        _require(self.max_customers >= 0, "most_accounts must not be negative")
 
     def plan_of(self, request: Request) -> Plan:
         """Return the plan that a request is judged by: its own limit, or that of its customer."""
@@ -300,7 +306,7 @@
         return scope == DeduplicationScope.ALL or self.cell == other.cell
 
     def __post_init__(self) -> None:
-        if self.state not in STATUSES:
+        if self.state not in ENDPOINT_STATUSES:
             raise ValueError(f"host {self.id}: unknown state {self.state!r}")
 
 
@@ -318,7 +324,7 @@
         return self.mode in (ListMode.FULL, ListMode.CACHED)
 
     def __post_init__(self) -> None:
-        _need(self.mode in MODES, f"unknown list mode {self.mode!r}")
+        _require(self.mode in LIST_MODES, f"unknown list mode {self.mode!r}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -342,8 +348,8 @@
     route: str = ""  # of settings; empty: any host
 
     def __post_init__(self) -> None:
-        _need(self.units >= 0, f"request {self.request_id}: negative units")
-        _need(self.gateway_spread >= 1, f"request {self.request_id}: spread must be at least 1")
+        _require(self.units >= 0, f"request {self.request_id}: negative units")
+        _require(self.gateway_spread >= 1, f"request {self.request_id}: spread must be at least 1")
 
 
 @dataclass(frozen=True, slots=True)
@@ -371,8 +377,8 @@
     limit: Plan | None = None
 
     def __post_init__(self) -> None:
-        _need(self.limit is not None and self.limit.rate > 0, f"check {self.request_id}: no limit")
-        _need(
+        _require(self.limit is not None and self.limit.rate > 0, f"check {self.request_id}: no limit")
+        _require(
             self.units >= 0 and self.gateway_spread >= 1,
             f"check {self.request_id}: negative units or no spread",
         )
@@ -433,12 +439,12 @@
         return self.result in _POSSIBLY_EXECUTED
 
     @property
-    def tells_health(self) -> bool:
+    def is_health_signal(self) -> bool:
         """Whether the result says that the endpoint works or that it does not."""
-        return self.result in _TELLING_HEALTH
+        return self.result in _HEALTH_SIGNALS
 
     def __post_init__(self) -> None:
-        if self.result not in RESULTS:
+        if self.result not in ATTEMPT_RESULTS:
             raise ValueError(f"unknown result {str(self.result)!r}")
 
 
@@ -454,10 +460,10 @@
     @property
     def was_added(self) -> bool:
         """Whether the amount has surely been added."""
-        return self.result in (CounterCallResult.OK, CounterCallResult.SPOILT)
+        return self.result in (CounterCallResult.OK, CounterCallResult.MALFORMED_REPLY)
 
     def __post_init__(self) -> None:
-        if self.result not in COUNT_RESULTS:
+        if self.result not in COUNTER_CALL_RESULTS:
             raise ValueError(f"unknown counter result {str(self.result)!r}")
 
 
--- a/apigateway/platform_settings.py
+++ b/apigateway/platform_settings.py
@@ -11,9 +11,9 @@
 from apigateway import messages
 
 EFFECT = {
-    "pure": messages.Effect.SAFE,
-    "token": messages.Effect.KEYED,
-    "side_effect": messages.Effect.UNSAFE,
+    "pure": messages.Idempotency.SAFE,
+    "token": messages.Idempotency.KEYED,
+    "side_effect": messages.Idempotency.UNSAFE,
 }
 DISCOVERY = {"pushed": messages.DiscoveryMode.PUSH, "on_request": messages.DiscoveryMode.POLL}
 REPORT = {
@@ -53,7 +53,7 @@
         counter_price=_number(specifics, "counter_price"),
         counter_timeout=seconds(specifics.get("counter_timeout", "0")),
         meter_period=seconds(specifics.get("meter_period", "0")),
-        settles_units=flag(specifics, "settles"),
+        charges_actual_units=flag(specifics, "settles"),
         max_units=float(specifics.get("units_top", 1)),
         discovery_mode=DISCOVERY[tree["registry_mode"]],
         load_report_fields=tuple(REPORT[name] for name in report_names if name in REPORT),
@@ -66,7 +66,7 @@
         name=node["name"],
         latency_objective=seconds(node["slo"]),
         deadline=seconds(node["deadline"]),
-        effect=EFFECT[node["effect"]],
+        idempotency=EFFECT[node["effect"]],
         deduplication_window=seconds(node.get("memory_span", "0")),
         priority_weight=float(node["gain"]),
         late_priority_weight=_number(node, "late_value"),
@@ -105,7 +105,7 @@
         can_hedge=flag(node, "second_copies"),
         can_check_health=flag(node, "probes"),
         can_message_peers=flag(node, "peers"),
-        can_tell_retry_after=flag(node, "retry_after"),
+        can_send_retry_after=flag(node, "retry_after"),
         max_attempts=int(node["max_attempts"]),
         max_retry_after=seconds(node.get("max_retry_after", "0")),
         connect_timeout=seconds(node.get("connect_timeout", "0")),
--- a/apigateway/plugins/loader.py
+++ b/apigateway/plugins/loader.py
@@ -50,7 +50,7 @@
             routes=frozenset(self.settings.routes),
             max_tags=hooks.max_tags,
             max_tag_bytes=hooks.max_tag_bytes,
-            max_retry_after=limits.max_retry_after if limits.can_tell_retry_after else 0.0,
+            max_retry_after=limits.max_retry_after if limits.can_send_retry_after else 0.0,
         )
 
 
--- a/apigateway/policy/endpoint_pool.py
+++ b/apigateway/policy/endpoint_pool.py
@@ -168,7 +168,7 @@
             if self.capacity.note(event.load_report):
                 self.refresh(now)
             is_congested = held > CONGESTED_LOAD * self.capacity.scale
-        if event.tells_health:
+        if event.is_health_signal:
             self.health.on_result(endpoint, event.result, scope, now)
             endpoint.scores.clear()
         if event.load_report or event.result in (AttemptResult.OK, AttemptResult.TIMEOUT):
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -118,7 +118,7 @@
         # A spoilt answer, or a connection that broke before the time was up, says nothing of the next call.
         is_early = event.elapsed < CALL_LOST * self.counter.timeout
         is_lost = is_early and event.result == CounterCallResult.TIMEOUT
-        if event.result != CounterCallResult.SPOILT and not is_lost:
+        if event.result != CounterCallResult.MALFORMED_REPLY and not is_lost:
             self.counter.observe(self.now, event.result == CounterCallResult.OK, event.elapsed)
         on_result(event)
 
--- a/apigateway/policy/overload_gate.py
+++ b/apigateway/policy/overload_gate.py
@@ -39,7 +39,7 @@
         self.lag = 0.0  # s; of the last window
         self.lagging_since = math.inf
         self.counts = DecayingCounts()  # of the latest requests, by priority step
-        self.floor = -MAX_STEP - 1  # priority step below which all are shed;
+        self.priority_floor = -MAX_STEP - 1  # priority step below which all are shed;
         self.floor_probability = 1.0  # the chance to pass of those on it
         self.retry_times = ExpiringKeys(MAX_CUSTOMERS)  # of customers who were given a Retry-After
         self.shed_count = 0  # requests, during overloads
@@ -78,7 +78,10 @@
 
     def update_floor(self) -> None:
         """Set the floor so that `admitted_share` of the latest requests pass, by priority."""
-        self.floor, self.floor_probability = self.counts.top_part(self.admitted_share) or (-MAX_STEP - 1, 1.0)
+        self.priority_floor, self.floor_probability = self.counts.top_part(self.admitted_share) or (
+            -MAX_STEP - 1,
+            1.0,
+        )
 
     def retry_after_if_shed(
         self, now: float, waited: float, step: int, customer: str, remaining: float
@@ -94,7 +97,9 @@
             if (retry_after := self.retry_times.remaining(customer, now)) > 0:
                 self.shed_count += 1
                 return retry_after
-            passes = step > self.floor or (step == self.floor and self.random() < self.floor_probability)
+            passes = step > self.priority_floor or (
+                step == self.priority_floor and self.random() < self.floor_probability
+            )
             if passes and remaining > 2 * self.lag:  # else it would surely be answered too late
                 self.admitted_count += 1
                 return -1.0
--- a/apigateway/policy/retries.py
+++ b/apigateway/policy/retries.py
@@ -8,8 +8,8 @@
 from apigateway.policy.pending_queue import PendingRequest
 from apigateway.policy.state import GatewayState
 
-RETRY_COSTS = {AttemptResult.CONNECT_FAILED: 0.0, AttemptResult.FULL: 0.2}  # if not 1
-QUEUED = (AttemptResult.CONNECT_FAILED, AttemptResult.FULL, AttemptResult.RESET)  # may wait after these
+RETRY_COSTS = {AttemptResult.CONNECT_FAILED: 0.0, AttemptResult.REJECTED: 0.2}  # if not 1
+QUEUED = (AttemptResult.CONNECT_FAILED, AttemptResult.REJECTED, AttemptResult.RESET)  # may wait after these
 
 
 def on_outcome(state: GatewayState, event: AttemptOutcome) -> None:
@@ -20,7 +20,7 @@
         return
     state.pool.on_outcome(state.now, event, pending.service_class.name, pending.fault_scope)
     pending.end_attempt(event.attempt, event.may_have_executed)
-    is_settled = state.settings.settles_units and pending.plan.rate and not pending.is_over_quota
+    is_settled = state.settings.charges_actual_units and pending.plan.rate and not pending.is_over_quota
     if event.actual_units and is_settled:
         pending.quota.unreported_units += event.actual_units - pending.request.units
     if event.is_final:
@@ -33,7 +33,7 @@
     budget = state.retry_budget
     cost = RETRY_COSTS.get(result, 1.0)
     response_time = max(TICK, state.pool.response_times[pending.service_class.name].mean)
-    is_late = state.now + response_time > pending.deadline or result == AttemptResult.MOOT
+    is_late = state.now + response_time > pending.deadline or result == AttemptResult.ABANDONED
     if is_late or budget.retries < cost:
         state.reject(pending)
     elif dispatch.send(state, pending):
--- a/apigateway/routing/lease_ledger.py
+++ b/apigateway/routing/lease_ledger.py
@@ -187,7 +187,9 @@
 
     def on_no_total(self, result: CounterCallResult, entry: LedgerEntry) -> None:
         """Take up that a call has given no total; `result` says whether it added its units."""
-        if result == CounterCallResult.SPOILT:  # its units were added: the next call uses what was asked for
+        if (
+            result == CounterCallResult.MALFORMED_REPLY
+        ):  # its units were added: the next call uses what was asked for
             self.reported_units += entry.amount
             self.spare_units += entry.asked
         elif result == CounterCallResult.TIMEOUT:
--- a/apigateway/routing/zone_health.py
+++ b/apigateway/routing/zone_health.py
@@ -73,7 +73,7 @@
         """Take up the result of an attempt; a reset may come from the host as well as from the way there."""
         if result == AttemptResult.CONNECT_FAILED:
             self.silent(name, host, now)
-        elif result in (AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.OK):
+        elif result in (AttemptResult.ERROR, AttemptResult.REJECTED, AttemptResult.OK):
             self.answered(name)
 
     def part(self, name: str, now: float) -> float:
--- a/apigateway/simulation/baselines.py
+++ b/apigateway/simulation/baselines.py
@@ -121,10 +121,10 @@
         """Retry if that is safe."""
         request = self._requests[event.request_id]
         match event.result:
-            case messages.AttemptResult.CONNECT_FAILED | messages.AttemptResult.FULL:
+            case messages.AttemptResult.CONNECT_FAILED | messages.AttemptResult.REJECTED:
                 may_retry = True
             case messages.AttemptResult.ERROR | messages.AttemptResult.RESET:
-                may_retry = request.service_class.effect == messages.Effect.SAFE
+                may_retry = request.service_class.idempotency == messages.Idempotency.SAFE
             case _:
                 may_retry = False
         return self._forward(event.request_id) if may_retry else self._fail(event.request_id)
--- a/apigateway/simulation/client_traffic.py
+++ b/apigateway/simulation/client_traffic.py
@@ -119,7 +119,7 @@
             first_gateway=customer.first_gateway,
             gateway_spread=customer.gateway_spread,
             is_retry=call.requests > 1,
-            is_write=service_class.effect != messages.Effect.SAFE,
+            is_write=service_class.idempotency != messages.Idempotency.SAFE,
         )
         gateway.accept(request, call.work, client_request)
 
@@ -157,7 +157,7 @@
             case ResponseOutcome.REJECTED | ResponseOutcome.CONNECTION_LOST:
                 is_retryable = True
             case ResponseOutcome.FAILED:
-                is_retryable = call.workload.cls.effect == messages.Effect.SAFE
+                is_retryable = call.workload.cls.idempotency == messages.Idempotency.SAFE
             case ResponseOutcome.SERVED:
                 is_retryable = False
         if not is_retryable or call.requests > self._settings.retries:
--- a/apigateway/simulation/faults.py
+++ b/apigateway/simulation/faults.py
@@ -89,7 +89,7 @@
         endpoint = host.endpoint
         if endpoint.id not in self._fleet.hosts:
             return
-        self._fleet.announce(replace(endpoint, state=EndpointStatus.LEAVING), reaches_all=True)
+        self._fleet.announce(replace(endpoint, state=EndpointStatus.DRAINING), reaches_all=True)
         successor = self._fleet.add_host(endpoint.zone, endpoint.cell, self._clock.now)
         self._fleet.announce(successor.endpoint, reaches_all=True)
         listing = self._scenario.listing
--- a/apigateway/simulation/host.py
+++ b/apigateway/simulation/host.py
@@ -155,7 +155,7 @@
             self._clock.call_later(ERROR_LATENCY_S, task.on_done, AttemptResult.ERROR)
             return
         if self.mode is HostMode.FULL or self.in_flight >= self._slots + self._queue_size:
-            self._clock.call_later(REJECTION_LATENCY_S, task.on_done, AttemptResult.FULL)
+            self._clock.call_later(REJECTION_LATENCY_S, task.on_done, AttemptResult.REJECTED)
             return
         self.accepted += 1
         self._arrivals.add(Arrival(self._clock.now, task.work, sender_knew_start))
--- a/apigateway/simulation/metrics.py
+++ b/apigateway/simulation/metrics.py
@@ -193,7 +193,7 @@
             "over_quota": counts[Metric.UNITS_OVER_QUOTA] / units_forwarded,
             "quota_cost": self.over_quota_cost / max(MIN_WEIGHT, self.requested_weight),
             "with_room": counts[Metric.REJECTED_WITH_QUOTA] / rejected_requests,
-            "full": self.attempt_results[AttemptResult.FULL],
+            "full": self.attempt_results[AttemptResult.REJECTED],
             "timeouts": self.attempt_results[AttemptResult.TIMEOUT],
             "fell": counts[Metric.OVERLOADED_HOSTS],
             "broken": len(self.violations),
--- a/apigateway/simulation/quota_counter.py
+++ b/apigateway/simulation/quota_counter.py
@@ -27,7 +27,7 @@
 
 
 NO_ENTRY = CounterEntry(total=0.0, expires_at=0.0)
-OVERLOADED = CounterReply(result=CounterCallResult.FULL, total=0.0)
+OVERLOADED = CounterReply(result=CounterCallResult.REJECTED, total=0.0)
 
 
 class QuotaCounter:
--- a/apigateway/simulation/rule_checker.py
+++ b/apigateway/simulation/rule_checker.py
@@ -62,7 +62,9 @@
         """
         request = attempt.request
         earlier = [other for other in request.attempts if other is not attempt]
-        if service_class.effect == messages.Effect.UNSAFE and any(other.may_be_executed for other in earlier):
+        if service_class.idempotency == messages.Idempotency.UNSAFE and any(
+            other.may_be_executed for other in earlier
+        ):
             detail = f"{request.request_id} at {attempt.endpoint_id}"
             self._metrics.add_violation(Rule.NO_REPEAT, detail)
         if any(other.is_received for other in earlier):
--- a/apigateway/simulation/upstream.py
+++ b/apigateway/simulation/upstream.py
@@ -12,7 +12,7 @@
 from apigateway.simulation.shared_processor import HostTask
 
 # After these the connection is open and idle.
-REUSABLE_RESULTS = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.FULL)
+REUSABLE_RESULTS = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED)
 
 
 class UpstreamClient:
@@ -121,7 +121,7 @@
         request.listener.on_attempt_received(attempt)
 
         def on_done(result: AttemptResult) -> None:
-            attempt.is_rejected = result is AttemptResult.FULL
+            attempt.is_rejected = result is AttemptResult.REJECTED
             self._send_result(attempt, host, result, incarnation, dict(host.reporter.report))
 
         attempt.task = HostTask(request.work + handshake_work, on_done)
--- a/apigateway/tools/experiment/file_keys.py
+++ b/apigateway/tools/experiment/file_keys.py
@@ -17,6 +17,7 @@
         "over_cost": "over_quota_cost",
     },
     messages.ServiceClass: {
+        "effect": "idempotency",
         "aim": "latency_objective",
         "scope": "deduplication_scope",
         "memory": "deduplication_window",
--- a/apigateway/upstream/attempt.py
+++ b/apigateway/upstream/attempt.py
@@ -108,7 +108,7 @@
     if isinstance(reply, hiredis.ReplyError):
         words = str(reply).split(" ")
         attempt.load_report = parse_load_report(words[-1])
-        return AttemptResult.FULL if words[0] == "BUSY" else AttemptResult.ERROR
+        return AttemptResult.REJECTED if words[0] == "BUSY" else AttemptResult.ERROR
     if isinstance(reply, bytes) and is_health_check:
         attempt.load_report = parse_load_report(reply)
         return _OK
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -3,7 +3,7 @@
 import heapq
 import itertools
 
-from helpers import settings as module_settings
+from helpers import make_settings as module_settings
 
 from apigateway import messages
 from apigateway.core.request_lifecycle import RequestDispatcher
--- a/tests/counter/test_pending_call.py
+++ b/tests/counter/test_pending_call.py
@@ -11,7 +11,7 @@
 
 
 def test_results_when_compared_with_the_messages_then_are_the_same_words():
-    assert tuple(CounterCallResult) == messages.COUNT_RESULTS
+    assert tuple(CounterCallResult) == messages.COUNTER_CALL_RESULTS
     for result in CounterCallResult:
         assert json.dumps(result) == f'"{result}"' == f'"{result.value}"'
         assert messages.CounterResult(8, result, 0.0, 0.0) == messages.CounterResult(
@@ -42,6 +42,6 @@
     reported = []
     call = PendingCall(8, lambda key, result, total, elapsed: reported.append(result))
     call.set_deadline(asyncio.get_running_loop(), 0.01)
-    call.finish(CounterCallResult.FULL)
+    call.finish(CounterCallResult.REJECTED)
     await asyncio.sleep(0.03)
     assert reported == ["full"]
--- a/tests/frontends/resp/test_load_shedding.py
+++ b/tests/frontends/resp/test_load_shedding.py
@@ -152,7 +152,7 @@
 async def test_a_customer_that_the_module_rejected_is_rejected_early(tmp_path):
     async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
         gate = OverloadGate(0.01, 10.0, 2.0, 1)
-        gate.admitted_share, gate.floor = 0.9, -MAX_STEP - 1  # overload: all are worth enough
+        gate.admitted_share, gate.priority_floor = 0.9, -MAX_STEP - 1  # overload: all are worth enough
         install_admission(node, gate)
         customer = b"00000000000000cc"
         told = b""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,16 +1,16 @@
-"""A scripted world for one or several gateways: it answers nothing by itself."""
+"""A decision module under test: the harness feeds it events, keeps the time and plays the shared counter."""
 
 from apigateway import messages
 from apigateway.policy import Gateway
 
 READ = messages.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 1.0, 0.0, False, 0.0)
 WRITE = messages.ServiceClass("write", 1.0, 3.0, "keyed", "zone", 1.0, 3.0, 0.0, False, 0.0)
-CELL = messages.ServiceClass("cellwrite", 1.0, 3.0, "keyed", "cell", 5.0, 3.0, 0.0, False, 0.0)
+CELL_WRITE = messages.ServiceClass("cellwrite", 1.0, 3.0, "keyed", "cell", 5.0, 3.0, 0.0, False, 0.0)
 NOTE = messages.ServiceClass("note", 1.0, 3.0, "unsafe", "all", 5.0, 2.0, 0.0, False, 0.0)
 
 
-def plan(name="p", **kw):
-    base = dict(
+def make_plan(name="p", **overrides):
+    fields = dict(
         rate=2.0,
         burst=8.0,
         concurrency_limit=0,
@@ -21,20 +21,20 @@
         ceiling_burst=0.0,
         ceiling_slack=0.0,
     )
-    return messages.Plan(name, **{**base, **kw})
+    return messages.Plan(name, **{**fields, **overrides})
 
 
-def settings(plans=None, limits=None, rules=None, **kw):
-    lim = dict(
+def make_settings(plans=None, limits=None, rules=None, **overrides):
+    default_limits = dict(
         can_cancel=True,
         can_hedge=True,
         can_check_health=False,
         can_message_peers=False,
-        can_tell_retry_after=True,
+        can_send_retry_after=True,
         max_attempts=4,
         max_retry_after=1.0,
     )
-    rul = dict(
+    default_rules = dict(
         answer_slack=0.01,
         drain_grace=1.0,
         initial_capacity=0.2,
@@ -43,82 +43,91 @@
         overload_duration=2.0,
         max_poll_interval=10.0,
     )
-    base = dict(
+    fields = dict(
         gateway_index=0,
         gateway_count=2,
         zone="z1",
-        classes={c.name: c for c in (READ, WRITE, CELL, NOTE)},
-        plans={p.name: p for p in (plans or [plan()])},
-        limits=messages.Limits(**{**lim, **(limits or {})}),
-        rules=messages.Rules(**{**rul, **(rules or {})}),
+        classes={one.name: one for one in (READ, WRITE, CELL_WRITE, NOTE)},
+        plans={plan.name: plan for plan in (plans or [make_plan()])},
+        limits=messages.Limits(**{**default_limits, **(limits or {})}),
+        rules=messages.Rules(**{**default_rules, **(rules or {})}),
         prices={"cross_zone": 0.02},
         has_counter=True,
         counter_price=0.01,
         counter_timeout=0.05,
         meter_period=0.0,
-        settles_units=False,
+        charges_actual_units=False,
         max_units=4.0,
         discovery_mode="push",
         load_report_fields=("queue",),
         weight_meaning="none",
     )
-    return messages.Settings(**{**base, **kw})
-
-
-def host(name, zone="z1", cell=0, state="up", started=0.0):
-    return messages.Endpoint(name, zone, cell, 1.0, "k", state, started)
-
-
-class World:
-    def __init__(self, conf=None, hosts=None, seed=1, start=1000.0):
-        self.now, self.conf = start, conf or settings()
-        self.gw = Gateway(self.conf, seed, start)
-        self.log, self.ids = [], 0
-        self.counts = {}
-        self.mode = "answer"  # or "silent", "refuse", "hold"
-        listed = tuple(hosts if hosts is not None else [host("h1"), host("h2")])
-        self.do(messages.EndpointList("cached", 1, listed))
-
-    def do(self, event):
-        """Hands one event over, answers counter calls as `mode` says, returns all actions."""
-        acts = self.gw.handle(self.now, event)
-        self.log += [(self.now, a) for a in acts]
-        for call in [a for a in acts if isinstance(a, messages.AddToCounter)]:
-            if self.mode == "answer":
-                total = self.counts[call.counter_key] = self.counts.get(call.counter_key, 0) + call.amount
-                acts = acts + self.do(messages.CounterResult(call.counter_key, "ok", total, 0.002))
-            elif self.mode == "silent":
+    return messages.Settings(**{**fields, **overrides})
+
+
+def make_host(name, zone="z1", cell=0, state="up", started_at=0.0):
+    return messages.Endpoint(name, zone, cell, 1.0, "k", state, started_at)
+
+
+class GatewayHarness:
+    """One gateway's decision module with a manual clock; hosts and clients do only what the test says."""
+
+    def __init__(self, settings=None, hosts=None, seed=1, start=1000.0):
+        self.now, self.settings = start, settings or make_settings()
+        self.gateway = Gateway(self.settings, seed, start)
+        self.action_log, self.request_count = [], 0
+        self.counter_totals = {}
+        self.counter_mode = "answer"  # or "silent", "refuse", "hold"
+        listed = tuple(hosts if hosts is not None else [make_host("h1"), make_host("h2")])
+        self.handle(messages.EndpointList("cached", 1, listed))
+
+    def handle(self, event):
+        """Pass an event on, answer the counter calls as `counter_mode` says, and return all actions."""
+        actions = self.gateway.handle(self.now, event)
+        self.action_log += [(self.now, action) for action in actions]
+        for call in [action for action in actions if isinstance(action, messages.AddToCounter)]:
+            if self.counter_mode == "answer":
+                total = self.counter_totals[call.counter_key] = (
+                    self.counter_totals.get(call.counter_key, 0) + call.amount
+                )
+                actions = actions + self.handle(messages.CounterResult(call.counter_key, "ok", total, 0.002))
+            elif self.counter_mode == "silent":
                 self.now += 0.05
-                acts = acts + self.do(messages.CounterResult(call.counter_key, "timeout", 0, 0.05))
-            elif self.mode == "refuse":
-                acts = acts + self.do(messages.CounterResult(call.counter_key, "full", 0, 0.001))
-        return acts
-
-    def ask(self, customer="c", plan="p", cls="read", units=1, spread=2, left=3.0):
-        self.ids += 1
-        name = f"r{self.ids}"
-        return name, self.do(messages.Request(name, left, customer, plan, cls, units, 0, spread))
-
-    def wait(self, seconds, step=0.02):
-        acts, end = [], self.now + seconds
+                actions = actions + self.handle(messages.CounterResult(call.counter_key, "timeout", 0, 0.05))
+            elif self.counter_mode == "refuse":
+                actions = actions + self.handle(messages.CounterResult(call.counter_key, "full", 0, 0.001))
+        return actions
+
+    def send_request(self, customer="c", plan="p", service_class="read", units=1, spread=2, remaining=3.0):
+        """Send a request, and return its id and the actions that follow."""
+        self.request_count += 1
+        request_id = f"r{self.request_count}"
+        return request_id, self.handle(
+            messages.Request(request_id, remaining, customer, plan, service_class, units, 0, spread)
+        )
+
+    def advance(self, seconds, step=0.02):
+        """Let time pass in steps, and return the actions of the timers."""
+        actions, end = [], self.now + seconds
         while self.now < end - 1e-9:
             self.now = min(end, self.now + step)
-            acts += self.do(messages.TimerExpired(0))
-        return acts
+            actions += self.handle(messages.TimerExpired(0))
+        return actions
 
-    def end(self, send, result="ok", attempt=0, final=None, elapsed=0.05, **kw):
-        return self.do(
+    def end_attempt(self, forward, result="ok", attempt=0, is_final=None, elapsed=0.05, **fields):
+        """Report the outcome of a forwarded attempt, and return the actions that follow."""
+        return self.handle(
             messages.AttemptOutcome(
-                send.request_id,
+                forward.request_id,
                 attempt,
-                send.endpoint_id,
+                forward.endpoint_id,
                 result,
                 elapsed,
-                result == "ok" if final is None else final,
-                **kw,
+                result == "ok" if is_final is None else is_final,
+                **fields,
             )
         )
 
 
-def of(acts, kind):
-    return [a for a in acts if isinstance(a, kind)]
+def actions_of(actions, action_type):
+    return [action for action in actions if isinstance(action, action_type)]
--- a/tests/plugins/test_plugin_manager.py
+++ b/tests/plugins/test_plugin_manager.py
@@ -38,15 +38,15 @@
 
 
 def test_module_answers_a_request_rejected_by_a_plugin_at_once_and_takes_no_units():
-    from helpers import World as Decisions
+    from helpers import GatewayHarness
 
-    harness = Decisions()
-    accounts = dict(harness.gw.quotas)
-    assert harness.do(messages.RejectedByPlugin("x", 0.7)) == [messages.Reject("x", 0.7)]
+    harness = GatewayHarness()
+    accounts = dict(harness.gateway.quotas)
+    assert harness.handle(messages.RejectedByPlugin("x", 0.7)) == [messages.Reject("x", 0.7)]
     assert (
-        harness.do(messages.RejectedByPlugin("y", 60.0)) == [messages.Reject("y", 1.0)]
-        and harness.gw.quotas == accounts
-        and not harness.gw.pending
+        harness.handle(messages.RejectedByPlugin("y", 60.0)) == [messages.Reject("y", 1.0)]
+        and harness.gateway.quotas == accounts
+        and not harness.gateway.pending
     )
 
 
--- a/tests/policy/test_checks.py
+++ b/tests/policy/test_checks.py
@@ -3,30 +3,33 @@
 import random
 
 import pytest
-from helpers import READ, World, host, of, plan
-from helpers import settings as module_settings
+from helpers import READ, GatewayHarness, actions_of, make_host, make_plan, make_settings
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
 from apigateway import messages
 
-HOSTS = [host(f"h{n}") for n in range(4)]
+HOSTS = [make_host(f"h{n}") for n in range(4)]
 CEILED = dict(rate=3.0, burst=6.0, ceiling_rate=4.0, ceiling_burst=8.0, ceiling_slack=0.0)
 
 
 def world(plans=None, **kw):
-    return World(
-        module_settings(plans=plans or [plan(rate=2.0, burst=8.0)], **{"gateway_count": 1, **kw}), HOSTS
+    return GatewayHarness(
+        make_settings(plans=plans or [make_plan(rate=2.0, burst=8.0)], **{"gateway_count": 1, **kw}), HOSTS
     )
 
 
 def check(w, customer="c", units=1.0, left=3.0, spread=1):
     """The one answer, where it comes at once."""
-    w.ids += 1
-    acts = w.do(messages.QuotaCheck(f"k{w.ids}", left, customer, "p", "read", units, 0, spread))
-    assert not of(acts, messages.ForwardRequest) + of(acts, messages.Reject) + of(acts, messages.Fail)
-    told = of(acts, messages.QuotaGranted) + of(acts, messages.QuotaDenied)
-    assert len(told) <= 1 and all(one.request_id == f"k{w.ids}" for one in told)
+    w.request_count += 1
+    acts = w.handle(messages.QuotaCheck(f"k{w.request_count}", left, customer, "p", "read", units, 0, spread))
+    assert (
+        not actions_of(acts, messages.ForwardRequest)
+        + actions_of(acts, messages.Reject)
+        + actions_of(acts, messages.Fail)
+    )
+    told = actions_of(acts, messages.QuotaGranted) + actions_of(acts, messages.QuotaDenied)
+    assert len(told) <= 1 and all(one.request_id == f"k{w.request_count}" for one in told)
     return told[0] if told else None
 
 
@@ -45,14 +48,18 @@
     assert [one.remaining for one in granted] == sorted((one.remaining for one in granted), reverse=True)
     assert granted[-1].remaining < 1.0 and 0 < granted[0].reset_after <= 4.0
     assert all(one.is_over_quota and one.retry_after > 0 for one in denied)
-    assert not w.gw.pending and not w.gw.pool.attempts_out
+    assert not w.gateway.pending and not w.gateway.pool.attempts_out
 
 
 def test_checks_and_requests_share_one_store():
     w = world()
     taken = 0
     for n in range(20):
-        taken += passed(w) if n % 2 else len(of(w.ask("c", spread=1)[1], messages.ForwardRequest) or []) > 0
+        taken += (
+            passed(w)
+            if n % 2
+            else len(actions_of(w.send_request("c", spread=1)[1], messages.ForwardRequest) or []) > 0
+        )
     assert 8 <= taken <= 10
 
 
@@ -79,55 +86,57 @@
 
 def test_while_the_counter_is_silent_a_check_is_answered_in_its_time_and_one_that_left_is_not():
     w = world(gateway_count=2)
-    w.mode = "hold"
+    w.counter_mode = "hold"
     first = [check(w, spread=2) for _ in range(8)]
-    waiting = [job.request.request_id for job in w.gw.pending.values()]
+    waiting = [job.request.request_id for job in w.gateway.pending.values()]
     assert None in first and waiting
-    w.do(messages.ClientDisconnected(waiting[0]))
-    acts = w.wait(1.0)
-    answered = [a.request_id for a in of(acts, messages.QuotaGranted) + of(acts, messages.QuotaDenied)]
-    assert sorted(answered) == sorted(waiting[1:]) and not w.gw.pending
+    w.handle(messages.ClientDisconnected(waiting[0]))
+    acts = w.advance(1.0)
+    answered = [
+        a.request_id for a in actions_of(acts, messages.QuotaGranted) + actions_of(acts, messages.QuotaDenied)
+    ]
+    assert sorted(answered) == sorted(waiting[1:]) and not w.gateway.pending
     # The counter's answer comes after all that: what it granted is a lease, and spent by whoever is next.
-    call = next(act for _, act in w.log if isinstance(act, messages.AddToCounter))
-    w.mode = "answer"
-    w.do(messages.CounterResult(call.counter_key, "ok", call.amount, 0.3))
-    assert w.gw.quotas["c"].leased_units > 0 and passed(w)
+    call = next(act for _, act in w.action_log if isinstance(act, messages.AddToCounter))
+    w.counter_mode = "answer"
+    w.handle(messages.CounterResult(call.counter_key, "ok", call.amount, 0.3))
+    assert w.gateway.quotas["c"].leased_units > 0 and passed(w)
 
 
 def test_what_is_given_back_can_be_spent_again_in_its_window_only():
     w = world()
     told = [one for one in (check(w) for _ in range(12)) if isinstance(one, messages.QuotaGranted)]
     assert not passed(w)
-    w.do(messages.ReturnUnits("c", 3.0, told[-1].window_index))
+    w.handle(messages.ReturnUnits("c", 3.0, told[-1].window_index))
     assert sum(passed(w) for _ in range(6)) == 3
     w.now += 8.0
     assert passed(w)
-    lease = w.gw.quotas["c"].leased_units
-    w.do(messages.ReturnUnits("c", 3.0, told[-1].window_index))
-    assert w.gw.quotas["c"].leased_units == lease
-    w.do(messages.ReturnUnits("nobody", 3.0, 1))
+    lease = w.gateway.quotas["c"].leased_units
+    w.handle(messages.ReturnUnits("c", 3.0, told[-1].window_index))
+    assert w.gateway.quotas["c"].leased_units == lease
+    w.handle(messages.ReturnUnits("nobody", 3.0, 1))
 
 
 def test_a_ceiling_that_is_given_back_is_never_fuller_than_its_burst():
-    w = world([plan(**CEILED)])
+    w = world([make_plan(**CEILED)])
     w.now += 2.0  # the store is empty at a start
     told = check(w)
     for _ in range(5):
-        w.do(messages.ReturnUnits("c", 4.0, told.window_index))
-    assert w.gw.quotas["c"].ceiling.tokens <= 8.0
+        w.handle(messages.ReturnUnits("c", 4.0, told.window_index))
+    assert w.gateway.quotas["c"].ceiling.tokens <= 8.0
 
 
 def test_in_overload_of_the_hosts_checks_are_shed_as_requests_are():
-    w = world(gateway_count=8, plans=[plan(rate=1000.0, burst=1000.0)])
-    w.gw.load_shedder.admitted.share = 0.1
-    w.gw.pool.congestion.value, w.gw.pool.congestion.observed_at = 1.0, w.now
+    w = world(gateway_count=8, plans=[make_plan(rate=1000.0, burst=1000.0)])
+    w.gateway.load_shedder.admitted.share = 0.1
+    w.gateway.pool.congestion.value, w.gateway.pool.congestion.observed_at = 1.0, w.now
     told = [check(w, f"c{n}") for n in range(200)]
     shed = [one for one in told if isinstance(one, messages.QuotaDenied)]
     assert len(shed) > 100 and not any(one.is_over_quota for one in shed)
 
 
 def test_a_plan_with_open_attempts_only_has_no_quota_to_tell_of():
-    told = check(world([plan(rate=0.0, burst=0.0, concurrency_limit=4)]))
+    told = check(world([make_plan(rate=0.0, burst=0.0, concurrency_limit=4)]))
     assert (
         isinstance(told, messages.QuotaGranted) and told.remaining == float("inf") and told.reset_after == 0.0
     )
@@ -141,14 +150,14 @@
         rng = random.Random(number)
         count = rng.choice([1, 1, 2, 3])
         conf = [
-            module_settings(plans=[plan(**CEILED)], gateway_count=count, gateway_index=n)
+            make_settings(plans=[make_plan(**CEILED)], gateway_count=count, gateway_index=n)
             for n in range(count)
         ]
-        worlds = [World(one, HOSTS, seed=number * 8 + n) for n, one in enumerate(conf)]
+        worlds = [GatewayHarness(one, HOSTS, seed=number * 8 + n) for n, one in enumerate(conf)]
         totals = {}
         for w in worlds:
-            w.counts = totals  # one counter for all
-            w.mode = rng.choice(["answer", "answer", "silent", "refuse"])
+            w.counter_totals = totals  # one counter for all
+            w.counter_mode = rng.choice(["answer", "answer", "silent", "refuse"])
         asked = {}
         for _ in range(rng.randrange(20, 60)):
             gap = rng.choice([0.0, 0.0, 0.01, 0.2, 1.0])
@@ -157,18 +166,18 @@
                 w.now = now
             w, units = rng.choice(worlds), rng.choice([1.0, 1.0, 2.0])
             if rng.random() < 0.5:
-                w.ids += 1
-                asked[w, f"k{w.ids}"] = units
-                w.do(messages.QuotaCheck(f"k{w.ids}", 3.0, "c", "p", "read", units, 0, count))
+                w.request_count += 1
+                asked[w, f"k{w.request_count}"] = units
+                w.handle(messages.QuotaCheck(f"k{w.request_count}", 3.0, "c", "p", "read", units, 0, count))
             else:
-                name, acts = w.ask("c", units=units, spread=count)
+                name, acts = w.send_request("c", units=units, spread=count)
                 asked[w, name] = units
-                for send in of(acts, messages.ForwardRequest):
-                    w.end(send, elapsed=0.001)
+                for send in actions_of(acts, messages.ForwardRequest):
+                    w.end_attempt(send, elapsed=0.001)
         times = [
             (at, asked[w, act.request_id])
             for w in worlds
-            for at, act in w.log
+            for at, act in w.action_log
             if isinstance(act, messages.QuotaGranted | messages.ForwardRequest)
         ]
         times.sort()
@@ -193,28 +202,30 @@
     st.sampled_from(["answer", "silent", "refuse", "hold"]),
 )
 def test_each_check_has_one_answer_at_most_and_one_in_its_time(steps, counter):
-    w = world([plan(**CEILED)], gateway_count=2)
-    w.mode = counter
+    w = world([make_plan(**CEILED)], gateway_count=2)
+    w.counter_mode = counter
     asked, gone, window = {}, set(), 0
     for what, customer, amount in steps:
         name = f"c{customer}"
         if what == "check":
-            w.ids += 1
-            asked[f"k{w.ids}"] = w.now
-            w.do(messages.QuotaCheck(f"k{w.ids}", 1.0, name, "p", "read", amount, 0, 2))
+            w.request_count += 1
+            asked[f"k{w.request_count}"] = w.now
+            w.handle(messages.QuotaCheck(f"k{w.request_count}", 1.0, name, "p", "read", amount, 0, 2))
         elif what == "ask":
-            w.ask(name, spread=2)
+            w.send_request(name, spread=2)
         elif what == "gone" and asked:
             gone.add(next(reversed(asked)))
-            w.do(messages.ClientDisconnected(next(reversed(asked))))
+            w.handle(messages.ClientDisconnected(next(reversed(asked))))
         elif what == "back":
-            w.do(messages.ReturnUnits(name, amount, window))
+            w.handle(messages.ReturnUnits(name, amount, window))
         elif what == "wait":
-            w.wait(amount / 3)
-        told = [a for _, a in w.log if isinstance(a, messages.QuotaGranted)]
+            w.advance(amount / 3)
+        told = [a for _, a in w.action_log if isinstance(a, messages.QuotaGranted)]
         window = told[-1].window_index if told else 0
-    w.wait(1.2)
-    answered = [a.request_id for _, a in w.log if isinstance(a, messages.QuotaGranted | messages.QuotaDenied)]
+    w.advance(1.2)
+    answered = [
+        a.request_id for _, a in w.action_log if isinstance(a, messages.QuotaGranted | messages.QuotaDenied)
+    ]
     assert len(answered) == len(set(answered)) and set(answered) <= set(asked)
     assert set(asked) - set(answered) <= gone
-    assert READ.deadline > 1.0 and not [job for job in w.gw.pending.values() if job.request.is_check]
+    assert READ.deadline > 1.0 and not [job for job in w.gateway.pending.values() if job.request.is_check]
--- a/tests/policy/test_overload_gate.py
+++ b/tests/policy/test_overload_gate.py
@@ -111,7 +111,7 @@
 
 def test_whom_the_module_told_to_come_later_is_turned_away_till_then():
     one, now = overloaded()
-    one.admitted_share, one.floor = 0.9, BASIC - 1  # all are worth enough
+    one.admitted_share, one.priority_floor = 0.9, BASIC - 1  # all are worth enough
     one.on_retry_after(now, "held", 0.7)
     assert one.retry_after_if_shed(now + 0.2, 0.0, GOLD, "held", 3.0) == pytest.approx(0.5)
     assert one.retry_after_if_shed(now + 0.8, 0.0, GOLD, "held", 3.0) < 0
@@ -129,18 +129,18 @@
 
 def test_what_would_be_answered_too_late_is_not_taken():
     one, now = overloaded()
-    one.admitted_share, one.floor, one.lag = 0.9, BASIC - 1, 0.1
+    one.admitted_share, one.priority_floor, one.lag = 0.9, BASIC - 1, 0.1
     assert one.retry_after_if_shed(now, 0.0, GOLD, "c", 0.15) >= 0
     assert one.retry_after_if_shed(now, 0.0, GOLD, "c", 0.25) < 0
 
 
 def test_a_time_to_come_back_is_told_where_settings_allow_and_spread():
     one, now = overloaded()
-    one.admitted_share, one.floor = 0.1, MAX_STEP + 1
+    one.admitted_share, one.priority_floor = 0.1, MAX_STEP + 1
     waits = [one.retry_after_if_shed(now, 0.0, BASIC, f"c{n}", 3.0) for n in range(200)]
     assert 0 <= min(waits) < 0.5 and max(waits) == 2.0 and len(set(waits)) > 50
     silent, now = overloaded(max_retry_after=0.0)
-    silent.floor = MAX_STEP + 1
+    silent.priority_floor = MAX_STEP + 1
     assert {silent.retry_after_if_shed(now, 0.0, BASIC, f"c{n}", 3.0) for n in range(20)} == {0.0}
 
 
@@ -157,14 +157,14 @@
     one.admitted_share = share
     one.update_floor()
     order = sorted((worth for worth, _ in requests), reverse=True)
-    assert one.floor == order[min(len(order) - 1, math.ceil(share * len(order)) - 1)]
-    above = sum(worth > one.floor for worth in order)
-    on = order.count(one.floor)
+    assert one.priority_floor == order[min(len(order) - 1, math.ceil(share * len(order)) - 1)]
+    above = sum(worth > one.priority_floor for worth in order)
+    on = order.count(one.priority_floor)
     assert above + one.floor_probability * on == pytest.approx(share * len(order))
     for worth in {-20, 0, 5, 6, 40}:
         passed = one.retry_after_if_shed(0.0, 0.0, worth, "c", 3.0) < 0
-        assert passed or worth <= one.floor
-        assert not passed or worth >= one.floor
+        assert passed or worth <= one.priority_floor
+        assert not passed or worth >= one.priority_floor
 
 
 @seed(13)
--- a/tests/policy/test_pending_queue.py
+++ b/tests/policy/test_pending_queue.py
@@ -4,8 +4,7 @@
 from collections import deque
 
 import pytest
-from helpers import World, host, of
-from helpers import settings as module_settings
+from helpers import GatewayHarness, actions_of, make_host, make_settings
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
@@ -105,12 +104,12 @@
     """A gateway whose hosts are all full, with so many that wait."""
     monkeypatch.setattr(dispatch, "MIN_QUEUE_LENGTH", held + 100)
     plan = messages.Plan("p", 1e6, 1e6, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)
-    w = World(module_settings(gateway_count=1, plans=[plan]), [host(f"h{n}") for n in range(4)])
+    w = GatewayHarness(make_settings(gateway_count=1, plans=[plan]), [make_host(f"h{n}") for n in range(4)])
     out = []
     for _ in range(held):
-        name, acts = w.ask(spread=1)
-        assert not of(acts, messages.Reject)
-        out += of(acts, messages.ForwardRequest)
+        name, acts = w.send_request(spread=1)
+        assert not actions_of(acts, messages.Reject)
+        out += actions_of(acts, messages.ForwardRequest)
     return w, out
 
 
@@ -122,37 +121,39 @@
         selection, "select_endpoint", lambda state, job: tried.append(job) or choose(state, job)
     )
     for send in out[:10]:
-        w.end(send)
+        w.end_attempt(send)
     assert len(tried) <= 30  # for each that ends one is sent, and one finds that there is no more room
 
 
 def test_twenty_thousand_held_then_all_free_then_all_gone(monkeypatch):
     held = 20_000
     w, out = waiting_world(monkeypatch, held)
-    waiting = w.gw.queue.waiting_count
+    waiting = w.gateway.queue.waiting_count
     assert waiting == held - len(out)
     out, answered = deque(out), set()
     while len(answered) < 5_000:  # all free at once
         send = out.popleft()
-        out += of(w.end(send), messages.ForwardRequest)
+        out += actions_of(w.end_attempt(send), messages.ForwardRequest)
         answered.add(send.request_id)
-    assert w.gw.queue.waiting_count == held - len(answered) - len(out)
-    acts = w.do(messages.EndpointList("full", 2, ()))  # all gone
-    assert not of(acts, messages.ForwardRequest)
+    assert w.gateway.queue.waiting_count == held - len(answered) - len(out)
+    acts = w.handle(messages.EndpointList("full", 2, ()))  # all gone
+    assert not actions_of(acts, messages.ForwardRequest)
     for send in out:  # each ends as its host does
-        acts += w.end(send, "reset")
-    acts += w.wait(3.0)
-    refused = [a.request_id for a in of(acts, messages.Reject)]
-    assert not of(acts, messages.ForwardRequest) and len(refused) == len(set(refused)) == held - len(answered)
-    assert not answered & set(refused) and not w.gw.pending and not w.gw.queue.waiting_count
-    w.do(messages.EndpointList("full", 3, (host("h9"),)))  # and what comes then is served
-    name, acts = w.ask(spread=1)
-    assert [a.request_id for a in of(acts, messages.ForwardRequest)] == [name]
-    assert w.gw.queue.entry_count <= DISCARDED_SLACK
+        acts += w.end_attempt(send, "reset")
+    acts += w.advance(3.0)
+    refused = [a.request_id for a in actions_of(acts, messages.Reject)]
+    assert not actions_of(acts, messages.ForwardRequest) and len(refused) == len(set(refused)) == held - len(
+        answered
+    )
+    assert not answered & set(refused) and not w.gateway.pending and not w.gateway.queue.waiting_count
+    w.handle(messages.EndpointList("full", 3, (make_host("h9"),)))  # and what comes then is served
+    name, acts = w.send_request(spread=1)
+    assert [a.request_id for a in actions_of(acts, messages.ForwardRequest)] == [name]
+    assert w.gateway.queue.entry_count <= DISCARDED_SLACK
 
 
 def test_the_worthiest_go_first_and_of_equals_the_latest(monkeypatch):
     w, out = waiting_world(monkeypatch, 60)
-    late = [w.ask(spread=1)[0] for _ in range(3)]
-    sent = [of(w.end(send), messages.ForwardRequest)[0].request_id for send in out[:3]]
+    late = [w.send_request(spread=1)[0] for _ in range(3)]
+    sent = [actions_of(w.end_attempt(send), messages.ForwardRequest)[0].request_id for send in out[:3]]
     assert sent == late[::-1]
--- a/tests/policy/test_reservations.py
+++ b/tests/policy/test_reservations.py
@@ -3,30 +3,31 @@
 import random
 
 import pytest
-from helpers import World, host, of, plan
-from helpers import settings as module_settings
+from helpers import GatewayHarness, actions_of, make_host, make_plan, make_settings
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
 from apigateway import messages
 
-HOSTS = [host(f"h{n}") for n in range(4)]
+HOSTS = [make_host(f"h{n}") for n in range(4)]
 CEILED = dict(rate=3.0, burst=6.0, ceiling_rate=4.0, ceiling_burst=8.0, ceiling_slack=0.0)
 
 
 def world(plans=None, **kw):
-    return World(
-        module_settings(plans=plans or [plan(rate=2.0, burst=8.0)], **{"gateway_count": 1, **kw}), HOSTS
+    return GatewayHarness(
+        make_settings(plans=plans or [make_plan(rate=2.0, burst=8.0)], **{"gateway_count": 1, **kw}), HOSTS
     )
 
 
 def ask(w, kind, customer="c", units=1.0, spread=1, **kw):
     """What became of it at once: Granted, Denied, Send, Refuse, or None."""
-    w.ids += 1
-    acts = w.do(kind(f"k{w.ids}", 3.0, customer, "p", "read", units, 0, spread, **kw))
-    told = of(acts, messages.QuotaGranted | messages.QuotaDenied | messages.ForwardRequest | messages.Reject)
-    for send in of(acts, messages.ForwardRequest):
-        w.end(send, elapsed=0.001)
+    w.request_count += 1
+    acts = w.handle(kind(f"k{w.request_count}", 3.0, customer, "p", "read", units, 0, spread, **kw))
+    told = actions_of(
+        acts, messages.QuotaGranted | messages.QuotaDenied | messages.ForwardRequest | messages.Reject
+    )
+    for send in actions_of(acts, messages.ForwardRequest):
+        w.end_attempt(send, elapsed=0.001)
     return told[0] if told else None
 
 
@@ -40,7 +41,7 @@
 
 
 def test_under_a_ceiling_it_waits_for_what_is_sent_on_however_much_was_granted_before():
-    w = world([plan(**CEILED)])
+    w = world([make_plan(**CEILED)])
     w.now += 10.0  # both stores are full: 8 units, 4 a second more
     granted = sum(isinstance(ask(w, messages.QuotaReservation), messages.QuotaGranted) for _ in range(6))
     w.now += 2.0  # what is granted may be 8 again; nothing was sent on yet
@@ -56,25 +57,25 @@
 
 
 def test_what_is_given_back_of_a_reserve_was_never_charged_to_what_is_sent_on():
-    w = world([plan(**CEILED)])
+    w = world([make_plan(**CEILED)])
     w.now += 10.0
     for _ in range(3):
         told = ask(w, messages.QuotaReservation)
-        w.do(messages.ReturnReservation("c", 1.0, told.window_index))
-    acct = w.gw.quotas["c"]
+        w.handle(messages.ReturnReservation("c", 1.0, told.window_index))
+    acct = w.gateway.quotas["c"]
     assert acct.ceiling.tokens == pytest.approx(8.0) and acct.ceiling.reserved == pytest.approx(0.0)
     told = ask(w, messages.QuotaCheck)
-    w.do(messages.ReturnUnits("c", 1.0, told.window_index))
+    w.handle(messages.ReturnUnits("c", 1.0, told.window_index))
     assert acct.ceiling.tokens == pytest.approx(8.0) and acct.ceiling.reserved == pytest.approx(0.0)
 
 
 def test_where_nothing_was_reserved_the_two_stores_are_one():
-    w = world([plan(**CEILED)])
+    w = world([make_plan(**CEILED)])
     for _ in range(40):
         w.now += 0.1
         ask(w, messages.QuotaCheck)
         ask(w, messages.Request)
-        assert w.gw.quotas["c"].ceiling.reserved == 0.0
+        assert w.gateway.quotas["c"].ceiling.reserved == 0.0
 
 
 def over(times, burst, rate):
@@ -94,14 +95,14 @@
         rng = random.Random(number)
         count = rng.choice([1, 1, 2, 3])
         conf = [
-            module_settings(plans=[plan(**CEILED)], gateway_count=count, gateway_index=n)
+            make_settings(plans=[make_plan(**CEILED)], gateway_count=count, gateway_index=n)
             for n in range(count)
         ]
-        worlds = [World(one, HOSTS, seed=number * 8 + n) for n, one in enumerate(conf)]
+        worlds = [GatewayHarness(one, HOSTS, seed=number * 8 + n) for n, one in enumerate(conf)]
         totals = {}
         for w in worlds:
-            w.counts = totals
-            w.mode = rng.choice(["answer", "answer", "silent", "refuse"])
+            w.counter_totals = totals
+            w.counter_mode = rng.choice(["answer", "answer", "silent", "refuse"])
             w.now += rng.choice([0.0, 10.0])
         purses, asked = [], {}
         for _ in range(rng.randrange(20, 70)):
@@ -123,21 +124,21 @@
                 if not purses:
                     continue
                 units = purses.pop(rng.randrange(len(purses)))
-            w.ids += 1
-            asked[w, f"k{w.ids}"] = kind, units
-            acts = w.do(kind(f"k{w.ids}", 3.0, "c", "p", "read", units, 0, count))
-            for send in of(acts, messages.ForwardRequest):
-                w.end(send, elapsed=0.001)
+            w.request_count += 1
+            asked[w, f"k{w.request_count}"] = kind, units
+            acts = w.handle(kind(f"k{w.request_count}", 3.0, "c", "p", "read", units, 0, count))
+            for send in actions_of(acts, messages.ForwardRequest):
+                w.end_attempt(send, elapsed=0.001)
             if kind is messages.QuotaReservation:
-                for told in of(acts, messages.QuotaGranted):
+                for told in actions_of(acts, messages.QuotaGranted):
                     if rng.random() < 0.1:
-                        w.do(messages.ReturnReservation("c", units, told.window_index))
+                        w.handle(messages.ReturnReservation("c", units, told.window_index))
                         asked[w, told.request_id] = None, 0.0
                     else:
                         purses.append(units)
         granted, sent = [], []
         for w in worlds:
-            for at, act in w.log:
+            for at, act in w.action_log:
                 if isinstance(act, messages.QuotaGranted | messages.ForwardRequest):
                     kind, units = asked[w, act.request_id]
                     if kind in (messages.QuotaCheck, messages.QuotaReservation, messages.Request):
@@ -150,10 +151,10 @@
 
 @pytest.mark.parametrize("gateways", [1, 3])
 def test_a_limit_of_its_own_is_held_over_all_gateways_and_spends_nothing_of_the_plan(gateways):
-    own = plan(rate=0.5, burst=4.0)
+    own = make_plan(rate=0.5, burst=4.0)
     worlds = [
-        World(
-            module_settings(plans=[plan(rate=1.0, burst=30.0)], gateway_count=gateways, gateway_index=n),
+        GatewayHarness(
+            make_settings(plans=[make_plan(rate=1.0, burst=30.0)], gateway_count=gateways, gateway_index=n),
             HOSTS,
             seed=n,
         )
@@ -161,7 +162,7 @@
     ]
     totals = {}
     for w in worlds:
-        w.counts = totals
+        w.counter_totals = totals
     passed = 0
     for n in range(60):
         told = ask(worlds[n % gateways], messages.CustomLimitCheck, "c/4/8", spread=gateways, limit=own)
@@ -178,7 +179,7 @@
 
 def test_a_limit_into_which_nothing_fits():
     w = world()
-    none = plan(rate=1e-9, burst=1e-9)
+    none = make_plan(rate=1e-9, burst=1e-9)
     assert not any(
         isinstance(ask(w, messages.CustomLimitCheck, "c/0/1", limit=none), messages.QuotaGranted)
         for _ in range(5)
@@ -216,10 +217,10 @@
 )
 def test_both_stores_are_those_of_a_plain_account(steps):
     """The gap between them, kept as one figure, against two stores that are kept apart."""
-    w = world([plan(rate=100.0, burst=200.0, ceiling_rate=100.0, ceiling_burst=200.0)])
+    w = world([make_plan(rate=100.0, burst=200.0, ceiling_rate=100.0, ceiling_burst=200.0)])
     w.now += 10.0
     ask(w, messages.QuotaCheck, units=0.0)
-    acct = w.gw.quotas["c"]
+    acct = w.gateway.quotas["c"]
     full, rate, a, b, at, purse = 200.0, 100.0, acct.ceiling.tokens, acct.ceiling.tokens, w.now, []
     for kind, amount in steps:
         if kind == "wait":
@@ -231,11 +232,11 @@
         if kind == "back":
             if purse:
                 told, units = purse.pop()
-                w.do(messages.ReturnReservation("c", units, told.window_index))
+                w.handle(messages.ReturnReservation("c", units, told.window_index))
                 a = min(full, a + units)
             continue
-        if units > w.conf.max_units and kind in (messages.Request, messages.PrepaidRequest):
-            units = w.conf.max_units
+        if units > w.settings.max_units and kind in (messages.Request, messages.PrepaidRequest):
+            units = w.settings.max_units
         told = ask(w, kind, units=units)
         if isinstance(told, messages.QuotaGranted | messages.ForwardRequest):
             if kind is not messages.PrepaidRequest:
@@ -253,10 +254,12 @@
 def test_sets_of_different_sizes_share_by_the_larger_one():
     """A customer's requests name two gateways, its checks all three: no order of them passes the ceiling."""
     for first in ((2, 3), (3, 2)):
-        conf = [module_settings(plans=[plan(**CEILED)], gateway_count=3, gateway_index=n) for n in range(3)]
-        worlds = [World(one, HOSTS, seed=n) for n, one in enumerate(conf)]
+        conf = [
+            make_settings(plans=[make_plan(**CEILED)], gateway_count=3, gateway_index=n) for n in range(3)
+        ]
+        worlds = [GatewayHarness(one, HOSTS, seed=n) for n, one in enumerate(conf)]
         for w in worlds:
-            w.mode = "refuse"  # each is left to its own part
+            w.counter_mode = "refuse"  # each is left to its own part
             w.now += 10.0
         sent = 0
         for n in range(60):
@@ -269,19 +272,24 @@
 def test_a_request_that_waits_for_a_ceiling_goes_when_it_has_filled():
     """Among many an even part is a few units: a bunch of requests is no reason to refuse those of them that a
     part of the aim is time for."""
-    ceiled = plan(rate=0.0, ceiling_rate=64.0, ceiling_burst=32.0, ceiling_slack=3.0)
-    w = World(module_settings(plans=[ceiled], gateway_count=200), [host(f"h{n}") for n in range(30)])
+    ceiled = make_plan(rate=0.0, ceiling_rate=64.0, ceiling_burst=32.0, ceiling_slack=3.0)
+    w = GatewayHarness(
+        make_settings(plans=[ceiled], gateway_count=200), [make_host(f"h{n}") for n in range(30)]
+    )
     w.now += 10.0
-    begun, names = w.now, [w.ask(spread=16)[0] for _ in range(12)]  # 2 units, 4 a second, a wait of 0.3 s
-    w.wait(1.0, step=0.005)
+    begun, names = (
+        w.now,
+        [w.send_request(spread=16)[0] for _ in range(12)],
+    )  # 2 units, 4 a second, a wait of 0.3 s
+    w.advance(1.0, step=0.005)
     sent = [
         at - begun
-        for at, act in w.log
+        for at, act in w.action_log
         if isinstance(act, messages.ForwardRequest) and act.request_id in names
     ]
     refused = [
-        at - begun for at, act in w.log if isinstance(act, messages.Reject) and act.request_id in names
+        at - begun for at, act in w.action_log if isinstance(act, messages.Reject) and act.request_id in names
     ]
     assert len(sent) == 3 and sent[:2] == [0.0, 0.0] and 0.24 < sent[2] < 0.3
     assert len(refused) == 9 and max(refused) == 0.0
-    assert all(a.ceiling.promised == 0.0 for a in w.gw.quotas.values())
+    assert all(a.ceiling.promised == 0.0 for a in w.gateway.quotas.values())
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from helpers import World, host, of, plan, settings
+from helpers import GatewayHarness, actions_of, make_host, make_plan, make_settings
 from hypothesis import given, seed
 from hypothesis import settings as tries
 from hypothesis import strategies as st
@@ -12,11 +12,13 @@
 from apigateway.policy.endpoint_pool import TICK
 from apigateway.policy.selection import MAX_COMPARED
 
-BIG = plan(rate=100000.0, burst=400000.0)
+BIG = make_plan(rate=100000.0, burst=400000.0)
 
 
 def world(hosts, gateways=1, **kw):
-    return World(settings(plans=[BIG], gateway_count=gateways, limits={"can_hedge": False}, **kw), hosts)
+    return GatewayHarness(
+        make_settings(plans=[BIG], gateway_count=gateways, limits={"can_hedge": False}, **kw), hosts
+    )
 
 
 class Oracle:
@@ -51,10 +53,10 @@
         if route and not route.fallback:
             assert self.hosts[act.endpoint_id].kind in route.endpoint_kinds, "sent past its route"
         for ran, _ in self.ran.get(act.request_id, ()):
-            assert cls.effect != "unsafe", "an unsafe request that may have run was sent again"
-            if cls.effect == "keyed" and cls.deduplication_scope == "cell":
+            assert cls.idempotency != "unsafe", "an unsafe request that may have run was sent again"
+            if cls.idempotency == "keyed" and cls.deduplication_scope == "cell":
                 assert self.hosts[ran].cell == self.hosts[act.endpoint_id].cell, "sent out of its scope"
-            if cls.effect == "keyed" and cls.deduplication_scope == "zone":
+            if cls.idempotency == "keyed" and cls.deduplication_scope == "zone":
                 assert self.hosts[ran].zone == self.hosts[act.endpoint_id].zone, "sent out of its scope"
         attempt = len(self.sent.setdefault(act.request_id, []))
         self.sent[act.request_id].append(act.endpoint_id)
@@ -107,7 +109,7 @@
         for n in range(count)
     ]
     w = world(hosts, gateways, routes=routes)
-    oracle = Oracle(w.conf)
+    oracle = Oracle(w.settings)
     oracle.listed(messages.EndpointList("cached", 1, tuple(hosts)))
     for number, (what, value) in enumerate(steps):
         rng = random.Random(value)
@@ -126,7 +128,7 @@
                     route=rng.choice(["", "", "batch"]),
                 )
                 oracle.requests[id] = req
-                oracle.acts(w.do(req))
+                oracle.acts(w.handle(req))
         elif what == "end" and oracle.out:
             (id, attempt), at = rng.choice(sorted(oracle.out.items()))
             result = rng.choice(["ok"] * 5 + ["error", "timeout", "reset", "full", "connect_failed"])
@@ -142,9 +144,9 @@
             if result == "ok":
                 oracle.over.add(id)
             oracle.outcome(event, w.now)
-            oracle.acts(w.do(event))
+            oracle.acts(w.handle(event))
         elif what == "wait":
-            oracle.acts([a for a in w.wait(value % 40 / 100) if not isinstance(a, messages.CancelAttempt)])
+            oracle.acts([a for a in w.advance(value % 40 / 100) if not isinstance(a, messages.CancelAttempt)])
         elif what in ("list", "delta"):
             some = rng.sample(hosts, rng.randint(1, count))
             states = [
@@ -161,29 +163,35 @@
             ]
             event = messages.EndpointList("full" if what == "list" else "delta", number + 2, tuple(states))
             oracle.listed(event)
-            oracle.acts(w.do(event))
-        index_is_true(w.gw.pool, w.now)
+            oracle.acts(w.handle(event))
+        index_is_true(w.gateway.pool, w.now)
 
 
-def ask(w, count, cls="read", left=3.0):
+def ask(w, count, service_class="read", left=3.0):
     return [
-        s for _ in range(count) for s in of(w.ask(cls=cls, left=left, spread=1)[1], messages.ForwardRequest)
+        s
+        for _ in range(count)
+        for s in actions_of(
+            w.send_request(service_class=service_class, remaining=left, spread=1)[1], messages.ForwardRequest
+        )
     ]
 
 
-def many(count, started=0.0, **kw):
-    return [host(f"h{n}", "z1", n % 5, started=started, **kw) for n in range(count)]
+def many(count, started_at=0.0, **kw):
+    return [make_host(f"h{n}", "z1", n % 5, started_at=started_at, **kw) for n in range(count)]
 
 
 def test_what_waits_goes_out_as_soon_as_a_host_is_free_however_many_are_full():
     w = world(many(200))
     out = ask(w, 900)
-    assert len(out) == 800 == w.gw.pool.attempts_out and not w.gw.pool.with_capacity
-    waiting = w.gw.queue.waiting_count
+    assert len(out) == 800 == w.gateway.pool.attempts_out and not w.gateway.pool.with_capacity
+    waiting = w.gateway.queue.waiting_count
     assert waiting
     for send in out[:waiting]:
-        assert len(of(w.end(send), messages.ForwardRequest)) == 1  # each place that is left is taken at once
-    assert not w.gw.queue.waiting_count
+        assert (
+            len(actions_of(w.end_attempt(send), messages.ForwardRequest)) == 1
+        )  # each place that is left is taken at once
+    assert not w.gateway.queue.waiting_count
 
 
 def test_of_a_thousand_half_fall_silent_and_the_others_serve():
@@ -192,20 +200,20 @@
     for _ in range(60):
         for send in ask(w, 20):
             if int(send.endpoint_id[1:]) % 2:
-                w.end(send)
+                w.end_attempt(send)
                 served += 1
-        w.wait(0.05)
-    silent = [len(s.attempts_out) for s in w.gw.pool.endpoints.values() if int(s.host.id[1:]) % 2 == 0]
+        w.advance(0.05)
+    silent = [len(s.attempts_out) for s in w.gateway.pool.endpoints.values() if int(s.host.id[1:]) % 2 == 0]
     late = [s for s in ask(w, 200) if int(s.endpoint_id[1:]) % 2]
     assert served > 500 and sum(silent) < 4 * 500 and len(late) > 110  # they draw less than their half now
 
 
 @pytest.mark.parametrize("gateways", [1, 4])
 def test_of_a_thousand_five_hundred_come_up_cold_and_none_is_pushed_over(gateways):
-    hosts = many(500) + [host(f"c{n}", "z1", 0, started=1000.0) for n in range(500)]
+    hosts = many(500) + [make_host(f"c{n}", "z1", 0, started_at=1000.0) for n in range(500)]
     worlds = [
-        World(
-            settings(plans=[BIG], gateway_count=gateways, gateway_index=n, limits={"can_hedge": False}),
+        GatewayHarness(
+            make_settings(plans=[BIG], gateway_count=gateways, gateway_index=n, limits={"can_hedge": False}),
             hosts,
             seed=n,
         )
@@ -216,8 +224,8 @@
         for w in worlds:
             for send in ask(w, 2000 // 40 // gateways * 4):
                 sent.setdefault(send.endpoint_id, []).append(w.now)
-                w.end(send)
-            w.wait(0.05)
+                w.end_attempt(send)
+            w.advance(0.05)
     rate = sum(map(len, sent.values())) / 2.0 / 1000  # a host's even part of all, a second
     cold = [len(times) for name, times in sent.items() if name[0] == "c"]
     # By the rules it bears 0.2 of its capacity and twice that for a while; it got a part of an even one.
@@ -227,25 +235,31 @@
 def test_all_drain_but_three_and_a_list_that_is_replaced_again_and_again():
     w = world(many(1000))
     left = ["h1", "h501", "h999"]
-    states = [host(f"h{n}", "z1", n % 5, state="up" if f"h{n}" in left else "leaving") for n in range(1000)]
+    states = [
+        make_host(f"h{n}", "z1", n % 5, state="up" if f"h{n}" in left else "leaving") for n in range(1000)
+    ]
     for version in range(20):
-        w.do(messages.EndpointList("full", version + 2, tuple(states if version % 2 == 0 else many(1000))))
-    w.do(messages.EndpointList("full", 99, tuple(states)))
-    assert {s.endpoint_id for s in ask(w, 30)} <= set(left) and len(w.gw.pool.available) == 3
+        w.handle(
+            messages.EndpointList("full", version + 2, tuple(states if version % 2 == 0 else many(1000)))
+        )
+    w.handle(messages.EndpointList("full", 99, tuple(states)))
+    assert {s.endpoint_id for s in ask(w, 30)} <= set(left) and len(w.gateway.pool.available) == 3
 
 
 def test_a_fleet_under_ever_new_names_is_forgotten_at_once():
     w = world(many(10))
     for turn in range(5):
-        w.do(messages.EndpointList("full", turn + 2, tuple(host(f"t{turn}-{n}") for n in range(1000))))
+        w.handle(
+            messages.EndpointList("full", turn + 2, tuple(make_host(f"t{turn}-{n}") for n in range(1000)))
+        )
         for send in ask(w, 100):
-            for again in of(w.end(send, "error"), messages.ForwardRequest):
-                w.end(again, attempt=1)
+            for again in actions_of(w.end_attempt(send, "error"), messages.ForwardRequest):
+                w.end_attempt(again, attempt=1)
         w.now += 100.0
-    w.do(messages.EndpointList("full", 99, tuple(many(3))))
+    w.handle(messages.EndpointList("full", 99, tuple(many(3))))
     w.now += 100.0
-    w.do(messages.EndpointList("full", 100, tuple(many(3))))
-    assert len(w.gw.pool.endpoints) == 3 and len(w.gw.pool.health.outliers.hosts) <= 3
+    w.handle(messages.EndpointList("full", 100, tuple(many(3))))
+    assert len(w.gateway.pool.endpoints) == 3 and len(w.gateway.pool.health.outliers.hosts) <= 3
 
 
 def test_no_work_of_a_choice_grows_with_the_fleet():
@@ -253,15 +267,15 @@
     looked = {}
     for count in (100, 1000, 3000):
         w = world(many(count))
-        seen, real = [0], w.gw.pool.has_capacity
+        seen, real = [0], w.gateway.pool.has_capacity
 
         def counted(*args, seen=seen, real=real):
             seen[0] += 1
             return real(*args)
 
-        w.gw.pool.has_capacity = counted
+        w.gateway.pool.has_capacity = counted
         for send in ask(w, 100):
-            w.end(send)
+            w.end_attempt(send)
         looked[count] = seen[0] / 100
     assert looked[3000] <= 1.5 * looked[100] < 60, looked
 
@@ -269,8 +283,8 @@
 def test_while_all_are_full_a_request_looks_at_none():
     w = world(many(1000))
     ask(w, 4000)
-    w.wait(TICK)
-    seen, real = [0], w.gw.pool.has_capacity
-    w.gw.pool.has_capacity = lambda *args: (seen.__setitem__(0, seen[0] + 1), real(*args))[1]
+    w.advance(TICK)
+    seen, real = [0], w.gateway.pool.has_capacity
+    w.gateway.pool.has_capacity = lambda *args: (seen.__setitem__(0, seen[0] + 1), real(*args))[1]
     ask(w, 50)
     assert seen[0] == 0
--- a/tests/routing/test_subset.py
+++ b/tests/routing/test_subset.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 import pytest
-from helpers import World, host, of, plan, settings
+from helpers import GatewayHarness, actions_of, make_host, make_plan, make_settings
 from hypothesis import given, seed, strategies
 from hypothesis import settings as checked
 
@@ -11,7 +11,7 @@
 from apigateway.hashing import stable_hash
 from apigateway.routing import subset
 
-BIG = plan(rate=0.0)
+BIG = make_plan(rate=0.0)
 
 
 def ring(hosts):
@@ -70,16 +70,16 @@
 
 
 def crowd(hosts=50, index=3, **kw):
-    listed = [host(f"h{n}", cell=n % 7) for n in range(hosts)]
-    return World(settings(plans=[BIG], gateway_count=200, gateway_index=index, **kw), listed)
+    listed = [make_host(f"h{n}", cell=n % 7) for n in range(hosts)]
+    return GatewayHarness(make_settings(plans=[BIG], gateway_count=200, gateway_index=index, **kw), listed)
 
 
 def ended(w, n, **kw):
     names = Counter()
     for _ in range(n):
-        for send in of(w.ask(plan="p", **kw)[1], messages.ForwardRequest):
+        for send in actions_of(w.send_request(plan="p", **kw)[1], messages.ForwardRequest):
             names[send.endpoint_id] += 1
-            w.end(send)
+            w.end_attempt(send)
         w.now += 0.3
     return names
 
@@ -93,29 +93,29 @@
 def test_more_traffic_than_a_subset_is_for_widens_it():
     w = crowd()
     for _ in range(300):
-        for send in of(w.ask(plan="p")[1], messages.ForwardRequest):
-            w.end(send)
+        for send in actions_of(w.send_request(plan="p")[1], messages.ForwardRequest):
+            w.end_attempt(send)
         w.now += 0.02
-    assert len(w.gw.pool.subset) == 50
+    assert len(w.gateway.pool.subset) == 50
     ended(w, 60)
-    w.do(messages.EndpointList("delta", 9, (host("h50"),)))  # narrower when the list changes next
-    assert len(w.gw.pool.subset) < 25
+    w.handle(messages.EndpointList("delta", 9, (make_host("h50"),)))  # narrower when the list changes next
+    assert len(w.gateway.pool.subset) < 25
 
 
 def test_a_repeat_that_only_its_cell_may_get_leaves_the_subset():
     w = crowd()
-    near = {s.host.id for s in w.gw.pool.subset}
-    cells = Counter(s.host.cell for s in w.gw.pool.subset)
-    w.gw.pool.health.outliers.pool["host"] = 0.02
+    near = {s.host.id for s in w.gateway.pool.subset}
+    cells = Counter(s.host.cell for s in w.gateway.pool.subset)
+    w.gateway.pool.health.outliers.pool["host"] = 0.02
     seen = 0
     for _ in range(60):
-        send = of(w.ask(plan="p", cls="cellwrite")[1], messages.ForwardRequest)[0]
-        again = of(w.end(send, "reset"), messages.ForwardRequest)
+        send = actions_of(w.send_request(plan="p", service_class="cellwrite")[1], messages.ForwardRequest)[0]
+        again = actions_of(w.end_attempt(send, "reset"), messages.ForwardRequest)
         if again:
             cell = {f"h{n}": n % 7 for n in range(50)}
             assert cell[again[0].endpoint_id] == cell[send.endpoint_id]
             seen += again[0].endpoint_id not in near
-            w.end(again[0], attempt=1)
+            w.end_attempt(again[0], attempt=1)
         w.now += 3.0
     assert seen or min(cells.values()) > 1
 
@@ -123,33 +123,35 @@
 def test_no_host_of_the_subset_left_is_no_reason_to_refuse_a_second_attempt():
     w = crowd()
     sent, refused = [], 0
-    dead = {s.host.id for s in w.gw.pool.subset}
+    dead = {s.host.id for s in w.gateway.pool.subset}
     for _ in range(30):
-        acts = w.ask(plan="p")[1]
-        while sends := of(acts, messages.ForwardRequest):
+        acts = w.send_request(plan="p")[1]
+        while sends := actions_of(acts, messages.ForwardRequest):
             sent.append(sends[0].endpoint_id)
             bad = sends[0].endpoint_id in dead
             number = (
                 sum(
                     s.request_id == sends[0].request_id
-                    for _, s in [e for e in w.log if type(e[1]) is messages.ForwardRequest]
+                    for _, s in [e for e in w.action_log if type(e[1]) is messages.ForwardRequest]
                 )
                 - 1
             )
-            acts = w.end(sends[0], "connect_failed" if bad else "ok", attempt=number, final=not bad)
-        refused += len(of(acts, messages.Reject))
+            acts = w.end_attempt(
+                sends[0], "connect_failed" if bad else "ok", attempt=number, is_final=not bad
+            )
+        refused += len(actions_of(acts, messages.Reject))
         w.now += 0.5
     assert any(h not in dead for h in sent) and refused < 10
 
 
 @pytest.mark.parametrize("gateways, sure", [(200, True), (3, False)])
 def test_one_attempt_silent_past_the_aim_is_enough_where_a_gateway_meets_a_host_seldom(gateways, sure):
-    listed = [host(f"h{n}") for n in range(50)]
+    listed = [make_host(f"h{n}") for n in range(50)]
     limits = dict(can_hedge=False, can_cancel=False)
-    w = World(settings(plans=[BIG], gateway_count=gateways, limits=limits), listed)
-    send = of(w.ask(plan="p", cls="note")[1], messages.ForwardRequest)[0]
-    w.wait(1.1)  # its aim is a second
-    doubt = w.gw.pool.health.outliers.at(send.endpoint_id, "host", w.now)
+    w = GatewayHarness(make_settings(plans=[BIG], gateway_count=gateways, limits=limits), listed)
+    send = actions_of(w.send_request(plan="p", service_class="note")[1], messages.ForwardRequest)[0]
+    w.advance(1.1)  # its aim is a second
+    doubt = w.gateway.pool.health.outliers.at(send.endpoint_id, "host", w.now)
     assert (doubt > 0.6) == sure and doubt > 0.15
 
 
@@ -176,13 +178,13 @@
 
 def test_what_moved_choices_is_counted():
     w = crowd()
-    moved, name = w.gw.pool.choice_counts, next(iter(w.gw.pool.subset)).host.id
+    moved, name = w.gateway.pool.choice_counts, next(iter(w.gateway.pool.subset)).host.id
     while not moved["report"]:
-        for send in of(w.ask(plan="p")[1], messages.ForwardRequest):
-            w.end(send, load_report={"queue": 0.0})
+        for send in actions_of(w.send_request(plan="p")[1], messages.ForwardRequest):
+            w.end_attempt(send, load_report={"queue": 0.0})
     assert moved["mean"] and not moved["outside"] and not moved["doubted"]
-    w.gw.pool.health.outliers.record(name, ("host",), True, w.now)
-    for server in w.gw.pool.subset:
+    w.gateway.pool.health.outliers.record(name, ("host",), True, w.now)
+    for server in w.gateway.pool.subset:
         server.scores.clear()
     before = moved["doubted"]
     ended(w, 200)
--- a/tests/routing/test_zone_health.py
+++ b/tests/routing/test_zone_health.py
@@ -1,13 +1,13 @@
 """Whether a site can be reached: what is evidence, how long it holds, and whom it concerns."""
 
 import pytest
-from helpers import World, host, of, plan, settings
+from helpers import GatewayHarness, actions_of, make_host, make_plan, make_settings
 
 from apigateway import messages
 from apigateway.routing.zone_health import FADE, LEAST_HOSTS, LEAST_PART, ZoneHealth
 
-BIG = plan(rate=0.0)
-HOSTS = [host(f"h{n}", zone="abc"[n % 3]) for n in range(48)]
+BIG = make_plan(rate=0.0)
+HOSTS = [make_host(f"h{n}", zone="abc"[n % 3]) for n in range(48)]
 
 
 def sites(hosts=9):
@@ -70,63 +70,73 @@
     an even part would be 200, and 71 where each host is found by itself."""
     failed = later = 0
     for seed in range(1, 7):
-        w = World(settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS, seed=seed)
+        w = GatewayHarness(
+            make_settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS, seed=seed
+        )
         for n in range(150):
-            acts, attempt = w.ask(plan="p")[1], 0
-            while sends := of(acts, messages.ForwardRequest):
+            acts, attempt = w.send_request(plan="p")[1], 0
+            while sends := actions_of(acts, messages.ForwardRequest):
                 there = int(sends[0].endpoint_id[1:]) % 3 == 0
                 bad = there and n < 100
                 failed, later = failed + bad, later + (there and n >= 125)
-                acts = w.end(sends[0], "connect_failed" if bad else "ok", attempt=attempt, final=not bad)
+                acts = w.end_attempt(
+                    sends[0], "connect_failed" if bad else "ok", attempt=attempt, is_final=not bad
+                )
                 attempt += 1
             w.now += 0.3
     assert 6 <= failed <= 50 and later >= 12
 
 
 def test_bad_hosts_in_each_site_are_not_taken_for_a_lost_one():
-    w = World(settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS)
+    w = GatewayHarness(make_settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS)
     low = 1.0
     for _ in range(200):
-        acts, attempt = w.ask(plan="p")[1], 0
-        while sends := of(acts, messages.ForwardRequest):
+        acts, attempt = w.send_request(plan="p")[1], 0
+        while sends := actions_of(acts, messages.ForwardRequest):
             bad = int(sends[0].endpoint_id[1:]) % 8 == 0  # one in eight, in all sites
-            acts = w.end(sends[0], "connect_failed" if bad else "ok", attempt=attempt, final=not bad)
+            acts = w.end_attempt(
+                sends[0], "connect_failed" if bad else "ok", attempt=attempt, is_final=not bad
+            )
             attempt += 1
-        low = min(low, *(w.gw.pool.health.zone_health.part(zone, w.now) for zone in "abc"))
+        low = min(low, *(w.gateway.pool.health.zone_health.part(zone, w.now) for zone in "abc"))
         w.now += 0.3
     assert low >= 0.2
 
 
 @pytest.mark.parametrize("gateways", [3, 200])
 def test_a_site_that_the_operator_leaves_gets_nothing_new_and_comes_back_by_a_word(gateways):
-    w = World(settings(plans=[BIG], gateway_count=gateways, limits=dict(can_hedge=False)), HOSTS)
+    w = GatewayHarness(
+        make_settings(plans=[BIG], gateway_count=gateways, limits=dict(can_hedge=False)), HOSTS
+    )
 
     def zones(count):
         met = set()
         for _ in range(count):
-            for send in of(w.ask(plan="p")[1], messages.ForwardRequest):
+            for send in actions_of(w.send_request(plan="p")[1], messages.ForwardRequest):
                 met.add("abc"[int(send.endpoint_id[1:]) % 3])
-                w.end(send)
+                w.end_attempt(send)
             w.now += 0.2
         return met
 
     assert zones(60) == set("abc")
-    w.do(messages.EvacuateZones(("b",)))
+    w.handle(messages.EvacuateZones(("b",)))
     assert zones(60) == set("ac")
-    w.do(messages.EndpointList("delta", 2, (host("h49", zone="b"), host("h50", zone="c"))))
+    w.handle(messages.EndpointList("delta", 2, (make_host("h49", zone="b"), make_host("h50", zone="c"))))
     assert zones(60) == set("ac")  # a new list does not bring it back
-    w.do(messages.EvacuateZones(("a", "b", "c")))
+    w.handle(messages.EvacuateZones(("a", "b", "c")))
     assert zones(60) == set("abc")  # to leave all is to leave none
-    rings = [server.ring_position for server in w.gw.pool.available]
+    rings = [server.ring_position for server in w.gateway.pool.available]
     assert rings == sorted(rings)
-    w.do(messages.EvacuateZones(()))
+    w.handle(messages.EvacuateZones(()))
     assert zones(60) == set("abc")
 
 
 def test_a_repeat_that_only_a_site_that_is_left_may_get_is_failed_not_sent_elsewhere():
-    w = World(settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS)
-    send = of(w.ask(plan="p", cls="write")[1], messages.ForwardRequest)[0]  # keyed, within its zone
+    w = GatewayHarness(make_settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS)
+    send = actions_of(w.send_request(plan="p", service_class="write")[1], messages.ForwardRequest)[
+        0
+    ]  # keyed, within its zone
     zone = "abc"[int(send.endpoint_id[1:]) % 3]
-    w.do(messages.EvacuateZones((zone,)))
-    acts = w.end(send, "reset")
-    assert not of(acts, messages.ForwardRequest) and of(acts, messages.Fail)
+    w.handle(messages.EvacuateZones((zone,)))
+    acts = w.end_attempt(send, "reset")
+    assert not actions_of(acts, messages.ForwardRequest) and actions_of(acts, messages.Fail)
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -28,7 +28,7 @@
 
 def test_settings_when_read_from_json_then_use_the_words_of_the_contract():
     settings = read_settings(TREE)
-    assert settings.classes["c"].effect is messages.Effect.KEYED
+    assert settings.classes["c"].idempotency is messages.Idempotency.KEYED
     assert settings.classes["c"].latency_objective == pytest.approx(0.1)
     assert settings.discovery_mode is messages.DiscoveryMode.POLL
     assert settings.load_report_fields == ("inflight",)
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -11,7 +11,7 @@
 
 def test_results_when_compared_with_the_messages_then_are_the_same_words():
     names = {"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"}
-    assert set(AttemptResult) == set(messages.RESULTS) == names
+    assert set(AttemptResult) == set(messages.ATTEMPT_RESULTS) == names
 
 
 def test_end_when_called_twice_then_the_first_result_stays_and_is_reported_once():
@@ -26,7 +26,7 @@
     ("reply", "tag", "result"),
     [
         ([b"value", 3, b"active=7"], None, AttemptResult.OK),
-        (hiredis.ReplyError("BUSY active=7"), None, AttemptResult.FULL),
+        (hiredis.ReplyError("BUSY active=7"), None, AttemptResult.REJECTED),
         (hiredis.ReplyError("ERR active=7"), None, AttemptResult.ERROR),
         (b"active=7", HEALTH_CHECK, AttemptResult.OK),
     ],
