--- a/apigateway/daemon/endpoint_load.py
+++ b/apigateway/daemon/endpoint_load.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from apigateway.policy.endpoint_pool import EndpointPool
-from apigateway.routing.load_estimate import REPORT_HALF_LIFE
+from apigateway.routing.load_estimate import REPORT_HALF_LIFE_S
 
 _DIGITS = 3  # after the point, of the figures in the status
 _LOAD_DIGITS = 2
@@ -56,9 +56,9 @@
         return None
     report_age_s = now - endpoint.reported_at
     is_reported = report_age_s < math.inf
-    report_weight = 0.5 ** (report_age_s / REPORT_HALF_LIFE) if is_reported else 0.0
+    report_weight = 0.5 ** (report_age_s / REPORT_HALF_LIFE_S) if is_reported else 0.0
     load_of_others = report_weight * endpoint.reported_load + (1 - report_weight) * pool.mean_load()
-    attempts_out = len(endpoint.attempts_out)
+    attempts_out = len(endpoint.attempts_in_flight)
     return EndpointLoad(
         is_in_subset=endpoint.in_subset,
         attempts_out=attempts_out,
--- a/apigateway/hashing.py
+++ b/apigateway/hashing.py
@@ -42,7 +42,7 @@
             self._current[place >> 3] |= 1 << (place & 7)
         self._has_entries = True
 
-    def has(self, now: float, name: str) -> bool:
+    def may_contain(self, now: float, name: str) -> bool:
         """Return whether this customer may have been evicted lately."""
         if not self._has_entries or now - self._rotated_at > 2 * EVICTED_FOR:
             self._has_entries = False
--- a/apigateway/policy/ceiling.py
+++ b/apigateway/policy/ceiling.py
@@ -18,6 +18,6 @@
 
 def max_wait(state: GatewayState, pending: PendingRequest) -> float:
     """Return how long it may wait: no time if it is a check, or while another process fills this part."""
-    is_thin = pending.plan.ceiling_burst < THIN_PART * pending.quota.spread
+    is_thin = pending.plan.ceiling_burst < THIN_PART * pending.quota.gateway_count
     may_wait = is_thin and not pending.request.is_check and state.draining_since == math.inf
     return MAX_WAIT * pending.service_class.latency_objective if may_wait else 0.0
--- a/apigateway/policy/concurrency_limit.py
+++ b/apigateway/policy/concurrency_limit.py
@@ -7,7 +7,7 @@
 from apigateway.policy.counter_health import SIDE_CALL_GAIN
 from apigateway.policy.pending_queue import OWN_SLOT, PendingRequest, Stage
 from apigateway.policy.state import OPEN_EPOCH, GatewayState
-from apigateway.routing import probability_at_least
+from apigateway.routing import poisson_tail_probability
 
 MIN_RATE_SPAN = 0.25  # part of a window, over which a customer's rate is taken at least
 
@@ -20,7 +20,7 @@
     if pending.request.is_check or not limit:
         dispatch.dispatch(state, pending)
         return
-    own_slots, shared_slots = divmod(limit, quota.spread)
+    own_slots, shared_slots = divmod(limit, quota.gateway_count)
     full_odds = _full_odds(state, pending)
     cost = max(0.0, pending.plan.over_quota_cost - pending.plan.over_quota_weight)
     if quota.open_attempts < own_slots:
@@ -31,7 +31,7 @@
         state.count_slot(quota.name, epoch, 1, partial(_on_slot_counted, state, pending, epoch))
         state.schedule_check(pending.deadline, pending)
         return
-    elif limit >= quota.spread or full_odds * cost >= 1 - full_odds:
+    elif limit >= quota.gateway_count or full_odds * cost >= 1 - full_odds:
         dispatch.try_over_quota(state, pending)
         return
     dispatch.dispatch(state, pending)
@@ -44,13 +44,13 @@
     unit_rate = max(quota.total_units, quota.used_units) / span
     request_rate = min(unit_rate, pending.plan.rate or unit_rate) / max(pending.request.units, 1e-9)
     response_time = state.pool.response_times[pending.service_class.name].mean
-    return probability_at_least(pending.plan.concurrency_limit, request_rate * response_time)
+    return poisson_tail_probability(pending.plan.concurrency_limit, request_rate * response_time)
 
 
 def _on_slot_counted(state: GatewayState, pending: PendingRequest, epoch: int, event: CounterResult) -> None:
     quota = pending.quota
     is_counted = event.result == CounterCallResult.OK
-    is_full = is_counted and event.total > quota.plan.concurrency_limit % quota.spread
+    is_full = is_counted and event.total > quota.plan.concurrency_limit % quota.gateway_count
     if is_counted and (pending.done or is_full):
         state.count_slot(quota.name, epoch, -1)
     if is_full and not pending.done:
--- a/apigateway/policy/counter_health.py
+++ b/apigateway/policy/counter_health.py
@@ -18,7 +18,7 @@
         congestion = 0.5 * settings.gateway_count / (settings.gateway_count + HALF_CROWD)
         super().__init__(settings.counter_timeout, congestion, QUICK_GAIN, MAX_PAUSE)
         self.is_configured = settings.has_counter
-        self.failures = 0 if settings.has_counter else 1
+        self.consecutive_failures = 0 if settings.has_counter else 1
         self.price = settings.counter_price
 
     def is_usable(self, now: float) -> bool:
--- a/apigateway/policy/customer_quota.py
+++ b/apigateway/policy/customer_quota.py
@@ -30,23 +30,25 @@
         self.waiting_ids: list[str] = []  # of requests that wait for it
         self.open_attempts = 0  # that hold a slot of this gateway
         # No failure can pass an even share. It is empty at a start: the last process's use is unknown.
-        tokens = min(plan.ceiling_burst, (now - born) * plan.ceiling_rate) / self.spread
-        self.ceiling = TokenBucketShare(plan.ceiling_rate, plan.ceiling_burst, self.spread, tokens, now)
+        tokens = min(plan.ceiling_burst, (now - born) * plan.ceiling_rate) / self.gateway_count
+        self.ceiling = TokenBucketShare(
+            plan.ceiling_rate, plan.ceiling_burst, self.gateway_count, tokens, now
+        )
 
     @property
     def is_in_use(self) -> bool:
         """Whether anything is out for it."""
-        return bool(self.is_call_out or self.open_attempts or self.waiting_ids)
+        return bool(self.has_call_in_flight or self.open_attempts or self.waiting_ids)
 
     def widen(self, spread: int) -> None:
         """Spread it over more gateways: requests may name sets of their own, and the largest fits all."""
-        self.set_spread(spread)
-        self.ceiling.set_parts(spread)
+        self.set_gateway_count(spread)
+        self.ceiling.set_share_count(spread)
 
     def window_limit(self, now: float) -> float:
         """Return what all may have used by now; less of a thin one: its overdraft is not carried along."""
         elapsed = now - self.window_start
-        if not self.is_thin:
+        if not self.has_subunit_share:
             return self.burst + self.rate * elapsed
         opened = min(1.0, OPENING_PART + (1 - OPENING_PART) * elapsed / (OPENING_SPAN * self.window_length))
         return min(self.burst, max(1.0, self.burst * opened)) + THIN_REFILL * self.rate * elapsed
@@ -54,8 +56,8 @@
     def local_allowance(self, now: float, is_counter_silent: bool) -> float:
         """Return what may be used without a lease; while the counter is silent, the part used here before."""
         unused = max(0.0, min(self.burst, self.window_limit(now) - self.total_units))
-        own_part = unused * max(self.local_share, 1 / self.spread)
-        return own_part if is_counter_silent else unused / self.spread * LOCAL_PART
+        own_part = unused * max(self.local_share, 1 / self.gateway_count)
+        return own_part if is_counter_silent else unused / self.gateway_count * LOCAL_PART
 
     def lease_size(self, call_cost: float) -> int:
         """Return the units to lease: sqrt(call cost * use / cost of a unit that is left unspent here)."""
--- a/apigateway/policy/customers.py
+++ b/apigateway/policy/customers.py
@@ -22,8 +22,8 @@
             return None
         fills_until = min(state.now, state.draining_since)
         quota = CustomerQuota(request, plan, state.started_at, fills_until, state.rng)
-        quota.is_known = not state.evicted.has(state.now, request.customer)
-    elif request.gateway_spread > quota.spread:
+        quota.is_known = not state.evicted.may_contain(state.now, request.customer)
+    elif request.gateway_spread > quota.gateway_count:
         quota.widen(request.gateway_spread)
     _move_to_end(state, quota)
     if state.now - next(iter(state.quotas.values())).last_seen_at > MIN_IDLE:
--- a/apigateway/policy/dispatch.py
+++ b/apigateway/policy/dispatch.py
@@ -31,7 +31,7 @@
     if wait > ceiling.max_wait(state, pending):
         state.reject(pending, is_over_limit=True)
     elif wait > 0:
-        pending.quota.ceiling.promised += request.units
+        pending.quota.ceiling.waiting_units += request.units
         pending.stage = Stage.CEILING
         state.schedule_check(state.now + max(TICK, wait), pending)  # one due at once would come for ever
     else:
@@ -45,7 +45,7 @@
 def _enqueue_new(state: GatewayState, pending: PendingRequest) -> None:
     state.queue.add(pending)
     objective = pending.service_class.latency_objective
-    max_length = max(MIN_QUEUE_LENGTH, state.pool.send_rate.at(state.now) * MAX_QUEUE_TIME * objective)
+    max_length = max(MIN_QUEUE_LENGTH, state.pool.send_rate.rate_at(state.now) * MAX_QUEUE_TIME * objective)
     if state.queue.waiting_count > max_length and (lowest := state.queue.lowest_priority()) is not None:
         state.reject(lowest)
     drain_queue(state)
--- a/apigateway/policy/endpoint.py
+++ b/apigateway/policy/endpoint.py
@@ -34,7 +34,7 @@
         self.host = host
         self.is_up = host.is_up
         self.gone_at = math.inf
-        self.max_attempts = 0  # out at once
+        self.max_attempts_in_flight = 0  # out at once
         self.rounding_draw = draw  # rounds it: the part of one gateway may be less than one
         self.slow_start_tokens = SlowStartTokens(draw, now)  # first ones of many gateways come one by one
         self.backoff = FailureBackoff(MIN_PAUSE, MAX_PAUSE)
--- a/apigateway/policy/endpoint_pool.py
+++ b/apigateway/policy/endpoint_pool.py
@@ -38,14 +38,14 @@
         super().__init__(settings.gateway_index, settings.gateway_count)
         self.settings = settings
         self.rng = rng
-        self.endpoints = routing.Roster[EndpointState]()
+        self.endpoints = routing.EndpointTable[EndpointState]()
         self.health = routing.EndpointHealth[EndpointState]()
         classes = settings.classes.values()
         priors = {one.name: min(one.latency_objective / 5, one.deadline) for one in classes}
         self.response_times = routing.ResponseTimes(priors, GAIN)
         self.send_rate = routing.EventRate(SEND_RATE_SPAN)
         self.capacity = routing.CapacityEstimator(MAX_ATTEMPTS_PER_ENDPOINT)
-        self.congestion = routing.FadedMean(CONGESTION_SPAN, QUICK_GAIN / 2, MAX_CONGESTION_GAIN)
+        self.congestion = routing.DecayingMean(CONGESTION_SPAN, QUICK_GAIN / 2, MAX_CONGESTION_GAIN)
         self.reported_mean_load: float | None = None  # None: no report has come
         self.max_out = 2.0  # own attempts out
         self.max_weight = 1.0
@@ -54,29 +54,29 @@
 
     def on_endpoint_list(self, now: float, event: messages.EndpointList) -> None:
         """Take up what is listed now, or what has changed."""
-        self.endpoints.update_listed(now, event.endpoints, event.is_complete, partial(self._create, now))
-        for endpoint in self.endpoints.gone_for(now, GONE_LIFE):
-            if not endpoint.attempts_out:
+        self.endpoints.apply_list(now, event.endpoints, event.is_complete, partial(self._create, now))
+        for endpoint in self.endpoints.gone_longer_than(now, GONE_LIFE):
+            if not endpoint.attempts_in_flight:
                 del self.endpoints[endpoint.host.id]
-                self.health.outliers.forget(endpoint.host.id)
+                self.health.outliers.remove_host(endpoint.host.id)
         self.refresh(now)
 
     def _create(self, now: float, host: messages.Endpoint, old: EndpointState | None) -> EndpointState:
-        return EndpointState(host, now, self.rng.random(), old.attempts_out if old else {})
+        return EndpointState(host, now, self.rng.random(), old.attempts_in_flight if old else {})
 
     def refresh(self, now: float) -> None:
         """Work out what may be chosen, of what is listed and by the operator's word."""
         up = sorted((s for s in self.endpoints.values() if s.is_up), key=lambda s: s.ring_position)
-        self.available = [s for s in up if s.host.zone not in self.health.zone_health.left] or up
+        self.available = [s for s in up if s.host.zone not in self.health.zone_health.evacuated] or up
         max_held = MAX_ATTEMPTS_PER_ENDPOINT * self.capacity.scale  # over all gateways
         price = self.settings.prices.get("cross_zone", 0.0)
         even_part = max(1.0, max_held / self.settings.gateway_count)
         for endpoint in self.endpoints.values():
             endpoint.scores = {}
-            endpoint.max_attempts = int(even_part + endpoint.rounding_draw)
+            endpoint.max_attempts_in_flight = int(even_part + endpoint.rounding_draw)
             endpoint.zone_cost = price * CROSS_ZONE_WEIGHT * (endpoint.host.zone != self.settings.zone)
-        self.rebuild_subset(self.endpoints.values(), self.send_rate.at(now))
-        self.health.on_available(self.available)
+        self.rebuild_subset(self.endpoints.values(), self.send_rate.rate_at(now))
+        self.health.set_available(self.available)
         self.max_weight = max((endpoint.host.weight for endpoint in self.available), default=1.0) or 1.0
         # Gateways with one out at each endpoint overdrive all, so what one has out in all is limited too.
         max_out = MAX_OUT_SHARE * max_held * len(self.available) / self.settings.gateway_count
@@ -84,7 +84,7 @@
 
     def mean_load(self) -> float:
         """Return the requests that an endpoint holds in the mean, by reports or else by own attempts."""
-        own_mean = self.attempts_out * self.settings.gateway_count / max(1, len(self.available))
+        own_mean = self.attempts_in_flight * self.settings.gateway_count / max(1, len(self.available))
         return own_mean if self.reported_mean_load is None else self.reported_mean_load
 
     def has_spare_capacity(self) -> bool:
@@ -93,7 +93,7 @@
 
     def is_congested(self, now: float) -> bool:
         """Return whether most answers come from endpoints that hold too much."""
-        return self.congestion.at(now, CONGESTION_LIFE) > SHED_CONGESTION
+        return self.congestion.value_at(now, CONGESTION_LIFE) > SHED_CONGESTION
 
     def attempt_timeout(self, class_name: str) -> float:
         """Return the seconds after which an attempt is taken for silent."""
@@ -102,7 +102,10 @@
 
     def has_capacity(self, endpoint: EndpointState, now: float, scope: Scope = ("host",)) -> bool:
         """Return whether an endpoint may get another attempt now."""
-        is_full = self.attempts_out >= self.max_out or len(endpoint.attempts_out) >= endpoint.max_attempts
+        is_full = (
+            self.attempts_in_flight >= self.max_out
+            or len(endpoint.attempts_in_flight) >= endpoint.max_attempts_in_flight
+        )
         backoff = endpoint.backoff
         if not endpoint.is_up or is_full or (backoff.failures and backoff.is_paused(scope, now)):
             return False
@@ -116,18 +119,18 @@
             return True
         # Where all are cold, or nothing has been sent yet, own attempts tell too little: as if of one core.
         lone_rate = 1 / self.response_times.typical / self.settings.gateway_count
-        share = max(self.send_rate.at(now) / max(1, len(self.subset)), lone_rate)
+        share = max(self.send_rate.rate_at(now) / max(1, len(self.subset)), lone_rate)
         rate = factor * rules.overload_multiple * SLOW_START_SHARE * share
         return endpoint.slow_start_tokens.refill(now, rate, max(1.0, rate * rules.overload_duration)) >= 1.0
 
     def any_capacity(self, now: float) -> bool:
         """Return whether any endpoint of the subset may get an attempt now."""
-        if now < self.full_until or self.attempts_out >= self.max_out:
+        if now < self.no_capacity_until or self.attempts_in_flight >= self.max_out:
             return False
-        if any(self.has_capacity(endpoint, now) for endpoint in self.with_capacity):
+        if any(self.has_capacity(endpoint, now) for endpoint in self.subset_with_capacity):
             return True
         pause_end = min((at for _, at in self.health.pause_ends(now)), default=math.inf)
-        self.full_until = min(now + TICK / 2, pause_end)
+        self.no_capacity_until = min(now + TICK / 2, pause_end)
         return False
 
     def schedule_trial(self, now: float) -> None:
@@ -148,7 +151,7 @@
         endpoint = self.endpoints[endpoint_id]
         if key is not None:  # the attempt takes no other's place any more
             self.remove_attempt(endpoint, key)
-            self.health.zone_health.silent(endpoint.host.zone, endpoint_id, now)
+            self.health.zone_health.record_no_answer(endpoint.host.zone, endpoint_id, now)
         self.health.outliers.record(endpoint_id, scope, True, now)
         endpoint.scores.clear()
 
@@ -157,15 +160,15 @@
         endpoint = self.endpoints.get(event.endpoint_id)
         if endpoint is None:  # gone for longer than anything there could matter
             return
-        own_attempts = len(endpoint.attempts_out)
+        own_attempts = len(endpoint.attempts_in_flight)
         self.remove_attempt(endpoint, (event.request_id, event.attempt))
         is_congested = event.result == AttemptResult.TIMEOUT
         if event.load_report:
             held = routing.requests_held(event.load_report, ENDPOINT_CONCURRENCY)
-            endpoint.note_report(now, held, own_attempts)
+            endpoint.record_report(now, held, own_attempts)
             mean = held if self.reported_mean_load is None else self.reported_mean_load
             self.reported_mean_load = mean + QUICK_GAIN * (held - mean)
-            if self.capacity.note(event.load_report):
+            if self.capacity.observe(event.load_report):
                 self.refresh(now)
             is_congested = held > CONGESTED_LOAD * self.capacity.scale
         if event.tells_health:
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -8,7 +8,7 @@
 from apigateway.policy.endpoint_pool import GAIN
 from apigateway.policy.pending_queue import PendingRequest, Stage
 from apigateway.policy.state import CHECK_MARGIN, GatewayState
-from apigateway.routing.timer_heap import TOLERANCE
+from apigateway.routing.timer_heap import TIMER_TOLERANCE_S
 
 KEPT_PART = 0.2  # of a burst kept from the class of the least priority weight, for that of the greatest
 CALL_LOST = 0.9  # part of the time-out before which a call without answer was lost with its connection
@@ -51,7 +51,7 @@
             case messages.ReturnUnits():
                 quota_leasing.return_units(self, event)
             case messages.EvacuateZones():
-                self.pool.health.zone_health.left = frozenset(event.zones)
+                self.pool.health.zone_health.evacuated = frozenset(event.zones)
                 self.pool.refresh(self.now)
             case messages.DrainGateway():
                 self.draining_since = self.now if event.is_draining else math.inf
@@ -60,7 +60,7 @@
         due_at = min(self.checks.next_due(self.pending), self.watch_at)
         if self.queue.waiting_count and self.pool.next_trial_at > self.now:
             due_at = min(due_at, self.pool.next_trial_at)
-        if self.alarm.set(due_at):
+        if self.alarm.schedule(due_at):
             self.actions.append(messages.SetTimer(max(0.0, due_at - self.now), 0))
 
     def _on_endpoint_list(self, event: messages.EndpointList) -> None:
@@ -132,7 +132,7 @@
                 self._check(self.pending[request_id])
 
     def _check(self, pending: PendingRequest) -> None:
-        is_last = self.now >= pending.deadline - CHECK_MARGIN - TOLERANCE
+        is_last = self.now >= pending.deadline - CHECK_MARGIN - TIMER_TOLERANCE_S
         max_time = MAX_CALLS * self.counter.timeout if pending.stage == Stage.UNITS else math.inf
         if pending.stage == Stage.QUEUE:
             max_time = dispatch.max_queue_time(pending)
@@ -140,8 +140,8 @@
             if not is_last and not pending.is_streaming:
                 retries.on_attempt_timeout(self, pending)
         elif pending.stage == Stage.CEILING and not is_last:
-            pending.quota.ceiling.promised -= pending.request.units
+            pending.quota.ceiling.waiting_units -= pending.request.units
             pending.stage = Stage.SLOT
             dispatch.dispatch(self, pending)
-        elif is_last or self.now - pending.arrived_at >= max_time - TOLERANCE:
+        elif is_last or self.now - pending.arrived_at >= max_time - TIMER_TOLERANCE_S:
             self.reject(pending)
--- a/apigateway/policy/overload_gate.py
+++ b/apigateway/policy/overload_gate.py
@@ -58,7 +58,7 @@
 
     def on_loop_lag(self, now: float, lag: float) -> None:
         """Take up that the loop came `lag` seconds late to a probe."""
-        if not self.loop_lag.add_lateness(now, lag):
+        if not self.loop_lag.record_lateness(now, lag):
             return
         self.lag = self.loop_lag.seconds
         if self.lag <= self.lag_objective:
@@ -78,7 +78,10 @@
 
     def update_floor(self) -> None:
         """Set the floor so that `admitted_share` of the latest requests pass, by priority."""
-        self.floor, self.floor_probability = self.counts.top_part(self.admitted_share) or (-MAX_STEP - 1, 1.0)
+        self.floor, self.floor_probability = self.counts.top_share_threshold(self.admitted_share) or (
+            -MAX_STEP - 1,
+            1.0,
+        )
 
     def retry_after_if_shed(
         self, now: float, waited: float, step: int, customer: str, remaining: float
@@ -87,11 +90,11 @@
 
         `waited`: s since it was read. `step`: of its priority. `remaining`: s until its client gives up."""
         self.counts.add(step)
-        self.loop_lag.add_wait(waited)
+        self.loop_lag.record_wait(waited)
         if waited <= self.max_wait and not self.is_overloaded:
             return -1.0
         if waited <= self.max_wait:
-            if (retry_after := self.retry_times.remaining(customer, now)) > 0:
+            if (retry_after := self.retry_times.remaining_time(customer, now)) > 0:
                 self.shed_count += 1
                 return retry_after
             passes = step > self.floor or (step == self.floor and self.random() < self.floor_probability)
--- a/apigateway/policy/pending_queue.py
+++ b/apigateway/policy/pending_queue.py
@@ -52,5 +52,10 @@
         is_unproven = pending.possibly_executed or pending.in_flight
         alone = is_unproven and not pending.service_class.is_safe
         request_id = pending.request.request_id if alone else ""
-        route = pending.service_class.name, pending.allowed_kinds, frozenset(pending.tried), request_id
+        route = (
+            pending.service_class.name,
+            pending.allowed_kinds,
+            frozenset(pending.tried_endpoint_ids),
+            request_id,
+        )
         self.insert(route, not pending.is_over_quota, pending.priority_density, pending)
--- a/apigateway/policy/quota_leasing.py
+++ b/apigateway/policy/quota_leasing.py
@@ -24,7 +24,7 @@
     quota = pending.quota
     quota.advance_window(state.now)
     # Of one far beyond its quota a gateway hears more than an even part, so its demand here tells enough.
-    odds = quota.demand.observe(state.now, quota.rate / quota.spread)
+    odds = quota.demand.observe(state.now, quota.rate / quota.gateway_count)
     pending.grant_odds = odds * state.grant_shares[pending.plan.name, pending.request.is_retry].share
     priority = pending.priority / max(state.mean_priority, 1e-9)
     probability = state.counter.call_probability(priority * min(pending.grant_odds, _overuse_cost(pending)))
@@ -50,7 +50,7 @@
     elif may_ask and state.counter.is_usable(state.now):
         quota.waiting_ids.append(pending.request.request_id)
         state.schedule_check(state.now + 2 * state.counter.timeout + TICK, pending)
-    elif quota.is_thin and pending.grant_odds > _overuse_cost(pending):
+    elif quota.has_subunit_share and pending.grant_odds > _overuse_cost(pending):
         # Each gateway's part is less than a request, so the odds decide: they are against one that comes here
         # often. Harm: while the counter is away first requests of all are let in.
         quota.used_units += units
@@ -65,7 +65,9 @@
     units = pending.request.units
     is_leased = quota.leased_units >= units
     if not is_leased:
-        allowance = quota.local_allowance(state.now, state.counter.failures > 0) - quota.unreported_units
+        allowance = (
+            quota.local_allowance(state.now, state.counter.consecutive_failures > 0) - quota.unreported_units
+        )
         if may_ask and not quota.is_known and state.counter.is_usable(state.now):
             allowance = -1.0
         # What is less than a request is rounded at random, once a window: over all gateways it comes out.
@@ -81,12 +83,12 @@
 
 def _renew_lease(state: GatewayState, quota: CustomerQuota, sample: float = 1.0) -> None:
     """Report used units and ask for others, if due; `sample`: requests that a waiting one stands for."""
-    if quota.is_call_out or not state.counter.is_usable(state.now):
+    if quota.has_call_in_flight or not state.counter.is_usable(state.now):
         return
     needed = sum(pending.request.units for pending in _waiting(state, quota))
     size = quota.lease_size(state.counter.price + CALL_TIME_COST * state.counter.congestion**2)
     remaining = quota.remaining(state.now)
-    is_plenty = remaining > size * quota.spread and state.now >= quota.exhausted_until
+    is_plenty = remaining > size * quota.gateway_count and state.now >= quota.exhausted_until
     is_low = quota.leased_units < size / 2 and is_plenty
     is_due = quota.unreported_units > max(1.0, REPORTED_PART * quota.local_allowance(state.now, False))
     if not (needed or is_due or (quota.reported_units and is_low)):
@@ -102,7 +104,7 @@
 
 def correct_count(state: GatewayState, quota: CustomerQuota, units: float) -> None:
     """Add units to the count that it lacks, or take off some."""
-    entry = LedgerEntry(quota.window_index, extra=units)
+    entry = LedgerEntry(quota.window_index, correction=units)
     _count(state, quota, entry, partial(_on_correction_counted, quota, entry))
 
 
@@ -112,14 +114,14 @@
 
 
 def _on_counted(state: GatewayState, quota: CustomerQuota, entry: LedgerEntry, event: CounterResult) -> None:
-    quota.is_call_out = False
+    quota.has_call_in_flight = False
     quota.is_known = True
     quota.advance_window(state.now)
     if entry.window == quota.window_index:
         if event.result == CounterCallResult.OK:
             _on_total(state, quota, event.total, entry)
         else:
-            quota.on_no_total(event.result, entry)
+            quota.on_call_without_total(event.result, entry)
     _decide_waiting(state, quota)
 
 
@@ -132,12 +134,12 @@
 def _on_total(state: GatewayState, quota: CustomerQuota, total: float, entry: LedgerEntry) -> None:
     """Take up the total of all gateways, grant what it allows and correct it."""
     limit = quota.window_limit(state.now)
-    missing = quota.missing_units(total, entry)
-    if not quota.is_thin:  # a burst is saved up at most: what a quiet customer did not use is gone
-        missing += quota.drop_surplus(total + missing - entry.asked, limit)
+    missing = quota.reconcile_total(total, entry)
+    if not quota.has_subunit_share:  # a burst is saved up at most: what a quiet customer did not use is gone
+        missing += quota.drop_surplus(total + missing - entry.requested, limit)
     waiting = _waiting(state, quota)
     kept = min((pending.kept_units for pending in waiting), default=0.0)
-    denied = min(entry.asked, max(0.0, math.ceil(total + missing + kept - limit)))
+    denied = min(entry.requested, max(0.0, math.ceil(total + missing + kept - limit)))
     quota.on_granted(total, entry, missing, denied)
     needed = sum(pending.request.units for pending in waiting)
     if needed:
@@ -159,7 +161,7 @@
             quota.exhausted_until = state.now + max(0.0, 1 - remaining) / quota.rate
             if state.counter.congestion > RATIONED_CONGESTION:  # others wait for it: no call until the turn
                 quota.exhausted_until = quota.window_end
-        _decide(state, pending, state.counter.failures == 0)
+        _decide(state, pending, state.counter.consecutive_failures == 0)
     if quota.waiting_ids:
         _renew_lease(state, quota)
 
@@ -170,5 +172,5 @@
     if quota is None:  # dropped since, and its ceiling was full then
         return
     quota.advance_window(state.now)
-    quota.give_back(event.units, event.window_index)
-    quota.ceiling.give_back(event.units, event.is_reservation)
+    quota.refund(event.units, event.window_index)
+    quota.ceiling.refund(event.units, event.is_reservation)
--- a/apigateway/policy/retries.py
+++ b/apigateway/policy/retries.py
@@ -52,7 +52,7 @@
     """Take up that an attempt has had no answer for long."""
     now = state.now
     patience = state.pool.attempt_timeout(pending.service_class.name) - TICK
-    silent = pending.late_attempts(now, patience)
+    silent = pending.overdue_attempts(now, patience)
     for number in pending.mark_timed_out(silent):
         attempt_key = pending.request.request_id, number
         state.pool.on_silence(now, pending.in_flight[number].endpoint_id, pending.fault_scope, attempt_key)
--- a/apigateway/policy/selection.py
+++ b/apigateway/policy/selection.py
@@ -23,14 +23,14 @@
 def is_eligible(state: GatewayState, pending: PendingRequest, endpoint: EndpointState) -> bool:
     """Return whether the request may go to this endpoint, by its route and by what may have executed it."""
     is_off_route = pending.allowed_kinds and endpoint.host.kind not in pending.allowed_kinds
-    if is_off_route or endpoint.host.id in pending.tried:
+    if is_off_route or endpoint.host.id in pending.tried_endpoint_ids:
         return False
     service_class = pending.service_class
-    unproven = pending.unproven()
+    unproven = pending.possible_executions()
     if not unproven or service_class.is_safe:
         return True
     arrival_time = max(TICK, state.settings.limits.connect_timeout)  # of an attempt that is sent now, at most
-    discarded_until = min(attempt.at for attempt in unproven) + service_class.deduplication_window
+    discarded_until = min(attempt.sent_at for attempt in unproven) + service_class.deduplication_window
     if service_class.is_unsafe or state.now >= discarded_until - arrival_time:
         return False
     others = [state.pool.endpoints.get(attempt.endpoint_id) for attempt in unproven]
@@ -40,7 +40,7 @@
 
 def select_endpoint(state: GatewayState, pending: PendingRequest) -> EndpointState | None:
     """Return the endpoint for the request's next attempt; None: there is none with capacity."""
-    if state.pool.attempts_out >= state.pool.max_out:
+    if state.pool.attempts_in_flight >= state.pool.max_out:
         return None
     best = _select_in_subset(state, pending)
     return best or (_select_outside_subset(state, pending) if pending.attempt_count else None)
@@ -49,14 +49,14 @@
 def _select_in_subset(state: GatewayState, pending: PendingRequest) -> EndpointState | None:
     """Return the least costly of a few: the best of all by an old report is the same one for all gateways."""
     pool = state.pool
-    endpoints = pool.with_capacity if len(pool.available) > MAX_COMPARED else pool.available
+    endpoints = pool.subset_with_capacity if len(pool.available) > MAX_COMPARED else pool.available
     count = max(MIN_CANDIDATES, math.ceil(CHOICES * len(pool.available) / state.settings.gateway_count))
     candidates: Endpoints = []
     if count < len(endpoints) or len(endpoints) > MAX_COMPARED:
         candidates = _draw(state, pending, endpoints, min(count, MAX_CANDIDATES))
     if not candidates:
         candidates = [one for one in endpoints if pool.has_capacity(one, state.now, pending.fault_scope)]
-        if pending.tried or pending.allowed_kinds:
+        if pending.tried_endpoint_ids or pending.allowed_kinds:
             candidates = [one for one in candidates if is_eligible(state, pending, one)]
     return _least_costly(state, pending.fault_scope, candidates)
 
@@ -73,7 +73,9 @@
             pool.choice_counts["doubted"] += 1
         elif not pool.has_capacity(endpoint, state.now, scope):
             pool.choice_counts["busy"] += 1
-        elif (pending.tried or pending.allowed_kinds) and not is_eligible(state, pending, endpoint):
+        elif (pending.tried_endpoint_ids or pending.allowed_kinds) and not is_eligible(
+            state, pending, endpoint
+        ):
             pool.choice_counts["barred"] += 1
         else:
             drawn.append(endpoint)
--- a/apigateway/policy/state.py
+++ b/apigateway/policy/state.py
@@ -11,7 +11,14 @@
 from apigateway.policy.endpoint_pool import GAIN, TICK, EndpointPool
 from apigateway.policy.load_shedding import LoadShedder
 from apigateway.policy.pending_queue import OWN_SLOT, PendingQueue, PendingRequest, Stage
-from apigateway.routing import Alarm, FaultScopes, GrantShareEstimator, KeyedFifo, RetryBudget, TimerHeap
+from apigateway.routing import (
+    FaultScopes,
+    GrantShareEstimator,
+    KeyedFifo,
+    PendingTimer,
+    RetryBudget,
+    TimerHeap,
+)
 
 GRANT_SHARE_PRIORS = {False: 0.5, True: 0.3}  # of first tries and of clients' retries, before any was granted
 MIN_COUNTER_LIFETIME = 1.0  # s that the counter keeps a key
@@ -43,7 +50,7 @@
         self.evicted = RecentlyEvictedFilter(settings.max_customers)
         self.pending: dict[str, PendingRequest] = {}
         self.queue = PendingQueue()
-        self.alarm = Alarm()
+        self.alarm = PendingTimer()
         self.watch_at = math.inf  # when the endpoint list is to be watched again
         self.checks = TimerHeap[str]()  # when which pending request is to be looked at
         max_retries = max(MIN_SAVED_RETRIES, MAX_SAVED_RETRIES / settings.gateway_count)
@@ -75,7 +82,7 @@
     def grant(self, pending: PendingRequest) -> None:
         """Answer that a check's units are spent."""
         request_id = pending.request.request_id
-        unspent = pending.quota.unspent(self.now, pending.kept_units)
+        unspent = pending.quota.remaining_and_reset(self.now, pending.kept_units)
         self.actions.append(messages.QuotaGranted(request_id, *unspent, pending.quota.window_index))
         self.finish(pending)
 
@@ -84,7 +91,11 @@
         request_id = pending.request.request_id
         retry_after = self.settings.limits.retry_after(wait)
         if pending.request.is_check:
-            limits = is_over_limit, retry_after, *pending.quota.unspent(self.now, pending.kept_units)
+            limits = (
+                is_over_limit,
+                retry_after,
+                *pending.quota.remaining_and_reset(self.now, pending.kept_units),
+            )
             self.actions.append(messages.QuotaDenied(request_id, *limits))
         elif pending.service_class.is_repeatable or not (pending.possibly_executed or pending.in_flight):
             self.actions.append(messages.Reject(request_id, retry_after))
@@ -97,9 +108,9 @@
         pending.done = True
         request_id = pending.request.request_id
         if pending.stage == Stage.QUEUE:
-            self.queue.discard()
+            self.queue.on_item_done()
         elif pending.stage == Stage.CEILING:
-            pending.quota.ceiling.promised -= pending.request.units
+            pending.quota.ceiling.waiting_units -= pending.request.units
         self.pending.pop(request_id, None)
         if self.settings.limits.can_cancel:
             self.actions.extend(messages.CancelAttempt(request_id, number) for number in pending.in_flight)
--- a/apigateway/routing/attempt_history.py
+++ b/apigateway/routing/attempt_history.py
@@ -10,7 +10,7 @@
     """An attempt that was sent."""
 
     endpoint_id: str
-    at: float  # when it was sent
+    sent_at: float  # when it was sent
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
@@ -20,7 +20,7 @@
     attempt_count: int = 0
     in_flight: dict[int, SentAttempt] = field(default_factory=dict)
     possibly_executed: list[SentAttempt] = field(default_factory=list)  # those that have ended
-    tried: set[str] = field(default_factory=set)  # ids of endpoints
+    tried_endpoint_ids: set[str] = field(default_factory=set)  # ids of endpoints
     _timed_out: set[int] = field(default_factory=set)
     _given_up: set[int] = field(default_factory=set)
 
@@ -28,7 +28,7 @@
         """Note an attempt that is sent, and return its number."""
         number = self.attempt_count
         self.in_flight[number] = SentAttempt(endpoint_id, now)
-        self.tried.add(endpoint_id)
+        self.tried_endpoint_ids.add(endpoint_id)
         self.attempt_count += 1
         return number
 
@@ -38,13 +38,13 @@
         if may_have_executed and attempt is not None:
             self.possibly_executed.append(attempt)
 
-    def unproven(self) -> list[SentAttempt]:
+    def possible_executions(self) -> list[SentAttempt]:
         """Return the attempts that may execute the request or have done so."""
         return self.possibly_executed + list(self.in_flight.values())
 
-    def late_attempts(self, now: float, patience: float) -> list[int]:
+    def overdue_attempts(self, now: float, patience: float) -> list[int]:
         """Return the numbers of the attempts that have been in flight for `patience` seconds."""
-        return [number for number, attempt in self.in_flight.items() if now - attempt.at >= patience]
+        return [number for number, attempt in self.in_flight.items() if now - attempt.sent_at >= patience]
 
     def mark_timed_out(self, numbers: list[int]) -> set[int]:
         """Note attempts as timed out, and return those that were not before."""
--- a/apigateway/routing/call_health.py
+++ b/apigateway/routing/call_health.py
@@ -16,7 +16,7 @@
     def __init__(self, timeout: float, congestion: float, gain: float, max_pause: float) -> None:
         self.timeout = timeout
         self.congestion = congestion
-        self.failures = 0  # in a row
+        self.consecutive_failures = 0  # in a row
         self.retry_at = 0.0
         self._gain = gain
         self._max_pause = max_pause
@@ -26,7 +26,7 @@
         time_used = min(1.0, elapsed / self.timeout) if ok else 1.0
         self.congestion += self._gain * (time_used - self.congestion)
         if ok:
-            self.failures = 0
+            self.consecutive_failures = 0
         elif now >= self.retry_at:  # a burst of failures counts once
-            self.failures += 1
-            self.retry_at = now + min(self._max_pause, self.timeout * 2.0**self.failures)
+            self.consecutive_failures += 1
+            self.retry_at = now + min(self._max_pause, self.timeout * 2.0**self.consecutive_failures)
--- a/apigateway/routing/capacity_estimator.py
+++ b/apigateway/routing/capacity_estimator.py
@@ -30,7 +30,7 @@
         self._busy = 0.0
         self._reports = 0
 
-    def note(self, report: Mapping[str, float]) -> bool:
+    def observe(self, report: Mapping[str, float]) -> bool:
         """Take up a load report, and return whether `scale` has changed by it."""
         held = report.get("inflight", 0.0)
         utilisation = report.get("util", 0.0)
--- a/apigateway/routing/decaying_counts.py
+++ b/apigateway/routing/decaying_counts.py
@@ -27,7 +27,7 @@
             if self._counts[level] < NEGLIGIBLE:
                 del self._counts[level]
 
-    def top_part(self, part: float) -> tuple[int, float] | None:
+    def top_share_threshold(self, part: float) -> tuple[int, float] | None:
         """Return the lowest level that the top `part` (0 to 1) of all counts has, and how much of it is in.
 
         None: all levels are in it.
--- a/apigateway/routing/faded_mean.py
+++ b/apigateway/routing/decaying_mean.py
@@ -5,7 +5,7 @@
 import math
 
 
-class FadedMean:
+class DecayingMean:
     """A mean of observations over about `span` seconds.
 
     An observation has a weight of at least `min_gain`, so that many at once move the mean too, and of at most
@@ -27,6 +27,6 @@
         self.value += min(gain, self._max_gain) * (observation - self.value)
         self.observed_at = now
 
-    def at(self, now: float, trusted_for: float) -> float:
+    def value_at(self, now: float, trusted_for: float) -> float:
         """Return the mean, which fades once nothing has been observed for `trusted_for` seconds."""
         return self.value * math.exp(min(0.0, (self.observed_at + trusted_for - now) / self._span))
--- a/apigateway/routing/endpoint_health.py
+++ b/apigateway/routing/endpoint_health.py
@@ -27,12 +27,12 @@
     def __init__(self) -> None:
         self.outliers = OutlierDetector()
         self.zone_health = ZoneHealth()
-        self.paused: set[Item] = set()  # those that have failed since they last succeeded
+        self.failing: set[Item] = set()  # those that have failed since they last succeeded
 
-    def on_available(self, endpoints: Collection[Item]) -> None:
+    def set_available(self, endpoints: Collection[Item]) -> None:
         """Take up which endpoints may be sent to."""
-        self.zone_health.listed([endpoint.host.zone for endpoint in endpoints])
-        self.paused = {endpoint for endpoint in endpoints if endpoint.backoff}
+        self.zone_health.set_listed_zones([endpoint.host.zone for endpoint in endpoints])
+        self.failing = {endpoint for endpoint in endpoints if endpoint.backoff}
 
     def on_result(self, endpoint: Item, result: AttemptResult, scope: tuple[str, ...], now: float) -> None:
         """Take up the result of an attempt that tells whether the endpoint works."""
@@ -45,17 +45,17 @@
         else:
             endpoint.backoff.on_failure(scope[:2][-1], now)
         if endpoint.backoff:
-            self.paused.add(endpoint)
+            self.failing.add(endpoint)
         else:
-            self.paused.discard(endpoint)
+            self.failing.discard(endpoint)
 
     def success_probability(self, endpoint: Item, scope: tuple[str, ...], now: float) -> float:
         """Return how likely an attempt there succeeds, by the endpoint and its zone."""
         probability = self.outliers.success_probability(endpoint.host.id, scope, now)
-        if self.zone_health.doubted:
-            probability *= self.zone_health.part(endpoint.host.zone, now)
+        if self.zone_health.suspect_count:
+            probability *= self.zone_health.traffic_share(endpoint.host.zone, now)
         return probability
 
     def pause_ends(self, now: float) -> Iterator[tuple[Item, float]]:
         """Iterate over paused endpoints and the ends of their pauses, as far as they are to come."""
-        return ((one, at) for one in self.paused for _, at in one.backoff.pauses() if at > now)
+        return ((one, at) for one in self.failing for _, at in one.backoff.pauses() if at > now)
--- a/apigateway/routing/roster.py
+++ b/apigateway/routing/endpoint_table.py
@@ -10,7 +10,7 @@
 
 
 class Listed(Protocol):
-    """What a roster can hold."""
+    """An item of the table."""
 
     host: Endpoint  # as it was listed last
     is_up: bool
@@ -20,10 +20,10 @@
 Item = TypeVar("Item", bound=Listed)
 
 
-class Roster(dict[str, Item]):
+class EndpointTable(dict[str, Item]):
     """Items by id, in the order in which they were first listed."""
 
-    def update_listed(
+    def apply_list(
         self,
         now: float,
         hosts: Collection[Endpoint],
@@ -56,6 +56,6 @@
                 item.is_up = False
                 item.gone_at = min(item.gone_at, now)
 
-    def gone_for(self, now: float, seconds: float) -> list[Item]:
+    def gone_longer_than(self, now: float, seconds: float) -> list[Item]:
         """Return the items that have been gone for longer than that."""
         return [item for item in self.values() if now - item.gone_at > seconds]
--- a/apigateway/routing/event_rate.py
+++ b/apigateway/routing/event_rate.py
@@ -15,12 +15,12 @@
         self._rate = 0.0
         self._observed_at = 0.0
 
-    def at(self, now: float) -> float:
+    def rate_at(self, now: float) -> float:
         """Return the rate as it has faded until now."""
         return self._rate * math.exp((self._observed_at - now) / self._span)
 
     def observe(self, now: float) -> float:
         """Count an event, and return the rate with it."""
-        self._rate = self.at(now) + 1.0 / self._span
+        self._rate = self.rate_at(now) + 1.0 / self._span
         self._observed_at = now
         return self._rate
--- a/apigateway/routing/expiring_keys.py
+++ b/apigateway/routing/expiring_keys.py
@@ -20,6 +20,6 @@
             self.clear()
         self[key] = until
 
-    def remaining(self, key: str, now: float) -> float:
+    def remaining_time(self, key: str, now: float) -> float:
         """Return the seconds for which a key is still remembered; 0: it is not."""
         return max(0.0, self.get(key, 0.0) - now)
--- a/apigateway/routing/lease_ledger.py
+++ b/apigateway/routing/lease_ledger.py
@@ -24,14 +24,14 @@
 
     window: int
     reported: float = 0.0  # units that were used before
-    asked: float = 0.0  # units to lease
-    extra: float = 0.0  # units to correct the count
-    spare: float = 0.0  # units of earlier calls that it makes use of
+    requested: float = 0.0  # units to lease
+    correction: float = 0.0  # units to correct the count
+    unclaimed: float = 0.0  # units of earlier calls that it makes use of
 
     @property
     def amount(self) -> float:
         """The sum that is added."""
-        return self.reported + self.asked + self.extra - self.spare
+        return self.reported + self.requested + self.correction - self.unclaimed
 
 
 class LeaseLedger:
@@ -40,7 +40,7 @@
     Args:
         rate: units a second of the quota; 0: there is none.
         burst: units of a window.
-        spread: users that share the quota.
+        gateway_count: users that share the quota.
         phase: part of a window, 0 to 1, by which its windows begin late.
         now: the time, in seconds.
         draw: returns random numbers from 0 to 1; one is kept for each window.
@@ -53,16 +53,16 @@
         "debt_units",
         "demand",
         "exhausted_until",
-        "is_call_out",
-        "is_thin",
+        "has_call_in_flight",
+        "has_subunit_share",
         "leased_units",
         "local_share",
         "previous_used_units",
         "rate",
         "reported_units",
         "rounding_draw",
-        "spare_units",
-        "spread",
+        "unclaimed_units",
+        "gateway_count",
         "total_units",
         "unconfirmed_units",
         "unreported_units",
@@ -74,24 +74,32 @@
     )
 
     def __init__(
-        self, rate: float, burst: float, spread: int, phase: float, now: float, draw: Callable[[], float]
+        self,
+        rate: float,
+        burst: float,
+        gateway_count: int,
+        phase: float,
+        now: float,
+        draw: Callable[[], float],
     ) -> None:
         self.rate = rate
         self.burst = burst
         self._draw = draw
-        self.set_spread(spread)
-        self.local_share = 1.0 / spread  # of the quota's use that is here
+        self.set_gateway_count(gateway_count)
+        self.local_share = 1.0 / gateway_count  # of the quota's use that is here
         self.demand = DemandEstimator(now)
-        self.is_call_out = False  # one that reports or asks for units
+        self.has_call_in_flight = False  # one that reports or asks for units
         self.used_units = 0.0  # here, in this window
         self.window_length = burst / rate if rate else 1.0  # s
         self.window_offset = phase * self.window_length
         self._open_window(self._window_at(now), 0.0)
 
-    def set_spread(self, spread: int) -> None:
+    def set_gateway_count(self, gateway_count: int) -> None:
         """Set how many users share the quota."""
-        self.spread = spread
-        self.is_thin = 0 < self.burst < spread  # an even part of the burst is less than a unit
+        self.gateway_count = gateway_count
+        self.has_subunit_share = (
+            0 < self.burst < gateway_count
+        )  # an even part of the burst is less than a unit
 
     @property
     def window_end(self) -> float:
@@ -107,7 +115,7 @@
         self.leased_units = 0.0  # granted ahead
         self.unreported_units = 0.0  # used, but not yet counted
         self.reported_units = 0.0  # added to the count from here
-        self.spare_units = 0.0  # added by calls whose answers were spoilt: ours, but not leased yet
+        self.unclaimed_units = 0.0  # added by calls whose answers were spoilt: ours, but not leased yet
         self.unconfirmed_units = 0.0  # of calls without answer: they may have been added
         self.total_units = debt  # of all users, by the count's last answer
         self.debt_units = debt  # brought along from earlier windows
@@ -126,8 +134,8 @@
         if self.reported_units > 0 and known_use >= 1:  # the count has given what all used
             self.local_share += LOCAL_SHARE_GAIN * (min(1.0, self.used_units / known_use) - self.local_share)
         # Where an even part is less than a unit, the few users that use one unreported say nothing of the
-        # others: taken times the spread, one such unit would be a debt of many windows, for all.
-        unreported = self.unreported_units * (1 if self.is_thin else self.spread)
+        # others: taken times the gateway_count, one such unit would be a debt of many windows, for all.
+        unreported = self.unreported_units * (1 if self.has_subunit_share else self.gateway_count)
         debt = max(0.0, self.total_units + unreported - self.burst * (index - self.window_index))
         if index != self.window_index + 1:
             self.used_units = 0.0  # of a window before the last one
@@ -141,7 +149,7 @@
         """Return the units that are left to all users."""
         return min(self.burst, self.window_limit(now) - self.total_units) - self.unreported_units
 
-    def unspent(self, now: float, kept_units: float) -> tuple[float, float]:
+    def remaining_and_reset(self, now: float, kept_units: float) -> tuple[float, float]:
         """Return the units that are left here, leased ones too, and the seconds until the window turns.
 
         Args:
@@ -162,42 +170,44 @@
             self.unreported_units += units
         self.used_units += units
 
-    def give_back(self, units: float, window: int) -> None:
+    def refund(self, units: float, window: int) -> None:
         """Take back units that were not used, if the window that they were used in is still open."""
         if self.rate and self.window_index == window:
             self.leased_units += units
             self.used_units -= units
 
-    def begin_call(self, asked: float, extra: float) -> LedgerEntry:
-        """Begin a call that reports all units and asks for others; its end sets `is_call_out` back.
+    def begin_call(self, requested: float, correction: float) -> LedgerEntry:
+        """Begin a call that reports all units and asks for others; its end sets `has_call_in_flight` back.
 
         Args:
-            asked: units to lease.
-            extra: units to correct the count.
+            requested: units to lease.
+            correction: units to correct the count.
 
         Returns:
             What it adds.
         """
-        self.is_call_out = True
-        entry = LedgerEntry(self.window_index, self.unreported_units, asked, extra, self.spare_units)
+        self.has_call_in_flight = True
+        entry = LedgerEntry(
+            self.window_index, self.unreported_units, requested, correction, self.unclaimed_units
+        )
         self.total_units += self.unreported_units
         self.unreported_units = 0.0
-        self.spare_units = 0.0
+        self.unclaimed_units = 0.0
         return entry
 
-    def on_no_total(self, result: CounterCallResult, entry: LedgerEntry) -> None:
+    def on_call_without_total(self, result: CounterCallResult, entry: LedgerEntry) -> None:
         """Take up that a call has given no total; `result` says whether it added its units."""
         if result == CounterCallResult.SPOILT:  # its units were added: the next call uses what was asked for
             self.reported_units += entry.amount
-            self.spare_units += entry.asked
+            self.unclaimed_units += entry.requested
         elif result == CounterCallResult.TIMEOUT:
             self.unconfirmed_units += entry.amount
         else:
             self.unreported_units += entry.reported
             self.total_units -= entry.reported
-            self.spare_units += entry.spare
+            self.unclaimed_units += entry.unclaimed
 
-    def missing_units(self, total: float, entry: LedgerEntry) -> float:
+    def reconcile_total(self, total: float, entry: LedgerEntry) -> float:
         """Return what a total with this entry lacks, and forget that it was reported.
 
         A total of less than what was added from here alone: the count was lost, and is to be added again. A
@@ -224,4 +234,4 @@
         """Take up a total: `missing` units are to be added to it, `denied` of those asked for taken off."""
         self.reported_units += entry.amount + missing - denied
         self.total_units = total + missing - denied
-        self.leased_units += entry.asked - denied
+        self.leased_units += entry.requested - denied
--- a/apigateway/routing/loop_lag.py
+++ b/apigateway/routing/loop_lag.py
@@ -23,12 +23,12 @@
         self._wait_sum = 0.0
         self._wait_count = 0
 
-    def add_wait(self, seconds: float) -> None:
+    def record_wait(self, seconds: float) -> None:
         """Take up how long something that was read had waited."""
         self._wait_sum += seconds
         self._wait_count += 1
 
-    def add_lateness(self, now: float, seconds: float) -> bool:
+    def record_lateness(self, now: float, seconds: float) -> bool:
         """Take up how late a timer ran, and return whether that ends a window."""
         self._late_sum += seconds
         self._late_count += 1
--- a/apigateway/routing/outlier_detection.py
+++ b/apigateway/routing/outlier_detection.py
@@ -20,11 +20,11 @@
 
     def __init__(self) -> None:
         self.hosts: dict[str, dict[str, tuple[float, float]]] = {}  # by id and scope: how likely, as of when
-        self.pool: dict[str, float] = {}  # by scope: part of all hosts that fail
+        self.failing_shares: dict[str, float] = {}  # by scope: part of all hosts that fail
 
-    def at(self, host: str, key: str, now: float) -> float:
+    def failure_probability(self, host: str, key: str, now: float) -> float:
         """Return how likely a host fails in one scope."""
-        prior = self.pool.get(key, MIN_PRIOR)
+        prior = self.failing_shares.get(key, MIN_PRIOR)
         known = self.hosts.get(host, {}).get(key)
         if known is None:
             return prior
@@ -37,7 +37,7 @@
         worst = 0.0  # max over `at`, written out: it runs for most requests
         seen = self.hosts.get(host, {})
         for key in keys:
-            likelihood = self.pool.get(key, MIN_PRIOR)
+            likelihood = self.failing_shares.get(key, MIN_PRIOR)
             known = seen.get(key)
             if known is not None:
                 likelihood += (known[0] - likelihood) * 0.5 ** ((now - known[1]) / HALF_LIFE)
@@ -47,10 +47,10 @@
 
     def record(self, host: str, keys: tuple[str, ...], failed: bool, now: float) -> None:
         """Take up the result of an attempt, as evidence in each of these scopes, the widest first."""
-        most = max(self.pool.get(key, MIN_PRIOR) for key in keys)
+        most = max(self.failing_shares.get(key, MIN_PRIOR) for key in keys)
         for key in keys:
-            pool = self.pool.get(key, MIN_PRIOR)
-            likelihood = self.at(host, key, now)
+            pool = self.failing_shares.get(key, MIN_PRIOR)
+            likelihood = self.failure_probability(host, key, now)
             if failed:
                 likelihood += (_after_failure(likelihood) - likelihood) * (pool / most) ** 2
             elif key == keys[0]:  # any answer shows that the host as a whole works
@@ -58,9 +58,9 @@
             else:  # but not that it serves the other kinds
                 likelihood = _after_success(likelihood)
             self.hosts.setdefault(host, {})[key] = (likelihood, now)
-            self.pool[key] = min(MAX_PRIOR, max(MIN_PRIOR, pool + GAIN * (likelihood - pool)))
+            self.failing_shares[key] = min(MAX_PRIOR, max(MIN_PRIOR, pool + GAIN * (likelihood - pool)))
 
-    def forget(self, host: str) -> None:
+    def remove_host(self, host: str) -> None:
         """Forget a host that is gone."""
         self.hosts.pop(host, None)
 
--- a/apigateway/routing/poisson.py
+++ b/apigateway/routing/poisson.py
@@ -5,7 +5,7 @@
 import math
 
 
-def probability_at_least(count: int, mean: float) -> float:
+def poisson_tail_probability(count: int, mean: float) -> float:
     """Return the probability that a Poisson-distributed number with this mean is `count` or more."""
     below = sum(mean**n * math.exp(-mean) / math.factorial(n) for n in range(count))
     return 1 - below
--- a/apigateway/routing/priority_queue.py
+++ b/apigateway/routing/priority_queue.py
@@ -8,7 +8,9 @@
 from collections.abc import Callable, Hashable
 from typing import Any, Generic, NamedTuple, Protocol, TypeVar
 
-DISCARDED_SLACK = 4  # discarded entries kept beyond as many as wait: a short queue is not rebuilt each time
+MAX_EXTRA_DONE_ENTRIES = (
+    4  # discarded entries kept beyond as many as wait: a short queue is not rebuilt each time
+)
 
 
 class Discardable(Protocol):
@@ -49,10 +51,10 @@
         self.waiting_count += 1
         self.entry_count += 1
 
-    def discard(self) -> None:
+    def on_item_done(self) -> None:
         """Note that one item that waited is done. It stays where it is until so are as many as wait."""
         self.waiting_count -= 1
-        if self.entry_count > 2 * self.waiting_count + DISCARDED_SLACK:
+        if self.entry_count > 2 * self.waiting_count + MAX_EXTRA_DONE_ENTRIES:
             self._remove_done()
 
     def _remove_done(self) -> None:
--- a/apigateway/routing/subset_index.py
+++ b/apigateway/routing/subset_index.py
@@ -11,8 +11,8 @@
 class Indexed(Protocol):
     """What the index can hold."""
 
-    attempts_out: dict[Any, float]
-    max_attempts: int  # out at once
+    attempts_in_flight: dict[Any, float]
+    max_attempts_in_flight: int  # out at once
     in_subset: bool
     position: int  # in the free list
 
@@ -26,9 +26,9 @@
     def __init__(self, index: int, gateways: int) -> None:
         self.available: list[Item] = []  # all that may be sent to, in the order of the ring
         self.subset: list[Item] = []
-        self.with_capacity: list[Item] = []  # those of the subset, in no order
-        self.attempts_out = 0
-        self.full_until = 0.0  # none may be sent to before, unless an event says otherwise
+        self.subset_with_capacity: list[Item] = []  # those of the subset, in no order
+        self.attempts_in_flight = 0
+        self.no_capacity_until = 0.0  # none may be sent to before, unless an event says otherwise
         self._index = index
         self._gateways = gateways
 
@@ -46,9 +46,9 @@
             item.position = free_list.ABSENT
         for item in self.subset:
             item.in_subset = True
-        free = (item for item in self.subset if len(item.attempts_out) < item.max_attempts)
-        self.with_capacity = free_list.build(free)
-        self.full_until = 0.0
+        free = (item for item in self.subset if len(item.attempts_in_flight) < item.max_attempts_in_flight)
+        self.subset_with_capacity = free_list.build(free)
+        self.no_capacity_until = 0.0
 
     def is_too_small(self, rate: float) -> bool:
         """Return whether the subset should be wider for this rate of requests."""
@@ -56,19 +56,19 @@
 
     def add_attempt(self, item: Item, key: tuple[str, int], now: float) -> None:
         """Note an attempt that is sent."""
-        item.attempts_out[key] = now
-        self.attempts_out += 1
+        item.attempts_in_flight[key] = now
+        self.attempts_in_flight += 1
         self._update(item)
 
     def remove_attempt(self, item: Item, key: tuple[str, int]) -> None:
         """Note that an attempt is not out any more, if it was."""
-        self.attempts_out -= item.attempts_out.pop(key, None) is not None
+        self.attempts_in_flight -= item.attempts_in_flight.pop(key, None) is not None
         self._update(item)
 
     def _update(self, item: Item) -> None:
-        """Keep `with_capacity` true, in one step whatever the number of items."""
-        self.full_until = 0.0
-        if item.in_subset and len(item.attempts_out) < item.max_attempts:
-            free_list.add(self.with_capacity, item)
+        """Keep `subset_with_capacity` true, in one step whatever the number of items."""
+        self.no_capacity_until = 0.0
+        if item.in_subset and len(item.attempts_in_flight) < item.max_attempts_in_flight:
+            free_list.add(self.subset_with_capacity, item)
         else:
-            free_list.discard(self.with_capacity, item)
+            free_list.discard(self.subset_with_capacity, item)
--- a/apigateway/routing/timer_heap.py
+++ b/apigateway/routing/timer_heap.py
@@ -7,12 +7,12 @@
 from collections.abc import Container
 from typing import Generic, TypeVar
 
-TOLERANCE = 1e-6  # s; a clock that comes so much early counts as on time
+TIMER_TOLERANCE_S = 1e-6  # s; a clock that comes so much early counts as on time
 
 Key = TypeVar("Key", bound=str)
 
 
-class Alarm:
+class PendingTimer:
     """The one timer that is out, for what is due next."""
 
     __slots__ = ("_due_at",)
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self._due_at = math.inf
 
-    def set(self, due_at: float) -> bool:
+    def schedule(self, due_at: float) -> bool:
         """Note that something is due, and return whether a timer is needed for it, as it is the first."""
         if due_at >= self._due_at:
             return False
@@ -29,7 +29,7 @@
 
     def expire(self, now: float) -> None:
         """Note that a timer has expired, which may be an older one."""
-        if now >= self._due_at - TOLERANCE:
+        if now >= self._due_at - TIMER_TOLERANCE_S:
             self._due_at = math.inf
 
 
@@ -47,7 +47,7 @@
 
     def pop_due(self, now: float) -> Key | None:
         """Remove and return the key that has been due longest; None if none is due."""
-        if self._heap and self._heap[0][0] <= now + TOLERANCE:
+        if self._heap and self._heap[0][0] <= now + TIMER_TOLERANCE_S:
             return heapq.heappop(self._heap)[1]
         return None
 
--- a/apigateway/routing/token_bucket.py
+++ b/apigateway/routing/token_bucket.py
@@ -13,30 +13,30 @@
     meanwhile; below 0 where reserved units were used late. A rate of 0 means no limit.
     """
 
-    __slots__ = ("_filled_at", "burst", "parts", "promised", "rate", "reserved", "tokens")
+    __slots__ = ("_filled_at", "burst", "share_count", "waiting_units", "rate", "reserved", "tokens")
 
-    def __init__(self, rate: float, burst: float, parts: int, tokens: float, now: float) -> None:
+    def __init__(self, rate: float, burst: float, share_count: int, tokens: float, now: float) -> None:
         self.rate = rate
         self.burst = burst
-        self.parts = parts
+        self.share_count = share_count
         self.tokens = tokens
         self.reserved = 0.0
-        self.promised = 0.0  # units of those that wait for the bucket to fill
+        self.waiting_units = 0.0  # units of those that wait for the bucket to fill
         self._filled_at = now
 
     @property
     def capacity(self) -> float:
         """Units that this part holds when it is full."""
-        return self.burst / self.parts
+        return self.burst / self.share_count
 
     @property
     def fill_time(self) -> float:
         """Seconds from empty to full; 0 without a limit."""
         return self.burst / self.rate if self.rate else 0.0
 
-    def set_parts(self, parts: int) -> None:
+    def set_share_count(self, share_count: int) -> None:
         """Make this part smaller: what it holds beyond its new capacity is lost."""
-        self.parts = parts
+        self.share_count = share_count
         self.tokens = min(self.tokens, self.capacity)
         self.reserved = min(self.reserved, self.capacity - self.tokens)
 
@@ -44,18 +44,18 @@
         """Return the units that may be taken now; `from_reserved`: by one that has reserved them before."""
         if not self.rate:
             return math.inf
-        self.add(max(0.0, now - self._filled_at) * self.rate / self.parts)
+        self.add(max(0.0, now - self._filled_at) * self.rate / self.share_count)
         self._filled_at = max(now, self._filled_at)
         if not self.reserved:
             return self.tokens
         return self.tokens + (self.reserved if from_reserved else min(0.0, self.reserved))
 
     def wait_time(self, now: float, units: float, from_reserved: bool) -> float:
-        """Return the seconds until units are available behind those promised; inf: never."""
-        lack = units + self.promised - self.available(now, from_reserved)
+        """Return the seconds until units are available behind those waiting_units; inf: never."""
+        lack = units + self.waiting_units - self.available(now, from_reserved)
         if units > self.capacity:
             return math.inf if lack > 0 else 0.0
-        return lack * self.parts / self.rate if lack > 0 else 0.0
+        return lack * self.share_count / self.rate if lack > 0 else 0.0
 
     def add(self, units: float) -> None:
         """Add units, up to the capacity."""
@@ -86,14 +86,14 @@
         """Use units that were reserved before."""
         self.reserved -= units
 
-    def give_back(self, units: float, is_reservation: bool) -> None:
+    def refund(self, units: float, is_reservation: bool) -> None:
         """Add units that were used, or reserved, in vain."""
         if is_reservation:
-            self.cancel_reserved(units)
+            self.cancel_reservation(units)
         else:
             self.add(units)
 
-    def cancel_reserved(self, units: float) -> None:
+    def cancel_reservation(self, units: float) -> None:
         """Add units that were reserved and not used: what is used was never charged with them."""
         used = self.tokens + self.reserved
         self.add(units)
--- a/apigateway/routing/zone_health.py
+++ b/apigateway/routing/zone_health.py
@@ -36,10 +36,10 @@
 
     def __init__(self) -> None:
         self.known: dict[str, Zone] = {}
-        self.left: frozenset[str] = frozenset()  # by the operator's word
-        self.doubted = 0  # zones with a failure since their last answer; 0 costs nothing
+        self.evacuated: frozenset[str] = frozenset()  # by the operator's word
+        self.suspect_count = 0  # zones with a failure since their last answer; 0 costs nothing
 
-    def listed(self, zones: list[str]) -> None:
+    def set_listed_zones(self, zones: list[str]) -> None:
         """Take up the zone of each host that is up."""
         for zone in self.known.values():
             zone.host_count = 0
@@ -47,21 +47,21 @@
             self.known.setdefault(name, Zone()).host_count += 1
         # One without hosts is never answered for: what is known of it would stay, and be reported, for good.
         self.known = {name: zone for name, zone in self.known.items() if zone.host_count}
-        self.doubted = sum(bool(zone.failed) for zone in self.known.values())
+        self.suspect_count = sum(bool(zone.failed) for zone in self.known.values())
 
-    def answered(self, name: str) -> None:
+    def record_answer(self, name: str) -> None:
         """Take up that a host there gave any answer at all."""
-        if self.doubted and (zone := self.known.get(name)) is not None and zone.failed:
+        if self.suspect_count and (zone := self.known.get(name)) is not None and zone.failed:
             zone.failed.clear()
-            self.doubted -= 1
+            self.suspect_count -= 1
 
-    def silent(self, name: str, host: str, now: float) -> None:
+    def record_no_answer(self, name: str, host: str, now: float) -> None:
         """Take up that no connection to a host there came up, or that an attempt there is silent."""
         zone = self.known.get(name)
         if zone is None or zone.host_count < LEAST_HOSTS:
             return
         if not zone.failed:
-            self.doubted += 1
+            self.suspect_count += 1
             zone.failing_since = now
         elif now - zone.failed_at > FADED:
             zone.failed.clear()
@@ -72,11 +72,11 @@
     def on_result(self, name: str, host: str, result: AttemptResult, now: float) -> None:
         """Take up the result of an attempt; a reset may come from the host as well as from the way there."""
         if result == AttemptResult.CONNECT_FAILED:
-            self.silent(name, host, now)
+            self.record_no_answer(name, host, now)
         elif result in (AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.OK):
-            self.answered(name)
+            self.record_answer(name)
 
-    def part(self, name: str, now: float) -> float:
+    def traffic_share(self, name: str, now: float) -> float:
         """Return what part its hosts get of what they would, 0 to 1."""
         zone = self.known.get(name)
         if zone is None or not zone.failed:
@@ -96,7 +96,7 @@
                 "silent": len(zone.failed),
                 "hosts": zone.host_count,
                 "for": round(now - zone.failing_since, 3),
-                "part": round(self.part(name, now), 3),
+                "part": round(self.traffic_share(name, now), 3),
             }
             for name, zone in self.known.items()
             if zone.failed
--- a/tests/policy/test_checks.py
+++ b/tests/policy/test_checks.py
@@ -45,7 +45,7 @@
     assert [one.remaining for one in granted] == sorted((one.remaining for one in granted), reverse=True)
     assert granted[-1].remaining < 1.0 and 0 < granted[0].reset_after <= 4.0
     assert all(one.is_over_quota and one.retry_after > 0 for one in denied)
-    assert not w.gw.pending and not w.gw.pool.attempts_out
+    assert not w.gw.pending and not w.gw.pool.attempts_in_flight
 
 
 def test_checks_and_requests_share_one_store():
--- a/tests/policy/test_pending_queue.py
+++ b/tests/policy/test_pending_queue.py
@@ -12,7 +12,7 @@
 from apigateway import messages
 from apigateway.policy import dispatch, selection
 from apigateway.policy.pending_queue import PendingQueue
-from apigateway.routing.priority_queue import DISCARDED_SLACK
+from apigateway.routing.priority_queue import MAX_EXTRA_DONE_ENTRIES
 
 
 class Plain:
@@ -48,7 +48,7 @@
     def __init__(self, number, lane, value, beyond):
         self.lane, self.priority_density, self.is_over_quota, self.done = lane, value, beyond, False
         self.service_class = messages.ServiceClass(lane, 1, 3, "safe", "all", 0, 1, 0, False, 0)
-        self.allowed_kinds, self.tried = (), set()
+        self.allowed_kinds, self.tried_endpoint_ids = (), set()
         self.possibly_executed, self.in_flight = [], {}
         self.request = messages.Request(f"r{number}", 3, "c", "p", lane, 1, 0, 1)
 
@@ -87,8 +87,8 @@
             plain.add(job)
         elif what == "done" and a < len(plain.jobs) and not plain.jobs[a].done:
             plain.jobs[a].done = True
-            queue.discard()
-            assert queue.entry_count <= 2 * queue.waiting_count + DISCARDED_SLACK  # no pile
+            queue.on_item_done()
+            assert queue.entry_count <= 2 * queue.waiting_count + MAX_EXTRA_DONE_ENTRIES  # no pile
         elif what == "drain":
             room = Room(a, b)
             queue.drain(room.send)
@@ -148,7 +148,7 @@
     w.do(messages.EndpointList("full", 3, (host("h9"),)))  # and what comes then is served
     name, acts = w.ask(spread=1)
     assert [a.request_id for a in of(acts, messages.ForwardRequest)] == [name]
-    assert w.gw.queue.entry_count <= DISCARDED_SLACK
+    assert w.gw.queue.entry_count <= MAX_EXTRA_DONE_ENTRIES
 
 
 def test_the_worthiest_go_first_and_of_equals_the_latest(monkeypatch):
--- a/tests/policy/test_quota_leasing.py
+++ b/tests/policy/test_quota_leasing.py
@@ -214,7 +214,7 @@
         for s in of(w.ask()[1], messages.ForwardRequest):
             w.end(s)
         w.wait(0.04)
-    assert w.gw.counter.failures == 0
+    assert w.gw.counter.consecutive_failures == 0
     assert [a for t, a in w.log if isinstance(a, messages.AddToCounter) and t > start]
 
 
--- a/tests/policy/test_reservations.py
+++ b/tests/policy/test_reservations.py
@@ -284,4 +284,4 @@
     ]
     assert len(sent) == 3 and sent[:2] == [0.0, 0.0] and 0.24 < sent[2] < 0.3
     assert len(refused) == 9 and max(refused) == 0.0
-    assert all(a.ceiling.promised == 0.0 for a in w.gw.quotas.values())
+    assert all(a.ceiling.waiting_units == 0.0 for a in w.gw.quotas.values())
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -70,13 +70,19 @@
 
 
 def index_is_true(fleet, now):
-    free = {s.host.id for s in fleet.endpoints.values() if s.is_up and len(s.attempts_out) < s.max_attempts}
-    assert {s.host.id for s in fleet.with_capacity} == free and len(fleet.with_capacity) == len(free)
-    assert all(fleet.with_capacity[s.position] is s for s in fleet.with_capacity)
+    free = {
+        s.host.id
+        for s in fleet.endpoints.values()
+        if s.is_up and len(s.attempts_in_flight) < s.max_attempts_in_flight
+    }
+    assert {s.host.id for s in fleet.subset_with_capacity} == free and len(fleet.subset_with_capacity) == len(
+        free
+    )
+    assert all(fleet.subset_with_capacity[s.position] is s for s in fleet.subset_with_capacity)
     assert all((s.position >= 0) == (s.host.id in free) for s in fleet.available)
-    assert fleet.attempts_out == sum(len(s.attempts_out) for s in fleet.endpoints.values())
-    assert {s for s in fleet.available if s.backoff} <= fleet.health.paused
-    if now >= fleet.full_until:
+    assert fleet.attempts_in_flight == sum(len(s.attempts_in_flight) for s in fleet.endpoints.values())
+    assert {s for s in fleet.available if s.backoff} <= fleet.health.failing
+    if now >= fleet.no_capacity_until:
         assert fleet.any_capacity(now) == any(fleet.has_capacity(s, now) for s in fleet.available)
 
 
@@ -178,7 +184,7 @@
 def test_what_waits_goes_out_as_soon_as_a_host_is_free_however_many_are_full():
     w = world(many(200))
     out = ask(w, 900)
-    assert len(out) == 800 == w.gw.pool.attempts_out and not w.gw.pool.with_capacity
+    assert len(out) == 800 == w.gw.pool.attempts_in_flight and not w.gw.pool.subset_with_capacity
     waiting = w.gw.queue.waiting_count
     assert waiting
     for send in out[:waiting]:
@@ -195,7 +201,7 @@
                 w.end(send)
                 served += 1
         w.wait(0.05)
-    silent = [len(s.attempts_out) for s in w.gw.pool.endpoints.values() if int(s.host.id[1:]) % 2 == 0]
+    silent = [len(s.attempts_in_flight) for s in w.gw.pool.endpoints.values() if int(s.host.id[1:]) % 2 == 0]
     late = [s for s in ask(w, 200) if int(s.endpoint_id[1:]) % 2]
     assert served > 500 and sum(silent) < 4 * 500 and len(late) > 110  # they draw less than their half now
 
--- a/tests/routing/test_attempt_history.py
+++ b/tests/routing/test_attempt_history.py
@@ -5,7 +5,7 @@
     history = AttemptHistory()
     assert history.begin_attempt("a", 1.0) == 0 and history.begin_attempt("b", 2.0) == 1
     assert history.in_flight == {0: SentAttempt("a", 1.0), 1: SentAttempt("b", 2.0)}
-    assert history.tried == {"a", "b"} and history.attempt_count == 2
+    assert history.tried_endpoint_ids == {"a", "b"} and history.attempt_count == 2
 
 
 def test_attempt_when_it_ends_then_is_remembered_if_it_may_have_executed():
@@ -15,15 +15,15 @@
     history.end_attempt(0, may_have_executed=True)
     history.end_attempt(0, may_have_executed=True)  # once more: nothing is added
     assert history.possibly_executed == [SentAttempt("a", 1.0)]
-    assert history.unproven() == [SentAttempt("a", 1.0), SentAttempt("b", 2.0)]
+    assert history.possible_executions() == [SentAttempt("a", 1.0), SentAttempt("b", 2.0)]
     history.end_attempt(1, may_have_executed=False)
-    assert history.unproven() == [SentAttempt("a", 1.0)]
+    assert history.possible_executions() == [SentAttempt("a", 1.0)]
 
 
 def test_late_attempts_when_marked_then_are_new_once():
     history = AttemptHistory()
     history.begin_attempt("a", 1.0)
     history.begin_attempt("b", 2.0)
-    assert history.late_attempts(3.0, 2.0) == [0] and history.late_attempts(4.0, 2.0) == [0, 1]
+    assert history.overdue_attempts(3.0, 2.0) == [0] and history.overdue_attempts(4.0, 2.0) == [0, 1]
     assert history.mark_timed_out([0]) == {0} and history.mark_timed_out([0, 1]) == {1}
     assert history.mark_given_up([0, 1]) == {0, 1} and history.mark_given_up([0]) == set()
--- a/tests/routing/test_capacity_estimator.py
+++ b/tests/routing/test_capacity_estimator.py
@@ -12,7 +12,7 @@
 def heard(*reports):
     size = CapacityEstimator(4.0)
     for report in reports * MIN_REPORTS:
-        size.note(report)
+        size.observe(report)
     return size.scale
 
 
--- a/tests/routing/test_containers.py
+++ b/tests/routing/test_containers.py
@@ -22,9 +22,9 @@
     keys = ExpiringKeys(2)
     keys.add("a", 5.0)
     assert (
-        keys.remaining("a", 3.0) == 2.0
-        and keys.remaining("a", 6.0) == 0.0
-        and keys.remaining("b", 1.0) == 0.0
+        keys.remaining_time("a", 3.0) == 2.0
+        and keys.remaining_time("a", 6.0) == 0.0
+        and keys.remaining_time("b", 1.0) == 0.0
     )
     keys.add("b", 5.0)
     keys.add("c", 5.0)
@@ -35,8 +35,8 @@
     counts = DecayingCounts()
     for level in (1, 1, 2, 3):
         counts.add(level)
-    assert counts.top_part(0.25) == (3, 1.0) and counts.top_part(0.75) == (1, 0.5)
-    assert DecayingCounts().top_part(0.5) is None
+    assert counts.top_share_threshold(0.25) == (3, 1.0) and counts.top_share_threshold(0.75) == (1, 0.5)
+    assert DecayingCounts().top_share_threshold(0.5) is None
     counts.decay(0.004)
     assert len(counts) == 0
 
--- a/tests/routing/test_estimators.py
+++ b/tests/routing/test_estimators.py
@@ -6,11 +6,11 @@
 
 from apigateway.routing.admitted_share import MAX_STEP, AdmittedShare
 from apigateway.routing.call_health import CallHealth
+from apigateway.routing.decaying_mean import DecayingMean
 from apigateway.routing.event_rate import EventRate
-from apigateway.routing.faded_mean import FadedMean
-from apigateway.routing.load_estimate import REPORT_HALF_LIFE, LoadEstimate
+from apigateway.routing.load_estimate import REPORT_HALF_LIFE_S, LoadEstimate
 from apigateway.routing.loop_lag import LoopLag
-from apigateway.routing.poisson import probability_at_least
+from apigateway.routing.poisson import poisson_tail_probability
 from apigateway.routing.response_times import ResponseTimes
 from apigateway.routing.slow_start import SlowStartTokens, slow_start_factor
 
@@ -19,18 +19,18 @@
     rate = EventRate(3.0)
     for n in range(1000):
         rate.observe(n * 0.1)
-    assert rate.at(99.9) == pytest.approx(10.0, rel=0.05)
-    assert rate.at(99.9 + 3.0) == pytest.approx(rate.at(99.9) / math.e)
+    assert rate.rate_at(99.9) == pytest.approx(10.0, rel=0.05)
+    assert rate.rate_at(99.9 + 3.0) == pytest.approx(rate.rate_at(99.9) / math.e)
 
 
 def test_faded_mean_when_observations_come_at_once_then_each_has_the_least_gain():
-    mean = FadedMean(span=1.5, min_gain=0.1, max_gain=0.5)
+    mean = DecayingMean(span=1.5, min_gain=0.1, max_gain=0.5)
     mean.observe(0.0, 1.0)
     assert mean.value == 0.1
     mean.observe(100.0, 1.0)  # after a long silence
     assert mean.value == pytest.approx(0.55)
-    assert mean.at(100.5, trusted_for=1.0) == mean.value
-    assert mean.at(102.5, trusted_for=1.0) == pytest.approx(mean.value / math.e)
+    assert mean.value_at(100.5, trusted_for=1.0) == mean.value
+    assert mean.value_at(102.5, trusted_for=1.0) == pytest.approx(mean.value / math.e)
 
 
 def test_admitted_share_when_overloaded_then_falls_to_the_least_and_recovers():
@@ -59,44 +59,44 @@
 def test_call_health_when_calls_fail_then_pauses_grow_and_a_burst_counts_once():
     health = CallHealth(timeout=0.1, congestion=0.0, gain=0.5, max_pause=1.0)
     health.observe(0.0, False, 0.1)
-    assert (health.failures, health.retry_at) == (1, 0.2) and health.congestion == 0.5
+    assert (health.consecutive_failures, health.retry_at) == (1, 0.2) and health.congestion == 0.5
     health.observe(0.1, False, 0.1)
-    assert health.failures == 1
+    assert health.consecutive_failures == 1
     health.observe(0.3, False, 0.1)
-    assert (health.failures, health.retry_at) == (2, pytest.approx(0.7))
+    assert (health.consecutive_failures, health.retry_at) == (2, pytest.approx(0.7))
     for n in range(10):
         health.observe(10.0 * n + 10.0, False, 0.1)
     assert health.retry_at == 101.0
     health.observe(200.0, True, 0.05)
-    assert health.failures == 0 and health.congestion == pytest.approx((1 + 0.5) / 2, rel=0.01)
+    assert health.consecutive_failures == 0 and health.congestion == pytest.approx((1 + 0.5) / 2, rel=0.01)
 
 
 def test_load_estimate_when_its_report_ages_then_takes_the_mean_for_it():
     estimate = LoadEstimate({("r", 0): 1.0})
     assert estimate.load(1.0, mean=4.0) == 1.0 + 4.0 and estimate.report_weight == 0.0
-    estimate.note_report(1.0, held=9.0, own_attempts=1)
+    estimate.record_report(1.0, held=9.0, own_attempts=1)
     assert estimate.load(1.0, mean=4.0) == 1.0 + 8.0
     assert (
-        estimate.load(1.0 + REPORT_HALF_LIFE, mean=4.0) == 1.0 + 4.0 + 2.0 and estimate.report_weight == 0.5
+        estimate.load(1.0 + REPORT_HALF_LIFE_S, mean=4.0) == 1.0 + 4.0 + 2.0 and estimate.report_weight == 0.5
     )
-    estimate.note_report(2.0, held=1.0, own_attempts=3)
+    estimate.record_report(2.0, held=1.0, own_attempts=3)
     assert estimate.reported_load == 0.0
 
 
 def test_loop_lag_when_a_window_ends_then_is_the_greater_mean():
     lag = LoopLag(0.05)
-    assert lag.add_lateness(0.0, 0.2) and lag.seconds == 0.2
-    lag.add_wait(0.3)
-    lag.add_wait(0.1)
-    assert not lag.add_lateness(0.1, 0.0)  # a window is as long as the last lag
-    assert lag.add_lateness(0.21, 0.1) and lag.seconds == pytest.approx(0.2)
-    assert lag.add_lateness(0.42, 0.0) and lag.seconds == 0.0
+    assert lag.record_lateness(0.0, 0.2) and lag.seconds == 0.2
+    lag.record_wait(0.3)
+    lag.record_wait(0.1)
+    assert not lag.record_lateness(0.1, 0.0)  # a window is as long as the last lag
+    assert lag.record_lateness(0.21, 0.1) and lag.seconds == pytest.approx(0.2)
+    assert lag.record_lateness(0.42, 0.0) and lag.seconds == 0.0
 
 
 def test_poisson_when_a_count_is_given_then_is_the_probability_of_it_or_more():
-    assert probability_at_least(0, 2.0) == 1.0
-    assert probability_at_least(1, 2.0) == pytest.approx(1 - math.exp(-2.0))
-    assert probability_at_least(2, 2.0) == pytest.approx(1 - 3 * math.exp(-2.0))
+    assert poisson_tail_probability(0, 2.0) == 1.0
+    assert poisson_tail_probability(1, 2.0) == pytest.approx(1 - math.exp(-2.0))
+    assert poisson_tail_probability(2, 2.0) == pytest.approx(1 - 3 * math.exp(-2.0))
 
 
 def test_slow_start_when_an_endpoint_ages_then_grows_to_all():
--- a/tests/routing/test_priority_queue.py
+++ b/tests/routing/test_priority_queue.py
@@ -1,6 +1,6 @@
 """The priority queue by route, with lazy deletion. Its order: tests/policy/test_pending_queue.py."""
 
-from apigateway.routing.priority_queue import DISCARDED_SLACK, PriorityQueue
+from apigateway.routing.priority_queue import MAX_EXTRA_DONE_ENTRIES, PriorityQueue
 
 
 class Item:
@@ -36,7 +36,7 @@
 def test_the_head_passes_over_what_is_done():
     queue, items = filled(("a", True, 1.0), ("a", True, 2.0))
     items[1].done = True
-    queue.discard()
+    queue.on_item_done()
     assert queue.head("a") and queue.first("a") is items[0]
     assert queue.waiting_count == queue.entry_count == 1
 
@@ -44,7 +44,7 @@
 def test_a_route_whose_items_are_all_done_is_gone():
     queue, items = filled(("a", True, 1.0))
     items[0].done = True
-    queue.discard()
+    queue.on_item_done()
     assert queue.head("a") is None and not queue.queues_by_route
 
 
@@ -52,8 +52,8 @@
     queue, items = filled(*[("a", True, float(number)) for number in range(100)])
     for item in items[:99]:
         item.done = True
-        queue.discard()
-        assert queue.entry_count <= 2 * queue.waiting_count + DISCARDED_SLACK
+        queue.on_item_done()
+        assert queue.entry_count <= 2 * queue.waiting_count + MAX_EXTRA_DONE_ENTRIES
     assert queue.lowest_priority() is items[99]
 
 
@@ -61,7 +61,7 @@
     queue, items = filled(("a", True, 2.0), ("b", True, 1.0), ("b", True, 1.0), ("c", False, 5.0))
     assert queue.lowest_priority() is items[3] is queue.lowest_priority()
     items[3].done = True
-    queue.discard()
+    queue.on_item_done()
     assert queue.lowest_priority() is items[1]
     assert PriorityQueue().lowest_priority() is None
 
--- a/tests/routing/test_subset.py
+++ b/tests/routing/test_subset.py
@@ -106,7 +106,7 @@
     w = crowd()
     near = {s.host.id for s in w.gw.pool.subset}
     cells = Counter(s.host.cell for s in w.gw.pool.subset)
-    w.gw.pool.health.outliers.pool["host"] = 0.02
+    w.gw.pool.health.outliers.failing_shares["host"] = 0.02
     seen = 0
     for _ in range(60):
         send = of(w.ask(plan="p", cls="cellwrite")[1], messages.ForwardRequest)[0]
@@ -149,7 +149,7 @@
     w = World(settings(plans=[BIG], gateway_count=gateways, limits=limits), listed)
     send = of(w.ask(plan="p", cls="note")[1], messages.ForwardRequest)[0]
     w.wait(1.1)  # its aim is a second
-    doubt = w.gw.pool.health.outliers.at(send.endpoint_id, "host", w.now)
+    doubt = w.gw.pool.health.outliers.failure_probability(send.endpoint_id, "host", w.now)
     assert (doubt > 0.6) == sure and doubt > 0.15
 
 
--- a/tests/routing/test_timer_heap.py
+++ b/tests/routing/test_timer_heap.py
@@ -1,6 +1,6 @@
 import math
 
-from apigateway.routing.timer_heap import TOLERANCE, Alarm, TimerHeap
+from apigateway.routing.timer_heap import TIMER_TOLERANCE_S, PendingTimer, TimerHeap
 
 
 def test_keys_when_due_then_come_in_their_order():
@@ -14,7 +14,7 @@
         "b",
         None,
     ]
-    assert heap.pop_due(3.0 - TOLERANCE / 2) == "c"  # a clock that is a little early
+    assert heap.pop_due(3.0 - TIMER_TOLERANCE_S / 2) == "c"  # a clock that is a little early
 
 
 def test_next_due_when_keys_are_not_live_then_passes_over_them():
@@ -26,10 +26,10 @@
 
 
 def test_alarm_when_something_is_due_sooner_then_needs_a_timer():
-    alarm = Alarm()
-    assert not alarm.set(math.inf)
-    assert alarm.set(5.0) and not alarm.set(5.0) and not alarm.set(6.0) and alarm.set(4.0)
+    alarm = PendingTimer()
+    assert not alarm.schedule(math.inf)
+    assert alarm.schedule(5.0) and not alarm.schedule(5.0) and not alarm.schedule(6.0) and alarm.schedule(4.0)
     alarm.expire(3.0)  # an older timer
-    assert not alarm.set(4.0)
+    assert not alarm.schedule(4.0)
     alarm.expire(4.0)
-    assert alarm.set(6.0)
+    assert alarm.schedule(6.0)
--- a/tests/routing/test_token_bucket.py
+++ b/tests/routing/test_token_bucket.py
@@ -39,7 +39,7 @@
     share = bucket(tokens=2.0)
     assert share.wait_time(100.0, 2.0, False) == 0.0
     assert share.wait_time(100.0, 4.0, False) == pytest.approx(2.0 / 5.0)
-    share.promised = 5.0
+    share.waiting_units = 5.0
     assert share.wait_time(100.0, 4.0, False) == pytest.approx(7.0 / 5.0)
 
 
@@ -65,14 +65,14 @@
 def test_cancelled_units_come_back_to_what_may_be_granted_only():
     share = bucket(tokens=10.0)
     share.reserve(4.0)
-    share.cancel_reserved(4.0)
+    share.cancel_reservation(4.0)
     assert (share.tokens, share.reserved) == (10.0, 0.0)
 
 
 def test_smaller_parts_hold_less():
     share = bucket(tokens=18.0)
     share.reserve(4.0)
-    share.set_parts(4)
+    share.set_share_count(4)
     assert (share.capacity, share.tokens, share.reserved) == (10.0, 10.0, 0.0)
 
 
@@ -98,7 +98,7 @@
         assert share.tokens + share.reserved == pytest.approx(used)
 
 
-def test_charge_and_give_back_when_reserved_then_move_between_the_two_buckets():
+def test_charge_and_refund_when_reserved_then_move_between_the_two_buckets():
     share = bucket(tokens=10.0)
     share.charge(2.0, False, False)
     assert (share.tokens, share.reserved) == (8.0, 0.0)
@@ -106,7 +106,7 @@
     assert (share.tokens, share.reserved) == (5.0, 3.0)
     share.charge(1.0, True, False)
     assert (share.tokens, share.reserved) == (5.0, 2.0)
-    share.give_back(2.0, True)
+    share.refund(2.0, True)
     assert (share.tokens, share.reserved) == (7.0, 0.0)
-    share.give_back(1.0, False)
+    share.refund(1.0, False)
     assert (share.tokens, share.reserved) == (8.0, 0.0)
--- a/tests/routing/test_zone_health.py
+++ b/tests/routing/test_zone_health.py
@@ -12,57 +12,65 @@
 
 def sites(hosts=9):
     known = ZoneHealth()
-    known.listed([zone for zone in "abc" for _ in range(hosts)])
+    known.set_listed_zones([zone for zone in "abc" for _ in range(hosts)])
     return known
 
 
 def test_failures_at_several_hosts_say_more_than_as_many_at_one():
     one, several = sites(), sites()
     for n in range(4):
-        one.silent("a", "h0", 10.0)
-        several.silent("a", f"h{n}", 10.0)
-    assert one.part("a", 10.0) > 0.5 and several.part("a", 10.0) == pytest.approx(LEAST_PART)
-    assert several.part("b", 10.0) == 1.0 and several.part("unknown", 10.0) == 1.0
+        one.record_no_answer("a", "h0", 10.0)
+        several.record_no_answer("a", f"h{n}", 10.0)
+    assert one.traffic_share("a", 10.0) > 0.5 and several.traffic_share("a", 10.0) == pytest.approx(
+        LEAST_PART
+    )
+    assert several.traffic_share("b", 10.0) == 1.0 and several.traffic_share("unknown", 10.0) == 1.0
 
 
 def test_an_answer_from_any_host_clears_its_site_and_no_other():
     known = sites()
     for zone in "ab":
         for n in range(3):
-            known.silent(zone, f"{zone}{n}", 10.0)
-    known.answered("a")
-    assert known.part("a", 10.0) == 1.0 and known.part("b", 10.0) < 0.1 and known.doubted == 1
-    part = round(known.part("b", 12.5), 3)
+            known.record_no_answer(zone, f"{zone}{n}", 10.0)
+    known.record_answer("a")
+    assert (
+        known.traffic_share("a", 10.0) == 1.0
+        and known.traffic_share("b", 10.0) < 0.1
+        and known.suspect_count == 1
+    )
+    part = round(known.traffic_share("b", 12.5), 3)
     assert known.status(12.5) == {"b": {"silent": 3, "hosts": 9, "for": 2.5, "part": part}}
-    known.answered("b")
-    known.answered("b")
-    assert known.doubted == 0
+    known.record_answer("b")
+    known.record_answer("b")
+    assert known.suspect_count == 0
 
 
 def test_what_is_known_fades_and_a_later_failure_begins_anew():
     known = sites()
     for n in range(4):
-        known.silent("a", f"h{n}", 10.0)
-    assert LEAST_PART < known.part("a", 10.0 + FADE) < known.part("a", 10.0 + 3 * FADE) < 1.0
-    known.silent("a", "h7", 10.0 + 5 * FADE)
-    assert known.part("a", 10.0 + 5 * FADE) > 0.5
+        known.record_no_answer("a", f"h{n}", 10.0)
+    assert (
+        LEAST_PART < known.traffic_share("a", 10.0 + FADE) < known.traffic_share("a", 10.0 + 3 * FADE) < 1.0
+    )
+    known.record_no_answer("a", "h7", 10.0 + 5 * FADE)
+    assert known.traffic_share("a", 10.0 + 5 * FADE) > 0.5
 
 
 def test_a_site_that_has_no_hosts_any_more_is_forgotten():
     known = sites()
-    known.silent("a", "h0", 10.0)
-    known.silent("b", "h1", 10.0)
-    known.listed(["b"] * 9 + ["c"] * 9)
-    assert known.doubted == 1 and list(known.status(11.0)) == ["b"]
-    known.answered("b")
-    assert known.doubted == 0 and not known.status(11.0)
+    known.record_no_answer("a", "h0", 10.0)
+    known.record_no_answer("b", "h1", 10.0)
+    known.set_listed_zones(["b"] * 9 + ["c"] * 9)
+    assert known.suspect_count == 1 and list(known.status(11.0)) == ["b"]
+    known.record_answer("b")
+    assert known.suspect_count == 0 and not known.status(11.0)
 
 
 def test_a_site_of_few_hosts_is_left_to_what_is_known_of_each():
     known = sites(LEAST_HOSTS - 1)
     for n in range(5):
-        known.silent("a", f"h{n}", 10.0)
-    assert known.part("a", 10.0) == 1.0 and not known.doubted
+        known.record_no_answer("a", f"h{n}", 10.0)
+    assert known.traffic_share("a", 10.0) == 1.0 and not known.suspect_count
 
 
 def test_a_gateway_leaves_a_lost_site_after_three_of_its_hosts_and_finds_it_again():
@@ -92,7 +100,7 @@
             bad = int(sends[0].endpoint_id[1:]) % 8 == 0  # one in eight, in all sites
             acts = w.end(sends[0], "connect_failed" if bad else "ok", attempt=attempt, final=not bad)
             attempt += 1
-        low = min(low, *(w.gw.pool.health.zone_health.part(zone, w.now) for zone in "abc"))
+        low = min(low, *(w.gw.pool.health.zone_health.traffic_share(zone, w.now) for zone in "abc"))
         w.now += 0.3
     assert low >= 0.2
 
