--- a/tests/policy/test_quota_leasing.py
+++ b/tests/policy/test_quota_leasing.py
@@ -221,7 +221,7 @@
         for s in actions_of(w.send_request()[1], messages.ForwardRequest):
             w.end_attempt(s)
         w.advance(0.04)
-    assert w.gateway.counter.failures == 0
+    assert w.gateway.counter.consecutive_failures == 0
     assert [a for t, a in w.action_log if isinstance(a, messages.AddToCounter) and t > start]
 
 
--- a/tests/routing/test_subset.py
+++ b/tests/routing/test_subset.py
@@ -106,7 +106,7 @@
     w = crowd()
     near = {s.host.id for s in w.gateway.pool.subset}
     cells = Counter(s.host.cell for s in w.gateway.pool.subset)
-    w.gateway.pool.health.outliers.pool["host"] = 0.02
+    w.gateway.pool.health.outliers.failing_shares["host"] = 0.02
     seen = 0
     for _ in range(60):
         send = actions_of(w.send_request(plan="p", service_class="cellwrite")[1], messages.ForwardRequest)[0]
@@ -151,7 +151,7 @@
     w = GatewayHarness(make_settings(plans=[BIG], gateway_count=gateways, limits=limits), listed)
     send = actions_of(w.send_request(plan="p", service_class="note")[1], messages.ForwardRequest)[0]
     w.advance(1.1)  # its aim is a second
-    doubt = w.gateway.pool.health.outliers.at(send.endpoint_id, "host", w.now)
+    doubt = w.gateway.pool.health.outliers.failure_probability(send.endpoint_id, "host", w.now)
     assert (doubt > 0.6) == sure and doubt > 0.15
 
 
