--- a/apigateway/adapter.py
+++ b/apigateway/adapter.py
@@ -13,7 +13,13 @@
 from typing import Any, TextIO
 
 from apigateway import messages
-from apigateway.platform_settings import NS, flag, read_report, read_settings, seconds
+from apigateway.platform_settings import (
+    NANOSECONDS_PER_SECOND,
+    nanoseconds_to_seconds,
+    read_flag,
+    read_load_report,
+    read_settings,
+)
 from apigateway.policy import Gateway
 
 LIST_MODES = {mode.value: mode for mode in messages.ListMode}
@@ -82,7 +88,7 @@
 
 def _read_load_report(fields: Fields) -> dict[str, float]:
     pairs = fields.get("server_stats", "").split(",")
-    return read_report(pair.split(":", 1) for pair in pairs if ":" in pair)
+    return read_load_report(pair.split(":", 1) for pair in pairs if ":" in pair)
 
 
 def _read_host(fields: Fields) -> messages.Endpoint:
@@ -93,7 +99,7 @@
         weight=float(fields.get("heft", 1)),
         kind=fields.get("flavor", ""),
         state=STATUSES[fields["availability"]],
-        started_at=seconds(fields.get("ready_at", "0")),
+        started_at=nanoseconds_to_seconds(fields.get("ready_at", "0")),
     )
 
 
@@ -101,7 +107,7 @@
     marks = int(fields.get("marks", 0))
     return messages.Request(
         request_id=fields["txn"],
-        remaining=seconds(fields["patience_left"]),
+        remaining=nanoseconds_to_seconds(fields["patience_left"]),
         customer=fields["customer"],
         plan=fields["tier"],
         service_class=fields["type"],
@@ -119,8 +125,8 @@
         attempt=int(fields["attempt"]),
         endpoint_id=fields["host"],
         result=RESULTS[fields["reason"]],
-        elapsed=seconds(fields.get("time_taken", "0")),
-        is_final=flag(fields, "terminal"),
+        elapsed=nanoseconds_to_seconds(fields.get("time_taken", "0")),
+        is_final=read_flag(fields, "terminal"),
         metered_use=int(float(fields.get("fleet_use", 0))),
         actual_units=float(fields.get("actual", 0)),
         load_report=_read_load_report(fields),
@@ -138,7 +144,7 @@
         counter_key=int(fields["entry_name"]),
         result=_read_counter_call_result(fields["reason"]),
         total=float(fields.get("now_at", 0)),
-        elapsed=seconds(fields.get("time_taken", "0")),
+        elapsed=nanoseconds_to_seconds(fields.get("time_taken", "0")),
     )
 
 
@@ -152,7 +158,7 @@
     return messages.HealthCheckResult(
         endpoint_id=fields["host"],
         result=RESULTS[fields["reason"]],
-        elapsed=seconds(fields.get("time_taken", "0")),
+        elapsed=nanoseconds_to_seconds(fields.get("time_taken", "0")),
         load_report=_read_load_report(fields),
     )
 
@@ -166,7 +172,7 @@
         request_id=fields["txn"],
         attempt=int(fields["attempt"]),
         endpoint_id=fields["host"],
-        elapsed=seconds(fields.get("time_taken", "0")),
+        elapsed=nanoseconds_to_seconds(fields.get("time_taken", "0")),
     )
 
 
@@ -194,7 +200,7 @@
 
 
 def _nanoseconds(duration: float) -> int:
-    return math.ceil(duration * NS)
+    return math.ceil(duration * NANOSECONDS_PER_SECOND)
 
 
 def _write_forward(instance: int, action: messages.ForwardRequest) -> str:
@@ -268,7 +274,7 @@
         if word != "ROUND":
             raise WireError(f"expected ROUND, found {word!r}")
         try:
-            now = seconds(_fields(parts)["at_time"])
+            now = nanoseconds_to_seconds(_fields(parts)["at_time"])
         except (KeyError, ValueError) as error:
             raise WireError(f"bad clock: {error}") from error
         while (event_line := self._next()) != "GO":
--- a/apigateway/cli/check.py
+++ b/apigateway/cli/check.py
@@ -20,7 +20,7 @@
         _check_named_files(path, settings, config)
     except (InvalidConfigFileError, ConfigError) as error:
         print(error, file=sys.stderr)
-        return ExitCode.UNUSABLE
+        return ExitCode.INVALID_INPUT
     print(f"{path}: good; {_summarize(settings, config)}")
     return ExitCode.OK
 
@@ -54,5 +54,5 @@
 
 def _summarize_hosts(config: Config) -> str:
     if config.endpoint_file:
-        return f"{len(config.known_endpoints.hosts.endpoints)} hosts"
+        return f"{len(config.known_endpoints.endpoint_list.endpoints)} hosts"
     return "hosts by discovery" if config.discovery else "hosts by a registry"
--- a/apigateway/cli/experiment.py
+++ b/apigateway/cli/experiment.py
@@ -67,7 +67,7 @@
         older_figures = read_figures(options.compare_path) if options.compare_path else None
     except (InvalidConfigFileError, ValueError) as error:
         print(error, file=sys.stderr)
-        return ExitCode.UNUSABLE
+        return ExitCode.INVALID_INPUT
     results = _play(experiment, options.process_count)
     rows = summarize(experiment, results.by_run)
     _write_files(options, experiment, rows)
--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -12,7 +12,7 @@
 from apigateway.daemon.gateway_status import ListedEndpoint
 from apigateway.daemon.settings import Settings
 from apigateway.daemon.settings_runtime import build_registry
-from apigateway.membership.listing import Listing
+from apigateway.membership.listing import EndpointListing
 
 _HOST_COLUMNS = ("id", "address", "zone", "cell", "kind", "state", "doubt")
 _SELECTION_COLUMNS = ("subset", "out", "load", "report", "sound")  # only of a gateway that runs
@@ -37,14 +37,14 @@
     registry = build_registry(settings)
     if registry is None:
         raise OSError("the file names no registry: hosts.source is not eureka")
-    from apigateway.membership.eureka.source import EurekaSource, resolve
+    from apigateway.membership.eureka.source import EurekaSource, resolve_host_name
 
     source = EurekaSource(
         registry,
-        known=Listing(messages.EndpointList(messages.ListMode.CACHED, 0, ()), {}),
+        known=EndpointListing(messages.EndpointList(messages.ListMode.CACHED, 0, ()), {}),
         on_change=lambda _: None,
         on_failure=lambda: None,
-        resolve=resolve if registry.mapping.address == "name" else None,
+        resolve=resolve_host_name if registry.mapping.address_source == "name" else None,
     )
     try:
         for _ in registry.urls:  # each failure goes over to the next
--- a/apigateway/cli/load.py
+++ b/apigateway/cli/load.py
@@ -36,4 +36,4 @@
 def _print_unusable(path: str, error: Exception) -> int:
     names_its_file = isinstance(error, InvalidConfigFileError)
     print(error if names_its_file else f"api-gateway: {path}: {error}", file=sys.stderr)
-    return ExitCode.UNUSABLE
+    return ExitCode.INVALID_INPUT
--- a/apigateway/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -25,7 +25,7 @@
         return _run_action(arguments)
     except (InvalidConfigFileError, UnusableArgumentError) as error:
         print(error, file=sys.stderr)
-        return ExitCode.UNUSABLE
+        return ExitCode.INVALID_INPUT
     except (HandoverError, OSError) as error:
         print(f"api-gateway: {error}", file=sys.stderr)
         return ExitCode.FAILED
--- a/apigateway/cli/ratelimit_ask.py
+++ b/apigateway/cli/ratelimit_ask.py
@@ -69,7 +69,7 @@
         ssl_context = _create_ssl_context(options)
     except (ValueError, OSError) as error:
         print(f"api-gateway: {error}", file=sys.stderr)
-        return ExitCode.UNUSABLE
+        return ExitCode.INVALID_INPUT
     from envoy.service.ratelimit.v3 import rls_pb2
 
     question = _encode_question(options, descriptors)
--- a/apigateway/cli/running_gateway.py
+++ b/apigateway/cli/running_gateway.py
@@ -56,7 +56,7 @@
         answers = asyncio.run(read_and_query())
     except InvalidConfigFileError as error:
         print(error, file=sys.stderr)
-        return ExitCode.UNUSABLE
+        return ExitCode.INVALID_INPUT
     except (HandoverError, OSError) as error:
         print(f"api-gateway: {error}", file=sys.stderr)
         return ExitCode.FAILED
--- a/apigateway/config_validation.py
+++ b/apigateway/config_validation.py
@@ -20,7 +20,7 @@
 
 MAX_FILE_BYTES = 1024 * 1024  # a wrong path must not fill the memory
 MAX_VALUE_CHARACTERS = 60  # of a value in a message
-MIN_SIMILARITY = 0.6  # of a known key to an unknown one, to be suggested (difflib's ratio)
+MIN_KEY_SIMILARITY = 0.6  # of a known key to an unknown one, to be suggested (difflib's ratio)
 
 # Values under these keys are never shown, since messages go to the log.
 SECRET_KEYS = frozenset({"password"})
@@ -159,7 +159,7 @@
             text = format_value(value)
         self.problems.append(ConfigProblem(self.file, format_path(path), text, reason, remedy))
 
-    def add_contradiction(self, path: KeyPath, value: object, reason: str, remedy: str) -> None:
+    def add_semantic_problem(self, path: KeyPath, value: object, reason: str, remedy: str) -> None:
         """Add a problem between several keys, each of which is well-formed.
 
         It is left out where the key or a neighbour in its table is malformed, which may be the cause.
@@ -252,7 +252,7 @@
 
 
 def _suggest_key(name: object, known: Iterable[str]) -> str:
-    similar = difflib.get_close_matches(str(name), known, 1, MIN_SIMILARITY)
+    similar = difflib.get_close_matches(str(name), known, 1, MIN_KEY_SIMILARITY)
     return f"did you mean `{similar[0]}`?" if similar else f"known here: {', '.join(known)}"
 
 
--- a/apigateway/daemon/config.py
+++ b/apigateway/daemon/config.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from apigateway import messages
-from apigateway.membership.listing import Listing, read_list
-from apigateway.platform_settings import read_settings, seconds
+from apigateway.membership.listing import EndpointListing, listing_from_json
+from apigateway.platform_settings import nanoseconds_to_seconds, read_settings
 from apigateway.upstream.address import Address, read_address
 
 if TYPE_CHECKING:
@@ -74,7 +74,7 @@
     seed: int
     memory_bytes: int
     max_descriptors: int
-    known_endpoints: Listing
+    known_endpoints: EndpointListing
     settings: messages.Settings
     connect_timeout: float
     idle_timeout: float
@@ -128,10 +128,10 @@
         seed=int(tree["seed"], 16),
         memory_bytes=int(tree["limits"]["memory_mb"]) * MIB,
         max_descriptors=int(tree["limits"]["sockets"]),
-        known_endpoints=read_list(tree["known"], messages.ListMode.CACHED),
+        known_endpoints=listing_from_json(tree["known"], messages.ListMode.CACHED),
         settings=settings,
-        connect_timeout=seconds(limits["connect_timeout"]),
-        idle_timeout=seconds(limits["idle_close"]),
+        connect_timeout=nanoseconds_to_seconds(limits["connect_timeout"]),
+        idle_timeout=nanoseconds_to_seconds(limits["idle_close"]),
         max_in_flight=int(limits["max_open"]),
         shutdown_timeout=_shutdown_timeout(settings),
     )
--- a/apigateway/daemon/endpoint_source.py
+++ b/apigateway/daemon/endpoint_source.py
@@ -44,7 +44,7 @@
         if config.discovery is None:
             assert config.registry is not None
             return self._create_eureka_source(config, config.registry, reconciler)
-        version = config.known_endpoints.hosts.version if previous is None else previous.version
+        version = config.known_endpoints.endpoint_list.version if previous is None else previous.version
         schedule = _watch_schedule(config)
         if config.reconciler is not None:
             driver = self._create_reconciler_driver(config.reconciler, reconciler)
@@ -58,13 +58,16 @@
             self._core.on_endpoint_list_failed,
             schedule,
             # After a reload it is another service, with versions of its own.
-            is_list_known=previous is None and bool(config.known_endpoints.hosts.endpoints),
+            is_list_known=previous is None and bool(config.known_endpoints.endpoint_list.endpoints),
         )
 
     def _create_eureka_source(
         self, config: Config, registry: RegistrySettings, reconciler: EndpointReconciler | None
     ) -> EurekaSource:
-        from apigateway.membership.eureka.source import EurekaSource, resolve  # not loaded on the platform
+        from apigateway.membership.eureka.source import (  # not loaded on the platform
+            EurekaSource,
+            resolve_host_name,
+        )
 
         own_addresses = set(config.listeners)
         if config.registration is not None:
@@ -75,7 +78,7 @@
             self._endpoint_list.apply,
             self._core.on_endpoint_list_failed,
             own_addresses,
-            resolve if registry.mapping.address == "name" else None,
+            resolve_host_name if registry.mapping.address_source == "name" else None,
             self._core.clock,
             reconciler=reconciler,
         )
--- a/apigateway/daemon/gateway_process.py
+++ b/apigateway/daemon/gateway_process.py
@@ -38,7 +38,7 @@
 from apigateway.daemon.status_answers import status_queries
 from apigateway.daemon.takeover import create_successor, handover_path, inherit_resources
 from apigateway.daemon.workers import WorkerAssignment, read_worker_assignment
-from apigateway.membership.listing import read_list, write_list
+from apigateway.membership.listing import listing_from_json, listing_to_json
 from apigateway.upstream.address import Address, write_address
 
 if TYPE_CHECKING:
@@ -236,7 +236,7 @@
             HandoverError: The predecessor has disconnected, and accepts again: there must not be two.
         """
         known = await successor.announce_ready()
-        server.begin(read_list(known, messages.ListMode.CACHED))
+        server.begin(listing_from_json(known, messages.ListMode.CACHED))
         await server.listen(self._sockets)
         try:
             await successor.announce_serving()
@@ -278,7 +278,7 @@
         names = [write_address(address) for address in self._sockets]
         descriptors = [sock.fileno() for sock in self._sockets.values()]
         descriptors.append(self._lock.descriptor)
-        return HandoverOffer(names, descriptors, write_list(self._gateway.server.endpoint_list.listing))
+        return HandoverOffer(names, descriptors, listing_to_json(self._gateway.server.endpoint_list.listing))
 
     async def _resume(self) -> None:
         """Accept again, after a hand-over that failed; not if it was told to stop meanwhile."""
--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -23,7 +23,7 @@
 from apigateway.daemon.endpoint_source import EndpointSourceFactory, reconciler_driver_of
 from apigateway.daemon.graceful_shutdown import complete_requests, retire_frontend
 from apigateway.frontends.resp.frontend import RespFrontend
-from apigateway.membership.listing import Listing
+from apigateway.membership.listing import EndpointListing
 from apigateway.policy import Gateway
 from apigateway.upstream.address import Address
 from apigateway.upstream.upstream_connections import UpstreamConnections
@@ -297,14 +297,14 @@
         self.core.dispatch(messages.DrainGateway(False))
         await self.listen(sockets)
 
-    def begin(self, predecessor_listing: Listing) -> None:
+    def begin(self, predecessor_listing: EndpointListing) -> None:
         """Start the decision module anew, with the endpoints that this process knows.
 
         An endpoint drains if either process was told that it does: the gateway was told. The source is asked
         again, so that a drain which is over ends.
         """
         self.core.module = self._create_decision_module()
-        self.core.dispatch(replace(self.endpoint_list.listing.hosts, mode=messages.ListMode.CACHED))
+        self.core.dispatch(replace(self.endpoint_list.listing.endpoint_list, mode=messages.ListMode.CACHED))
         draining = self.endpoint_list.available_but_draining_in(predecessor_listing)
         if not draining:
             return
@@ -312,9 +312,9 @@
         if driver is not None:  # through the reconciler, or what it reports later would not be a change
             driver.mark_draining(endpoint.id for endpoint in draining)
         else:
-            version = self.endpoint_list.listing.hosts.version
+            version = self.endpoint_list.listing.endpoint_list.version
             self.endpoint_list.apply(
-                Listing(messages.EndpointList(messages.ListMode.DELTA, version, draining), {})
+                EndpointListing(messages.EndpointList(messages.ListMode.DELTA, version, draining), {})
             )
         self.endpoint_source.fetch()
 
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -33,10 +33,10 @@
     except (InvalidConfigFileError, ConfigError) as err:
         for line in str(err).splitlines():
             _print_error(line)
-        return ExitCode.UNUSABLE
+        return ExitCode.INVALID_INPUT
     except HandoverInProgressError as err:
         _print_error(f"{err}; try again")
-        return ExitCode.TRY_AGAIN
+        return ExitCode.TEMPORARY_FAILURE
     except (OSError, StateFolderLockedError, HandoverError, ValueError) as err:
         _print_error(str(err))
         return ExitCode.FAILED
--- a/apigateway/daemon/settings_runtime.py
+++ b/apigateway/daemon/settings_runtime.py
@@ -22,7 +22,7 @@
 from apigateway.frontends.grpc.mapping import DescriptorMapping, MappingRule
 from apigateway.frontends.grpc.settings import RateLimitSection, RuleSection
 from apigateway.membership.file import read_endpoint_file
-from apigateway.membership.listing import Listing
+from apigateway.membership.listing import EndpointListing
 from apigateway.membership.reconciler import ReconcilerSettings
 from apigateway.upstream.address import read_address
 
@@ -48,7 +48,7 @@
     """
     listeners = [read_address(listener.address) for listener in settings.listeners]
     endpoint_file = None
-    known_endpoints = Listing(messages.EndpointList(messages.ListMode.CACHED, 0, ()), {})
+    known_endpoints = EndpointListing(messages.EndpointList(messages.ListMode.CACHED, 0, ()), {})
     if settings.hosts.source == "file":
         endpoint_file = os.path.join(os.path.dirname(os.path.abspath(path)), settings.hosts.file)
         known_endpoints = read_endpoint_file(endpoint_file, messages.ListMode.CACHED)
--- a/apigateway/daemon/settings_validation_address.py
+++ b/apigateway/daemon/settings_validation_address.py
@@ -11,7 +11,7 @@
     try:
         return read_address(text)
     except ValueError:
-        reader.add_contradiction(
+        reader.add_semantic_problem(
             path, text, "is no address", "write it as HOST:PORT, an IPv6 host in brackets"
         )
         return None
--- a/apigateway/daemon/settings_validation_grpc.py
+++ b/apigateway/daemon/settings_validation_grpc.py
@@ -21,7 +21,7 @@
     section = settings.ratelimit
     grpc_listeners = [n for n, listener in enumerate(settings.listeners) if listener.protocol == "grpc"]
     if grpc_listeners and not section.rules:
-        reader.add_contradiction(
+        reader.add_semantic_problem(
             ("listeners", grpc_listeners[0], "protocol"),
             "grpc",
             "no rule says whose a check is",
@@ -38,7 +38,7 @@
     except InvalidRuleError as err:
         number = err.args[1]
         rule = msgspec.to_builtins(section.rules[number])
-        reader.add_contradiction(
+        reader.add_semantic_problem(
             ("ratelimit", "rules", number, err.key),
             rule[err.key],
             str(err.args[0]),
@@ -46,7 +46,7 @@
         )
     for number, rule in enumerate(section.rules):
         if rule.token and not section.token_keys:
-            reader.add_contradiction(
+            reader.add_semantic_problem(
                 ("ratelimit", "rules", number, "token"),
                 True,
                 "there is no key to sign tokens with",
@@ -57,11 +57,11 @@
 def _check_ratelimit_tls(reader: ConfigReader, tls: ServerTlsSection) -> None:
     if bool(tls.cert) != bool(tls.key):
         missing = "key" if tls.cert else "cert"
-        reader.add_contradiction(
+        reader.add_semantic_problem(
             ("ratelimit", "tls", missing), "", "a certificate and its key go together", "name both files"
         )
     elif tls.client_ca and not tls.cert:
-        reader.add_contradiction(
+        reader.add_semantic_problem(
             ("ratelimit", "tls", "client_ca"),
             tls.client_ca,
             "without TLS no client shows a certificate",
@@ -75,13 +75,13 @@
     if section.address:
         check_address(reader, ("ask", "address"), section.address)
         if not (section.plans or section.classes):
-            reader.add_contradiction(
+            reader.add_semantic_problem(
                 ("ask", "plans"), None, "nothing is asked about", "name plans or classes"
             )
     _check_ask_scope(reader, settings)
     _check_ask_entries(reader, section.entries)
     if section.most_rest < section.rest:
-        reader.add_contradiction(
+        reader.add_semantic_problem(
             ("ask", "most_rest"),
             section.most_rest,
             f"is shorter than rest = {section.rest}",
@@ -94,7 +94,7 @@
     for key, known in (("plans", settings.plans), ("classes", settings.classes)):
         for name in getattr(settings.ask, key):
             if name not in known:
-                reader.add_contradiction(
+                reader.add_semantic_problem(
                     ("ask", key),
                     name,
                     f"there is no such one of [{key}]",
@@ -108,7 +108,7 @@
             name for name in PLACEHOLDER.findall(entry.partition("=")[2]) if name not in ASK_ENTRY_FIELDS
         ]
         if unknown:
-            reader.add_contradiction(
+            reader.add_semantic_problem(
                 ("ask", "entries"),
                 entry,
                 f"{{{unknown[0]}}} is nothing of a request",
@@ -118,11 +118,11 @@
 
 def _check_ask_tls(reader: ConfigReader, tls: ClientTlsSection) -> None:
     if not tls.on and (tls.ca or tls.cert or tls.key or tls.name):
-        reader.add_contradiction(
+        reader.add_semantic_problem(
             ("ask", "tls", "on"), False, "the other keys of ask.tls are for nothing", "set on = true"
         )
     elif bool(tls.cert) != bool(tls.key):
         missing = "key" if tls.cert else "cert"
-        reader.add_contradiction(
+        reader.add_semantic_problem(
             ("ask", "tls", missing), "", "a certificate and its key go together", "name both files"
         )
--- a/apigateway/daemon/status_answers.py
+++ b/apigateway/daemon/status_answers.py
@@ -19,7 +19,7 @@
 from apigateway.policy import Gateway
 
 if TYPE_CHECKING:
-    from apigateway.membership.listing import Listing
+    from apigateway.membership.listing import EndpointListing
     from apigateway.membership.reconciler import EndpointReconciler
 
 
@@ -55,9 +55,10 @@
     ]
 
 
-def _received_endpoints(listing: Listing) -> list[ListedEndpoint]:
+def _received_endpoints(listing: EndpointListing) -> list[ListedEndpoint]:
     return [
-        ListedEndpoint(endpoint, listing.addresses.get(endpoint.id)) for endpoint in listing.hosts.endpoints
+        ListedEndpoint(endpoint, listing.addresses.get(endpoint.id))
+        for endpoint in listing.endpoint_list.endpoints
     ]
 
 
--- a/apigateway/daemon/takeover.py
+++ b/apigateway/daemon/takeover.py
@@ -11,7 +11,7 @@
 from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.handover_successor import HandoverSuccessor
 from apigateway.daemon.lock import StateFolderLock
-from apigateway.membership.listing import Listing, read_list
+from apigateway.membership.listing import EndpointListing, listing_from_json
 from apigateway.upstream.address import Address, write_address
 
 HANDOVER_SOCKET = "handover"  # in the state folder
@@ -28,7 +28,7 @@
 
     sockets: dict[Address, socket.socket]
     lock: StateFolderLock
-    known: Listing | None
+    known: EndpointListing | None
 
 
 def handover_path(state_folder: str) -> str:
@@ -63,7 +63,7 @@
     *socket_descriptors, lock_descriptor = offer.descriptors
     sockets = [_open_socket(descriptor) for descriptor in socket_descriptors]
     lock = StateFolderLock(state_folder, lock_descriptor)
-    known = read_list(offer.known, messages.ListMode.CACHED) if offer.known else None
+    known = listing_from_json(offer.known, messages.ListMode.CACHED) if offer.known else None
     return InheritedResources(_match_by_name(offer.listeners, sockets, listeners), lock, known)
 
 
--- a/apigateway/exit_codes.py
+++ b/apigateway/exit_codes.py
@@ -10,6 +10,6 @@
 
     OK = 0
     FAILED = 1  # for a demo: a rule was broken; for a load run: it says nothing of its targets
-    UNUSABLE = 2  # settings or arguments that cannot be used
+    INVALID_INPUT = 2  # settings or arguments that cannot be used
     OVER_LIMIT = 3  # of `ratelimit ask`: the service answered that the request is over its limit
-    TRY_AGAIN = 75  # of `serve`: another successor is taking over; EX_TEMPFAIL of sysexits.h
+    TEMPORARY_FAILURE = 75  # of `serve`: another successor is taking over; EX_TEMPFAIL of sysexits.h
--- a/apigateway/membership/__init__.py
+++ b/apigateway/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Sources of endpoints (discovery, a file, Eureka), and one reconciler that says what of them to accept.
+"""Sources of endpoints (discovery, a file, Eureka) and the reconciler that decides which reports to accept.
 
-Each source ends in the same form, a `Listing`: endpoints for the decision module, and their addresses.
+Each source produces `EndpointListing`s: endpoints for the decision module, and their addresses.
 """
--- a/apigateway/membership/discovery.py
+++ b/apigateway/membership/discovery.py
@@ -15,7 +15,7 @@
 
 import aiohttp
 
-from apigateway.membership.listing import Listing, read_list
+from apigateway.membership.listing import EndpointListing, listing_from_json
 from apigateway.membership.watch_schedule import WatchPacer, WatchSchedule
 from apigateway.messages import ListMode
 from apigateway.upstream.address import Address
@@ -51,7 +51,7 @@
         self,
         address: Address,
         version: int,
-        on_list: Callable[[Listing], None],
+        on_list: Callable[[EndpointListing], None],
         on_failure: Callable[[], None],
         schedule: WatchSchedule,
         is_list_known: bool = False,
@@ -129,13 +129,13 @@
         ) as response:
             response.raise_for_status()
             body = await _read_body(response)
-        listing = read_list(json.loads(body))
-        if listing.hosts.version < self.version:
-            if listing.hosts.mode == ListMode.DELTA:  # it may bring back what is gone
+        listing = listing_from_json(json.loads(body))
+        if listing.endpoint_list.version < self.version:
+            if listing.endpoint_list.mode == ListMode.DELTA:  # it may bring back what is gone
                 raise ValueError("changes to an older list than the last")
             if self.lists_received > received_before:  # so may a list requested earlier that arrives later
                 return
-        self.version = listing.hosts.version
+        self.version = listing.endpoint_list.version
         self.lists_received += 1
         self._on_list(listing)
 
--- a/apigateway/membership/eureka/mapping.py
+++ b/apigateway/membership/eureka/mapping.py
@@ -42,7 +42,7 @@
     kind_key: str = "kind"
     weight_key: str = "weight"
     default_zone: str = "a"
-    address: AddressSource = "ip"
+    address_source: AddressSource = "ip"
     secure: bool = False  # whether the secure port is used
     states: Mapping[str, str] = field(default_factory=lambda: dict(DEFAULT_STATES))
 
@@ -108,7 +108,7 @@
     if not port:
         raise MalformedResponseError(f"no {'secure ' if mapping.secure else ''}port is enabled")
     host = instance.ip
-    if mapping.address == "name":
+    if mapping.address_source == "name":
         host = addresses_by_name.get(instance.host_name, "")
     if not host:
         raise MalformedResponseError("no address")
--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -26,7 +26,7 @@
 )
 from apigateway.membership.eureka.parser import read_json, read_xml
 from apigateway.membership.eureka.registry_cache import RegistryCache
-from apigateway.membership.listing import Listing
+from apigateway.membership.listing import EndpointListing
 from apigateway.membership.reconciler import EndpointReconciler, ReconcilerSettings, ReportedEndpoint
 from apigateway.membership.reconciler_driver import ReconcilerDriver
 from apigateway.messages import EndpointStatus
@@ -43,7 +43,7 @@
 MAX_LOGGED_MALFORMED = 3  # instances of one response that cannot be read, that are named in the log
 
 _PATH_BY_LOOKUP = {"apps": "apps", "app": "apps/{}", "vip": "vips/{}", "svip": "svips/{}"}
-_ACCEPT_BY_FORM = {"json": "application/json", "xml": "application/xml"}
+_ACCEPT_BY_FORMAT = {"json": "application/json", "xml": "application/xml"}
 _DELTA_PATH = "apps/delta"
 
 log = logging.getLogger(__name__)
@@ -54,7 +54,7 @@
 Lookup = Literal["apps", "app", "vip", "svip"]
 """Which instances are requested: all, or those of one application, VIP or secure VIP address."""
 
-ResponseForm = Literal["json", "xml"]
+ResponseFormat = Literal["json", "xml"]
 
 
 class UnusableResponseError(Exception):
@@ -71,13 +71,13 @@
     urls: tuple[str, ...]
     lookup: Lookup = "apps"
     name: str = ""  # of the app or vip; with `apps`, only this app's instances where it is set
-    form: ResponseForm = "json"
+    response_format: ResponseFormat = "json"
     poll_interval: float = 5.0  # s
     timeout: float = 2.0  # s
     max_response_bytes: int = 32 * 1024 * 1024  # unpacked
     user: str = ""
     password: str = field(default="", repr=False)
-    delta: bool = True  # whether deltas are requested
+    use_deltas: bool = True  # whether deltas are requested
     mapping: InstanceMapping = field(default_factory=InstanceMapping)
     reconciler: ReconcilerSettings = field(default_factory=ReconcilerSettings)
 
@@ -100,8 +100,8 @@
     def __init__(
         self,
         registry: RegistrySettings,
-        known: Listing,
-        on_change: Callable[[Listing], None],
+        known: EndpointListing,
+        on_change: Callable[[EndpointListing], None],
         on_failure: Callable[[], None],
         own_addresses: Collection[Address] = (),
         resolve: Resolve | None = None,
@@ -204,7 +204,7 @@
 
     async def _update(self) -> None:
         """Request a delta, or the complete list where that is due. Raises whatever goes wrong."""
-        if self.registry.lookup == "apps" and self.registry.delta and self.cache.is_filled:
+        if self.registry.lookup == "apps" and self.registry.use_deltas and self.cache.is_filled:
             delta = await self._request(_DELTA_PATH)
             if delta is not None and not await self._apply_delta(delta):
                 return
@@ -268,7 +268,7 @@
         return parsed
 
     def _request_headers(self, path: str) -> dict[str, str]:
-        headers = {"Accept": _ACCEPT_BY_FORM[self.registry.form]}
+        headers = {"Accept": _ACCEPT_BY_FORMAT[self.registry.response_format]}
         if path in self.etags:
             headers["If-None-Match"] = self.etags[path]
         if self.registry.user:
@@ -292,7 +292,7 @@
             for instance in response.instances
             if instance.action != DeltaAction.DELETED and self._is_wanted(instance)
         ]
-        if self.registry.mapping.address == "name":
+        if self.registry.mapping.address_source == "name":
             await self._resolve_names(instances)
         endpoints, malformed = await self._read_endpoints(instances)
         self._record_malformed((*response.malformed, *malformed))
@@ -335,7 +335,7 @@
                 )
 
 
-async def resolve(name: str) -> str:
+async def resolve_host_name(name: str) -> str:
     """Resolve a host name by the system's resolver. Raises OSError."""
     results = await asyncio.get_running_loop().getaddrinfo(name, None, type=socket.SOCK_STREAM)
     _, _, _, _, socket_address = results[0]
--- a/apigateway/membership/file.py
+++ b/apigateway/membership/file.py
@@ -16,7 +16,7 @@
 
 from apigateway import messages
 from apigateway.config_validation import ConfigReader, InvalidConfigFileError, read_toml
-from apigateway.membership.listing import Listing
+from apigateway.membership.listing import EndpointListing
 from apigateway.messages import EndpointStatus, ListMode
 from apigateway.upstream.address import Address, read_address
 
@@ -51,7 +51,7 @@
     inode: int
 
 
-def read_endpoint_file(path: str, mode: ListMode = ListMode.FULL, version: int = 1) -> Listing:
+def read_endpoint_file(path: str, mode: ListMode = ListMode.FULL, version: int = 1) -> EndpointListing:
     """Read the file of endpoints.
 
     Raises:
@@ -66,17 +66,21 @@
         try:
             address = read_address(host.address)
         except ValueError:
-            reader.add_contradiction((*at, "address"), host.address, "is no address", "write it as HOST:PORT")
+            reader.add_semantic_problem(
+                (*at, "address"), host.address, "is no address", "write it as HOST:PORT"
+            )
             continue
         if host.id in addresses:
-            reader.add_contradiction((*at, "id"), host.id, "stands twice", "give each host an id of its own")
+            reader.add_semantic_problem(
+                (*at, "id"), host.id, "stands twice", "give each host an id of its own"
+            )
         addresses[host.id] = address
         endpoints.append(_to_endpoint(host))
     if file is not None and not file.hosts:
-        reader.add_contradiction(("hosts",), None, "none", "add one [[hosts]] with id and address")
+        reader.add_semantic_problem(("hosts",), None, "none", "add one [[hosts]] with id and address")
     if reader.problems:
         raise InvalidConfigFileError(reader.problems)
-    return Listing(messages.EndpointList(mode, version, tuple(endpoints)), addresses)
+    return EndpointListing(messages.EndpointList(mode, version, tuple(endpoints)), addresses)
 
 
 class EndpointFileSource:
@@ -88,7 +92,9 @@
         on_failure: called when the file cannot be used.
     """
 
-    def __init__(self, path: str, on_list: Callable[[Listing], None], on_failure: Callable[[], None]) -> None:
+    def __init__(
+        self, path: str, on_list: Callable[[EndpointListing], None], on_failure: Callable[[], None]
+    ) -> None:
         self.version = 0
         self._path = path
         self._on_list = on_list
--- a/apigateway/membership/listing.py
+++ b/apigateway/membership/listing.py
@@ -23,14 +23,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class EndpointListing:
     """An endpoint list as the decision module takes it, and the address of each endpoint."""
 
-    hosts: messages.EndpointList
+    endpoint_list: messages.EndpointList
     addresses: dict[str, Address]
 
 
-def read_list(body: dict[str, Any], mode: ListMode | None = None) -> Listing:
+def listing_from_json(body: dict[str, Any], mode: ListMode | None = None) -> EndpointListing:
     """Read an endpoint list in discovery's form.
 
     An entry that cannot be read is left out; the others, drains among them, count all the same.
@@ -60,16 +60,17 @@
             addresses[endpoint.id] = address
     if entries and not endpoints:
         raise ValueError("not a list of hosts: no entry can be read")
-    return Listing(messages.EndpointList(list_mode, version, tuple(endpoints)), addresses)
+    return EndpointListing(messages.EndpointList(list_mode, version, tuple(endpoints)), addresses)
 
 
-def write_list(listing: Listing) -> dict[str, Any]:
+def listing_to_json(listing: EndpointListing) -> dict[str, Any]:
     """Write a complete list in discovery's form."""
     return {
-        "version": listing.hosts.version,
+        "version": listing.endpoint_list.version,
         "full": True,
         "servers": [
-            _write_entry(endpoint, listing.addresses.get(endpoint.id)) for endpoint in listing.hosts.endpoints
+            _write_entry(endpoint, listing.addresses.get(endpoint.id))
+            for endpoint in listing.endpoint_list.endpoints
         ],
     }
 
--- a/apigateway/membership/reconciler.py
+++ b/apigateway/membership/reconciler.py
@@ -26,7 +26,7 @@
 from enum import StrEnum
 
 from apigateway import messages
-from apigateway.membership.listing import Listing
+from apigateway.membership.listing import EndpointListing
 from apigateway.messages import EndpointStatus, ListMode
 from apigateway.upstream.address import Address
 
@@ -96,7 +96,7 @@
     """Keeps the accepted endpoints up to date with what a source reports.
 
     The cost of a report grows with its size and with the endpoints in doubt; only a complete list visits all
-    endpoints. A change comes out as a delta `Listing`.
+    endpoints. A change comes out as a delta `EndpointListing`.
     """
 
     def __init__(self, settings: ReconcilerSettings | None = None) -> None:
@@ -107,13 +107,13 @@
         self._doubtful: set[str] = set()  # ids in doubt
         self._accepted_before: dict[str, ReportedEndpoint | None] = {}  # of the ids touched by this update
 
-    def restore(self, now: float, listing: Listing) -> None:
+    def restore(self, now: float, listing: EndpointListing) -> None:
         """Accept a list from another source, process or file, until it is reported otherwise."""
-        for endpoint in listing.hosts.endpoints:
+        for endpoint in listing.endpoint_list.endpoints:
             if endpoint.id in listing.addresses and endpoint.state != EndpointStatus.DOWN:
                 reported = ReportedEndpoint(endpoint, listing.addresses[endpoint.id])
                 self.records.setdefault(endpoint.id, EndpointRecord(reported, reported, now))
-        self.version = max(self.version, listing.hosts.version)
+        self.version = max(self.version, listing.endpoint_list.version)
 
     def apply(
         self,
@@ -121,7 +121,7 @@
         reported: Iterable[ReportedEndpoint],
         deleted: Collection[str] = (),
         is_complete: bool = False,
-    ) -> Listing | None:
+    ) -> EndpointListing | None:
         """Apply a report on some endpoints, or with `is_complete` on all there are.
 
         Args:
@@ -146,7 +146,7 @@
         self._settle(now)
         return self._take_changes()
 
-    def advance(self, now: float) -> Listing | None:
+    def advance(self, now: float) -> EndpointListing | None:
         """Return what has changed by time alone, as a delta, or None."""
         self._settle(now)
         return self._take_changes()
@@ -267,7 +267,7 @@
 
     # Changes
 
-    def _take_changes(self) -> Listing | None:
+    def _take_changes(self) -> EndpointListing | None:
         """Return what is accepted now and was not before this update."""
         accepted_before = self._accepted_before
         self._accepted_before = {}
@@ -284,7 +284,9 @@
         if not endpoints:
             return None
         self.version += 1
-        return Listing(messages.EndpointList(ListMode.DELTA, self.version, tuple(endpoints)), addresses)
+        return EndpointListing(
+            messages.EndpointList(ListMode.DELTA, self.version, tuple(endpoints)), addresses
+        )
 
 
 def _latest_by_address(reported: Iterable[ReportedEndpoint]) -> dict[str, ReportedEndpoint]:
--- a/apigateway/membership/reconciler_driver.py
+++ b/apigateway/membership/reconciler_driver.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import replace
 
-from apigateway.membership.listing import Listing
+from apigateway.membership.listing import EndpointListing
 from apigateway.membership.reconciler import EndpointReconciler, ReconcilerSettings, ReportedEndpoint
 from apigateway.messages import EndpointStatus, ListMode
 
@@ -31,8 +31,8 @@
     def __init__(
         self,
         settings: ReconcilerSettings,
-        known: Listing,
-        on_change: Callable[[Listing], None],
+        known: EndpointListing,
+        on_change: Callable[[EndpointListing], None],
         clock: Callable[[], float],
         reconciler: EndpointReconciler | None = None,
     ) -> None:
@@ -53,16 +53,16 @@
         """Apply a report; the arguments are those of `EndpointReconciler.apply`."""
         self._publish(self.reconciler.apply(self._clock(), reported, deleted, is_complete))
 
-    def apply_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: EndpointListing) -> None:
         """Apply a report in the form of the platform's discovery."""
-        endpoints = listing.hosts.endpoints
+        endpoints = listing.endpoint_list.endpoints
         reported = [
             ReportedEndpoint(endpoint, listing.addresses[endpoint.id])
             for endpoint in endpoints
             if endpoint.id in listing.addresses and endpoint.state != EndpointStatus.DOWN
         ]
         deleted = {endpoint.id for endpoint in endpoints if endpoint.state == EndpointStatus.DOWN}
-        self.apply(reported, deleted, listing.hosts.mode != ListMode.DELTA)
+        self.apply(reported, deleted, listing.endpoint_list.mode != ListMode.DELTA)
 
     def mark_draining(self, ids: Iterable[str]) -> None:
         """Drain endpoints of which another process of this gateway was notified, and this one not yet."""
@@ -76,7 +76,7 @@
             self._timer.cancel()
             self._timer = None
 
-    def _publish(self, change: Listing | None) -> None:
+    def _publish(self, change: EndpointListing | None) -> None:
         if change is not None:
             self._on_change(change)
         self.close()
--- a/apigateway/platform_settings.py
+++ b/apigateway/platform_settings.py
@@ -26,7 +26,7 @@
 }
 LATENCY_FIELD = "avg_ms"  # of a load report, the only one in milliseconds
 BOOL = {"true": True, "1": True, "false": False, "0": False}
-NS = 1e9  # nanoseconds a second
+NANOSECONDS_PER_SECOND = 1e9
 MS = 1000  # milliseconds a second
 
 Node = dict[str, Any]  # an object of JSON
@@ -49,11 +49,11 @@
         limits=_read_limits(limits),
         rules=_read_rules(rules),
         prices={name: float(price) for name, price in tree.get("prices", {}).items()},
-        has_counter=flag(specifics, "shared_counter"),
+        has_counter=read_flag(specifics, "shared_counter"),
         counter_price=_number(specifics, "counter_price"),
-        counter_timeout=seconds(specifics.get("counter_timeout", "0")),
-        meter_period=seconds(specifics.get("meter_period", "0")),
-        settles_units=flag(specifics, "settles"),
+        counter_timeout=nanoseconds_to_seconds(specifics.get("counter_timeout", "0")),
+        meter_period=nanoseconds_to_seconds(specifics.get("meter_period", "0")),
+        settles_units=read_flag(specifics, "settles"),
         max_units=float(specifics.get("units_top", 1)),
         discovery_mode=DISCOVERY[tree["registry_mode"]],
         load_report_fields=tuple(REPORT[name] for name in report_names if name in REPORT),
@@ -64,13 +64,13 @@
 def _read_class(node: Node) -> messages.ServiceClass:
     return messages.ServiceClass(
         name=node["name"],
-        latency_objective=seconds(node["slo"]),
-        deadline=seconds(node["deadline"]),
+        latency_objective=nanoseconds_to_seconds(node["slo"]),
+        deadline=nanoseconds_to_seconds(node["deadline"]),
         effect=EFFECT[node["effect"]],
-        deduplication_window=seconds(node.get("memory_span", "0")),
+        deduplication_window=nanoseconds_to_seconds(node.get("memory_span", "0")),
         priority_weight=float(node["gain"]),
         late_priority_weight=_number(node, "late_value"),
-        is_streaming=flag(node, "streaming"),
+        is_streaming=read_flag(node, "streaming"),
         latency_objective_stretch=_number(node, "aim_stretch"),
         deduplication_scope=_read_scope(node),
     )
@@ -101,30 +101,30 @@
 
 def _read_limits(node: Node) -> messages.Limits:
     return messages.Limits(
-        can_cancel=flag(node, "cancel"),
-        can_hedge=flag(node, "second_copies"),
-        can_check_health=flag(node, "probes"),
-        can_message_peers=flag(node, "peers"),
-        can_tell_retry_after=flag(node, "retry_after"),
+        can_cancel=read_flag(node, "cancel"),
+        can_hedge=read_flag(node, "second_copies"),
+        can_check_health=read_flag(node, "probes"),
+        can_message_peers=read_flag(node, "peers"),
+        can_tell_retry_after=read_flag(node, "retry_after"),
         max_attempts=int(node["max_attempts"]),
-        max_retry_after=seconds(node.get("max_retry_after", "0")),
-        connect_timeout=seconds(node.get("connect_timeout", "0")),
+        max_retry_after=nanoseconds_to_seconds(node.get("max_retry_after", "0")),
+        connect_timeout=nanoseconds_to_seconds(node.get("connect_timeout", "0")),
     )
 
 
 def _read_rules(node: Node) -> messages.Rules:
     return messages.Rules(
-        answer_slack=seconds(node["answer_slack"]),
-        drain_grace=seconds(node["drain_grace"]),
+        answer_slack=nanoseconds_to_seconds(node["answer_slack"]),
+        drain_grace=nanoseconds_to_seconds(node["drain_grace"]),
         initial_capacity=float(node["start_capacity"]),
-        slow_start_duration=seconds(node["cold"]),
+        slow_start_duration=nanoseconds_to_seconds(node["cold"]),
         overload_multiple=float(node["fall_multiple"]),
-        overload_duration=seconds(node["tip_after"]),
-        max_poll_interval=seconds(node.get("must_ask_in", "0")),
+        overload_duration=nanoseconds_to_seconds(node["tip_after"]),
+        max_poll_interval=nanoseconds_to_seconds(node.get("must_ask_in", "0")),
     )
 
 
-def read_report(pairs: Iterable[tuple[str, str] | list[str]]) -> dict[str, float]:
+def read_load_report(pairs: Iterable[tuple[str, str] | list[str]]) -> dict[str, float]:
     """Return the fields of a load report that are known and have a value; latency in seconds."""
     return {
         REPORT[name]: float(value) / MS if name == LATENCY_FIELD else float(value)
@@ -133,12 +133,12 @@
     }
 
 
-def seconds(value: Any) -> float:
+def nanoseconds_to_seconds(value: Any) -> float:
     """Return nanoseconds as seconds."""
-    return int(value) / NS
+    return int(value) / NANOSECONDS_PER_SECOND
 
 
-def flag(node: Node, name: str, default: bool = False) -> bool:
+def read_flag(node: Node, name: str, default: bool = False) -> bool:
     """Return a flag of the settings, in either of its forms."""
     return BOOL[str(node[name]).lower()] if name in node else default
 
--- a/apigateway/tools/demo/main.py
+++ b/apigateway/tools/demo/main.py
@@ -50,7 +50,7 @@
         read_plugin_settings(options.plugins)
     except (InvalidConfigFileError, OSError) as error:
         console.print(f"api-gateway: {error}", soft_wrap=True)
-        return ExitCode.UNUSABLE
+        return ExitCode.INVALID_INPUT
     with tempfile.TemporaryDirectory(prefix="apigateway-") as folder:
         return int(uvloop.run(_run(options, console, Path(folder))))
 
--- a/apigateway/tools/experiment/scenario_reader.py
+++ b/apigateway/tools/experiment/scenario_reader.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from apigateway.config_validation import MIN_SIMILARITY, ConfigProblem, ConfigReader, KeyPath, format_path
+from apigateway.config_validation import MIN_KEY_SIMILARITY, ConfigProblem, ConfigReader, KeyPath, format_path
 from apigateway.simulation.baselines import BaselineKind, is_baseline
 from apigateway.simulation.scenario import FaultKind, FaultSettings, Scenario
 from apigateway.tools.experiment.experiment import MODULE_POLICY, is_module_policy, module_path
@@ -23,7 +23,7 @@
 def suggest_key(key: str, known: Iterable[str]) -> str:
     """Return the remedy for an unknown key: the most similar one, or all that are known."""
     known = tuple(known)
-    similar = difflib.get_close_matches(key, known, 1, MIN_SIMILARITY)
+    similar = difflib.get_close_matches(key, known, 1, MIN_KEY_SIMILARITY)
     return f"did you mean `{similar[0]}`?" if similar else f"known here: {', '.join(known)}"
 
 
--- a/apigateway/tools/load/scenario.py
+++ b/apigateway/tools/load/scenario.py
@@ -127,7 +127,7 @@
     if name in known_names:
         return
     remedy = f"known: {', '.join(known_names) or 'none'}"
-    reader.add_contradiction(path, name, f"there is no such {path[-1]}", remedy)
+    reader.add_semantic_problem(path, name, f"there is no such {path[-1]}", remedy)
 
 
 def _check_spells(reader: ConfigReader, scenario: Scenario) -> None:
@@ -137,7 +137,7 @@
         if plan is not None and spell.employers > plan.employers:
             path = ("spells", index, "employers")
             reason = f"the plan has {plan.employers}"
-            reader.add_contradiction(path, spell.employers, reason, "let it be fewer")
+            reader.add_semantic_problem(path, spell.employers, reason, "let it be fewer")
 
 
 def _check_spreads(reader: ConfigReader, scenario: Scenario) -> None:
@@ -146,7 +146,7 @@
         if gateway_count and plan.spread > gateway_count:
             path = ("plans", name, "spread")
             reason = f"there are {gateway_count} gateways"
-            reader.add_contradiction(path, plan.spread, reason, "let it be fewer")
+            reader.add_semantic_problem(path, plan.spread, reason, "let it be fewer")
 
 
 def _check_target(reader: ConfigReader, index: int, text: str, is_any_allowed: bool) -> None:
@@ -155,10 +155,10 @@
         host, _ = read_address(text)
     except ValueError:
         remedy = "write it as HOST:PORT, an IPv6 host in brackets"
-        reader.add_contradiction(path, text, "is no address", remedy)
+        reader.add_semantic_problem(path, text, "is no address", remedy)
         return
     if not (_is_loopback(host) or is_any_allowed):
-        reader.add_contradiction(
+        reader.add_semantic_problem(
             path,
             text,
             "is not on loopback, and load is sent there",
--- a/apigateway/upstream/attempt.py
+++ b/apigateway/upstream/attempt.py
@@ -11,7 +11,7 @@
 import hiredis
 
 from apigateway.messages import AttemptResult
-from apigateway.platform_settings import read_report
+from apigateway.platform_settings import read_load_report
 from apigateway.upstream.framing import MAX_BODY_BYTES, FramingError
 
 HEALTH_CHECK = object()
@@ -121,7 +121,7 @@
         text = text.decode("utf-8", "replace")
     if not isinstance(text, str) or not _LOAD_REPORT.fullmatch(text):
         return {}
-    report = read_report(pair.split("=", 1) for pair in text.rstrip(",").split(","))
+    report = read_load_report(pair.split("=", 1) for pair in text.rstrip(",").split(","))
     return report if all(figure <= MAX_LOAD_FIGURE for figure in report.values()) else {}
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -39,7 +39,7 @@
 from apigateway.emulators.ledger import report  # noqa: E402
 from apigateway.emulators.script import Step  # noqa: E402
 from apigateway.membership.eureka.source import EurekaSource, RegistrySettings  # noqa: E402
-from apigateway.membership.listing import Listing  # noqa: E402
+from apigateway.membership.listing import EndpointListing  # noqa: E402
 
 SHAPE = Shape(
     classes={
@@ -57,7 +57,7 @@
 )
 
 
-NOTHING = Listing(messages.EndpointList("cached", 0, ()), {})
+NOTHING = EndpointListing(messages.EndpointList("cached", 0, ()), {})
 
 
 # Cost
@@ -78,7 +78,7 @@
             ("quiet delta", "", True),
             ("10 changes", "/touch", True),
         ):
-            asked = RegistrySettings((url,), delta=delta, timeout=10.0)
+            asked = RegistrySettings((url,), use_deltas=delta, timeout=10.0)
             source = EurekaSource(asked, NOTHING, lambda _: None, lambda: None)
             if not await source.poll():
                 raise RuntimeError("the stand-in does not answer")
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -21,7 +21,7 @@
 def test_unknown_argument_when_parsed_then_ends_with_unusable(capsys):
     with pytest.raises(SystemExit) as ended:
         main(["version", "more"])
-    assert ended.value.code == ExitCode.UNUSABLE
+    assert ended.value.code == ExitCode.INVALID_INPUT
     assert "unrecognized arguments: more" in capsys.readouterr().err
 
 
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("command", ["check", "hosts"])
 def test_settings_file_when_missing_then_is_unusable(command, capsys):
-    assert main([command, "/nowhere/gateway.toml"]) == ExitCode.UNUSABLE
+    assert main([command, "/nowhere/gateway.toml"]) == ExitCode.INVALID_INPUT
     assert "cannot be read" in capsys.readouterr().err
 
 
@@ -60,5 +60,5 @@
     ],
 )
 def test_ratelimit_ask_when_an_argument_cannot_be_used_then_says_which(arguments, message, capsys):
-    assert main(["ratelimit", "ask", *arguments]) == ExitCode.UNUSABLE
+    assert main(["ratelimit", "ask", *arguments]) == ExitCode.INVALID_INPUT
     assert capsys.readouterr().err == f"api-gateway: {message}\n"
--- a/tests/daemon/test_endpoint_list.py
+++ b/tests/daemon/test_endpoint_list.py
@@ -8,9 +8,9 @@
 
 from apigateway import messages
 from apigateway.daemon.endpoint_list import EndpointListState, merge_listing
-from apigateway.membership.listing import Listing
+from apigateway.membership.listing import EndpointListing
 
-EMPTY = Listing(messages.EndpointList("cached", 0, ()), {})
+EMPTY = EndpointListing(messages.EndpointList("cached", 0, ()), {})
 
 
 def endpoint(name, state="up", zone="east"):
@@ -19,7 +19,7 @@
 
 def listing(mode, version, *endpoints):
     addresses = {one.id: ("127.0.0.1", int(one.id[1:])) for one in endpoints if one.state != "down"}
-    return Listing(messages.EndpointList(mode, version, endpoints), addresses)
+    return EndpointListing(messages.EndpointList(mode, version, endpoints), addresses)
 
 
 class FakeCore:
@@ -48,12 +48,12 @@
     merged = merge_listing(
         old, listing("delta", 7, endpoint("h2", "leaving"), endpoint("h3", "down"), endpoint("h4"))
     )
-    assert [(one.id, one.state) for one in merged.hosts.endpoints] == [
+    assert [(one.id, one.state) for one in merged.endpoint_list.endpoints] == [
         ("h1", "up"),
         ("h2", "leaving"),
         ("h4", "up"),
     ]
-    assert merged.hosts.mode == "full" and merged.hosts.version == 7
+    assert merged.endpoint_list.mode == "full" and merged.endpoint_list.version == 7
     assert merged.addresses == {name: ("127.0.0.1", int(name[1:])) for name in ("h1", "h2", "h4")}
 
 
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -46,7 +46,10 @@
     config = build_config(
         str(ROOT / "deploy" / "gateway.toml"), read_settings(str(ROOT / "deploy" / "gateway.toml"))
     )
-    assert isinstance(config.settings, messages.Settings) and len(config.known_endpoints.hosts.endpoints) == 1
+    assert (
+        isinstance(config.settings, messages.Settings)
+        and len(config.known_endpoints.endpoint_list.endpoints) == 1
+    )
 
 
 def test_deploy_file_has_every_key():
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -14,7 +14,7 @@
 from apigateway import messages
 from apigateway.daemon.handover_channel import HandoverChannel
 from apigateway.emulators.ledger import Ledger
-from apigateway.membership.listing import Listing, read_list
+from apigateway.membership.listing import EndpointListing, listing_from_json
 from apigateway.membership.reconciler import ReconcilerSettings, ReportedEndpoint
 from apigateway.membership.reconciler_driver import ReconcilerDriver
 
@@ -183,8 +183,8 @@
     async with EmulatedHost() as one, EmulatedHost() as two, Node(one, two, path=tmp_path) as node:
         node.discovery.silent = True  # nothing mends it meanwhile
         mine, yours = ([entry(one, "h1", state), entry(two, "h2")] for state in (ours, theirs))
-        node.node.endpoint_list.apply(read_list({"version": 2, "full": True, "servers": mine}))
-        node.node.begin(read_list({"version": 1, "full": True, "servers": yours}, "cached"))
+        node.node.endpoint_list.apply(listing_from_json({"version": 2, "full": True, "servers": mine}))
+        node.node.begin(listing_from_json({"version": 1, "full": True, "servers": yours}, "cached"))
         assert [s.host.id for s in node.node.core.module.pool.available] == ["h2"]
         for n in range(4):
             assert await node.ask(command(b"r%d" % n)) == SERVED
@@ -196,13 +196,13 @@
     told = []
     judge = ReconcilerDriver(
         ReconcilerSettings(calm_time=0.0),
-        Listing(messages.EndpointList("cached", 0, ()), {}),
+        EndpointListing(messages.EndpointList("cached", 0, ()), {}),
         told.append,
         lambda: 100.0,
     )
     up = [ReportedEndpoint(messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
     judge.apply(up, is_complete=True)
     judge.mark_draining(["h1", "unknown"])
-    assert told[-1].hosts.endpoints[0].state == "leaving"
+    assert told[-1].endpoint_list.endpoints[0].state == "leaving"
     judge.apply(up, is_complete=True)
-    assert told[-1].hosts.endpoints[0].state == "up"
+    assert told[-1].endpoint_list.endpoints[0].state == "up"
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -10,7 +10,7 @@
 from apigateway.daemon.status_answers import endpoint_list_status
 from apigateway.membership import watch_schedule
 from apigateway.membership.discovery import CallResult
-from apigateway.membership.listing import read_list
+from apigateway.membership.listing import listing_from_json
 from apigateway.membership.watch_schedule import WatchSchedule
 
 
@@ -120,7 +120,7 @@
             await asyncio.sleep(0)
         seen.clear()
         node.node.endpoint_list.apply(
-            read_list({"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]})
+            listing_from_json({"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]})
         )
         await done.wait()
         assert seen == [messages.EndpointList, messages.AttemptOutcome, "connect_failed"]
--- a/tests/membership/test_eureka_model.py
+++ b/tests/membership/test_eureka_model.py
@@ -180,7 +180,9 @@
         5.0,
     )
     assert entry.address == ("127.0.0.1", 8080) and entry.stamp > 0
-    named = read_endpoint(InstanceMapping(address="name"), instance, {"node7.rota.example.org": "10.0.0.7"})
+    named = read_endpoint(
+        InstanceMapping(address_source="name"), instance, {"node7.rota.example.org": "10.0.0.7"}
+    )
     assert named.address == ("10.0.0.7", 8080)
 
 
@@ -193,7 +195,7 @@
         (InstanceMapping(), {"metadata": {"cell": "two"}}),
         (InstanceMapping(), {"metadata": {"weight": "nan"}}),
         (InstanceMapping(), {"metadata": {"cell": "-1"}}),
-        (InstanceMapping(address="name"), {}),
+        (InstanceMapping(address_source="name"), {}),
     ],
 )
 def test_instance_when_no_endpoint_can_be_made_then_is_malformed(terms, change):
--- a/tests/membership/test_eureka_source.py
+++ b/tests/membership/test_eureka_source.py
@@ -14,10 +14,10 @@
 from apigateway.membership.eureka.mapping import InstanceMapping
 from apigateway.membership.eureka.registration import Registration, RegistrationSettings
 from apigateway.membership.eureka.source import EurekaSource, RegistrySettings
-from apigateway.membership.listing import Listing
+from apigateway.membership.listing import EndpointListing
 from apigateway.membership.reconciler import ReconcilerSettings
 
-NOTHING = Listing(messages.EndpointList("cached", 0, ()), {})
+NOTHING = EndpointListing(messages.EndpointList("cached", 0, ()), {})
 
 
 class Watched:
@@ -38,7 +38,7 @@
         )
 
     def told(self, listing):
-        for host in listing.hosts.endpoints:
+        for host in listing.endpoint_list.endpoints:
             self.hosts[host.id] = host
             if host.state == "down":
                 del self.hosts[host.id]
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("base, form", [("/eureka/v2", "json"), ("/eureka", "json"), ("/eureka/v2", "xml")])
 @on_loop
 async def test_source_reads_the_list_and_follows_its_changes(base, form):
-    async with filled(base=base) as registry, Watched(registry, form=form) as seen:
+    async with filled(base=base) as registry, Watched(registry, response_format=form) as seen:
         assert await seen.poll() and seen.states() == dict.fromkeys(
             ["node0", "node1", "node2", "node3"], "up"
         )
@@ -126,7 +126,7 @@
 @on_loop
 async def test_registry_when_it_returns_empty_or_with_half_then_endpoints_stay():
     now = 1000.0
-    async with filled(10) as registry, Watched(registry, clock=lambda: now, delta=False) as seen:
+    async with filled(10) as registry, Watched(registry, clock=lambda: now, use_deltas=False) as seen:
         registry.etags = False
         await seen.poll()
         registry.restart()
@@ -233,7 +233,10 @@
     async with (
         filled(3) as registry,
         Watched(
-            registry, mapping=InstanceMapping(address="name"), resolve=resolve, own={("127.0.0.9", 8002)}
+            registry,
+            mapping=InstanceMapping(address_source="name"),
+            resolve=resolve,
+            own={("127.0.0.9", 8002)},
         ) as seen,
     ):
         await seen.poll()
@@ -274,7 +277,7 @@
 async def test_doubt_ends_by_time_between_polls():
     async with (
         filled(4) as registry,
-        Watched(registry, delta=False, reconciler=ReconcilerSettings(doubt_time=0.05)) as seen,
+        Watched(registry, use_deltas=False, reconciler=ReconcilerSettings(doubt_time=0.05)) as seen,
     ):
         registry.etags = False
         await seen.poll()
--- a/tests/membership/test_reconciler.py
+++ b/tests/membership/test_reconciler.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from apigateway import messages
-from apigateway.membership.listing import Listing
+from apigateway.membership.listing import EndpointListing
 from apigateway.membership.reconciler import EndpointReconciler, ReconcilerSettings, ReportedEndpoint
 
 
@@ -37,23 +37,25 @@
 def test_first_list_when_applied_then_comes_out_as_a_change():
     reconciler = EndpointReconciler()
     changed = reconciler.apply(0.0, reports(3), is_complete=True)
-    assert changed.hosts.mode == "delta" and set(changed.addresses) == {"h0", "h1", "h2"}
+    assert changed.endpoint_list.mode == "delta" and set(changed.addresses) == {"h0", "h1", "h2"}
     assert reconciler.apply(1.0, reports(3), is_complete=True) is None and reconciler.next_due() == math.inf
 
 
 def test_marked_endpoints_when_most_are_then_all_drain_at_once(ten_known):
     changed = ten_known.apply(1.0, reports(9, state="leaving") + [report("h9")], is_complete=True)
-    assert [h.state for h in changed.hosts.endpoints] == ["leaving"] * 9
+    assert [h.state for h in changed.endpoint_list.endpoints] == ["leaving"] * 9
 
 
 def test_endpoints_when_deleted_by_name_then_are_removed_at_once(ten_known):
     changed = ten_known.apply(1.0, [], deleted={f"h{n}" for n in range(8)})
-    assert len(changed.hosts.endpoints) == 8 and {h.state for h in changed.hosts.endpoints} == {"down"}
+    assert len(changed.endpoint_list.endpoints) == 8 and {
+        h.state for h in changed.endpoint_list.endpoints
+    } == {"down"}
 
 
 def test_missing_endpoints_when_few_then_are_removed_at_once(ten_known):
     changed = ten_known.apply(1.0, reports(7), is_complete=True)
-    assert {h.id for h in changed.hosts.endpoints} == {"h7", "h8", "h9"}
+    assert {h.id for h in changed.endpoint_list.endpoints} == {"h7", "h8", "h9"}
 
 
 def test_missing_endpoints_when_many_then_stay_until_missing_long_and_from_two_lists(ten_known):
@@ -61,14 +63,14 @@
     assert ten_known.records["h9"].doubt == "missing"
     assert ten_known.advance(40.0) is None  # long enough, but in one list only
     changed = ten_known.apply(41.0, reports(5), is_complete=True)
-    assert {h.id for h in changed.hosts.endpoints} == {f"h{n}" for n in range(5, 10)}
+    assert {h.id for h in changed.endpoint_list.endpoints} == {f"h{n}" for n in range(5, 10)}
 
 
 def test_doubt_when_a_second_list_comes_too_soon_then_ends_by_time_alone(ten_known):
     ten_known.apply(1.0, reports(5), is_complete=True)
     assert ten_known.apply(2.0, reports(5), is_complete=True) is None
     assert ten_known.next_due() == 31.0 and ten_known.advance(30.9) is None
-    assert len(ten_known.advance(31.0).hosts.endpoints) == 5
+    assert len(ten_known.advance(31.0).endpoint_list.endpoints) == 5
 
 
 def test_doubt_when_the_endpoints_are_reported_again_then_ends(ten_known):
@@ -91,7 +93,7 @@
 def test_endpoint_when_reported_under_another_id_then_replaces_the_old_one(ten_known):
     changed = ten_known.apply(1.0, [report(f"h{n + 50}", port=1000 + n) for n in range(10)], is_complete=True)
     assert set(states(ten_known)) == {f"h{n + 50}" for n in range(10)}
-    assert sum(h.state == "down" for h in changed.hosts.endpoints) == 10
+    assert sum(h.state == "down" for h in changed.endpoint_list.endpoints) == 10
 
 
 def test_two_ids_when_at_one_address_then_the_latest_counts():
@@ -146,15 +148,17 @@
         back = reconciler.apply(now, [report("h1")])
     assert back is None and reconciler.records["h1"].doubt == "flapping"
     assert reconciler.next_due() == 5.0 + 10.0 and reconciler.advance(14.9) is None
-    assert reconciler.advance(15.0).hosts.endpoints[0].state == "up"
+    assert reconciler.advance(15.0).endpoint_list.endpoints[0].state == "up"
 
 
 def test_restored_list_when_nothing_else_is_reported_then_is_accepted():
     reconciler = EndpointReconciler()
     host = messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0)
-    reconciler.restore(0.0, Listing(messages.EndpointList("cached", 7, (host,)), {"h1": ("127.0.0.1", 1001)}))
+    reconciler.restore(
+        0.0, EndpointListing(messages.EndpointList("cached", 7, (host,)), {"h1": ("127.0.0.1", 1001)})
+    )
     assert reconciler.apply(1.0, [report("h1")], is_complete=True) is None
-    assert reconciler.apply(2.0, [report("h2")], is_complete=True).hosts.version == 8
+    assert reconciler.apply(2.0, [report("h2")], is_complete=True).endpoint_list.version == 8
 
 
 NEWS = st.lists(
@@ -179,7 +183,7 @@
         gone = {f"h{n}" for n in gone} - {f"h{n}" for n in named}
         reports = [report(f"h{n}", state, stamp) for n, state in named.items()]
         for changed in (reconciler.advance(now), reconciler.apply(now, reports, gone, is_complete)):
-            for host in changed.hosts.endpoints if changed else ():
+            for host in changed.endpoint_list.endpoints if changed else ():
                 heard[host.id] = host.state
                 if host.state == "down":
                     del heard[host.id]
--- a/tests/membership/test_reconciler_driver.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -5,15 +5,15 @@
 
 from apigateway import messages
 from apigateway.emulators.discovery import EmulatedDiscovery
-from apigateway.membership.listing import Listing, read_list
+from apigateway.membership.listing import EndpointListing, listing_from_json
 from apigateway.membership.reconciler import ReconcilerSettings, ReportedEndpoint
 from apigateway.membership.reconciler_driver import ReconcilerDriver
 
-NOTHING = Listing(messages.EndpointList("cached", 0, ()), {})
+NOTHING = EndpointListing(messages.EndpointList("cached", 0, ()), {})
 
 
 def listing(*ids, full=True, state="up"):
-    return read_list(
+    return listing_from_json(
         {
             "version": 1,
             "full": full,
@@ -30,7 +30,7 @@
     driver.apply_listing(listing())
     assert len(changes) == 1 and set(driver.reconciler.records) == {"a", "b", "c"}
     driver.apply_listing(listing("a", full=False, state="removed"))
-    assert [h.state for h in changes[-1].hosts.endpoints] == ["down"]
+    assert [h.state for h in changes[-1].endpoint_list.endpoints] == ["down"]
     assert set(driver.reconciler.records) == {"b", "c"}
 
 
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -1,7 +1,7 @@
 import pytest
 
 from apigateway import messages
-from apigateway.platform_settings import flag, read_report, read_settings, seconds
+from apigateway.platform_settings import nanoseconds_to_seconds, read_flag, read_load_report, read_settings
 
 SERVICE = {"name": "c", "slo": "100000000", "deadline": 500000000, "effect": "token", "gain": "1"}
 RULES = {
@@ -46,10 +46,10 @@
 
 
 def test_report_when_it_has_unknown_or_empty_fields_then_leaves_them_out():
-    report = read_report([("active", "2"), ("avg_ms", "50"), ("odd", "1"), ("cpu", "")])
+    report = read_load_report([("active", "2"), ("avg_ms", "50"), ("odd", "1"), ("cpu", "")])
     assert report == {"inflight": 2.0, "latency": 0.05}
 
 
 def test_flags_and_times_when_read_then_take_both_forms():
-    assert flag({"a": "TRUE"}, "a") and not flag({"a": 0}, "a") and flag({}, "a", default=True)
-    assert seconds("1500000000") == 1.5
+    assert read_flag({"a": "TRUE"}, "a") and not read_flag({"a": 0}, "a") and read_flag({}, "a", default=True)
+    assert nanoseconds_to_seconds("1500000000") == 1.5
