--- a/apigateway/cli/check.py
+++ b/apigateway/cli/check.py
@@ -10,7 +10,7 @@
 from apigateway.daemon.configuration import read_configuration
 from apigateway.daemon.settings import Settings
 from apigateway.exit_codes import ExitCode
-from apigateway.upstream.address import write_address
+from apigateway.upstream.address import format_address
 
 
 def check(path: str) -> int:
@@ -40,7 +40,7 @@
 
 def _summarize(settings: Settings, config: Config) -> str:
     module_settings = config.settings
-    listeners = ", ".join(write_address(address) for address in config.listeners)
+    listeners = ", ".join(format_address(address) for address in config.listeners)
     parts = [
         f"gateway {module_settings.gateway_index} of {module_settings.gateway_count} at {listeners}",
         f"classes {', '.join(module_settings.classes)}",
--- a/apigateway/cli/ratelimit_ask.py
+++ b/apigateway/cli/ratelimit_ask.py
@@ -11,7 +11,7 @@
 
 from apigateway.exit_codes import ExitCode
 from apigateway.external_ratelimit.service_config import SHOULD_RATE_LIMIT_PATH
-from apigateway.upstream.address import Address, read_address
+from apigateway.upstream.address import Address, parse_address
 
 _UNIT_NAMES = ("", "second", "minute", "hour", "day", "month", "year", "week")  # by rls.proto's number
 _CODE_NAMES = {0: "unknown", 1: "ok", 2: "over limit"}  # by rls.proto's number
@@ -64,7 +64,7 @@
 def ask(options: AskOptions) -> int:
     """Ask once and print the answer; return the exit code."""
     try:
-        address = read_address(options.address)
+        address = parse_address(options.address)
         descriptors = _parse_descriptors(options)
         ssl_context = _create_ssl_context(options)
     except (ValueError, OSError) as error:
--- a/apigateway/core/admission.py
+++ b/apigateway/core/admission.py
@@ -59,7 +59,7 @@
 class AdmissionController:
     """Ask the gate about each request before it is accepted; one controller for all frontends.
 
-    A frontend that sees `is_slice_used_up` puts its connection's continuation on `deferred_connections`,
+    A frontend that sees `is_time_slice_used_up` puts its connection's continuation on `deferred_connections`,
     and what it has read waits for the next turn of the loop.
 
     Args:
@@ -74,8 +74,8 @@
         self.gate = gate
         self.loop = loop
         self.clock = clock
-        self.slice_started_at = 0.0  # when this turn began to read commands; 0: it has read none
-        self.is_slice_used_up = False
+        self.time_slice_started_at = 0.0  # when this turn began to read commands; 0: it has read none
+        self.is_time_slice_used_up = False
         self.deferred_connections: deque[Callable[[], None]] = deque()  # those that have more, in order
         self._overload_log = OverloadLog(gate)
         self._probe_due_at = 0.0
@@ -95,22 +95,22 @@
         """
         now = self.clock()
         self._was_asked = True
-        if not self.slice_started_at:
+        if not self.time_slice_started_at:
             self._start_slice(now)
-        elif now - self.slice_started_at > READ_TIME_SLICE_S:
-            self.is_slice_used_up = True
+        elif now - self.time_slice_started_at > READ_TIME_SLICE_S:
+            self.is_time_slice_used_up = True
         return self.gate.retry_after_if_shed(now, now - arrived_at, priority_step, customer, remaining)
 
-    def start_turn(self) -> None:
+    def start_iteration(self) -> None:
         """Begin a new turn of the loop: deferred connections go on, one after another."""
-        self.slice_started_at = 0.0
-        self.is_slice_used_up = False
+        self.time_slice_started_at = 0.0
+        self.is_time_slice_used_up = False
         try:
-            while self.deferred_connections and not self.is_slice_used_up:
+            while self.deferred_connections and not self.is_time_slice_used_up:
                 self.deferred_connections.popleft()()
         finally:  # one that raises must not leave those behind it unread
-            if self.deferred_connections and not self.slice_started_at:
-                self.loop.call_soon(self.start_turn)
+            if self.deferred_connections and not self.time_slice_started_at:
+                self.loop.call_soon(self.start_iteration)
 
     def on_retry_after(self, customer: str, retry_after: float) -> None:
         """Record the Retry-After, in seconds, that the decision module gave a customer."""
@@ -118,8 +118,8 @@
             self.gate.on_retry_after(self.clock(), customer, retry_after)
 
     def _start_slice(self, now: float) -> None:
-        self.slice_started_at = now
-        self.loop.call_soon(self.start_turn)
+        self.time_slice_started_at = now
+        self.loop.call_soon(self.start_iteration)
         if not self._is_probing:
             self._is_probing = True
             self._schedule_probe(now + LAG_PROBE_INTERVAL_S)
--- a/apigateway/core/context.py
+++ b/apigateway/core/context.py
@@ -46,7 +46,7 @@
         self.clock = clock or MonotonicUnixClock()
 
         # Set by the daemon where settings want them.
-        self.membership: EndpointSource | None = None
+        self.endpoint_source: EndpointSource | None = None
         self.plugins: PluginChain | None = None
         self.in_flight_registry: InFlightRegistry | None = None
         self.admission: AdmissionController | None = None
--- a/apigateway/core/endpoint_updates.py
+++ b/apigateway/core/endpoint_updates.py
@@ -36,6 +36,6 @@
 
     def on_list_failed(self) -> None:
         """Tell the decision module that an endpoint list it asked for could not be had."""
-        membership = self._context.membership
-        if membership is not None and self._context.settings.discovery_mode == DiscoveryMode.POLL:
-            self._events.dispatch(messages.EndpointList(ListMode.FAILED, membership.version, ()))
+        source = self._context.endpoint_source
+        if source is not None and self._context.settings.discovery_mode == DiscoveryMode.POLL:
+            self._events.dispatch(messages.EndpointList(ListMode.FAILED, source.version, ()))
--- a/apigateway/core/gateway_actions.py
+++ b/apigateway/core/gateway_actions.py
@@ -71,13 +71,13 @@
 
     def fetch_endpoints(self, action: messages.FetchEndpoints) -> None:
         """Ask for the endpoint list once."""
-        if self._context.membership is not None:
-            self._context.membership.fetch()
+        if self._context.endpoint_source is not None:
+            self._context.endpoint_source.fetch()
 
     def watch_endpoints(self, action: messages.WatchEndpoints) -> None:
         """Start or stop watching the endpoint list."""
-        if self._context.membership is not None:
-            self._context.membership.watch(action.is_on)
+        if self._context.endpoint_source is not None:
+            self._context.endpoint_source.watch(action.is_on)
 
     def log_message(self, action: messages.LogMessage) -> None:
         """Write a line of the decision module to the log."""
--- a/apigateway/daemon/config.py
+++ b/apigateway/daemon/config.py
@@ -11,7 +11,7 @@
 from apigateway import messages
 from apigateway.membership.listing import Listing, read_list
 from apigateway.platform_settings import read_settings, seconds
-from apigateway.upstream.address import Address, read_address
+from apigateway.upstream.address import Address, parse_address
 
 if TYPE_CHECKING:
     from apigateway.membership.eureka.registration import RegistrationSettings
@@ -122,9 +122,9 @@
         raise ValueError("the settings allow a counter but no address is given")
     return Config(
         name=env.get("RELAY_NAME") or tree["name"],
-        listeners=(read_address(env.get("RELAY_LISTEN") or tree["listen"]),),
-        discovery=read_address((not again and env.get("RELAY_DISCOVERY")) or tree["discovery"]),
-        counter=read_address(counter) if counter else None,
+        listeners=(parse_address(env.get("RELAY_LISTEN") or tree["listen"]),),
+        discovery=parse_address((not again and env.get("RELAY_DISCOVERY")) or tree["discovery"]),
+        counter=parse_address(counter) if counter else None,
         seed=int(tree["seed"], 16),
         memory_bytes=int(tree["limits"]["memory_mb"]) * MIB,
         max_descriptors=int(tree["limits"]["sockets"]),
--- a/apigateway/daemon/configuration.py
+++ b/apigateway/daemon/configuration.py
@@ -10,7 +10,7 @@
 from apigateway.daemon.settings import Settings, read_settings
 from apigateway.daemon.settings_runtime import build_config
 from apigateway.daemon.workers import WorkerAssignment, read_worker_assignment, settings_for_worker
-from apigateway.upstream.address import read_address
+from apigateway.upstream.address import parse_address
 
 PLATFORM_VARIABLE = "RELAY_CONFIG"
 
@@ -48,7 +48,7 @@
 
 def _read_beside_platform(path: str, again: bool) -> Configuration:
     settings = read_settings(path, beside=True)
-    further_listeners = tuple(read_address(listener.address) for listener in settings.listeners)
+    further_listeners = tuple(parse_address(listener.address) for listener in settings.listeners)
     config = read_config(again=again)
     config = replace(
         config,
--- a/apigateway/daemon/gateway_process.py
+++ b/apigateway/daemon/gateway_process.py
@@ -39,7 +39,7 @@
 from apigateway.daemon.takeover import create_successor, handover_path, inherit_resources
 from apigateway.daemon.workers import WorkerAssignment, read_worker_assignment
 from apigateway.membership.listing import read_list, write_list
-from apigateway.upstream.address import Address, write_address
+from apigateway.upstream.address import Address, format_address
 
 if TYPE_CHECKING:
     from apigateway.membership.eureka.registration import Registration
@@ -249,7 +249,7 @@
         gc.freeze()  # what the start made stays for good: no collection need look at it again
         name = gateway.config.name
         for frontend in gateway.server.frontends:
-            log.info("%s listens on %s", name, write_address((frontend.address[0], frontend.port)))
+            log.info("%s listens on %s", name, format_address((frontend.address[0], frontend.port)))
         self._notifier.ready(f"serving as {name}", main=take_over)
 
     # Hand-over, as the predecessor
@@ -275,7 +275,7 @@
 
     def _offer(self) -> HandoverOffer:
         assert self._lock is not None and self._gateway is not None
-        names = [write_address(address) for address in self._sockets]
+        names = [format_address(address) for address in self._sockets]
         descriptors = [sock.fileno() for sock in self._sockets.values()]
         descriptors.append(self._lock.descriptor)
         return HandoverOffer(names, descriptors, write_list(self._gateway.server.endpoint_list.listing))
--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -104,7 +104,7 @@
         ]
         self._source_factory = EndpointSourceFactory(self.core, self.endpoint_list)
         self.endpoint_source: EndpointSource = self._source_factory.create(config)
-        self.core.membership = self.endpoint_source
+        self.core.endpoint_source = self.endpoint_source
         self.plugins: PluginManager | None = None
         self._closing_tasks: set[asyncio.Task[None]] = set()  # of what a reload replaced
 
@@ -169,7 +169,7 @@
         self.endpoint_list.apply(self.config.known_endpoints)
         if self.config.evacuated_zones:
             self.endpoint_list.evacuate_zones(self.config.evacuated_zones)
-        self.upstream.start_checks()
+        self.upstream.start_idle_checks()
         if self.counter:
             self.counter.start()
         if self.core.settings.discovery_mode == messages.DiscoveryMode.PUSH:
@@ -227,7 +227,7 @@
         """Take the endpoint list from another source; the last list stays until that one reports its own."""
         replaced = self.endpoint_source
         self.endpoint_source = source
-        self.core.membership = source
+        self.core.endpoint_source = source
         if replaced.watching:  # the watch begins with the complete list: another service has its own versions
             source.watch(True)
         replaced.watch(False)  # at once: what it receives in this turn of the loop is not read any more
--- a/apigateway/daemon/gateway_status.py
+++ b/apigateway/daemon/gateway_status.py
@@ -11,7 +11,7 @@
 
 from apigateway import messages
 from apigateway.daemon.endpoint_load import EndpointLoad
-from apigateway.upstream.address import Address, write_address
+from apigateway.upstream.address import Address, format_address
 
 if TYPE_CHECKING:
     from apigateway.external_ratelimit.limiter import LimiterStatus
@@ -42,7 +42,7 @@
         endpoint = self.endpoint
         return {
             "id": endpoint.id,
-            "address": write_address(self.address) if self.address else "",
+            "address": format_address(self.address) if self.address else "",
             "zone": endpoint.zone,
             "cell": endpoint.cell,
             "kind": endpoint.kind,
--- a/apigateway/daemon/ratelimit_config.py
+++ b/apigateway/daemon/ratelimit_config.py
@@ -18,7 +18,7 @@
 from apigateway.daemon.settings_runtime import compile_ratelimit_rules, has_grpc_listener, wants_ratelimit
 from apigateway.frontends.grpc.mapping import DescriptorMapping
 from apigateway.frontends.grpc.tokens import TokenKeys
-from apigateway.upstream.address import read_address
+from apigateway.upstream.address import parse_address
 
 if TYPE_CHECKING:
     from apigateway.external_ratelimit.circuit_breaker import CheckSettings
@@ -245,7 +245,7 @@
         key, _, value = entry.partition("=")
         entries.append((key, value))
     return ExternalServiceConfig(
-        read_address(section.address),
+        parse_address(section.address),
         _build_check_settings(section),
         section.domain,
         tuple(entries),
--- a/apigateway/daemon/reload.py
+++ b/apigateway/daemon/reload.py
@@ -29,7 +29,7 @@
 from apigateway.daemon.settings import Settings
 from apigateway.daemon.settings_reload import SettingsChange, compare_settings, effective_settings
 from apigateway.daemon.sockets import bind_listener
-from apigateway.upstream.address import Address, write_address
+from apigateway.upstream.address import Address, format_address
 
 if TYPE_CHECKING:
     from apigateway.daemon.interfaces import EndpointSource
@@ -130,7 +130,7 @@
         for address in (old.grpc_listeners ^ config.grpc_listeners) & kept:
             raise ReloadRejectedError(
                 [
-                    f"{self._gateway.path}: listeners: {write_address(address)}: "
+                    f"{self._gateway.path}: listeners: {format_address(address)}: "
                     "its protocol changes by a restart or a hand-over only"
                 ]
             )
--- a/apigateway/daemon/settings_runtime.py
+++ b/apigateway/daemon/settings_runtime.py
@@ -24,7 +24,7 @@
 from apigateway.membership.file import read_endpoint_file
 from apigateway.membership.listing import Listing
 from apigateway.membership.reconciler import ReconcilerSettings
-from apigateway.upstream.address import read_address
+from apigateway.upstream.address import parse_address
 
 if TYPE_CHECKING:
     from apigateway.membership.eureka.registration import RegistrationSettings
@@ -46,7 +46,7 @@
     Raises:
         InvalidConfigFileError: With all that is wrong in the file of hosts.
     """
-    listeners = [read_address(listener.address) for listener in settings.listeners]
+    listeners = [parse_address(listener.address) for listener in settings.listeners]
     endpoint_file = None
     known_endpoints = Listing(messages.EndpointList(messages.ListMode.CACHED, 0, ()), {})
     if settings.hosts.source == "file":
@@ -54,16 +54,16 @@
         known_endpoints = read_endpoint_file(endpoint_file, messages.ListMode.CACHED)
     return Config(
         grpc_listeners=frozenset(
-            read_address(one.address) for one in settings.listeners if one.protocol == "grpc"
+            parse_address(one.address) for one in settings.listeners if one.protocol == "grpc"
         ),
         registry=build_registry(settings),
         registration=_build_registration(settings, listeners[0][1]),
         reconciler=ReconcilerSettings(**msgspec.to_builtins(settings.trust)),
         name=settings.gateway.name,
         listeners=tuple(listeners),
-        discovery=read_address(settings.hosts.discovery) if settings.hosts.source == "discovery" else None,
+        discovery=parse_address(settings.hosts.discovery) if settings.hosts.source == "discovery" else None,
         endpoint_file=endpoint_file,
-        counter=read_address(settings.counter.address) if settings.counter.address else None,
+        counter=parse_address(settings.counter.address) if settings.counter.address else None,
         seed=settings.gateway.seed or random.SystemRandom().getrandbits(63),
         memory_bytes=settings.limits.memory_mb * MIB,
         max_descriptors=settings.limits.sockets,
--- a/apigateway/daemon/settings_validation_address.py
+++ b/apigateway/daemon/settings_validation_address.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from apigateway.config_validation import ConfigReader, KeyPath
-from apigateway.upstream.address import Address, read_address
+from apigateway.upstream.address import Address, parse_address
 
 
 def check_address(reader: ConfigReader, path: KeyPath, text: str) -> Address | None:
     """Return a setting's address; None: it is none, which is added to the reader's problems."""
     try:
-        return read_address(text)
+        return parse_address(text)
     except ValueError:
         reader.add_contradiction(
             path, text, "is no address", "write it as HOST:PORT, an IPv6 host in brackets"
--- a/apigateway/daemon/sockets.py
+++ b/apigateway/daemon/sockets.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Iterable, Mapping
 
-from apigateway.upstream.address import Address, write_address
+from apigateway.upstream.address import Address, format_address
 
 FIRST_PASSED_DESCRIPTOR = 3  # SD_LISTEN_FDS_START: the first after standard error
 LISTEN_BACKLOG = 1024  # connections that wait to be accepted
@@ -28,7 +28,7 @@
             sock.listen(LISTEN_BACKLOG)
     except OSError as err:
         sock.close()
-        raise OSError(err.errno, f"{write_address(address)}: {os.strerror(err.errno or 0)}") from err
+        raise OSError(err.errno, f"{format_address(address)}: {os.strerror(err.errno or 0)}") from err
     return sock
 
 
@@ -66,6 +66,6 @@
     for sock in sockets:
         address: Address = sock.getsockname()[:2]
         if address not in listener_addresses:
-            raise ValueError(f"a socket at {write_address(address)} was passed in, which is no listener's")
+            raise ValueError(f"a socket at {format_address(address)} was passed in, which is no listener's")
         matched[address] = sock
     return matched
--- a/apigateway/daemon/supervisor.py
+++ b/apigateway/daemon/supervisor.py
@@ -31,7 +31,7 @@
 from apigateway.daemon.worker_process import WorkerProcess
 from apigateway.daemon.workers import InFlightRegions
 from apigateway.exit_codes import ExitCode
-from apigateway.upstream.address import Address, read_address, write_address
+from apigateway.upstream.address import Address, format_address, parse_address
 
 # The shared memory's name beside the listeners of a hand-over.
 MARKS_NAME = "marks"
@@ -121,7 +121,7 @@
 
     def _bind_missing_listeners(self) -> None:
         for listener in self._settings.listeners:
-            address = read_address(listener.address)
+            address = parse_address(listener.address)
             if address not in self._sockets:
                 self._sockets[address] = bind_listener(address)
 
@@ -188,7 +188,7 @@
 
     def _offer(self) -> HandoverOffer:
         assert self._lock is not None
-        names = [write_address(address) for address in self._sockets]
+        names = [format_address(address) for address in self._sockets]
         descriptors = self._listener_descriptors()
         first_region = 0
         if self._marks is not None:
@@ -227,7 +227,7 @@
             elif name in wanted:
                 sock = socket.socket(fileno=descriptor)
                 sock.setblocking(False)
-                self._sockets[read_address(name)] = sock
+                self._sockets[parse_address(name)] = sock
             else:  # a listener that the new settings have no more
                 os.close(descriptor)
 
--- a/apigateway/daemon/takeover.py
+++ b/apigateway/daemon/takeover.py
@@ -12,7 +12,7 @@
 from apigateway.daemon.handover_successor import HandoverSuccessor
 from apigateway.daemon.lock import StateFolderLock
 from apigateway.membership.listing import Listing, read_list
-from apigateway.upstream.address import Address, write_address
+from apigateway.upstream.address import Address, format_address
 
 HANDOVER_SOCKET = "handover"  # in the state folder
 
@@ -76,7 +76,7 @@
 def _match_by_name(
     names: list[str], sockets: list[socket.socket], listeners: Collection[Address]
 ) -> dict[Address, socket.socket]:
-    address_by_name = {write_address(address): address for address in listeners}
+    address_by_name = {format_address(address): address for address in listeners}
     matched: dict[Address, socket.socket] = {}
     for name, sock in zip(names, sockets, strict=True):
         if name in address_by_name:
--- a/apigateway/daemon/workers.py
+++ b/apigateway/daemon/workers.py
@@ -17,7 +17,7 @@
 from apigateway.daemon.inflight import InFlightWriteTable
 from apigateway.daemon.settings import Settings
 from apigateway.daemon.sockets import adopt_sockets
-from apigateway.upstream.address import read_address, write_address
+from apigateway.upstream.address import format_address, parse_address
 
 WORKER_VARIABLE = "CALICOMAST_WORKER"  # number and count, "2/4"
 LISTENERS_VARIABLE = "CALICOMAST_LISTENERS"  # descriptors, "5,6"
@@ -115,8 +115,8 @@
 
 
 def _offset_port(address: str, offset: int) -> str:
-    host, port = read_address(address)
-    return write_address((host, port + offset))
+    host, port = parse_address(address)
+    return format_address((host, port + offset))
 
 
 def _parse_numbers(text: str) -> tuple[int, ...]:
--- a/apigateway/external_ratelimit/channel.py
+++ b/apigateway/external_ratelimit/channel.py
@@ -12,7 +12,7 @@
 
 from apigateway.external_ratelimit.client_session import CallEnded, ClientSession
 from apigateway.external_ratelimit.connection import GrpcConnection, PendingCall, ResponseCallback
-from apigateway.upstream.address import Address, write_address
+from apigateway.upstream.address import Address, format_address
 from apigateway.upstream.rpc import GrpcStatus
 
 _CONNECT_TIMEOUT = 1.0  # s for a connection, TLS included
@@ -213,7 +213,7 @@
             connection = await self._create_connection()
         except (OSError, TimeoutError, ssl.SSLError) as error:
             self.connect_failures += 1
-            self._connect_error = f"{write_address(self._address)}: {error or 'no connection in time'}"
+            self._connect_error = f"{format_address(self._address)}: {error or 'no connection in time'}"
             self._back_off()
         else:
             self._current = connection if connection.is_connected else None
@@ -238,7 +238,7 @@
         return connection
 
     def _create_session(self) -> ClientSession:
-        authority = self._server_name or write_address(self._address)
+        authority = self._server_name or format_address(self._address)
         return ClientSession(authority, "http" if self._ssl_context is None else "https")
 
     def _back_off(self) -> None:
--- a/apigateway/external_ratelimit/client_session.py
+++ b/apigateway/external_ratelimit/client_session.py
@@ -21,9 +21,9 @@
     GrpcStatus,
     MessageBuffer,
     RpcError,
+    format_timeout,
     frame_message,
     percent_decode,
-    write_timeout,
 )
 
 MAX_MESSAGE_BYTES = 1024 * 1024  # of a response
@@ -119,7 +119,7 @@
                 (b":authority", self._authority),
                 (b"te", b"trailers"),
                 (b"content-type", b"application/grpc"),
-                (b"grpc-timeout", write_timeout(timeout)),
+                (b"grpc-timeout", format_timeout(timeout)),
             ],
         )
         self.open_calls[stream_id] = OpenCall(unsent=frame_message(message))
@@ -243,7 +243,7 @@
         if status != GrpcStatus.OK:
             return CallEnded(stream_id, status, text)
         try:
-            return CallEnded(stream_id, GrpcStatus.OK, text, call.response.only())
+            return CallEnded(stream_id, GrpcStatus.OK, text, call.response.single_message())
         except RpcError as error:
             return CallEnded(stream_id, GrpcStatus.INTERNAL, str(error))
 
--- a/apigateway/external_ratelimit/limiter.py
+++ b/apigateway/external_ratelimit/limiter.py
@@ -30,7 +30,7 @@
     read_outcome,
 )
 from apigateway.external_ratelimit.service_config import SHOULD_RATE_LIMIT_PATH, ExternalServiceConfig
-from apigateway.upstream.address import write_address
+from apigateway.upstream.address import format_address
 
 # Names of counts, as `api-gateway ratelimit status` shows them.
 COUNT_QUESTIONS = "questions"
@@ -120,7 +120,7 @@
         """Return the state for `api-gateway ratelimit status`."""
         breaker = self.breaker
         return {
-            "address": write_address(self.config.address),
+            "address": format_address(self.config.address),
             "state": breaker.state,
             "failing": self.config.checks.failure_mode,
             "out": breaker.outstanding,
@@ -220,7 +220,7 @@
         if state is previous:
             return
         self._logged_state = state
-        address = write_address(self.config.address)
+        address = format_address(self.config.address)
         if state is BreakerState.CLOSED:
             _log.warning("the outer service at %s answers again", address)
         elif previous is BreakerState.CLOSED:
--- a/apigateway/frontends/grpc/call_headers.py
+++ b/apigateway/frontends/grpc/call_headers.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from apigateway.upstream.rpc import GrpcStatus, RpcError, percent_encode, read_timeout
+from apigateway.upstream.rpc import GrpcStatus, RpcError, parse_timeout, percent_encode
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -29,7 +29,7 @@
     """Check a call's headers and return its timeout in seconds, if it has one. Raises RpcError."""
     if headers.get(b"grpc-encoding", b"identity") != b"identity":
         raise RpcError(GrpcStatus.UNIMPLEMENTED, "messages are not compressed here")
-    return read_timeout(headers.get(b"grpc-timeout"))
+    return parse_timeout(headers.get(b"grpc-timeout"))
 
 
 def status_headers(status: int, text: str) -> Headers:
--- a/apigateway/frontends/grpc/server_session.py
+++ b/apigateway/frontends/grpc/server_session.py
@@ -204,7 +204,7 @@
         try:
             call.messages.feed(data)
             if call.is_streaming:
-                for message in call.messages.take():
+                for message in call.messages.take_messages():
                     self.partial_bytes -= len(message) + _MESSAGE_PREFIX_BYTES
                     events.append(StreamMessage(stream_id, message))
             elif self.partial_bytes > MAX_PARTIAL_BYTES and not is_ended:
@@ -232,7 +232,7 @@
                 events.append(StreamHalfClosed(stream_id))
             return
         try:
-            message = call.messages.only()
+            message = call.messages.single_message()
         except RpcError as error:
             self._send_status_alone(stream_id, error.status, str(error))
             return
--- a/apigateway/frontends/resp/client_connection.py
+++ b/apigateway/frontends/resp/client_connection.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from apigateway.upstream import socket_state
-from apigateway.upstream.framing import NO_MESSAGE, Framing, FramingError, bulk
+from apigateway.upstream.framing import NO_MESSAGE, Framing, FramingError, encode_bulk_string
 
 if TYPE_CHECKING:
     from apigateway.core.admission import AdmissionController
@@ -100,7 +100,7 @@
 
     def complete(self, value: bytes) -> None:
         """Answer with a host's value."""
-        self.respond(bulk(value))
+        self.respond(encode_bulk_string(value))
 
     def reject(self, retry_after: float) -> None:
         """Answer that trying again is harmless, after `retry_after` seconds; 0 where nothing is known."""
@@ -165,7 +165,7 @@
             if self.is_deferred:
                 return
             self.received_at = admission.clock()
-            if admission.is_slice_used_up and self.server.may_defer(self):
+            if admission.is_time_slice_used_up and self.server.may_defer(self):
                 self._defer(admission)
                 return
         self._read_commands(admission)
@@ -195,7 +195,7 @@
                 self.server.handler.on_command(slot, command)
                 if (
                     admission is not None
-                    and admission.is_slice_used_up
+                    and admission.is_time_slice_used_up
                     and self.framing.buffer
                     and self.server.may_defer(self)
                 ):
--- a/apigateway/frontends/resp/command.py
+++ b/apigateway/frontends/resp/command.py
@@ -12,7 +12,7 @@
 
 from apigateway import messages
 from apigateway.core.request_lifecycle import MAX_REQUEST_TIMEOUT_S, RESPONSE_MARGIN_S
-from apigateway.upstream.framing import MAX_BODY_BYTES, bulk
+from apigateway.upstream.framing import MAX_BODY_BYTES, encode_bulk_string
 
 READ_VERB = b"API.READ"
 WRITE_VERB = b"API.WRITE"
@@ -87,7 +87,7 @@
         rest = fields[end:] if end >= 0 else b""
         fields = b"%s%d%s" % (fields[:start], max(1, int(remaining * 1000)), rest)
         verb, customer, request_id = self.parts[:FIELDS_PART]
-        body = bulk(self.parts[BODY_PART]) if len(self.parts) > BODY_PART else b""
+        body = encode_bulk_string(self.parts[BODY_PART]) if len(self.parts) > BODY_PART else b""
         return b"*%d\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n%s" % (
             len(self.parts),
             len(verb),
--- a/apigateway/membership/file.py
+++ b/apigateway/membership/file.py
@@ -18,7 +18,7 @@
 from apigateway.config_validation import ConfigReader, InvalidConfigFileError, read_toml
 from apigateway.membership.listing import Listing
 from apigateway.messages import EndpointStatus, ListMode
-from apigateway.upstream.address import Address, read_address
+from apigateway.upstream.address import Address, parse_address
 
 POLL_INTERVAL_S = 0.5  # soon enough for an operator who edits the file, and only one stat()
 _STATE_BY_FILE_NAME = {"up": EndpointStatus.UP, "draining": EndpointStatus.LEAVING}
@@ -64,7 +64,7 @@
     for number, host in enumerate(file.hosts if file else ()):
         at = ("hosts", number)
         try:
-            address = read_address(host.address)
+            address = parse_address(host.address)
         except ValueError:
             reader.add_contradiction((*at, "address"), host.address, "is no address", "write it as HOST:PORT")
             continue
--- a/apigateway/membership/listing.py
+++ b/apigateway/membership/listing.py
@@ -8,7 +8,7 @@
 
 from apigateway import messages
 from apigateway.messages import EndpointStatus, ListMode
-from apigateway.upstream.address import Address, read_address, write_address
+from apigateway.upstream.address import Address, format_address, parse_address
 
 _STATE_BY_WIRE_NAME = {
     "up": EndpointStatus.UP,
@@ -91,7 +91,7 @@
         state=state,
         started_at=started_at,
     )
-    return endpoint, read_address(entry["addr"]) if entry.get("addr") else None
+    return endpoint, parse_address(entry["addr"]) if entry.get("addr") else None
 
 
 def _write_entry(endpoint: messages.Endpoint, address: Address | None) -> dict[str, Any]:
@@ -105,5 +105,5 @@
         "started_ms": endpoint.started_at * 1000,
     }
     if address is not None:
-        entry["addr"] = write_address(address)
+        entry["addr"] = format_address(address)
     return entry
--- a/apigateway/tools/load/resp.py
+++ b/apigateway/tools/load/resp.py
@@ -7,7 +7,7 @@
 from apigateway.tools.load.recorder import Outcome
 from apigateway.tools.load.scenario import ClassSection
 from apigateway.tools.load.schedule import ScheduledRequest
-from apigateway.upstream.framing import bulk
+from apigateway.upstream.framing import encode_bulk_string
 
 _MS_PER_S = 1000
 _WRITE_BODY = b"BODY"
@@ -34,7 +34,7 @@
     ]
     if is_write:
         parts.append(_WRITE_BODY)
-    return b"*%d\r\n%s" % (len(parts), b"".join(bulk(part) for part in parts))
+    return b"*%d\r\n%s" % (len(parts), b"".join(encode_bulk_string(part) for part in parts))
 
 
 def read_outcome(reply: object) -> Outcome:
--- a/apigateway/tools/load/scenario.py
+++ b/apigateway/tools/load/scenario.py
@@ -12,7 +12,7 @@
 
 from apigateway.config_validation import ConfigReader, ConfigSection, InvalidConfigFileError, read_toml
 from apigateway.tools.load.shapes import AnyShape
-from apigateway.upstream.address import Address, read_address
+from apigateway.upstream.address import Address, parse_address
 
 _Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9_.-]{1,64}$")]
 _Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
@@ -114,7 +114,7 @@
 
 def target_addresses(scenario: Scenario) -> list[Address]:
     """Return the addresses of the gateways, in the order of their numbers."""
-    return [read_address(text) for text in scenario.targets.gateways]
+    return [parse_address(text) for text in scenario.targets.gateways]
 
 
 def _check_streams(reader: ConfigReader, scenario: Scenario) -> None:
@@ -152,7 +152,7 @@
 def _check_target(reader: ConfigReader, index: int, text: str, is_any_allowed: bool) -> None:
     path = ("targets", "gateways", index)
     try:
-        host, _ = read_address(text)
+        host, _ = parse_address(text)
     except ValueError:
         remedy = "write it as HOST:PORT, an IPv6 host in brackets"
         reader.add_contradiction(path, text, "is no address", remedy)
--- a/apigateway/upstream/address.py
+++ b/apigateway/upstream/address.py
@@ -8,7 +8,7 @@
 _PORT_LIMIT = 65536  # first number that is no TCP port
 
 
-def read_address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Parse `HOST:PORT`; an IPv6 host stands in brackets. Raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isdecimal() and int(port) < _PORT_LIMIT):
@@ -16,7 +16,7 @@
     return host.strip("[]"), int(port)
 
 
-def write_address(address: Address) -> str:
+def format_address(address: Address) -> str:
     """Format an address as `HOST:PORT`, with brackets around an IPv6 host."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/apigateway/upstream/framing.py
+++ b/apigateway/upstream/framing.py
@@ -42,7 +42,7 @@
 )
 
 
-def bulk(data: bytes) -> bytes:
+def encode_bulk_string(data: bytes) -> bytes:
     """Encode a RESP2 bulk string."""
     return b"$%d\r\n%s\r\n" % (len(data), data)
 
--- a/apigateway/upstream/rpc.py
+++ b/apigateway/upstream/rpc.py
@@ -113,7 +113,7 @@
     return _NOT_COMPRESSED + len(message).to_bytes(_MESSAGE_LENGTH_BYTES, "big") + message
 
 
-def read_timeout(text: bytes | None) -> float | None:
+def parse_timeout(text: bytes | None) -> float | None:
     """Parse a grpc-timeout header into seconds. Raises RpcError."""
     if text is None:
         return None
@@ -123,7 +123,7 @@
     return int(found[1]) * _TIMEOUT_UNITS_S[found[2]]
 
 
-def write_timeout(seconds: float) -> bytes:
+def format_timeout(seconds: float) -> bytes:
     """Format a grpc-timeout header.
 
     Rounded down to milliseconds, so that the peer gives up no later than the caller; at least one.
@@ -166,7 +166,7 @@
         if self.data[0]:
             raise RpcError(GrpcStatus.UNIMPLEMENTED, "messages are not compressed here")
 
-    def take(self) -> Iterator[bytes]:
+    def take_messages(self) -> Iterator[bytes]:
         """Yield the complete messages and remove them. Raises RpcError as `feed`."""
         while len(self.data) >= _MESSAGE_PREFIX_BYTES:
             end = _MESSAGE_PREFIX_BYTES + self._message_size()
@@ -177,7 +177,7 @@
             self.feed(b"")
             yield message
 
-    def only(self) -> bytes:
+    def single_message(self) -> bytes:
         """Return the one message of a stream that has ended.
 
         Raises RpcError if there is none, part of one, or more.
--- a/apigateway/upstream/upstream_connections.py
+++ b/apigateway/upstream/upstream_connections.py
@@ -123,11 +123,11 @@
             if pool.idle and pool.idle[0].idle_since < before:
                 pool.close_idle(before)
 
-    def start_checks(self) -> None:
+    def start_idle_checks(self) -> None:
         """Close stale connections now and at each interval from now on."""
         self.close_stale_connections()
         loop = asyncio.get_running_loop()
-        self._idle_check = loop.call_later(IDLE_CHECK_INTERVAL_S, self.start_checks)
+        self._idle_check = loop.call_later(IDLE_CHECK_INTERVAL_S, self.start_idle_checks)
 
     def close(self) -> None:
         """Close every connection, and end the attempts on them."""
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -63,7 +63,7 @@
 
     def make_connection(name, commands):
         def read_commands():
-            while commands and not harness.admission.is_slice_used_up:
+            while commands and not harness.admission.is_time_slice_used_up:
                 read.append((name, commands.pop(0)))
                 harness.ask(READ_TIME_SLICE_S * 0.6)
             if commands:
@@ -93,7 +93,7 @@
 
     harness.admission.deferred_connections.extend([broken, lambda: read.append("next")])
     with pytest.raises(RuntimeError):
-        harness.admission.start_turn()
+        harness.admission.start_iteration()
     harness.run_turn()
     assert read == ["next"] and not harness.admission.deferred_connections
 
--- a/tests/core/test_endpoint_updates.py
+++ b/tests/core/test_endpoint_updates.py
@@ -60,6 +60,6 @@
 @pytest.mark.parametrize("discovery_mode, is_told", [("ask", True), ("push", False)])
 def test_endpoint_list_when_it_could_not_be_had_then_a_module_that_polls_is_told(discovery_mode, is_told):
     harness = DispatcherHarness(discovery_mode=discovery_mode)
-    harness.core.membership = FakeEndpointSource()
+    harness.core.endpoint_source = FakeEndpointSource()
     harness.core.on_endpoint_list_failed()
     assert harness.module.events == [messages.EndpointList("failed", 7, ())] * is_told
--- a/tests/counter/test_counter_client.py
+++ b/tests/counter/test_counter_client.py
@@ -4,7 +4,16 @@
 import json
 
 import pytest
-from netkit import SERVED, SETTINGS, EmulatedCounter, EmulatedHost, Node, command, on_loop, terms
+from gateway_harness import (
+    SETTINGS,
+    VALUE_REPLY,
+    EmulatedCounter,
+    EmulatedHost,
+    GatewayHarness,
+    make_command,
+    make_fields,
+    run_on_uvloop,
+)
 
 from apigateway.counter.client import CONNECTION_COUNT
 
@@ -19,71 +28,76 @@
         await asyncio.sleep(0)
 
 
-@on_loop
+@run_on_uvloop
 async def test_reply_when_it_comes_after_the_deadline_then_keeps_its_turn(tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        counter = node.node.counter
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        counter = harness.server.counter
         results = asyncio.Queue()
 
         def add(amount):
             counter.add(8, amount, 4, lambda key, result, total, elapsed: results.put_nowait((result, total)))
 
         await until_connected(counter.connections[:1])
-        node.counter.silent = True
+        harness.counter.silent = True
         add(1)
         assert (await results.get())[0] == "timeout"
-        node.counter.silent = False
+        harness.counter.silent = False
         add(2)
-        node.counter.answer_all()  # the first answer comes now, before or behind the second's request
+        harness.counter.answer_all()  # the first answer comes now, before or behind the second's request
         assert await results.get() == ("ok", 3.0)
-        assert [words[1:] for words in node.counter.calls] == [[b"8", b"1", b"4000"], [b"8", b"2", b"4000"]]
+        assert [words[1:] for words in harness.counter.calls] == [
+            [b"8", b"1", b"4000"],
+            [b"8", b"2", b"4000"],
+        ]
 
 
-@on_loop
+@run_on_uvloop
 async def test_connection_when_silent_for_longer_than_a_call_may_take_then_reconnects(tmp_path):
     """Silence within the time that the settings give a call is no reason to reconnect."""
     tree = json.loads(json.dumps(SETTINGS))
     tree["specifics"]["counter_timeout"] = 5_000_000_000
-    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=tree) as node:
-        counter = node.node.counter
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=tree) as harness:
+        counter = harness.server.counter
         results = asyncio.Queue()
         await until_connected(counter.connections)
-        node.counter.silent = True
+        harness.counter.silent = True
         for waited, result in ((9.0, "ok"), (11.0, "timeout")):
             counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait(result))
-            await node.counter.arrived.get()
+            await harness.counter.arrived.get()
             connection = counter.connections[0]
             connection.pending_calls[0].started_at -= waited  # s ago
             connection.check_liveness()
             if result == "ok":
-                node.counter.answer_all()
+                harness.counter.answer_all()
             assert await results.get() == result
 
 
-@on_loop
+@run_on_uvloop
 async def test_call_when_no_connection_is_up_then_fails_until_it_reconnected(tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        counter = node.node.counter
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        counter = harness.server.counter
         results = asyncio.Queue()
 
         def add():
             counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait(result))
 
         await until_connected(counter.connections)
-        while len(node.counter.writers) < CONNECTION_COUNT:
+        while len(harness.counter.writers) < CONNECTION_COUNT:
             await asyncio.sleep(0)
-        node.counter.silent = True
+        harness.counter.silent = True
         add()
-        await node.counter.arrived.get()
-        node.counter.server.close()
-        for writer in node.counter.writers:
+        await harness.counter.arrived.get()
+        harness.counter.server.close()
+        for writer in harness.counter.writers:
             writer.transport.abort()
         assert await results.get() == "timeout"  # it was written, so it may have been added
         await until_disconnected(counter.connections)
         add()
         assert await results.get() == "connect_failed"
-        node.counter.silent = False
-        node.counter.server = await asyncio.start_server(node.counter.joined, "127.0.0.1", node.counter.port)
+        harness.counter.silent = False
+        harness.counter.server = await asyncio.start_server(
+            harness.counter.joined, "127.0.0.1", harness.counter.port
+        )
         while not counter.connections[0].is_connected:
             await asyncio.sleep(0.01)
         add()
@@ -94,28 +108,32 @@
     "unreadable",
     [b"ok\r\n", b"ok many\r\n", b"pong\r\n", b"ok inf\r\n", b"ok 1_0\r\n", b"x" * 5000, b"what\r\n"],
 )
-@on_loop
+@run_on_uvloop
 async def test_reply_when_unreadable_then_costs_only_the_connection(unreadable, tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        counter = node.node.counter
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        counter = harness.server.counter
         results = asyncio.Queue()
         await until_connected(counter.connections[:1])
         old_transport = counter.connections[0].transport
-        node.counter.silent = True
+        harness.counter.silent = True
         counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait(result))
-        await node.counter.arrived.get()
-        for writer in node.counter.writers:
+        await harness.counter.arrived.get()
+        for writer in harness.counter.writers:
             writer.write(unreadable)
         assert await results.get() == "spoilt"
         while counter.connections[0].transport in (None, old_transport):
             await asyncio.sleep(0.01)
-        assert await node.ask(command()) == SERVED
+        assert await harness.send_command(make_command()) == VALUE_REPLY
 
 
-@on_loop
+@run_on_uvloop
 async def test_change_of_address_when_calls_are_pending_then_they_finish_and_old_connections_close(tmp_path):
-    async with EmulatedCounter() as new, EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        counter = node.node.counter
+    async with (
+        EmulatedCounter() as new,
+        EmulatedHost() as host,
+        GatewayHarness(host, path=tmp_path) as harness,
+    ):
+        counter = harness.server.counter
         results = asyncio.Queue()
 
         def add(amount):
@@ -124,9 +142,9 @@
         counter.timeout = 10.0
         await until_connected(counter.connections)
         old_connections = list(counter.connections)
-        node.counter.silent = True
+        harness.counter.silent = True
         add(1)
-        await node.counter.arrived.get()
+        await harness.counter.arrived.get()
         counter.change_address(("127.0.0.1", new.port))
         counter.change_address(("127.0.0.1", new.port))  # twice in a row does no harm
         while counter.replacements:
@@ -134,7 +152,7 @@
         add(5)
         assert (await results.get()) == ("ok", 5.0)
         assert [words[2] for words in new.calls] == [b"5"]
-        node.counter.answer_all()
+        harness.counter.answer_all()
         assert (await results.get()) == ("ok", 1.0)
         await asyncio.wait([connection.reconnect_task for connection in old_connections])
         assert all(
@@ -142,64 +160,66 @@
         )
 
 
-@on_loop
+@run_on_uvloop
 async def test_call_when_its_connection_reconnects_then_uses_another(tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        counter = node.node.counter
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        counter = harness.server.counter
         results = asyncio.Queue()
 
         def add():
             counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait((result, total)))
 
         await until_connected(counter.connections)
-        node.counter.silent = True
+        harness.counter.silent = True
         add()
-        await node.counter.arrived.get()
-        ((spoilt, _),) = node.counter.held
+        await harness.counter.arrived.get()
+        ((spoilt, _),) = harness.counter.held
         spoilt.write(b"ok {}\r\n")
         assert (await results.get())[0] == "spoilt"  # it was added, but what it made is not known
-        node.counter.silent = False
+        harness.counter.silent = False
         add()
         assert await results.get() == ("ok", 2.0)
 
 
-@on_loop
+@run_on_uvloop
 async def test_quota_when_totals_are_rounded_then_nothing_is_held_lost(tmp_path):
     """Amounts and totals have seven digits on the wire; what is missing by them was never lost."""
     few = {**SETTINGS, "plans": [{"name": "p", "rate": 1.0, "most_at_once": 40.0}]}
-    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=few) as node:
-        await until_connected(node.node.counter.connections)
-        await node.ask(command())
-        (acct,) = node.node.core.module.quotas.values()
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=few) as harness:
+        await until_connected(harness.server.counter.connections)
+        await harness.send_command(make_command())
+        (acct,) = harness.server.core.module.quotas.values()
         now = acct.window_start + acct.window_length + 1.0  # early in a window, whenever this runs
-        node.node.core.clock = lambda: now
-        await node.ask(command(b"r"))
+        harness.server.core.clock = lambda: now
+        await harness.send_command(make_command(b"r"))
         acct.debt_units = 10 / 3  # of the last window, brought along once the first call is answered
-        replies = [await node.ask(command(b"r%d" % n)) for n in range(90)]
-        assert len(node.counter.calls) > 3
-        assert max(node.counter.totals.values()) < 6 + 1.1 * replies.count(SERVED)
+        replies = [await harness.send_command(make_command(b"r%d" % n)) for n in range(90)]
+        assert len(harness.counter.calls) > 3
+        assert max(harness.counter.totals.values()) < 6 + 1.1 * replies.count(VALUE_REPLY)
 
 
-@on_loop
+@run_on_uvloop
 async def test_quota_when_the_counter_is_lost_then_the_customer_keeps_its_local_part(tmp_path):
     two = {**SETTINGS, "group_size": 2, "plans": [{"name": "p", "rate": 10.0, "most_at_once": 20.0}]}
-    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=two) as node:
-        connections = node.node.counter.connections
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=two) as harness:
+        connections = harness.server.counter.connections
         await until_connected(connections)
 
         async def ask(n):
-            return (await node.ask(command(b"r%d" % n, terms(spread=2)))) == SERVED
+            return (
+                await harness.send_command(make_command(b"r%d" % n, make_fields(spread=2)))
+            ) == VALUE_REPLY
 
         await ask(1)
-        (acct,) = node.node.core.module.quotas.values()
+        (acct,) = harness.server.core.module.quotas.values()
         now = acct.window_start + acct.window_length + 0.5  # at one place of its windows
         for window in range(4):  # all that the counter tells of is used here, though two could
-            node.node.core.clock = lambda at=now + 2 * window: at
+            harness.server.core.clock = lambda at=now + 2 * window: at
             for n in range(14):
                 await ask(100 * window + n)
-        node.counter.server.close()
-        for writer in node.counter.writers:
+        harness.counter.server.close()
+        for writer in harness.counter.writers:
             writer.transport.abort()
         await until_disconnected(connections)
-        node.node.core.clock = lambda: now + 20
+        harness.server.core.clock = lambda: now + 20
         assert sum([await ask(1000 + n) for n in range(20)]) > 15
--- a/tests/counter/test_pending_call.py
+++ b/tests/counter/test_pending_call.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from netkit import on_loop
+from gateway_harness import run_on_uvloop
 
 from apigateway import messages
 from apigateway.counter.pending_call import PendingCall
@@ -27,7 +27,7 @@
     assert reported == [(8, "ok", 3.0)]
 
 
-@on_loop
+@run_on_uvloop
 async def test_deadline_when_it_passes_then_the_call_timed_out():
     results = asyncio.Queue()
     call = PendingCall(8, lambda key, result, total, elapsed: results.put_nowait((result, elapsed)))
@@ -37,7 +37,7 @@
     assert elapsed >= 0.015  # the loop's timers tick in milliseconds
 
 
-@on_loop
+@run_on_uvloop
 async def test_deadline_when_the_reply_came_before_then_reports_nothing_more():
     reported = []
     call = PendingCall(8, lambda key, result, total, elapsed: reported.append(result))
--- a/tests/daemon/test_endpoint_list.py
+++ b/tests/daemon/test_endpoint_list.py
@@ -4,7 +4,7 @@
 import logging
 
 import pytest
-from netkit import on_loop
+from gateway_harness import run_on_uvloop
 
 from apigateway import messages
 from apigateway.daemon.endpoint_list import EndpointListState, merge_listing
@@ -57,7 +57,7 @@
     assert merged.addresses == {name: ("127.0.0.1", int(name[1:])) for name in ("h1", "h2", "h4")}
 
 
-@on_loop
+@run_on_uvloop
 async def test_apply_when_there_are_endpoints_then_they_are_known():
     core = FakeCore()
     state = EndpointListState(core, EMPTY)
@@ -68,7 +68,7 @@
     assert [endpoint_list.version for endpoint_list, _ in core.lists] == [1, 2]
 
 
-@on_loop
+@run_on_uvloop
 async def test_apply_when_a_watch_ended_without_a_change_then_the_core_hears_nothing():
     core = FakeCore()
     state = EndpointListState(core, EMPTY)
@@ -82,7 +82,7 @@
     ("zones", "word"),
     [(("east", "west"), "none is left"), (("east",), "sites left by the settings: east"), ((), "none")],
 )
-@on_loop
+@run_on_uvloop
 async def test_evacuate_zones_then_the_log_says_whether_any_is_left(zones, word, caplog):
     core = FakeCore()
     state = EndpointListState(core, listing("full", 1, endpoint("h1"), endpoint("h2", zone="west")))
@@ -92,7 +92,7 @@
     assert word in caplog.messages[0]
 
 
-@on_loop
+@run_on_uvloop
 async def test_available_but_draining_in_another_list_then_only_what_is_up_here_and_not_there():
     state = EndpointListState(
         FakeCore(), listing("full", 2, endpoint("h1"), endpoint("h2"), endpoint("h3", "leaving"))
--- a/tests/daemon/test_gateway_process.py
+++ b/tests/daemon/test_gateway_process.py
@@ -6,16 +6,16 @@
 import socket
 import sys
 
-from netkit import (
-    SERVED,
+from gateway_harness import (
+    VALUE_REPLY,
+    BlockedFileRead,
     EmulatedCounter,
     EmulatedDiscovery,
     EmulatedHost,
-    Held,
-    command,
-    entry,
-    on_loop,
-    told,
+    make_command,
+    make_configuration,
+    make_host_entry,
+    run_on_uvloop,
 )
 from rig import PROGRAM, ROOT, Site, free_port
 
@@ -38,7 +38,7 @@
         return told
 
 
-@on_loop
+@run_on_uvloop
 async def test_service_manager_when_it_starts_reloads_and_stops_then_is_notified(tmp_path):
     manager = Manager(tmp_path)
     async with Site(tmp_path) as site:
@@ -56,7 +56,7 @@
     manager.sock.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_take_over_when_it_serves_then_it_is_the_services_main_process(tmp_path):
     manager = Manager(tmp_path)
     async with Site(tmp_path) as site:
@@ -67,7 +67,7 @@
     manager.sock.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_start_when_no_endpoints_are_known_then_it_waits_for_a_list(tmp_path):
     from apigateway.emulators.discovery import EmulatedDiscovery
 
@@ -79,10 +79,10 @@
         await discovery.calls.get()
         discovery.servers, discovery.silent = [h.entry() for h in site.hosts], False
         await site.line(program, b"listens on")
-        assert (await site.ask(command())).startswith(b"$")
+        assert (await site.ask(make_command())).startswith(b"$")
 
 
-@on_loop
+@run_on_uvloop
 async def test_sigterm_before_it_is_ready_then_it_ends(tmp_path):
     from apigateway.emulators.discovery import EmulatedDiscovery
 
@@ -95,7 +95,7 @@
         assert await program.wait() == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_sockets_when_they_are_passed_in_then_are_served(tmp_path):
     async with Site(tmp_path) as site:
         with socket.create_server(("127.0.0.1", 0)) as sock:
@@ -117,10 +117,10 @@
             site.programs.append(program)
             site.logs[program] = []
             await site.line(program, b"listens on")
-        assert (await site.ask(command(), port)).startswith(b"$")
+        assert (await site.ask(make_command(), port)).startswith(b"$")
 
 
-@on_loop
+@run_on_uvloop
 async def test_start_beside_the_platform_then_it_adds_a_listener_and_a_hand_over(tmp_path):
     async with (
         EmulatedHost() as host,
@@ -128,9 +128,11 @@
         EmulatedDiscovery() as discovery,
         Site(tmp_path) as site,
     ):
-        discovery.servers = [entry(host)]
+        discovery.servers = [make_host_entry(host)]
         first, second = free_port(), free_port()
-        config = told([entry(host)], discovery.port, counter.port) | {"listen": f"127.0.0.1:{first}"}
+        config = make_configuration([make_host_entry(host)], discovery.port, counter.port) | {
+            "listen": f"127.0.0.1:{first}"
+        }
         (tmp_path / "config.json").write_text(json.dumps(config))
         env = {"RELAY_CONFIG": str(tmp_path / "config.json")}
         site.file.write_text(
@@ -139,20 +141,20 @@
         )
         old = await site.start(env=env)
         for n, port in enumerate((first, second)):
-            assert await site.ask(command(b"a%d" % n), port) == SERVED
+            assert await site.ask(make_command(b"a%d" % n), port) == VALUE_REPLY
         site.file.write_text(site.file.read_text().replace("1000", "2000"))
         old.send_signal(signal.SIGHUP)
         assert b"took effect: daemon.log_lines" in await site.line(old, b"reload: ")
         await site.start("--take-over", env=env)
         assert await old.wait() == 0
         for n, port in enumerate((first, second)):
-            assert await site.ask(command(b"b%d" % n), port) == SERVED
+            assert await site.ask(make_command(b"b%d" % n), port) == VALUE_REPLY
         site.file.write_text("[plans.p]\nrate = 1.0\nburst = 1.0\n")
         bad = await site.start(env=env, ready=False)
         assert await bad.wait() == 2 and b"is told by RELAY_CONFIG" in await bad.stderr.read()
 
 
-@on_loop
+@run_on_uvloop
 async def test_sighup_while_its_configuration_is_read_then_it_reloads_once_it_serves(tmp_path):
     """The settings were read before: the file that is there by then has another number."""
     async with (
@@ -161,15 +163,18 @@
         EmulatedDiscovery() as discovery,
         Site(tmp_path) as site,
     ):
-        discovery.servers = [entry(host)]
+        discovery.servers = [make_host_entry(host)]
         port, config = free_port(), tmp_path / "config.json"
-        text = json.dumps(told([entry(host)], discovery.port, counter.port) | {"listen": f"127.0.0.1:{port}"})
+        text = json.dumps(
+            make_configuration([make_host_entry(host)], discovery.port, counter.port)
+            | {"listen": f"127.0.0.1:{port}"}
+        )
         site.file.write_text("[daemon]\nlog_lines = 1000\n")
-        held = Held(config, text)
+        held = BlockedFileRead(config, text)
         program = await site.start(env={"RELAY_CONFIG": str(config)}, ready=False)
         async with held as file:
             site.file.write_text("[daemon]\nlog_lines = 2000\n")
             program.send_signal(signal.SIGHUP)
             file.write(text)
         assert b"took effect: daemon.log_lines" in await site.line(program, b"reload: ")
-        assert await site.ask(command(), port) == SERVED
+        assert await site.ask(make_command(), port) == VALUE_REPLY
--- a/tests/daemon/test_platform.py
+++ b/tests/daemon/test_platform.py
@@ -9,17 +9,17 @@
 from pathlib import Path
 
 import pytest
-from netkit import (
-    SERVED,
+from gateway_harness import (
+    VALUE_REPLY,
+    BlockedFileRead,
     EmulatedCounter,
     EmulatedDiscovery,
     EmulatedHost,
-    Held,
-    command,
-    entry,
-    on_loop,
+    make_command,
+    make_configuration,
+    make_host_entry,
     read_reply,
-    told,
+    run_on_uvloop,
 )
 
 from apigateway.counter.client import CONNECTION_COUNT
@@ -31,7 +31,7 @@
 
 
 def spoilt(**kw):
-    return json.dumps(told([], 1, 2) | kw)
+    return json.dumps(make_configuration([], 1, 2) | kw)
 
 
 @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("longest, finish", [(0.3, 0.7), (1.8, 2.2), (3.0, 3.4), (6.0, 3.4), (60.0, 3.4)])
 def test_shutdown_with_any_deadlines_then_ends_before_the_platforms_kill(longest, finish, tmp_path):
-    tree = told([entry(None, port=1)], 1, 2)
+    tree = make_configuration([make_host_entry(None, port=1)], 1, 2)
     for part in tree["settings"]["services"]:
         part["deadline"], part["slo"] = int(longest * 1e9), int(longest * 5e8)
     file = tmp_path / "config.json"
@@ -72,12 +72,14 @@
     )
 
 
-@on_loop
+@run_on_uvloop
 async def test_sigterm_when_requests_are_in_flight_then_completes_them(tmp_path):
     async with EmulatedHost(None) as host, EmulatedCounter() as counter, EmulatedDiscovery() as discovery:
-        discovery.servers = [entry(host)]
+        discovery.servers = [make_host_entry(host)]
         config = tmp_path / "config.json"
-        config.write_text(json.dumps(told([entry(host)], discovery.port, counter.port)))
+        config.write_text(
+            json.dumps(make_configuration([make_host_entry(host)], discovery.port, counter.port))
+        )
         program = await asyncio.create_subprocess_exec(
             *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
         )
@@ -85,7 +87,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(PING)
         assert await read_reply(reader) == b"+PONG\r\n"
-        writer.write(command())
+        writer.write(make_command())
         await host.arrived.get()
         program.send_signal(signal.SIGTERM)
         ping_reader, ping_writer = await asyncio.open_connection("127.0.0.1", port)
@@ -93,29 +95,29 @@
         while await read_reply(ping_reader) == b"+PONG\r\n":  # until it has heard of its end
             ping_writer.write(PING)
         host.writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-        assert await read_reply(reader) == SERVED
+        assert await read_reply(reader) == VALUE_REPLY
         assert await program.wait() == 0
 
 
 @pytest.mark.parametrize(
     "behind", [(signal.SIGTERM,), (signal.SIGHUP,), (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)]
 )
-@on_loop
+@run_on_uvloop
 async def test_signals_behind_a_sigterm_then_change_nothing(behind, tmp_path):
     """Also half a command that came before it, and a SIGHUP just ahead."""
     async with EmulatedHost(None) as host, EmulatedCounter() as counter, EmulatedDiscovery() as discovery:
         config = tmp_path / "config.json"
-        discovery.servers = [entry(host)]
-        config.write_text(json.dumps(told(discovery.servers, discovery.port, counter.port)))
+        discovery.servers = [make_host_entry(host)]
+        config.write_text(json.dumps(make_configuration(discovery.servers, discovery.port, counter.port)))
         program = await asyncio.create_subprocess_exec(
             *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
         )
         port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         other_reader, other = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(command(b"first"))
+        writer.write(make_command(b"first"))
         await host.arrived.get()
-        text = command(b"second", customer=b"%016x" % 7)
+        text = make_command(b"second", customer=b"%016x" % 7)
         other.write(PING + text[:30])
         assert await read_reply(other_reader) == b"+PONG\r\n"
         program.send_signal(signal.SIGHUP)
@@ -131,31 +133,33 @@
             pass
         for out in host.writers:
             out.write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-        assert await read_reply(reader) == SERVED and await read_reply(other_reader) == SERVED
+        assert await read_reply(reader) == VALUE_REPLY and await read_reply(other_reader) == VALUE_REPLY
         assert await program.wait() == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_sighup_before_there_is_a_gateway_then_reloads_once_there_is(tmp_path):
     """The program reads its configuration just then, which is not the newest any more."""
     async with EmulatedCounter() as counter, EmulatedDiscovery() as discovery, EmulatedDiscovery() as new:
         config = tmp_path / "config.json"
-        held = Held(config, json.dumps(told([], new.port, counter.port)))
+        held = BlockedFileRead(config, json.dumps(make_configuration([], new.port, counter.port)))
         env = {**os.environ, "RELAY_CONFIG": str(config), "RELAY_DISCOVERY": f"127.0.0.1:{discovery.port}"}
         program = await asyncio.create_subprocess_exec(*PROGRAM, cwd=ROOT, env=env, stderr=subprocess.PIPE)
         async with held as file:
             program.send_signal(signal.SIGHUP)
-            file.write(json.dumps(told([entry(None, port=1)], discovery.port, counter.port)))
+            file.write(
+                json.dumps(make_configuration([make_host_entry(None, port=1)], discovery.port, counter.port))
+            )
         assert b"listens on" in await program.stderr.readline()
         await new.calls.get()
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_sigterm_before_there_is_a_gateway_then_ends_it(tmp_path):
     config = tmp_path / "config.json"
-    held = Held(config)
+    held = BlockedFileRead(config)
     program = await asyncio.create_subprocess_exec(
         *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
     )
@@ -165,26 +169,28 @@
     assert await program.stderr.read() == b""
 
 
-@on_loop
+@run_on_uvloop
 async def test_start_after_a_kill_then_serves_at_the_same_address(tmp_path):
     async with EmulatedHost() as host, EmulatedCounter() as counter, EmulatedDiscovery() as discovery:
-        discovery.servers = [entry(host)]
+        discovery.servers = [make_host_entry(host)]
         config, port = tmp_path / "config.json", 0
         for life in (b"first", b"second"):
-            text = told([entry(host)], discovery.port, counter.port) | {"listen": f"127.0.0.1:{port}"}
+            text = make_configuration([make_host_entry(host)], discovery.port, counter.port) | {
+                "listen": f"127.0.0.1:{port}"
+            }
             config.write_text(json.dumps(text))
             program = await asyncio.create_subprocess_exec(
                 *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
             )
             port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(command(life))
-            assert await read_reply(reader) == SERVED
+            writer.write(make_command(life))
+            assert await read_reply(reader) == VALUE_REPLY
             program.kill()
             assert await program.wait() == -signal.SIGKILL
 
 
-@on_loop
+@run_on_uvloop
 async def test_sighup_when_the_file_has_other_addresses_then_moves_to_them(tmp_path):
     async with (
         EmulatedHost(None) as host,
@@ -194,19 +200,25 @@
         EmulatedDiscovery() as discovery,
         EmulatedDiscovery() as discovery2,
     ):
-        discovery.servers, discovery2.servers, discovery2.version = [entry(host)], [entry(new, "h2")], 1
+        discovery.servers, discovery2.servers, discovery2.version = (
+            [make_host_entry(host)],
+            [make_host_entry(new, "h2")],
+            1,
+        )
         config = tmp_path / "config.json"
-        config.write_text(json.dumps(told([entry(host)], discovery.port, counter.port)))
+        config.write_text(
+            json.dumps(make_configuration([make_host_entry(host)], discovery.port, counter.port))
+        )
         env = {**os.environ, "RELAY_CONFIG": str(config), "RELAY_DISCOVERY": f"127.0.0.1:{discovery.port}"}
         program = await asyncio.create_subprocess_exec(*PROGRAM, cwd=ROOT, env=env, stderr=subprocess.PIPE)
         port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(command(b"before"))
+        writer.write(make_command(b"before"))
         await host.arrived.get()
         config.write_text("{")  # cannot be used: the old one stays
         program.send_signal(signal.SIGHUP)
         assert b"the old configuration stays" in await program.stderr.readline()
-        config.write_text(json.dumps(told([], discovery2.port, counter2.port)))
+        config.write_text(json.dumps(make_configuration([], discovery2.port, counter2.port)))
         program.send_signal(signal.SIGHUP)
         assert "index" not in await discovery2.calls.get()  # the environment names the old one still
         assert "index" in await discovery2.calls.get()
@@ -214,11 +226,11 @@
             await asyncio.sleep(0.01)
         for n in range(4):
             reader2, writer2 = await asyncio.open_connection("127.0.0.1", port)
-            writer2.write(command(b"after%d" % n))
-            assert await read_reply(reader2) == SERVED
+            writer2.write(make_command(b"after%d" % n))
+            assert await read_reply(reader2) == VALUE_REPLY
         assert len(new.commands) == 4 and len(host.commands) == 1
         host.writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-        assert await read_reply(reader) == SERVED  # what was out at the time is served all the same
+        assert await read_reply(reader) == VALUE_REPLY  # what was out at the time is served all the same
         program.send_signal(signal.SIGHUP)
         program.send_signal(signal.SIGHUP)
         program.send_signal(signal.SIGTERM)
--- a/tests/emulators/test_emulated_systems.py
+++ b/tests/emulators/test_emulated_systems.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 import pytest
-from netkit import command, on_loop, read_reply
+from gateway_harness import make_command, read_reply, run_on_uvloop
 
 from apigateway.emulators.clients import Client, Order
 from apigateway.emulators.counter import EmulatedCounter
@@ -43,32 +43,32 @@
         (Step("slow", factor=2.0), b"*3\r\n"),
     ],
 )
-@on_loop
+@run_on_uvloop
 async def test_a_host_does_what_its_script_says(step, answer):
     async with EmulatedHost(script=Script([step]), work=lambda _: 0.001) as host:
-        assert await ask(host.port, command()) == answer
+        assert await ask(host.port, make_command()) == answer
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_host_that_resets_and_one_that_is_silent():
     async with EmulatedHost(script=Script([Step("reset", count=1), Step("silent", count=1)])) as host:
-        assert await ask(host.port, command()) in (b"reset", b"")
+        assert await ask(host.port, make_command()) in (b"reset", b"")
         reader, writer = await asyncio.open_connection("127.0.0.1", host.port)
-        writer.write(command(b"a") + command(b"b"))
+        writer.write(make_command(b"a") + make_command(b"b"))
         while len(host.commands) < 3:
             await host.arrived.get()
         writer.write_eof()
         assert await reader.read() == b""  # answers come in order: behind the silent one there is none
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_host_has_so_many_cores_and_so_much_room():
     async with EmulatedHost(work=lambda _: 60.0, cores=1, queue=1) as host:
         first = [await asyncio.open_connection("127.0.0.1", host.port) for _ in range(2)]
         for n, (_, writer) in enumerate(first):
-            writer.write(command(b"r%d" % n))
+            writer.write(make_command(b"r%d" % n))
             await host.arrived.get()
-        assert await ask(host.port, command(b"more")) == b"-BUSY\r\n"
+        assert await ask(host.port, make_command(b"more")) == b"-BUSY\r\n"
         assert await ask(host.port, b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n") == b"$27\r\n"
         assert host.report() == b"active=2,waiting=1,cpu=1.00"
         first[1][1].close()  # what waits is dropped with its connection
@@ -78,12 +78,12 @@
         first[0][1].close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_host_that_restarts_is_cold_and_has_forgotten_its_work():
     ledger = Ledger(TERMS)
     async with EmulatedHost(work=lambda _: 60.0, cold_share=0.2, ledger=ledger) as host:
         reader, writer = await asyncio.open_connection("127.0.0.1", host.port)
-        writer.write(command())
+        writer.write(make_command())
         await host.arrived.get()
         assert host.warmth() == 1.0 and host.running == 1
         await host.restart()
@@ -94,7 +94,7 @@
         writer.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_counter_does_what_its_script_says():
     steps = [
         Step("busy", count=1),
@@ -116,7 +116,7 @@
         assert await ask(counter.port, b"incr n 3 60000\r\n") == b"ok 3\r\n"
 
 
-@on_loop
+@run_on_uvloop
 async def test_discovery_tells_changes_to_the_watch_and_the_ledger_when():
     ledger = Ledger(TERMS)
     async with EmulatedDiscovery("g0", ledger) as discovery, aiohttp.ClientSession() as session:
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize("answers, broken", [(0, {RULES[0], RULES[1]}), (2, {RULES[0], RULES[1]})])
-@on_loop
+@run_on_uvloop
 async def test_the_ledger_finds_a_rogue_out(answers, broken, monkeypatch):
     monkeypatch.setattr("apigateway.emulators.clients.GIVE_UP_MARGIN_S", 0.0)
     ledger = Ledger(TERMS)
@@ -180,7 +180,7 @@
         assert {v.rule for v in ledger.judge() if not v.kept} == broken
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_client_asks_once_more_where_its_request_crossed_a_close():
     ledger = Ledger(TERMS)
 
--- a/tests/external_ratelimit/test_client_session.py
+++ b/tests/external_ratelimit/test_client_session.py
@@ -179,8 +179,8 @@
     ],
 )
 def test_timeouts_are_rounded_down(seconds, text):
-    assert rpc.write_timeout(seconds) == text
-    assert rpc.read_timeout(text) <= max(seconds, 0.001)
+    assert rpc.format_timeout(seconds) == text
+    assert rpc.parse_timeout(text) <= max(seconds, 0.001)
 
 
 @seed(14)
--- a/tests/external_ratelimit/test_limiter.py
+++ b/tests/external_ratelimit/test_limiter.py
@@ -4,7 +4,15 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from netkit import SERVED, SETTINGS, EmulatedHost, Node, command, on_loop, terms
+from gateway_harness import (
+    SETTINGS,
+    VALUE_REPLY,
+    EmulatedHost,
+    GatewayHarness,
+    make_command,
+    make_fields,
+    run_on_uvloop,
+)
 
 from apigateway.emulators.ratelimit import EmulatedRateLimitService
 from apigateway.emulators.script import Step
@@ -29,33 +37,35 @@
         "required_probes": 2,
     }
     checks = CheckSettings(frozenset({"p", "quota"}), **defaults | kw)
-    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=CONF) as harness:
         config = ExternalServiceConfig(("127.0.0.1", service.port), checks, "roster", ENTRIES, batch)
         limiter = EnvoyRateLimiter(config, "g7")
-        node.node.core.external_ratelimit = limiter
-        node.host, node.limiter, node.number = host, limiter, 0
+        harness.server.core.external_ratelimit = limiter
+        harness.host, harness.limiter, harness.number = host, limiter, 0
         try:
-            yield node
+            yield harness
         finally:
             limiter.close()
             assert limiter.breaker.outstanding == 0
 
 
-async def ask(node, customer=A, plan="p", **kw):
-    node.number += 1
-    return await node.ask(command(b"r%d" % node.number, terms(t=plan, **kw), customer=customer.encode()))
+async def ask(harness, customer=A, plan="p", **kw):
+    harness.number += 1
+    return await harness.send_command(
+        make_command(b"r%d" % harness.number, make_fields(t=plan, **kw), customer=customer.encode())
+    )
 
 
-async def until(node, state):
-    while node.limiter.breaker.state is not state:
-        await ask(node)
+async def until(harness, state):
+    while harness.limiter.breaker.state is not state:
+        await ask(harness)
 
 
-@on_loop
+@run_on_uvloop
 async def test_check_is_sent_as_settings_say_and_over_limit_rejects(tmp_path):
-    async with EmulatedRateLimitService({A: 1}, reset_s=0.7) as service, asking(tmp_path, service) as node:
-        assert [await ask(node, units="0.5"), await ask(node)] == [SERVED, b"-BUSY 700\r\n"]
-        assert await ask(node, B) == SERVED
+    async with EmulatedRateLimitService({A: 1}, reset_s=0.7) as service, asking(tmp_path, service) as harness:
+        assert [await ask(harness, units="0.5"), await ask(harness)] == [VALUE_REPLY, b"-BUSY 700\r\n"]
+        assert await ask(harness, B) == VALUE_REPLY
         question = service.questions[0]
         assert question.domain == "roster" and question.hits_addend == 1  # what is begun counts
         assert {e.key: e.value for e in question.descriptors[0].entries} == {
@@ -64,19 +74,19 @@
             "by": "g7:0.5",
         }
         assert all(0 < int(text[:-1]) <= 2000 for text in service.timeouts)
-        assert len(node.host.commands) == 2 and node.limiter.counts["no"] == 1
+        assert len(harness.host.commands) == 2 and harness.limiter.counts["no"] == 1
 
 
-@on_loop
+@run_on_uvloop
 async def test_request_passes_only_if_service_and_own_quota_allow_it(tmp_path):
-    async with EmulatedRateLimitService({B: 0}) as service, asking(tmp_path, service) as node:
-        answers = [await ask(node, plan="quota") for _ in range(14)]
-        assert 5 <= answers.count(SERVED) <= 10 and answers[-1].startswith(b"-BUSY")
+    async with EmulatedRateLimitService({B: 0}) as service, asking(tmp_path, service) as harness:
+        answers = [await ask(harness, plan="quota") for _ in range(14)]
+        assert 5 <= answers.count(VALUE_REPLY) <= 10 and answers[-1].startswith(b"-BUSY")
         assert service.hits[A] == 14  # it said yes to each
-        assert (await ask(node, B, plan="quota")).startswith(b"-BUSY")
+        assert (await ask(harness, B, plan="quota")).startswith(b"-BUSY")
         # what it refused has spent nothing here
         service.limits.clear()
-        assert await ask(node, B, plan="quota") == SERVED
+        assert await ask(harness, B, plan="quota") == VALUE_REPLY
 
 
 FAULTS = [
@@ -92,108 +102,114 @@
 
 @pytest.mark.parametrize("mode", ["own", "refuse"])
 @pytest.mark.parametrize("step", FAULTS, ids=[step.kind for step in FAULTS])
-@on_loop
+@run_on_uvloop
 async def test_failure_mode_decides_while_the_service_fails_until_it_recovers(step, mode, tmp_path):
     slow = step.kind in ("stall", "silent")
     async with EmulatedRateLimitService() as service:
         async with asking(
             tmp_path, service, failure_mode=FailureMode(mode), timeout=0.05 if slow else 2.0
-        ) as node:
+        ) as harness:
             service.script.play(step)
-            answers = [await ask(node) for _ in range(8)]
-            assert all(a == SERVED if mode == "own" else a.startswith(b"-BUSY") for a in answers)
+            answers = [await ask(harness) for _ in range(8)]
+            assert all(a == VALUE_REPLY if mode == "own" else a.startswith(b"-BUSY") for a in answers)
             assert (
-                node.limiter.breaker.trip_count == 1 and node.limiter.breaker.state is not BreakerState.CLOSED
+                harness.limiter.breaker.trip_count == 1
+                and harness.limiter.breaker.state is not BreakerState.CLOSED
             )
             service.script.play()
-            await until(node, BreakerState.CLOSED)
-            assert await ask(node) == SERVED
+            await until(harness, BreakerState.CLOSED)
+            assert await ask(harness) == VALUE_REPLY
 
 
-@on_loop
+@run_on_uvloop
 async def test_over_limit_answers_do_not_open_the_breaker(tmp_path):
-    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as node:
+    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as harness:
         service.script.play(Step("over", count=40))
-        answers = await asyncio.gather(*(ask(node) for _ in range(40)))
-        assert all(a.startswith(b"-BUSY") for a in answers) and not node.host.commands
-        assert await ask(node) == SERVED and node.limiter.breaker.trip_count == 0
+        answers = await asyncio.gather(*(ask(harness) for _ in range(40)))
+        assert all(a.startswith(b"-BUSY") for a in answers) and not harness.host.commands
+        assert await ask(harness) == VALUE_REPLY and harness.limiter.breaker.trip_count == 0
 
 
 @pytest.mark.parametrize("kind", ["goaway", "busy"])
-@on_loop
+@run_on_uvloop
 async def test_check_that_was_not_processed_is_sent_once_more(kind, tmp_path):
-    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as node:
-        assert await ask(node) == SERVED
+    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as harness:
+        assert await ask(harness) == VALUE_REPLY
         service.script.play(Step(kind, count=1))
-        assert await ask(node) == SERVED
-        assert len(service.questions) == 2 and node.limiter.breaker.trip_count == 0  # counted once each
+        assert await ask(harness) == VALUE_REPLY
+        assert len(service.questions) == 2 and harness.limiter.breaker.trip_count == 0  # counted once each
         assert service.hits[A] == 2
 
 
-@on_loop
+@run_on_uvloop
 async def test_goaway_among_many_checks_loses_none(tmp_path):
-    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as node:
-        assert await ask(node) == SERVED
+    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as harness:
+        assert await ask(harness) == VALUE_REPLY
         service.script.play(Step("answer", count=5), Step("goaway", count=1))
-        answers = await asyncio.gather(*(ask(node) for _ in range(30)))
-        assert all(a == SERVED or a.startswith(b"-BUSY") for a in answers)  # its host takes so many at once
-        assert node.limiter.counts == {"questions": 31, "yes": 31} and service.hits[A] == 31
+        answers = await asyncio.gather(*(ask(harness) for _ in range(30)))
+        assert all(
+            a == VALUE_REPLY or a.startswith(b"-BUSY") for a in answers
+        )  # its host takes so many at once
+        assert harness.limiter.counts == {"questions": 31, "yes": 31} and service.hits[A] == 31
 
 
-@on_loop
+@run_on_uvloop
 async def test_unreachable_service_is_used_once_it_comes_up(tmp_path):
     service = EmulatedRateLimitService({A: 0})
     await service.open()
     await service.die()
-    async with asking(tmp_path, service, max_consecutive_failures=2, timeout=0.05) as node:
-        assert [await ask(node) for _ in range(4)] == [SERVED] * 4
-        assert node.limiter.breaker.trip_count == 1 and node.limiter.channel.connect_failures > 0
+    async with asking(tmp_path, service, max_consecutive_failures=2, timeout=0.05) as harness:
+        assert [await ask(harness) for _ in range(4)] == [VALUE_REPLY] * 4
+        assert harness.limiter.breaker.trip_count == 1 and harness.limiter.channel.connect_failures > 0
         await service.open()  # at its address
-        while (await ask(node)) == SERVED:
+        while (await ask(harness)) == VALUE_REPLY:
             pass
-        await until(node, BreakerState.CLOSED)
+        await until(harness, BreakerState.CLOSED)
         await service.__aexit__()
 
 
-@on_loop
+@run_on_uvloop
 async def test_client_disconnect_cancels_its_check(tmp_path):
-    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as node:
+    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as harness:
         service.script.play(Step("stall", count=1, delay=1.0))
-        _, writer = await node.connect()
-        writer.write(command(b"left"))
+        _, writer = await harness.connect()
+        writer.write(make_command(b"left"))
         await service.arrived.get()
         writer.close()
-        while node.node.core.in_flight:
+        while harness.server.core.in_flight:
             await asyncio.sleep(0)
-        assert await ask(node, B) == SERVED
+        assert await ask(harness, B) == VALUE_REPLY
         assert (
             service.called_off == 1
-            and len(node.host.commands) == 1
-            and node.limiter.breaker.sample_count == 1
+            and len(harness.host.commands) == 1
+            and harness.limiter.breaker.sample_count == 1
         )
 
 
-@on_loop
+@run_on_uvloop
 async def test_late_answer_changes_nothing(tmp_path):
-    async with EmulatedRateLimitService() as service, asking(tmp_path, service, timeout=0.05) as node:
+    async with EmulatedRateLimitService() as service, asking(tmp_path, service, timeout=0.05) as harness:
         service.script.play(Step("stall", count=1, delay=0.2), Step("over", count=1))
-        assert await ask(node) == SERVED  # unasked, as the mode says
-        assert (await ask(node)).startswith(b"-BUSY")
+        assert await ask(harness) == VALUE_REPLY  # unasked, as the mode says
+        assert (await ask(harness)).startswith(b"-BUSY")
         for _ in range(20):
-            assert await ask(node) == SERVED
-        assert len(node.host.commands) == 21
+            assert await ask(harness) == VALUE_REPLY
+        assert len(harness.host.commands) == 21
 
 
-@on_loop
+@run_on_uvloop
 async def test_batched_requests_each_get_their_own_answer(tmp_path):
-    async with EmulatedRateLimitService({A: 3, B: 0}) as service, asking(tmp_path, service, batch=10) as node:
-        _, writer = await node.connect()
-        reader, writer = await node.connect()
+    async with (
+        EmulatedRateLimitService({A: 3, B: 0}) as service,
+        asking(tmp_path, service, batch=10) as harness,
+    ):
+        _, writer = await harness.connect()
+        reader, writer = await harness.connect()
         texts = []
         for n in range(8):
-            node.number += 1
+            harness.number += 1
             customer = A if n % 2 else B
-            texts.append(command(b"r%d" % node.number, terms(), customer=customer.encode()))
+            texts.append(make_command(b"r%d" % harness.number, make_fields(), customer=customer.encode()))
         writer.write(b"".join(texts))
         answers = []
         for _ in range(8):
@@ -205,44 +221,44 @@
         assert answers == [b"-", b"$", b"-", b"$", b"-", b"$", b"-", b"-"]
 
 
-@on_loop
+@run_on_uvloop
 async def test_checks_wait_for_a_stream_when_the_server_limits_them(tmp_path):
-    async with EmulatedRateLimitService(most_streams=2) as service, asking(tmp_path, service) as node:
-        assert await ask(node) == SERVED  # its settings are known now
+    async with EmulatedRateLimitService(most_streams=2) as service, asking(tmp_path, service) as harness:
+        assert await ask(harness) == VALUE_REPLY  # its settings are known now
         service.script.play(Step("stall", count=4, delay=0.05))
-        assert await asyncio.gather(*(ask(node) for _ in range(12))) == [SERVED] * 12
+        assert await asyncio.gather(*(ask(harness) for _ in range(12))) == [VALUE_REPLY] * 12
         assert len(service.questions) == 13
 
 
-@on_loop
+@run_on_uvloop
 async def test_config_update_sends_new_checks_to_the_new_address(tmp_path):
     async with (
         EmulatedRateLimitService() as one,
         EmulatedRateLimitService({A: 0}) as two,
-        asking(tmp_path, one) as node,
+        asking(tmp_path, one) as harness,
     ):
-        assert await ask(node) == SERVED
+        assert await ask(harness) == VALUE_REPLY
         one.script.play(Step("stall", count=1, delay=0.1))
-        waits = asyncio.ensure_future(ask(node))
+        waits = asyncio.ensure_future(ask(harness))
         await one.arrived.get()
         await one.arrived.get()
-        old = node.limiter.config
+        old = harness.limiter.config
         address = ("127.0.0.1", two.port)
-        node.limiter.update_config(
+        harness.limiter.update_config(
             ExternalServiceConfig(address, old.checks, old.domain, old.descriptor_entries)
         )
-        assert (await ask(node)).startswith(b"-BUSY") and await waits == SERVED
-        assert node.limiter.status()["address"].endswith(str(two.port))
+        assert (await ask(harness)).startswith(b"-BUSY") and await waits == VALUE_REPLY
+        assert harness.limiter.status()["address"].endswith(str(two.port))
 
 
-@on_loop
+@run_on_uvloop
 async def test_each_request_is_answered_once_through_a_walk_of_faults(tmp_path):
     kinds = ["stall", "silent", "reset", "error", "spoilt", "odd", "half", "over", "goaway", "busy", "answer"]
-    async with EmulatedRateLimitService() as service, asking(tmp_path, service, timeout=0.05) as node:
+    async with EmulatedRateLimitService() as service, asking(tmp_path, service, timeout=0.05) as harness:
         service.script.play(*(Step(kind, count=1 + n % 3, delay=0.1) for n, kind in enumerate(kinds * 4)))
         for _ in range(30):
-            answers = await asyncio.gather(*(ask(node) for _ in range(6)))
-            assert all(a == SERVED or a.startswith(b"-BUSY") for a in answers)
-        assert not node.node.core.in_flight
+            answers = await asyncio.gather(*(ask(harness) for _ in range(6)))
+            assert all(a == VALUE_REPLY or a.startswith(b"-BUSY") for a in answers)
+        assert not harness.server.core.in_flight
         service.script.play()
-        await until(node, BreakerState.CLOSED)
+        await until(harness, BreakerState.CLOSED)
--- a/tests/faults/test_flood.py
+++ b/tests/faults/test_flood.py
@@ -6,7 +6,7 @@
 import signal
 
 import pytest
-from netkit import command, on_loop, read_reply
+from gateway_harness import make_command, read_reply, run_on_uvloop
 from rig import Site
 
 FLOOD = 4000  # commands in one write
@@ -14,7 +14,7 @@
 
 def flood(name, count=FLOOD):
     return b"".join(
-        command(
+        make_command(
             b"%s-%d" % (name, n),
             b"c=%s,t=p,d=3000,units=1,spread=1,first=0" % (b"dear" if n % 10 == 0 else b"read"),
         )
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("overload", [SHEDS, "on = false"])
-@on_loop
+@run_on_uvloop
 async def test_each_of_a_flood_is_answered_once_and_in_order_also_when_told_to_stop(overload, tmp_path):
     async with Site(tmp_path) as site:
         site.write(overload=overload, limits="max_open = 1000")
@@ -51,7 +51,7 @@
         assert not any(host.running for host in site.hosts)
 
 
-@on_loop
+@run_on_uvloop
 async def test_overload_goes_on_and_off_by_a_reload_in_traffic(tmp_path):
     async with Site(tmp_path) as site:
         program = await site.start()
@@ -68,6 +68,6 @@
         program.send_signal(signal.SIGHUP)
         await site.line(program, b"overload.turn")
         assert b"refused" in await site.line(program, b"reload: ")
-        writer.write(command(b"last"))
+        writer.write(make_command(b"last"))
         assert (await read_reply(reader)).endswith(b":last\r\n")
         writer.close()
--- a/tests/faults/test_fronts.py
+++ b/tests/faults/test_fronts.py
@@ -4,16 +4,16 @@
 import json
 from dataclasses import replace
 
-from netkit import (
-    SERVED,
+from gateway_harness import (
+    VALUE_REPLY,
     EmulatedCounter,
     EmulatedDiscovery,
     EmulatedHost,
-    command,
-    entry,
-    on_loop,
+    make_command,
+    make_configuration,
+    make_host_entry,
     read_reply,
-    told,
+    run_on_uvloop,
 )
 
 from apigateway import messages
@@ -32,9 +32,11 @@
         self.counter, self.discovery = EmulatedCounter(), EmulatedDiscovery()
         await self.counter.__aenter__()
         await self.discovery.__aenter__()
-        self.discovery.servers = [entry(h, f"h{n}") for n, h in enumerate(self.hosts, 1)]
+        self.discovery.servers = [make_host_entry(h, f"h{n}") for n, h in enumerate(self.hosts, 1)]
         file = self.path / "config.json"
-        file.write_text(json.dumps(told(self.discovery.servers, self.discovery.port, self.counter.port)))
+        file.write_text(
+            json.dumps(make_configuration(self.discovery.servers, self.discovery.port, self.counter.port))
+        )
         config = read_config({"RELAY_CONFIG": str(file)})
         config = replace(config, listeners=(*config.listeners, ("127.0.0.1", 0)), linger=0.0, **self.limits)
         self.node = GatewayServer(config)
@@ -67,20 +69,20 @@
         )
 
 
-@on_loop
+@run_on_uvloop
 async def test_one_id_on_two_fronts_at_once_is_in_work_once(tmp_path):
     async with EmulatedHost(None) as host, TwoFronts(tmp_path, host) as gate:
-        first = asyncio.ensure_future(gate.ask(0, command(b"same")))
+        first = asyncio.ensure_future(gate.ask(0, make_command(b"same")))
         await host.arrived.get()
-        assert await gate.ask(1, command(b"same")) == b"-ERR this id is in work\r\n"
+        assert await gate.ask(1, make_command(b"same")) == b"-ERR this id is in work\r\n"
         host.writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-        assert await first == SERVED and len(host.commands) == 1
+        assert await first == VALUE_REPLY and len(host.commands) == 1
         host.writers[0].close()  # the stub answers by hand there; what comes next is to go by another
         host.answer = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
-        assert await gate.ask(1, command(b"same")) == SERVED
+        assert await gate.ask(1, make_command(b"same")) == VALUE_REPLY
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_front_that_raises_on_every_request_leaves_the_others_serving(tmp_path, monkeypatch):
     async with EmulatedHost() as host, TwoFronts(tmp_path, host) as gate:
 
@@ -90,14 +92,14 @@
         monkeypatch.setattr(gate.node.frontends[0], "on_command", broken)
         for n in range(20):
             reader, writer = await gate.connect(0)
-            writer.write(command(b"a%d" % n))
+            writer.write(make_command(b"a%d" % n))
             assert await reader.read() == b""  # its connection is of no use, and ends
             writer.close()
-            assert await gate.ask(1, command(b"b%d" % n)) == SERVED
+            assert await gate.ask(1, make_command(b"b%d" % n)) == VALUE_REPLY
         assert not gate.node.core.in_flight
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_front_whose_answers_raise_keeps_nothing_in_work(tmp_path, monkeypatch):
     async with EmulatedHost() as host, TwoFronts(tmp_path, host) as gate:
         real = ResponseSlot.complete
@@ -109,15 +111,15 @@
 
         monkeypatch.setattr(ResponseSlot, "complete", broken)
         _, writer = await gate.connect(0)
-        writer.write(command(b"a"))
+        writer.write(make_command(b"a"))
         await host.arrived.get()
-        assert await gate.ask(1, command(b"b")) == SERVED
+        assert await gate.ask(1, make_command(b"b")) == VALUE_REPLY
         while gate.node.core.in_flight:
             await asyncio.sleep(0)
         writer.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_front_whose_clients_take_no_answers_does_not_hold_up_the_others(tmp_path):
     big = b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)
     async with EmulatedHost(big) as host, TwoFronts(tmp_path, host) as gate:
@@ -126,24 +128,24 @@
         _, writer = await gate.connect(0)
         writer.transport.pause_reading()
         for n in range(300):
-            writer.write(command(b"a%d" % n))
+            writer.write(make_command(b"a%d" % n))
         while not gate.node.frontends[0].server.write_blocked_since:
             await asyncio.sleep(0.01)
         for n in range(20):
-            assert (await gate.ask(1, command(b"b%d" % n))).startswith(b"$60000")
+            assert (await gate.ask(1, make_command(b"b%d" % n))).startswith(b"$60000")
         writer.transport.abort()
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_flood_of_sound_commands_on_one_front_leaves_room_on_the_other(tmp_path):
     async with EmulatedHost(None) as host, TwoFronts(tmp_path, host, max_in_flight=40) as gate:
         gate.node.core.module = Eager()
         _, writer = await gate.connect(0)
         for n in range(200):
-            writer.write(command(b"flood%d" % n))
+            writer.write(make_command(b"flood%d" % n))
         while gate.node.core.request_budget.used < 30:
             await asyncio.sleep(0)
-        asked = asyncio.ensure_future(gate.ask(1, command(b"quiet")))
+        asked = asyncio.ensure_future(gate.ask(1, make_command(b"quiet")))
         while "quiet" not in gate.node.core.in_flight and not asked.done():
             await asyncio.sleep(0)
         assert (
@@ -152,5 +154,5 @@
         host.answer = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
         for out in host.writers:
             out.write(host.answer)
-        assert await asked == SERVED
+        assert await asked == VALUE_REPLY
         writer.close()
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -8,7 +8,14 @@
 import socket
 
 import pytest
-from netkit import SERVED, EmulatedHost, Node, command, entry, on_loop
+from gateway_harness import (
+    VALUE_REPLY,
+    EmulatedHost,
+    GatewayHarness,
+    make_command,
+    make_host_entry,
+    run_on_uvloop,
+)
 from rig import TERMS, Load, Site, free_port
 
 from apigateway import messages
@@ -31,7 +38,7 @@
     return told, channel
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_successor_takes_over_and_another_from_that_one(tmp_path):
     ledger = Ledger(TERMS)
     async with Site(tmp_path, ledger=ledger) as site:
@@ -49,7 +56,7 @@
 @pytest.mark.parametrize(
     "how", ["crashes at once", "is killed before it is ready", "says ready and dies", "talks nonsense"]
 )
-@on_loop
+@run_on_uvloop
 async def test_a_successor_that_fails_leaves_the_old_one_serving(how, tmp_path):
     ledger = Ledger(TERMS)
     async with Site(tmp_path, ledger=ledger) as site:
@@ -77,7 +84,7 @@
             await load.served(30)
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_successor_that_never_gets_ready_is_given_up(tmp_path):
     ledger = Ledger(TERMS)
     async with Site(tmp_path, ledger=ledger) as site:
@@ -91,7 +98,7 @@
             assert first.returncode is None
 
 
-@on_loop
+@run_on_uvloop
 async def test_of_two_successors_at_once_one_is_told_to_try_again(tmp_path):
     ledger = Ledger(TERMS)
     async with Site(tmp_path, ledger=ledger) as site:
@@ -105,7 +112,7 @@
             await load.served(30)
 
 
-@on_loop
+@run_on_uvloop
 async def test_the_successor_serves_by_its_own_settings(tmp_path):
     async with Site(tmp_path) as site:
         first = await site.start()
@@ -113,11 +120,11 @@
         site.write([site.port, more], limits="max_attempts = 2")
         await site.start("--take-over")
         assert await first.wait() == 0
-        assert (await site.ask(command(b"a"), more)).startswith(b"$")
-        assert (await site.ask(command(b"b"))).startswith(b"$")
+        assert (await site.ask(make_command(b"a"), more)).startswith(b"$")
+        assert (await site.ask(make_command(b"b"))).startswith(b"$")
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_port_that_was_drawn_is_handed_over(tmp_path):
     async with Site(tmp_path) as site:
         site.write([0])
@@ -126,23 +133,23 @@
         second = await site.start("--take-over", ready=False)
         assert int((await site.line(second, b"listens on")).rsplit(b":", 1)[1]) == port
         assert await first.wait() == 0
-        assert (await site.ask(command(), port)).startswith(b"$")
+        assert (await site.ask(make_command(), port)).startswith(b"$")
 
 
-@on_loop
+@run_on_uvloop
 async def test_what_the_old_one_took_is_answered_by_it(tmp_path):
     async with Site(tmp_path, hosts=1, answer=lambda: None) as site:
         first = await site.start()
-        asked = asyncio.ensure_future(site.ask(command(b"before")))
+        asked = asyncio.ensure_future(site.ask(make_command(b"before")))
         await site.hosts[0].arrived.get()
         await site.start("--take-over")
         assert first.returncode is None
         site.hosts[0].writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-        assert await asked == SERVED
+        assert await asked == VALUE_REPLY
         assert await first.wait() == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_nobody_to_take_over_from_and_a_folder_in_use(tmp_path):
     async with Site(tmp_path) as site:
         alone = await site.start("--take-over", ready=False)
@@ -155,17 +162,17 @@
         assert b"in use by process %d" % site.programs[1].pid in said
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_killed_gateway_leaves_its_folder_free(tmp_path):
     async with Site(tmp_path) as site:
         first = await site.start()
         first.send_signal(signal.SIGKILL)
         await first.wait()
         await site.start()
-        assert (await site.ask(command())).startswith(b"$")
+        assert (await site.ask(make_command())).startswith(b"$")
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_long_list_of_hosts_is_handed_over_whole():
     one, other = socket.socketpair()
     left, right = HandoverChannel(one), HandoverChannel(other)
@@ -178,20 +185,26 @@
 
 
 @pytest.mark.parametrize("ours, theirs", [("draining", "up"), ("up", "draining"), ("draining", "draining")])
-@on_loop
+@run_on_uvloop
 async def test_what_either_process_was_told_to_drain_drains(ours, theirs, tmp_path):
-    async with EmulatedHost() as one, EmulatedHost() as two, Node(one, two, path=tmp_path) as node:
-        node.discovery.silent = True  # nothing mends it meanwhile
-        mine, yours = ([entry(one, "h1", state), entry(two, "h2")] for state in (ours, theirs))
-        node.node.endpoint_list.apply(read_list({"version": 2, "full": True, "servers": mine}))
-        node.node.begin(read_list({"version": 1, "full": True, "servers": yours}, "cached"))
-        assert [s.host.id for s in node.node.core.module.pool.available] == ["h2"]
+    async with (
+        EmulatedHost() as one,
+        EmulatedHost() as two,
+        GatewayHarness(one, two, path=tmp_path) as harness,
+    ):
+        harness.discovery.silent = True  # nothing mends it meanwhile
+        mine, yours = (
+            [make_host_entry(one, "h1", state), make_host_entry(two, "h2")] for state in (ours, theirs)
+        )
+        harness.server.endpoint_list.apply(read_list({"version": 2, "full": True, "servers": mine}))
+        harness.server.begin(read_list({"version": 1, "full": True, "servers": yours}, "cached"))
+        assert [s.host.id for s in harness.server.core.module.pool.available] == ["h2"]
         for n in range(4):
-            assert await node.ask(command(b"r%d" % n)) == SERVED
+            assert await harness.send_command(make_command(b"r%d" % n)) == VALUE_REPLY
         assert not one.commands and len(two.commands) == 4
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_drain_taken_over_through_a_belief_is_mended_by_its_source():
     told = []
     judge = ReconcilerDriver(
--- a/tests/faults/test_links.py
+++ b/tests/faults/test_links.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from netkit import on_loop
+from gateway_harness import run_on_uvloop
 
 from apigateway.emulators.clients import Customer
 from apigateway.emulators.fleet import Class, Plan, Shape
@@ -56,7 +56,7 @@
     ],
     ids=lambda x: x.kind if isinstance(x, LinkFault) else "",
 )
-@on_loop
+@run_on_uvloop
 async def test_rules_hold_and_most_is_served_through_bad_links(fault, zones, hosts, least, tmp_path):
     async with Play(tmp_path) as play:
         task = play.begin(6.0)
@@ -68,7 +68,7 @@
         assert play.part_served() >= least
 
 
-@on_loop
+@run_on_uvloop
 async def test_seven_in_ten_gateways_die_and_come_back_without_a_herd(tmp_path):
     """Judged over all that comes from the kill on, and apart over what comes once all are back."""
     async with Play(tmp_path, BUSY) as play:
@@ -87,7 +87,7 @@
             assert mean > 10 and max(taken.values()) < 1.6 * mean and min(taken.values()) > 0.5 * mean
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_site_that_is_cut_off_and_a_counter_that_some_cannot_reach_break_no_ceiling(tmp_path):
     async with Play(tmp_path) as play:
         task = play.begin(7.0)
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("odd, which, most", [(lying, 1, 1.6), (failing, 1, 1.0), (behind, 3, 1.6)])
-@on_loop
+@run_on_uvloop
 async def test_a_host_that_tells_what_is_not_so_draws_no_more_than_its_part(odd, which, most, tmp_path):
     """One that says it is empty, one that errs at once and so is always free, a zone with old reports."""
     async with Play(tmp_path) as play:
@@ -132,7 +132,7 @@
         assert mean > 20 and taken[play.fleet.hosts[0].name] < most * mean
 
 
-@on_loop
+@run_on_uvloop
 async def test_six_in_ten_hosts_replaced_by_cold_ones_are_not_pushed_over(tmp_path):
     """The ledger judges the cutoff of each drain and what each cold one is sent."""
     shape = replace(SHAPE, drain_grace=1.0, cold_share=0.15, cold_time=6.0)
@@ -165,7 +165,7 @@
     return (await asked.communicate())[0]
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_site_that_falls_silent_is_left_but_for_trials_and_found_again(tmp_path):
     """Of 18 hosts six stand in the site: an even part of what two sites' gateways send would be a third."""
     async with Play(tmp_path, replace(SHAPE, hosts=18, cores=2)) as play:
@@ -236,7 +236,7 @@
     "fault", [LinkFault("silent"), LinkFault("refuse"), LinkFault("delay", 0.3)], ids=lambda w: w.kind
 )
 @pytest.mark.parametrize("meanwhile", [killed_with_it, stopped, reloaded, drained])
-@on_loop
+@run_on_uvloop
 async def test_a_site_is_lost_and_something_else_happens_in_the_middle_of_it(meanwhile, fault, tmp_path):
     async with Play(tmp_path, replace(SHAPE, hosts=18, cores=2)) as play:
         task = play.begin(6.0)
@@ -254,7 +254,7 @@
         assert play.part_served() > 0.4 and len(play.traffic.latency) > 250
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_planned_leave_of_a_site_by_reload_loses_nothing_and_is_taken_back(tmp_path):
     async with Play(tmp_path) as play:
         task = play.begin(9.0)
@@ -306,7 +306,7 @@
     ],
     ids=lambda x: f"{x.kind}{'-one-way' * x.one_way}" if isinstance(x, LinkFault) else "",
 )
-@on_loop
+@run_on_uvloop
 async def test_a_relay_does_what_its_fault_says(fault, got):
     loop = asyncio.get_running_loop()
     server = await loop.create_server(Echo, "127.0.0.1", 0)
--- a/tests/faults/test_plugins.py
+++ b/tests/faults/test_plugins.py
@@ -8,7 +8,7 @@
 import signal
 
 import pytest
-from netkit import SERVED, command, on_loop, read_reply
+from gateway_harness import VALUE_REPLY, make_command, read_reply, run_on_uvloop
 from rig import TERMS, Load, Site
 
 from apigateway.daemon.status_query import query_gateway
@@ -67,7 +67,7 @@
 )
 
 
-@on_loop
+@run_on_uvloop
 async def test_one_that_loops_forever_is_stopped_each_time_then_taken_out_and_nobody_is_lost(tmp_path):
     ledger = Ledger(TERMS)
     async with Plugged(tmp_path, ledger=ledger) as site:
@@ -90,7 +90,7 @@
         assert await program.wait() == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_past_its_fuel_a_request_is_refused_where_settings_say_so(tmp_path):
     async with Plugged(tmp_path) as site:
         (tmp_path / "loop.wat").write_text(LOOPS)
@@ -103,9 +103,9 @@
             )
         )
         await site.start()
-        assert [await site.ask(command(b"z%d" % n)) for n in range(3)] == [BUSY] * 3
+        assert [await site.ask(make_command(b"z%d" % n)) for n in range(3)] == [BUSY] * 3
         # It is out: until it is tried again, cut to the most that may be told.
-        assert [await site.ask(command(b"y%d" % n)) for n in range(3)] == [b"-BUSY 2000\r\n"] * 3
+        assert [await site.ask(make_command(b"y%d" % n)) for n in range(3)] == [b"-BUSY 2000\r\n"] * 3
         assert site.hosts[0].commands == site.hosts[1].commands == []
 
 
@@ -135,7 +135,7 @@
 )
 
 
-@on_loop
+@run_on_uvloop
 async def test_one_that_tries_each_rule_by_name_changes_none(tmp_path):
     """Traffic, a host that errs, one that drains, one that comes back cold, a ceiling: the ledger's
     verdict."""
@@ -185,7 +185,7 @@
         assert set(one["allowed"]) <= {"tag"} and not one["failed"]
 
 
-@on_loop
+@run_on_uvloop
 async def test_swapped_in_traffic_again_and_again_each_request_is_closed_out_once(tmp_path):
     ledger = Ledger(TERMS)
     async with Plugged(tmp_path, ledger=ledger) as site:
@@ -209,7 +209,7 @@
     assert {told["tags"]["v"] for told in found} >= {"0", "40"}
 
 
-@on_loop
+@run_on_uvloop
 async def test_one_that_traps_at_its_first_call_in_service_with_hundreds_in_flight(tmp_path):
     """Its proof goes well; from the first request that a client sends it traps."""
     async with Plugged(tmp_path, hosts=2, answer=lambda: None) as site:
@@ -222,7 +222,7 @@
         program = await site.start()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         for n in range(300):
-            writer.write(command(b"q%d" % n))
+            writer.write(make_command(b"q%d" % n))
         arrived = 0
         while arrived < 2:  # a gateway has a bounded number out at a host
             await site.hosts[arrived % 2].arrived.get()
@@ -237,13 +237,15 @@
         )
         assert b"plug-ins loaded: a" in await site.reload(program)
         for n in range(300, 320):
-            writer.write(command(b"q%d" % n))
+            writer.write(make_command(b"q%d" % n))
         for host in site.hosts:
             host.answer = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
             for one in host.writers:
                 one.close()
         answers = [await read_reply(reader) for _ in range(320)]
-        assert all(answer == SERVED or answer.startswith((b"-BUSY", b"-ERR failed")) for answer in answers)
+        assert all(
+            answer == VALUE_REPLY or answer.startswith((b"-BUSY", b"-ERR failed")) for answer in answers
+        )
         (told,) = (await site.told())["plugins"]
         assert told["failed"] == {"trap": 2} and told["state"] == "out"
         writer.close()
@@ -257,7 +259,7 @@
 @pytest.mark.parametrize(
     "how", ["half written", "50 MB", "gone", "traps", "no rule", "cannot take the state"]
 )
-@on_loop
+@run_on_uvloop
 async def test_a_bad_one_leaves_the_old_in_force(how, tmp_path):
     ledger = Ledger(TERMS)
     async with Plugged(tmp_path, ledger=ledger) as site:
@@ -304,7 +306,7 @@
     assert {told["tags"]["v"] for _, told in read_records(str(tmp_path / "records"))} == {"old"}
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_gateway_does_not_start_with_a_bad_one_and_check_says_why(tmp_path):
     async with Plugged(tmp_path) as site:
         (tmp_path / "a.wat").write_text("(module")
@@ -314,7 +316,7 @@
         assert await program.wait() == 2
 
 
-@on_loop
+@run_on_uvloop
 async def test_mutated_modules_swapped_in_traffic_do_no_harm(tmp_path):
     ledger, rng = Ledger(TERMS), random.Random(7)
     whole = assemble_module(
@@ -339,17 +341,17 @@
         assert await program.wait() == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_hand_over_takes_the_plug_ins_of_the_new_settings(tmp_path):
     ledger = Ledger(TERMS)
     async with Plugged(tmp_path, ledger=ledger) as site:
         site.plug(plugin("a", "[[plugins.rules]]\nwhen = 'id.startsWith(\"no\")'\nrefuse = '0.5'"))
         old = await site.start()
-        assert await site.ask(command(b"no1")) == b"-BUSY 500\r\n"
+        assert await site.ask(make_command(b"no1")) == b"-BUSY 500\r\n"
         async with Load(site, ledger) as load:
             site.plug(plugin("a", "[[plugins.rules]]\nwhen = 'id.startsWith(\"no\")'\nrefuse = '0'"))
             await site.start("--take-over")
             assert await old.wait() == 0
             await load.served(20)
-            assert await site.ask(command(b"no2")) == BUSY
-            assert (await site.ask(command(b"yes"))).startswith(b"$")
+            assert await site.ask(make_command(b"no2")) == BUSY
+            assert (await site.ask(make_command(b"yes"))).startswith(b"$")
--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from netkit import command, on_loop, read_reply
+from gateway_harness import make_command, read_reply, run_on_uvloop
 from rig import PROGRAM, ROOT, TERMS, Load, Site
 
 from apigateway.emulators.eureka import EmulatedEureka, instance
@@ -61,7 +61,7 @@
         await site.registry.asked.get()
 
 
-@on_loop
+@run_on_uvloop
 async def test_flips_under_load_keep_the_cutoff(tmp_path):
     ledger, rng = Ledger(TERMS), random.Random(7)
     async with RegistrySite(tmp_path, hosts=4, ledger=ledger) as site:
@@ -77,7 +77,7 @@
         assert tellings.count("draining") >= 5 and tellings.count("up") >= 5
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_flip_within_one_poll_and_one_while_an_attempt_is_out(tmp_path):
     ledger = Ledger(TERMS)
     async with RegistrySite(tmp_path, hosts=2, ledger=ledger) as site:
@@ -100,7 +100,7 @@
             assert len(first.commands) == before
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_registry_that_is_silent_for_longer_than_every_lease(tmp_path):
     ledger = Ledger(TERMS)
     async with RegistrySite(tmp_path, hosts=3, ledger=ledger) as site:
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("left", [0, 1])
-@on_loop
+@run_on_uvloop
 async def test_a_registry_that_comes_back_empty_or_with_half_serves_on(left, tmp_path):
     ledger = Ledger(TERMS)
     async with RegistrySite(tmp_path, hosts=4, ledger=ledger) as site:
@@ -140,7 +140,7 @@
             assert all(len(h.commands) >= was + 4 for h, was in zip(site.hosts, before, strict=True))
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_host_that_renews_and_answers_nothing_is_gone_round_and_used_again(tmp_path):
     ledger = Ledger(TERMS)
     async with RegistrySite(tmp_path, hosts=3, ledger=ledger) as site:
@@ -159,7 +159,7 @@
                 await load.served(1)
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_reload_goes_from_a_file_to_a_registry_and_back_in_traffic(tmp_path):
     ledger = Ledger(TERMS)
     async with RegistrySite(tmp_path, hosts=3, ledger=ledger) as site:
@@ -185,7 +185,7 @@
             assert connections > 0 and kept.connections > 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_the_gateway_is_an_instance_itself_and_never_routes_to_itself(tmp_path):
     register = 'on = true\nip = "127.0.0.1"\nid = "gw"\napp = "ROSTER"\nrenew = 0.2\nduration = 5.0'
     async with RegistrySite(tmp_path, hosts=1, register=register) as site:
@@ -196,7 +196,7 @@
             await site.registry.asked.get()
         await polled(site, 3)
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
-        writer.write(command())
+        writer.write(make_command())
         while not site.hosts[0].commands:
             await site.hosts[0].arrived.get()
         seen = []
@@ -214,7 +214,7 @@
         writer.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_what_a_gateway_believes_can_be_asked(tmp_path):
     async with RegistrySite(tmp_path, hosts=2) as site:
         site.registry.override("ROSTER", "h1", "OUT_OF_SERVICE")
@@ -238,13 +238,13 @@
         up, gone = (next(h["choice"] for h in told["hosts"] if h["id"] == name) for name in ("h0", "h1"))
         assert up["near"] and up["out"] == 0 and up["sound"] > 0.9 and up["age"] is None and not up["rests"]
         assert not gone["near"]
-        assert (await site.ask(command(b"counted"))).startswith(b"$")
+        assert (await site.ask(make_command(b"counted"))).startswith(b"$")
         text = (await run())[1]
         assert "choices: 0 by a fresh report, 1 by the mean of all" in text
         assert "subset" not in (await run("--registry"))[1]
 
 
-@on_loop
+@run_on_uvloop
 async def test_the_platforms_program_loads_no_registry():
     code = (
         "import sys, apigateway.daemon.platform; "
@@ -256,7 +256,7 @@
     assert (await program.communicate())[0] == b"[]\n"
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_walk_of_faults_keeps_the_rules(tmp_path):
     ledger, rng = Ledger(TERMS), random.Random(5)
     async with RegistrySite(tmp_path, hosts=3, ledger=ledger) as site:
--- a/tests/faults/test_reload.py
+++ b/tests/faults/test_reload.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from netkit import SERVED, command, on_loop, read_reply
+from gateway_harness import VALUE_REPLY, make_command, read_reply, run_on_uvloop
 from rig import TERMS, Load, Site, free_port
 
 from apigateway.emulators.counter import EmulatedCounter
@@ -20,7 +20,7 @@
     os.rename(new, site.file)
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_hundred_reloads_in_traffic(tmp_path):
     ledger = Ledger(TERMS)
     async with Site(tmp_path, ledger=ledger) as site:
@@ -41,12 +41,12 @@
         assert await program.wait() == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_reload_opens_and_closes_listeners_and_tells_what_needs_a_restart(tmp_path):
     async with Site(tmp_path, hosts=1, answer=lambda: None) as site:
         program, more = await site.start(), free_port()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
-        writer.write(command(b"before"))
+        writer.write(make_command(b"before"))
         await site.hosts[0].arrived.get()
         site.write([more], limits="max_attempts = 2")
         program.send_signal(signal.SIGHUP)
@@ -55,12 +55,12 @@
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", site.port)
         site.hosts[0].writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-        assert await read_reply(reader) == SERVED  # what was taken on the old one is answered there
+        assert await read_reply(reader) == VALUE_REPLY  # what was taken on the old one is answered there
         # Answered for by hand, the stub says nothing more there: what comes is to go by another line.
         site.hosts[0].writers[0].close()
         assert await read_reply(reader) == b""
         site.hosts[0].answer = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
-        assert await site.ask(command(b"after"), more) == SERVED
+        assert await site.ask(make_command(b"after"), more) == VALUE_REPLY
         program.send_signal(signal.SIGHUP)
         assert b"max_attempts" in await site.line(program, b"reload: ")  # told each time, never silently left
         writer.close()
@@ -79,7 +79,7 @@
         "no hosts file",
     ],
 )
-@on_loop
+@run_on_uvloop
 async def test_what_cannot_be_taken_up_leaves_the_old_in_force(how, tmp_path):
     ledger = Ledger(TERMS)
     async with Site(tmp_path, ledger=ledger) as site:
@@ -125,28 +125,28 @@
         taken.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_stop_during_a_reload_and_a_reload_during_a_stop(tmp_path):
     async with Site(tmp_path, hosts=1, answer=lambda: None) as site:
         program = await site.start()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
-        writer.write(command(b"before"))
+        writer.write(make_command(b"before"))
         await site.hosts[0].arrived.get()
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGHUP):
             program.send_signal(number)
         await site.line(program, b"no reload during a stop")
         site.hosts[0].writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-        assert await read_reply(reader) == SERVED
+        assert await read_reply(reader) == VALUE_REPLY
         assert await program.wait() == 0
         writer.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_reload_goes_over_to_another_counter_and_another_file_of_hosts(tmp_path):
     async with Site(tmp_path, hosts=2, answer=b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n") as site:
         site.list_hosts("up", None)
         program = await site.start()
-        assert await site.ask(command(b"a")) == SERVED and len(site.hosts[0].commands) == 1
+        assert await site.ask(make_command(b"a")) == VALUE_REPLY and len(site.hosts[0].commands) == 1
         others = f'[[hosts]]\nid = "h9"\naddress = "127.0.0.1:{site.hosts[1].port}"\n'
         (tmp_path / "others.toml").write_text(others)
         async with EmulatedCounter() as other:
@@ -155,25 +155,25 @@
             program.send_signal(signal.SIGHUP)
             said = await site.line(program, b"reload: ")
             assert b"counter.address" in said and b"hosts.file" in said
-            assert await site.ask(command(b"b")) == SERVED
+            assert await site.ask(make_command(b"b")) == VALUE_REPLY
             assert [len(h.commands) for h in site.hosts] == [1, 1]
             while not other.writers:
                 await asyncio.sleep(0.01)
 
 
-@on_loop
+@run_on_uvloop
 async def test_the_file_of_hosts_is_followed_and_a_bad_one_leaves_the_list(tmp_path):
     async with Site(tmp_path, hosts=2, answer=b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n") as site:
         site.list_hosts("up", None)
         program = await site.start()
         (tmp_path / "hosts.toml").write_text("[[hosts]\nid =")
         await site.line(program, b"the last list stays")
-        assert await site.ask(command(b"a")) == SERVED
+        assert await site.ask(make_command(b"a")) == VALUE_REPLY
         site.list_hosts("draining", "up")
         n = 0
         while not site.hosts[1].commands:  # until it has been read
-            assert await site.ask(command(b"b%d" % (n := n + 1))) == SERVED
+            assert await site.ask(make_command(b"b%d" % (n := n + 1))) == VALUE_REPLY
         before = len(site.hosts[0].commands)
         for n in range(10):
-            assert await site.ask(command(b"c%d" % n)) == SERVED
+            assert await site.ask(make_command(b"c%d" % n)) == VALUE_REPLY
         assert len(site.hosts[0].commands) == before
--- a/tests/faults/test_workers.py
+++ b/tests/faults/test_workers.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from netkit import SERVED, VALUE, command, on_loop, read_reply, terms
+from gateway_harness import VALUE, VALUE_REPLY, make_command, make_fields, read_reply, run_on_uvloop
 from rig import PROGRAM, ROOT, TERMS, Load, Site
 
 from apigateway.daemon.settings import read_settings
@@ -50,7 +50,7 @@
     "how, word",
     [(signal.SIGKILL, b"ended (signal 9); again in"), (signal.SIGSTOP, b"shows no sign of life: killed")],
 )
-@on_loop
+@run_on_uvloop
 async def test_a_worker_that_dies_or_hangs_is_made_anew_and_its_requests_are_lost_in_no_other_way(
     how, word, tmp_path
 ):
@@ -77,7 +77,7 @@
         assert await site.ended(program) == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_ceilings_hold_over_all_workers_of_one_address(tmp_path):
     """Its clients know one gateway: spread 1, first 0. One worker is killed on the way."""
     kinds = {"read": Class("safe"), "note": Class("unsafe")}
@@ -119,7 +119,7 @@
     return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS")) / 1024
 
 
-@on_loop
+@run_on_uvloop
 async def test_one_that_grows_to_its_limit_finishes_what_it_has_and_is_made_anew(tmp_path):
     """A host that says nothing lets bodies pile up in both workers."""
     async with Group(tmp_path, hosts=1, answer=lambda: None) as site:
@@ -135,7 +135,7 @@
         for k, (_, writer) in enumerate(lines):
             for n in range(4):
                 writer.write(
-                    command(
+                    make_command(
                         b"%d-%d" % (k, n),
                         b"c=note,t=p,d=3000,units=1,spread=1,first=0",
                         b"API.WRITE",
@@ -151,12 +151,12 @@
         await until(lambda: len(children(program)) == 2 and children(program) != before, "made anew")
         site.hosts[0].answer = VALUE
         # the host that said nothing is doubted for a moment
-        while await site.ask(command(b"after")) != SERVED:
+        while await site.ask(make_command(b"after")) != VALUE_REPLY:
             await asyncio.sleep(0.05)
         assert await site.ended(program) == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_crash_loop_ends_plainly(tmp_path):
     async with Group(tmp_path) as site:
         program = await site.up(2, "crashes = 3\nrest = 0.05\nsteady = 600.0")
@@ -174,7 +174,7 @@
         assert b"in a row: given up, all end" in b"".join(site.logs[program])
 
 
-@on_loop
+@run_on_uvloop
 async def test_workers_end_by_themselves_when_their_supervisor_is_killed(tmp_path):
     ledger = Ledger(TERMS)
     async with Group(tmp_path, ledger=ledger) as site:
@@ -189,7 +189,7 @@
         assert await site.ended(program) == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_what_asks_a_gateway_asks_all_its_workers(tmp_path):
     async with Group(tmp_path) as site:
         program = await site.up(2)
@@ -202,7 +202,7 @@
         assert await site.ended(program) == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_reload_and_stop_act_on_all_and_what_only_the_supervisor_could_is_refused(tmp_path):
     ledger = Ledger(TERMS)
     async with Group(tmp_path, ledger=ledger) as site:
@@ -222,7 +222,7 @@
         assert await site.ended(program) == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_workers_without_a_counter_are_refused(tmp_path):
     async with Group(tmp_path) as site:
         site.write(workers="count = 2")
@@ -245,7 +245,7 @@
     return program
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_supervisor_takes_over_worker_by_worker_and_another_from_that_one(tmp_path):
     ledger = Ledger(TERMS)
     async with Group(tmp_path, ledger=ledger) as site:
@@ -265,7 +265,7 @@
 
 
 @pytest.mark.parametrize("how", ["a bad file", "killed at its second worker", "another count", "no workers"])
-@on_loop
+@run_on_uvloop
 async def test_a_successor_that_fails_leaves_the_old_supervisor_with_all_its_workers(how, tmp_path):
     ledger = Ledger(TERMS)
     async with Group(tmp_path, ledger=ledger) as site:
@@ -303,13 +303,13 @@
         assert await site.ended(third) == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_write_in_work_at_a_predecessors_worker_is_taken_by_no_successors(tmp_path):
     async with Group(tmp_path, hosts=1, answer=lambda: None) as site:
         first = await site.up(2)
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         # Long enough for the successor to start on a busy machine: past it the id would rightly be free.
-        note = command(b"n1", b"c=note,t=p,d=9000,units=1,spread=1,first=0", b"API.WRITE", body=b"B")
+        note = make_command(b"n1", b"c=note,t=p,d=9000,units=1,spread=1,first=0", b"API.WRITE", body=b"B")
         writer.write(note)
         await site.hosts[0].arrived.get()
         second = await successor(site, "--workers", "2")
@@ -337,18 +337,18 @@
 
 
 def test_a_set_of_gateways_that_clients_know_as_one_spans_all_its_workers():
-    from netkit import SETTINGS
+    from gateway_harness import SETTINGS
 
     from apigateway.frontends.resp.command import InvalidCommandError, parse_command
     from apigateway.platform_settings import read_settings as platform
 
     settings = platform(SETTINGS)
-    parts = [b"API.READ", b"00000000b4d65521", b"r1", terms(spread="1", first="0")]
+    parts = [b"API.READ", b"00000000b4d65521", b"r1", make_fields(spread="1", first="0")]
     one, _ = parse_command(settings, parts, {})
     assert (one.first_gateway, one.gateway_spread) == (0, 1)
     count = settings.gateway_count
     whole, _ = parse_command(settings, parts, {}, count)  # all gateways are one machine's workers
     assert (whole.first_gateway, whole.gateway_spread) == (0, count)
     with pytest.raises(InvalidCommandError):
-        parse_command(settings, [*parts[:3], terms(spread="2", first="0")], {}, count)
-    assert command(b"x")
+        parse_command(settings, [*parts[:3], make_fields(spread="2", first="0")], {}, count)
+    assert make_command(b"x")
--- a/tests/frontends/grpc/rate_limit_client.py
+++ b/tests/frontends/grpc/rate_limit_client.py
@@ -3,7 +3,7 @@
 import grpc
 import pytest
 from envoy.service.ratelimit.v3 import rls_pb2 as pb
-from netkit import SETTINGS
+from gateway_harness import SETTINGS
 
 from apigateway.frontends.grpc.frontend import GrpcFrontend
 from apigateway.frontends.grpc.mapping import DescriptorMapping, MappingRule
--- a/tests/frontends/grpc/test_rate_limit_daemon.py
+++ b/tests/frontends/grpc/test_rate_limit_daemon.py
@@ -12,10 +12,10 @@
 import pytest
 import trustme
 from envoy.service.ratelimit.v3 import rls_pb2 as pb
+from gateway_harness import make_command, make_fields, read_reply, run_on_uvloop
 from google.protobuf.descriptor_pool import DescriptorPool
 from grpc_health.v1 import health_pb2, health_pb2_grpc
 from grpc_reflection.v1alpha.proto_reflection_descriptor_database import ProtoReflectionDescriptorDatabase
-from netkit import command, on_loop, read_reply, terms
 from rig import PROGRAM, ROOT, TERMS, Load, Site, free_port
 
 from apigateway.emulators.checks import Checks
@@ -80,7 +80,7 @@
     return program.returncode, out.decode(), err.decode()
 
 
-@on_loop
+@run_on_uvloop
 async def test_checks_and_requests_spend_of_one_store_and_both_ports_serve(tmp_path):
     async with GrpcSite(tmp_path) as site:
         program = await site.start()
@@ -88,7 +88,9 @@
             told = [(await site.ask(channel)).overall_code for _ in range(25)]
             assert 9 <= told.count(OK) <= 20 and told[-1] == OVER
             reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
-            writer.write(command(b"r1", terms(t="quota"), customer=A.encode()) + command(b"r2"))
+            writer.write(
+                make_command(b"r1", make_fields(t="quota"), customer=A.encode()) + make_command(b"r2")
+            )
             assert (await read_reply(reader)).startswith(b"-BUSY")
             assert (await read_reply(reader)).startswith(b"$")
             writer.close()
@@ -96,7 +98,7 @@
         assert await program.wait() == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_health_and_reflection_as_grpc_users_expect(tmp_path):
     async with GrpcSite(tmp_path) as site:
         program = await site.start()
@@ -141,7 +143,7 @@
             pool.FindServiceByName("no.such.Service")
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_stop_and_a_hand_over_in_the_middle_of_checks_fail_none(tmp_path):
     ledger = Ledger(TERMS)
     async with GrpcSite(tmp_path, ledger=ledger) as site:
@@ -194,7 +196,7 @@
 TLS = '[ratelimit.tls]\ncert = "server.pem"\nkey = "server.key"\n'
 
 
-@on_loop
+@run_on_uvloop
 async def test_tls_and_other_certificates_by_a_reload(tmp_path):
     made = Certificates(tmp_path)
     async with GrpcSite(tmp_path, rules=TLS + RULE) as site:
@@ -222,7 +224,7 @@
         assert await program.wait() == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_mutual_tls_asks_clients_for_a_certificate_of_the_named_authority(tmp_path):
     made = Certificates(tmp_path)
     known, stranger = made.issue("client", "client.test"), made.issue("odd", "client.test", made.other)
@@ -255,7 +257,7 @@
         assert code == 0 and out.startswith("ok\n"), err
 
 
-@on_loop
+@run_on_uvloop
 async def test_who_says_nothing_before_tls_holds_no_more_than_its_part(tmp_path):
     made = Certificates(tmp_path)
     async with GrpcSite(tmp_path, rules=TLS + RULE) as site:
@@ -268,7 +270,7 @@
         ends = [asyncio.ensure_future(reader.read()) for reader, _ in lines]
         done, _ = await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
-        writer.write(command(b"r1"))
+        writer.write(make_command(b"r1"))
         assert (await read_reply(reader)).startswith(b"$")  # the other front has room
         await asyncio.wait(ends)  # and after their time for a handshake so are all
         while True:  # a client hears of an end before the server has cleared it away
@@ -282,7 +284,7 @@
             writer.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_rules_limits_and_keys_by_a_reload_whole_or_not_at_all(tmp_path):
     (tmp_path / "key-1").write_bytes(os.urandom(32))
     (tmp_path / "key-2").write_bytes(os.urandom(32))
@@ -310,7 +312,7 @@
             assert b"signed by another key" in await site.reload(program)
             reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
             token = f"t=p,d=3000,units=1,spread=1,first=0,tok={header.value}".encode()
-            writer.write(command(b"r1", b"c=read," + token, customer=A.encode()))
+            writer.write(make_command(b"r1", b"c=read," + token, customer=A.encode()))
             assert (await read_reply(reader)).startswith(b"$")
             writer.close()
             code, out, _ = await run("ratelimit", "status", str(site.file))
@@ -323,7 +325,7 @@
             assert told.value.code() == grpc.StatusCode.INVALID_ARGUMENT
 
 
-@on_loop
+@run_on_uvloop
 async def test_the_listener_comes_and_goes_by_a_reload(tmp_path):
     async with GrpcSite(tmp_path) as site:
         Site.write(site)
@@ -344,25 +346,25 @@
             await asyncio.open_connection("127.0.0.1", site.checks)
 
 
-@on_loop
+@run_on_uvloop
 async def test_asking_an_outer_service_by_settings_and_no_more_by_a_reload(tmp_path):
     async with EmulatedRateLimitService({A: 0}) as service, GrpcSite(tmp_path) as site:
         ask = f'[ask]\naddress = "127.0.0.1:{service.port}"\nplans = ["p"]\ntimeout = 2.0\nshare = 1.0\n'
         site.write(rules=ask + RULE)
         program = await site.start()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
-        writer.write(command(b"r1", customer=A.encode()))
+        writer.write(make_command(b"r1", customer=A.encode()))
         assert (await read_reply(reader)).startswith(b"-BUSY")
         code, out, _ = await run("ratelimit", "status", str(site.file), "--json")
         assert code == 0 and json.loads(out)["outer"]["counts"] == {"questions": 1, "no": 1}
         site.write()
         assert b"ask" in await site.reload(program)
-        writer.write(command(b"r2", customer=A.encode()))
+        writer.write(make_command(b"r2", customer=A.encode()))
         assert (await read_reply(reader)).startswith(b"$")
         writer.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_gateway_asks_another_over_tls(tmp_path):
     """Its own service is one that another gateway can ask: both quotas hold."""
     Certificates(tmp_path)
@@ -380,14 +382,14 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         answers = []
         for n in range(25):
-            writer.write(command(b"r%d" % n, customer=A.encode()))
+            writer.write(make_command(b"r%d" % n, customer=A.encode()))
             answers.append(await read_reply(reader))
         served = sum(a.startswith(b"$") for a in answers)
         assert 9 <= served <= 20 and answers[-1].startswith(b"-BUSY ")
         writer.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_the_command_line_asks_once(tmp_path):
     async with GrpcSite(tmp_path) as site:
         await site.start()
@@ -414,7 +416,7 @@
             assert code == 2 and err.startswith("api-gateway: ")
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_gateway_without_it_loads_nothing_of_it():
     code = (
         "import sys; {}; print([m for m in sys.modules if m.split('.')[0] in ('h2', 'hpack', 'envoy', "
@@ -432,7 +434,7 @@
         assert (await program.communicate())[0] == b"[]\n", what
 
 
-@on_loop
+@run_on_uvloop
 async def test_workers_share_the_listener_and_each_tells_of_its_own(tmp_path):
     (tmp_path / "key-1").write_bytes(os.urandom(32))
     rules = '[ratelimit]\ntoken_keys = ["key-1"]\n' + RULE + "token = true\n"
@@ -455,7 +457,7 @@
         for n in range(8):  # a token is taken by either worker, and once by each at most
             reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
             terms_told = f"c=read,t=p,d=3000,units=1,spread=1,first=0,tok={tokens[0]}".encode()
-            writer.write(command(b"r%d" % n, terms_told, customer=A.encode()))
+            writer.write(make_command(b"r%d" % n, terms_told, customer=A.encode()))
             served += (await read_reply(reader)).startswith(b"$")
             writer.close()
         assert served == 8  # there is quota for all; those without a token pay
--- a/tests/frontends/grpc/test_rate_limit_service.py
+++ b/tests/frontends/grpc/test_rate_limit_service.py
@@ -5,7 +5,15 @@
 import grpc
 import pytest
 from envoy.service.ratelimit.v3 import rls_pb2 as pb
-from netkit import SERVED, SETTINGS, EmulatedHost, Node, command, on_loop, terms
+from gateway_harness import (
+    SETTINGS,
+    VALUE_REPLY,
+    EmulatedHost,
+    GatewayHarness,
+    make_command,
+    make_fields,
+    run_on_uvloop,
+)
 from rate_limit_client import CONF, OK, OVER, A, B, C, RateLimitClient, codes, until_over
 
 from apigateway import messages
@@ -13,12 +21,12 @@
 from apigateway.frontends.grpc.service import SHOULD_RATE_LIMIT_PATH
 
 
-@on_loop
+@run_on_uvloop
 async def test_units_are_granted_until_the_quota_is_spent_and_requests_spend_of_the_same(tmp_path):
     async with (
         EmulatedHost() as host,
-        Node(host, path=tmp_path, settings=CONF) as node,
-        RateLimitClient(node) as asking,
+        GatewayHarness(host, path=tmp_path, settings=CONF) as harness,
+        RateLimitClient(harness) as asking,
     ):
         first = await asking.ask(A)
         assert first.overall_code == OK and codes(first) == [OK]
@@ -32,17 +40,22 @@
         assert over.response_headers_to_add[0].key == "retry-after-ms"
         assert int(over.response_headers_to_add[0].value) > 0
         # Its requests find the store empty too, and another's are served.
-        assert (await node.ask(command(b"r1", terms(t="quota"), customer=A.encode()))).startswith(b"-BUSY")
-        assert await node.ask(command(b"r2", terms(t="quota"), customer=B.encode())) == SERVED
+        assert (
+            await harness.send_command(make_command(b"r1", make_fields(t="quota"), customer=A.encode()))
+        ).startswith(b"-BUSY")
+        assert (
+            await harness.send_command(make_command(b"r2", make_fields(t="quota"), customer=B.encode()))
+            == VALUE_REPLY
+        )
         assert len(host.commands) == 1  # a check goes to no host
 
 
-@on_loop
+@run_on_uvloop
 async def test_any_over_its_limit_makes_the_answer_so_and_the_others_get_theirs_back(tmp_path):
     async with (
         EmulatedHost() as host,
-        Node(host, path=tmp_path, settings=CONF) as node,
-        RateLimitClient(node) as asking,
+        GatewayHarness(host, path=tmp_path, settings=CONF) as harness,
+        RateLimitClient(harness) as asking,
     ):
         await until_over(asking, A)
         before = (await asking.ask({"account": B, "hits": 0})).statuses[0].limit_remaining
@@ -53,12 +66,12 @@
         assert (await asking.ask(B, C)).overall_code == OK
 
 
-@on_loop
+@run_on_uvloop
 async def test_hits_of_none_one_two_and_more_than_there_are(tmp_path):
     async with (
         EmulatedHost() as host,
-        Node(host, path=tmp_path, settings=CONF) as node,
-        RateLimitClient(node) as asking,
+        GatewayHarness(host, path=tmp_path, settings=CONF) as harness,
+        RateLimitClient(harness) as asking,
     ):
         while (await asking.ask(A)).statuses[0].limit_remaining > 18:
             pass
@@ -75,10 +88,10 @@
 
 
 @pytest.mark.parametrize("unmapped", ["ok", "over", "error"])
-@on_loop
+@run_on_uvloop
 async def test_an_unmapped_descriptor_gets_the_answer_of_the_settings(unmapped, tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
-        async with RateLimitClient(node, unmapped=unmapped) as asking:
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=CONF) as harness:
+        async with RateLimitClient(harness, unmapped=unmapped) as asking:
             if unmapped == "error":
                 assert await asking.status("nobody") == grpc.StatusCode.INVALID_ARGUMENT
                 return
@@ -88,12 +101,12 @@
             assert not response.statuses[0].HasField("current_limit")
 
 
-@on_loop
+@run_on_uvloop
 async def test_an_invalid_request_is_answered_with_its_status(tmp_path):
     async with (
         EmulatedHost() as host,
-        Node(host, path=tmp_path, settings=CONF) as node,
-        RateLimitClient(node) as asking,
+        GatewayHarness(host, path=tmp_path, settings=CONF) as harness,
+        RateLimitClient(harness) as asking,
     ):
         assert await asking.status() == grpc.StatusCode.INVALID_ARGUMENT
         assert await asking.status(A, domain="") == grpc.StatusCode.INVALID_ARGUMENT
@@ -112,14 +125,14 @@
         assert (await asking.ask(A)).overall_code == OK
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_check_whose_caller_left_spends_nothing_and_one_out_of_time_is_unavailable(tmp_path):
     async with (
         EmulatedHost() as host,
-        Node(host, path=tmp_path, settings=CONF) as node,
-        RateLimitClient(node) as asking,
+        GatewayHarness(host, path=tmp_path, settings=CONF) as harness,
+        RateLimitClient(harness) as asking,
     ):
-        core, held = node.node.core, []
+        core, held = harness.server.core, []
         handle = core.module.handle
 
         def slow(now, event):  # a module that says nothing of checks yet
@@ -142,12 +155,12 @@
         assert (await asking.ask(A)).overall_code == OK
 
 
-@on_loop
+@run_on_uvloop
 async def test_calls_when_cancelled_by_the_thousand_leave_nothing(tmp_path):
     async with (
         EmulatedHost() as host,
-        Node(host, path=tmp_path, settings=CONF) as node,
-        RateLimitClient(node) as asking,
+        GatewayHarness(host, path=tmp_path, settings=CONF) as harness,
+        RateLimitClient(harness) as asking,
     ):
         for _ in range(20):
             calls = [asyncio.ensure_future(asking.ask(A, hits=1)) for _ in range(100)]
@@ -156,18 +169,18 @@
                 call.cancel()
             await asyncio.gather(*calls, return_exceptions=True)
         assert (await asking.ask(B)).overall_code == OK
-        assert not node.node.core.in_flight and not any(c.open_calls for c in asking.front.connections)
+        assert not harness.server.core.in_flight and not any(c.open_calls for c in asking.front.connections)
         assert all(c.session.is_idle for c in asking.front.connections)
 
 
-@on_loop
+@run_on_uvloop
 async def test_draining_answers_what_was_taken_and_closes_each_connection(tmp_path):
     async with (
         EmulatedHost() as host,
-        Node(host, path=tmp_path, settings=CONF) as node,
-        RateLimitClient(node) as asking,
+        GatewayHarness(host, path=tmp_path, settings=CONF) as harness,
+        RateLimitClient(harness) as asking,
     ):
-        core, held = node.node.core, []
+        core, held = harness.server.core, []
         handle = core.module.handle
         core.module.handle = lambda now, event: (
             held.append(event) or [] if type(event) is messages.QuotaCheck else handle(now, event)
@@ -182,41 +195,41 @@
         await asking.front.wait_disconnected()
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_counter_that_stalls_in_the_middle_of_a_check_delays_it_and_no_more(tmp_path):
     conf = SETTINGS | {
         "group_size": 2,
         "plans": [*SETTINGS["plans"], {"name": "quota", "rate": 0.01, "most_at_once": 20.0}],
     }
-    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=conf) as node:
-        async with RateLimitClient(node, spread=2) as asking:
-            node.counter.script.play(Step("silent"))
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=conf) as harness:
+        async with RateLimitClient(harness, spread=2) as asking:
+            harness.counter.script.play(Step("silent"))
             told = [(await asking.ask(A)).overall_code for _ in range(30)]
             while told[-1] != OVER and len(told) < 120:  # a busy machine denies more at first
                 told.append((await asking.ask(A)).overall_code)
             assert set(told) <= {OK, OVER} and told[0] == OK and told[-1] == OVER and told.count(OK) < 30
             late = asyncio.ensure_future(asking.status(A, timeout=0.001))
             assert await late in (grpc.StatusCode.DEADLINE_EXCEEDED, grpc.StatusCode.UNAVAILABLE)
-            node.counter.script.play()
-            while node.node.core.in_flight:
+            harness.counter.script.play()
+            while harness.server.core.in_flight:
                 await asyncio.sleep(0.01)
-            assert (await asking.ask(B)).overall_code == OK and not node.node.core.request_budget.used
+            assert (await asking.ask(B)).overall_code == OK and not harness.server.core.request_budget.used
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_gateway_outside_a_customers_spread_fails_its_precondition(tmp_path):
     conf = CONF | {"group_size": 3, "index": 2}
-    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=conf) as node:
-        async with RateLimitClient(node, spread=2) as asking:
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=conf) as harness:
+        async with RateLimitClient(harness, spread=2) as asking:
             assert await asking.status(A) == grpc.StatusCode.FAILED_PRECONDITION
-        async with RateLimitClient(node, spread=3) as asking:
+        async with RateLimitClient(harness, spread=3) as asking:
             assert (await asking.ask(A)).overall_code == OK
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_limit_that_a_descriptor_brings_tightens_where_settings_allow_it(tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path, settings=CONF) as node:
-        async with RateLimitClient(node, override="tighten") as asking:
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=CONF) as harness:
+        async with RateLimitClient(harness, override="tighten") as asking:
 
             def limited(requests, unit):
                 return {"account": A, "limit": (requests, unit)}
@@ -232,8 +245,8 @@
             assert 13 <= granted + codes_told.count(OK) <= 41
             assert (await asking.ask(limited(1000, 1))).overall_code == OVER
             assert await asking.status(limited(3, 6)) == grpc.StatusCode.INVALID_ARGUMENT  # a year
-        async with RateLimitClient(node, override="refuse") as asking:
+        async with RateLimitClient(harness, override="refuse") as asking:
             assert await asking.status({"account": B, "limit": (3, 1)}) == grpc.StatusCode.INVALID_ARGUMENT
-        async with RateLimitClient(node) as asking:
+        async with RateLimitClient(harness) as asking:
             told = [(await asking.ask({"account": B, "limit": (1, 4)})).overall_code for _ in range(5)]
             assert told == [OK] * 5
--- a/tests/frontends/resp/test_client_connection.py
+++ b/tests/frontends/resp/test_client_connection.py
@@ -4,7 +4,16 @@
 import socket
 
 import pytest
-from netkit import SERVED, VALUE, EmulatedHost, Node, command, on_loop, read_reply, terms
+from gateway_harness import (
+    VALUE,
+    VALUE_REPLY,
+    EmulatedHost,
+    GatewayHarness,
+    make_command,
+    make_fields,
+    read_reply,
+    run_on_uvloop,
+)
 
 from apigateway.frontends.resp.client_connection import MAX_PENDING_COMMANDS
 
@@ -17,43 +26,43 @@
         b"*-1\r\n",
         b":5\r\n",
         b"*2\r\n$8\r\nAPI.READ\r\n:0\r\n",
-        command(terms=terms(d=None)),
-        command(terms=terms(d="soon")),
-        command(terms=terms(d="-1")),
-        command(terms=terms(c="none")),
-        command(terms=terms(t="none")),
-        command(terms=terms(units="nan")),
-        command(terms=terms(spread="0")),
-        command(terms=terms(c="note")),
-        command(terms=b"\xff\xfe"),
-        command(terms=terms(c=None)),
-        command(customer=b"xyz"),
-        command(id=b""),
-        command(body=b"BODY"),
-        command(terms=terms(d="1_0")),
-        command(terms=terms(d="+10")),
-        command(terms=terms(d=" 10")),
-        command(terms=terms(units="0")),
-        command(terms=terms(units="2")),
-        command(terms=terms(units="1_0")),
-        command(terms=terms(spread="2")),
-        command(terms=terms(first="1")),
-        command(terms=terms(first="-1")),
-        command(customer=b"0x000000b4d65521"),
-        command(customer=b"ffffffffb4d65521"),
-        command(id=b"x" * 65),
-        command(terms=terms() + b",d=2000"),
-        command(terms=terms(d="9" * 400)),
-        command(terms=terms(d="9" * 12)),
-        command(terms=terms(units="1e999")),
-        command(terms=terms(c="write"), verb=b"API.WRITE", body=b"x"),  # keyed, without its key
-        command(terms=terms(c="note"), verb=b"API.WRITE", body=b"x" * 65537),
+        make_command(fields=make_fields(d=None)),
+        make_command(fields=make_fields(d="soon")),
+        make_command(fields=make_fields(d="-1")),
+        make_command(fields=make_fields(c="none")),
+        make_command(fields=make_fields(t="none")),
+        make_command(fields=make_fields(units="nan")),
+        make_command(fields=make_fields(spread="0")),
+        make_command(fields=make_fields(c="note")),
+        make_command(fields=b"\xff\xfe"),
+        make_command(fields=make_fields(c=None)),
+        make_command(customer=b"xyz"),
+        make_command(request_id=b""),
+        make_command(body=b"BODY"),
+        make_command(fields=make_fields(d="1_0")),
+        make_command(fields=make_fields(d="+10")),
+        make_command(fields=make_fields(d=" 10")),
+        make_command(fields=make_fields(units="0")),
+        make_command(fields=make_fields(units="2")),
+        make_command(fields=make_fields(units="1_0")),
+        make_command(fields=make_fields(spread="2")),
+        make_command(fields=make_fields(first="1")),
+        make_command(fields=make_fields(first="-1")),
+        make_command(customer=b"0x000000b4d65521"),
+        make_command(customer=b"ffffffffb4d65521"),
+        make_command(request_id=b"x" * 65),
+        make_command(fields=make_fields() + b",d=2000"),
+        make_command(fields=make_fields(d="9" * 400)),
+        make_command(fields=make_fields(d="9" * 12)),
+        make_command(fields=make_fields(units="1e999")),
+        make_command(fields=make_fields(c="write"), verb=b"API.WRITE", body=b"x"),  # keyed, without its key
+        make_command(fields=make_fields(c="note"), verb=b"API.WRITE", body=b"x" * 65537),
     ],
 )
-@on_loop
+@run_on_uvloop
 async def test_bad_commands_are_answered_and_the_connection_goes_on(bad, tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(bad + b"*1\r\n$4\r\nPING\r\n")
         assert (await read_reply(reader)).startswith(b"-ERR")
         assert await read_reply(reader) == b"+PONG\r\n"
@@ -79,124 +88,124 @@
         b"*" + b"1" * 2000,
     ],
 )
-@on_loop
+@run_on_uvloop
 async def test_lost_framing_ends_only_its_own_connection(bad, tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
         writer.write(bad)
         assert (await read_reply(reader)).startswith(b"-ERR")
         assert await read_reply(reader) == b""
-        assert await node.ask(command()) == SERVED
+        assert await harness.send_command(make_command()) == VALUE_REPLY
 
 
-@on_loop
+@run_on_uvloop
 async def test_responses_come_in_the_order_of_the_commands(tmp_path):
-    async with EmulatedHost(answer=None) as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
-        writer.write(command(b"slow"))
+    async with EmulatedHost(answer=None) as host, GatewayHarness(host, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
+        writer.write(make_command(b"slow"))
         await host.arrived.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n")
         host.writers[0].write(VALUE)
-        assert await read_reply(reader) == SERVED
+        assert await read_reply(reader) == VALUE_REPLY
         assert await read_reply(reader) == b"+PONG\r\n"
 
 
-@on_loop
+@run_on_uvloop
 async def test_commands_that_come_when_a_connection_is_to_close_are_served(tmp_path):
-    async with EmulatedHost(None) as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
-        writer.write(command(b"first"))
+    async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
+        writer.write(make_command(b"first"))
         await host.arrived.get()
-        node.node.frontends[0].server.start_draining()
-        writer.write(command(b"second"))
+        harness.server.frontends[0].server.start_draining()
+        writer.write(make_command(b"second"))
         while (await host.arrived.get())[2] != b"second":
             pass
         for out in host.writers:
             out.write(VALUE)
-        assert [await read_reply(reader) for _ in range(3)] == [SERVED, SERVED, b""]
+        assert [await read_reply(reader) for _ in range(3)] == [VALUE_REPLY, VALUE_REPLY, b""]
 
 
-@on_loop
+@run_on_uvloop
 async def test_commands_that_lie_unread_when_draining_starts_are_served(tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        server = node.node.frontends[0].server
-        with socket.create_connection(("127.0.0.1", node.port)) as sock:
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        server = harness.server.frontends[0].server
+        with socket.create_connection(("127.0.0.1", harness.port)) as sock:
             sock.setblocking(False)
             while not server.connections:
                 await asyncio.sleep(0)
-            sock.send(command())  # in the server's socket, which it has not read
-            node.node.frontends[0].start_draining()
+            sock.send(make_command())  # in the server's socket, which it has not read
+            harness.server.frontends[0].start_draining()
             loop, got = asyncio.get_running_loop(), b""
             while data := await loop.sock_recv(sock, 100):
                 got += data
-            assert got == SERVED
+            assert got == VALUE_REPLY
 
 
-@on_loop
+@run_on_uvloop
 async def test_commands_that_lie_unread_when_a_full_draining_connection_is_answered_at_once_are_served(
     tmp_path,
 ):
     """It is not read while it has too much in work, and all of that is answered in one turn."""
-    async with EmulatedHost(None) as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
-        server = node.node.frontends[0].server
-        writer.write(command(b"first"))
+    async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
+        server = harness.server.frontends[0].server
+        writer.write(make_command(b"first"))
         await host.arrived.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n" * MAX_PENDING_COMMANDS)  # answered behind the first
         (client,) = server.connections
         while not client.is_read_paused:
             await asyncio.sleep(0)
         host.answer = VALUE
-        writer.write(command(b"last"))
+        writer.write(make_command(b"last"))
         while not client.has_unread_data():
             await asyncio.sleep(0)
         server.start_draining()
         for out in host.writers:
             out.write(VALUE)
         told = [await read_reply(reader) for _ in range(MAX_PENDING_COMMANDS + 2)]
-        assert told[0] == told[-1] == SERVED and set(told[1:-1]) == {b"+PONG\r\n"}
+        assert told[0] == told[-1] == VALUE_REPLY and set(told[1:-1]) == {b"+PONG\r\n"}
         assert await read_reply(reader) == b""
 
 
-@on_loop
+@run_on_uvloop
 async def test_half_a_command_when_draining_starts_is_served_once_whole(tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
-        front, text = node.node.frontends[0], command()
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
+        front, text = harness.server.frontends[0], make_command()
         writer.write(text[:20])
         while not front.server.partial_bytes:
             await asyncio.sleep(0)
-        ending = asyncio.create_task(node.node.stop(0.0))
+        ending = asyncio.create_task(harness.server.stop(0.0))
         while not all(client.is_closing for client in front.server.connections):
             await asyncio.sleep(0)
         writer.write(text[20:])
-        assert await read_reply(reader) == SERVED and await read_reply(reader) == b""
+        assert await read_reply(reader) == VALUE_REPLY and await read_reply(reader) == b""
         await ending
 
 
-@on_loop
+@run_on_uvloop
 async def test_shutdown_waits_for_a_response_that_is_half_written(tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         owed = iter([True, True, False])
 
-        class Front(type(node.node.frontends[0])):
+        class Front(type(harness.server.frontends[0])):
             @property
             def has_unwritten_responses(self):
                 return next(owed, False)
 
-        node.node.frontends[0].__class__ = Front
-        await node.node.stop(0.0)
+        harness.server.frontends[0].__class__ = Front
+        await harness.server.stop(0.0)
         assert next(owed, None) is None  # asked until nothing was owed
 
 
-@on_loop
+@run_on_uvloop
 async def test_lost_framing_does_not_wait_for_pending_commands(tmp_path):
-    async with EmulatedHost(None) as host, Node(host, path=tmp_path) as node:
-        reader, writer = await node.connect()
-        writer.write(command())
+    async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
+        reader, writer = await harness.connect()
+        writer.write(make_command())
         await host.arrived.get()
         writer.write(b"nonsense" + b"x" * 100_000)
         assert await read_reply(reader) == b"-ERR failed\r\n"  # its one answer, though the host is silent
         assert (await read_reply(reader)).startswith(b"-ERR protocol")
         assert await reader.read() == b""  # an end, not a reset, though there was more to read
-        assert await host.arrived.get() is None and not node.node.core.in_flight
+        assert await host.arrived.get() is None and not harness.server.core.in_flight
--- a/tests/frontends/resp/test_command_scanner.py
+++ b/tests/frontends/resp/test_command_scanner.py
@@ -1,7 +1,7 @@
 """The scan of a command finds what parsing it finds."""
 
 import pytest
-from netkit import SETTINGS
+from gateway_harness import SETTINGS
 
 from apigateway.frontends.resp.command import InvalidCommandError, parse_command
 from apigateway.frontends.resp.command_scanner import CommandScanner
--- a/tests/frontends/resp/test_load_shedding.py
+++ b/tests/frontends/resp/test_load_shedding.py
@@ -5,7 +5,16 @@
 
 import asyncio
 
-from netkit import SERVED, EmulatedHost, Node, command, on_loop, read_reply, terms, write
+from gateway_harness import (
+    VALUE_REPLY,
+    EmulatedHost,
+    GatewayHarness,
+    make_command,
+    make_fields,
+    make_write_command,
+    read_reply,
+    run_on_uvloop,
+)
 
 from apigateway.core import admission as core_admission
 from apigateway.core.admission import AdmissionController
@@ -24,146 +33,153 @@
         return self.wait if customer in self.customers else -1.0
 
 
-def install_admission(node, gate):
-    node.node.core.admission = AdmissionController(gate, node.node.loop)
-    for front in node.node.frontends:
+def install_admission(harness, gate):
+    harness.server.core.admission = AdmissionController(gate, harness.server.loop)
+    for front in harness.server.frontends:
         front.update_admission()
-    return node.node.core.admission
+    return harness.server.core.admission
 
 
 A, B = "00000000000000aa", "00000000000000bb"
 
 
-@on_loop
+@run_on_uvloop
 async def test_responses_keep_their_order_among_rejections(tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        install_admission(node, ScriptedGate(A))
-        reader, writer = await node.connect()
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        install_admission(harness, ScriptedGate(A))
+        reader, writer = await harness.connect()
         asked = [B, A, A, B, A, B]
-        writer.write(b"".join(command(b"r%d" % n, customer=c.upper().encode()) for n, c in enumerate(asked)))
+        writer.write(
+            b"".join(make_command(b"r%d" % n, customer=c.upper().encode()) for n, c in enumerate(asked))
+        )
         told = [await read_reply(reader) for _ in asked]
-        assert told == [SERVED if c == B else b"-BUSY 250\r\n" for c in asked]
+        assert told == [VALUE_REPLY if c == B else b"-BUSY 250\r\n" for c in asked]
         assert len(host.commands) == 3  # what is turned away goes nowhere
-        writer.write(b"*1\r\n$4\r\nPING\r\n" + command(b"x", b"nonsense", customer=A.encode()))
+        writer.write(b"*1\r\n$4\r\nPING\r\n" + make_command(b"x", b"nonsense", customer=A.encode()))
         assert await read_reply(reader) == b"+PONG\r\n"
         assert (await read_reply(reader)).startswith(b"-ERR missing")
 
 
-@on_loop
+@run_on_uvloop
 async def test_fields_in_another_order_are_asked_about_too(tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        install_admission(node, gate := ScriptedGate(A))
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        install_admission(harness, gate := ScriptedGate(A))
         odd = b"units=1,spread=1,first=0,d=3000,t=p,c=read"
-        assert await node.ask(command(b"a", odd, customer=A.encode())) == b"-BUSY 250\r\n"
-        assert await node.ask(command(b"b", odd, customer=B.encode())) == SERVED
+        assert await harness.send_command(make_command(b"a", odd, customer=A.encode())) == b"-BUSY 250\r\n"
+        assert await harness.send_command(make_command(b"b", odd, customer=B.encode())) == VALUE_REPLY
         assert gate.asked == 2
 
 
-@on_loop
+@run_on_uvloop
 async def test_an_id_in_flight_is_not_told_that_it_has_not_run(tmp_path):
-    async with EmulatedHost(answer=lambda: None) as host, Node(host, path=tmp_path) as node:
-        install_admission(node, gate := ScriptedGate())
-        _, writer = await node.connect()
-        writer.write(write(b"w"))
+    async with EmulatedHost(answer=lambda: None) as host, GatewayHarness(host, path=tmp_path) as harness:
+        install_admission(harness, gate := ScriptedGate())
+        _, writer = await harness.connect()
+        writer.write(make_write_command(b"w"))
         await host.arrived.get()
         gate.customers = ("00000000b4d65521",)
-        assert await node.ask(write(b"w")) == b"-ERR this id is in work\r\n"
-        assert await node.ask(write(b"v")) == b"-BUSY 250\r\n"
+        assert await harness.send_command(make_write_command(b"w")) == b"-ERR this id is in work\r\n"
+        assert await harness.send_command(make_write_command(b"v")) == b"-BUSY 250\r\n"
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_flood_waits_its_turn_and_all_of_it_is_answered(tmp_path, monkeypatch):
     monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)  # a turn is over after its second command
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        admission = install_admission(node, ScriptedGate(A))
-        lines = [await node.connect() for _ in range(4)]
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        admission = install_admission(harness, ScriptedGate(A))
+        lines = [await harness.connect() for _ in range(4)]
         for k, (_, writer) in enumerate(lines):
             writer.write(
-                b"".join(command(b"%d-%d" % (k, n), customer=A.encode()) for n in range(300))
-                + command(b"%d-last" % k, customer=B.encode())
+                b"".join(make_command(b"%d-%d" % (k, n), customer=A.encode()) for n in range(300))
+                + make_command(b"%d-last" % k, customer=B.encode())
             )
         for reader, _ in lines:
             for _ in range(300):
                 assert await read_reply(reader) == b"-BUSY 250\r\n"
-            assert await read_reply(reader) == SERVED
+            assert await read_reply(reader) == VALUE_REPLY
         assert (
             not admission.deferred_connections
-            and not admission.is_slice_used_up
-            or admission.slice_started_at
+            and not admission.is_time_slice_used_up
+            or admission.time_slice_started_at
         )
         reader, writer = lines[0]
-        writer.write(command(b"more", customer=B.encode()))  # it is read again
-        assert await read_reply(reader) == SERVED
+        writer.write(make_command(b"more", customer=B.encode()))  # it is read again
+        assert await read_reply(reader) == VALUE_REPLY
 
 
-@on_loop
+@run_on_uvloop
 async def test_lost_framing_and_a_client_that_leaves_while_it_is_deferred_end_alone(tmp_path, monkeypatch):
     monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        admission = install_admission(node, ScriptedGate(A))
-        (reader, writer), (_, leaving) = await node.connect(), await node.connect()
-        flood = b"".join(command(b"f%d" % n, customer=A.encode()) for n in range(50))
-        leaving.write(flood + command(b"gone", customer=B.encode()))
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        admission = install_admission(harness, ScriptedGate(A))
+        (reader, writer), (_, leaving) = await harness.connect(), await harness.connect()
+        flood = b"".join(make_command(b"f%d" % n, customer=A.encode()) for n in range(50))
+        leaving.write(flood + make_command(b"gone", customer=B.encode()))
         writer.write(flood + b"!nonsense\r\n")
         leaving.transport.abort()
         told = [await read_reply(reader) for _ in range(51)]
         assert set(told[:50]) == {b"-BUSY 250\r\n"} and told[50] == b"-ERR protocol error\r\n"
         assert await reader.read() == b""
-        assert await node.ask(command(b"after", customer=B.encode())) == SERVED
-        assert not admission.deferred_connections and node.node.frontends[0].server.partial_bytes == 0
+        assert await harness.send_command(make_command(b"after", customer=B.encode())) == VALUE_REPLY
+        assert not admission.deferred_connections and harness.server.frontends[0].server.partial_bytes == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_deferred_commands_when_the_gateway_stops_are_answered(tmp_path, monkeypatch):
     monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        admission = install_admission(node, ScriptedGate())
-        reader, writer = await node.connect()
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        admission = install_admission(harness, ScriptedGate())
+        reader, writer = await harness.connect()
         held = []
-        turned = admission.start_turn
+        turned = admission.start_iteration
         monkeypatch.setattr(
-            admission, "start_turn", lambda: held.append(1)
+            admission, "start_iteration", lambda: held.append(1)
         )  # turns end when the test says so
-        writer.write(b"".join(command(b"s%d" % n) for n in range(30)))
+        writer.write(b"".join(make_command(b"s%d" % n) for n in range(30)))
         while not admission.deferred_connections:
             await asyncio.sleep(0)
-        node.node.frontends[0].start_draining()  # as at SIGTERM: what was read is not forgotten
-        monkeypatch.setattr(admission, "start_turn", turned)
-        admission.start_turn()
+        harness.server.frontends[0].start_draining()  # as at SIGTERM: what was read is not forgotten
+        monkeypatch.setattr(admission, "start_iteration", turned)
+        admission.start_iteration()
         told = [await read_reply(reader) for _ in range(30)]
-        assert SERVED in told and set(told) <= {SERVED, b"-BUSY\r\n"}  # the module's own bound on what waits
+        assert VALUE_REPLY in told and set(told) <= {
+            VALUE_REPLY,
+            b"-BUSY\r\n",
+        }  # the module's own bound on what waits
         assert await reader.read() == b""
 
 
-@on_loop
+@run_on_uvloop
 async def test_deferred_commands_when_they_are_too_many_bytes_are_taken_at_once(tmp_path, monkeypatch):
     monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
-        admission = install_admission(node, ScriptedGate(A))
-        node.node.frontends[0].server.max_partial_bytes = 1000  # bytes: half of it may wait
-        monkeypatch.setattr(admission, "start_turn", lambda: None)
-        reader, writer = await node.connect()
-        writer.write(b"".join(command(b"m%d" % n, customer=A.encode()) for n in range(100)))
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
+        admission = install_admission(harness, ScriptedGate(A))
+        harness.server.frontends[0].server.max_partial_bytes = 1000  # bytes: half of it may wait
+        monkeypatch.setattr(admission, "start_iteration", lambda: None)
+        reader, writer = await harness.connect()
+        writer.write(b"".join(make_command(b"m%d" % n, customer=A.encode()) for n in range(100)))
         for _ in range(90):
             assert await read_reply(reader) == b"-BUSY 250\r\n"
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_customer_that_the_module_rejected_is_rejected_early(tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node:
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         gate = OverloadGate(0.01, 10.0, 2.0, 1)
         gate.admitted_share, gate.floor = 0.9, -MAX_STEP - 1  # overload: all are worth enough
-        install_admission(node, gate)
+        install_admission(harness, gate)
         customer = b"00000000000000cc"
         told = b""
         for n in range(200):
-            told = await node.ask(command(b"q%d" % n, terms(t="small"), customer=customer))
-            if told != SERVED:
+            told = await harness.send_command(
+                make_command(b"q%d" % n, make_fields(t="small"), customer=customer)
+            )
+            if told != VALUE_REPLY:
                 break
         assert told.startswith(b"-BUSY ")
         events = []
-        handle = node.node.core.module.handle
-        node.node.core.module.handle = lambda now, event: events.append(event) or handle(now, event)
-        again = await node.ask(command(b"again", terms(t="small"), customer=customer))
+        handle = harness.server.core.module.handle
+        harness.server.core.module.handle = lambda now, event: events.append(event) or handle(now, event)
+        again = await harness.send_command(make_command(b"again", make_fields(t="small"), customer=customer))
         events_of_again = [event for event in events if getattr(event, "request_id", "") == "again"]
         assert again.startswith(b"-BUSY ") and not events_of_again
--- a/tests/frontends/resp/test_redis_client.py
+++ b/tests/frontends/resp/test_redis_client.py
@@ -2,31 +2,35 @@
 
 import pytest
 import redis.asyncio as redis
-from netkit import EmulatedHost, Node, on_loop
+from gateway_harness import EmulatedHost, GatewayHarness, run_on_uvloop
 from redis.exceptions import BusyLoadingError, ResponseError
 
 TERMS = "c=read,t=p,d=3000,units=1,spread=1,first=0"
 
 
-def client(node):
-    return redis.Redis(host="127.0.0.1", port=node.port, protocol=2)
+def client(harness):
+    return redis.Redis(host="127.0.0.1", port=harness.port, protocol=2)
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_common_client_is_served(tmp_path):
-    async with EmulatedHost() as host, Node(host, path=tmp_path) as node, client(node) as outside:
+    async with (
+        EmulatedHost() as host,
+        GatewayHarness(host, path=tmp_path) as harness,
+        client(harness) as outside,
+    ):
         assert await outside.ping()
         for n in range(3):
             assert await outside.execute_command("API.READ", "00000000000000ff", f"r{n}", TERMS) == b"value"
         assert len(host.commands) == 3
 
 
-@on_loop
+@run_on_uvloop
 async def test_it_hears_refusals_and_failures_as_errors(tmp_path):
     async with (
         EmulatedHost(b"-ERR failed\r\n") as host,
-        Node(host, path=tmp_path) as node,
-        client(node) as outside,
+        GatewayHarness(host, path=tmp_path) as harness,
+        client(harness) as outside,
     ):
         with pytest.raises(ResponseError, match="failed"):
             await outside.execute_command(
--- a/tests/frontends/resp/test_resp_command.py
+++ b/tests/frontends/resp/test_resp_command.py
@@ -1,7 +1,7 @@
 """Parsing of commands: the cache of checked fields."""
 
 import pytest
-from netkit import SETTINGS
+from gateway_harness import SETTINGS
 
 from apigateway.frontends.resp import command as commands
 from apigateway.frontends.resp.command import MAX_CACHED_FIELDS, InvalidCommandError, parse_command
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -10,9 +10,9 @@
 import time
 
 import pytest
+from gateway_harness import EmulatedHost, run_on_uvloop
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
-from netkit import EmulatedHost, on_loop
 from rig import PROGRAM, ROOT, Site, free_port
 
 from apigateway.emulators.script import Step
@@ -63,7 +63,7 @@
             line.transport.pause_reading() if on else line.transport.resume_reading()
 
 
-@on_loop
+@run_on_uvloop
 async def test_freeze_of_the_target_is_recorded_in_full():
     loop = asyncio.get_running_loop()
     server = await loop.create_server(Freezing, "127.0.0.1", 0)
@@ -94,7 +94,7 @@
     server.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_gateway_when_stopped_then_every_request_due_shows_the_stop(tmp_path):
     """SIGSTOP of a real one, for a second: what is due in it waits for the rest of it; none is left out."""
     async with Site(tmp_path) as site:
@@ -134,7 +134,7 @@
         (Step("error"), Outcome.FAILED),
     ],
 )
-@on_loop
+@run_on_uvloop
 async def test_answer_of_each_kind_has_its_outcome(step, outcome):
     async with EmulatedHost() as host:
         host.script.play(step)
@@ -145,13 +145,13 @@
             assert latencies.get_min_value() >= 0.99 * 0.4 * US_PER_S  # to the resolution of timer and record
 
 
-@on_loop
+@run_on_uvloop
 async def test_target_when_unreachable_then_requests_are_unsent():
     record = await sent(evenly(100, 0.3), free_port())
     assert record.counts()[Outcome.UNSENT] == 30 and not void_reason(record, 10_000, 1.0)
 
 
-@on_loop
+@run_on_uvloop
 async def test_surplus_answers_are_counted_and_serve_no_request():
     class Twice(asyncio.Protocol):
         def connection_made(self, transport):
@@ -166,7 +166,7 @@
     server.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_target_when_killed_then_loses_only_what_was_in_flight():
     host = EmulatedHost()
     await host.open()
@@ -190,7 +190,7 @@
     await host.__aexit__()
 
 
-@on_loop
+@run_on_uvloop
 async def test_run_when_the_generator_was_starved_then_is_void():
     async with EmulatedHost() as host:
 
@@ -207,7 +207,7 @@
         )  # and latency is counted from when it was due
 
 
-@on_loop
+@run_on_uvloop
 async def test_run_when_the_generator_has_no_descriptors_then_is_void(monkeypatch):
     async with EmulatedHost() as host:
         dues = evenly(50, 0.2)
@@ -255,7 +255,7 @@
         pass
 
 
-@on_loop
+@run_on_uvloop
 async def test_run_of_no_request_and_of_one():
     async with EmulatedHost() as host:
         record = await sent([], host.port)
@@ -264,14 +264,14 @@
         assert record.counts()[Outcome.SERVED] == 1
 
 
-@on_loop
+@run_on_uvloop
 async def test_write_command_has_its_key_and_body():
     async with EmulatedHost() as host:
         await sent([due(0.0, 7, "read")], host.port, effect="keyed")
         assert host.commands[0][0] == b"API.WRITE" and b"k=r7" in host.commands[0][3]
 
 
-@on_loop
+@run_on_uvloop
 async def test_run_command_when_it_ends_or_is_stopped_then_reports(tmp_path):
     scenario = (
         '[run]\nname = "try"\nseconds = {}\nlate_ms = 5000.0\n[classes.read]\n[plans.p]\n'
--- a/tests/membership/test_eureka_source.py
+++ b/tests/membership/test_eureka_source.py
@@ -6,7 +6,7 @@
 import sys
 
 import pytest
-from netkit import on_loop
+from gateway_harness import run_on_uvloop
 
 from apigateway import messages
 from apigateway.emulators.eureka import EmulatedEureka, instance
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("base, form", [("/eureka/v2", "json"), ("/eureka", "json"), ("/eureka/v2", "xml")])
-@on_loop
+@run_on_uvloop
 async def test_source_reads_the_list_and_follows_its_changes(base, form):
     async with filled(base=base) as registry, Watched(registry, form=form) as seen:
         assert await seen.poll() and seen.states() == dict.fromkeys(
@@ -93,7 +93,7 @@
         ("apps", "OTHER", {"node9"}),
     ],
 )
-@on_loop
+@run_on_uvloop
 async def test_lookup_by_app_vip_or_secure_vip_lists_their_instances(by, name, ids):
     async with filled(2) as registry, Watched(registry, lookup=by, name=name) as seen:
         registry.register(instance("node9", 9000, app="OTHER"))
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("how", ["silent", "error", "half", "spoilt", "endless", "raw"])
-@on_loop
+@run_on_uvloop
 async def test_response_when_unusable_then_the_list_stays(how):
     async with filled() as registry, Watched(registry, timeout=0.3, max_response_bytes=200_000) as seen:
         registry.etags = False
@@ -123,7 +123,7 @@
         assert await seen.poll() and set(seen.hosts) == {*before, "node9"}  # followed at once
 
 
-@on_loop
+@run_on_uvloop
 async def test_registry_when_it_returns_empty_or_with_half_then_endpoints_stay():
     now = 1000.0
     async with filled(10) as registry, Watched(registry, clock=lambda: now, delta=False) as seen:
@@ -140,7 +140,7 @@
         assert len(seen.hosts) == 5  # the others have been missing for long, and some are named again
 
 
-@on_loop
+@run_on_uvloop
 async def test_hosts_when_ids_or_addresses_change_then_are_replaced():
     async with filled(3) as registry, Watched(registry) as seen:
         await seen.poll()
@@ -155,7 +155,7 @@
         assert seen.source.reconciler.records["other0"].accepted.address == ("127.0.0.1", 9999)
 
 
-@on_loop
+@run_on_uvloop
 async def test_delta_when_lost_then_a_complete_list_follows_and_a_wrong_hash_causes_no_storm():
     now = 1000.0
     async with filled() as registry, Watched(registry, clock=lambda: now) as seen:
@@ -172,7 +172,7 @@
         assert registry.calls["GET apps"] < 8 and registry.calls["GET delta"] > 110
 
 
-@on_loop
+@run_on_uvloop
 async def test_instance_when_malformed_among_a_thousand_then_is_left_out_and_logged(caplog):
     async with filled(1000) as registry, Watched(registry) as seen:
         registry.leases["ROSTER", "node500"].told["port"] = {"$": "eighty"}
@@ -180,7 +180,7 @@
         assert any("node500" in text for text in seen.source.malformed) and "node500" in caplog.text
 
 
-@on_loop
+@run_on_uvloop
 async def test_registry_when_away_then_fails_over_and_contradicting_replicas_do_no_harm():
     now = 1000.0
     async with filled() as one, filled() as other, Watched(one, other, clock=lambda: now) as seen:
@@ -198,7 +198,7 @@
         assert other.calls["GET apps"] == 1
 
 
-@on_loop
+@run_on_uvloop
 async def test_emulated_replicas_when_lagging_then_register_late():
     async with filled(1) as one, EmulatedEureka(lag=0.02) as other:
         one.peer = other
@@ -209,7 +209,7 @@
         assert set(other.leases) == {("ROSTER", "node5")}
 
 
-@on_loop
+@run_on_uvloop
 async def test_credentials_are_sent_and_never_logged(caplog):
     async with filled() as registry:
         registry.auth = "Basic " + base64.b64encode(b"me:secret").decode()
@@ -220,7 +220,7 @@
             assert "secret" not in caplog.text + repr(seen.source.registry)
 
 
-@on_loop
+@run_on_uvloop
 async def test_host_names_are_resolved_and_own_addresses_left_out():
     looked = []
 
@@ -240,7 +240,7 @@
         assert set(seen.hosts) == {"node0"} and len(looked) == 3
 
 
-@on_loop
+@run_on_uvloop
 async def test_leases_expire_but_not_under_self_preservation():
     now = 1000.0
     for protect, left in ((False, {"node9"}), (True, {"node9", "node0"})):
@@ -254,7 +254,7 @@
         assert {id for _, id in registry.leases} == left
 
 
-@on_loop
+@run_on_uvloop
 async def test_watch_polls_by_itself_and_backs_off_while_nothing_answers():
     async with (
         filled(script=Script([Step("error", count=3)])) as registry,
@@ -270,7 +270,7 @@
         seen.source.watch(False)
 
 
-@on_loop
+@run_on_uvloop
 async def test_doubt_ends_by_time_between_polls():
     async with (
         filled(4) as registry,
@@ -296,7 +296,7 @@
     return lease.status if lease else None
 
 
-@on_loop
+@run_on_uvloop
 async def test_registration_registers_renews_marks_up_and_down_and_deregisters():
     async with EmulatedEureka() as registry:
         own = Registration((registry.url,), OWN)
@@ -317,7 +317,7 @@
         assert our(registry) is None
 
 
-@on_loop
+@run_on_uvloop
 async def test_registration_when_the_registry_is_away_then_delays_neither_start_nor_stop(monkeypatch):
     monkeypatch.setattr("apigateway.membership.eureka.registration.FINAL_CALL_TIMEOUT_S", 0.05)
     async with EmulatedEureka(script=Script([Step("error", count=4)])) as registry:
@@ -350,7 +350,7 @@
 """
 
 
-@on_loop
+@run_on_uvloop
 async def test_emulated_registry_serves_a_foreign_client():
     """py-eureka-client, which others wrote: the stand-in speaks the protocol, and our source reads what it
     wrote."""
--- a/tests/membership/test_polled_discovery.py
+++ b/tests/membership/test_polled_discovery.py
@@ -6,7 +6,16 @@
 from contextlib import AsyncExitStack
 
 import pytest
-from netkit import SERVED, SETTINGS, EmulatedDiscovery, EmulatedHost, Node, command, entry, on_loop
+from gateway_harness import (
+    SETTINGS,
+    VALUE_REPLY,
+    EmulatedDiscovery,
+    EmulatedHost,
+    GatewayHarness,
+    make_command,
+    make_host_entry,
+    run_on_uvloop,
+)
 
 from apigateway.emulators.discovery import CallCapacity
 from apigateway.membership.watch_schedule import WatchPacer, WatchSchedule
@@ -24,56 +33,58 @@
     return settings
 
 
-async def until_all(nodes, condition):
+async def until_all(harnesses, condition):
     """Wait until the condition holds at all gateways."""
-    while not all(condition(node.node.upstream.pools) for node in nodes):
+    while not all(condition(harness.server.upstream.pools) for harness in harnesses):
         await asyncio.sleep(0.01)
 
 
 async def start_fleet(stack, service, hosts, tmp_path, drain_grace_s):
     """Gateways that know two hosts and poll a service whose list names a third one; once all have read it."""
-    nodes = []
+    harnesses = []
     for number in range(GATEWAYS):
         folder = tmp_path / str(number)
         folder.mkdir()
-        node = Node(*hosts[:2], path=folder, settings=polled_settings(drain_grace_s), service=service)
-        nodes.append(await stack.enter_async_context(node))
-    await until_all(nodes, lambda known: "h3" in known)
-    return nodes
+        harness = GatewayHarness(
+            *hosts[:2], path=folder, settings=polled_settings(drain_grace_s), shared_discovery=service
+        )
+        harnesses.append(await stack.enter_async_context(harness))
+    await until_all(harnesses, lambda known: "h3" in known)
+    return harnesses
 
 
 async def open_service(stack):
     """A service that bears three calls a second and lets none wait for over two seconds."""
     hosts = [await stack.enter_async_context(EmulatedHost()) for _ in range(3)]
     service = await stack.enter_async_context(EmulatedDiscovery())
-    service.servers = [entry(host, f"h{number}") for number, host in enumerate(hosts[:2], 1)]
-    service.change([entry(hosts[2], "h3")])
+    service.servers = [make_host_entry(host, f"h{number}") for number, host in enumerate(hosts[:2], 1)]
+    service.change([make_host_entry(hosts[2], "h3")])
     service.capacity = CallCapacity(call_s=0.33, rejection_s=0.03, max_wait_s=2.0)
     return service, hosts
 
 
 @pytest.mark.parametrize("drain_grace_s", DRAIN_GRACES_S)
-@on_loop
+@run_on_uvloop
 async def test_gateways_hear_a_drain_when_their_watches_fall_silent_and_the_service_sheds_load(
     drain_grace_s, tmp_path
 ):
     async with AsyncExitStack() as stack:
         service, hosts = await open_service(stack)
-        nodes = await start_fleet(stack, service, hosts, tmp_path, drain_grace_s)
+        harnesses = await start_fleet(stack, service, hosts, tmp_path, drain_grace_s)
         service.silence_watches()
-        service.change([entry(hosts[0], "h1", "draining")])
-        await until_all(nodes, lambda known: "h1" not in known)
+        service.change([make_host_entry(hosts[0], "h1", "draining")])
+        await until_all(harnesses, lambda known: "h1" not in known)
         before = len(hosts[0].commands)
-        for number, node in enumerate(nodes):
-            assert await node.ask(command(b"r%d" % number)) == SERVED
+        for number, harness in enumerate(harnesses):
+            assert await harness.send_command(make_command(b"r%d" % number)) == VALUE_REPLY
         assert len(hosts[0].commands) == before
 
 
-@on_loop
+@run_on_uvloop
 async def test_gateways_hear_a_drain_when_the_service_comes_back_from_a_silence(tmp_path):
     async with AsyncExitStack() as stack:
         service, hosts = await open_service(stack)
-        nodes = await start_fleet(stack, service, hosts, tmp_path, 0.5)
+        harnesses = await start_fleet(stack, service, hosts, tmp_path, 0.5)
         service.silence_watches()
         service.silent = True
         while not service.calls.empty():
@@ -81,25 +92,25 @@
         for _ in range(2 * GATEWAYS):
             await service.calls.get()  # it is called while it is silent
         service.silent = False
-        service.change([entry(hosts[0], "h1", "draining")])
-        await until_all(nodes, lambda known: "h1" not in known)
+        service.change([make_host_entry(hosts[0], "h1", "draining")])
+        await until_all(harnesses, lambda known: "h1" not in known)
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_late_answer_to_a_watch_counts_while_the_complete_list_is_requested(tmp_path):
     async with AsyncExitStack() as stack:
         service, hosts = await open_service(stack)
         service.capacity = None
-        nodes = await start_fleet(stack, service, hosts, tmp_path, 0.5)
+        harnesses = await start_fleet(stack, service, hosts, tmp_path, 0.5)
         service.lag = 1.0  # past the time for which the watch is held: the answer is overdue
-        schedule = nodes[0].node.endpoint_source.schedule
+        schedule = harnesses[0].server.endpoint_source.schedule
         assert schedule.overdue < service.lag < schedule.overdue + schedule.late_answer
         service.held = asyncio.Event()  # the complete lists that are requested meanwhile never come
-        service.change([entry(hosts[0], "h1", "draining")])
-        await until_all(nodes, lambda known: "h1" not in known)
+        service.change([make_host_entry(hosts[0], "h1", "draining")])
+        await until_all(harnesses, lambda known: "h1" not in known)
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_restarted_gateway_that_knows_a_list_watches_from_there_without_the_complete_list(tmp_path):
     async with AsyncExitStack() as stack:
         service, hosts = await open_service(stack)
--- a/tests/membership/test_reconciler_driver.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -1,6 +1,6 @@
 """The reconciler beside discovery, and passed on from one source to the next."""
 
-from netkit import command, on_loop
+from gateway_harness import make_command, run_on_uvloop
 from rig import Site
 
 from apigateway import messages
@@ -22,7 +22,7 @@
     )
 
 
-@on_loop
+@run_on_uvloop
 async def test_discovery_when_it_comes_back_empty_then_its_endpoints_stay_and_marks_count_at_once():
     changes = []
     driver = ReconcilerDriver(ReconcilerSettings(), NOTHING, changes.append, lambda: 100.0)
@@ -34,7 +34,7 @@
     assert set(driver.reconciler.records) == {"b", "c"}
 
 
-@on_loop
+@run_on_uvloop
 async def test_reconciler_when_passed_on_then_keeps_its_doubts_and_its_age():
     first = ReconcilerDriver(ReconcilerSettings(), NOTHING, lambda _: None, lambda: 100.0)
     first.apply(
@@ -53,7 +53,7 @@
     first.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_gateway_when_discovery_comes_back_empty_then_serves_on(tmp_path):
     async with Site(tmp_path, hosts=2) as site, EmulatedDiscovery() as discovery:
         discovery.servers = [h.entry() for h in site.hosts]
@@ -66,5 +66,5 @@
         while "index" not in await discovery.calls.get():
             pass  # it has read the empty list once it watches again
         for n in range(20):
-            assert (await site.ask(command(b"r%d" % n))).startswith(b"$")
+            assert (await site.ask(make_command(b"r%d" % n))).startswith(b"$")
         assert sum(len(h.commands) for h in site.hosts) == 20
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -7,7 +7,7 @@
 import sys
 from pathlib import Path
 
-from netkit import read_reply
+from gateway_harness import read_reply
 
 from apigateway.emulators.clients import Client, Customer, Kind, Traffic
 from apigateway.emulators.counter import EmulatedCounter
