--- a/apigateway/daemon/gateway_process.py
+++ b/apigateway/daemon/gateway_process.py
@@ -236,7 +236,7 @@
             HandoverError: The predecessor has disconnected, and accepts again: there must not be two.
         """
         known = await successor.announce_ready()
-        server.begin(read_list(known, messages.ListMode.CACHED))
+        server.reset_decision_module(read_list(known, messages.ListMode.CACHED))
         await server.listen(self._sockets)
         try:
             await successor.announce_serving()
--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -49,10 +49,10 @@
 
 
 class GatewayServer:
-    """One gateway. `start` and `stop` are its life.
+    """One gateway: `start` begins serving, `stop` ends it.
 
-    A process that takes over from another calls `prepare`, `begin` and `listen` in place of `start`; one that
-    hands over calls `pause`, and `resume` if the successor failed.
+    A process that takes over from another calls `prepare`, `reset_decision_module` and `listen` instead of
+    `start`. One that hands over calls `pause`, and `resume` if the successor failed.
 
     Attributes:
         config: In force.
@@ -297,7 +297,7 @@
         self.core.dispatch(messages.DrainGateway(False))
         await self.listen(sockets)
 
-    def begin(self, predecessor_listing: Listing) -> None:
+    def reset_decision_module(self, predecessor_listing: Listing) -> None:
         """Start the decision module anew, with the endpoints that this process knows.
 
         An endpoint drains if either process was told that it does: the gateway was told. The source is asked
--- a/tests/daemon/test_gateway_process.py
+++ b/tests/daemon/test_gateway_process.py
@@ -17,7 +17,7 @@
     on_loop,
     told,
 )
-from rig import PROGRAM, ROOT, Site, free_port
+from rig import GATEWAY_COMMAND, ROOT, LocalDeployment, free_port
 
 
 class Manager:
@@ -41,8 +41,8 @@
 @on_loop
 async def test_service_manager_when_it_starts_reloads_and_stops_then_is_notified(tmp_path):
     manager = Manager(tmp_path)
-    async with Site(tmp_path) as site:
-        program = await site.start(env={"NOTIFY_SOCKET": manager.path, "WATCHDOG_USEC": "200000"})
+    async with LocalDeployment(tmp_path) as site:
+        program = await site.start_gateway(env={"NOTIFY_SOCKET": manager.path, "WATCHDOG_USEC": "200000"})
         assert (await manager.hear())[:2] == ["READY=1", "STATUS=serving as gateway-0"]
         for _ in range(3):
             assert await manager.hear() == ["WATCHDOG=1"]
@@ -59,9 +59,9 @@
 @on_loop
 async def test_take_over_when_it_serves_then_it_is_the_services_main_process(tmp_path):
     manager = Manager(tmp_path)
-    async with Site(tmp_path) as site:
-        first = await site.start()
-        second = await site.start("--take-over", env={"NOTIFY_SOCKET": manager.path})
+    async with LocalDeployment(tmp_path) as site:
+        first = await site.start_gateway()
+        second = await site.start_gateway("--take-over", env={"NOTIFY_SOCKET": manager.path})
         assert f"MAINPID={second.pid}" in await manager.hear()
         assert await first.wait() == 0
     manager.sock.close()
@@ -71,40 +71,40 @@
 async def test_start_when_no_endpoints_are_known_then_it_waits_for_a_list(tmp_path):
     from apigateway.emulators.discovery import EmulatedDiscovery
 
-    async with Site(tmp_path) as site, EmulatedDiscovery() as discovery:
+    async with LocalDeployment(tmp_path) as site, EmulatedDiscovery() as discovery:
         discovery.silent = True
-        site.write(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
-        program = await site.start(ready=False)
-        await site.line(program, b"waiting for a list of hosts")
+        site.write_settings(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
+        program = await site.start_gateway(ready=False)
+        await site.wait_for_log_line(program, b"waiting for a list of hosts")
         await discovery.calls.get()
         discovery.servers, discovery.silent = [h.entry() for h in site.hosts], False
-        await site.line(program, b"listens on")
-        assert (await site.ask(command())).startswith(b"$")
+        await site.wait_for_log_line(program, b"listens on")
+        assert (await site.send_request(command())).startswith(b"$")
 
 
 @on_loop
 async def test_sigterm_before_it_is_ready_then_it_ends(tmp_path):
     from apigateway.emulators.discovery import EmulatedDiscovery
 
-    async with Site(tmp_path) as site, EmulatedDiscovery() as discovery:
+    async with LocalDeployment(tmp_path) as site, EmulatedDiscovery() as discovery:
         discovery.silent = True
-        site.write(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
-        program = await site.start(ready=False)
-        await site.line(program, b"waiting for a list of hosts")
+        site.write_settings(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
+        program = await site.start_gateway(ready=False)
+        await site.wait_for_log_line(program, b"waiting for a list of hosts")
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
 
 
 @on_loop
 async def test_sockets_when_they_are_passed_in_then_are_served(tmp_path):
-    async with Site(tmp_path) as site:
+    async with LocalDeployment(tmp_path) as site:
         with socket.create_server(("127.0.0.1", 0)) as sock:
             port = sock.getsockname()[1]
-            site.write([port])
+            site.write_settings([port])
             manager = (
                 f"import os; os.dup2({sock.fileno()}, 3); "
                 "os.environ.update(LISTEN_FDS='1', LISTEN_PID=str(os.getpid())); "
-                f"os.execv({sys.executable!r}, {[*PROGRAM, 'serve', str(site.file)]!r})"
+                f"os.execv({sys.executable!r}, {[*GATEWAY_COMMAND, 'serve', str(site.settings_file)]!r})"
             )
             program = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -114,10 +114,10 @@
                 pass_fds=(sock.fileno(),),
                 stderr=asyncio.subprocess.PIPE,
             )
-            site.programs.append(program)
+            site.processes.append(program)
             site.logs[program] = []
-            await site.line(program, b"listens on")
-        assert (await site.ask(command(), port)).startswith(b"$")
+            await site.wait_for_log_line(program, b"listens on")
+        assert (await site.send_request(command(), port)).startswith(b"$")
 
 
 @on_loop
@@ -126,29 +126,29 @@
         EmulatedHost() as host,
         EmulatedCounter() as counter,
         EmulatedDiscovery() as discovery,
-        Site(tmp_path) as site,
+        LocalDeployment(tmp_path) as site,
     ):
         discovery.servers = [entry(host)]
         first, second = free_port(), free_port()
         config = told([entry(host)], discovery.port, counter.port) | {"listen": f"127.0.0.1:{first}"}
         (tmp_path / "config.json").write_text(json.dumps(config))
         env = {"RELAY_CONFIG": str(tmp_path / "config.json")}
-        site.file.write_text(
+        site.settings_file.write_text(
             f'[[listeners]]\naddress = "127.0.0.1:{second}"\n'
             f'[daemon]\nstate = "{tmp_path / "state"}"\nlog_lines = 1000\n'
         )
-        old = await site.start(env=env)
+        old = await site.start_gateway(env=env)
         for n, port in enumerate((first, second)):
-            assert await site.ask(command(b"a%d" % n), port) == SERVED
-        site.file.write_text(site.file.read_text().replace("1000", "2000"))
+            assert await site.send_request(command(b"a%d" % n), port) == SERVED
+        site.settings_file.write_text(site.settings_file.read_text().replace("1000", "2000"))
         old.send_signal(signal.SIGHUP)
-        assert b"took effect: daemon.log_lines" in await site.line(old, b"reload: ")
-        await site.start("--take-over", env=env)
+        assert b"took effect: daemon.log_lines" in await site.wait_for_log_line(old, b"reload: ")
+        await site.start_gateway("--take-over", env=env)
         assert await old.wait() == 0
         for n, port in enumerate((first, second)):
-            assert await site.ask(command(b"b%d" % n), port) == SERVED
-        site.file.write_text("[plans.p]\nrate = 1.0\nburst = 1.0\n")
-        bad = await site.start(env=env, ready=False)
+            assert await site.send_request(command(b"b%d" % n), port) == SERVED
+        site.settings_file.write_text("[plans.p]\nrate = 1.0\nburst = 1.0\n")
+        bad = await site.start_gateway(env=env, ready=False)
         assert await bad.wait() == 2 and b"is told by RELAY_CONFIG" in await bad.stderr.read()
 
 
@@ -159,17 +159,17 @@
         EmulatedHost() as host,
         EmulatedCounter() as counter,
         EmulatedDiscovery() as discovery,
-        Site(tmp_path) as site,
+        LocalDeployment(tmp_path) as site,
     ):
         discovery.servers = [entry(host)]
         port, config = free_port(), tmp_path / "config.json"
         text = json.dumps(told([entry(host)], discovery.port, counter.port) | {"listen": f"127.0.0.1:{port}"})
-        site.file.write_text("[daemon]\nlog_lines = 1000\n")
+        site.settings_file.write_text("[daemon]\nlog_lines = 1000\n")
         held = Held(config, text)
-        program = await site.start(env={"RELAY_CONFIG": str(config)}, ready=False)
+        program = await site.start_gateway(env={"RELAY_CONFIG": str(config)}, ready=False)
         async with held as file:
-            site.file.write_text("[daemon]\nlog_lines = 2000\n")
+            site.settings_file.write_text("[daemon]\nlog_lines = 2000\n")
             program.send_signal(signal.SIGHUP)
             file.write(text)
-        assert b"took effect: daemon.log_lines" in await site.line(program, b"reload: ")
-        assert await site.ask(command(), port) == SERVED
+        assert b"took effect: daemon.log_lines" in await site.wait_for_log_line(program, b"reload: ")
+        assert await site.send_request(command(), port) == SERVED
--- a/tests/faults/test_flood.py
+++ b/tests/faults/test_flood.py
@@ -7,7 +7,7 @@
 
 import pytest
 from netkit import command, on_loop, read_reply
-from rig import Site
+from rig import LocalDeployment
 
 FLOOD = 4000  # commands in one write
 
@@ -29,10 +29,10 @@
 @pytest.mark.parametrize("overload", [SHEDS, "on = false"])
 @on_loop
 async def test_each_of_a_flood_is_answered_once_and_in_order_also_when_told_to_stop(overload, tmp_path):
-    async with Site(tmp_path) as site:
-        site.write(overload=overload, limits="max_open = 1000")
-        site.file.write_text(site.file.read_text() + DEAR)
-        program = await site.start()
+    async with LocalDeployment(tmp_path) as site:
+        site.write_settings(overload=overload, limits="max_open = 1000")
+        site.settings_file.write_text(site.settings_file.read_text() + DEAR)
+        program = await site.start_gateway()
         lines = [await asyncio.open_connection("127.0.0.1", site.port) for _ in range(6)]
         for k, (_, writer) in enumerate(lines):
             writer.write(flood(b"%d" % k))
@@ -53,21 +53,21 @@
 
 @on_loop
 async def test_overload_goes_on_and_off_by_a_reload_in_traffic(tmp_path):
-    async with Site(tmp_path) as site:
-        program = await site.start()
+    async with LocalDeployment(tmp_path) as site:
+        program = await site.start_gateway()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         for n, overload in enumerate(["on = true", "on = false", "on = true\nturn = 0.1", "on = false"]):
             writer.write(flood(b"%d" % n, 500))
             await read_reply(reader)
-            site.write(overload=overload)
+            site.write_settings(overload=overload)
             program.send_signal(signal.SIGHUP)
-            assert b"took effect: overload" in await site.line(program, b"reload: ")
+            assert b"took effect: overload" in await site.wait_for_log_line(program, b"reload: ")
             for _ in range(499):
                 assert (await read_reply(reader))[:1] in b"$-"
-        site.write(overload="lag = 3.0\nturn = 0.1")
+        site.write_settings(overload="lag = 3.0\nturn = 0.1")
         program.send_signal(signal.SIGHUP)
-        await site.line(program, b"overload.turn")
-        assert b"refused" in await site.line(program, b"reload: ")
+        await site.wait_for_log_line(program, b"overload.turn")
+        assert b"refused" in await site.wait_for_log_line(program, b"reload: ")
         writer.write(command(b"last"))
         assert (await read_reply(reader)).endswith(b":last\r\n")
         writer.close()
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -9,7 +9,7 @@
 
 import pytest
 from netkit import SERVED, EmulatedHost, Node, command, entry, on_loop
-from rig import TERMS, Load, Site, free_port
+from rig import LEDGER_TERMS, BackgroundTraffic, LocalDeployment, free_port
 
 from apigateway import messages
 from apigateway.daemon.handover_channel import HandoverChannel
@@ -22,7 +22,7 @@
 async def hand(site):
     """A connection that says it is a successor: the first answers, and the channel to go on with."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    sock.connect(str(site.path / "state" / "handover"))
+    sock.connect(str(site.folder / "state" / "handover"))
     channel = HandoverChannel(sock)
     await channel.send({"take": 1})
     told, descriptors = await channel.receive_with_descriptors(5.0)
@@ -33,16 +33,16 @@
 
 @on_loop
 async def test_a_successor_takes_over_and_another_from_that_one(tmp_path):
-    ledger = Ledger(TERMS)
-    async with Site(tmp_path, ledger=ledger) as site:
-        first = await site.start()
-        async with Load(site, ledger) as load:
-            second = await site.start("--take-over")
+    ledger = Ledger(LEDGER_TERMS)
+    async with LocalDeployment(tmp_path, ledger=ledger) as site:
+        first = await site.start_gateway()
+        async with BackgroundTraffic(site, ledger) as load:
+            second = await site.start_gateway("--take-over")
             assert await first.wait() == 0
-            await load.served(30)
-            third = await site.start("--take-over")
+            await load.wait_for_served(30)
+            third = await site.start_gateway("--take-over")
             assert await second.wait() == 0
-            await load.served(30)
+            await load.wait_for_served(30)
             assert third.returncode is None
 
 
@@ -51,13 +51,13 @@
 )
 @on_loop
 async def test_a_successor_that_fails_leaves_the_old_one_serving(how, tmp_path):
-    ledger = Ledger(TERMS)
-    async with Site(tmp_path, ledger=ledger) as site:
-        first = await site.start()
-        async with Load(site, ledger) as load:
+    ledger = Ledger(LEDGER_TERMS)
+    async with LocalDeployment(tmp_path, ledger=ledger) as site:
+        first = await site.start_gateway()
+        async with BackgroundTraffic(site, ledger) as load:
             if how == "crashes at once":
-                site.write(rules="drain_grace = -1")
-                broken = await site.start("--take-over", ready=False)
+                site.write_settings(rules="drain_grace = -1")
+                broken = await site.start_gateway("--take-over", ready=False)
                 assert await broken.wait() == 2
             else:
                 told, channel = await hand(site)
@@ -69,73 +69,73 @@
                 elif how == "talks nonsense":
                     channel.sock.sendall(b"\xff\n")
                 channel.close()
-                await site.line(first, b"this process goes on")
-            await load.served(30)
-            site.write()
-            await site.start("--take-over")  # the next one can
+                await site.wait_for_log_line(first, b"this process goes on")
+            await load.wait_for_served(30)
+            site.write_settings()
+            await site.start_gateway("--take-over")  # the next one can
             assert await first.wait() == 0
-            await load.served(30)
+            await load.wait_for_served(30)
 
 
 @on_loop
 async def test_a_successor_that_never_gets_ready_is_given_up(tmp_path):
-    ledger = Ledger(TERMS)
-    async with Site(tmp_path, ledger=ledger) as site:
-        site.write(daemon="handover_wait = 0.3")
-        first = await site.start()
-        async with Load(site, ledger) as load:
+    ledger = Ledger(LEDGER_TERMS)
+    async with LocalDeployment(tmp_path, ledger=ledger) as site:
+        site.write_settings(daemon="handover_wait = 0.3")
+        first = await site.start_gateway()
+        async with BackgroundTraffic(site, ledger) as load:
             _, channel = await hand(site)
-            await site.line(first, b"nothing heard for")
-            await load.served(30)
+            await site.wait_for_log_line(first, b"nothing heard for")
+            await load.wait_for_served(30)
             channel.close()
             assert first.returncode is None
 
 
 @on_loop
 async def test_of_two_successors_at_once_one_is_told_to_try_again(tmp_path):
-    ledger = Ledger(TERMS)
-    async with Site(tmp_path, ledger=ledger) as site:
-        first = await site.start()
-        async with Load(site, ledger) as load:
+    ledger = Ledger(LEDGER_TERMS)
+    async with LocalDeployment(tmp_path, ledger=ledger) as site:
+        first = await site.start_gateway()
+        async with BackgroundTraffic(site, ledger) as load:
             _, channel = await hand(site)
-            second = await site.start("--take-over", ready=False)
+            second = await site.start_gateway("--take-over", ready=False)
             assert await second.wait() == 75 and b"try again" in await second.stderr.read()
             channel.close()
-            await site.line(first, b"this process goes on")
-            await load.served(30)
+            await site.wait_for_log_line(first, b"this process goes on")
+            await load.wait_for_served(30)
 
 
 @on_loop
 async def test_the_successor_serves_by_its_own_settings(tmp_path):
-    async with Site(tmp_path) as site:
-        first = await site.start()
+    async with LocalDeployment(tmp_path) as site:
+        first = await site.start_gateway()
         more = free_port()
-        site.write([site.port, more], limits="max_attempts = 2")
-        await site.start("--take-over")
+        site.write_settings([site.port, more], limits="max_attempts = 2")
+        await site.start_gateway("--take-over")
         assert await first.wait() == 0
-        assert (await site.ask(command(b"a"), more)).startswith(b"$")
-        assert (await site.ask(command(b"b"))).startswith(b"$")
+        assert (await site.send_request(command(b"a"), more)).startswith(b"$")
+        assert (await site.send_request(command(b"b"))).startswith(b"$")
 
 
 @on_loop
 async def test_a_port_that_was_drawn_is_handed_over(tmp_path):
-    async with Site(tmp_path) as site:
-        site.write([0])
-        first = await site.start(ready=False)
-        port = int((await site.line(first, b"listens on")).rsplit(b":", 1)[1])
-        second = await site.start("--take-over", ready=False)
-        assert int((await site.line(second, b"listens on")).rsplit(b":", 1)[1]) == port
+    async with LocalDeployment(tmp_path) as site:
+        site.write_settings([0])
+        first = await site.start_gateway(ready=False)
+        port = int((await site.wait_for_log_line(first, b"listens on")).rsplit(b":", 1)[1])
+        second = await site.start_gateway("--take-over", ready=False)
+        assert int((await site.wait_for_log_line(second, b"listens on")).rsplit(b":", 1)[1]) == port
         assert await first.wait() == 0
-        assert (await site.ask(command(), port)).startswith(b"$")
+        assert (await site.send_request(command(), port)).startswith(b"$")
 
 
 @on_loop
 async def test_what_the_old_one_took_is_answered_by_it(tmp_path):
-    async with Site(tmp_path, hosts=1, answer=lambda: None) as site:
-        first = await site.start()
-        asked = asyncio.ensure_future(site.ask(command(b"before")))
+    async with LocalDeployment(tmp_path, hosts=1, answer=lambda: None) as site:
+        first = await site.start_gateway()
+        asked = asyncio.ensure_future(site.send_request(command(b"before")))
         await site.hosts[0].arrived.get()
-        await site.start("--take-over")
+        await site.start_gateway("--take-over")
         assert first.returncode is None
         site.hosts[0].writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
         assert await asked == SERVED
@@ -144,25 +144,25 @@
 
 @on_loop
 async def test_nobody_to_take_over_from_and_a_folder_in_use(tmp_path):
-    async with Site(tmp_path) as site:
-        alone = await site.start("--take-over", ready=False)
+    async with LocalDeployment(tmp_path) as site:
+        alone = await site.start_gateway("--take-over", ready=False)
         assert await alone.wait() == 1 and b"nobody to take over from" in await alone.stderr.read()
-        await site.start()
-        site.write([free_port()])
-        second = await site.start(ready=False)
+        await site.start_gateway()
+        site.write_settings([free_port()])
+        second = await site.start_gateway(ready=False)
         assert await second.wait() == 1
         said = await second.stderr.read()
-        assert b"in use by process %d" % site.programs[1].pid in said
+        assert b"in use by process %d" % site.processes[1].pid in said
 
 
 @on_loop
 async def test_a_killed_gateway_leaves_its_folder_free(tmp_path):
-    async with Site(tmp_path) as site:
-        first = await site.start()
+    async with LocalDeployment(tmp_path) as site:
+        first = await site.start_gateway()
         first.send_signal(signal.SIGKILL)
         await first.wait()
-        await site.start()
-        assert (await site.ask(command())).startswith(b"$")
+        await site.start_gateway()
+        assert (await site.send_request(command())).startswith(b"$")
 
 
 @on_loop
@@ -184,7 +184,7 @@
         node.discovery.silent = True  # nothing mends it meanwhile
         mine, yours = ([entry(one, "h1", state), entry(two, "h2")] for state in (ours, theirs))
         node.node.endpoint_list.apply(read_list({"version": 2, "full": True, "servers": mine}))
-        node.node.begin(read_list({"version": 1, "full": True, "servers": yours}, "cached"))
+        node.node.reset_decision_module(read_list({"version": 1, "full": True, "servers": yours}, "cached"))
         assert [s.host.id for s in node.node.core.module.pool.available] == ["h2"]
         for n in range(4):
             assert await node.ask(command(b"r%d" % n)) == SERVED
--- a/tests/faults/test_plugins.py
+++ b/tests/faults/test_plugins.py
@@ -9,7 +9,7 @@
 
 import pytest
 from netkit import SERVED, command, on_loop, read_reply
-from rig import TERMS, Load, Site
+from rig import LEDGER_TERMS, BackgroundTraffic, LocalDeployment
 
 from apigateway.daemon.status_query import query_gateway
 from apigateway.emulators.clients import Client, Customer, Traffic
@@ -45,19 +45,19 @@
     os.rename(new, path)
 
 
-class Plugged(Site):
+class Plugged(LocalDeployment):
     """A site with plug-ins: `plug(text)` writes gateway.toml with them."""
 
     def plug(self, text):
-        self.write()
-        replaced(self.file, self.file.read_text() + text)
+        self.write_settings()
+        replaced(self.settings_file, self.settings_file.read_text() + text)
 
     async def told(self):
-        return await query_gateway(str(self.path / "state" / "handover"), "plugins")
+        return await query_gateway(str(self.folder / "state" / "handover"), "plugins")
 
     async def reload(self, program, word=b"reload: "):
         program.send_signal(signal.SIGHUP)
-        return await self.line(program, word)
+        return await self.wait_for_log_line(program, word)
 
 
 # Loops forever, but for ids that begin with p, as those of a proof do.
@@ -69,22 +69,22 @@
 
 @on_loop
 async def test_one_that_loops_forever_is_stopped_each_time_then_taken_out_and_nobody_is_lost(tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with Plugged(tmp_path, ledger=ledger) as site:
         (tmp_path / "loop.wat").write_text(LOOPS)
         site.plug(
             plugin("loop", f"[plugins.budget]\nfailures = 4\nrest = 600.0\n{UNHURRIED}", file="loop.wat")
             + plugin("mark", "[[plugins.rules]]\ntag = { a = '\"1\"' }")
         )
-        program = await site.start()
-        async with Load(site, ledger) as load:
-            await load.served(50)
+        program = await site.start_gateway()
+        async with BackgroundTraffic(site, ledger) as load:
+            await load.wait_for_served(50)
             told, mark = (await site.told())["plugins"]
             assert told["failed"] == {"fuel": 4} and told["state"] == "out" and told["not asked"]["out"] >= 46
             assert mark["allowed"]["tag"] >= 50 and mark["state"] == "in"
             site.plug("")  # and an operator can take it away
             assert b"plug-ins gone: loop, mark" in await site.reload(program, b"gone")
-            await load.served(30)
+            await load.wait_for_served(30)
         assert (await site.told())["plugins"] == []
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
@@ -102,10 +102,10 @@
                 past="refuse",
             )
         )
-        await site.start()
-        assert [await site.ask(command(b"z%d" % n)) for n in range(3)] == [BUSY] * 3
+        await site.start_gateway()
+        assert [await site.send_request(command(b"z%d" % n)) for n in range(3)] == [BUSY] * 3
         # It is out: until it is tried again, cut to the most that may be told.
-        assert [await site.ask(command(b"y%d" % n)) for n in range(3)] == [b"-BUSY 2000\r\n"] * 3
+        assert [await site.send_request(command(b"y%d" % n)) for n in range(3)] == [b"-BUSY 2000\r\n"] * 3
         assert site.hosts[0].commands == site.hosts[1].commands == []
 
 
@@ -187,19 +187,19 @@
 
 @on_loop
 async def test_swapped_in_traffic_again_and_again_each_request_is_closed_out_once(tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with Plugged(tmp_path, ledger=ledger) as site:
         file = tmp_path / "a.wat"
         file.write_text(module(says("tag v 0")))
         site.plug(
             plugin("a", f"[plugins.budget]\n{UNHURRIED}", file="a.wat") + '[records]\nfile = "records"\n'
         )
-        program = await site.start()
-        async with Load(site, ledger, 300.0) as load:
+        program = await site.start_gateway()
+        async with BackgroundTraffic(site, ledger, 300.0) as load:
             for n in range(1, 41):
                 replaced(file, module(says(f"tag v {n}")))
                 assert b"plug-ins loaded: a" in await site.reload(program)
-            await load.served(30)
+            await load.wait_for_served(30)
         told = await site.told()
         assert told["version"] == 41 and not told["older versions"]
         program.send_signal(signal.SIGTERM)
@@ -219,7 +219,7 @@
             plugin("a", f"[plugins.budget]\nfailures = 2\nrest = 600.0\n{UNHURRIED}", file="a.wat")
             + '[records]\nfile = "records"\n'
         )
-        program = await site.start()
+        program = await site.start_gateway()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         for n in range(300):
             writer.write(command(b"q%d" % n))
@@ -259,7 +259,7 @@
 )
 @on_loop
 async def test_a_bad_one_leaves_the_old_in_force(how, tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with Plugged(tmp_path, ledger=ledger) as site:
         file = tmp_path / "a.wasm"
         state = (
@@ -271,8 +271,8 @@
         site.plug(
             plugin("a", f"[plugins.budget]\n{UNHURRIED}", file="a.wasm") + '[records]\nfile = "records"\n'
         )
-        program = await site.start()
-        async with Load(site, ledger) as load:
+        program = await site.start_gateway()
+        async with BackgroundTraffic(site, ledger) as load:
             if how == "half written":
                 file.write_bytes(good[: len(good) // 2])
             elif how == "50 MB":
@@ -296,7 +296,7 @@
             await site.reload(program, b"refused, the old settings stay")
             errors = [line for line in site.logs[program] if b"ERROR" in line]
             assert any(b"gateway.toml" in line and b"plugins" in line for line in errors), errors
-            await load.served(20)
+            await load.wait_for_served(20)
         told = await site.told()
         assert told["version"] == 1 and told["plugins"][0]["state"] == "in"
         program.send_signal(signal.SIGTERM)
@@ -309,14 +309,14 @@
     async with Plugged(tmp_path) as site:
         (tmp_path / "a.wat").write_text("(module")
         site.plug(plugin("a", file="a.wat"))
-        program = await site.start(ready=False)
-        assert b"plugins[0].file = 'a.wat'" in await site.line(program, b"cannot be assembled")
+        program = await site.start_gateway(ready=False)
+        assert b"plugins[0].file = 'a.wat'" in await site.wait_for_log_line(program, b"cannot be assembled")
         assert await program.wait() == 2
 
 
 @on_loop
 async def test_mutated_modules_swapped_in_traffic_do_no_harm(tmp_path):
-    ledger, rng = Ledger(TERMS), random.Random(7)
+    ledger, rng = Ledger(LEDGER_TERMS), random.Random(7)
     whole = assemble_module(
         module(says("tag v 0") + says("tag w 0", "answer").replace("40960", "45056")).encode()
     )
@@ -324,16 +324,16 @@
         file = tmp_path / "a.wasm"
         file.write_bytes(whole)
         site.plug(plugin("a", "[plugins.budget]\nfailures = 1000000", file="a.wasm"))
-        program = await site.start()
+        program = await site.start_gateway()
         taken = 0
-        async with Load(site, ledger) as load:
+        async with BackgroundTraffic(site, ledger) as load:
             for _ in range(30):
                 raw = bytearray(whole)
                 for _ in range(rng.randint(1, 2)):
                     raw[rng.randrange(8, len(raw))] = rng.randrange(256)
                 replaced(file, bytes(raw))
                 taken += b"refused" not in await site.reload(program)
-            await load.served(20)
+            await load.wait_for_served(20)
         assert 1 < taken < 30 and (await site.told())["version"] > 1
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
@@ -341,15 +341,15 @@
 
 @on_loop
 async def test_a_hand_over_takes_the_plug_ins_of_the_new_settings(tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with Plugged(tmp_path, ledger=ledger) as site:
         site.plug(plugin("a", "[[plugins.rules]]\nwhen = 'id.startsWith(\"no\")'\nrefuse = '0.5'"))
-        old = await site.start()
-        assert await site.ask(command(b"no1")) == b"-BUSY 500\r\n"
-        async with Load(site, ledger) as load:
+        old = await site.start_gateway()
+        assert await site.send_request(command(b"no1")) == b"-BUSY 500\r\n"
+        async with BackgroundTraffic(site, ledger) as load:
             site.plug(plugin("a", "[[plugins.rules]]\nwhen = 'id.startsWith(\"no\")'\nrefuse = '0'"))
-            await site.start("--take-over")
+            await site.start_gateway("--take-over")
             assert await old.wait() == 0
-            await load.served(20)
-            assert await site.ask(command(b"no2")) == BUSY
-            assert (await site.ask(command(b"yes"))).startswith(b"$")
+            await load.wait_for_served(20)
+            assert await site.send_request(command(b"no2")) == BUSY
+            assert (await site.send_request(command(b"yes"))).startswith(b"$")
--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -9,14 +9,14 @@
 
 import pytest
 from netkit import command, on_loop, read_reply
-from rig import PROGRAM, ROOT, TERMS, Load, Site
+from rig import GATEWAY_COMMAND, LEDGER_TERMS, ROOT, BackgroundTraffic, LocalDeployment
 
 from apigateway.emulators.eureka import EmulatedEureka, instance
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.script import Step
 
 
-class RegistrySite(Site):
+class RegistrySite(LocalDeployment):
     """A site whose gateway asks a stand-in registry, ten times a second."""
 
     def __init__(self, path, hosts=3, ledger=None, register="", **kw):
@@ -27,8 +27,8 @@
         await self.registry.__aenter__()
         return await super().__aenter__()
 
-    def list_hosts(self, *states):
-        super().list_hosts(*states)
+    def publish_hosts(self, *states):
+        super().publish_hosts(*states)
         for host in self.hosts:
             self.registry.register(self.instance(host))
 
@@ -36,7 +36,7 @@
     def instance(host, **kw):
         return instance(host.name, host.port, **kw)
 
-    def write(self, ports=None, **tables):
+    def write_settings(self, ports=None, **tables):
         # Registered just now they count as just started: these tests are not about that.
         mine = {
             "hosts": 'source = "eureka"',
@@ -44,7 +44,7 @@
             "register": self.register,
             "eureka": f'urls = ["{self.registry.url}"]\npoll = 0.1\ntimeout = 0.5\nname = "roster"',
         }
-        super().write(
+        super().write_settings(
             ports, **{k: "\n".join(filter(None, [mine.get(k), tables.get(k)])) for k in mine | tables}
         )
 
@@ -63,72 +63,72 @@
 
 @on_loop
 async def test_flips_under_load_keep_the_cutoff(tmp_path):
-    ledger, rng = Ledger(TERMS), random.Random(7)
+    ledger, rng = Ledger(LEDGER_TERMS), random.Random(7)
     async with RegistrySite(tmp_path, hosts=4, ledger=ledger) as site:
-        site.write(trust="calm_time = 0.0")
-        await site.start()
-        async with Load(site, ledger) as load:
+        site.write_settings(trust="calm_time = 0.0")
+        await site.start_gateway()
+        async with BackgroundTraffic(site, ledger) as load:
             for _ in range(40):
                 host = rng.choice(site.hosts[1:])  # one stays up, so that all is served
                 site.registry.override("ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", ""]))
                 await polled(site, rng.choice([0, 1, 2]))
-            await load.served(20)
+            await load.wait_for_served(20)
         tellings = [state for told in ledger.tellings.values() for _, state in told]
         assert tellings.count("draining") >= 5 and tellings.count("up") >= 5
 
 
 @on_loop
 async def test_a_flip_within_one_poll_and_one_while_an_attempt_is_out(tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with RegistrySite(tmp_path, hosts=2, ledger=ledger) as site:
-        await site.start()
+        await site.start_gateway()
         first = site.hosts[0]
-        async with Load(site, ledger) as load:
+        async with BackgroundTraffic(site, ledger) as load:
             site.registry.override("ROSTER", first.name, "OUT_OF_SERVICE")
             site.registry.override("ROSTER", first.name, "")
             await polled(site)
             before = len(first.commands)
             while len(first.commands) == before:  # it is used on
-                await load.served(1)
+                await load.wait_for_served(1)
             first.script.play(Step("stall", count=1, delay=0.3))
             while first.script.steps and not first.script.used:
-                await load.served(1)
+                await load.wait_for_served(1)
             site.registry.override("ROSTER", first.name, "OUT_OF_SERVICE")  # with an attempt out there
             await polled(site, 3)
             before = len(first.commands)
-            await load.served(50)
+            await load.wait_for_served(50)
             assert len(first.commands) == before
 
 
 @on_loop
 async def test_a_registry_that_is_silent_for_longer_than_every_lease(tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with RegistrySite(tmp_path, hosts=3, ledger=ledger) as site:
         third = site.hosts[2]
         site.registry.cancel("ROSTER", third.name)
-        program = await site.start()
-        async with Load(site, ledger) as load:
+        program = await site.start_gateway()
+        async with BackgroundTraffic(site, ledger) as load:
             site.registry.script.play(Step("silent"))
-            await site.line(program, b"the last list stays")
+            await site.wait_for_log_line(program, b"the last list stays")
             site.registry.clock_off = 1000.0  # all leases have run out
-            await load.served(50)
+            await load.wait_for_served(50)
             assert all(len(h.commands) > 0 for h in site.hosts[:2]) and not third.commands
             site.registry.restart()
             for host in (site.hosts[0], third):
                 site.registry.register(site.instance(host))
             site.registry.script.play()
             while not third.commands:  # followed at once
-                await load.served(1)
+                await load.wait_for_served(1)
 
 
 @pytest.mark.parametrize("left", [0, 1])
 @on_loop
 async def test_a_registry_that_comes_back_empty_or_with_half_serves_on(left, tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with RegistrySite(tmp_path, hosts=4, ledger=ledger) as site:
-        site.write(eureka="delta = false")
-        await site.start()
-        async with Load(site, ledger) as load:
+        site.write_settings(eureka="delta = false")
+        await site.start_gateway()
+        async with BackgroundTraffic(site, ledger) as load:
             site.registry.restart()
             for host in site.hosts[:left]:
                 site.registry.register(site.instance(host))
@@ -136,52 +136,52 @@
             before = [len(h.commands) for h in site.hosts]
             # A hundredth of the requests at least, over 400 of them: idle hosts are chosen by response times,
             # and of a hundred one may get none. They take 3 s; missing hosts are in doubt for 30 s.
-            await load.served(400)
+            await load.wait_for_served(400)
             assert all(len(h.commands) >= was + 4 for h, was in zip(site.hosts, before, strict=True))
 
 
 @on_loop
 async def test_a_host_that_renews_and_answers_nothing_is_gone_round_and_used_again(tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with RegistrySite(tmp_path, hosts=3, ledger=ledger) as site:
-        await site.start()
+        await site.start_gateway()
         sick = site.hosts[0]
-        async with Load(site, ledger) as load:
+        async with BackgroundTraffic(site, ledger) as load:
             sick.script.play(Step("silent"))
-            await load.served(100)
+            await load.wait_for_served(100)
             before, was = len(sick.commands), len(load.traffic.latency)
-            await load.served(200)
+            await load.wait_for_served(200)
             tried = len(sick.commands) - before
             assert tried < (len(load.traffic.latency) - was) / 6  # a third, if nobody minded
             sick.script.play()
             before = len(sick.commands)
             while len(sick.commands) < before + 10:
-                await load.served(1)
+                await load.wait_for_served(1)
 
 
 @on_loop
 async def test_a_reload_goes_from_a_file_to_a_registry_and_back_in_traffic(tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with RegistrySite(tmp_path, hosts=3, ledger=ledger) as site:
-        Site.write(site)  # the file, which names all three
-        program = await site.start()
-        async with Load(site, ledger) as load:
+        LocalDeployment.write_settings(site)  # the file, which names all three
+        program = await site.start_gateway()
+        async with BackgroundTraffic(site, ledger) as load:
             kept = site.hosts[0]
             for host in site.hosts[1:2]:
                 site.registry.cancel("ROSTER", host.name)
-            site.write()
+            site.write_settings()
             program.send_signal(signal.SIGHUP)
-            assert b"hosts.source" in await site.line(program, b"reload: took effect")
+            assert b"hosts.source" in await site.wait_for_log_line(program, b"reload: took effect")
             await polled(site, 3)
             gone, connections = len(site.hosts[1].commands), len(kept.writers)
-            await load.served(100)
+            await load.wait_for_served(100)
             assert len(site.hosts[1].commands) == gone  # one of three is missing: believed at once
-            Site.write(site)
+            LocalDeployment.write_settings(site)
             ledger.told("g", site.hosts[1].name, "up")  # by the file: else past the grace it counts as gone
             program.send_signal(signal.SIGHUP)
-            await site.line(program, b"reload: took effect")
+            await site.wait_for_log_line(program, b"reload: took effect")
             while len(site.hosts[1].commands) == gone:
-                await load.served(1)
+                await load.wait_for_served(1)
             assert connections > 0 and kept.connections > 0
 
 
@@ -190,7 +190,7 @@
     register = 'on = true\nip = "127.0.0.1"\nid = "gw"\napp = "ROSTER"\nrenew = 0.2\nduration = 5.0'
     async with RegistrySite(tmp_path, hosts=1, register=register) as site:
         site.hosts[0].script.play(Step("stall", delay=0.3))
-        program = await site.start()
+        program = await site.start_gateway()
         key = ("ROSTER", "gw")
         while key not in site.registry.leases or site.registry.leases[key].status != "UP":
             await site.registry.asked.get()
@@ -218,11 +218,16 @@
 async def test_what_a_gateway_believes_can_be_asked(tmp_path):
     async with RegistrySite(tmp_path, hosts=2) as site:
         site.registry.override("ROSTER", "h1", "OUT_OF_SERVICE")
-        await site.start()
+        await site.start_gateway()
 
         async def run(*arguments):
             program = await asyncio.create_subprocess_exec(
-                *PROGRAM, "hosts", str(site.file), *arguments, cwd=ROOT, stdout=subprocess.PIPE
+                *GATEWAY_COMMAND,
+                "hosts",
+                str(site.settings_file),
+                *arguments,
+                cwd=ROOT,
+                stdout=subprocess.PIPE,
             )
             out, _ = await program.communicate()
             return program.returncode, out.decode()
@@ -238,7 +243,7 @@
         up, gone = (next(h["choice"] for h in told["hosts"] if h["id"] == name) for name in ("h0", "h1"))
         assert up["near"] and up["out"] == 0 and up["sound"] > 0.9 and up["age"] is None and not up["rests"]
         assert not gone["near"]
-        assert (await site.ask(command(b"counted"))).startswith(b"$")
+        assert (await site.send_request(command(b"counted"))).startswith(b"$")
         text = (await run())[1]
         assert "choices: 0 by a fresh report, 1 by the mean of all" in text
         assert "subset" not in (await run("--registry"))[1]
@@ -258,12 +263,12 @@
 
 @on_loop
 async def test_a_walk_of_faults_keeps_the_rules(tmp_path):
-    ledger, rng = Ledger(TERMS), random.Random(5)
+    ledger, rng = Ledger(LEDGER_TERMS), random.Random(5)
     async with RegistrySite(tmp_path, hosts=3, ledger=ledger) as site:
-        site.write(trust="calm_time = 0.0")
-        await site.start()
+        site.write_settings(trust="calm_time = 0.0")
+        await site.start_gateway()
         held = site.registry
-        async with Load(site, ledger, rate=80.0) as load:
+        async with BackgroundTraffic(site, ledger, rate=80.0) as load:
             for _ in range(25):
                 what = rng.choice(
                     ["error", "half", "spoilt", "restart", "hash", "lost", "clock", "flip", "fill"]
@@ -284,4 +289,4 @@
                 else:
                     for host in site.hosts:
                         held.register(site.instance(host))
-                await load.served(rng.randint(1, 15))
+                await load.wait_for_served(rng.randint(1, 15))
--- a/tests/faults/test_reload.py
+++ b/tests/faults/test_reload.py
@@ -7,7 +7,7 @@
 
 import pytest
 from netkit import SERVED, command, on_loop, read_reply
-from rig import TERMS, Load, Site, free_port
+from rig import LEDGER_TERMS, BackgroundTraffic, LocalDeployment, free_port
 
 from apigateway.emulators.counter import EmulatedCounter
 from apigateway.emulators.ledger import Ledger
@@ -15,42 +15,44 @@
 
 def replaced(site, text):
     """The file in one step, as a careful operator would."""
-    new = site.path / "new.toml"
+    new = site.folder / "new.toml"
     new.write_text(text)
-    os.rename(new, site.file)
+    os.rename(new, site.settings_file)
 
 
 @on_loop
 async def test_a_hundred_reloads_in_traffic(tmp_path):
-    ledger = Ledger(TERMS)
-    async with Site(tmp_path, ledger=ledger) as site:
-        program, more = await site.start(), free_port()
-        async with Load(site, ledger) as load:
+    ledger = Ledger(LEDGER_TERMS)
+    async with LocalDeployment(tmp_path, ledger=ledger) as site:
+        program, more = await site.start_gateway(), free_port()
+        async with BackgroundTraffic(site, ledger) as load:
             for n in range(100):
-                site.write([site.port, more] if n % 2 else [site.port], limits=f"max_open = {1000 + n}")
+                site.write_settings(
+                    [site.port, more] if n % 2 else [site.port], limits=f"max_open = {1000 + n}"
+                )
                 program.send_signal(signal.SIGHUP)
                 if n % 10 == 9:
-                    await site.line(program, b"reload: took effect")
-                    await load.served(5)
-            site.write(limits="max_open = 77")
+                    await site.wait_for_log_line(program, b"reload: took effect")
+                    await load.wait_for_served(5)
+            site.write_settings(limits="max_open = 77")
             program.send_signal(signal.SIGHUP)
-            while b"limits.max_open" not in await site.line(program, b"reload: "):
+            while b"limits.max_open" not in await site.wait_for_log_line(program, b"reload: "):
                 pass
-            await load.served(20)
+            await load.wait_for_served(20)
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
 
 
 @on_loop
 async def test_a_reload_opens_and_closes_listeners_and_tells_what_needs_a_restart(tmp_path):
-    async with Site(tmp_path, hosts=1, answer=lambda: None) as site:
-        program, more = await site.start(), free_port()
+    async with LocalDeployment(tmp_path, hosts=1, answer=lambda: None) as site:
+        program, more = await site.start_gateway(), free_port()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         writer.write(command(b"before"))
         await site.hosts[0].arrived.get()
-        site.write([more], limits="max_attempts = 2")
+        site.write_settings([more], limits="max_attempts = 2")
         program.send_signal(signal.SIGHUP)
-        said = await site.line(program, b"reload: ")
+        said = await site.wait_for_log_line(program, b"reload: ")
         assert b"took effect: listeners" in said and b"restart or a hand-over: limits.max_attempts" in said
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", site.port)
@@ -60,9 +62,11 @@
         site.hosts[0].writers[0].close()
         assert await read_reply(reader) == b""
         site.hosts[0].answer = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
-        assert await site.ask(command(b"after"), more) == SERVED
+        assert await site.send_request(command(b"after"), more) == SERVED
         program.send_signal(signal.SIGHUP)
-        assert b"max_attempts" in await site.line(program, b"reload: ")  # told each time, never silently left
+        assert b"max_attempts" in await site.wait_for_log_line(
+            program, b"reload: "
+        )  # told each time, never silently left
         writer.close()
 
 
@@ -81,29 +85,29 @@
 )
 @on_loop
 async def test_what_cannot_be_taken_up_leaves_the_old_in_force(how, tmp_path):
-    ledger = Ledger(TERMS)
-    async with Site(tmp_path, ledger=ledger) as site:
-        program = await site.start()
-        good = site.file.read_text()
+    ledger = Ledger(LEDGER_TERMS)
+    async with LocalDeployment(tmp_path, ledger=ledger) as site:
+        program = await site.start_gateway()
+        good = site.settings_file.read_text()
         taken = socket.socket()
         taken.bind(("127.0.0.1", 0))
         taken.listen(1)
-        async with Load(site, ledger) as load:
+        async with BackgroundTraffic(site, ledger) as load:
             fresh = free_port()
             if how == "a folder":
-                site.file.unlink()
-                site.file.mkdir()
+                site.settings_file.unlink()
+                site.settings_file.mkdir()
             elif how == "gone":
-                site.file.unlink()
+                site.settings_file.unlink()
             elif how == "60 MB":
-                with open(site.file, "ab") as file:
+                with open(site.settings_file, "ab") as file:
                     file.truncate(60 * 1024 * 1024)
             elif how == "not UTF-8":
-                site.file.write_bytes(b"\xff\xfe" + good.encode())
+                site.settings_file.write_bytes(b"\xff\xfe" + good.encode())
             elif how == "an address that is taken":
-                site.write([site.port, fresh, taken.getsockname()[1]])
+                site.write_settings([site.port, fresh, taken.getsockname()[1]])
             elif how == "no hosts file":
-                site.write(hosts='file = "other.toml"')
+                site.write_settings(hosts='file = "other.toml"')
             else:
                 replaced(
                     site,
@@ -112,29 +116,29 @@
                     else good + "\n[rules]\ndrain_grace = -1\n",
                 )
             program.send_signal(signal.SIGHUP)
-            said = await site.line(program, b"refused, the old settings stay")
+            said = await site.wait_for_log_line(program, b"refused, the old settings stay")
             assert any(b"ERROR" in line for line in site.logs[program]), said
-            await load.served(20)
+            await load.wait_for_served(20)
             with pytest.raises(ConnectionRefusedError):  # nothing of what was built beside is left
                 await asyncio.open_connection("127.0.0.1", fresh)
-            if site.file.is_dir():
-                site.file.rmdir()
+            if site.settings_file.is_dir():
+                site.settings_file.rmdir()
             replaced(site, good)
             program.send_signal(signal.SIGHUP)
-            await site.line(program, b"nothing changed")
+            await site.wait_for_log_line(program, b"nothing changed")
         taken.close()
 
 
 @on_loop
 async def test_a_stop_during_a_reload_and_a_reload_during_a_stop(tmp_path):
-    async with Site(tmp_path, hosts=1, answer=lambda: None) as site:
-        program = await site.start()
+    async with LocalDeployment(tmp_path, hosts=1, answer=lambda: None) as site:
+        program = await site.start_gateway()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         writer.write(command(b"before"))
         await site.hosts[0].arrived.get()
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGHUP):
             program.send_signal(number)
-        await site.line(program, b"no reload during a stop")
+        await site.wait_for_log_line(program, b"no reload during a stop")
         site.hosts[0].writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
         assert await read_reply(reader) == SERVED
         assert await program.wait() == 0
@@ -143,19 +147,21 @@
 
 @on_loop
 async def test_a_reload_goes_over_to_another_counter_and_another_file_of_hosts(tmp_path):
-    async with Site(tmp_path, hosts=2, answer=b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n") as site:
-        site.list_hosts("up", None)
-        program = await site.start()
-        assert await site.ask(command(b"a")) == SERVED and len(site.hosts[0].commands) == 1
+    async with LocalDeployment(tmp_path, hosts=2, answer=b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n") as site:
+        site.publish_hosts("up", None)
+        program = await site.start_gateway()
+        assert await site.send_request(command(b"a")) == SERVED and len(site.hosts[0].commands) == 1
         others = f'[[hosts]]\nid = "h9"\naddress = "127.0.0.1:{site.hosts[1].port}"\n'
         (tmp_path / "others.toml").write_text(others)
         async with EmulatedCounter() as other:
-            site.write(hosts='file = "others.toml"')
-            site.file.write_text(site.file.read_text().replace(str(site.counter.port), str(other.port)))
+            site.write_settings(hosts='file = "others.toml"')
+            site.settings_file.write_text(
+                site.settings_file.read_text().replace(str(site.counter.port), str(other.port))
+            )
             program.send_signal(signal.SIGHUP)
-            said = await site.line(program, b"reload: ")
+            said = await site.wait_for_log_line(program, b"reload: ")
             assert b"counter.address" in said and b"hosts.file" in said
-            assert await site.ask(command(b"b")) == SERVED
+            assert await site.send_request(command(b"b")) == SERVED
             assert [len(h.commands) for h in site.hosts] == [1, 1]
             while not other.writers:
                 await asyncio.sleep(0.01)
@@ -163,17 +169,17 @@
 
 @on_loop
 async def test_the_file_of_hosts_is_followed_and_a_bad_one_leaves_the_list(tmp_path):
-    async with Site(tmp_path, hosts=2, answer=b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n") as site:
-        site.list_hosts("up", None)
-        program = await site.start()
+    async with LocalDeployment(tmp_path, hosts=2, answer=b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n") as site:
+        site.publish_hosts("up", None)
+        program = await site.start_gateway()
         (tmp_path / "hosts.toml").write_text("[[hosts]\nid =")
-        await site.line(program, b"the last list stays")
-        assert await site.ask(command(b"a")) == SERVED
-        site.list_hosts("draining", "up")
+        await site.wait_for_log_line(program, b"the last list stays")
+        assert await site.send_request(command(b"a")) == SERVED
+        site.publish_hosts("draining", "up")
         n = 0
         while not site.hosts[1].commands:  # until it has been read
-            assert await site.ask(command(b"b%d" % (n := n + 1))) == SERVED
+            assert await site.send_request(command(b"b%d" % (n := n + 1))) == SERVED
         before = len(site.hosts[0].commands)
         for n in range(10):
-            assert await site.ask(command(b"c%d" % n)) == SERVED
+            assert await site.send_request(command(b"c%d" % n)) == SERVED
         assert len(site.hosts[0].commands) == before
--- a/tests/faults/test_workers.py
+++ b/tests/faults/test_workers.py
@@ -8,7 +8,7 @@
 
 import pytest
 from netkit import SERVED, VALUE, command, on_loop, read_reply, terms
-from rig import PROGRAM, ROOT, TERMS, Load, Site
+from rig import GATEWAY_COMMAND, LEDGER_TERMS, ROOT, BackgroundTraffic, LocalDeployment
 
 from apigateway.daemon.settings import read_settings
 from apigateway.daemon.workers import WorkerAssignment, settings_for_worker
@@ -32,11 +32,11 @@
     raise AssertionError(what)
 
 
-class Group(Site):
+class Group(LocalDeployment):
     async def up(self, count=3, settings="", **kw):
-        self.write(workers=settings or "watchdog = 1.0\nsteady = 0.5", **kw)
-        program = await self.start("--workers", str(count), ready=False)
-        await self.line(program, b"workers listen on")
+        self.write_settings(workers=settings or "watchdog = 1.0\nsteady = 0.5", **kw)
+        program = await self.start_gateway("--workers", str(count), ready=False)
+        await self.wait_for_log_line(program, b"workers listen on")
         return program
 
     async def ended(self, program):
@@ -54,20 +54,20 @@
 async def test_a_worker_that_dies_or_hangs_is_made_anew_and_its_requests_are_lost_in_no_other_way(
     how, word, tmp_path
 ):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with Group(tmp_path, ledger=ledger) as site:
         program = await site.up()
         workers = children(program)
-        load = Load(site, ledger, 200.0)
+        load = BackgroundTraffic(site, ledger, 200.0)
         async with asyncio.timeout(60):
             await load.__aenter__()
             os.kill(workers[1], how)
-            await site.line(program, word)
+            await site.wait_for_log_line(program, word)
             await until(
                 lambda: len(children(program)) == 3 and workers[1] not in children(program), "made anew"
             )
-            await load.served(100)
-            await load.end()
+            await load.wait_for_served(100)
+            await load.stop()
         # What a worker had accepted dies with it, as with a machine: the client's connection ends or its
         # time does.
         # No other rule gives way.
@@ -83,14 +83,14 @@
     kinds = {"read": Class("safe"), "note": Class("unsafe")}
     ledger = Ledger(LedgerTerms(kinds, {"p": Ceiling(40.0, 60.0, 0.1)}))
     async with Group(tmp_path, ledger=ledger) as site:
-        site.write(workers="watchdog = 1.0")
-        text = site.file.read_text().replace(
+        site.write_settings(workers="watchdog = 1.0")
+        text = site.settings_file.read_text().replace(
             "rate = 10000.0\nburst = 100000.0",
             "rate = 20.0\nburst = 30.0\nceiling_rate = 40.0\nceiling_burst = 60.0\nceiling_slack = 6.0",
         )
-        site.file.write_text(text)
-        program = await site.start("--workers", "3", ready=False)
-        await site.line(program, b"workers listen on")
+        site.settings_file.write_text(text)
+        program = await site.start_gateway("--workers", "3", ready=False)
+        await site.wait_for_log_line(program, b"workers listen on")
         client = Client(ledger, {"g": ("127.0.0.1", site.port)})
         traffic = Traffic(
             client,
@@ -126,10 +126,10 @@
         program = await site.up(2)
         before = children(program)
         most = int(max(map(held, before))) + 4
-        site.write(workers="watchdog = 1.0\nsteady = 0.5", limits=f"memory_mb = {most}")
+        site.write_settings(workers="watchdog = 1.0\nsteady = 0.5", limits=f"memory_mb = {most}")
         program.send_signal(signal.SIGHUP)
         for _ in range(2):
-            await site.line(program, b"reload: ")
+            await site.wait_for_log_line(program, b"reload: ")
         lines = [await asyncio.open_connection("127.0.0.1", site.port) for _ in range(80)]
         body = b"x" * 64_000
         for k, (_, writer) in enumerate(lines):
@@ -142,16 +142,16 @@
                         body=body,
                     )
                 )
-        await site.line(program, b"holds more than limits.memory_mb")
+        await site.wait_for_log_line(program, b"holds more than limits.memory_mb")
         for reader, writer in lines:  # each is answered, in whichever worker it was
             for _ in range(4):
                 assert (await read_reply(reader))[:5] in (b"-ERR ", b"-BUSY")
             writer.close()
-        await site.line(program, b"ended (exit code 0); again in")
+        await site.wait_for_log_line(program, b"ended (exit code 0); again in")
         await until(lambda: len(children(program)) == 2 and children(program) != before, "made anew")
         site.hosts[0].answer = VALUE
         # the host that said nothing is doubted for a moment
-        while await site.ask(command(b"after")) != SERVED:
+        while await site.send_request(command(b"after")) != SERVED:
             await asyncio.sleep(0.05)
         assert await site.ended(program) == 0
 
@@ -176,11 +176,11 @@
 
 @on_loop
 async def test_workers_end_by_themselves_when_their_supervisor_is_killed(tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with Group(tmp_path, ledger=ledger) as site:
         program = await site.up(2)
         workers = children(program)
-        async with Load(site, ledger):
+        async with BackgroundTraffic(site, ledger):
             pass
         os.kill(program.pid, signal.SIGKILL)
         await program.wait()
@@ -195,7 +195,7 @@
         program = await site.up(2)
         for act in (["hosts"], ["plugin", "status"]):
             asked = await asyncio.create_subprocess_exec(
-                *PROGRAM, *act, str(site.file), cwd=ROOT, stdout=asyncio.subprocess.PIPE
+                *GATEWAY_COMMAND, *act, str(site.settings_file), cwd=ROOT, stdout=asyncio.subprocess.PIPE
             )
             said, _ = await asked.communicate()
             assert asked.returncode == 0 and b"worker-0:\n" in said and b"worker-1:\n" in said
@@ -204,31 +204,33 @@
 
 @on_loop
 async def test_reload_and_stop_act_on_all_and_what_only_the_supervisor_could_is_refused(tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with Group(tmp_path, ledger=ledger) as site:
         program = await site.up(3)
-        async with Load(site, ledger) as load:
-            site.write(workers="watchdog = 1.0\nsteady = 0.5", limits="max_open = 77")
+        async with BackgroundTraffic(site, ledger) as load:
+            site.write_settings(workers="watchdog = 1.0\nsteady = 0.5", limits="max_open = 77")
             program.send_signal(signal.SIGHUP)
             for _ in range(3):
-                assert b"limits.max_open" in await site.line(program, b"reload: took effect")
-            site.write(ports=[site.port, 1], workers="watchdog = 1.0\nsteady = 0.5")
+                assert b"limits.max_open" in await site.wait_for_log_line(program, b"reload: took effect")
+            site.write_settings(ports=[site.port, 1], workers="watchdog = 1.0\nsteady = 0.5")
             program.send_signal(signal.SIGHUP)
-            await site.line(program, b"need a restart where there are workers")
-            site.file.write_text("nonsense")
+            await site.wait_for_log_line(program, b"need a restart where there are workers")
+            site.settings_file.write_text("nonsense")
             program.send_signal(signal.SIGHUP)
-            await site.line(program, b"refused, the old settings stay")
-            await load.served(20)
+            await site.wait_for_log_line(program, b"refused, the old settings stay")
+            await load.wait_for_served(20)
         assert await site.ended(program) == 0
 
 
 @on_loop
 async def test_workers_without_a_counter_are_refused(tmp_path):
     async with Group(tmp_path) as site:
-        site.write(workers="count = 2")
-        site.file.write_text(site.file.read_text().replace(f'address = "127.0.0.1:{site.counter.port}"', ""))
-        program = await site.start(ready=False)
-        await site.line(program, b"several workers cannot hold a quota without a counter")
+        site.write_settings(workers="count = 2")
+        site.settings_file.write_text(
+            site.settings_file.read_text().replace(f'address = "127.0.0.1:{site.counter.port}"', "")
+        )
+        program = await site.start_gateway(ready=False)
+        await site.wait_for_log_line(program, b"several workers cannot hold a quota without a counter")
         assert await program.wait() == 2
 
 
@@ -240,26 +242,26 @@
 
 
 async def successor(site, *arguments):
-    program = await site.start("--take-over", *arguments, ready=False)
-    await site.line(program, b"workers listen on")
+    program = await site.start_gateway("--take-over", *arguments, ready=False)
+    await site.wait_for_log_line(program, b"workers listen on")
     return program
 
 
 @on_loop
 async def test_a_supervisor_takes_over_worker_by_worker_and_another_from_that_one(tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with Group(tmp_path, ledger=ledger) as site:
         first = await site.up(3)
-        async with Load(site, ledger) as load:
+        async with BackgroundTraffic(site, ledger) as load:
             for _ in range(2):
                 second = await successor(site, "--workers", "3")
                 assert await drained(first) == 0
-                await load.served(30)
+                await load.wait_for_served(30)
                 first = second
             ledger.died("g")  # what that one worker holds at this moment is for its clients to ask again
             ledger.listens("g")
             os.kill(children(first)[0], signal.SIGKILL)  # it tends them as its own
-            await site.line(first, b"ended (signal 9); again in")
+            await site.wait_for_log_line(first, b"ended (signal 9); again in")
             await until(lambda: len(children(first)) == 3, "made anew")
         assert await site.ended(first) == 0
 
@@ -267,35 +269,35 @@
 @pytest.mark.parametrize("how", ["a bad file", "killed at its second worker", "another count", "no workers"])
 @on_loop
 async def test_a_successor_that_fails_leaves_the_old_supervisor_with_all_its_workers(how, tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with Group(tmp_path, ledger=ledger) as site:
         first = await site.up(3)
         before = children(first)
-        load = Load(site, ledger, 100.0)
+        load = BackgroundTraffic(site, ledger, 100.0)
         await load.__aenter__()
         if how == "a bad file":
-            good = site.file.read_text()
-            site.file.write_text("nonsense")
-            second = await site.start("--take-over", "--workers", "3", ready=False)
+            good = site.settings_file.read_text()
+            site.settings_file.write_text("nonsense")
+            second = await site.start_gateway("--take-over", "--workers", "3", ready=False)
             assert await drained(second) == 2
-            site.file.write_text(good)
+            site.settings_file.write_text(good)
         elif how == "killed at its second worker":
-            second = await site.start("--take-over", "--workers", "3", ready=False)
+            second = await site.start_gateway("--take-over", "--workers", "3", ready=False)
             await until(lambda: len(children(second)) >= 2, "its second worker")
             second.send_signal(signal.SIGKILL)
             await drained(second)
             await until(lambda: len(children(first)) == 3 and before[0] not in children(first), "made anew")
         else:
             arguments = ["--workers", "2"] if how == "another count" else []
-            second = await site.start("--take-over", *arguments, ready=False)
+            second = await site.start_gateway("--take-over", *arguments, ready=False)
             word = b"needs a restart" if arguments else b"say --workers"
-            await site.line(second, word)
+            await site.wait_for_log_line(second, word)
             assert await drained(second) == 1 and children(first) == before
-        await load.served(30)
+        await load.wait_for_served(30)
         third = await successor(site, "--workers", "3")  # and the next one can
         assert await drained(first) == 0
-        await load.served(30)
-        await load.end()
+        await load.wait_for_served(30)
+        await load.stop()
         # A supervisor that is killed is more than a hand-over that fails: its workers end, and clients see
         # it.
         for verdict in ledger.judge():
@@ -314,7 +316,7 @@
         await site.hosts[0].arrived.get()
         second = await successor(site, "--workers", "2")
         for _ in range(4):  # whichever worker accepts
-            assert await site.ask(note) == b"-ERR this id is in work\r\n"
+            assert await site.send_request(note) == b"-ERR this id is in work\r\n"
         assert (await reader.readline()) == b"-ERR failed\r\n"  # in time, though nobody answered it
         writer.close()
         assert len(site.hosts[0].commands) == 1
--- a/tests/frontends/grpc/test_rate_limit_daemon.py
+++ b/tests/frontends/grpc/test_rate_limit_daemon.py
@@ -16,7 +16,7 @@
 from grpc_health.v1 import health_pb2, health_pb2_grpc
 from grpc_reflection.v1alpha.proto_reflection_descriptor_database import ProtoReflectionDescriptorDatabase
 from netkit import command, on_loop, read_reply, terms
-from rig import PROGRAM, ROOT, TERMS, Load, Site, free_port
+from rig import GATEWAY_COMMAND, LEDGER_TERMS, ROOT, BackgroundTraffic, LocalDeployment, free_port
 
 from apigateway.emulators.checks import Checks
 from apigateway.emulators.ledger import Ledger
@@ -35,18 +35,18 @@
 OK, OVER = pb.RateLimitResponse.OK, pb.RateLimitResponse.OVER_LIMIT
 
 
-class GrpcSite(Site):
+class GrpcSite(LocalDeployment):
     """A site whose gateway has the service too."""
 
     def __init__(self, path, rules=RULE, **kw):
         super().__init__(path, **kw)
         self.checks, self.rules = free_port(), rules
 
-    def write(self, ports=None, rules=None, **tables):
-        super().write(ports, **tables)
-        text = self.file.read_text()
+    def write_settings(self, ports=None, rules=None, **tables):
+        super().write_settings(ports, **tables)
+        text = self.settings_file.read_text()
         listener = f'[[listeners]]\nprotocol = "grpc"\naddress = "127.0.0.1:{self.checks}"\n'
-        self.file.write_text(listener + text + QUOTA + (rules or self.rules))
+        self.settings_file.write_text(listener + text + QUOTA + (rules or self.rules))
 
     def channel(self, credentials=None, name=None):
         target = f"127.0.0.1:{self.checks}"
@@ -69,12 +69,12 @@
 
     async def reload(self, program):
         program.send_signal(signal.SIGHUP)
-        return await self.line(program, b"reload:")
+        return await self.wait_for_log_line(program, b"reload:")
 
 
 async def run(*arguments):
     program = await asyncio.create_subprocess_exec(
-        *PROGRAM, *arguments, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE
+        *GATEWAY_COMMAND, *arguments, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE
     )
     out, err = await program.communicate()
     return program.returncode, out.decode(), err.decode()
@@ -83,7 +83,7 @@
 @on_loop
 async def test_checks_and_requests_spend_of_one_store_and_both_ports_serve(tmp_path):
     async with GrpcSite(tmp_path) as site:
-        program = await site.start()
+        program = await site.start_gateway()
         async with site.channel() as channel:
             told = [(await site.ask(channel)).overall_code for _ in range(25)]
             assert 9 <= told.count(OK) <= 20 and told[-1] == OVER
@@ -99,7 +99,7 @@
 @on_loop
 async def test_health_and_reflection_as_grpc_users_expect(tmp_path):
     async with GrpcSite(tmp_path) as site:
-        program = await site.start()
+        program = await site.start_gateway()
         async with site.channel() as channel:
             health = health_pb2_grpc.HealthStub(channel)
             request = health_pb2.HealthCheckRequest
@@ -143,10 +143,10 @@
 
 @on_loop
 async def test_a_stop_and_a_hand_over_in_the_middle_of_checks_fail_none(tmp_path):
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LEDGER_TERMS)
     async with GrpcSite(tmp_path, ledger=ledger) as site:
-        first = await site.start()
-        async with Load(site, ledger) as load:
+        first = await site.start_gateway()
+        async with BackgroundTraffic(site, ledger) as load:
             checks = Checks(ledger, {"g": ("127.0.0.1", site.checks)})
             over = False
 
@@ -156,12 +156,12 @@
 
             lines = [asyncio.ensure_future(line()) for _ in range(4)]
             for _ in range(2):
-                second = await site.start("--take-over")
+                second = await site.start_gateway("--take-over")
                 assert await first.wait() == 0
                 first = second
                 before = checks.counts["ok"]
                 while checks.counts["ok"] < before + 20:
-                    await load.served(1)
+                    await load.wait_for_served(1)
             over = True
             await asyncio.gather(*lines)
             await checks.close()
@@ -198,7 +198,7 @@
 async def test_tls_and_other_certificates_by_a_reload(tmp_path):
     made = Certificates(tmp_path)
     async with GrpcSite(tmp_path, rules=TLS + RULE) as site:
-        program = await site.start()
+        program = await site.start_gateway()
         async with site.channel(made.credentials(), "gateway.test") as channel:
             assert (await site.ask(channel)).overall_code == OK
             for wrong in (made.credentials(ca=made.other), None):
@@ -227,7 +227,7 @@
     made = Certificates(tmp_path)
     known, stranger = made.issue("client", "client.test"), made.issue("odd", "client.test", made.other)
     async with GrpcSite(tmp_path, rules=TLS + 'client_ca = "ca.pem"\n' + RULE) as site:
-        await site.start()
+        await site.start_gateway()
         async with site.channel(made.credentials(known), "gateway.test") as channel:
             assert (await site.ask(channel)).overall_code == OK
         for client in (None, stranger):
@@ -259,8 +259,10 @@
 async def test_who_says_nothing_before_tls_holds_no_more_than_its_part(tmp_path):
     made = Certificates(tmp_path)
     async with GrpcSite(tmp_path, rules=TLS + RULE) as site:
-        site.file.write_text(site.file.read_text().replace("sockets = 1024", "sockets = 128"))
-        await site.start()
+        site.settings_file.write_text(
+            site.settings_file.read_text().replace("sockets = 1024", "sockets = 128")
+        )
+        await site.start_gateway()
         lines = []
         for _ in range(60):
             lines.append(await asyncio.open_connection("127.0.0.1", site.checks))
@@ -287,11 +289,11 @@
     (tmp_path / "key-1").write_bytes(os.urandom(32))
     (tmp_path / "key-2").write_bytes(os.urandom(32))
     async with GrpcSite(tmp_path) as site:
-        program = await site.start()
+        program = await site.start_gateway()
         async with site.channel() as channel:
             assert not (await site.ask(channel, plan="p")).response_headers_to_add
             keyed = '[ratelimit]\ntoken_keys = ["key-1"]\noverride = "tighten"\n'
-            site.write(rules=keyed + RULE + "token = true\n")
+            site.write_settings(rules=keyed + RULE + "token = true\n")
             assert b"ratelimit" in await site.reload(program)
             (header,) = (await site.ask(channel, plan="p")).response_headers_to_add
             assert header.key == "x-calicomast-token"
@@ -301,22 +303,22 @@
                 for _ in range(6)
             ]
             assert 1 <= codes.count(OK) <= 2
-            site.write(rules=keyed.replace("key-1", "key-3") + RULE)
+            site.write_settings(rules=keyed.replace("key-1", "key-3") + RULE)
             assert b"refused, the old settings stay" in await site.reload(program)
-            site.write(rules=keyed + RULE.replace('"quota"', '"nothing"').replace("{plan}", "gold"))
+            site.write_settings(rules=keyed + RULE.replace('"quota"', '"nothing"').replace("{plan}", "gold"))
             assert b"refused, the old settings stay" in await site.reload(program)
             assert (await site.ask(channel, plan="p")).response_headers_to_add  # as before
-            site.write(rules=keyed.replace('"key-1"', '"key-2", "key-1"') + RULE + "token = true\n")
+            site.write_settings(rules=keyed.replace('"key-1"', '"key-2", "key-1"') + RULE + "token = true\n")
             assert b"signed by another key" in await site.reload(program)
             reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
             token = f"t=p,d=3000,units=1,spread=1,first=0,tok={header.value}".encode()
             writer.write(command(b"r1", b"c=read," + token, customer=A.encode()))
             assert (await read_reply(reader)).startswith(b"$")
             writer.close()
-            code, out, _ = await run("ratelimit", "status", str(site.file))
+            code, out, _ = await run("ratelimit", "status", str(site.settings_file))
             given = 2 + codes.count(OK)
             assert code == 0 and f"tokens: given {given}, taken 1" in out and "ok " in out
-            site.write(rules=keyed.replace("tighten", "refuse") + RULE)
+            site.write_settings(rules=keyed.replace("tighten", "refuse") + RULE)
             await site.reload(program)
             with pytest.raises(grpc.aio.AioRpcError) as told:
                 await site.ask(channel, limit=(4, 2))
@@ -326,19 +328,23 @@
 @on_loop
 async def test_the_listener_comes_and_goes_by_a_reload(tmp_path):
     async with GrpcSite(tmp_path) as site:
-        Site.write(site)
-        program = await site.start()
+        LocalDeployment.write_settings(site)
+        program = await site.start_gateway()
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", site.checks)
-        site.write()
-        site.file.write_text(site.file.read_text().replace(QUOTA, ""))  # plans wait for a restart
+        site.write_settings()
+        site.settings_file.write_text(
+            site.settings_file.read_text().replace(QUOTA, "")
+        )  # plans wait for a restart
         assert b"listeners" in await site.reload(program)
         async with site.channel() as channel:
             assert (await site.ask(channel, plan="p")).overall_code == OK
-            site.file.write_text(site.file.read_text().replace('protocol = "grpc"', 'protocol = "resp"'))
+            site.settings_file.write_text(
+                site.settings_file.read_text().replace('protocol = "grpc"', 'protocol = "resp"')
+            )
             assert b"refused" in await site.reload(program)
             assert (await site.ask(channel, plan="p")).overall_code == OK
-            Site.write(site)
+            LocalDeployment.write_settings(site)
             assert b"listeners" in await site.reload(program)
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", site.checks)
@@ -348,14 +354,14 @@
 async def test_asking_an_outer_service_by_settings_and_no_more_by_a_reload(tmp_path):
     async with EmulatedRateLimitService({A: 0}) as service, GrpcSite(tmp_path) as site:
         ask = f'[ask]\naddress = "127.0.0.1:{service.port}"\nplans = ["p"]\ntimeout = 2.0\nshare = 1.0\n'
-        site.write(rules=ask + RULE)
-        program = await site.start()
+        site.write_settings(rules=ask + RULE)
+        program = await site.start_gateway()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         writer.write(command(b"r1", customer=A.encode()))
         assert (await read_reply(reader)).startswith(b"-BUSY")
-        code, out, _ = await run("ratelimit", "status", str(site.file), "--json")
+        code, out, _ = await run("ratelimit", "status", str(site.settings_file), "--json")
         assert code == 0 and json.loads(out)["outer"]["counts"] == {"questions": 1, "no": 1}
-        site.write()
+        site.write_settings()
         assert b"ask" in await site.reload(program)
         writer.write(command(b"r2", customer=A.encode()))
         assert (await read_reply(reader)).startswith(b"$")
@@ -368,15 +374,15 @@
     Certificates(tmp_path)
     asked = GrpcSite(tmp_path, rules=TLS + RULE.replace('"plan"]', '"plan=*"]').replace("{plan}", "quota"))
     (tmp_path / "b").mkdir()
-    async with asked, Site(tmp_path / "b") as site:
-        await asked.start()
-        site.write()
+    async with asked, LocalDeployment(tmp_path / "b") as site:
+        await asked.start_gateway()
+        site.write_settings()
         ask = (
             f'[ask]\naddress = "127.0.0.1:{asked.checks}"\nplans = ["p"]\ndomain = "roster"\n'
             f'timeout = 2.0\nshare = 1.0\n[ask.tls]\non = true\nca = "../ca.pem"\nname = "gateway.test"\n'
         )
-        site.file.write_text(site.file.read_text() + ask)
-        await site.start()
+        site.settings_file.write_text(site.settings_file.read_text() + ask)
+        await site.start_gateway()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         answers = []
         for n in range(25):
@@ -390,7 +396,7 @@
 @on_loop
 async def test_the_command_line_asks_once(tmp_path):
     async with GrpcSite(tmp_path) as site:
-        await site.start()
+        await site.start_gateway()
         at = (
             "ratelimit",
             "ask",
@@ -437,8 +443,8 @@
     (tmp_path / "key-1").write_bytes(os.urandom(32))
     rules = '[ratelimit]\ntoken_keys = ["key-1"]\n' + RULE + "token = true\n"
     async with GrpcSite(tmp_path, rules=rules) as site:
-        program = await site.start("--workers", "2", ready=False)
-        await site.line(program, b"workers listen on")
+        program = await site.start_gateway("--workers", "2", ready=False)
+        await site.wait_for_log_line(program, b"workers listen on")
         tokens = []
         for _ in range(8):
             async with grpc.aio.insecure_channel(
@@ -447,7 +453,7 @@
                 response = await site.ask(channel, plan="p")
                 tokens += [header.value for header in response.response_headers_to_add]
         assert len(tokens) == 8
-        code, out, err = await run("ratelimit", "status", str(site.file))
+        code, out, err = await run("ratelimit", "status", str(site.settings_file))
         told = [line for line in out.splitlines() if line.startswith("tokens: given ")]
         assert code == 0 and "worker-0:" in out and "worker-1:" in out, err
         assert sum(int(line.split()[2].rstrip(",")) for line in told) == 8
@@ -459,7 +465,7 @@
             served += (await read_reply(reader)).startswith(b"$")
             writer.close()
         assert served == 8  # there is quota for all; those without a token pay
-        code, out, err = await run("ratelimit", "status", str(site.file), "--json")
+        code, out, err = await run("ratelimit", "status", str(site.settings_file), "--json")
         taken = [worker["tokens"].get("taken", 0) for worker in json.loads(out).values()]
         assert 1 <= sum(taken) <= 2 and max(taken) == 1
         program.send_signal(signal.SIGTERM)
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -13,7 +13,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 from netkit import EmulatedHost, on_loop
-from rig import PROGRAM, ROOT, Site, free_port
+from rig import GATEWAY_COMMAND, ROOT, LocalDeployment, free_port
 
 from apigateway.emulators.script import Step
 from apigateway.tools.load.recorder import LoadRecord, Outcome, count_above
@@ -97,8 +97,8 @@
 @on_loop
 async def test_gateway_when_stopped_then_every_request_due_shows_the_stop(tmp_path):
     """SIGSTOP of a real one, for a second: what is due in it waits for the rest of it; none is left out."""
-    async with Site(tmp_path) as site:
-        program = await site.start()
+    async with LocalDeployment(tmp_path) as site:
+        program = await site.start_gateway()
         dues, spans = evenly(100, 2.5), []
 
         def stop(sender):
@@ -278,13 +278,13 @@
         'employers = 3\n[[streams]]\nclass = "read"\nplan = "p"\n'
         'shape = {{ kind = "constant", rate = 100.0 }}\n[targets]\ngateways = ["127.0.0.1:{}"]\n'
     )
-    async with Site(tmp_path) as site:
-        await site.start()
+    async with LocalDeployment(tmp_path) as site:
+        await site.start_gateway()
         file = tmp_path / "scenario.toml"
         for seconds in (1.0, 60.0):
             file.write_text(scenario.format(seconds, site.port))
             program = await asyncio.create_subprocess_exec(
-                *PROGRAM,
+                *GATEWAY_COMMAND,
                 "load",
                 "run",
                 str(file),
--- a/tests/membership/test_reconciler_driver.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -1,7 +1,7 @@
 """The reconciler beside discovery, and passed on from one source to the next."""
 
 from netkit import command, on_loop
-from rig import Site
+from rig import LocalDeployment
 
 from apigateway import messages
 from apigateway.emulators.discovery import EmulatedDiscovery
@@ -55,16 +55,16 @@
 
 @on_loop
 async def test_gateway_when_discovery_comes_back_empty_then_serves_on(tmp_path):
-    async with Site(tmp_path, hosts=2) as site, EmulatedDiscovery() as discovery:
+    async with LocalDeployment(tmp_path, hosts=2) as site, EmulatedDiscovery() as discovery:
         discovery.servers = [h.entry() for h in site.hosts]
-        site.write(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
-        program = await site.start()
+        site.write_settings(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
+        program = await site.start_gateway()
         discovery.raw = "{"  # the watch fails, and the whole list is asked for
         discovery.change([])
         discovery.servers = []
-        await site.line(program, b"the last list stays")
+        await site.wait_for_log_line(program, b"the last list stays")
         while "index" not in await discovery.calls.get():
             pass  # it has read the empty list once it watches again
         for n in range(20):
-            assert (await site.ask(command(b"r%d" % n))).startswith(b"$")
+            assert (await site.send_request(command(b"r%d" % n))).startswith(b"$")
         assert sum(len(h.commands) for h in site.hosts) == 20
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,5 +1,5 @@
-"""Gateways as an operator runs them: `api-gateway serve` in processes of their own, among stand-ins on
-loopback."""
+"""Run gateways as an operator does, `api-gateway serve` in processes of their own, with emulated hosts and an
+emulated counter on loopback."""
 
 import asyncio
 import os
@@ -12,14 +12,14 @@
 from apigateway.emulators.clients import Client, Customer, Kind, Traffic
 from apigateway.emulators.counter import EmulatedCounter
 from apigateway.emulators.hosts import EmulatedHost
-from apigateway.emulators.ledger import Kind as Class
+from apigateway.emulators.ledger import Kind as LedgerClass
 from apigateway.emulators.ledger import Terms, report
 from apigateway.emulators.ports import free_port
 
 ROOT = Path(__file__).resolve().parent.parent
-PROGRAM = [sys.executable, "-B", "-m", "apigateway"]
+GATEWAY_COMMAND = [sys.executable, "-B", "-m", "apigateway"]
 
-CLASSES = """
+CLASSES_AND_PLANS = """
 [classes.read]
 effect = "safe"
 aim = 1.0
@@ -34,135 +34,149 @@
 """
 
 
-class Site:
-    """A folder with gateway.toml and hosts.toml, hosts and a counter, and the gateways that a test starts
-    there."""
+class LocalDeployment:
+    """A settings folder, emulated hosts and counter, and the gateway processes that a test starts with them.
 
-    def __init__(self, path, hosts=2, answer=None, ledger=None):
-        self.path, self.file = path, path / "gateway.toml"
-        make = dict(ledger=ledger, work=(lambda command: 0.005) if answer is None else None)
+    The folder holds gateway.toml and hosts.toml.
+    """
+
+    def __init__(self, folder, hosts=2, answer=None, ledger=None):
+        self.folder, self.settings_file = folder, folder / "gateway.toml"
+        host_options = dict(ledger=ledger, work=(lambda command: 0.005) if answer is None else None)
         self.hosts = [
             EmulatedHost(
-                **make, **({"answer": answer} if answer is not None else {}), name=f"h{n}", cores=8, queue=500
+                **host_options,
+                **({"answer": answer} if answer is not None else {}),
+                name=f"h{number}",
+                cores=8,
+                queue=500,
             )
-            for n in range(hosts)
+            for number in range(hosts)
         ]
         self.counter = EmulatedCounter()
-        self.port, self.programs, self.logs = free_port(), [], {}
+        self.port, self.processes, self.logs = free_port(), [], {}
 
     async def __aenter__(self):
         for server in (*self.hosts, self.counter):
             await server.open()
-        self.list_hosts()
-        self.write()
+        self.publish_hosts()
+        self.write_settings()
         return self
 
-    def list_hosts(self, *states):
+    def publish_hosts(self, *states):
+        """Write hosts.toml; a host with an empty state is left out."""
         states = states or ["up"] * len(self.hosts)
         text = "".join(
-            f'[[hosts]]\nid = "{h.name}"\naddress = "127.0.0.1:{h.port}"\nstate = "{state}"\n'
-            for h, state in zip(self.hosts, states, strict=True)
+            f'[[hosts]]\nid = "{host.name}"\naddress = "127.0.0.1:{host.port}"\nstate = "{state}"\n'
+            for host, state in zip(self.hosts, states, strict=True)
             if state
         )
-        (self.path / "hosts.toml").write_text(text)
+        (self.folder / "hosts.toml").write_text(text)
 
-    def write(self, ports=None, **tables):
-        """gateway.toml; `tables` are keys of a table: daemon="linger = 0.1"."""
-        told = {
-            "daemon": f'state = "{self.path / "state"}"\nlog_lines = 10000',
+    def write_settings(self, ports=None, **tables):
+        """Write gateway.toml; `tables` adds keys to a table: daemon="linger = 0.1"."""
+        table_texts = {
+            "daemon": f'state = "{self.folder / "state"}"\nlog_lines = 10000',
             "counter": f'address = "127.0.0.1:{self.counter.port}"',
             "limits": "sockets = 1024",
         }
-        # A test machine that is busy turns requests away at the door, which is not what most tests are about.
+        # On a busy test machine the overload protection would reject requests, which most tests do not test.
         tables.setdefault("overload", "on = false")
         for name, text in tables.items():
-            told[name] = told.get(name, "") + "\n" + text
+            table_texts[name] = table_texts.get(name, "") + "\n" + text
         listeners = "".join(f'[[listeners]]\naddress = "127.0.0.1:{port}"\n' for port in ports or [self.port])
-        self.file.write_text(listeners + "".join(f"[{k}]\n{v}\n" for k, v in told.items()) + CLASSES)
+        self.settings_file.write_text(
+            listeners
+            + "".join(f"[{name}]\n{text}\n" for name, text in table_texts.items())
+            + CLASSES_AND_PLANS
+        )
 
-    async def start(self, *arguments, env=None, ready=True, **kw):
-        """A gateway; `ready`: once it says that it listens."""
-        environment = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")} | (env or {})
-        program = await asyncio.create_subprocess_exec(
-            *PROGRAM,
+    async def start_gateway(self, *arguments, env=None, ready=True, **options):
+        """Start a gateway and return its process; with `ready`, once it has logged that it listens."""
+        environment = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")} | (
+            env or {}
+        )
+        process = await asyncio.create_subprocess_exec(
+            *GATEWAY_COMMAND,
             "serve",
-            str(self.file),
+            str(self.settings_file),
             *arguments,
             cwd=ROOT,
             env=environment,
             stderr=asyncio.subprocess.PIPE,
-            **kw,
+            **options,
         )
-        self.programs.append(program)
-        self.logs[program] = []
+        self.processes.append(process)
+        self.logs[process] = []
         if ready:
-            await self.line(program, b"listens on")
-        return program
-
-    async def line(self, program, word):
-        """The next line of its log with `word` in it."""
-        while text := await program.stderr.readline():
-            self.logs[program].append(text)
-            if word in text:
-                return text
-        raise AssertionError(b"".join([b"ended without ", word, b":\n", *self.logs[program]]).decode())
-
-    async def ask(self, text, port=None):
+            await self.wait_for_log_line(process, b"listens on")
+        return process
+
+    async def wait_for_log_line(self, process, text):
+        """Return the next line of the process's log that contains `text`."""
+        while line := await process.stderr.readline():
+            self.logs[process].append(line)
+            if text in line:
+                return line
+        raise AssertionError(b"".join([b"ended without ", text, b":\n", *self.logs[process]]).decode())
+
+    async def send_request(self, command, port=None):
+        """Send a RESP command on a connection of its own and return the reply."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port or self.port)
         try:
-            writer.write(text)
+            writer.write(command)
             return await read_reply(reader)
         finally:
             writer.close()
 
     async def __aexit__(self, *_):
-        for program in self.programs:
-            if program.returncode is None:
-                program.send_signal(signal.SIGKILL)
-                await program.wait()
+        for process in self.processes:
+            if process.returncode is None:
+                process.send_signal(signal.SIGKILL)
+                await process.wait()
         for server in (*self.hosts, self.counter):
             await server.__aexit__()
 
 
-TERMS = Terms({"read": Class("safe"), "note": Class("unsafe")})
-KINDS = [Kind("read", "safe", 0.5, 3.0), Kind("note", "unsafe", 0.5, 3.0)]
+LEDGER_TERMS = Terms({"read": LedgerClass("safe"), "note": LedgerClass("unsafe")})
+REQUEST_KINDS = [Kind("read", "safe", 0.5, 3.0), Kind("note", "unsafe", 0.5, 3.0)]
 
 
-class Load:
-    """Traffic at one gateway's address, without end until it is told; then the ledger's verdict."""
+class BackgroundTraffic:
+    """Requests to one address until `stop`; when the context exits, the ledger's rules must all hold."""
 
-    def __init__(self, site, ledger, rate=150.0):
-        self.ledger, self.client = ledger, Client(ledger, {"g": ("127.0.0.1", site.port)})
-        customers = [Customer(f"{n:016x}", "p", rate / 4, 0, 1) for n in range(4)]
-        self.traffic = Traffic(self.client, customers, KINDS)
+    def __init__(self, deployment, ledger, rate=150.0):
+        self.ledger, self.client = ledger, Client(ledger, {"g": ("127.0.0.1", deployment.port)})
+        customers = [Customer(f"{number:016x}", "p", rate / 4, 0, 1) for number in range(4)]
+        self.traffic = Traffic(self.client, customers, REQUEST_KINDS)
 
     async def __aenter__(self):
-        self.task = asyncio.ensure_future(self.go())
-        await self.served(20)
+        self.task = asyncio.ensure_future(self.run())
+        await self.wait_for_served(20)
         return self
 
-    async def go(self):
+    async def run(self):
         while True:
             await self.traffic.run(5.0)
 
-    async def served(self, more):
-        """Until so many more have been served."""
-        until = len(self.traffic.latency) + more
-        while len(self.traffic.latency) < until:
+    async def wait_for_served(self, count):
+        """Wait until `count` more requests have been served."""
+        target_count = len(self.traffic.latency) + count
+        while len(self.traffic.latency) < target_count:
             await asyncio.sleep(0.01)
 
-    async def end(self):
-        """Asks nothing more, and waits for what was asked."""
+    async def stop(self):
+        """Send no more requests, and wait for the replies to those sent."""
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
         while self.traffic.tasks:
             await asyncio.wait(list(self.traffic.tasks))
         self.client.close()
 
-    async def __aexit__(self, kind, *_):
-        await self.end()
-        if kind is None:
+    async def __aexit__(self, exception_type, *_):
+        await self.stop()
+        if exception_type is None:
             verdicts = self.ledger.judge()
-            assert all(v.kept for v in verdicts), report(verdicts)
+            assert all(verdict.kept for verdict in verdicts), report(verdicts)
             assert self.client.refused == 0
             assert self.ledger.outcomes().get(("p", "read", "served"), 0) > 0
