--- a/apigateway/policy/overload_gate.py
+++ b/apigateway/policy/overload_gate.py
@@ -78,7 +78,9 @@
 
     def update_floor(self) -> None:
         """Set the floor so that `admitted_share` of the latest requests pass, by priority."""
-        self.priority_floor, self.floor_probability = self.counts.top_share_threshold(self.admitted_share) or (
+        self.priority_floor, self.floor_probability = self.counts.top_share_threshold(
+            self.admitted_share
+        ) or (
             -MAX_STEP - 1,
             1.0,
         )
--- a/tests/faults/test_plugins.py
+++ b/tests/faults/test_plugins.py
@@ -105,7 +105,9 @@
         await site.start_gateway()
         assert [await site.send_request(make_command(b"z%d" % n)) for n in range(3)] == [BUSY] * 3
         # It is out: until it is tried again, cut to the most that may be told.
-        assert [await site.send_request(make_command(b"y%d" % n)) for n in range(3)] == [b"-BUSY 2000\r\n"] * 3
+        assert [await site.send_request(make_command(b"y%d" % n)) for n in range(3)] == [
+            b"-BUSY 2000\r\n"
+        ] * 3
         assert site.hosts[0].commands == site.hosts[1].commands == []
 
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -209,7 +209,9 @@
                 w.end_attempt(send)
                 served += 1
         w.advance(0.05)
-    silent = [len(s.attempts_in_flight) for s in w.gateway.pool.endpoints.values() if int(s.host.id[1:]) % 2 == 0]
+    silent = [
+        len(s.attempts_in_flight) for s in w.gateway.pool.endpoints.values() if int(s.host.id[1:]) % 2 == 0
+    ]
     late = [s for s in ask(w, 200) if int(s.endpoint_id[1:]) % 2]
     assert served > 500 and sum(silent) < 4 * 500 and len(late) > 110  # they draw less than their half now
 
