--- a/apigateway/external_ratelimit/__init__.py
+++ b/apigateway/external_ratelimit/__init__.py
@@ -1,4 +1,4 @@
-"""Client of an external rate limit service, which is asked before the decision module is given a request.
+"""Client of an external rate limit service, which is called before the decision module handles a request.
 
-See docs/design/grpc.md. Loaded only where settings name such a service.
+See docs/design/grpc.md. Imported only if the settings name such a service.
 """
--- a/apigateway/external_ratelimit/circuit_breaker.py
+++ b/apigateway/external_ratelimit/circuit_breaker.py
@@ -1,10 +1,10 @@
-"""Whether the external service is asked about a request, for how long, and what holds while it fails.
+"""Circuit breaker for the external rate limit service, with the timeout and the failure mode of each check.
 
-A circuit breaker without I/O or clock: it is told what happened and when. It opens after consecutive failures
-or a high failure ratio, stays open for a backoff that doubles, then lets single probes through, and closes
-only after several successful probes in a row, so that a service that comes and goes is not relied on.
+It performs no I/O and has no clock: callers pass in events and times. It opens after consecutive failures or
+a high failure ratio, stays open for a backoff that doubles, then lets one probe at a time through. It closes
+only after several successful probes in a row, so that an unstable service is not used.
 
-What the service allows is still decided by the gateway's own quotas: it can only tighten them.
+The gateway's own quotas still apply to requests that the service allows: the service can only tighten them.
 """
 
 from __future__ import annotations
@@ -13,46 +13,47 @@
 import math
 from dataclasses import dataclass
 
-MIN_TIMEOUT_S = 0.005  # a check with less time than this is not worth its round trip
+MIN_TIMEOUT_S = 0.005  # a shorter timeout leaves too little time for a round trip
 
-_FAILURE_RATIO_GAIN = 0.05  # weight of a new sample in the moving average
-_MAX_FAILURE_RATIO = 0.5  # past which the service is taken to fail, however failures are mixed with answers
-_MIN_FAILURE_RATIO_SAMPLES = 20  # before the ratio says anything
+_FAILURE_RATIO_GAIN = 0.05  # weight of a new sample in the exponential moving average
+_MAX_FAILURE_RATIO = 0.5  # opens the breaker even if successes occur between failures
+_MIN_FAILURE_RATIO_SAMPLES = 20  # below this the ratio is ignored
 _SUCCESS_SAMPLE = 0.0
 _FAILURE_SAMPLE = 1.0
 
 
 class BreakerState(enum.StrEnum):
-    """State of the breaker; the values are shown by `api-gateway ratelimit status`."""
+    """State of the breaker. `api-gateway ratelimit status` prints the values."""
 
-    CLOSED = "well"  # the service is asked
-    OPEN = "resting"  # it is not asked until the backoff is over
-    HALF_OPEN = "trying"  # one probe at a time
+    CLOSED = "well"  # the service is called
+    OPEN = "resting"  # the service is not called until the backoff ends
+    HALF_OPEN = "trying"  # one probe at a time is sent
 
 
 class FailureMode(enum.StrEnum):
-    """What becomes of a request that the service gives no answer about; the values are those of settings."""
+    """How a request is handled if the service gives no decision. The values are those in the settings."""
 
-    FAIL_OPEN = "own"  # the gateway's own quotas alone decide
-    FAIL_CLOSED = "refuse"  # it is rejected
+    FAIL_OPEN = "own"  # only the gateway's own quotas apply
+    FAIL_CLOSED = "refuse"  # the request is rejected
 
 
 @dataclass(frozen=True, slots=True)
 class CheckSettings:
-    """When the service is asked, and when it is taken to fail. All durations are in seconds.
+    """Which requests are checked, and when the breaker opens and closes. All durations are in seconds.
 
     Attributes:
-        plans: A request of any of these plans is checked.
-        service_classes: A request of any of these classes is checked.
-        timeout: A check is given up after this,
-        remaining_fraction: or after this part of the request's remaining time, whichever is less.
-        failure_mode: What becomes of a request without an answer.
-        max_consecutive_failures: The breaker opens with this many.
-        base_backoff: How long the breaker stays open at first; doubles each time that it opens again.
-        max_backoff: Bound of the doubling.
-        required_probes: Successful probes in a row that close the breaker.
-        backoff_reset_after: Closed for so long, and the backoff starts again from its base.
-        max_outstanding: Checks that wait for an answer at once.
+        plans: Requests with one of these plans are checked.
+        service_classes: Requests with one of these classes are checked.
+        timeout: The maximum time for a check.
+        remaining_fraction: The maximum time for a check, as a fraction of the time remaining for the request.
+            The smaller of the two limits applies.
+        failure_mode: How a request without a decision is handled.
+        max_consecutive_failures: The number of consecutive failures that opens the breaker.
+        base_backoff: How long the breaker stays open the first time; doubles each time it opens again.
+        max_backoff: The upper bound of the backoff.
+        required_probes: The number of consecutive successful probes that closes the breaker.
+        backoff_reset_after: How long the breaker must stay closed before the backoff is reset to its base.
+        max_outstanding: The maximum number of checks that wait for a response.
     """
 
     plans: frozenset[str] = frozenset()
@@ -68,13 +69,13 @@
     max_outstanding: int = 1000
 
     def applies_to(self, plan: str, service_class: str) -> bool:
-        """Tell whether a request of this plan and class is checked."""
+        """Return whether requests with this plan and class are checked."""
         return plan in self.plans or service_class in self.service_classes
 
 
 @dataclass(frozen=True, slots=True)
 class CheckPermit:
-    """The service is to be asked, and has `timeout` seconds to answer."""
+    """Permission to call the service, which has `timeout` seconds to respond."""
 
     timeout: float
     is_probe: bool
@@ -82,9 +83,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Fallback:
-    """The failure mode decides about a request: it is rejected, or own quotas alone decide.
+    """The decision of the failure mode: reject the request, or apply only the gateway's own quotas.
 
-    `retry_after`: seconds after which a rejected one may be retried.
+    `retry_after`: seconds after which a rejected request may be retried.
     """
 
     is_rejected: bool
@@ -92,17 +93,17 @@
 
 
 class CircuitBreaker:
-    """Decides check by check whether the service is asked.
+    """Decides for each check whether the service is called.
 
     Attributes:
-        settings: The settings in force.
-        state: Whether it is asked at all.
-        state_since: When the state was entered.
+        settings: The current settings.
+        state: The current state.
+        state_since: When the breaker entered the state.
         open_until: When an open breaker lets the first probe through.
-        outstanding: Checks that were permitted and have not ended.
-        sample_count: Successes and failures since the breaker last closed.
-        failure_ratio: Moving average of failures, from 0 to 1.
-        trip_count: How often a closed breaker has opened.
+        outstanding: The number of permitted checks that have not ended.
+        sample_count: The number of successes and failures since the breaker last closed.
+        failure_ratio: The moving average of failures, from 0 to 1.
+        trip_count: How many times the breaker went from closed to open.
     """
 
     def __init__(self, settings: CheckSettings) -> None:
@@ -120,14 +121,14 @@
         self._is_probe_outstanding = False
 
     def update_settings(self, settings: CheckSettings) -> None:
-        """Take up a reload's settings; what is known of the service stays."""
+        """Apply reloaded settings; the state of the breaker is kept."""
         self.settings = settings
         self._next_backoff = min(max(self._next_backoff, settings.base_backoff), settings.max_backoff)
 
     def request_permit(self, now: float, remaining: float) -> CheckPermit | Fallback:
-        """Decide about a check of a request that has `remaining` seconds of its own time.
+        """Decide whether to check a request that has `remaining` seconds left.
 
-        A permit is outstanding until it is given to `on_success`, `on_failure` or `on_cancelled`.
+        A permit stays outstanding until it is passed to `on_success`, `on_failure` or `on_cancelled`.
         """
         settings = self.settings
         timeout = min(settings.timeout, settings.remaining_fraction * remaining)
@@ -145,14 +146,14 @@
         return self.fallback(now)
 
     def fallback(self, now: float) -> Fallback:
-        """Return what becomes of a request that the service says nothing about."""
+        """Return the decision of the failure mode for a request without a decision of the service."""
         if self.settings.failure_mode == FailureMode.FAIL_OPEN:
             return Fallback(is_rejected=False, retry_after=0.0)
         remaining_backoff = self.open_until - now if self.state is BreakerState.OPEN else 0.0
         return Fallback(is_rejected=True, retry_after=max(self.settings.timeout, remaining_backoff))
 
     def on_success(self, now: float, permit: CheckPermit) -> None:
-        """Record an answer that came in time, whichever it was."""
+        """Record a valid response in time, whether it allowed the request or not."""
         self._release(permit)
         self._add_sample(_SUCCESS_SAMPLE)
         self._consecutive_failures = 0
@@ -164,7 +165,7 @@
             self._next_backoff = self.settings.base_backoff
 
     def on_failure(self, now: float, permit: CheckPermit) -> None:
-        """Record that no answer came in time, or none that can be used."""
+        """Record that no valid response arrived in time."""
         self._release(permit)
         self._add_sample(_FAILURE_SAMPLE)
         self._consecutive_failures += 1
@@ -175,9 +176,9 @@
             self._open(now)
 
     def on_cancelled(self, permit: CheckPermit) -> None:
-        """Record that the request ended before an answer, which says nothing of the service.
+        """Record that the request ended before the response, which is neither a success nor a failure.
 
-        A probe says as little, and another may be sent.
+        If the check was a probe, another probe may be sent.
         """
         self._release(permit)
 
--- a/apigateway/external_ratelimit/client_session.py
+++ b/apigateway/external_ratelimit/client_session.py
@@ -1,6 +1,6 @@
-"""The client's side of gRPC over HTTP/2, apart from I/O: calls in, bytes out; bytes in, ended calls out.
+"""Client side of gRPC over HTTP/2, without I/O: calls in, bytes out; bytes in, completed calls out.
 
-Frames and flow control are h2's; what both sides share of gRPC is in `upstream.rpc`.
+h2 handles frames and flow control. `upstream.rpc` holds the gRPC code shared by client and server.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
     percent_decode,
 )
 
-MAX_MESSAGE_BYTES = 1024 * 1024  # of a response
-MAX_HEADER_BYTES = 16 * 1024  # of all headers of a response
+MAX_MESSAGE_BYTES = 1024 * 1024  # per response
+MAX_HEADER_BYTES = 16 * 1024  # all headers of a response together
 
 _HTTP_OK = b"200"
-_MAX_STATUS_DIGITS = 3  # of grpc-status; the longest known has two
-_MAX_CONCURRENT_STREAMS = 2**31  # where the server states more, or nothing
-_LAST_USED_STREAM_ID = 2**30  # a new connection is made past it; ids end at 2^31 - 1
+_MAX_STATUS_DIGITS = 3  # of grpc-status; known codes have at most two digits
+_MAX_CONCURRENT_STREAMS = 2**31  # used if the server announces more or no limit
+_LAST_USED_STREAM_ID = 2**30  # a new connection replaces this one after it; ids end at 2^31 - 1
 _STREAM_CLOSED_ERRORS = (
     h2.exceptions.NoSuchStreamError,
     h2.exceptions.StreamClosedError,
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnded:
-    """A call has ended.
+    """The result of a call.
 
     Attributes:
-        stream_id: The call's stream.
-        status: Its gRPC status.
-        text: What the status is about.
-        message: The response; empty unless the status is OK.
-        is_processed: False if the server never looked at the call, so that it may be made again elsewhere.
+        stream_id: The stream of the call.
+        status: The gRPC status code.
+        text: The status message.
+        message: The response message; empty unless the status is OK.
+        is_processed: False if the server did not process the call, so that it is safe to retry.
     """
 
     stream_id: int
@@ -66,18 +66,18 @@
     """A call that has not ended."""
 
     response: MessageBuffer = field(default_factory=lambda: MessageBuffer(MAX_MESSAGE_BYTES))
-    unsent: bytes = b""  # of the request, until the flow control window opens
+    unsent_body: bytes = b""  # rest of the request body, which waits for flow control
 
 
 class ClientSession:
-    """One connection's state.
+    """State of one connection.
 
-    After each call of a method, `data_to_send` gives what is to be written.
+    Write the result of `data_to_send` to the socket after each call of another method.
 
     Attributes:
         open_calls: Calls that have not ended, by stream id.
-        is_draining: It takes no more calls.
-        is_finished: The connection is to be closed.
+        is_draining: Whether the connection accepts no more calls.
+        is_finished: Whether the connection should be closed.
     """
 
     def __init__(self, authority: str, scheme: str = "http") -> None:
@@ -91,23 +91,23 @@
         self._h2.initiate_connection()
 
     def data_to_send(self) -> bytes:
-        """Return the bytes to be written, which are returned once."""
+        """Return the bytes to write and clear them."""
         data = self._h2.data_to_send()
         if self.is_draining and not self.open_calls:
             self.is_finished = True
         return data
 
     def available_streams(self) -> int:
-        """Return how many more calls may be started now."""
+        """Return the number of calls that may be started now."""
         if self.is_draining or self.is_finished:
             return 0
         limit = min(self._h2.remote_settings.max_concurrent_streams, _MAX_CONCURRENT_STREAMS)
         return max(0, limit - len(self.open_calls))
 
     def start_call(self, path: str, message: bytes, timeout: float) -> int:
-        """Start a call and return its stream id; a stream has to be available.
+        """Start a call and return its stream id. Requires an available stream.
 
-        The server is told the `timeout`, in seconds.
+        `timeout`, in seconds, is sent in the grpc-timeout header.
         """
         stream_id = self._h2.get_next_available_stream_id()
         self._h2.send_headers(
@@ -122,31 +122,31 @@
                 (b"grpc-timeout", format_timeout(timeout)),
             ],
         )
-        self.open_calls[stream_id] = OpenCall(unsent=frame_message(message))
+        self.open_calls[stream_id] = OpenCall(unsent_body=frame_message(message))
         self._send_body(stream_id)
         if stream_id > _LAST_USED_STREAM_ID:
             self.is_draining = True
         return stream_id
 
     def cancel(self, stream_id: int) -> None:
-        """Give up a call, unless it has ended."""
+        """Cancel a call, unless it has ended."""
         if self.open_calls.pop(stream_id, None) is not None:
             self._reset(stream_id)
 
     def receive(self, data: bytes) -> list[CallEnded]:
-        """Take received bytes and return the calls that they end."""
+        """Parse received bytes and return the calls that they end."""
         data, last_processed_id = self._goaway_filter.feed(data)
         try:
             events = self._h2.receive_data(data) if data else []
         except (h2.exceptions.ProtocolError, ValueError, IndexError) as error:
-            return self.connection_lost(f"not HTTP/2: {type(error).__name__}")
+            return self.connection_lost(f"HTTP/2 protocol error: {type(error).__name__}")
         ended = [call for call in map(self._on_event, events) if call is not None]
         if last_processed_id is not None:
             ended += self._on_goaway(last_processed_id)
         return ended
 
     def connection_lost(self, reason: str) -> list[CallEnded]:
-        """End all calls: the connection is gone, or of no use any more."""
+        """End all calls because the connection is lost or unusable."""
         self.is_finished = True
         self.is_draining = True
         ended = [CallEnded(stream_id, GrpcStatus.UNAVAILABLE, reason) for stream_id in self.open_calls]
@@ -154,19 +154,19 @@
         return ended
 
     def _send_body(self, stream_id: int) -> None:
-        """Send as much of a request as the flow control windows allow."""
+        """Send as much of a request body as flow control allows."""
         call = self.open_calls[stream_id]
         try:
-            while call.unsent:
+            while call.unsent_body:
                 window = self._h2.local_flow_control_window(stream_id)
                 size = min(window, self._h2.max_outbound_frame_size)
                 if size <= 0:
                     return
-                part = call.unsent[:size]
-                call.unsent = call.unsent[size:]
-                self._h2.send_data(stream_id, part, end_stream=not call.unsent)
-        except _STREAM_CLOSED_ERRORS:  # its end was read together with what opened the window
-            call.unsent = b""
+                part = call.unsent_body[:size]
+                call.unsent_body = call.unsent_body[size:]
+                self._h2.send_data(stream_id, part, end_stream=not call.unsent_body)
+        except _STREAM_CLOSED_ERRORS:  # the stream was closed by the same bytes that opened the window
+            call.unsent_body = b""
 
     def _reset(self, stream_id: int) -> None:
         with suppress(*_STREAM_CLOSED_ERRORS):
@@ -182,7 +182,9 @@
             case h2.events.TrailersReceived():
                 return self._on_headers(event.stream_id or 0, event.headers or (), is_last=True)
             case h2.events.StreamEnded():
-                return self._end(event.stream_id or 0, GrpcStatus.UNKNOWN, "it ended without a status")
+                return self._end(
+                    event.stream_id or 0, GrpcStatus.UNKNOWN, "stream ended without a gRPC status"
+                )
             case h2.events.StreamReset():
                 return self._on_reset(event)
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
@@ -217,7 +219,7 @@
             return None
         status = values.get(b"grpc-status", b"")
         if not status.isdigit() or len(status) > _MAX_STATUS_DIGITS:
-            return self._end(stream_id, GrpcStatus.UNKNOWN, "it ended without a status")
+            return self._end(stream_id, GrpcStatus.UNKNOWN, "stream ended without a gRPC status")
         return self._end(stream_id, int(status), percent_decode(values.get(b"grpc-message", b"")))
 
     def _on_reset(self, event: h2.events.StreamReset) -> CallEnded | None:
@@ -225,15 +227,19 @@
         if self.open_calls.pop(stream_id, None) is None:
             return None
         is_processed = event.error_code != h2.errors.ErrorCodes.REFUSED_STREAM
-        return CallEnded(stream_id, GrpcStatus.UNAVAILABLE, "it was reset", is_processed=is_processed)
+        return CallEnded(
+            stream_id, GrpcStatus.UNAVAILABLE, "stream was reset by the server", is_processed=is_processed
+        )
 
     def _on_goaway(self, last_processed_id: int) -> list[CallEnded]:
-        """Take no more calls, and end those that the server will not look at."""
+        """Accept no more calls, and end those that the server will not process."""
         self.is_draining = True
         ended = []
-        for stream_id in [one for one in self.open_calls if one > last_processed_id]:
+        for stream_id in [open_id for open_id in self.open_calls if open_id > last_processed_id]:
             del self.open_calls[stream_id]
-            ended.append(CallEnded(stream_id, GrpcStatus.UNAVAILABLE, "the server ends", is_processed=False))
+            ended.append(
+                CallEnded(stream_id, GrpcStatus.UNAVAILABLE, "server sent GOAWAY", is_processed=False)
+            )
         return ended
 
     def _end(self, stream_id: int, status: int, text: str) -> CallEnded | None:
--- a/apigateway/external_ratelimit/connection.py
+++ b/apigateway/external_ratelimit/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a channel: the client session on a socket, and the calls that were sent on it."""
+"""One connection of a channel: a client session on a socket and the calls sent on it."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from apigateway.external_ratelimit.client_session import CallEnded, ClientSession
 
 ResponseCallback = Callable[[int, str, bytes], None]
-"""Called with the gRPC status, its text and the response message."""
+"""Called with the gRPC status code, the status message and the response message."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingCall:
-    """A call that is waiting for a connection or for its response.
+    """A call that waits for a connection or for its response.
 
     Attributes:
-        path: The method's path.
-        message: The request.
-        deadline: When it is given up, on the monotonic clock in seconds.
-        on_response: Notified once, unless the call is cancelled.
-        connection: The connection that it was sent on; None while it waits for one.
-        stream_id: Its stream on that connection.
-        attempts: How often it was sent.
-        is_over: It has ended or was cancelled.
-        deadline_timer: Ends it at its deadline.
+        path: The path of the method.
+        message: The encoded request.
+        deadline: When the call fails, in seconds of the monotonic clock.
+        on_response: Called once, unless the call is cancelled.
+        connection: The connection that carries the call; None while it waits for one.
+        stream_id: The stream of the call on that connection.
+        attempts: How many times the call was sent.
+        is_done: Whether the call has ended or was cancelled.
+        deadline_timer: The timer that ends the call at its deadline.
     """
 
     path: str
@@ -37,38 +37,38 @@
     connection: GrpcConnection | None = None
     stream_id: int = 0
     attempts: int = 0
-    is_over: bool = False
+    is_done: bool = False
     deadline_timer: asyncio.TimerHandle | None = None
 
 
 class ConnectionOwner(Protocol):
-    """What a connection tells its channel."""
+    """Callbacks that a connection makes to its channel."""
 
     def on_connected(self, connection: GrpcConnection) -> None:
-        """Take note that the connection is up."""
+        """Handle a connection that is established."""
 
     def on_server_responded(self) -> None:
-        """Take note that the server has processed a call."""
+        """Handle a call that the server has processed."""
 
     def on_call_ended(self, call: PendingCall, ended: CallEnded) -> None:
-        """Take the end of a call."""
+        """Handle the end of a call."""
 
     def on_capacity(self) -> None:
-        """Send waiting calls: the connection may take more now."""
+        """Handle a connection that may have room for more calls."""
 
     def on_draining(self, connection: GrpcConnection) -> None:
-        """Use another connection from now on: this one takes no more calls."""
+        """Handle a connection that accepts no more calls."""
 
     def on_lost(self, connection: GrpcConnection) -> None:
-        """Forget the connection; its calls end after this."""
+        """Handle a lost connection. Its calls are reported as ended afterwards."""
 
 
 class GrpcConnection(asyncio.Protocol):
-    """A connection, and the calls that were sent on it.
+    """A connection and the calls sent on it.
 
     Attributes:
-        transport: The socket's transport, once it is up.
-        session: The state of HTTP/2.
+        transport: The transport of the socket, set once connected.
+        session: The HTTP/2 state.
         calls: Calls that have not ended, by stream id.
         is_connected: Whether the socket is open.
     """
@@ -82,14 +82,16 @@
         self._is_write_blocked = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the preface of HTTP/2."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's has no base in common with asyncio's
+        """Send the HTTP/2 connection preface."""
+        self.transport = cast(
+            asyncio.Transport, transport
+        )  # uvloop's transports share no base class with asyncio's
         self.is_connected = True
         self._owner.on_connected(self)
         self.flush()
 
     def data_received(self, data: bytes) -> None:
-        """End the calls that the bytes end."""
+        """Parse received bytes and complete the calls that they end."""
         ended = self.session.receive(data)
         if any(call.is_processed for call in ended):
             self._owner.on_server_responded()
@@ -104,37 +106,37 @@
         """End all calls."""
         self.is_connected = False
         self._owner.on_lost(self)
-        self._end_calls(self.session.connection_lost("the connection ended"))
+        self._end_calls(self.session.connection_lost("connection lost"))
 
     def pause_writing(self) -> None:
-        """Take no more calls: the socket's buffer is full."""
+        """Stop starting calls: the write buffer is full."""
         self._is_write_blocked = True
 
     def resume_writing(self) -> None:
-        """Take calls again."""
+        """Allow new calls again: the write buffer has drained."""
         self._is_write_blocked = False
         self._owner.on_capacity()
 
     def available_streams(self) -> int:
-        """Return how many more calls may be started now."""
+        """Return the number of calls that may be started now."""
         if not self.is_connected or self._is_write_blocked:
             return 0
         return self.session.available_streams()
 
     def start_call(self, call: PendingCall) -> None:
-        """Start a call; a stream has to be available. It is written by the next `flush`."""
+        """Start a call, which the next `flush` writes. Requires an available stream."""
         call.stream_id = self.session.start_call(call.path, call.message, call.deadline - monotonic())
         call.connection = self
         self.calls[call.stream_id] = call
 
     def cancel(self, call: PendingCall) -> None:
-        """Give up a call, unless it has ended here."""
+        """Cancel a call, unless it has ended on this connection."""
         if self.calls.pop(call.stream_id, None) is not None:
             self.session.cancel(call.stream_id)
             self.flush()
 
     def flush(self) -> None:
-        """Write what the session has to send, and close the connection once it is finished."""
+        """Write pending session output, and close the connection once the session is finished."""
         if self.transport.is_closing():
             return
         data = self.session.data_to_send()
@@ -144,7 +146,7 @@
             self.transport.close()
 
     def _end_calls(self, ended: list[CallEnded]) -> None:
-        for end in ended:
-            call = self.calls.pop(end.stream_id, None)
+        for call_ended in ended:
+            call = self.calls.pop(call_ended.stream_id, None)
             if call is not None:
-                self._owner.on_call_ended(call, end)
+                self._owner.on_call_ended(call, call_ended)
--- a/apigateway/external_ratelimit/service_config.py
+++ b/apigateway/external_ratelimit/service_config.py
@@ -1,4 +1,4 @@
-"""Which external service is asked, and how: what settings and the files that they name come to."""
+"""Configuration of the external rate limit service, built from the settings and the files they name."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ExternalServiceConfig:
-    """The external service as a gateway asks it.
+    """How a gateway calls the external service.
 
     Attributes:
-        address: Where it listens.
-        checks: When it is asked, and when it is taken to fail.
-        domain: The domain of each question.
-        descriptor_entries: Key and value of each entry. A value may take from the request, in braces,
-            customer, plan, class and units; and gateway, this one's name.
-        batch_size: Most requests of one turn of the event loop that go in one question; more than one only
-            for a service that counts each descriptor by itself.
-        server_name: The name that its certificate has to have; empty: the host of the address.
-        ssl_context: None without TLS.
-        tls_digests: The files that `ssl_context` was made of; equal ones make an equal context.
+        address: The address of the service.
+        checks: Which requests are checked, and the circuit breaker settings.
+        domain: The domain of each rate limit request.
+        descriptor_entries: The key and value of each entry. A value may contain the placeholders {customer},
+            {plan}, {class} and {units}, filled from the request, and {gateway}, the name of this gateway.
+        batch_size: The maximum number of requests of one event loop iteration that share a rate limit
+            request. Use more than one only for a service that counts each descriptor separately.
+        server_name: The name that the server certificate must match; if empty, the host of the address.
+        ssl_context: The TLS context; None for plain text.
+        tls_digests: Digests of the files behind `ssl_context`; equal digests mean equal contexts.
     """
 
     address: Address
@@ -38,6 +38,6 @@
     tls_digests: tuple[str, ...] = ()
 
     def has_same_endpoint(self, other: ExternalServiceConfig) -> bool:
-        """Tell whether a channel by the other's config may be kept."""
+        """Return whether a channel created from `other` may be reused."""
         own = (self.address, self.server_name, self.tls_digests)
         return own == (other.address, other.server_name, other.tls_digests)
--- a/apigateway/external_ratelimit/settings.py
+++ b/apigateway/external_ratelimit/settings.py
@@ -1,6 +1,6 @@
-"""The table `[ask]` of a settings file: an external rate limit service.
+"""Schema of the `[ask]` table of a settings file, which configures an external rate limit service.
 
-Only its shape: nothing of gRPC is loaded here.
+Does not import gRPC code.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class ClientTlsSection(ConfigSection, frozen=True, kw_only=True):
-    """`[ask.tls]`: TLS towards the service."""
+    """Schema of `[ask.tls]`: TLS for connections to the service."""
 
     on: bool = False
     ca: str = ""
@@ -28,7 +28,10 @@
 
 
 class ExternalRateLimitSection(ConfigSection, frozen=True, kw_only=True):
-    """`[ask]`: the service, and when it is asked; docs/operate/ratelimit.md has the keys."""
+    """Schema of `[ask]`: the service, and which requests are checked.
+
+    docs/operate/ratelimit.md documents the keys.
+    """
 
     address: str = ""
     plans: list[str] = []
--- a/apigateway/frontends/__init__.py
+++ b/apigateway/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Client protocols, one package each: bytes to the core's requests, its answers to bytes."""
+"""Client protocols, one package each: they decode requests for the core and encode its responses."""
--- a/apigateway/frontends/grpc/__init__.py
+++ b/apigateway/frontends/grpc/__init__.py
@@ -1,1 +1,1 @@
-"""The rate limit service over gRPC (docs/design/grpc.md). Loaded where a listener asks for it."""
+"""The rate limit service over gRPC (docs/design/grpc.md). Imported only if a listener needs it."""
--- a/apigateway/frontends/grpc/call_headers.py
+++ b/apigateway/frontends/grpc/call_headers.py
@@ -1,4 +1,4 @@
-"""Headers of gRPC calls and of their responses ("gRPC over HTTP2")."""
+"""Headers of gRPC calls and responses (see the "gRPC over HTTP2" specification)."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 _UNSUPPORTED_MEDIA_TYPE = b"415"
 
 
-def http_error(headers: Mapping[bytes, bytes]) -> bytes | None:
-    """Return the HTTP status for what is no gRPC call; None for one that is."""
+def http_error_status(headers: Mapping[bytes, bytes]) -> bytes | None:
+    """Return the HTTP status that rejects a request that is not a gRPC call; None for a gRPC call."""
     if headers.get(b":method") != b"POST":
         return _METHOD_NOT_ALLOWED
     if not headers.get(b"content-type", b"").startswith(CONTENT_TYPE):
@@ -26,12 +26,12 @@
 
 
 def call_timeout(headers: Mapping[bytes, bytes]) -> float | None:
-    """Check a call's headers and return its timeout in seconds, if it has one. Raises RpcError."""
+    """Check the headers of a call and return its timeout in seconds, if set. Raises RpcError."""
     if headers.get(b"grpc-encoding", b"identity") != b"identity":
         raise RpcError(GrpcStatus.UNIMPLEMENTED, "messages are not compressed here")
     return parse_timeout(headers.get(b"grpc-timeout"))
 
 
 def status_headers(status: int, text: str) -> Headers:
-    """Return the headers, or trailers, with a gRPC status and its text."""
+    """Return the headers or trailers that carry a gRPC status and its message."""
     return [(b"grpc-status", b"%d" % status), (b"grpc-message", percent_encode(text))]
--- a/apigateway/frontends/grpc/connection.py
+++ b/apigateway/frontends/grpc/connection.py
@@ -1,4 +1,4 @@
-"""One gRPC client's connection: a socket's bytes to the session, its events to methods, responses back."""
+"""One gRPC client connection: passes socket data to the session, events to methods and responses back."""
 
 from __future__ import annotations
 
@@ -20,72 +20,72 @@
 from apigateway.frontends.grpc.server_session import ServerSession
 from apigateway.upstream.rpc import GrpcStatus
 
-# Seconds that a client has to close a connection that has come to its end.
+# How long to wait for the client to close a finished connection.
 CLIENT_CLOSE_TIMEOUT_S = 0.5
 
 log = logging.getLogger(__name__)
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its frontend."""
+    """What a connection needs from its frontend."""
 
     @property
     def methods(self) -> Mapping[str, UnaryMethod]:
-        """Unary methods by path."""
+        """The unary methods by path."""
 
     @property
     def streams(self) -> Mapping[str, StreamingMethod]:
-        """Streaming methods by path."""
+        """The streaming methods by path."""
 
     @property
     def is_draining(self) -> bool:
-        """Whether connections are to end."""
+        """Whether new connections must start draining at once."""
 
     def on_connected(self, connection: GrpcConnection) -> None:
-        """Take in a new connection."""
+        """Register a new connection."""
 
     def on_disconnected(self, connection: GrpcConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
 
     def on_write_blocked(self, connection: GrpcConnection) -> None:
-        """Take in that the client does not take what is written."""
+        """Record that the write buffer is full because the client does not read."""
 
     def on_write_resumed(self, connection: GrpcConnection) -> None:
-        """Take in that the client takes it again."""
+        """Record that the client reads again."""
 
     def on_draining(self, connection: GrpcConnection) -> None:
-        """Take in that a connection takes no new calls."""
+        """Record that a connection accepts no new calls."""
 
-    def hold_partial_bytes(self, connection: GrpcConnection) -> bool:
-        """Count the bytes of a connection's partial messages; False if all together are too many."""
+    def update_partial_bytes(self, connection: GrpcConnection) -> bool:
+        """Update the total of partial message bytes; return False if it exceeds the limit."""
 
 
 class GrpcConnection(asyncio.Protocol):
-    """The event loop's protocol of one client."""
+    """The asyncio protocol of one client connection."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
         self._owner = owner
         self.transport: asyncio.Transport
         self.session = ServerSession(owner.streams)
         self.open_calls: dict[int, OpenCall] = {}  # by stream id
-        self._stream_handlers: dict[int, StreamHandler] = {}  # those of them that stream
-        self.partial_bytes = 0  # of partial messages, as the owner has counted them
+        self._stream_handlers: dict[int, StreamHandler] = {}  # the streaming calls among them
+        self.partial_bytes = 0  # of partial messages, as last counted by the owner
         self.last_received_at = monotonic()
-        self._is_reading = False  # responses that come meanwhile are written together at the end of it
-        self._waits_for_client_close = False
+        self._is_reading = False  # responses set while reading are written together afterwards
+        self._is_close_scheduled = False
 
-    # Callbacks of the event loop
+    # asyncio.Protocol callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take in that the connection is up, TLS included."""
+        """Register the connection, once TLS is established."""
         self.transport = cast(asyncio.Transport, transport)
         self._owner.on_connected(self)
         self.write()
-        if self._owner.is_draining:  # it was in its handshake when the shutdown began
+        if self._owner.is_draining:  # the shutdown began during the TLS handshake
             self.start_draining()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel what is open: the connection has ended."""
+        """Cancel all open calls."""
         self._owner.on_disconnected(self)
         self.session.on_connection_lost()
         open_calls = self.open_calls
@@ -95,32 +95,32 @@
             call.on_cancelled()
 
     def data_received(self, data: bytes) -> None:
-        """Read calls and hand them to their methods."""
+        """Parse received bytes and dispatch the calls to their methods."""
         self.last_received_at = monotonic()
         self._is_reading = True
         try:
             for event in self.session.receive(data):
                 self._on_event(event)
-        except Exception:  # one connection must not take the others along
-            log.exception("a call could not be read")
+        except Exception:  # a fault on one connection must not affect the others
+            log.exception("failed to process received data; aborting the connection")
             self.transport.abort()
             return
         finally:
             self._is_reading = False
-        if self.session.partial_bytes != self.partial_bytes and not self._owner.hold_partial_bytes(self):
-            log.warning("half messages of all connections take too much: one is closed")
+        if self.session.partial_bytes != self.partial_bytes and not self._owner.update_partial_bytes(self):
+            log.warning("partial messages of all connections exceed the memory limit; aborting a connection")
             self.transport.abort()
             return
         self.write()
 
     def pause_writing(self) -> None:
-        """Stop reading a client that takes no responses; it ends if that lasts."""
+        """Stop reading from a client that does not read; the frontend aborts it after a timeout."""
         self._owner.on_write_blocked(self)
         if not self.transport.is_closing():
             self.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """Read a client again that takes its responses."""
+        """Resume reading from a client that reads its responses again."""
         self._owner.on_write_resumed(self)
         if not self.transport.is_closing():
             self.transport.resume_reading()
@@ -164,14 +164,14 @@
         self._stream_handlers[event.stream_id] = handler
 
     def forget_call(self, stream_id: int) -> OpenCall | None:
-        """Return a call that has its status, or was cancelled, and tell it of nothing more."""
+        """Remove and return a call that has its status or was cancelled."""
         self._stream_handlers.pop(stream_id, None)
         return self.open_calls.pop(stream_id, None)
 
-    # Writing and the end
+    # Writing and closing
 
     def write(self) -> None:
-        """Write what the session has to say; close where it is at its end."""
+        """Write pending session output, and close the connection once the session is finished."""
         if self._is_reading or self.transport.is_closing():
             return
         data = self.session.data_to_send()
@@ -179,13 +179,13 @@
             self.transport.write(data)
         if self.session.must_close:
             self.transport.close()
-        elif self.session.is_finished and not self._waits_for_client_close:
-            # Closed here with bytes unread it would be a reset, which can eat the last responses.
-            self._waits_for_client_close = True
+        elif self.session.is_finished and not self._is_close_scheduled:
+            # Closing a socket with unread bytes resets the connection, which can discard the last responses.
+            self._is_close_scheduled = True
             asyncio.get_running_loop().call_later(CLIENT_CLOSE_TIMEOUT_S, self.transport.close)
 
     def start_draining(self) -> None:
-        """Take no new calls; answer those that were taken, and end those that stream without end."""
+        """Accept no new calls, let unary calls finish and end streaming calls, which have no natural end."""
         for stream_id, handler in list(self._stream_handlers.items()):
             self.forget_call(stream_id)
             handler.on_cancelled()
@@ -196,7 +196,7 @@
 
 
 class _UnaryResponse:
-    """The `UnaryResponder` of one call."""
+    """Implements `UnaryResponder` for one call."""
 
     __slots__ = ("_connection", "_stream_id")
 
@@ -218,7 +218,7 @@
 
 
 class _StreamResponse:
-    """The `StreamResponder` of one call."""
+    """Implements `StreamResponder` for one call."""
 
     __slots__ = ("_connection", "_stream_id")
 
--- a/apigateway/frontends/grpc/descriptor_check.py
+++ b/apigateway/frontends/grpc/descriptor_check.py
@@ -1,4 +1,4 @@
-"""One quota check of a descriptor, and what the core answered to it."""
+"""One quota check of a descriptor and its result from the core."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from apigateway import messages
 
-Code = Any  # of RateLimitResponse.Code
+Code = Any  # a value of RateLimitResponse.Code
 OK = pb.RateLimitResponse.OK
 OVER_LIMIT = pb.RateLimitResponse.OVER_LIMIT
-UNKNOWN = pb.RateLimitResponse.UNKNOWN  # nobody could decide
+UNKNOWN = pb.RateLimitResponse.UNKNOWN  # the check could not be decided
 
-# Which code of a descriptor's checks is the descriptor's: the highest.
+# The code of a descriptor is the highest-ranked code of its checks.
 _CODE_RANK = {OK: 0, UNKNOWN: 1, OVER_LIMIT: 2}
 
 
 class UndecidedReason(enum.Enum):
-    """Why a check has no result."""
+    """Why a check was not decided."""
 
     NO_CAPACITY = enum.auto()
     FAILED = enum.auto()
@@ -29,20 +29,20 @@
 
 
 class CheckOwner(Protocol):
-    """The call that a check belongs to."""
+    """The call to which a check belongs."""
 
     def on_check_decided(self) -> None:
-        """Take in that one more check has its result."""
+        """Handle a check that has got its result."""
 
 
 class DescriptorCheck:
-    """The core's `QuotaCheckSink` of one check.
+    """Receives the result of one check; implements the core's `QuotaCheckSink`.
 
     Args:
-        owner: The call.
-        check: What the core is asked.
-        plan: The plan whose units are checked.
-        units_per_hit: What one hit of the descriptor spends.
+        owner: The call to which the check belongs.
+        check: The check to submit to the core.
+        plan: The plan whose quota is checked.
+        units_per_hit: The units that one hit of the descriptor costs.
     """
 
     __slots__ = ("_owner", "token", "check", "plan", "units_per_hit", "result")
@@ -54,36 +54,36 @@
         self.check = check
         self.plan = plan
         self.units_per_hit = units_per_hit
-        self.token: Any = None  # the core's own record
-        self.result: CheckResult | None = None  # None: not yet
+        self.token: Any = None  # the core's in-flight record of this check
+        self.result: CheckResult | None = None  # None until decided
 
     def _decide(self, result: CheckResult) -> None:
         self.result = result
         self._owner.on_check_decided()
 
     def grant(self, granted: messages.QuotaGranted) -> None:
-        """Take in that the units are granted."""
+        """Set the result: the units are granted."""
         self._decide(granted)
 
     def deny(self, denied: messages.QuotaDenied) -> None:
-        """Take in that the units are denied."""
+        """Set the result: the units are denied."""
         self._decide(denied)
 
     def reject(self, retry_after: float) -> None:
-        """Take in that there is no capacity here."""
+        """Set the result: undecided, because the gateway has no capacity."""
         self._decide(UndecidedReason.NO_CAPACITY)
 
     def fail(self) -> None:
-        """Take in that the check failed."""
+        """Set the result: undecided, because the check failed."""
         self._decide(UndecidedReason.FAILED)
 
     def complete(self, value: bytes) -> None:
-        """Take a host's value for a failure: no host is asked."""
+        """Treat a response from a host as a failure: checks are never forwarded to hosts."""
         self._decide(UndecidedReason.FAILED)
 
     @property
     def code(self) -> Code:
-        """The code that this check would give its descriptor."""
+        """The response code of this check alone."""
         if isinstance(self.result, messages.QuotaGranted):
             return OK
         is_over = isinstance(self.result, messages.QuotaDenied) and self.result.is_over_quota
@@ -91,7 +91,7 @@
 
 
 def descriptor_code(checks: tuple[DescriptorCheck, ...]) -> Code:
-    """Return a descriptor's code: any check that is over makes it so, one that is unknown says no more."""
+    """Return the code of a descriptor: OVER_LIMIT if any check is, else UNKNOWN if any check is, else OK."""
     if len(checks) == 1:
         return checks[0].code
     return max((check.code for check in checks), key=_CODE_RANK.__getitem__)
--- a/apigateway/frontends/grpc/events.py
+++ b/apigateway/frontends/grpc/events.py
@@ -1,4 +1,4 @@
-"""What a client of a gRPC connection did: the events of `server_session.py`."""
+"""Events that `server_session.py` reports for a gRPC connection."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 @dataclass(slots=True)
 class UnaryCall:
-    """A unary call has come whole."""
+    """A unary call was received completely."""
 
     stream_id: int
     path: str
     message: bytes
-    timeout: float | None  # seconds; None: the client set none
+    timeout: float | None  # seconds; None if the client set none
 
 
 @dataclass(frozen=True, slots=True)
 class StreamOpened:
-    """A call of a path that streams has begun."""
+    """A call to a streaming method has started."""
 
     stream_id: int
     path: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamMessage:
-    """A message came on a call that was `StreamOpened`."""
+    """A message was received on a streaming call."""
 
     stream_id: int
     message: bytes
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamHalfClosed:
-    """The client will send no more messages on a call that was `StreamOpened`."""
+    """The client will send no more messages on a streaming call."""
 
     stream_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallCancelled:
-    """The client cancelled a call, or the call ended by an error: nobody waits for its response."""
+    """The client cancelled a call or the call failed: no response is expected."""
 
     stream_id: int
 
--- a/apigateway/frontends/grpc/frontend.py
+++ b/apigateway/frontends/grpc/frontend.py
@@ -1,4 +1,4 @@
-"""The gRPC frontend: a listener, TLS, the limits of its connections and their shutdown."""
+"""The gRPC frontend: listener, TLS, connection limits and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 from apigateway.upstream import socket_state
 from apigateway.upstream.address import Address
 
-# Seconds without a call after which a connection is closed.
+# A connection that receives no data and has no open call is closed after this time.
 IDLE_TIMEOUT_S = 120.0
-# Seconds without the client taking what is written; the same for its answer to the end of a connection.
+# How long a client may leave written data unread, or a GOAWAY unacknowledged.
 WRITE_BLOCKED_TIMEOUT_S = 5.0
-# Seconds that a client has for TLS.
+# Time limit for the TLS handshake.
 HANDSHAKE_TIMEOUT_S = 5.0
-# Seconds between two checks of those timeouts, and until the next try to accept without a descriptor.
+# Interval of timeout checks, and delay before accepting again after running out of file descriptors.
 SWEEP_INTERVAL_S = 1.0
-# Connections accepted in one turn of the loop.
+# Connections accepted in one event loop iteration.
 MAX_ACCEPTS_PER_TURN = 64
-# Connections that the kernel keeps until they are accepted.
+# Connections that the kernel queues until they are accepted.
 LISTEN_BACKLOG = 1024
-# Bytes of partial messages on all connections together, where nothing else is said.
+# Default limit for the bytes of partial messages on all connections together.
 DEFAULT_MAX_PARTIAL_BYTES = 1 << 24
 
 log = logging.getLogger(__name__)
 
 
 class GrpcFrontend:
-    """One gRPC listener over the core.
+    """One gRPC listener and its connections.
 
     Args:
-        core: Knows it as one of the frontends that share its capacity.
-        address: Where it listens.
-        max_connections: At most so many at once, those in their TLS handshake included.
-        max_partial_bytes: Bytes of partial messages on all connections together.
+        core: The core, whose capacity all registered frontends share.
+        address: The address to listen on.
+        max_connections: The maximum number of connections, including those in their TLS handshake.
+        max_partial_bytes: The maximum bytes of partial messages on all connections together.
 
     Attributes:
-        tls_context: For connections from now on; None: without TLS.
-        on_shutdown: Called when it takes nothing new.
+        tls_context: The TLS context of new connections; None for plain text.
+        on_shutdown: Called when a graceful shutdown begins.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self._max_connections = max_connections
         self._max_partial_bytes = max_partial_bytes
         self._partial_bytes = 0
-        self._handshakes: set[asyncio.Task[None]] = set()  # connections that are not up yet
+        self._handshakes: set[asyncio.Task[None]] = set()  # connections that are not established yet
         self._write_blocked_since: dict[GrpcConnection, float] = {}
         self._draining_since: dict[GrpcConnection, float] = {}
         self._listener: socket.socket | None = None
@@ -81,28 +81,28 @@
     def set_methods(
         self, methods: Mapping[str, UnaryMethod], streams: Mapping[str, StreamingMethod] | None = None
     ) -> None:
-        """Serve these methods, by path, in place of those before.
+        """Replace the served methods, given by path.
 
-        A path that streams does so for connections from now on.
+        A changed set of streaming paths applies to new connections only.
         """
         self.methods = dict(methods)
         self.streams = dict(streams or {})
 
     def set_limits(self, max_connections: int, max_partial_bytes: int) -> None:
-        """Set this frontend's part of the connections and of the bytes of partial messages."""
+        """Set this frontend's share of the connections and of the bytes of partial messages."""
         self._max_connections = max_connections
         self._max_partial_bytes = max_partial_bytes
 
     def update_admission(self) -> None:
-        """Do nothing: quota checks are shed by the decision module only."""
+        """Do nothing: only the decision module sheds quota checks."""
 
     def set_tokens(self, tokens: object) -> None:
-        """Do nothing: tokens are shown with requests; the rate limit service has them by itself."""
+        """Do nothing: tokens are redeemed with RESP2 requests, and the rate limit service issues them."""
 
     # Listening
 
     async def listen(self, sock: socket.socket | None = None) -> None:
-        """Listen at its address, or on `sock`, which listens already."""
+        """Listen on the configured address, or on `sock`, a socket that is already listening."""
         if sock is None:
             family = socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET
             sock = socket.create_server(self.address, family=family)
@@ -119,10 +119,10 @@
             asyncio.get_running_loop().add_reader(self._listener, self._accept)
 
     def _accept(self) -> None:
-        """Accept what waits.
+        """Accept pending connections.
 
-        Connections are counted from here, before TLS: who says nothing must not take more than this
-        frontend's part of the descriptors.
+        Connections count towards the limit before their TLS handshake, so that silent clients cannot use
+        more than this frontend's share of file descriptors.
         """
         loop = asyncio.get_running_loop()
         for _ in range(MAX_ACCEPTS_PER_TURN):
@@ -133,8 +133,8 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
-                # No descriptor is left: trying again at once would be a busy loop.
-                log.error("a connection could not be accepted: %s", error)
+                # Out of file descriptors: retrying at once would be a busy loop.
+                log.error("failed to accept a connection: %s", error)
                 loop.remove_reader(self._listener)
                 loop.call_later(SWEEP_INTERVAL_S, self._start_accepting)
                 return
@@ -148,7 +148,7 @@
             task.add_done_callback(self._on_handshake_ended)
 
     async def _establish(self, sock: socket.socket, tls_context: ssl.SSLContext | None) -> None:
-        """Bring a connection up, with TLS if there is a context."""
+        """Establish a connection, with TLS if there is a context."""
         loop = asyncio.get_running_loop()
         timeout = HANDSHAKE_TIMEOUT_S if tls_context is not None else None
         try:
@@ -157,7 +157,7 @@
             )
         except (OSError, TimeoutError) as error:  # ssl.SSLError is an OSError
             self.failed_handshakes += 1
-            log.info("a TLS handshake failed: %s", error)
+            log.info("failed to establish a connection: %s", error)
             sock.close()
 
     def _create_connection(self) -> GrpcConnection:
@@ -167,14 +167,14 @@
         self._handshakes.discard(task)
         self._notify_if_all_disconnected()
 
-    # What connections tell (connection.ConnectionOwner)
+    # Callbacks of connections (connection.ConnectionOwner)
 
     def on_connected(self, connection: GrpcConnection) -> None:
-        """Take in a new connection."""
+        """Register a new connection."""
         self.connections.add(connection)
 
     def on_disconnected(self, connection: GrpcConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
         self._write_blocked_since.pop(connection, None)
         self._draining_since.pop(connection, None)
@@ -183,19 +183,19 @@
         self._notify_if_all_disconnected()
 
     def on_write_blocked(self, connection: GrpcConnection) -> None:
-        """Start the time that a client has to take what is written."""
+        """Start the timeout for a client that does not read written data."""
         self._write_blocked_since[connection] = monotonic()
 
     def on_write_resumed(self, connection: GrpcConnection) -> None:
-        """End that time."""
+        """Stop that timeout: the client reads again."""
         self._write_blocked_since.pop(connection, None)
 
     def on_draining(self, connection: GrpcConnection) -> None:
-        """Start the time that a client has to read that its connection ends."""
+        """Start the timeout for a client to acknowledge that its connection is draining."""
         self._draining_since.setdefault(connection, monotonic())
 
-    def hold_partial_bytes(self, connection: GrpcConnection) -> bool:
-        """Count the bytes of a connection's partial messages; False if all together are too many."""
+    def update_partial_bytes(self, connection: GrpcConnection) -> bool:
+        """Update the total of partial message bytes; return False if it exceeds the limit."""
         size = connection.session.partial_bytes
         self._partial_bytes += size - connection.partial_bytes
         connection.partial_bytes = size
@@ -204,41 +204,41 @@
     # Timeouts
 
     def _sweep(self) -> None:
-        """End the connections whose time is over."""
+        """Close connections whose timeout has expired."""
         self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
         now = monotonic()
         before = now - WRITE_BLOCKED_TIMEOUT_S
-        for connection in [one for one, since in self._write_blocked_since.items() if since < before]:
+        for connection in [blocked for blocked, since in self._write_blocked_since.items() if since < before]:
             connection.transport.abort()
         for connection, since in list(self._draining_since.items()):
             if since < before and connection.session.is_idle:
-                connection.transport.abort()  # its client never said that it had read of the end
+                connection.transport.abort()  # the client never acknowledged the GOAWAY
         idle_before = now - IDLE_TIMEOUT_S
-        for connection in [one for one in self.connections if one.last_received_at < idle_before]:
+        for connection in [idle for idle in self.connections if idle.last_received_at < idle_before]:
             if connection.session.is_idle:
                 connection.start_draining()
 
-    # Shutdown, in this order
+    # Shutdown, in the order of the calls
 
     def announce_shutdown(self) -> None:
-        """Tell whoever watches its health; it goes on for a while."""
+        """Notify health watchers that a shutdown begins; calls are still accepted for a while."""
         if self.on_shutdown is not None:
             self.on_shutdown()
 
     @property
     def has_pending_connections(self) -> bool:
-        """Whether a connection waits at its listener."""
+        """Whether a connection waits to be accepted."""
         return self._listener is not None and socket_state.has_pending_connection(self._listener)
 
     def stop_accepting(self) -> None:
-        """Take no new connections; those that there are go on."""
+        """Accept no new connections; existing ones continue."""
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
             self._listener = None
 
     def start_draining(self) -> None:
-        """Take no new connections and no new calls; each connection ends when its calls are answered."""
+        """Accept no new connections or calls; each connection closes once its calls are answered."""
         self.stop_accepting()
         self.is_draining = True
         self.announce_shutdown()
@@ -246,18 +246,18 @@
             connection.start_draining()
 
     async def wait_settled(self, timeout: float) -> None:
-        """Wait until its connections have ended, for `timeout` seconds at most."""
+        """Wait until all connections are closed, for at most `timeout` seconds."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout):
                 await self.wait_disconnected()
 
     @property
     def has_unwritten_responses(self) -> bool:
-        """Nothing is owed: `wait_settled` waited for the connections."""
+        """Always False: `wait_settled` has waited for the connections to close."""
         return False
 
     async def wait_disconnected(self) -> None:
-        """Wait until its last connection has ended."""
+        """Wait until all connections are closed."""
         while self.connections or self._handshakes:
             self._all_disconnected = asyncio.get_running_loop().create_future()
             await self._all_disconnected
@@ -269,7 +269,7 @@
             self._all_disconnected.set_result(None)
 
     def close(self) -> None:
-        """Close everything and give its capacity to the others."""
+        """Close the listener and all connections, and release this frontend's share of the capacity."""
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         self.stop_accepting()
--- a/apigateway/frontends/grpc/health.py
+++ b/apigateway/frontends/grpc/health.py
@@ -1,4 +1,4 @@
-"""grpc.health.v1: whether this server serves, as a whole and by service (grpc/health/v1/health.proto)."""
+"""The gRPC health checking protocol, grpc.health.v1 (grpc/health/v1/health.proto)."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 CHECK_PATH = f"/{SERVICE_NAME}/Check"
 WATCH_PATH = f"/{SERVICE_NAME}/Watch"
 LIST_PATH = f"/{SERVICE_NAME}/List"
-SERVER = ""  # the name of the server as a whole
+SERVER = ""  # the name that stands for the server as a whole
 
-ServingStatus = Any  # of HealthCheckResponse.ServingStatus
+ServingStatus = Any  # a value of HealthCheckResponse.ServingStatus
 SERVING = pb.HealthCheckResponse.SERVING
 NOT_SERVING = pb.HealthCheckResponse.NOT_SERVING
 SERVICE_UNKNOWN = pb.HealthCheckResponse.SERVICE_UNKNOWN
@@ -25,11 +25,11 @@
 
 
 class HealthService:
-    """The health of some services, which is one and the same.
+    """Health service for several services that share one status.
 
     Args:
-        services: Their full names.
-        is_serving: Whether new calls are taken now.
+        services: The full names of the services.
+        is_serving: Returns whether the server accepts new calls.
     """
 
     def __init__(self, services: Iterable[str], is_serving: Callable[[], bool]) -> None:
@@ -38,13 +38,13 @@
         self.watches: set[HealthWatch] = set()
 
     def status(self, service: str) -> ServingStatus:
-        """Return a service's status; None: there is no such service."""
+        """Return the status of a service; None if the service is unknown."""
         if service not in self._services:
             return None
         return SERVING if self._is_serving() else NOT_SERVING
 
     def notify_watches(self) -> None:
-        """Tell those who watch; to be called when `is_serving` may have changed."""
+        """Notify all watches. Call this when the result of `is_serving` may have changed."""
         for watch in list(self.watches):
             watch.notify()
 
@@ -59,7 +59,7 @@
     def _check(self, message: bytes, timeout: float | None, responder: UnaryResponder) -> None:
         try:
             service = pb.HealthCheckRequest.FromString(message).service
-        except Exception:  # protobuf's DecodeError, and what odd bytes make of it
+        except Exception:  # malformed bytes raise not only protobuf's DecodeError
             responder.fail(GrpcStatus.INTERNAL, _UNREADABLE)
             return
         status = self.status(service)
@@ -80,7 +80,7 @@
 
 
 class HealthWatch:
-    """One call of Watch: told the status now and at each change."""
+    """One Watch call: it sends the current status and every change."""
 
     def __init__(self, health: HealthService, responder: StreamResponder) -> None:
         self._health = health
@@ -90,7 +90,7 @@
         self._has_request = False
 
     def on_message(self, message: bytes) -> None:
-        """Take the one request."""
+        """Handle the request; a second one is an error."""
         if self._has_request:
             self.on_cancelled()
             self._responder.end(GrpcStatus.INTERNAL, "one message only")
@@ -105,7 +105,7 @@
         self.notify()
 
     def notify(self) -> None:
-        """Send the status if it is another than before."""
+        """Send the status if it has changed."""
         status = self._health.status(self._service)
         if status is None:
             status = SERVICE_UNKNOWN
@@ -114,10 +114,10 @@
             self._responder.send(pb.HealthCheckResponse(status=status).SerializeToString())
 
     def on_half_closed(self) -> None:
-        """Go on, unless there was no request."""
+        """Fail the call if there was no request; otherwise keep watching."""
         if not self._has_request:
             self._responder.end(GrpcStatus.INTERNAL, "no message")
 
     def on_cancelled(self) -> None:
-        """Watch no more."""
+        """Stop watching."""
         self._health.watches.discard(self)
--- a/apigateway/frontends/grpc/limits.py
+++ b/apigateway/frontends/grpc/limits.py
@@ -1,4 +1,4 @@
-"""Plans as limits of the rate limit service's messages, and limits that descriptors bring as plans."""
+"""Convert plans to the limits in rate limit responses, and limits in descriptors to plans."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 
 RateLimit = pb.RateLimitResponse.RateLimit
 
-MAX_HITS = 2**32 - 1  # of the messages' 32-bit fields
+MAX_HITS = 2**32 - 1  # the maximum of the 32-bit fields in the messages
 
-# Units of a response's limits and their seconds, shortest first.
+# Time units of limits in responses, with their seconds, shortest first.
 _RESPONSE_UNITS = (
     (RateLimit.SECOND, 1),
     (RateLimit.MINUTE, 60),
     (RateLimit.HOUR, 3600),
     (RateLimit.DAY, 86400),
 )
-# Units of descriptors' own limits (envoy/type/v3/ratelimit_unit.proto) and their seconds. Longer ones are not
-# taken: no count of them would be known for so long.
+# Time units of limits in descriptors (envoy/type/v3/ratelimit_unit.proto), with their seconds. Longer units
+# are not supported, because counts are not kept for that long.
 _DESCRIPTOR_UNITS_S = {1: 1, 2: 60, 3: 3600, 4: 86400}
-# Seconds: a window as long as this is known at the counter for as long as it matters.
-_COUNTED_FOR_S = 20.0
-# Units, and units a second, that stand for none.
-_NO_UNITS = 1e-9
-# Relative difference from a whole number up to which a limit is shown as that number.
-_WHOLE_TOLERANCE = 1e-6
-# Limits whose message is cached: plans, and limits that descriptors bring.
+# The counter keeps a window of up to this length for as long as it is needed.
+_MAX_CUSTOM_WINDOW_S = 20.0
+# Burst in units, and rate in units per second, of a limit that grants nothing.
+_ZERO_LIMIT_UNITS = 1e-9
+# Relative tolerance within which a limit counts as an integer.
+_INTEGER_TOLERANCE = 1e-6
+# Cached limit messages, for plans and for limits in descriptors.
 _MAX_CACHED_LIMITS = 1024
 
 
 @functools.lru_cache(maxsize=_MAX_CACHED_LIMITS)
 def limit_message(plan: messages.Plan) -> Any:
-    """Return a plan's rate as requests per unit of time: the shortest in which it is nearly whole."""
+    """Return the rate of a plan per time unit: the shortest unit that makes it nearly an integer."""
     limit = RateLimit(name=plan.name)
     for unit, seconds in _RESPONSE_UNITS:
         requests = plan.rate * seconds
         if requests >= 1 and (
-            abs(requests - round(requests)) < _WHOLE_TOLERANCE * requests or unit == RateLimit.DAY
+            abs(requests - round(requests)) < _INTEGER_TOLERANCE * requests or unit == RateLimit.DAY
         ):
             limit.requests_per_unit = min(round(requests), MAX_HITS)
             limit.unit = unit
@@ -50,18 +50,18 @@
 
 
 def descriptor_unit_seconds(unit: int) -> int | None:
-    """Return the seconds of a unit of descriptors' own limits; None: it is not taken."""
+    """Return the seconds of a time unit of a limit in a descriptor; None if the unit is not supported."""
     return _DESCRIPTOR_UNITS_S.get(unit)
 
 
 def custom_limit_plan(plan: messages.Plan, hits: int, seconds: float) -> messages.Plan:
-    """Return a plan for a limit that a descriptor brings, of `hits` in so many seconds.
+    """Return a plan for a limit in a descriptor, of `hits` per `seconds`.
 
-    Where the unit is long what may come at once is less, so that its window is one that the counter knows to
-    its end. A limit of none is a plan into which nothing fits.
+    For a long time unit the burst is reduced, so that the counter keeps the window until it ends. A limit of
+    0 becomes a plan too small for any request.
     """
-    rate = hits / seconds if hits else _NO_UNITS
-    burst = max(1.0, min(hits, rate * _COUNTED_FOR_S)) if hits else _NO_UNITS
+    rate = hits / seconds if hits else _ZERO_LIMIT_UNITS
+    burst = max(1.0, min(hits, rate * _MAX_CUSTOM_WINDOW_S)) if hits else _ZERO_LIMIT_UNITS
     return replace(
         plan,
         rate=rate,
--- a/apigateway/frontends/grpc/methods.py
+++ b/apigateway/frontends/grpc/methods.py
@@ -1,4 +1,4 @@
-"""What a gRPC connection and the methods that it serves know of each other."""
+"""Interfaces between a gRPC connection and the methods that it serves."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 
 class OpenCall(Protocol):
-    """A call that was taken and has no status yet."""
+    """An accepted call that has no status yet."""
 
     def on_cancelled(self) -> None:
-        """Take in that nobody waits for a response any more."""
+        """Handle the cancellation of the call: no response is expected."""
 
 
 class UnaryResponder(Protocol):
-    """Where a unary call's response goes. One of the two is called, once."""
+    """Receives the response of a unary call. Exactly one of its methods is called, once."""
 
     def respond(self, message: bytes) -> None:
-        """Answer with a message."""
+        """Respond with a message and status OK."""
 
     def fail(self, status: int, text: str) -> None:
-        """Answer with a gRPC status other than OK."""
+        """Respond with a gRPC status other than OK."""
 
 
 class StreamResponder(Protocol):
-    """The server's side of a call that streams."""
+    """Sends the server's messages of a streaming call."""
 
     def send(self, message: bytes) -> None:
         """Send a message."""
@@ -34,16 +34,16 @@
 
 
 class StreamHandler(OpenCall, Protocol):
-    """What answers a call that streams."""
+    """Handles the client's messages of a streaming call."""
 
     def on_message(self, message: bytes) -> None:
-        """Take a message of the client."""
+        """Handle a message from the client."""
 
     def on_half_closed(self) -> None:
-        """Take in that the client will send no more messages."""
+        """Handle the end of the client's messages."""
 
 
-# A unary call: its message, its timeout in seconds if it has one, and where the response goes. Returns the
-# call, to be told if it is cancelled; None if it was answered at once.
+# Arguments: the message, the timeout in seconds if set, and the responder. Returns the call, which is
+# notified of a cancellation, or None if the call was answered at once.
 UnaryMethod = Callable[[bytes, float | None, UnaryResponder], OpenCall | None]
 StreamingMethod = Callable[[StreamResponder], StreamHandler]
--- a/apigateway/frontends/grpc/rate_limit_call.py
+++ b/apigateway/frontends/grpc/rate_limit_call.py
@@ -1,7 +1,7 @@
-"""One call of ShouldRateLimit: the checks of its descriptors, and their results as one response.
+"""One ShouldRateLimit call: runs the checks of its descriptors and combines their results in one response.
 
-Any descriptor over its limit makes the response OVER_LIMIT; then what the others were granted is given back,
-since the caller will not go on.
+If any descriptor is over its limit, the response is OVER_LIMIT and the units granted to the others are
+returned, because the caller will not proceed.
 """
 
 from __future__ import annotations
@@ -29,25 +29,25 @@
 from apigateway.frontends.grpc.tokens import QuotaTokens
 from apigateway.upstream.rpc import GrpcStatus
 
-# In the response's dynamic metadata: a token for each descriptor, empty where there is none.
+# Key in the dynamic metadata of a response: one token per descriptor, empty if it has none.
 TOKENS_METADATA_KEY = "tokens"
 TOKEN_HEADER = "x-calicomast-token"
 RETRY_AFTER_HEADER = "retry-after-ms"
 
 
 class CallCount(enum.StrEnum):
-    """What is counted of calls; the values are what operators are shown."""
+    """Names of call counts. The values are shown to operators."""
 
     ALLOWED = "ok"
     OVER_LIMIT = "over"
     UNDECIDED = "undecided"
     CANCELLED = "called off"
-    UNMAPPED = "nobody's"  # descriptors without an owner, not calls
+    UNMAPPED = "nobody's"  # counts descriptors without an owner, not calls
     INVALID = "not taken"
 
 
 class CallContext(Protocol):
-    """What a call needs of its service."""
+    """What a call needs from its service."""
 
     core: RequestDispatcher
     frontend: object
@@ -59,21 +59,21 @@
 
     @property
     def tokens(self) -> QuotaTokens | None:
-        """What gives tokens for what was granted."""
+        """Issues tokens for granted checks; None if tokens are off."""
 
 
 class RateLimitCall:
-    """A call that is answered by `responder`, once, unless it is cancelled before.
+    """A call that responds once through `responder`, unless it is cancelled before.
 
     Attributes:
-        checks: Of each descriptor, that of its plan last; empty for one without an owner.
+        checks: The checks of each descriptor, the check of its plan last; empty without an owner.
     """
 
     def __init__(self, context: CallContext, responder: UnaryResponder) -> None:
         self._context = context
         self._responder = responder
         self.checks: list[tuple[DescriptorCheck, ...]] = []
-        self._pending_count = 0  # checks without a result, and one while they are submitted
+        self._pending_count = 0  # checks without a result, plus one while checks are being submitted
         self.is_finished = False
 
     def start(self) -> None:
@@ -87,14 +87,14 @@
         self.on_check_decided()
 
     def on_check_decided(self) -> None:
-        """Answer if that was the last."""
+        """Respond once the last check has its result."""
         self._pending_count -= 1
         if not self._pending_count and not self.is_finished:
             self.is_finished = True
             self._respond()
 
     def on_cancelled(self) -> None:
-        """Cancel the checks without a result, and give back what was granted meanwhile: the caller left."""
+        """Cancel the pending checks and return the granted units: the caller has left."""
         if self.is_finished:
             return
         self.is_finished = True
@@ -121,7 +121,7 @@
             overall_code = OVER_LIMIT
             self._return_granted()
             context.counts[CallCount.OVER_LIMIT] += 1
-        elif UNKNOWN in codes:  # shed, out of time, no capacity: nobody can say
+        elif UNKNOWN in codes:  # a check was shed, timed out or found no capacity
             self._return_granted()
             context.counts[CallCount.UNDECIDED] += 1
             self._responder.fail(GrpcStatus.UNAVAILABLE, "not decided: too much at once, or no time left")
@@ -133,7 +133,7 @@
         for code, checks in zip(codes, self.checks, strict=True):
             status = response.statuses.add(code=code)
             if checks:
-                _describe(status, checks)
+                _fill_status(status, checks)
         if overall_code == OVER_LIMIT:
             self._add_retry_after(response)
         elif context.tokens is not None:
@@ -141,7 +141,7 @@
         self._responder.respond(response.SerializeToString())
 
     def _add_retry_after(self, response: pb.RateLimitResponse) -> None:
-        """Tell when all descriptors may have units again."""
+        """Add the time after which all descriptors may have units again."""
         waits = [
             check.result.retry_after
             for check in self._all_checks()
@@ -152,7 +152,7 @@
             response.response_headers_to_add.add(key=RETRY_AFTER_HEADER, value=str(milliseconds))
 
     def _add_tokens(self, response: pb.RateLimitResponse, tokens: QuotaTokens) -> None:
-        """Give a token for each descriptor whose rule wants one."""
+        """Add a token for each descriptor whose rule issues one."""
         issued = []
         for checks in self.checks:
             check = checks[-1].check if checks else None
@@ -165,8 +165,8 @@
             response.dynamic_metadata[TOKENS_METADATA_KEY] = issued
 
 
-def _describe(status: Any, checks: tuple[DescriptorCheck, ...]) -> None:
-    """Write the limit that leaves least, of those that a descriptor was checked by, into its status."""
+def _fill_status(status: Any, checks: tuple[DescriptorCheck, ...]) -> None:
+    """Fill in the status of a descriptor from the check with the fewest remaining hits."""
     tightest: DescriptorCheck | None = None
     least_hits = math.inf
     for check in checks:
--- a/apigateway/frontends/grpc/reflection.py
+++ b/apigateway/frontends/grpc/reflection.py
@@ -1,6 +1,7 @@
-"""Server reflection, v1 and v1alpha (grpc/reflection/v1/reflection.proto): tools ask a server what it speaks.
+"""gRPC server reflection, v1 and v1alpha (grpc/reflection/v1/reflection.proto).
 
-Both have the same messages on the wire; only the paths differ. Extensions are none of ours.
+Both versions have the same messages on the wire; only the paths differ. Requests for extensions are not
+supported.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 
 
 class ReflectionService:
-    """Tell of services and of the files that describe them, which are those of protobuf's pool.
+    """Describes services by the file descriptors in protobuf's default pool.
 
     Args:
-        services: Full names of the services, besides reflection itself.
+        services: The full names of the services, without the reflection services.
     """
 
     def __init__(self, services: Iterable[str]) -> None:
@@ -74,17 +75,17 @@
 
 
 class ReflectionCall:
-    """One call: a response to each message, and the end when the client has sent all."""
+    """One reflection call: it responds to each message and ends when the client has sent all of them."""
 
     def __init__(self, reflection: ReflectionService, responder: StreamResponder) -> None:
         self._reflection = reflection
         self._responder = responder
 
     def on_message(self, message: bytes) -> None:
-        """Answer a request."""
+        """Respond to a request."""
         try:
             request = pb.ServerReflectionRequest.FromString(message)
-        except Exception:  # protobuf's DecodeError, and what odd bytes make of it
+        except Exception:  # malformed bytes raise not only protobuf's DecodeError
             self._responder.end(GrpcStatus.INTERNAL, "the message cannot be read")
             return
         self._responder.send(self._reflection.answer(request).SerializeToString())
@@ -94,11 +95,11 @@
         self._responder.end(GrpcStatus.OK)
 
     def on_cancelled(self) -> None:
-        """Do nothing: nothing is pending."""
+        """Do nothing: a reflection call has no pending work."""
 
 
 def _v1_file() -> descriptor_pb2.FileDescriptorProto:
-    """Return the file of v1, which no package has: that of v1alpha by its own names."""
+    """Return the file descriptor of v1, derived from that of v1alpha, because no package provides it."""
     v1alpha = descriptor_pb2.FileDescriptorProto()
     pb.DESCRIPTOR.CopyToProto(v1alpha)
     text = text_format.MessageToString(v1alpha).replace(f".{V1ALPHA_PACKAGE}.", f".{V1_PACKAGE}.")
--- a/apigateway/frontends/grpc/server_session.py
+++ b/apigateway/frontends/grpc/server_session.py
@@ -1,9 +1,9 @@
-"""gRPC over HTTP/2 as a server speaks it, apart from I/O: bytes in, events out; responses in, bytes out.
+"""Server side of gRPC over HTTP/2, without I/O: bytes in, events out; responses in, bytes out.
 
-Frames, header compression and flow control are h2's. Here is what gRPC makes of them (`upstream/rpc.py`, its
-"gRPC over HTTP2" page): calls of one message and one response, and, for the given paths, streams of
-either side. Everything that a client may send without end is bounded: streams at once, headers, a message,
-partial messages together, what waits for a window that it does not open.
+h2 handles frames, header compression and flow control. This module adds the gRPC protocol (see
+`upstream/rpc.py` and the "gRPC over HTTP2" specification): unary calls and, for the given paths, streaming
+calls. Everything that a client could grow without limit is bounded: concurrent streams, headers, each
+message, all partial messages together, and responses that wait for a flow control window.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     RESPONSE_HEADERS,
     Headers,
     call_timeout,
-    http_error,
+    http_error_status,
     status_headers,
 )
 from apigateway.frontends.grpc.events import (
@@ -45,42 +45,44 @@
     frame_message,
 )
 
-# Streams of one connection at once.
+# Concurrent streams per connection.
 MAX_CONCURRENT_STREAMS = 128
-# Bytes of one message.
+# Size limit of one message.
 MAX_MESSAGE_BYTES = 256 * 1024
-# Bytes of messages of one connection that are not whole.
+# Limit for the partial messages of one connection together.
 MAX_PARTIAL_BYTES = 1024 * 1024
-# Bytes of one header list.
+# Size limit of one header list.
 MAX_HEADER_LIST_BYTES = 16 * 1024
-# Bytes of responses of one connection that wait for windows.
+# Limit for the responses of one connection that wait for flow control.
 MAX_UNSENT_BYTES = 1024 * 1024
 
 CLIENT_PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"  # RFC 9113, 3.4
 MAX_STREAM_ID = 2**31 - 1
-DRAIN_PING_DATA = b"the last"  # of the PING behind the first GOAWAY of a shutdown; eight bytes
+DRAIN_PING_DATA = b"the last"  # payload of the PING after the first GOAWAY of a shutdown; eight bytes
 
-_MESSAGE_PREFIX_BYTES = 5  # before a message: whether it is compressed, and its length
+_MESSAGE_PREFIX_BYTES = 5  # compression flag and length
 
 
 @dataclass(slots=True)
 class _IncomingCall:
-    """A call whose client has not ended its sending."""
+    """A call whose client has not half-closed the stream."""
 
     path: str
     timeout: float | None  # seconds
     messages: MessageBuffer
-    is_streaming: bool  # its messages are given out one by one
+    is_streaming: bool  # each message is reported as an event of its own
 
 
 class ServerSession:
-    """One connection. After each call of its methods `data_to_send` gives what is to be written.
+    """State of one connection.
+
+    Write the result of `data_to_send` to the socket after each call of another method.
 
     Attributes:
-        streaming_paths: Paths whose calls are streams.
-        partial_bytes: Of messages that are not whole.
-        must_close: Once `data_to_send` is written the connection is to be closed.
-        is_finished: It came to a good end, and its client is to close it.
+        streaming_paths: The paths of streaming methods.
+        partial_bytes: The bytes of partial messages.
+        must_close: Whether to close the connection after writing `data_to_send`.
+        is_finished: Whether the connection has ended gracefully, so that the client should close it.
     """
 
     def __init__(self, streaming_paths: Container[str] = ()) -> None:
@@ -91,40 +93,42 @@
         self._connection = _create_connection()
         self.responses = ResponseWriter(self._connection)
         self._goaway_filter = GoAwayFilter(CLIENT_PREFACE)
-        self.incoming: dict[int, _IncomingCall] = {}
-        self._open_calls: set[int] = set()  # given out, without a status
-        self._started_streams: set[int] = set()  # those of them whose response headers are sent
-        self._raw_frames: list[bytes] = []  # that h2 does not write
-        self._last_stream_id = 0  # the highest that was taken
-        self._is_draining = False  # no more calls are wanted
-        self._is_ending = False  # no more calls are taken
+        self.incoming_calls: dict[int, _IncomingCall] = {}
+        self._open_calls: set[int] = set()  # reported by an event, without a status yet
+        self._started_streams: set[int] = set()  # the open calls whose response headers are sent
+        self._raw_frames: list[bytes] = []  # frames that h2 cannot create
+        self._last_stream_id = 0  # the highest accepted one
+        self._is_draining = False  # the client was asked to open no more calls
+        self._rejects_new_calls = False  # new calls are rejected
 
     def data_to_send(self) -> bytes:
-        """Return the bytes to write, and forget them."""
+        """Return the bytes to write and clear them."""
         data = self._connection.data_to_send()
         if self._raw_frames:
             data += b"".join(self._raw_frames)
             self._raw_frames = []
-        if self._is_ending and self.is_idle:
+        if self._rejects_new_calls and self.is_idle:
             self.is_finished = True
         return data
 
     @property
     def is_idle(self) -> bool:
         """Whether no call is open."""
-        return not (self.incoming or self._open_calls or self.responses.pending)
+        return not (self.incoming_calls or self._open_calls or self.responses.pending)
 
-    # What comes in
+    # Receiving
 
     def receive(self, data: bytes) -> list[SessionEvent]:
-        """Take received bytes and return what they say."""
+        """Parse received bytes and return their events."""
         events: list[SessionEvent] = []
         data, last_stream_id = self._goaway_filter.feed(data)
-        if last_stream_id is not None:  # the client opens no more streams; what it asked it waits for
-            self._is_ending = True
+        if (
+            last_stream_id is not None
+        ):  # the client opens no more streams, but expects responses to its open calls
+            self._rejects_new_calls = True
         try:
             h2_events = self._connection.receive_data(data) if data else []
-        except (h2.exceptions.ProtocolError, ValueError, IndexError):  # lost: h2 has written the GOAWAY
+        except (h2.exceptions.ProtocolError, ValueError, IndexError):  # h2 has already queued the GOAWAY
             self.must_close = True
             return self.on_connection_lost()
         for event in h2_events:
@@ -132,9 +136,9 @@
         return events
 
     def on_connection_lost(self) -> list[SessionEvent]:
-        """Forget all calls and return their cancellations: the connection is gone."""
+        """Remove all calls and return their cancellations."""
         cancelled: list[SessionEvent] = [CallCancelled(stream_id) for stream_id in sorted(self._open_calls)]
-        self.incoming.clear()
+        self.incoming_calls.clear()
         self._open_calls.clear()
         self._started_streams.clear()
         self.responses.clear()
@@ -161,14 +165,14 @@
                 self._on_drain_acknowledged()
 
     def _on_request(self, event: h2.events.RequestReceived, events: list[SessionEvent]) -> None:
-        """Take a call's headers."""
+        """Handle the headers of a call."""
         stream_id = event.stream_id or 0
         headers = dict(event.headers or ())
-        if self._is_ending and stream_id > self._last_stream_id:
+        if self._rejects_new_calls and stream_id > self._last_stream_id:
             self._reset_stream(stream_id, h2.errors.ErrorCodes.REFUSED_STREAM)
             return
         self._last_stream_id = max(self._last_stream_id, stream_id)
-        http_status = http_error(headers)
+        http_status = http_error_status(headers)
         if http_status is not None:
             with suppress(*CLOSED_STREAM_ERRORS):
                 self._connection.send_headers(stream_id, [(b":status", http_status)], end_stream=True)
@@ -177,12 +181,12 @@
         try:
             timeout = call_timeout(headers)
         except RpcError as error:
-            self._send_status_alone(stream_id, error.status, str(error))
+            self._send_trailers_only(stream_id, error.status, str(error))
             self._stop_reading(stream_id)
             return
         path = headers.get(b":path", b"").decode("ascii", "replace")
         is_streaming = path in self.streaming_paths
-        self.incoming[stream_id] = _IncomingCall(
+        self.incoming_calls[stream_id] = _IncomingCall(
             path, timeout, MessageBuffer(MAX_MESSAGE_BYTES), is_streaming
         )
         if is_streaming:
@@ -190,12 +194,12 @@
             events.append(StreamOpened(stream_id, path))
 
     def _on_data(self, event: h2.events.DataReceived, events: list[SessionEvent]) -> None:
-        """Take a part of a call's messages."""
+        """Handle received data of a call."""
         stream_id = event.stream_id or 0
         length = event.flow_controlled_length or 0
         if length:
             self._connection.acknowledge_received_data(length, stream_id)
-        call = self.incoming.get(stream_id)
+        call = self.incoming_calls.get(stream_id)
         if call is None:
             return
         is_ended = event.stream_ended is not None
@@ -214,15 +218,15 @@
                 )
         except RpcError as error:
             self._forget_incoming(stream_id)
-            if stream_id in self._open_calls:  # it streams: whoever answers it is notified of the end
+            if stream_id in self._open_calls:  # a streaming call: notify its handler
                 self._open_calls.discard(stream_id)
                 events.append(CallCancelled(stream_id))
-            self._send_status_alone(stream_id, error.status, str(error))
+            self._send_trailers_only(stream_id, error.status, str(error))
             if not is_ended:
                 self._stop_reading(stream_id)
 
     def _on_half_closed(self, stream_id: int | None, events: list[SessionEvent]) -> None:
-        """Give a unary call out: its client has sent all."""
+        """Handle the half-close of a stream: report a unary call or the end of a client stream."""
         stream_id = stream_id or 0
         call = self._forget_incoming(stream_id)
         if call is None:
@@ -234,13 +238,13 @@
         try:
             message = call.messages.single_message()
         except RpcError as error:
-            self._send_status_alone(stream_id, error.status, str(error))
+            self._send_trailers_only(stream_id, error.status, str(error))
             return
         self._open_calls.add(stream_id)
         events.append(UnaryCall(stream_id, call.path, message, call.timeout))
 
     def _on_reset(self, stream_id: int | None, events: list[SessionEvent]) -> None:
-        """Forget a call that its client cancelled."""
+        """Handle a call that the client cancelled."""
         stream_id = stream_id or 0
         self._forget_incoming(stream_id)
         self.responses.discard(stream_id)
@@ -250,18 +254,18 @@
             events.append(CallCancelled(stream_id))
 
     def _forget_incoming(self, stream_id: int) -> _IncomingCall | None:
-        """Read no more of a call's messages; return what there was of it."""
-        call = self.incoming.pop(stream_id, None)
+        """Stop reading messages of a call and return it; None if it was fully read."""
+        call = self.incoming_calls.pop(stream_id, None)
         if call is not None:
             self.partial_bytes -= len(call.messages.data)
         return call
 
-    # What goes out
+    # Sending
 
     def send_response(
         self, stream_id: int, message: bytes, headers: Iterable[tuple[bytes, bytes]] = ()
     ) -> None:
-        """Answer a unary call. One that was cancelled since gets nothing."""
+        """Respond to a unary call, unless it was cancelled."""
         if stream_id not in self._open_calls:
             return
         self._open_calls.discard(stream_id)
@@ -269,7 +273,7 @@
         self._write(stream_id, frame_message(message), OK_TRAILERS)
 
     def send_message(self, stream_id: int, message: bytes) -> None:
-        """Send one message of a stream."""
+        """Send one message of a streaming call."""
         if stream_id not in self._open_calls:
             return
         if stream_id not in self._started_streams:
@@ -278,7 +282,7 @@
         self._write(stream_id, frame_message(message), None)
 
     def send_status(self, stream_id: int, status: int, text: str) -> None:
-        """End a call or a stream with a gRPC status; OK ends a stream well."""
+        """End a unary or streaming call with a gRPC status."""
         if stream_id not in self._open_calls:
             return
         self._open_calls.discard(stream_id)
@@ -287,56 +291,59 @@
             self._started_streams.discard(stream_id)
             self._write(stream_id, b"", status_headers(status, text))
         else:
-            self._send_status_alone(stream_id, status, text)
+            self._send_trailers_only(stream_id, status, text)
         if has_unread_messages and stream_id not in self.responses.pending:
             self._stop_reading(stream_id)
 
-    def _send_status_alone(self, stream_id: int, status: int, text: str) -> None:
-        """Answer with a status and no message."""
-        with suppress(*CLOSED_STREAM_ERRORS):  # cancelled in what was read with it
+    def _send_trailers_only(self, stream_id: int, status: int, text: str) -> None:
+        """Send a Trailers-Only response: a status without a message."""
+        with suppress(*CLOSED_STREAM_ERRORS):  # the client cancelled the call in the same bytes
             self._connection.send_headers(
                 stream_id, [*RESPONSE_HEADERS, *status_headers(status, text)], end_stream=True
             )
 
     def _stop_reading(self, stream_id: int) -> None:
-        """Ask for no more of a call (RFC 9113, 8.1: a whole response, then NO_ERROR)."""
+        """Make the client stop sending a request (RFC 9113, 8.1: a full response, then NO_ERROR)."""
         self._reset_stream(stream_id, h2.errors.ErrorCodes.NO_ERROR)
 
     def _reset_stream(self, stream_id: int, code: h2.errors.ErrorCodes) -> None:
-        with suppress(*CLOSED_STREAM_ERRORS):  # all of it has come already, or its reset
+        with suppress(*CLOSED_STREAM_ERRORS):  # fully received or reset already
             self._connection.reset_stream(stream_id, code)
 
     def _write(self, stream_id: int, data: bytes, trailers: Headers | None) -> None:
         self.responses.write(stream_id, data, trailers)
-        if self.responses.unsent_bytes > MAX_UNSENT_BYTES:  # the client opens no window and asks on
+        if (
+            self.responses.unsent_bytes > MAX_UNSENT_BYTES
+        ):  # the client opens no window but keeps sending calls
             self._connection.close_connection(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
             self.must_close = True
 
     # Shutdown
 
     def start_draining(self) -> None:
-        """Take no new calls; once those that were taken are answered, it is finished.
+        """Start a graceful shutdown; the session is finished once all accepted calls are answered.
 
-        In two steps (RFC 9113, 6.8): the client is told to open no more, and what it had opened before it
-        read that is taken; its answer to a PING behind it says that nothing more can come. h2 itself knows
-        only an end at once.
+        Follows the two steps of RFC 9113, 6.8. The first GOAWAY asks the client to open no more streams;
+        streams opened before the client reads it are still accepted. The acknowledgement of the PING sent
+        after it shows that no more can arrive, and a second GOAWAY follows. h2 itself supports only an
+        immediate shutdown.
         """
-        if not (self._is_draining or self._is_ending):
+        if not (self._is_draining or self._rejects_new_calls):
             self._is_draining = True
             self._raw_frames.append(GoAwayFrame(0, last_stream_id=MAX_STREAM_ID, error_code=0).serialize())
             self._raw_frames.append(PingFrame(0, opaque_data=DRAIN_PING_DATA).serialize())
 
     def _on_drain_acknowledged(self) -> None:
-        """Tell the client the last stream that was taken."""
-        if self._is_draining and not self._is_ending:
-            self._is_ending = True
+        """Send the final GOAWAY with the last accepted stream."""
+        if self._is_draining and not self._rejects_new_calls:
+            self._rejects_new_calls = True
             goaway = GoAwayFrame(0, last_stream_id=self._last_stream_id, error_code=0)
             self._raw_frames.append(goaway.serialize())
 
 
 def _create_connection() -> h2.connection.H2Connection:
-    """Return h2's side of a connection, with our limits announced to the client."""
-    # What a client may not say in headers h2 still checks; ours are written here.
+    """Return an h2 connection that announces the limits of this module to the client."""
+    # h2 still validates inbound headers; outbound headers come from this package and need no validation.
     config = h2.config.H2Configuration(
         client_side=False,
         header_encoding=None,
--- a/apigateway/frontends/grpc/service.py
+++ b/apigateway/frontends/grpc/service.py
@@ -1,7 +1,7 @@
-"""ShouldRateLimit: descriptors to quota checks (envoy/service/ratelimit/v3/rls.proto).
+"""The ShouldRateLimit method: turns descriptors into quota checks (envoy/service/ratelimit/v3/rls.proto).
 
-Knows messages and the core, no socket. A descriptor that brings a limit of its own is two checks where
-settings allow it: one of that limit, one of the customer's plan.
+Independent of the transport. If the settings allow it, a descriptor with a limit of its own results in two
+checks: one of that limit and one of the customer's plan.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSettings:
-    """How calls are answered.
+    """Settings of the rate limit service.
 
     Attributes:
-        mapping: Whose quota a descriptor counts against.
-        max_timeout: Seconds that a call has at most, and has if it names no time.
-        unmapped: The answer for a descriptor without an owner; "error" fails the whole call.
-        override: What becomes of a limit that a descriptor brings: it is ignored, it tightens, or the call is
-            refused.
-        max_descriptors: Of one call.
-        tokens: What gives tokens for what was granted; None: none are given.
+        mapping: Maps descriptors to the customers whose quotas they use.
+        max_timeout: The maximum timeout of a call in seconds, also used for calls without a timeout.
+        unmapped: The code for a descriptor without an owner; "error" fails the whole call.
+        override: How a limit in a descriptor is handled: it is ignored, enforced in addition to the plan
+            ("tighten"), or the call is refused.
+        max_descriptors: The maximum number of descriptors per call.
+        tokens: Issues tokens for granted checks; None if tokens are off.
     """
 
     mapping: DescriptorMapping
@@ -51,16 +51,16 @@
 
 
 class RateLimitService:
-    """The service. Its `settings` may be replaced while it serves."""
+    """Implements the rate limit service. Its `settings` may be replaced at any time."""
 
     def __init__(self, core: RequestDispatcher, frontend: object, settings: ServiceSettings) -> None:
         self.core = core
         self.frontend = frontend
         self.settings = settings
-        self.counts: Counter[str] = Counter()  # of CallCount
+        self.counts: Counter[str] = Counter()  # by CallCount
         self._ids = _numbered_ids(f"check-{time.monotonic_ns():x}-")
 
-    # What a call needs (rate_limit_call.CallContext)
+    # rate_limit_call.CallContext
 
     @property
     def unmapped_code(self) -> Code:
@@ -69,7 +69,7 @@
 
     @property
     def tokens(self) -> QuotaTokens | None:
-        """What gives tokens for what was granted."""
+        """Issues tokens for granted checks; None if tokens are off."""
         return self.settings.tokens
 
     # The method
@@ -77,7 +77,7 @@
     def should_rate_limit(
         self, message: bytes, timeout: float | None, responder: UnaryResponder
     ) -> RateLimitCall | None:
-        """Start a call (`methods.UnaryMethod`); None: it was answered at once."""
+        """Start a call (a `methods.UnaryMethod`); return None if it was answered at once."""
         try:
             call = self._create_call(message, timeout, responder)
         except RpcError as error:
@@ -88,7 +88,7 @@
         return None if call.is_finished else call
 
     def _create_call(self, message: bytes, timeout: float | None, responder: UnaryResponder) -> RateLimitCall:
-        """Return a call with its checks, not started yet. Raises RpcError."""
+        """Create a call with its checks, without starting it. Raises RpcError."""
         settings = self.settings
         request = self._read_request(message)
         call = RateLimitCall(self, responder)
@@ -107,10 +107,10 @@
         return call
 
     def _read_request(self, message: bytes) -> pb.RateLimitRequest:
-        """Parse a message and check what it says as a whole. Raises RpcError."""
+        """Parse and validate a request message. Raises RpcError."""
         try:
             request = pb.RateLimitRequest.FromString(message)
-        except Exception as error:  # protobuf's DecodeError, and what odd bytes make of it
+        except Exception as error:  # malformed bytes raise not only protobuf's DecodeError
             raise RpcError(GrpcStatus.INTERNAL, "the message cannot be read") from error
         count = len(request.descriptors)
         max_descriptors = self.settings.max_descriptors
@@ -128,9 +128,9 @@
         request: pb.RateLimitRequest,
         descriptor: Any,
     ) -> tuple[DescriptorCheck, ...]:
-        """Return a descriptor's checks, that of its own limit first. Raises RpcError."""
+        """Return the checks of a descriptor, the check of its own limit first. Raises RpcError."""
         self._check_gateway(owner)
-        # A request that sets none counts one; a descriptor of its own may say 0, which spends nothing.
+        # A request without hits counts as 1. A descriptor may set 0 hits, which spends nothing.
         has_own_hits = descriptor.HasField("hits_addend")
         hits = descriptor.hits_addend.value if has_own_hits else request.hits_addend or 1
         plan_check = self._create_plan_check(call, owner, remaining, hits)
@@ -147,7 +147,7 @@
         return (self._create_limit_check(call, owner, remaining, hits, max_hits, seconds), plan_check)
 
     def _check_gateway(self, owner: QuotaOwner) -> None:
-        """Check that this gateway has a part of a customer's quota and ceiling to spend. Raises RpcError."""
+        """Check that this gateway has a share of a customer's quota and ceiling. Raises RpcError."""
         settings = self.core.settings
         distance = (settings.gateway_index - owner.first_gateway) % settings.gateway_count
         if distance >= owner.gateway_spread:
@@ -160,10 +160,10 @@
     def _create_plan_check(
         self, call: RateLimitCall, owner: QuotaOwner, remaining: float, hits: int
     ) -> DescriptorCheck:
-        """Return the check of the customer's plan."""
+        """Create the check of the customer's plan."""
         is_reservation = owner.issues_token and self.settings.tokens is not None
-        kind = messages.QuotaReservation if is_reservation else messages.QuotaCheck
-        check = kind(
+        check_type = messages.QuotaReservation if is_reservation else messages.QuotaCheck
+        check = check_type(
             next(self._ids),
             remaining,
             owner.customer,
@@ -178,9 +178,9 @@
     def _create_limit_check(
         self, call: RateLimitCall, owner: QuotaOwner, remaining: float, hits: int, max_hits: int, seconds: int
     ) -> DescriptorCheck:
-        """Return the check of a limit that the descriptor brings: a quota of its own, by the same leases.
+        """Create the check of a limit in the descriptor: a separate quota, also held by leases.
 
-        It counts hits, whatever they are worth.
+        It counts hits, without weighting them by `units_per_hit`.
         """
         plan = custom_limit_plan(self.core.settings.plans[owner.plan], max_hits, seconds)
         check = messages.CustomLimitCheck(
--- a/apigateway/frontends/grpc/settings.py
+++ b/apigateway/frontends/grpc/settings.py
@@ -1,6 +1,6 @@
-"""The tables of the rate limit service in a settings file.
+"""Schemas of the rate limit service's tables in a settings file.
 
-Only their shapes: nothing of gRPC is loaded here.
+Does not import gRPC code.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RuleSection(ConfigSection, frozen=True, kw_only=True):
-    """`[[ratelimit.rules]]`: whose quota a descriptor counts against (mapping.py)."""
+    """Schema of `[[ratelimit.rules]]`: maps descriptors to customers (mapping.py)."""
 
     domain: Text
     entries: Annotated[list[str], msgspec.Meta(min_length=1, max_length=16)]
@@ -25,13 +25,13 @@
     cls: str = msgspec.field(name="class")
     units: Annotated[float, msgspec.Meta(gt=0, le=1e6)] = 1.0
     first: Annotated[int, msgspec.Meta(ge=0)] = 0
-    spread: Annotated[int, msgspec.Meta(ge=0)] = 0  # 0: all gateways
+    spread: Annotated[int, msgspec.Meta(ge=0)] = 0  # 0 means all gateways
     named: bool = False
     token: bool = False
 
 
 class ServerTlsSection(ConfigSection, frozen=True, kw_only=True):
-    """`[ratelimit.tls]`: files of a certificate, its key and the authority of clients' certificates."""
+    """Schema of `[ratelimit.tls]`: the certificate, its key and the CA of client certificates."""
 
     cert: str = ""
     key: str = ""
@@ -39,7 +39,7 @@
 
 
 class RateLimitSection(ConfigSection, frozen=True, kw_only=True):
-    """`[ratelimit]`: the rate limit service, and tokens of its checks."""
+    """Schema of `[ratelimit]`: the rate limit service and the tokens of its checks."""
 
     patience: Seconds = 1.0
     unmapped: Literal["ok", "over", "error"] = "ok"
--- a/apigateway/frontends/grpc/tokens.py
+++ b/apigateway/frontends/grpc/tokens.py
@@ -1,8 +1,9 @@
-"""Tokens of quota checks: a client that asked first sends its request with one, and is not counted twice.
+"""Tokens of quota checks. A client sends a token with the request that it checked before, so that the request
+is not counted twice.
 
-Pure: keys, times and random bytes are given. A token says nothing that it could be taken apart for; what it
-is good for goes into its authentication code (HMAC-SHA256, RFC 2104, cut to 16 bytes) and has to be told
-again with it.
+Without I/O: keys, times and random bytes are passed in. A token does not contain its purpose. The purpose is
+authenticated by the token's MAC (HMAC-SHA256, RFC 2104, truncated to 16 bytes) and is taken from the request
+when the token is verified.
 """
 
 from __future__ import annotations
@@ -20,20 +21,20 @@
 
 from apigateway import messages
 
-# Bytes that make a token one of its own.
+# Random bytes that make a token unique.
 NONCE_BYTES = 8
-# Bytes that a key has at least.
+# Minimum length of a key.
 MIN_KEY_BYTES = 16
 
-# Key id, gateway that issued it, ms of Unix time until which it holds, nonce.
-_HEAD = struct.Struct(">BIQ8s")
-_CODE_BYTES = 16
-_TOKEN_BYTES = _HEAD.size + _CODE_BYTES
-_LENGTH = struct.Struct(">I")  # before each part of a purpose
+# Key id, index of the issuing gateway, expiry in ms of Unix time, nonce.
+_HEADER = struct.Struct(">BIQ8s")
+_MAC_BYTES = 16
+_TOKEN_BYTES = _HEADER.size + _MAC_BYTES
+_LENGTH = struct.Struct(">I")  # length prefix of each part of a purpose
 
 
 class TokenPurpose(NamedTuple):
-    """What a token was issued for, and for nothing else."""
+    """The only request that a token is valid for."""
 
     customer: str
     plan: str
@@ -42,28 +43,28 @@
 
     @classmethod
     def of(cls, request: messages.Request) -> TokenPurpose:
-        """Return what a token has to be for so that it stands for a request's units."""
+        """Return the purpose that a token must have to pay for a request."""
         return cls(request.customer, request.plan, request.service_class, request.units)
 
 
 class Token(NamedTuple):
-    """A token that was verified."""
+    """A verified token."""
 
     key_id: int
-    gateway_index: int  # of the gateway that issued it
+    gateway_index: int  # of the issuing gateway
     expires_at: float  # seconds of Unix time
     nonce: bytes
 
 
 class KeyRotation(NamedTuple):
-    """What a reload of keys changed."""
+    """The effect of replacing the keys."""
 
     is_signing_key_new: bool
-    are_old_tokens_valid: bool  # those that were signed by the old signing key
+    are_old_tokens_valid: bool  # tokens signed by the old signing key
 
 
 class TokenCount(enum.StrEnum):
-    """What is counted of tokens; the values are what operators are shown."""
+    """Names of token counts. The values are shown to operators."""
 
     ISSUED = "given"
     REDEEMED = "taken"
@@ -73,60 +74,60 @@
 
 
 class TokenKeys:
-    """Keys of tokens: the first signs, all verify.
+    """The token keys: the first one signs, all of them verify.
 
-    A key is known by a number made of itself, so that rotating keys needs no other word.
+    The id of a key is derived from the key, so that key rotation needs no configured ids.
 
     Raises:
-        ValueError: There is no key, one is short, or two have the same number.
+        ValueError: There is no key, a key is too short, or two keys have the same id.
     """
 
     def __init__(self, keys: Sequence[bytes]) -> None:
         self.keys_by_id: dict[int, bytes] = {}
         for key in keys:
             if len(key) < MIN_KEY_BYTES:
-                raise ValueError(f"a key of at least {MIN_KEY_BYTES} bytes is needed")
+                raise ValueError(f"a token key must have at least {MIN_KEY_BYTES} bytes")
             key_id = hashlib.sha256(b"number" + key).digest()[0]
             if key_id in self.keys_by_id:
-                raise ValueError("two keys look alike: choose another")
+                raise ValueError("two token keys have the same key id: replace one of them")
             self.keys_by_id[key_id] = key
         if not self.keys_by_id:
-            raise ValueError("no key")
+            raise ValueError("no token key")
         self.signing_key_id = next(iter(self.keys_by_id))
 
     def sign(self, purpose: TokenPurpose, gateway_index: int, expires_at: float, nonce: bytes) -> str:
-        """Return a token.
+        """Create a token.
 
         Args:
-            purpose: What it is good for.
-            gateway_index: Of the gateway that issues it.
-            expires_at: Seconds of Unix time.
+            purpose: The request that the token is valid for.
+            gateway_index: The index of the issuing gateway.
+            expires_at: The expiry in seconds of Unix time.
             nonce: NONCE_BYTES random bytes.
         """
-        head = _HEAD.pack(self.signing_key_id, gateway_index, int(expires_at * 1000), nonce)
-        code = _authentication_code(self.keys_by_id[self.signing_key_id], head, purpose)
-        return _encode(head + code)
+        header = _HEADER.pack(self.signing_key_id, gateway_index, int(expires_at * 1000), nonce)
+        mac = _compute_mac(self.keys_by_id[self.signing_key_id], header, purpose)
+        return _encode(header + mac)
 
     def verify(self, text: str, purpose: TokenPurpose) -> Token | None:
-        """Read a token; None: it is altered, of another key, or for something else."""
+        """Verify a token; return None if it is malformed, altered, of an unknown key or another purpose."""
         try:
             data = base64.urlsafe_b64decode(text + "=" * (-len(text) % 4))
         except (binascii.Error, ValueError):
             return None
-        # The same bytes have several spellings in base64; one is a token.
+        # Several base64 texts decode to the same bytes; only the canonical one is accepted.
         if len(data) != _TOKEN_BYTES or _encode(data) != text:
             return None
-        key_id, gateway_index, expires_at_ms, nonce = _HEAD.unpack_from(data)
+        key_id, gateway_index, expires_at_ms, nonce = _HEADER.unpack_from(data)
         key = self.keys_by_id.get(key_id)
         if key is None:
             return None
-        code = _authentication_code(key, data[: _HEAD.size], purpose)
-        if not hmac.compare_digest(code, data[_HEAD.size :]):
+        mac = _compute_mac(key, data[: _HEADER.size], purpose)
+        if not hmac.compare_digest(mac, data[_HEADER.size :]):
             return None
         return Token(key_id, gateway_index, expires_at_ms / 1000, nonce)
 
     def compare(self, new: TokenKeys) -> KeyRotation:
-        """Return what it changes to go on with `new`."""
+        """Return the effect of replacing these keys with `new`."""
         return KeyRotation(
             is_signing_key_new=self.signing_key_id != new.signing_key_id,
             are_old_tokens_valid=self.signing_key_id in new.keys_by_id,
@@ -134,15 +135,17 @@
 
 
 class RedeemedTokens:
-    """Which tokens were redeemed here, until they hold no more.
+    """Remembers the tokens redeemed at this gateway until they expire.
 
-    A token is redeemed by the gateways that its issuer cannot be told from: once by each, so a second use
-    costs its units at most `group_size` - 1 times, and none elsewhere.
+    A token is valid at all gateways of the issuer's group, whose members clients cannot tell apart, and each
+    of them redeems it once. Its units can therefore be used at most `group_size` - 1 additional times, and
+    never outside the group.
 
     Args:
-        gateway_index: This gateway.
-        group_size: How many gateways clients cannot tell from it, with itself.
-        max_tokens: Remembered at once: past it none is redeemed, and its request is counted as one without.
+        gateway_index: The index of this gateway.
+        group_size: The number of gateways in the group, including this one.
+        max_tokens: The maximum number of remembered tokens. Beyond it no token is redeemed, and requests are
+            counted as if they had none.
     """
 
     def __init__(self, gateway_index: int, group_size: int, max_tokens: int) -> None:
@@ -153,7 +156,7 @@
         self.expiries: list[tuple[float, bytes]] = []  # a heap: seconds of Unix time, nonce
 
     def redeem(self, token: Token, now: float) -> bool:
-        """Tell whether a token stands for units that are spent already. `now` in seconds of Unix time."""
+        """Redeem a token; return False if it is expired, used or of another group. `now` is in Unix time."""
         while self.expiries and self.expiries[0][0] < now:
             self.nonces.discard(heapq.heappop(self.expiries)[1])
         is_of_this_group = token.gateway_index // self._group_size == self.gateway_index // self._group_size
@@ -166,7 +169,7 @@
         return True
 
     def restore(self, token: Token) -> None:
-        """Let a token be redeemed again: its request was rejected and never sent."""
+        """Make a token redeemable again: its request was rejected and never sent to a host."""
         self.nonces.discard(token.nonce)
 
 
@@ -174,11 +177,11 @@
     """Issue and redeem tokens, for the frontends of one gateway.
 
     Args:
-        keys: Replaced on a rotation.
-        redeemed: What was redeemed here.
-        lifetime: Seconds that a token holds.
-        clock: Seconds of Unix time.
-        random_bytes: Gives so many.
+        keys: The current keys; replaced on rotation.
+        redeemed: The tokens redeemed at this gateway.
+        lifetime: How long a token is valid, in seconds.
+        clock: Returns seconds of Unix time.
+        random_bytes: Returns the given number of random bytes.
     """
 
     def __init__(
@@ -192,19 +195,19 @@
         self.keys = keys
         self.redeemed = redeemed
         self.lifetime = lifetime
-        self.counts: Counter[str] = Counter()  # of TokenCount
+        self.counts: Counter[str] = Counter()  # by TokenCount
         self._clock = clock
         self._random_bytes = random_bytes
 
     def issue(self, check: messages.QuotaCheck) -> str:
-        """Return a new token for the units of a check that was granted."""
+        """Issue a token for the units of a granted check."""
         self.counts[TokenCount.ISSUED] += 1
         expires_at = self._clock() + self.lifetime
         nonce = self._random_bytes(NONCE_BYTES)
         return self.keys.sign(TokenPurpose.of(check), self.redeemed.gateway_index, expires_at, nonce)
 
     def redeem(self, text: str, request: messages.Request) -> Token | None:
-        """Redeem a request's token; None: it stands for nothing, and its request counts as any."""
+        """Redeem the token of a request; return None if it is not redeemable and the request must pay."""
         token = self.keys.verify(text, TokenPurpose.of(request))
         if token is None:
             self.counts[TokenCount.UNKNOWN] += 1
@@ -216,7 +219,7 @@
         return token
 
     def restore(self, token: Token) -> None:
-        """Let a token be redeemed again: its request was rejected and never sent."""
+        """Make a token redeemable again: its request was rejected and never sent to a host."""
         self.counts[TokenCount.RESTORED] += 1
         self.redeemed.restore(token)
 
@@ -225,8 +228,8 @@
     return base64.urlsafe_b64encode(data).decode().rstrip("=")
 
 
-def _authentication_code(key: bytes, head: bytes, purpose: TokenPurpose) -> bytes:
+def _compute_mac(key: bytes, header: bytes, purpose: TokenPurpose) -> bytes:
     parts = (purpose.customer, purpose.plan, purpose.service_class, repr(float(purpose.units)))
-    # Lengths go in too, so that no two purposes are the same bytes.
+    # The length prefixes make the encoding of a purpose unambiguous.
     message = b"".join(_LENGTH.pack(len(part.encode())) + part.encode() for part in parts)
-    return hmac.digest(key, head + message, "sha256")[:_CODE_BYTES]
+    return hmac.digest(key, header + message, "sha256")[:_MAC_BYTES]
--- a/apigateway/frontends/resp/__init__.py
+++ b/apigateway/frontends/resp/__init__.py
@@ -1,1 +1,1 @@
-"""RESP2, as the platform's clients speak it."""
+"""The RESP2 frontend for the platform's client protocol."""
--- a/apigateway/frontends/resp/client_connection.py
+++ b/apigateway/frontends/resp/client_connection.py
@@ -1,8 +1,8 @@
-"""One RESP2 client's connection: commands in, responses out in the order of the commands.
+"""One RESP2 client connection: it reads commands and writes responses in the order of the commands.
 
-A connection is busy (commands are pending), idle (none is, perhaps part of one has come) or closing (its
-last byte is written or being written). `server.py` limits how many there are and how long they stay idle or
-closing.
+A connection is busy (it has pending commands), idle (it has none, but may have received part of one) or
+closing (its last byte is written or being written). `server.py` limits the number of connections and how
+long they stay idle or closing.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
     from apigateway.core.admission import AdmissionController
     from apigateway.frontends.grpc.tokens import Token
 
-# Commands of one connection without a response; past that it is not read.
+# Commands of one connection without a response. At this limit the connection is not read.
 MAX_PENDING_COMMANDS = 512
-# Bytes read and dropped behind lost framing, so that the close is no reset; a client that sends more would
-# take CPU for nothing.
+# Bytes that are read and dropped after a framing error, because closing with unread input resets the
+# connection. A client that sends more wastes CPU and is aborted.
 MAX_DROPPED_BYTES = 256 * 1024
 
 FAILED_RESPONSE = b"-ERR failed\r\n"
@@ -34,126 +34,126 @@
 
 
 class CommandHandler(Protocol):
-    """What commands are handed to."""
+    """Handles the commands of connections."""
 
     def on_command(self, slot: ResponseSlot, command: object) -> None:
-        """Take a command, whose response is to go to `slot`."""
+        """Handle a command and send its response to `slot`."""
 
     def on_client_disconnected(self, slot: ResponseSlot) -> None:
-        """Take in that nobody waits for a response any more."""
+        """Handle a client that disconnected before its response."""
 
     def restore_token(self, slot: ResponseSlot) -> None:
-        """Give a rejected request's token back."""
+        """Make the token of a rejected request redeemable again."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its server."""
+    """What a connection needs from its server."""
 
     handler: CommandHandler
     admission: AdmissionController | None
     idle_since: dict[ClientConnection, float]
 
     def on_connected(self, connection: ClientConnection) -> None:
-        """Take in a new connection."""
+        """Register a new connection."""
 
     def on_disconnected(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
 
     def on_idle(self, connection: ClientConnection) -> None:
-        """Take in that a connection has no pending command."""
+        """Record that a connection has no pending command."""
 
     def on_closing(self, connection: ClientConnection) -> None:
-        """Take in that a connection's last byte is written or being written."""
+        """Record that a connection has written its last byte or is writing it."""
 
     def on_write_blocked(self, connection: ClientConnection) -> None:
-        """Take in that the client does not take what is written."""
+        """Record that the write buffer is full because the client does not read."""
 
     def on_write_resumed(self, connection: ClientConnection) -> None:
-        """Take in that the client takes it again."""
+        """Record that the client reads again."""
 
     def on_read_paused(self, connection: ClientConnection) -> None:
-        """Take in that a connection is not read, so that its end has to be looked for."""
+        """Record that a connection is not read, so that a disconnect must be polled for."""
 
-    def hold_partial_bytes(self, connection: ClientConnection, size: int) -> bool:
-        """Count the bytes of a connection's partial command; False if all together are too many."""
+    def update_partial_bytes(self, connection: ClientConnection, size: int) -> bool:
+        """Update the total of partial command bytes; return False if it exceeds the limit."""
 
     def may_defer(self, connection: ClientConnection) -> bool:
-        """Tell whether there is memory for commands that were read to wait."""
+        """Return whether there is memory to defer received commands."""
 
 
 class ResponseSlot:
-    """The place of one command's response among those of its connection: the core's `ResponseSink`."""
+    """Holds the response of one command until its turn to be written; a `ResponseSink` of the core."""
 
     __slots__ = ("connection", "response", "token", "redeemed_token")
 
     def __init__(self, connection: ClientConnection) -> None:
         self.connection = connection
         self.response: bytes | None = None
-        self.token: Any = None  # the core's record of a command that was taken
-        self.redeemed_token: Token | None = None  # of a quota check, which the client showed
+        self.token: Any = None  # the core's in-flight record of the command
+        self.redeemed_token: Token | None = None  # the quota check's token sent with the command
 
     def respond(self, response: bytes) -> None:
-        """Set the response, if there is none, and write it when its turn comes."""
+        """Set the response, unless there is one, and write it once all earlier responses are written."""
         if self.response is None:
             self.response = response
             self.connection.flush()
 
     def complete(self, value: bytes) -> None:
-        """Answer with a host's value."""
+        """Respond with the value from a host."""
         self.respond(encode_bulk_string(value))
 
     def reject(self, retry_after: float) -> None:
-        """Answer that trying again is harmless, after `retry_after` seconds; 0 where nothing is known."""
+        """Respond that the command did not run; retry after `retry_after` seconds, 0 if unknown."""
         if self.redeemed_token is not None:
             self.connection.server.handler.restore_token(self)
         milliseconds = math.ceil(retry_after * 1000)
         self.respond(b"-BUSY %d\r\n" % milliseconds if milliseconds > 0 else BUSY_RESPONSE)
 
     def fail(self) -> None:
-        """Answer that it may have run."""
+        """Respond that the command failed and may have run."""
         self.respond(FAILED_RESPONSE)
 
 
 class ClientConnection(asyncio.Protocol):
-    """The event loop's protocol of one client."""
+    """The asyncio protocol of one client connection."""
 
     def __init__(self, server: ConnectionOwner) -> None:
         self.server = server
         self.transport: asyncio.Transport
         self.framing = Framing()
         self.pending_slots: deque[ResponseSlot] = deque()
-        self.partial_bytes = 0  # of a partial command, as the server has counted them
-        self.dropped_bytes = 0  # that came behind lost framing
-        self.received_at = 0.0  # when its last bytes came, by the admission controller's clock
-        self.is_closing = False  # once nothing is pending it ends
-        self.is_framing_lost = False  # nothing that comes can be read any more
+        self.partial_bytes = 0  # of a partial command, as last counted by the server
+        self.dropped_bytes = 0  # received after a framing error
+        self.received_at = 0.0  # when data was last received, by the admission controller's clock
+        self.is_closing = False  # it closes once no command is pending
+        self.is_framing_lost = False  # no further input can be parsed
         self.is_write_blocked = False
         self.is_read_paused = False
-        self.is_deferred = False  # commands that were read wait for a later turn of the loop
+        self.is_deferred = False  # buffered commands wait for a later event loop iteration
         self.is_reading_commands = False
-        self.has_unflushed_responses = False  # responses that came while commands are being read
+        self.has_unflushed_responses = False  # responses that were set while reading commands
 
-    # Callbacks of the event loop
+    # asyncio.Protocol callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take in that the connection is up."""
+        """Register the connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.on_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take in that the connection has ended."""
+        """Remove the connection and cancel its pending commands."""
         self.server.on_disconnected(self)
-        self.abandon_pending()
+        self.cancel_pending()
 
     def eof_received(self) -> None:
-        """Take in that the client has gone.
+        """Cancel the pending commands: the client is gone.
 
-        Responses that it did not take may still keep the connection from its end.
+        Unread responses may keep the connection open for longer.
         """
-        self.abandon_pending()
+        self.cancel_pending()
 
     def data_received(self, data: bytes) -> None:
-        """Read commands, or let them wait where the loop has read for long enough in this turn."""
+        """Parse commands, or defer them if the read time slice of this event loop iteration is used up."""
         if self.is_framing_lost:
             self.dropped_bytes += len(data)
             if self.dropped_bytes > MAX_DROPPED_BYTES:
@@ -171,13 +171,13 @@
         self._read_commands(admission)
 
     def pause_writing(self) -> None:
-        """Stop reading a client that takes no responses."""
+        """Stop reading from a client that does not read its responses."""
         self.is_write_blocked = True
         self.server.on_write_blocked(self)
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """Read a client again that takes its responses."""
+        """Resume reading from a client that reads its responses again."""
         self.is_write_blocked = False
         self.server.on_write_resumed(self)
         self._update_reading()
@@ -185,8 +185,8 @@
     # Commands
 
     def _read_commands(self, admission: AdmissionController | None) -> None:
-        """Hand over what commands have come whole."""
-        self.is_reading_commands = True  # responses that come at once are written together
+        """Pass all complete commands to the handler."""
+        self.is_reading_commands = True  # responses set meanwhile are written together
         try:
             while (command := self.framing.next_message()) is not NO_MESSAGE:
                 slot = ResponseSlot(self)
@@ -207,23 +207,23 @@
             return
         finally:
             self._end_reading_commands()
-        if not self.server.hold_partial_bytes(self, len(self.framing.buffer)):
+        if not self.server.update_partial_bytes(self, len(self.framing.buffer)):
             self._fail_connection(PARTIAL_COMMANDS_LIMIT_RESPONSE)
             return
         self._update_reading()
 
     def _end_reading_commands(self) -> None:
-        """Write what was answered while commands were read."""
+        """Write the responses that were set while commands were read."""
         self.is_reading_commands = False
         if self.has_unflushed_responses:
             self.has_unflushed_responses = False
             self.flush()
 
     def _defer(self, admission: AdmissionController) -> None:
-        """Go on with this connection in a later turn of the loop, and do not read it before."""
+        """Defer the rest of the input to a later event loop iteration, and pause reading until then."""
         self.is_deferred = True
         admission.deferred_connections.append(self._resume_deferred)
-        self.server.hold_partial_bytes(self, len(self.framing.buffer))
+        self.server.update_partial_bytes(self, len(self.framing.buffer))
         self._update_reading()
 
     def _resume_deferred(self) -> None:
@@ -235,7 +235,7 @@
             self.flush()
 
     def _update_reading(self) -> None:
-        """Pause or resume reading: a client that takes no responses or has too much pending is not read."""
+        """Pause reading while writing is blocked, input is deferred or too many commands are pending."""
         is_paused = (
             self.is_write_blocked or self.is_deferred or len(self.pending_slots) >= MAX_PENDING_COMMANDS
         )
@@ -251,12 +251,12 @@
     # Responses
 
     def flush(self) -> None:
-        """Write the responses whose turn has come; end a closing connection behind the last."""
+        """Write the responses that are next in order; close a closing connection after the last one."""
         if self.is_reading_commands:
             self.has_unflushed_responses = True
             return
         pending = self.pending_slots
-        if len(pending) == 1 and (response := pending[0].response) is not None:  # the usual case
+        if len(pending) == 1 and (response := pending[0].response) is not None:  # fast path
             pending.popleft()
             self.transport.write(response)
         elif pending and pending[0].response is not None:
@@ -271,15 +271,15 @@
         if not pending and not self.is_deferred:
             self.server.on_idle(self)
             if self.is_closing and not self._has_commands_to_read():
-                self._end()
+                self._close()
                 return
         if self.is_read_paused:
             self._update_reading()
 
-    # The end of the connection
+    # Closing
 
-    def abandon_pending(self) -> None:
-        """Tell of every pending command that nobody waits for its response: the client went away."""
+    def cancel_pending(self) -> None:
+        """Cancel all pending commands: the client has disconnected."""
         self.is_closing = True
         pending = self.pending_slots
         self.pending_slots = deque()
@@ -288,7 +288,7 @@
                 self.server.handler.on_client_disconnected(slot)
 
     def on_idle_timeout(self) -> None:
-        """Close a connection that was idle for too long, unless its client asks just now."""
+        """Close a connection that was idle for too long, unless it has unread input."""
         if self.transport.is_closing() or self.is_deferred or self.has_unread_data():
             return
         if self.partial_bytes:
@@ -297,11 +297,11 @@
             self.close_when_answered()
 
     def close_when_answered(self) -> None:
-        """Close once all that was taken is answered.
+        """Close the connection once all accepted commands are answered.
 
-        What still comes before that is served too: it was taken. So was what lies unread in the socket, and
-        a connection with a partial command is not between two requests: it ends with that answer, or by the
-        idle timeout where the rest does not come.
+        Commands that arrive before that are served too, as are those unread in the socket, because the
+        connection has accepted them. A connection with a partial command closes after the response to that
+        command, or by the idle timeout if the rest does not arrive.
         """
         self.is_closing = True
         is_busy_or_gone = bool(self.pending_slots) or self.transport.is_closing()
@@ -309,11 +309,12 @@
             self.flush()
 
     def _has_commands_to_read(self) -> bool:
-        """Tell whether a connection that is to end has to be read once more.
+        """Return whether a closing connection still has input to read.
 
-        One with too much pending is not read. When all of that is answered in one turn, what its client sent
-        meanwhile is still in the socket, and a close would reset the connection: those commands would be lost
-        and so would responses that are on their way. It ends with their responses, or by the idle timeout.
+        A connection with too many pending commands is not read. If all of them are answered in one event loop
+        iteration, the commands that the client sent meanwhile are still in the socket. Closing would reset
+        the connection, and those commands and the responses in transit would be lost. Instead the connection
+        closes after the responses to those commands, or by the idle timeout.
         """
         if self.is_framing_lost or self.transport.is_closing() or not self.has_unread_data():
             return False
@@ -321,29 +322,29 @@
         return True
 
     def has_unread_data(self) -> bool:
-        """Tell whether the socket holds bytes that were not read yet."""
+        """Return whether the socket holds unread bytes."""
         return socket_state.has_unread_data(self.transport.get_extra_info("socket"))
 
     def is_closed_by_peer(self) -> bool:
-        """Tell whether the client has ended its sending or the connection, behind what was not read yet."""
+        """Return whether the client closed the connection or its sending side, even with unread data."""
         return socket_state.is_closed_by_peer(self.transport.get_extra_info("socket"))
 
     def _fail_connection(self, response: bytes) -> None:
-        """Fail what is pending, answer with `response` and end: nothing that follows can be read."""
+        """Fail pending commands, send `response` and close: no further input can be parsed."""
         self.is_framing_lost = True
         self.is_closing = True
-        self.server.hold_partial_bytes(self, 0)
+        self.server.update_partial_bytes(self, 0)
         for slot in list(self.pending_slots):
             if slot.response is None:
-                slot.response = FAILED_RESPONSE  # the client is not to wait for it
+                slot.response = FAILED_RESPONSE  # the client must not wait for the response
                 self.server.handler.on_client_disconnected(slot)
         slot = ResponseSlot(self)
         self.pending_slots.append(slot)
         slot.respond(response)
 
-    def _end(self) -> None:
+    def _close(self) -> None:
         self.server.on_closing(self)
         if self.is_framing_lost and not self.transport.is_closing():
-            self.transport.write_eof()  # closing with input unread would be a reset, which can eat the error
+            self.transport.write_eof()  # closing with unread input is a reset, which can discard the error
         else:
             self.transport.close()
--- a/apigateway/frontends/resp/command_scanner.py
+++ b/apigateway/frontends/resp/command_scanner.py
@@ -1,7 +1,7 @@
-"""Scan a command for what load shedding decides by, at a part of the cost of parsing it.
+"""Extract from a command what load shedding needs, at a fraction of the cost of parsing it.
 
-While the gateway is overloaded most commands are rejected, so what is spent on each matters. Loaded only
-where load shedding is on.
+An overloaded gateway rejects most commands, so the cost of a rejection matters. Imported only if load
+shedding is on.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from apigateway.frontends.resp.command import READ_VERB, WRITE_VERB, parse_decimal
 from apigateway.policy import overload_gate
 
-# Combinations of class, plan and units whose priority is cached; past it all are forgotten together.
+# Maximum number of cached priorities, by class, plan and units. The cache is cleared when full.
 MAX_CACHED_PRIORITIES = 512
 
 _VERBS = (READ_VERB, WRITE_VERB)
-_MIN_PARTS = 4  # of a read
-_MAX_PARTS = 5  # of a write
-# Class, plan, the time that a client waits, units: in the order in which clients write them.
+_MIN_PARTS = 4  # a read
+_MAX_PARTS = 5  # a write
+# Class, plan, timeout and units, in the order in which clients write them.
 _FIELDS = re.compile(
     rb"c=([^,]{1,64}),t=([^,]{1,64}),d=([0-9]{1,9}),(?:[^u][^,]*,)?"
     rb"units=([0-9.]{1,19})(?:,|$)"
@@ -28,37 +28,37 @@
 
 
 class ScannedCommand(NamedTuple):
-    """What load shedding decides by."""
+    """The input of the load shedding decision."""
 
     customer: str
     request_id: str
-    priority_step: int  # its priority weight on the scale of overload_gate.priority_step
-    remaining: float  # seconds that its client waits
+    priority_step: int  # priority weight on the scale of overload_gate.priority_step
+    remaining: float  # timeout of the client in seconds
     is_write: bool
 
 
 class CommandScanner:
-    """Scan commands by one set of settings."""
+    """Scans commands by fixed settings."""
 
     def __init__(self, settings: messages.Settings) -> None:
         self._settings = settings
-        # Priority steps by class, plan and units as they stand in commands.
+        # Priority steps by class, plan and units as written in commands.
         self._priority_steps: dict[tuple[bytes, bytes, bytes], int] = {}
 
     def scan(self, command: object) -> ScannedCommand | None:
-        """Return what a command says; None if it has to be parsed.
+        """Scan a command; return None if it must be parsed instead.
 
-        It has to be where it is malformed or its fields are not in the usual order.
+        That is the case if it is malformed or its fields are in another order.
         """
         if not isinstance(command, list) or not _MIN_PARTS <= len(command) <= _MAX_PARTS:
             return None
         verb, customer, request_id, fields = command[:_MIN_PARTS]
         if verb not in _VERBS or type(fields) is not bytes:
             return None
-        found = _FIELDS.match(fields)
-        if found is None or type(customer) is not bytes or type(request_id) is not bytes:
+        match = _FIELDS.match(fields)
+        if match is None or type(customer) is not bytes or type(request_id) is not bytes:
             return None
-        class_name, plan, wait_ms, units = found.groups()
+        class_name, plan, timeout_ms, units = match.groups()
         try:
             priority_step = self._priority_steps.get((class_name, plan, units))
             if priority_step is None:
@@ -67,14 +67,14 @@
                 customer.decode().lower(),
                 request_id.decode(),
                 priority_step,
-                int(wait_ms) / 1000,
+                int(timeout_ms) / 1000,
                 verb == WRITE_VERB,
             )
-        except (KeyError, ValueError):  # parsing it will say what is wrong
+        except (KeyError, ValueError):  # parsing it reports the error
             return None
 
     def from_request(self, request: messages.Request) -> ScannedCommand:
-        """Return the same of a command that was parsed."""
+        """Return the same values for a parsed command."""
         return ScannedCommand(
             request.customer,
             request.request_id,
@@ -84,7 +84,7 @@
         )
 
     def _cache_priority_step(self, class_name: bytes, plan: bytes, units: bytes) -> int:
-        """Compute a priority step and keep it. Raises KeyError or ValueError for what is unknown."""
+        """Compute and cache a priority step. Raises KeyError or ValueError for invalid fields."""
         priority_step = self._priority_step(class_name.decode(), plan.decode(), parse_decimal(units))
         if len(self._priority_steps) >= MAX_CACHED_PRIORITIES:
             self._priority_steps.clear()
--- a/apigateway/frontends/resp/frontend.py
+++ b/apigateway/frontends/resp/frontend.py
@@ -1,4 +1,4 @@
-"""The RESP2 frontend: commands to the core, its responses to the connections they came by."""
+"""The RESP2 frontend: passes commands to the core and responses back to the client connections."""
 
 from __future__ import annotations
 
@@ -25,27 +25,27 @@
     from apigateway.frontends.grpc.tokens import QuotaTokens
     from apigateway.frontends.resp.command_scanner import CommandScanner, ScannedCommand
 
-# Seconds between two checks whether partial commands have come whole, during a shutdown.
+# Polling interval for partial commands to complete during a shutdown.
 PARTIAL_COMMAND_CHECK_INTERVAL_S = 0.005
 
 PING_COMMANDS = ([b"PING"], [b"ping"])
 PONG_RESPONSE = b"+PONG\r\n"
 NOT_READY_RESPONSE = b"-ERR not ready\r\n"
 DUPLICATE_RESPONSE = b"-ERR this id is in work\r\n"
-TOKEN_PREFIX = b"tok="  # of the field with a quota check's token
+TOKEN_PREFIX = b"tok="  # field with the token of a quota check
 
 log = logging.getLogger(__name__)
 
 
 class RespFrontend:
-    """One RESP2 listener over the core.
+    """One RESP2 listener and its connections.
 
     Args:
-        core: What takes the requests.
-        max_connections: At most so many at once.
-        max_partial_bytes: Bytes of partial commands on all connections together.
-        address: Where it listens.
-        group_size: Gateways that clients know as one.
+        core: The core that handles the requests.
+        max_connections: The maximum number of connections.
+        max_partial_bytes: The maximum bytes of partial commands on all connections together.
+        address: The address to listen on.
+        group_size: The number of gateways that clients see as one.
     """
 
     def __init__(
@@ -63,71 +63,71 @@
         self._group_size = group_size
         self._fields_cache: FieldsCache = {}
         self._scanner: CommandScanner | None = None
-        self._tokens: QuotaTokens | None = None  # where settings have keys for them
+        self._tokens: QuotaTokens | None = None  # None if the settings have no token keys
         self.update_admission()
         core.register_frontend(self)
 
     # Settings
 
     def update_admission(self) -> None:
-        """Take up the core's admission controller, which has come or gone."""
+        """Use the core's current admission controller, which was set or removed."""
         self.server.admission = self.core.admission
 
     def set_tokens(self, tokens: QuotaTokens | None) -> None:
-        """Redeem these tokens of quota checks from now on; None: none."""
+        """Use these tokens to redeem tokens of quota checks; None disables redemption."""
         self._tokens = tokens
 
     def set_limits(self, max_connections: int, max_partial_bytes: int) -> None:
-        """Set this frontend's part of the connections and of the bytes of partial commands."""
+        """Set this frontend's share of the connections and of the bytes of partial commands."""
         self.server.max_connections = max_connections
         self.server.max_partial_bytes = max_partial_bytes
 
-    # Listening and shutdown, in this order
+    # Listening and shutdown, in the order of the calls
 
     async def listen(self, sock: socket.socket | None = None) -> None:
-        """Listen at its address, or on `sock`, which listens already."""
+        """Listen on the configured address, or on `sock`, a socket that is already listening."""
         self.port = await self.server.listen(*self.address, sock)
 
     def announce_shutdown(self) -> None:
-        """Do nothing: it goes on for a while, and PING tells of the shutdown."""
+        """Do nothing: commands are still accepted for a while, and PING reports the shutdown."""
 
     @property
     def has_pending_connections(self) -> bool:
-        """Whether a connection waits at its listener."""
+        """Whether a connection waits to be accepted."""
         return self.server.has_pending_connections
 
     def stop_accepting(self) -> None:
-        """Take no new connections; those that there are go on."""
+        """Accept no new connections; existing ones continue."""
         self.server.stop_accepting()
 
     def start_draining(self) -> None:
-        """Take no new connections, and close each one once all that it asked has been answered."""
+        """Accept no new connections, and close each one once its commands are answered."""
         self.server.start_draining()
 
     async def wait_settled(self, timeout: float) -> None:
-        """Wait until partial commands have come whole and are taken, for `timeout` seconds at most."""
+        """Wait until all partial commands are complete, for at most `timeout` seconds."""
         deadline = monotonic() + timeout
         while self.server.partial_bytes and monotonic() < deadline:
             await asyncio.sleep(PARTIAL_COMMAND_CHECK_INTERVAL_S)
 
     @property
     def has_unwritten_responses(self) -> bool:
-        """Whether a response that was given is not written whole."""
+        """Whether a response is not completely written."""
         return self.server.has_unwritten_responses
 
     async def wait_disconnected(self) -> None:
-        """Wait until its last connection has ended."""
+        """Wait until all connections are closed."""
         await self.server.wait_disconnected()
 
     def close(self) -> None:
-        """Stop its timers and give its capacity to the others."""
+        """Stop the timers and release this frontend's share of the capacity."""
         self.server.close()
         self.core.unregister_frontend(self)
 
     # Commands (client_connection.CommandHandler)
 
     def on_command(self, slot: ResponseSlot, command: object) -> None:
-        """Answer a PING, reject, or hand the command's request to the core."""
+        """Answer a PING, shed the command, or submit its request to the core."""
         if command in PING_COMMANDS:
             is_serving = self.core.is_ready and not self.core.is_draining
             slot.respond(PONG_RESPONSE if is_serving else NOT_READY_RESPONSE)
@@ -142,7 +142,7 @@
             request, upstream_request = parse_command(
                 self.core.settings, command, self._fields_cache, self._group_size
             )
-            # One whose fields are in another order was not scanned.
+            # A command with fields in another order could not be scanned.
             if (
                 admission is not None
                 and scanned is None
@@ -158,17 +158,17 @@
             self.restore_token(slot)
             slot.respond(DUPLICATE_RESPONSE)
         except Exception:
-            log.exception("a command could not be taken")
+            log.exception("failed to handle a command")
             slot.respond(FAILED_RESPONSE)
 
     def on_client_disconnected(self, slot: ResponseSlot) -> None:
-        """Tell the core that nobody waits for a response any more."""
+        """Cancel a command whose client has disconnected."""
         self.core.on_client_disconnected(slot)
 
     # Load shedding
 
     def _create_scanner(self) -> CommandScanner:
-        from apigateway.frontends.resp.command_scanner import CommandScanner  # only where shedding is on
+        from apigateway.frontends.resp.command_scanner import CommandScanner  # only if load shedding is on
 
         self._scanner = CommandScanner(self.core.settings)
         return self._scanner
@@ -176,9 +176,9 @@
     def _reject_early(
         self, admission: AdmissionController, scanned: ScannedCommand, slot: ResponseSlot
     ) -> bool:
-        """Reject a command if the gateway is overloaded and others have priority; tell whether it was.
+        """Reject a command if an overloaded gateway prefers others; return whether it was rejected.
 
-        One that may be running is not: a rejection says that it has not run.
+        A command that may be running is not rejected, because a rejection means that it has not run.
         """
         retry_after = admission.retry_after_if_shed(
             scanned.priority_step, scanned.customer, scanned.remaining, slot.connection.received_at
@@ -188,12 +188,12 @@
         slot.reject(retry_after)
         return True
 
-    # QuotaTokens of quota checks
+    # Tokens of quota checks
 
     def _redeem_token(
         self, tokens: QuotaTokens, request: messages.Request, fields: bytes, slot: ResponseSlot
     ) -> messages.Request:
-        """Return a request that spends no units if its token stands for them, else `request`."""
+        """Return a request that spends no units if its token is redeemed, else `request`."""
         text = (b"," + fields).partition(b"," + TOKEN_PREFIX)[2].partition(b",")[0].decode("ascii", "replace")
         slot.redeemed_token = tokens.redeem(text, request)
         if slot.redeemed_token is None:
@@ -213,7 +213,7 @@
         )
 
     def restore_token(self, slot: ResponseSlot) -> None:
-        """Let a token be used again whose request was not taken or rejected, unless an attempt was sent."""
+        """Make the token of a rejected request redeemable again, unless an attempt was sent to a host."""
         token = slot.redeemed_token
         slot.redeemed_token = None
         was_sent = slot.token and slot.token.attempt_count
--- a/apigateway/frontends/resp/server.py
+++ b/apigateway/frontends/resp/server.py
@@ -1,7 +1,7 @@
-"""The RESP2 server: accepts clients and limits their connections, their partial commands and their time.
+"""The RESP2 server: accepts connections and limits their number, partial commands and timeouts.
 
-What passes on one connection is in `client_connection.py`. Connections that are idle, that are closing or
-whose client takes no responses end by time, so none is kept for good.
+`client_connection.py` handles a single connection. Connections that are idle, that are closing or whose
+client does not read its responses are closed after a timeout, so that none stays open forever.
 """
 
 from __future__ import annotations
@@ -18,19 +18,20 @@
 if TYPE_CHECKING:
     from apigateway.core.admission import AdmissionController
 
-# Seconds without a pending command, or with a partial one, after which a connection is closed.
+# A connection without a pending command, or with a partial one, is closed after this time.
 IDLE_TIMEOUT_S = 2.2
-# Seconds that a closing connection has for its last bytes: its client may never read them.
+# Time limit for a closing connection to write its last bytes: the client may never read them.
 CLOSING_TIMEOUT_S = 1.0
-# Seconds without the client taking its responses: it may never do so.
+# How long a client may leave its responses unread: it may never read them.
 WRITE_BLOCKED_TIMEOUT_S = 5.0
-# Seconds between two checks of those timeouts.
+# Interval of timeout checks.
 SWEEP_INTERVAL_S = 0.25
-# Seconds between two checks whether a client that is not read has gone: nothing is to be forwarded for it.
+# Polling interval for disconnects of clients that are not read. Nothing must be forwarded for a client that
+# is gone.
 DISCONNECT_CHECK_INTERVAL_S = 0.1
-# Idle connections that are looked at when one has to go.
+# Idle connections that are considered when one must be evicted.
 MAX_EVICTION_CANDIDATES = 8
-# Connections that the kernel keeps until they are accepted.
+# Connections that the kernel queues until they are accepted.
 LISTEN_BACKLOG = 1024
 
 TOO_MANY_CONNECTIONS_RESPONSE = b"-ERR too many connections\r\n"
@@ -40,22 +41,22 @@
     """One listener and its connections.
 
     Args:
-        handler: What commands are handed to.
-        max_connections: At most so many at once.
-        max_partial_bytes: Bytes of partial commands on all connections together.
+        handler: Handles the commands.
+        max_connections: The maximum number of connections.
+        max_partial_bytes: The maximum bytes of partial commands on all connections together.
     """
 
     def __init__(self, handler: CommandHandler, max_connections: int, max_partial_bytes: int) -> None:
         self.handler = handler
         self.max_connections = max_connections
         self.max_partial_bytes = max_partial_bytes
-        self.admission: AdmissionController | None = None  # where load shedding is on
+        self.admission: AdmissionController | None = None  # None if load shedding is off
         self.partial_bytes = 0
         self.connections: set[ClientConnection] = set()
         self.idle_since: dict[ClientConnection, float] = {}  # oldest first
         self.closing_since: dict[ClientConnection, float] = {}
         self.write_blocked_since: dict[ClientConnection, float] = {}
-        self.read_paused: set[ClientConnection] = set()  # the loop does not tell of their end
+        self.read_paused: set[ClientConnection] = set()  # the event loop does not report their disconnects
         self._listener: asyncio.Server | None = None
         self._sweep_timer: asyncio.TimerHandle | None = None
         self._disconnect_check_timer: asyncio.TimerHandle | None = None
@@ -67,9 +68,9 @@
         """Listen and return the port.
 
         Args:
-            host: Where to listen.
-            port: Likewise; 0 for any.
-            sock: A socket that listens already, taken in place of a new one.
+            host: The host to listen on.
+            port: The port to listen on; 0 for any.
+            sock: A socket that is already listening, used instead of a new one.
         """
         loop = asyncio.get_running_loop()
         if sock is not None:
@@ -89,18 +90,18 @@
         return ClientConnection(self)
 
     def stop_accepting(self) -> None:
-        """Close the listener; the connections go on."""
+        """Close the listener; existing connections continue."""
         if self._listener:
             self._listener.close()
 
     def start_draining(self) -> None:
-        """Close the listener, and each connection once all that it asked has been answered."""
+        """Close the listener, and each connection once its commands are answered."""
         self.stop_accepting()
         for connection in list(self.connections):
             connection.close_when_answered()
 
     async def wait_disconnected(self) -> None:
-        """Wait until there is no connection."""
+        """Wait until all connections are closed."""
         while self.connections:
             self._all_disconnected = asyncio.get_running_loop().create_future()
             await self._all_disconnected
@@ -113,21 +114,21 @@
 
     @property
     def has_pending_connections(self) -> bool:
-        """Whether a connection waits at the listener."""
+        """Whether a connection waits to be accepted."""
         sockets = self._listener.sockets if self._listener is not None else ()
         return any(socket_state.has_pending_connection(sock) for sock in sockets)
 
     @property
     def has_unwritten_responses(self) -> bool:
-        """Whether a response is not written whole."""
+        """Whether a response is not completely written."""
         return any(connection.transport.get_write_buffer_size() for connection in self.connections)
 
-    # What connections tell (client_connection.ConnectionOwner)
+    # Callbacks of connections (client_connection.ConnectionOwner)
 
     def on_connected(self, connection: ClientConnection) -> None:
-        """Take in a new connection; close it if there are too many and none can go in its place."""
+        """Register a new connection; reject it if the limit is reached and no other can be evicted."""
         self.connections.add(connection)
-        if len(self.connections) > self.max_connections and not self._evict():  # descriptors are limited
+        if len(self.connections) > self.max_connections and not self._evict():  # file descriptors are limited
             connection.transport.write(TOO_MANY_CONNECTIONS_RESPONSE)
             connection.is_closing = True
             connection.is_framing_lost = True
@@ -136,50 +137,50 @@
         self.on_idle(connection)
 
     def on_disconnected(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
         if not self.connections and self._all_disconnected is not None and not self._all_disconnected.done():
             self._all_disconnected.set_result(None)
-        self.hold_partial_bytes(connection, 0)
+        self.update_partial_bytes(connection, 0)
         self.idle_since.pop(connection, None)
         self.closing_since.pop(connection, None)
         self.write_blocked_since.pop(connection, None)
         self.read_paused.discard(connection)
 
     def on_idle(self, connection: ClientConnection) -> None:
-        """Start a connection's idle time anew."""
-        self.idle_since.pop(connection, None)  # to the end of the order
+        """Restart the idle timeout of a connection."""
+        self.idle_since.pop(connection, None)  # moves it to the end
         if not connection.is_closing:
             self.idle_since[connection] = monotonic()
 
     def on_closing(self, connection: ClientConnection) -> None:
-        """Start the time that a connection has for its last bytes."""
+        """Start the timeout for a connection to write its last bytes."""
         self.closing_since.setdefault(connection, monotonic())
 
     def on_write_blocked(self, connection: ClientConnection) -> None:
-        """Start the time that a client has to take its responses."""
+        """Start the timeout for a client that does not read its responses."""
         self.write_blocked_since[connection] = monotonic()
 
     def on_write_resumed(self, connection: ClientConnection) -> None:
-        """End that time."""
+        """Stop that timeout: the client reads again."""
         self.write_blocked_since.pop(connection, None)
 
     def on_read_paused(self, connection: ClientConnection) -> None:
-        """Look for the end of a connection that is not read: the loop tells it only to those who read."""
+        """Poll for the disconnect of a connection that is not read, which the event loop does not report."""
         self.read_paused.add(connection)
         if self._disconnect_check_timer is None:
             self._schedule_disconnect_check()
 
-    def hold_partial_bytes(self, connection: ClientConnection, size: int) -> bool:
-        """Count the bytes of a connection's partial command; False if all together are too many."""
+    def update_partial_bytes(self, connection: ClientConnection, size: int) -> bool:
+        """Update the total of partial command bytes; return False if it exceeds the limit."""
         self.partial_bytes += size - connection.partial_bytes
         connection.partial_bytes = size
         return not size or self.partial_bytes <= self.max_partial_bytes
 
     def may_defer(self, connection: ClientConnection) -> bool:
-        """Tell whether commands that were read may wait.
+        """Return whether the received commands of a connection may be deferred.
 
-        Half of the memory for partial commands is for that.
+        Half of the memory for partial commands is available for that.
         """
         others_bytes = self.partial_bytes - connection.partial_bytes
         return others_bytes + len(connection.framing.buffer) <= self.max_partial_bytes // 2
@@ -187,9 +188,9 @@
     # Limits
 
     def _evict(self) -> bool:
-        """Close a connection that is closing anyhow, else the one that is idle for longest.
+        """Close a connection that is already closing, else the one that has been idle longest.
 
-        Tells whether there was one.
+        Returns whether one was closed.
         """
         for connection in self.closing_since:
             connection.transport.abort()
@@ -204,7 +205,7 @@
         return False
 
     def _sweep(self) -> None:
-        """End the connections whose time is over."""
+        """Close connections whose timeout has expired."""
         self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
         now = monotonic()
         for connection in _expired(self.idle_since, now - IDLE_TIMEOUT_S):
@@ -220,18 +221,18 @@
         )
 
     def _check_disconnects(self) -> None:
-        """End the connections whose client went while they are not read."""
+        """Close connections that are not read and whose client has disconnected."""
         self._disconnect_check_timer = None
         for connection in list(self.read_paused):
             if not connection.is_read_paused or connection.transport.is_closing():
                 self.read_paused.discard(connection)
             elif connection.is_closed_by_peer():
-                connection.abandon_pending()
+                connection.cancel_pending()
                 connection.transport.abort()
         if self.read_paused:
             self._schedule_disconnect_check()
 
 
 def _expired(since: dict[ClientConnection, float], before: float) -> list[ClientConnection]:
-    """Return the connections whose time began before a moment."""
-    return [connection for connection, began_at in since.items() if began_at < before]
+    """Return the connections whose timeout started before `before`."""
+    return [connection for connection, started_at in since.items() if started_at < before]
--- a/tests/external_ratelimit/test_client_session.py
+++ b/tests/external_ratelimit/test_client_session.py
@@ -132,7 +132,7 @@
     pair = Pair()
     one, two = pair.ask(), pair.ask()
     ended_calls = pair.session.receive(GoAwayFrame(0, last_stream_id=one, error_code=0).serialize())
-    assert ended_calls == [CallEnded(two, GrpcStatus.UNAVAILABLE, "the server ends", is_processed=False)]
+    assert ended_calls == [CallEnded(two, GrpcStatus.UNAVAILABLE, "server sent GOAWAY", is_processed=False)]
     assert pair.session.available_streams() == 0 and not pair.session.is_finished
     pair.answer(one, rpc.frame_message(b"ok"))
     assert pair.ended == [CallEnded(one, GrpcStatus.OK, "", b"ok")] and pair.session.is_finished
--- a/tests/external_ratelimit/test_rls_codec.py
+++ b/tests/external_ratelimit/test_rls_codec.py
@@ -9,8 +9,8 @@
     CheckDecision,
     CheckFailure,
     count_hits,
-    encode_question,
-    read_outcome,
+    decode_response,
+    encode_rate_limit_request,
 )
 from apigateway.external_ratelimit.service_config import ExternalServiceConfig
 from apigateway.upstream.rpc import GrpcStatus
@@ -40,11 +40,13 @@
 
 
 def read(message, request_count=1):
-    return read_outcome(GrpcStatus.OK, "", message, request_count)
+    return decode_response(GrpcStatus.OK, "", message, request_count)
 
 
 def test_question_fills_in_its_entries_and_counts_hits():
-    question = rls_pb2.RateLimitRequest.FromString(encode_question(config(), "g7", [request(units=1.5)]))
+    question = rls_pb2.RateLimitRequest.FromString(
+        encode_rate_limit_request(config(), "g7", [request(units=1.5)])
+    )
     (descriptor,) = question.descriptors
     assert question.domain == "roster" and question.hits_addend == 2
     assert [(entry.key, entry.value) for entry in descriptor.entries] == [
@@ -55,7 +57,7 @@
 
 
 def test_question_when_batched_then_each_descriptor_has_its_hits():
-    encoded = encode_question(config(batch_size=2), "g7", [request("r1", 0.2), request("r2", 3.0)])
+    encoded = encode_rate_limit_request(config(batch_size=2), "g7", [request("r1", 0.2), request("r2", 3.0)])
     question = rls_pb2.RateLimitRequest.FromString(encoded)
     assert [descriptor.hits_addend.value for descriptor in question.descriptors] == [1, 3]
     assert question.hits_addend == 0
@@ -100,12 +102,12 @@
 @pytest.mark.parametrize(
     ("outcome", "failure"),
     [
-        (read_outcome(GrpcStatus.UNAVAILABLE, "gone", b"", 1), CheckFailure("UNAVAILABLE", "gone")),
-        (read_outcome(99, "odd", b"", 1), CheckFailure("99", "odd")),
-        (read(b"\xff"), CheckFailure("unread", "an answer that cannot be read")),
+        (decode_response(GrpcStatus.UNAVAILABLE, "gone", b"", 1), CheckFailure("UNAVAILABLE", "gone")),
+        (decode_response(99, "odd", b"", 1), CheckFailure("99", "odd")),
+        (read(b"\xff"), CheckFailure("unread", "malformed response")),
         (
             read(answer(rls_pb2.RateLimitResponse.UNKNOWN)),
-            CheckFailure("no code", "an answer without a code"),
+            CheckFailure("no code", "response without a code"),
         ),
     ],
 )
--- a/tests/frontends/grpc/test_server_session.py
+++ b/tests/frontends/grpc/test_server_session.py
@@ -156,7 +156,7 @@
     pair.go()
     assert pair.told[0].message == b"hello"
     big = pair.ask(end=False, data=b"\0" + (4 << 20).to_bytes(4, "big") + b"x" * 1000)
-    assert pair.status(big)[0] == GrpcStatus.RESOURCE_EXHAUSTED and not pair.session.incoming
+    assert pair.status(big)[0] == GrpcStatus.RESOURCE_EXHAUSTED and not pair.session.incoming_calls
 
 
 def test_calls_when_cancelled_by_the_thousand_leave_nothing():
