--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -1,7 +1,7 @@
 """The typed contract of the decision module: settings, events in, actions out.
 
-Times are seconds (floats), clock readings come with each event, ids are opaque text. Fields of the
-enumerations' types hold members; whoever reads a wire or a file turns its words into them.
+Times are in seconds (floats), the clock reading is passed with each event, and IDs are opaque strings.
+A field of an enumeration type holds a member: the reader of a wire format or a file converts its words.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 class Idempotency(StrEnum):
-    """What executing a request of a class more than once does."""
+    """What happens when a request of a class is executed more than once."""
 
-    SAFE = "safe"  # no harm
-    KEYED = "keyed"  # no harm where repeats are discarded: within a scope, for some time
-    UNSAFE = "unsafe"  # harm
+    SAFE = "safe"  # harmless
+    KEYED = "keyed"  # harmless where hosts discard repeats: within a scope and for a limited time
+    UNSAFE = "unsafe"  # harmful
 
 
 class DeduplicationScope(StrEnum):
-    """The hosts that discard a repeat of what one of them has executed."""
+    """The hosts that discard a repeat of a request which one of them has executed."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,44 +32,44 @@
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"  # the host answered that it failed: it may have executed the request
-    REJECTED = "full"  # the host rejected it
-    TIMEOUT = "timeout"  # there was no answer in time
-    CONNECT_FAILED = "connect_failed"  # it was not sent
-    RESET = "reset"  # the connection ended without an answer
+    ERROR = "error"  # the host answered with an error: it may have executed the request
+    REJECTED = "full"  # the host rejected the request without executing it
+    TIMEOUT = "timeout"  # no answer arrived in time
+    CONNECT_FAILED = "connect_failed"  # the request was not sent
+    RESET = "reset"  # the connection closed before an answer arrived
     CANCELLED = "cancelled"
-    ABANDONED = "moot"  # nobody waits for it any more
+    ABANDONED = "moot"  # no client waits for the answer any more
 
 
 class CounterCallResult(StrEnum):
-    """How a call of the counter ended."""
+    """How a call to the quota counter ended."""
 
-    OK = "ok"  # added, and the new total is known
-    REJECTED = "full"  # rejected: nothing was added
-    CONNECT_FAILED = "connect_failed"  # not written: nothing was added
-    TIMEOUT = "timeout"  # written and not answered in time: it may have been added
-    MALFORMED_REPLY = "spoilt"  # added, but the reply with the total could not be read
+    OK = "ok"  # the amount was added, and the new total is known
+    REJECTED = "full"  # nothing was added
+    CONNECT_FAILED = "connect_failed"  # the call was not sent: nothing was added
+    TIMEOUT = "timeout"  # no answer arrived in time: the amount may have been added
+    MALFORMED_REPLY = "spoilt"  # the amount was added, but the reply with the total could not be parsed
 
 
 class EndpointStatus(StrEnum):
-    """What the endpoint list says of a host."""
+    """The status of a host in the endpoint list."""
 
     UP = "up"
-    DRAINING = "leaving"  # it drains: nothing new is to be sent there
+    DRAINING = "leaving"  # it must not get new requests
     DOWN = "down"
 
 
 class ListMode(StrEnum):
     """What an update of the endpoint list contains."""
 
-    DELTA = "delta"  # changes
+    DELTA = "delta"  # the hosts that changed
     FULL = "full"  # the complete list
-    CACHED = "cached"  # the complete list, as it was known before
-    FAILED = "failed"  # none: the call failed
+    CACHED = "cached"  # the complete list as it was last known
+    FAILED = "failed"  # nothing: the call to discovery failed
 
 
 class DiscoveryMode(StrEnum):
-    """How updates of the endpoint list are received."""
+    """How the gateway receives updates of the endpoint list."""
 
     PUSH = "push"
     POLL = "ask"
@@ -82,11 +82,12 @@
 ENDPOINT_STATUSES = tuple(EndpointStatus)
 LIST_MODES = tuple(ListMode)
 
-# Results of attempts after which a request may have been executed, though there is no response.
+# Results after which the host may have executed the request although no response arrived.
 _POSSIBLY_EXECUTED = frozenset(
     {AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED}
 )
-# Results that say whether the endpoint works; silence is judged before it ends.
+# Results that show whether the endpoint works. A timeout is not one of them: the silence has already been
+# counted by then.
 _HEALTH_SIGNALS = frozenset(
     {
         AttemptResult.CONNECT_FAILED,
@@ -98,21 +99,21 @@
 )
 
 
-def _require(ok: bool, text: str) -> None:
-    if not ok:
-        raise ValueError(text)
+def _require(condition: bool, message: str) -> None:
+    if not condition:
+        raise ValueError(message)
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """The objectives of one class of requests, and its priority against the others."""
+    """The objectives of a class of requests, and its priority relative to other classes."""
 
     name: str
-    latency_objective: float  # an answer within this earns the full priority weight
-    deadline: float
+    latency_objective: float  # s; a response within this time earns the full priority weight
+    deadline: float  # s
     idempotency: Idempotency
-    deduplication_scope: DeduplicationScope  # keyed only
-    deduplication_window: float  # keyed only: for how long they do
+    deduplication_scope: DeduplicationScope  # for KEYED only
+    deduplication_window: float  # s for which hosts discard repeats; for KEYED only
     priority_weight: float
     late_priority_weight: float
     is_streaming: bool
@@ -120,15 +121,15 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether it does no harm to execute a request twice, wherever that is."""
-        is_discarded = (
+        """Whether executing a request twice is harmless, whichever hosts execute it."""
+        is_discarded_everywhere = (
             self.idempotency == Idempotency.KEYED and self.deduplication_scope == DeduplicationScope.ALL
         )
-        return self.is_safe or is_discarded
+        return self.is_safe or is_discarded_everywhere
 
     @property
     def is_safe(self) -> bool:
-        """Whether a request may be executed any number of times, anywhere."""
+        """Whether a request may be executed any number of times on any hosts."""
         return self.idempotency == Idempotency.SAFE
 
     @property
@@ -144,31 +145,31 @@
         )
         _require(
             self.latency_objective > 0 and self.deadline > 0,
-            f"class {self.name}: aim and deadline must be above 0",
+            f"class {self.name}: aim and deadline must be greater than 0",
         )
         _require(
             self.deduplication_window >= 0 and self.priority_weight >= 0,
-            f"class {self.name}: negative memory or worth",
+            f"class {self.name}: memory and worth must not be negative",
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a customer of this plan may use, over all gateways together."""
+    """The quotas and the ceiling of a customer, over all gateways together."""
 
     name: str
-    rate: float  # units a second; 0: no such quota
+    rate: float  # units per second; 0: no quota of units
     burst: float  # units
-    concurrency_limit: int  # attempts out at once over all gateways; 0: no such quota
+    concurrency_limit: int  # attempts in flight over all gateways; 0: no limit
     price_weight: float
     over_quota_weight: float
     over_quota_cost: float
-    ceiling_rate: float  # units a second; 0: no ceiling
-    ceiling_burst: float
+    ceiling_rate: float  # units per second; 0: no ceiling
+    ceiling_burst: float  # units
     ceiling_slack: float
 
     def __post_init__(self) -> None:
-        low = min(
+        minimum = min(
             self.rate,
             self.burst,
             self.concurrency_limit,
@@ -179,16 +180,16 @@
             self.ceiling_burst,
             self.ceiling_slack,
         )
-        _require(low >= 0, f"plan {self.name}: negative figure")
-        _require(self.rate == 0 or self.burst > 0, f"plan {self.name}: a rate needs a burst")
+        _require(minimum >= 0, f"plan {self.name}: values must not be negative")
+        _require(self.rate == 0 or self.burst > 0, f"plan {self.name}: a rate requires a burst")
         _require(
-            self.ceiling_rate == 0 or self.ceiling_burst > 0, f"plan {self.name}: a ceiling needs a burst"
+            self.ceiling_rate == 0 or self.ceiling_burst > 0, f"plan {self.name}: a ceiling requires a burst"
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What this deployment allows a gateway to do."""
+    """What the deployment allows a gateway to do."""
 
     can_cancel: bool
     can_hedge: bool
@@ -196,11 +197,11 @@
     can_message_peers: bool
     can_send_retry_after: bool
     max_attempts: int
-    max_retry_after: float
-    connect_timeout: float = 0.0  # s after which an attempt that was sent reaches its host at the latest
+    max_retry_after: float  # s
+    connect_timeout: float = 0.0  # s within which a new attempt reaches its host or fails
 
     def retry_after(self, wait: float) -> float:
-        """Return the Retry-After, in seconds, that a client may be given where it should wait so long."""
+        """Return the Retry-After in seconds to send to a client that should wait this long."""
         return min(max(wait, 0.0), self.max_retry_after if self.can_send_retry_after else 0.0)
 
     def __post_init__(self) -> None:
@@ -209,45 +210,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules that hold in every failure. Times in seconds."""
+    """The limits that a gateway keeps to during any failure. Times are in seconds."""
 
     answer_slack: float
     drain_grace: float
-    initial_capacity: float  # share of its capacity that a fresh host has at least
-    slow_start_duration: float  # it is warm within this
-    overload_multiple: float
+    initial_capacity: float  # share of its capacity that a host has when it starts
+    slow_start_duration: float  # time after which a started host has its full capacity
+    overload_multiple: float  # multiple of its capacity that a host withstands for `overload_duration`
     overload_duration: float
-    max_poll_interval: float  # discovery on request only
+    max_poll_interval: float  # for polled discovery only
 
     def __post_init__(self) -> None:
-        _require(0 <= self.initial_capacity <= 1, "cold_share must lie in 0..1")
-        low = min(self.drain_grace, self.slow_start_duration, self.overload_multiple, self.overload_duration)
-        _require(low >= 0, "negative rule figure")
+        _require(0 <= self.initial_capacity <= 1, "cold_share must be between 0 and 1")
+        minimum = min(
+            self.drain_grace, self.slow_start_duration, self.overload_multiple, self.overload_duration
+        )
+        _require(minimum >= 0, "rules must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """The kinds of hosts that a request is restricted to."""
+    """The kinds of hosts to which a request is restricted."""
 
     name: str
     endpoint_kinds: tuple[str, ...]
-    fallback: bool  # while none of them is up it goes to any
+    fallback: bool  # whether all kinds are allowed while no host of these kinds is up
 
     def allowed_kinds(self, endpoints: Iterable[Endpoint]) -> tuple[str, ...]:
-        """Return the kinds that a request may go to while these hosts are up; none: any."""
+        """Return the kinds that are allowed while these hosts are up; empty: all kinds."""
         if self.fallback and all(host.kind not in self.endpoint_kinds for host in endpoints):
             return ()
         return self.endpoint_kinds
 
     def __post_init__(self) -> None:
-        _require(bool(self.endpoint_kinds), f"route {self.name}: no kind of host")
+        _require(bool(self.endpoint_kinds), f"route {self.name}: at least one kind of host is required")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of a deployment, as one gateway has them."""
+    """The settings of a deployment, as seen by one gateway."""
 
-    gateway_index: int  # number of this gateway
+    gateway_index: int  # of this gateway, from 0
     gateway_count: int
     zone: str
     classes: dict[str, ServiceClass]
@@ -263,28 +266,33 @@
     max_units: float
     discovery_mode: DiscoveryMode
     load_report_fields: tuple[str, ...]
-    weight_meaning: str  # meaning of a host's weight
+    weight_meaning: str  # what a host's weight stands for
     routes: dict[str, Route] = field(default_factory=dict)
-    max_customers: int = 0  # customers known at once; 0: as many as come
+    max_customers: int = 0  # customers whose quotas are kept at once; 0: no limit
 
     def __post_init__(self) -> None:
-        _require(0 <= self.gateway_index < self.gateway_count, "index must lie in 0..gateways-1")
+        _require(
+            0 <= self.gateway_index < self.gateway_count,
+            "index must be at least 0 and less than the number of gateways",
+        )
         _require(
             self.discovery_mode in tuple(DiscoveryMode), f"unknown discovery mode {self.discovery_mode!r}"
         )
-        _require(not self.has_counter or self.counter_timeout > 0, "a counter needs a time-out")
-        _require(bool(self.classes), "no request classes")
-        _require(self.max_customers >= 0, "most_accounts must not be negative")
+        _require(
+            not self.has_counter or self.counter_timeout > 0, "the counter requires a timeout greater than 0"
+        )
+        _require(bool(self.classes), "at least one class is required")
+        _require(self.max_customers >= 0, "max_customers must not be negative")
 
     def plan_of(self, request: Request) -> Plan:
-        """Return the plan that a request is judged by: its own limit, or that of its customer."""
+        """Return the plan that limits a request: its own limit if it has one, or its customer's plan."""
         plan = self.plans[request.plan]
         return (request.limit or plan) if isinstance(request, CustomLimitCheck) else plan
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A host that requests are forwarded to, as the endpoint list has it."""
+    """A host to which requests are forwarded, as the endpoint list describes it."""
 
     id: str
     zone: str
@@ -292,15 +300,15 @@
     weight: float
     kind: str
     state: EndpointStatus
-    started_at: float  # clock time of its last start; 0: long ago
+    started_at: float  # Unix time of its last start; 0: long ago
 
     @property
     def is_up(self) -> bool:
-        """Whether it may get requests."""
+        """Whether it may get new requests."""
         return self.state == EndpointStatus.UP
 
     def shares_scope(self, other: Endpoint, scope: DeduplicationScope) -> bool:
-        """Return whether a repeat of what another host has executed is discarded by this one."""
+        """Return whether this host discards a repeat of a request that the other host has executed."""
         if scope == DeduplicationScope.ZONE:
             return self.zone == other.zone
         return scope == DeduplicationScope.ALL or self.cell == other.cell
@@ -312,7 +320,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """An update of the endpoint list: changes, a complete list, the list as cached, or a call that failed."""
+    """An update of the endpoint list: changes, a complete or a cached list, or a failed call."""
 
     mode: ListMode
     version: int
@@ -320,7 +328,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether hosts that it does not name are gone."""
+        """Whether hosts that it does not list are gone."""
         return self.mode in (ListMode.FULL, ListMode.CACHED)
 
     def __post_init__(self) -> None:
@@ -329,72 +337,76 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request, as it was read."""
+    """A request that a client has sent."""
 
-    is_check: ClassVar[bool] = False  # it is forwarded to no host: its units are all that is asked for
-    is_reservation: ClassVar[bool] = False  # it spends units for a request that may come later
-    is_prepaid: ClassVar[bool] = False  # a check has spent its units
+    is_check: ClassVar[bool] = False  # it only spends units and is not forwarded to a host
+    is_reservation: ClassVar[bool] = False  # it spends units for a request that may follow
+    is_prepaid: ClassVar[bool] = False  # a reservation has spent its units
 
     request_id: str
-    remaining: float  # until the client gives up
+    remaining: float  # s until the client gives up
     customer: str
     plan: str
     service_class: str
     units: float
-    first_gateway: int  # the customer's gateways: `spread` in a row from this one
+    first_gateway: int  # index of the first of the customer's gateways, which are `gateway_spread` in a row
     gateway_spread: int
-    is_retry: bool = False
+    is_retry: bool = False  # by the client
     is_write: bool = False
-    route: str = ""  # of settings; empty: any host
+    route: str = ""  # name of a Route; empty: any host
 
     def __post_init__(self) -> None:
-        _require(self.units >= 0, f"request {self.request_id}: negative units")
+        _require(self.units >= 0, f"request {self.request_id}: units must not be negative")
         _require(self.gateway_spread >= 1, f"request {self.request_id}: spread must be at least 1")
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaCheck(Request):
-    """Asks whether a customer may use so many units now. It spends them as a request would, goes to no host,
-    and is answered by QuotaGranted or QuotaDenied. 0 units spend nothing, more than a burst never fits."""
+    """A check of whether a customer may use a number of units now. It spends them as a request would, is not
+    forwarded, and is answered by QuotaGranted or QuotaDenied. A check of 0 units spends nothing. A check of
+    more units than the burst is always denied."""
 
     is_check: ClassVar[bool] = True
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaReservation(QuotaCheck):
-    """A check whose units a PrepaidRequest may use later. The ceiling counts it when it is granted, and that
-    request once more when it is forwarded, each by itself: neither what is granted nor what is forwarded
-    passes it, however far apart the two are."""
+    """A check whose units a PrepaidRequest may use later. The ceiling counts the units when they are granted
+    and, separately, when that request is forwarded. So neither the granted nor the forwarded units exceed the
+    ceiling, however much time lies between them."""
 
     is_reservation: ClassVar[bool] = True
 
 
 @dataclass(frozen=True, slots=True)
 class CustomLimitCheck(QuotaCheck):
-    """A check against a limit of its own, in place of its plan's: of `customer`, which is then a name made
-    for that limit. Its class and plan give its priority."""
+    """A check against its own limit instead of its plan's. Its `customer` is a name derived from that limit.
+    Its class and plan determine only its priority."""
 
     limit: Plan | None = None
 
     def __post_init__(self) -> None:
-        _require(self.limit is not None and self.limit.rate > 0, f"check {self.request_id}: no limit")
+        _require(
+            self.limit is not None and self.limit.rate > 0,
+            f"check {self.request_id}: a limit with a rate is required",
+        )
         _require(
             self.units >= 0 and self.gateway_spread >= 1,
-            f"check {self.request_id}: negative units or no spread",
+            f"check {self.request_id}: units must not be negative, and spread must be at least 1",
         )
 
 
 @dataclass(frozen=True, slots=True)
 class PrepaidRequest(Request):
-    """A request whose units a QuotaReservation has spent: it takes none of the quota."""
+    """A request whose units a QuotaReservation has spent: it spends no quota."""
 
     is_prepaid: ClassVar[bool] = True
 
 
 @dataclass(frozen=True, slots=True)
 class ReturnUnits:
-    """Units that a QuotaCheck of this customer was granted, and that were not used: another check of the same
-    call was denied. They count as unspent again while the window is the one that they were spent in."""
+    """Return of units that were granted to a QuotaCheck of this customer but not used, because another check
+    of the same call was denied. They can be spent again until the window in which they were spent ends."""
 
     is_reservation: ClassVar[bool] = False
 
@@ -405,42 +417,42 @@
 
 @dataclass(frozen=True, slots=True)
 class ReturnReservation(ReturnUnits):
-    """Units of a QuotaReservation that were not used."""
+    """Return of the unused units of a QuotaReservation."""
 
     is_reservation: ClassVar[bool] = True
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedByPlugin:
-    """A request that a plug-in or an external service rejected before it took anything of the quota. The
-    decision module was not given it before."""
+    """A request that a plug-in or an external service rejected before it spent any quota. The decision module
+    has not seen this request before."""
 
     request_id: str
-    retry_after: float  # s until its client may retry
+    retry_after: float  # s after which the client may retry
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """An attempt has ended."""
+    """The outcome of an attempt that has ended."""
 
     request_id: str
     attempt: int
     endpoint_id: str
     result: AttemptResult
-    elapsed: float
-    is_final: bool
-    metered_use: int = 0  # 1 + percent of the customer's rate used in the last metered period; 0: none
-    actual_units: float = 0  # units that the request really counted; 0: none
+    elapsed: float  # s
+    is_final: bool  # whether the request is finished
+    metered_use: int = 0  # 1 + percent of the customer's rate used in the last metered period; 0: not known
+    actual_units: float = 0  # units that the request actually used; 0: not known
     load_report: dict[str, float] = field(default_factory=dict)
 
     @property
     def may_have_executed(self) -> bool:
-        """Whether the request may have been executed, though there is no response."""
+        """Whether the host may have executed the request although no response arrived."""
         return self.result in _POSSIBLY_EXECUTED
 
     @property
     def is_health_signal(self) -> bool:
-        """Whether the result says that the endpoint works or that it does not."""
+        """Whether the result shows that the endpoint works or does not work."""
         return self.result in _HEALTH_SIGNALS
 
     def __post_init__(self) -> None:
@@ -450,16 +462,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterResult:
-    """A call of the quota counter has ended."""
+    """The result of a call to the quota counter."""
 
     counter_key: int
     result: CounterCallResult
-    total: float
-    elapsed: float
+    total: float  # of all gateways, after the addition
+    elapsed: float  # s
 
     @property
     def was_added(self) -> bool:
-        """Whether the amount has surely been added."""
+        """Whether the amount has certainly been added."""
         return self.result in (CounterCallResult.OK, CounterCallResult.MALFORMED_REPLY)
 
     def __post_init__(self) -> None:
@@ -469,7 +481,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """A health check has ended."""
+    """The result of a health check."""
 
     endpoint_id: str
     result: AttemptResult
@@ -479,14 +491,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """A timer that was set has expired."""
+    """A timer has expired."""
 
     label: int
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The first part of a streamed response has come."""
+    """The first part of a streamed response has arrived."""
 
     request_id: str
     attempt: int
@@ -496,14 +508,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of a request has gone: nothing more is to be forwarded for it."""
+    """The client of a request has disconnected: no further attempt is made for it."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Another gateway has sent this."""
+    """A message from another gateway."""
 
     sender: int
     data: bytes
@@ -511,16 +523,17 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainGateway:
-    """On: another process takes this gateway's new connections from now on, under its name. What is fresh
-    from now on (the fill of the ceilings' stores) is that one's. Off: it failed, and all is as before."""
+    """Start or stop draining this gateway. While it drains, another process takes the new connections under
+    the same gateway index, and all tokens that the ceilings gain belong to that process. Draining stops if
+    that process fails."""
 
     is_draining: bool
 
 
 @dataclass(frozen=True, slots=True)
 class EvacuateZones:
-    """An operator's word, in place of what was said before: nothing new goes to hosts of these zones, as long
-    as there is any other. What is out there goes on."""
+    """An operator's list of zones to evacuate, which replaces the previous list. Hosts of these zones get no
+    new attempts while any other host is up. Attempts in flight continue."""
 
     zones: tuple[str, ...]
 
@@ -549,30 +562,30 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardRequest:
-    """Forward a request to an endpoint: one attempt."""
+    """Forward a request to an endpoint, as one attempt."""
 
     request_id: str
     endpoint_id: str
-    timeout: float = 0  # 0: until the client gives up
+    timeout: float = 0  # s; 0: until the client gives up
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaGranted:
-    """A check's units are spent."""
+    """Answer that a check's units are granted and spent."""
 
     request_id: str
-    # units of the customer's quota left in this window, as far as is known here; inf: no quota
+    # Units of the customer's quota that are left in this window, as this gateway knows it; inf: no quota.
     remaining: float
-    reset_after: float  # s until the window turns; 0: no quota
+    reset_after: float  # s until the next window; 0: no quota
     window_index: int  # for ReturnUnits
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaDenied:
-    """A check's units are not granted."""
+    """Answer that a check's units are not granted."""
 
     request_id: str
-    is_over_quota: bool  # beyond the customer's quota or ceiling; False: shed, or out of time
+    is_over_quota: bool  # the quota or the ceiling is exhausted; False: the check was shed or out of time
     retry_after: float  # s; 0: not known
     remaining: float
     reset_after: float
@@ -580,22 +593,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer that a request was not taken; trying again is harmless."""
+    """Answer that a request was rejected. A retry is harmless."""
 
     request_id: str
-    retry_after: float = 0
+    retry_after: float = 0  # s; 0: none is sent
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Answer that a request failed; it may have been executed."""
+    """Answer that a request failed. It may have been executed."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Call an attempt off."""
+    """Cancel an attempt."""
 
     request_id: str
     attempt: int
@@ -603,16 +616,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a key of the quota counter and read its total."""
+    """Add an amount to a key of the quota counter and read its total."""
 
     counter_key: int
     amount: float
-    lifetime: float
+    lifetime: float  # s for which the counter keeps the key
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Expire once after a delay."""
+    """Set a timer that expires once after a delay."""
 
     delay: float
     label: int
@@ -634,12 +647,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Ask discovery for the complete list, once."""
+    """Fetch the complete endpoint list from discovery once."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Begin or end watching the endpoint list."""
+    """Start or stop watching the endpoint list."""
 
     is_on: bool
 
