--- a/apigateway/policy/__init__.py
+++ b/apigateway/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decision module: events go in, actions come out, without I/O and without a clock."""
+"""The decision module: it turns events into actions, and does no I/O and reads no clock."""
 
 from apigateway.policy.gateway import Gateway
 
--- a/apigateway/policy/ceiling.py
+++ b/apigateway/policy/ceiling.py
@@ -1,23 +1,25 @@
-"""The ceiling of a customer: an even part of a token bucket, which no failure can pass."""
+"""The ceiling of a customer. Each gateway holds an equal share of its token bucket, so no failure exceeds it."""
 
 import math
 
 from apigateway.policy.pending_queue import PendingRequest
 from apigateway.policy.state import GatewayState
 
-MAX_WAIT = 0.3  # share of the latency objective that a request may wait for the ceiling to fill
-THIN_PART = 4.0  # units of an even part, below which it may: it fills slowly, and requests come in bunches
+MAX_WAIT_SHARE = 0.3  # of the latency objective; time that a request may wait for tokens
+# A request may wait only where the gateway's share of the burst is smaller than this. A small share refills
+# slowly, and requests arrive in bursts.
+SMALL_SHARE_UNITS = 4.0
 
 
 def wait_time(state: GatewayState, pending: PendingRequest) -> float:
-    """Return the seconds until the ceiling has room for the request; inf: never."""
+    """Return the seconds until the ceiling has tokens for the request; inf: never."""
     ceiling = pending.quota.ceiling
-    fills_until = min(state.now, state.draining_since)
-    return ceiling.wait_time(fills_until, pending.request.units, pending.request.is_prepaid)
+    refill_until = min(state.now, state.draining_since)
+    return ceiling.wait_time(refill_until, pending.request.units, pending.request.is_prepaid)
 
 
 def max_wait(state: GatewayState, pending: PendingRequest) -> float:
-    """Return how long it may wait: no time if it is a check, or while another process fills this part."""
-    is_thin = pending.plan.ceiling_burst < THIN_PART * pending.quota.spread
-    may_wait = is_thin and not pending.request.is_check and state.draining_since == math.inf
-    return MAX_WAIT * pending.service_class.latency_objective if may_wait else 0.0
+    """Return the seconds that a request may wait: 0 for a check, or while another process gets the tokens."""
+    is_small_share = pending.plan.ceiling_burst < SMALL_SHARE_UNITS * pending.quota.spread
+    may_wait = is_small_share and not pending.request.is_check and state.draining_since == math.inf
+    return MAX_WAIT_SHARE * pending.service_class.latency_objective if may_wait else 0.0
--- a/apigateway/policy/counter_health.py
+++ b/apigateway/policy/counter_health.py
@@ -1,22 +1,25 @@
-"""Whether the shared counter may be called, and which calls are worth its time."""
+"""The health of the shared counter: whether it may be called, and which calls are worth their cost."""
 
 from apigateway import messages
 from apigateway.routing import CallHealth
 
-RATIONED_CONGESTION = 0.5  # part of the time-out that calls take, from which they are rationed
-CONGESTION_PRICE = 4.0  # price of a call, in requests, times what the congestion is beyond that
-HALF_CROWD = 20.0  # gateways that are taken for half a crowd, before the counter has answered
-MAX_PAUSE = 1.0  # s; between calls of a counter that does not answer
-QUICK_GAIN = 0.15  # weight of the latest call in the congestion: a change must show in a few calls
-SIDE_CALL_GAIN = 0.15  # of a call that only mends a count for others, or finds a limit seldom reached
+RATIONING_CONGESTION = 0.5  # share of the timeout that calls take, above which they are rationed
+CONGESTION_PRICE = 4.0  # price of a call, in requests, per unit of congestion above RATIONING_CONGESTION
+# Gateways at which the congestion that is assumed before the first answer reaches half of its limit of 0.5.
+HALF_PRIOR_GATEWAYS = 20.0
+MAX_PAUSE_S = 1.0  # between calls to a counter that does not answer
+LATEST_CALL_WEIGHT = 0.15  # in the mean congestion: a change must show within a few calls
+# Benefit, in requests, of a call that only corrects the count for others or checks a limit that is seldom
+# reached.
+SECONDARY_CALL_BENEFIT = 0.15
 
 
 class CounterHealth(CallHealth):
-    """The counter as this gateway sees it; calls are rationed as they take longer."""
+    """The counter as this gateway sees it. Calls are rationed as they take longer."""
 
     def __init__(self, settings: messages.Settings) -> None:
-        congestion = 0.5 * settings.gateway_count / (settings.gateway_count + HALF_CROWD)
-        super().__init__(settings.counter_timeout, congestion, QUICK_GAIN, MAX_PAUSE)
+        congestion = 0.5 * settings.gateway_count / (settings.gateway_count + HALF_PRIOR_GATEWAYS)
+        super().__init__(settings.counter_timeout, congestion, LATEST_CALL_WEIGHT, MAX_PAUSE_S)
         self.is_configured = settings.has_counter
         self.failures = 0 if settings.has_counter else 1
         self.price = settings.counter_price
@@ -25,7 +28,9 @@
         """Return whether the counter may be called."""
         return self.is_configured and now >= self.retry_at
 
-    def call_probability(self, gain: float) -> float:
-        """Return how likely a call is made: the less it can change a decision, the sooner it gives way."""
-        congestion_price = CONGESTION_PRICE * max(0.0, self.congestion - RATIONED_CONGESTION)
-        return min(1.0, gain / max(1e-9, self.price + congestion_price))
+    def call_probability(self, benefit: float) -> float:
+        """Return the probability with which to make a call, given its benefit in requests.
+
+        Calls with little benefit are dropped first as the counter becomes congested."""
+        congestion_price = CONGESTION_PRICE * max(0.0, self.congestion - RATIONING_CONGESTION)
+        return min(1.0, benefit / max(1e-9, self.price + congestion_price))
--- a/apigateway/policy/customer_quota.py
+++ b/apigateway/policy/customer_quota.py
@@ -1,4 +1,4 @@
-"""What one customer may use at this gateway: its leases of the shared quota and its part of the ceiling."""
+"""The quota of one customer at this gateway: leases of the shared quota, and a share of the ceiling."""
 
 import math
 from random import Random
@@ -7,59 +7,85 @@
 from apigateway.messages import Plan, Request
 from apigateway.routing import LeaseLedger, TokenBucketShare
 
-LOCAL_PART = 0.5  # part of an even share of what remains that is used without a lease
-MIN_STRAND_COST = 0.05  # least chance that an unspent unit is missed elsewhere, customer nearly idle
-THIN_REFILL = 0.1  # part of the refill in a thin customer's limit: its overdrafts are seldom carried along
-OPENING_PART = 0.5  # part of its burst that its window opens with
-OPENING_SPAN = 0.5  # part of the window until it has all
-PHASES = 4096  # at which customers' windows begin
+LOCAL_ALLOWANCE_SHARE = 0.5  # of an equal share of the remaining units; usable without a lease
+# Lowest probability that a unit left unspent here is missing at another gateway. It applies when the customer
+# uses little of its quota.
+MIN_STRANDED_UNIT_COST = 0.05
+# The next three apply to a customer whose burst has fewer units than the customer has gateways.
+SMALL_BURST_REFILL_SHARE = 0.1  # of the refill that is added to the limit: overdrafts are rarely carried over
+INITIAL_BURST_SHARE = 0.5  # of the burst, available when a window begins
+FULL_BURST_WINDOW_SHARE = 0.5  # of the window, after which the whole burst is available
+WINDOW_PHASES = 4096  # number of different times at which customers' windows begin
 
 
 class CustomerQuota(LeaseLedger):
-    """A customer's units of the current window and its ceiling, as far as they are known here."""
+    """A customer's units of the current window and its ceiling, as known at this gateway."""
 
-    __slots__ = ("ceiling", "is_known", "last_seen_at", "name", "open_attempts", "plan", "waiting_ids")
+    __slots__ = (
+        "ceiling",
+        "is_usage_known",
+        "last_request_at",
+        "local_slots_used",
+        "name",
+        "plan",
+        "waiting_request_ids",
+    )
 
-    def __init__(self, request: Request, plan: Plan, born: float, now: float, rng: Random) -> None:
-        phase = stable_hash(request.customer, "phase") % PHASES / PHASES
+    def __init__(
+        self, request: Request, plan: Plan, gateway_started_at: float, now: float, rng: Random
+    ) -> None:
+        phase = stable_hash(request.customer, "phase") % WINDOW_PHASES / WINDOW_PHASES
         super().__init__(plan.rate, plan.burst, request.gateway_spread, phase, now, rng.random)
         self.name = request.customer
         self.plan = plan
-        self.last_seen_at = now
-        self.is_known = True  # False: was evicted within its windows, so what it used is asked for first
-        self.waiting_ids: list[str] = []  # of requests that wait for it
-        self.open_attempts = 0  # that hold a slot of this gateway
-        # No failure can pass an even share. It is empty at a start: the last process's use is unknown.
-        tokens = min(plan.ceiling_burst, (now - born) * plan.ceiling_rate) / self.spread
+        self.last_request_at = now
+        # False after an eviction in a recent window: the counter is then asked for the units used first.
+        self.is_usage_known = True
+        self.waiting_request_ids: list[str] = []  # requests that wait for units
+        self.local_slots_used = 0
+        # With an equal share per gateway, no failure exceeds the ceiling. The share starts empty because the
+        # use by the previous process is not known.
+        tokens = min(plan.ceiling_burst, (now - gateway_started_at) * plan.ceiling_rate) / self.spread
         self.ceiling = TokenBucketShare(plan.ceiling_rate, plan.ceiling_burst, self.spread, tokens, now)
 
     @property
     def is_in_use(self) -> bool:
-        """Whether anything is out for it."""
-        return bool(self.is_call_out or self.open_attempts or self.waiting_ids)
+        """Whether a counter call, a slot or a waiting request refers to it."""
+        return bool(self.is_call_out or self.local_slots_used or self.waiting_request_ids)
 
-    def widen(self, spread: int) -> None:
-        """Spread it over more gateways: requests may name sets of their own, and the largest fits all."""
+    def increase_spread(self, spread: int) -> None:
+        """Share the quota among more gateways. Requests may name different sets, and the largest fits all."""
         self.set_spread(spread)
         self.ceiling.set_parts(spread)
 
     def window_limit(self, now: float) -> float:
-        """Return what all may have used by now; less of a thin one: its overdraft is not carried along."""
+        """Return the units that all gateways together may have used by now.
+
+        The limit is lower for a small burst, whose overdraft is not carried over to the next window."""
         elapsed = now - self.window_start
         if not self.is_thin:
             return self.burst + self.rate * elapsed
-        opened = min(1.0, OPENING_PART + (1 - OPENING_PART) * elapsed / (OPENING_SPAN * self.window_length))
-        return min(self.burst, max(1.0, self.burst * opened)) + THIN_REFILL * self.rate * elapsed
+        burst_share = min(
+            1.0,
+            INITIAL_BURST_SHARE
+            + (1 - INITIAL_BURST_SHARE) * elapsed / (FULL_BURST_WINDOW_SHARE * self.window_length),
+        )
+        return (
+            min(self.burst, max(1.0, self.burst * burst_share))
+            + SMALL_BURST_REFILL_SHARE * self.rate * elapsed
+        )
 
     def local_allowance(self, now: float, is_counter_silent: bool) -> float:
-        """Return what may be used without a lease; while the counter is silent, the part used here before."""
+        """Return the units that may be used without a lease.
+
+        While the counter is silent, the part of the quota's use that was here before determines the share."""
         unused = max(0.0, min(self.burst, self.window_limit(now) - self.total_units))
-        own_part = unused * max(self.local_share, 1 / self.spread)
-        return own_part if is_counter_silent else unused / self.spread * LOCAL_PART
+        local_unused = unused * max(self.local_share, 1 / self.spread)
+        return local_unused if is_counter_silent else unused / self.spread * LOCAL_ALLOWANCE_SHARE
 
     def lease_size(self, call_cost: float) -> int:
-        """Return the units to lease: sqrt(call cost * use / cost of a unit that is left unspent here)."""
-        use = max(self.previous_used_units, self.used_units)
-        used_part = min(1.0, self.total_units / self.burst)
-        size = math.sqrt(call_cost * use / max(MIN_STRAND_COST, used_part * used_part))
-        return max(1, int(min(size, self.burst, max(use, 1.0))))
+        """Return the units to lease: sqrt(call cost * units used / cost of a unit left unspent here)."""
+        used_units = max(self.previous_used_units, self.used_units)
+        used_share = min(1.0, self.total_units / self.burst)
+        size = math.sqrt(call_cost * used_units / max(MIN_STRANDED_UNIT_COST, used_share * used_share))
+        return max(1, int(min(size, self.burst, max(used_units, 1.0))))
--- a/apigateway/policy/dispatch.py
+++ b/apigateway/policy/dispatch.py
@@ -1,23 +1,25 @@
-"""How a request that may be forwarded gets an endpoint: at once, from the queue, or not at all."""
+"""Dispatch of admitted requests to endpoints: at once or from the queue."""
 
 from functools import partial
 
 from apigateway import messages
 from apigateway.policy import ceiling, selection
-from apigateway.policy.endpoint_pool import TICK
+from apigateway.policy.endpoint_pool import TICK_S
 from apigateway.policy.pending_queue import PendingRequest, Stage
 from apigateway.policy.state import GatewayState
 
-MAX_QUEUE_TIME = 0.5  # share of the latency objective that a request may wait for its first endpoint
-RETRIES_PER_REQUEST = 0.1  # that a first attempt allows for: faults do not multiply the load
-RETRIES_WHILE_SPARE = 0.3  # likewise, while the endpoints have spare capacity
+MAX_QUEUE_TIME_SHARE = 0.5  # of the latency objective; time that a request may wait for its first endpoint
+RETRIES_PER_REQUEST = (
+    0.1  # retries that each first attempt adds to the budget, so faults do not multiply load
+)
+SPARE_RETRIES_PER_REQUEST = 0.3  # the same while the endpoints have spare capacity
 MIN_QUEUE_LENGTH = 4  # requests that may always wait
 
 
 def try_over_quota(state: GatewayState, pending: PendingRequest, wait: float = 0.0) -> None:
-    """Forward a request beyond its quota if that pays and harms nobody; else reject it."""
-    pays = pending.plan.over_quota_weight > pending.plan.over_quota_cost
-    if pays and state.pool.has_spare_capacity() and not state.queue.waiting_count:
+    """Forward a request beyond its quota if that is profitable and there is spare capacity, or reject it."""
+    is_profitable = pending.plan.over_quota_weight > pending.plan.over_quota_cost
+    if is_profitable and state.pool.has_spare_capacity() and not state.queue.waiting_count:
         pending.is_over_quota = True
         dispatch(state, pending)
     else:
@@ -25,7 +27,7 @@
 
 
 def dispatch(state: GatewayState, pending: PendingRequest) -> None:
-    """Spend the customer's ceiling, then forward the request, let it wait, or grant it if it is a check."""
+    """Take tokens from the customer's ceiling, then grant a check, or forward or queue a request."""
     request = pending.request
     wait = ceiling.wait_time(state, pending)
     if wait > ceiling.max_wait(state, pending):
@@ -33,19 +35,24 @@
     elif wait > 0:
         pending.quota.ceiling.promised += request.units
         pending.stage = Stage.CEILING
-        state.schedule_check(state.now + max(TICK, wait), pending)  # one due at once would come for ever
+        # At least TICK_S: a check that is due at once would be repeated for ever.
+        state.schedule_check(state.now + max(TICK_S, wait), pending)
     else:
         pending.quota.ceiling.charge(request.units, request.is_prepaid, request.is_reservation)
         if request.is_check:
             state.grant(pending)
-        elif state.queue.waiting_count or not state.pool.any_capacity(state.now) or not send(state, pending):
+        elif (
+            state.queue.waiting_count
+            or not state.pool.has_any_capacity(state.now)
+            or not send(state, pending)
+        ):
             _enqueue_new(state, pending)
 
 
 def _enqueue_new(state: GatewayState, pending: PendingRequest) -> None:
     state.queue.add(pending)
     objective = pending.service_class.latency_objective
-    max_length = max(MIN_QUEUE_LENGTH, state.pool.send_rate.at(state.now) * MAX_QUEUE_TIME * objective)
+    max_length = max(MIN_QUEUE_LENGTH, state.pool.send_rate.at(state.now) * MAX_QUEUE_TIME_SHARE * objective)
     if state.queue.waiting_count > max_length and (lowest := state.queue.lowest_priority()) is not None:
         state.reject(lowest)
     drain_queue(state)
@@ -54,14 +61,15 @@
 
 
 def max_queue_time(pending: PendingRequest) -> float:
-    """Return how long after its arrival a request may wait for an endpoint: a repeat while that is of use."""
+    """Return the seconds after its arrival for which a request may wait; a retry may wait longer."""
     objective = pending.service_class.latency_objective
-    useful_time = min(objective, (pending.deadline - pending.arrived_at) / 2)  # then a rejection comes late
-    return useful_time if pending.attempt_count else MAX_QUEUE_TIME * objective
+    # After half of the time to the deadline, a rejection would come too late for the client.
+    useful_time = min(objective, (pending.deadline - pending.arrived_at) / 2)
+    return useful_time if pending.attempt_count else MAX_QUEUE_TIME_SHARE * objective
 
 
 def can_queue(state: GatewayState, pending: PendingRequest) -> bool:
-    """Return whether a request whose attempt has failed may wait for another endpoint."""
+    """Return whether a request whose attempt has failed may queue for another endpoint."""
     is_late = state.now >= pending.arrived_at + max_queue_time(pending)
     if is_late or pending.is_streaming or pending.attempt_count >= state.settings.limits.max_attempts:
         return False
@@ -69,10 +77,10 @@
 
 
 def send(state: GatewayState, pending: PendingRequest) -> bool:
-    """Make an attempt if there is an endpoint for it, and return whether there was."""
+    """Send an attempt if an endpoint is available, and return whether it was sent."""
     limits = state.settings.limits
-    is_alone = limits.can_hedge or not pending.in_flight
-    if not is_alone or pending.is_streaming or pending.attempt_count >= limits.max_attempts:
+    may_send = limits.can_hedge or not pending.in_flight
+    if not may_send or pending.is_streaming or pending.attempt_count >= limits.max_attempts:
         return False
     endpoint = selection.select_endpoint(state, pending)
     if endpoint is None:
@@ -80,19 +88,19 @@
     state.actions.append(messages.ForwardRequest(pending.request.request_id, endpoint.host.id))
     number = pending.begin_attempt(endpoint.host.id, state.now)
     pending.stage = Stage.SENT
-    state.pool.on_sent(endpoint, (pending.request.request_id, number), state.now)
+    state.pool.record_sent(endpoint, (pending.request.request_id, number), state.now)
     state.schedule_check(state.now + state.pool.attempt_timeout(pending.service_class.name), pending)
     if number == 0:
-        is_spare = state.pool.has_spare_capacity()
-        state.retry_budget.deposit(RETRIES_WHILE_SPARE if is_spare else RETRIES_PER_REQUEST)
+        has_spare = state.pool.has_spare_capacity()
+        state.retry_budget.deposit(SPARE_RETRIES_PER_REQUEST if has_spare else RETRIES_PER_REQUEST)
     return True
 
 
 def drain_queue(state: GatewayState) -> None:
-    """Send what waits, as far as there are endpoints."""
+    """Send queued requests while endpoints have capacity."""
     if not state.queue.waiting_count:
         return
-    if state.pool.any_capacity(state.now):
+    if state.pool.has_any_capacity(state.now):
         state.queue.drain(partial(send, state))
-    if state.queue.waiting_count and state.pool.next_trial_at <= state.now:
-        state.pool.schedule_trial(state.now)  # no other event may come at a pause's end
+    if state.queue.waiting_count and state.pool.next_backoff_end <= state.now:
+        state.pool.update_next_backoff_end(state.now)  # when a backoff ends there may be no other event
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -1,35 +1,38 @@
-"""Routes each event to its handler and collects the actions; both are in messages.py. No clock, no I/O."""
+"""The entry point of the decision module: it passes each event to its handler and collects the actions."""
 
 import math
 
 from apigateway import messages
 from apigateway.messages import CounterCallResult, DiscoveryMode, ListMode, Request
 from apigateway.policy import ceiling, concurrency_limit, customers, dispatch, quota_leasing, retries
-from apigateway.policy.endpoint_pool import GAIN
+from apigateway.policy.endpoint_pool import SMOOTHING_WEIGHT
 from apigateway.policy.pending_queue import PendingRequest, Stage
-from apigateway.policy.state import CHECK_MARGIN, GatewayState
+from apigateway.policy.state import CHECK_MARGIN_S, GatewayState
 from apigateway.routing.timer_heap import TOLERANCE
 
-KEPT_PART = 0.2  # of a burst kept from the class of the least priority weight, for that of the greatest
-CALL_LOST = 0.9  # part of the time-out before which a call without answer was lost with its connection
-WATCH_RETRY = 1.0  # s after a failed watch of the endpoint list
-MAX_CALLS = 2.0  # time-outs of the counter that a request may wait for its units
-UNKNOWN_RETRY_AFTER = 1.0  # s; given to a customer that cannot be known while all others are in use
+# Share of the burst that the class of least priority weight may not use; it is kept for the class of greatest
+# priority weight.
+PRIORITY_HEADROOM_SHARE = 0.2
+# Share of the counter's timeout. A call that ends earlier without an answer was lost with its connection.
+LOST_CALL_TIMEOUT_SHARE = 0.9
+WATCH_RETRY_DELAY_S = 1.0  # after a failed watch of the endpoint list
+MAX_COUNTER_TIMEOUTS = 2.0  # timeouts of the counter for which a request may wait for its units
+CUSTOMERS_FULL_RETRY_AFTER_S = 1.0  # for a new customer while all kept customers are in use
 
 
 class Gateway(GatewayState):
-    """The decisions of one gateway: events in, actions out."""
+    """The decisions of one gateway. Events and actions are defined in messages.py."""
 
     def handle(self, now: float, event: messages.Event) -> list[messages.Action]:
-        """Take up one event, and return what is to be done."""
+        """Handle one event, and return the actions to carry out."""
         self.now = now
         self.actions = []
-        self._route(event)
+        self._handle_event(event)
         dispatch.drain_queue(self)
         self._set_timer()
         return self.actions
 
-    def _route(self, event: messages.Event) -> None:
+    def _handle_event(self, event: messages.Event) -> None:
         match event:
             case messages.Request():
                 self._on_request(event)
@@ -52,33 +55,33 @@
                 quota_leasing.return_units(self, event)
             case messages.EvacuateZones():
                 self.pool.health.zone_health.left = frozenset(event.zones)
-                self.pool.refresh(self.now)
+                self.pool.update_available(self.now)
             case messages.DrainGateway():
                 self.draining_since = self.now if event.is_draining else math.inf
 
     def _set_timer(self) -> None:
-        due_at = min(self.checks.next_due(self.pending), self.watch_at)
-        if self.queue.waiting_count and self.pool.next_trial_at > self.now:
-            due_at = min(due_at, self.pool.next_trial_at)
+        due_at = min(self.check_timers.next_due(self.pending), self.watch_at)
+        if self.queue.waiting_count and self.pool.next_backoff_end > self.now:
+            due_at = min(due_at, self.pool.next_backoff_end)
         if self.alarm.set(due_at):
             self.actions.append(messages.SetTimer(max(0.0, due_at - self.now), 0))
 
     def _on_endpoint_list(self, event: messages.EndpointList) -> None:
-        self.pool.on_endpoint_list(self.now, event)
+        self.pool.update_endpoints(self.now, event)
         if event.mode == ListMode.FAILED:
-            self.watch_at = self.now + WATCH_RETRY
+            self.watch_at = self.now + WATCH_RETRY_DELAY_S
         elif event.mode == ListMode.CACHED and self.settings.discovery_mode == DiscoveryMode.POLL:
             self.actions.append(messages.WatchEndpoints(True))
 
     def _on_request(self, request: Request) -> None:
         pending = self._new_pending(request)
         if pending is None:
-            wait = self.settings.limits.retry_after(UNKNOWN_RETRY_AFTER)
+            wait = self.settings.limits.retry_after(CUSTOMERS_FULL_RETRY_AFTER_S)
             denied = messages.QuotaDenied(request.request_id, False, wait, 0.0, 0.0)
             self.actions.append(denied if request.is_check else messages.Reject(request.request_id, wait))
             return
         self.pending[request.request_id] = pending
-        is_late = request.remaining < CHECK_MARGIN  # no check would come in time
+        is_late = request.remaining < CHECK_MARGIN_S  # no check could run before its deadline
         is_congested = self.pool.is_congested(self.now)
         if is_late or self.load_shedder.should_shed(self.now, pending, is_congested, self.rng.random()):
             self.reject(pending)
@@ -94,29 +97,43 @@
     def _new_pending(self, request: Request) -> PendingRequest | None:
         service_class = self.settings.classes[request.service_class]
         plan = self.settings.plan_of(request)
-        quota = customers.acquire(self, request, plan)
+        quota = customers.acquire_quota(self, request, plan)
         if quota is None:
             return None
-        units = min(request.units, self.settings.max_units)  # a check may ask for any number
+        units = min(request.units, self.settings.max_units)  # a check may ask for any number of units
         priority = service_class.priority_weight * plan.price_weight * units
-        self.mean_priority += (GAIN if self.mean_priority else 1.0) * (priority - self.mean_priority)
-        density = priority / max(self.pool.response_times[service_class.name].mean, 1e-6)
-        rank = service_class.priority_weight / self.max_weight if self.max_weight else 1.0
-        kept_units = KEPT_PART * plan.burst * (1 - rank)
+        self.mean_priority += (SMOOTHING_WEIGHT if self.mean_priority else 1.0) * (
+            priority - self.mean_priority
+        )
+        priority_density = priority / max(self.pool.response_times[service_class.name].mean, 1e-6)
+        relative_weight = (
+            service_class.priority_weight / self.max_priority_weight if self.max_priority_weight else 1.0
+        )
+        headroom_units = PRIORITY_HEADROOM_SHARE * plan.burst * (1 - relative_weight)
         route = self.settings.routes.get(request.route) if request.route else None
         kinds = route.allowed_kinds(one.host for one in self.pool.available) if route else ()
         scope = self.fault_scopes.get(request.service_class, request.plan, plan.name)
-        end = self.now + request.remaining
+        deadline = self.now + request.remaining
         return PendingRequest(
-            request, service_class, plan, quota, self.now, end, priority, density, scope, kept_units, kinds
+            request,
+            service_class,
+            plan,
+            quota,
+            self.now,
+            deadline,
+            priority,
+            priority_density,
+            scope,
+            headroom_units,
+            kinds,
         )
 
     def _on_counter_result(self, event: messages.CounterResult) -> None:
         on_result = self.counter_calls.pop(event.counter_key)
         if on_result is None:
             return
-        # A spoilt answer, or a connection that broke before the time was up, says nothing of the next call.
-        is_early = event.elapsed < CALL_LOST * self.counter.timeout
+        # A malformed reply, or a connection lost before the timeout, does not predict the next call's result.
+        is_early = event.elapsed < LOST_CALL_TIMEOUT_SHARE * self.counter.timeout
         is_lost = is_early and event.result == CounterCallResult.TIMEOUT
         if event.result != CounterCallResult.MALFORMED_REPLY and not is_lost:
             self.counter.observe(self.now, event.result == CounterCallResult.OK, event.elapsed)
@@ -127,13 +144,13 @@
         if self.now >= self.watch_at:
             self.watch_at = math.inf
             self.actions.append(messages.WatchEndpoints(True))
-        while (request_id := self.checks.pop_due(self.now)) is not None:
+        while (request_id := self.check_timers.pop_due(self.now)) is not None:
             if request_id in self.pending:
-                self._check(self.pending[request_id])
+                self._check_pending(self.pending[request_id])
 
-    def _check(self, pending: PendingRequest) -> None:
-        is_last = self.now >= pending.deadline - CHECK_MARGIN - TOLERANCE
-        max_time = MAX_CALLS * self.counter.timeout if pending.stage == Stage.UNITS else math.inf
+    def _check_pending(self, pending: PendingRequest) -> None:
+        is_last = self.now >= pending.deadline - CHECK_MARGIN_S - TOLERANCE
+        max_time = MAX_COUNTER_TIMEOUTS * self.counter.timeout if pending.stage == Stage.UNITS else math.inf
         if pending.stage == Stage.QUEUE:
             max_time = dispatch.max_queue_time(pending)
         if pending.stage == Stage.SENT:
--- a/apigateway/policy/overload_gate.py
+++ b/apigateway/policy/overload_gate.py
@@ -6,19 +6,21 @@
 
 from apigateway.routing import DecayingCounts, ExpiringKeys, LoopLag
 
-WINDOW = 0.05  # s over which the lag is taken
-MIN_LAG_DURATION = 0.1  # s of lag without a break before anything is shed: a pause is no overload
-DECREASE = 0.1  # part of the admitted share that each multiple of the objective takes off in a window
-MAX_DECREASE_FACTOR = 0.5  # part of it that a window leaves at least
-INCREASE = 1.02  # factor of the admitted share in a window that was in time
-LOW_LAG_INCREASE = 1.05  # likewise, if the lag was well below the objective
-MIN_INCREASE = 0.003  # and what is added to it
-LOW_LAG = 0.5  # part of the objective that is well below it
+WINDOW_S = 0.05  # s over which the lag is taken
+MIN_LAG_DURATION_S = 0.1  # s of lag without a break before anything is shed: a pause is no overload
+DECREASE_PER_OBJECTIVE = (
+    0.1  # part of the admitted share that each multiple of the objective takes off in a window
+)
+MIN_DECREASE_FACTOR = 0.5  # part of it that a window leaves at least
+INCREASE_FACTOR = 1.02  # factor of the admitted share in a window that was in time
+LOW_LAG_INCREASE_FACTOR = 1.05  # likewise, if the lag was well below the objective
+INCREASE_STEP = 0.003  # and what is added to it
+LOW_LAG_SHARE = 0.5  # part of the objective that is well below it
 MIN_ADMITTED_SHARE = 0.02  # whatever the lag, so that an end of the overload is seen
 STEPS_PER_DOUBLING = 4  # of the priority weight
 MAX_STEP = 100
-COUNT_DECAY = 0.8  # part of the counts by priority kept each window
-RETRY_AFTER = 0.25  # s, mean over a uniform spread, when all but none are shed
+COUNT_DECAY_FACTOR = 0.8  # part of the counts by priority kept each window
+MEAN_RETRY_AFTER_S = 0.25  # s, mean over a uniform spread, when all but none are shed
 MAX_CUSTOMERS = 10_000  # whose Retry-After is known
 
 
@@ -35,10 +37,10 @@
         self.configure(lag_objective, max_wait, max_retry_after)
         self.random: Callable[[], float] = random.Random(seed).random
         self.admitted_share = 1.0
-        self.loop_lag = LoopLag(WINDOW)
+        self.loop_lag = LoopLag(WINDOW_S)
         self.lag = 0.0  # s; of the last window
         self.lagging_since = math.inf
-        self.counts = DecayingCounts()  # of the latest requests, by priority step
+        self.requests_by_step = DecayingCounts()  # of the latest requests, by priority step
         self.priority_floor = -MAX_STEP - 1  # priority step below which all are shed;
         self.floor_probability = 1.0  # the chance to pass of those on it
         self.retry_times = ExpiringKeys(MAX_CUSTOMERS)  # of customers who were given a Retry-After
@@ -63,22 +65,26 @@
         self.lag = self.loop_lag.seconds
         if self.lag <= self.lag_objective:
             self.lagging_since = math.inf
-            increase = LOW_LAG_INCREASE if self.lag <= LOW_LAG * self.lag_objective else INCREASE
-            self.admitted_share = min(1.0, self.admitted_share * increase + MIN_INCREASE)
+            increase = (
+                LOW_LAG_INCREASE_FACTOR if self.lag <= LOW_LAG_SHARE * self.lag_objective else INCREASE_FACTOR
+            )
+            self.admitted_share = min(1.0, self.admitted_share * increase + INCREASE_STEP)
         else:
             self.lagging_since = min(self.lagging_since, now)
-            if self.is_overloaded or self.lagging_since <= now - MIN_LAG_DURATION:
-                factor = max(MAX_DECREASE_FACTOR, 1 - DECREASE * (self.lag / self.lag_objective - 1))
+            if self.is_overloaded or self.lagging_since <= now - MIN_LAG_DURATION_S:
+                factor = max(
+                    MIN_DECREASE_FACTOR, 1 - DECREASE_PER_OBJECTIVE * (self.lag / self.lag_objective - 1)
+                )
                 self.admitted_share = max(MIN_ADMITTED_SHARE, self.admitted_share * factor)
         if self.is_overloaded:
             self.update_floor()
         else:
             self.retry_times.clear()
-        self.counts.decay(COUNT_DECAY)
+        self.requests_by_step.decay(COUNT_DECAY_FACTOR)
 
     def update_floor(self) -> None:
         """Set the floor so that `admitted_share` of the latest requests pass, by priority."""
-        self.priority_floor, self.floor_probability = self.counts.top_part(self.admitted_share) or (
+        self.priority_floor, self.floor_probability = self.requests_by_step.top_part(self.admitted_share) or (
             -MAX_STEP - 1,
             1.0,
         )
@@ -89,7 +95,7 @@
         """Return the Retry-After of a request that is shed, 0 for none; below 0: it is admitted.
 
         `waited`: s since it was read. `step`: of its priority. `remaining`: s until its client gives up."""
-        self.counts.add(step)
+        self.requests_by_step.add(step)
         self.loop_lag.add_wait(waited)
         if waited <= self.max_wait and not self.is_overloaded:
             return -1.0
@@ -104,7 +110,7 @@
                 self.admitted_count += 1
                 return -1.0
         self.shed_count += 1
-        mean = RETRY_AFTER / self.admitted_share
+        mean = MEAN_RETRY_AFTER_S / self.admitted_share
         return min(self.max_retry_after, 2 * mean * self.random()) if self.max_retry_after else 0.0
 
     def on_retry_after(self, now: float, customer: str, retry_after: float) -> None:
--- a/apigateway/policy/pending_queue.py
+++ b/apigateway/policy/pending_queue.py
@@ -7,7 +7,7 @@
 from apigateway.policy.customer_quota import CustomerQuota
 from apigateway.routing import AttemptHistory, FaultScope, PriorityQueue
 
-OWN_SLOT = -1  # of this gateway's part of a concurrency limit
+LOCAL_SLOT = -1  # of this gateway's part of a concurrency limit
 
 
 class Stage(StrEnum):
@@ -33,10 +33,10 @@
     priority: float  # priority weight of all its units
     priority_density: float  # its priority a second of an endpoint's time
     fault_scope: FaultScope
-    kept_units: float  # of the quota, kept for classes of more weight
+    headroom_units: float  # of the quota, kept for classes of more weight
     allowed_kinds: tuple[str, ...]  # of the endpoints that its route keeps it to; none: any
     stage: Stage = Stage.UNITS
-    grant_odds: float = 1.0  # that its quota has units for it, as far as is known without asking
+    grant_probability: float = 1.0  # that its quota has units for it, as far as is known without asking
     is_over_quota: bool = False  # forwarded all the same
     slot: int = 0  # held of the concurrency limit: OWN_SLOT, or the epoch of the shared count; 0: none
     is_streaming: bool = False
@@ -49,8 +49,8 @@
     def add(self, pending: PendingRequest) -> None:
         """Let a request wait, on a route of its own if it may not be repeated anywhere."""
         pending.stage = Stage.QUEUE
-        is_unproven = pending.possibly_executed or pending.in_flight
-        alone = is_unproven and not pending.service_class.is_safe
-        request_id = pending.request.request_id if alone else ""
+        may_have_executed = pending.possibly_executed or pending.in_flight
+        is_separate = may_have_executed and not pending.service_class.is_safe
+        request_id = pending.request.request_id if is_separate else ""
         route = pending.service_class.name, pending.allowed_kinds, frozenset(pending.tried), request_id
         self.insert(route, not pending.is_over_quota, pending.priority_density, pending)
--- a/apigateway/policy/quota_leasing.py
+++ b/apigateway/policy/quota_leasing.py
@@ -6,17 +6,19 @@
 from apigateway.hashing import stable_hash
 from apigateway.messages import CounterCallResult, CounterResult, ReturnUnits
 from apigateway.policy import concurrency_limit, dispatch
-from apigateway.policy.counter_health import RATIONED_CONGESTION, SIDE_CALL_GAIN
+from apigateway.policy.counter_health import RATIONING_CONGESTION, SECONDARY_CALL_BENEFIT
 from apigateway.policy.customer_quota import CustomerQuota
-from apigateway.policy.endpoint_pool import TICK
+from apigateway.policy.endpoint_pool import TICK_S
 from apigateway.policy.pending_queue import PendingRequest
-from apigateway.policy.state import GatewayState, OnResult
+from apigateway.policy.state import GatewayState, OnCounterResult
 from apigateway.routing import LedgerEntry
 
-REPORTED_PART = 0.5  # part of the local allowance that is used, after which it is reported
-CALL_TIME_COST = 0.3  # cost of a call, times the squared congestion: it grows as the counter slows
-MAX_SAMPLE = 4.0  # requests that one which asks stands for at most: more makes the count jump
-MIN_LOAD_COST = 0.2  # least cost of a unit forwarded beyond quota, in its priority: it loads what all share
+REPORT_THRESHOLD_SHARE = 0.5  # part of the local allowance that is used, after which it is reported
+CONGESTION_CALL_COST = 0.3  # cost of a call, times the squared congestion: it grows as the counter slows
+MAX_REQUESTS_PER_CALL = 4.0  # requests that one which asks stands for at most: more makes the count jump
+MIN_OVERUSE_COST = (
+    0.2  # least cost of a unit forwarded beyond quota, in its priority: it loads what all share
+)
 
 
 def acquire_units(state: GatewayState, pending: PendingRequest) -> None:
@@ -24,33 +26,39 @@
     quota = pending.quota
     quota.advance_window(state.now)
     # Of one far beyond its quota a gateway hears more than an even part, so its demand here tells enough.
-    odds = quota.demand.observe(state.now, quota.rate / quota.spread)
-    pending.grant_odds = odds * state.grant_shares[pending.plan.name, pending.request.is_retry].share
+    allowed_ratio = quota.demand.observe(state.now, quota.rate / quota.spread)
+    pending.grant_probability = (
+        allowed_ratio * state.grant_shares[pending.plan.name, pending.request.is_retry].share
+    )
     priority = pending.priority / max(state.mean_priority, 1e-9)
-    probability = state.counter.call_probability(priority * min(pending.grant_odds, _overuse_cost(pending)))
+    probability = state.counter.call_probability(
+        priority * min(pending.grant_probability, _overuse_cost(pending))
+    )
     _decide(state, pending, state.rng.random() < probability)
-    _renew_lease(state, quota, min(MAX_SAMPLE, 1 / max(probability, 1e-9)))  # for those unasked too
+    _renew_lease(
+        state, quota, min(MAX_REQUESTS_PER_CALL, 1 / max(probability, 1e-9))
+    )  # for those unasked too
 
 
 def _overuse_cost(pending: PendingRequest) -> float:
     """Return what it costs in the mean to let a request in, as a part of its priority."""
     cost = pending.plan.over_quota_cost - pending.plan.over_quota_weight
-    return (1 - pending.grant_odds) * max(MIN_LOAD_COST, cost)
+    return (1 - pending.grant_probability) * max(MIN_OVERUSE_COST, cost)
 
 
-def _decide(state: GatewayState, pending: PendingRequest, may_ask: bool) -> None:
+def _decide(state: GatewayState, pending: PendingRequest, may_call_counter: bool) -> None:
     quota = pending.quota
     units = pending.request.units
     remaining = quota.remaining(state.now)
-    spare = remaining - pending.kept_units - units
-    if spare + quota.leased_units >= 0 and _take_units(state, pending, may_ask):
+    spare = remaining - pending.headroom_units - units
+    if spare + quota.leased_units >= 0 and _take_units(state, pending, may_call_counter):
         concurrency_limit.acquire_slot(state, pending)
     elif state.now < quota.exhausted_until or spare < 0:
         dispatch.try_over_quota(state, pending, (units - remaining) / quota.rate)
-    elif may_ask and state.counter.is_usable(state.now):
-        quota.waiting_ids.append(pending.request.request_id)
-        state.schedule_check(state.now + 2 * state.counter.timeout + TICK, pending)
-    elif quota.is_thin and pending.grant_odds > _overuse_cost(pending):
+    elif may_call_counter and state.counter.is_usable(state.now):
+        quota.waiting_request_ids.append(pending.request.request_id)
+        state.schedule_check(state.now + 2 * state.counter.timeout + TICK_S, pending)
+    elif quota.is_thin and pending.grant_probability > _overuse_cost(pending):
         # Each gateway's part is less than a request, so the odds decide: they are against one that comes here
         # often. Harm: while the counter is away first requests of all are let in.
         quota.used_units += units
@@ -59,14 +67,14 @@
         dispatch.try_over_quota(state, pending)
 
 
-def _take_units(state: GatewayState, pending: PendingRequest, may_ask: bool) -> bool:
+def _take_units(state: GatewayState, pending: PendingRequest, may_call_counter: bool) -> bool:
     """Take leased units, or else unleased ones as far as the local allowance goes."""
     quota = pending.quota
     units = pending.request.units
     is_leased = quota.leased_units >= units
     if not is_leased:
         allowance = quota.local_allowance(state.now, state.counter.failures > 0) - quota.unreported_units
-        if may_ask and not quota.is_known and state.counter.is_usable(state.now):
+        if may_call_counter and not quota.is_usage_known and state.counter.is_usable(state.now):
             allowance = -1.0
         # What is less than a request is rounded at random, once a window: over all gateways it comes out.
         if quota.remaining(state.now) < units or allowance < units * (1 - quota.rounding_draw):
@@ -75,20 +83,24 @@
     return True
 
 
-def _waiting(state: GatewayState, quota: CustomerQuota) -> list[PendingRequest]:
-    return [state.pending[request_id] for request_id in quota.waiting_ids if request_id in state.pending]
+def _waiting_requests(state: GatewayState, quota: CustomerQuota) -> list[PendingRequest]:
+    return [
+        state.pending[request_id] for request_id in quota.waiting_request_ids if request_id in state.pending
+    ]
 
 
-def _renew_lease(state: GatewayState, quota: CustomerQuota, sample: float = 1.0) -> None:
+def _renew_lease(state: GatewayState, quota: CustomerQuota, requests_represented: float = 1.0) -> None:
     """Report used units and ask for others, if due; `sample`: requests that a waiting one stands for."""
     if quota.is_call_out or not state.counter.is_usable(state.now):
         return
-    needed = sum(pending.request.units for pending in _waiting(state, quota))
-    size = quota.lease_size(state.counter.price + CALL_TIME_COST * state.counter.congestion**2)
+    needed = sum(pending.request.units for pending in _waiting_requests(state, quota))
+    size = quota.lease_size(state.counter.price + CONGESTION_CALL_COST * state.counter.congestion**2)
     remaining = quota.remaining(state.now)
     is_plenty = remaining > size * quota.spread and state.now >= quota.exhausted_until
     is_low = quota.leased_units < size / 2 and is_plenty
-    is_due = quota.unreported_units > max(1.0, REPORTED_PART * quota.local_allowance(state.now, False))
+    is_due = quota.unreported_units > max(
+        1.0, REPORT_THRESHOLD_SHARE * quota.local_allowance(state.now, False)
+    )
     if not (needed or is_due or (quota.reported_units and is_low)):
         return
     wanted = max(needed, size) - quota.leased_units if needed else size * is_low
@@ -96,28 +108,30 @@
     if asked + quota.unreported_units <= 0:
         _decide_waiting(state, quota)
         return
-    entry = quota.begin_call(asked, needed * (sample - 1))
-    _count(state, quota, entry, partial(_on_counted, state, quota, entry))
+    entry = quota.begin_call(asked, needed * (requests_represented - 1))
+    _add_to_count(state, quota, entry, partial(_on_counted, state, quota, entry))
 
 
 def correct_count(state: GatewayState, quota: CustomerQuota, units: float) -> None:
     """Add units to the count that it lacks, or take off some."""
     entry = LedgerEntry(quota.window_index, extra=units)
-    _count(state, quota, entry, partial(_on_correction_counted, quota, entry))
+    _add_to_count(state, quota, entry, partial(_on_correction_counted, quota, entry))
 
 
-def _count(state: GatewayState, quota: CustomerQuota, entry: LedgerEntry, on_result: OnResult) -> None:
+def _add_to_count(
+    state: GatewayState, quota: CustomerQuota, entry: LedgerEntry, on_result: OnCounterResult
+) -> None:
     key = stable_hash(quota.name, quota.window_index)
     state.add_to_counter(key, entry.amount, 3 * quota.window_length, on_result)
 
 
 def _on_counted(state: GatewayState, quota: CustomerQuota, entry: LedgerEntry, event: CounterResult) -> None:
     quota.is_call_out = False
-    quota.is_known = True
+    quota.is_usage_known = True
     quota.advance_window(state.now)
     if entry.window == quota.window_index:
         if event.result == CounterCallResult.OK:
-            _on_total(state, quota, event.total, entry)
+            _apply_total(state, quota, event.total, entry)
         else:
             quota.on_no_total(event.result, entry)
     _decide_waiting(state, quota)
@@ -129,21 +143,23 @@
         quota.unconfirmed_units += entry.amount * (event.result == CounterCallResult.TIMEOUT)
 
 
-def _on_total(state: GatewayState, quota: CustomerQuota, total: float, entry: LedgerEntry) -> None:
+def _apply_total(state: GatewayState, quota: CustomerQuota, total: float, entry: LedgerEntry) -> None:
     """Take up the total of all gateways, grant what it allows and correct it."""
     limit = quota.window_limit(state.now)
     missing = quota.missing_units(total, entry)
     if not quota.is_thin:  # a burst is saved up at most: what a quiet customer did not use is gone
         missing += quota.drop_surplus(total + missing - entry.asked, limit)
-    waiting = _waiting(state, quota)
-    kept = min((pending.kept_units for pending in waiting), default=0.0)
-    denied = min(entry.asked, max(0.0, math.ceil(total + missing + kept - limit)))
+    waiting = _waiting_requests(state, quota)
+    headroom = min((pending.headroom_units for pending in waiting), default=0.0)
+    denied = min(entry.asked, max(0.0, math.ceil(total + missing + headroom - limit)))
     quota.on_granted(total, entry, missing, denied)
     needed = sum(pending.request.units for pending in waiting)
     if needed:
         grant_share = state.grant_shares[quota.plan.name, waiting[0].request.is_retry]
         grant_share.observe(needed, min(needed, quota.leased_units))
-    if state.rng.random() < state.counter.call_probability(SIDE_CALL_GAIN):  # else the excess stays counted
+    if state.rng.random() < state.counter.call_probability(
+        SECONDARY_CALL_BENEFIT
+    ):  # else the excess stays counted
         missing -= denied
     if missing:
         correct_count(state, quota, missing)
@@ -151,16 +167,16 @@
 
 def _decide_waiting(state: GatewayState, quota: CustomerQuota) -> None:
     """Decide on the requests that wait for a customer's units, those of most priority a unit first."""
-    waiting = _waiting(state, quota)
-    quota.waiting_ids = []
+    waiting = _waiting_requests(state, quota)
+    quota.waiting_request_ids = []
     for pending in sorted(waiting, key=lambda one: -one.priority / max(one.request.units, 1e-9)):
         remaining = quota.remaining(state.now)
         if remaining + quota.leased_units < pending.request.units:
             quota.exhausted_until = state.now + max(0.0, 1 - remaining) / quota.rate
-            if state.counter.congestion > RATIONED_CONGESTION:  # others wait for it: no call until the turn
+            if state.counter.congestion > RATIONING_CONGESTION:  # others wait for it: no call until the turn
                 quota.exhausted_until = quota.window_end
         _decide(state, pending, state.counter.failures == 0)
-    if quota.waiting_ids:
+    if quota.waiting_request_ids:
         _renew_lease(state, quota)
 
 
--- a/apigateway/policy/retries.py
+++ b/apigateway/policy/retries.py
@@ -4,21 +4,25 @@
 
 from apigateway.messages import AttemptOutcome, AttemptResult, CancelAttempt
 from apigateway.policy import dispatch, selection
-from apigateway.policy.endpoint_pool import TICK
+from apigateway.policy.endpoint_pool import TICK_S
 from apigateway.policy.pending_queue import PendingRequest
 from apigateway.policy.state import GatewayState
 
 RETRY_COSTS = {AttemptResult.CONNECT_FAILED: 0.0, AttemptResult.REJECTED: 0.2}  # if not 1
-QUEUED = (AttemptResult.CONNECT_FAILED, AttemptResult.REJECTED, AttemptResult.RESET)  # may wait after these
+REQUEUED_RESULTS = (
+    AttemptResult.CONNECT_FAILED,
+    AttemptResult.REJECTED,
+    AttemptResult.RESET,
+)  # may wait after these
 
 
 def on_outcome(state: GatewayState, event: AttemptOutcome) -> None:
     """Take up the outcome of an attempt."""
     pending = state.pending.get(event.request_id)
     if pending is None:
-        state.pool.on_outcome(state.now, event, None, ("host",))
+        state.pool.record_outcome(state.now, event, None, ("host",))
         return
-    state.pool.on_outcome(state.now, event, pending.service_class.name, pending.fault_scope)
+    state.pool.record_outcome(state.now, event, pending.service_class.name, pending.fault_scope)
     pending.end_attempt(event.attempt, event.may_have_executed)
     is_settled = state.settings.charges_actual_units and pending.plan.rate and not pending.is_over_quota
     if event.actual_units and is_settled:
@@ -32,13 +36,13 @@
 def _retry(state: GatewayState, pending: PendingRequest, result: AttemptResult) -> None:
     budget = state.retry_budget
     cost = RETRY_COSTS.get(result, 1.0)
-    response_time = max(TICK, state.pool.response_times[pending.service_class.name].mean)
+    response_time = max(TICK_S, state.pool.response_times[pending.service_class.name].mean)
     is_late = state.now + response_time > pending.deadline or result == AttemptResult.ABANDONED
     if is_late or budget.retries < cost:
         state.reject(pending)
     elif dispatch.send(state, pending):
         budget.retries -= cost
-    elif result in QUEUED and dispatch.can_queue(state, pending):
+    elif result in REQUEUED_RESULTS and dispatch.can_queue(state, pending):
         # All are busy: no reason to give up what was refused or lost. What was silent or erred has had its
         # time at an endpoint, and in overload would take that of others.
         budget.retries -= cost
@@ -51,19 +55,21 @@
 def on_attempt_timeout(state: GatewayState, pending: PendingRequest) -> None:
     """Take up that an attempt has had no answer for long."""
     now = state.now
-    patience = state.pool.attempt_timeout(pending.service_class.name) - TICK
-    silent = pending.late_attempts(now, patience)
+    silence_threshold = state.pool.attempt_timeout(pending.service_class.name) - TICK_S
+    silent = pending.late_attempts(now, silence_threshold)
     for number in pending.mark_timed_out(silent):
         attempt_key = pending.request.request_id, number
-        state.pool.on_silence(now, pending.in_flight[number].endpoint_id, pending.fault_scope, attempt_key)
+        state.pool.record_silence(
+            now, pending.in_flight[number].endpoint_id, pending.fault_scope, attempt_key
+        )
     times = state.pool.response_times[pending.service_class.name]
     # Each of many gateways knows too little to tell silent from slow, and a slow attempt given up has its
     # work done twice: a retry waits until it has just time to be answered within the objective.
-    objective_at = min(pending.arrived_at + pending.service_class.latency_objective, pending.deadline)
-    retry_at = objective_at - times.mean - times.deviation
-    next_look_at = min(now + times.deviation, retry_at if now < retry_at else math.inf)
-    state.schedule_check(max(now + 2 * TICK, next_look_at), pending)
-    if now >= retry_at - TICK:
+    objective_time = min(pending.arrived_at + pending.service_class.latency_objective, pending.deadline)
+    retry_at = objective_time - times.mean - times.deviation
+    next_check_at = min(now + times.deviation, retry_at if now < retry_at else math.inf)
+    state.schedule_check(max(now + 2 * TICK_S, next_check_at), pending)
+    if now >= retry_at - TICK_S:
         _give_up(state, pending, silent)
 
 
@@ -71,7 +77,7 @@
     given_up = pending.mark_given_up(silent)
     # Hardly any is so late at a sound endpoint; where few gateways share all, they learn fast as it is.
     for number in given_up if len(state.pool.subset) < len(state.pool.available) else ():
-        state.pool.on_silence(state.now, pending.in_flight[number].endpoint_id, pending.fault_scope)
+        state.pool.record_silence(state.now, pending.in_flight[number].endpoint_id, pending.fault_scope)
     limits = state.settings.limits
     may_cancel = limits.can_cancel and pending.attempt_count < limits.max_attempts
     is_unsafe = pending.service_class.is_unsafe
--- a/apigateway/policy/selection.py
+++ b/apigateway/policy/selection.py
@@ -3,7 +3,7 @@
 import math
 
 from apigateway.policy.endpoint import EndpointScore, EndpointState
-from apigateway.policy.endpoint_pool import ENDPOINT_CONCURRENCY, TICK
+from apigateway.policy.endpoint_pool import ENDPOINT_CONCURRENCY, TICK_S
 from apigateway.policy.pending_queue import PendingRequest
 from apigateway.policy.state import GatewayState
 from apigateway.routing import FaultScope
@@ -11,11 +11,11 @@
 MAX_COMPARED = 12  # endpoints that are all compared; of more, some are drawn
 MAX_CANDIDATES = 6  # drawn: the best of so many is as good as the best of more
 MIN_CANDIDATES = 2
-CHOICES = 4.0  # candidates, times endpoints over gateways: as many as there are fresh reports for
+CANDIDATE_RATIO = 4.0  # candidates, times endpoints over gateways: as many as there are fresh reports for
 MAX_DRAWS = 40  # before all are looked at
-SCORE_LIFE = 0.05  # s that what decays slowly is taken for the same, unless an event changed it
+SCORE_LIFETIME_S = 0.05  # s that what decays slowly is taken for the same, unless an event changed it
 MIN_TIME_RATIO = 0.3  # of a response time to the mean of all
-FRESH_WEIGHT = 0.5  # of a load report, above which a choice counts as made by it
+FRESH_REPORT_WEIGHT = 0.5  # of a load report, above which a choice counts as made by it
 
 Endpoints = list[EndpointState]
 
@@ -29,7 +29,9 @@
     unproven = pending.unproven()
     if not unproven or service_class.is_safe:
         return True
-    arrival_time = max(TICK, state.settings.limits.connect_timeout)  # of an attempt that is sent now, at most
+    arrival_time = max(
+        TICK_S, state.settings.limits.connect_timeout
+    )  # of an attempt that is sent now, at most
     discarded_until = min(attempt.at for attempt in unproven) + service_class.deduplication_window
     if service_class.is_unsafe or state.now >= discarded_until - arrival_time:
         return False
@@ -40,7 +42,7 @@
 
 def select_endpoint(state: GatewayState, pending: PendingRequest) -> EndpointState | None:
     """Return the endpoint for the request's next attempt; None: there is none with capacity."""
-    if state.pool.attempts_out >= state.pool.max_out:
+    if state.pool.attempts_out >= state.pool.max_attempts_out:
         return None
     best = _select_in_subset(state, pending)
     return best or (_select_outside_subset(state, pending) if pending.attempt_count else None)
@@ -50,10 +52,12 @@
     """Return the least costly of a few: the best of all by an old report is the same one for all gateways."""
     pool = state.pool
     endpoints = pool.with_capacity if len(pool.available) > MAX_COMPARED else pool.available
-    count = max(MIN_CANDIDATES, math.ceil(CHOICES * len(pool.available) / state.settings.gateway_count))
+    count = max(
+        MIN_CANDIDATES, math.ceil(CANDIDATE_RATIO * len(pool.available) / state.settings.gateway_count)
+    )
     candidates: Endpoints = []
     if count < len(endpoints) or len(endpoints) > MAX_COMPARED:
-        candidates = _draw(state, pending, endpoints, min(count, MAX_CANDIDATES))
+        candidates = _sample_candidates(state, pending, endpoints, min(count, MAX_CANDIDATES))
     if not candidates:
         candidates = [one for one in endpoints if pool.has_capacity(one, state.now, pending.fault_scope)]
         if pending.tried or pending.allowed_kinds:
@@ -61,12 +65,14 @@
     return _least_costly(state, pending.fault_scope, candidates)
 
 
-def _draw(state: GatewayState, pending: PendingRequest, endpoints: Endpoints, count: int) -> Endpoints:
+def _sample_candidates(
+    state: GatewayState, pending: PendingRequest, endpoints: Endpoints, count: int
+) -> Endpoints:
     """Draw endpoints that fit, each as likely as its weight, health and slow start say."""
     pool = state.pool
     draw = state.rng.random
     scope = pending.fault_scope
-    drawn: Endpoints = []
+    candidates: Endpoints = []
     for _ in range(MAX_DRAWS):
         endpoint = endpoints[int(draw() * len(endpoints))]
         if draw() >= _selection_weight(state, scope, endpoint):
@@ -76,10 +82,10 @@
         elif (pending.tried or pending.allowed_kinds) and not is_eligible(state, pending, endpoint):
             pool.choice_counts["barred"] += 1
         else:
-            drawn.append(endpoint)
-            if len(drawn) == count:
+            candidates.append(endpoint)
+            if len(candidates) == count:
                 break
-    return drawn
+    return candidates
 
 
 def _least_costly(state: GatewayState, scope: FaultScope, endpoints: Endpoints) -> EndpointState | None:
@@ -94,19 +100,23 @@
         if score is None or now >= score.valid_until:
             score = _score(state, scope, endpoint)
         load = endpoint.load(now, mean_load)
-        cost = score.cost * (1 + load / ENDPOINT_CONCURRENCY) + endpoint.zone_cost + TICK * draw()
+        cost = score.cost * (1 + load / ENDPOINT_CONCURRENCY) + endpoint.cross_zone_cost + TICK_S * draw()
         if cost < least_cost:
             best = endpoint
             least_cost = cost
     if best is not None:
-        pool.choice_counts["report" if best.report_weight > FRESH_WEIGHT else "mean"] += 1
+        pool.choice_counts["report" if best.report_weight > FRESH_REPORT_WEIGHT else "mean"] += 1
     return best
 
 
 def _score(state: GatewayState, scope: FaultScope, endpoint: EndpointState) -> EndpointScore:
     health = state.pool.health.success_probability(endpoint, scope, state.now)
-    cost = max(endpoint.time_ratio, MIN_TIME_RATIO) / max(endpoint.host.weight, 1e-9) / max(health, 0.01)
-    score = endpoint.scores[scope] = EndpointScore(state.now + SCORE_LIFE, health, cost)
+    cost = (
+        max(endpoint.response_time_ratio, MIN_TIME_RATIO)
+        / max(endpoint.host.weight, 1e-9)
+        / max(health, 0.01)
+    )
+    score = endpoint.scores[scope] = EndpointScore(state.now + SCORE_LIFETIME_S, health, cost)
     return score
 
 
--- a/tests/policy/test_customers.py
+++ b/tests/policy/test_customers.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from apigateway import messages
-from apigateway.policy.customers import CHECKED_PER_REQUEST, MIN_IDLE
+from apigateway.policy.customers import MIN_IDLE_S, QUOTAS_CHECKED_PER_REQUEST
 
 HOSTS = [make_host(f"h{n}") for n in range(4)]
 
@@ -53,10 +53,10 @@
         w.now += 0.0005
         asked(w, f"{n:016x}")
     assert len(w.gateway.quotas) == 2_000
-    w.now += MIN_IDLE + 30
+    w.now += MIN_IDLE_S + 30
     for n in range(1_000):
         asked(w, f"late-{n}")
-    assert len(w.gateway.quotas) <= 1_000 + 2_000 - CHECKED_PER_REQUEST * 400
+    assert len(w.gateway.quotas) <= 1_000 + 2_000 - QUOTAS_CHECKED_PER_REQUEST * 400
 
 
 def test_one_customer_with_a_tenth_of_all_keeps_to_its_quota_among_ever_new_ones():
@@ -105,11 +105,11 @@
         make_settings(plans=[make_plan(rate=100.0, burst=100.0)], max_customers=2, gateway_count=1), HOSTS
     )
     held = [w.send_request(name, spread=1)[1] for name in ("a", "b")]  # their requests are out
-    w.gateway.quotas["a"].open_attempts = w.gateway.quotas["b"].open_attempts = 1
+    w.gateway.quotas["a"].local_slots_used = w.gateway.quotas["b"].local_slots_used = 1
     name, acts = w.send_request("c", spread=1)
     assert acts == [messages.Reject(name, 1.0)] and name not in w.gateway.pending
     assert set(w.gateway.quotas) == {"a", "b"}
-    w.gateway.quotas["a"].open_attempts = 0
+    w.gateway.quotas["a"].local_slots_used = 0
     assert (
         actions_of(w.send_request("c", spread=1)[1], messages.ForwardRequest)
         and "a" not in w.gateway.quotas
--- a/tests/policy/test_overload_gate.py
+++ b/tests/policy/test_overload_gate.py
@@ -11,8 +11,8 @@
     MAX_CUSTOMERS,
     MAX_STEP,
     MIN_ADMITTED_SHARE,
-    MIN_LAG_DURATION,
-    WINDOW,
+    MIN_LAG_DURATION_S,
+    WINDOW_S,
     OverloadGate,
     priority_step,
 )
@@ -105,7 +105,7 @@
         now += BEAT
         one.retry_after_if_shed(now, 2 * AIM, BASIC, "c", 3.0)
         one.on_loop_lag(now, 2 * AIM)
-        assert now < 2 * MIN_LAG_DURATION + 4 * WINDOW
+        assert now < 2 * MIN_LAG_DURATION_S + 4 * WINDOW_S
     return one, now
 
 
@@ -176,9 +176,9 @@
         now += gap
         one.retry_after_if_shed(now, late, worth, "c", 3.0)
         one.on_loop_lag(now, late)
-        assert MIN_ADMITTED_SHARE <= one.admitted_share <= 1.0 and len(one.counts) <= 11
+        assert MIN_ADMITTED_SHARE <= one.admitted_share <= 1.0 and len(one.requests_by_step) <= 11
     for _ in range(400):
-        now += WINDOW
+        now += WINDOW_S
         one.on_loop_lag(now, 0.0)
     assert not one.is_overloaded and one.retry_after_if_shed(now, 0.0, -5, "c", 3.0) < 0
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from apigateway import messages
-from apigateway.policy.endpoint_pool import TICK
+from apigateway.policy.endpoint_pool import TICK_S
 from apigateway.policy.selection import MAX_COMPARED
 
 BIG = make_plan(rate=100000.0, burst=400000.0)
@@ -79,7 +79,7 @@
     assert fleet.attempts_out == sum(len(s.attempts_out) for s in fleet.endpoints.values())
     assert {s for s in fleet.available if s.backoff} <= fleet.health.paused
     if now >= fleet.full_until:
-        assert fleet.any_capacity(now) == any(fleet.has_capacity(s, now) for s in fleet.available)
+        assert fleet.has_any_capacity(now) == any(fleet.has_capacity(s, now) for s in fleet.available)
 
 
 STEPS = st.lists(
@@ -283,7 +283,7 @@
 def test_while_all_are_full_a_request_looks_at_none():
     w = world(many(1000))
     ask(w, 4000)
-    w.advance(TICK)
+    w.advance(TICK_S)
     seen, real = [0], w.gateway.pool.has_capacity
     w.gateway.pool.has_capacity = lambda *args: (seen.__setitem__(0, seen[0] + 1), real(*args))[1]
     ask(w, 50)
