--- a/apigateway/policy/concurrency_limit.py
+++ b/apigateway/policy/concurrency_limit.py
@@ -7,7 +7,7 @@
 from apigateway.policy.counter_health import SECONDARY_CALL_BENEFIT
 from apigateway.policy.pending_queue import LOCAL_SLOT, PendingRequest, Stage
 from apigateway.policy.state import SLOT_EPOCH_S, GatewayState
-from apigateway.routing import probability_at_least
+from apigateway.routing import poisson_tail_probability
 
 MIN_RATE_WINDOW_SHARE = 0.25  # of a quota window; shortest time over which a customer's rate is measured
 
@@ -20,7 +20,7 @@
     if pending.request.is_check or not limit:
         dispatch.dispatch(state, pending)
         return
-    local_slots, shared_slots = divmod(limit, quota.spread)
+    local_slots, shared_slots = divmod(limit, quota.gateway_count)
     full_probability = _probability_all_slots_used(state, pending)
     cost = max(0.0, pending.plan.over_quota_cost - pending.plan.over_quota_weight)
     if quota.local_slots_used < local_slots:
@@ -35,7 +35,7 @@
         state.add_to_slot_count(quota.name, epoch, 1, partial(_on_slot_counted, state, pending, epoch))
         state.schedule_check(pending.deadline, pending)
         return
-    elif limit >= quota.spread or full_probability * cost >= 1 - full_probability:
+    elif limit >= quota.gateway_count or full_probability * cost >= 1 - full_probability:
         dispatch.try_over_quota(state, pending)
         return
     dispatch.dispatch(state, pending)
@@ -48,13 +48,13 @@
     unit_rate = max(quota.total_units, quota.used_units) / span
     request_rate = min(unit_rate, pending.plan.rate or unit_rate) / max(pending.request.units, 1e-9)
     response_time = state.pool.response_times[pending.service_class.name].mean
-    return probability_at_least(pending.plan.concurrency_limit, request_rate * response_time)
+    return poisson_tail_probability(pending.plan.concurrency_limit, request_rate * response_time)
 
 
 def _on_slot_counted(state: GatewayState, pending: PendingRequest, epoch: int, event: CounterResult) -> None:
     quota = pending.quota
     is_counted = event.result == CounterCallResult.OK
-    is_full = is_counted and event.total > quota.plan.concurrency_limit % quota.spread
+    is_full = is_counted and event.total > quota.plan.concurrency_limit % quota.gateway_count
     if is_counted and (pending.done or is_full):
         state.add_to_slot_count(quota.name, epoch, -1)
     if is_full and not pending.done:
--- a/apigateway/policy/counter_health.py
+++ b/apigateway/policy/counter_health.py
@@ -21,7 +21,7 @@
         congestion = 0.5 * settings.gateway_count / (settings.gateway_count + HALF_PRIOR_GATEWAYS)
         super().__init__(settings.counter_timeout, congestion, LATEST_CALL_WEIGHT, MAX_PAUSE_S)
         self.is_configured = settings.has_counter
-        self.failures = 0 if settings.has_counter else 1
+        self.consecutive_failures = 0 if settings.has_counter else 1
         self.price = settings.counter_price
 
     def is_usable(self, now: float) -> bool:
--- a/apigateway/policy/customer_quota.py
+++ b/apigateway/policy/customer_quota.py
@@ -45,25 +45,27 @@
         self.local_slots_used = 0
         # With an equal share per gateway, no failure exceeds the ceiling. The share starts empty because the
         # use by the previous process is not known.
-        tokens = min(plan.ceiling_burst, (now - gateway_started_at) * plan.ceiling_rate) / self.spread
-        self.ceiling = TokenBucketShare(plan.ceiling_rate, plan.ceiling_burst, self.spread, tokens, now)
+        tokens = min(plan.ceiling_burst, (now - gateway_started_at) * plan.ceiling_rate) / self.gateway_count
+        self.ceiling = TokenBucketShare(
+            plan.ceiling_rate, plan.ceiling_burst, self.gateway_count, tokens, now
+        )
 
     @property
     def is_in_use(self) -> bool:
         """Whether a counter call, a slot or a waiting request refers to it."""
-        return bool(self.is_call_out or self.local_slots_used or self.waiting_request_ids)
+        return bool(self.has_call_in_flight or self.local_slots_used or self.waiting_request_ids)
 
     def increase_spread(self, spread: int) -> None:
         """Share the quota among more gateways. Requests may name different sets, and the largest fits all."""
-        self.set_spread(spread)
-        self.ceiling.set_parts(spread)
+        self.set_gateway_count(spread)
+        self.ceiling.set_share_count(spread)
 
     def window_limit(self, now: float) -> float:
         """Return the units that all gateways together may have used by now.
 
         The limit is lower for a small burst, whose overdraft is not carried over to the next window."""
         elapsed = now - self.window_start
-        if not self.is_thin:
+        if not self.has_subunit_share:
             return self.burst + self.rate * elapsed
         burst_share = min(
             1.0,
@@ -80,8 +82,8 @@
 
         While the counter is silent, the part of the quota's use that was here before determines the share."""
         unused = max(0.0, min(self.burst, self.window_limit(now) - self.total_units))
-        local_unused = unused * max(self.local_share, 1 / self.spread)
-        return local_unused if is_counter_silent else unused / self.spread * LOCAL_ALLOWANCE_SHARE
+        local_unused = unused * max(self.local_share, 1 / self.gateway_count)
+        return local_unused if is_counter_silent else unused / self.gateway_count * LOCAL_ALLOWANCE_SHARE
 
     def lease_size(self, call_cost: float) -> int:
         """Return the units to lease: sqrt(call cost * units used / cost of a unit left unspent here)."""
--- a/apigateway/policy/customers.py
+++ b/apigateway/policy/customers.py
@@ -27,8 +27,8 @@
             return None
         refill_until = min(state.now, state.draining_since)
         quota = CustomerQuota(request, plan, state.started_at, refill_until, state.rng)
-        quota.is_usage_known = not state.evicted_customers.has(state.now, request.customer)
-    elif request.gateway_spread > quota.spread:
+        quota.is_usage_known = not state.evicted_customers.may_contain(state.now, request.customer)
+    elif request.gateway_spread > quota.gateway_count:
         quota.increase_spread(request.gateway_spread)
     _mark_recently_used(state, quota)
     if state.now - next(iter(state.quotas.values())).last_request_at > MIN_IDLE_S:
--- a/apigateway/policy/dispatch.py
+++ b/apigateway/policy/dispatch.py
@@ -33,7 +33,7 @@
     if wait > ceiling.max_wait(state, pending):
         state.reject(pending, is_over_limit=True)
     elif wait > 0:
-        pending.quota.ceiling.promised += request.units
+        pending.quota.ceiling.waiting_units += request.units
         pending.stage = Stage.CEILING
         # At least TICK_S: a check that is due at once would be repeated for ever.
         state.schedule_check(state.now + max(TICK_S, wait), pending)
@@ -52,7 +52,9 @@
 def _enqueue_new(state: GatewayState, pending: PendingRequest) -> None:
     state.queue.add(pending)
     objective = pending.service_class.latency_objective
-    max_length = max(MIN_QUEUE_LENGTH, state.pool.send_rate.at(state.now) * MAX_QUEUE_TIME_SHARE * objective)
+    max_length = max(
+        MIN_QUEUE_LENGTH, state.pool.send_rate.rate_at(state.now) * MAX_QUEUE_TIME_SHARE * objective
+    )
     if state.queue.waiting_count > max_length and (lowest := state.queue.lowest_priority()) is not None:
         state.reject(lowest)
     drain_queue(state)
--- a/apigateway/policy/endpoint.py
+++ b/apigateway/policy/endpoint.py
@@ -31,12 +31,14 @@
 class EndpointState(LoadEstimate):
     """One endpoint as this gateway sees it. `draw` is a random number from 0 to 1 that differs by gateway."""
 
-    def __init__(self, host: messages.Endpoint, now: float, draw: float, attempts_out: AttemptTimes) -> None:
-        super().__init__(attempts_out)
+    def __init__(
+        self, host: messages.Endpoint, now: float, draw: float, attempts_in_flight: AttemptTimes
+    ) -> None:
+        super().__init__(attempts_in_flight)
         self.host = host
         self.is_up = host.is_up
         self.gone_at = math.inf
-        self.max_attempts = 0  # of this gateway in flight
+        self.max_attempts_in_flight = 0  # of this gateway in flight
         self.rounding_draw = draw  # rounds `max_attempts`: the share of one gateway may be less than one
         self.slow_start_tokens = SlowStartTokens(draw, now)  # spreads the first attempts of many gateways
         self.backoff = FailureBackoff(MIN_BACKOFF_S, MAX_BACKOFF_S)
--- a/apigateway/policy/endpoint_pool.py
+++ b/apigateway/policy/endpoint_pool.py
@@ -23,8 +23,8 @@
 MAX_ATTEMPTS_PER_ENDPOINT = 4.0  # in flight, over all gateways
 SPARE_LOAD_SHARE = 0.6  # of MAX_ATTEMPTS_PER_ENDPOINT; below this load there is spare capacity
 # Attempts in flight that one gateway may have, as a multiple of an equal share: traffic is uneven.
-MAX_ATTEMPTS_OUT_MULTIPLE = 2.0
-MIN_MAX_ATTEMPTS_OUT = 20.0  # attempts in flight that any gateway may have
+MAX_IN_FLIGHT_MULTIPLE = 2.0
+MIN_MAX_IN_FLIGHT = 20.0  # attempts in flight that any gateway may have
 ENDPOINT_CONCURRENCY = 2.0  # requests that an endpoint processes at once, unless its load report says more
 SEND_RATE_SPAN_S = 3.0  # over which own attempts are counted
 TIMEOUT_DEVIATIONS = 4.0  # mean deviations above the mean response time, after which an attempt is silent
@@ -42,58 +42,58 @@
         super().__init__(settings.gateway_index, settings.gateway_count)
         self.settings = settings
         self.rng = rng
-        self.endpoints = routing.Roster[EndpointState]()
+        self.endpoints = routing.EndpointTable[EndpointState]()
         self.health = routing.EndpointHealth[EndpointState]()
         classes = settings.classes.values()
         priors = {one.name: min(one.latency_objective / 5, one.deadline) for one in classes}
         self.response_times = routing.ResponseTimes(priors, SMOOTHING_WEIGHT)
         self.send_rate = routing.EventRate(SEND_RATE_SPAN_S)
         self.capacity = routing.CapacityEstimator(MAX_ATTEMPTS_PER_ENDPOINT)
-        self.congestion = routing.FadedMean(
+        self.congestion = routing.DecayingMean(
             CONGESTION_SPAN_S, FAST_SMOOTHING_WEIGHT / 2, MAX_CONGESTION_WEIGHT
         )
         self.reported_mean_load: float | None = None  # None: no load report has arrived
-        self.max_attempts_out = 2.0  # of this gateway in flight
+        self.max_attempts_in_flight = 2.0  # of this gateway in flight
         self.max_weight = 1.0
         self.next_backoff_end = 0.0  # time at which the next backoff ends, for queued requests
         self.choice_counts = dict.fromkeys(("report", "mean", "doubted", "busy", "barred", "outside"), 0)
 
     def update_endpoints(self, now: float, event: messages.EndpointList) -> None:
         """Apply an update of the endpoint list, and remove endpoints that have been gone for long."""
-        self.endpoints.update_listed(now, event.endpoints, event.is_complete, partial(self._create, now))
-        for endpoint in self.endpoints.gone_for(now, GONE_RETENTION_S):
-            if not endpoint.attempts_out:
+        self.endpoints.apply_list(now, event.endpoints, event.is_complete, partial(self._create, now))
+        for endpoint in self.endpoints.gone_longer_than(now, GONE_RETENTION_S):
+            if not endpoint.attempts_in_flight:
                 del self.endpoints[endpoint.host.id]
-                self.health.outliers.forget(endpoint.host.id)
+                self.health.outliers.remove_host(endpoint.host.id)
         self.update_available(now)
 
     def _create(self, now: float, host: messages.Endpoint, old: EndpointState | None) -> EndpointState:
-        return EndpointState(host, now, self.rng.random(), old.attempts_out if old else {})
+        return EndpointState(host, now, self.rng.random(), old.attempts_in_flight if old else {})
 
     def update_available(self, now: float) -> None:
         """Update the available endpoints and their limits, from the list and the evacuated zones."""
         up = sorted((one for one in self.endpoints.values() if one.is_up), key=lambda one: one.ring_position)
-        self.available = [one for one in up if one.host.zone not in self.health.zone_health.left] or up
+        self.available = [one for one in up if one.host.zone not in self.health.zone_health.evacuated] or up
         max_held = MAX_ATTEMPTS_PER_ENDPOINT * self.capacity.scale  # over all gateways
         price = self.settings.prices.get("cross_zone", 0.0)
         even_share = max(1.0, max_held / self.settings.gateway_count)
         for endpoint in self.endpoints.values():
             endpoint.scores = {}
-            endpoint.max_attempts = int(even_share + endpoint.rounding_draw)
+            endpoint.max_attempts_in_flight = int(even_share + endpoint.rounding_draw)
             endpoint.cross_zone_cost = price * CROSS_ZONE_WEIGHT * (endpoint.host.zone != self.settings.zone)
-        self.rebuild_subset(self.endpoints.values(), self.send_rate.at(now))
-        self.health.on_available(self.available)
+        self.rebuild_subset(self.endpoints.values(), self.send_rate.rate_at(now))
+        self.health.set_available(self.available)
         self.max_weight = max((endpoint.host.weight for endpoint in self.available), default=1.0) or 1.0
         # Gateways that each have one attempt at every endpoint would overload them, so a gateway's total is
         # limited as well.
-        max_attempts_out = (
-            MAX_ATTEMPTS_OUT_MULTIPLE * max_held * len(self.available) / self.settings.gateway_count
+        max_attempts_in_flight = (
+            MAX_IN_FLIGHT_MULTIPLE * max_held * len(self.available) / self.settings.gateway_count
         )
-        self.max_attempts_out = max(MIN_MAX_ATTEMPTS_OUT, max_attempts_out)
+        self.max_attempts_in_flight = max(MIN_MAX_IN_FLIGHT, max_attempts_in_flight)
 
     def mean_load(self) -> float:
         """Return the mean number of requests at an endpoint, from load reports or else from own attempts."""
-        own_mean = self.attempts_out * self.settings.gateway_count / max(1, len(self.available))
+        own_mean = self.attempts_in_flight * self.settings.gateway_count / max(1, len(self.available))
         return own_mean if self.reported_mean_load is None else self.reported_mean_load
 
     def has_spare_capacity(self) -> bool:
@@ -102,7 +102,7 @@
 
     def is_congested(self, now: float) -> bool:
         """Return whether most answers come from congested endpoints."""
-        return self.congestion.at(now, CONGESTION_TRUST_S) > SHEDDING_CONGESTION
+        return self.congestion.value_at(now, CONGESTION_TRUST_S) > SHEDDING_CONGESTION
 
     def attempt_timeout(self, class_name: str) -> float:
         """Return the seconds without an answer after which an attempt counts as silent."""
@@ -112,7 +112,8 @@
     def has_capacity(self, endpoint: EndpointState, now: float, scope: Scope = ("host",)) -> bool:
         """Return whether an endpoint may get another attempt now."""
         is_full = (
-            self.attempts_out >= self.max_attempts_out or len(endpoint.attempts_out) >= endpoint.max_attempts
+            self.attempts_in_flight >= self.max_attempts_in_flight
+            or len(endpoint.attempts_in_flight) >= endpoint.max_attempts_in_flight
         )
         backoff = endpoint.backoff
         if not endpoint.is_up or is_full or (backoff.failures and backoff.is_paused(scope, now)):
@@ -130,18 +131,18 @@
         # When all endpoints are in slow start or nothing has been sent yet, the own send rate is no measure.
         # Assume the capacity of one core.
         single_core_rate = 1 / self.response_times.typical / self.settings.gateway_count
-        share = max(self.send_rate.at(now) / max(1, len(self.subset)), single_core_rate)
+        share = max(self.send_rate.rate_at(now) / max(1, len(self.subset)), single_core_rate)
         rate = factor * rules.overload_multiple * SLOW_START_SHARE * share
         return endpoint.slow_start_tokens.refill(now, rate, max(1.0, rate * rules.overload_duration)) >= 1.0
 
     def has_any_capacity(self, now: float) -> bool:
         """Return whether any endpoint of the subset may get an attempt now."""
-        if now < self.full_until or self.attempts_out >= self.max_attempts_out:
+        if now < self.no_capacity_until or self.attempts_in_flight >= self.max_attempts_in_flight:
             return False
-        if any(self.has_capacity(endpoint, now) for endpoint in self.with_capacity):
+        if any(self.has_capacity(endpoint, now) for endpoint in self.subset_with_capacity):
             return True
         backoff_end = min((end for _, end in self.health.pause_ends(now)), default=math.inf)
-        self.full_until = min(now + TICK_S / 2, backoff_end)
+        self.no_capacity_until = min(now + TICK_S / 2, backoff_end)
         return False
 
     def update_next_backoff_end(self, now: float) -> None:
@@ -164,7 +165,7 @@
         endpoint = self.endpoints[endpoint_id]
         if key is not None:  # the attempt no longer uses capacity
             self.remove_attempt(endpoint, key)
-            self.health.zone_health.silent(endpoint.host.zone, endpoint_id, now)
+            self.health.zone_health.record_no_answer(endpoint.host.zone, endpoint_id, now)
         self.health.outliers.record(endpoint_id, scope, True, now)
         endpoint.scores.clear()
 
@@ -173,15 +174,15 @@
         endpoint = self.endpoints.get(event.endpoint_id)
         if endpoint is None:  # it was removed after GONE_RETENTION_S
             return
-        own_attempts = len(endpoint.attempts_out)
+        own_attempts = len(endpoint.attempts_in_flight)
         self.remove_attempt(endpoint, (event.request_id, event.attempt))
         is_congested = event.result == AttemptResult.TIMEOUT
         if event.load_report:
             held = routing.requests_held(event.load_report, ENDPOINT_CONCURRENCY)
-            endpoint.note_report(now, held, own_attempts)
+            endpoint.record_report(now, held, own_attempts)
             mean = held if self.reported_mean_load is None else self.reported_mean_load
             self.reported_mean_load = mean + FAST_SMOOTHING_WEIGHT * (held - mean)
-            if self.capacity.note(event.load_report):
+            if self.capacity.observe(event.load_report):
                 self.update_available(now)
             is_congested = held > CONGESTED_REQUESTS * self.capacity.scale
         if event.is_health_signal:
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -8,7 +8,7 @@
 from apigateway.policy.endpoint_pool import SMOOTHING_WEIGHT
 from apigateway.policy.pending_queue import PendingRequest, Stage
 from apigateway.policy.state import CHECK_MARGIN_S, GatewayState
-from apigateway.routing.timer_heap import TOLERANCE
+from apigateway.routing.timer_heap import TIMER_TOLERANCE_S
 
 # Share of the burst that the class of least priority weight may not use; it is kept for the class of greatest
 # priority weight.
@@ -54,7 +54,7 @@
             case messages.ReturnUnits():
                 quota_leasing.return_units(self, event)
             case messages.EvacuateZones():
-                self.pool.health.zone_health.left = frozenset(event.zones)
+                self.pool.health.zone_health.evacuated = frozenset(event.zones)
                 self.pool.update_available(self.now)
             case messages.DrainGateway():
                 self.draining_since = self.now if event.is_draining else math.inf
@@ -63,7 +63,7 @@
         due_at = min(self.check_timers.next_due(self.pending), self.watch_at)
         if self.queue.waiting_count and self.pool.next_backoff_end > self.now:
             due_at = min(due_at, self.pool.next_backoff_end)
-        if self.alarm.set(due_at):
+        if self.alarm.schedule(due_at):
             self.actions.append(messages.SetTimer(max(0.0, due_at - self.now), 0))
 
     def _on_endpoint_list(self, event: messages.EndpointList) -> None:
@@ -149,7 +149,7 @@
                 self._check_pending(self.pending[request_id])
 
     def _check_pending(self, pending: PendingRequest) -> None:
-        is_last = self.now >= pending.deadline - CHECK_MARGIN_S - TOLERANCE
+        is_last = self.now >= pending.deadline - CHECK_MARGIN_S - TIMER_TOLERANCE_S
         max_time = MAX_COUNTER_TIMEOUTS * self.counter.timeout if pending.stage == Stage.UNITS else math.inf
         if pending.stage == Stage.QUEUE:
             max_time = dispatch.max_queue_time(pending)
@@ -157,8 +157,8 @@
             if not is_last and not pending.is_streaming:
                 retries.on_attempt_timeout(self, pending)
         elif pending.stage == Stage.CEILING and not is_last:
-            pending.quota.ceiling.promised -= pending.request.units
+            pending.quota.ceiling.waiting_units -= pending.request.units
             pending.stage = Stage.SLOT
             dispatch.dispatch(self, pending)
-        elif is_last or self.now - pending.arrived_at >= max_time - TOLERANCE:
+        elif is_last or self.now - pending.arrived_at >= max_time - TIMER_TOLERANCE_S:
             self.reject(pending)
--- a/apigateway/policy/pending_queue.py
+++ b/apigateway/policy/pending_queue.py
@@ -52,5 +52,10 @@
         may_have_executed = pending.possibly_executed or pending.in_flight
         is_separate = may_have_executed and not pending.service_class.is_safe
         request_id = pending.request.request_id if is_separate else ""
-        route = pending.service_class.name, pending.allowed_kinds, frozenset(pending.tried), request_id
+        route = (
+            pending.service_class.name,
+            pending.allowed_kinds,
+            frozenset(pending.tried_endpoint_ids),
+            request_id,
+        )
         self.insert(route, not pending.is_over_quota, pending.priority_density, pending)
--- a/apigateway/policy/retries.py
+++ b/apigateway/policy/retries.py
@@ -56,7 +56,7 @@
     """Take up that an attempt has had no answer for long."""
     now = state.now
     silence_threshold = state.pool.attempt_timeout(pending.service_class.name) - TICK_S
-    silent = pending.late_attempts(now, silence_threshold)
+    silent = pending.overdue_attempts(now, silence_threshold)
     for number in pending.mark_timed_out(silent):
         attempt_key = pending.request.request_id, number
         state.pool.record_silence(
