--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -63,7 +63,7 @@
         due_at = min(self.check_timers.next_due(self.pending), self.watch_at)
         if self.queue.waiting_count and self.pool.next_backoff_end > self.now:
             due_at = min(due_at, self.pool.next_backoff_end)
-        if self.alarm.schedule(due_at):
+        if self.pending_timer.schedule(due_at):
             self.actions.append(messages.SetTimer(max(0.0, due_at - self.now), 0))
 
     def _on_endpoint_list(self, event: messages.EndpointList) -> None:
@@ -140,7 +140,7 @@
         on_result(event)
 
     def _on_timer(self) -> None:
-        self.alarm.expire(self.now)
+        self.pending_timer.expire(self.now)
         if self.now >= self.watch_at:
             self.watch_at = math.inf
             self.actions.append(messages.WatchEndpoints(True))
--- a/apigateway/policy/overload_gate.py
+++ b/apigateway/policy/overload_gate.py
@@ -1,4 +1,4 @@
-"""Shed load before any work is done for a request: in an overload of the process that is most of the load."""
+"""Load shedding before any work on a request: in an overload, that work would be most of the process's load."""
 
 import math
 import random
@@ -6,60 +6,59 @@
 
 from apigateway.routing import DecayingCounts, ExpiringKeys, LoopLag
 
-WINDOW_S = 0.05  # s over which the lag is taken
-MIN_LAG_DURATION_S = 0.1  # s of lag without a break before anything is shed: a pause is no overload
-DECREASE_PER_OBJECTIVE = (
-    0.1  # part of the admitted share that each multiple of the objective takes off in a window
-)
-MIN_DECREASE_FACTOR = 0.5  # part of it that a window leaves at least
-INCREASE_FACTOR = 1.02  # factor of the admitted share in a window that was in time
-LOW_LAG_INCREASE_FACTOR = 1.05  # likewise, if the lag was well below the objective
-INCREASE_STEP = 0.003  # and what is added to it
-LOW_LAG_SHARE = 0.5  # part of the objective that is well below it
-MIN_ADMITTED_SHARE = 0.02  # whatever the lag, so that an end of the overload is seen
+WINDOW_S = 0.05  # over which the lag is measured
+MIN_LAG_DURATION_S = 0.1  # continuous lag before load is shed: a single pause is not an overload
+# Share by which a window reduces the admitted share, for each multiple of the objective that the lag exceeds.
+DECREASE_PER_OBJECTIVE = 0.1
+MIN_DECREASE_FACTOR = 0.5  # of the admitted share in one window
+INCREASE_FACTOR = 1.02  # of the admitted share in a window within the objective
+LOW_LAG_INCREASE_FACTOR = 1.05  # of the admitted share if the lag was far below the objective
+INCREASE_STEP = 0.003  # added to the admitted share in each window within the objective
+LOW_LAG_SHARE = 0.5  # of the objective; a lag up to this is far below it
+MIN_ADMITTED_SHARE = 0.02  # at any lag, so that the end of the overload is detected
 STEPS_PER_DOUBLING = 4  # of the priority weight
 MAX_STEP = 100
-COUNT_DECAY_FACTOR = 0.8  # part of the counts by priority kept each window
-MEAN_RETRY_AFTER_S = 0.25  # s, mean over a uniform spread, when all but none are shed
-MAX_CUSTOMERS = 10_000  # whose Retry-After is known
+COUNT_DECAY_FACTOR = 0.8  # of the counts by priority, in each window
+MEAN_RETRY_AFTER_S = 0.25  # of a uniform distribution, when almost no requests are shed
+MAX_CUSTOMERS = 10_000  # whose Retry-After is remembered
 
 
 def priority_step(weight: float) -> int:
-    """Return a priority weight on a scale of few steps: weights on the same one have equal priority here."""
+    """Return the step of a priority weight on a logarithmic scale; equal steps mean equal priority here."""
     step = round(STEPS_PER_DOUBLING * math.log2(weight)) if weight > 0 else -MAX_STEP
     return max(-MAX_STEP, min(MAX_STEP, step))
 
 
 class OverloadGate:
-    """Admits the part of requests that the event loop has time for, by priority."""
+    """Admits the share of requests for which the event loop has time, by priority."""
 
     def __init__(self, lag_objective: float, max_wait: float, max_retry_after: float, seed: int) -> None:
         self.configure(lag_objective, max_wait, max_retry_after)
         self.random: Callable[[], float] = random.Random(seed).random
         self.admitted_share = 1.0
         self.loop_lag = LoopLag(WINDOW_S)
-        self.lag = 0.0  # s; of the last window
+        self.lag = 0.0  # s, in the last window
         self.lagging_since = math.inf
-        self.requests_by_step = DecayingCounts()  # of the latest requests, by priority step
-        self.priority_floor = -MAX_STEP - 1  # priority step below which all are shed;
-        self.floor_probability = 1.0  # the chance to pass of those on it
-        self.retry_times = ExpiringKeys(MAX_CUSTOMERS)  # of customers who were given a Retry-After
-        self.shed_count = 0  # requests, during overloads
-        self.admitted_count = 0  # likewise
+        self.requests_by_step = DecayingCounts()  # counts of recent requests by priority step
+        self.priority_floor = -MAX_STEP - 1  # requests below this priority step are shed
+        self.floor_probability = 1.0  # with which requests on the floor are admitted
+        self.retry_times = ExpiringKeys(MAX_CUSTOMERS)  # by customer, when its Retry-After ends
+        self.shed_count = 0  # requests shed during overloads
+        self.admitted_count = 0  # requests admitted during overloads
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether anything is shed by its priority."""
+        """Whether requests are shed by priority."""
         return self.admitted_share < 1.0
 
     def configure(self, lag_objective: float, max_wait: float, max_retry_after: float) -> None:
-        """Take up new settings; what was learned stays."""
+        """Apply new settings and keep the current state."""
         self.lag_objective = lag_objective  # s; lag above which the process is overloaded
-        self.max_wait = max_wait  # s; wait of a request past which it is shed, whatever its priority
-        self.max_retry_after = max_retry_after  # s; 0: none is given
+        self.max_wait = max_wait  # s; a request that waited longer is shed at any priority
+        self.max_retry_after = max_retry_after  # s; 0: no Retry-After is sent
 
     def on_loop_lag(self, now: float, lag: float) -> None:
-        """Take up that the loop came `lag` seconds late to a probe."""
+        """Record that the event loop ran a probe `lag` seconds late, and adjust the admitted share."""
         if not self.loop_lag.record_lateness(now, lag):
             return
         self.lag = self.loop_lag.seconds
@@ -83,7 +82,7 @@
         self.requests_by_step.decay(COUNT_DECAY_FACTOR)
 
     def update_floor(self) -> None:
-        """Set the floor so that `admitted_share` of the latest requests pass, by priority."""
+        """Update the floor so that `admitted_share` of the recent requests would pass, by priority."""
         self.priority_floor, self.floor_probability = self.requests_by_step.top_share_threshold(
             self.admitted_share
         ) or (
@@ -94,9 +93,10 @@
     def retry_after_if_shed(
         self, now: float, waited: float, step: int, customer: str, remaining: float
     ) -> float:
-        """Return the Retry-After of a request that is shed, 0 for none; below 0: it is admitted.
+        """Return the Retry-After in seconds of a request that is shed; below 0 if the request is admitted.
 
-        `waited`: s since it was read. `step`: of its priority. `remaining`: s until its client gives up."""
+        A Retry-After of 0 is not sent. `waited`: s since the request was read; `step`: its priority step;
+        `remaining`: s until its client gives up."""
         self.requests_by_step.add(step)
         self.loop_lag.record_wait(waited)
         if waited <= self.max_wait and not self.is_overloaded:
@@ -108,7 +108,7 @@
             passes = step > self.priority_floor or (
                 step == self.priority_floor and self.random() < self.floor_probability
             )
-            if passes and remaining > 2 * self.lag:  # else it would surely be answered too late
+            if passes and remaining > 2 * self.lag:  # otherwise the answer would come too late
                 self.admitted_count += 1
                 return -1.0
         self.shed_count += 1
@@ -116,6 +116,6 @@
         return min(self.max_retry_after, 2 * mean * self.random()) if self.max_retry_after else 0.0
 
     def on_retry_after(self, now: float, customer: str, retry_after: float) -> None:
-        """Take up that the decision module rejects this customer's requests for `retry_after` seconds."""
+        """Record that the decision module rejects this customer's requests for `retry_after` seconds."""
         if self.is_overloaded and retry_after > 0:
             self.retry_times.add(customer, now + retry_after)
--- a/apigateway/policy/pending_queue.py
+++ b/apigateway/policy/pending_queue.py
@@ -1,4 +1,4 @@
-"""Requests in progress, and the queue of those that wait for an endpoint."""
+"""Pending requests, and the queue of those that wait for an endpoint."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 from apigateway.policy.customer_quota import CustomerQuota
 from apigateway.routing import AttemptHistory, FaultScope, PriorityQueue
 
-LOCAL_SLOT = -1  # of this gateway's part of a concurrency limit
+LOCAL_SLOT = -1  # value of `slot`: a slot of this gateway's share of a concurrency limit
 
 
 class Stage(StrEnum):
@@ -15,14 +15,14 @@
 
     UNITS = "units"  # units of its customer's quota
     SLOT = "slot"  # a slot of its customer's concurrency limit
-    CEILING = "ceiling"  # its customer's ceiling to fill
+    CEILING = "ceiling"  # tokens of its customer's ceiling
     QUEUE = "queue"  # an endpoint
     SENT = "sent"  # the outcome of an attempt
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest(AttemptHistory):
-    """A request that has no response yet, and what has come of it so far."""
+    """A request that has no response yet, with its progress."""
 
     request: messages.Request
     service_class: messages.ServiceClass
@@ -31,23 +31,23 @@
     arrived_at: float
     deadline: float
     priority: float  # priority weight of all its units
-    priority_density: float  # its priority a second of an endpoint's time
+    priority_density: float  # priority per second of an endpoint's time
     fault_scope: FaultScope
-    headroom_units: float  # of the quota, kept for classes of more weight
-    allowed_kinds: tuple[str, ...]  # of the endpoints that its route keeps it to; none: any
+    headroom_units: float  # units of the quota kept for classes of greater weight
+    allowed_kinds: tuple[str, ...]  # kinds of hosts that its route allows; empty: all
     stage: Stage = Stage.UNITS
-    grant_probability: float = 1.0  # that its quota has units for it, as far as is known without asking
-    is_over_quota: bool = False  # forwarded all the same
-    slot: int = 0  # held of the concurrency limit: OWN_SLOT, or the epoch of the shared count; 0: none
+    grant_probability: float = 1.0  # that its quota has units for it, estimated without a call to the counter
+    is_over_quota: bool = False  # whether it is forwarded beyond its quota
+    slot: int = 0  # of the concurrency limit: LOCAL_SLOT or the epoch of the shared count; 0: none
     is_streaming: bool = False
     done: bool = False
 
 
 class PendingQueue(PriorityQueue[PendingRequest]):
-    """Requests that wait for an endpoint; those on one route may go to the same endpoints."""
+    """Requests that wait for an endpoint. Requests on the same queue route may go to the same endpoints."""
 
     def add(self, pending: PendingRequest) -> None:
-        """Let a request wait, on a route of its own if it may not be repeated anywhere."""
+        """Add a request, on a separate queue route if its possible executions restrict its endpoints."""
         pending.stage = Stage.QUEUE
         may_have_executed = pending.possibly_executed or pending.in_flight
         is_separate = may_have_executed and not pending.service_class.is_safe
--- a/apigateway/policy/quota_leasing.py
+++ b/apigateway/policy/quota_leasing.py
@@ -1,4 +1,4 @@
-"""Units of customers' quotas: leased from the counter ahead of use, or used and reported later."""
+"""Units of customers' quotas: leased from the counter before use, or used first and reported later."""
 
 import math
 from functools import partial
@@ -13,19 +13,18 @@
 from apigateway.policy.state import GatewayState, OnCounterResult
 from apigateway.routing import LedgerEntry
 
-REPORT_THRESHOLD_SHARE = 0.5  # part of the local allowance that is used, after which it is reported
-CONGESTION_CALL_COST = 0.3  # cost of a call, times the squared congestion: it grows as the counter slows
-MAX_REQUESTS_PER_CALL = 4.0  # requests that one which asks stands for at most: more makes the count jump
-MIN_OVERUSE_COST = (
-    0.2  # least cost of a unit forwarded beyond quota, in its priority: it loads what all share
-)
+REPORT_THRESHOLD_SHARE = 0.5  # of the local allowance; more unreported units than this are reported
+CONGESTION_CALL_COST = 0.3  # cost of a call per squared congestion: it grows as the counter slows down
+MAX_REQUESTS_PER_CALL = 4.0  # requests that one call may stand for; with more, the shared count would jump
+MIN_OVERUSE_COST = 0.2  # of its priority; lowest cost of a unit beyond quota, as it loads shared endpoints
 
 
 def acquire_units(state: GatewayState, pending: PendingRequest) -> None:
     """Take a request's units, or ask the counter for them if that is worth a call."""
     quota = pending.quota
     quota.advance_window(state.now)
-    # Of one far beyond its quota a gateway hears more than an even part, so its demand here tells enough.
+    # A customer far beyond its quota sends this gateway more than an equal share of its rate, so the demand
+    # here is a sufficient measure.
     allowed_ratio = quota.demand.observe(state.now, quota.rate / quota.gateway_count)
     pending.grant_probability = (
         allowed_ratio * state.grant_shares[pending.plan.name, pending.request.is_retry].share
@@ -35,13 +34,12 @@
         priority * min(pending.grant_probability, _overuse_cost(pending))
     )
     _decide(state, pending, state.rng.random() < probability)
-    _renew_lease(
-        state, quota, min(MAX_REQUESTS_PER_CALL, 1 / max(probability, 1e-9))
-    )  # for those unasked too
+    # A call also stands for the requests for which the counter is not asked.
+    _renew_lease(state, quota, min(MAX_REQUESTS_PER_CALL, 1 / max(probability, 1e-9)))
 
 
 def _overuse_cost(pending: PendingRequest) -> float:
-    """Return what it costs in the mean to let a request in, as a part of its priority."""
+    """Return the expected cost of admitting a request unasked, as a share of its priority."""
     cost = pending.plan.over_quota_cost - pending.plan.over_quota_weight
     return (1 - pending.grant_probability) * max(MIN_OVERUSE_COST, cost)
 
@@ -59,8 +57,9 @@
         quota.waiting_request_ids.append(pending.request.request_id)
         state.schedule_check(state.now + 2 * state.counter.timeout + TICK_S, pending)
     elif quota.has_subunit_share and pending.grant_probability > _overuse_cost(pending):
-        # Each gateway's part is less than a request, so the odds decide: they are against one that comes here
-        # often. Harm: while the counter is away first requests of all are let in.
+        # Each gateway's share is less than one request, so the probability of a grant decides. It is low for
+        # a customer that comes here often. But while the counter is unavailable, the first requests of all
+        # customers are admitted.
         quota.used_units += units
         concurrency_limit.acquire_slot(state, pending)
     else:
@@ -68,7 +67,7 @@
 
 
 def _take_units(state: GatewayState, pending: PendingRequest, may_call_counter: bool) -> bool:
-    """Take leased units, or else unleased ones as far as the local allowance goes."""
+    """Take leased units, or else units of the local allowance, and return whether there were enough."""
     quota = pending.quota
     units = pending.request.units
     is_leased = quota.leased_units >= units
@@ -78,7 +77,8 @@
         )
         if may_call_counter and not quota.is_usage_known and state.counter.is_usable(state.now):
             allowance = -1.0
-        # What is less than a request is rounded at random, once a window: over all gateways it comes out.
+        # An allowance of less than one request is rounded at random, once per window, so that the sum over
+        # all gateways is right on average.
         if quota.remaining(state.now) < units or allowance < units * (1 - quota.rounding_draw):
             return False
     quota.take(units, is_leased)
@@ -92,14 +92,16 @@
 
 
 def _renew_lease(state: GatewayState, quota: CustomerQuota, requests_represented: float = 1.0) -> None:
-    """Report used units and ask for others, if due; `sample`: requests that a waiting one stands for."""
+    """Report used units and ask for more if that is due.
+
+    `requests_represented`: the number of requests that each waiting request stands for."""
     if quota.has_call_in_flight or not state.counter.is_usable(state.now):
         return
     needed = sum(pending.request.units for pending in _waiting_requests(state, quota))
     size = quota.lease_size(state.counter.price + CONGESTION_CALL_COST * state.counter.congestion**2)
     remaining = quota.remaining(state.now)
-    is_plenty = remaining > size * quota.gateway_count and state.now >= quota.exhausted_until
-    is_low = quota.leased_units < size / 2 and is_plenty
+    has_plenty = remaining > size * quota.gateway_count and state.now >= quota.exhausted_until
+    is_low = quota.leased_units < size / 2 and has_plenty
     is_due = quota.unreported_units > max(
         1.0, REPORT_THRESHOLD_SHARE * quota.local_allowance(state.now, False)
     )
@@ -115,7 +117,7 @@
 
 
 def correct_count(state: GatewayState, quota: CustomerQuota, units: float) -> None:
-    """Add units to the count that it lacks, or take off some."""
+    """Add missing units to the shared count, or subtract surplus units if `units` is negative."""
     entry = LedgerEntry(quota.window_index, correction=units)
     _add_to_count(state, quota, entry, partial(_on_correction_counted, quota, entry))
 
@@ -141,15 +143,15 @@
 
 def _on_correction_counted(quota: CustomerQuota, entry: LedgerEntry, event: CounterResult) -> None:
     if entry.window == quota.window_index and not event.was_added:
-        quota.reported_units -= entry.amount  # else what was never added would be taken for lost
+        quota.reported_units -= entry.amount  # units that were never added must not count as lost later
         quota.unconfirmed_units += entry.amount * (event.result == CounterCallResult.TIMEOUT)
 
 
 def _apply_total(state: GatewayState, quota: CustomerQuota, total: float, entry: LedgerEntry) -> None:
-    """Take up the total of all gateways, grant what it allows and correct it."""
+    """Apply the total of all gateways: lease the units that it allows, and correct the shared count."""
     limit = quota.window_limit(state.now)
     missing = quota.reconcile_total(total, entry)
-    if not quota.has_subunit_share:  # a burst is saved up at most: what a quiet customer did not use is gone
+    if not quota.has_subunit_share:  # unused units beyond one burst expire
         missing += quota.drop_surplus(total + missing - entry.requested, limit)
     waiting = _waiting_requests(state, quota)
     headroom = min((pending.headroom_units for pending in waiting), default=0.0)
@@ -159,23 +161,23 @@
     if needed:
         grant_share = state.grant_shares[quota.plan.name, waiting[0].request.is_retry]
         grant_share.observe(needed, min(needed, quota.leased_units))
-    if state.rng.random() < state.counter.call_probability(
-        SECONDARY_CALL_BENEFIT
-    ):  # else the excess stays counted
+    # Without this correction the denied units stay counted.
+    if state.rng.random() < state.counter.call_probability(SECONDARY_CALL_BENEFIT):
         missing -= denied
     if missing:
         correct_count(state, quota, missing)
 
 
 def _decide_waiting(state: GatewayState, quota: CustomerQuota) -> None:
-    """Decide on the requests that wait for a customer's units, those of most priority a unit first."""
+    """Decide on the requests that wait for a customer's units, highest priority per unit first."""
     waiting = _waiting_requests(state, quota)
     quota.waiting_request_ids = []
     for pending in sorted(waiting, key=lambda one: -one.priority / max(one.request.units, 1e-9)):
         remaining = quota.remaining(state.now)
         if remaining + quota.leased_units < pending.request.units:
             quota.exhausted_until = state.now + max(0.0, 1 - remaining) / quota.rate
-            if state.counter.congestion > RATIONING_CONGESTION:  # others wait for it: no call until the turn
+            # The congested counter is needed for other customers: make no call until the next window.
+            if state.counter.congestion > RATIONING_CONGESTION:
                 quota.exhausted_until = quota.window_end
         _decide(state, pending, state.counter.consecutive_failures == 0)
     if quota.waiting_request_ids:
@@ -183,9 +185,9 @@
 
 
 def return_units(state: GatewayState, event: ReturnUnits) -> None:
-    """Give back a check's units that were not used."""
+    """Refund the unused units of a check to the customer's quota and ceiling."""
     quota = state.quotas.get(event.customer)
-    if quota is None:  # dropped since, and its ceiling was full then
+    if quota is None:  # it was dropped, when its ceiling was full
         return
     quota.advance_window(state.now)
     quota.refund(event.units, event.window_index)
--- a/apigateway/policy/retries.py
+++ b/apigateway/policy/retries.py
@@ -1,4 +1,4 @@
-"""What follows the outcome of an attempt, or its silence: a response, a retry, a hedged request."""
+"""Handling of attempts that end or get no answer: a response, a retry or a hedged request."""
 
 import math
 
@@ -8,24 +8,24 @@
 from apigateway.policy.pending_queue import PendingRequest
 from apigateway.policy.state import GatewayState
 
-RETRY_COSTS = {AttemptResult.CONNECT_FAILED: 0.0, AttemptResult.REJECTED: 0.2}  # if not 1
-REQUEUED_RESULTS = (
-    AttemptResult.CONNECT_FAILED,
-    AttemptResult.REJECTED,
-    AttemptResult.RESET,
-)  # may wait after these
+RETRY_COSTS = {
+    AttemptResult.CONNECT_FAILED: 0.0,
+    AttemptResult.REJECTED: 0.2,
+}  # of the retry budget; others cost 1
+# Results after which a request may queue for another endpoint.
+REQUEUED_RESULTS = (AttemptResult.CONNECT_FAILED, AttemptResult.REJECTED, AttemptResult.RESET)
 
 
 def on_outcome(state: GatewayState, event: AttemptOutcome) -> None:
-    """Take up the outcome of an attempt."""
+    """Handle the outcome of an attempt: finish, retry or reject its request."""
     pending = state.pending.get(event.request_id)
     if pending is None:
         state.pool.record_outcome(state.now, event, None, ("host",))
         return
     state.pool.record_outcome(state.now, event, pending.service_class.name, pending.fault_scope)
     pending.end_attempt(event.attempt, event.may_have_executed)
-    is_settled = state.settings.charges_actual_units and pending.plan.rate and not pending.is_over_quota
-    if event.actual_units and is_settled:
+    is_charged = state.settings.charges_actual_units and pending.plan.rate and not pending.is_over_quota
+    if event.actual_units and is_charged:
         pending.quota.unreported_units += event.actual_units - pending.request.units
     if event.is_final:
         state.finish(pending)
@@ -43,8 +43,9 @@
     elif dispatch.send(state, pending):
         budget.retries -= cost
     elif result in REQUEUED_RESULTS and dispatch.can_queue(state, pending):
-        # All are busy: no reason to give up what was refused or lost. What was silent or erred has had its
-        # time at an endpoint, and in overload would take that of others.
+        # All endpoints are busy. A request that was rejected or lost can wait for one. A request that got an
+        # error or no answer has had its time at an endpoint, and in an overload would take that of other
+        # requests.
         budget.retries -= cost
         state.queue.add(pending)
         state.schedule_check(pending.arrived_at + dispatch.max_queue_time(pending), pending)
@@ -53,40 +54,42 @@
 
 
 def on_attempt_timeout(state: GatewayState, pending: PendingRequest) -> None:
-    """Take up that an attempt has had no answer for long."""
+    """Handle a request whose attempt has had no answer for its timeout."""
     now = state.now
     silence_threshold = state.pool.attempt_timeout(pending.service_class.name) - TICK_S
-    silent = pending.overdue_attempts(now, silence_threshold)
-    for number in pending.mark_timed_out(silent):
+    silent_attempts = pending.overdue_attempts(now, silence_threshold)
+    for number in pending.mark_timed_out(silent_attempts):
         attempt_key = pending.request.request_id, number
         state.pool.record_silence(
             now, pending.in_flight[number].endpoint_id, pending.fault_scope, attempt_key
         )
     times = state.pool.response_times[pending.service_class.name]
-    # Each of many gateways knows too little to tell silent from slow, and a slow attempt given up has its
-    # work done twice: a retry waits until it has just time to be answered within the objective.
+    # One of many gateways sees too few responses to tell a silent endpoint from a slow one, and the work of a
+    # slow attempt that is given up is done twice. So a retry waits until there is just enough time left for
+    # an answer within the objective.
     objective_time = min(pending.arrived_at + pending.service_class.latency_objective, pending.deadline)
     retry_at = objective_time - times.mean - times.deviation
     next_check_at = min(now + times.deviation, retry_at if now < retry_at else math.inf)
     state.schedule_check(max(now + 2 * TICK_S, next_check_at), pending)
     if now >= retry_at - TICK_S:
-        _give_up(state, pending, silent)
+        _give_up(state, pending, silent_attempts)
 
 
-def _give_up(state: GatewayState, pending: PendingRequest, silent: list[int]) -> None:
-    given_up = pending.mark_given_up(silent)
-    # Hardly any is so late at a sound endpoint; where few gateways share all, they learn fast as it is.
+def _give_up(state: GatewayState, pending: PendingRequest, silent_attempts: list[int]) -> None:
+    given_up = pending.mark_given_up(silent_attempts)
+    # An attempt is rarely this late at a healthy endpoint. With few gateways, each one sends to all endpoints
+    # and learns fast enough without this.
     for number in given_up if len(state.pool.subset) < len(state.pool.available) else ():
         state.pool.record_silence(state.now, pending.in_flight[number].endpoint_id, pending.fault_scope)
     limits = state.settings.limits
     may_cancel = limits.can_cancel and pending.attempt_count < limits.max_attempts
     is_unsafe = pending.service_class.is_unsafe
-    if not silent or len(pending.in_flight) > 1 or is_unsafe or state.retry_budget.retries < 1.0:
+    if not silent_attempts or len(pending.in_flight) > 1 or is_unsafe or state.retry_budget.retries < 1.0:
         return
     if limits.can_hedge:
         state.retry_budget.retries -= dispatch.send(state, pending)
     elif not state.pool.has_spare_capacity():
-        return  # all are slow: another endpoint would take as long, and the work done at this one is lost
+        return  # all are slow: another endpoint would take as long, and the work of this one would be lost
     elif may_cancel and selection.select_endpoint(state, pending):
-        # The outcome of this attempt starts the next one.
-        state.actions.append(CancelAttempt(pending.request.request_id, silent[0]))
+        # The outcome of the cancelled attempt starts the next attempt.
+        state.actions.append(CancelAttempt(pending.request.request_id, silent_attempts[0]))
--- a/apigateway/policy/state.py
+++ b/apigateway/policy/state.py
@@ -1,4 +1,4 @@
-"""The state of a gateway that the handlers of events share, the responses, and the calls of the counter."""
+"""The state that a gateway's event handlers share, with the responses and the calls to the counter."""
 
 import math
 import random
@@ -20,26 +20,27 @@
     TimerHeap,
 )
 
-GRANT_SHARE_PRIORS = {False: 0.5, True: 0.3}  # of first tries and of clients' retries, before any was granted
-MIN_COUNTER_LIFETIME_S = 1.0  # s that the counter keeps a key
-MAX_COUNTER_LIFETIME_S = 60.0  # s
-INITIAL_RETRIES = 15.0  # over all gateways
-MAX_SAVED_RETRIES = 30.0  # likewise
-MIN_SAVED_RETRIES = 2.0  # that any gateway may save up
-SLOT_EPOCH_S = 5.0  # s; life of a shared count of open attempts
-CHECK_MARGIN_S = 2 * TICK_S  # s before its deadline that a request is looked at for the last time
+# Share of requested units assumed to be granted before the first grant, by whether the client is retrying.
+GRANT_SHARE_PRIORS = {False: 0.5, True: 0.3}
+MIN_COUNTER_LIFETIME_S = 1.0  # for which the counter keeps a key
+MAX_COUNTER_LIFETIME_S = 60.0
+INITIAL_RETRY_BUDGET = 15.0  # retries, over all gateways
+MAX_RETRY_BUDGET = 30.0  # retries, over all gateways
+MIN_MAX_RETRY_BUDGET = 2.0  # retries that each gateway may save up at least
+SLOT_EPOCH_S = 5.0  # after which a new shared count of concurrency slots begins
+CHECK_MARGIN_S = 2 * TICK_S  # before a request's deadline, when it is checked for the last time
 
-OnCounterResult = Callable[[messages.CounterResult], None]  # what follows the answer to a call of the counter
+OnCounterResult = Callable[[messages.CounterResult], None]  # handles the result of a call to the counter
 
 
 class GatewayState:
-    """The state of one gateway's decisions; only handlers of events change it."""
+    """The state of one gateway's decisions. Only event handlers change it."""
 
     def __init__(self, settings: messages.Settings, seed: int, now: float) -> None:
         self.settings = settings
         self.started_at = now
-        self.now = now  # time of the event at hand
-        self.actions: list[messages.Action] = []  # that it leads to
+        self.now = now  # time of the current event
+        self.actions: list[messages.Action] = []  # of the current event
         self.rng = random.Random(seed)
         self.pool = EndpointPool(settings, self.rng)
         self.counter = CounterHealth(settings)
@@ -48,31 +49,31 @@
         self.grant_shares = {
             kind: GrantShareEstimator(GRANT_SHARE_PRIORS[kind[1]], SMOOTHING_WEIGHT) for kind in kinds
         }
-        self.quotas: dict[str, CustomerQuota] = {}  # in order of their last request
+        self.quotas: dict[str, CustomerQuota] = {}  # by customer, in the order of their last requests
         self.evicted_customers = RecentlyEvictedFilter(settings.max_customers)
         self.pending: dict[str, PendingRequest] = {}
         self.queue = PendingQueue()
-        self.alarm = PendingTimer()
-        self.watch_at = math.inf  # when the endpoint list is to be watched again
-        self.check_timers = TimerHeap[str]()  # when which pending request is to be looked at
-        max_retries = max(MIN_SAVED_RETRIES, MAX_SAVED_RETRIES / settings.gateway_count)
-        self.retry_budget = RetryBudget(INITIAL_RETRIES / settings.gateway_count, max_retries)
+        self.pending_timer = PendingTimer()
+        self.watch_at = math.inf  # time at which to watch the endpoint list again
+        self.check_timers = TimerHeap[str]()  # next checks of pending requests, by request ID
+        max_retries = max(MIN_MAX_RETRY_BUDGET, MAX_RETRY_BUDGET / settings.gateway_count)
+        self.retry_budget = RetryBudget(INITIAL_RETRY_BUDGET / settings.gateway_count, max_retries)
         self.load_shedder = LoadShedder(now, settings.gateway_count)
         self.max_priority_weight = max(one.priority_weight for one in settings.classes.values())
         self.mean_priority = 0.0  # of the latest requests
         self.fault_scopes = FaultScopes()
-        self.draining_since = math.inf  # since when another process fills this gateway's part of the ceilings
+        self.draining_since = math.inf  # since then, another process gets the tokens of the ceilings
 
     def schedule_check(self, due_at: float, pending: PendingRequest) -> None:
-        """Have a request looked at then, or before its deadline."""
+        """Schedule a check of a request at `due_at`, or before its deadline if that is earlier."""
         self.check_timers.push(min(due_at, pending.deadline - CHECK_MARGIN_S), pending.request.request_id)
 
     def may_call(self, benefit: float) -> bool:
-        """Decide whether the counter is called for something that gains so much, in requests."""
+        """Decide at random whether to call the counter, given the benefit of the call in requests."""
         return self.counter.is_usable(self.now) and self.rng.random() < self.counter.call_probability(benefit)
 
     def add_to_counter(self, key: int, amount: float, lifetime: float, on_result: OnCounterResult) -> None:
-        """Add to a key of the counter, which keeps it for `lifetime` seconds."""
+        """Add to a key of the counter, which keeps the key for about `lifetime` seconds."""
         self.counter_calls.push(key, on_result)
         kept_lifetime = min(MAX_COUNTER_LIFETIME_S, max(lifetime, MIN_COUNTER_LIFETIME_S))
         self.actions.append(messages.AddToCounter(key, amount, kept_lifetime))
@@ -80,18 +81,18 @@
     def add_to_slot_count(
         self, name: str, epoch: int, change: int, on_result: OnCounterResult = lambda event: None
     ) -> None:
-        """Add to the shared count of a customer's open attempts."""
+        """Add to the shared count of a customer's concurrency slots."""
         self.add_to_counter(stable_hash("open", name, epoch), change, 2 * SLOT_EPOCH_S, on_result)
 
     def grant(self, pending: PendingRequest) -> None:
-        """Answer that a check's units are spent."""
+        """Answer that a check's units are granted."""
         request_id = pending.request.request_id
         unspent = pending.quota.remaining_and_reset(self.now, pending.headroom_units)
         self.actions.append(messages.QuotaGranted(request_id, *unspent, pending.quota.window_index))
         self.finish(pending)
 
     def reject(self, pending: PendingRequest, wait: float = 0.0, is_over_limit: bool = False) -> None:
-        """Answer that a request is not taken, or failed; `is_over_limit`: for its quota or ceiling."""
+        """Answer that a request is rejected or failed; `is_over_limit`: because of its quota or ceiling."""
         request_id = pending.request.request_id
         retry_after = self.settings.limits.retry_after(wait)
         if pending.request.is_check:
@@ -108,7 +109,7 @@
         self.finish(pending)
 
     def finish(self, pending: PendingRequest) -> None:
-        """Forget a request that has its response, cancel its attempts and give back what it holds."""
+        """Remove a request that has its response, cancel its attempts and release its slot."""
         pending.done = True
         request_id = pending.request.request_id
         if pending.stage == Stage.QUEUE:
