--- a/apigateway/adapter.py
+++ b/apigateway/adapter.py
@@ -1,6 +1,7 @@
-"""Wire adapter: reads batches on standard input, hands events to one Gateway per instance, writes actions.
+"""Adapter for the simulator's wire: batches of events on standard input, actions on standard output.
 
-It translates only. Run as `python -m apigateway.adapter`.
+It passes each event to the Gateway of its instance, and only translates. Run it as `python -m
+apigateway.adapter`.
 """
 
 from __future__ import annotations
@@ -39,30 +40,30 @@
     "NOP": messages.AttemptResult.ABANDONED,
 }
 COUNTER_RESULTS = {
-    word: messages.CounterCallResult(result)
-    for word, result in RESULTS.items()
+    keyword: messages.CounterCallResult(result)
+    for keyword, result in RESULTS.items()
     if result.value in messages.COUNTER_CALL_RESULTS
 }
-RETRY_MARK = 2  # bit of a work item's marks: a client's repeat
-WRITE_MARK = 4  # bit of a work item's marks: it writes
-INSTANCE_FIELDS = ("i", "nonce64")  # of a PROVISION, beside the settings
-SHOWN_LINE = 200  # characters of a faulty line that are shown
+RETRY_FLAG = 2  # bit of a work item's `marks`: the client is retrying
+WRITE_FLAG = 4  # bit of a work item's `marks`: the request is a write
+INSTANCE_FIELDS = ("i", "nonce64")  # fields of a PROVISION line that are not settings
+MAX_SHOWN_CHARACTERS = 200  # of an invalid line, in the error message
 
 Fields = dict[str, str]
 
 
 class WireError(Exception):
-    """A line that does not follow the wire; `instance` is the one that it named, if any."""
+    """A line that violates the wire format; `instance` is the instance that it names, if any."""
 
-    def __init__(self, text: str, instance: int | None = None) -> None:
-        super().__init__(text)
+    def __init__(self, message: str, instance: int | None = None) -> None:
+        super().__init__(message)
         self.instance = instance
 
 
 # Reading
 
 
-def _fields(parts: list[str]) -> Fields:
+def _read_fields(parts: list[str]) -> Fields:
     fields: Fields = {}
     for part in parts:
         name, equals, value = part.partition("=")
@@ -73,7 +74,7 @@
 
 
 def _read_tree(pairs: Fields) -> dict[str, Any]:
-    """Return nested objects for names with dots."""
+    """Return the nested objects that dotted names stand for."""
     root: dict[str, Any] = {}
     for path, value in pairs.items():
         node = root
@@ -81,7 +82,7 @@
         for part in parents:
             node = node.setdefault(part, {})
             if not isinstance(node, dict):
-                raise WireError(f"setting {path} stands below a plain value")
+                raise WireError(f"setting {path} is nested in a plain value")
         node[leaf] = value
     return root
 
@@ -104,7 +105,7 @@
 
 
 def _read_request(fields: Fields) -> messages.Request:
-    marks = int(fields.get("marks", 0))
+    flags = int(fields.get("marks", 0))
     return messages.Request(
         request_id=fields["txn"],
         remaining=nanoseconds_to_seconds(fields["patience_left"]),
@@ -114,8 +115,8 @@
         units=float(fields["cost_units"]),
         first_gateway=int(float(fields.get("first", 0))),
         gateway_spread=int(float(fields["n_entries"])),
-        is_retry=bool(marks & RETRY_MARK),
-        is_write=bool(marks & WRITE_MARK),
+        is_retry=bool(flags & RETRY_FLAG),
+        is_write=bool(flags & WRITE_FLAG),
     )
 
 
@@ -133,10 +134,10 @@
     )
 
 
-def _read_list_mode(word: str) -> messages.ListMode:
-    if word not in LIST_MODES:
-        raise ValueError(f"unknown list mode {word!r}")
-    return LIST_MODES[word]
+def _read_list_mode(keyword: str) -> messages.ListMode:
+    if keyword not in LIST_MODES:
+        raise ValueError(f"unknown list mode {keyword!r}")
+    return LIST_MODES[keyword]
 
 
 def _read_counter_result(fields: Fields) -> messages.CounterResult:
@@ -148,10 +149,10 @@
     )
 
 
-def _read_counter_call_result(word: str) -> messages.CounterCallResult:
-    if word not in COUNTER_RESULTS:
-        raise ValueError(f"unknown counter result {str(RESULTS[word])!r}")
-    return COUNTER_RESULTS[word]
+def _read_counter_call_result(keyword: str) -> messages.CounterCallResult:
+    if keyword not in COUNTER_RESULTS:
+        raise ValueError(f"unknown counter result {str(RESULTS[keyword])!r}")
+    return COUNTER_RESULTS[keyword]
 
 
 def _read_health_check(fields: Fields) -> messages.HealthCheckResult:
@@ -230,14 +231,14 @@
 
 
 class Adapter:
-    """One conversation on the wire: batches of events in, their actions out."""
+    """A session on the wire: reads batches of events and writes their actions."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source = source
         self.sink = sink
         self.line_number = 0
         self.line = ""
-        self.gateways: dict[int, Gateway] = {}  # by instance
+        self.gateways: dict[int, Gateway] = {}  # by instance number
 
     def run(self) -> int:
         """Answer batches until the input ends, and return the exit code."""
@@ -245,64 +246,66 @@
             while self._answer_batch():
                 pass
         except WireError as error:
-            shown = self.line[:SHOWN_LINE]
+            shown = self.line[:MAX_SHOWN_CHARACTERS]
             print(f"api-gateway: line {self.line_number}: {error}: {shown}", file=sys.stderr)
             return 1
         return 0
 
     def _answer_batch(self) -> bool:
-        """Answer one batch, and return whether there was one."""
-        line = self._next()
+        """Answer the next batch, and return whether there was one."""
+        line = self._next_line()
         while line == "":
-            line = self._next()
+            line = self._next_line()
         if line is None:
             return False
-        out: list[str] = []
+        replies: list[str] = []
         try:
-            self._handle_batch(line, out)
+            self._handle_batch(line, replies)
         except WireError as error:
             if error.instance is not None:
-                words = f"line {self.line_number}: {error}"
-                out.append(f"INTERNAL_ERROR i={error.instance} words={words}")
-                self._reply(out)
+                error_message = f"line {self.line_number}: {error}"
+                replies.append(f"INTERNAL_ERROR i={error.instance} words={error_message}")
+                self._write_replies(replies)
             raise
-        self._reply(out)
+        self._write_replies(replies)
         return True
 
-    def _handle_batch(self, line: str, out: list[str]) -> None:
-        word, *parts = line.split(" ")
-        if word != "ROUND":
-            raise WireError(f"expected ROUND, found {word!r}")
+    def _handle_batch(self, line: str, replies: list[str]) -> None:
+        keyword, *parts = line.split(" ")
+        if keyword != "ROUND":
+            raise WireError(f"expected ROUND, found {keyword!r}")
         try:
-            now = nanoseconds_to_seconds(_fields(parts)["at_time"])
+            now = nanoseconds_to_seconds(_read_fields(parts)["at_time"])
         except (KeyError, ValueError) as error:
-            raise WireError(f"bad clock: {error}") from error
-        while (event_line := self._next()) != "GO":
+            raise WireError(f"invalid at_time: {error}") from error
+        while (event_line := self._next_line()) != "GO":
             if event_line is None:
                 raise WireError("input ended inside a batch")
             if event_line:
-                self._handle_line(now, out)
+                self._handle_line(now, replies)
 
-    def _handle_line(self, now: float, out: list[str]) -> None:
-        """Read the current line and carry it out."""
+    def _handle_line(self, now: float, replies: list[str]) -> None:
+        """Parse the current line and handle its event."""
         instance: int | None = None
         try:
-            word, *parts = self.line.split(" ")
-            fields = _fields(parts)
+            keyword, *parts = self.line.split(" ")
+            fields = _read_fields(parts)
             instance = int(fields["i"])
-            if word == "DETACH":
+            if keyword == "DETACH":
                 self.gateways.pop(instance, None)
                 return
-            if word == "PROVISION":
+            if keyword == "PROVISION":
                 seed = int(fields["nonce64"])
                 options = {name: value for name, value in fields.items() if name not in INSTANCE_FIELDS}
                 settings = read_settings(_read_tree(options))
-                carry_out: Callable[[], Iterable[str]] = partial(self._set_up, instance, settings, seed, now)
+                handle: Callable[[], Iterable[str]] = partial(
+                    self._create_gateway, instance, settings, seed, now
+                )
             else:
-                event = self._read_event(word, fields)
+                event = self._read_event(keyword, fields)
                 if instance not in self.gateways:
                     raise WireError(f"instance {instance} has not been set up")
-                carry_out = partial(self._hand_over, instance, event, now)
+                handle = partial(self._handle_event, instance, event, now)
         except WireError as error:
             raise WireError(str(error), instance) from error
         except KeyError as error:
@@ -310,42 +313,44 @@
         except ValueError as error:
             raise WireError(str(error), instance) from error
         try:
-            out.extend(carry_out())
-        except Exception as error:  # the wire's own way to say that the decision code failed
+            replies.extend(handle())
+        except Exception as error:  # a failure of the decision module is reported as an action
             traceback.print_exc(file=sys.stderr)
-            words = " ".join(f"{type(error).__name__}: {error}".split())
-            out.append(f"INTERNAL_ERROR i={instance} words={words}")
+            error_message = " ".join(f"{type(error).__name__}: {error}".split())
+            replies.append(f"INTERNAL_ERROR i={instance} words={error_message}")
 
-    def _read_event(self, word: str, fields: Fields) -> messages.Event:
-        if word == "TARGETS":
+    def _read_event(self, keyword: str, fields: Fields) -> messages.Event:
+        if keyword == "TARGETS":
             mode = fields["mode"]
             version = int(fields.get("index", 0))
             hosts = self._read_hosts(int(fields.get("rows_in", 0)))
             return messages.EndpointList(_read_list_mode(mode), version, hosts)
-        if word not in READERS:
-            raise WireError(f"unknown event {word!r}")
-        return READERS[word](fields)
+        if keyword not in READERS:
+            raise WireError(f"unknown event {keyword!r}")
+        return READERS[keyword](fields)
 
     def _read_hosts(self, count: int) -> tuple[messages.Endpoint, ...]:
         hosts = []
         for _ in range(count):
-            line = self._next() or ""
-            word, *parts = line.split(" ")
-            if word != "HOST":
-                raise WireError(f"expected HOST, found {word!r}")
-            hosts.append(_read_host(_fields(parts)))
+            line = self._next_line() or ""
+            keyword, *parts = line.split(" ")
+            if keyword != "HOST":
+                raise WireError(f"expected HOST, found {keyword!r}")
+            hosts.append(_read_host(_read_fields(parts)))
         return tuple(hosts)
 
-    def _set_up(self, instance: int, settings: messages.Settings, seed: int, now: float) -> Iterable[str]:
+    def _create_gateway(
+        self, instance: int, settings: messages.Settings, seed: int, now: float
+    ) -> Iterable[str]:
         self.gateways[instance] = Gateway(settings, seed, now)
         return ()
 
-    def _hand_over(self, instance: int, event: messages.Event, now: float) -> Iterable[str]:
+    def _handle_event(self, instance: int, event: messages.Event, now: float) -> Iterable[str]:
         actions = self.gateways[instance].handle(now, event)
         return (WRITERS[type(action)](instance, action) for action in actions)
 
-    def _next(self) -> str | None:
-        """Read the next line; None: the input has ended."""
+    def _next_line(self) -> str | None:
+        """Read the next line; None at the end of the input."""
         line = self.source.readline()
         if not line:
             return None
@@ -353,14 +358,14 @@
         self.line = line.rstrip("\r\n")
         return self.line
 
-    def _reply(self, out: list[str]) -> None:
-        out.append("ACK\n")
-        self.sink.write("\n".join(out))
+    def _write_replies(self, replies: list[str]) -> None:
+        replies.append("ACK\n")
+        self.sink.write("\n".join(replies))
         self.sink.flush()
 
 
 def main() -> int:
-    """Speak the wire on standard input and output."""
+    """Run the adapter on standard input and output."""
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     return Adapter(sys.stdin, sys.stdout).run()
--- a/apigateway/policy/overload_gate.py
+++ b/apigateway/policy/overload_gate.py
@@ -1,4 +1,4 @@
-"""Load shedding before any work on a request: in an overload, that work would be most of the process's load."""
+"""Load shedding before any work on a request, as that work would be most of the load in an overload."""
 
 import math
 import random
