--- a/tests/policy/test_customers.py
+++ b/tests/policy/test_customers.py
@@ -20,13 +20,13 @@
     )
 
 
-def asked(w, customer):
+def asked(harness, customer):
     """One request, answered at once. Whether it was served."""
-    name, acts = w.send_request(customer, spread=1)
-    sent = actions_of(acts, messages.ForwardRequest)
+    name, actions = harness.send_request(customer, spread=1)
+    sent = actions_of(actions, messages.ForwardRequest)
     for send in sent:
-        w.end_attempt(send, elapsed=0.001)
-    assert len(sent) + len(actions_of(acts, messages.Reject)) == 1
+        harness.end_attempt(send, elapsed=0.001)
+    assert len(sent) + len(actions_of(actions, messages.Reject)) == 1
     return bool(sent)
 
 
@@ -48,37 +48,37 @@
 
 
 def test_without_a_bound_they_go_by_time():
-    w = world()
+    harness = world()
     for n in range(2_000):
-        w.now += 0.0005
-        asked(w, f"{n:016x}")
-    assert len(w.gateway.quotas) == 2_000
-    w.now += MIN_IDLE_S + 30
+        harness.now += 0.0005
+        asked(harness, f"{n:016x}")
+    assert len(harness.gateway.quotas) == 2_000
+    harness.now += MIN_IDLE_S + 30
     for n in range(1_000):
-        asked(w, f"late-{n}")
-    assert len(w.gateway.quotas) <= 1_000 + 2_000 - QUOTAS_CHECKED_PER_REQUEST * 400
+        asked(harness, f"late-{n}")
+    assert len(harness.gateway.quotas) <= 1_000 + 2_000 - QUOTAS_CHECKED_PER_REQUEST * 400
 
 
 def test_one_customer_with_a_tenth_of_all_keeps_to_its_quota_among_ever_new_ones():
-    w, passed = world(most=500), 0
-    began = w.now
+    harness, passed = world(most=500), 0
+    began = harness.now
     for n in range(20_000):
-        w.now += 0.001
+        harness.now += 0.001
         if n % 10 == 0:
-            passed += asked(w, "often")
+            passed += asked(harness, "often")
         else:
-            assert asked(w, f"{n:016x}")
-    assert passed <= 8.0 + 2.0 * (w.now - began) + 4  # once forgotten it would be far over that
+            assert asked(harness, f"{n:016x}")
+    assert passed <= 8.0 + 2.0 * (harness.now - began) + 4  # once forgotten it would be far over that
 
 
 def test_who_uses_its_quota_again_and_again_is_held_to_it_by_the_counter_though_forgotten():
     passed = {}
     for most in (0, 10):
-        w, passed[most] = world(most=most), [0] * 40
+        harness, passed[most] = world(most=most), [0] * 40
         # forty in turn, of whom ten are known: each is forgotten before it comes again
         for n in range(8_000):
-            w.now += 0.005
-            passed[most][n % 40] += asked(w, f"{n % 40:016x}")
+            harness.now += 0.005
+            passed[most][n % 40] += asked(harness, f"{n % 40:016x}")
     quota = 8.0 + 2.0 * 40
     assert max(passed[0]) <= quota + 8  # as it is without a bound,
     # at most twice its rate
@@ -86,14 +86,14 @@
 
 
 def test_every_window_turns_in_the_same_second():
-    w = world(plans=[make_plan(rate=2.0, burst=8.0)])
+    harness = world(plans=[make_plan(rate=2.0, burst=8.0)])
     for n in range(20_000):
-        assert asked(w, f"{n:016x}")
-    w.now += 8.0 / 2.0  # a window's length: all have turned, whatever their phase
-    before = len(w.action_log)
+        assert asked(harness, f"{n:016x}")
+    harness.now += 8.0 / 2.0  # a window's length: all have turned, whatever their phase
+    before = len(harness.action_log)
     for n in range(20_000):
-        assert asked(w, f"{n:016x}")
-    turned = [act for _, act in w.action_log[before:]]
+        assert asked(harness, f"{n:016x}")
+    turned = [act for _, act in harness.action_log[before:]]
     assert sum(isinstance(act, messages.ForwardRequest) for act in turned) == 20_000
     assert (
         sum(isinstance(act, messages.AddToCounter) for act in turned) <= 20_000
@@ -101,18 +101,18 @@
 
 
 def test_with_nobody_to_forget_a_new_one_is_told_when_to_come_back():
-    w = GatewayHarness(
+    harness = GatewayHarness(
         make_settings(plans=[make_plan(rate=100.0, burst=100.0)], max_customers=2, gateway_count=1), HOSTS
     )
-    held = [w.send_request(name, spread=1)[1] for name in ("a", "b")]  # their requests are out
-    w.gateway.quotas["a"].local_slots_used = w.gateway.quotas["b"].local_slots_used = 1
-    name, acts = w.send_request("c", spread=1)
-    assert acts == [messages.Reject(name, 1.0)] and name not in w.gateway.pending
-    assert set(w.gateway.quotas) == {"a", "b"}
-    w.gateway.quotas["a"].local_slots_used = 0
+    held = [harness.send_request(name, spread=1)[1] for name in ("a", "b")]  # their requests are out
+    harness.gateway.quotas["a"].local_slots_used = harness.gateway.quotas["b"].local_slots_used = 1
+    name, actions = harness.send_request("c", spread=1)
+    assert actions == [messages.Reject(name, 1.0)] and name not in harness.gateway.pending
+    assert set(harness.gateway.quotas) == {"a", "b"}
+    harness.gateway.quotas["a"].local_slots_used = 0
     assert (
-        actions_of(w.send_request("c", spread=1)[1], messages.ForwardRequest)
-        and "a" not in w.gateway.quotas
+        actions_of(harness.send_request("c", spread=1)[1], messages.ForwardRequest)
+        and "a" not in harness.gateway.quotas
         and held
     )
 
@@ -125,14 +125,14 @@
 )
 def test_ceilings_hold_for_those_who_are_forgotten(steps, counter):
     ceiling = make_plan(rate=3.0, burst=4.0, ceiling_rate=4.0, ceiling_burst=6.0, ceiling_slack=0.0)
-    w = world(most=3, plans=[ceiling])
-    w.counter_mode = counter
+    harness = world(most=3, plans=[ceiling])
+    harness.counter_mode = counter
     passed = {}
     for customer, gap in steps:
-        w.now += gap
-        if asked(w, f"{customer:016x}"):
-            passed.setdefault(customer, []).append(w.now)
-        assert len(w.gateway.quotas) <= 3
+        harness.now += gap
+        if asked(harness, f"{customer:016x}"):
+            passed.setdefault(customer, []).append(harness.now)
+        assert len(harness.gateway.quotas) <= 3
     for times in passed.values():
         for i, start in enumerate(times):
             for j in range(i, len(times)):
--- a/tests/policy/test_pending_queue.py
+++ b/tests/policy/test_pending_queue.py
@@ -104,56 +104,56 @@
     """A gateway whose hosts are all full, with so many that wait."""
     monkeypatch.setattr(dispatch, "MIN_QUEUE_LENGTH", held + 100)
     plan = messages.Plan("p", 1e6, 1e6, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)
-    w = GatewayHarness(make_settings(gateway_count=1, plans=[plan]), [make_host(f"h{n}") for n in range(4)])
+    harness = GatewayHarness(make_settings(gateway_count=1, plans=[plan]), [make_host(f"h{n}") for n in range(4)])
     out = []
     for _ in range(held):
-        name, acts = w.send_request(spread=1)
-        assert not actions_of(acts, messages.Reject)
-        out += actions_of(acts, messages.ForwardRequest)
-    return w, out
+        name, actions = harness.send_request(spread=1)
+        assert not actions_of(actions, messages.Reject)
+        out += actions_of(actions, messages.ForwardRequest)
+    return harness, out
 
 
 @pytest.mark.parametrize("held", [200, 20_000])
 def test_what_waits_is_not_looked_through(monkeypatch, held):
-    w, out = waiting_world(monkeypatch, held)
+    harness, out = waiting_world(monkeypatch, held)
     tried, choose = [], selection.select_endpoint
     monkeypatch.setattr(
         selection, "select_endpoint", lambda state, job: tried.append(job) or choose(state, job)
     )
     for send in out[:10]:
-        w.end_attempt(send)
+        harness.end_attempt(send)
     assert len(tried) <= 30  # for each that ends one is sent, and one finds that there is no more room
 
 
 def test_twenty_thousand_held_then_all_free_then_all_gone(monkeypatch):
     held = 20_000
-    w, out = waiting_world(monkeypatch, held)
-    waiting = w.gateway.queue.waiting_count
+    harness, out = waiting_world(monkeypatch, held)
+    waiting = harness.gateway.queue.waiting_count
     assert waiting == held - len(out)
     out, answered = deque(out), set()
     while len(answered) < 5_000:  # all free at once
         send = out.popleft()
-        out += actions_of(w.end_attempt(send), messages.ForwardRequest)
+        out += actions_of(harness.end_attempt(send), messages.ForwardRequest)
         answered.add(send.request_id)
-    assert w.gateway.queue.waiting_count == held - len(answered) - len(out)
-    acts = w.handle(messages.EndpointList("full", 2, ()))  # all gone
-    assert not actions_of(acts, messages.ForwardRequest)
+    assert harness.gateway.queue.waiting_count == held - len(answered) - len(out)
+    actions = harness.handle(messages.EndpointList("full", 2, ()))  # all gone
+    assert not actions_of(actions, messages.ForwardRequest)
     for send in out:  # each ends as its host does
-        acts += w.end_attempt(send, "reset")
-    acts += w.advance(3.0)
-    refused = [a.request_id for a in actions_of(acts, messages.Reject)]
-    assert not actions_of(acts, messages.ForwardRequest) and len(refused) == len(set(refused)) == held - len(
+        actions += harness.end_attempt(send, "reset")
+    actions += harness.advance(3.0)
+    refused = [a.request_id for a in actions_of(actions, messages.Reject)]
+    assert not actions_of(actions, messages.ForwardRequest) and len(refused) == len(set(refused)) == held - len(
         answered
     )
-    assert not answered & set(refused) and not w.gateway.pending and not w.gateway.queue.waiting_count
-    w.handle(messages.EndpointList("full", 3, (make_host("h9"),)))  # and what comes then is served
-    name, acts = w.send_request(spread=1)
-    assert [a.request_id for a in actions_of(acts, messages.ForwardRequest)] == [name]
-    assert w.gateway.queue.entry_count <= MAX_EXTRA_DONE_ENTRIES
+    assert not answered & set(refused) and not harness.gateway.pending and not harness.gateway.queue.waiting_count
+    harness.handle(messages.EndpointList("full", 3, (make_host("h9"),)))  # and what comes then is served
+    name, actions = harness.send_request(spread=1)
+    assert [a.request_id for a in actions_of(actions, messages.ForwardRequest)] == [name]
+    assert harness.gateway.queue.entry_count <= MAX_EXTRA_DONE_ENTRIES
 
 
 def test_the_worthiest_go_first_and_of_equals_the_latest(monkeypatch):
-    w, out = waiting_world(monkeypatch, 60)
-    late = [w.send_request(spread=1)[0] for _ in range(3)]
-    sent = [actions_of(w.end_attempt(send), messages.ForwardRequest)[0].request_id for send in out[:3]]
+    harness, out = waiting_world(monkeypatch, 60)
+    late = [harness.send_request(spread=1)[0] for _ in range(3)]
+    sent = [actions_of(harness.end_attempt(send), messages.ForwardRequest)[0].request_id for send in out[:3]]
     assert sent == late[::-1]
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -62,8 +62,8 @@
         self.sent[act.request_id].append(act.endpoint_id)
         self.out[act.request_id, attempt] = act.endpoint_id
 
-    def acts(self, acts):
-        for act in acts:
+    def actions(self, actions):
+        for act in actions:
             if isinstance(act, messages.ForwardRequest):
                 self.allowed(act)
             elif isinstance(act, messages.Reject | messages.Fail):
@@ -114,8 +114,8 @@
         )
         for n in range(count)
     ]
-    w = world(hosts, gateways, routes=routes)
-    oracle = Oracle(w.settings)
+    harness = world(hosts, gateways, routes=routes)
+    oracle = Oracle(harness.settings)
     oracle.listed(messages.EndpointList("cached", 1, tuple(hosts)))
     for number, (what, value) in enumerate(steps):
         rng = random.Random(value)
@@ -134,7 +134,7 @@
                     route=rng.choice(["", "", "batch"]),
                 )
                 oracle.requests[id] = req
-                oracle.acts(w.handle(req))
+                oracle.acts(harness.handle(req))
         elif what == "end" and oracle.out:
             (id, attempt), at = rng.choice(sorted(oracle.out.items()))
             result = rng.choice(["ok"] * 5 + ["error", "timeout", "reset", "full", "connect_failed"])
@@ -149,10 +149,10 @@
             )
             if result == "ok":
                 oracle.over.add(id)
-            oracle.outcome(event, w.now)
-            oracle.acts(w.handle(event))
+            oracle.outcome(event, harness.now)
+            oracle.acts(harness.handle(event))
         elif what == "wait":
-            oracle.acts([a for a in w.advance(value % 40 / 100) if not isinstance(a, messages.CancelAttempt)])
+            oracle.acts([a for a in harness.advance(value % 40 / 100) if not isinstance(a, messages.CancelAttempt)])
         elif what in ("list", "delta"):
             some = rng.sample(hosts, rng.randint(1, count))
             states = [
@@ -169,16 +169,16 @@
             ]
             event = messages.EndpointList("full" if what == "list" else "delta", number + 2, tuple(states))
             oracle.listed(event)
-            oracle.acts(w.handle(event))
-        index_is_true(w.gateway.pool, w.now)
+            oracle.acts(harness.handle(event))
+        index_is_true(harness.gateway.pool, harness.now)
 
 
-def ask(w, count, service_class="read", left=3.0):
+def ask(harness, count, service_class="read", left=3.0):
     return [
         s
         for _ in range(count)
         for s in actions_of(
-            w.send_request(service_class=service_class, remaining=left, spread=1)[1], messages.ForwardRequest
+            harness.send_request(service_class=service_class, remaining=left, spread=1)[1], messages.ForwardRequest
         )
     ]
 
@@ -188,31 +188,31 @@
 
 
 def test_what_waits_goes_out_as_soon_as_a_host_is_free_however_many_are_full():
-    w = world(many(200))
-    out = ask(w, 900)
-    assert len(out) == 800 == w.gateway.pool.attempts_in_flight and not w.gateway.pool.subset_with_capacity
-    waiting = w.gateway.queue.waiting_count
+    harness = world(many(200))
+    out = ask(harness, 900)
+    assert len(out) == 800 == harness.gateway.pool.attempts_in_flight and not harness.gateway.pool.subset_with_capacity
+    waiting = harness.gateway.queue.waiting_count
     assert waiting
     for send in out[:waiting]:
         assert (
-            len(actions_of(w.end_attempt(send), messages.ForwardRequest)) == 1
+            len(actions_of(harness.end_attempt(send), messages.ForwardRequest)) == 1
         )  # each place that is left is taken at once
-    assert not w.gateway.queue.waiting_count
+    assert not harness.gateway.queue.waiting_count
 
 
 def test_of_a_thousand_half_fall_silent_and_the_others_serve():
-    w = world(many(1000))
+    harness = world(many(1000))
     served = 0
     for _ in range(60):
-        for send in ask(w, 20):
+        for send in ask(harness, 20):
             if int(send.endpoint_id[1:]) % 2:
-                w.end_attempt(send)
+                harness.end_attempt(send)
                 served += 1
-        w.advance(0.05)
+        harness.advance(0.05)
     silent = [
-        len(s.attempts_in_flight) for s in w.gateway.pool.endpoints.values() if int(s.host.id[1:]) % 2 == 0
+        len(s.attempts_in_flight) for s in harness.gateway.pool.endpoints.values() if int(s.host.id[1:]) % 2 == 0
     ]
-    late = [s for s in ask(w, 200) if int(s.endpoint_id[1:]) % 2]
+    late = [s for s in ask(harness, 200) if int(s.endpoint_id[1:]) % 2]
     assert served > 500 and sum(silent) < 4 * 500 and len(late) > 110  # they draw less than their half now
 
 
@@ -229,11 +229,11 @@
     ]
     sent = {}
     for _ in range(40):
-        for w in worlds:
-            for send in ask(w, 2000 // 40 // gateways * 4):
-                sent.setdefault(send.endpoint_id, []).append(w.now)
-                w.end_attempt(send)
-            w.advance(0.05)
+        for harness in worlds:
+            for send in ask(harness, 2000 // 40 // gateways * 4):
+                sent.setdefault(send.endpoint_id, []).append(harness.now)
+                harness.end_attempt(send)
+            harness.advance(0.05)
     rate = sum(map(len, sent.values())) / 2.0 / 1000  # a host's even part of all, a second
     cold = [len(times) for name, times in sent.items() if name[0] == "c"]
     # By the rules it bears 0.2 of its capacity and twice that for a while; it got a part of an even one.
@@ -241,58 +241,58 @@
 
 
 def test_all_drain_but_three_and_a_list_that_is_replaced_again_and_again():
-    w = world(many(1000))
+    harness = world(many(1000))
     left = ["h1", "h501", "h999"]
     states = [
         make_host(f"h{n}", "z1", n % 5, state="up" if f"h{n}" in left else "leaving") for n in range(1000)
     ]
     for version in range(20):
-        w.handle(
+        harness.handle(
             messages.EndpointList("full", version + 2, tuple(states if version % 2 == 0 else many(1000)))
         )
-    w.handle(messages.EndpointList("full", 99, tuple(states)))
-    assert {s.endpoint_id for s in ask(w, 30)} <= set(left) and len(w.gateway.pool.available) == 3
+    harness.handle(messages.EndpointList("full", 99, tuple(states)))
+    assert {s.endpoint_id for s in ask(harness, 30)} <= set(left) and len(harness.gateway.pool.available) == 3
 
 
 def test_a_fleet_under_ever_new_names_is_forgotten_at_once():
-    w = world(many(10))
+    harness = world(many(10))
     for turn in range(5):
-        w.handle(
+        harness.handle(
             messages.EndpointList("full", turn + 2, tuple(make_host(f"t{turn}-{n}") for n in range(1000)))
         )
-        for send in ask(w, 100):
-            for again in actions_of(w.end_attempt(send, "error"), messages.ForwardRequest):
-                w.end_attempt(again, attempt=1)
-        w.now += 100.0
-    w.handle(messages.EndpointList("full", 99, tuple(many(3))))
-    w.now += 100.0
-    w.handle(messages.EndpointList("full", 100, tuple(many(3))))
-    assert len(w.gateway.pool.endpoints) == 3 and len(w.gateway.pool.health.outliers.hosts) <= 3
+        for send in ask(harness, 100):
+            for again in actions_of(harness.end_attempt(send, "error"), messages.ForwardRequest):
+                harness.end_attempt(again, attempt=1)
+        harness.now += 100.0
+    harness.handle(messages.EndpointList("full", 99, tuple(many(3))))
+    harness.now += 100.0
+    harness.handle(messages.EndpointList("full", 100, tuple(many(3))))
+    assert len(harness.gateway.pool.endpoints) == 3 and len(harness.gateway.pool.health.outliers.hosts) <= 3
 
 
 def test_no_work_of_a_choice_grows_with_the_fleet():
     """Counted, not timed: how many hosts are looked at for a request."""
     looked = {}
     for count in (100, 1000, 3000):
-        w = world(many(count))
-        seen, real = [0], w.gateway.pool.has_capacity
+        harness = world(many(count))
+        seen, real = [0], harness.gateway.pool.has_capacity
 
         def counted(*args, seen=seen, real=real):
             seen[0] += 1
             return real(*args)
 
-        w.gateway.pool.has_capacity = counted
-        for send in ask(w, 100):
-            w.end_attempt(send)
+        harness.gateway.pool.has_capacity = counted
+        for send in ask(harness, 100):
+            harness.end_attempt(send)
         looked[count] = seen[0] / 100
     assert looked[3000] <= 1.5 * looked[100] < 60, looked
 
 
 def test_while_all_are_full_a_request_looks_at_none():
-    w = world(many(1000))
-    ask(w, 4000)
-    w.advance(TICK_S)
-    seen, real = [0], w.gateway.pool.has_capacity
-    w.gateway.pool.has_capacity = lambda *args: (seen.__setitem__(0, seen[0] + 1), real(*args))[1]
-    ask(w, 50)
+    harness = world(many(1000))
+    ask(harness, 4000)
+    harness.advance(TICK_S)
+    seen, real = [0], harness.gateway.pool.has_capacity
+    harness.gateway.pool.has_capacity = lambda *args: (seen.__setitem__(0, seen[0] + 1), real(*args))[1]
+    ask(harness, 50)
     assert seen[0] == 0
