--- a/tests/policy/test_reservations.py
+++ b/tests/policy/test_reservations.py
@@ -1,4 +1,4 @@
-"""Checks with tokens and the requests that come for them, and checks against limits of their own."""
+"""Quota reservations, the prepaid requests that use them, and checks against custom limits."""
 
 import random
 
@@ -10,107 +10,119 @@
 from apigateway import messages
 
 HOSTS = [make_host(f"h{n}") for n in range(4)]
-CEILED = dict(rate=3.0, burst=6.0, ceiling_rate=4.0, ceiling_burst=8.0, ceiling_slack=0.0)
+CEILING_LIMITS = dict(rate=3.0, burst=6.0, ceiling_rate=4.0, ceiling_burst=8.0, ceiling_slack=0.0)
 
 
-def world(plans=None, **kw):
+def make_harness(plans=None, **kw):
     return GatewayHarness(
         make_settings(plans=plans or [make_plan(rate=2.0, burst=8.0)], **{"gateway_count": 1, **kw}), HOSTS
     )
 
 
-def ask(harness, kind, customer="c", units=1.0, spread=1, **kw):
-    """What became of it at once: Granted, Denied, Send, Refuse, or None."""
+def submit(harness, kind, customer="c", units=1.0, spread=1, **kw):
+    """Submit a request or check, and return its answer or its forwarded attempt if that comes at once."""
     harness.request_count += 1
-    actions = harness.handle(kind(f"k{harness.request_count}", 3.0, customer, "p", "read", units, 0, spread, **kw))
-    told = actions_of(
+    actions = harness.handle(
+        kind(f"k{harness.request_count}", 3.0, customer, "p", "read", units, 0, spread, **kw)
+    )
+    answer = actions_of(
         actions, messages.QuotaGranted | messages.QuotaDenied | messages.ForwardRequest | messages.Reject
     )
-    for send in actions_of(actions, messages.ForwardRequest):
-        harness.end_attempt(send, elapsed=0.001)
-    return told[0] if told else None
+    for forward in actions_of(actions, messages.ForwardRequest):
+        harness.end_attempt(forward, elapsed=0.001)
+    return answer[0] if answer else None
 
 
-def test_a_request_that_was_paid_for_takes_none_of_the_quota():
-    harness = world()
-    while isinstance(ask(harness, messages.QuotaReservation), messages.QuotaGranted):
+def test_prepaid_requests_spend_no_quota():
+    harness = make_harness()
+    while isinstance(submit(harness, messages.QuotaReservation), messages.QuotaGranted):
         pass
-    assert isinstance(ask(harness, messages.Request), messages.Reject)
-    assert all(isinstance(ask(harness, messages.PrepaidRequest), messages.ForwardRequest) for _ in range(20))
-    assert isinstance(ask(harness, messages.Request), messages.Reject)  # and gives none of it back
+    assert isinstance(submit(harness, messages.Request), messages.Reject)
+    assert all(
+        isinstance(submit(harness, messages.PrepaidRequest), messages.ForwardRequest) for _ in range(20)
+    )
+    assert isinstance(submit(harness, messages.Request), messages.Reject)  # and refund none
 
 
-def test_under_a_ceiling_it_waits_for_what_is_sent_on_however_much_was_granted_before():
-    harness = world([make_plan(**CEILED)])
-    harness.now += 10.0  # both stores are full: 8 units, 4 a second more
-    granted = sum(isinstance(ask(harness, messages.QuotaReservation), messages.QuotaGranted) for _ in range(6))
-    harness.now += 2.0  # what is granted may be 8 again; nothing was sent on yet
-    granted += sum(isinstance(ask(harness, messages.QuotaReservation), messages.QuotaGranted) for _ in range(6))
+def test_prepaid_requests_are_held_to_the_ceiling_however_many_units_were_reserved():
+    harness = make_harness([make_plan(**CEILING_LIMITS)])
+    harness.now += 10.0  # the ceiling is full: 8 units, refilled by 4 per second
+    granted = sum(
+        isinstance(submit(harness, messages.QuotaReservation), messages.QuotaGranted) for _ in range(6)
+    )
+    harness.now += 2.0  # 8 units may be granted again; nothing has been forwarded yet
+    granted += sum(
+        isinstance(submit(harness, messages.QuotaReservation), messages.QuotaGranted) for _ in range(6)
+    )
     assert granted >= 10
-    sent = sum(isinstance(ask(harness, messages.PrepaidRequest), messages.ForwardRequest) for _ in range(granted))
-    assert sent == 8  # all of them at once are held to one burst
-    assert isinstance(ask(harness, messages.Request), messages.Reject)  # and nobody else may follow them
+    sent = sum(
+        isinstance(submit(harness, messages.PrepaidRequest), messages.ForwardRequest) for _ in range(granted)
+    )
+    assert sent == 8  # one burst
+    assert isinstance(submit(harness, messages.Request), messages.Reject)  # nor may others use more
     harness.now += 1.0
-    assert [isinstance(ask(harness, messages.PrepaidRequest), messages.ForwardRequest) for _ in range(5)] == [
-        True
-    ] * 4 + [False]
+    assert [
+        isinstance(submit(harness, messages.PrepaidRequest), messages.ForwardRequest) for _ in range(5)
+    ] == [True] * 4 + [False]
 
 
-def test_what_is_given_back_of_a_reserve_was_never_charged_to_what_is_sent_on():
-    harness = world([make_plan(**CEILED)])
+def test_returned_reservations_leave_both_sides_of_the_ceiling_full():
+    harness = make_harness([make_plan(**CEILING_LIMITS)])
     harness.now += 10.0
     for _ in range(3):
-        told = ask(harness, messages.QuotaReservation)
-        harness.handle(messages.ReturnReservation("c", 1.0, told.window_index))
-    acct = harness.gateway.quotas["c"]
-    assert acct.ceiling.tokens == pytest.approx(8.0) and acct.ceiling.reserved == pytest.approx(0.0)
-    told = ask(harness, messages.QuotaCheck)
-    harness.handle(messages.ReturnUnits("c", 1.0, told.window_index))
-    assert acct.ceiling.tokens == pytest.approx(8.0) and acct.ceiling.reserved == pytest.approx(0.0)
+        answer = submit(harness, messages.QuotaReservation)
+        harness.handle(messages.ReturnReservation("c", 1.0, answer.window_index))
+    quota = harness.gateway.quotas["c"]
+    assert quota.ceiling.tokens == pytest.approx(8.0) and quota.ceiling.reserved == pytest.approx(0.0)
+    answer = submit(harness, messages.QuotaCheck)
+    harness.handle(messages.ReturnUnits("c", 1.0, answer.window_index))
+    assert quota.ceiling.tokens == pytest.approx(8.0) and quota.ceiling.reserved == pytest.approx(0.0)
 
 
-def test_where_nothing_was_reserved_the_two_stores_are_one():
-    harness = world([make_plan(**CEILED)])
+def test_nothing_is_reserved_without_reservations():
+    harness = make_harness([make_plan(**CEILING_LIMITS)])
     for _ in range(40):
         harness.now += 0.1
-        ask(harness, messages.QuotaCheck)
-        ask(harness, messages.Request)
+        submit(harness, messages.QuotaCheck)
+        submit(harness, messages.Request)
         assert harness.gateway.quotas["c"].ceiling.reserved == 0.0
 
 
-def over(times, burst, rate):
-    """The most by which units at these times pass a store that starts full, and fills at `rate`."""
-    store, at, worst = burst, times[0][0] if times else 0.0, 0.0
-    for when, units in times:
-        store = min(burst, store + (when - at) * rate) - units
-        at, worst = when, min(worst, store)
-    return -worst
-
-
-@pytest.mark.parametrize("first", range(0, 2000, 250))
-def test_neither_what_is_granted_nor_what_is_sent_on_passes_the_ceiling(first):
-    """Thousands of seeds: gateways that share a ceiling, checks with tokens and without, requests with and
-    without them, late, early, at another gateway of the same machine; the counter as it will."""
-    for number in range(first, first + 250):
-        rng = random.Random(number)
-        count = rng.choice([1, 1, 2, 3])
-        conf = [
-            make_settings(plans=[make_plan(**CEILED)], gateway_count=count, gateway_index=n)
-            for n in range(count)
+def max_excess(times, burst, rate):
+    """Return by how many units these times exceed a token bucket that starts full and refills at `rate`."""
+    tokens, previous_time, min_tokens = burst, times[0][0] if times else 0.0, 0.0
+    for time, units in times:
+        tokens = min(burst, tokens + (time - previous_time) * rate) - units
+        previous_time, min_tokens = time, min(min_tokens, tokens)
+    return -min_tokens
+
+
+@pytest.mark.parametrize("first_seed", range(0, 2000, 250))
+def test_neither_granted_nor_forwarded_units_exceed_the_ceiling(first_seed):
+    """Several gateways share a ceiling. Checks, reservations, plain and prepaid requests come in random order to
+    any gateway, and the counter may fail."""
+    for run_seed in range(first_seed, first_seed + 250):
+        rng = random.Random(run_seed)
+        gateway_count = rng.choice([1, 1, 2, 3])
+        gateway_settings = [
+            make_settings(plans=[make_plan(**CEILING_LIMITS)], gateway_count=gateway_count, gateway_index=n)
+            for n in range(gateway_count)
+        ]
+        harnesses = [
+            GatewayHarness(one, HOSTS, seed=run_seed * 8 + n) for n, one in enumerate(gateway_settings)
         ]
-        worlds = [GatewayHarness(one, HOSTS, seed=number * 8 + n) for n, one in enumerate(conf)]
         totals = {}
-        for harness in worlds:
+        for harness in harnesses:
             harness.counter_totals = totals
             harness.counter_mode = rng.choice(["answer", "answer", "silent", "refuse"])
             harness.now += rng.choice([0.0, 10.0])
-        purses, asked = [], {}
+        reserved_units, submitted = [], {}
         for _ in range(rng.randrange(20, 70)):
             gap = rng.choice([0.0, 0.0, 0.01, 0.2, 1.0, 2.0])
-            now = max(harness.now for harness in worlds) + gap
-            for harness in worlds:
+            now = max(harness.now for harness in harnesses) + gap
+            for harness in harnesses:
                 harness.now = now
-            harness, units = rng.choice(worlds), rng.choice([1.0, 1.0, 2.0])
+            harness, units = rng.choice(harnesses), rng.choice([1.0, 1.0, 2.0])
             kind = rng.choice(
                 [
                     messages.QuotaCheck,
@@ -121,76 +133,89 @@
                 ]
             )
             if kind is messages.PrepaidRequest:
-                if not purses:
+                if not reserved_units:
                     continue
-                units = purses.pop(rng.randrange(len(purses)))
+                units = reserved_units.pop(rng.randrange(len(reserved_units)))
             harness.request_count += 1
-            asked[harness, f"k{harness.request_count}"] = kind, units
-            actions = harness.handle(kind(f"k{harness.request_count}", 3.0, "c", "p", "read", units, 0, count))
-            for send in actions_of(actions, messages.ForwardRequest):
-                harness.end_attempt(send, elapsed=0.001)
+            submitted[harness, f"k{harness.request_count}"] = kind, units
+            actions = harness.handle(
+                kind(f"k{harness.request_count}", 3.0, "c", "p", "read", units, 0, gateway_count)
+            )
+            for forward in actions_of(actions, messages.ForwardRequest):
+                harness.end_attempt(forward, elapsed=0.001)
             if kind is messages.QuotaReservation:
-                for told in actions_of(actions, messages.QuotaGranted):
+                for answer in actions_of(actions, messages.QuotaGranted):
                     if rng.random() < 0.1:
-                        harness.handle(messages.ReturnReservation("c", units, told.window_index))
-                        asked[harness, told.request_id] = None, 0.0
+                        harness.handle(messages.ReturnReservation("c", units, answer.window_index))
+                        submitted[harness, answer.request_id] = None, 0.0
                     else:
-                        purses.append(units)
+                        reserved_units.append(units)
         granted, sent = [], []
-        for harness in worlds:
-            for at, act in harness.action_log:
-                if isinstance(act, messages.QuotaGranted | messages.ForwardRequest):
-                    kind, units = asked[harness, act.request_id]
+        for harness in harnesses:
+            for time, action in harness.action_log:
+                if isinstance(action, messages.QuotaGranted | messages.ForwardRequest):
+                    kind, units = submitted[harness, action.request_id]
                     if kind in (messages.QuotaCheck, messages.QuotaReservation, messages.Request):
-                        granted.append((at, units))
+                        granted.append((time, units))
                     if kind in (messages.QuotaCheck, messages.Request, messages.PrepaidRequest):
-                        sent.append((at, units))
+                        sent.append((time, units))
         for times in (granted, sent):
-            assert over(sorted(times), 8.0, 4.0) <= 1e-6, number
+            assert max_excess(sorted(times), 8.0, 4.0) <= 1e-6, run_seed
 
 
-@pytest.mark.parametrize("gateways", [1, 3])
-def test_a_limit_of_its_own_is_held_over_all_gateways_and_spends_nothing_of_the_plan(gateways):
-    own = make_plan(rate=0.5, burst=4.0)
-    worlds = [
+@pytest.mark.parametrize("gateway_count", [1, 3])
+def test_custom_limit_holds_over_all_gateways_and_spends_no_quota_of_the_plan(gateway_count):
+    own_limit = make_plan(rate=0.5, burst=4.0)
+    harnesses = [
         GatewayHarness(
-            make_settings(plans=[make_plan(rate=1.0, burst=30.0)], gateway_count=gateways, gateway_index=n),
+            make_settings(
+                plans=[make_plan(rate=1.0, burst=30.0)], gateway_count=gateway_count, gateway_index=n
+            ),
             HOSTS,
             seed=n,
         )
-        for n in range(gateways)
+        for n in range(gateway_count)
     ]
     totals = {}
-    for harness in worlds:
+    for harness in harnesses:
         harness.counter_totals = totals
-    passed = 0
+    granted_count = 0
     for n in range(60):
-        told = ask(worlds[n % gateways], messages.CustomLimitCheck, "c/4/8", spread=gateways, limit=own)
-        passed += isinstance(told, messages.QuotaGranted)
-    assert 3 <= passed <= 6  # one that is new stands in the middle of a window
+        answer = submit(
+            harnesses[n % gateway_count],
+            messages.CustomLimitCheck,
+            "c/4/8",
+            spread=gateway_count,
+            limit=own_limit,
+        )
+        granted_count += isinstance(answer, messages.QuotaGranted)
+    assert 3 <= granted_count <= 6  # a new quota begins in the middle of a window
     assert (
         sum(
-            isinstance(ask(worlds[0], messages.QuotaCheck, spread=gateways), messages.QuotaGranted)
+            isinstance(submit(harnesses[0], messages.QuotaCheck, spread=gateway_count), messages.QuotaGranted)
             for _ in range(10)
         )
         == 10
     )
 
 
-def test_a_limit_into_which_nothing_fits():
-    harness = world()
-    none = make_plan(rate=1e-9, burst=1e-9)
+def test_custom_limit_of_almost_0_grants_nothing_but_0_units():
+    harness = make_harness()
+    empty_limit = make_plan(rate=1e-9, burst=1e-9)
     assert not any(
-        isinstance(ask(harness, messages.CustomLimitCheck, "c/0/1", limit=none), messages.QuotaGranted)
+        isinstance(
+            submit(harness, messages.CustomLimitCheck, "c/0/1", limit=empty_limit), messages.QuotaGranted
+        )
         for _ in range(5)
     )
     assert isinstance(
-        ask(harness, messages.CustomLimitCheck, "c/0/1", units=0.0, limit=none), messages.QuotaGranted
+        submit(harness, messages.CustomLimitCheck, "c/0/1", units=0.0, limit=empty_limit),
+        messages.QuotaGranted,
     )
-    assert isinstance(ask(harness, messages.QuotaCheck), messages.QuotaGranted)
+    assert isinstance(submit(harness, messages.QuotaCheck), messages.QuotaGranted)
 
 
-def test_a_check_without_its_limit_is_none():
+def test_custom_limit_check_requires_a_limit():
     with pytest.raises(ValueError):
         messages.CustomLimitCheck("k", 1.0, "c", "p", "read", 1.0, 0, 1)
 
@@ -215,81 +240,100 @@
         max_size=60,
     )
 )
-def test_both_stores_are_those_of_a_plain_account(steps):
-    """The gap between them, kept as one figure, against two stores that are kept apart."""
-    harness = world([make_plan(rate=100.0, burst=200.0, ceiling_rate=100.0, ceiling_burst=200.0)])
+def test_ceiling_equals_two_separate_token_buckets(steps):
+    """The ceiling stores the difference between granted and forwarded units as one number. It must equal two
+    separate buckets."""
+    harness = make_harness([make_plan(rate=100.0, burst=200.0, ceiling_rate=100.0, ceiling_burst=200.0)])
     harness.now += 10.0
-    ask(harness, messages.QuotaCheck, units=0.0)
-    acct = harness.gateway.quotas["c"]
-    full, rate, a, b, at, purse = 200.0, 100.0, acct.ceiling.tokens, acct.ceiling.tokens, harness.now, []
+    submit(harness, messages.QuotaCheck, units=0.0)
+    quota = harness.gateway.quotas["c"]
+    capacity, rate, granted_tokens, forwarded_tokens, refilled_at, reservations = (
+        200.0,
+        100.0,
+        quota.ceiling.tokens,
+        quota.ceiling.tokens,
+        harness.now,
+        [],
+    )
     for kind, amount in steps:
         if kind == "wait":
             harness.now += amount
             continue
-        more, at = (harness.now - at) * rate, harness.now
-        a, b = min(full, a + more), min(full, b + more)
+        refill, refilled_at = (harness.now - refilled_at) * rate, harness.now
+        granted_tokens, forwarded_tokens = (
+            min(capacity, granted_tokens + refill),
+            min(capacity, forwarded_tokens + refill),
+        )
         units = amount * 40
         if kind == "back":
-            if purse:
-                told, units = purse.pop()
-                harness.handle(messages.ReturnReservation("c", units, told.window_index))
-                a = min(full, a + units)
+            if reservations:
+                answer, units = reservations.pop()
+                harness.handle(messages.ReturnReservation("c", units, answer.window_index))
+                granted_tokens = min(capacity, granted_tokens + units)
             continue
         if units > harness.settings.max_units and kind in (messages.Request, messages.PrepaidRequest):
             units = harness.settings.max_units
-        told = ask(harness, kind, units=units)
-        if isinstance(told, messages.QuotaGranted | messages.ForwardRequest):
+        answer = submit(harness, kind, units=units)
+        if isinstance(answer, messages.QuotaGranted | messages.ForwardRequest):
             if kind is not messages.PrepaidRequest:
-                a -= units
+                granted_tokens -= units
             if kind is not messages.QuotaReservation:
-                b -= units
+                forwarded_tokens -= units
             if kind is messages.QuotaReservation:
-                purse.append((told, units))
-        assert min(a, b) >= -1e-6
-        acct.ceiling.available(harness.now)
-        tokens = acct.ceiling.tokens
-        assert (tokens, tokens + acct.ceiling.reserved) == (pytest.approx(a), pytest.approx(b))
-
-
-def test_sets_of_different_sizes_share_by_the_larger_one():
-    """A customer's requests name two gateways, its checks all three: no order of them passes the ceiling."""
-    for first in ((2, 3), (3, 2)):
-        conf = [
-            make_settings(plans=[make_plan(**CEILED)], gateway_count=3, gateway_index=n) for n in range(3)
+                reservations.append((answer, units))
+        assert min(granted_tokens, forwarded_tokens) >= -1e-6
+        quota.ceiling.available(harness.now)
+        tokens = quota.ceiling.tokens
+        assert (tokens, tokens + quota.ceiling.reserved) == (
+            pytest.approx(granted_tokens),
+            pytest.approx(forwarded_tokens),
+        )
+
+
+def test_ceiling_holds_for_gateway_sets_of_different_sizes():
+    """A customer's requests name 2 gateways and its checks 3: they do not exceed the ceiling in any order."""
+    for spreads in ((2, 3), (3, 2)):
+        gateway_settings = [
+            make_settings(plans=[make_plan(**CEILING_LIMITS)], gateway_count=3, gateway_index=n)
+            for n in range(3)
         ]
-        worlds = [GatewayHarness(one, HOSTS, seed=n) for n, one in enumerate(conf)]
-        for harness in worlds:
-            harness.counter_mode = "refuse"  # each is left to its own part
+        harnesses = [GatewayHarness(one, HOSTS, seed=n) for n, one in enumerate(gateway_settings)]
+        for harness in harnesses:
+            harness.counter_mode = "refuse"  # each gateway has only its own share
             harness.now += 10.0
         sent = 0
         for n in range(60):
-            kind = messages.Request if first[n % 2] == 2 else messages.QuotaCheck
-            told = ask(worlds[n % 3 if kind is messages.QuotaCheck else n % 2], kind, spread=first[n % 2])
-            sent += isinstance(told, messages.QuotaGranted | messages.ForwardRequest)
+            kind = messages.Request if spreads[n % 2] == 2 else messages.QuotaCheck
+            answer = submit(
+                harnesses[n % 3 if kind is messages.QuotaCheck else n % 2], kind, spread=spreads[n % 2]
+            )
+            sent += isinstance(answer, messages.QuotaGranted | messages.ForwardRequest)
         assert 6 <= sent <= 8
 
 
-def test_a_request_that_waits_for_a_ceiling_goes_when_it_has_filled():
-    """Among many an even part is a few units: a bunch of requests is no reason to refuse those of them that a
-    part of the aim is time for."""
-    ceiled = make_plan(rate=0.0, ceiling_rate=64.0, ceiling_burst=32.0, ceiling_slack=3.0)
+def test_request_that_waits_for_the_ceiling_is_forwarded_after_the_refill():
+    """With many gateways, an equal share is a few units. Of a burst of requests, those that can wait for the
+    refill within a part of the latency objective are not rejected."""
+    plan = make_plan(rate=0.0, ceiling_rate=64.0, ceiling_burst=32.0, ceiling_slack=3.0)
     harness = GatewayHarness(
-        make_settings(plans=[ceiled], gateway_count=200), [make_host(f"h{n}") for n in range(30)]
+        make_settings(plans=[plan], gateway_count=200), [make_host(f"h{n}") for n in range(30)]
     )
     harness.now += 10.0
-    begun, names = (
+    start, request_ids = (
         harness.now,
         [harness.send_request(spread=16)[0] for _ in range(12)],
     )  # 2 units, 4 a second, a wait of 0.3 s
     harness.advance(1.0, step=0.005)
     sent = [
-        at - begun
-        for at, act in harness.action_log
-        if isinstance(act, messages.ForwardRequest) and act.request_id in names
+        time - start
+        for time, action in harness.action_log
+        if isinstance(action, messages.ForwardRequest) and action.request_id in request_ids
     ]
-    refused = [
-        at - begun for at, act in harness.action_log if isinstance(act, messages.Reject) and act.request_id in names
+    rejected_times = [
+        time - start
+        for time, action in harness.action_log
+        if isinstance(action, messages.Reject) and action.request_id in request_ids
     ]
     assert len(sent) == 3 and sent[:2] == [0.0, 0.0] and 0.24 < sent[2] < 0.3
-    assert len(refused) == 9 and max(refused) == 0.0
-    assert all(a.ceiling.waiting_units == 0.0 for a in harness.gateway.quotas.values())
+    assert len(rejected_times) == 9 and max(rejected_times) == 0.0
+    assert all(quota.ceiling.waiting_units == 0.0 for quota in harness.gateway.quotas.values())
