--- a/tests/policy/test_pending_queue.py
+++ b/tests/policy/test_pending_queue.py
@@ -132,9 +132,8 @@
     )
     for forward in in_flight[:10]:
         harness.end_attempt(forward)
-    assert (
-        len(selections) <= 30
-    )  # each attempt that ends leads to a new one, and to a search that finds no capacity
+    # Each attempt that ends leads to a new one, and to a search that finds no capacity.
+    assert len(selections) <= 30
 
 
 def test_20000_queued_requests_are_all_answered_when_hosts_free_up_and_then_go(monkeypatch):
--- a/tests/policy/test_quota_leasing.py
+++ b/tests/policy/test_quota_leasing.py
@@ -3,305 +3,334 @@
 from apigateway import messages
 
 
-def served(harness, tries, **kw):
-    n = 0
-    for _ in range(tries):
-        _, actions = harness.send_request(**kw)
-        for s in actions_of(actions, messages.ForwardRequest):
-            n += 1
-            harness.end_attempt(s)
-    return n
+def count_forwarded(harness, request_count, **request_fields):
+    forwarded_count = 0
+    for _ in range(request_count):
+        _, actions = harness.send_request(**request_fields)
+        for forward in actions_of(actions, messages.ForwardRequest):
+            forwarded_count += 1
+            harness.end_attempt(forward)
+    return forwarded_count
 
 
-def test_light_customer_makes_no_call():
+def test_first_request_of_a_customer_makes_no_counter_call():
     harness = GatewayHarness()
-    assert served(harness, 1) == 1
-    assert not [a for _, a in harness.action_log if isinstance(a, messages.AddToCounter)]
+    assert count_forwarded(harness, 1) == 1
+    assert not [action for _, action in harness.action_log if isinstance(action, messages.AddToCounter)]
 
 
-def test_lease_is_added_and_quota_is_held():
+def test_leases_are_added_to_the_counter_and_the_quota_holds():
     harness = GatewayHarness()
-    n = served(harness, 40)
-    assert 8 <= n <= 16  # the burst, and what the part of the window that has passed has refilled
-    assert [a for _, a in harness.action_log if isinstance(a, messages.AddToCounter)]
+    forwarded_count = count_forwarded(harness, 40)
+    assert 8 <= forwarded_count <= 16  # the burst, and the refill of the elapsed part of the window
+    assert [action for _, action in harness.action_log if isinstance(action, messages.AddToCounter)]
     assert max(harness.counter_totals.values()) <= 16
 
 
-def test_full_window_refuses_at_once_without_calls():
+def test_requests_beyond_an_exhausted_window_are_rejected_without_calls():
     harness = GatewayHarness()
-    served(harness, 40)
-    before = len([a for _, a in harness.action_log if isinstance(a, messages.AddToCounter)])
-    name, actions = harness.send_request()
-    assert actions_of(actions, messages.Reject) and len(actions_of(actions, messages.AddToCounter)) == 0 and before
+    count_forwarded(harness, 40)
+    earlier_calls = len(
+        [action for _, action in harness.action_log if isinstance(action, messages.AddToCounter)]
+    )
+    request_id, actions = harness.send_request()
+    assert (
+        actions_of(actions, messages.Reject)
+        and len(actions_of(actions, messages.AddToCounter)) == 0
+        and earlier_calls
+    )
 
 
-def test_two_bursts_do_not_pass_back_to_back_at_a_turn():
+def test_two_bursts_are_not_admitted_around_the_end_of_a_window():
     harness = GatewayHarness()
     total = 0
     start = harness.now
     while harness.now < start + 12:
-        total += served(harness, 2)
+        total += count_forwarded(harness, 2)
         harness.advance(0.1)
     assert total <= 8 + 2 * (harness.now - start) + 4
 
 
-def test_excess_is_taken_back():
+def test_denied_units_are_subtracted_from_the_count():
     harness = GatewayHarness()
     harness.counter_mode = "hold"
-    calls, sends = [], True
-    while sends:  # the last request waits for the call that is out
+    calls, forwards = [], True
+    while forwards:  # the last request waits for the call in flight
         _, actions = harness.send_request()
-        calls, sends = (
+        calls, forwards = (
             calls + actions_of(actions, messages.AddToCounter),
             actions_of(actions, messages.ForwardRequest),
         )
     call = calls[0]
-    actions = harness.handle(
-        messages.CounterResult(call.counter_key, "ok", 40, 0.002)
-    )  # others have filled the window meanwhile
+    # Other gateways have used up the window.
+    actions = harness.handle(messages.CounterResult(call.counter_key, "ok", 40, 0.002))
     assert [
-        c
-        for c in actions_of(actions, messages.AddToCounter)
-        if c.amount < 0 and c.counter_key == call.counter_key
+        correction
+        for correction in actions_of(actions, messages.AddToCounter)
+        if correction.amount < 0 and correction.counter_key == call.counter_key
     ]
     assert not actions_of(actions, messages.ForwardRequest) and actions_of(actions, messages.Reject)
 
 
-def test_timed_out_add_gives_no_units_and_request_is_settled_soon():
+def test_timed_out_call_leases_no_units_and_its_requests_are_answered():
     harness = GatewayHarness()
     harness.counter_mode = "silent"
     start = harness.now
-    n = served(harness, 60)
-    assert n <= 8 / 2 + 2 * (harness.now - start) + 4  # the even share, never a lease
-    assert all(not j.stage == "units" for j in harness.gateway.pending.values())
+    forwarded_count = count_forwarded(harness, 60)
+    assert forwarded_count <= 8 / 2 + 2 * (harness.now - start) + 4  # the equal share, no lease
+    assert all(not pending.stage == "units" for pending in harness.gateway.pending.values())
     assert harness.gateway.quotas["c"].leased_units == 0
 
 
-def test_silent_counter_calls_back_off():
+def test_calls_to_a_silent_counter_back_off():
     harness = GatewayHarness()
     harness.counter_mode = "silent"
     for _ in range(200):
         harness.send_request()
         harness.advance(0.02)
-    assert len([a for _, a in harness.action_log if isinstance(a, messages.AddToCounter)]) < 20
+    assert len([action for _, action in harness.action_log if isinstance(action, messages.AddToCounter)]) < 20
 
 
-def test_lost_counts_are_added_again():
+def test_counts_that_the_counter_lost_are_added_again():
     harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=20.0)]))
-    served(harness, 12)
-    name = max(harness.counter_totals, key=lambda k: harness.counter_totals[k])
-    ours = harness.counter_totals[name]
-    assert ours > 3
+    count_forwarded(harness, 12)
+    counter_key = max(harness.counter_totals, key=lambda k: harness.counter_totals[k])
+    reported_units = harness.counter_totals[counter_key]
+    assert reported_units > 3
     harness.counter_totals.clear()
-    served(harness, 3)
-    assert harness.counter_totals[name] >= ours
+    count_forwarded(harness, 3)
+    assert harness.counter_totals[counter_key] >= reported_units
 
 
-def test_refused_call_keeps_the_charge_owed():
+def test_units_of_rejected_calls_are_reported_later():
     harness = GatewayHarness()
     harness.counter_mode = "refuse"
-    n = served(harness, 30)
+    forwarded_count = count_forwarded(harness, 30)
     harness.counter_mode = "answer"
     harness.advance(1.2)
-    served(harness, 3)
-    assert max(harness.counter_totals.values()) >= n
+    count_forwarded(harness, 3)
+    assert max(harness.counter_totals.values()) >= forwarded_count
 
 
-def test_ceiling_holds_at_start_and_without_counter():
-    p = make_plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0)
+def test_ceiling_holds_at_the_start_and_without_the_counter():
+    plan = make_plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0)
     for mode in ("answer", "silent", "refuse"):
-        harness = GatewayHarness(make_settings(plans=[p]))
+        harness = GatewayHarness(make_settings(plans=[plan]))
         harness.counter_mode = mode
-        start, n = harness.now, 0
+        start, forwarded_count = harness.now, 0
         while harness.now < start + 3:
-            n += served(harness, 4)
+            forwarded_count += count_forwarded(harness, 4)
             harness.advance(0.05)
-            # half of the ceiling's rate: two gateways share the customer, and nothing is there at the start
-            assert n <= 5.0 * (harness.now - start) + 1
+            # Half of the ceiling's rate, as two gateways share the customer. The ceiling starts empty.
+            assert forwarded_count <= 5.0 * (harness.now - start) + 1
 
 
-def test_open_limit_is_held_over_gateways_by_the_counter():
-    p = make_plan(rate=50.0, burst=100.0, concurrency_limit=2)
-    a = GatewayHarness(make_settings(plans=[p]))
-    b = GatewayHarness(make_settings(plans=[p], gateway_index=1), seed=2)
-    b.counter_totals = a.counter_totals
-    sends = []
+def test_concurrency_limit_holds_over_gateways_by_the_counter():
+    plan = make_plan(rate=50.0, burst=100.0, concurrency_limit=2)
+    first = GatewayHarness(make_settings(plans=[plan]))
+    second = GatewayHarness(make_settings(plans=[plan], gateway_index=1), seed=2)
+    second.counter_totals = first.counter_totals
+    forwards = []
     for _ in range(3):
-        for harness in (a, b):
-            sends += [(harness, s) for s in actions_of(harness.send_request()[1], messages.ForwardRequest)]
-    assert len(sends) == 2
-    harness, s = sends[0]
-    harness.end_attempt(s)
+        for harness in (first, second):
+            forwards += [
+                (harness, forward)
+                for forward in actions_of(harness.send_request()[1], messages.ForwardRequest)
+            ]
+    assert len(forwards) == 2
+    harness, forward = forwards[0]
+    harness.end_attempt(forward)
     assert len(actions_of(harness.send_request()[1], messages.ForwardRequest)) == 1
 
 
-def test_beyond_quota_only_where_it_earns():
+def test_requests_beyond_quota_are_forwarded_only_if_profitable():
     harness = GatewayHarness(make_settings(plans=[make_plan(over_quota_weight=0.3, over_quota_cost=0.0)]))
-    assert served(harness, 40) == 40
+    assert count_forwarded(harness, 40) == 40
     harness = GatewayHarness(make_settings(plans=[make_plan(over_quota_weight=0.3, over_quota_cost=0.5)]))
-    assert served(harness, 40) < 40
+    assert count_forwarded(harness, 40) < 40
 
 
-def test_without_counter_the_even_share_is_granted():
+def test_equal_share_is_granted_without_a_counter():
     harness = GatewayHarness(make_settings(has_counter=False))
-    n = served(harness, 40)
-    assert 4 <= n <= 8 and not [a for _, a in harness.action_log if isinstance(a, messages.AddToCounter)]
+    forwarded_count = count_forwarded(harness, 40)
+    assert 4 <= forwarded_count <= 8 and not [
+        action for _, action in harness.action_log if isinstance(action, messages.AddToCounter)
+    ]
 
 
-def test_plan_without_a_rate_needs_only_open_slots():
+def test_plan_without_a_rate_is_limited_by_concurrency_only():
     harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.0, burst=0.0, concurrency_limit=3)]))
-    assert served(harness, 30) == 30
+    assert count_forwarded(harness, 30) == 30
 
 
-def test_settled_units_are_charged():
+def test_actual_units_are_charged():
     harness = GatewayHarness(make_settings(charges_actual_units=True))
     _, actions = harness.send_request()
-    s = actions_of(actions, messages.ForwardRequest)[0]
-    harness.end_attempt(s, actual_units=6)
-    assert served(harness, 40) < 11
+    forward = actions_of(actions, messages.ForwardRequest)[0]
+    harness.end_attempt(forward, actual_units=6)
+    assert count_forwarded(harness, 40) < 11
 
 
-def test_a_quiet_time_does_not_save_up_more_than_the_burst():
+def test_idle_customer_saves_up_one_burst_at_most():
     harness = GatewayHarness()
-    acct_len = 4.0
+    window_length = 4.0
     harness.send_request()
     phase = harness.gateway.quotas["c"].window_start
-    harness.now = phase + 2 * acct_len - 0.5  # late in a window that nothing was drawn in
-    n = served(harness, 60)
-    assert n <= 8 + 4 + 1  # the burst, and what its even part passed uncharged
+    harness.now = phase + 2 * window_length - 0.5  # late in a window without any use
+    forwarded_count = count_forwarded(harness, 60)
+    assert forwarded_count <= 8 + 4 + 1  # the burst, and the equal share that was admitted before a report
 
 
-def test_debt_is_brought_along_once():
-    a, b = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)])), None
-    b = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)], gateway_index=1), seed=2)
-    b.counter_totals = a.counter_totals
+def test_overdraft_is_carried_over_once():
+    first, second = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)])), None
+    second = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)], gateway_index=1), seed=2)
+    second.counter_totals = first.counter_totals
     start = 0.0
-    for turn in range(6):
-        for harness in (a, b):
-            harness.now = max(a.now, b.now)
-            served(harness, 60)
-        start = a.gateway.quotas["c"].window_start
-        a.now = b.now = start + 4.0 + 0.001
-        assert max(a.counter_totals.values()) <= 40 + 10 * 4 + 3, turn  # never more owed than was drawn
+    for window_turn in range(6):
+        for harness in (first, second):
+            harness.now = max(first.now, second.now)
+            count_forwarded(harness, 60)
+        start = first.gateway.quotas["c"].window_start
+        first.now = second.now = start + 4.0 + 0.001
+        # The debt never exceeds the use.
+        assert max(first.counter_totals.values()) <= 40 + 10 * 4 + 3, window_turn
 
 
-def test_even_part_of_the_open_limit_needs_no_call():
+def test_equal_share_of_the_concurrency_limit_needs_no_call():
     harness = GatewayHarness(make_settings(plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=4)]))
     actions = harness.send_request()[1] + harness.send_request()[1]
-    assert len(actions_of(actions, messages.ForwardRequest)) == 2 and not actions_of(actions, messages.AddToCounter)
+    assert len(actions_of(actions, messages.ForwardRequest)) == 2 and not actions_of(
+        actions, messages.AddToCounter
+    )
     assert not actions_of(harness.send_request()[1], messages.ForwardRequest)
 
 
-def test_small_burst_over_many_gateways_passes_light_customers_and_holds_busy_ones():
+def test_small_burst_over_many_gateways_admits_light_customers_and_limits_busy_ones():
     harness = GatewayHarness(make_settings(gateway_count=10, plans=[make_plan(rate=0.8, burst=3.0)]))
     for k in range(20):
         _, actions = harness.send_request(customer=f"c{k}", spread=8)
-        assert actions_of(actions, messages.ForwardRequest) and len(actions_of(actions, messages.AddToCounter)) <= 1
+        assert (
+            actions_of(actions, messages.ForwardRequest)
+            and len(actions_of(actions, messages.AddToCounter)) <= 1
+        )
         harness.end_attempt(actions_of(actions, messages.ForwardRequest)[0])
-    assert served(harness, 30, customer="c0", spread=8) <= 6
+    assert count_forwarded(harness, 30, customer="c0", spread=8) <= 6
 
 
-def test_the_end_of_a_quota_is_kept_for_what_is_worth_most():
+def test_last_part_of_a_quota_is_kept_for_the_highest_priority():
     harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=40.0)]))
-    low = served(harness, 100, service_class="read")
-    high = served(harness, 100, service_class="write")
-    assert high >= 5  # nothing would be left without what was kept
-    assert low >= 25
+    low_priority_count = count_forwarded(harness, 100, service_class="read")
+    high_priority_count = count_forwarded(harness, 100, service_class="write")
+    assert high_priority_count >= 5  # nothing would be left without the headroom
+    assert low_priority_count >= 25
 
 
-def test_ordinary_path_is_back_within_two_seconds_after_the_counter_was_silent():
+def test_leasing_resumes_within_2_s_after_the_counter_was_silent():
     harness = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
     harness.counter_mode = "silent"
     for _ in range(80):
-        for s in actions_of(harness.send_request()[1], messages.ForwardRequest):
-            harness.end_attempt(s)
+        for forward in actions_of(harness.send_request()[1], messages.ForwardRequest):
+            harness.end_attempt(forward)
         harness.advance(0.02)
     harness.counter_mode, start = "answer", harness.now
     while harness.now < start + 2:
-        for s in actions_of(harness.send_request()[1], messages.ForwardRequest):
-            harness.end_attempt(s)
+        for forward in actions_of(harness.send_request()[1], messages.ForwardRequest):
+            harness.end_attempt(forward)
         harness.advance(0.04)
     assert harness.gateway.counter.consecutive_failures == 0
-    assert [a for t, a in harness.action_log if isinstance(a, messages.AddToCounter) and t > start]
+    assert [
+        action
+        for time, action in harness.action_log
+        if isinstance(action, messages.AddToCounter) and time > start
+    ]
 
 
-def test_rest_of_the_open_limit_is_shared_by_a_count():
-    conf = [
+def test_remainder_of_the_concurrency_limit_is_shared_by_a_count():
+    settings = [
         make_settings(gateway_index=k, plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=3)])
         for k in (0, 1)
     ]
-    a, b = GatewayHarness(conf[0]), GatewayHarness(conf[1], seed=2)
-    b.counter_totals = a.counter_totals
+    first, second = GatewayHarness(settings[0]), GatewayHarness(settings[1], seed=2)
+    second.counter_totals = first.counter_totals
     assert (
-        sum(len(actions_of(harness.send_request()[1], messages.ForwardRequest)) for _ in range(3) for harness in (a, b))
+        sum(
+            len(actions_of(harness.send_request()[1], messages.ForwardRequest))
+            for _ in range(3)
+            for harness in (first, second)
+        )
         == 3
     )
 
 
-def test_an_add_without_answer_leaves_the_requests_on_it_to_the_local_share():
+def test_requests_that_wait_for_a_timed_out_call_get_the_local_allowance():
     harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=8.0)]))
     harness.counter_mode = "hold"
-    calls, n = [], 0
+    calls, forwarded_count = [], 0
     for _ in range(12):
         actions = harness.send_request()[1]
-        calls, n = (
+        calls, forwarded_count = (
             calls + actions_of(actions, messages.AddToCounter),
-            n + len(actions_of(actions, messages.ForwardRequest)),
+            forwarded_count + len(actions_of(actions, messages.ForwardRequest)),
         )
     actions = harness.handle(messages.CounterResult(calls[0].counter_key, "timeout", 0, 0.05))
-    assert harness.gateway.quotas["c"].leased_units == 0 and n + len(actions_of(actions, messages.ForwardRequest)) <= 5
+    assert (
+        harness.gateway.quotas["c"].leased_units == 0
+        and forwarded_count + len(actions_of(actions, messages.ForwardRequest)) <= 5
+    )
     assert len(actions_of(actions, messages.Reject)) >= 3
 
 
-def test_what_a_quiet_half_lets_pass_too_much_is_taken_from_the_next_window():
+def test_overuse_at_the_end_of_a_window_is_taken_from_the_next_one():
     harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=40.0)]))
     harness.send_request()
     harness.now = harness.gateway.quotas["c"].window_start + 2 * 20.0 - 0.5
-    n, start = served(harness, 120), harness.now
-    assert n <= 80
+    forwarded_count, start = count_forwarded(harness, 120), harness.now
+    assert forwarded_count <= 80
     harness.now += 1.0
-    n += served(harness, 120)
-    assert n <= 80 + 2 * (harness.now - start) + 4
+    forwarded_count += count_forwarded(harness, 120)
+    assert forwarded_count <= 80 + 2 * (harness.now - start) + 4
 
 
-def test_without_the_counter_many_gateways_pass_no_more_than_the_burst_of_a_customer():
-    for n in (1, 3, 200):
-        passed = 0
-        for k in range(n):
+def test_many_gateways_without_the_counter_admit_about_one_burst():
+    for gateway_count in (1, 3, 200):
+        admitted_count = 0
+        for k in range(gateway_count):
             harness = GatewayHarness(
-                make_settings(plans=[make_plan(rate=2.0, burst=8.0)], gateway_count=n, gateway_index=k),
+                make_settings(
+                    plans=[make_plan(rate=2.0, burst=8.0)], gateway_count=gateway_count, gateway_index=k
+                ),
                 seed=k,
             )
             harness.counter_mode = "silent"
-            passed += served(harness, 3 if n > 10 else 40, spread=n)
-        assert passed <= 2.5 * 8, n  # two windows may be met
+            admitted_count += count_forwarded(harness, 3 if gateway_count > 10 else 40, spread=gateway_count)
+        assert admitted_count <= 2.5 * 8, gateway_count  # the requests may fall into two windows
 
 
-def test_plan_share_passes_what_was_granted_before_while_the_counter_is_away():
+def test_grant_share_of_a_plan_is_kept_while_the_counter_is_silent():
     harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)], gateway_count=100))
-    before = 0
+    earlier_count = 0
     for k in range(200):
-        before += served(harness, 1, customer=f"b{k}", spread=60)
+        earlier_count += count_forwarded(harness, 1, customer=f"b{k}", spread=60)
         harness.now += 0.1
-    harness.counter_mode, during = "silent", 0
+    harness.counter_mode, silent_count = "silent", 0
     for k in range(200):
-        during += served(harness, 1, customer=f"d{k}", spread=60)
+        silent_count += count_forwarded(harness, 1, customer=f"d{k}", spread=60)
         harness.now += 0.1
-    assert before > 150 and 40 < during <= before + 20
+    assert earlier_count > 150 and 40 < silent_count <= earlier_count + 20
 
 
-def test_customers_that_come_once_do_not_pile_up():
+def test_quotas_of_customers_that_come_once_are_dropped():
     harness = GatewayHarness(make_settings(plans=[make_plan(rate=1000.0, burst=4000.0)]))
-    busy = harness.send_request("busy", remaining=1000.0)[1]
+    busy_actions = harness.send_request("busy", remaining=1000.0)[1]
     for n in range(2000):
-        for send in actions_of(harness.send_request(f"c{n}")[1], messages.ForwardRequest):
-            harness.end_attempt(send)
+        for forward in actions_of(harness.send_request(f"c{n}")[1], messages.ForwardRequest):
+            harness.end_attempt(forward)
         harness.now += 0.1
-    assert len(harness.gateway.quotas) < 350 and busy
+    assert len(harness.gateway.quotas) < 350 and busy_actions
 
 
-def test_a_spoilt_answer_of_the_counter_does_not_stop_the_next_call():
-    for result, elapsed, again in (
+def test_malformed_reply_of_the_counter_does_not_stop_the_next_call():
+    for result, elapsed, calls_again in (
         ("spoilt", 0.002, True),
         ("timeout", 0.002, True),
         ("timeout", 0.05, False),
@@ -315,109 +344,124 @@
         assert (
             bool(
                 [
-                    a
+                    action
                     for n in range(8)
-                    for a in actions_of(harness.send_request(f"c{n % 2}")[1], messages.AddToCounter)
+                    for action in actions_of(harness.send_request(f"c{n % 2}")[1], messages.AddToCounter)
                 ]
             )
-            == again
+            == calls_again
         )
 
 
-def test_units_added_by_a_call_with_a_spoilt_answer_are_not_lost():
+def test_units_added_by_a_call_with_a_malformed_reply_are_not_lost():
     harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.001, burst=40.0)]))
-    real, calls = harness.counter_totals, 0
+    counter_totals, calls = harness.counter_totals, 0
     harness.counter_mode = "hold"
-    sent = refused = 0
+    forwarded_count = rejected_count = 0
     for _ in range(60):
         actions = harness.send_request()[1]
         while actions:
-            sent += len(actions_of(actions, messages.ForwardRequest))
-            refused += len(actions_of(actions, messages.Reject))
-            after = [a for s in actions_of(actions, messages.ForwardRequest) for a in harness.end_attempt(s)]
+            forwarded_count += len(actions_of(actions, messages.ForwardRequest))
+            rejected_count += len(actions_of(actions, messages.Reject))
+            next_actions = [
+                action
+                for forward in actions_of(actions, messages.ForwardRequest)
+                for action in harness.end_attempt(forward)
+            ]
             for call in actions_of(actions, messages.AddToCounter):
                 calls += 1
-                real[call.counter_key] = real.get(call.counter_key, 0) + call.amount
-                told = ("spoilt", 0.0) if calls % 3 else ("ok", real[call.counter_key])
-                after += harness.handle(messages.CounterResult(call.counter_key, *told, 0.002))
-            actions = after
-    assert calls > 6 and 36 <= sent <= 46 and sent + refused == 60
-    assert max(real.values()) <= 48
+                counter_totals[call.counter_key] = counter_totals.get(call.counter_key, 0) + call.amount
+                reply = ("spoilt", 0.0) if calls % 3 else ("ok", counter_totals[call.counter_key])
+                next_actions += harness.handle(messages.CounterResult(call.counter_key, *reply, 0.002))
+            actions = next_actions
+    assert calls > 6 and 36 <= forwarded_count <= 46 and forwarded_count + rejected_count == 60
+    assert max(counter_totals.values()) <= 48
 
 
-def test_units_are_added_again_once_when_the_counter_lost_its_counts():
+def test_units_are_added_again_only_once_after_the_counter_lost_its_counts():
     harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.001, burst=100.0)]))
-    while len([a for _, a in harness.action_log if isinstance(a, messages.AddToCounter)]) < 6:
-        served(harness, 1)
-    (name,), before = harness.counter_totals, max(harness.counter_totals.values())
+    while len([action for _, action in harness.action_log if isinstance(action, messages.AddToCounter)]) < 6:
+        count_forwarded(harness, 1)
+    (counter_key,), earlier_total = harness.counter_totals, max(harness.counter_totals.values())
     harness.counter_totals.clear()
     calls = len(harness.action_log)
-    served(harness, 12)
-    again = [a.amount for _, a in harness.action_log[calls:] if isinstance(a, messages.AddToCounter)]
-    assert len(again) > 4 and harness.counter_totals[name] <= before + 14  # not twice, not ever more
+    count_forwarded(harness, 12)
+    amounts = [
+        action.amount for _, action in harness.action_log[calls:] if isinstance(action, messages.AddToCounter)
+    ]
+    assert len(amounts) > 4 and harness.counter_totals[counter_key] <= earlier_total + 14  # not twice
 
 
-def next_call(harness):
-    """The next call that asks for units, however many requests pass before."""
+def next_lease_call(harness):
+    """Send requests until one leads to a call for units, and return that call."""
     for _ in range(200):
         harness.now += 0.01
-        calls = [c for c in actions_of(harness.send_request()[1], messages.AddToCounter) if c.amount > 0]
+        calls = [
+            call for call in actions_of(harness.send_request()[1], messages.AddToCounter) if call.amount > 0
+        ]
         if calls:
             return calls[0]
     raise AssertionError("no call")
 
 
-def test_the_overdraft_is_brought_along_though_the_first_answer_is_lost():
+def test_overdraft_is_carried_over_although_the_first_answer_is_lost():
     harness = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
     harness.counter_mode = "hold"
-    call = next_call(harness)
+    call = next_lease_call(harness)
     harness.gateway.quotas["c"].debt_units = 5.0
-    harness.handle(
-        messages.CounterResult(call.counter_key, "timeout", 0.0, 0.002)
-    )  # its line broke: it may have been added
-    second = next_call(harness)
-    actions = harness.handle(messages.CounterResult(call.counter_key, "ok", call.amount + second.amount, 0.002))
-    assert [c.amount for c in actions_of(actions, messages.AddToCounter) if c.amount >= 5]
+    # The connection was lost: the amount may have been added.
+    harness.handle(messages.CounterResult(call.counter_key, "timeout", 0.0, 0.002))
+    second = next_lease_call(harness)
+    actions = harness.handle(
+        messages.CounterResult(call.counter_key, "ok", call.amount + second.amount, 0.002)
+    )
+    assert [
+        correction.amount
+        for correction in actions_of(actions, messages.AddToCounter)
+        if correction.amount >= 5
+    ]
 
 
-def test_what_could_not_be_added_is_not_taken_for_lost_from_the_count():
+def test_units_that_could_not_be_added_do_not_count_as_lost():
     harness = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
     harness.counter_mode = "hold"
-    call = next_call(harness)
+    call = next_lease_call(harness)
     harness.gateway.quotas["c"].debt_units = 5.0
     assert actions_of(
-        harness.handle(messages.CounterResult(call.counter_key, "ok", call.amount, 0.002)), messages.AddToCounter
+        harness.handle(messages.CounterResult(call.counter_key, "ok", call.amount, 0.002)),
+        messages.AddToCounter,
     )
     harness.handle(messages.CounterResult(call.counter_key, "full", 0.0, 0.002))  # the overdraft
-    second = next_call(harness)
-    actions = harness.handle(messages.CounterResult(call.counter_key, "ok", call.amount + second.amount, 0.002))
-    assert sum(c.amount for c in actions_of(actions, messages.AddToCounter)) < call.amount
+    second = next_lease_call(harness)
+    actions = harness.handle(
+        messages.CounterResult(call.counter_key, "ok", call.amount + second.amount, 0.002)
+    )
+    assert sum(correction.amount for correction in actions_of(actions, messages.AddToCounter)) < call.amount
 
 
-def test_who_hands_over_fills_no_ceiling_any_further_and_goes_on_if_the_successor_fails():
+def test_ceiling_is_not_refilled_while_draining_and_again_if_the_successor_fails():
     ceiling = make_plan(rate=1000.0, burst=4000.0, ceiling_rate=1.0, ceiling_burst=4.0)
 
-    def passed(world):
+    def count_admitted(harness):
         return sum(
-            not actions_of(world.send_request(spread=1, service_class="read")[1], messages.Reject)
+            not actions_of(harness.send_request(spread=1, service_class="read")[1], messages.Reject)
             for _ in range(10)
         )
 
     harness = GatewayHarness(make_settings(plans=[ceiling]), [make_host(f"h{n}") for n in range(40)])
     harness.advance(10.0)
-    assert passed(harness) == 4  # all that its store holds
+    assert count_admitted(harness) == 4  # all tokens of its share
     harness.handle(messages.DrainGateway(True))
     harness.advance(10.0)
-    assert passed(harness) == 0  # what fills since is the successor's
-    assert not actions_of(
-        harness.send_request(customer="other", spread=1)[1], messages.Reject
-    )  # earned before it retired
+    assert count_admitted(harness) == 0  # the refill belongs to the successor
+    # Refilled before the drain.
+    assert not actions_of(harness.send_request(customer="other", spread=1)[1], messages.Reject)
     harness.handle(messages.DrainGateway(False))
-    assert passed(harness) == 4
+    assert count_admitted(harness) == 4
 
 
-def crowded(customers, spread=100):
-    """A gateway of many whose counter takes all of its time-out, after it has asked about others."""
+def make_congested_harness(customers, spread=100):
+    """Return one of 100 gateways, after calls to a counter that took almost the whole timeout."""
     harness = GatewayHarness(
         make_settings(gateway_count=100, plans=[make_plan(rate=0.5, burst=8.0, over_quota_cost=0.5)])
     )
@@ -426,83 +470,91 @@
         actions = harness.send_request(customer=f"other{k}", spread=spread)[1]
         for call in actions_of(actions, messages.AddToCounter):
             harness.now += 0.049
-            actions = actions + harness.handle(messages.CounterResult(call.counter_key, "ok", call.amount, 0.049))
-        for send in actions_of(actions, messages.ForwardRequest):
-            harness.end_attempt(send)
+            actions = actions + harness.handle(
+                messages.CounterResult(call.counter_key, "ok", call.amount, 0.049)
+            )
+        for forward in actions_of(actions, messages.ForwardRequest):
+            harness.end_attempt(forward)
     return harness
 
 
-def test_a_customer_seldom_heard_here_passes_where_a_crowded_counter_is_not_asked():
-    harness = crowded(60)
-    calls = sends = 0
+def test_rare_customer_is_admitted_without_a_call_while_the_counter_is_congested():
+    harness = make_congested_harness(60)
+    calls = forwards = 0
     for k in range(100):
         actions = harness.send_request(customer=f"new{k}", spread=100)[1]
         calls += len(actions_of(actions, messages.AddToCounter))
-        for send in actions_of(actions, messages.ForwardRequest):
-            sends += 1
-            harness.end_attempt(send)
+        for forward in actions_of(actions, messages.ForwardRequest):
+            forwards += 1
+            harness.end_attempt(forward)
         harness.now += 0.05
-    assert calls < 60 and sends + calls >= 98
+    assert calls < 60 and forwards + calls >= 98
 
 
-def test_a_customer_heard_here_more_than_an_even_part_of_its_quota_is_not_let_pass_unasked():
-    harness = crowded(60)
+def test_customer_beyond_its_equal_share_is_not_admitted_without_a_call():
+    harness = make_congested_harness(60)
     harness.counter_mode = "silent"
-    passed = []
+    admitted_numbers = []
     for n in range(12):
-        for send in actions_of(harness.send_request(customer="often", spread=100)[1], messages.ForwardRequest):
-            passed.append(n)
-            harness.end_attempt(send)
+        for forward in actions_of(
+            harness.send_request(customer="often", spread=100)[1], messages.ForwardRequest
+        ):
+            admitted_numbers.append(n)
+            harness.end_attempt(forward)
         harness.now += 0.5
-    assert passed and max(passed) < 6
-    harness.now += 120  # what came long ago tells nothing
+    assert admitted_numbers and max(admitted_numbers) < 6
+    harness.now += 120  # old requests no longer count
     assert actions_of(harness.send_request(customer="often", spread=100)[1], messages.ForwardRequest)
 
 
-def test_one_request_that_a_gateway_of_many_lets_pass_unasked_is_no_debt_of_many_windows():
-    """Of a thin customer's room a request is let pass by chance: that tells nothing of other gateways."""
+def test_request_admitted_without_a_call_is_not_scaled_up_to_all_gateways():
+    """With a small burst, a request is admitted at random. It must not count as a sample of the use at other
+    gateways."""
     harness = GatewayHarness(
         make_settings(gateway_count=100, plans=[make_plan(rate=0.5, burst=2.0)]),
         [make_host(f"h{n}") for n in range(9)],
     )
-    served, most, unasked = 0, 0.0, 0
-    for k in range(200):  # of so many some have their first one let pass uncharged
+    forwarded_count, max_total_units, unasked_count = 0, 0.0, 0
+    for k in range(200):  # enough for some first requests to be admitted without a charge
         for _ in range(3):
-            for send in actions_of(
+            for forward in actions_of(
                 harness.send_request(customer=f"c{k}", service_class="write", spread=100)[1],
                 messages.ForwardRequest,
             ):
-                served += 1
-                harness.end_attempt(send)
-            acct = harness.gateway.quotas[f"c{k}"]
-            most, unasked = max(most, acct.total_units), unasked + (acct.unreported_units > 0)
-            harness.now += 4.0  # the next window, of which half the quota is used
-    assert unasked and most <= 3.0 and served > 580
-
-
-def test_a_thin_customers_turn_does_not_bring_another_burst_at_once():
-    """Seen on the fleet's calm day: of what was sent on beyond quotas most came right after a turn, from who
-    had just had the burst of its last window, by gateways that had not heard of it."""
-    conf = make_settings(plans=[make_plan(rate=2.0, burst=8.0)])
-    first, second = GatewayHarness(conf), GatewayHarness(conf, seed=2)
+                forwarded_count += 1
+                harness.end_attempt(forward)
+            quota = harness.gateway.quotas[f"c{k}"]
+            max_total_units, unasked_count = (
+                max(max_total_units, quota.total_units),
+                unasked_count + (quota.unreported_units > 0),
+            )
+            harness.now += 4.0  # the next window, with half of the quota used
+    assert unasked_count and max_total_units <= 3.0 and forwarded_count > 580
+
+
+def test_small_burst_is_not_available_at_once_in_the_next_window():
+    """In a simulated day without faults, most requests forwarded beyond quotas came right after the end of a
+    window. Their customers had just used the burst of that window at other gateways."""
+    settings = make_settings(plans=[make_plan(rate=2.0, burst=8.0)])
+    first, second = GatewayHarness(settings), GatewayHarness(settings, seed=2)
     first.counter_totals = second.counter_totals  # one counter
-    served(first, 1, spread=60)
-    acct = first.gateway.quotas["c"]
-    turn = acct.window_start + acct.window_length
-    first.now = turn - 0.1
-    assert served(first, 20, spread=60) + 1 >= 7
-    second.now = turn + 0.05
-    assert 2 <= served(second, 20, spread=60) <= 4
-    second.now = turn + 0.6 * acct.window_length
-    assert served(second, 20, spread=60) >= 3  # and has the rest later
-
-
-def test_a_window_never_holds_more_than_a_burst_and_its_part_of_the_refill():
+    count_forwarded(first, 1, spread=60)
+    quota = first.gateway.quotas["c"]
+    window_turn = quota.window_start + quota.window_length
+    first.now = window_turn - 0.1
+    assert count_forwarded(first, 20, spread=60) + 1 >= 7
+    second.now = window_turn + 0.05
+    assert 2 <= count_forwarded(second, 20, spread=60) <= 4
+    second.now = window_turn + 0.6 * quota.window_length
+    assert count_forwarded(second, 20, spread=60) >= 3  # the rest is available later
+
+
+def test_window_limit_of_a_small_burst_is_the_burst_plus_a_share_of_the_refill():
     for burst in (0.5, 1.0, 2.0, 9.0):
         harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=burst)]))
         harness.send_request(spread=60)
-        acct = harness.gateway.quotas["c"]
-        times = [acct.window_start + part * acct.window_length for part in (0.0, 0.25, 0.5, 1.0)]
-        held = [acct.window_limit(time) for time in times]
-        assert held == sorted(held) and held[0] <= max(0.5 * burst, min(burst, 1.0))
-        assert held[-1] <= 1.1 * burst + 1e-9
+        quota = harness.gateway.quotas["c"]
+        times = [quota.window_start + share * quota.window_length for share in (0.0, 0.25, 0.5, 1.0)]
+        limits = [quota.window_limit(time) for time in times]
+        assert limits == sorted(limits) and limits[0] <= max(0.5 * burst, min(burst, 1.0))
+        assert limits[-1] <= 1.1 * burst + 1e-9
--- a/tests/policy/test_requests.py
+++ b/tests/policy/test_requests.py
@@ -70,7 +70,9 @@
     harness.handle(messages.EndpointList("delta", 2, (make_host("h1", state="leaving"),)))
     harness.handle(messages.EndpointList("full", 3, (make_host("h2"),)))
     for _ in range(5):
-        assert {s.endpoint_id for s in actions_of(harness.send_request()[1], messages.ForwardRequest)} <= {"h2"}
+        assert {s.endpoint_id for s in actions_of(harness.send_request()[1], messages.ForwardRequest)} <= {
+            "h2"
+        }
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 200])
@@ -164,7 +166,9 @@
     s = actions_of(actions, messages.ForwardRequest)[0]
     harness.handle(messages.ClientDisconnected(name))
     actions = harness.end_attempt(s, "ok", is_final=True)
-    assert not [a for a in actions if isinstance(a, (messages.Reject, messages.Fail, messages.ForwardRequest))]
+    assert not [
+        a for a in actions if isinstance(a, (messages.Reject, messages.Fail, messages.ForwardRequest))
+    ]
     harness.handle(messages.ClientDisconnected("never"))
     harness.handle(messages.TimerExpired(77))
     harness.handle(messages.CounterResult(5, "ok", 3, 0.1))
@@ -234,7 +238,9 @@
     for gateways in (1, 200):
         again = 0
         for k in range(gateways):
-            harness = GatewayHarness(make_settings(plans=[BIG], gateway_count=gateways, gateway_index=k), seed=k)
+            harness = GatewayHarness(
+                make_settings(plans=[BIG], gateway_count=gateways, gateway_index=k), seed=k
+            )
             s = actions_of(harness.send_request()[1], messages.ForwardRequest)[0]
             again += len(actions_of(harness.end_attempt(s, "error"), messages.ForwardRequest))
         assert again <= 15
@@ -286,7 +292,9 @@
 
 
 def test_overload_of_servers_sheds_what_is_worth_least_with_many_gateways():
-    harness = GatewayHarness(make_settings(plans=[BIG], gateway_count=50), [make_host(f"h{k}") for k in range(10)])
+    harness = GatewayHarness(
+        make_settings(plans=[BIG], gateway_count=50), [make_host(f"h{k}") for k in range(10)]
+    )
     served = {"read": 0, "write": 0}
     for k in range(400):
         cls = ("read", "write")[k % 2]
@@ -377,7 +385,13 @@
     assert actions_of(actions, messages.ForwardRequest)
     harness.advance(2.5)
     assert (
-        bool([a for _, a in harness.action_log if isinstance(a, messages.CancelAttempt) and a.request_id == name])
+        bool(
+            [
+                a
+                for _, a in harness.action_log
+                if isinstance(a, messages.CancelAttempt) and a.request_id == name
+            ]
+        )
         == second
     )
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -225,9 +225,8 @@
     waiting_count = harness.gateway.queue.waiting_count
     assert waiting_count
     for forward in forwards[:waiting_count]:
-        assert (
-            len(actions_of(harness.end_attempt(forward), messages.ForwardRequest)) == 1
-        )  # the free capacity is used at once
+        # The free capacity is used at once.
+        assert len(actions_of(harness.end_attempt(forward), messages.ForwardRequest)) == 1
     assert not harness.gateway.queue.waiting_count
 
 
@@ -248,9 +247,8 @@
     late_forwards = [
         endpoint for endpoint in forward_requests(harness, 200) if int(endpoint.endpoint_id[1:]) % 2
     ]
-    assert (
-        served_count > 500 and sum(silent_attempts) < 4 * 500 and len(late_forwards) > 110
-    )  # the silent hosts get less than half now
+    # The silent hosts get less than half now.
+    assert served_count > 500 and sum(silent_attempts) < 4 * 500 and len(late_forwards) > 110
 
 
 @pytest.mark.parametrize("gateway_count", [1, 4])
@@ -273,9 +271,8 @@
                 send_times.setdefault(forward.endpoint_id, []).append(harness.now)
                 harness.end_attempt(forward)
             harness.advance(0.05)
-    mean_rate = (
-        sum(map(len, send_times.values())) / 2.0 / 1000
-    )  # an equal share of all attempts, per host and second
+    # An equal share of all attempts, per host and second.
+    mean_rate = sum(map(len, send_times.values())) / 2.0 / 1000
     cold_counts = [len(times) for name, times in send_times.items() if name[0] == "c"]
     # By the rules, a host in slow start withstands 0.2 of its capacity, and twice that for some time.
     assert cold_counts and max(cold_counts) <= max(2 * gateway_count, 2.0 * mean_rate * 2.0)
