--- a/apigateway/policy/concurrency_limit.py
+++ b/apigateway/policy/concurrency_limit.py
@@ -32,7 +32,7 @@
         and state.may_call(max(full_probability, SECONDARY_CALL_BENEFIT) * cost)
     ):
         epoch = int(state.now / SLOT_EPOCH_S) + 1
-        state.add_to_slot_count(quota.name, epoch, 1, partial(_on_slot_counted, state, pending, epoch))
+        state.add_to_slot_count(quota.customer, epoch, 1, partial(_on_slot_counted, state, pending, epoch))
         state.schedule_check(pending.deadline, pending)
         return
     elif limit >= quota.gateway_count or full_probability * cost >= 1 - full_probability:
@@ -56,7 +56,7 @@
     is_counted = event.result == CounterCallResult.OK
     is_full = is_counted and event.total > quota.plan.concurrency_limit % quota.gateway_count
     if is_counted and (pending.done or is_full):
-        state.add_to_slot_count(quota.name, epoch, -1)
+        state.add_to_slot_count(quota.customer, epoch, -1)
     if is_full and not pending.done:
         dispatch.try_over_quota(state, pending)
     elif is_counted and not pending.done:
--- a/apigateway/policy/customer_quota.py
+++ b/apigateway/policy/customer_quota.py
@@ -23,10 +23,10 @@
 
     __slots__ = (
         "ceiling",
+        "customer",
         "is_usage_known",
         "last_request_at",
         "local_slots_used",
-        "name",
         "plan",
         "waiting_request_ids",
     )
@@ -36,7 +36,7 @@
     ) -> None:
         phase = stable_hash(request.customer, "phase") % WINDOW_PHASES / WINDOW_PHASES
         super().__init__(plan.rate, plan.burst, request.gateway_spread, phase, now, rng.random)
-        self.name = request.customer
+        self.customer = request.customer
         self.plan = plan
         self.last_request_at = now
         # False after an eviction in a recent window: the counter is then asked for the units used first.
@@ -55,10 +55,10 @@
         """Whether a counter call, a slot or a waiting request refers to it."""
         return bool(self.has_call_in_flight or self.local_slots_used or self.waiting_request_ids)
 
-    def increase_spread(self, spread: int) -> None:
+    def increase_gateway_count(self, gateway_count: int) -> None:
         """Share the quota among more gateways. Requests may name different sets, and the largest fits all."""
-        self.set_gateway_count(spread)
-        self.ceiling.set_share_count(spread)
+        self.set_gateway_count(gateway_count)
+        self.ceiling.set_share_count(gateway_count)
 
     def window_limit(self, now: float) -> float:
         """Return the units that all gateways together may have used by now.
--- a/apigateway/policy/customers.py
+++ b/apigateway/policy/customers.py
@@ -29,7 +29,7 @@
         quota = CustomerQuota(request, plan, state.started_at, refill_until, state.rng)
         quota.is_usage_known = not state.evicted_customers.may_contain(state.now, request.customer)
     elif request.gateway_spread > quota.gateway_count:
-        quota.increase_spread(request.gateway_spread)
+        quota.increase_gateway_count(request.gateway_spread)
     _mark_recently_used(state, quota)
     if state.now - next(iter(state.quotas.values())).last_request_at > MIN_IDLE_S:
         _drop_idle(state)
@@ -37,7 +37,7 @@
 
 
 def _mark_recently_used(state: GatewayState, quota: CustomerQuota) -> None:
-    state.quotas[quota.name] = quota
+    state.quotas[quota.customer] = quota
     quota.last_request_at = state.now
 
 
@@ -47,7 +47,7 @@
         lifetime = max(MIN_IDLE_S, 3 * quota.window_length, quota.ceiling.fill_time)
         if state.now - quota.last_request_at <= lifetime:
             return
-        del state.quotas[quota.name]
+        del state.quotas[quota.customer]
         if quota.is_in_use:
             _mark_recently_used(state, quota)
 
@@ -58,14 +58,14 @@
     Its ceiling must be full, so that a new quota's ceiling is not fuller. The overdraft of the window is
     lost: a customer that is evicted in every window gets up to twice its rate."""
     for quota in list(itertools.islice(state.quotas.values(), QUOTAS_CHECKED_PER_REQUEST)):
-        del state.quotas[quota.name]
+        del state.quotas[quota.customer]
         tokens = quota.ceiling.available(min(state.now, state.draining_since))
         if quota.is_in_use or tokens < quota.ceiling.capacity - ROUNDING_UNITS:
             _mark_recently_used(state, quota)
             continue
         quota.advance_window(state.now)
         if quota.rate:
-            state.evicted_customers.add(state.now, quota.name)
+            state.evicted_customers.add(state.now, quota.customer)
         if state.may_call(SECONDARY_CALL_BENEFIT) and quota.unreported_units >= MIN_REPORTED_UNITS:
             quota_leasing.correct_count(state, quota, quota.unreported_units)
         return True
--- a/apigateway/policy/dispatch.py
+++ b/apigateway/policy/dispatch.py
@@ -9,9 +9,7 @@
 from apigateway.policy.state import GatewayState
 
 MAX_QUEUE_TIME_SHARE = 0.5  # of the latency objective; time that a request may wait for its first endpoint
-RETRIES_PER_REQUEST = (
-    0.1  # retries that each first attempt adds to the budget, so faults do not multiply load
-)
+RETRIES_PER_REQUEST = 0.1  # added to the retry budget by each first attempt, so faults do not multiply load
 SPARE_RETRIES_PER_REQUEST = 0.3  # the same while the endpoints have spare capacity
 MIN_QUEUE_LENGTH = 4  # requests that may always wait
 
--- a/apigateway/policy/endpoint.py
+++ b/apigateway/policy/endpoint.py
@@ -38,8 +38,8 @@
         self.host = host
         self.is_up = host.is_up
         self.gone_at = math.inf
-        self.max_attempts_in_flight = 0  # of this gateway in flight
-        self.rounding_draw = draw  # rounds `max_attempts`: the share of one gateway may be less than one
+        self.max_attempts_in_flight = 0  # of this gateway
+        self.rounding_draw = draw  # rounds that limit: the share of one gateway may be less than one
         self.slow_start_tokens = SlowStartTokens(draw, now)  # spreads the first attempts of many gateways
         self.backoff = FailureBackoff(MIN_BACKOFF_S, MAX_BACKOFF_S)
         self.response_time_ratio = 1.0  # its response time divided by the mean of all endpoints
--- a/apigateway/policy/endpoint_pool.py
+++ b/apigateway/policy/endpoint_pool.py
@@ -10,9 +10,7 @@
 
 TICK_S = 0.02  # longest delay of a check on a pending request; far below any latency objective
 SMOOTHING_WEIGHT = 0.05  # of a new observation in a mean
-FAST_SMOOTHING_WEIGHT = (
-    0.15  # of a new observation in a mean that must show a change within a few observations
-)
+FAST_SMOOTHING_WEIGHT = 0.15  # the same where a change must show within a few observations
 # An endpoint that is gone is remembered for this time: longer than any attempt or retry on it matters.
 GONE_RETENTION_S = 30.0
 CONGESTED_REQUESTS = 5.0  # at an endpoint; above this it holds more requests than it can process efficiently
@@ -53,13 +51,13 @@
             CONGESTION_SPAN_S, FAST_SMOOTHING_WEIGHT / 2, MAX_CONGESTION_WEIGHT
         )
         self.reported_mean_load: float | None = None  # None: no load report has arrived
-        self.max_attempts_in_flight = 2.0  # of this gateway in flight
+        self.max_attempts_in_flight = 2.0  # of this gateway, over all endpoints
         self.max_weight = 1.0
         self.next_backoff_end = 0.0  # time at which the next backoff ends, for queued requests
         self.choice_counts = dict.fromkeys(("report", "mean", "doubted", "busy", "barred", "outside"), 0)
 
     def update_endpoints(self, now: float, event: messages.EndpointList) -> None:
-        """Apply an update of the endpoint list, and remove endpoints that have been gone for long."""
+        """Apply an update of the endpoint list, and remove endpoints that have been gone for a long time."""
         self.endpoints.apply_list(now, event.endpoints, event.is_complete, partial(self._create, now))
         for endpoint in self.endpoints.gone_longer_than(now, GONE_RETENTION_S):
             if not endpoint.attempts_in_flight:
@@ -74,12 +72,12 @@
         """Update the available endpoints and their limits, from the list and the evacuated zones."""
         up = sorted((one for one in self.endpoints.values() if one.is_up), key=lambda one: one.ring_position)
         self.available = [one for one in up if one.host.zone not in self.health.zone_health.evacuated] or up
-        max_held = MAX_ATTEMPTS_PER_ENDPOINT * self.capacity.scale  # over all gateways
+        max_held_requests = MAX_ATTEMPTS_PER_ENDPOINT * self.capacity.scale  # over all gateways
         price = self.settings.prices.get("cross_zone", 0.0)
-        even_share = max(1.0, max_held / self.settings.gateway_count)
+        equal_share = max(1.0, max_held_requests / self.settings.gateway_count)
         for endpoint in self.endpoints.values():
             endpoint.scores = {}
-            endpoint.max_attempts_in_flight = int(even_share + endpoint.rounding_draw)
+            endpoint.max_attempts_in_flight = int(equal_share + endpoint.rounding_draw)
             endpoint.cross_zone_cost = price * CROSS_ZONE_WEIGHT * (endpoint.host.zone != self.settings.zone)
         self.rebuild_subset(self.endpoints.values(), self.send_rate.rate_at(now))
         self.health.set_available(self.available)
@@ -87,7 +85,7 @@
         # Gateways that each have one attempt at every endpoint would overload them, so a gateway's total is
         # limited as well.
         max_attempts_in_flight = (
-            MAX_IN_FLIGHT_MULTIPLE * max_held * len(self.available) / self.settings.gateway_count
+            MAX_IN_FLIGHT_MULTIPLE * max_held_requests * len(self.available) / self.settings.gateway_count
         )
         self.max_attempts_in_flight = max(MIN_MAX_IN_FLIGHT, max_attempts_in_flight)
 
@@ -128,8 +126,8 @@
         factor = endpoint.slow_start_factor(now, rules)
         if factor == 1.0:
             return True
-        # When all endpoints are in slow start or nothing has been sent yet, the own send rate is no measure.
-        # Assume the capacity of one core.
+        # When all endpoints are in slow start or nothing has been sent yet, the send rate of this gateway is
+        # too low to be a measure. The capacity of one core is assumed instead.
         single_core_rate = 1 / self.response_times.typical / self.settings.gateway_count
         share = max(self.send_rate.rate_at(now) / max(1, len(self.subset)), single_core_rate)
         rate = factor * rules.overload_multiple * SLOW_START_SHARE * share
@@ -178,13 +176,13 @@
         self.remove_attempt(endpoint, (event.request_id, event.attempt))
         is_congested = event.result == AttemptResult.TIMEOUT
         if event.load_report:
-            held = routing.requests_held(event.load_report, ENDPOINT_CONCURRENCY)
-            endpoint.record_report(now, held, own_attempts)
-            mean = held if self.reported_mean_load is None else self.reported_mean_load
-            self.reported_mean_load = mean + FAST_SMOOTHING_WEIGHT * (held - mean)
+            held_requests = routing.requests_held(event.load_report, ENDPOINT_CONCURRENCY)
+            endpoint.record_report(now, held_requests, own_attempts)
+            mean = held_requests if self.reported_mean_load is None else self.reported_mean_load
+            self.reported_mean_load = mean + FAST_SMOOTHING_WEIGHT * (held_requests - mean)
             if self.capacity.observe(event.load_report):
                 self.update_available(now)
-            is_congested = held > CONGESTED_REQUESTS * self.capacity.scale
+            is_congested = held_requests > CONGESTED_REQUESTS * self.capacity.scale
         if event.is_health_signal:
             self.health.on_result(endpoint, event.result, scope, now)
             endpoint.scores.clear()
--- a/apigateway/policy/load_shedding.py
+++ b/apigateway/policy/load_shedding.py
@@ -4,8 +4,8 @@
 from apigateway.policy.pending_queue import PendingRequest
 from apigateway.routing import AdmittedShare, RecentValues
 
-DECREASE_RATE_PER_S = 0.7  # of the admitted share while endpoints are congested
-RECOVERY_RATE_PER_S = 0.15  # of the admitted share afterwards
+DECREASE_RATE_PER_S = 0.7  # exponential rate at which the admitted share falls while endpoints are congested
+RECOVERY_RATE_PER_S = 0.15  # added to the admitted share after the congestion
 MIN_ADMITTED_SHARE = 0.05  # above 0, so that the end of the congestion is detected
 REQUESTS_COMPARED = 64  # latest requests whose priority densities are ranked
 
--- a/apigateway/policy/quota_leasing.py
+++ b/apigateway/policy/quota_leasing.py
@@ -108,11 +108,11 @@
     if not (needed or is_due or (quota.reported_units and is_low)):
         return
     wanted = max(needed, size) - quota.leased_units if needed else size * is_low
-    asked = max(0, int(min(math.ceil(wanted), max(remaining, 0.0))))
-    if asked + quota.unreported_units <= 0:
+    requested = max(0, int(min(math.ceil(wanted), max(remaining, 0.0))))
+    if requested + quota.unreported_units <= 0:
         _decide_waiting(state, quota)
         return
-    entry = quota.begin_call(asked, needed * (requests_represented - 1))
+    entry = quota.begin_call(requested, needed * (requests_represented - 1))
     _add_to_count(state, quota, entry, partial(_on_counted, state, quota, entry))
 
 
@@ -125,7 +125,7 @@
 def _add_to_count(
     state: GatewayState, quota: CustomerQuota, entry: LedgerEntry, on_result: OnCounterResult
 ) -> None:
-    key = stable_hash(quota.name, quota.window_index)
+    key = stable_hash(quota.customer, quota.window_index)
     state.add_to_counter(key, entry.amount, 3 * quota.window_length, on_result)
 
 
--- a/apigateway/policy/state.py
+++ b/apigateway/policy/state.py
@@ -26,7 +26,7 @@
 MAX_COUNTER_LIFETIME_S = 60.0
 INITIAL_RETRY_BUDGET = 15.0  # retries, over all gateways
 MAX_RETRY_BUDGET = 30.0  # retries, over all gateways
-MIN_MAX_RETRY_BUDGET = 2.0  # retries that each gateway may save up at least
+MIN_MAX_RETRY_BUDGET = 2.0  # retries; lower limit of one gateway's share of MAX_RETRY_BUDGET
 SLOT_EPOCH_S = 5.0  # after which a new shared count of concurrency slots begins
 CHECK_MARGIN_S = 2 * TICK_S  # before a request's deadline, when it is checked for the last time
 
@@ -79,10 +79,10 @@
         self.actions.append(messages.AddToCounter(key, amount, kept_lifetime))
 
     def add_to_slot_count(
-        self, name: str, epoch: int, change: int, on_result: OnCounterResult = lambda event: None
+        self, customer: str, epoch: int, change: int, on_result: OnCounterResult = lambda event: None
     ) -> None:
         """Add to the shared count of a customer's concurrency slots."""
-        self.add_to_counter(stable_hash("open", name, epoch), change, 2 * SLOT_EPOCH_S, on_result)
+        self.add_to_counter(stable_hash("open", customer, epoch), change, 2 * SLOT_EPOCH_S, on_result)
 
     def grant(self, pending: PendingRequest) -> None:
         """Answer that a check's units are granted."""
@@ -122,4 +122,4 @@
         if pending.slot == LOCAL_SLOT:
             pending.quota.local_slots_used -= 1
         elif pending.slot:
-            self.add_to_slot_count(pending.quota.name, pending.slot, -1)
+            self.add_to_slot_count(pending.quota.customer, pending.slot, -1)
