--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -69,7 +69,7 @@
     return messages.Endpoint(name, zone, cell, 1.0, "k", state, started_at)
 
 
-class GatewayHarness:
+class DecisionHarness:
     """One gateway's decision module with a manual clock; hosts and clients do only what the test says."""
 
     def __init__(self, settings=None, hosts=None, seed=1, start=1000.0):
--- a/tests/plugins/test_plugin_manager.py
+++ b/tests/plugins/test_plugin_manager.py
@@ -38,9 +38,9 @@
 
 
 def test_module_answers_a_request_rejected_by_a_plugin_at_once_and_takes_no_units():
-    from helpers import GatewayHarness
+    from helpers import DecisionHarness
 
-    harness = GatewayHarness()
+    harness = DecisionHarness()
     accounts = dict(harness.gateway.quotas)
     assert harness.handle(messages.RejectedByPlugin("x", 0.7)) == [messages.Reject("x", 0.7)]
     assert (
--- a/tests/policy/test_checks.py
+++ b/tests/policy/test_checks.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from helpers import READ, GatewayHarness, actions_of, make_host, make_plan, make_settings
+from helpers import READ, DecisionHarness, actions_of, make_host, make_plan, make_settings
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
@@ -14,7 +14,7 @@
 
 
 def make_harness(plans=None, **overrides):
-    return GatewayHarness(
+    return DecisionHarness(
         make_settings(plans=plans or [make_plan(rate=2.0, burst=8.0)], **{"gateway_count": 1, **overrides}),
         HOSTS,
     )
@@ -161,7 +161,7 @@
             for n in range(gateway_count)
         ]
         harnesses = [
-            GatewayHarness(one, HOSTS, seed=run_seed * 8 + n) for n, one in enumerate(gateway_settings)
+            DecisionHarness(one, HOSTS, seed=run_seed * 8 + n) for n, one in enumerate(gateway_settings)
         ]
         totals = {}
         for harness in harnesses:
--- a/tests/policy/test_customers.py
+++ b/tests/policy/test_customers.py
@@ -1,7 +1,7 @@
 """Large numbers of customers: the quotas that are kept are bounded, and so is what customers may use."""
 
 import pytest
-from helpers import GatewayHarness, actions_of, make_host, make_plan, make_settings
+from helpers import DecisionHarness, actions_of, make_host, make_plan, make_settings
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
@@ -12,7 +12,7 @@
 
 
 def make_harness(max_customers=0, plans=None, **overrides):
-    return GatewayHarness(
+    return DecisionHarness(
         make_settings(
             plans=plans or [make_plan(rate=2.0, burst=8.0)],
             max_customers=max_customers,
@@ -106,7 +106,7 @@
 
 
 def test_new_customer_gets_a_retry_after_while_all_quotas_are_in_use():
-    harness = GatewayHarness(
+    harness = DecisionHarness(
         make_settings(plans=[make_plan(rate=100.0, burst=100.0)], max_customers=2, gateway_count=1), HOSTS
     )
     held_actions = [
--- a/tests/policy/test_endpoint_pool.py
+++ b/tests/policy/test_endpoint_pool.py
@@ -1,4 +1,4 @@
-from helpers import GatewayHarness, actions_of, make_host, make_plan, make_settings
+from helpers import DecisionHarness, actions_of, make_host, make_plan, make_settings
 
 from apigateway import messages
 
@@ -6,7 +6,7 @@
 
 
 def test_attempts_per_host_are_limited_and_the_queue_is_ordered_by_priority():
-    harness = GatewayHarness(make_settings(plans=[LARGE_PLAN]), [make_host("h1")])
+    harness = DecisionHarness(make_settings(plans=[LARGE_PLAN]), [make_host("h1")])
     forwards = [
         forward
         for _ in range(8)
@@ -22,7 +22,7 @@
 
 
 def test_queue_length_is_limited():
-    harness = GatewayHarness(make_settings(plans=[LARGE_PLAN]), [make_host("h1")])
+    harness = DecisionHarness(make_settings(plans=[LARGE_PLAN]), [make_host("h1")])
     actions = [action for _ in range(200) for action in harness.send_request()[1]]
     assert len(actions_of(actions, messages.Reject)) > 150
 
@@ -30,7 +30,7 @@
 def test_fractional_attempt_limit_is_rounded_at_random_per_gateway_and_host():
     forwarded_count = 0
     for k in range(3):
-        harness = GatewayHarness(
+        harness = DecisionHarness(
             make_settings(plans=[LARGE_PLAN], gateway_count=3, gateway_index=k),
             [make_host(f"h{n}") for n in range(30)],
             seed=k,
@@ -43,7 +43,7 @@
 
 def test_one_of_many_gateways_may_exceed_its_equal_share_and_silent_attempts_use_no_capacity():
     """An equal share of 4 attempts per host is 1 attempt, too little for a gateway with many customers."""
-    harness = GatewayHarness(
+    harness = DecisionHarness(
         make_settings(plans=[LARGE_PLAN], gateway_count=200), [make_host(f"h{n}") for n in range(50)]
     )
     forwards = [
@@ -61,7 +61,7 @@
 def test_slow_counter_is_called_less_and_each_call_stands_for_more_requests():
     call_counts, max_amounts = {}, {}
     for call_duration in (0.001, 0.045):
-        harness = GatewayHarness(make_settings(gateway_count=100, plans=[make_plan(rate=2.0, burst=8.0)]))
+        harness = DecisionHarness(make_settings(gateway_count=100, plans=[make_plan(rate=2.0, burst=8.0)]))
         harness.counter_mode, call_counts[call_duration], max_amounts[call_duration] = "hold", 0, 0.0
         for k in range(60):
             for call in actions_of(
@@ -80,7 +80,7 @@
 
 
 def test_hosts_that_are_gone_are_removed_after_some_time():
-    harness = GatewayHarness(make_settings(plans=[LARGE_PLAN]), [make_host("h0")])
+    harness = DecisionHarness(make_settings(plans=[LARGE_PLAN]), [make_host("h0")])
     for n in range(1, 200):
         for forward in actions_of(harness.send_request()[1], messages.ForwardRequest):
             harness.end_attempt(forward, "error")
@@ -92,7 +92,7 @@
 
 
 def test_host_that_is_gone_is_kept_while_an_attempt_is_in_flight():
-    harness = GatewayHarness(make_settings(plans=[LARGE_PLAN]), [make_host("h1"), make_host("h2")])
+    harness = DecisionHarness(make_settings(plans=[LARGE_PLAN]), [make_host("h1"), make_host("h2")])
     (forward,) = actions_of(
         harness.send_request(service_class="note", remaining=3.0)[1], messages.ForwardRequest
     )
@@ -109,7 +109,7 @@
 def test_all_hosts_in_slow_start_get_requests_from_the_first_second():
     """Hosts in slow start got a share of the current send rate. With all hosts in slow start, that rate was 0
     and stayed 0."""
-    harness = GatewayHarness(
+    harness = DecisionHarness(
         make_settings(plans=[LARGE_PLAN]),
         [make_host(f"h{n}", started_at=1000.0) for n in range(4)],
         start=1000.0,
--- a/tests/policy/test_pending_queue.py
+++ b/tests/policy/test_pending_queue.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 import pytest
-from helpers import GatewayHarness, actions_of, make_host, make_settings
+from helpers import DecisionHarness, actions_of, make_host, make_settings
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
@@ -110,7 +110,7 @@
     """Return a harness that got `request_count` requests and whose hosts are full, and the attempts there."""
     monkeypatch.setattr(dispatch, "MIN_QUEUE_LENGTH", request_count + 100)
     plan = messages.Plan("p", 1e6, 1e6, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)
-    harness = GatewayHarness(
+    harness = DecisionHarness(
         make_settings(gateway_count=1, plans=[plan]), [make_host(f"h{n}") for n in range(4)]
     )
     in_flight = []
--- a/tests/policy/test_quota_leasing.py
+++ b/tests/policy/test_quota_leasing.py
@@ -1,4 +1,4 @@
-from helpers import GatewayHarness, actions_of, make_host, make_plan, make_settings
+from helpers import DecisionHarness, actions_of, make_host, make_plan, make_settings
 
 from apigateway import messages
 
@@ -14,13 +14,13 @@
 
 
 def test_first_request_of_a_customer_makes_no_counter_call():
-    harness = GatewayHarness()
+    harness = DecisionHarness()
     assert count_forwarded(harness, 1) == 1
     assert not [action for _, action in harness.action_log if isinstance(action, messages.AddToCounter)]
 
 
 def test_leases_are_added_to_the_counter_and_the_quota_holds():
-    harness = GatewayHarness()
+    harness = DecisionHarness()
     forwarded_count = count_forwarded(harness, 40)
     assert 8 <= forwarded_count <= 16  # the burst, and the refill of the elapsed part of the window
     assert [action for _, action in harness.action_log if isinstance(action, messages.AddToCounter)]
@@ -28,7 +28,7 @@
 
 
 def test_requests_beyond_an_exhausted_window_are_rejected_without_calls():
-    harness = GatewayHarness()
+    harness = DecisionHarness()
     count_forwarded(harness, 40)
     earlier_calls = len(
         [action for _, action in harness.action_log if isinstance(action, messages.AddToCounter)]
@@ -42,7 +42,7 @@
 
 
 def test_two_bursts_are_not_admitted_around_the_end_of_a_window():
-    harness = GatewayHarness()
+    harness = DecisionHarness()
     total = 0
     start = harness.now
     while harness.now < start + 12:
@@ -52,7 +52,7 @@
 
 
 def test_denied_units_are_subtracted_from_the_count():
-    harness = GatewayHarness()
+    harness = DecisionHarness()
     harness.counter_mode = "hold"
     calls, forwards = [], True
     while forwards:  # the last request waits for the call in flight
@@ -73,7 +73,7 @@
 
 
 def test_timed_out_call_leases_no_units_and_its_requests_are_answered():
-    harness = GatewayHarness()
+    harness = DecisionHarness()
     harness.counter_mode = "silent"
     start = harness.now
     forwarded_count = count_forwarded(harness, 60)
@@ -83,7 +83,7 @@
 
 
 def test_calls_to_a_silent_counter_back_off():
-    harness = GatewayHarness()
+    harness = DecisionHarness()
     harness.counter_mode = "silent"
     for _ in range(200):
         harness.send_request()
@@ -92,7 +92,7 @@
 
 
 def test_counts_that_the_counter_lost_are_added_again():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=20.0)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(rate=2.0, burst=20.0)]))
     count_forwarded(harness, 12)
     counter_key = max(harness.counter_totals, key=lambda k: harness.counter_totals[k])
     reported_units = harness.counter_totals[counter_key]
@@ -103,7 +103,7 @@
 
 
 def test_units_of_rejected_calls_are_reported_later():
-    harness = GatewayHarness()
+    harness = DecisionHarness()
     harness.counter_mode = "refuse"
     forwarded_count = count_forwarded(harness, 30)
     harness.counter_mode = "answer"
@@ -115,7 +115,7 @@
 def test_ceiling_holds_at_the_start_and_without_the_counter():
     plan = make_plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0)
     for mode in ("answer", "silent", "refuse"):
-        harness = GatewayHarness(make_settings(plans=[plan]))
+        harness = DecisionHarness(make_settings(plans=[plan]))
         harness.counter_mode = mode
         start, forwarded_count = harness.now, 0
         while harness.now < start + 3:
@@ -127,8 +127,8 @@
 
 def test_concurrency_limit_holds_over_gateways_by_the_counter():
     plan = make_plan(rate=50.0, burst=100.0, concurrency_limit=2)
-    first = GatewayHarness(make_settings(plans=[plan]))
-    second = GatewayHarness(make_settings(plans=[plan], gateway_index=1), seed=2)
+    first = DecisionHarness(make_settings(plans=[plan]))
+    second = DecisionHarness(make_settings(plans=[plan], gateway_index=1), seed=2)
     second.counter_totals = first.counter_totals
     forwards = []
     for _ in range(3):
@@ -144,14 +144,14 @@
 
 
 def test_requests_beyond_quota_are_forwarded_only_if_profitable():
-    harness = GatewayHarness(make_settings(plans=[make_plan(over_quota_weight=0.3, over_quota_cost=0.0)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(over_quota_weight=0.3, over_quota_cost=0.0)]))
     assert count_forwarded(harness, 40) == 40
-    harness = GatewayHarness(make_settings(plans=[make_plan(over_quota_weight=0.3, over_quota_cost=0.5)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(over_quota_weight=0.3, over_quota_cost=0.5)]))
     assert count_forwarded(harness, 40) < 40
 
 
 def test_equal_share_is_granted_without_a_counter():
-    harness = GatewayHarness(make_settings(has_counter=False))
+    harness = DecisionHarness(make_settings(has_counter=False))
     forwarded_count = count_forwarded(harness, 40)
     assert 4 <= forwarded_count <= 8 and not [
         action for _, action in harness.action_log if isinstance(action, messages.AddToCounter)
@@ -159,12 +159,12 @@
 
 
 def test_plan_without_a_rate_is_limited_by_concurrency_only():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.0, burst=0.0, concurrency_limit=3)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(rate=0.0, burst=0.0, concurrency_limit=3)]))
     assert count_forwarded(harness, 30) == 30
 
 
 def test_actual_units_are_charged():
-    harness = GatewayHarness(make_settings(charges_actual_units=True))
+    harness = DecisionHarness(make_settings(charges_actual_units=True))
     _, actions = harness.send_request()
     forward = actions_of(actions, messages.ForwardRequest)[0]
     harness.end_attempt(forward, actual_units=6)
@@ -172,7 +172,7 @@
 
 
 def test_idle_customer_saves_up_one_burst_at_most():
-    harness = GatewayHarness()
+    harness = DecisionHarness()
     window_length = 4.0
     harness.send_request()
     phase = harness.gateway.quotas["c"].window_start
@@ -182,8 +182,8 @@
 
 
 def test_overdraft_is_carried_over_once():
-    first, second = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)])), None
-    second = GatewayHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)], gateway_index=1), seed=2)
+    first, second = DecisionHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)])), None
+    second = DecisionHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)], gateway_index=1), seed=2)
     second.counter_totals = first.counter_totals
     start = 0.0
     for window_turn in range(6):
@@ -197,7 +197,7 @@
 
 
 def test_equal_share_of_the_concurrency_limit_needs_no_call():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=4)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=4)]))
     actions = harness.send_request()[1] + harness.send_request()[1]
     assert len(actions_of(actions, messages.ForwardRequest)) == 2 and not actions_of(
         actions, messages.AddToCounter
@@ -206,7 +206,7 @@
 
 
 def test_small_burst_over_many_gateways_admits_light_customers_and_limits_busy_ones():
-    harness = GatewayHarness(make_settings(gateway_count=10, plans=[make_plan(rate=0.8, burst=3.0)]))
+    harness = DecisionHarness(make_settings(gateway_count=10, plans=[make_plan(rate=0.8, burst=3.0)]))
     for k in range(20):
         _, actions = harness.send_request(customer=f"c{k}", spread=8)
         assert (
@@ -218,7 +218,7 @@
 
 
 def test_last_part_of_a_quota_is_kept_for_the_highest_priority():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=40.0)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(rate=0.5, burst=40.0)]))
     low_priority_count = count_forwarded(harness, 100, service_class="read")
     high_priority_count = count_forwarded(harness, 100, service_class="write")
     assert high_priority_count >= 5  # nothing would be left without the headroom
@@ -226,7 +226,7 @@
 
 
 def test_leasing_resumes_within_2_s_after_the_counter_was_silent():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
     harness.counter_mode = "silent"
     for _ in range(80):
         for forward in actions_of(harness.send_request()[1], messages.ForwardRequest):
@@ -250,7 +250,7 @@
         make_settings(gateway_index=k, plans=[make_plan(rate=50.0, burst=100.0, concurrency_limit=3)])
         for k in (0, 1)
     ]
-    first, second = GatewayHarness(settings[0]), GatewayHarness(settings[1], seed=2)
+    first, second = DecisionHarness(settings[0]), DecisionHarness(settings[1], seed=2)
     second.counter_totals = first.counter_totals
     assert (
         sum(
@@ -263,7 +263,7 @@
 
 
 def test_requests_that_wait_for_a_timed_out_call_get_the_local_allowance():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=8.0)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(rate=0.5, burst=8.0)]))
     harness.counter_mode = "hold"
     calls, forwarded_count = [], 0
     for _ in range(12):
@@ -281,7 +281,7 @@
 
 
 def test_overuse_at_the_end_of_a_window_is_taken_from_the_next_one():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=40.0)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(rate=2.0, burst=40.0)]))
     harness.send_request()
     harness.now = harness.gateway.quotas["c"].window_start + 2 * 20.0 - 0.5
     forwarded_count, start = count_forwarded(harness, 120), harness.now
@@ -295,7 +295,7 @@
     for gateway_count in (1, 3, 200):
         admitted_count = 0
         for k in range(gateway_count):
-            harness = GatewayHarness(
+            harness = DecisionHarness(
                 make_settings(
                     plans=[make_plan(rate=2.0, burst=8.0)], gateway_count=gateway_count, gateway_index=k
                 ),
@@ -307,7 +307,7 @@
 
 
 def test_grant_share_of_a_plan_is_kept_while_the_counter_is_silent():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)], gateway_count=100))
+    harness = DecisionHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)], gateway_count=100))
     earlier_count = 0
     for k in range(200):
         earlier_count += count_forwarded(harness, 1, customer=f"b{k}", spread=60)
@@ -320,7 +320,7 @@
 
 
 def test_quotas_of_customers_that_come_once_are_dropped():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=1000.0, burst=4000.0)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(rate=1000.0, burst=4000.0)]))
     busy_actions = harness.send_request("busy", remaining=1000.0)[1]
     for n in range(2000):
         for forward in actions_of(harness.send_request(f"c{n}")[1], messages.ForwardRequest):
@@ -335,7 +335,7 @@
         ("timeout", 0.002, True),
         ("timeout", 0.05, False),
     ):
-        harness = GatewayHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)]))
+        harness = DecisionHarness(make_settings(plans=[make_plan(rate=2.0, burst=8.0)]))
         harness.counter_mode = "hold"
         calls = []
         while not calls:
@@ -354,7 +354,7 @@
 
 
 def test_units_added_by_a_call_with_a_malformed_reply_are_not_lost():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.001, burst=40.0)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(rate=0.001, burst=40.0)]))
     counter_totals, calls = harness.counter_totals, 0
     harness.counter_mode = "hold"
     forwarded_count = rejected_count = 0
@@ -379,7 +379,7 @@
 
 
 def test_units_are_added_again_only_once_after_the_counter_lost_its_counts():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.001, burst=100.0)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(rate=0.001, burst=100.0)]))
     while len([action for _, action in harness.action_log if isinstance(action, messages.AddToCounter)]) < 6:
         count_forwarded(harness, 1)
     (counter_key,), earlier_total = harness.counter_totals, max(harness.counter_totals.values())
@@ -405,7 +405,7 @@
 
 
 def test_overdraft_is_carried_over_although_the_first_answer_is_lost():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
     harness.counter_mode = "hold"
     call = next_lease_call(harness)
     harness.gateway.quotas["c"].debt_units = 5.0
@@ -423,7 +423,7 @@
 
 
 def test_units_that_could_not_be_added_do_not_count_as_lost():
-    harness = GatewayHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
+    harness = DecisionHarness(make_settings(plans=[make_plan(rate=20.0, burst=80.0)]))
     harness.counter_mode = "hold"
     call = next_lease_call(harness)
     harness.gateway.quotas["c"].debt_units = 5.0
@@ -448,7 +448,7 @@
             for _ in range(10)
         )
 
-    harness = GatewayHarness(make_settings(plans=[ceiling]), [make_host(f"h{n}") for n in range(40)])
+    harness = DecisionHarness(make_settings(plans=[ceiling]), [make_host(f"h{n}") for n in range(40)])
     harness.advance(10.0)
     assert count_admitted(harness) == 4  # all tokens of its share
     harness.handle(messages.DrainGateway(True))
@@ -462,7 +462,7 @@
 
 def make_congested_harness(customers, spread=100):
     """Return one of 100 gateways, after calls to a counter that took almost the whole timeout."""
-    harness = GatewayHarness(
+    harness = DecisionHarness(
         make_settings(gateway_count=100, plans=[make_plan(rate=0.5, burst=8.0, over_quota_cost=0.5)])
     )
     harness.counter_mode = "hold"
@@ -510,7 +510,7 @@
 def test_request_admitted_without_a_call_is_not_scaled_up_to_all_gateways():
     """With a small burst, a request is admitted at random. It must not count as a sample of the use at other
     gateways."""
-    harness = GatewayHarness(
+    harness = DecisionHarness(
         make_settings(gateway_count=100, plans=[make_plan(rate=0.5, burst=2.0)]),
         [make_host(f"h{n}") for n in range(9)],
     )
@@ -536,7 +536,7 @@
     """In a simulated day without faults, most requests forwarded beyond quotas came right after the end of a
     window. Their customers had just used the burst of that window at other gateways."""
     settings = make_settings(plans=[make_plan(rate=2.0, burst=8.0)])
-    first, second = GatewayHarness(settings), GatewayHarness(settings, seed=2)
+    first, second = DecisionHarness(settings), DecisionHarness(settings, seed=2)
     first.counter_totals = second.counter_totals  # one counter
     count_forwarded(first, 1, spread=60)
     quota = first.gateway.quotas["c"]
@@ -551,7 +551,7 @@
 
 def test_window_limit_of_a_small_burst_is_the_burst_plus_a_share_of_the_refill():
     for burst in (0.5, 1.0, 2.0, 9.0):
-        harness = GatewayHarness(make_settings(plans=[make_plan(rate=0.5, burst=burst)]))
+        harness = DecisionHarness(make_settings(plans=[make_plan(rate=0.5, burst=burst)]))
         harness.send_request(spread=60)
         quota = harness.gateway.quotas["c"]
         times = [quota.window_start + share * quota.window_length for share in (0.0, 0.25, 0.5, 1.0)]
--- a/tests/policy/test_requests.py
+++ b/tests/policy/test_requests.py
@@ -1,5 +1,5 @@
 import pytest
-from helpers import GatewayHarness, actions_of, make_host, make_plan, make_settings
+from helpers import DecisionHarness, actions_of, make_host, make_plan, make_settings
 
 from apigateway import messages
 
@@ -7,11 +7,11 @@
 
 
 def make_harness(hosts=None, **overrides):
-    return GatewayHarness(make_settings(plans=[LARGE_PLAN], **overrides), hosts)
+    return DecisionHarness(make_settings(plans=[LARGE_PLAN], **overrides), hosts)
 
 
 def test_request_gets_one_answer_without_any_hosts():
-    harness = GatewayHarness(hosts=[])
+    harness = DecisionHarness(hosts=[])
     request_id, actions = harness.send_request()
     actions = actions + harness.advance(3.0)
     assert (
@@ -85,7 +85,7 @@
 def test_host_in_slow_start_is_not_overloaded_by_all_gateways_together(gateway_count):
     hosts = [make_host(f"h{k}") for k in range(10)]
     harnesses = [
-        GatewayHarness(
+        DecisionHarness(
             make_settings(plans=[LARGE_PLAN], gateway_count=gateway_count, gateway_index=k), hosts, seed=k
         )
         for k in range(gateway_count)
@@ -192,7 +192,7 @@
 
 def test_polled_discovery_is_watched_and_watched_again_after_a_failure():
     settings = make_settings(discovery_mode="ask")
-    harness = GatewayHarness(settings)
+    harness = DecisionHarness(settings)
     assert [action for _, action in harness.action_log if action == messages.WatchEndpoints(True)]
     harness.handle(messages.EndpointList("failed", 0, ()))
     assert messages.WatchEndpoints(True) in harness.advance(1.2)
@@ -223,7 +223,7 @@
 @pytest.mark.parametrize("result", ["full", "error", "timeout"])
 def test_host_that_fails_for_one_plan_and_class_still_gets_the_others(result):
     failing, working = {"plan": "p", "service_class": "note"}, {"plan": "q", "service_class": "read"}
-    harness = GatewayHarness(
+    harness = DecisionHarness(
         make_settings(plans=[LARGE_PLAN, make_plan("q", rate=1000.0, burst=4000.0)], gateway_count=1),
         [make_host("h1")],
     )
@@ -252,7 +252,7 @@
     for gateway_count in (1, 200):
         retry_count = 0
         for k in range(gateway_count):
-            harness = GatewayHarness(
+            harness = DecisionHarness(
                 make_settings(plans=[LARGE_PLAN], gateway_count=gateway_count, gateway_index=k), seed=k
             )
             forward = actions_of(harness.send_request()[1], messages.ForwardRequest)[0]
@@ -280,7 +280,7 @@
     """A new quota begins with the ceiling of a gateway of that age. If the quota was dropped too early, the
     customer got more than its ceiling."""
     slow_plan = make_plan("slow", rate=0.0, ceiling_rate=0.1, ceiling_burst=20.0)
-    harness = GatewayHarness(
+    harness = DecisionHarness(
         make_settings(plans=[slow_plan, make_plan()], gateway_count=1),
         [make_host(f"h{k}") for k in range(10)],
     )
@@ -310,7 +310,7 @@
 
 
 def test_many_gateways_shed_the_lowest_priority_while_hosts_are_overloaded():
-    harness = GatewayHarness(
+    harness = DecisionHarness(
         make_settings(plans=[LARGE_PLAN], gateway_count=50), [make_host(f"h{k}") for k in range(10)]
     )
     served_counts = {"read": 0, "write": 0}
@@ -327,7 +327,7 @@
 
 def make_routed_harness(fallback, *kinds):
     hosts = [messages.Endpoint(f"h{n}", "z1", 0, 1.0, kind, "up", 0.0) for n, kind in enumerate(kinds)]
-    return GatewayHarness(
+    return DecisionHarness(
         make_settings(plans=[LARGE_PLAN], routes={"batch": messages.Route("batch", ("slow",), fallback)}),
         hosts,
     )
@@ -382,7 +382,7 @@
 
 def test_late_attempt_is_kept_while_a_retry_would_still_be_in_time():
     """Where few response times are known, a retry of an attempt that is only slow would do its work twice."""
-    harness = GatewayHarness(
+    harness = DecisionHarness(
         make_settings(plans=[LARGE_PLAN], gateway_count=200, limits=dict(can_hedge=False)),
         [make_host(f"h{n}") for n in range(30)],
     )
@@ -406,7 +406,7 @@
 def test_no_attempt_is_given_up_while_all_hosts_are_slow(queue, is_cancelled):
     """In a simulated day with a third of the hosts in slow start, a sixth of the work of the other hosts was
     given up, for attempts that waited as long elsewhere."""
-    harness = GatewayHarness(
+    harness = DecisionHarness(
         make_settings(plans=[LARGE_PLAN], limits=dict(can_hedge=False)),
         [make_host(f"h{n}") for n in range(8)],
     )
@@ -432,7 +432,7 @@
 @pytest.mark.parametrize("outcome_at, is_retried", [(0.7, True), (0.8, False)])
 def test_write_is_retried_only_if_it_arrives_within_the_deduplication_window(outcome_at, is_retried):
     """A retry may wait for a connection. If it arrived after the window, it would be executed again."""
-    harness = GatewayHarness(
+    harness = DecisionHarness(
         make_settings(limits={"connect_timeout": 0.25}), hosts=[make_host("h1"), make_host("h2")]
     )
     _, actions = harness.send_request(service_class="write")
--- a/tests/policy/test_reservations.py
+++ b/tests/policy/test_reservations.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from helpers import GatewayHarness, actions_of, make_host, make_plan, make_settings
+from helpers import DecisionHarness, actions_of, make_host, make_plan, make_settings
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
@@ -14,7 +14,7 @@
 
 
 def make_harness(plans=None, **kw):
-    return GatewayHarness(
+    return DecisionHarness(
         make_settings(plans=plans or [make_plan(rate=2.0, burst=8.0)], **{"gateway_count": 1, **kw}), HOSTS
     )
 
@@ -109,7 +109,7 @@
             for n in range(gateway_count)
         ]
         harnesses = [
-            GatewayHarness(one, HOSTS, seed=run_seed * 8 + n) for n, one in enumerate(gateway_settings)
+            DecisionHarness(one, HOSTS, seed=run_seed * 8 + n) for n, one in enumerate(gateway_settings)
         ]
         totals = {}
         for harness in harnesses:
@@ -167,7 +167,7 @@
 def test_custom_limit_holds_over_all_gateways_and_spends_no_quota_of_the_plan(gateway_count):
     own_limit = make_plan(rate=0.5, burst=4.0)
     harnesses = [
-        GatewayHarness(
+        DecisionHarness(
             make_settings(
                 plans=[make_plan(rate=1.0, burst=30.0)], gateway_count=gateway_count, gateway_index=n
             ),
@@ -297,7 +297,7 @@
             make_settings(plans=[make_plan(**CEILING_LIMITS)], gateway_count=3, gateway_index=n)
             for n in range(3)
         ]
-        harnesses = [GatewayHarness(one, HOSTS, seed=n) for n, one in enumerate(gateway_settings)]
+        harnesses = [DecisionHarness(one, HOSTS, seed=n) for n, one in enumerate(gateway_settings)]
         for harness in harnesses:
             harness.counter_mode = "refuse"  # each gateway has only its own share
             harness.now += 10.0
@@ -315,7 +315,7 @@
     """With many gateways, an equal share is a few units. Of a burst of requests, those that can wait for the
     refill within a part of the latency objective are not rejected."""
     plan = make_plan(rate=0.0, ceiling_rate=64.0, ceiling_burst=32.0, ceiling_slack=3.0)
-    harness = GatewayHarness(
+    harness = DecisionHarness(
         make_settings(plans=[plan], gateway_count=200), [make_host(f"h{n}") for n in range(30)]
     )
     harness.now += 10.0
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from helpers import GatewayHarness, actions_of, make_host, make_plan, make_settings
+from helpers import DecisionHarness, actions_of, make_host, make_plan, make_settings
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
@@ -15,7 +15,7 @@
 
 
 def make_harness(hosts, gateway_count=1, **overrides):
-    return GatewayHarness(
+    return DecisionHarness(
         make_settings(
             plans=[LARGE_PLAN], gateway_count=gateway_count, limits={"can_hedge": False}, **overrides
         ),
@@ -255,7 +255,7 @@
 def test_500_hosts_in_slow_start_are_not_overloaded(gateway_count):
     hosts = make_hosts(500) + [make_host(f"c{n}", "z1", 0, started_at=1000.0) for n in range(500)]
     harnesses = [
-        GatewayHarness(
+        DecisionHarness(
             make_settings(
                 plans=[LARGE_PLAN], gateway_count=gateway_count, gateway_index=n, limits={"can_hedge": False}
             ),
--- a/tests/routing/test_capacity_estimator.py
+++ b/tests/routing/test_capacity_estimator.py
@@ -1,7 +1,7 @@
 """What hosts report of themselves tells how many requests they work on at once."""
 
 import pytest
-from helpers import GatewayHarness, actions_of, make_host, make_plan, make_settings
+from helpers import DecisionHarness, actions_of, make_host, make_plan, make_settings
 
 from apigateway import messages
 from apigateway.routing.capacity_estimator import MIN_REPORTS, CapacityEstimator
@@ -40,7 +40,7 @@
 
 def test_large_hosts_in_usual_work_shed_nothing():
     """Half of the load of sixteen cores is more than a host of four can hold."""
-    w = GatewayHarness(make_settings(plans=[BIG], gateway_count=50), [make_host(f"h{k}") for k in range(10)])
+    w = DecisionHarness(make_settings(plans=[BIG], gateway_count=50), [make_host(f"h{k}") for k in range(10)])
     sent = 0
     for n in range(300):
         for s in actions_of(
@@ -61,7 +61,7 @@
 
 
 def test_few_gateways_have_as_many_out_at_large_hosts_as_these_work_on():
-    w = GatewayHarness(make_settings(plans=[BIG]), [make_host("h0")])
+    w = DecisionHarness(make_settings(plans=[BIG]), [make_host("h0")])
     for _ in range(MIN_REPORTS):
         for s in actions_of(w.send_request()[1], messages.ForwardRequest):
             w.end_attempt(s, load_report={"inflight": 8.0, "util": 0.5}, elapsed=0.2)
--- a/tests/routing/test_subset.py
+++ b/tests/routing/test_subset.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 import pytest
-from helpers import GatewayHarness, actions_of, make_host, make_plan, make_settings
+from helpers import DecisionHarness, actions_of, make_host, make_plan, make_settings
 from hypothesis import given, seed, strategies
 from hypothesis import settings as checked
 
@@ -71,7 +71,7 @@
 
 def crowd(hosts=50, index=3, **kw):
     listed = [make_host(f"h{n}", cell=n % 7) for n in range(hosts)]
-    return GatewayHarness(make_settings(plans=[BIG], gateway_count=200, gateway_index=index, **kw), listed)
+    return DecisionHarness(make_settings(plans=[BIG], gateway_count=200, gateway_index=index, **kw), listed)
 
 
 def ended(w, n, **kw):
@@ -148,7 +148,7 @@
 def test_one_attempt_silent_past_the_aim_is_enough_where_a_gateway_meets_a_host_seldom(gateways, sure):
     listed = [make_host(f"h{n}") for n in range(50)]
     limits = dict(can_hedge=False, can_cancel=False)
-    w = GatewayHarness(make_settings(plans=[BIG], gateway_count=gateways, limits=limits), listed)
+    w = DecisionHarness(make_settings(plans=[BIG], gateway_count=gateways, limits=limits), listed)
     send = actions_of(w.send_request(plan="p", service_class="note")[1], messages.ForwardRequest)[0]
     w.advance(1.1)  # its aim is a second
     doubt = w.gateway.pool.health.outliers.failure_probability(send.endpoint_id, "host", w.now)
--- a/tests/routing/test_zone_health.py
+++ b/tests/routing/test_zone_health.py
@@ -1,7 +1,7 @@
 """Whether a site can be reached: what is evidence, how long it holds, and whom it concerns."""
 
 import pytest
-from helpers import GatewayHarness, actions_of, make_host, make_plan, make_settings
+from helpers import DecisionHarness, actions_of, make_host, make_plan, make_settings
 
 from apigateway import messages
 from apigateway.routing.zone_health import FADE, LEAST_HOSTS, LEAST_PART, ZoneHealth
@@ -78,7 +78,7 @@
     an even part would be 200, and 71 where each host is found by itself."""
     failed = later = 0
     for seed in range(1, 7):
-        w = GatewayHarness(
+        w = DecisionHarness(
             make_settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS, seed=seed
         )
         for n in range(150):
@@ -96,7 +96,7 @@
 
 
 def test_bad_hosts_in_each_site_are_not_taken_for_a_lost_one():
-    w = GatewayHarness(make_settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS)
+    w = DecisionHarness(make_settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS)
     low = 1.0
     for _ in range(200):
         acts, attempt = w.send_request(plan="p")[1], 0
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("gateways", [3, 200])
 def test_a_site_that_the_operator_leaves_gets_nothing_new_and_comes_back_by_a_word(gateways):
-    w = GatewayHarness(
+    w = DecisionHarness(
         make_settings(plans=[BIG], gateway_count=gateways, limits=dict(can_hedge=False)), HOSTS
     )
 
@@ -140,7 +140,7 @@
 
 
 def test_a_repeat_that_only_a_site_that_is_left_may_get_is_failed_not_sent_elsewhere():
-    w = GatewayHarness(make_settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS)
+    w = DecisionHarness(make_settings(plans=[BIG], gateway_count=200, limits=dict(can_hedge=False)), HOSTS)
     send = actions_of(w.send_request(plan="p", service_class="write")[1], messages.ForwardRequest)[
         0
     ]  # keyed, within its zone
