--- a/apigateway/hashing.py
+++ b/apigateway/hashing.py
@@ -1,28 +1,28 @@
-"""Hashes of names that are the same at all gateways, and a filter of customers that were evicted."""
+"""Hashes that are equal on all gateways, and a filter that remembers recently evicted customers."""
 
 from __future__ import annotations
 
 import hashlib
 import math
 
-EVICTED_FOR = 30.0  # s for which an evicted customer is remembered at least; twice that at most
+EVICTION_MEMORY_S = 30.0  # an evicted customer is remembered for this long to twice this long
 BITS_PER_CUSTOMER = 64
 MIN_CUSTOMERS = 64
 HASH_COUNT = 3
-HASH_BITS = 21  # of a 63-bit hash, for each of the three
+BITS_PER_HASH = 21  # the 63-bit hash is split into three
 
 
 def stable_hash(*parts: object) -> int:
-    """Return a hash of 63 bits that does not depend on the process or the machine."""
+    """Return a 63-bit hash that is the same in every process and on every machine."""
     text = "\x1f".join(str(part) for part in parts).encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big") >> 1
 
 
 class RecentlyEvictedFilter:
-    """Remembers which customers were evicted within their windows.
+    """Remembers which customers were evicted within their quota windows.
 
-    It takes 16 bytes for each customer that may be known at once: two Bloom filters, of which the older is
-    emptied in turn. Harm: a new customer that looks like an evicted one is asked about for nothing.
+    The filter consists of two Bloom filters, of which the older one is emptied in turn, and takes 16 bytes
+    for each customer that the gateway can hold. A false positive costs one unnecessary call to the counter.
     """
 
     def __init__(self, max_customers: int) -> None:
@@ -33,26 +33,26 @@
         self._has_entries = False
 
     def add(self, now: float, name: str) -> None:
-        """Remember a customer that is evicted now."""
-        if now - self._rotated_at > EVICTED_FOR:
+        """Add a customer that is being evicted."""
+        if now - self._rotated_at > EVICTION_MEMORY_S:
             self._previous = self._current
             self._current = bytearray(self._bit_count // 8)
             self._rotated_at = now
-        for place in self._places(name):
-            self._current[place >> 3] |= 1 << (place & 7)
+        for position in self._bit_positions(name):
+            self._current[position >> 3] |= 1 << (position & 7)
         self._has_entries = True
 
     def may_contain(self, now: float, name: str) -> bool:
-        """Return whether this customer may have been evicted lately."""
-        if not self._has_entries or now - self._rotated_at > 2 * EVICTED_FOR:
+        """Return whether a customer may have been evicted recently."""
+        if not self._has_entries or now - self._rotated_at > 2 * EVICTION_MEMORY_S:
             self._has_entries = False
             return False
-        places = self._places(name)
+        positions = self._bit_positions(name)
         return any(
-            all(bits[place >> 3] >> (place & 7) & 1 for place in places)
+            all(bits[position >> 3] >> (position & 7) & 1 for position in positions)
             for bits in (self._current, self._previous)
         )
 
-    def _places(self, name: str) -> tuple[int, ...]:
-        known = stable_hash(name)
-        return tuple((known >> HASH_BITS * number) % self._bit_count for number in range(HASH_COUNT))
+    def _bit_positions(self, name: str) -> tuple[int, ...]:
+        name_hash = stable_hash(name)
+        return tuple((name_hash >> BITS_PER_HASH * index) % self._bit_count for index in range(HASH_COUNT))
--- a/apigateway/routing/__init__.py
+++ b/apigateway/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Pure parts below the decision module: what is known of hosts as a whole, estimators, containers."""
+"""Building blocks of the decision module: endpoint health, quota leases, estimators, containers. No I/O."""
 
 from apigateway.routing.admitted_share import AdmittedShare
 from apigateway.routing.attempt_history import AttemptHistory
--- a/apigateway/routing/decaying_counts.py
+++ b/apigateway/routing/decaying_counts.py
@@ -1,12 +1,12 @@
-"""Counts by level that decay, and which levels make up the top part of them."""
+"""Decaying counts by level, and the lowest level within a top share of them."""
 
 from __future__ import annotations
 
-NEGLIGIBLE = 0.01  # a count that has decayed below this is dropped
+MIN_COUNT = 0.01  # a count that has decayed below this is dropped
 
 
 class DecayingCounts:
-    """How often each level was seen, with a weight that decays step by step."""
+    """How often each level occurred; the counts decay when `decay` is called."""
 
     __slots__ = ("_counts",)
 
@@ -17,22 +17,22 @@
         return len(self._counts)
 
     def add(self, level: int) -> None:
-        """Count a level once."""
+        """Count one occurrence of a level."""
         self._counts[level] = self._counts.get(level, 0.0) + 1.0
 
     def decay(self, factor: float) -> None:
         """Multiply all counts by a factor."""
         for level in list(self._counts):
             self._counts[level] *= factor
-            if self._counts[level] < NEGLIGIBLE:
+            if self._counts[level] < MIN_COUNT:
                 del self._counts[level]
 
-    def top_share_threshold(self, part: float) -> tuple[int, float] | None:
-        """Return the lowest level that the top `part` (0 to 1) of all counts has, and how much of it is in.
+    def top_share_threshold(self, share: float) -> tuple[int, float] | None:
+        """Return the lowest level in the top `share` (0 to 1) of all counts, and the part of it that is in.
 
-        None: all levels are in it.
+        Return None if all levels are in.
         """
-        remaining = part * sum(self._counts.values())
+        remaining = share * sum(self._counts.values())
         for level in sorted(self._counts, reverse=True):
             count = self._counts[level]
             if count >= remaining:
--- a/apigateway/routing/demand.py
+++ b/apigateway/routing/demand.py
@@ -1,27 +1,27 @@
-"""An estimate of how a sender's requests compare with the rate that it is entitled to."""
+"""Estimates how a sender's request rate compares with the rate that it is allowed."""
 
 from __future__ import annotations
 
 import math
 
-MEMORY = 20.0  # s that requests are remembered, for what the sender asks for elsewhere
+DECAY_TIME_S = 20.0  # long enough to infer from these counts what a sender requests at other gateways
 
 
 class DemandEstimator:
-    """Exponentially decaying counts of a sender's requests here and of those that its rate allows."""
+    """Exponentially decaying counts of a sender's requests and of the requests that its rate allows."""
 
-    __slots__ = ("_allowed", "_seen", "_updated_at")
+    __slots__ = ("_allowed", "_observed", "_updated_at")
 
     def __init__(self, now: float) -> None:
-        self._seen = 0.0
+        self._observed = 0.0
         self._allowed = 0.0
         self._updated_at = now
 
     def observe(self, now: float, allowed_rate: float) -> float:
-        """Count a request, and return how many are allowed for each one seen before it, 1 at most."""
-        fade = math.exp((self._updated_at - now) / MEMORY)
-        self._allowed = self._allowed * fade + allowed_rate * MEMORY * (1 - fade)
-        odds = min(1.0, (1 + self._allowed) / (1 + self._seen * fade))
-        self._seen = self._seen * fade + 1
+        """Count a request, and return the allowed requests for each one observed before it, at most 1."""
+        decay = math.exp((self._updated_at - now) / DECAY_TIME_S)
+        self._allowed = self._allowed * decay + allowed_rate * DECAY_TIME_S * (1 - decay)
+        allowed_ratio = min(1.0, (1 + self._allowed) / (1 + self._observed * decay))
+        self._observed = self._observed * decay + 1
         self._updated_at = now
-        return odds
+        return allowed_ratio
--- a/apigateway/routing/endpoint_health.py
+++ b/apigateway/routing/endpoint_health.py
@@ -1,4 +1,4 @@
-"""What the results of attempts say of endpoints: outliers, zones out of reach, pauses after failures."""
+"""The health of endpoints from the results of attempts: outliers, unreachable zones, failure backoff."""
 
 from __future__ import annotations
 
@@ -11,32 +11,35 @@
 from apigateway.routing.zone_health import ZoneHealth
 
 
-class Tracked(Hashable, Protocol):
-    """An endpoint, as far as its health is concerned."""
+class TrackedEndpoint(Hashable, Protocol):
+    """An endpoint whose health is tracked."""
 
     host: Endpoint
     backoff: FailureBackoff
 
 
-Item = TypeVar("Item", bound=Tracked)
+Item = TypeVar("Item", bound=TrackedEndpoint)
 
 
 class EndpointHealth(Generic[Item]):
-    """The health of all endpoints. Scopes are those of one kind of request, the widest first."""
+    """The health of all endpoints.
+
+    A `scope` argument lists the fault scopes of one kind of request, widest first.
+    """
 
     def __init__(self) -> None:
         self.outliers = OutlierDetector()
         self.zone_health = ZoneHealth()
-        self.failing: set[Item] = set()  # those that have failed since they last succeeded
+        self.failing: set[Item] = set()  # endpoints that have failed since their last success
 
     def set_available(self, endpoints: Collection[Item]) -> None:
-        """Take up which endpoints may be sent to."""
+        """Set the endpoints that may receive requests."""
         self.zone_health.set_listed_zones([endpoint.host.zone for endpoint in endpoints])
         self.failing = {endpoint for endpoint in endpoints if endpoint.backoff}
 
     def on_result(self, endpoint: Item, result: AttemptResult, scope: tuple[str, ...], now: float) -> None:
-        """Take up the result of an attempt that tells whether the endpoint works."""
-        if result == AttemptResult.CONNECT_FAILED:  # which says nothing of a class or a plan
+        """Record the result of an attempt that shows whether the endpoint works."""
+        if result == AttemptResult.CONNECT_FAILED:  # not evidence about a class or a plan
             scope = scope[:1]
         self.zone_health.on_result(endpoint.host.zone, endpoint.host.id, result, now)
         self.outliers.record(endpoint.host.id, scope, result != AttemptResult.OK, now)
@@ -50,12 +53,14 @@
             self.failing.discard(endpoint)
 
     def success_probability(self, endpoint: Item, scope: tuple[str, ...], now: float) -> float:
-        """Return how likely an attempt there succeeds, by the endpoint and its zone."""
+        """Return the probability that the endpoint serves the request, from its own health and its zone's."""
         probability = self.outliers.success_probability(endpoint.host.id, scope, now)
         if self.zone_health.suspect_count:
             probability *= self.zone_health.traffic_share(endpoint.host.zone, now)
         return probability
 
     def pause_ends(self, now: float) -> Iterator[tuple[Item, float]]:
-        """Iterate over paused endpoints and the ends of their pauses, as far as they are to come."""
-        return ((one, at) for one in self.failing for _, at in one.backoff.pauses() if at > now)
+        """Iterate over paused endpoints and the ends of their pauses."""
+        return (
+            (endpoint, end) for endpoint in self.failing for _, end in endpoint.backoff.pauses() if end > now
+        )
--- a/apigateway/routing/event_rate.py
+++ b/apigateway/routing/event_rate.py
@@ -1,4 +1,4 @@
-"""An exponentially decaying estimate of how many events a second there are."""
+"""An exponentially decaying estimate of an event rate."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class EventRate:
-    """Events a second, each counted with a weight that fades over `span` seconds."""
+    """Events per second, weighted by an exponential decay with a time constant of `span` seconds."""
 
     __slots__ = ("_observed_at", "_rate", "_span")
 
@@ -16,11 +16,11 @@
         self._observed_at = 0.0
 
     def rate_at(self, now: float) -> float:
-        """Return the rate as it has faded until now."""
+        """Return the rate, decayed until now."""
         return self._rate * math.exp((self._observed_at - now) / self._span)
 
     def observe(self, now: float) -> float:
-        """Count an event, and return the rate with it."""
+        """Count an event, and return the updated rate."""
         self._rate = self.rate_at(now) + 1.0 / self._span
         self._observed_at = now
         return self._rate
--- a/apigateway/routing/expiring_keys.py
+++ b/apigateway/routing/expiring_keys.py
@@ -1,13 +1,13 @@
-"""Keys that are remembered until some time, not more than a number of them."""
+"""Keys with expiry times, limited in number."""
 
 from __future__ import annotations
 
 
 class ExpiringKeys(dict[str, float]):
-    """Times until which keys are remembered, by key.
+    """Expiry times by key.
 
     Args:
-        limit: keys remembered at once; when there are as many, all are forgotten.
+        limit: maximum number of keys; adding a key when there are as many clears all others first.
     """
 
     def __init__(self, limit: int) -> None:
@@ -15,11 +15,11 @@
         self._limit = limit
 
     def add(self, key: str, until: float) -> None:
-        """Remember a key."""
+        """Add a key that expires at `until`."""
         if len(self) >= self._limit:
             self.clear()
         self[key] = until
 
     def remaining_time(self, key: str, now: float) -> float:
-        """Return the seconds for which a key is still remembered; 0: it is not."""
+        """Return the seconds until a key expires; 0 if it has expired or is unknown."""
         return max(0.0, self.get(key, 0.0) - now)
--- a/apigateway/routing/fault_scope.py
+++ b/apigateway/routing/fault_scope.py
@@ -1,12 +1,13 @@
-"""The scopes in which a host may fail: wholly, for a class of requests, for a customers' plan."""
+"""The scopes in which a host may fail: all requests, one class of requests, one plan."""
 
 from __future__ import annotations
 
 
 class FaultScope(tuple[str, ...]):
-    """The scopes of one kind of request, the widest first.
+    """The scopes of one kind of request, widest first.
 
-    There is one object for each kind, compared and hashed by identity: it is a key of each look at a host.
+    There is one object for each kind. It is compared and hashed by identity, which is faster: it is a
+    dictionary key in every endpoint lookup.
     """
 
     __slots__ = ()
@@ -15,13 +16,13 @@
 
 
 class FaultScopes:
-    """One scope for each class and plan of requests."""
+    """Creates one `FaultScope` for each pair of class and plan."""
 
     def __init__(self) -> None:
         self._scopes: dict[tuple[str, str], FaultScope] = {}
 
     def get(self, class_name: str, plan_name: str, limit_name: str) -> FaultScope:
-        """Return the scope of a class and plan; `limit_name`: what the plan is called in it."""
+        """Return the scope of a class and plan, in which the plan is called `limit_name`."""
         scope = self._scopes.get((class_name, plan_name))
         if scope is None:
             scope = FaultScope(("host", "class " + class_name, "plan " + limit_name))
--- a/apigateway/routing/grant_share.py
+++ b/apigateway/routing/grant_share.py
@@ -1,20 +1,20 @@
-"""An estimate of what part of the units asked for is granted."""
+"""Estimates the share of requested quota units that is granted."""
 
 from __future__ import annotations
 
-PRIOR_WEIGHT = 2  # observations that the prior counts for
+PRIOR_WEIGHT = 2  # the prior counts as this many observations
 
 
 class GrantShareEstimator:
-    """A mean over all observations at first, and an exponentially weighted one once there are many."""
+    """The mean over all observations at first, an exponentially weighted mean once there are many."""
 
     def __init__(self, prior: float, min_gain: float) -> None:
         self.share = prior
         self._min_gain = min_gain
-        self._observations = PRIOR_WEIGHT
+        self._observation_count = PRIOR_WEIGHT
 
-    def observe(self, asked: float, granted: float) -> None:
-        """Take up one answer: the units asked for and those that were granted."""
-        self._observations += 1
-        gain = max(self._min_gain, 1 / self._observations)
-        self.share += gain * (min(1.0, granted / asked) - self.share)
+    def observe(self, requested: float, granted: float) -> None:
+        """Add one answer: the units requested and the units granted."""
+        self._observation_count += 1
+        gain = max(self._min_gain, 1 / self._observation_count)
+        self.share += gain * (min(1.0, granted / requested) - self.share)
--- a/apigateway/routing/keyed_fifo.py
+++ b/apigateway/routing/keyed_fifo.py
@@ -1,4 +1,4 @@
-"""First-in, first-out queues by key, of which the empty ones take no memory."""
+"""FIFO queues by key; empty queues are removed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class KeyedFifo(Generic[Key, Item]):
-    """A queue of items for each key."""
+    """A FIFO queue for each key."""
 
     __slots__ = ("_queues",)
 
@@ -18,11 +18,11 @@
         self._queues: dict[Key, list[Item]] = {}
 
     def push(self, key: Key, item: Item) -> None:
-        """Add an item behind the others of its key."""
+        """Append an item to the queue of a key."""
         self._queues.setdefault(key, []).append(item)
 
     def pop(self, key: Key) -> Item | None:
-        """Remove and return the oldest item of a key; None if there is none."""
+        """Remove and return the oldest item of a key, or None if there is none."""
         queue = self._queues.get(key)
         if queue is None:
             return None
--- a/apigateway/routing/load_estimate.py
+++ b/apigateway/routing/load_estimate.py
@@ -1,39 +1,39 @@
-"""How many requests an endpoint holds, by one's own attempts and by load reports that age."""
+"""Estimates the load of an endpoint from this gateway's own attempts and from load reports."""
 
 from __future__ import annotations
 
 import math
 
-REPORT_HALF_LIFE_S = 1.0  # s; a load report says half as much after it
-WEIGHT_LIFE = 0.05  # s that the weight of a report is taken for the same
+REPORT_HALF_LIFE_S = 1.0  # of the weight of a load report
+WEIGHT_CACHE_TIME_S = 0.05  # for which a computed report weight is reused
 
 
-AttemptTimes = dict[tuple[str, int], float]  # when attempts were sent, by request id and number
+AttemptTimes = dict[tuple[str, int], float]  # send times by request id and attempt number
 
 
 class LoadEstimate:
-    """One's own attempts at an endpoint, and the requests of others by its last report.
+    """This gateway's attempts at an endpoint, plus the requests of other gateways by its latest report.
 
-    What the report no longer tells is taken for the mean of all endpoints.
+    As the report ages, the mean of all endpoints takes over its weight.
     """
 
     def __init__(self, attempts_in_flight: AttemptTimes) -> None:
         self.attempts_in_flight = attempts_in_flight
-        self.reported_load = 0.0  # requests of others
+        self.reported_load = 0.0  # requests of other gateways
         self.reported_at = -math.inf
         self.report_weight = 0.0  # 0 to 1
-        self._weighed_until = 0.0
+        self._weight_valid_until = 0.0
 
-    def record_report(self, now: float, held: float, own_attempts: int) -> None:
-        """Take up a report of the requests held, among them so many of one's own."""
-        self.reported_load = max(0.0, held - own_attempts)
+    def record_report(self, now: float, in_flight: float, own_attempts: int) -> None:
+        """Record a report of `in_flight` requests, of which `own_attempts` come from this gateway."""
+        self.reported_load = max(0.0, in_flight - own_attempts)
         self.reported_at = now
-        self._weighed_until = 0.0
+        self._weight_valid_until = 0.0
 
-    def load(self, now: float, mean: float) -> float:
-        """Return the requests held, where `mean` is that of all endpoints."""
-        if now >= self._weighed_until:
+    def load(self, now: float, mean_load: float) -> float:
+        """Return the estimated number of requests in flight; `mean_load` is that of all endpoints."""
+        if now >= self._weight_valid_until:
             self.report_weight = 0.5 ** ((now - self.reported_at) / REPORT_HALF_LIFE_S)
-            self._weighed_until = now + WEIGHT_LIFE
+            self._weight_valid_until = now + WEIGHT_CACHE_TIME_S
         weight = self.report_weight
-        return len(self.attempts_in_flight) + weight * self.reported_load + (1 - weight) * mean
+        return len(self.attempts_in_flight) + weight * self.reported_load + (1 - weight) * mean_load
--- a/apigateway/routing/load_report.py
+++ b/apigateway/routing/load_report.py
@@ -1,4 +1,4 @@
-"""What an endpoint's load report says, whichever of the fields it has."""
+"""Reads the load reports of endpoints, which may contain different fields."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 def requests_held(report: Mapping[str, float], concurrency: float) -> float:
-    """Return the requests that an endpoint holds.
+    """Return the number of requests at an endpoint.
 
     Args:
-        report: its fields: `inflight`, or else `queue` (requests) and `util` (0 to 1), each if it is there.
-        concurrency: requests that an endpoint works on at once when it is fully utilised.
+        report: `inflight`, or else `queue` (requests) and `util` (0 to 1); absent fields count as 0.
+        concurrency: requests that a fully utilised endpoint processes concurrently.
     """
-    held = report.get("inflight")
-    if held is not None:
-        return held
-    busy = concurrency * report.get("util", 0.0)
-    return report.get("queue", 0.0) + busy
+    in_flight = report.get("inflight")
+    if in_flight is not None:
+        return in_flight
+    processing = concurrency * report.get("util", 0.0)
+    return report.get("queue", 0.0) + processing
--- a/apigateway/routing/outlier_detection.py
+++ b/apigateway/routing/outlier_detection.py
@@ -1,77 +1,80 @@
-"""Which hosts are taken to fail, from what came of the attempts there: pure, below the decision module."""
+"""Outlier detection: estimates which hosts are failing from the results of attempts. No I/O."""
 
 from __future__ import annotations
 
-HALF_LIFE = 10.0  # s; half of what is known of a host's failures is forgotten, which is its next trial
-MIN_PRIOR = 0.02  # least part of hosts that are taken to fail before anything is seen
-MAX_PRIOR = 0.6  # greatest part
-FAILING_HOST_FAILURES = 0.9  # share of attempts that fail at a failing host
-SOUND_HOST_FAILURES = 0.05  # share of attempts that fail at a sound host, by chance
-GAIN = 0.05  # weight of a new answer in the part of all hosts that fail
+HALF_LIFE_S = 10.0  # of the evidence; as it decays, a failing host gets trial requests again
+MIN_FAILING_SHARE = 0.02  # of all hosts; the prior for a host without evidence is at least this
+MAX_FAILING_SHARE = 0.6  # upper bound of this prior
+FAILING_HOST_ERROR_RATE = 0.9  # share of attempts that fail at a failing host
+HEALTHY_HOST_ERROR_RATE = 0.05  # share of attempts that fail by chance at a healthy host
+GAIN = 0.05  # weight of a new result in the share of failing hosts
 
 
 class OutlierDetector:
-    """How likely a host fails, at the level where the symptom shows: the whole host, a class, a plan there.
+    """Estimates how likely a host is failing, in each scope: the whole host, a class or a plan.
 
-    One answer to errors, silence, lost connections and `full`: evidence at each level, by how much of the
-    fleet fails there, so that an answer of another kind clears nothing. In a fault proven hosts come first.
-    Harm: after a chance failure a sound host gets less until half is forgotten.
+    Errors, timeouts, lost connections and `full` are treated alike. A failure counts in each scope, weighted
+    by how much of the fleet fails in that scope. An answer to another kind of request does not clear it.
+    During a fault, hosts that have proved to work are preferred. The drawback: after a chance failure a
+    healthy host gets less traffic until half of the evidence has decayed.
     """
 
     def __init__(self) -> None:
-        self.hosts: dict[str, dict[str, tuple[float, float]]] = {}  # by id and scope: how likely, as of when
-        self.failing_shares: dict[str, float] = {}  # by scope: part of all hosts that fail
+        self.hosts: dict[str, dict[str, tuple[float, float]]] = {}  # by id and scope: probability, time
+        self.failing_shares: dict[str, float] = {}  # by scope: share of all hosts
 
-    def failure_probability(self, host: str, key: str, now: float) -> float:
-        """Return how likely a host fails in one scope."""
-        prior = self.failing_shares.get(key, MIN_PRIOR)
-        known = self.hosts.get(host, {}).get(key)
-        if known is None:
+    def failure_probability(self, host: str, scope: str, now: float) -> float:
+        """Return the probability that a host is failing in one scope."""
+        prior = self.failing_shares.get(scope, MIN_FAILING_SHARE)
+        evidence = self.hosts.get(host, {}).get(scope)
+        if evidence is None:
             return prior
-        likelihood, seen_at = known
-        kept: float = 0.5 ** ((now - seen_at) / HALF_LIFE)
-        return prior + (likelihood - prior) * kept
+        probability, observed_at = evidence
+        decay: float = 0.5 ** ((now - observed_at) / HALF_LIFE_S)
+        return prior + (probability - prior) * decay
 
-    def success_probability(self, host: str, keys: tuple[str, ...], now: float) -> float:
-        """Return how likely two attempts there succeed, by the worst of the scopes."""
-        worst = 0.0  # max over `at`, written out: it runs for most requests
-        seen = self.hosts.get(host, {})
-        for key in keys:
-            likelihood = self.failing_shares.get(key, MIN_PRIOR)
-            known = seen.get(key)
-            if known is not None:
-                likelihood += (known[0] - likelihood) * 0.5 ** ((now - known[1]) / HALF_LIFE)
-            if likelihood > worst:  # noqa: PLR1730  (max() is a call, for each scope of most requests)
-                worst = likelihood
+    def success_probability(self, host: str, scopes: tuple[str, ...], now: float) -> float:
+        """Return the probability that two attempts at a host succeed, by the worst of the scopes."""
+        worst = 0.0  # maximum of `failure_probability`, inlined as it runs for most requests
+        evidence_by_scope = self.hosts.get(host, {})
+        for scope in scopes:
+            probability = self.failing_shares.get(scope, MIN_FAILING_SHARE)
+            evidence = evidence_by_scope.get(scope)
+            if evidence is not None:
+                probability += (evidence[0] - probability) * 0.5 ** ((now - evidence[1]) / HALF_LIFE_S)
+            if probability > worst:  # noqa: PLR1730  (max() would be a call per scope of most requests)
+                worst = probability
         return (1 - worst) ** 2
 
-    def record(self, host: str, keys: tuple[str, ...], failed: bool, now: float) -> None:
-        """Take up the result of an attempt, as evidence in each of these scopes, the widest first."""
-        most = max(self.failing_shares.get(key, MIN_PRIOR) for key in keys)
-        for key in keys:
-            pool = self.failing_shares.get(key, MIN_PRIOR)
-            likelihood = self.failure_probability(host, key, now)
+    def record(self, host: str, scopes: tuple[str, ...], failed: bool, now: float) -> None:
+        """Record the result of an attempt as evidence in each of these scopes, widest first."""
+        max_share = max(self.failing_shares.get(scope, MIN_FAILING_SHARE) for scope in scopes)
+        for scope in scopes:
+            share = self.failing_shares.get(scope, MIN_FAILING_SHARE)
+            probability = self.failure_probability(host, scope, now)
             if failed:
-                likelihood += (_after_failure(likelihood) - likelihood) * (pool / most) ** 2
-            elif key == keys[0]:  # any answer shows that the host as a whole works
-                likelihood = 0.0
-            else:  # but not that it serves the other kinds
-                likelihood = _after_success(likelihood)
-            self.hosts.setdefault(host, {})[key] = (likelihood, now)
-            self.failing_shares[key] = min(MAX_PRIOR, max(MIN_PRIOR, pool + GAIN * (likelihood - pool)))
+                probability += (_after_failure(probability) - probability) * (share / max_share) ** 2
+            elif scope == scopes[0]:  # any answer shows that the host as a whole works
+                probability = 0.0
+            else:  # but not that the host serves other kinds of requests
+                probability = _after_success(probability)
+            self.hosts.setdefault(host, {})[scope] = (probability, now)
+            self.failing_shares[scope] = min(
+                MAX_FAILING_SHARE, max(MIN_FAILING_SHARE, share + GAIN * (probability - share))
+            )
 
     def remove_host(self, host: str) -> None:
-        """Forget a host that is gone."""
+        """Remove the evidence about a host that is gone."""
         self.hosts.pop(host, None)
 
 
-def _after_failure(likelihood: float) -> float:
-    """Apply Bayes' rule to a failure."""
-    failing = likelihood * FAILING_HOST_FAILURES
-    return failing / (failing + (1 - likelihood) * SOUND_HOST_FAILURES)
+def _after_failure(prior: float) -> float:
+    """Return the probability that a host is failing after a failure, by Bayes' rule."""
+    failing = prior * FAILING_HOST_ERROR_RATE
+    return failing / (failing + (1 - prior) * HEALTHY_HOST_ERROR_RATE)
 
 
-def _after_success(likelihood: float) -> float:
-    """Apply Bayes' rule to a success."""
-    failing = likelihood * (1 - FAILING_HOST_FAILURES)
-    return failing / (failing + (1 - likelihood) * (1 - SOUND_HOST_FAILURES))
+def _after_success(prior: float) -> float:
+    """Return the probability that a host is failing after a success, by Bayes' rule."""
+    failing = prior * (1 - FAILING_HOST_ERROR_RATE)
+    return failing / (failing + (1 - prior) * (1 - HEALTHY_HOST_ERROR_RATE))
--- a/apigateway/routing/recent_values.py
+++ b/apigateway/routing/recent_values.py
@@ -1,4 +1,4 @@
-"""The latest values of a series, and how a value ranks among them."""
+"""The latest values of a series, and the rank of a value among them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RecentValues:
-    """A window over the latest `size` values."""
+    """A sliding window over the latest `size` values."""
 
     __slots__ = ("_values",)
 
@@ -17,9 +17,9 @@
         return len(self._values)
 
     def add(self, value: float) -> None:
-        """Take up a value; when the window is full the oldest one leaves it."""
+        """Add a value; when the window is full, the oldest one is dropped."""
         self._values.append(value)
 
-    def rank(self, value: float, part_of_equals: float) -> float:
-        """Return how many values are below this one, counting a part (0 to 1) of those equal to it."""
-        return part_of_equals * self._values.count(value) + sum(other < value for other in self._values)
+    def rank(self, value: float, share_of_equals: float) -> float:
+        """Return how many values are below this one, plus a share (0 to 1) of those equal to it."""
+        return share_of_equals * self._values.count(value) + sum(other < value for other in self._values)
--- a/apigateway/routing/retry_budget.py
+++ b/apigateway/routing/retry_budget.py
@@ -1,10 +1,10 @@
-"""A budget of retries: what first attempts allow for, saved up to a limit."""
+"""A retry budget: first attempts deposit a part of a retry each, up to a limit."""
 
 from __future__ import annotations
 
 
 class RetryBudget:
-    """Retries that may be made, in parts."""
+    """The number of retries that may be made, as a fraction."""
 
     __slots__ = ("_limit", "retries")
 
@@ -13,5 +13,5 @@
         self._limit = limit
 
     def deposit(self, retries: float) -> None:
-        """Save up a part of a retry; what is beyond the limit is lost."""
+        """Add retries to the budget; what exceeds the limit is lost."""
         self.retries = min(self._limit, self.retries + retries)
--- a/apigateway/routing/slow_start.py
+++ b/apigateway/routing/slow_start.py
@@ -1,12 +1,12 @@
-"""Slow start: a fresh endpoint bears a part of its load, and gets requests by tokens that are saved up."""
+"""Slow start: a new endpoint has reduced capacity, and its request rate is limited by tokens."""
 
 from __future__ import annotations
 
 
 def slow_start_factor(started_at: float, now: float, duration: float, initial: float) -> float:
-    """Return the part of its capacity that an endpoint has: `initial` at its start, all after `duration` s.
+    """Return the usable share of an endpoint's capacity: `initial` at its start, 1 after `duration` seconds.
 
-    A start at 0 was long ago.
+    A start time of 0 means that the endpoint started long ago.
     """
     age = max(0.0, now - started_at)
     if started_at <= 0 or age >= duration:
@@ -15,7 +15,7 @@
 
 
 class SlowStartTokens:
-    """Tokens for requests that an endpoint may get."""
+    """A token bucket that limits the requests to an endpoint in slow start."""
 
     __slots__ = ("_filled_at", "_tokens")
 
@@ -24,11 +24,11 @@
         self._filled_at = now
 
     def refill(self, now: float, rate: float, limit: float) -> float:
-        """Add tokens by the rate since the last refill, up to a limit, and return how many there are."""
+        """Add the tokens since the last refill, up to a limit, and return how many there are."""
         self._tokens = min(self._tokens + (now - self._filled_at) * rate, limit)
         self._filled_at = now
         return self._tokens
 
     def take(self) -> None:
-        """Use a token; there may be none, as for what is sent all the same."""
+        """Use a token. The balance may become negative, as some requests are sent without one."""
         self._tokens -= 1.0
--- a/apigateway/routing/timer_heap.py
+++ b/apigateway/routing/timer_heap.py
@@ -1,4 +1,4 @@
-"""A heap of keys by the time when they are due, from which what is no longer of interest is dropped late."""
+"""A heap of keys by due time with lazy deletion, and the timer for the earliest one."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from collections.abc import Container
 from typing import Generic, TypeVar
 
-TIMER_TOLERANCE_S = 1e-6  # s; a clock that comes so much early counts as on time
+TIMER_TOLERANCE_S = 1e-6  # a timer that expires early by less than this counts as on time
 
 Key = TypeVar("Key", bound=str)
 
 
 class PendingTimer:
-    """The one timer that is out, for what is due next."""
+    """The timer that is currently set, for the earliest due time."""
 
     __slots__ = ("_due_at",)
 
@@ -21,20 +21,20 @@
         self._due_at = math.inf
 
     def schedule(self, due_at: float) -> bool:
-        """Note that something is due, and return whether a timer is needed for it, as it is the first."""
+        """Set the due time if it is earlier than the current one, and return whether it was."""
         if due_at >= self._due_at:
             return False
         self._due_at = due_at
         return True
 
     def expire(self, now: float) -> None:
-        """Note that a timer has expired, which may be an older one."""
+        """Record that a timer has expired, which may be one that an earlier timer superseded."""
         if now >= self._due_at - TIMER_TOLERANCE_S:
             self._due_at = math.inf
 
 
 class TimerHeap(Generic[Key]):
-    """Keys and the times when they are due; a key may be in it several times."""
+    """Keys and their due times; a key may be in the heap several times."""
 
     __slots__ = ("_heap",)
 
@@ -42,17 +42,17 @@
         self._heap: list[tuple[float, Key]] = []
 
     def push(self, due_at: float, key: Key) -> None:
-        """Add a key that is due at this time."""
+        """Add a key with its due time."""
         heapq.heappush(self._heap, (due_at, key))
 
     def pop_due(self, now: float) -> Key | None:
-        """Remove and return the key that has been due longest; None if none is due."""
+        """Remove and return the key with the earliest due time, or None if none is due."""
         if self._heap and self._heap[0][0] <= now + TIMER_TOLERANCE_S:
             return heapq.heappop(self._heap)[1]
         return None
 
-    def next_due(self, live: Container[Key]) -> float:
-        """Return when the first key is due, after dropping those before it that are not live; inf: never."""
-        while self._heap and self._heap[0][1] not in live:
+    def next_due(self, live_keys: Container[Key]) -> float:
+        """Return the earliest due time of a live key, or inf if there is none; drop dead keys before it."""
+        while self._heap and self._heap[0][1] not in live_keys:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else math.inf
--- a/apigateway/routing/token_bucket.py
+++ b/apigateway/routing/token_bucket.py
@@ -1,4 +1,4 @@
-"""One even part of a token bucket, with units that are reserved before they are used."""
+"""An equal share of a token bucket, in which units can be reserved before they are used."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class TokenBucketShare:
-    """One of `parts` even parts of a bucket that holds `burst` units and fills by `rate` units a second.
+    """One of `share_count` equal shares of a bucket of `burst` units that refills at `rate` per second.
 
-    Units that are reserved leave `tokens` at once and are used later, or never. What is used is limited by a
-    bucket of its own: `reserved` says by how much it is fuller than `tokens`, as far as it has not filled up
-    meanwhile; below 0 where reserved units were used late. A rate of 0 means no limit.
+    A rate of 0 means no limit. Reserved units are taken from `tokens` at once, and are used later or never.
+    The units that are actually used are limited by a second bucket, which contains `tokens + reserved`.
+    `reserved` shrinks as this second bucket fills up, and is below 0 after reserved units were used late.
     """
 
-    __slots__ = ("_filled_at", "burst", "share_count", "waiting_units", "rate", "reserved", "tokens")
+    __slots__ = ("_refilled_at", "burst", "rate", "reserved", "share_count", "tokens", "waiting_units")
 
     def __init__(self, rate: float, burst: float, share_count: int, tokens: float, now: float) -> None:
         self.rate = rate
@@ -21,41 +21,41 @@
         self.share_count = share_count
         self.tokens = tokens
         self.reserved = 0.0
-        self.waiting_units = 0.0  # units of those that wait for the bucket to fill
-        self._filled_at = now
+        self.waiting_units = 0.0  # units of the requests that wait for the bucket to refill
+        self._refilled_at = now
 
     @property
     def capacity(self) -> float:
-        """Units that this part holds when it is full."""
+        """Return the units of a full share."""
         return self.burst / self.share_count
 
     @property
     def fill_time(self) -> float:
-        """Seconds from empty to full; 0 without a limit."""
+        """Return the seconds from empty to full; 0 without a limit."""
         return self.burst / self.rate if self.rate else 0.0
 
     def set_share_count(self, share_count: int) -> None:
-        """Make this part smaller: what it holds beyond its new capacity is lost."""
+        """Set the number of shares; units beyond the new capacity are lost."""
         self.share_count = share_count
         self.tokens = min(self.tokens, self.capacity)
         self.reserved = min(self.reserved, self.capacity - self.tokens)
 
     def available(self, now: float, from_reserved: bool = False) -> float:
-        """Return the units that may be taken now; `from_reserved`: by one that has reserved them before."""
+        """Return the units that may be taken now; `from_reserved`: by a request that has reserved units."""
         if not self.rate:
             return math.inf
-        self.add(max(0.0, now - self._filled_at) * self.rate / self.share_count)
-        self._filled_at = max(now, self._filled_at)
+        self.add(max(0.0, now - self._refilled_at) * self.rate / self.share_count)
+        self._refilled_at = max(now, self._refilled_at)
         if not self.reserved:
             return self.tokens
         return self.tokens + (self.reserved if from_reserved else min(0.0, self.reserved))
 
     def wait_time(self, now: float, units: float, from_reserved: bool) -> float:
-        """Return the seconds until units are available behind those waiting_units; inf: never."""
-        lack = units + self.waiting_units - self.available(now, from_reserved)
+        """Return the seconds until units are available in addition to `waiting_units`; inf: never."""
+        missing = units + self.waiting_units - self.available(now, from_reserved)
         if units > self.capacity:
-            return math.inf if lack > 0 else 0.0
-        return lack * self.share_count / self.rate if lack > 0 else 0.0
+            return math.inf if missing > 0 else 0.0
+        return missing * self.share_count / self.rate if missing > 0 else 0.0
 
     def add(self, units: float) -> None:
         """Add units, up to the capacity."""
@@ -65,7 +65,7 @@
         self.tokens = tokens
 
     def charge(self, units: float, is_reserved: bool, is_reservation: bool) -> None:
-        """Use units, or those that were reserved for this use before, or reserve them for a later one."""
+        """Use units, use units that were reserved before, or reserve units for later use."""
         if is_reserved:
             self.take_reserved(units)
         elif is_reservation:
@@ -74,11 +74,11 @@
             self.take(units)
 
     def take(self, units: float) -> None:
-        """Use units; more than there are leave a debt."""
+        """Use units; the balance may become negative."""
         self.tokens -= units
 
     def reserve(self, units: float) -> None:
-        """Set units aside for a later use."""
+        """Reserve units for later use."""
         self.tokens -= units
         self.reserved += units
 
@@ -87,14 +87,14 @@
         self.reserved -= units
 
     def refund(self, units: float, is_reservation: bool) -> None:
-        """Add units that were used, or reserved, in vain."""
+        """Return units that were taken or reserved and not needed."""
         if is_reservation:
             self.cancel_reservation(units)
         else:
             self.add(units)
 
     def cancel_reservation(self, units: float) -> None:
-        """Add units that were reserved and not used: what is used was never charged with them."""
-        used = self.tokens + self.reserved
+        """Return reserved units that were not used; the second bucket was never charged with them."""
+        unreserved_tokens = self.tokens + self.reserved
         self.add(units)
-        self.reserved = used - self.tokens
+        self.reserved = unreserved_tokens - self.tokens
--- a/tests/routing/test_demand.py
+++ b/tests/routing/test_demand.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from apigateway.routing.demand import MEMORY, DemandEstimator
+from apigateway.routing.demand import DECAY_TIME_S, DemandEstimator
 
 
 def observed(every, allowed_rate, count=400):
@@ -27,4 +27,4 @@
     for _ in range(50):
         demand.observe(0.0, 0.1)
     assert demand.observe(0.0, 0.1) < 0.05
-    assert demand.observe(20 * MEMORY, 0.1) == 1.0
+    assert demand.observe(20 * DECAY_TIME_S, 0.1) == 1.0
--- a/tests/routing/test_estimators.py
+++ b/tests/routing/test_estimators.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from apigateway.routing.admitted_share import MAX_STEP, AdmittedShare
+from apigateway.routing.admitted_share import MAX_DECREASE_STEP_S, AdmittedShare
 from apigateway.routing.call_health import CallHealth
 from apigateway.routing.decaying_mean import DecayingMean
 from apigateway.routing.event_rate import EventRate
@@ -29,15 +29,15 @@
     assert mean.value == 0.1
     mean.observe(100.0, 1.0)  # after a long silence
     assert mean.value == pytest.approx(0.55)
-    assert mean.value_at(100.5, trusted_for=1.0) == mean.value
-    assert mean.value_at(102.5, trusted_for=1.0) == pytest.approx(mean.value / math.e)
+    assert mean.value_at(100.5, hold_time=1.0) == mean.value
+    assert mean.value_at(102.5, hold_time=1.0) == pytest.approx(mean.value / math.e)
 
 
 def test_admitted_share_when_overloaded_then_falls_to_the_least_and_recovers():
     admitted = AdmittedShare(0.0, decrease_rate=0.7, recovery_rate=0.15, least=0.05)
     assert admitted.update(0.5, True) == pytest.approx(math.exp(-0.35))
     before = admitted.share
-    assert admitted.update(100.0, True) == pytest.approx(before * math.exp(-0.7 * MAX_STEP))
+    assert admitted.update(100.0, True) == pytest.approx(before * math.exp(-0.7 * MAX_DECREASE_STEP_S))
     for n in range(20):
         admitted.update(101.0 + n, True)
     assert admitted.share == 0.05
@@ -73,13 +73,14 @@
 
 def test_load_estimate_when_its_report_ages_then_takes_the_mean_for_it():
     estimate = LoadEstimate({("r", 0): 1.0})
-    assert estimate.load(1.0, mean=4.0) == 1.0 + 4.0 and estimate.report_weight == 0.0
-    estimate.record_report(1.0, held=9.0, own_attempts=1)
-    assert estimate.load(1.0, mean=4.0) == 1.0 + 8.0
+    assert estimate.load(1.0, mean_load=4.0) == 1.0 + 4.0 and estimate.report_weight == 0.0
+    estimate.record_report(1.0, in_flight=9.0, own_attempts=1)
+    assert estimate.load(1.0, mean_load=4.0) == 1.0 + 8.0
     assert (
-        estimate.load(1.0 + REPORT_HALF_LIFE_S, mean=4.0) == 1.0 + 4.0 + 2.0 and estimate.report_weight == 0.5
+        estimate.load(1.0 + REPORT_HALF_LIFE_S, mean_load=4.0) == 1.0 + 4.0 + 2.0
+        and estimate.report_weight == 0.5
     )
-    estimate.record_report(2.0, held=1.0, own_attempts=3)
+    estimate.record_report(2.0, in_flight=1.0, own_attempts=3)
     assert estimate.reported_load == 0.0
 
 
--- a/tests/routing/test_priority_queue.py
+++ b/tests/routing/test_priority_queue.py
@@ -20,7 +20,7 @@
 def test_the_first_of_a_route_is_preferred_then_most_valuable_then_latest():
     queue, items = filled(("a", True, 1.0), ("a", False, 9.0), ("a", True, 2.0), ("a", True, 2.0))
     taken = []
-    while queue.head("a"):
+    while queue.head_sort_key("a"):
         taken.append(queue.first("a"))
         queue.pop("a")
     assert taken == [items[3], items[2], items[0], items[1]]
@@ -29,7 +29,7 @@
 
 def test_heads_order_routes_and_end_with_the_route():
     queue, _ = filled(("a", True, 1.0), ("b", True, 2.0), ("c", False, 9.0))
-    heads = sorted(queue.head(route) for route in "abc")
+    heads = sorted(queue.head_sort_key(route) for route in "abc")
     assert [head[-1] for head in heads] == ["b", "a", "c"]
 
 
@@ -37,7 +37,7 @@
     queue, items = filled(("a", True, 1.0), ("a", True, 2.0))
     items[1].done = True
     queue.on_item_done()
-    assert queue.head("a") and queue.first("a") is items[0]
+    assert queue.head_sort_key("a") and queue.first("a") is items[0]
     assert queue.waiting_count == queue.entry_count == 1
 
 
@@ -45,7 +45,7 @@
     queue, items = filled(("a", True, 1.0))
     items[0].done = True
     queue.on_item_done()
-    assert queue.head("a") is None and not queue.queues_by_route
+    assert queue.head_sort_key("a") is None and not queue.queues_by_route
 
 
 def test_discarded_entries_do_not_pile_up():
--- a/tests/routing/test_zone_health.py
+++ b/tests/routing/test_zone_health.py
@@ -4,7 +4,7 @@
 from helpers import World, host, of, plan, settings
 
 from apigateway import messages
-from apigateway.routing.zone_health import FADE, LEAST_HOSTS, LEAST_PART, ZoneHealth
+from apigateway.routing.zone_health import HALF_LIFE_S, MIN_HOSTS, MIN_TRAFFIC_SHARE, ZoneHealth
 
 BIG = plan(rate=0.0)
 HOSTS = [host(f"h{n}", zone="abc"[n % 3]) for n in range(48)]
@@ -22,7 +22,7 @@
         one.record_no_answer("a", "h0", 10.0)
         several.record_no_answer("a", f"h{n}", 10.0)
     assert one.traffic_share("a", 10.0) > 0.5 and several.traffic_share("a", 10.0) == pytest.approx(
-        LEAST_PART
+        MIN_TRAFFIC_SHARE
     )
     assert several.traffic_share("b", 10.0) == 1.0 and several.traffic_share("unknown", 10.0) == 1.0
 
@@ -50,10 +50,13 @@
     for n in range(4):
         known.record_no_answer("a", f"h{n}", 10.0)
     assert (
-        LEAST_PART < known.traffic_share("a", 10.0 + FADE) < known.traffic_share("a", 10.0 + 3 * FADE) < 1.0
+        MIN_TRAFFIC_SHARE
+        < known.traffic_share("a", 10.0 + HALF_LIFE_S)
+        < known.traffic_share("a", 10.0 + 3 * HALF_LIFE_S)
+        < 1.0
     )
-    known.record_no_answer("a", "h7", 10.0 + 5 * FADE)
-    assert known.traffic_share("a", 10.0 + 5 * FADE) > 0.5
+    known.record_no_answer("a", "h7", 10.0 + 5 * HALF_LIFE_S)
+    assert known.traffic_share("a", 10.0 + 5 * HALF_LIFE_S) > 0.5
 
 
 def test_a_site_that_has_no_hosts_any_more_is_forgotten():
@@ -67,7 +70,7 @@
 
 
 def test_a_site_of_few_hosts_is_left_to_what_is_known_of_each():
-    known = sites(LEAST_HOSTS - 1)
+    known = sites(MIN_HOSTS - 1)
     for n in range(5):
         known.record_no_answer("a", f"h{n}", 10.0)
     assert known.traffic_share("a", 10.0) == 1.0 and not known.suspect_count
