--- a/apigateway/cli/check.py
+++ b/apigateway/cli/check.py
@@ -10,7 +10,7 @@
 from apigateway.daemon.configuration import read_configuration
 from apigateway.daemon.settings import Settings
 from apigateway.exit_codes import ExitCode
-from apigateway.upstream.address import write_address
+from apigateway.upstream.address import format_address
 
 
 def check(path: str) -> int:
@@ -20,7 +20,7 @@
         _check_named_files(path, settings, config)
     except (InvalidConfigFileError, ConfigError) as error:
         print(error, file=sys.stderr)
-        return ExitCode.UNUSABLE
+        return ExitCode.INVALID_INPUT
     print(f"{path}: good; {_summarize(settings, config)}")
     return ExitCode.OK
 
@@ -40,7 +40,7 @@
 
 def _summarize(settings: Settings, config: Config) -> str:
     module_settings = config.settings
-    listeners = ", ".join(write_address(address) for address in config.listeners)
+    listeners = ", ".join(format_address(address) for address in config.listeners)
     parts = [
         f"gateway {module_settings.gateway_index} of {module_settings.gateway_count} at {listeners}",
         f"classes {', '.join(module_settings.classes)}",
@@ -54,5 +54,5 @@
 
 def _summarize_hosts(config: Config) -> str:
     if config.endpoint_file:
-        return f"{len(config.known_endpoints.hosts.endpoints)} hosts"
+        return f"{len(config.known_endpoints.endpoint_list.endpoints)} hosts"
     return "hosts by discovery" if config.discovery else "hosts by a registry"
--- a/apigateway/daemon/gateway_process.py
+++ b/apigateway/daemon/gateway_process.py
@@ -38,8 +38,8 @@
 from apigateway.daemon.status_answers import status_queries
 from apigateway.daemon.takeover import create_successor, handover_path, inherit_resources
 from apigateway.daemon.workers import WorkerAssignment, read_worker_assignment
-from apigateway.membership.listing import read_list, write_list
-from apigateway.upstream.address import Address, write_address
+from apigateway.membership.listing import listing_from_json, listing_to_json
+from apigateway.upstream.address import Address, format_address
 
 if TYPE_CHECKING:
     from apigateway.membership.eureka.registration import Registration
@@ -236,7 +236,7 @@
             HandoverError: The predecessor has disconnected, and accepts again: there must not be two.
         """
         known = await successor.announce_ready()
-        server.begin(read_list(known, messages.ListMode.CACHED))
+        server.reset_decision_module(listing_from_json(known, messages.ListMode.CACHED))
         await server.listen(self._sockets)
         try:
             await successor.announce_serving()
@@ -249,7 +249,7 @@
         gc.freeze()  # what the start made stays for good: no collection need look at it again
         name = gateway.config.name
         for frontend in gateway.server.frontends:
-            log.info("%s listens on %s", name, write_address((frontend.address[0], frontend.port)))
+            log.info("%s listens on %s", name, format_address((frontend.address[0], frontend.port)))
         self._notifier.ready(f"serving as {name}", main=take_over)
 
     # Hand-over, as the predecessor
@@ -275,10 +275,10 @@
 
     def _offer(self) -> HandoverOffer:
         assert self._lock is not None and self._gateway is not None
-        names = [write_address(address) for address in self._sockets]
+        names = [format_address(address) for address in self._sockets]
         descriptors = [sock.fileno() for sock in self._sockets.values()]
         descriptors.append(self._lock.descriptor)
-        return HandoverOffer(names, descriptors, write_list(self._gateway.server.endpoint_list.listing))
+        return HandoverOffer(names, descriptors, listing_to_json(self._gateway.server.endpoint_list.listing))
 
     async def _resume(self) -> None:
         """Accept again, after a hand-over that failed; not if it was told to stop meanwhile."""
--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -23,7 +23,7 @@
 from apigateway.daemon.endpoint_source import EndpointSourceFactory, reconciler_driver_of
 from apigateway.daemon.graceful_shutdown import complete_requests, retire_frontend
 from apigateway.frontends.resp.frontend import RespFrontend
-from apigateway.membership.listing import Listing
+from apigateway.membership.listing import EndpointListing
 from apigateway.policy import Gateway
 from apigateway.upstream.address import Address
 from apigateway.upstream.upstream_connections import UpstreamConnections
@@ -49,10 +49,10 @@
 
 
 class GatewayServer:
-    """One gateway. `start` and `stop` are its life.
+    """One gateway: `start` begins serving, `stop` ends it.
 
-    A process that takes over from another calls `prepare`, `begin` and `listen` in place of `start`; one that
-    hands over calls `pause`, and `resume` if the successor failed.
+    A process that takes over from another calls `prepare`, `reset_decision_module` and `listen` instead of
+    `start`. One that hands over calls `pause`, and `resume` if the successor failed.
 
     Attributes:
         config: In force.
@@ -104,7 +104,7 @@
         ]
         self._source_factory = EndpointSourceFactory(self.core, self.endpoint_list)
         self.endpoint_source: EndpointSource = self._source_factory.create(config)
-        self.core.membership = self.endpoint_source
+        self.core.endpoint_source = self.endpoint_source
         self.plugins: PluginManager | None = None
         self._closing_tasks: set[asyncio.Task[None]] = set()  # of what a reload replaced
 
@@ -169,7 +169,7 @@
         self.endpoint_list.apply(self.config.known_endpoints)
         if self.config.evacuated_zones:
             self.endpoint_list.evacuate_zones(self.config.evacuated_zones)
-        self.upstream.start_checks()
+        self.upstream.start_idle_checks()
         if self.counter:
             self.counter.start()
         if self.core.settings.discovery_mode == messages.DiscoveryMode.PUSH:
@@ -227,7 +227,7 @@
         """Take the endpoint list from another source; the last list stays until that one reports its own."""
         replaced = self.endpoint_source
         self.endpoint_source = source
-        self.core.membership = source
+        self.core.endpoint_source = source
         if replaced.watching:  # the watch begins with the complete list: another service has its own versions
             source.watch(True)
         replaced.watch(False)  # at once: what it receives in this turn of the loop is not read any more
@@ -246,7 +246,7 @@
         from apigateway.policy.overload_gate import OverloadGate
 
         limits = config.settings.limits
-        max_retry_after = limits.max_retry_after if limits.can_tell_retry_after else 0.0
+        max_retry_after = limits.max_retry_after if limits.can_send_retry_after else 0.0
         terms = (*config.overload, max_retry_after)
         if self._overload_gate is None:
             self._overload_gate = OverloadGate(*terms, config.seed)
@@ -297,14 +297,14 @@
         self.core.dispatch(messages.DrainGateway(False))
         await self.listen(sockets)
 
-    def begin(self, predecessor_listing: Listing) -> None:
+    def reset_decision_module(self, predecessor_listing: EndpointListing) -> None:
         """Start the decision module anew, with the endpoints that this process knows.
 
         An endpoint drains if either process was told that it does: the gateway was told. The source is asked
         again, so that a drain which is over ends.
         """
         self.core.module = self._create_decision_module()
-        self.core.dispatch(replace(self.endpoint_list.listing.hosts, mode=messages.ListMode.CACHED))
+        self.core.dispatch(replace(self.endpoint_list.listing.endpoint_list, mode=messages.ListMode.CACHED))
         draining = self.endpoint_list.available_but_draining_in(predecessor_listing)
         if not draining:
             return
@@ -312,9 +312,9 @@
         if driver is not None:  # through the reconciler, or what it reports later would not be a change
             driver.mark_draining(endpoint.id for endpoint in draining)
         else:
-            version = self.endpoint_list.listing.hosts.version
+            version = self.endpoint_list.listing.endpoint_list.version
             self.endpoint_list.apply(
-                Listing(messages.EndpointList(messages.ListMode.DELTA, version, draining), {})
+                EndpointListing(messages.EndpointList(messages.ListMode.DELTA, version, draining), {})
             )
         self.endpoint_source.fetch()
 
--- a/apigateway/daemon/gateway_status.py
+++ b/apigateway/daemon/gateway_status.py
@@ -11,14 +11,14 @@
 
 from apigateway import messages
 from apigateway.daemon.endpoint_load import EndpointLoad
-from apigateway.upstream.address import Address, write_address
+from apigateway.upstream.address import Address, format_address
 
 if TYPE_CHECKING:
     from apigateway.external_ratelimit.limiter import LimiterStatus
 
 # The decision module's words for states of an endpoint, in those of operators; others are the same.
 _STATE_FOR_OPERATORS: dict[messages.EndpointStatus, str] = {
-    messages.EndpointStatus.LEAVING: "draining",
+    messages.EndpointStatus.DRAINING: "draining",
     messages.EndpointStatus.DOWN: "gone",
 }
 
@@ -42,7 +42,7 @@
         endpoint = self.endpoint
         return {
             "id": endpoint.id,
-            "address": write_address(self.address) if self.address else "",
+            "address": format_address(self.address) if self.address else "",
             "zone": endpoint.zone,
             "cell": endpoint.cell,
             "kind": endpoint.kind,
--- a/apigateway/daemon/settings_runtime.py
+++ b/apigateway/daemon/settings_runtime.py
@@ -22,9 +22,9 @@
 from apigateway.frontends.grpc.mapping import DescriptorMapping, MappingRule
 from apigateway.frontends.grpc.settings import RateLimitSection, RuleSection
 from apigateway.membership.file import read_endpoint_file
-from apigateway.membership.listing import Listing
+from apigateway.membership.listing import EndpointListing
 from apigateway.membership.reconciler import ReconcilerSettings
-from apigateway.upstream.address import read_address
+from apigateway.upstream.address import parse_address
 
 if TYPE_CHECKING:
     from apigateway.membership.eureka.registration import RegistrationSettings
@@ -46,24 +46,24 @@
     Raises:
         InvalidConfigFileError: With all that is wrong in the file of hosts.
     """
-    listeners = [read_address(listener.address) for listener in settings.listeners]
+    listeners = [parse_address(listener.address) for listener in settings.listeners]
     endpoint_file = None
-    known_endpoints = Listing(messages.EndpointList(messages.ListMode.CACHED, 0, ()), {})
+    known_endpoints = EndpointListing(messages.EndpointList(messages.ListMode.CACHED, 0, ()), {})
     if settings.hosts.source == "file":
         endpoint_file = os.path.join(os.path.dirname(os.path.abspath(path)), settings.hosts.file)
         known_endpoints = read_endpoint_file(endpoint_file, messages.ListMode.CACHED)
     return Config(
         grpc_listeners=frozenset(
-            read_address(one.address) for one in settings.listeners if one.protocol == "grpc"
+            parse_address(one.address) for one in settings.listeners if one.protocol == "grpc"
         ),
         registry=build_registry(settings),
         registration=_build_registration(settings, listeners[0][1]),
         reconciler=ReconcilerSettings(**msgspec.to_builtins(settings.trust)),
         name=settings.gateway.name,
         listeners=tuple(listeners),
-        discovery=read_address(settings.hosts.discovery) if settings.hosts.source == "discovery" else None,
+        discovery=parse_address(settings.hosts.discovery) if settings.hosts.source == "discovery" else None,
         endpoint_file=endpoint_file,
-        counter=read_address(settings.counter.address) if settings.counter.address else None,
+        counter=parse_address(settings.counter.address) if settings.counter.address else None,
         seed=settings.gateway.seed or random.SystemRandom().getrandbits(63),
         memory_bytes=settings.limits.memory_mb * MIB,
         max_descriptors=settings.limits.sockets,
@@ -158,7 +158,7 @@
         counter_price=settings.counter.price,
         counter_timeout=settings.counter.timeout,
         meter_period=0.0,
-        settles_units=False,
+        charges_actual_units=False,
         max_units=limits.max_units,
         discovery_mode=messages.DiscoveryMode.PUSH,
         load_report_fields=tuple(settings.hosts.reports),
@@ -176,7 +176,7 @@
         name,
         latency_objective=section.aim,
         deadline=section.deadline,
-        effect=messages.Effect(section.effect),
+        idempotency=messages.Idempotency(section.effect),
         deduplication_scope=messages.DeduplicationScope(section.scope),
         deduplication_window=section.memory,
         priority_weight=section.worth,
@@ -207,7 +207,7 @@
         can_hedge=section.second_copies,
         can_check_health=False,
         can_message_peers=False,
-        can_tell_retry_after=section.retry_after,
+        can_send_retry_after=section.retry_after,
         max_attempts=section.max_attempts,
         max_retry_after=section.max_retry_after,
         connect_timeout=section.connect_timeout,
--- a/apigateway/routing/zone_health.py
+++ b/apigateway/routing/zone_health.py
@@ -73,7 +73,7 @@
         """Record the result of an attempt; a reset may come from the host or the network."""
         if result == AttemptResult.CONNECT_FAILED:
             self.record_no_answer(name, host, now)
-        elif result in (AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.OK):
+        elif result in (AttemptResult.ERROR, AttemptResult.REJECTED, AttemptResult.OK):
             self.record_answer(name)
 
     def traffic_share(self, name: str, now: float) -> float:
--- a/tests/membership/test_reconciler_driver.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -1,19 +1,19 @@
 """The reconciler beside discovery, and passed on from one source to the next."""
 
-from netkit import command, on_loop
-from rig import Site
+from gateway_harness import make_command, run_on_uvloop
+from rig import LocalDeployment
 
 from apigateway import messages
 from apigateway.emulators.discovery import EmulatedDiscovery
-from apigateway.membership.listing import Listing, read_list
+from apigateway.membership.listing import EndpointListing, listing_from_json
 from apigateway.membership.reconciler import ReconcilerSettings, ReportedEndpoint
 from apigateway.membership.reconciler_driver import ReconcilerDriver
 
-NOTHING = Listing(messages.EndpointList("cached", 0, ()), {})
+NOTHING = EndpointListing(messages.EndpointList("cached", 0, ()), {})
 
 
 def listing(*ids, full=True, state="up"):
-    return read_list(
+    return listing_from_json(
         {
             "version": 1,
             "full": full,
@@ -22,7 +22,7 @@
     )
 
 
-@on_loop
+@run_on_uvloop
 async def test_discovery_when_it_comes_back_empty_then_its_endpoints_stay_and_marks_count_at_once():
     changes = []
     driver = ReconcilerDriver(ReconcilerSettings(), NOTHING, changes.append, lambda: 100.0)
@@ -30,11 +30,11 @@
     driver.apply_listing(listing())
     assert len(changes) == 1 and set(driver.reconciler.records) == {"a", "b", "c"}
     driver.apply_listing(listing("a", full=False, state="removed"))
-    assert [h.state for h in changes[-1].hosts.endpoints] == ["down"]
+    assert [h.state for h in changes[-1].endpoint_list.endpoints] == ["down"]
     assert set(driver.reconciler.records) == {"b", "c"}
 
 
-@on_loop
+@run_on_uvloop
 async def test_reconciler_when_passed_on_then_keeps_its_doubts_and_its_age():
     first = ReconcilerDriver(ReconcilerSettings(), NOTHING, lambda _: None, lambda: 100.0)
     first.apply(
@@ -53,18 +53,18 @@
     first.close()
 
 
-@on_loop
+@run_on_uvloop
 async def test_gateway_when_discovery_comes_back_empty_then_serves_on(tmp_path):
-    async with Site(tmp_path, hosts=2) as site, EmulatedDiscovery() as discovery:
+    async with LocalDeployment(tmp_path, hosts=2) as site, EmulatedDiscovery() as discovery:
         discovery.servers = [h.entry() for h in site.hosts]
-        site.write(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
-        program = await site.start()
+        site.write_settings(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
+        program = await site.start_gateway()
         discovery.raw = "{"  # the watch fails, and the whole list is asked for
         discovery.change([])
         discovery.servers = []
-        await site.line(program, b"the last list stays")
+        await site.wait_for_log_line(program, b"the last list stays")
         while "index" not in await discovery.calls.get():
             pass  # it has read the empty list once it watches again
         for n in range(20):
-            assert (await site.ask(command(b"r%d" % n))).startswith(b"$")
+            assert (await site.send_request(make_command(b"r%d" % n))).startswith(b"$")
         assert sum(len(h.commands) for h in site.hosts) == 20
