--- a/apigateway/routing/outlier_detection.py
+++ b/apigateway/routing/outlier_detection.py
@@ -13,9 +13,9 @@
 class OutlierDetector:
     """Estimates how likely a host is failing, in each scope: the whole host, a class or a plan.
 
-    Errors, timeouts, lost connections and `full` are treated alike. A failure counts in each scope, weighted
-    by how much of the fleet fails in that scope. An answer to another kind of request does not clear it.
-    During a fault, hosts that have proved to work are preferred. The drawback: after a chance failure a
+    Errors, timeouts, lost connections and rejections are treated alike. A failure counts in each scope,
+    weighted by how much of the fleet fails in that scope. An answer to another kind of request does not clear
+    it. During a fault, hosts that have proved to work are preferred. The drawback: after a chance failure a
     healthy host gets less traffic until half of the evidence has decayed.
     """
 
--- a/apigateway/simulation/__init__.py
+++ b/apigateway/simulation/__init__.py
@@ -1,5 +1,5 @@
-"""A fleet on a simulated clock: real decision modules, all else modelled.
+"""A discrete-event simulation of a fleet with real decision modules.
 
-Modelled are hosts, the quota counter, the endpoint list, clients, links and faults. Pure: no I/O, and no
-clock but its own. The same seed comes to the same figures.
+Hosts, the quota counter, the endpoint list, clients, links and faults are modelled. There is no I/O and no
+clock other than the simulated one. The same seed produces the same figures.
 """
--- a/apigateway/simulation/baselines.py
+++ b/apigateway/simulation/baselines.py
@@ -1,8 +1,8 @@
-"""Simple policies that the decision module is measured against.
+"""Simple policies to compare the decision module with.
 
-A host's load is the requests that it holds for each core. Policies see the true state, or with an age behind
-their name (`two:0.5`) that of so many seconds ago. Only `quota` keeps quotas: it chooses as `two` does, and
-rejects what customers' quotas have no room for by their true state, which no counter and no gateway tells.
+The load of a host is its number of requests per core. Policies see the true current state, or with an age
+after their name (`two:0.5`) the state that many seconds ago. Only `quota` enforces quotas: it selects hosts
+like `two`, and rejects requests beyond the true quota of a customer, which no real gateway or counter knows.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from apigateway.simulation.rule_checker import RuleChecker
 from apigateway.simulation.scenario import Scenario
 
-MAX_FIRST_TURN = 1 << 20  # round robin starts at a random turn below this
+MAX_FIRST_POSITION = 1 << 20  # round robin starts at a random position below this
 
 
 class BaselineKind(StrEnum):
-    """The baselines by their names in experiment files."""
+    """The baselines; the values are their names in experiment files."""
 
     RANDOM = "random"
     ROUND_ROBIN = "robin"
@@ -32,27 +32,27 @@
 
 
 class BaselinePolicy(NamedTuple):
-    """A baseline and the age in seconds of the state that it sees."""
+    """A baseline, and the age in seconds of the state that it sees."""
 
     kind: BaselineKind
     age: float
 
     @classmethod
     def parse(cls, text: str) -> BaselinePolicy:
-        """Read `KIND` or `KIND:AGE`.
+        """Parse `KIND` or `KIND:AGE`.
 
         Raises:
-            ValueError: There is no such baseline, or the age is no number of seconds.
+            ValueError: The baseline is unknown, or the age is not a number of seconds.
         """
         kind, _, age_text = text.partition(":")
         age = float(age_text or 0)
-        if not age >= 0:  # also what is not a number
-            raise ValueError(f"{text}: the age is below 0")
+        if not age >= 0:  # also rejects NaN
+            raise ValueError(f"{text}: the age must be 0 or more seconds")
         return cls(BaselineKind(kind), age)
 
 
 def is_baseline(text: str) -> bool:
-    """Return whether there is a baseline of this name."""
+    """Return whether the text names a baseline."""
     try:
         BaselinePolicy.parse(text)
     except ValueError:
@@ -62,14 +62,14 @@
 
 @dataclass(slots=True)
 class BaselineRequest:
-    """A request that a baseline is at work on."""
+    """A request in progress."""
 
     service_class: messages.ServiceClass
-    tried_endpoints: set[str] = field(default_factory=set)
+    tried_endpoint_ids: set[str] = field(default_factory=set)
 
 
 class BaselineModule:
-    """Stands in for the decision module of one gateway."""
+    """A replacement for the decision module of one gateway."""
 
     def __init__(
         self,
@@ -87,10 +87,10 @@
         self._classes = {workload.cls.name: workload.cls for workload in scenario.works}
         self._available: dict[str, messages.Endpoint] = {}
         self._requests: dict[str, BaselineRequest] = {}
-        self._turn = rng.randrange(MAX_FIRST_TURN)
+        self._position = rng.randrange(MAX_FIRST_POSITION)
 
     def handle(self, now: float, event: messages.Event) -> Sequence[messages.Action]:
-        """Return what is to be done upon an event."""
+        """Return the actions that an event leads to."""
         match event:
             case messages.EndpointList():
                 self._on_endpoint_list(event)
@@ -118,7 +118,7 @@
         return self._forward(event.request_id)
 
     def _on_failed_attempt(self, event: messages.AttemptOutcome) -> Sequence[messages.Action]:
-        """Retry if that is safe."""
+        """Retry a request if that is safe, else fail it."""
         request = self._requests[event.request_id]
         match event.result:
             case messages.AttemptResult.CONNECT_FAILED | messages.AttemptResult.REJECTED:
@@ -134,23 +134,23 @@
         return [messages.Fail(request_id)]
 
     def _forward(self, request_id: str) -> Sequence[messages.Action]:
-        tried = self._requests[request_id].tried_endpoints
-        if len(tried) >= self._max_attempts or len(tried) >= len(self._available):
+        tried_ids = self._requests[request_id].tried_endpoint_ids
+        if len(tried_ids) >= self._max_attempts or len(tried_ids) >= len(self._available):
             return self._fail(request_id)
-        endpoint_id = self._select_endpoint(tried)
-        tried.add(endpoint_id)
+        endpoint_id = self._select_endpoint(tried_ids)
+        tried_ids.add(endpoint_id)
         return [messages.ForwardRequest(request_id, endpoint_id)]
 
-    def _select_endpoint(self, tried: set[str]) -> str:
-        candidates = [endpoint_id for endpoint_id in self._available if endpoint_id not in tried]
+    def _select_endpoint(self, tried_ids: set[str]) -> str:
+        candidates = [endpoint_id for endpoint_id in self._available if endpoint_id not in tried_ids]
         match self._policy.kind:
             case BaselineKind.ROUND_ROBIN:
-                self._turn += 1
-                return candidates[self._turn % len(candidates)]
+                self._position += 1
+                return candidates[self._position % len(candidates)]
             case BaselineKind.RANDOM:
                 return candidates[int(self._rng.random() * len(candidates))]
             case BaselineKind.LEAST_LOADED:
-                self._rng.shuffle(candidates)  # so that equals are not always taken in one order
+                self._rng.shuffle(candidates)  # a random order among equally loaded hosts
             case BaselineKind.TWO_CHOICES | BaselineKind.QUOTA:
                 candidates = self._rng.sample(candidates, min(2, len(candidates)))
         age = self._policy.age
--- a/apigateway/simulation/client_traffic.py
+++ b/apigateway/simulation/client_traffic.py
@@ -1,4 +1,4 @@
-"""The clients of a simulation: they send requests to gateways, retry, and note what became of their calls."""
+"""The clients of a simulation: they send requests to gateways, retry, and record the results of calls."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from apigateway.simulation.results import ResponseOutcome
 from apigateway.simulation.scenario import CustomerSettings
 
-CONNECTION_LOST_S = 0.001  # until a client knows that it has reached a dead gateway
+CONNECTION_LOST_DELAY_S = 0.001  # until a client notices that the gateway is dead
 UNITS_PER_REQUEST = 1.0
-MIN_RETRY_WAIT_FACTOR = 0.5  # of `wait`; the factor is drawn between this and 1 more
+MIN_RETRY_WAIT_FACTOR = 0.5  # the factor of `wait` is drawn between this and this plus 1
 
 
 class ClientRequest:
@@ -29,27 +29,27 @@
         self._is_answered = False
         self.call = call
         self.is_measured = is_measured
-        self.request_id = f"{call.number}.{call.requests}"
+        self.request_id = f"{call.number}.{call.request_count}"
 
     def on_attempt_received(self, attempt: Attempt) -> None:
-        """Charge the customer when an attempt reaches a host, unless the request was answered meanwhile."""
+        """Charge the customer for an attempt that reached a host, unless the request is answered already."""
         if not self._is_answered:
             self._traffic.charge(self.call, attempt)
 
     def on_response(self, outcome: ResponseOutcome, retry_after: float) -> None:
-        """Take the answer."""
+        """Handle the answer."""
         self._is_answered = True
         self._traffic.unanswered.pop(self.request_id)
         self._traffic.on_response(self.call, self.is_measured, outcome, retry_after)
 
 
 class ClientTraffic:
-    """Sends the calls that the demand generator draws.
+    """Sends the calls that the demand generator produces.
 
     Attributes:
-        demand: The customers and what they call for.
-        load_factor: The load now, as a multiple of the scenario's.
-        unanswered: Requests without an answer, by their ids.
+        demand: Generates the customers and their calls.
+        load_factor: The current load as a multiple of the scenario's load.
+        unanswered: Requests without an answer, by id.
     """
 
     def __init__(
@@ -67,13 +67,13 @@
         self.unanswered: dict[str, ClientRequest] = {}
 
     def start(self) -> None:
-        """Begin to send calls."""
+        """Start sending calls."""
         if self._settings.shift:
             self._clock.call_later(self._settings.shift, self._shift_customer)
         self._schedule_next_call()
 
     def end(self) -> None:
-        """Send no further calls; retries go on."""
+        """Stop sending new calls; retries continue."""
         self._has_ended = True
 
     def _schedule_next_call(self) -> None:
@@ -96,14 +96,14 @@
         self._send_request(call, is_measured)
 
     def _send_request(self, call: ClientCall, is_measured: bool) -> None:
-        """Send a call's first request or a retry, through one of its customer's gateways."""
-        call.requests += 1
+        """Send the first request of a call or a retry through one of the customer's gateways."""
+        call.request_count += 1
         gateway = self._draw_gateway(call.customer)
         if is_measured:
             self._metrics.counts[Metric.REQUESTS] += 1
         if not gateway.is_alive:
             outcome = ResponseOutcome.CONNECTION_LOST
-            self._clock.call_later(CONNECTION_LOST_S, self.on_response, call, is_measured, outcome, 0.0)
+            self._clock.call_later(CONNECTION_LOST_DELAY_S, self.on_response, call, is_measured, outcome, 0.0)
             return
         client_request = ClientRequest(self, call, is_measured)
         self.unanswered[client_request.request_id] = client_request
@@ -118,7 +118,7 @@
             units=UNITS_PER_REQUEST,
             first_gateway=customer.first_gateway,
             gateway_spread=customer.gateway_spread,
-            is_retry=call.requests > 1,
+            is_retry=call.request_count > 1,
             is_write=service_class.idempotency != messages.Idempotency.SAFE,
         )
         gateway.accept(request, call.work, client_request)
@@ -126,15 +126,17 @@
     def _draw_gateway(self, customer: Customer) -> SimulatedGateway:
         gateways = self._fleet.gateways
         gateway = gateways[self.demand.draw_gateway(customer)]
-        if gateway.is_alive or self._clock.now - gateway.died_at < self._settings.notice:
+        if gateway.is_alive or self._clock.now - gateway.crashed_at < self._settings.notice:
             return gateway
-        # What spreads the requests over gateways has noticed that this one is dead.
+        # The load balancer in front of the gateways has noticed that this one is dead.
         first = customer.first_gateway
-        own_gateways = [gateways[(first + n) % len(gateways)] for n in range(customer.gateway_spread)]
-        return self._rng.choice([own for own in own_gateways if own.is_alive] or [gateway])
+        customer_gateways = [gateways[(first + n) % len(gateways)] for n in range(customer.gateway_spread)]
+        return self._rng.choice(
+            [candidate for candidate in customer_gateways if candidate.is_alive] or [gateway]
+        )
 
     def charge(self, call: ClientCall, attempt: Attempt) -> None:
-        """Take in that an attempt for a call has reached a host."""
+        """Charge the customer of a call for an attempt that reached a host."""
         customer = call.customer
         is_within_quota = self._rule_checker.on_attempt_received(attempt, customer, call.workload.cls)
         if is_within_quota is not None:
@@ -143,7 +145,7 @@
     def on_response(
         self, call: ClientCall, is_measured: bool, outcome: ResponseOutcome, retry_after: float
     ) -> None:
-        """Take the answer to a request: retry, or end the call."""
+        """Handle the answer to a request: retry, or end the call."""
         if is_measured and outcome is ResponseOutcome.REJECTED:
             self._count_rejection(call)
         if self._may_retry(call, outcome):
@@ -160,7 +162,7 @@
                 is_retryable = call.workload.cls.idempotency == messages.Idempotency.SAFE
             case ResponseOutcome.SERVED:
                 is_retryable = False
-        if not is_retryable or call.requests > self._settings.retries:
+        if not is_retryable or call.request_count > self._settings.retries:
             return False
         return self._clock.now - call.created_at < call.workload.cls.deadline
 
@@ -191,7 +193,7 @@
                 self._metrics.second(call.created_at).within_objective += 1
 
     def _shift_customer(self) -> None:
-        """Let one customer after another use others of its gateways most, each once in the settings' time."""
+        """Redraw the gateway preference of a random customer; each is due about once in `shift` seconds."""
         customers = self.demand.customers
         self.demand.draw_gateway_preference(customers[self._rng.randrange(len(customers))])
         self._clock.call_later(self._settings.shift / len(customers), self._shift_customer)
--- a/apigateway/simulation/clock.py
+++ b/apigateway/simulation/clock.py
@@ -1,7 +1,7 @@
-"""The one clock of a simulation, and the random streams of its parts.
+"""The clock of a simulation, and the random streams of its parts.
 
-Callbacks that are due at one moment run in the order in which they were scheduled, so that a simulation is
-the same to the byte for one seed.
+Callbacks that are due at the same time run in the order in which they were scheduled, so that a simulation
+is exactly reproducible for a seed.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-START_TIME = 1_000_000.0  # s; Unix time at which a simulation begins, far from the 0 that means "long ago"
+START_TIME = 1_000_000.0  # s, Unix time; not near 0, which means "long ago"
 
 
 class SimulatedClock:
@@ -24,19 +24,19 @@
     def __init__(self) -> None:
         self.now = START_TIME
         self._queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._scheduled = 0  # breaks ties between callbacks that are due at the same moment
+        self._scheduled_count = 0  # orders callbacks that are due at the same time
 
     def call_at(self, when: float, callback: Callable[..., None], *args: Any) -> None:
-        """Schedule a callback at a time; a time that has passed counts as now."""
-        self._scheduled += 1
-        heapq.heappush(self._queue, (max(when, self.now), self._scheduled, callback, args))
+        """Schedule a callback at a time; a time in the past counts as now."""
+        self._scheduled_count += 1
+        heapq.heappush(self._queue, (max(when, self.now), self._scheduled_count, callback, args))
 
     def call_later(self, delay: float, callback: Callable[..., None], *args: Any) -> None:
         """Schedule a callback after a delay in seconds."""
         self.call_at(self.now + delay, callback, *args)
 
     def run_until(self, end: float) -> None:
-        """Run all callbacks that are due by `end`, those that they schedule included, and stop there."""
+        """Run all callbacks that are due by `end`, including newly scheduled ones, and advance to `end`."""
         queue = self._queue
         while queue and queue[0][0] <= end:
             self.now, _, callback, args = heapq.heappop(queue)
@@ -47,6 +47,6 @@
 def random_stream(seed: int, *names: object) -> random.Random:
     """Return the random generator of one part of a simulation.
 
-    Each part has a stream of its own: what one part draws changes nothing for the others.
+    Each part has its own stream, so that the numbers that one part draws do not affect the others.
     """
     return random.Random("/".join(map(str, (seed, *names))))
--- a/apigateway/simulation/counter_client.py
+++ b/apigateway/simulation/counter_client.py
@@ -1,4 +1,4 @@
-"""A simulated gateway's calls of the quota counter."""
+"""Calls of a simulated gateway to the quota counter."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CounterCall:
-    """One call of the counter, until it is answered or times out."""
+    """A call to the counter, until it is answered or times out."""
 
     __slots__ = ("_context", "_incarnation", "_is_pending", "_key", "_started_at")
 
@@ -28,7 +28,7 @@
         environment.network.send(environment.counter_location, self._context.location, self._on_reply, reply)
 
     def on_timeout(self) -> None:
-        """Give the call up, unless it has been answered."""
+        """Time out the call, unless it has been answered."""
         if self._is_pending:
             self._context.environment.metrics.count(Metric.COUNTER_TIMEOUTS)
         self._on_reply(TIMED_OUT)
@@ -42,7 +42,7 @@
 
 
 def add_to_counter(context: GatewayContext, action: messages.AddToCounter) -> None:
-    """Send an addition to the counter; its result is handed to the decision module."""
+    """Send an addition to the counter; its result is passed to the decision module."""
     environment = context.environment
     environment.metrics.count(Metric.COUNTER_CALLS)
     call = CounterCall(context, action.counter_key)
--- a/apigateway/simulation/decision_module.py
+++ b/apigateway/simulation/decision_module.py
@@ -1,4 +1,4 @@
-"""The interface of the decision module, as the simulation uses it."""
+"""The interface of the decision module that the simulation uses."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class DecisionModule(Protocol):
-    """Decides what one gateway does: it is handed events and returns actions."""
+    """The decisions of one gateway: maps events to actions."""
 
     def handle(self, now: float, event: messages.Event) -> Sequence[messages.Action]:
-        """Return what is to be done upon an event."""
+        """Return the actions that an event leads to."""
 
 
 ModuleFactory = Callable[[messages.Settings, int, float], DecisionModule]  # settings, seed, time
--- a/apigateway/simulation/demand.py
+++ b/apigateway/simulation/demand.py
@@ -1,4 +1,4 @@
-"""Customers and their clients: who calls when, and through which gateway."""
+"""Generates customers and their calls: who calls when, and through which gateway."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from apigateway.simulation.scenario import Scenario, Workload
 from apigateway.simulation.token_bucket import TokenBucket
 
-GATEWAYS_PER_BUSY_ONE = 50  # one gateway in so many gets the traffic of `CustomerSettings.busiest`
-MIN_GATEWAYS_FOR_BUSY_ONE = 11  # fewer have none
-CALM_USE = (0.5, 1.5)  # what a customer that is not heavy asks for, as multiples of `CustomerSettings.calm`
+GATEWAYS_PER_BUSY_ONE = 50  # one gateway in 50 gets the traffic of `CustomerSettings.busiest`
+MIN_GATEWAYS_FOR_BUSY_ONE = 11  # a smaller fleet has no busy gateway
+CALM_USE_FACTORS = (0.5, 1.5)  # min and max demand of a customer that is not heavy, times `calm`
 
 
 class Customer:
-    """A customer: its plan, its rate, the gateways that it uses, and its quota kept at one place.
+    """A customer: its plan, its request rate, the gateways that it uses, and its exact quota.
 
     Attributes:
-        request_rate: First requests a second.
-        first_gateway: It uses `gateway_spread` gateways in a row from this one.
-        cumulative_weights: How its traffic is spread over its gateways.
+        request_rate: First requests per second.
+        first_gateway: Index of the first of its `gateway_spread` consecutive gateways.
+        cumulative_weights: Distribution of its traffic over its gateways.
     """
 
     __slots__ = (
@@ -49,7 +49,7 @@
         self.quota = TokenBucket(plan.rate, plan.burst, START_TIME)
 
     def take_from_quota(self, now: float, units: float = 1.0) -> bool:
-        """Take units from its quota if they fit, and return whether they do."""
+        """Take units from the quota if enough remain, and return whether they did."""
         if not self.plan.rate:
             return True
         if self.quota.refill(now) < units:
@@ -60,12 +60,12 @@
 
 @dataclass(slots=True)
 class ClientCall:
-    """What a client wants, over its first request and all retries.
+    """A call of a client, with its first request and all retries.
 
     Attributes:
-        work: Core seconds that it costs a host.
-        is_within_quota: Whether the request that was last forwarded for it was inside the customer's quota.
-        requests: Requests sent so far.
+        work: Core seconds that it takes on a host.
+        is_within_quota: Whether its latest forwarded request was within the customer's quota.
+        request_count: Requests sent so far.
     """
 
     customer: Customer
@@ -74,32 +74,32 @@
     created_at: float
     number: int
     is_within_quota: bool = False
-    requests: int = 0
+    request_count: int = 0
 
 
 def mean_work(workloads: tuple[Workload, ...]) -> float:
-    """Return the core seconds of a request in the mean over all classes."""
+    """Return the mean core seconds of a request over all classes."""
     total_share = sum(workload.share for workload in workloads)
     return sum(workload.share * workload.mean for workload in workloads) / total_share
 
 
 class DemandGenerator:
-    """Draws the customers of a scenario and their calls.
+    """Generates the customers of a scenario and their calls.
 
-    Who calls when is drawn from `rng` alone, so that it is the same whatever becomes of the calls; through
-    which gateway is drawn from `gateway_rng`.
+    The times and customers of calls are drawn from `rng` alone, so that they do not depend on the results of
+    earlier calls. Gateways are drawn from `gateway_rng`.
     """
 
     def __init__(
         self, scenario: Scenario, capacity: float, rng: random.Random, gateway_rng: random.Random
     ) -> None:
-        """Draw the customers.
+        """Generate the customers.
 
         Args:
-            scenario: What is simulated.
-            capacity: What all hosts can do, in core seconds a second.
+            scenario: The scenario.
+            capacity: Capacity of all hosts, in core seconds per second.
             rng: Draws customers and calls.
-            gateway_rng: Draws the gateways that calls come through.
+            gateway_rng: Draws the gateways of calls.
         """
         self._scenario = scenario
         self._rng = rng
@@ -110,13 +110,15 @@
         settings = scenario.customers
         for plan, share in zip(settings.plans, settings.shares, strict=True):
             self._add_customers(plan, share * load_rate)
-        self._cumulative_rates = list(itertools.accumulate(c.request_rate for c in self.customers))
+        self._cumulative_rates = list(
+            itertools.accumulate(customer.request_rate for customer in self.customers)
+        )
         self._rate = self._cumulative_rates[-1]
         self._cumulative_shares = list(itertools.accumulate(work.share for work in scenario.works))
-        self._calls = 0
+        self._call_count = 0
 
     def _draw_gateway_weights(self) -> list[float]:
-        """Draw how much of the traffic each gateway attracts, whoever calls."""
+        """Draw the share of traffic that each gateway attracts from any customer, as weights."""
         settings = self._scenario.customers
         gateways = self._scenario.gateways
         rng = self._rng
@@ -128,14 +130,16 @@
         return weights
 
     def _add_customers(self, plan: messages.Plan, plan_rate: float) -> None:
-        """Add customers of a plan until they make up its request rate."""
+        """Add customers of a plan until they produce its request rate."""
         settings = self._scenario.customers
         gateways = self._scenario.gateways
         remaining_rate = plan_rate
         number = 0
         while remaining_rate > 0 and (plan.rate or number < settings.count):
             is_heavy = self._rng.random() < settings.heavy
-            quota_use = settings.heavy_times if is_heavy else self._rng.uniform(*CALM_USE) * settings.calm
+            quota_use = (
+                settings.heavy_times if is_heavy else self._rng.uniform(*CALM_USE_FACTORS) * settings.calm
+            )
             request_rate = plan.rate * quota_use if plan.rate else plan_rate / settings.count
             spread = self._draw_gateway_spread(plan)
             first_gateway = self._rng.randrange(gateways)
@@ -147,14 +151,14 @@
 
     def _draw_gateway_spread(self, plan: messages.Plan) -> int:
         gateways = self._scenario.gateways
-        # With a ceiling, an even part of the ceiling's burst must be two requests at least.
-        most = max(2, int(plan.ceiling_burst / 2)) if plan.ceiling_rate else gateways
+        # With a ceiling, an equal share of its burst must be at least two requests.
+        max_spread = max(2, int(plan.ceiling_burst / 2)) if plan.ceiling_rate else gateways
         low, high = (max(1, round(part * gateways)) for part in self._scenario.customers.spread)
-        spread = min(gateways, most, self._rng.randint(min(low, high), high))
+        spread = min(gateways, max_spread, self._rng.randint(min(low, high), high))
         return max(spread, min(2, gateways))
 
     def draw_gateway_preference(self, customer: Customer) -> None:
-        """Draw anew which of its gateways a customer uses most."""
+        """Draw which of its gateways a customer prefers."""
         ranks = list(range(customer.gateway_spread))
         self._gateway_rng.shuffle(ranks)
         gateways = self._scenario.gateways
@@ -170,11 +174,11 @@
         """Draw the next call.
 
         Args:
-            now: The time from which on it may come.
-            load_factor: The load now, as a multiple of the scenario's.
+            now: The earliest time of the call.
+            load_factor: The current load as a multiple of the scenario's load.
 
         Returns:
-            The call; it begins at its `created_at`.
+            The call, which begins at its `created_at`.
         """
         rng = self._rng
         rates = self._cumulative_rates
@@ -182,12 +186,12 @@
         customer = self.customers[bisect.bisect(rates, rng.random() * rates[-1])]
         workload = self._scenario.works[bisect.bisect(shares, rng.random() * shares[-1])]
         created_at = now + rng.expovariate(self._rate * load_factor)
-        self._calls += 1
+        self._call_count += 1
         work = rng.expovariate(1 / workload.mean)
-        return ClientCall(customer, workload, work, created_at, self._calls)
+        return ClientCall(customer, workload, work, created_at, self._call_count)
 
     def draw_gateway(self, customer: Customer) -> int:
-        """Draw the index of the gateway that a request of this customer comes through."""
+        """Draw the index of the gateway that receives a request of a customer."""
         weights = customer.cumulative_weights
         position = bisect.bisect(weights, self._gateway_rng.random() * weights[-1])
         position = min(position, customer.gateway_spread - 1)
--- a/apigateway/simulation/faults.py
+++ b/apigateway/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a scenario's timeline."""
+"""Injects the faults of a scenario."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from apigateway.simulation.network import LinkFault, Network
 from apigateway.simulation.scenario import FaultKind, FaultSettings, Scenario
 
-REMOVAL_MARGIN_S = 6.0  # a drained host stays for so long after the last gateway must have left it
-RESTART_SPREAD = (0.75, 0.5)  # a gateway is back after a random part of `back`: least, width
+REMOVAL_MARGIN_S = 6.0  # from the end of the drain, when no gateway may use the host, until its removal
+RESTART_DELAY_FACTORS = (0.75, 0.5)  # random factor of `back`: minimum and width
 
 T = TypeVar("T")
 
 
 class FaultInjector:
-    """Begins the faults of a scenario, and ends each one when it has lasted."""
+    """Begins the faults of a scenario, and ends each of them after its duration."""
 
     def __init__(self, scenario: Scenario, fleet: Fleet, traffic: ClientTraffic, rng: random.Random) -> None:
         self._scenario = scenario
@@ -53,30 +53,30 @@
         }
 
     def begin(self, fault: FaultSettings) -> None:
-        """Begin a fault now."""
+        """Begin a fault."""
         self._injectors[FaultKind(fault.what)](fault)
 
-    def _draw_part(self, items: Sequence[T], part: float) -> list[T]:
-        """Draw a part of some items: one at least, if there are any."""
+    def _draw_share(self, items: Sequence[T], share: float) -> list[T]:
+        """Draw a share of some items, at least one if there are any."""
         if not items:
             return []
-        return self._rng.sample(items, min(len(items), max(1, round(part * len(items)))))
+        return self._rng.sample(items, min(len(items), max(1, round(share * len(items)))))
 
     def _draw_hosts(self, fault: FaultSettings) -> list[SimulatedHost]:
-        return self._draw_part(list(self._fleet.hosts.values()), fault.part)
+        return self._draw_share(list(self._fleet.hosts.values()), fault.part)
 
     # Gateways
 
     def _kill_gateways(self, fault: FaultSettings) -> None:
         alive = [gateway for gateway in self._fleet.gateways if gateway.is_alive]
-        for gateway in self._draw_part(alive, fault.part):
+        for gateway in self._draw_share(alive, fault.part):
             self._kill(gateway, fault.back)
 
-    def _kill(self, gateway: SimulatedGateway, back: float) -> None:
-        """Kill a gateway, to be restarted after about `back` seconds."""
+    def _kill(self, gateway: SimulatedGateway, restart_delay: float) -> None:
+        """Kill a gateway, and restart it after about `restart_delay` seconds."""
         gateway.crash()
-        least, width = RESTART_SPREAD
-        self._clock.call_later(back * (least + width * self._rng.random()), gateway.restart)
+        min_factor, width = RESTART_DELAY_FACTORS
+        self._clock.call_later(restart_delay * (min_factor + width * self._rng.random()), gateway.restart)
 
     # Hosts
 
@@ -85,7 +85,7 @@
             self._clock.call_later(self._rng.random() * fault.over, self._replace, host)
 
     def _replace(self, host: SimulatedHost) -> None:
-        """Drain a host and let a cold one take its place."""
+        """Drain a host and add a cold one in its place."""
         endpoint = host.endpoint
         if endpoint.id not in self._fleet.hosts:
             return
@@ -110,17 +110,17 @@
     def _refuse_connections(self, fault: FaultSettings) -> None:
         all_gateways = range(len(self._fleet.gateways))
         for host in self._draw_hosts(fault):
-            # Drawn for both kinds, so that what follows is the same.
+            # Drawn for both kinds of fault, so that later random numbers are the same.
             half = self._rng.sample(all_gateways, len(all_gateways) // 2)
             host.refused_gateways = set(all_gateways if fault.what == FaultKind.REFUSE else half)
             self._clock.call_later(fault.lasts, host.refused_gateways.clear)
 
     def _falsify_reports(self, fault: FaultSettings) -> None:
         def end(host: SimulatedHost) -> None:
-            host.reporter.is_lying = False
+            host.reporter.reports_idle = False
 
         for host in self._draw_hosts(fault):
-            host.reporter.is_lying = True
+            host.reporter.reports_idle = True
             self._clock.call_later(fault.lasts, end, host)
 
     def _slow_hosts(self, fault: FaultSettings) -> None:
@@ -132,18 +132,18 @@
         def end(host: SimulatedHost) -> None:
             host.reporter.extra_delay = 0.0
 
-        for host in self._hosts_in(fault.zone):
+        for host in self._hosts_in_zone(fault.zone):
             host.reporter.extra_delay = fault.size
             self._clock.call_later(fault.lasts, end, host)
 
     # Zones and links
 
-    def _hosts_in(self, zone: str) -> list[SimulatedHost]:
+    def _hosts_in_zone(self, zone: str) -> list[SimulatedHost]:
         return [host for host in self._fleet.hosts.values() if host.endpoint.zone == zone]
 
     def _lose_zone(self, fault: FaultSettings) -> None:
-        """Lose all hosts and gateways of a zone without a word."""
-        for host in self._hosts_in(fault.zone):
+        """Stop all hosts and gateways of a zone silently."""
+        for host in self._hosts_in_zone(fault.zone):
             host.stop()
             host.is_silent = True
             self._clock.call_later(fault.lasts, self._restart, host, fault.cold)
@@ -152,7 +152,7 @@
                 self._kill(gateway, fault.lasts)
 
     def _restart(self, host: SimulatedHost, is_cold: bool) -> None:
-        """Bring a host back, unless it has been replaced."""
+        """Restart a host, unless it has been replaced."""
         endpoint = host.endpoint
         if self._fleet.hosts.get(endpoint.id) is not host:
             return
@@ -161,24 +161,24 @@
         self._fleet.announce(host.endpoint, reaches_all=True)
 
     def _partition_zone(self, fault: FaultSettings) -> None:
-        """Cut a zone off from all others, but not from itself."""
+        """Drop all messages between a zone and the others."""
         counter_zone = self._fleet.environment.counter_location.zone
-        others = {*self._scenario.zones, counter_zone} - {fault.zone}
-        links = [LinkFault(fault.zone, other, loss=1.0) for other in sorted(others)]
-        self._add_links(links, fault.lasts)
+        other_zones = {*self._scenario.zones, counter_zone} - {fault.zone}
+        links = [LinkFault(fault.zone, other, loss=1.0) for other in sorted(other_zones)]
+        self._add_link_faults(links, fault.lasts)
 
     def _impair_link(self, fault: FaultSettings) -> None:
         link = LinkFault(fault.there, fault.zone, delay=fault.size, loss=fault.lose, is_one_way=True)
-        self._add_links([link], fault.lasts)
+        self._add_link_faults([link], fault.lasts)
 
-    def _add_links(self, links: list[LinkFault], lasts: float) -> None:
+    def _add_link_faults(self, links: list[LinkFault], duration: float) -> None:
         self._network.faults += links
 
-        def heal() -> None:
+        def end() -> None:
             for link in links:
                 self._network.faults.remove(link)
 
-        self._clock.call_later(lasts, heal)
+        self._clock.call_later(duration, end)
 
     # Counter, endpoint list and traffic
 
@@ -201,7 +201,7 @@
 
     def _shift_traffic(self, fault: FaultSettings) -> None:
         demand = self._traffic.demand
-        for customer in self._draw_part(demand.customers, fault.part):
+        for customer in self._draw_share(demand.customers, fault.part):
             demand.draw_gateway_preference(customer)
 
     def _raise_load(self, fault: FaultSettings) -> None:
--- a/apigateway/simulation/fleet.py
+++ b/apigateway/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""The hosts and gateways of a simulation, and the endpoint list between them."""
+"""The hosts and gateways of a simulation, and the distribution of the endpoint list."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from apigateway.simulation.scenario import Scenario
 
 HOSTS_PER_CELL = 6
-BIG_HOST_FACTOR = 2.0  # cores and weight of a big host against the others
+BIG_HOST_FACTOR = 2.0  # of the cores and the weight of a big host
 HOST_KIND = "k"
 MODULE_POLICY = "module"  # the decision module; any other policy is a baseline
 
 
 class Fleet:
-    """Builds the hosts and gateways of a scenario, and spreads changes of the endpoint list.
+    """Creates the hosts and gateways of a scenario, and distributes endpoint list changes.
 
     Attributes:
-        environment: What all gateways share; its `hosts` are those of the fleet.
-        gateways: By their indices.
-        extra_list_delay: Seconds that changes of the endpoint list take on top.
+        environment: Shared by all gateways; its `hosts` are those of the fleet.
+        gateways: All gateways by index.
+        extra_list_delay: Additional delay of endpoint list changes, in seconds.
     """
 
     def __init__(
@@ -45,22 +45,22 @@
         rng: random.Random,
         make_module: ModuleFactory,
     ) -> None:
-        """Build the fleet; it serves from `start` on.
+        """Create the fleet; it serves after `start`.
 
         Args:
-            scenario: What is simulated.
-            seed: Seeds the streams of hosts, links and decision modules.
+            scenario: The scenario.
+            seed: Seeds the random streams of hosts, links and decision modules.
             clock: The simulated time.
-            metrics: What is measured.
-            rng: Draws starts and delays.
-            make_module: Makes a decision module from settings, a seed and the time.
+            metrics: Records the measurements.
+            rng: Draws start times and delays.
+            make_module: Creates a decision module from settings, a seed and the time.
         """
         self._scenario = scenario
         self._seed = seed
         self._clock = clock
         self._rng = rng
         self._make_module = make_module
-        self._added_hosts = 0
+        self._added_host_count = 0
         self._idle_meter = IdleCapacityMeter(clock)
         self.extra_list_delay = 0.0
         plans = {plan.name: plan for plan in scenario.customers.plans}
@@ -85,7 +85,7 @@
         return SimulatedGateway(self.environment, index, settings.zone, self._module_factory(settings))
 
     def _module_factory(self, settings: messages.Settings) -> Callable[[], DecisionModule]:
-        """Return what makes the decision module of each incarnation of a gateway."""
+        """Return a factory of the decision modules of one gateway, one for each incarnation."""
         incarnation = 0
         policy = self._scenario.policy
 
@@ -106,12 +106,12 @@
         return make
 
     def add_host(self, zone: str, cell: int, started_at: float) -> SimulatedHost:
-        """Add a host; gateways do not know of it until it is announced."""
+        """Add a host, which gateways do not know until it is announced."""
         settings = self._scenario.machines
-        rng = random_stream(self._seed, "machine", self._added_hosts)
+        rng = random_stream(self._seed, "machine", self._added_host_count)
         is_big = rng.random() < settings.big
         endpoint = messages.Endpoint(
-            id=f"h{self._added_hosts}",
+            id=f"h{self._added_host_count}",
             zone=zone,
             cell=cell,
             weight=BIG_HOST_FACTOR if is_big and settings.weights else 1.0,
@@ -134,28 +134,28 @@
             self.environment.rule_checker.on_host_overloaded,
         )
         self.hosts[endpoint.id] = host
-        self._added_hosts += 1
+        self._added_host_count += 1
         return host
 
     def capacity(self) -> float:
-        """Return what all hosts do, in core seconds a second."""
+        """Return the capacity of all hosts, in core seconds per second."""
         return sum(host.capacity() for host in self.hosts.values())
 
     def start(self) -> None:
-        """Start all gateways with the endpoint list as it is, within the scenario's time."""
+        """Start all gateways with the current endpoint list, within `start_spread` seconds."""
         endpoints = tuple(host.endpoint for host in self.hosts.values())
         for gateway in self.gateways:
-            gateway.learn_endpoints(endpoints)
+            gateway.set_known_endpoints(endpoints)
             delay = self._rng.random() * self._scenario.start_spread
             self._clock.call_later(delay, gateway.start, endpoints)
         self._load_history.start()
 
     def announce(self, endpoint: messages.Endpoint, reaches_all: bool = False) -> None:
-        """Change the endpoint list: each gateway hears of it in its own time.
+        """Announce a change of the endpoint list, which reaches each gateway after a random delay.
 
         Args:
-            endpoint: The host as it is now.
-            reaches_all: Whether no gateway misses it.
+            endpoint: The host in its new state.
+            reaches_all: Whether it reaches every gateway.
         """
         settings = self._scenario.listing
         for gateway in self.gateways:
@@ -164,19 +164,21 @@
                 self._clock.call_later(delay, gateway.on_endpoint_changed, endpoint)
 
     def begin_measurement(self) -> None:
-        """Measure idle capacity from now on."""
+        """Begin to measure idle capacity."""
         self._idle_meter.reset()
 
     def idle_share(self) -> float:
-        """Return the share of core time that idled since then while as much work waited elsewhere."""
+        """Return the share of core time since then that was idle while work waited at other hosts."""
         return self._idle_meter.idle_share()
 
     def load_balance(self, idle_share: float) -> LoadBalance:
         """Return how evenly the hosts were used since the start; only warm ones count for the busiest."""
-        accepted = [host.accepted for host in self.hosts.values() if host.endpoint.started_at == 0.0]
-        mean = sum(accepted) / max(1, len(accepted))
+        accepted_counts = [
+            host.accepted_count for host in self.hosts.values() if host.endpoint.started_at == 0.0
+        ]
+        mean = sum(accepted_counts) / max(1, len(accepted_counts))
         return LoadBalance(
             idle_share=idle_share,
-            busiest_to_mean=max(accepted) / mean if mean else 0.0,
+            busiest_to_mean=max(accepted_counts) / mean if mean else 0.0,
             max_in_flight=max((host.max_in_flight for host in self.hosts.values()), default=0),
         )
--- a/apigateway/simulation/gateway.py
+++ b/apigateway/simulation/gateway.py
@@ -1,4 +1,4 @@
-"""A simulated gateway: a real decision module, and what the core does with its actions, without sockets."""
+"""A simulated gateway: a real decision module whose actions are executed without sockets."""
 
 from __future__ import annotations
 
@@ -16,31 +16,31 @@
 from apigateway.simulation.results import ResponseOutcome
 from apigateway.simulation.upstream import UpstreamClient
 
-RESPONSE_MARGIN_S = 0.03  # attempts end so long before the client gives up, as in the real core
-UNDECIDED_MARGIN_S = 0.01  # a request without a decision fails so long before the client gives up
-TIMER_MARGIN_S = 1e-6  # a timer expires late by this, never early by rounding
+RESPONSE_MARGIN_S = 0.03  # attempts end this long before the client gives up, as in the real core
+UNDECIDED_MARGIN_S = 0.01  # a request without a decision fails this long before the client gives up
+TIMER_MARGIN_S = 1e-6  # timers expire late by this, so that rounding never makes them early
 
 
 class SimulatedGateway:
     """One gateway of the fleet.
 
     Attributes:
-        location: Where it stands.
-        is_alive: Whether it serves.
-        died_at: Time at which it last died.
+        location: Its place on the network.
+        is_alive: Whether it is running.
+        crashed_at: Time of its latest crash.
         upstream: Its attempts at hosts.
     """
 
     def __init__(
         self, environment: Environment, index: int, zone: str, make_module: Callable[[], DecisionModule]
     ) -> None:
-        """Prepare a gateway; it serves from `start` on.
+        """Create a gateway; it serves after `start`.
 
         Args:
-            environment: What all gateways share.
-            index: Its number.
-            zone: Where it stands.
-            make_module: Makes the decision module of each incarnation.
+            environment: State that all gateways share.
+            index: Its index in the fleet.
+            zone: Its zone.
+            make_module: Creates the decision module of each incarnation.
         """
         self._make_module = make_module
         self._environment = environment
@@ -51,16 +51,16 @@
         self._module: DecisionModule | None = None
         self._list_version = 0
         self.is_alive = False
-        self.died_at = environment.clock.now
+        self.crashed_at = environment.clock.now
 
     # Life cycle
 
-    def learn_endpoints(self, endpoints: Iterable[messages.Endpoint]) -> None:
-        """Take a complete endpoint list as the one that it last had."""
+    def set_known_endpoints(self, endpoints: Iterable[messages.Endpoint]) -> None:
+        """Set the endpoint list that the gateway knows."""
         self._context.known_endpoints = {endpoint.id: endpoint for endpoint in endpoints}
 
     def restart(self) -> None:
-        """Start with the endpoint list as it last had it, unless it runs."""
+        """Start with the last known endpoint list, unless it is running."""
         if not self.is_alive:
             self.start(tuple(self._context.known_endpoints.values()))
 
@@ -74,18 +74,18 @@
         self._dispatch(messages.EndpointList(messages.ListMode.CACHED, 1, endpoints))
 
     def crash(self) -> None:
-        """Die: all connections end, hosts drop its requests, and its clients see that."""
+        """Crash: all connections end, hosts drop its requests, and its clients notice."""
         self.is_alive = False
-        self.died_at = self._environment.clock.now
+        self.crashed_at = self._environment.clock.now
         for request in list(self._context.in_flight.values()):
-            for attempt in list(request.active.values()):
+            for attempt in list(request.active_attempts.values()):
                 self.upstream.abandon(attempt)
             request.respond(ResponseOutcome.CONNECTION_LOST)
         self._context.in_flight.clear()
         self.upstream.reset()
 
     def on_endpoint_changed(self, endpoint: messages.Endpoint) -> None:
-        """Take in a change of the endpoint list."""
+        """Apply a change of the endpoint list."""
         context = self._context
         if endpoint.state != messages.EndpointStatus.UP:
             context.draining_since.setdefault(endpoint.id, self._environment.clock.now)
@@ -100,12 +100,12 @@
     # Clients
 
     def accept(self, request: messages.Request, work: float, listener: ResponseListener) -> None:
-        """Take a client's request.
+        """Accept a request of a client.
 
         Args:
             request: The request; `remaining` is the time until its client gives up.
-            work: Core seconds that it costs a host.
-            listener: Is told of its answer.
+            work: Core seconds that it takes on a host.
+            listener: Receives the answer.
         """
         clock = self._environment.clock
         remaining = request.remaining - RESPONSE_MARGIN_S
@@ -116,7 +116,7 @@
         self._dispatch(replace(request, remaining=remaining))
 
     def _on_undecided(self, request: InFlightRequest) -> None:
-        """Fail a request that the decision module has not answered in time."""
+        """Fail a request without a decision in time."""
         if not request.is_answered and self.is_alive:
             self._environment.metrics.count(Metric.UNDECIDED_REQUESTS)
             self._finish(request, ResponseOutcome.FAILED)
@@ -124,21 +124,22 @@
 
     def _finish(self, request: InFlightRequest, outcome: ResponseOutcome, retry_after: float = 0.0) -> None:
         request.respond(outcome, retry_after)
-        self._context.forget_if_finished(request)
+        self._context.remove_if_finished(request)
 
-    # The decision module
+    # Decision module
 
     def _dispatch(self, event: messages.Event) -> None:
-        """Hand an event to the decision module and carry out its actions.
+        """Pass an event to the decision module and execute its actions.
 
-        What they cause comes later by the clock, but for the outcome of an attempt that is cancelled.
+        Events that the actions cause are scheduled, except the outcome of a cancelled attempt, which is
+        dispatched at once.
         """
         if not self.is_alive or self._module is None:
             return
         for action in self._module.handle(self._environment.clock.now, event):
-            self._carry_out(action)
+            self._execute(action)
 
-    def _carry_out(self, action: messages.Action) -> None:
+    def _execute(self, action: messages.Action) -> None:
         match action:
             case messages.ForwardRequest():
                 self._forward(action)
@@ -169,7 +170,7 @@
 
     def _cancel(self, action: messages.CancelAttempt) -> None:
         request = self._context.in_flight.get(action.request_id)
-        attempt = request.active.get(action.attempt) if request is not None else None
+        attempt = request.active_attempts.get(action.attempt) if request is not None else None
         if attempt is not None:
             self.upstream.cancel(attempt)
 
--- a/apigateway/simulation/gateway_context.py
+++ b/apigateway/simulation/gateway_context.py
@@ -1,4 +1,4 @@
-"""What the parts of a simulated gateway share with each other and with the rest of the simulation."""
+"""State that the parts of a simulated gateway share with each other and with the other gateways."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from apigateway.simulation.quota_counter import QuotaCounter
 from apigateway.simulation.rule_checker import RuleChecker
 
-CONNECT_TIMEOUT_S = 0.25  # a connection that is not up by then is given up
-CONNECT_REFUSED_S = 0.0005  # until a gateway knows that its connection is refused
+CONNECT_TIMEOUT_S = 0.25  # for establishing a connection
+CONNECT_REFUSED_DELAY_S = 0.0005  # until a gateway notices that a connection is refused
 
 
 class HealthCheckKey(NamedTuple):
-    """Names a health check."""
+    """Identifies a health check."""
 
     endpoint_id: str
     started_at: float
@@ -28,12 +28,12 @@
 
 @dataclass(slots=True)
 class Environment:
-    """What all gateways of a simulation share.
+    """State that all gateways of a simulation share.
 
     Attributes:
-        hosts: All hosts by their endpoints' ids, those that are dead included.
-        counter_timeout: Seconds after which a gateway gives up a call of the counter.
-        finished_health_checks: Those whose result has been handed over.
+        hosts: All hosts by endpoint id, including dead ones.
+        counter_timeout: Timeout of a call to the counter, in seconds.
+        finished_health_checks: Health checks that have a result other than a timeout.
     """
 
     clock: SimulatedClock
@@ -49,14 +49,14 @@
 
 @dataclass(slots=True)
 class GatewayContext:
-    """What the parts of one gateway share.
+    """State that the parts of one gateway share.
 
     Attributes:
-        dispatch: Hands an event to the decision module and carries out its actions.
-        incarnation: Counts the gateway's starts; what was scheduled in an earlier one is void.
-        known_endpoints: The endpoint list as this gateway has it, over all incarnations.
-        draining_since: When it heard that a host drains or is down.
-        in_flight: The requests that it has accepted, by their ids.
+        dispatch: Passes an event to the decision module and executes its actions.
+        incarnation: Number of starts of the gateway; callbacks of earlier ones are ignored.
+        known_endpoints: The endpoint list that this gateway knows; kept when it restarts.
+        draining_since: By endpoint id, when the gateway learned that the host drains or is down.
+        in_flight: Its accepted requests by id.
     """
 
     environment: Environment
@@ -68,7 +68,7 @@
     draining_since: dict[str, float] = field(default_factory=dict)
     in_flight: dict[str, InFlightRequest] = field(default_factory=dict)
 
-    def forget_if_finished(self, request: InFlightRequest) -> None:
-        """Forget a request that is answered and has no attempt left."""
-        if request.is_answered and not request.active:
+    def remove_if_finished(self, request: InFlightRequest) -> None:
+        """Remove a request that is answered and has no active attempt."""
+        if request.is_answered and not request.active_attempts:
             self.in_flight.pop(request.request_id, None)
--- a/apigateway/simulation/health_checker.py
+++ b/apigateway/simulation/health_checker.py
@@ -1,11 +1,11 @@
-"""A simulated gateway's health checks: a message to the host, and its load report back."""
+"""Health checks of a simulated gateway: a message to the host, answered by its load report."""
 
 from __future__ import annotations
 
 from apigateway import messages
 from apigateway.messages import AttemptResult
 from apigateway.simulation.gateway_context import (
-    CONNECT_REFUSED_S,
+    CONNECT_REFUSED_DELAY_S,
     CONNECT_TIMEOUT_S,
     GatewayContext,
     HealthCheckKey,
@@ -17,14 +17,14 @@
 
 
 class HealthChecker:
-    """Checks the health of hosts and hands the results to the decision module."""
+    """Checks the health of hosts and passes the results to the decision module."""
 
     def __init__(self, context: GatewayContext) -> None:
         self._context = context
         self._environment = context.environment
 
     def check(self, endpoint_id: str) -> None:
-        """Check a host; the result comes by the connect timeout at the latest."""
+        """Check a host; the result arrives within the connect timeout."""
         environment = self._environment
         clock = environment.clock
         context = self._context
@@ -34,13 +34,13 @@
         host = environment.hosts.get(endpoint_id)
         if host is None or host.refuses_connection(context.index):
             result = AttemptResult.CONNECT_FAILED
-            clock.call_later(CONNECT_REFUSED_S, self._on_result, key, result, incarnation, {})
+            clock.call_later(CONNECT_REFUSED_DELAY_S, self._on_result, key, result, incarnation, {})
             return
         clock.call_later(CONNECT_TIMEOUT_S, self._on_result, key, AttemptResult.TIMEOUT, incarnation, {})
         environment.network.send(context.location, host.location, self._on_received, host, key, incarnation)
 
     def _on_received(self, host: SimulatedHost, key: HealthCheckKey, incarnation: int) -> None:
-        """Answer for the host."""
+        """Send the answer of the host."""
         if host.mode in ANSWERING_MODES:
             self._environment.network.send(
                 host.location,
--- a/apigateway/simulation/host.py
+++ b/apigateway/simulation/host.py
@@ -1,4 +1,4 @@
-"""A simulated host: requests that share its cores, a queue, slow start, overload, and failure modes."""
+"""A simulated host: requests sharing its cores, a queue, slow start, overload and failure modes."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from apigateway.simulation.scenario import HostSettings
 from apigateway.simulation.shared_processor import HostTask, SharedProcessor
 
-SLOW_START_STEP_S = 0.25  # how often the speed of a host that is warming up is computed anew
-ERROR_LATENCY_S = 0.001  # of a host that answers with an error at once
-REJECTION_LATENCY_S = 0.0002  # of a host that is full
+SLOW_START_STEP_S = 0.25  # interval at which the speed of a host in slow start is updated
+ERROR_LATENCY_S = 0.001  # of an immediate error
+REJECTION_LATENCY_S = 0.0002  # of a rejection by a full host
 
 
 class HostMode(StrEnum):
-    """What a host does with requests."""
+    """How a host handles requests."""
 
     UP = "up"
     HANGING = "hang"  # accepts requests and makes no progress
@@ -34,23 +34,23 @@
 
 
 class HostHardware(NamedTuple):
-    """What a host is made of."""
+    """The hardware of a host."""
 
     cores: float
-    speed: float  # core seconds of work that a core does in a second
+    speed: float  # core seconds of work per second and core
 
 
 class SimulatedHost:
-    """A host that shares its cores evenly between the requests in its slots (processor sharing).
+    """A host whose cores are shared equally by the requests in its slots (processor sharing).
 
     Attributes:
-        endpoint: The host as the endpoint list has it.
-        mode: What it does with requests; change it by `set_mode`.
-        queued: Requests that wait for a slot.
-        accepted: Requests accepted since the start.
-        max_in_flight: The most that were in slots and waiting at once.
-        is_silent: Whether, while it is dead, connections to it time out in place of being refused.
-        refused_gateways: Indices of the gateways whose connections it refuses.
+        endpoint: The host in the endpoint list.
+        mode: How it handles requests; changed by `set_mode`.
+        queued_count: Requests that wait for a slot.
+        accepted_count: Requests accepted since the start.
+        max_in_flight: Maximum of `in_flight` since the start.
+        is_silent: Whether connections to it time out instead of being refused while it is dead.
+        refused_gateways: Indexes of the gateways whose connections it refuses.
         reporter: Its load reports.
     """
 
@@ -69,14 +69,14 @@
 
         Args:
             clock: The simulated time.
-            settings: What all hosts have in common.
-            endpoint: The host as the endpoint list has it.
-            hardware: Its own cores and speed.
-            rules: The slow start that it is allowed and the overload that it bears meanwhile.
-            idle_meter: Is told of its usage.
-            rng: Draws its reports' times and noise.
-            on_overload: Called with the host's id and the share of its requests that came from gateways
-                which knew of its start, when it dies by overload.
+            settings: Settings of all hosts.
+            endpoint: The host in the endpoint list.
+            hardware: Its cores and speed.
+            rules: Define its slow start and the overload that it tolerates meanwhile.
+            idle_meter: Receives its usage.
+            rng: Draws the times and the noise of its reports.
+            on_overload: Called when it fails by overload, with its id and the share of its requests that
+                came from gateways which knew of its latest start.
         """
         self._clock = clock
         self._rules = rules
@@ -97,12 +97,12 @@
         self.reporter = LoadReporter(clock, settings, self.cores, rng)
         self._arrivals = ArrivalWindow(rules.overload_duration)
 
-        self.queued = 0
-        self.accepted = 0
+        self.queued_count = 0
+        self.accepted_count = 0
         self.max_in_flight = 0
         self._waiting: deque[HostTask] = deque()
         self._processor = SharedProcessor(clock)
-        self._schedule_version = 0  # a scheduled completion is void once this has advanced
+        self._schedule_version = 0  # a scheduled completion with an older version is ignored
         self._usage = HostUsage(0.0, 0.0, 0.0)
 
         self._update_usage()
@@ -113,7 +113,7 @@
     # Capacity
 
     def slow_start_factor(self) -> float:
-        """Return the share of its capacity that it has reached since its start."""
+        """Return the share of its full capacity that it has reached since its start."""
         duration = self._rules.slow_start_duration
         age = self._clock.now - self.endpoint.started_at
         if self.endpoint.started_at <= 0 or age >= duration:
@@ -122,16 +122,16 @@
         return initial + (1 - initial) * age / duration
 
     def capacity(self) -> float:
-        """Return the core seconds of work that it does in a second."""
+        """Return its capacity in core seconds of work per second."""
         return self.cores * self._speed * self._speed_factor * self.slow_start_factor()
 
     @property
     def in_flight(self) -> int:
-        """The requests in slots and those that wait for one."""
-        return self._processor.active + self.queued
+        """Return the number of requests in slots and in the queue."""
+        return self._processor.active_count + self.queued_count
 
     def load_per_core(self) -> float:
-        """Return the requests that it holds for each core."""
+        """Return the number of requests per core."""
         return self.in_flight / self.cores
 
     def _warm_up(self) -> None:
@@ -142,11 +142,11 @@
     # Requests
 
     def accept(self, task: HostTask, sender_knew_start: bool = True) -> None:
-        """Take a request, or answer it at once.
+        """Accept a request, or answer it at once.
 
         Args:
             task: The request.
-            sender_knew_start: Whether its gateway had been told of the host's last start.
+            sender_knew_start: Whether its gateway knew of the host's latest start.
         """
         if self.mode is HostMode.DEAD:
             task.is_over = True
@@ -157,26 +157,26 @@
         if self.mode is HostMode.FULL or self.in_flight >= self._slots + self._queue_size:
             self._clock.call_later(REJECTION_LATENCY_S, task.on_done, AttemptResult.REJECTED)
             return
-        self.accepted += 1
+        self.accepted_count += 1
         self._arrivals.add(Arrival(self._clock.now, task.work, sender_knew_start))
         if self._is_overloaded():
             task.is_over = True
-            self._die_of_overload()
+            self._fail_by_overload()
             return
-        self.queued += 1
+        self.queued_count += 1
         self._waiting.append(task)
         self._reschedule()
         self.max_in_flight = max(self.max_in_flight, self.in_flight)
 
     def cancel(self, task: HostTask) -> None:
-        """Drop a request; nobody is told."""
+        """Drop a request without a result."""
         if task.is_over:
             return
         if task.is_running:
             self._processor.cancel(task)
         else:
             task.is_over = True
-            self.queued -= 1
+            self.queued_count -= 1
         self._reschedule()
 
     def refuses_connection(self, gateway: int) -> bool:
@@ -184,13 +184,13 @@
         return (self.mode is HostMode.DEAD and not self.is_silent) or gateway in self.refused_gateways
 
     def _is_overloaded(self) -> bool:
-        """Return whether it is warming up and was sent more than the rules say that it bears."""
+        """Return whether it is in slow start and received more work than the rules say it tolerates."""
         if self.slow_start_factor() == 1:
             return False
         rules = self._rules
         return self._arrivals.exceeds(rules.overload_multiple * rules.overload_duration * self.capacity())
 
-    def _die_of_overload(self) -> None:
+    def _fail_by_overload(self) -> None:
         informed_share = self._arrivals.informed_share()
         self.stop()
         self._on_overload(self.endpoint.id, informed_share)
@@ -198,14 +198,14 @@
     # Scheduling
 
     def _reschedule(self) -> None:
-        """Fill free slots, compute the pace anew, and schedule the next completion."""
+        """Fill free slots, update the pace, and schedule the next completion."""
         processor = self._processor
         processor.advance()
         processor.drop_cancelled()
-        while self.queued and processor.active < self._slots:
+        while self.queued_count and processor.active_count < self._slots:
             task = self._waiting.popleft()
             if not task.is_over:
-                self.queued -= 1
+                self.queued_count -= 1
                 processor.start(task)
         processor.pace = self._pace()
         self._update_usage()
@@ -215,8 +215,8 @@
             self._clock.call_later(delay, self._complete_next, self._schedule_version)
 
     def _pace(self) -> float:
-        """Return the core seconds a second that each task in a slot gets."""
-        active = self._processor.active
+        """Return the core seconds per second that each task in a slot gets."""
+        active = self._processor.active_count
         core_share = min(1.0, self.cores / active) if active else 1.0
         crowding = max(0.0, active - self.cores) / max(1.0, self._slots - self.cores)
         return core_share * self.capacity() / self.cores * (1 - self.settings.thrash * crowding)
@@ -232,31 +232,31 @@
     # Failure modes
 
     def set_mode(self, mode: HostMode) -> None:
-        """Change what it does with requests; a dead host stays dead."""
+        """Change how it handles requests; a dead host stays dead."""
         if self.mode is not HostMode.DEAD:
             self._processor.advance()
             self.mode = mode
             self._reschedule()
 
     def set_speed_factor(self, factor: float) -> None:
-        """Make it work at `factor` of its own speed."""
+        """Set its speed to `factor` times its normal speed."""
         self._processor.advance()
         self._speed_factor = factor
         self._reschedule()
 
     def stop(self) -> None:
-        """Die: all requests are gone, and no gateway is told."""
+        """Stop: all requests are lost, and no gateway is notified."""
         self.mode = HostMode.DEAD
         self._processor.clear()
         for task in self._waiting:
             task.is_over = True
         self._waiting.clear()
-        self.queued = 0
+        self.queued_count = 0
         self._schedule_version += 1
         self._update_usage()
 
     def restart(self, endpoint: messages.Endpoint) -> None:
-        """Come back empty, as `endpoint` in the endpoint list."""
+        """Restart without requests, as `endpoint` in the endpoint list."""
         self.endpoint = endpoint
         self.mode = HostMode.UP
         self.is_silent = False
@@ -270,13 +270,13 @@
     # Reporting
 
     def _update_usage(self) -> None:
-        """Tell the meters what is busy and waiting here now."""
+        """Update the meters with the busy and waiting work."""
         if self.mode is HostMode.DEAD:
             usage = HostUsage(0.0, 0.0, 0.0)
         else:
-            active = self._processor.active
+            active = self._processor.active_count
             busy = min(self.cores, active)
-            waiting = max(0.0, active - self.cores) + self.queued
+            waiting = max(0.0, active - self.cores) + self.queued_count
             usage = HostUsage(self.cores, busy, waiting)
         if usage != self._usage:
             self.reporter.set_busy_cores(usage.busy)
@@ -286,5 +286,5 @@
     def _report_load(self) -> None:
         if self.mode is HostMode.DEAD:
             return
-        self.reporter.sample(queued=self.queued, in_flight=self.in_flight)
+        self.reporter.sample(queued=self.queued_count, in_flight=self.in_flight)
         self._clock.call_later(self.settings.report_period, self._report_load)
--- a/apigateway/simulation/idle_capacity.py
+++ b/apigateway/simulation/idle_capacity.py
@@ -1,4 +1,4 @@
-"""Measures cores that idle while work waits at another host: what better load balancing could have used."""
+"""Measures cores that are idle while work waits at other hosts, which better load balancing could use."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from apigateway.simulation.clock import SimulatedClock
 
-MIN_CORE_SECONDS = 1e-9  # keeps the share of an interval without cores defined
+MIN_CORE_SECONDS = 1e-9  # avoids a division by zero for an interval without cores
 
 
 class HostUsage(NamedTuple):
-    """What one host adds to the totals of the fleet, in cores."""
+    """The contribution of one host to the totals of the fleet, in cores."""
 
     cores: float
     busy: float
@@ -18,7 +18,7 @@
 
 
 class IdleCapacityMeter:
-    """Integrates over time the fleet's idle cores, as far as work was waiting for cores elsewhere."""
+    """Integrates over time the idle cores of the fleet, up to the cores that waiting work could use."""
 
     def __init__(self, clock: SimulatedClock) -> None:
         self._clock = clock
@@ -30,20 +30,20 @@
         self._updated_at = clock.now
 
     def reset(self) -> None:
-        """Begin a measurement now."""
+        """Begin a new measurement."""
         self._idle_core_seconds = 0.0
         self._total_core_seconds = 0.0
         self._updated_at = self._clock.now
 
     def replace_usage(self, previous: HostUsage, current: HostUsage) -> None:
-        """Take in that one host's usage has changed."""
+        """Update the totals for a host whose usage has changed."""
         self._accumulate()
         self._cores += current.cores - previous.cores
         self._busy += current.busy - previous.busy
         self._waiting += current.waiting - previous.waiting
 
     def idle_share(self) -> float:
-        """Return the share of all core time since the reset that idled while work was waiting."""
+        """Return the share of all core time since the reset that was idle while work waited."""
         self._accumulate()
         return self._idle_core_seconds / max(MIN_CORE_SECONDS, self._total_core_seconds)
 
--- a/apigateway/simulation/in_flight.py
+++ b/apigateway/simulation/in_flight.py
@@ -1,4 +1,4 @@
-"""Requests that a simulated gateway has accepted, and their attempts at hosts."""
+"""Requests that a simulated gateway has accepted, and their attempts."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 
 class ResponseListener(Protocol):
-    """The client's side of a request."""
+    """The client of a request."""
 
     def on_attempt_received(self, attempt: Attempt) -> None:
-        """Called when the last byte of an attempt has reached its host."""
+        """Handle that the last byte of an attempt has reached its host."""
 
     def on_response(self, outcome: ResponseOutcome, retry_after: float) -> None:
-        """Called once with the answer; `retry_after` is the wait in seconds of a rejection, or 0."""
+        """Handle the only answer; `retry_after` is the Retry-After of a rejection in seconds, or 0."""
 
 
 class InFlightRequest:
-    """A client's request that a gateway has accepted and whose attempts are not all over.
+    """A request that a gateway has accepted and that has active attempts or no answer yet.
 
     Attributes:
-        work: Core seconds that it costs a host.
-        deadline: Time by which all attempts are ended.
-        attempts: All attempts so far, by their numbers.
-        active: Those that have not ended.
+        work: Core seconds that it takes on a host.
+        deadline: Time at which active attempts time out.
+        attempts: All attempts so far, by number.
+        active_attempts: Attempts that have not ended, by number.
     """
 
-    __slots__ = ("active", "attempts", "deadline", "is_answered", "listener", "request_id", "work")
+    __slots__ = ("active_attempts", "attempts", "deadline", "is_answered", "listener", "request_id", "work")
 
     def __init__(
         self, request: messages.Request, work: float, deadline: float, listener: ResponseListener
@@ -41,17 +41,17 @@
         self.listener = listener
         self.is_answered = False
         self.attempts: list[Attempt] = []
-        self.active: dict[int, Attempt] = {}
+        self.active_attempts: dict[int, Attempt] = {}
 
-    def new_attempt(self, endpoint_id: str, now: float) -> Attempt:
-        """Add an attempt."""
+    def create_attempt(self, endpoint_id: str, now: float) -> Attempt:
+        """Create an attempt at an endpoint."""
         attempt = Attempt(self, len(self.attempts), endpoint_id, now)
         self.attempts.append(attempt)
-        self.active[attempt.number] = attempt
+        self.active_attempts[attempt.number] = attempt
         return attempt
 
     def respond(self, outcome: ResponseOutcome, retry_after: float = 0.0) -> None:
-        """Answer the client, unless that has been done."""
+        """Answer the client, unless it was answered before."""
         if not self.is_answered:
             self.is_answered = True
             self.listener.on_response(outcome, retry_after)
@@ -61,11 +61,11 @@
     """An attempt at a host.
 
     Attributes:
-        host: The host; None while there is none by the endpoint's id.
-        task: The request at the host, once it has got there.
-        is_over: Whether its outcome is known to the gateway, or no longer of interest.
+        host: The host; None if none has the id of the endpoint or it refused the connection.
+        task: The task at the host, once the attempt has arrived.
+        is_over: Whether the gateway knows its outcome or has abandoned it.
         is_received: Whether its last byte has reached the host.
-        is_rejected: Whether the host has said that it will not execute it.
+        is_rejected: Whether the host has rejected it without executing it.
     """
 
     __slots__ = (
@@ -93,5 +93,5 @@
 
     @property
     def may_be_executed(self) -> bool:
-        """Whether the host may execute it, or have done so."""
+        """Return whether the host may execute it or have executed it."""
         return self.is_received and not self.is_rejected
--- a/apigateway/simulation/load_history.py
+++ b/apigateway/simulation/load_history.py
@@ -1,4 +1,4 @@
-"""The load of hosts now and a while ago, for baselines that see it late."""
+"""The current and past load of hosts, for baselines that see it with a delay."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from apigateway.simulation.host import SimulatedHost
 
 SAMPLE_PERIOD_S = 0.05
-MAX_SAMPLES = 40  # of each host: 2 s
+MAX_SAMPLES = 40  # per host: 2 s
 
 
 class HostLoadHistory:
@@ -22,7 +22,7 @@
         self._samples: dict[str, deque[float]] = {}
 
     def start(self) -> None:
-        """Take a sample now, and then periodically."""
+        """Begin to sample periodically."""
         self._take_sample()
 
     def _take_sample(self) -> None:
@@ -35,7 +35,7 @@
         self._clock.call_later(SAMPLE_PERIOD_S, self._take_sample)
 
     def load_per_core(self, endpoint_id: str, age: float) -> float:
-        """Return the requests that a host held for each core `age` seconds ago; infinite if it is gone."""
+        """Return the requests per core of a host `age` seconds ago, or infinity if the host is gone."""
         host = self._hosts.get(endpoint_id)
         if host is None:
             return math.inf
--- a/apigateway/simulation/metrics.py
+++ b/apigateway/simulation/metrics.py
@@ -1,4 +1,4 @@
-"""What a simulation measures, and the figures that it comes to."""
+"""The metrics of a simulation, and the figures computed from them."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from apigateway.messages import AttemptResult
 from apigateway.simulation.clock import START_TIME
 
-MIN_WEIGHT = 1e-9  # keeps the quota cost of a simulation without requests defined
-MIN_REQUESTS_OF_SECOND = 20  # a second with fewer first requests says nothing about the worst one
+MIN_WEIGHT = 1e-9  # avoids a division by zero in a simulation without requests
+MIN_REQUESTS_PER_SECOND = 20  # seconds with fewer first requests do not count for `worst_second`
 
 
 class Metric(StrEnum):
-    """What is counted while the measurement is on."""
+    """Counters that are active during the measurement."""
 
     FIRST_REQUESTS = "first requests"
     FIRST_REQUESTS_IN_QUOTA = "first requests in quota"
-    REQUESTS = "requests"  # first ones and retries
+    REQUESTS = "requests"  # first requests and retries
     REJECTED_REQUESTS = "rejected requests"
     REJECTED_WITH_QUOTA = "rejected requests whose customer's quota had room"
-    SERVED_CALLS = "served calls"  # those inside quotas
+    SERVED_CALLS = "served calls"  # within quotas only
     CALLS_WITHIN_OBJECTIVE = "calls within the latency objective"
     REJECTED_CALLS = "rejected calls"
     FAILED_CALLS = "failed calls"
@@ -40,7 +40,7 @@
 
 
 class Rule(StrEnum):
-    """The rules that the decision module must keep in every failure; the values begin a violation's text."""
+    """Rules that the decision module must follow under any fault; violations begin with the value."""
 
     DRAIN = "drain"
     ONE_ATTEMPT_AT_A_TIME = "two at once"
@@ -51,7 +51,7 @@
 
 
 class Violation(NamedTuple):
-    """A broken rule, and where it was broken."""
+    """A violation of a rule."""
 
     rule: Rule
     detail: str
@@ -65,10 +65,10 @@
     """Counts of one second of the simulation.
 
     Attributes:
-        in_quota: First requests inside quotas that were created in it.
+        in_quota: First requests within quotas that were created in this second.
         within_objective: Those of them whose call was answered within the latency objective.
-        rejected: Requests that were rejected in it.
-        unreachable: Attempts sent in it to where nothing could be reached.
+        rejected: Requests that were rejected in this second.
+        unreachable: Attempts sent in this second to hosts that could not be reached.
     """
 
     in_quota: int = 0
@@ -77,7 +77,7 @@
     unreachable: int = 0
 
     def as_figures(self) -> dict[str, int]:
-        """Return the counts by their names in reports."""
+        """Return the counts by their names in the report."""
         return {
             "inside": self.in_quota,
             "in_aim": self.within_objective,
@@ -89,13 +89,13 @@
 class LoadBalance(NamedTuple):
     """How evenly the hosts were used."""
 
-    idle_share: float  # of core time, idle while as much work waited at other hosts
-    busiest_to_mean: float  # requests of the busiest warm host against the mean
-    max_in_flight: int  # the most requests that any host held
+    idle_share: float  # of core time, idle while work waited at other hosts
+    busiest_to_mean: float  # requests of the busiest warm host over the mean
+    max_in_flight: int  # maximum over all hosts
 
 
 def quantile(sorted_values: Sequence[float], share: float) -> float:
-    """Return the value that `share` of the values do not pass; 0 if there are none."""
+    """Return the quantile `share` of sorted values; 0 if there are none."""
     if not sorted_values:
         return 0.0
     return sorted_values[min(len(sorted_values) - 1, int(share * len(sorted_values)))]
@@ -105,13 +105,13 @@
 class Metrics:
     """Counts, latencies and violations of a simulation.
 
-    Violations and the counts by second are taken at any time. The methods count only while `is_on`; what
-    becomes of a call that was created while `is_on` is counted whenever it ends.
+    Violations and the counts by second are recorded at any time. The counting methods count only while
+    `is_on`. The result of a call that was created while `is_on` is counted whenever it ends.
 
     Attributes:
-        latencies: Seconds from the first request to the answer of each call that was served inside quotas.
-        over_quota_cost: Of units forwarded beyond quotas, in priority and price weight.
-        requested_weight: Of first requests inside quotas, likewise.
+        latencies: Seconds from the first request to the answer, of each call served within quotas.
+        over_quota_cost: Cost of the units forwarded beyond quotas, weighted by priority and price.
+        requested_weight: Weight of the first requests within quotas, by priority and price.
     """
 
     is_on: bool = False
@@ -124,7 +124,7 @@
     _seconds: defaultdict[int, SecondCounts] = field(default_factory=lambda: defaultdict(SecondCounts))
 
     def count(self, metric: Metric) -> None:
-        """Count one, while the measurement is on."""
+        """Increment a counter, while the measurement is on."""
         if self.is_on:
             self.counts[metric] += 1
 
@@ -134,38 +134,38 @@
             self.attempt_results[result] += 1
 
     def add_over_quota_cost(self, cost: float) -> None:
-        """Add the cost of a unit beyond its quota, while the measurement is on."""
+        """Add the cost of a unit beyond a quota, while the measurement is on."""
         if self.is_on:
             self.over_quota_cost += cost
 
     def add_violation(self, rule: Rule, detail: str) -> None:
-        """Note a broken rule."""
+        """Record a violation of a rule."""
         self.violations.append(Violation(rule, detail))
 
     def second(self, now: float) -> SecondCounts:
-        """Return the counts of the second in which `now` lies."""
+        """Return the counts of the second that contains `now`."""
         return self._seconds[int(now - START_TIME)]
 
     def by_second(self, first: int, seconds: int) -> list[dict[str, int]]:
-        """Return the counts of so many seconds from the `first` of the simulation on."""
+        """Return the counts of `seconds` seconds, beginning with second `first` of the simulation."""
         return [self._seconds[second].as_figures() for second in range(first, first + seconds)]
 
     def worst_second(self) -> float:
-        """Return the least share within the objective of any second with enough first requests."""
+        """Return the lowest share within the objective of any second with enough first requests."""
         shares = (
             second.within_objective / second.in_quota
             for second in self._seconds.values()
-            if second.in_quota >= MIN_REQUESTS_OF_SECOND
+            if second.in_quota >= MIN_REQUESTS_PER_SECOND
         )
         return min(shares, default=1.0)
 
     def figures(self, balance: LoadBalance, warm_up: float, length: float) -> dict[str, Any]:
-        """Return what the simulation comes to, by the names of the reports.
+        """Return the figures of the simulation by their names in the report.
 
-        `in_aim` and `served` are shares of the first requests inside quotas; `refused` and `failed` of all
-        first requests, by the answer to the last retry; `over_quota` of the units forwarded, and
-        `quota_cost` their cost against the weight of what was requested inside quotas; `with_room` of the
-        rejected requests. Times are in milliseconds.
+        `in_aim` and `served` are shares of the first requests within quotas. `refused` and `failed` are
+        shares of all first requests, by the answer to the last retry. `over_quota` is a share of the
+        forwarded units; `quota_cost` is the cost of these units over the weight of the first requests within
+        quotas. `with_room` is a share of the rejected requests. Times are in milliseconds.
         """
         counts = self.counts
         latencies = sorted(self.latencies)
--- a/apigateway/simulation/network.py
+++ b/apigateway/simulation/network.py
@@ -1,4 +1,4 @@
-"""The network between the parts of a simulation: latency, loss and partitions."""
+"""A simulated network with latency, loss and partitions."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from apigateway.simulation.clock import SimulatedClock
 
-ANYWHERE = "*"  # in a link fault: any zone and any party
+ANYWHERE = "*"  # in a link fault: any zone and any node
 
 
 @dataclass(frozen=True, slots=True)
 class Location:
-    """A party on the network and the zone that it stands in."""
+    """A node of the network and its zone."""
 
     name: str
     zone: str
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFault:
-    """Extra delay and loss between any party of `source` and any of `target`.
+    """Extra delay and loss between the nodes of `source` and those of `target`.
 
     Attributes:
-        source: A zone, a party's name, or `ANYWHERE`.
-        target: Likewise.
-        delay: Seconds added one way.
-        loss: Share of the messages that never arrive.
+        source: A zone, the name of a node, or `ANYWHERE`.
+        target: A zone, the name of a node, or `ANYWHERE`.
+        delay: Seconds added to the one-way latency.
+        loss: Share of the messages that are lost.
         is_one_way: Whether only messages from `source` to `target` are affected.
     """
 
@@ -39,7 +39,7 @@
     is_one_way: bool = False
 
     def affects(self, sender: Location, receiver: Location) -> bool:
-        """Return whether a message between these two is subject to the fault."""
+        """Return whether the fault applies to a message from `sender` to `receiver`."""
         forward = _matches(self.source, sender) and _matches(self.target, receiver)
         backward = _matches(self.source, receiver) and _matches(self.target, sender)
         return forward or (backward and not self.is_one_way)
@@ -55,11 +55,11 @@
 
     same: float = 0.0002  # within a zone
     cross: float = 0.002  # between zones
-    jitter: float = 0.15  # share of the latency that is added at random, at most
+    jitter: float = 0.15  # maximum random addition, as a share of the latency
 
 
 class Network:
-    """Delivers messages between locations after the latency of the link, unless a fault drops them."""
+    """Delivers messages after the latency of their link, unless a fault drops them."""
 
     def __init__(self, clock: SimulatedClock, distances: Distances, rng: random.Random) -> None:
         self._clock = clock
@@ -68,7 +68,7 @@
         self.faults: list[LinkFault] = []
 
     def transit_time(self, sender: Location, receiver: Location) -> float | None:
-        """Draw the seconds that a message takes now; None if it is lost."""
+        """Draw the seconds that a message takes, or return None if it is lost."""
         distances = self._distances
         latency = distances.same if sender.zone == receiver.zone else distances.cross
         seconds = latency * (1 + distances.jitter * self._rng.random())
@@ -80,14 +80,14 @@
         return seconds
 
     def is_partitioned(self, sender: Location, receiver: Location) -> bool:
-        """Return whether no message at all passes from one to the other now."""
+        """Return whether all messages from `sender` to `receiver` are lost."""
         return any(fault.loss >= 1 and fault.affects(sender, receiver) for fault in self.faults)
 
     def send(self, sender: Location, receiver: Location, deliver: Callable[..., None], *args: Any) -> bool:
         """Call `deliver` with `args` when the message arrives.
 
         Returns:
-            False if the message is lost; a simulated sender must not act on it.
+            False if the message is lost; simulated senders must not use this.
         """
         seconds = self.transit_time(sender, receiver)
         if seconds is None:
--- a/apigateway/simulation/quota_counter.py
+++ b/apigateway/simulation/quota_counter.py
@@ -1,4 +1,4 @@
-"""The quota counter as a simulated service: partitions, each with a capacity, answering in turn."""
+"""A simulated quota counter: partitions with limited capacity, each of which answers calls in order."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class CounterReply(NamedTuple):
-    """What the counter answers: the result of the call and the key's total."""
+    """The answer of the counter: the result of the call and the total of the key."""
 
     result: CounterCallResult
     total: float
 
 
 class CounterEntry(NamedTuple):
-    """The total of one key and the time at which the counter drops it."""
+    """The total of one key and the time at which the counter removes it."""
 
     total: float
     expires_at: float
@@ -31,29 +31,29 @@
 
 
 class QuotaCounter:
-    """Adds to totals by key; a call waits until its partition has served those before it.
+    """Adds to totals by key; each partition serves its calls in order.
 
     Attributes:
-        is_silent: While set, calls are still counted but none is answered.
-        entries: The totals by key.
-        calls: Calls that have reached it.
+        is_silent: While set, no call is answered; calls that were accepted before are still counted.
+        entries: Totals by key.
+        call_count: Calls received while not silent.
     """
 
     def __init__(self, clock: SimulatedClock, settings: CounterSettings) -> None:
         self._clock = clock
         self._settings = settings
-        self._free_at = [clock.now] * settings.parts
+        self._partition_free_at = [clock.now] * settings.parts
         self.is_silent = False
         self.entries: dict[int, CounterEntry] = {}
-        self.calls = 0
+        self.call_count = 0
 
     def add(self, key: int, amount: float, lifetime: float, reply: Callable[[CounterReply], None]) -> None:
-        """Add to a key and reply with its total, or with FULL if the partition's queue is too long.
+        """Add to a key, and reply with its total or, if the queue of its partition is too long, a rejection.
 
         Args:
             key: The counter key.
-            amount: What is added.
-            lifetime: Seconds after which a new key is dropped.
+            amount: Amount to add.
+            lifetime: Seconds after which a new key is removed.
             reply: Called once with the answer, unless the counter is silent.
         """
         if self.is_silent:
@@ -61,12 +61,12 @@
         settings = self._settings
         partition = key % settings.parts
         now = self._clock.now
-        start = max(now, self._free_at[partition])
-        self.calls += 1
+        start = max(now, self._partition_free_at[partition])
+        self.call_count += 1
         if start - now > MAX_QUEUEING_DELAY_S:
             self._clock.call_later(settings.call, reply, OVERLOADED)
             return
-        self._free_at[partition] = start + settings.parts / settings.capacity
+        self._partition_free_at[partition] = start + settings.parts / settings.capacity
         self._clock.call_at(start + settings.call, self._count, key, amount, lifetime, reply)
 
     def _count(self, key: int, amount: float, lifetime: float, reply: Callable[[CounterReply], None]) -> None:
--- a/apigateway/simulation/results.py
+++ b/apigateway/simulation/results.py
@@ -1,4 +1,4 @@
-"""How clients' requests end in the simulation."""
+"""Outcomes of client requests in the simulation."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class ResponseOutcome(StrEnum):
-    """What a gateway answers to a client's request."""
+    """The answer of a gateway to a request of a client."""
 
     SERVED = "served"
-    REJECTED = "rejected"  # trying again is harmless
-    FAILED = "failed"  # it may have been executed
-    CONNECTION_LOST = "connection lost"  # the gateway died
+    REJECTED = "rejected"  # safe to retry
+    FAILED = "failed"  # may have been executed
+    CONNECTION_LOST = "connection lost"  # the gateway crashed
--- a/apigateway/simulation/rule_checker.py
+++ b/apigateway/simulation/rule_checker.py
@@ -1,4 +1,4 @@
-"""Checks the rules from what passes between the parts of a simulation, not from what a module says."""
+"""Checks the rules by observing simulated messages, independent of the state of decision modules."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from apigateway.simulation.metrics import Metric, Metrics, Rule
 from apigateway.simulation.token_bucket import RecordingTokenBucket, TokenBucket
 
-CEILING_MARGIN_S = 0.15  # a ceiling's slack is wider by its rate over this time, for what is on its way
-CEILING_ROUNDING = 1e-6  # units
-DRAIN_MARGIN_S = 0.05  # the drain's grace is longer by this
-MAX_INFORMED_SHARE = 2 / 3  # of requests to a host that died of overload: above, its gateways are to blame
+CEILING_MARGIN_S = 0.15  # adds the ceiling's rate over this time to its slack, for attempts in transit
+CEILING_ROUNDING_UNITS = 1e-6
+DRAIN_MARGIN_S = 0.05  # added to the grace period of a drain
+MAX_INFORMED_SHARE = 2 / 3  # with more requests from informed gateways, an overload violates slow start
 
 
 class RuleChecker:
-    """Judges each attempt, and keeps all customers' quotas and ceilings at one place."""
+    """Checks each attempt against the exact quotas and ceilings of all customers."""
 
     def __init__(
         self,
@@ -38,36 +38,36 @@
         """Check an attempt as it is sent.
 
         Args:
-            gateway: The gateway's name.
+            gateway: Name of the gateway.
             attempt: The attempt.
-            draining_since: When the gateway heard that the host drains or is down; None if it did not.
+            draining_since: When the gateway learned that the host drains or is down, or None.
         """
         if draining_since is not None:
             seconds = self._clock.now - draining_since
             if seconds > self._rules.drain_grace + DRAIN_MARGIN_S:
-                detail = f"{gateway} to {attempt.endpoint_id}, {seconds:.2f} s after"
+                detail = f"{gateway} to {attempt.endpoint_id}, {seconds:.2f} s after the drain began"
                 self._metrics.add_violation(Rule.DRAIN, detail)
         request = attempt.request
-        if len(request.active) > 1:
+        if len(request.active_attempts) > 1:
             detail = f"{request.request_id} at {attempt.endpoint_id}"
             self._metrics.add_violation(Rule.ONE_ATTEMPT_AT_A_TIME, detail)
 
     def on_attempt_received(
         self, attempt: Attempt, customer: Customer, service_class: messages.ServiceClass
     ) -> bool | None:
-        """Check an attempt whose last byte has reached its host, and charge its customer.
+        """Check an attempt whose last byte has reached its host, and charge the customer.
 
         Returns:
-            Whether its request is inside the customer's quota; None if an earlier attempt was charged.
+            Whether the request is within the customer's quota; None if an earlier attempt was charged.
         """
         request = attempt.request
-        earlier = [other for other in request.attempts if other is not attempt]
+        earlier_attempts = [other for other in request.attempts if other is not attempt]
         if service_class.idempotency == messages.Idempotency.UNSAFE and any(
-            other.may_be_executed for other in earlier
+            other.may_be_executed for other in earlier_attempts
         ):
             detail = f"{request.request_id} at {attempt.endpoint_id}"
             self._metrics.add_violation(Rule.NO_REPEAT, detail)
-        if any(other.is_received for other in earlier):
+        if any(other.is_received for other in earlier_attempts):
             return None
         self._metrics.count(Metric.UNITS_FORWARDED)
         is_within_quota = self._take_from_quota(customer)
@@ -80,7 +80,7 @@
         return is_within_quota
 
     def _take_from_quota(self, customer: Customer) -> bool:
-        """Take a unit if there is one, and return whether there was."""
+        """Take a unit if one remains, and return whether one did."""
         plan = customer.plan
         if not plan.rate:
             return True
@@ -105,27 +105,32 @@
             self._ceilings[customer.name] = ceiling
         ceiling.refill(now)
         ceiling.take()
-        if ceiling.level < -plan.ceiling_slack - CEILING_MARGIN_S * plan.ceiling_rate - CEILING_ROUNDING:
-            self._metrics.add_violation(Rule.CEILING, f"{customer.name}, {-ceiling.level:.2f} units beyond")
+        if (
+            ceiling.level
+            < -plan.ceiling_slack - CEILING_MARGIN_S * plan.ceiling_rate - CEILING_ROUNDING_UNITS
+        ):
+            self._metrics.add_violation(
+                Rule.CEILING, f"{customer.name}, {-ceiling.level:.2f} units above the ceiling"
+            )
 
     def has_quota(self, customer: str, plan: str, age: float) -> bool:
-        """Return whether a customer's quota had room for a unit `age` seconds ago."""
+        """Return whether a customer's quota had a unit left `age` seconds ago."""
         if not self._plans[plan].rate:
             return True
         quota = self._quotas.get(customer)
         return quota is None or quota.level_at(self._clock.now - age) >= 1
 
     def on_host_overloaded(self, endpoint_id: str, informed_share: float) -> None:
-        """Check a host that died of overload while it was warming up.
+        """Check a host that failed by overload during its slow start.
 
         Args:
-            endpoint_id: The host.
-            informed_share: Share of its requests that came from gateways which knew of its start.
+            endpoint_id: Id of the host.
+            informed_share: Share of its requests from gateways that knew of its start.
         """
         self._metrics.count(Metric.OVERLOADED_HOSTS)
         if informed_share > MAX_INFORMED_SHARE:
-            self._metrics.add_violation(Rule.SLOW_START, f"{endpoint_id}, cold")
+            self._metrics.add_violation(Rule.SLOW_START, f"{endpoint_id}, in slow start")
 
     def on_unanswered(self, request_id: str) -> None:
-        """Note a request that got no answer."""
+        """Record a request without an answer."""
         self._metrics.add_violation(Rule.ANSWER, request_id)
--- a/apigateway/simulation/scenario.py
+++ b/apigateway/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""What a simulation is made of, as plain data.
+"""The settings of a simulation.
 
 These dataclasses are the schema of experiment files: each field name is a key there, so renaming one breaks
 users' files. Times are in seconds, rates per second, and "part" is a share between 0 and 1.
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """Requests of one class: `share` of all, their work drawn from an exponential with mean `mean`."""
+    """Requests of one class: a `share` of all, with exponentially distributed work of mean `mean`."""
 
     cls: messages.ServiceClass = READ
     share: float = 1.0
@@ -73,10 +73,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """The hosts.
+    """Settings of the hosts.
 
-    A host works on `slots` requests at once, each on a core or on its part of the cores; `queue` more wait,
-    and what comes then is rejected.
+    A host processes up to `slots` requests concurrently, each on a core or on an equal share of the cores. Up
+    to `queue` more requests wait, and further ones are rejected.
     """
 
     count: int = 50
@@ -84,94 +84,90 @@
     slots: int = 12
     queue: int = 48
     speed_cv: float = 0.1  # coefficient of variation of the hosts' speeds
-    big: float = 0.0  # part of the hosts that have twice the cores
-    weights: bool = False  # whether the endpoint list tells which hosts are big
-    thrash: float = 0.1  # part of its speed that a host with all slots taken has lost
+    big: float = 0.0  # part of the hosts, which have twice the cores
+    weights: bool = False  # whether the endpoint list contains the weights of big hosts
+    thrash: float = 0.1  # part of its speed that a host with all slots taken loses
     report_period: float = 0.5
     report_delay: float = 0.1
-    reports: tuple[str, ...] = ("queue", "util")  # fields of the load report
-    handshake: float = 0.001  # core seconds of a new connection
+    reports: tuple[str, ...] = ("queue", "util")  # fields of load reports
+    handshake: float = 0.001  # core seconds per new connection
     handshake_trips: float = 2.0  # round trips before the first request is sent
     idle_close: float = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class CustomerSettings:
-    """The customers and their clients.
+    """Settings of the customers and their clients.
 
-    Those of a plan make up its share (`shares`) of the load; `heavy` of them ask for `heavy_times` their
-    quota, the others for `calm` of it, in the mean.
+    The customers of a plan produce its share (`shares`) of the load. A part `heavy` of them requests
+    `heavy_times` their quota, and the others request a mean part `calm` of it.
     """
 
     plans: tuple[messages.Plan, ...] = (FREE,)
     shares: tuple[float, ...] = (1.0,)
-    count: int = 400  # customers of a plan without a quota
-    spread: tuple[float, float] = (0.5, 1.0)  # part of all gateways that a customer uses: least, most
+    count: int = 400  # number of customers of a plan without a quota
+    spread: tuple[float, float] = (0.5, 1.0)  # part of all gateways that a customer uses: minimum, maximum
     calm: float = 0.35
     heavy: float = 0.0
     heavy_times: float = 3.0
-    skew: float = 0.7  # of a customer's traffic over its gateways; 0: even
-    shift: float = 15.0  # a customer's busiest gateways change once in this time
-    gateway_skew: float = 0.5  # of traffic over gateways, whoever asks
+    skew: float = 0.7  # of a customer's traffic over its gateways; 0: uniform
+    shift: float = 15.0  # a customer's preferred gateways change about once in this time
+    gateway_skew: float = 0.5  # of the traffic of all customers over gateways
     busiest: float = 6.0  # traffic of one gateway in fifty, as a multiple of the mean
     retries: int = 1
     wait: float = 0.3  # before a retry
-    honour: float = 0.7  # part of the clients that wait as long as Retry-After tells them to
+    honour: float = 0.7  # part of the retries that wait as long as Retry-After says
     patience: float = 0.75  # part of a class's deadline after which a client gives up
-    notice: float = 2.0  # for so long a dead gateway is still sent requests
+    notice: float = 2.0  # time for which a dead gateway still receives requests
 
 
 @dataclass(frozen=True, slots=True)
 class CounterSettings:
-    """The quota counter."""
+    """Settings of the quota counter."""
 
     on: bool = True
     parts: int = 2  # partitions of the keys
-    capacity: float = 700.0  # calls a second, over all partitions
-    call: float = 0.001  # time of a call
+    capacity: float = 700.0  # calls per second, over all partitions
+    call: float = 0.001  # duration of a call
     timeout: float = 0.08
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListSettings:
-    """How a gateway hears of changes to the endpoint list: after `late` to `late` + `spread` seconds."""
+    """Delivery of endpoint list changes to a gateway: after `late` to `late` + `spread` seconds."""
 
     late: float = 0.5
     spread: float = 1.5
-    miss: float = 0.0  # part of the changes that a gateway never hears of, until the next one of that host
+    miss: float = 0.0  # part of the changes that a gateway misses, until the next change of that host
 
 
 class FaultKind(StrEnum):
-    """The faults that can be played; the values are those of `what` in experiment files."""
+    """The kinds of faults; the values are those of `what` in experiment files."""
 
-    KILL = "kill"  # part, back: gateways die, and are restarted after about `back`
-    REPLACE = "replace"  # part, over: hosts drain and cold ones replace them, one by one within `over`
+    KILL = "kill"  # part, back: gateways crash, and restart after about `back`
+    REPLACE = "replace"  # part, over: hosts drain and are replaced by cold ones, one by one within `over`
     HANG = "hang"  # part: hosts accept requests and answer none
-    ERROR = "err"  # part: hosts answer with an error at once
+    ERROR = "err"  # part: hosts answer immediately with an error
     FULL = "full"  # part: hosts reject every request
     REFUSE = "refuse"  # part: hosts refuse connections
-    REFUSE_SOME = "refuse_some"  # part: hosts refuse connections of half of the gateways
-    FALSE_REPORT = "lie"  # part: hosts report that they are idle
+    REFUSE_SOME = "refuse_some"  # part: hosts refuse connections from half of the gateways
+    FALSE_REPORT = "lie"  # part: load reports of hosts falsely state that they are idle
     SLOW = "slow"  # part, size: hosts work at `size` of their speed
-    ZONE_OUTAGE = (
-        "dark"  # zone, cold: its hosts and gateways vanish silently, and return, cold or as they were
-    )
-    ZONE_PARTITION = "cut"  # zone: nothing passes between it and the others, either way
-    LINK = (
-        "link"  # zone, there, size, lose: messages from `there` to `zone` are `size` s late, a part is lost
-    )
-    COUNTER_SILENT = "counter"  # the quota counter answers nothing
-    TRAFFIC_SHIFT = "shift"  # part: customers come through others of their gateways
-    SURGE = "surge"  # size: so many times the load
-    ENDPOINT_LIST_DELAY = "list"  # size: changes of the endpoint list are heard so much later
-    STALE_REPORTS = "stale"  # zone, size: the load reports of its hosts are so much older
+    ZONE_OUTAGE = "dark"  # zone, cold: its hosts and gateways stop silently, and restart, cold or warm
+    ZONE_PARTITION = "cut"  # zone: all messages between it and other zones are lost
+    LINK = "link"  # zone, there, size, lose: messages from `there` to `zone` are delayed by `size` or lost
+    COUNTER_SILENT = "counter"  # the quota counter does not answer
+    TRAFFIC_SHIFT = "shift"  # part: customers prefer other gateways than before
+    SURGE = "surge"  # size: multiplies the load
+    ENDPOINT_LIST_DELAY = "list"  # size: additional delay of endpoint list changes
+    STALE_REPORTS = "stale"  # zone, size: additional delay of the load reports of its hosts
 
 
 @dataclass(frozen=True, slots=True)
 class FaultSettings:
-    """A fault: it begins `at` seconds from the end of the warm-up and lasts for `lasts`.
+    """A fault, which begins `at` seconds after the warm-up and lasts for `lasts` seconds.
 
-    `what` is a `FaultKind`, where the fields that each kind uses are listed.
+    `what` is a value of `FaultKind`, which lists the fields that each kind uses.
     """
 
     what: str
@@ -189,15 +185,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One simulation: the fleet, its load, and the timeline of faults."""
+    """One simulation: the fleet, its load and its faults."""
 
     gateways: int = 200
     zones: tuple[str, ...] = ("a", "b", "c")
-    load: float = 0.7  # of what all hosts can do
+    load: float = 0.7  # as a part of the capacity of all hosts
     length: float = 20.0
-    warm_up: float = 5.0  # not counted
+    warm_up: float = 5.0  # before the measurement
     policy: str = "module"  # or "module:FILE", or a baseline
-    start_spread: float = 0.0  # gateways start within this
+    start_spread: float = 0.0  # gateways start within this time
     works: tuple[Workload, ...] = (
         Workload(READ, 0.41, 0.2),
         Workload(UPDATE, 0.40, 0.3),
@@ -223,7 +219,7 @@
     )
 
     def settings(self, index: int) -> messages.Settings:
-        """Return the settings that the decision module of gateway `index` is given."""
+        """Return the settings of the decision module of gateway `index`."""
         return messages.Settings(
             gateway_index=index,
             gateway_count=self.gateways,
--- a/apigateway/simulation/simulation.py
+++ b/apigateway/simulation/simulation.py
@@ -1,4 +1,4 @@
-"""One simulation: its parts put together, run over the timeline of faults, and measured."""
+"""One simulation: creates its parts, runs them with the scheduled faults, and returns the figures."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from apigateway.simulation.metrics import Metrics
 from apigateway.simulation.scenario import Scenario
 
-SETTLING_MARGIN_S = 3.0  # by which the last requests have their answers
+SETTLING_MARGIN_S = 3.0  # for the answers to the last requests
 
 
 class Simulation:
-    """Runs a scenario once. The same scenario and seed come to the same figures, whatever ran before.
+    """Runs a scenario once. The same scenario and seed always produce the same figures.
 
     Attributes:
         clock: The simulated time.
-        metrics: What has been measured.
-        fleet: Hosts and gateways.
+        metrics: The measurements.
+        fleet: The hosts and gateways.
         traffic: The clients.
     """
 
     def __init__(self, scenario: Scenario, seed: int, make_module: ModuleFactory) -> None:
-        """Put the parts together.
+        """Create the parts of the simulation.
 
         Args:
-            scenario: What is simulated.
+            scenario: The scenario.
             seed: Seeds all random streams.
-            make_module: Makes decision modules; not called where the scenario names a baseline.
+            make_module: Creates decision modules; not called if the scenario names a baseline.
         """
         self._scenario = scenario
         rng = random_stream(seed, "world")
@@ -46,7 +46,7 @@
         self._faults = FaultInjector(scenario, self.fleet, self.traffic, rng)
 
     def run(self) -> dict[str, Any]:
-        """Run to the end, and return the figures by the names of the reports."""
+        """Run to the end, and return the figures by their names in the report."""
         scenario = self._scenario
         measured_from = START_TIME + scenario.warm_up
         self.fleet.start()
@@ -67,7 +67,7 @@
         return self.metrics.figures(balance, scenario.warm_up, scenario.length)
 
     def _settling_time(self) -> float:
-        """Return the seconds after which every call that has begun is over."""
+        """Return the seconds after which every call that has begun is finished."""
         customers = self._scenario.customers
         longest_deadline = max(workload.cls.deadline for workload in self._scenario.works)
         return (1 + customers.patience) * longest_deadline + customers.wait + SETTLING_MARGIN_S
--- a/apigateway/simulation/token_bucket.py
+++ b/apigateway/simulation/token_bucket.py
@@ -1,18 +1,18 @@
-"""Token buckets in which the simulation keeps quotas and ceilings exactly, at one place."""
+"""Token buckets for the exact quotas and ceilings of a simulation."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import NamedTuple
 
-MAX_REMEMBERED_TAKES = 256  # enough for readers that see the bucket a few seconds late
+MAX_RECORDED_LEVELS = 256  # enough to look back a few seconds
 
 
 class TokenBucket:
-    """A bucket that fills at `rate` tokens a second up to `burst`; it starts full.
+    """A bucket that is refilled at `rate` tokens per second up to `burst`, and starts full.
 
     Attributes:
-        level: The tokens in it at the last refill; below 0 if more was taken than there was.
+        level: Tokens at the last refill; below 0 if more were taken than available.
     """
 
     __slots__ = ("burst", "level", "rate", "refilled_at")
@@ -24,40 +24,40 @@
         self.refilled_at = now
 
     def refill(self, now: float) -> float:
-        """Add what has come in since the last refill, and return the level."""
+        """Add the tokens since the last refill, and return the level."""
         self.level = min(self.burst, self.level + (now - self.refilled_at) * self.rate)
         self.refilled_at = now
         return self.level
 
     def take(self, tokens: float = 1.0) -> None:
-        """Take tokens, whether or not they are there."""
+        """Take tokens, even if not enough are available."""
         self.level -= tokens
 
 
-class TakenTokens(NamedTuple):
-    """What a bucket held after something was taken from it."""
+class RecordedLevel(NamedTuple):
+    """The level of a bucket after tokens were taken."""
 
-    at: float
+    recorded_at: float
     level: float
 
 
 class RecordingTokenBucket(TokenBucket):
-    """A token bucket that can tell what it held a while ago."""
+    """A token bucket that records its past levels."""
 
-    __slots__ = ("_takes",)
+    __slots__ = ("_levels",)
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         super().__init__(rate, burst, now)
-        self._takes: deque[TakenTokens] = deque(maxlen=MAX_REMEMBERED_TAKES)
+        self._levels: deque[RecordedLevel] = deque(maxlen=MAX_RECORDED_LEVELS)
 
     def take(self, tokens: float = 1.0) -> None:
-        """Take tokens, whether or not they are there, and remember it."""
+        """Take tokens, even if not enough are available, and record the level."""
         super().take(tokens)
-        self._takes.append(TakenTokens(self.refilled_at, self.level))
+        self._levels.append(RecordedLevel(self.refilled_at, self.level))
 
     def level_at(self, when: float) -> float:
-        """Return what it held then; the burst for times before the first take that it remembers."""
-        for taken in reversed(self._takes):
-            if taken.at <= when:
-                return min(self.burst, taken.level + (when - taken.at) * self.rate)
+        """Return the level at a past time; `burst` for times before the first recorded level."""
+        for recorded in reversed(self._levels):
+            if recorded.recorded_at <= when:
+                return min(self.burst, recorded.level + (when - recorded.recorded_at) * self.rate)
         return self.burst
--- a/apigateway/simulation/upstream.py
+++ b/apigateway/simulation/upstream.py
@@ -1,44 +1,44 @@
-"""A simulated gateway's connections and attempts at hosts."""
+"""Connections and attempts of a simulated gateway."""
 
 from __future__ import annotations
 
 from apigateway import messages
 from apigateway.messages import AttemptResult
-from apigateway.simulation.gateway_context import CONNECT_REFUSED_S, CONNECT_TIMEOUT_S, GatewayContext
+from apigateway.simulation.gateway_context import CONNECT_REFUSED_DELAY_S, CONNECT_TIMEOUT_S, GatewayContext
 from apigateway.simulation.host import HostMode, SimulatedHost
 from apigateway.simulation.in_flight import Attempt, InFlightRequest
 from apigateway.simulation.metrics import Metric
 from apigateway.simulation.results import ResponseOutcome
 from apigateway.simulation.shared_processor import HostTask
 
-# After these the connection is open and idle.
+# After these results the connection can be reused.
 REUSABLE_RESULTS = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED)
 
 
 class UpstreamClient:
-    """Sends attempts to hosts and tells the decision module how they end.
+    """Sends attempts to hosts and reports their outcomes to the decision module.
 
     Attributes:
-        attempts_made: Attempts since the simulation's start.
+        attempt_count: Attempts since the start of the simulation.
     """
 
     def __init__(self, context: GatewayContext) -> None:
         self._context = context
         self._environment = context.environment
-        self._idle_since: dict[str, list[float]] = {}  # idle connections by host, the newest last
-        self.attempts_made = 0
+        self._idle_since: dict[str, list[float]] = {}  # start times of idle connections by host, newest last
+        self.attempt_count = 0
 
     def reset(self) -> None:
-        """Lose all idle connections, as a gateway that dies or starts does."""
+        """Drop all idle connections, as when a gateway crashes or starts."""
         self._idle_since = {}
 
     def forward(self, request: InFlightRequest, endpoint_id: str) -> None:
-        """Send an attempt of a request to an endpoint."""
+        """Send an attempt to an endpoint."""
         environment = self._environment
         clock = environment.clock
         context = self._context
-        attempt = request.new_attempt(endpoint_id, clock.now)
-        self.attempts_made += 1
+        attempt = request.create_attempt(endpoint_id, clock.now)
+        self.attempt_count += 1
         environment.metrics.count(Metric.ATTEMPTS)
         draining_since = context.draining_since.get(endpoint_id)
         environment.rule_checker.on_attempt_sent(context.location.name, attempt, draining_since)
@@ -47,7 +47,7 @@
             environment.metrics.second(clock.now).unreachable += 1
         if host is None or host.refuses_connection(context.index):
             result = AttemptResult.CONNECT_FAILED
-            clock.call_later(CONNECT_REFUSED_S, self._on_result, attempt, result, context.incarnation)
+            clock.call_later(CONNECT_REFUSED_DELAY_S, self._on_result, attempt, result, context.incarnation)
             return
         attempt.host = host
         clock.call_at(request.deadline, self._on_deadline, attempt, context.incarnation)
@@ -57,13 +57,13 @@
             self._connect(attempt, host)
 
     def cancel(self, attempt: Attempt) -> None:
-        """End an attempt as cancelled, unless it is over."""
+        """Cancel an attempt, unless it is over."""
         if not attempt.is_over:
             self._close_connection(attempt)
             self._on_result(attempt, AttemptResult.CANCELLED, self._context.incarnation)
 
     def abandon(self, attempt: Attempt) -> None:
-        """Close an attempt's connection without telling the decision module."""
+        """Close the connection of an attempt without notifying the decision module."""
         attempt.is_over = True
         self._close_connection(attempt)
 
@@ -76,7 +76,7 @@
         idle_since = self._idle_since.setdefault(host.endpoint.id, [])
         now = self._environment.clock.now
         if idle_since and now - idle_since[-1] > host.settings.idle_close:
-            idle_since.clear()  # the newest has been idle for too long, and so have the others
+            idle_since.clear()  # if the newest has expired, so have the others
         if not idle_since:
             return False
         idle_since.pop()
@@ -109,7 +109,7 @@
     def _on_received(
         self, attempt: Attempt, host: SimulatedHost, handshake_work: float, incarnation: int
     ) -> None:
-        """Hand the attempt to its host: its last byte has arrived."""
+        """Pass an attempt whose last byte has arrived to its host."""
         if attempt.is_over:
             return
         if host.mode is HostMode.DEAD:
@@ -125,9 +125,11 @@
             self._send_result(attempt, host, result, incarnation, dict(host.reporter.report))
 
         attempt.task = HostTask(request.work + handshake_work, on_done)
-        known = self._context.known_endpoints.get(attempt.endpoint_id)
-        knows_start = known is not None and known.started_at >= host.endpoint.started_at
-        host.accept(attempt.task, knows_start)
+        known_endpoint = self._context.known_endpoints.get(attempt.endpoint_id)
+        sender_knew_start = (
+            known_endpoint is not None and known_endpoint.started_at >= host.endpoint.started_at
+        )
+        host.accept(attempt.task, sender_knew_start)
 
     def _send_result(
         self,
@@ -161,13 +163,13 @@
         attempt.is_over = True
         request = attempt.request
         now = self._environment.clock.now
-        request.active.pop(attempt.number, None)
+        request.active_attempts.pop(attempt.number, None)
         is_final = request.is_answered or result is AttemptResult.OK
         if result in REUSABLE_RESULTS:
             self._idle_since.setdefault(attempt.endpoint_id, []).append(now)
         if result is AttemptResult.OK:
             request.respond(ResponseOutcome.SERVED)
-        self._context.forget_if_finished(request)
+        self._context.remove_if_finished(request)
         self._environment.metrics.count_attempt_result(result)
         self._context.dispatch(
             messages.AttemptOutcome(
@@ -188,7 +190,7 @@
         self._on_result(attempt, AttemptResult.TIMEOUT, incarnation)
 
     def _close_connection(self, attempt: Attempt) -> None:
-        """Let the host know that nobody waits any more."""
+        """Close the connection of an attempt, so that the host drops its task."""
         host = attempt.host
         if host is not None:
             self._environment.network.send(self._context.location, host.location, _drop_task, attempt)
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -159,7 +159,7 @@
     simulation = Simulation(scenario, args.seed, Gateway)
     told = simulation.run()
     return figures(
-        [host.accepted for host in simulation.fleet.hosts.values()],
+        [host.accepted_count for host in simulation.fleet.hosts.values()],
         simulation.metrics.latencies,
         told["longest"],
         told["idle_waiting"],
--- a/tests/simulation/simulation_scenarios.py
+++ b/tests/simulation/simulation_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios that the tests of the simulation start from, and what runs them."""
+"""Base scenarios of the simulation tests, and a helper that runs them."""
 
 from apigateway.policy import Gateway
 from apigateway.simulation.scenario import READ, CustomerSettings, HostSettings, Scenario, Workload
@@ -12,7 +12,7 @@
     machines=HostSettings(count=9),
     customers=CustomerSettings(count=60),
 )
-CROWD = Scenario(
+FLEET = Scenario(
     gateways=60,
     load=0.5,
     length=6.0,
@@ -23,7 +23,7 @@
 )
 
 
-def run_simulation(scenario, seed=1, make=Gateway):
-    """Return the simulation that has run, and its figures."""
-    simulation = Simulation(scenario, seed, make)
+def run_simulation(scenario, seed=1, make_module=Gateway):
+    """Run a simulation, and return it with its figures."""
+    simulation = Simulation(scenario, seed, make_module)
     return simulation, simulation.run()
--- a/tests/simulation/test_simulated_counter.py
+++ b/tests/simulation/test_simulated_counter.py
@@ -5,14 +5,14 @@
 from apigateway.simulation.scenario import CounterSettings
 
 
-def test_counter_when_overloaded_answers_late_and_when_silent_still_counts():
+def test_overloaded_counter_answers_late_and_silent_counter_still_counts():
     clock = SimulatedClock()
     counter = QuotaCounter(clock, CounterSettings(parts=1, capacity=100.0))
-    told = []
+    replies = []
     for _ in range(20):
-        counter.add(4, 1.0, 60.0, lambda reply: told.append((clock.now - START_TIME, reply.total)))
+        counter.add(4, 1.0, 60.0, lambda reply: replies.append((clock.now - START_TIME, reply.total)))
     clock.run_until(START_TIME + 0.105)
-    assert [total for _, total in told] == [float(n + 1) for n in range(11)]
+    assert [total for _, total in replies] == [float(n + 1) for n in range(11)]
     counter.is_silent = True
     clock.run_until(START_TIME + 1)
-    assert len(told) == 11 and counter.entries[4].total == 20.0
+    assert len(replies) == 11 and counter.entries[4].total == 20.0
--- a/tests/simulation/test_simulated_faults.py
+++ b/tests/simulation/test_simulated_faults.py
@@ -1,4 +1,4 @@
-"""The decision module under every kind of fault."""
+"""The decision module under each kind of fault."""
 
 from dataclasses import replace
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("what", FaultKind)
-def test_decision_module_when_a_fault_is_injected_breaks_no_rule(what):
+def test_decision_module_violates_no_rule_under_a_fault(what):
     size = 0.5 if what == "slow" else 2.0
     fault = FaultSettings(
         what, 2.0, 3.0, part=0.34, size=size, lose=0.3, over=3.0, back=1.5, zone="a", cold=True
--- a/tests/simulation/test_simulated_host.py
+++ b/tests/simulation/test_simulated_host.py
@@ -1,4 +1,4 @@
-"""A simulated host against queueing theory."""
+"""A simulated host, compared with queueing theory."""
 
 import statistics
 from dataclasses import replace
@@ -20,15 +20,15 @@
 )
 
 
-@pytest.mark.parametrize("cores, load, waits", [(1, 0.5, 0.1), (1, 0.7, 0.2333), (4, 0.7, 0.0143 * 2.5)])
-def test_latency_when_arrivals_are_random_is_that_of_queueing_theory(cores, load, waits):
-    """M/M/c: the mean wait is work x C(c, load) / (c (1 - load)); C is Erlang's."""
+@pytest.mark.parametrize("cores, load, mean_wait", [(1, 0.5, 0.1), (1, 0.7, 0.2333), (4, 0.7, 0.0143 * 2.5)])
+def test_mean_latency_with_random_arrivals_matches_queueing_theory(cores, load, mean_wait):
+    """M/M/c: the mean wait is work x C(c, load) / (c (1 - load)), with C by the Erlang C formula."""
     if cores == 4:
-        a = cores * load
-        terms = [a**n / [1, 1, 2, 6, 24][n] for n in range(5)]
-        erlang = terms[4] / (1 - load) / (sum(terms[:4]) + terms[4] / (1 - load))
-        waits = 0.1 * erlang / (cores * (1 - load))
+        offered_load = cores * load
+        terms = [offered_load**n / [1, 1, 2, 6, 24][n] for n in range(5)]
+        wait_probability = terms[4] / (1 - load) / (sum(terms[:4]) + terms[4] / (1 - load))
+        mean_wait = 0.1 * wait_probability / (cores * (1 - load))
     machines = replace(ONE_HOST.machines, cores=cores, slots=cores)
     simulation, _ = run_simulation(replace(ONE_HOST, load=load, machines=machines))
-    mean = statistics.fmean(simulation.metrics.latencies)
-    assert mean == pytest.approx(0.1 + waits, rel=0.12)
+    mean_latency = statistics.fmean(simulation.metrics.latencies)
+    assert mean_latency == pytest.approx(0.1 + mean_wait, rel=0.12)
