--- a/apigateway/routing/lease_ledger.py
+++ b/apigateway/routing/lease_ledger.py
@@ -53,6 +53,7 @@
         "debt_units",
         "demand",
         "exhausted_until",
+        "gateway_count",
         "has_call_in_flight",
         "has_subunit_share",
         "leased_units",
@@ -61,9 +62,8 @@
         "rate",
         "reported_units",
         "rounding_draw",
-        "unclaimed_units",
-        "gateway_count",
         "total_units",
+        "unclaimed_units",
         "unconfirmed_units",
         "unreported_units",
         "used_units",
@@ -97,9 +97,8 @@
     def set_gateway_count(self, gateway_count: int) -> None:
         """Set the number of gateways that share the quota."""
         self.gateway_count = gateway_count
-        self.has_subunit_share = (
-            0 < self.burst < gateway_count
-        )  # an equal share of the burst is below one unit
+        # Whether an equal share of the burst is below one unit.
+        self.has_subunit_share = 0 < self.burst < gateway_count
 
     @property
     def window_end(self) -> float:
@@ -139,7 +138,7 @@
         unreported = self.unreported_units * (1 if self.has_subunit_share else self.gateway_count)
         debt = max(0.0, self.total_units + unreported - self.burst * (index - self.window_index))
         if index != self.window_index + 1:
-            self.used_units = 0.0  # it was used before the previous window
+            self.used_units = 0.0  # they were used before the previous window
         self._open_window(index, debt)
 
     def window_limit(self, now: float) -> float:
@@ -229,7 +228,7 @@
         return missing
 
     def drop_surplus(self, total: float, limit: float) -> int:
-        """Drop the whole unused units beyond one burst, and return how many they are."""
+        """Drop the unused whole units beyond one burst, and return their number."""
         surplus = max(0, int(limit - self.burst - total))
         self.carried_units += surplus
         return surplus
--- a/apigateway/routing/response_times.py
+++ b/apigateway/routing/response_times.py
@@ -7,8 +7,8 @@
 from apigateway.routing.mean_deviation import MeanDeviation
 
 TYPICAL_TIME_GAIN = 0.15  # weight of a new time in the typical one; follows a change within a few responses
-MIN_RESPONSE_TIME_S = 1e-4  # the typical time is used as a divisor
-MIN_MEAN_S = 1e-6  # the mean is used as a divisor
+MIN_RESPONSE_TIME_S = 1e-4  # above 0, as the typical time is used as a divisor
+MIN_MEAN_S = 1e-6  # above 0, as the mean is used as a divisor
 MAX_RATIO = 10.0  # of a time to the mean of its class; limits the effect of an outlier
 
 
--- a/apigateway/routing/retry_budget.py
+++ b/apigateway/routing/retry_budget.py
@@ -4,7 +4,7 @@
 
 
 class RetryBudget:
-    """The number of retries that may be made, as a fraction."""
+    """The number of retries that may be made, which need not be whole."""
 
     __slots__ = ("_limit", "retries")
 
--- a/apigateway/routing/slow_start.py
+++ b/apigateway/routing/slow_start.py
@@ -17,16 +17,16 @@
 class SlowStartTokens:
     """A token bucket that limits the requests to an endpoint in slow start."""
 
-    __slots__ = ("_filled_at", "_tokens")
+    __slots__ = ("_refilled_at", "_tokens")
 
     def __init__(self, tokens: float, now: float) -> None:
         self._tokens = tokens
-        self._filled_at = now
+        self._refilled_at = now
 
     def refill(self, now: float, rate: float, limit: float) -> float:
         """Add the tokens since the last refill, up to a limit, and return how many there are."""
-        self._tokens = min(self._tokens + (now - self._filled_at) * rate, limit)
-        self._filled_at = now
+        self._tokens = min(self._tokens + (now - self._refilled_at) * rate, limit)
+        self._refilled_at = now
         return self._tokens
 
     def take(self) -> None:
--- a/apigateway/routing/subset_index.py
+++ b/apigateway/routing/subset_index.py
@@ -32,16 +32,16 @@
         self._index = index
         self._gateway_count = gateway_count
 
-    def rebuild_subset(self, known: Iterable[Item], rate: float) -> None:
+    def rebuild_subset(self, all_items: Iterable[Item], rate: float) -> None:
         """Select the items around this gateway's position on the ring, as many as its request rate requires.
 
         Args:
-            known: all items that may have been in the subset before.
+            all_items: all items that may have been in the subset before.
             rate: requests per second.
         """
         size = subset.subset_size(len(self.available), self._gateway_count, rate, len(self.subset))
         self.subset = subset.deterministic_subset(self.available, self._index, self._gateway_count, size)
-        for item in known:
+        for item in all_items:
             item.in_subset = False
             item.position = free_list.ABSENT
         for item in self.subset:
--- a/apigateway/simulation/scenario.py
+++ b/apigateway/simulation/scenario.py
@@ -155,7 +155,7 @@
     SLOW = "slow"  # part, size: hosts work at `size` of their speed
     ZONE_OUTAGE = "dark"  # zone, cold: its hosts and gateways stop silently, and restart, cold or warm
     ZONE_PARTITION = "cut"  # zone: all messages between it and other zones are lost
-    LINK = "link"  # zone, there, size, lose: messages from `there` to `zone` are delayed by `size` or lost
+    LINK = "link"  # zone, there, size, lose: a part `lose` from `there` to `zone` is lost, the rest delayed
     COUNTER_SILENT = "counter"  # the quota counter does not answer
     TRAFFIC_SHIFT = "shift"  # part: customers prefer other gateways than before
     SURGE = "surge"  # size: multiplies the load
