--- a/apigateway/core/__init__.py
+++ b/apigateway/core/__init__.py
@@ -1,12 +1,12 @@
-"""A request's lifecycle, whatever protocol it came by: admitted, decided, attempted, answered exactly once.
+"""The protocol-independent life cycle of a request: admission, decision, attempts and one final response.
 
-`request_lifecycle.RequestDispatcher` puts the parts together. Each promise is kept in one place:
+`request_lifecycle.RequestDispatcher` connects the parts. Each guarantee is implemented in one place:
 
-- no request is lost: `deadlines.DeadlineGuard` fails what nobody answered;
-- one final answer: `responses.ResponseSender.finish` gives it;
-- no effect runs twice: one attempt at a time (`attempts.AttemptHandler`), and none is sent after `finish`;
-- a drain waits for all that was accepted: `in_flight_table.InFlightTable.wait_until_drained`.
+- every request gets a response: `deadlines.DeadlineGuard` fails requests that nothing else answered;
+- every request gets only one final response: `responses.ResponseSender.finish` sends it;
+- no side effect runs twice: `attempts.AttemptHandler` sends one attempt at a time, and none after `finish`;
+- a drain waits for all accepted requests: `in_flight_table.InFlightTable.wait_until_drained`.
 
-Which endpoint is asked, and how often, is the decision module's choice: nothing here sends what it did not
-ask for.
+The decision module chooses the endpoints and the number of attempts. The core sends no attempt that the
+decision module did not ask for.
 """
--- a/apigateway/core/attempts.py
+++ b/apigateway/core/attempts.py
@@ -1,4 +1,4 @@
-"""Carry out the attempts that the decision module asks for, and report their outcomes to it."""
+"""Send the attempts that the decision module asks for, and report their outcomes to it."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from apigateway.core.responses import ResponseSender
 from apigateway.messages import AttemptResult
 
-# What an attempt carries for the core: its request, and its number among that request's.
+# The request of an attempt, and the attempt's number within that request.
 AttemptTag = tuple[InFlightRequest, int]
 
-# Bound once: every attempt is compared with them, and a member is slow to look up in its class.
+# Module constants, because every attempt is compared with them and enum member lookup is slow.
 _OK = AttemptResult.OK
 _CONNECT_FAILED = AttemptResult.CONNECT_FAILED
 
@@ -26,10 +26,10 @@
 
 
 class AttemptHandler:
-    """The handler of `ForwardRequest` and `CancelAttempt`.
+    """Handles the actions `ForwardRequest` and `CancelAttempt`.
 
-    Each attempt that the decision module asks for has one `AttemptOutcome`, also one that is not sent: it
-    would count that as in flight at its endpoint for good.
+    Reports exactly one `AttemptOutcome` for each attempt that the decision module asks for, even if the
+    attempt is not sent. Without an outcome the decision module would count it as in flight forever.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._responses = responses
 
     def forward(self, action: messages.ForwardRequest) -> None:
-        """Send one attempt, or report that it is moot."""
+        """Send one attempt, or report it as moot if it may not be sent."""
         in_flight = self._table.requests.get(action.request_id)
         if in_flight is None:
             return
@@ -63,7 +63,7 @@
             self._report_moot(in_flight, number, action.endpoint_id)
 
     def cancel(self, action: messages.CancelAttempt) -> None:
-        """Abandon one attempt of a request."""
+        """Cancel one attempt of a request."""
         in_flight = self._table.requests.get(action.request_id)
         if in_flight is not None and action.attempt in in_flight.active_attempts:
             attempt = in_flight.active_attempts[action.attempt]
@@ -71,7 +71,7 @@
 
     def _is_allowed(self, in_flight: InFlightRequest, number: int) -> bool:
         limits = self._context.settings.limits
-        if in_flight.is_finished:  # its end crossed the action
+        if in_flight.is_finished:  # the request finished before this action was handled
             return False
         if number >= limits.max_attempts:
             return False
@@ -81,7 +81,7 @@
         try:
             plugins.on_attempt(endpoint_id)
         except Exception:
-            log.exception("request %s: plug-ins", in_flight.request_id)
+            log.exception("request %s: a plug-in failed to handle an attempt", in_flight.request_id)
 
     def _send(self, in_flight: InFlightRequest, number: int, endpoint_id: str, timeout: float) -> None:
         upstream = self._context.upstream
@@ -105,7 +105,7 @@
         del in_flight.active_attempts[number]
         if in_flight.is_finished:
             if result == _CONNECT_FAILED:
-                result = AttemptResult.MOOT  # abandoned before it was sent: it says nothing of the endpoint
+                result = AttemptResult.MOOT  # cancelled before it was sent: no information on the endpoint
             self._table.release_if_ended(in_flight)
         elif result == _OK:
             self._responses.finish(in_flight, RequestOutcome.COMPLETED, attempt.value)
--- a/apigateway/core/budget.py
+++ b/apigateway/core/budget.py
@@ -1,40 +1,41 @@
-"""Share one amount among the frontends, so that a flood on one leaves capacity for the others."""
+"""Share one resource among the frontends, so that a flood on one frontend leaves capacity for the others."""
 
 from __future__ import annotations
 
-# Fraction of the amount that is reserved, in even parts, for frontends that do not use theirs.
+# Fraction of the limit that is reserved, in equal parts, for the individual frontends.
 RESERVED_FRACTION = 0.5
 
 
 class Budget:
-    """An amount (requests in flight, bytes of bodies) and how much of it each frontend uses.
+    """A limited resource (requests in flight, bytes of bodies) and the amount that each frontend uses.
 
-    Each of n frontends has `RESERVED_FRACTION / n` of it to itself; the rest goes to whoever asks first. With
-    one frontend all of it is that frontend's.
+    Each of n frontends has `RESERVED_FRACTION / n` of the limit reserved; the rest is first come, first
+    served. A single frontend may use the whole limit.
 
     Attributes:
-        limit: The amount; a reload may change it, also to less than is used.
-        used: Over all frontends.
-        used_by_frontend: Of those that have joined, and of those that have left and still use some.
+        limit: Total amount; a reload may change it, even to less than is in use.
+        used: Amount that all frontends use together.
+        used_by_frontend: Amount that each registered frontend uses. A frontend that has left keeps its entry
+            until it has released everything.
     """
 
     def __init__(self, limit: float) -> None:
         self.limit = limit
         self.used = 0.0
         self.used_by_frontend: dict[object, float] = {}
-        self._departed: set[object] = set()  # frontends that have left and still use some
+        self._departed: set[object] = set()  # frontends that have left and still use some of the resource
 
     def join(self, frontend: object) -> None:
-        """Reserve a part for a frontend."""
+        """Register a frontend and reserve its part."""
         self.used_by_frontend.setdefault(frontend, 0.0)
 
     def leave(self, frontend: object) -> None:
-        """Give a frontend's reserve to the others, once it has released all that it still uses."""
+        """Unregister a frontend; its reserve goes to the others once it has released all that it uses."""
         self._departed.add(frontend)
         self.release(frontend, 0)
 
     def available_to(self, frontend: object) -> float:
-        """Return how much more a frontend may use now; 0 or less: none."""
+        """Return the amount that a frontend may acquire now; 0 or less: none."""
         available = self.limit - self.used
         if len(self.used_by_frontend) > 1:
             reserve = self.limit * RESERVED_FRACTION / len(self.used_by_frontend)
@@ -44,14 +45,14 @@
         return available
 
     def acquire(self, frontend: object, amount: float) -> None:
-        """Count an amount as used by a frontend; whether it is available is the caller's to ask."""
+        """Record that a frontend uses an amount; the caller checks `available_to` first."""
         self.used += amount
         self.used_by_frontend[frontend] = self.used_by_frontend.get(frontend, 0.0) + amount
 
     def release(self, frontend: object, amount: float) -> None:
-        """Take back what a frontend used, which `acquire` counted before."""
+        """Release an amount that the frontend acquired before."""
         if not amount and frontend not in self.used_by_frontend:
-            return  # it has left, and a quota check of its holds no bytes
+            return  # the frontend has left, and its last quota check used no bytes
         self.used -= amount
         self.used_by_frontend[frontend] -= amount
         if self._departed and frontend in self._departed and not self.used_by_frontend[frontend]:
--- a/apigateway/core/clock.py
+++ b/apigateway/core/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the decision module: Unix time that never steps."""
+"""The clock of the decision module: Unix time that never jumps."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class MonotonicUnixClock:
-    """Give Unix time in seconds that advances with the monotonic clock.
+    """Unix time in seconds that advances with the monotonic clock.
 
-    Endpoints' start times and the counter's windows are Unix times, and a step of the system's clock must
-    not move them.
+    The start times of endpoints and the windows of the counter are Unix times. A step of the system clock
+    must not shift them.
     """
 
     def __init__(self) -> None:
-        self._monotonic_zero = time.time() - time.monotonic()
+        self._monotonic_epoch = time.time() - time.monotonic()  # Unix time at monotonic time 0
 
     def __call__(self) -> float:
-        """Return the time in seconds since the epoch."""
-        return self._monotonic_zero + time.monotonic()
+        """Return the Unix time in seconds."""
+        return self._monotonic_epoch + time.monotonic()
--- a/apigateway/core/context.py
+++ b/apigateway/core/context.py
@@ -1,4 +1,4 @@
-"""The collaborators of the core and the state that its parts share."""
+"""The collaborators of the core, and the state that its parts share."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     UpstreamPool,
 )
 
-if TYPE_CHECKING:  # not loaded where nothing is shed early
+if TYPE_CHECKING:  # imported at run time only if load shedding is enabled
     from apigateway.core.admission import AdmissionController
 
 
 class CoreContext:
-    """What each part of the core is given.
+    """The collaborators and the state that every part of the core uses.
 
-    A reload or a hand-over replaces some of the collaborators, so a part reads them here at each use and
-    keeps no reference of its own.
+    A reload or a hand-over may replace a collaborator. Each part therefore reads it from here at each use
+    and keeps no reference of its own.
     """
 
     def __init__(
@@ -45,12 +45,12 @@
         self.loop = loop
         self.clock = clock or MonotonicUnixClock()
 
-        # Set by the daemon where settings want them.
+        # Set by the daemon if the settings enable them.
         self.endpoint_source: EndpointSource | None = None
         self.plugins: PluginChain | None = None
         self.in_flight_registry: InFlightRegistry | None = None
         self.admission: AdmissionController | None = None
         self.external_ratelimit: ExternalRateLimiter | None = None
 
-        self.is_ready = False  # there are endpoints, or were
-        self.is_draining = False  # set by the daemon at the begin of a graceful shutdown
+        self.is_ready = False  # whether any endpoint has been available since the start
+        self.is_draining = False  # set by the daemon when a graceful shutdown begins
--- a/apigateway/core/deadlines.py
+++ b/apigateway/core/deadlines.py
@@ -1,4 +1,4 @@
-"""The times by which a request is answered, and the timer that sees to it."""
+"""The deadlines of requests, and the timer that enforces them."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from apigateway.core.in_flight_request import InFlightRequest
 from apigateway.core.interfaces import Scheduler
 
-# Seconds before the client gives up by which the decision module is to be done: the answer's way back.
+# Time between the decision module's deadline and the client's timeout, reserved for sending the response.
 RESPONSE_MARGIN_S = 0.03
-# Seconds before the client gives up at which a request without an answer is failed, whatever the decision
-# module does.
+# Time before the client's timeout at which a request without a response is failed, regardless of the decision
+# module.
 DEADLINE_GUARD_MARGIN_S = 0.01
-# Seconds; a client that says it will wait for longer is in error.
+# Longest timeout that a client may send; a longer one is rejected as invalid.
 MAX_REQUEST_TIMEOUT_S = 3600.0
 
 log = logging.getLogger(__name__)
 
 
 class DeadlineGuard:
-    """Abort each request that the decision module has not answered in its client's time.
+    """Aborts each request that has no final response shortly before its client's timeout.
 
     Args:
-        loop: The event loop's timers.
-        abort: Fails a request without the decision module.
+        loop: Timers of the event loop.
+        abort: Fails a request without asking the decision module.
     """
 
     def __init__(self, loop: Scheduler, abort: Callable[[InFlightRequest], None]) -> None:
@@ -33,13 +33,13 @@
         self._abort = abort
 
     def start(self, in_flight: InFlightRequest) -> None:
-        """Start the timer of an accepted request; its final answer cancels it."""
+        """Start the timer of an accepted request; the final response cancels it."""
         guard_at = in_flight.deadline + RESPONSE_MARGIN_S - DEADLINE_GUARD_MARGIN_S
         delay = max(0.0, guard_at - time.monotonic())
         in_flight.deadline_timer = self._loop.call_later(delay, self.on_deadline, in_flight)
 
     def on_deadline(self, in_flight: InFlightRequest) -> None:
-        """Fail a request that has no final answer yet."""
+        """Abort a request that has no final response yet."""
         if not in_flight.is_finished:
             log.warning("request %s: no decision before its deadline", in_flight.request_id)
             self._abort(in_flight)
--- a/apigateway/core/endpoint_updates.py
+++ b/apigateway/core/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Pass the endpoint list on to the connection pools and to the decision module."""
+"""Apply endpoint lists to the connection pools and the decision module."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EndpointUpdates:
-    """What an `EndpointSource` reports."""
+    """Handles the endpoint lists and failures that an `EndpointSource` reports."""
 
     def __init__(self, context: CoreContext, events: EventDispatcher) -> None:
         self._context = context
@@ -19,8 +19,8 @@
     def on_list(self, endpoint_list: messages.EndpointList, addresses: Addresses) -> None:
         """Apply a new endpoint list.
 
-        The decision module is notified between the endpoints that come and those that go: what ends with one
-        that goes is then not sent there once more.
+        Endpoints are added before the decision module is notified, and removed afterwards. An attempt that
+        ends because its endpoint is removed is thus not sent to that endpoint again.
         """
         upstream = self._context.upstream
         up = {endpoint.id for endpoint in endpoint_list.endpoints if endpoint.state == EndpointStatus.UP}
@@ -35,7 +35,7 @@
         self._context.is_ready = self._context.is_ready or bool(upstream.known_endpoints())
 
     def on_list_failed(self) -> None:
-        """Tell the decision module that an endpoint list it asked for could not be had."""
+        """Notify the decision module that an endpoint list it asked for could not be fetched."""
         source = self._context.endpoint_source
         if source is not None and self._context.settings.discovery_mode == DiscoveryMode.POLL:
             self._events.dispatch(messages.EndpointList(ListMode.FAILED, source.version, ()))
--- a/apigateway/core/event_dispatcher.py
+++ b/apigateway/core/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Hand events to the decision module one after another, and its actions to their handlers."""
+"""Pass events to the decision module one at a time, and its actions to their handlers."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from apigateway import messages
 from apigateway.core.context import CoreContext
 
-# Carries out one action; a handler of `ForwardRequest` is given only those.
+# Carries out one action. Each handler is called only with actions of the type it is registered for.
 ActionHandler = Callable[[Any], None]
 
 log = logging.getLogger(__name__)
 
 
 class EventDispatcher:
-    """The one way to the decision module, which handles a single event at a time.
+    """Serializes all events for the decision module, which handles one event at a time.
 
-    `register` completes it: the handlers need the dispatcher themselves.
+    The action handlers need the dispatcher, so they are set by `register` after it is created.
     """
 
     def __init__(self, context: CoreContext) -> None:
@@ -34,19 +34,20 @@
         action_handlers: Mapping[type, ActionHandler],
         on_module_error: Callable[[messages.Event], None],
     ) -> None:
-        """Set who carries out the actions, by their types.
+        """Set the handlers of actions and of errors.
 
         Args:
-            action_handlers: By the type of the action.
-            on_module_error: Called with the event on which the decision module raised.
+            action_handlers: Handlers by the type of action.
+            on_module_error: Called with the event on which the decision module raised an exception.
         """
         self.action_handlers.update(action_handlers)
         self._on_module_error = on_module_error
 
     def dispatch(self, event: messages.Event) -> None:
-        """Hand an event to the decision module; what its actions cause at once waits its turn.
+        """Pass an event to the decision module; events that its actions cause meanwhile are queued.
 
-        But the end of a request goes before all that waits, so that nothing is decided for it any more.
+        `ClientDisconnected` goes to the front of the queue, so that the decision module does not decide
+        anything more for that request.
         """
         if isinstance(event, messages.ClientDisconnected):
             self._events.appendleft(event)
@@ -65,13 +66,13 @@
         context = self._context
         try:
             actions = context.module.handle(context.clock(), event)
-        except Exception:  # one request must not take the others along
-            log.exception("the module failed on %s", type(event).__name__)
+        except Exception:  # a failure on one request must not affect the others
+            log.exception("the decision module raised on event %s", type(event).__name__)
             if self._on_module_error is not None:
                 self._on_module_error(event)
             return
         for action in actions:
             try:
                 self.action_handlers[type(action)](action)
-            except Exception:  # nor one action the rest; the deadline timer answers what it was for
-                log.exception("%r could not be carried out", action)
+            except Exception:  # the other actions still run; the deadline guard answers the request
+                log.exception("failed to carry out action %r", action)
--- a/apigateway/core/gateway_actions.py
+++ b/apigateway/core/gateway_actions.py
@@ -1,7 +1,7 @@
-"""Carry out the decision module's actions that belong to no single request.
+"""Carry out the decision module's actions that do not belong to a single request.
 
-Health checks, the quota counter, timers and the endpoint list. What comes of each goes back to the decision
-module as an event.
+These are health checks, calls to the quota counter, timers and updates of the endpoint list. Each result is
+dispatched to the decision module as an event.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from apigateway.core.interfaces import UpstreamAttempt
 from apigateway.messages import CounterCallResult
 
-# Seconds: the event loop's timers tick in milliseconds and may fire that much early.
+# Resolution of the event loop's timers, which may fire early by as much.
 TIMER_RESOLUTION_S = 0.001
 
 log = logging.getLogger(__name__)
 
 
 class GatewayActions:
-    """The handlers of these actions, each named by its action."""
+    """Handlers of these actions, each named after its action."""
 
     def __init__(self, context: CoreContext, events: EventDispatcher) -> None:
         self._context = context
@@ -39,15 +39,17 @@
         )
 
     def add_to_counter(self, action: messages.AddToCounter) -> None:
-        """Add to a counter; without a counter it is answered as one that cannot be reached."""
+        """Add to a total on the quota counter; without a counter, report CONNECT_FAILED."""
         context = self._context
         if context.counter is None:
             result = CounterCallResult.CONNECT_FAILED
-            context.loop.call_soon(self._on_counted, action.counter_key, result, 0.0, 0.0)
+            context.loop.call_soon(self._on_counter_result, action.counter_key, result, 0.0, 0.0)
         else:
-            context.counter.add(action.counter_key, action.amount, action.lifetime, self._on_counted)
+            context.counter.add(action.counter_key, action.amount, action.lifetime, self._on_counter_result)
 
-    def _on_counted(self, counter_key: int, result: CounterCallResult, total: float, elapsed: float) -> None:
+    def _on_counter_result(
+        self, counter_key: int, result: CounterCallResult, total: float, elapsed: float
+    ) -> None:
         self._events.dispatch(messages.CounterResult(counter_key, result, total, elapsed))
 
     def set_timer(self, action: messages.SetTimer) -> None:
@@ -57,7 +59,7 @@
         context.loop.call_later(action.delay, self._on_timer, action.label, due_at)
 
     def _on_timer(self, label: int, due_at: float) -> None:
-        # The decision module would take an early timer for another one and set no further.
+        # The decision module would take an early timer for a different one and would not set a new one.
         context = self._context
         remaining = due_at - context.clock()
         if remaining > 0:
@@ -70,7 +72,7 @@
         self._context.upstream.close_idle_connections(action.endpoint_id)
 
     def fetch_endpoints(self, action: messages.FetchEndpoints) -> None:
-        """Ask for the endpoint list once."""
+        """Fetch the endpoint list once."""
         if self._context.endpoint_source is not None:
             self._context.endpoint_source.fetch()
 
@@ -80,5 +82,5 @@
             self._context.endpoint_source.watch(action.is_on)
 
     def log_message(self, action: messages.LogMessage) -> None:
-        """Write a line of the decision module to the log."""
-        log.info("module: %s", action.text)
+        """Log a message of the decision module."""
+        log.info("decision module: %s", action.text)
--- a/apigateway/core/in_flight_request.py
+++ b/apigateway/core/in_flight_request.py
@@ -1,4 +1,4 @@
-"""The record of one accepted request, from its admission to the end of its last attempt."""
+"""The state of one accepted request, from its admission to the end of its last attempt."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
     UpstreamRequest,
 )
 
-# In place of a registry's place, which is 0 or more: none was asked for.
+# `registry_slot` of a request that is not in the registry; slots are 0 or more.
 NOT_REGISTERED = -3
 
 
 class NoUpstreamRequest:
-    """What endpoints are sent for a quota check: nothing."""
+    """The upstream request of a quota check, which is never sent."""
 
     body_size = 0  # bytes
 
     def encode(self, remaining: float) -> bytes:
-        """Raise: a quota check is answered by the decision module alone."""
-        raise AssertionError("a check goes to no host")
+        """Raise, because only the decision module answers a quota check."""
+        raise AssertionError("a quota check is never sent to an endpoint")
 
 
 NO_UPSTREAM_REQUEST = NoUpstreamRequest()
 
 
 class InFlightRequest:
-    """An accepted request: where its answer goes, what endpoints are sent, and what is outstanding for it.
+    """An accepted request that is not finished or has active attempts.
 
     Attributes:
         request_id: Unique among the requests in flight.
-        sink: Where its final answer goes.
-        upstream_request: What endpoints are sent for it.
-        frontend: Whose capacity it uses.
-        deadline: By which the decision module is to be done, in seconds of `time.monotonic`.
-        registry_place: For `InFlightRegistry.release`; NOT_REGISTERED if it is in no registry.
-        customer: Who asks.
-        deadline_timer: Of `DeadlineGuard`; None until it is started.
-        attempt_count: Attempts that the decision module asked for, sent or not.
-        active_attempts: Those that have not ended, by their number.
-        is_finished: Whether the final answer was given, or its client has disconnected.
-        plugins: Its way through the plug-ins; None where there are none.
-        pending_check: The external rate limiter's handle while it is asked, for `cancel`.
+        sink: Receives the final response.
+        upstream_request: Encodes the message that is sent to endpoints.
+        frontend: Frontend whose capacity the request uses.
+        deadline: Time by which the decision module must have decided, on the clock of `time.monotonic`.
+        registry_slot: Slot in the in-flight registry; NOT_REGISTERED if the request has none.
+        customer: Customer that sent the request.
+        deadline_timer: Timer of `DeadlineGuard`; None until it is started.
+        attempt_count: Attempts that the decision module asked for, including those that were not sent.
+        active_attempts: Attempts that have not ended, by their number.
+        is_finished: Whether the final response was sent or the client has disconnected.
+        plugins: State of the request in the plug-in chain; None without plug-ins.
+        pending_check: Handle of the pending external rate limit check, for `ExternalRateLimiter.cancel`.
     """
 
     __slots__ = (
@@ -54,7 +54,7 @@
         "upstream_request",
         "frontend",
         "deadline",
-        "registry_place",
+        "registry_slot",
         "customer",
         "deadline_timer",
         "attempt_count",
@@ -71,7 +71,7 @@
         upstream_request: UpstreamRequest,
         frontend: object,
         deadline: float,
-        registry_place: int,
+        registry_slot: int,
         customer: str,
     ) -> None:
         self.request_id = request_id
@@ -79,7 +79,7 @@
         self.upstream_request = upstream_request
         self.frontend = frontend
         self.deadline = deadline
-        self.registry_place = registry_place
+        self.registry_slot = registry_slot
         self.customer = customer
         self.deadline_timer: TimerHandle | None = None
         self.attempt_count = 0
--- a/apigateway/core/in_flight_table.py
+++ b/apigateway/core/in_flight_table.py
@@ -1,4 +1,4 @@
-"""The requests in flight, and the capacity that they use."""
+"""The table of requests in flight, and the capacity that they use."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class DuplicateRequestError(Exception):
-    """A request with this id is in flight, by this frontend or another."""
+    """A request with this id is already in flight, from this frontend or another one."""
 
 
 class InFlightTable:
-    """All accepted requests by their id, until each is finished and its last attempt has ended.
+    """All accepted requests that are not finished or have active attempts.
 
     Args:
-        context: The core's.
-        max_in_flight: Requests that may be in flight at once, over all frontends together.
-        max_body_bytes: Bytes of their bodies that may be held at once, likewise.
+        context: Collaborators of the core.
+        max_in_flight: Maximum number of requests in flight, over all frontends.
+        max_body_bytes: Maximum total size of the bodies of these requests, over all frontends.
     """
 
     def __init__(self, context: CoreContext, max_in_flight: int, max_body_bytes: float) -> None:
@@ -40,22 +40,22 @@
         self.body_budget.join(frontend)
 
     def unregister_frontend(self, frontend: object) -> None:
-        """Give a frontend's capacity to the others."""
+        """Return a frontend's reserved capacity to the other frontends."""
         self.request_budget.leave(frontend)
         self.body_budget.leave(frontend)
 
     def is_in_flight(self, request_id: str, is_write: bool) -> bool:
-        """Tell whether a request may be running here or, if it is a write, at another worker."""
+        """Return whether a request may be running in this worker or, if it is a write, in another one."""
         if request_id in self.requests:
             return True
         registry = self._context.in_flight_registry
         return is_write and registry is not None and registry.is_held(request_id)
 
     def reserve(self, frontend: object, request: messages.Request) -> int | None:
-        """Look for capacity for a request, and register it if it is a write.
+        """Check the capacity for a request, and register the request if it is a write.
 
         Returns:
-            The request's place in the registry, or NOT_REGISTERED; None if there is no capacity.
+            The request's registry slot, or NOT_REGISTERED; None if there is no capacity.
 
         Raises:
             DuplicateRequestError: Another worker holds the request.
@@ -72,14 +72,14 @@
         self, registry: InFlightRegistry, request: messages.Request, has_capacity: bool
     ) -> int | None:
         if not has_capacity:
-            # A rejection says that the write has not run, which is not known of one held elsewhere.
+            # A rejection states that the write has not run, which is unknown if another worker holds it.
             if registry.is_held(request.request_id):
                 raise DuplicateRequestError
             return None
-        place = registry.acquire(request.request_id, request.remaining + RESPONSE_MARGIN_S)
-        if place == AcquireFailure.ALREADY_HELD:
+        slot = registry.acquire(request.request_id, request.remaining + RESPONSE_MARGIN_S)
+        if slot == AcquireFailure.ALREADY_HELD:
             raise DuplicateRequestError
-        return None if place == AcquireFailure.NO_FREE_SLOT else place
+        return None if slot == AcquireFailure.NO_FREE_SLOT else slot
 
     def add(
         self,
@@ -87,12 +87,12 @@
         request: messages.Request,
         upstream_request: UpstreamRequest,
         sink: ResponseSink,
-        registry_place: int,
+        registry_slot: int,
     ) -> InFlightRequest:
-        """Accept a request for which `reserve` found capacity; its deadline starts to run."""
+        """Add a request for which `reserve` found capacity; its deadline counts from now."""
         deadline = time.monotonic() + request.remaining
         in_flight = InFlightRequest(
-            request.request_id, sink, upstream_request, frontend, deadline, registry_place, request.customer
+            request.request_id, sink, upstream_request, frontend, deadline, registry_slot, request.customer
         )
         sink.token = in_flight
         self.requests[request.request_id] = in_flight
@@ -109,13 +109,13 @@
         self.request_budget.release(in_flight.frontend, 1)
         self.body_budget.release(in_flight.frontend, in_flight.upstream_request.body_size)
         registry = self._context.in_flight_registry
-        if registry is not None and in_flight.registry_place >= 0:
-            registry.release(in_flight.registry_place)
+        if registry is not None and in_flight.registry_slot >= 0:
+            registry.release(in_flight.registry_slot)
         if self._context.is_draining and not self.requests:
             self.drained.set()
 
     async def wait_until_drained(self, seconds: float) -> bool:
-        """Wait until nothing is in flight, `seconds` at most; tell whether that came about."""
+        """Wait up to `seconds` until no request is in flight; return whether that is the case."""
         if not self.requests:
             return True
         self.drained.clear()
--- a/apigateway/core/interfaces.py
+++ b/apigateway/core/interfaces.py
@@ -1,8 +1,8 @@
-"""What the core is given: one Protocol a collaborator, and the types that pass between them.
+"""The interfaces of the core's collaborators, one Protocol each, and the types that they exchange.
 
-Nothing else is known here of frontends, endpoints, the counter or membership. All durations are in seconds.
-All calls are made on the event loop's thread, and none may block it. Where nothing is said of exceptions the
-collaborator may raise none: what it cannot do it reports by its callback.
+The core depends on frontends, endpoints, the counter and membership only through these interfaces. All
+durations are in seconds. All calls are made on the event loop's thread and must not block it. Unless stated
+otherwise, a collaborator must not raise; it reports failures through its callback.
 """
 
 from __future__ import annotations
@@ -16,240 +16,246 @@
 Address = tuple[str, int]  # IP address, port
 Addresses = Mapping[str, Address]  # by endpoint id
 
-# Called with the counter's key, the result, the total, and the seconds it took.
+# Called with the counter key, the result, the total and the elapsed seconds.
 CounterCallback = Callable[[int, messages.CounterCallResult, float, float], None]
 
-# Called with whether a request may go on, and else the seconds until it may be retried.
+# Called with whether a request is allowed and, if it is not, the seconds until it may be retried.
 DecisionCallback = Callable[[bool, float], None]
 
 
 class ResponseSink(Protocol):
-    """Where one request's final answer goes; a frontend makes one for each request.
+    """Receives the final response of one request; a frontend creates one sink per request.
 
-    Exactly one of `complete`, `reject` and `fail` is called, once, from within `RequestDispatcher.submit` or
-    later; none if the client disconnected before. What one of them raises is logged and changes nothing for
-    the request, but where it was not accepted for want of capacity: there it comes out of `submit`.
+    Exactly one of `complete`, `reject` and `fail` is called, once, during `RequestDispatcher.submit` or
+    later; none is called if the client disconnected before. If one of them raises, the error is logged and
+    has no effect on the request. Only for a request that was not accepted for lack of capacity does `submit`
+    propagate it.
     """
 
-    token: Any  # the core's own record of the request, for `RequestDispatcher.on_client_disconnected`
+    token: Any  # the core's record of the request, for `RequestDispatcher.on_client_disconnected`
 
     def complete(self, value: bytes) -> None:
-        """Answer with the value as an endpoint gave it for this request."""
+        """Respond with the value that an endpoint returned for this request."""
 
     def reject(self, retry_after: float) -> None:
-        """Answer that trying again is harmless, after `retry_after` seconds; 0 where nothing is known."""
+        """Respond that the request has not run and may be retried safely.
+
+        `retry_after` is the number of seconds to wait before a retry, 0 if unknown.
+        """
 
     def fail(self) -> None:
-        """Answer that it may have run."""
+        """Respond that the request failed and may have run."""
 
 
 class QuotaCheckSink(ResponseSink, Protocol):
-    """Where a quota check's answer goes.
+    """Receives the final response of a quota check.
 
-    Exactly one of `grant`, `deny`, `reject` (there is no capacity here) and `fail` is called, once, on the
-    terms of `ResponseSink`.
+    Exactly one of `grant`, `deny`, `reject` (the gateway has no capacity) and `fail` is called, once, under
+    the conditions described in `ResponseSink`.
     """
 
     def grant(self, granted: messages.QuotaGranted) -> None:
-        """Answer that the units are granted."""
+        """Respond that the units are granted."""
 
     def deny(self, denied: messages.QuotaDenied) -> None:
-        """Answer that the units are denied."""
+        """Respond that the units are denied."""
 
 
 class UpstreamRequest(Protocol):
-    """What an endpoint is sent for a request; a frontend makes one for each request."""
+    """Encodes the message for endpoints; a frontend creates one per request."""
 
-    body_size: int  # bytes that it holds of the memory for bodies; does not change
+    body_size: int  # bytes of the body budget that it uses; constant
 
     def encode(self, remaining: float) -> bytes:
-        """Return the complete message of one attempt that is waited for `remaining` seconds.
+        """Return the complete message of one attempt with a timeout of `remaining` seconds.
 
         Called once for each attempt that is sent. If it raises, that attempt is not sent, and the deadline
-        guard answers the request.
+        guard fails the request.
         """
 
 
 class UpstreamAttempt(Protocol):
-    """One message to one endpoint, and what came of it.
+    """One message to one endpoint, and its result.
 
-    All but `endpoint_id` and `tag` is read once the attempt has ended; `is_written` also before.
+    Before the attempt has ended only `endpoint_id`, `tag` and `is_written` are read.
     """
 
     endpoint_id: str
     result: messages.AttemptResult
-    value: bytes  # the endpoint's; empty unless the result is `ok`
-    metered_use: int  # as `messages.AttemptOutcome` has it
+    value: bytes  # returned by the endpoint; empty unless the result is `ok`
+    metered_use: int  # see `messages.AttemptOutcome`
     load_report: dict[str, float]
-    tag: Any  # the caller's own
+    tag: Any  # set by the caller, not interpreted here
 
     @property
     def is_written(self) -> bool:
-        """Whether the last byte was written: from then on the request may have run."""
+        """Whether the last byte was written, after which the request may have run."""
 
     def elapsed(self) -> float:
-        """Return the seconds since it was sent, or those it took."""
+        """Return the seconds since the attempt was sent or, if it has ended, its duration."""
 
 
 class UpstreamPool(Protocol):
     """Connections to the endpoints.
 
-    `send` and `abandon` are given attempts of this pool's `create_attempt` only.
+    `send` and `abandon` are called only with attempts that `create_attempt` of the same pool returned.
     """
 
     def create_attempt(
         self, endpoint_id: str, payload: bytes, on_ended: Callable[[UpstreamAttempt], None], tag: Any
     ) -> UpstreamAttempt:
-        """Return an attempt that has not begun.
+        """Return an attempt that has not been sent.
 
-        `on_ended` is to be called with it exactly once, when `result` is known, and never before `send` has
-        returned. The endpoint may be one that is not known (any more): then the result is `connect_failed`.
+        `on_ended` must be called with the attempt exactly once, when `result` is known, and never before
+        `send` has returned. If the endpoint is unknown, the result is `connect_failed`.
         """
 
     def send(self, attempt: Any, timeout: float) -> None:
-        """Begin an attempt that is waited for `timeout` seconds, which are above 0. Called once for each."""
+        """Send an attempt with a timeout of `timeout` seconds, above 0. Called once for each attempt."""
 
     def abandon(self, attempt: Any, result: messages.AttemptResult) -> None:
         """End an attempt at once, with `connect_failed` if its last byte was not written, else `result`.
 
-        `on_ended` is called before this returns. Does nothing if the attempt has ended.
+        Calls `on_ended` before it returns. Does nothing if the attempt has already ended.
         """
 
     def check_health(self, endpoint_id: str, on_ended: Callable[[UpstreamAttempt], None]) -> None:
-        """Start a health check; `on_ended` is to be called exactly once, with its attempt."""
+        """Start a health check; `on_ended` must be called exactly once, with its attempt."""
 
     def close_idle_connections(self, endpoint_id: str) -> None:
-        """Close the connections to an endpoint that carry nothing; it may be one that is not known."""
+        """Close the idle connections to an endpoint; does nothing for an unknown endpoint."""
 
     def update_endpoint(self, endpoint_id: str, address: Address | None) -> None:
-        """Set where an endpoint is; it may be one that is not known.
+        """Set the address of an endpoint, which may be unknown so far.
 
-        None: nothing new goes there from now on, and attempts that wait for a connection to it end with
-        `connect_failed`.
+        With None, no new attempts are sent to the endpoint, and attempts that wait for a connection to it end
+        with `connect_failed`.
         """
 
     def known_endpoints(self) -> set[str]:
-        """Return the ids of the endpoints that have an address."""
+        """Return the ids of all endpoints that have an address."""
 
 
 class QuotaCounter(Protocol):
-    """The client of the quota counter that all gateways share."""
+    """Client of the quota counter that all gateways share."""
 
     def add(self, counter_key: int, amount: float, lifetime: float, on_counted: CounterCallback) -> None:
-        """Add to a counter that lives `lifetime` seconds. Called when the decision module asks for it.
+        """Add `amount` to a total that the counter keeps for `lifetime` seconds.
 
-        `on_counted` is to be called exactly once and never before this has returned, also if the counter
-        cannot be reached or gives no answer.
+        `on_counted` must be called exactly once, and never before `add` has returned, even if the counter
+        cannot be reached or does not reply.
         """
 
 
 class EndpointSource(Protocol):
-    """Where the endpoint list comes from.
+    """Source of the endpoint list.
 
-    It calls `RequestDispatcher.on_endpoint_list` with each list that it takes for true, and
-    `on_endpoint_list_failed` where a list could not be had.
+    It calls `RequestDispatcher.on_endpoint_list` with each list that it accepts, and
+    `on_endpoint_list_failed` if it cannot get a list.
     """
 
     @property
     def version(self) -> int:
-        """The version of the list that it last gave."""
+        """The version of the list that it reported last."""
 
     def watch(self, is_on: bool) -> None:
-        """Start or stop watching the list; may be called again with what holds already."""
+        """Start or stop watching the list; a call that changes nothing is allowed."""
 
     def fetch(self) -> None:
-        """Ask for the list once; may be called while another call is under way."""
+        """Fetch the list once; may be called while another fetch is in progress."""
 
 
 class RequestPlugins(Protocol):
-    """One request's way through the plug-ins; what it raises is logged and changes nothing."""
+    """State of one request in the plug-in chain; exceptions are logged and have no other effect."""
 
     def on_attempt(self, endpoint_id: str) -> None:
-        """Notify of an attempt about to be sent, unless this takes all the time that its client has."""
+        """Notify the plug-ins of an attempt that is about to be sent.
+
+        The attempt is not sent if the request's deadline passes during this call.
+        """
 
     def on_end(self, outcome: RequestOutcome) -> None:
-        """Notify of the final answer, once, after it was given.
+        """Notify the plug-ins once, after the final response.
 
-        COMPLETED, REJECTED or FAILED; or DISCONNECTED: nobody was there.
+        `outcome` is COMPLETED, REJECTED, FAILED or, if the client left before a response, DISCONNECTED.
         """
 
 
 class PluginChain(Protocol):
-    """Operators' plug-ins. They change or reject a request only as the rules allow, which they see to."""
+    """The operators' plug-ins; the chain enforces the rules on what a plug-in may change or reject."""
 
     def on_request(
         self, request: messages.Request
     ) -> tuple[RequestPlugins, messages.Request | messages.RejectedByPlugin]:
-        """Return the event that the decision module is given for a request.
+        """Return the event to dispatch to the decision module for a request.
 
-        Called once for each request that was accepted, quota checks excepted. If it raises, the decision
-        module is given the request as it was.
+        Called once for each accepted request except quota checks. If it raises, the unchanged request is
+        dispatched.
         """
 
 
 class ExternalRateLimiter(Protocol):
-    """A service that is asked about some requests before the decision module is given them.
+    """Rate limiter outside of the gateway that may reject requests before the decision module sees them.
 
-    It can only tighten.
+    It cannot allow a request that the decision module rejects.
     """
 
     def applies_to(self, request: messages.Request) -> bool:
-        """Tell whether the service is to be asked about a request.
+        """Return whether a request must be checked.
 
-        Called once for each request that was accepted and that no plug-in rejected, quota checks excepted.
+        Called once for each accepted request that no plug-in rejected, except quota checks.
         """
 
     def check(self, request: messages.Request, remaining: float, on_decided: DecisionCallback) -> Any:
-        """Ask about a request that has `remaining` seconds; return a handle for `cancel`, None if decided.
+        """Check a request with `remaining` seconds left; return a handle for `cancel`, None if decided.
 
-        `on_decided` is to be called once, from within this call or later. If this raises, the request goes
-        on.
+        `on_decided` must be called once, during this call or later. If this raises, the request is allowed.
         """
 
     def cancel(self, pending_check: Any) -> None:
-        """Give up a check whose request is over: `on_decided` is not called any more."""
+        """Cancel the check of a finished request; `on_decided` is not called afterwards."""
 
 
 class InFlightRegistry(Protocol):
-    """Writes in flight at this gateway and at those that clients cannot tell from it."""
+    """Registry of the writes in flight in all workers that share this gateway's address."""
 
     def acquire(self, request_id: str, remaining: float) -> int:
-        """Return a place for `release`, of 0 or more; else an `AcquireFailure`.
+        """Register a write; return its slot, 0 or more, for `release`, or an `AcquireFailure`.
 
-        Called before anything is done for a write that the gateway has capacity for. `remaining` is the time
-        to the deadline of its client.
+        Called for a write that the gateway has capacity for, before any other work is done for it.
+        `remaining` is the time until the client's timeout.
         """
 
     def is_held(self, request_id: str) -> bool:
-        """Tell whether anyone holds a write. Called before one that was not accepted is rejected."""
+        """Return whether any worker holds a write. Called before a write is rejected for lack of capacity."""
 
-    def release(self, place: int) -> None:
-        """Release what `acquire` gave. Called once, when nothing is in flight for the write any more."""
+    def release(self, slot: int) -> None:
+        """Release a slot. Called once, when the write is finished and its last attempt has ended."""
 
 
 class TimerHandle(Protocol):
-    """A timer that was set."""
+    """Handle of a scheduled timer."""
 
     def cancel(self) -> None:
-        """Do not call; does nothing if it was called already."""
+        """Cancel the timer; does nothing if its callback has been called."""
 
 
 class Scheduler(Protocol):
-    """The event loop's timers, and nothing more of it."""
+    """The part of the event loop that schedules callbacks."""
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> TimerHandle:
-        """Call after `delay` seconds; a little less is allowed for."""
+        """Call `callback` after `delay` seconds; callers tolerate that it is called slightly early."""
 
     def call_soon(self, callback: Callable[..., object], *args: Any) -> Any:
-        """Call in the loop's next turn."""
+        """Call `callback` in the next iteration of the event loop."""
 
 
 class DecisionModule(Protocol):
-    """The decision module: no clock, no I/O."""
+    """The decision module, which reads no clock and does no I/O."""
 
     def handle(self, now: float, event: messages.Event) -> list[messages.Action]:
-        """Return the actions that an event at Unix time `now` asks for, in the order to carry them out.
+        """Handle an event at Unix time `now`; return the actions to carry out, in order.
 
-        Called with one event at a time; `now` never goes back. If it raises, the request that the event is
-        about, if any, is failed, and its end (`ClientDisconnected`) is the next event.
+        Called with one event at a time; `now` never decreases. If it raises, the request that the event
+        belongs to, if any, fails, and `ClientDisconnected` for that request is the next event.
         """
--- a/apigateway/core/outcomes.py
+++ b/apigateway/core/outcomes.py
@@ -1,4 +1,4 @@
-"""How requests, attempts and entries in the registry come out, as values of their own."""
+"""Outcomes of requests and of registrations in the in-flight registry."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class RequestOutcome(enum.StrEnum):
-    """How a request ended. The values are part of the plug-ins' ABI and of records: they do not change."""
+    """How a request ended. The values are part of the plug-in ABI and of the records and must not change."""
 
-    COMPLETED = "served"  # with an endpoint's value
-    REJECTED = "refused"  # it has not run, and trying again is harmless
+    COMPLETED = "served"  # an endpoint returned a value
+    REJECTED = "refused"  # it has not run and may be retried safely
     FAILED = "failed"  # it may have run
-    GRANTED = "granted"  # a quota check
-    DENIED = "denied"  # a quota check
-    DISCONNECTED = "gone"  # the client went away: nobody was answered
+    GRANTED = "granted"  # quota checks only
+    DENIED = "denied"  # quota checks only
+    DISCONNECTED = "gone"  # the client disconnected, so no response was sent
 
 
 class AcquireFailure(enum.IntEnum):
-    """Why `InFlightRegistry.acquire` gave no place. Places are 0 or more, so that none is one of these."""
+    """Why `InFlightRegistry.acquire` returned no slot. Values are negative, because slots are 0 or more."""
 
-    ALREADY_HELD = -1  # another worker holds the request, or one that died while it did
-    NO_FREE_SLOT = -2  # there is no capacity for one more
+    ALREADY_HELD = -1  # another worker holds the request, or held it when it died
+    NO_FREE_SLOT = -2  # the registry is full
--- a/apigateway/core/request_filters.py
+++ b/apigateway/core/request_filters.py
@@ -1,4 +1,4 @@
-"""Ask plug-ins and the external rate limiter about a request before the decision module is given it."""
+"""Apply plug-ins and the external rate limiter to a request before the decision module handles it."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class RequestFilters:
-    """The filters of an accepted request, in their order: plug-ins, then the external rate limiter.
+    """The filters of an accepted request: first the plug-ins, then the external rate limiter.
 
-    A filter that raises has said nothing, and the request goes on.
+    A filter that raises is skipped.
     """
 
     def __init__(self, context: CoreContext, events: EventDispatcher) -> None:
@@ -26,7 +26,7 @@
         self._events = events
 
     def apply(self, in_flight: InFlightRequest, request: messages.Request) -> None:
-        """Dispatch a request as the filters leave it, or that they reject it."""
+        """Dispatch a request as changed by the filters, or its rejection by them."""
         plugins = self._context.plugins
         event: messages.Request | messages.RejectedByPlugin = request
         if plugins is not None:
@@ -40,20 +40,21 @@
     def _apply_plugins(
         self, plugins: PluginChain, in_flight: InFlightRequest, request: messages.Request
     ) -> messages.Request | messages.RejectedByPlugin:
-        """Return what the plug-ins make of a request; the request itself where they raise."""
+        """Return the event that the plug-ins return for a request, or the unchanged request if they raise."""
         try:
             in_flight.plugins, event = plugins.on_request(request)
             return event
         except Exception:
-            log.exception("request %s: plug-ins", in_flight.request_id)
+            log.exception("request %s: a plug-in failed to handle the request", in_flight.request_id)
             return request
 
     def _check_external_ratelimit(
         self, limiter: ExternalRateLimiter, in_flight: InFlightRequest, request: messages.Request
     ) -> None:
-        """Dispatch a request once the external rate limiter has let it pass, or settings have in its place.
+        """Check a request, and dispatch it or its rejection once the external rate limiter has decided.
 
-        Until then the request holds its capacity, and its deadline timer answers it in time.
+        The settings decide in place of a limiter that cannot. Until the decision the request keeps its
+        capacity, and the deadline guard fails it in time.
         """
 
         def on_decided(is_allowed: bool, retry_after: float) -> None:
@@ -69,6 +70,6 @@
         try:
             in_flight.pending_check = limiter.check(request, request.remaining, on_decided)
         except Exception:
-            log.exception("request %s: the outer service could not be asked", in_flight.request_id)
+            log.exception("request %s: the external rate limit check failed", in_flight.request_id)
             if not in_flight.is_finished:
                 self._events.dispatch(request)
--- a/apigateway/core/request_lifecycle.py
+++ b/apigateway/core/request_lifecycle.py
@@ -1,9 +1,8 @@
-"""Take requests from the frontends and see each through to its one final answer.
+"""Accept requests from the frontends and process each until its one final response.
 
-Nothing here decides and nothing here knows a socket: the collaborators are `interfaces.py`. The parts of a
-request's life are modules of their own, put together by `RequestDispatcher`. Every event and action of
-`messages.py` has its place in one of them, but for StreamStarted and PeerMessage: no frontend knows streams
-or peers.
+The core makes no decisions and uses no sockets; `interfaces.py` defines its collaborators. Each part of the
+life cycle is a module of its own, and `RequestDispatcher` connects them. Together they handle every event and
+action of `messages.py` except StreamStarted and PeerMessage, because no frontend supports streams or peers.
 """
 
 from __future__ import annotations
@@ -38,19 +37,19 @@
 
 
 class RequestDispatcher(CoreContext):
-    """The core as the frontends and the daemon see it.
+    """The core's interface for the frontends and the daemon.
 
-    The daemon may replace the collaborators that `CoreContext` names, at any time.
+    The daemon may replace the collaborators in `CoreContext` at any time.
 
     Args:
-        settings: The deployment's.
+        settings: Settings of the deployment.
         module: The decision module.
         upstream: Connections to the endpoints.
-        counter: The quota counter; None where the deployment has none.
-        loop: The event loop's timers.
-        max_in_flight: Requests that may be in flight at once, over all frontends together.
-        max_body_bytes: Bytes of their bodies that may be held at once, likewise.
-        clock: Unix time in seconds that never steps.
+        counter: Client of the quota counter; None if the deployment has none.
+        loop: Timers of the event loop.
+        max_in_flight: Maximum number of requests in flight, over all frontends.
+        max_body_bytes: Maximum total size of the bodies of these requests, over all frontends.
+        clock: Unix time in seconds that never jumps; by default a `MonotonicUnixClock`.
     """
 
     def __init__(
@@ -97,14 +96,14 @@
             messages.LogMessage: self.gateway_actions.log_message,
         }
 
-    # For the frontends
+    # Called by the frontends
 
     def register_frontend(self, frontend: object) -> None:
-        """Give a frontend capacity of its own, which a flood on another one cannot take."""
+        """Reserve capacity for a frontend that a flood on another frontend cannot use."""
         self.in_flight_table.register_frontend(frontend)
 
     def unregister_frontend(self, frontend: object) -> None:
-        """Give a frontend's capacity to the others; what it has in flight still ends as it would."""
+        """Return a frontend's capacity to the others; its requests in flight end normally."""
         self.in_flight_table.unregister_frontend(frontend)
 
     def submit(
@@ -114,69 +113,72 @@
         upstream_request: UpstreamRequest,
         sink: ResponseSink,
     ) -> None:
-        """Accept a request: from here on `sink` gets exactly one answer, at once where there is no capacity.
+        """Accept a request; `sink` then gets exactly one response, immediately if there is no capacity.
 
-        `request.remaining` is how long its client waits, in seconds, less RESPONSE_MARGIN_S.
+        `request.remaining` is the client's timeout in seconds, less RESPONSE_MARGIN_S.
 
         Raises:
-            DuplicateRequestError: Its id is in flight; then nothing was accepted.
+            DuplicateRequestError: A request with this id is in flight; this one is not accepted.
         """
         table = self.in_flight_table
         if request.request_id in self.in_flight:
             raise DuplicateRequestError
-        registry_place = table.reserve(frontend, request)
-        if registry_place is None:
+        registry_slot = table.reserve(frontend, request)
+        if registry_slot is None:
             self.responses.reject_without_capacity(sink)
             return
-        in_flight = table.add(frontend, request, upstream_request, sink, registry_place)
+        in_flight = table.add(frontend, request, upstream_request, sink, registry_slot)
         has_filters = self.plugins is not None or self.external_ratelimit is not None
         if has_filters and upstream_request is not NO_UPSTREAM_REQUEST:
             self.request_filters.apply(in_flight, request)
         else:
             self.events.dispatch(request)
-        if not in_flight.is_finished:  # many are rejected at once, and need no timer
+        if not in_flight.is_finished:  # many requests are rejected immediately and need no timer
             self.deadline_guard.start(in_flight)
 
     def submit_check(self, frontend: object, check: messages.QuotaCheck, sink: QuotaCheckSink) -> None:
-        """Accept a quota check, as `submit`, for units that no endpoint is asked for.
+        """Accept a quota check, like `submit`; it is not sent to an endpoint.
 
-        Neither plug-ins nor the external rate limiter are asked about it.
+        Neither the plug-ins nor the external rate limiter handle it.
         """
         self.submit(frontend, check, NO_UPSTREAM_REQUEST, sink)
 
     def return_quota(self, check: messages.QuotaCheck, granted: messages.QuotaGranted) -> None:
-        """Return what a check was granted and did not use: another of the same question was denied."""
+        """Return units that a check was granted, because another check of the same call was denied."""
         is_reservation = isinstance(check, messages.QuotaReservation)
         return_event = messages.ReturnReservation if is_reservation else messages.ReturnUnits
         self.events.dispatch(return_event(check.customer, check.units, granted.window_index))
 
     def is_in_flight(self, request_id: str, is_write: bool) -> bool:
-        """Tell whether this id may be running, so that a rejection, which says it did not, would be false."""
+        """Return whether a request with this id may be running.
+
+        If so, it must not be rejected, because a rejection states that the request has not run.
+        """
         return self.in_flight_table.is_in_flight(request_id, is_write)
 
     def on_client_disconnected(self, sink: ResponseSink) -> None:
-        """Send nothing more for a request whose client went away, and answer nobody."""
+        """Finish the request of a client that disconnected, without a response."""
         in_flight: InFlightRequest | None = sink.token
         if in_flight is not None and not in_flight.is_finished:
             self.responses.finish(in_flight, RequestOutcome.DISCONNECTED)
             self.events.dispatch(messages.ClientDisconnected(in_flight.request_id))
 
-    # For the daemon and the endpoint source
+    # Called by the daemon and the endpoint source
 
     def dispatch(self, event: messages.Event) -> None:
-        """Hand an event to the decision module, and carry out its actions."""
+        """Pass an event to the decision module and carry out the resulting actions."""
         self.events.dispatch(event)
 
     def on_endpoint_list(self, endpoint_list: messages.EndpointList, addresses: Addresses) -> None:
-        """Apply a new endpoint list, with the addresses of its endpoints."""
+        """Apply a new endpoint list and the addresses of its endpoints."""
         self.endpoint_updates.on_list(endpoint_list, addresses)
 
     def on_endpoint_list_failed(self) -> None:
-        """Report to the decision module that an endpoint list could not be had."""
+        """Notify the decision module that an endpoint list could not be fetched."""
         self.endpoint_updates.on_list_failed()
 
     async def drain(self, seconds: float) -> None:
-        """Wait until all accepted requests are answered, and fail what is not within `seconds`."""
+        """Wait up to `seconds` for the accepted requests, then fail those that are still in flight."""
         if not await self.in_flight_table.wait_until_drained(seconds):
             for in_flight in list(self.in_flight.values()):
                 self.responses.abort(in_flight)
--- a/apigateway/core/responses.py
+++ b/apigateway/core/responses.py
@@ -1,4 +1,4 @@
-"""Give each accepted request its one final answer."""
+"""Send the one final response of each accepted request."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from apigateway.core.outcomes import RequestOutcome
 from apigateway.messages import AttemptResult
 
-# Events of a request that the decision module may still be asked about.
+# Events that belong to a request which may be in flight.
 _REQUEST_EVENTS = (messages.Request, messages.RejectedByPlugin, messages.AttemptOutcome)
 
 log = logging.getLogger(__name__)
 
 
 class ResponseSender:
-    """The only place that calls a `ResponseSink`."""
+    """Sends responses through `ResponseSink`; no other class calls one."""
 
     def __init__(self, context: CoreContext, table: InFlightTable, events: EventDispatcher) -> None:
         self._context = context
@@ -29,17 +29,17 @@
         self._events = events
 
     def reject_without_capacity(self, sink: ResponseSink) -> None:
-        """Answer a request that was not accepted: there is no capacity for it, and nothing to release."""
+        """Reject a request that was not accepted for lack of capacity, so that there is none to release."""
         sink.reject(0.0)
 
     @overload
     def finish(
-        self, in_flight: InFlightRequest, outcome: Literal[RequestOutcome.COMPLETED], answer: bytes
+        self, in_flight: InFlightRequest, outcome: Literal[RequestOutcome.COMPLETED], response: bytes
     ) -> None: ...
 
     @overload
     def finish(
-        self, in_flight: InFlightRequest, outcome: Literal[RequestOutcome.REJECTED], answer: float
+        self, in_flight: InFlightRequest, outcome: Literal[RequestOutcome.REJECTED], response: float
     ) -> None: ...
 
     @overload
@@ -47,7 +47,7 @@
         self,
         in_flight: InFlightRequest,
         outcome: Literal[RequestOutcome.GRANTED],
-        answer: messages.QuotaGranted,
+        response: messages.QuotaGranted,
     ) -> None: ...
 
     @overload
@@ -55,7 +55,7 @@
         self,
         in_flight: InFlightRequest,
         outcome: Literal[RequestOutcome.DENIED],
-        answer: messages.QuotaDenied,
+        response: messages.QuotaDenied,
     ) -> None: ...
 
     @overload
@@ -65,14 +65,14 @@
         outcome: Literal[RequestOutcome.FAILED, RequestOutcome.DISCONNECTED],
     ) -> None: ...
 
-    def finish(self, in_flight: InFlightRequest, outcome: RequestOutcome, answer: Any = None) -> None:
-        """Give a request its final answer; one that is finished stays as it is.
+    def finish(self, in_flight: InFlightRequest, outcome: RequestOutcome, response: Any = None) -> None:
+        """Finish a request with its final response; does nothing if the request is already finished.
 
         Args:
             in_flight: The request.
-            outcome: How it ends.
-            answer: What its sink is given, by outcome: the endpoint's value, the seconds until the client may
-                retry, or the decision module's answer to a quota check.
+            outcome: How the request ends.
+            response: Argument for the sink, depending on the outcome: the endpoint's value, the seconds until
+                the client may retry, or the decision module's result of a quota check.
         """
         if in_flight.is_finished:
             return
@@ -81,7 +81,7 @@
             in_flight.deadline_timer.cancel()
         if in_flight.pending_check is not None:
             self._cancel_external_check(in_flight)
-        self._respond(in_flight, outcome, answer)
+        self._respond(in_flight, outcome, response)
         if in_flight.active_attempts:
             self._abandon_unwritten_attempts(in_flight)
         if in_flight.plugins is not None:
@@ -89,37 +89,37 @@
         self._table.release_if_ended(in_flight)
 
     def abort(self, in_flight: InFlightRequest) -> None:
-        """Fail a request without the decision module, and let that forget it."""
+        """Fail a request without asking the decision module, which is notified afterwards."""
         self.finish(in_flight, RequestOutcome.FAILED)
         for attempt in list(in_flight.active_attempts.values()):
             self._context.upstream.abandon(attempt, AttemptResult.CANCELLED)
         self._events.dispatch(messages.ClientDisconnected(in_flight.request_id))
 
     def abort_request_of(self, event: messages.Event) -> None:
-        """Abort the request that an event is about, if it is about one."""
+        """Abort the request that an event belongs to, if any."""
         if isinstance(event, _REQUEST_EVENTS):
             in_flight = self._table.requests.get(event.request_id)
             if in_flight is not None:
                 self.abort(in_flight)
 
-    def _respond(self, in_flight: InFlightRequest, outcome: RequestOutcome, answer: Any) -> None:
+    def _respond(self, in_flight: InFlightRequest, outcome: RequestOutcome, response: Any) -> None:
         sink = in_flight.sink
         try:
             match outcome:
                 case RequestOutcome.COMPLETED:
-                    sink.complete(answer)
+                    sink.complete(response)
                 case RequestOutcome.REJECTED:
-                    sink.reject(answer)
+                    sink.reject(response)
                 case RequestOutcome.FAILED:
                     sink.fail()
                 case RequestOutcome.GRANTED:
-                    cast(QuotaCheckSink, sink).grant(answer)
+                    cast(QuotaCheckSink, sink).grant(response)
                 case RequestOutcome.DENIED:
-                    cast(QuotaCheckSink, sink).deny(answer)
+                    cast(QuotaCheckSink, sink).deny(response)
                 case RequestOutcome.DISCONNECTED:
-                    pass  # there is no client to answer
-        except Exception:  # a frontend that raises must not keep the request's capacity from being released
-            log.exception("request %s: its front could not answer", in_flight.request_id)
+                    pass  # the client is gone
+        except Exception:  # the request's capacity must be released even if the frontend raises
+            log.exception("request %s: the frontend failed to send the response", in_flight.request_id)
 
     def _cancel_external_check(self, in_flight: InFlightRequest) -> None:
         limiter = self._context.external_ratelimit
@@ -128,7 +128,7 @@
             in_flight.pending_check = None
 
     def _abandon_unwritten_attempts(self, in_flight: InFlightRequest) -> None:
-        """Send nothing more after the final answer; what is written may still end as it would."""
+        """Cancel the attempts that are not completely written; the others end normally."""
         for attempt in list(in_flight.active_attempts.values()):
             if not attempt.is_written:
                 self._context.upstream.abandon(attempt, AttemptResult.CANCELLED)
@@ -139,4 +139,6 @@
         try:
             plugins.on_end(outcome)
         except Exception:
-            log.exception("request %s: plug-ins", in_flight.request_id)
+            log.exception(
+                "request %s: a plug-in failed to handle the end of the request", in_flight.request_id
+            )
--- a/tests/core/test_overload_log.py
+++ b/tests/core/test_overload_log.py
@@ -1,11 +1,11 @@
-"""The log of an overload, by way of the admission controller that keeps it."""
+"""The log of an overload, driven by the admission controller."""
 
 import logging
 
 from core.test_admission import AdmissionHarness
 
 from apigateway.core.admission import LAG_PROBE_INTERVAL_S
-from apigateway.core.overload_log import OVERLOAD_END_AFTER_S
+from apigateway.core.overload_log import OVERLOAD_END_DELAY_S
 
 
 def test_overload_when_it_begins_and_ends_then_each_is_logged_once(caplog):
@@ -20,12 +20,12 @@
         gate.is_overloaded = False
         gate.shed_count = 7
         gate.admitted_count = 3
-        for _ in range(int(OVERLOAD_END_AFTER_S / LAG_PROBE_INTERVAL_S / 2)):
+        for _ in range(int(OVERLOAD_END_DELAY_S / LAG_PROBE_INTERVAL_S / 2)):
             harness.fire_probe()
-        gate.is_overloaded = True  # it is the same overload still
+        gate.is_overloaded = True  # before the delay is over, so the same overload continues
         harness.fire_probe()
         gate.is_overloaded = False
         while harness.loop.timers:
             harness.fire_probe()
     lines = [record.getMessage() for record in caplog.records]
-    assert len(lines) == 2 and "wait 40 ms" in lines[0] and "7 turned away, 3 passed" in lines[1]
+    assert len(lines) == 2 and "lag 40 ms" in lines[0] and "7 requests shed, 3 admitted" in lines[1]
--- a/tests/core/test_request_filters.py
+++ b/tests/core/test_request_filters.py
@@ -114,7 +114,7 @@
         sink = harness.submit("a", [messages.Reject("a")])
     assert [type(event) for event in harness.module.events] == [messages.Request]
     assert sink.answers == ["refused"]
-    assert "could not be asked" in caplog.text
+    assert "the external rate limit check failed" in caplog.text
 
 
 def test_check_when_the_client_disconnects_then_cancelled_and_a_late_decision_is_dropped():
