--- a/apigateway/counter/__init__.py
+++ b/apigateway/counter/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the quota counter, the service on which all gateways add up what their customers used."""
+"""Client of the quota counter, the service that sums up what customers use across all gateways."""
--- a/apigateway/counter/client.py
+++ b/apigateway/counter/client.py
@@ -1,4 +1,4 @@
-"""Calls to the counter, pipelined over a few kept connections; each key has its place on one of them."""
+"""Client of the quota counter: pipelines calls over a few persistent connections, sharded by counter key."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from apigateway.messages import CounterCallResult
 from apigateway.upstream.address import Address
 
-CONNECTION_COUNT = 4  # so that a part of the counter that is slow does not hold up the keys of the others
+CONNECTION_COUNT = 4  # several, so that a slow partition of the counter does not delay the keys of the others
 
-_LIVENESS_CHECK_INTERVAL = 0.25  # s between looks for silent and idle connections
-_MIN_REPLY_TIMEOUT = 0.5  # s without a reply that was due, after which a connection is held dead
-_REPLY_TIMEOUT_FACTOR = 2  # times the calls' time-out, where that is longer: no call still waits by then
+_LIVENESS_CHECK_INTERVAL_S = 0.25
+_MIN_REPLY_TIMEOUT_S = 0.5  # without a reply for this long, a connection with pending calls is aborted
+_REPLY_TIMEOUT_FACTOR = 2  # times the call timeout, if that is longer: no call still waits by then
 
 
 class QuotaCounterClient:
@@ -22,42 +22,42 @@
 
     Attributes:
         timeout: Seconds after which a call is reported as timed out.
-        connections: The connections in use, by their index.
-        replacements: Connections to a new address by the index that they take once they are up.
+        connections: The connections in use, by index.
+        replacements: Connections to a new address, by the index at which they are used once connected.
         retiring: Replaced connections that still wait for replies.
     """
 
     def __init__(self, address: Address, timeout: float) -> None:
-        """Prepare a client; `start` connects it. `timeout` is in seconds."""
+        """Create a client, which `start` connects. `timeout` is in seconds."""
         self.timeout = timeout
         self.connections: list[CounterConnection] = []
         self.replacements: dict[int, CounterConnection] = {}
         self.retiring: set[CounterConnection] = set()
         self._address = address
-        self._any_connected = asyncio.Event()  # some connection has come up, at any time
+        self._any_connected = asyncio.Event()  # set once any connection has been established
         self._liveness_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start to connect, and to check the connections from time to time."""
+        """Start to connect, and to check the connections periodically."""
         self.connections = [self._create_connection() for _ in range(CONNECTION_COUNT)]
         self._liveness_task = asyncio.get_running_loop().create_task(self._check_liveness())
 
     def close(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
         if self._liveness_task is not None:
             self._liveness_task.cancel()
         for connection in [*self.connections, *self.replacements.values(), *self.retiring]:
             connection.close()
 
     def change_address(self, address: Address) -> None:
-        """Migrate to a new address; each connection is used until the one that replaces it is up."""
+        """Migrate to a new address; each connection is used until its replacement is established."""
         self._address = address
         for superseded in self.replacements.values():
             superseded.close()
         self.replacements = {index: self._create_connection() for index in range(CONNECTION_COUNT)}
 
     async def wait_until_connected(self, timeout: float) -> bool:
-        """Wait up to `timeout` seconds until any connection has come up; return whether one has."""
+        """Wait up to `timeout` seconds until any connection is established; return whether one was."""
         try:
             async with asyncio.timeout(timeout):
                 await self._any_connected.wait()
@@ -66,12 +66,12 @@
         return True
 
     def add(self, counter_key: int, amount: float, lifetime: float, on_result: ResultCallback) -> None:
-        """Add to a total, which the counter forgets some time later.
+        """Add to a total, which the counter deletes when its lifetime is over.
 
         Args:
-            counter_key: The total's name.
-            amount: Units to add; seven digits of them are sent.
-            lifetime: Seconds that the counter keeps the total for.
+            counter_key: Key of the total.
+            amount: Units to add, sent with seven significant digits.
+            lifetime: Seconds for which the counter keeps the total.
             on_result: Called exactly once, and never before this method has returned.
         """
         call = PendingCall(counter_key, on_result)
@@ -82,9 +82,9 @@
             loop.call_soon(call.finish, CounterCallResult.CONNECT_FAILED)
 
     def _write(self, call: PendingCall, command: bytes) -> bool:
-        """Write to the key's connection, which keeps the key's replies in order, or else to the next.
+        """Write to the connection of the key, which keeps the key's replies in order, or to another one.
 
-        Another stands in while that one reconnects, as it does after each reply that can't be read.
+        Another connection is used while that one reconnects, as it does after each malformed reply.
         """
         index = call.counter_key % CONNECTION_COUNT
         for connection in self.connections[index:] + self.connections[:index]:
@@ -93,7 +93,7 @@
         return False
 
     def _create_connection(self) -> CounterConnection:
-        reply_timeout = max(_MIN_REPLY_TIMEOUT, _REPLY_TIMEOUT_FACTOR * self.timeout)
+        reply_timeout = max(_MIN_REPLY_TIMEOUT_S, _REPLY_TIMEOUT_FACTOR * self.timeout)
         return CounterConnection(self._address, self._on_connected, reply_timeout)
 
     def _on_connected(self, connection: CounterConnection) -> None:
@@ -104,7 +104,7 @@
                 return
 
     def _replace(self, index: int) -> None:
-        """Use the replacement at this index from now on and retire the connection before it."""
+        """Switch to the replacement at this index and retire the connection that it replaces."""
         replaced = self.connections[index]
         self.connections[index] = self.replacements.pop(index)
         self.retiring.add(replaced)
@@ -112,7 +112,7 @@
 
     async def _check_liveness(self) -> None:
         while True:
-            await asyncio.sleep(_LIVENESS_CHECK_INTERVAL)
+            await asyncio.sleep(_LIVENESS_CHECK_INTERVAL_S)
             for connection in [*self.connections, *self.retiring]:
                 connection.check_liveness()
             self.retiring = {connection for connection in self.retiring if connection.pending_calls}
--- a/apigateway/counter/connection.py
+++ b/apigateway/counter/connection.py
@@ -1,4 +1,4 @@
-"""One pipelined connection to the counter, which reconnects whenever it is lost."""
+"""A pipelined connection to the counter that reconnects whenever it is lost."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from apigateway.messages import CounterCallResult
 from apigateway.upstream.address import Address
 
-PING_KEY = -1  # in place of a counter key, which is never negative
+PING_KEY = -1  # counter key of a ping; real keys are never negative
 
-_TOTAL_REPLY_WORDS = 2  # "OK" and the total
-_KEEP_ALIVE_INTERVAL = 2.0  # s without a call after which a ping, which costs nothing, keeps it open
-_CONNECT_TIMEOUT = 1.0  # s
-_MIN_BACKOFF = 0.05  # s between attempts to connect; doubles with each failure
-_MAX_BACKOFF = 1.0  # s; also how long a connection must last to reset the backoff
-_MAX_LOGGED_BYTES = 80  # of a reply that could not be read
+_TOTAL_REPLY_WORDS = 2  # "ok" and the total
+_KEEP_ALIVE_INTERVAL_S = 2.0  # time without a call after which a ping, which is free, is sent
+_CONNECT_TIMEOUT_S = 1.0
+_MIN_BACKOFF_S = 0.05  # between attempts to connect; doubles with each failure
+_MAX_BACKOFF_S = 1.0  # a connection that lasted at least as long resets the backoff
+_MAX_LOGGED_BYTES = 80  # of a malformed reply
 
 _log = logging.getLogger(__name__)
 
 
 class CounterConnection(asyncio.Protocol):
-    """A connection on which calls are pipelined and answered in their order.
+    """A connection on which calls are pipelined and answered in order.
 
-    It connects on its own from its creation until it is closed, with a growing backoff.
+    From its creation until it is closed it reconnects by itself, with exponential backoff.
 
     Attributes:
         transport: The socket's transport; None while not connected.
-        pending_calls: Calls that were written and not answered, oldest first.
-        reconnect_task: Runs until the connection is closed for good.
+        pending_calls: Calls that were written and have no reply, oldest first.
+        reconnect_task: Runs until the connection is closed permanently.
     """
 
     def __init__(
@@ -43,20 +43,20 @@
         """Start to connect.
 
         Args:
-            address: Where the counter listens.
-            on_connected: Called each time the connection has been made.
-            reply_timeout: Seconds without a reply that is due after which the connection is held dead.
+            address: Address of the counter.
+            on_connected: Called each time the connection has been established.
+            reply_timeout: Seconds after which a connection with an overdue reply is aborted.
         """
         self.transport: asyncio.Transport | None = None
         self.pending_calls: deque[PendingCall] = deque()
         self._address = address
         self._on_connected = on_connected
         self._reply_timeout = reply_timeout
-        self._is_retired = False  # replaced by another: closes with the last reply that it waits for
+        self._is_retired = False  # replaced: closes after the last pending reply
         self._partial_line = b""
         self._is_write_blocked = False
         self._last_used_at = 0.0  # on the monotonic clock
-        self._lost = asyncio.Event()
+        self._disconnected = asyncio.Event()
         self.reconnect_task = asyncio.get_running_loop().create_task(self._keep_connected())
 
     @property
@@ -65,9 +65,11 @@
         return self.transport is not None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Reset the state of the connection before and report that it is up."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's has no base in common with asyncio's
-        # pause_writing then tells at once that the socket did not take a whole call.
+        """Reset the state of the previous connection and report that this one is established."""
+        self.transport = cast(
+            asyncio.Transport, transport
+        )  # uvloop's transports do not derive from asyncio's
+        # With a limit of 0, pause_writing is called as soon as the socket does not accept a whole call.
         self.transport.set_write_buffer_limits(high=0)
         self._partial_line = b""
         self._is_write_blocked = False
@@ -75,36 +77,36 @@
         self._on_connected(self)
 
     def pause_writing(self) -> None:
-        """Take no more calls: the socket's buffer is full."""
+        """Stop accepting calls, because the socket's buffer is full."""
         self._is_write_blocked = True
 
     def resume_writing(self) -> None:
-        """Take calls again."""
+        """Accept calls again."""
         self._is_write_blocked = False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Finish all pending calls with `TIMEOUT`: they were written, so each may have been added."""
+        """Finish all pending calls with `TIMEOUT`: each was written, so its amount may have been added."""
         self.transport = None
         lost_calls = self.pending_calls
         self.pending_calls = deque()
         for call in lost_calls:
             call.finish(CounterCallResult.TIMEOUT)
-        self._lost.set()
+        self._disconnected.set()
 
     def data_received(self, data: bytes) -> None:
-        """Finish the calls whose replies have come in full."""
+        """Finish the calls whose replies are complete."""
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         for line in lines:
             if not self._handle_reply(line.split()):
-                self._on_unreadable_reply(line)
+                self._on_malformed_reply(line)
                 return
         if len(self._partial_line) > wire.MAX_REPLY_BYTES:
-            self._on_unreadable_reply(self._partial_line)
+            self._on_malformed_reply(self._partial_line)
         elif self._is_retired and not self.pending_calls:
             self.close()
 
     def write(self, call: PendingCall, command: bytes) -> bool:
-        """Write a command and wait for its reply; return False if nothing of it was written."""
+        """Write a command and expect its reply; return False if nothing was written."""
         if self.transport is None or self._is_write_blocked or self.transport.is_closing():
             return False
         self.pending_calls.append(call)
@@ -117,20 +119,20 @@
         now = monotonic()
         if self.pending_calls:
             if now - self.pending_calls[0].started_at > self._reply_timeout:
-                # A machine that vanished says nothing, and its connections stay open for good.
-                _log.warning("counter: no answer for %.1f s, connecting again", self._reply_timeout)
+                # A machine that disappears sends nothing, so its connections would stay open forever.
+                _log.warning("counter: no reply for %.1f s, reconnecting", self._reply_timeout)
                 self._abort()
-        elif not self._is_retired and now - self._last_used_at > _KEEP_ALIVE_INTERVAL:
+        elif not self._is_retired and now - self._last_used_at > _KEEP_ALIVE_INTERVAL_S:
             self.write(PendingCall(PING_KEY, None), wire.PING_COMMAND)
 
     def retire(self) -> None:
-        """Close the connection as soon as its pending calls are answered."""
+        """Close the connection as soon as its pending calls have their replies."""
         self._is_retired = True
         if not self.pending_calls:
             self.close()
 
     def close(self) -> None:
-        """Close the connection at once and for good."""
+        """Close the connection immediately and permanently."""
         self.reconnect_task.cancel()
         self._abort()
 
@@ -139,7 +141,7 @@
             self.transport.abort()
 
     def _handle_reply(self, words: list[bytes]) -> bool:
-        """Finish the oldest call with its reply; return False if that is no reply to it."""
+        """Finish the oldest call with its reply; return False if the reply is not valid for that call."""
         if not self.pending_calls or not words:
             return False
         verb = words[0]
@@ -163,33 +165,36 @@
         self.pending_calls.popleft().finish(CounterCallResult.OK, total)
         return True
 
-    def _on_unreadable_reply(self, reply: bytes) -> None:
-        """Abort the connection: the call was added, and the replies behind it can't be told apart."""
-        _log.warning("counter: unexpected answer %r", reply[:_MAX_LOGGED_BYTES])
+    def _on_malformed_reply(self, reply: bytes) -> None:
+        """Abort the connection after a malformed reply.
+
+        The amount of the oldest call was added. The replies that follow cannot be assigned to calls.
+        """
+        _log.warning("counter: malformed reply %r", reply[:_MAX_LOGGED_BYTES])
         if self.pending_calls and self.pending_calls[0].counter_key != PING_KEY:
             self.pending_calls.popleft().finish(CounterCallResult.SPOILT)
         self._abort()
 
     async def _keep_connected(self) -> None:
-        backoff = _MIN_BACKOFF
+        backoff = _MIN_BACKOFF_S
         while not self._is_retired:
             connected_for = await self._connect_until_lost()
-            if connected_for >= _MAX_BACKOFF:
-                backoff = _MIN_BACKOFF
+            if connected_for >= _MAX_BACKOFF_S:
+                backoff = _MIN_BACKOFF_S
                 continue
-            # Not accepted, or accepted and closed again: no reason to hurry.
+            # The connection was refused, or accepted and closed again soon.
             await asyncio.sleep(backoff)
-            backoff = min(_MAX_BACKOFF, 2 * backoff)
+            backoff = min(_MAX_BACKOFF_S, 2 * backoff)
 
     async def _connect_until_lost(self) -> float:
-        """Connect once and wait for the loss; return the seconds between them, 0 if it did not connect."""
-        self._lost.clear()
+        """Connect once and wait until the connection is lost; return its duration in s, 0 on failure."""
+        self._disconnected.clear()
         host, port = self._address
         try:
-            async with asyncio.timeout(_CONNECT_TIMEOUT):
+            async with asyncio.timeout(_CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: self, host, port)
         except (OSError, TimeoutError):
             return 0.0
         connected_at = monotonic()
-        await self._lost.wait()
+        await self._disconnected.wait()
         return monotonic() - connected_at
--- a/apigateway/counter/pending_call.py
+++ b/apigateway/counter/pending_call.py
@@ -1,4 +1,4 @@
-"""One call to the counter, from its start until its result is reported."""
+"""A call to the counter, from its creation until its result is reported."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     """A call whose result is reported exactly once: by its reply, its deadline or the loss of its connection.
 
     Attributes:
-        counter_key: The total that is added to, or `PING_KEY` of the connection module.
-        started_at: When the call was made, on the monotonic clock in seconds.
+        counter_key: Key of the total to add to, or `connection.PING_KEY`.
+        started_at: Time of the call, in seconds of the monotonic clock.
     """
 
     __slots__ = ("counter_key", "started_at", "_on_result", "_deadline_timer")
@@ -33,10 +33,10 @@
         self._deadline_timer = loop.call_later(timeout, self.finish, CounterCallResult.TIMEOUT)
 
     def finish(self, result: CounterCallResult, total: float = 0.0) -> None:
-        """Report the result, if none has been reported yet.
+        """Report the result, unless one has already been reported.
 
-        A call that timed out stays in its connection's queue, because its reply still comes in its turn;
-        that later result is dropped here.
+        A call that timed out stays in its connection's queue, because its reply may still arrive and must be
+        matched to it. The later result is dropped here.
         """
         if self._deadline_timer is not None:
             self._deadline_timer.cancel()
--- a/apigateway/upstream/address.py
+++ b/apigateway/upstream/address.py
@@ -1,15 +1,15 @@
-"""Network addresses in the form `HOST:PORT`."""
+"""Parse and format network addresses of the form `HOST:PORT`."""
 
 from __future__ import annotations
 
 Address = tuple[str, int]
-"""Host and port, as asyncio takes them."""
+"""Host and port, as asyncio expects them."""
 
-_PORT_LIMIT = 65536  # first number that is no TCP port
+_PORT_LIMIT = 65536  # TCP ports are below it
 
 
 def parse_address(text: str) -> Address:
-    """Parse `HOST:PORT`; an IPv6 host stands in brackets. Raises ValueError."""
+    """Parse `HOST:PORT`; an IPv6 host must be in brackets. Raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isdecimal() and int(port) < _PORT_LIMIT):
         raise ValueError(f"{text!r} is not HOST:PORT")
--- a/apigateway/upstream/attempt.py
+++ b/apigateway/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One command sent to one host, and what the host's reply says about it."""
+"""A command that is sent to a host, and the result from the host's reply."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
 from apigateway.upstream.framing import MAX_BODY_BYTES, FramingError
 
 HEALTH_CHECK = object()
-"""The tag of an attempt that is a health check."""
+"""Tag of an attempt that is a health check."""
 
 LoadReport = dict[str, float]
 """The fields of a host's load report; latency in seconds."""
 
-MAX_LOAD_FIGURE = 10_000.0  # of any figure in a load report; one beyond would spoil the means for long
-MAX_METERED_USE_PERCENT = 1_000_000  # of a customer's rate; more than that is no figure on use
-# The protocol's form of a load report; float() alone would accept more.
+MAX_LOAD_VALUE = 10_000.0  # of any field in a load report; a larger one would distort the means for long
+MAX_METERED_USE_PERCENT = 1_000_000  # of a customer's rate; a larger one is ignored as invalid
+# The protocol's syntax of a load report; float() alone would accept more.
 _LOAD_REPORT = re.compile(r"(\w+=([0-9]{1,9}(\.[0-9]{1,9})?)?(,|$))+")
 _VALUE_PARTS = 3  # value, metered use, load report
-_OK = AttemptResult.OK  # bound once: a member is slow to look up in its class
+_OK = AttemptResult.OK  # a module constant, because enum member lookup is slow
 
 
 class AttemptConnection(Protocol):
-    """The connection that an attempt was sent on."""
+    """The connection on which an attempt was sent."""
 
-    is_written: bool  # whether the socket took every byte
-    attempt: Attempt | None  # that waits for an answer
+    is_written: bool  # whether the socket accepted every byte
+    attempt: Attempt | None  # the attempt that waits for its reply
 
     def close(self) -> None:
-        """End the connection now, and the attempt on it."""
+        """Close the connection immediately and end the attempt on it."""
 
 
 class Attempt:
-    """One command for one host.
+    """A command for one host.
 
-    `done` is called with it exactly once, when `result` is known. Before that `result` is not set.
+    `on_ended` is called with the attempt exactly once, when `result` is known. `result` is not set before.
     """
 
     __slots__ = (
         "endpoint_id",
         "payload",
-        "done",
+        "on_ended",
         "tag",
-        "started",
+        "started_at",
         "is_ended",
         "result",
         "value",
@@ -62,13 +62,13 @@
     result: AttemptResult
 
     def __init__(
-        self, endpoint_id: str, payload: bytes, done: Callable[[Attempt], None], tag: Any = None
+        self, endpoint_id: str, payload: bytes, on_ended: Callable[[Attempt], None], tag: Any = None
     ) -> None:
         self.endpoint_id = endpoint_id
         self.payload = payload
-        self.done = done
+        self.on_ended = on_ended
         self.tag = tag
-        self.started = monotonic()
+        self.started_at = monotonic()
         self.is_ended = False
         self.value = b""
         self.metered_use = 0  # percent of the customer's rate
@@ -78,33 +78,33 @@
 
     def elapsed(self) -> float:
         """Return the seconds since the attempt was created."""
-        return monotonic() - self.started
+        return monotonic() - self.started_at
 
     def end(self, result: AttemptResult) -> None:
-        """Set the result and call `done`, unless the attempt has ended before."""
+        """Set the result and call `on_ended`, unless the attempt has already ended."""
         if self.is_ended:
             return
         self.is_ended = True
         self.result = result
         if self.timer is not None:
             self.timer.cancel()
-        self.done(self)
+        self.on_ended(self)
 
     @property
     def is_written(self) -> bool:
-        """Whether the socket took the last byte: from then on the request may have run."""
+        """Whether the socket accepted the last byte, after which the request may have run."""
         return self.connection is not None and self.connection.is_written
 
 
-def read_reply(attempt: Attempt, reply: object) -> AttemptResult:
-    """Fill in the attempt's fields from the host's reply and return the result.
+def apply_reply(attempt: Attempt, reply: object) -> AttemptResult:
+    """Set the attempt's fields from the host's reply and return the result.
 
-    Raises FramingError for what no host would say: the request may have run, and serving anything for it
-    would be made up.
+    Raises FramingError for a reply that violates the protocol. The request may have run, and its value is
+    unknown.
     """
     is_health_check = attempt.tag is HEALTH_CHECK
     if isinstance(reply, list) and not is_health_check:
-        return _read_value(attempt, reply)
+        return _apply_value_reply(attempt, reply)
     if isinstance(reply, hiredis.ReplyError):
         words = str(reply).split(" ")
         attempt.load_report = parse_load_report(words[-1])
@@ -112,26 +112,26 @@
     if isinstance(reply, bytes) and is_health_check:
         attempt.load_report = parse_load_report(reply)
         return _OK
-    raise FramingError("no answer of a host")
+    raise FramingError("the reply is neither a value nor an error")
 
 
 def parse_load_report(text: object) -> LoadReport:
-    """Parse a load report; one that is missing or malformed gives an empty one."""
+    """Parse a load report; return an empty one if it is missing or malformed."""
     if isinstance(text, bytes):
         text = text.decode("utf-8", "replace")
     if not isinstance(text, str) or not _LOAD_REPORT.fullmatch(text):
         return {}
     report = read_report(pair.split("=", 1) for pair in text.rstrip(",").split(","))
-    return report if all(figure <= MAX_LOAD_FIGURE for figure in report.values()) else {}
+    return report if all(value <= MAX_LOAD_VALUE for value in report.values()) else {}
 
 
-def _read_value(attempt: Attempt, reply: list[Any]) -> AttemptResult:
-    """Fill in value, metered use and load report from the three parts of a host's answer."""
+def _apply_value_reply(attempt: Attempt, reply: list[Any]) -> AttemptResult:
+    """Set value, metered use and load report from the three parts of a host's reply."""
     if len(reply) != _VALUE_PARTS:
-        raise FramingError("no value of a host")
+        raise FramingError("a value reply must have three parts")
     value, metered_use, load_report = reply
     if not isinstance(value, bytes) or len(value) > MAX_BODY_BYTES:
-        raise FramingError("no value of a host")
+        raise FramingError("the value is not a string or is too long")
     attempt.value = value
     if isinstance(metered_use, int) and 0 <= metered_use <= MAX_METERED_USE_PERCENT:
         attempt.metered_use = metered_use
--- a/apigateway/upstream/connection.py
+++ b/apigateway/upstream/connection.py
@@ -1,6 +1,7 @@
-"""One connection to a host, with at most one attempt on it at a time.
+"""A connection to a host, which carries at most one attempt at a time.
 
-Answers come in order, so a stuck one would hold up those behind it, and giving one up costs the connection.
+Hosts send replies in order. With several attempts on a connection a slow reply would delay those behind it,
+and the cancellation of one attempt, which closes the connection, would end them all.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from typing import Protocol, cast
 
 from apigateway.messages import AttemptResult
-from apigateway.upstream.attempt import Attempt, read_reply
+from apigateway.upstream.attempt import Attempt, apply_reply
 from apigateway.upstream.framing import NO_MESSAGE, Framing, FramingError
 from apigateway.upstream.idle_connection_policy import IdleConnectionPolicy
 
@@ -25,53 +26,56 @@
 
     @property
     def idle_policy(self) -> IdleConnectionPolicy:
-        """What learns from resets how long a connection may be idle."""
+        """Policy that learns from resets how long a connection may be idle."""
 
     def release(self, connection: Connection) -> None:
         """Take back a connection whose attempt has ended."""
 
     def discard(self, connection: Connection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has been closed."""
 
 
 class Connection(asyncio.Protocol):
-    """The protocol of one connection: sends an attempt's payload and reads its answer."""
+    """The asyncio protocol of a connection: sends an attempt's payload and reads the reply."""
 
     def __init__(self, pool: ConnectionOwner) -> None:
         self.pool = pool
         self._idle_policy = pool.idle_policy
         self.framing = Framing()
         self.attempt: Attempt | None = None
-        self.is_written = True  # whether the socket took every byte
+        self.is_written = True  # whether the socket accepted every byte
         self.idle_since = 0.0  # monotonic s; 0 on a new connection
         self.idle_time = 0.0  # s before the current attempt; 0 on a new connection
-        self.has_response_data = False  # whether any byte of the current attempt's answer came
+        self.has_response_data = False  # whether any byte of the current attempt's reply has arrived
         self.transport: asyncio.Transport | None = None
         self.family = 0
         self.descriptor = -1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport and note its socket's family and descriptor."""
+        """Store the transport and its socket's family and descriptor."""
         self.transport = cast("asyncio.Transport", transport)
         sock = transport.get_extra_info("socket")
         self.family = sock.family
         self.descriptor = sock.fileno()
-        # With no room above the socket, pause_writing tells at once that it did not take every byte.
+        # With a limit of 0, pause_writing is called as soon as the socket does not accept every byte.
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        """Note that the socket has not taken every byte yet."""
+        """Record that the socket has not accepted every byte yet."""
         self.is_written = False
 
     def resume_writing(self) -> None:
-        """Note that the socket has taken every byte."""
+        """Record that the socket has accepted every byte."""
         self.is_written = True
 
     def is_reusable(self) -> bool:
-        """Tell whether nothing is to be read, not even the end: what follows an answer is never the next."""
+        """Return whether the connection is open and there is nothing to read.
+
+        Bytes that follow a reply must not be read as the reply to the next attempt.
+        """
         if self.transport is None or self.transport.is_closing():
             return False
-        with self._borrowed_socket() as sock:
+        with self._temporary_socket() as sock:
             try:
                 sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             except BlockingIOError:
@@ -81,20 +85,20 @@
         return False
 
     def start(self, attempt: Attempt) -> None:
-        """Send the attempt's payload; its answer is the next message."""
+        """Send the attempt's payload; the next message received is its reply."""
         assert self.transport is not None
         self.attempt = attempt
         attempt.connection = self
-        self.idle_time = attempt.started - self.idle_since if self.idle_since else 0.0
+        self.idle_time = attempt.started_at - self.idle_since if self.idle_since else 0.0
         self.has_response_data = False
         self.transport.write(attempt.payload)
-        if self.transport.is_closing():  # the write failed at once, so the socket took nothing
+        if self.transport.is_closing():  # the write failed at once, so the socket accepted nothing
             self.is_written = False
 
     def data_received(self, data: bytes) -> None:
-        """Read the answer, and end its attempt once it is whole."""
+        """Read the reply, and end the attempt once the reply is complete."""
         attempt = self.attempt
-        if attempt is None:  # an answer that nobody waits for
+        if attempt is None:  # an unexpected reply
             self.close()
             return
         self.has_response_data = True
@@ -103,46 +107,46 @@
             reply = self.framing.next_message()
             if reply is NO_MESSAGE:
                 return
-            result = read_reply(attempt, reply)
-        except FramingError:  # the request has run, and where the next answer would begin is not known
+            result = apply_reply(attempt, reply)
+        except FramingError:  # the request has run, and the start of the next reply is unknown
             self.close()
             return
-        except Exception:  # nobody else would end this attempt before its time is up
-            log.exception("an answer could not be read")
+        except Exception:  # otherwise the attempt would end only at its timeout
+            log.exception("failed to process the reply of a host")
             self.close()
             return
         self.attempt = None
         self._idle_policy.record(self.idle_time, False)
-        if self.framing.buffer:  # more than belongs to this answer: the next would be read from it
+        if self.framing.buffer:  # surplus bytes, which would be read as the next reply
             self.close()
         else:
             self.pool.release(self)
         attempt.end(result)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the attempt that waits for an answer."""
+        """End the attempt that waits for its reply."""
         self.close()
 
     def close(self) -> None:
-        """End the connection now: the socket is shut at once, before another attempt can be sent."""
+        """Close the connection; the socket is shut down at once, before another attempt can be sent."""
         attempt = self.attempt
         self.attempt = None
         self.pool.discard(self)
         if self.transport is not None and not self.transport.is_closing():
-            with self._borrowed_socket() as sock, contextlib.suppress(OSError):
+            with self._temporary_socket() as sock, contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
             self.transport.abort()
         if attempt is not None:
-            if not self.has_response_data:  # an answer that breaks off shows that the request got there
+            if not self.has_response_data:  # a partial reply shows that the host received the request
                 self._idle_policy.record(self.idle_time, True)
             attempt.end(AttemptResult.RESET if self.is_written else AttemptResult.CONNECT_FAILED)
 
     @contextlib.contextmanager
-    def _borrowed_socket(self) -> Iterator[socket.socket]:
-        """Give the open transport's socket for one call.
+    def _temporary_socket(self) -> Iterator[socket.socket]:
+        """Yield a socket object for the open transport's descriptor, for one use.
 
-        It is not kept: uvloop drops a transport whose connect is called off without connection_lost, and a
-        socket left over would close another's descriptor.
+        It is not stored: uvloop drops a transport whose connect is cancelled without calling connection_lost.
+        A stored socket object would then close a descriptor that has been reused.
         """
         sock = socket.socket(self.family, socket.SOCK_STREAM, 0, self.descriptor)
         try:
--- a/apigateway/upstream/connection_pool.py
+++ b/apigateway/upstream/connection_pool.py
@@ -13,26 +13,27 @@
 from apigateway.upstream.connection import Connection
 from apigateway.upstream.idle_connection_policy import IdleConnectionPolicy
 
-SETTLE_TIME_S = 0.02  # after an answer, in which what came behind it, a second copy or noise, can still show
+# Time after a reply in which a connection is not reused, as surplus bytes (a duplicate reply) may follow.
+REUSE_DELAY_S = 0.02
 
 
 class PoolOwner(Protocol):
-    """What all pools share; durations are in seconds."""
+    """The state that all pools share; durations are in seconds."""
 
     connect_timeout: float
     max_idle_time: float
     idle_policy: IdleConnectionPolicy
     connections: set[Connection]  # of all endpoints
 
-    def make_room(self) -> bool:
-        """Tell whether one more connection may be made."""
+    def ensure_capacity(self) -> bool:
+        """Return whether one more connection may be opened, closing an idle one if necessary."""
 
 
 class ConnectionPool:
     """The connections to one endpoint at one address.
 
-    `idle` holds the connections without an attempt, the one used last at the end. `connecting` holds the
-    attempts that wait for a connection of their own.
+    `idle` holds the connections without an attempt, the most recently used one last. `connecting` holds the
+    attempts that wait for a new connection.
     """
 
     def __init__(self, owner: PoolOwner, address: Address) -> None:
@@ -44,7 +45,7 @@
         self.connecting: dict[Attempt, asyncio.Task[None]] = {}
 
     def start(self, attempt: Attempt) -> None:
-        """Send the attempt on the idle connection used last, or on a new one."""
+        """Send the attempt on the most recently used idle connection, or on a new one."""
         for connection in self._usable_idle_connections():
             if connection.is_reusable():
                 self.idle.remove(connection)
@@ -52,7 +53,7 @@
                 return
             connection.close()
         loop = asyncio.get_running_loop()
-        if not self.owner.make_room():
+        if not self.owner.ensure_capacity():
             loop.call_soon(attempt.end, AttemptResult.CONNECT_FAILED)
             return
         self.connecting[attempt] = loop.create_task(self._connect(attempt))
@@ -66,18 +67,18 @@
             connection.close()
 
     def discard(self, connection: Connection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has been closed."""
         if connection in self.idle:
             self.idle.remove(connection)
         self.owner.connections.discard(connection)
 
     def close_idle(self, before: float = math.inf) -> None:
-        """Close the connections that are idle since before `before` (monotonic seconds)."""
+        """Close the connections that have been idle since before `before` (monotonic seconds)."""
         for connection in [connection for connection in self.idle if connection.idle_since < before]:
             connection.close()
 
     def stop(self) -> None:
-        """Send nothing new to this address, nor what still waits for a connection to it."""
+        """Close the pool: end the attempts that wait for a connection, and close idle connections."""
         self.is_open = False
         self.close_idle()
         for attempt, task in list(self.connecting.items()):
@@ -86,20 +87,20 @@
             attempt.end(AttemptResult.CONNECT_FAILED)
 
     def _usable_idle_connections(self) -> list[Connection]:
-        """List the connections idle neither too shortly nor too long, the one used last first."""
+        """Return the connections idle neither too briefly nor too long, the most recently used one first."""
         now = monotonic()
-        latest = now - SETTLE_TIME_S
+        latest = now - REUSE_DELAY_S
         earliest = now - min(self.idle_policy.limit, self.owner.max_idle_time)
         return [
             connection for connection in reversed(self.idle) if earliest < connection.idle_since <= latest
         ]
 
     async def _connect(self, attempt: Attempt) -> None:
-        """Establish a connection for the attempt, and send it unless it has ended meanwhile."""
+        """Open a connection for the attempt, and send the attempt unless it has ended meanwhile."""
         connection: Connection | None = None
         try:
             connection = await self._open_connection()
-        except (OSError, ValueError):  # refused, out of time or descriptors, or no address at all
+        except (OSError, ValueError):  # refused, timed out, out of descriptors, or an invalid address
             pass
         finally:
             is_waiting = self.connecting.pop(attempt, None) is not None
@@ -113,13 +114,13 @@
             attempt.end(AttemptResult.CONNECT_FAILED)
 
     async def _open_connection(self) -> Connection:
-        """Connect to the address. Raises OSError, TimeoutError among them, and ValueError."""
+        """Connect to the address. Raises OSError (including TimeoutError) or ValueError."""
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(self.owner.connect_timeout):
             _, connection = await loop.create_connection(lambda: Connection(self), *self.address)
         return connection
 
     def _may_start(self, attempt: Attempt, connection: Connection) -> bool:
-        """Tell whether the attempt and its new connection are both still alive."""
+        """Return whether the attempt has not ended and its new connection is still open."""
         assert connection.transport is not None
         return not attempt.is_ended and self.is_open and not connection.transport.is_closing()
--- a/apigateway/upstream/framing.py
+++ b/apigateway/upstream/framing.py
@@ -1,8 +1,8 @@
-"""Cuts a RESP2 stream into messages.
+"""Split a RESP2 stream into messages.
 
-Lengths are checked here before anything relies on them. hiredis makes room for `*1000000000` at once, and
-giving that back takes it a second of CPU; nor does it check that CRLF stands behind a string. So it gets
-whole messages only, whose framing was found to hold.
+The framing is validated here before hiredis parses a message. hiredis allocates memory for `*1000000000` at
+once, and freeing it takes a second of CPU. It also does not check that a string ends with CRLF. It is
+therefore given only complete messages with valid framing.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 import hiredis
 
-MAX_BODY_BYTES = 64 * 1024  # of a value or body, by the protocol
-MAX_MESSAGE_BYTES = MAX_BODY_BYTES + 4096  # framing included: one without end must not fill memory
+MAX_BODY_BYTES = 64 * 1024  # of a value or body, set by the protocol
+MAX_MESSAGE_BYTES = MAX_BODY_BYTES + 4096  # including framing; bounds the memory for an endless message
 MAX_ARRAY_PARTS = 64  # no message of the protocol has more than five
-MAX_LINE_BYTES = 1024  # of a line, among them the error line with a load report
-MAX_LENGTH_DIGITS = 9  # of a length: Python's int() would take thousands
+MAX_LINE_BYTES = 1024  # long enough for an error line with a load report
+MAX_LENGTH_DIGITS = 9  # Python's int() would accept thousands of digits
 NO_MESSAGE: Any = object()
-"""What `Framing.next_message` returns while more bytes are needed; None and False are values."""
+"""Returned by `Framing.next_message` while more bytes are needed; None and False are valid messages."""
 
 _CRLF = b"\r\n"
 _CR = _CRLF[0]
@@ -33,9 +33,9 @@
 _NINE = ord("9")
 _MIN_HEADER_BYTES = 2  # the type and one digit
 _ARRAY_HEADER_SEARCH_END = 4  # index before which an array's CRLF starts: a count of at most two digits
-_BULK_HEADER_SEARCH_BYTES = 8  # a type, a length of five digits, which MAX_BODY_BYTES has, and CRLF
-# An array of four strings, or the first four of five, in one match: the commands that clients send. Each
-# bounded, as a match may be tried again with each byte that comes. Whether the lengths hold is checked after.
+_BULK_HEADER_SEARCH_BYTES = 8  # a type, a length of five digits, as MAX_BODY_BYTES has, and CRLF
+# Matches the commands that clients send: an array of four strings, or the first four of five. Each string is
+# bounded, because the match may be repeated for every byte received. The lengths are verified afterwards.
 _COMMAND = re.compile(
     rb"\*([45])\r\n\$([1-9][0-9]?)\r\n([^\r]{1,99})\r\n\$([1-9][0-9]?)\r\n([^\r]{1,99})\r\n"
     rb"\$([1-9][0-9]?)\r\n([^\r]{1,99})\r\n\$([1-9][0-9]{0,2})\r\n([^\r]{1,999})\r\n"
@@ -48,11 +48,11 @@
 
 
 class FramingError(Exception):
-    """The bytes are no RESP message that anyone here can use; nothing behind them can be read."""
+    """The bytes are not a usable RESP message, and nothing after them can be parsed."""
 
 
 class Framing:
-    """Cuts a stream into messages: simple lines, strings, and arrays of both.
+    """Splits a stream into messages: simple lines, strings, and arrays of both.
 
     `buffer` holds the bytes that are not yet part of a returned message.
     """
@@ -61,8 +61,8 @@
 
     def __init__(self) -> None:
         self.buffer = bytearray()
-        self._position = 0  # where the next part of the first message begins
-        self._parts_left = 1  # parts of the first message still to come
+        self._position = 0  # start of the next part of the first message
+        self._parts_left = 1  # parts of the first message that have not been scanned
         self._reader = hiredis.Reader()
 
     def feed(self, data: bytes) -> None:
@@ -90,9 +90,10 @@
         return message
 
     def _take_array(self) -> list[bytes | None] | None:
-        """Take an array of strings, the usual message, in one pass where it is here whole and sound.
+        """Parse an array of strings, the usual message, in one pass and remove it from the buffer.
 
-        None: it is another kind, is not whole or is malformed, which `_message_end` finds out.
+        Returns None if the message is of another type, incomplete or malformed. `_message_end` then tells
+        which.
         """
         buffer = self.buffer
         found = _COMMAND.match(buffer)
@@ -118,7 +119,10 @@
     def _take_strings(
         self, parts: list[bytes | None], count: int, position: int
     ) -> list[bytes | None] | None:
-        """Add the `count` strings from `position` on to `parts`, and remove the message from the buffer."""
+        """Append `count` strings, starting at `position`, to `parts`, and remove the message from the buffer.
+
+        Returns None and removes nothing if the message is incomplete or malformed.
+        """
         buffer = self.buffer
         find = buffer.find
         available = len(buffer)
@@ -147,9 +151,10 @@
         return parts
 
     def _message_end(self) -> int:
-        """Return the first message's length; 0 while it is not whole.
+        """Return the length of the first message, or 0 while it is incomplete.
 
-        Reads no byte twice but those of a line. Raises FramingError.
+        Each call continues where the last one stopped; only an incomplete line is scanned again. Raises
+        FramingError.
         """
         buffer = self.buffer
         available = len(buffer)
@@ -160,38 +165,38 @@
             kind = buffer[start]
             line_end = buffer.find(_CRLF, start, start + MAX_LINE_BYTES)
             if kind not in _TYPES:
-                raise FramingError("unknown type")
+                raise FramingError("unknown message type")
             if line_end < 0:
                 if available - start >= MAX_LINE_BYTES:
-                    raise FramingError("a line without end")
+                    raise FramingError("line too long")
                 break
             self._position = line_end + 2
             self._parts_left -= 1
             if kind in _TYPES_WITH_LENGTH:
                 self._apply_length(kind == _ARRAY, buffer[start + 1 : line_end], start)
             self._check_part(available)
-        is_whole = not self._parts_left and self._position <= available
-        return self._position if is_whole else 0
+        is_complete = not self._parts_left and self._position <= available
+        return self._position if is_complete else 0
 
     def _apply_length(self, is_array: bool, digits: bytearray, start: int) -> None:
-        """Skip a string's bytes, or expect an array's parts; the part begins at `start`."""
+        """Skip the bytes of a string, or expect the parts of an array, whose header begins at `start`."""
         if digits == _NULL_LENGTH:
             return
         if not digits.isdigit() or len(digits) > MAX_LENGTH_DIGITS:
-            raise FramingError("a length that is no number")
+            raise FramingError("invalid length")
         length = int(digits)
         if not is_array:
-            if length > MAX_BODY_BYTES + MAX_LINE_BYTES:  # one a little too long can be rejected by itself
-                raise FramingError("too long")
+            if length > MAX_BODY_BYTES + MAX_LINE_BYTES:  # a slightly longer body can be rejected on its own
+                raise FramingError("string too long")
             self._position += length + 2
         elif start or length > MAX_ARRAY_PARTS:
-            raise FramingError("an array in an array, or too many parts")
+            raise FramingError("nested array, or array with too many parts")
         else:
             self._parts_left += length
 
     def _check_part(self, available: int) -> None:
-        """Check the size so far, and that CRLF ends the part if that is among the `available` bytes."""
+        """Check the message size so far and, if the part is complete, that it ends with CRLF."""
         if self._position > MAX_MESSAGE_BYTES:
-            raise FramingError("too long")
+            raise FramingError("message too long")
         if self._position <= available and self.buffer[self._position - 2 : self._position] != _CRLF:
-            raise FramingError("a length that does not fit")
+            raise FramingError("length does not match the data")
--- a/apigateway/upstream/rpc.py
+++ b/apigateway/upstream/rpc.py
@@ -1,6 +1,7 @@
-"""gRPC over HTTP/2, for either side: status codes, framed messages, time-outs and texts in headers.
+"""gRPC over HTTP/2 for clients and servers: status codes, message framing, timeouts and status messages.
 
-Follows the "gRPC over HTTP2" page of gRPC. Pure; loaded where a listener or an outer service speaks gRPC.
+Follows gRPC's "gRPC over HTTP2" specification and does no I/O. It is imported only if a listener or an
+external service uses gRPC.
 """
 
 from __future__ import annotations
@@ -10,27 +11,27 @@
 from collections.abc import Iterator
 from urllib.parse import quote, unquote
 
-_MESSAGE_PREFIX_BYTES = 5  # before a message: whether it is compressed, and its length
+_MESSAGE_PREFIX_BYTES = 5  # compressed flag and message length
 _MESSAGE_LENGTH_BYTES = 4
 _NOT_COMPRESSED = b"\0"
-_FRAME_HEADER_BYTES = 9  # of HTTP/2: length, type, flags, stream id
+_FRAME_HEADER_BYTES = 9  # of an HTTP/2 frame: length, type, flags, stream id
 _FRAME_LENGTH_BYTES = 3
 _FRAME_TYPE_OFFSET = 3
-_MAX_FRAME_BYTES = 16384  # of a frame's body: HTTP/2's default, which is not raised here
-_GOAWAY = 7  # HTTP/2's frame type
-_GOAWAY_MIN_BYTES = 8  # of its body: the last stream and an error code
+_MAX_FRAME_BYTES = 16384  # of a frame's payload: the default of HTTP/2, which the gateway does not raise
+_GOAWAY = 7  # HTTP/2 frame type
+_GOAWAY_MIN_BYTES = 8  # of the payload: the last stream id and an error code
 _STREAM_ID_BYTES = 4
 _STREAM_ID_MASK = 0x7FFFFFFF  # the highest bit is reserved
-_MILLISECONDS = 1000  # in a second
+_MILLISECONDS_PER_SECOND = 1000
 _TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])")
-_TIMEOUT_LIMIT = 10**8  # first number that has more than the eight digits allowed
+_TIMEOUT_LIMIT = 10**8  # first number with more than the eight digits allowed
 _TIMEOUT_UNITS_S = {b"H": 3600.0, b"M": 60.0, b"S": 1.0, b"m": 1e-3, b"u": 1e-6, b"n": 1e-9}
-# The characters that grpc-message has as they are.
+# The characters that are not percent-encoded in grpc-message.
 _UNESCAPED = "".join(chr(code) for code in range(0x20, 0x7F) if chr(code) != "%")
 
 
 class GrpcStatus(enum.IntEnum):
-    """Status codes of gRPC. A peer may send others, which stay plain numbers."""
+    """Status codes of gRPC. Other codes that a peer sends are kept as plain numbers."""
 
     OK = 0
     CANCELLED = 1
@@ -52,7 +53,7 @@
 
 
 def status_name(status: int) -> str:
-    """Return the name of a status; of an unknown one its number."""
+    """Return the name of a status, or its number if it is unknown."""
     try:
         return GrpcStatus(status).name
     except ValueError:
@@ -60,10 +61,10 @@
 
 
 class GoAwayFilter:
-    """Takes GOAWAY frames out of a stream of HTTP/2 (RFC 9113, 6.8).
+    """Removes GOAWAY frames from an HTTP/2 byte stream (RFC 9113, 6.8).
 
-    They say that a peer accepts no more streams, while the present ones go on; h2 takes them for the end of
-    the connection. `preface` is what precedes the first frame.
+    A GOAWAY frame states that the peer accepts no more streams, while existing streams continue. h2 would
+    treat it as the end of the connection. `preface` precedes the first frame.
     """
 
     def __init__(self, preface: bytes = b"") -> None:
@@ -71,9 +72,9 @@
         self._preface_left = len(preface)  # bytes before the first frame
 
     def feed(self, data: bytes) -> tuple[bytes, int | None]:
-        """Return the complete frames without GOAWAY, and the last stream that the peer will process.
+        """Return the complete frames except GOAWAY, and the last stream that the peer will process.
 
-        The latter is None if no GOAWAY came. An incomplete frame is kept for the next call.
+        The latter is None if there was no GOAWAY frame. An incomplete frame is kept for the next call.
         """
         data = self._partial_frame + data
         last_stream: int | None = None
@@ -82,16 +83,18 @@
         kept: list[bytes] = []
         start = 0
         while len(data) - position >= _FRAME_HEADER_BYTES:
-            body = position + _FRAME_HEADER_BYTES
-            body_size = int.from_bytes(data[position : position + _FRAME_LENGTH_BYTES], "big")
-            if body_size > _MAX_FRAME_BYTES:  # more than is allowed: h2 will report it
+            payload = position + _FRAME_HEADER_BYTES
+            payload_size = int.from_bytes(data[position : position + _FRAME_LENGTH_BYTES], "big")
+            if payload_size > _MAX_FRAME_BYTES:  # h2 will report the protocol error
                 position = len(data)
                 break
-            end = body + body_size
+            end = payload + payload_size
             if end > len(data):
                 break
-            if data[position + _FRAME_TYPE_OFFSET] == _GOAWAY and body_size >= _GOAWAY_MIN_BYTES:
-                last_stream = int.from_bytes(data[body : body + _STREAM_ID_BYTES], "big") & _STREAM_ID_MASK
+            if data[position + _FRAME_TYPE_OFFSET] == _GOAWAY and payload_size >= _GOAWAY_MIN_BYTES:
+                last_stream = (
+                    int.from_bytes(data[payload : payload + _STREAM_ID_BYTES], "big") & _STREAM_ID_MASK
+                )
                 kept.append(data[start:position])
                 start = end
             position = end
@@ -101,7 +104,7 @@
 
 
 class RpcError(Exception):
-    """A call or a response that cannot be read; `status` is the gRPC status that says why."""
+    """A call or a response cannot be processed; `status` is the gRPC status code to report."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -109,7 +112,7 @@
 
 
 def frame_message(message: bytes) -> bytes:
-    """Return a message with the prefix of one that is not compressed."""
+    """Return a message with the length prefix of an uncompressed message."""
     return _NOT_COMPRESSED + len(message).to_bytes(_MESSAGE_LENGTH_BYTES, "big") + message
 
 
@@ -126,12 +129,13 @@
 def format_timeout(seconds: float) -> bytes:
     """Format a grpc-timeout header.
 
-    Rounded down to milliseconds, so that the peer gives up no later than the caller; at least one.
+    The timeout is rounded down to milliseconds, at least one, so that the peer gives up no later than the
+    caller.
     """
-    milliseconds = max(1, int(seconds * _MILLISECONDS))
+    milliseconds = max(1, int(seconds * _MILLISECONDS_PER_SECOND))
     if milliseconds < _TIMEOUT_LIMIT:
         return b"%dm" % milliseconds
-    return b"%dS" % min(milliseconds // _MILLISECONDS, _TIMEOUT_LIMIT - 1)
+    return b"%dS" % min(milliseconds // _MILLISECONDS_PER_SECOND, _TIMEOUT_LIMIT - 1)
 
 
 def percent_encode(text: str) -> bytes:
@@ -140,12 +144,12 @@
 
 
 def percent_decode(text: bytes) -> str:
-    """Decode a grpc-message header; what is malformed is replaced."""
+    """Decode a grpc-message header; malformed sequences are replaced."""
     return unquote(text.decode("ascii", "replace"), errors="replace")
 
 
 class MessageBuffer:
-    """Assembles the messages of one stream; each is at most `max_bytes` long."""
+    """Reassembles the messages of one stream; each may be at most `max_bytes` long."""
 
     __slots__ = ("data", "max_bytes")
 
@@ -154,7 +158,7 @@
         self.max_bytes = max_bytes
 
     def feed(self, data: bytes) -> None:
-        """Append received bytes. Raises RpcError as soon as a prefix shows a message that is rejected."""
+        """Append received bytes. Raises RpcError as soon as a prefix announces an unacceptable message."""
         self.data += data
         if len(self.data) < _MESSAGE_PREFIX_BYTES:
             return
@@ -167,7 +171,7 @@
             raise RpcError(GrpcStatus.UNIMPLEMENTED, "messages are not compressed here")
 
     def take_messages(self) -> Iterator[bytes]:
-        """Yield the complete messages and remove them. Raises RpcError as `feed`."""
+        """Remove and yield the complete messages. Raises RpcError like `feed`."""
         while len(self.data) >= _MESSAGE_PREFIX_BYTES:
             end = _MESSAGE_PREFIX_BYTES + self._message_size()
             if len(self.data) < end:
@@ -178,9 +182,9 @@
             yield message
 
     def single_message(self) -> bytes:
-        """Return the one message of a stream that has ended.
+        """Return the message of a stream that has ended with exactly one.
 
-        Raises RpcError if there is none, part of one, or more.
+        Raises RpcError if the message is missing or incomplete, or if there are several.
         """
         if len(self.data) < _MESSAGE_PREFIX_BYTES:
             raise RpcError(GrpcStatus.INTERNAL, "a message that is not whole")
@@ -192,5 +196,5 @@
         return bytes(self.data[_MESSAGE_PREFIX_BYTES:])
 
     def _message_size(self) -> int:
-        """Return the first message's size; its prefix has to be complete."""
+        """Return the size of the first message, whose prefix must be complete."""
         return int.from_bytes(self.data[1:_MESSAGE_PREFIX_BYTES], "big")
--- a/apigateway/upstream/socket_state.py
+++ b/apigateway/upstream/socket_state.py
@@ -1,7 +1,7 @@
-"""Ask the kernel for a socket's state, past the event loop.
+"""Query the kernel directly for the state of a socket.
 
-The kernel may hold data, connections or an end of stream that the loop has not reported yet. Each function is
-called where something is about to be closed because of the answer.
+The kernel may hold data, connections or an end of stream that the event loop has not reported yet. Each
+function is called before something is closed depending on the result.
 """
 
 from __future__ import annotations
@@ -11,33 +11,33 @@
 import termios
 from typing import Protocol
 
-_NO_BYTES = b"\0\0\0\0"  # FIONREAD's answer, a C int, for an empty receive buffer
+_NO_BYTES = b"\0\0\0\0"  # result of FIONREAD, a C int, for an empty receive buffer
 
 
 class SocketLike(Protocol):
-    """Anything with a file descriptor of a socket."""
+    """An object with the file descriptor of a socket."""
 
     def fileno(self) -> int:
-        """Return the file descriptor."""
+        """Return the socket's file descriptor."""
 
 
 def has_pending_connection(listener: SocketLike) -> bool:
-    """Tell whether a connection waits to be accepted: closing the listener would reset it."""
+    """Return whether a connection waits to be accepted, which would be reset if the listener were closed."""
     return _poll(listener, select.POLLIN)
 
 
 def is_closed_by_peer(sock: SocketLike) -> bool:
-    """Tell whether the peer has shut down its sending side or the connection, behind any unread data."""
+    """Return whether the peer has shut down its sending side or the connection, even with data unread."""
     return _poll(sock, select.POLLRDHUP)
 
 
 def has_unread_data(sock: SocketLike) -> bool:
-    """Tell whether the receive buffer holds bytes that were not read yet."""
+    """Return whether the receive buffer holds unread bytes."""
     return fcntl.ioctl(sock.fileno(), termios.FIONREAD, _NO_BYTES) != _NO_BYTES
 
 
 def _poll(sock: SocketLike, events: int) -> bool:
-    """Tell whether one of `events` is set now, without waiting."""
+    """Return whether any of `events` is set now; does not block."""
     poller = select.poll()
     poller.register(sock.fileno(), events)
     return bool(poller.poll(0))
--- a/apigateway/upstream/upstream_connections.py
+++ b/apigateway/upstream/upstream_connections.py
@@ -1,4 +1,4 @@
-"""All connections to hosts: sends attempts and health checks, and keeps the limit on connections."""
+"""All connections to hosts: sends attempts and health checks, and enforces the limit on connections."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from apigateway.upstream.connection_pool import ConnectionPool
 from apigateway.upstream.idle_connection_policy import IdleConnectionPolicy
 
-IDLE_MARGIN = 0.1  # part of the hosts' idle time by which a connection is closed before them
-IDLE_CHECK_INTERVAL_S = 0.5  # between checks for connections that are idle for too long
-_TIMEOUT = AttemptResult.TIMEOUT  # bound once: a member is slow to look up in its class
+IDLE_MARGIN_FRACTION = 0.1  # of the hosts' idle timeout, by which the gateway closes connections earlier
+IDLE_CHECK_INTERVAL_S = 0.5  # between checks for connections that have been idle for too long
+_TIMEOUT = AttemptResult.TIMEOUT  # a module constant, because enum member lookup is slow
 HEALTH_CHECK_PAYLOAD = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"
 
 
 class UpstreamConnections:
     """The connection pools of all endpoints; implements `core.interfaces.UpstreamPool`.
 
-    `connect_timeout` and `idle_close`, after which hosts close idle connections, are in seconds;
-    `max_connections` holds over all endpoints.
+    `connect_timeout` and `idle_close`, the time after which hosts close idle connections, are in seconds.
+    `max_connections` is the limit over all endpoints.
     """
 
     create_attempt = Attempt
@@ -31,16 +31,16 @@
     def __init__(self, connect_timeout: float, idle_close: float, max_connections: int) -> None:
         self.connect_timeout = connect_timeout
         self.max_connections = max_connections
-        self.max_idle_time = idle_close * (1 - IDLE_MARGIN)  # s; an older one is not used any more
-        self.idle_close_time = self.max_idle_time - IDLE_CHECK_INTERVAL_S  # s; an older one is closed
-        # One over all endpoints: what drops connections seldom lies at one of them.
+        self.max_idle_time = idle_close * (1 - IDLE_MARGIN_FRACTION)  # s; after it, not reused
+        self.idle_close_time = self.max_idle_time - IDLE_CHECK_INTERVAL_S  # s; after it, closed by a check
+        # Shared by all endpoints, because the cause of dropped connections is rarely a single endpoint.
         self.idle_policy = IdleConnectionPolicy()
         self.pools: dict[str, ConnectionPool] = {}
         self.connections: set[Connection] = set()
         self._idle_check: asyncio.TimerHandle | None = None
 
     def update_endpoint(self, endpoint_id: str, address: Address | None) -> None:
-        """Set the endpoint's address; None: nothing new goes to it."""
+        """Set the endpoint's address; with None, nothing more is sent to it."""
         pool = self.pools.get(endpoint_id)
         if pool is not None and pool.address != address:
             pool.stop()
@@ -49,11 +49,11 @@
             self.pools[endpoint_id] = ConnectionPool(self, address)
 
     def known_endpoints(self) -> set[str]:
-        """Return the ids of the endpoints with an address."""
+        """Return the ids of all endpoints that have an address."""
         return set(self.pools)
 
     def send(self, attempt: Attempt, timeout: float) -> None:
-        """Send the attempt, and give it up after `timeout` seconds."""
+        """Send the attempt, and abandon it after `timeout` seconds."""
         loop = asyncio.get_running_loop()
         pool = self.pools.get(attempt.endpoint_id)
         if pool is None:
@@ -62,15 +62,15 @@
         attempt.timer = loop.call_later(timeout, self.abandon, attempt, _TIMEOUT)
         pool.start(attempt)
 
-    def check_health(self, endpoint_id: str, done: Callable[[Attempt], None]) -> None:
-        """Ask the endpoint for its load report; `done` is called with the attempt."""
-        attempt = Attempt(endpoint_id, HEALTH_CHECK_PAYLOAD, done, HEALTH_CHECK)
+    def check_health(self, endpoint_id: str, on_ended: Callable[[Attempt], None]) -> None:
+        """Request the endpoint's load report; `on_ended` is called with the attempt."""
+        attempt = Attempt(endpoint_id, HEALTH_CHECK_PAYLOAD, on_ended, HEALTH_CHECK)
         self.send(attempt, self.connect_timeout)
 
     def abandon(self, attempt: Attempt, result: AttemptResult) -> None:
         """Stop waiting for an attempt.
 
-        The connection goes too: a late answer must not meet the next request on it.
+        Its connection is closed, because a late reply must not be read as the reply to the next attempt.
         """
         if attempt.is_ended:
             return
@@ -87,14 +87,15 @@
 
     @property
     def open_count(self) -> int:
-        """The number of connections, those being established among them.
+        """The number of connections, including those being established.
 
-        Counted, not kept: a task that is cancelled before its first step could not take itself off again.
+        It is computed at each use. A task that is cancelled before its first step could not decrement a
+        stored count.
         """
         return len(self.connections) + sum(len(pool.connecting) for pool in self.pools.values())
 
-    def make_room(self) -> bool:
-        """Tell whether one more connection may be made; closes the longest idle one if need be."""
+    def ensure_capacity(self) -> bool:
+        """Return whether one more connection may be opened, closing the longest idle one if necessary."""
         if self.open_count < self.max_connections:
             return True
         longest_idle = min(
@@ -113,9 +114,9 @@
             self.pools[endpoint_id].close_idle()
 
     def close_stale_connections(self) -> None:
-        """Close what is idle nearly as long as hosts allow, or so long that it may have been dropped.
+        """Close connections that the host will soon close or that a device on the path may have dropped.
 
-        A request that meets either is reset.
+        A request on such a connection would be reset.
         """
         self.idle_policy.decay(IDLE_CHECK_INTERVAL_S)
         before = monotonic() - min(self.idle_close_time, self.idle_policy.limit)
@@ -124,13 +125,13 @@
                 pool.close_idle(before)
 
     def start_idle_checks(self) -> None:
-        """Close stale connections now and at each interval from now on."""
+        """Close stale connections now and then every IDLE_CHECK_INTERVAL_S."""
         self.close_stale_connections()
         loop = asyncio.get_running_loop()
         self._idle_check = loop.call_later(IDLE_CHECK_INTERVAL_S, self.start_idle_checks)
 
     def close(self) -> None:
-        """Close every connection, and end the attempts on them."""
+        """Close all connections and end the attempts on them."""
         if self._idle_check is not None:
             self._idle_check.cancel()
         for pool in self.pools.values():
@@ -139,7 +140,7 @@
             connection.close()
 
     def _cancel_connect(self, attempt: Attempt) -> None:
-        """Stop establishing the attempt's connection, if that has begun."""
+        """Stop opening the attempt's connection, if that is in progress."""
         pool = self.pools.get(attempt.endpoint_id)
         task = pool.connecting.pop(attempt, None) if pool else None
         if task is not None:
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -5,7 +5,7 @@
 
 from apigateway import messages
 from apigateway.messages import AttemptResult
-from apigateway.upstream.attempt import HEALTH_CHECK, Attempt, read_reply
+from apigateway.upstream.attempt import HEALTH_CHECK, Attempt, apply_reply
 from apigateway.upstream.framing import FramingError
 
 
@@ -33,11 +33,11 @@
 )
 def test_reply_of_each_kind_has_its_result(reply, tag, result):
     attempt = Attempt("h1", b"", lambda _: None, tag)
-    assert read_reply(attempt, reply) is result
+    assert apply_reply(attempt, reply) is result
     assert attempt.load_report == {"inflight": 7.0}
 
 
 @pytest.mark.parametrize("reply", [b"active=7", [b"value", 3], ["text", 3, b""], 7, None])
 def test_reply_that_no_host_would_give_is_a_framing_error(reply):
     with pytest.raises(FramingError):
-        read_reply(Attempt("h1", b"", lambda _: None), reply)
+        apply_reply(Attempt("h1", b"", lambda _: None), reply)
--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -149,7 +149,7 @@
 
 @run_on_uvloop
 async def test_connection_is_reused_and_closed_before_the_hosts_idle_limit(tmp_path, monkeypatch):
-    monkeypatch.setattr(connection_pool, "SETTLE_TIME_S", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         for n in range(3):
             assert await harness.send_command(make_command(b"r%d" % n)) == VALUE_REPLY
@@ -266,7 +266,7 @@
 async def test_attempt_when_reading_its_answer_raises_then_ends(tmp_path, monkeypatch):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         with monkeypatch.context() as patch:
-            patch.setattr("apigateway.upstream.connection.read_reply", lambda *_: 1 / 0)
+            patch.setattr("apigateway.upstream.connection.apply_reply", lambda *_: 1 / 0)
             assert (await harness.send_command(make_write_command(service_class=b"note"))).startswith(b"-ERR")
         assert not harness.server.upstream.connections
         assert await harness.send_command(make_command(b"r2")) == VALUE_REPLY
@@ -356,7 +356,7 @@
 @run_on_uvloop
 async def test_connection_when_idle_nearly_as_long_as_hosts_allow_then_is_not_reused(tmp_path, monkeypatch):
     """Between two looks for idle ones as well, which are further apart than a short idle time."""
-    monkeypatch.setattr(connection_pool, "SETTLE_TIME_S", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         assert await harness.send_command(make_command(b"a")) == VALUE_REPLY
         (conn,) = harness.server.upstream.pools["h1"].idle
