--- a/apigateway/core/attempts.py
+++ b/apigateway/core/attempts.py
@@ -45,7 +45,7 @@
         self._responses = responses
 
     def forward(self, action: messages.ForwardRequest) -> None:
-        """Send one attempt, or report it as moot if it may not be sent."""
+        """Send one attempt, or report it as abandoned if it may not be sent."""
         in_flight = self._table.requests.get(action.request_id)
         if in_flight is None:
             return
@@ -60,7 +60,7 @@
             timeout = min(remaining, action.timeout) if action.timeout > 0 else remaining
             self._send(in_flight, number, action.endpoint_id, timeout)
         else:
-            self._report_moot(in_flight, number, action.endpoint_id)
+            self._report_abandoned(in_flight, number, action.endpoint_id)
 
     def cancel(self, action: messages.CancelAttempt) -> None:
         """Cancel one attempt of a request."""
@@ -91,7 +91,7 @@
         in_flight.active_attempts[number] = attempt
         upstream.send(attempt, timeout)
 
-    def _report_moot(self, in_flight: InFlightRequest, number: int, endpoint_id: str) -> None:
+    def _report_abandoned(self, in_flight: InFlightRequest, number: int, endpoint_id: str) -> None:
         self._events.dispatch(
             messages.AttemptOutcome(
                 in_flight.request_id, number, endpoint_id, AttemptResult.ABANDONED, 0.0, in_flight.is_finished
@@ -105,9 +105,7 @@
         del in_flight.active_attempts[number]
         if in_flight.is_finished:
             if result == _CONNECT_FAILED:
-                result = (
-                    AttemptResult.ABANDONED
-                )  # cancelled before it was sent: no information on the endpoint
+                result = AttemptResult.ABANDONED  # not sent, so no information on the endpoint
             self._table.release_if_ended(in_flight)
         elif result == _OK:
             self._responses.finish(in_flight, RequestOutcome.COMPLETED, attempt.value)
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -1,4 +1,4 @@
-"""The core's collaborators as a test wants them, and a dispatcher among them: no socket, no event loop."""
+"""Fakes of the core's collaborators, and a dispatcher that uses them without sockets and an event loop."""
 
 import heapq
 import itertools
@@ -10,10 +10,10 @@
 
 
 class ManualScheduler:
-    """Timers that fire when the test says so."""
+    """A scheduler whose timers fire when the test calls `fire_timers`."""
 
     def __init__(self):
-        self.timers = []  # a heap: delay, number, timer
+        self.timers = []  # heap of (delay, number, timer)
         self.ready_callbacks = []
         self.timer_numbers = itertools.count()
 
@@ -47,7 +47,7 @@
 
 
 class FakeAttempt:
-    """An attempt that ends when the test says so."""
+    """An attempt that ends when the test calls `end`."""
 
     def __init__(self, endpoint_id, payload, on_ended, tag):
         self.endpoint_id = endpoint_id
@@ -71,13 +71,13 @@
 
 
 class FakeUpstreamPool:
-    """Keep each attempt that was sent."""
+    """Records each attempt that was sent."""
 
     create_attempt = FakeAttempt
 
     def __init__(self):
         self.sent = []
-        self.sent_after_finish = []  # for a request that was finished
+        self.sent_after_finish = []  # attempts of requests that were already finished
         self.addresses = {}
 
     def send(self, attempt, timeout):
@@ -104,7 +104,7 @@
 
 
 class RecordingSink:
-    """Keep each answer. `is_broken`: the frontend raises when it is to answer."""
+    """Records each answer. With `is_broken` it raises on every answer."""
 
     def __init__(self, is_broken=False):
         self.token = None
@@ -127,7 +127,7 @@
 
 
 class RecordingCheckSink(RecordingSink):
-    """The same for a quota check."""
+    """Records each answer to a quota check."""
 
     def grant(self, granted):
         self.record(("granted", granted.remaining))
@@ -137,7 +137,7 @@
 
 
 class FakeUpstreamRequest:
-    """What endpoints are sent, of 10 bytes."""
+    """An upstream request whose body has 10 bytes."""
 
     body_size = 10
 
@@ -146,7 +146,7 @@
 
 
 class ScriptedModule:
-    """Return the actions that the test put down for the next event; raise if that is an exception."""
+    """Returns `next_actions` for the next event, or raises it if it is an exception."""
 
     def __init__(self):
         self.next_actions = []
@@ -161,23 +161,23 @@
 
 
 class ScriptedRegistry:
-    """Return the places, or failures, that the test names, in their order."""
+    """Returns the given slots or failures from `acquire`, in order."""
 
-    def __init__(self, *places):
-        self.places = list(places)
+    def __init__(self, *slots):
+        self.slots = list(slots)
         self.acquired = []
         self.released = []
         self.held_elsewhere = set()
 
     def acquire(self, request_id, remaining):
         self.acquired.append((request_id, remaining))
-        return self.places.pop(0)
+        return self.slots.pop(0)
 
     def is_held(self, request_id):
         return request_id in self.held_elsewhere
 
-    def release(self, place):
-        self.released.append(place)
+    def release(self, slot):
+        self.released.append(slot)
 
 
 def make_request(request_id, remaining=3.0):
@@ -193,7 +193,7 @@
 
 
 class DispatcherHarness:
-    """A dispatcher with one frontend, named "front", at a clock that stands still."""
+    """A dispatcher with one frontend, named "front", and a constant clock."""
 
     def __init__(self, max_in_flight=100, max_body_bytes=10_000, discovery_mode="push", **limits):
         self.module = ScriptedModule()
@@ -212,7 +212,7 @@
         self.core.register_frontend("front")
 
     def submit(self, request_id, actions=(), frontend="front", is_sink_broken=False, remaining=3.0):
-        """Submit a request to which the module answers with `actions`; returns its sink."""
+        """Submit a request to which the module responds with `actions`; return the request's sink."""
         sink = RecordingSink(is_sink_broken)
         self.module.next_actions = actions if isinstance(actions, Exception) else list(actions)
         request = make_request(request_id, remaining)
--- a/tests/core/test_attempts.py
+++ b/tests/core/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that the decision module asks for: which are sent, and what it hears of each."""
+"""Attempts that the decision module asks for: which are sent, and which outcomes are reported."""
 
 from core.fakes import DispatcherHarness
 
@@ -16,23 +16,23 @@
     assert sink.answers == ["served"]
 
 
-def test_attempt_when_another_is_active_or_all_are_used_then_moot():
+def test_attempt_when_another_is_active_or_the_maximum_is_reached_then_abandoned():
     harness = DispatcherHarness(max_attempts=2)
     harness.submit("a", [messages.ForwardRequest("a", "h1"), messages.ForwardRequest("a", "h2")])
     assert [attempt.endpoint_id for attempt in harness.upstream.sent] == ["h1"]
     assert harness.module.events[-1].result == "moot"
     harness.module.next_actions = [messages.ForwardRequest("a", "h2")]
     harness.upstream.sent[0].end("reset")
-    # the moot one was an attempt too
+    # the abandoned attempt counts towards the maximum
     assert [attempt.endpoint_id for attempt in harness.upstream.sent] == ["h1"]
     assert harness.module.events[-1].result == "moot"
 
 
-def test_attempt_when_it_crossed_the_end_of_its_request_then_moot_and_not_sent():
+def test_attempt_when_its_request_has_finished_then_abandoned_and_not_sent():
     harness = DispatcherHarness()
     sink = harness.submit("a", [messages.ForwardRequest("a", "h1")])
     harness.upstream.sent[0].is_written = True
-    harness.core.on_client_disconnected(sink)  # its attempt is active still, for the module to cancel
+    harness.core.on_client_disconnected(sink)  # the written attempt remains active
     harness.module.next_actions = [messages.ForwardRequest("a", "h2")]
     harness.core.dispatch(messages.TimerExpired(0))
     outcome = harness.module.events[-1]
--- a/tests/core/test_budget.py
+++ b/tests/core/test_budget.py
@@ -1,4 +1,4 @@
-"""One amount that frontends share."""
+"""The budget that frontends share."""
 
 from core.fakes import DispatcherHarness
 from hypothesis import given, seed, settings
@@ -22,19 +22,19 @@
         elif budget.available_to(frontend) > 0:
             budget.acquire(frontend, 1)
         assert 0 <= budget.used == sum(budget.used_by_frontend.values()) <= 40
-        for other in range(frontend_count):  # whoever holds less than its own part may take more
+        for other in range(frontend_count):  # a frontend that uses less than its reserve may acquire more
             if budget.used_by_frontend[other] + 1 <= 40 * RESERVED_FRACTION / frontend_count:
                 assert budget.available_to(other) > 0
 
 
-def test_budget_when_a_departed_frontend_releases_its_last_then_its_reserve_is_the_others():
+def test_budget_when_a_departed_frontend_has_released_everything_then_its_reserve_goes_to_the_others():
     budget = Budget(40)
-    for frontend in ("stays", "goes"):
+    for frontend in ("stays", "leaves"):
         budget.join(frontend)
-    budget.acquire("goes", 1)
-    budget.leave("goes")
-    assert budget.available_to("stays") == 40 - 1 - 9  # what it has in flight still counts
-    budget.release("goes", 1)
+    budget.acquire("leaves", 1)
+    budget.leave("leaves")
+    assert budget.available_to("stays") == 40 - 1 - 9  # the amount still in use and the rest of the reserve
+    budget.release("leaves", 1)
     assert budget.available_to("stays") == 40 and budget.used_by_frontend == {"stays": 0}
 
 
@@ -43,11 +43,11 @@
     harness.core.register_frontend("other")
     flood = [harness.submit(f"f{n}", [messages.ForwardRequest(f"f{n}", "h1")]) for n in range(200)]
     assert sum(sink.answers == [] for sink in flood) == 100 * (1 - RESERVED_FRACTION / 2)
-    quiet = [
+    other = [
         harness.submit(f"q{n}", [messages.ForwardRequest(f"q{n}", "h1")], frontend="other")
         for n in range(100)
     ]
-    assert sum(sink.answers == [] for sink in quiet) == 100 * RESERVED_FRACTION / 2
+    assert sum(sink.answers == [] for sink in other) == 100 * RESERVED_FRACTION / 2
     assert len(harness.core.in_flight) == 100
 
 
@@ -57,5 +57,5 @@
     accepted = [
         harness.submit(f"f{n}", [messages.ForwardRequest(f"f{n}", "h1")]).answers == [] for n in range(30)
     ]
-    assert 7 <= sum(accepted) <= 8  # 10 bytes each; the last may pass the bound
+    assert 7 <= sum(accepted) <= 8  # 10 bytes each; the last one may exceed the limit
     assert harness.submit("q", [messages.ForwardRequest("q", "h1")], frontend="other").answers == []
--- a/tests/core/test_endpoint_updates.py
+++ b/tests/core/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""An endpoint list on its way to the connection pools and to the decision module."""
+"""Endpoint lists applied to the connection pools and the decision module."""
 
 import pytest
 from core.fakes import DispatcherHarness
@@ -9,20 +9,20 @@
 
 
 class FakeEndpointSource:
-    """A source whose last list had version 7."""
+    """An endpoint source whose last list had version 7."""
 
     version = 7
 
 
 class AddressRecordingModule:
-    """Keep the addresses that the pools have when the module hears of an event."""
+    """Records the addresses in the pool at each event."""
 
     def __init__(self, upstream):
         self.upstream = upstream
-        self.seen = []
+        self.recorded_addresses = []
 
     def handle(self, now, event):
-        self.seen.append(dict(self.upstream.addresses))
+        self.recorded_addresses.append(dict(self.upstream.addresses))
         return []
 
 
@@ -31,24 +31,24 @@
     return messages.EndpointList(mode, 1, tuple(endpoints))
 
 
-def test_endpoint_list_when_some_come_and_some_go_then_the_module_hears_of_it_between():
+def test_endpoint_list_when_endpoints_are_added_and_removed_then_the_module_is_notified_in_between():
     harness = DispatcherHarness()
     harness.core.on_endpoint_list(make_list("full", h1="up"), ADDRESSES)
     harness.core.module = module = AddressRecordingModule(harness.upstream)
     harness.core.on_endpoint_list(make_list("full", h2="up"), ADDRESSES)
-    assert module.seen == [ADDRESSES]  # h2 has come, h1 has not gone yet
+    assert module.recorded_addresses == [ADDRESSES]  # h2 was added and h1 not yet removed
     assert harness.upstream.addresses == {"h1": None, "h2": ADDRESSES["h2"]}
 
 
 @pytest.mark.parametrize("state", ["leaving", "down"])
-def test_endpoint_list_when_a_delta_takes_one_away_then_the_others_stay(state):
+def test_endpoint_list_when_a_delta_removes_an_endpoint_then_the_others_remain(state):
     harness = DispatcherHarness()
     harness.core.on_endpoint_list(make_list("full", h1="up", h2="up"), ADDRESSES)
     harness.core.on_endpoint_list(make_list("delta", h1=state), {})
     assert harness.upstream.known_endpoints() == {"h2"}
 
 
-def test_core_when_it_had_endpoints_once_then_it_stays_ready():
+def test_core_when_it_has_had_endpoints_then_it_stays_ready():
     harness = DispatcherHarness()
     assert not harness.core.is_ready
     harness.core.on_endpoint_list(make_list("full", h1="up"), ADDRESSES)
@@ -57,9 +57,9 @@
     assert harness.core.is_ready and not harness.upstream.known_endpoints()
 
 
-@pytest.mark.parametrize("discovery_mode, is_told", [("ask", True), ("push", False)])
-def test_endpoint_list_when_it_could_not_be_had_then_a_module_that_polls_is_told(discovery_mode, is_told):
+@pytest.mark.parametrize("discovery_mode, is_notified", [("ask", True), ("push", False)])
+def test_endpoint_list_when_fetching_failed_then_a_module_that_polls_is_notified(discovery_mode, is_notified):
     harness = DispatcherHarness(discovery_mode=discovery_mode)
     harness.core.endpoint_source = FakeEndpointSource()
     harness.core.on_endpoint_list_failed()
-    assert harness.module.events == [messages.EndpointList("failed", 7, ())] * is_told
+    assert harness.module.events == [messages.EndpointList("failed", 7, ())] * is_notified
--- a/tests/core/test_event_dispatcher.py
+++ b/tests/core/test_event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Events to the decision module in their order, and what happens when it or an action raises."""
+"""The order of events for the decision module, and errors in the module or in an action."""
 
 import logging
 
@@ -18,15 +18,15 @@
     assert isinstance(harness.module.events[-1], messages.ClientDisconnected)
 
 
-def test_action_when_it_cannot_be_carried_out_then_the_next_one_is(caplog):
+def test_action_when_it_fails_then_the_next_action_is_carried_out(caplog):
     harness = DispatcherHarness()
     with caplog.at_level(logging.CRITICAL):
         sink = harness.submit("a", [object(), messages.Reject("a", 0.5)])
     assert sink.answers == ["refused"]
 
 
-def test_client_disconnected_when_other_events_wait_then_it_goes_before_them():
-    """A client's end that is noticed while the module works: what it decides next knows of it."""
+def test_client_disconnected_when_other_events_are_queued_then_it_is_handled_first():
+    """Otherwise the module would decide on a request whose client disconnected during an earlier event."""
     harness = DispatcherHarness()
     sink = harness.submit("a")
     other_sink = harness.submit("b")
--- a/tests/core/test_in_flight_table.py
+++ b/tests/core/test_in_flight_table.py
@@ -1,4 +1,4 @@
-"""Which requests are accepted, that their capacity is released, and the drain."""
+"""Acceptance of requests, release of their capacity, and the drain."""
 
 import asyncio
 
@@ -25,11 +25,11 @@
         harness.submit("a", frontend="other")
     harness.upstream.sent[0].end("ok")
     assert sink.answers == ["served"]
-    # it is over now
+    # its request has ended, so the id is free
     assert harness.submit("a", [messages.Reject("a")], frontend="other").answers == ["refused"]
 
 
-def test_write_when_held_elsewhere_and_no_capacity_then_it_is_not_rejected_as_not_run():
+def test_write_when_held_by_another_worker_and_no_capacity_then_not_rejected_as_not_run():
     harness = DispatcherHarness(max_in_flight=1)
     harness.core.in_flight_registry = registry = ScriptedRegistry(7)
     harness.module.next_actions = [messages.ForwardRequest("a", "h1")]
@@ -45,7 +45,7 @@
     assert not harness.core.is_in_flight("b", False) and not harness.core.is_in_flight("c", True)
 
 
-def test_write_when_another_worker_holds_it_then_not_accepted_and_own_place_goes_with_its_request():
+def test_write_when_another_worker_holds_it_then_not_accepted_and_own_slot_is_released_with_its_request():
     harness = DispatcherHarness()
     harness.core.in_flight_registry = registry = ScriptedRegistry(7, -1, -2)
     accepted_sink = RecordingSink()
@@ -57,7 +57,7 @@
     harness.core.submit("front", make_write_request("c"), FakeUpstreamRequest(), sink_without_capacity)
     assert sink_without_capacity.answers == ["refused"]
     assert set(harness.core.in_flight) == {"a"} and harness.core.request_budget.used == 1
-    harness.submit("read")  # repeats of those do no harm: they are not registered
+    harness.submit("read")  # reads may run twice, so they are not registered
     assert [request_id for request_id, _ in registry.acquired] == ["a", "b", "c"] and not registry.released
     harness.upstream.sent[0].end("ok")
     assert accepted_sink.answers == ["served"] and registry.released == [7]
@@ -74,7 +74,7 @@
     assert sink_without_capacity.answers == ["refused"]
 
 
-def test_check_in_flight_when_its_frontend_leaves_then_is_finished_and_the_drain_ends():
+def test_check_in_flight_when_its_frontend_leaves_then_it_finishes_and_the_drain_ends():
     harness = DispatcherHarness()
     sink = RecordingCheckSink()
     harness.core.submit_check("front", make_quota_check("a"), sink)
@@ -89,7 +89,7 @@
     harness = DispatcherHarness()
     harness.core.is_draining = True
     asyncio.run(harness.core.drain(0.0))
-    assert not harness.core.in_flight_table.drained.is_set()  # it did not wait
+    assert not harness.core.in_flight_table.drained.is_set()  # the drain did not wait
 
 
 def test_drain_when_the_last_request_ends_then_it_ends():
@@ -108,7 +108,7 @@
     assert sink.answers == ["served"] and not harness.core.in_flight
 
 
-def test_drain_when_its_time_is_over_then_what_is_in_flight_fails():
+def test_drain_when_its_time_is_over_then_requests_in_flight_fail():
     harness = DispatcherHarness()
     sink = harness.submit("a", [messages.ForwardRequest("a", "h1")])
     harness.core.is_draining = True
--- a/tests/core/test_overload_log.py
+++ b/tests/core/test_overload_log.py
@@ -12,7 +12,7 @@
     harness = AdmissionHarness()
     gate = harness.gate
     with caplog.at_level(logging.WARNING):
-        harness.ask()
+        harness.check_request()
         gate.is_overloaded = True
         gate.lag = 0.04
         for _ in range(5):
--- a/tests/core/test_quota_checks.py
+++ b/tests/core/test_quota_checks.py
@@ -1,4 +1,4 @@
-"""Quota checks: answered once by the decision module, and never sent to an endpoint."""
+"""Quota checks: decided by the decision module, answered once, and never sent to an endpoint."""
 
 from core.fakes import DispatcherHarness, RecordingCheckSink, make_quota_check
 
@@ -19,7 +19,7 @@
     assert granted_sink.answers == [("granted", 5.0)] and denied_sink.answers == [("denied", True)]
     assert not harness.upstream.sent
     assert not harness.core.in_flight and not harness.core.request_budget.used
-    # a module that forwards one: the deadline guard answers
+    # a check that the module forwards is failed by the deadline guard
     harness.module.next_actions = [messages.ForwardRequest("c", "h1")]
     harness.core.submit_check("front", make_quota_check("c"), undecided_sink)
     harness.loop.fire_timers()
@@ -27,32 +27,34 @@
     assert not harness.upstream.sent and not harness.core.in_flight
 
 
-def test_quota_check_when_caller_left_or_module_fails_or_forgets_then_late_answers_are_dropped():
+def test_quota_check_when_client_left_or_module_raised_or_deadline_passed_then_late_answers_are_dropped():
     harness = DispatcherHarness()
-    left_sink, broken_sink, forgotten_sink = (RecordingCheckSink() for _ in range(3))
-    harness.core.submit_check("front", make_quota_check("a"), left_sink)
-    harness.core.on_client_disconnected(left_sink)
+    disconnected_sink, failed_sink, timed_out_sink = (RecordingCheckSink() for _ in range(3))
+    harness.core.submit_check("front", make_quota_check("a"), disconnected_sink)
+    harness.core.on_client_disconnected(disconnected_sink)
     assert isinstance(harness.module.events[-1], messages.ClientDisconnected)
     harness.module.next_actions = ValueError("the module is broken")
-    harness.core.submit_check("front", make_quota_check("b"), broken_sink)
-    harness.core.submit_check("front", make_quota_check("c"), forgotten_sink)
+    harness.core.submit_check("front", make_quota_check("b"), failed_sink)
+    harness.core.submit_check("front", make_quota_check("c"), timed_out_sink)
     harness.loop.fire_timers()
     harness.module.next_actions = [
         messages.QuotaGranted("a", 5.0, 1.0, 7),
         messages.QuotaGranted("c", 5.0, 1.0, 7),
     ]
-    harness.core.submit_check("front", make_quota_check("d"), RecordingCheckSink())  # answers that come late
-    assert not left_sink.answers and broken_sink.answers == forgotten_sink.answers == ["failed"]
+    harness.core.submit_check(
+        "front", make_quota_check("d"), RecordingCheckSink()
+    )  # triggers the late answers
+    assert not disconnected_sink.answers and failed_sink.answers == timed_out_sink.answers == ["failed"]
 
 
-def test_quota_check_when_there_are_plugins_then_none_is_asked():
+def test_quota_check_when_there_are_plugins_then_they_are_not_called():
     harness = DispatcherHarness()
-    harness.core.plugins = object()  # would raise if it were asked
+    harness.core.plugins = object()  # any call would raise
     harness.core.submit_check("front", make_quota_check("a"), RecordingCheckSink())
     assert type(harness.module.events[-1]) is messages.QuotaCheck
 
 
-def test_quota_when_returned_then_the_module_hears_of_units_or_reservation():
+def test_quota_when_returned_then_the_units_or_the_reservation_are_reported():
     harness = DispatcherHarness()
     harness.core.return_quota(
         messages.QuotaCheck("a", 3.0, "c", "p", "read", 2.0, 0, 1),
--- a/tests/core/test_request_filters.py
+++ b/tests/core/test_request_filters.py
@@ -1,4 +1,4 @@
-"""The external rate limiter in a request's life: asked before the module hears of it; it can only tighten."""
+"""The external rate limiter checks a request before the module handles it, and can only reject it."""
 
 import logging
 
@@ -10,14 +10,14 @@
 
 
 class ScriptedRateLimiter:
-    """Applies to requests of plan "p"; decides when the test says so.
+    """A rate limiter for requests of plan "p" that decides when the test calls `decide`.
 
-    `decision`: what it decides at once, or an exception that it raises.
+    With `decision` it decides immediately, or raises it if it is an exception.
     """
 
     def __init__(self, decision=None):
         self.decision = decision
-        self.checks = []  # request, remaining, callback
+        self.checks = []  # tuples of (request, remaining, callback)
         self.cancelled = []
 
     def applies_to(self, request):
@@ -49,7 +49,7 @@
 
 
 class SilentRequestPlugins:
-    """One request's way through plug-ins that say nothing of its end."""
+    """Plug-in state of a request that ignores the end of the request."""
 
     def on_end(self, outcome):
         pass
@@ -61,7 +61,7 @@
     return harness
 
 
-def test_request_when_allowed_then_the_module_hears_of_it():
+def test_request_when_allowed_then_it_is_dispatched():
     harness = make_harness()
     sink = harness.submit("a", [])
     assert not harness.module.events and not sink.answers
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize(
     "decision, event", [((True, 0.0), messages.Request), ((False, 0.2), messages.RejectedByPlugin)]
 )
-def test_request_when_decided_within_the_check_then_the_module_hears_of_it_at_once(decision, event):
+def test_request_when_decided_during_the_check_then_it_is_dispatched_at_once(decision, event):
     harness = make_harness(decision)
     sink = harness.submit("a", [messages.Reject("a")])
     assert type(harness.module.events[0]) is event
@@ -108,7 +108,7 @@
     assert sink.answers == ["refused"] and not harness.limiter.checks
 
 
-def test_request_when_the_limiter_raises_then_it_goes_on(caplog):
+def test_request_when_the_limiter_raises_then_it_is_dispatched(caplog):
     harness = make_harness(RuntimeError("broken"))
     with caplog.at_level(logging.ERROR):
         sink = harness.submit("a", [messages.Reject("a")])
@@ -122,11 +122,11 @@
     sink = harness.submit("a")
     harness.core.on_client_disconnected(sink)
     assert harness.limiter.cancelled == [1] and not harness.core.in_flight and not sink.answers
-    harness.limiter.decide(True, 0.0)  # one that decides all the same
+    harness.limiter.decide(True, 0.0)  # despite the cancellation
     assert [type(event) for event in harness.module.events] == [messages.ClientDisconnected]
 
 
-def test_check_when_never_decided_then_the_deadline_guard_answers():
+def test_check_when_never_decided_then_the_deadline_guard_fails_the_request():
     harness = make_harness()
     sink = harness.submit("a")
     harness.loop.fire_timers()
@@ -136,7 +136,7 @@
     assert sink.answers == ["failed"] and not harness.upstream.sent
 
 
-def test_request_when_its_check_is_pending_then_it_holds_its_capacity():
+def test_request_when_its_check_is_pending_then_it_keeps_its_capacity():
     harness = make_harness()
     harness.core.request_budget.limit = 1
     harness.submit("a")
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request from its submission to its end, whatever order things happen in."""
+"""The life cycle of requests under random sequences of events."""
 
 import logging
 
@@ -11,8 +11,10 @@
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(["submit", "end", "write", "disconnect", "deadline", "timer"]),
-        st.integers(0, 5),  # which attempt, sink or request
-        st.sampled_from(["forward", "forward_twice", "reject", "fail", "nothing", "raise", "cancel", "odd"]),
+        st.integers(0, 5),  # index of the attempt, sink or request
+        st.sampled_from(
+            ["forward", "forward_twice", "reject", "fail", "nothing", "raise", "cancel", "invalid"]
+        ),
         st.sampled_from(["ok", "error", "full", "reset", "connect_failed", "timeout"]),
         st.booleans(),  # whether the sink of a submitted request is broken
     ),
@@ -21,7 +23,7 @@
 
 
 def make_module_answer(answer, request_id):
-    """What the module makes of the next event: actions, or an exception that it raises."""
+    """Return the module's reaction to the next event: actions, or an exception to raise."""
     return {
         "forward": [messages.ForwardRequest(request_id, "h1")],
         "forward_twice": [
@@ -33,7 +35,7 @@
         "nothing": [],
         "raise": RuntimeError("broken"),
         "cancel": [messages.CancelAttempt(request_id, 0), messages.ForwardRequest(request_id, "h3")],
-        "odd": [
+        "invalid": [
             None,
             messages.ForwardRequest("unknown", "h1"),
             messages.Reject(request_id),
@@ -47,14 +49,14 @@
 
 
 class LifecycleSteps:
-    """Take random steps with a dispatcher of few places, and look at its state after each."""
+    """Runs random steps on a dispatcher of small capacity and checks its state after each step."""
 
     def __init__(self):
         self.harness = DispatcherHarness(max_in_flight=5, max_attempts=3)
         self.sinks = []
-        self.disconnected = set()  # sinks whose client left before an answer
+        self.disconnected = set()  # sinks whose client disconnected before the answer
 
-    def take(self, number, step):
+    def run_step(self, number, step):
         kind, index, module_answer, result, is_sink_broken = step
         attempt = self.active_attempt(index)
         request_id = f"r{number}" if kind == "submit" else request_id_of(attempt)
@@ -112,7 +114,7 @@
         ]
         for sink in self.sinks:
             assert len(sink.answers) == (sink not in self.disconnected), sink.answers
-            if sink.token is not None:  # each attempt that the module decided on has its one outcome
+            if sink.token is not None:  # each attempt that the module asked for has exactly one outcome
                 request = sink.token
                 assert (
                     sorted(outcomes.count((request.request_id, n)) for n in range(request.attempt_count))
@@ -124,12 +126,12 @@
 @seed(1)
 @settings(max_examples=300, deadline=None, database=None, suppress_health_check=[HealthCheck.too_slow])
 @given(STEPS)
-def test_request_whatever_happens_then_it_is_answered_once(steps):
+def test_request_under_any_sequence_of_steps_then_it_is_answered_once(steps):
     lifecycle = LifecycleSteps()
     logging.disable(logging.CRITICAL)
     try:
         for number, step in enumerate(steps):
-            lifecycle.take(number, step)
+            lifecycle.run_step(number, step)
             lifecycle.check_state()
         lifecycle.end_all()
     finally:
--- a/tests/core/test_responses.py
+++ b/tests/core/test_responses.py
@@ -1,4 +1,4 @@
-"""One final answer, whatever the frontend makes of it."""
+"""The final response, even if the frontend raises."""
 
 import logging
 
@@ -7,7 +7,7 @@
 from apigateway import messages
 
 
-def test_response_when_the_frontend_raises_then_its_request_is_released_like_others(caplog):
+def test_response_when_the_frontend_raises_then_the_capacity_of_its_request_is_released(caplog):
     harness = DispatcherHarness()
     with caplog.at_level(logging.CRITICAL):
         broken_sink = harness.submit("a", [messages.Reject("a")], is_sink_broken=True)
@@ -17,7 +17,7 @@
     assert not harness.core.request_budget.used and not harness.core.body_budget.used
 
 
-def test_response_when_the_client_disconnected_then_none_and_an_unwritten_attempt_is_cancelled():
+def test_response_when_the_client_disconnected_then_none_is_sent_and_an_unwritten_attempt_is_cancelled():
     harness = DispatcherHarness()
     sink = harness.submit("a", [messages.ForwardRequest("a", "h1")])
     harness.core.on_client_disconnected(sink)
