--- a/tests/counter/test_counter_client.py
+++ b/tests/counter/test_counter_client.py
@@ -1,4 +1,4 @@
-"""The counter client against an emulated counter: late, unreadable and missing replies."""
+"""The counter client with an emulated counter: late, malformed and missing replies."""
 
 import asyncio
 import json
@@ -18,18 +18,18 @@
 from apigateway.counter.client import CONNECTION_COUNT
 
 
-async def until_connected(connections):
+async def wait_until_connected(connections):
     while not all(connection.is_connected for connection in connections):
         await asyncio.sleep(0)
 
 
-async def until_disconnected(connections):
+async def wait_until_disconnected(connections):
     while any(connection.is_connected for connection in connections):
         await asyncio.sleep(0)
 
 
 @run_on_uvloop
-async def test_reply_when_it_comes_after_the_deadline_then_keeps_its_turn(tmp_path):
+async def test_reply_when_it_arrives_after_the_deadline_then_is_matched_to_its_own_call(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         counter = harness.server.counter
         results = asyncio.Queue()
@@ -37,13 +37,13 @@
         def add(amount):
             counter.add(8, amount, 4, lambda key, result, total, elapsed: results.put_nowait((result, total)))
 
-        await until_connected(counter.connections[:1])
+        await wait_until_connected(counter.connections[:1])
         harness.counter.silent = True
         add(1)
         assert (await results.get())[0] == "timeout"
         harness.counter.silent = False
         add(2)
-        harness.counter.answer_all()  # the first answer comes now, before or behind the second's request
+        harness.counter.answer_all()  # sends the first reply, before or after the second call
         assert await results.get() == ("ok", 3.0)
         assert [words[1:] for words in harness.counter.calls] == [
             [b"8", b"1", b"4000"],
@@ -52,20 +52,20 @@
 
 
 @run_on_uvloop
-async def test_connection_when_silent_for_longer_than_a_call_may_take_then_reconnects(tmp_path):
-    """Silence within the time that the settings give a call is no reason to reconnect."""
-    tree = json.loads(json.dumps(SETTINGS))
-    tree["specifics"]["counter_timeout"] = 5_000_000_000
-    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=tree) as harness:
+async def test_connection_when_a_reply_is_overdue_then_reconnects(tmp_path):
+    """A reply that is pending for less than twice the call timeout must not cause a reconnect."""
+    settings = json.loads(json.dumps(SETTINGS))
+    settings["specifics"]["counter_timeout"] = 5_000_000_000
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=settings) as harness:
         counter = harness.server.counter
         results = asyncio.Queue()
-        await until_connected(counter.connections)
+        await wait_until_connected(counter.connections)
         harness.counter.silent = True
-        for waited, result in ((9.0, "ok"), (11.0, "timeout")):
+        for waited_s, result in ((9.0, "ok"), (11.0, "timeout")):
             counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait(result))
             await harness.counter.arrived.get()
             connection = counter.connections[0]
-            connection.pending_calls[0].started_at -= waited  # s ago
+            connection.pending_calls[0].started_at -= waited_s
             connection.check_liveness()
             if result == "ok":
                 harness.counter.answer_all()
@@ -73,7 +73,7 @@
 
 
 @run_on_uvloop
-async def test_call_when_no_connection_is_up_then_fails_until_it_reconnected(tmp_path):
+async def test_call_when_no_connection_is_established_then_fails_until_it_reconnects(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         counter = harness.server.counter
         results = asyncio.Queue()
@@ -81,7 +81,7 @@
         def add():
             counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait(result))
 
-        await until_connected(counter.connections)
+        await wait_until_connected(counter.connections)
         while len(harness.counter.writers) < CONNECTION_COUNT:
             await asyncio.sleep(0)
         harness.counter.silent = True
@@ -91,7 +91,7 @@
         for writer in harness.counter.writers:
             writer.transport.abort()
         assert await results.get() == "timeout"  # it was written, so it may have been added
-        await until_disconnected(counter.connections)
+        await wait_until_disconnected(counter.connections)
         add()
         assert await results.get() == "connect_failed"
         harness.counter.silent = False
@@ -105,21 +105,21 @@
 
 
 @pytest.mark.parametrize(
-    "unreadable",
+    "malformed_reply",
     [b"ok\r\n", b"ok many\r\n", b"pong\r\n", b"ok inf\r\n", b"ok 1_0\r\n", b"x" * 5000, b"what\r\n"],
 )
 @run_on_uvloop
-async def test_reply_when_unreadable_then_costs_only_the_connection(unreadable, tmp_path):
+async def test_reply_when_malformed_then_only_its_connection_is_closed(malformed_reply, tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         counter = harness.server.counter
         results = asyncio.Queue()
-        await until_connected(counter.connections[:1])
+        await wait_until_connected(counter.connections[:1])
         old_transport = counter.connections[0].transport
         harness.counter.silent = True
         counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait(result))
         await harness.counter.arrived.get()
         for writer in harness.counter.writers:
-            writer.write(unreadable)
+            writer.write(malformed_reply)
         assert await results.get() == "spoilt"
         while counter.connections[0].transport in (None, old_transport):
             await asyncio.sleep(0.01)
@@ -129,7 +129,7 @@
 @run_on_uvloop
 async def test_change_of_address_when_calls_are_pending_then_they_finish_and_old_connections_close(tmp_path):
     async with (
-        EmulatedCounter() as new,
+        EmulatedCounter() as new_counter,
         EmulatedHost() as host,
         GatewayHarness(host, path=tmp_path) as harness,
     ):
@@ -140,18 +140,18 @@
             counter.add(8, amount, 4, lambda key, result, total, elapsed: results.put_nowait((result, total)))
 
         counter.timeout = 10.0
-        await until_connected(counter.connections)
+        await wait_until_connected(counter.connections)
         old_connections = list(counter.connections)
         harness.counter.silent = True
         add(1)
         await harness.counter.arrived.get()
-        counter.change_address(("127.0.0.1", new.port))
-        counter.change_address(("127.0.0.1", new.port))  # twice in a row does no harm
+        counter.change_address(("127.0.0.1", new_counter.port))
+        counter.change_address(("127.0.0.1", new_counter.port))  # a repeated change has no effect
         while counter.replacements:
             await asyncio.sleep(0.001)
         add(5)
         assert (await results.get()) == ("ok", 5.0)
-        assert [words[2] for words in new.calls] == [b"5"]
+        assert [words[2] for words in new_counter.calls] == [b"5"]
         harness.counter.answer_all()
         assert (await results.get()) == ("ok", 1.0)
         await asyncio.wait([connection.reconnect_task for connection in old_connections])
@@ -169,57 +169,59 @@
         def add():
             counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait((result, total)))
 
-        await until_connected(counter.connections)
+        await wait_until_connected(counter.connections)
         harness.counter.silent = True
         add()
         await harness.counter.arrived.get()
-        ((spoilt, _),) = harness.counter.held
-        spoilt.write(b"ok {}\r\n")
-        assert (await results.get())[0] == "spoilt"  # it was added, but what it made is not known
+        ((writer, _),) = harness.counter.held
+        writer.write(b"ok {}\r\n")
+        assert (await results.get())[0] == "spoilt"  # the amount was added, but the total is unknown
         harness.counter.silent = False
         add()
         assert await results.get() == ("ok", 2.0)
 
 
 @run_on_uvloop
-async def test_quota_when_totals_are_rounded_then_nothing_is_held_lost(tmp_path):
-    """Amounts and totals have seven digits on the wire; what is missing by them was never lost."""
-    few = {**SETTINGS, "plans": [{"name": "p", "rate": 1.0, "most_at_once": 40.0}]}
-    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=few) as harness:
-        await until_connected(harness.server.counter.connections)
+async def test_quota_when_totals_are_rounded_then_no_units_count_as_lost(tmp_path):
+    """Amounts and totals have seven digits on the wire. A difference by rounding must not count as a loss."""
+    settings = {**SETTINGS, "plans": [{"name": "p", "rate": 1.0, "most_at_once": 40.0}]}
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=settings) as harness:
+        await wait_until_connected(harness.server.counter.connections)
         await harness.send_command(make_command())
-        (acct,) = harness.server.core.module.quotas.values()
-        now = acct.window_start + acct.window_length + 1.0  # early in a window, whenever this runs
+        (quota,) = harness.server.core.module.quotas.values()
+        now = (
+            quota.window_start + quota.window_length + 1.0
+        )  # early in a window, independent of the real time
         harness.server.core.clock = lambda: now
         await harness.send_command(make_command(b"r"))
-        acct.debt_units = 10 / 3  # of the last window, brought along once the first call is answered
-        replies = [await harness.send_command(make_command(b"r%d" % n)) for n in range(90)]
+        quota.debt_units = 10 / 3  # from the last window, carried over with the first reply of the counter
+        replies = [await harness.send_command(make_command(b"r%d" % number)) for number in range(90)]
         assert len(harness.counter.calls) > 3
         assert max(harness.counter.totals.values()) < 6 + 1.1 * replies.count(VALUE_REPLY)
 
 
 @run_on_uvloop
-async def test_quota_when_the_counter_is_lost_then_the_customer_keeps_its_local_part(tmp_path):
-    two = {**SETTINGS, "group_size": 2, "plans": [{"name": "p", "rate": 10.0, "most_at_once": 20.0}]}
-    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=two) as harness:
+async def test_quota_when_the_counter_is_unreachable_then_the_customer_keeps_its_local_share(tmp_path):
+    settings = {**SETTINGS, "group_size": 2, "plans": [{"name": "p", "rate": 10.0, "most_at_once": 20.0}]}
+    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=settings) as harness:
         connections = harness.server.counter.connections
-        await until_connected(connections)
+        await wait_until_connected(connections)
 
-        async def ask(n):
+        async def is_served(number):
             return (
-                await harness.send_command(make_command(b"r%d" % n, make_fields(spread=2)))
+                await harness.send_command(make_command(b"r%d" % number, make_fields(spread=2)))
             ) == VALUE_REPLY
 
-        await ask(1)
-        (acct,) = harness.server.core.module.quotas.values()
-        now = acct.window_start + acct.window_length + 0.5  # at one place of its windows
-        for window in range(4):  # all that the counter tells of is used here, though two could
-            harness.server.core.clock = lambda at=now + 2 * window: at
-            for n in range(14):
-                await ask(100 * window + n)
+        await is_served(1)
+        (quota,) = harness.server.core.module.quotas.values()
+        now = quota.window_start + quota.window_length + 0.5  # at a fixed offset in its windows
+        for window in range(4):  # this gateway counts all of the usage, though the group has two gateways
+            harness.server.core.clock = lambda time=now + 2 * window: time
+            for number in range(14):
+                await is_served(100 * window + number)
         harness.counter.server.close()
         for writer in harness.counter.writers:
             writer.transport.abort()
-        await until_disconnected(connections)
+        await wait_until_disconnected(connections)
         harness.server.core.clock = lambda: now + 20
-        assert sum([await ask(1000 + n) for n in range(20)]) > 15
+        assert sum([await is_served(1000 + number) for number in range(20)]) > 15
--- a/tests/counter/test_counter_wire.py
+++ b/tests/counter/test_counter_wire.py
@@ -1,4 +1,4 @@
-"""The counter's line protocol, without a socket."""
+"""Encoding and parsing of the counter's line protocol."""
 
 import pytest
 
@@ -11,10 +11,12 @@
         (1.0, 4.0, b"incr 8 1 4000\r\n"),
         (-1.0, 60.0, b"incr 8 -1 60000\r\n"),
         (10 / 3, 1.0001, b"incr 8 3.333333 1001\r\n"),  # seven digits; the lifetime is rounded up
-        (2.0, 0.0, b"incr 8 2 1\r\n"),  # no lifetime of 0
+        (2.0, 0.0, b"incr 8 2 1\r\n"),  # a lifetime of 0 is raised to 1 ms
     ],
 )
-def test_encode_add_when_given_seconds_then_writes_whole_milliseconds(amount, lifetime, command):
+def test_encode_add_when_the_lifetime_is_in_seconds_then_encodes_whole_milliseconds(
+    amount, lifetime, command
+):
     assert wire.encode_add(8, amount, lifetime) == command
 
 
--- a/tests/counter/test_pending_call.py
+++ b/tests/counter/test_pending_call.py
@@ -1,4 +1,4 @@
-"""Calls to the counter: one result each, by its reply or its deadline."""
+"""Calls to the counter: one result per call, from its reply or its deadline."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 from apigateway.messages import CounterCallResult
 
 
-def test_results_when_compared_with_the_messages_then_are_the_same_words():
+def test_results_when_compared_with_the_messages_then_have_the_same_values():
     assert tuple(CounterCallResult) == messages.COUNTER_CALL_RESULTS
     for result in CounterCallResult:
         assert json.dumps(result) == f'"{result}"' == f'"{result.value}"'
@@ -28,17 +28,17 @@
 
 
 @run_on_uvloop
-async def test_deadline_when_it_passes_then_the_call_timed_out():
+async def test_deadline_when_it_passes_then_the_result_is_timeout():
     results = asyncio.Queue()
     call = PendingCall(8, lambda key, result, total, elapsed: results.put_nowait((result, elapsed)))
     call.set_deadline(asyncio.get_running_loop(), 0.02)
     result, elapsed = await results.get()
     assert result == "timeout"
-    assert elapsed >= 0.015  # the loop's timers tick in milliseconds
+    assert elapsed >= 0.015  # the event loop's timers have a resolution of milliseconds
 
 
 @run_on_uvloop
-async def test_deadline_when_the_reply_came_before_then_reports_nothing_more():
+async def test_deadline_when_the_reply_arrived_before_then_no_second_result_is_reported():
     reported = []
     call = PendingCall(8, lambda key, result, total, elapsed: reported.append(result))
     call.set_deadline(asyncio.get_running_loop(), 0.01)
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -1,4 +1,4 @@
-"""What ends an attempt, apart from connections."""
+"""The results of attempts, without connections."""
 
 import hiredis
 import pytest
@@ -9,17 +9,17 @@
 from apigateway.upstream.framing import FramingError
 
 
-def test_results_when_compared_with_the_messages_then_are_the_same_words():
-    names = {"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"}
-    assert set(AttemptResult) == set(messages.ATTEMPT_RESULTS) == names
+def test_results_when_compared_with_the_messages_then_have_the_same_values():
+    values = {"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"}
+    assert set(AttemptResult) == set(messages.ATTEMPT_RESULTS) == values
 
 
-def test_end_when_called_twice_then_the_first_result_stays_and_is_reported_once():
-    ended = []
-    attempt = Attempt("h1", b"", ended.append)
+def test_end_when_called_twice_then_only_the_first_result_is_kept_and_reported():
+    reported = []
+    attempt = Attempt("h1", b"", reported.append)
     attempt.end(AttemptResult.RESET)
     attempt.end(AttemptResult.OK)
-    assert attempt.result is AttemptResult.RESET and ended == [attempt]
+    assert attempt.result is AttemptResult.RESET and reported == [attempt]
 
 
 @pytest.mark.parametrize(
@@ -31,13 +31,13 @@
         (b"active=7", HEALTH_CHECK, AttemptResult.OK),
     ],
 )
-def test_reply_of_each_kind_has_its_result(reply, tag, result):
+def test_reply_when_valid_then_sets_the_result_and_the_load_report(reply, tag, result):
     attempt = Attempt("h1", b"", lambda _: None, tag)
     assert apply_reply(attempt, reply) is result
     assert attempt.load_report == {"inflight": 7.0}
 
 
 @pytest.mark.parametrize("reply", [b"active=7", [b"value", 3], ["text", 3, b""], 7, None])
-def test_reply_that_no_host_would_give_is_a_framing_error(reply):
+def test_reply_when_it_violates_the_protocol_then_raises_framing_error(reply):
     with pytest.raises(FramingError):
         apply_reply(Attempt("h1", b"", lambda _: None), reply)
--- a/tests/upstream/test_framing.py
+++ b/tests/upstream/test_framing.py
@@ -1,4 +1,4 @@
-"""RESP2 framing: the short way for usual messages reads what the long one reads, and takes no more."""
+"""RESP2 framing: the fast path for usual messages returns the same messages as the general parser."""
 
 import pytest
 from hypothesis import given, seed, settings
@@ -7,27 +7,27 @@
 from apigateway.upstream.framing import MAX_BODY_BYTES, NO_MESSAGE, Framing, FramingError
 
 
-class LongWayFraming(Framing):
-    """Without the short way."""
+class FramingWithoutFastPath(Framing):
+    """Framing that always uses the general parser."""
 
     def _take_array(self):
         return None
 
 
 def read_all(framing, chunks):
-    """All messages, and whether it ended in lost framing."""
-    found = []
+    """Return all messages, and whether a framing error occurred."""
+    received = []
     for chunk in chunks:
         framing.feed(chunk)
         try:
             while (message := framing.next_message()) is not NO_MESSAGE:
-                found.append(message)
+                received.append(message)
         except FramingError:
-            return repr(found), True
-    return repr(found), False
+            return repr(received), True
+    return repr(received), False
 
 
-STRING = st.binary(max_size=30).map(lambda b: b"$%d\r\n%s\r\n" % (len(b), b))
+STRING = st.binary(max_size=30).map(lambda data: b"$%d\r\n%s\r\n" % (len(data), data))
 PART = st.one_of(
     STRING,
     st.sampled_from(
@@ -48,7 +48,7 @@
 )
 ARRAY = st.lists(PART, max_size=6).flatmap(
     lambda parts: st.sampled_from([len(parts), len(parts), len(parts), len(parts) + 1, 70, 0]).map(
-        lambda n: b"*%d\r\n%s" % (n, b"".join(parts))
+        lambda count: b"*%d\r\n%s" % (count, b"".join(parts))
     )
 )
 STREAM = st.lists(st.one_of(ARRAY, PART, st.binary(max_size=10)), max_size=5).map(b"".join)
@@ -57,18 +57,20 @@
 @seed(14)
 @settings(max_examples=600, deadline=None, database=None)
 @given(STREAM, st.lists(st.integers(0, 200), max_size=6))
-def test_both_ways_read_the_same_however_the_stream_is_cut(stream, cuts):
-    places = sorted({min(cut, len(stream)) for cut in cuts} | {0, len(stream)})
-    chunks = [stream[a:b] for a, b in zip(places, places[1:], strict=False)]
-    assert read_all(Framing(), chunks) == read_all(LongWayFraming(), chunks)
+def test_messages_when_the_stream_is_split_anywhere_then_are_the_same_with_and_without_fast_path(
+    stream, cuts
+):
+    offsets = sorted({min(cut, len(stream)) for cut in cuts} | {0, len(stream)})
+    chunks = [stream[start:end] for start, end in zip(offsets, offsets[1:], strict=False)]
+    assert read_all(Framing(), chunks) == read_all(FramingWithoutFastPath(), chunks)
 
 
 @pytest.mark.parametrize(
     "size", [0, 1, MAX_BODY_BYTES - 1, MAX_BODY_BYTES, MAX_BODY_BYTES + 1, MAX_BODY_BYTES + 2000, 10**8]
 )
-def test_lengths_are_checked_before_they_are_believed(size):
-    for kind in (Framing, LongWayFraming):
-        framing = kind()
+def test_length_when_above_the_limit_then_raises_framing_error(size):
+    for framing_class in (Framing, FramingWithoutFastPath):
+        framing = framing_class()
         framing.feed(b"*1\r\n$%d\r\n" % size + b"x" * min(size, MAX_BODY_BYTES + 2000) + b"\r\n")
         if size <= MAX_BODY_BYTES + 1000:
             assert len(framing.next_message()[0]) == size
--- a/tests/upstream/test_rpc.py
+++ b/tests/upstream/test_rpc.py
@@ -1,4 +1,4 @@
-"""gRPC over HTTP/2, for either side."""
+"""gRPC over HTTP/2: the filter for GOAWAY frames."""
 
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
@@ -13,18 +13,25 @@
     st.lists(st.tuples(st.sampled_from([0, 1, 4, 7]), st.binary(min_size=8, max_size=40)), max_size=8),
     st.lists(st.integers(1, 50), max_size=20),
 )
-def test_the_filter_takes_out_goaways_and_nothing_else_however_the_bytes_are_cut(frames, cuts):
-    stream, left, lasts = server_session.CLIENT_PREFACE, server_session.CLIENT_PREFACE, []
-    for kind, body in frames:
-        frame = len(body).to_bytes(3, "big") + bytes([kind, 0, 0, 0, 0, 1]) + body
+def test_filter_when_the_stream_is_split_anywhere_then_removes_only_goaway_frames(frames, chunk_sizes):
+    stream, expected, last_streams = server_session.CLIENT_PREFACE, server_session.CLIENT_PREFACE, []
+    for frame_type, payload in frames:
+        frame = len(payload).to_bytes(3, "big") + bytes([frame_type, 0, 0, 0, 0, 1]) + payload
         stream += frame
-        if kind == 7:
-            lasts.append(int.from_bytes(body[:4], "big") & 0x7FFFFFFF)
+        if frame_type == 7:
+            last_streams.append(int.from_bytes(payload[:4], "big") & 0x7FFFFFFF)
         else:
-            left += frame
-    goaway_filter, got, seen, at = rpc.GoAwayFilter(server_session.CLIENT_PREFACE), b"", None, 0
-    for cut in [*cuts, len(stream)]:
-        data, last = goaway_filter.feed(stream[at : at + cut])
-        at += cut
-        got, seen = got + data, last if last is not None else seen
-    assert got + goaway_filter._partial_frame == left and seen == (lasts[-1] if lasts else None)
+            expected += frame
+    goaway_filter, filtered, last_stream, offset = (
+        rpc.GoAwayFilter(server_session.CLIENT_PREFACE),
+        b"",
+        None,
+        0,
+    )
+    for size in [*chunk_sizes, len(stream)]:
+        data, reported = goaway_filter.feed(stream[offset : offset + size])
+        offset += size
+        filtered, last_stream = filtered + data, reported if reported is not None else last_stream
+    assert filtered + goaway_filter._partial_frame == expected and last_stream == (
+        last_streams[-1] if last_streams else None
+    )
--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -1,4 +1,4 @@
-"""Connections to hosts: attempts, their outcomes, probes, caps."""
+"""Connections to hosts: attempts and their results, health checks, reuse, and the connection limit."""
 
 import asyncio
 import gc
@@ -21,7 +21,7 @@
 )
 
 from apigateway import messages
-from apigateway.upstream import attempt as attempts
+from apigateway.upstream import attempt as attempt_module
 from apigateway.upstream import connection_pool, upstream_connections
 from apigateway.upstream.attempt import Attempt
 from apigateway.upstream.connection import Connection
@@ -30,7 +30,7 @@
 @run_on_uvloop
 async def test_load_report_when_malformed_then_is_ignored(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
-        for n, report in enumerate(
+        for number, report in enumerate(
             (
                 b"$-1\r\n",
                 b"$3\r\n???\r\n",
@@ -45,12 +45,12 @@
             )
         ):
             host.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
-            assert await harness.send_command(make_command(b"r%d" % n)) == b"$1\r\nv\r\n"
+            assert await harness.send_command(make_command(b"r%d" % number)) == b"$1\r\nv\r\n"
         assert harness.server.core.module.pool.reported_mean_load is None
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "malformed_reply",
     [
         b"+OK\r\n",
         b"$2\r\nOK\r\n",
@@ -71,42 +71,42 @@
     ],
 )
 @run_on_uvloop
-async def test_value_when_malformed_then_is_not_served(odd, tmp_path):
-    async with EmulatedHost(odd) as host, GatewayHarness(host, path=tmp_path) as harness:
-        began = time.process_time()
+async def test_reply_when_malformed_then_its_value_is_not_served(malformed_reply, tmp_path):
+    async with EmulatedHost(malformed_reply) as host, GatewayHarness(host, path=tmp_path) as harness:
+        started_at = time.process_time()
         assert (await harness.send_command(make_write_command(service_class=b"note"))).startswith(b"-ERR")
-        assert time.process_time() - began < 0.5  # CPU is rationed; hiredis took over a second for some
+        assert time.process_time() - started_at < 0.5  # hiredis needed over a second of CPU for some replies
         host.answer = VALUE
         assert await harness.send_command(make_command(b"r2")) == VALUE_REPLY
-        assert len(host.writers) == 2  # a connection that brought such a thing is of no further use
+        assert len(host.writers) == 2  # the connection with the malformed reply is closed
 
 
 @run_on_uvloop
-async def test_health_check_returns_the_load_report(tmp_path):
+async def test_health_check_when_the_host_replies_then_reports_its_load(tmp_path):
     async with EmulatedHost(b"$8\r\nactive=7\r\n") as host, GatewayHarness(host, path=tmp_path) as harness:
-        seen, done = [], asyncio.Event()
+        results, is_reported = [], asyncio.Event()
 
-        class Watcher:
+        class RecordingModule:
             def handle(self, now, event):
                 if isinstance(event, messages.HealthCheckResult):
-                    seen.append(event)
-                    done.set()
+                    results.append(event)
+                    is_reported.set()
                 return []
 
-        harness.server.core.module = Watcher()
+        harness.server.core.module = RecordingModule()
         harness.server.core.gateway_actions.check_health(messages.CheckHealth("h1"))
-        await done.wait()
+        await is_reported.wait()
         assert host.commands == [[b"INFO", b"load"]]
-        assert seen[0].result == "ok" and seen[0].load_report == {"inflight": 7.0}
+        assert results[0].result == "ok" and results[0].load_report == {"inflight": 7.0}
 
 
 @run_on_uvloop
-async def test_answer_when_late_then_reaches_no_request(tmp_path):
+async def test_reply_when_late_then_is_not_used_for_another_request(tmp_path):
     async with EmulatedHost(answer=None) as host, GatewayHarness(host, path=tmp_path) as harness:
         assert (
             await harness.send_command(make_write_command(service_class=b"note", wait_ms=300))
         ).startswith(b"-ERR")
-        assert await host.arrived.get() and await host.arrived.get() is None  # the connection went too
+        assert await host.arrived.get() and await host.arrived.get() is None  # the connection is closed
         host.writers[0].write(b"*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n")
         host.answer = VALUE
         assert await harness.send_command(make_command(b"r2")) == VALUE_REPLY
@@ -115,49 +115,49 @@
 @run_on_uvloop
 async def test_unsafe_request_when_the_host_resets_then_may_have_run(tmp_path):
     async with (
-        EmulatedHost(b"") as one,
-        EmulatedHost(b"") as two,
-        GatewayHarness(one, two, path=tmp_path) as harness,
+        EmulatedHost(b"") as first_host,
+        EmulatedHost(b"") as second_host,
+        GatewayHarness(first_host, second_host, path=tmp_path) as harness,
     ):
         assert (await harness.send_command(make_write_command(service_class=b"note"))).startswith(b"-ERR")
-        assert len(one.commands) + len(two.commands) == 1
+        assert len(first_host.commands) + len(second_host.commands) == 1
 
 
 @run_on_uvloop
-async def test_request_when_the_host_is_full_then_has_not_run(tmp_path):
-    turns = iter([b"-BUSY active=3\r\n", VALUE])
+async def test_request_when_the_host_rejects_it_then_is_sent_to_another_host(tmp_path):
+    replies = iter([b"-BUSY active=3\r\n", VALUE])
     async with (
-        EmulatedHost() as one,
-        EmulatedHost() as two,
-        GatewayHarness(one, two, path=tmp_path) as harness,
+        EmulatedHost() as first_host,
+        EmulatedHost() as second_host,
+        GatewayHarness(first_host, second_host, path=tmp_path) as harness,
     ):
-        harness.server.upstream.connect_timeout = 60.0  # one connection to each, however busy this machine is
-        one.answer = two.answer = lambda: next(turns)
+        harness.server.upstream.connect_timeout = 60.0  # so that connecting succeeds even on a busy machine
+        first_host.answer = second_host.answer = lambda: next(replies)
         assert await harness.send_command(make_write_command(service_class=b"note")) == VALUE_REPLY
-        assert [c[2] for c in one.commands + two.commands] == [b"r1", b"r1"]
+        assert [parts[2] for parts in first_host.commands + second_host.commands] == [b"r1", b"r1"]
 
 
 @run_on_uvloop
-async def test_request_when_the_connection_is_refused_then_has_not_run(tmp_path):
+async def test_request_when_the_connection_is_refused_then_is_rejected_as_not_run(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         host.server.close()
         await host.server.wait_closed()
         assert (await harness.send_command(make_write_command(service_class=b"note"))).startswith(
             b"-BUSY"
-        )  # harmless to try again
+        )  # safe to retry
 
 
 @run_on_uvloop
-async def test_connection_is_reused_and_closed_before_the_hosts_idle_limit(tmp_path, monkeypatch):
+async def test_connection_when_idle_then_is_reused_and_closed_before_the_hosts_timeout(tmp_path, monkeypatch):
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
-        for n in range(3):
-            assert await harness.send_command(make_command(b"r%d" % n)) == VALUE_REPLY
+        for number in range(3):
+            assert await harness.send_command(make_command(b"r%d" % number)) == VALUE_REPLY
         assert len(host.writers) == 1
-        (conn,) = harness.server.upstream.pools["h1"].idle
+        (connection,) = harness.server.upstream.pools["h1"].idle
         harness.server.upstream.close_stale_connections()
-        assert harness.server.upstream.pools["h1"].idle == [conn]
-        conn.idle_since -= 28.0  # of the 30 s after which the host would close it
+        assert harness.server.upstream.pools["h1"].idle == [connection]
+        connection.idle_since -= 28.0  # the host would close the connection after 30 s
         harness.server.upstream.close_stale_connections()
         assert harness.server.upstream.pools["h1"].idle == []
         while await host.arrived.get() is not None:
@@ -165,28 +165,30 @@
 
 
 @run_on_uvloop
-async def test_connection_limit_holds(tmp_path):
+async def test_connection_limit_when_many_requests_arrive_then_holds(tmp_path):
     async with EmulatedHost(answer=None) as host, GatewayHarness(host, path=tmp_path) as harness:
         harness.server.upstream.max_connections = 2
         raise_capacity_estimate(harness)
-        asked = [
-            asyncio.create_task(harness.send_command(make_command(b"r%d" % n, fields=make_fields(d="500"))))
-            for n in range(6)
+        requests = [
+            asyncio.create_task(
+                harness.send_command(make_command(b"r%d" % number, fields=make_fields(d="500")))
+            )
+            for number in range(6)
         ]
-        await asyncio.gather(*asked)
+        await asyncio.gather(*requests)
         assert len(host.writers) <= 2 * 3 and harness.server.upstream.open_count <= 2
 
 
 @run_on_uvloop
-async def test_attempt_when_cancelled_then_is_off_the_host_before_the_next_is_sent(tmp_path):
-    """Where second copies are not allowed, one attempt's connection must end before the next is written."""
+async def test_attempt_when_cancelled_then_its_connection_is_closed_before_the_next_is_sent(tmp_path):
+    """Without hedging, the connection of one attempt must be closed before the next attempt is written."""
     async with (
-        EmulatedHost(None) as one,
-        EmulatedHost() as two,
-        GatewayHarness(one, two, path=tmp_path) as harness,
+        EmulatedHost(None) as first_host,
+        EmulatedHost() as second_host,
+        GatewayHarness(first_host, second_host, path=tmp_path) as harness,
     ):
 
-        class Mover:
+        class ResendingModule:
             def handle(self, now, event):
                 if isinstance(event, messages.Request):
                     return [messages.ForwardRequest(event.request_id, "h1")]
@@ -196,74 +198,74 @@
                     else []
                 )
 
-        harness.server.core.module = Mover()
-        asked = asyncio.create_task(harness.send_command(make_command()))
-        await one.arrived.get()
+        harness.server.core.module = ResendingModule()
+        request = asyncio.create_task(harness.send_command(make_command()))
+        await first_host.arrived.get()
         (attempt,) = harness.server.core.in_flight["r1"].active_attempts.values()
-        ended = socket.socket(fileno=os.dup(attempt.connection.descriptor))
+        sock = socket.socket(fileno=os.dup(attempt.connection.descriptor))
         harness.server.core.attempts.cancel(messages.CancelAttempt("r1", 0))
-        with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
-            ended.send(b"x")
-        ended.close()
-        assert await one.arrived.get() is None
-        assert await asked == VALUE_REPLY and len(two.commands) == 1
+        with pytest.raises(OSError):  # shut down at once, not in a later iteration of the loop
+            sock.send(b"x")
+        sock.close()
+        assert await first_host.arrived.get() is None
+        assert await request == VALUE_REPLY and len(second_host.commands) == 1
 
 
 @run_on_uvloop
-async def test_connects_when_cancelled_before_they_start_then_take_no_capacity(tmp_path):
+async def test_connect_when_cancelled_before_it_starts_then_uses_no_capacity(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
-        hosts = harness.server.upstream
-        hosts.max_connections = 2
+        upstream = harness.server.upstream
+        upstream.max_connections = 2
         for _ in range(5):
             attempt = Attempt("h1", make_command(), lambda attempt: None)
-            hosts.send(attempt, 3.0)
-            hosts.abandon(attempt, "cancelled")
+            upstream.send(attempt, 3.0)
+            upstream.abandon(attempt, "cancelled")
             assert attempt.result == "connect_failed"
         assert await harness.send_command(make_command()) == VALUE_REPLY
         assert len(host.commands) == 1
 
 
-@pytest.mark.parametrize("together", [True, False])
+@pytest.mark.parametrize("is_one_packet", [True, False])
 @run_on_uvloop
-async def test_bytes_after_an_answer_are_never_the_next_answer(together, tmp_path):
-    """A second copy may still wait in the socket when the next request is sent off."""
+async def test_reply_when_duplicated_then_is_not_used_for_the_next_request(is_one_packet, tmp_path):
+    """The duplicate may still be in the socket's buffer when the next request is sent."""
     async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
-        for n in range(3):
-            asked = asyncio.create_task(harness.send_command(make_command(b"a%d" % n)))
-            while not (got := await host.arrived.get()):
+        for number in range(3):
+            request = asyncio.create_task(harness.send_command(make_command(b"a%d" % number)))
+            while not (command := await host.arrived.get()):
                 pass
-            own = b"*3\r\n$2\r\n%s\r\n$-1\r\n$-1\r\n" % got[2]
+            reply = b"*3\r\n$2\r\n%s\r\n$-1\r\n$-1\r\n" % command[2]
             writer = host.writers[-1]
-            if together:
-                writer.write(own + own)
-            else:  # two packets: the gateway reads the first alone
-                writer.write(own)
-                conns = [c for c in harness.server.upstream.connections if c.attempt is not None]
-                while any(c.attempt is not None for c in conns):
+            if is_one_packet:
+                writer.write(reply + reply)
+            else:  # the gateway reads the first packet on its own
+                writer.write(reply)
+                busy = [c for c in harness.server.upstream.connections if c.attempt is not None]
+                while any(connection.attempt is not None for connection in busy):
                     await asyncio.sleep(0)
-                writer.write(own)
-            assert await asked == b"$2\r\na%d\r\n" % n
+                writer.write(reply)
+            assert await request == b"$2\r\na%d\r\n" % number
 
 
 @run_on_uvloop
-async def test_connection_is_checked_before_it_is_reused(tmp_path):
+async def test_connection_when_it_has_unread_data_then_is_not_reused(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         assert await harness.send_command(make_command(b"a")) == VALUE_REPLY
         pool = harness.server.upstream.pools["h1"]
-        (conn,) = pool.idle
-        conn.idle_since -= 1.0
-        assert conn.is_reusable()
-        conn.transport.pause_reading()  # as if the loop had not come round to it
+        (connection,) = pool.idle
+        connection.idle_since -= 1.0
+        assert connection.is_reusable()
+        connection.transport.pause_reading()  # simulates that the event loop has not read the data yet
         host.writers[0].write(b"*3\r\n$5\r\nother\r\n$-1\r\n$-1\r\n")
         await host.writers[0].drain()
-        while conn.is_reusable():
+        while connection.is_reusable():
             await asyncio.sleep(0)
         assert await harness.send_command(make_command(b"b")) == VALUE_REPLY
-        assert len(host.writers) == 2 and conn not in harness.server.upstream.connections
+        assert len(host.writers) == 2 and connection not in harness.server.upstream.connections
 
 
 @run_on_uvloop
-async def test_attempt_when_reading_its_answer_raises_then_ends(tmp_path, monkeypatch):
+async def test_attempt_when_processing_its_reply_raises_then_ends(tmp_path, monkeypatch):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         with monkeypatch.context() as patch:
             patch.setattr("apigateway.upstream.connection.apply_reply", lambda *_: 1 / 0)
@@ -274,9 +276,12 @@
 
 @run_on_uvloop
 async def test_connection_when_garbage_collected_then_closes_no_descriptor(tmp_path):
-    """uvloop drops a transport whose connect is called off without a connection_lost."""
+    """uvloop drops a transport whose connect is cancelled without calling connection_lost.
+
+    A socket object kept by the connection would then close a descriptor that has been reused.
+    """
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
-        ours, theirs = socket.socketpair()
+        sock, peer = socket.socketpair()
 
         class Transport(asyncio.Transport):
             def set_write_buffer_limits(self, high=None, low=None):
@@ -285,126 +290,129 @@
             def is_closing(self):
                 return False
 
-        conn = Connection(harness.server.upstream.pools["h1"])
-        conn.connection_made(Transport({"socket": ours}))
-        assert conn.is_reusable()
-        del conn
+        connection = Connection(harness.server.upstream.pools["h1"])
+        connection.connection_made(Transport({"socket": sock}))
+        assert connection.is_reusable()
+        del connection
         gc.collect()
-        theirs.send(b"x")
-        assert ours.recv(1) == b"x"
-        ours.close()
-        theirs.close()
+        peer.send(b"x")
+        assert sock.recv(1) == b"x"
+        sock.close()
+        peer.close()
+
 
+class IdleDroppingHost(EmulatedHost):
+    """A host behind a device that drops idle connections.
 
-class Forgetful(EmulatedHost):
-    """Behind something that drops connections at rest: the second request on one is reset while `dropped`."""
+    While `is_dropping`, the second request on a connection is reset.
+    """
 
     def __init__(self):
         super().__init__()
-        self.dropped, self.made = True, 0
+        self.is_dropping, self.connection_count = True, 0
 
     async def serve(self, reader, writer):
-        self.made += 1
+        self.connection_count += 1
         while data := await reader.read(65536):
-            if data and self.dropped and writer in self.used:
+            if data and self.is_dropping and writer in self.used_writers:
                 writer.transport.abort()
                 return
-            self.used.add(writer)
+            self.used_writers.add(writer)
             writer.write(VALUE)
 
     async def __aenter__(self):
-        self.used = set()
+        self.used_writers = set()
         return await super().__aenter__()
 
 
 @run_on_uvloop
-async def test_connections_when_idle_ones_are_reset_then_are_not_reused_after_such_an_idle_time(tmp_path):
-    async with Forgetful() as host, GatewayHarness(host, path=tmp_path) as harness:
+async def test_connection_when_idle_ones_are_reset_then_is_not_reused_after_the_same_idle_time(tmp_path):
+    async with IdleDroppingHost() as host, GatewayHarness(host, path=tmp_path) as harness:
 
-        async def ask(n, rest):
-            """A request once the host's connections have rested so long."""
+        async def send_after_idle_time(number, idle_time):
+            """Send a request as if the idle connections had been idle for `idle_time` seconds."""
             for pool in harness.server.upstream.pools.values():
-                for conn in pool.idle:
-                    conn.idle_since = time.monotonic() - rest
-            return await harness.send_command(make_command(b"r%d" % n))
+                for connection in pool.idle:
+                    connection.idle_since = time.monotonic() - idle_time
+            return await harness.send_command(make_command(b"r%d" % number))
 
-        replies = [await ask(n, 1.0) for n in range(40)]
+        replies = [await send_after_idle_time(number, 1.0) for number in range(40)]
         assert replies.count(VALUE_REPLY) >= 34 and replies[-20:] == [VALUE_REPLY] * 20
-        host.dropped, made = False, host.made
-        assert [await ask(n, 0.05) for n in range(50, 60)] == [VALUE_REPLY] * 10
-        assert host.made <= made + 1  # those that rested for less are used on
+        host.is_dropping, count_before = False, host.connection_count
+        assert [await send_after_idle_time(number, 0.05) for number in range(50, 60)] == [VALUE_REPLY] * 10
+        assert host.connection_count <= count_before + 1  # after a shorter idle time connections are reused
 
 
 @run_on_uvloop
-async def test_connection_when_established_as_it_is_cancelled_then_is_closed(tmp_path, monkeypatch):
-    made = Connection.connection_made
+async def test_connection_when_established_while_it_is_cancelled_then_is_closed(tmp_path, monkeypatch):
+    connection_made = Connection.connection_made
 
-    def called_off_in_this_turn(conn, transport):
-        made(conn, transport)
-        for attempt in list(conn.pool.connecting):
+    def cancel_when_connected(connection, transport):
+        connection_made(connection, transport)
+        for attempt in list(connection.pool.connecting):
             harness.server.upstream.abandon(attempt, "cancelled")
 
-    monkeypatch.setattr(Connection, "connection_made", called_off_in_this_turn)
+    monkeypatch.setattr(Connection, "connection_made", cancel_when_connected)
     async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
         assert (await harness.send_command(make_write_command(service_class=b"note"))).startswith(
             (b"-BUSY", b"-ERR")
         )
-        assert await host.arrived.get() is None and not host.commands  # it ended, and nothing came on it
+        assert await host.arrived.get() is None and not host.commands  # it was closed without a command
         assert not harness.server.upstream.connections and not harness.server.upstream.open_count
 
 
 @run_on_uvloop
-async def test_connection_when_idle_nearly_as_long_as_hosts_allow_then_is_not_reused(tmp_path, monkeypatch):
-    """Between two looks for idle ones as well, which are further apart than a short idle time."""
+async def test_connection_when_close_to_the_hosts_idle_timeout_then_is_not_reused(tmp_path, monkeypatch):
+    """This must hold between two idle checks too, whose interval may exceed a short idle timeout."""
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         assert await harness.send_command(make_command(b"a")) == VALUE_REPLY
-        (conn,) = harness.server.upstream.pools["h1"].idle
-        conn.idle_since -= 28.0  # of the 30 s after which the host would close it
+        (connection,) = harness.server.upstream.pools["h1"].idle
+        connection.idle_since -= 28.0  # the host would close the connection after 30 s
         assert await harness.send_command(make_command(b"b")) == VALUE_REPLY
         assert len(host.writers) == 2
 
 
 @run_on_uvloop
-async def test_second_answer_when_some_milliseconds_late_then_reaches_no_request(tmp_path, monkeypatch):
-    """Until it could have shown itself the connection rests, whoever waits for one."""
+async def test_connection_when_its_reply_was_recent_then_is_not_reused(tmp_path, monkeypatch):
+    """A duplicate reply may follow some milliseconds later and must not be read as the next reply."""
     now = [1000.0]
-    for module in (attempts, connection_pool, upstream_connections):
+    for module in (attempt_module, connection_pool, upstream_connections):
         monkeypatch.setattr(module, "monotonic", lambda: now[0])
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
-        for id, later, lines in ((b"a", 0.0, 1), (b"b", 0.012, 2), (b"c", 0.3, 2)):
-            now[0] += later
-            assert await harness.send_command(make_command(id)) == VALUE_REPLY
-            assert len(host.writers) == lines
+        for request_id, delay, connection_count in ((b"a", 0.0, 1), (b"b", 0.012, 2), (b"c", 0.3, 2)):
+            now[0] += delay
+            assert await harness.send_command(make_command(request_id)) == VALUE_REPLY
+            assert len(host.writers) == connection_count
 
 
 @run_on_uvloop
 async def test_request_when_reset_before_its_last_byte_was_written_then_has_not_run(tmp_path, monkeypatch):
-    made, lines = Connection.connection_made, []
+    connection_made, connections = Connection.connection_made, []
 
-    def with_little_room(conn, transport):
-        made(conn, transport)
+    def connect_with_small_buffer(connection, transport):
+        connection_made(connection, transport)
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        lines.append(conn)
+        connections.append(connection)
 
-    monkeypatch.setattr(Connection, "connection_made", with_little_room)
+    monkeypatch.setattr(Connection, "connection_made", connect_with_small_buffer)
     loop = asyncio.get_running_loop()
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
-        with socket.socket() as stuck:  # a host that reads nothing
-            stuck.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            stuck.bind(("127.0.0.1", 0))
-            stuck.listen()
-            stuck.setblocking(False)
-            while not harness.server.endpoint_source.lists_received:  # its first list names the other address
+        with socket.socket() as listener:  # a host that reads nothing
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            listener.bind(("127.0.0.1", 0))
+            listener.listen()
+            listener.setblocking(False)
+            while not harness.server.endpoint_source.lists_received:  # the first list would reset the address
                 await asyncio.sleep(0)
-            harness.server.upstream.update_endpoint("h1", stuck.getsockname())
-            harness.server.upstream.connect_timeout = 60.0  # one connection, however busy this machine is
-            text = make_command(b"r1", make_fields(c="note", d="60000"), b"API.WRITE", body=b"x" * 60_000)
-            asked = asyncio.create_task(harness.send_command(text))
-            got, _ = await loop.sock_accept(stuck)
-            while not (lines and lines[0].attempt is not None and not lines[0].is_written):
+            harness.server.upstream.update_endpoint("h1", listener.getsockname())
+            harness.server.upstream.connect_timeout = 60.0  # so that connecting succeeds on a busy machine
+            command = make_command(b"r1", make_fields(c="note", d="60000"), b"API.WRITE", body=b"x" * 60_000)
+            request = asyncio.create_task(harness.send_command(command))
+            accepted, _ = await loop.sock_accept(listener)
+            while not (connections and connections[0].attempt is not None and not connections[0].is_written):
                 await asyncio.sleep(0)
-            stuck.close()
-            got.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            got.close()  # a reset
-            assert (await asked).startswith(b"-BUSY")  # a refusal: it has not run
+            listener.close()
+            accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            accepted.close()  # sends a reset
+            assert (await request).startswith(b"-BUSY")  # rejected, as it has not run
