--- a/apigateway/core/endpoint_updates.py
+++ b/apigateway/core/endpoint_updates.py
@@ -23,14 +23,14 @@
         ends because its endpoint is removed is thus not sent to that endpoint again.
         """
         upstream = self._context.upstream
-        up = {endpoint.id for endpoint in endpoint_list.endpoints if endpoint.state == EndpointStatus.UP}
-        for endpoint_id in up & addresses.keys():
+        up_ids = {endpoint.id for endpoint in endpoint_list.endpoints if endpoint.state == EndpointStatus.UP}
+        for endpoint_id in up_ids & addresses.keys():
             upstream.update_endpoint(endpoint_id, addresses[endpoint_id])
         self._events.dispatch(endpoint_list)
-        listed = {endpoint.id for endpoint in endpoint_list.endpoints}
+        listed_ids = {endpoint.id for endpoint in endpoint_list.endpoints}
         if endpoint_list.mode != ListMode.DELTA:
-            listed |= upstream.known_endpoints()
-        for endpoint_id in listed - up:
+            listed_ids |= upstream.known_endpoints()
+        for endpoint_id in listed_ids - up_ids:
             upstream.update_endpoint(endpoint_id, None)
         self._context.is_ready = self._context.is_ready or bool(upstream.known_endpoints())
 
--- a/apigateway/core/request_lifecycle.py
+++ b/apigateway/core/request_lifecycle.py
@@ -146,8 +146,8 @@
     def return_quota(self, check: messages.QuotaCheck, granted: messages.QuotaGranted) -> None:
         """Return units that a check was granted, because another check of the same call was denied."""
         is_reservation = isinstance(check, messages.QuotaReservation)
-        return_event = messages.ReturnReservation if is_reservation else messages.ReturnUnits
-        self.events.dispatch(return_event(check.customer, check.units, granted.window_index))
+        event_class = messages.ReturnReservation if is_reservation else messages.ReturnUnits
+        self.events.dispatch(event_class(check.customer, check.units, granted.window_index))
 
     def is_in_flight(self, request_id: str, is_write: bool) -> bool:
         """Return whether a request with this id may be running.
--- a/apigateway/counter/client.py
+++ b/apigateway/counter/client.py
@@ -13,8 +13,10 @@
 CONNECTION_COUNT = 4  # several, so that a slow partition of the counter does not delay the keys of the others
 
 _LIVENESS_CHECK_INTERVAL_S = 0.25
-_MIN_REPLY_TIMEOUT_S = 0.5  # without a reply for this long, a connection with pending calls is aborted
-_REPLY_TIMEOUT_FACTOR = 2  # times the call timeout, if that is longer: no call still waits by then
+_MIN_REPLY_TIMEOUT_S = 0.5  # shortest time after which a connection with an overdue reply is aborted
+_REPLY_TIMEOUT_FACTOR = (
+    2  # times the call timeout, if that is longer; all overdue calls have timed out by then
+)
 
 
 class QuotaCounterClient:
--- a/apigateway/counter/connection.py
+++ b/apigateway/counter/connection.py
@@ -66,9 +66,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Reset the state of the previous connection and report that this one is established."""
-        self.transport = cast(
-            asyncio.Transport, transport
-        )  # uvloop's transports do not derive from asyncio's
+        # A cast, because uvloop's transports do not derive from asyncio's.
+        self.transport = cast(asyncio.Transport, transport)
         # With a limit of 0, pause_writing is called as soon as the socket does not accept a whole call.
         self.transport.set_write_buffer_limits(high=0)
         self._partial_line = b""
--- a/apigateway/upstream/attempt.py
+++ b/apigateway/upstream/attempt.py
@@ -23,7 +23,7 @@
 MAX_LOAD_VALUE = 10_000.0  # of any field in a load report; a larger one would distort the means for long
 MAX_METERED_USE_PERCENT = 1_000_000  # of a customer's rate; a larger one is ignored as invalid
 # The protocol's syntax of a load report; float() alone would accept more.
-_LOAD_REPORT = re.compile(r"(\w+=([0-9]{1,9}(\.[0-9]{1,9})?)?(,|$))+")
+_LOAD_REPORT_PATTERN = re.compile(r"(\w+=([0-9]{1,9}(\.[0-9]{1,9})?)?(,|$))+")
 _VALUE_PARTS = 3  # value, metered use, load report
 _OK = AttemptResult.OK  # a module constant, because enum member lookup is slow
 
@@ -119,7 +119,7 @@
     """Parse a load report; return an empty one if it is missing or malformed."""
     if isinstance(text, bytes):
         text = text.decode("utf-8", "replace")
-    if not isinstance(text, str) or not _LOAD_REPORT.fullmatch(text):
+    if not isinstance(text, str) or not _LOAD_REPORT_PATTERN.fullmatch(text):
         return {}
     report = read_load_report(pair.split("=", 1) for pair in text.rstrip(",").split(","))
     return report if all(value <= MAX_LOAD_VALUE for value in report.values()) else {}
--- a/apigateway/upstream/connection.py
+++ b/apigateway/upstream/connection.py
@@ -29,7 +29,7 @@
         """Policy that learns from resets how long a connection may be idle."""
 
     def release(self, connection: Connection) -> None:
-        """Take back a connection whose attempt has ended."""
+        """Return a connection to the pool after its attempt has ended."""
 
     def discard(self, connection: Connection) -> None:
         """Remove a connection that has been closed."""
--- a/apigateway/upstream/connection_pool.py
+++ b/apigateway/upstream/connection_pool.py
@@ -59,7 +59,7 @@
         self.connecting[attempt] = loop.create_task(self._connect(attempt))
 
     def release(self, connection: Connection) -> None:
-        """Take back a connection whose attempt has ended."""
+        """Return a connection to the pool after its attempt has ended."""
         if self.is_open:
             connection.idle_since = monotonic()
             self.idle.append(connection)
--- a/apigateway/upstream/framing.py
+++ b/apigateway/upstream/framing.py
@@ -36,7 +36,7 @@
 _BULK_HEADER_SEARCH_BYTES = 8  # a type, a length of five digits, as MAX_BODY_BYTES has, and CRLF
 # Matches the commands that clients send: an array of four strings, or the first four of five. Each string is
 # bounded, because the match may be repeated for every byte received. The lengths are verified afterwards.
-_COMMAND = re.compile(
+_COMMAND_PATTERN = re.compile(
     rb"\*([45])\r\n\$([1-9][0-9]?)\r\n([^\r]{1,99})\r\n\$([1-9][0-9]?)\r\n([^\r]{1,99})\r\n"
     rb"\$([1-9][0-9]?)\r\n([^\r]{1,99})\r\n\$([1-9][0-9]{0,2})\r\n([^\r]{1,999})\r\n"
 )
@@ -96,9 +96,9 @@
         which.
         """
         buffer = self.buffer
-        found = _COMMAND.match(buffer)
-        if found is not None:
-            count, length1, first, length2, second, length3, third, length4, fourth = found.groups()
+        match = _COMMAND_PATTERN.match(buffer)
+        if match is not None:
+            count, length1, first, length2, second, length3, third, length4, fourth = match.groups()
             if (
                 len(first) == int(length1)
                 and len(second) == int(length2)
@@ -106,9 +106,9 @@
                 and len(fourth) == int(length4)
             ):
                 if count == b"4":
-                    del buffer[: found.end()]
+                    del buffer[: match.end()]
                     return [first, second, third, fourth]
-                return self._take_strings([first, second, third, fourth], 1, found.end())
+                return self._take_strings([first, second, third, fourth], 1, match.end())
         line_end = buffer.find(_CRLF, 1, _ARRAY_HEADER_SEARCH_END)
         if line_end < _MIN_HEADER_BYTES or buffer[0] != _ARRAY or not _ONE <= buffer[1] <= _NINE:
             return None
--- a/apigateway/upstream/rpc.py
+++ b/apigateway/upstream/rpc.py
@@ -23,7 +23,7 @@
 _STREAM_ID_BYTES = 4
 _STREAM_ID_MASK = 0x7FFFFFFF  # the highest bit is reserved
 _MILLISECONDS_PER_SECOND = 1000
-_TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])")
+_TIMEOUT_PATTERN = re.compile(rb"([0-9]{1,8})([HMSmun])")
 _TIMEOUT_LIMIT = 10**8  # first number with more than the eight digits allowed
 _TIMEOUT_UNITS_S = {b"H": 3600.0, b"M": 60.0, b"S": 1.0, b"m": 1e-3, b"u": 1e-6, b"n": 1e-9}
 # The characters that are not percent-encoded in grpc-message.
@@ -120,10 +120,10 @@
     """Parse a grpc-timeout header into seconds. Raises RpcError."""
     if text is None:
         return None
-    found = _TIMEOUT.fullmatch(text)
-    if not found:
+    match = _TIMEOUT_PATTERN.fullmatch(text)
+    if not match:
         raise RpcError(GrpcStatus.INTERNAL, "odd grpc-timeout")
-    return int(found[1]) * _TIMEOUT_UNITS_S[found[2]]
+    return int(match[1]) * _TIMEOUT_UNITS_S[match[2]]
 
 
 def format_timeout(seconds: float) -> bytes:
--- a/apigateway/upstream/upstream_connections.py
+++ b/apigateway/upstream/upstream_connections.py
@@ -13,7 +13,7 @@
 from apigateway.upstream.connection_pool import ConnectionPool
 from apigateway.upstream.idle_connection_policy import IdleConnectionPolicy
 
-IDLE_MARGIN_FRACTION = 0.1  # of the hosts' idle timeout, by which the gateway closes connections earlier
+IDLE_MARGIN_FRACTION = 0.1  # fraction of the hosts' idle timeout by which connections are closed early
 IDLE_CHECK_INTERVAL_S = 0.5  # between checks for connections that have been idle for too long
 _TIMEOUT = AttemptResult.TIMEOUT  # a module constant, because enum member lookup is slow
 HEALTH_CHECK_PAYLOAD = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -3,7 +3,7 @@
 import heapq
 import itertools
 
-from helpers import make_settings as module_settings
+from helpers import make_settings
 
 from apigateway import messages
 from apigateway.core.request_lifecycle import RequestDispatcher
@@ -200,7 +200,7 @@
         self.upstream = FakeUpstreamPool()
         self.loop = ManualScheduler()
         self.core = RequestDispatcher(
-            module_settings(limits={"can_hedge": False, **limits}, discovery_mode=discovery_mode),
+            make_settings(limits={"can_hedge": False, **limits}, discovery_mode=discovery_mode),
             self.module,
             self.upstream,
             None,
