--- a/apigateway/upstream/__init__.py
+++ b/apigateway/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to hosts: pools, connections, attempts and health checks, and the framing on them."""
+"""Connections to hosts: pools, connections, attempts and health checks, and message framing."""
