--- a/apigateway/membership/discovery.py
+++ b/apigateway/membership/discovery.py
@@ -1,6 +1,6 @@
-"""Discovery's HTTP calls: the complete endpoint list once, then a watch for its changes.
+"""HTTP client for discovery: requests the complete endpoint list once, then watches it for changes.
 
-`watch_schedule` says when.
+`watch_schedule` defines the timing of the calls.
 """
 
 from __future__ import annotations
@@ -20,31 +20,31 @@
 from apigateway.messages import ListMode
 from apigateway.upstream.address import Address
 
-REJECTION_STATUSES = (429, 503)  # of a service that has no capacity for the call
-MAX_RESPONSE_BYTES = 1024 * 1024  # a response without end must not fill the memory
+REJECTION_STATUSES = (429, 503)  # sent by a service that has no capacity for the call
+MAX_RESPONSE_BYTES = 1024 * 1024  # bounds the memory that an endless response can use
 
 log = logging.getLogger(__name__)
 
 
 class CallResult(Enum):
-    """How a call of discovery ended."""
+    """The outcome of a call to discovery."""
 
     ANSWERED = auto()
-    REJECTED = auto()  # for want of capacity
+    REJECTED = auto()  # the service has no capacity
     FAILED = auto()
 
 
 class DiscoveryClient:
-    """Keep the endpoint list up to date from discovery, in the shape of `core.interfaces.EndpointSource`.
+    """Keeps the endpoint list up to date from discovery; implements `core.interfaces.EndpointSource`.
 
     Args:
-        address: of the agent or service.
-        version: of the last known list.
+        address: address of the agent or service.
+        version: version of the last known list.
         on_list: called with each list, complete or delta.
         on_failure: called after each call that failed.
-        schedule: when calls are made.
-        is_list_known: whether `version` is of a list that this service gave before. A polled service is then
-            watched from there on at once, since its complete list would cost it more.
+        schedule: timing of the calls.
+        is_list_known: whether `version` belongs to a list that this service sent before. A polled service is
+            then watched from that version at once, because sending its complete list would cost it more.
     """
 
     def __init__(
@@ -61,23 +61,23 @@
         self.version = version
         self.schedule = schedule
         self.lists_received = 0
-        self.fetching: set[asyncio.Task[CallResult]] = set()
+        self.fetch_tasks: set[asyncio.Task[CallResult]] = set()
         self._on_list = on_list
         self._on_failure = on_failure
         self._is_list_known = is_list_known and schedule.is_polled
         self._pacer = WatchPacer(schedule, random.Random())
-        self._last_failure = ""  # as it was logged; empty after an answer
+        self._last_failure = ""  # the text that was logged; empty after an answer
         self._session: aiohttp.ClientSession | None = None
         self._watch_task: asyncio.Task[None] | None = None
         self._overdue_watch: asyncio.Task[CallResult] | None = None
 
     @property
     def watching(self) -> bool:
-        """Whether changes are watched."""
+        """Whether the watch is running."""
         return self._watch_task is not None
 
     def watch(self, on: bool) -> None:
-        """Start or stop watching; a start requests the complete list first."""
+        """Start or stop the watch; starting it requests the complete list first."""
         if on and self._watch_task is None:
             self._watch_task = asyncio.get_running_loop().create_task(self._run())
         elif not on and self._watch_task is not None:
@@ -86,20 +86,20 @@
             self._end_overdue_watch()
 
     def fetch(self) -> None:
-        """Request the complete list once, beside the watch."""
+        """Request the complete list once, independently of the watch."""
         task = self._start_call({}, self.schedule.call_timeout)
-        self.fetching.add(task)
-        task.add_done_callback(self.fetching.discard)
+        self.fetch_tasks.add(task)
+        task.add_done_callback(self.fetch_tasks.discard)
 
     async def close(self) -> None:
-        """End all calls: neither callback is called from now on."""
+        """Cancel all calls; neither callback is called afterwards."""
         self.watch(False)
-        for task in self.fetching:
+        for task in self.fetch_tasks:
             task.cancel()
         if self._session is not None:
             await self._session.close()
 
-    # One call
+    # Calls
 
     def _start_call(self, params: dict[str, int], timeout: float) -> asyncio.Task[CallResult]:
         return asyncio.get_running_loop().create_task(self._call(params, timeout))
@@ -107,10 +107,12 @@
     async def _call(self, params: dict[str, int], timeout: float) -> CallResult:
         try:
             await self._request(params, timeout)
-        except Exception as err:  # whatever it is, the watch must outlive it
+        except Exception as err:  # no error may end the watch
             failure = f"{type(err).__name__} {err}"
-            if failure != self._last_failure:  # while discovery is down it is called several times a second
-                log.warning("discovery: %s; the last list stays", failure)
+            if (
+                failure != self._last_failure
+            ):  # calls are retried several times a second while discovery is down
+                log.warning("discovery: %s; keeping the last list", failure)
             self._last_failure = failure
             self._on_failure()
             if isinstance(err, aiohttp.ClientResponseError) and err.status in REJECTION_STATUSES:
@@ -120,10 +122,10 @@
         return CallResult.ANSWERED
 
     async def _request(self, params: dict[str, int], timeout: float) -> None:
-        """Request a list and deliver it. Raises whatever goes wrong."""
+        """Request a list and pass it to `on_list`. Raises any exception of the call."""
         if self._session is None:
             self._session = aiohttp.ClientSession(trust_env=False)
-        received_before = self.lists_received
+        lists_received_before = self.lists_received
         async with self._session.get(
             self.url, params=params, timeout=aiohttp.ClientTimeout(total=timeout)
         ) as response:
@@ -131,9 +133,9 @@
             body = await _read_body(response)
         listing = listing_from_json(json.loads(body))
         if listing.endpoint_list.version < self.version:
-            if listing.endpoint_list.mode == ListMode.DELTA:  # it may bring back what is gone
-                raise ValueError("changes to an older list than the last")
-            if self.lists_received > received_before:  # so may a list requested earlier that arrives later
+            if listing.endpoint_list.mode == ListMode.DELTA:  # it could bring removed endpoints back
+                raise ValueError("the delta is older than the last list")
+            if self.lists_received > lists_received_before:  # a response that was overtaken by a newer list
                 return
         self.version = listing.endpoint_list.version
         self.lists_received += 1
@@ -142,33 +144,36 @@
     # The watch
 
     async def _run(self) -> None:
-        """Request the complete list, then watch; at once after each answer: past 200 ms it is a new watch.
+        """Request the complete list, then watch for changes until cancelled.
 
-        After a failure the complete list comes first again; after a rejection by a service that is polled the
-        same call, which may cost the service less.
+        Each answer is followed by the next watch at once: after a gap of more than 200 ms it would count as a
+        new watch. After a failure the complete list is requested again. After a rejection by a polled
+        service the same call is repeated, which may cost the service less.
         """
-        is_listed = self._is_list_known
+        has_list = self._is_list_known
         while True:
-            result = await (self._watch_changes() if is_listed else self._request_complete_list())
+            result = await (self._watch_changes() if has_list else self._request_complete_list())
             if result is CallResult.ANSWERED:
                 self._end_overdue_watch()
                 self._pacer.on_answer()
-                is_listed = True
+                has_list = True
             elif result is CallResult.REJECTED and self.schedule.is_polled:
                 await asyncio.sleep(self._pacer.next_backoff())
             else:
-                if not is_listed:
+                if not has_list:
                     await asyncio.sleep(self._pacer.next_backoff())
-                is_listed = False
+                has_list = False
 
     async def _watch_changes(self) -> CallResult:
-        """Hold one watch. One that is overdue stays open as `_overdue_watch` while its answer would count."""
+        """Make one watch call; an overdue one stays open as `_overdue_watch` while its answer counts."""
         schedule = self.schedule
         wait = self._pacer.next_wait()
         params = {"index": self.version, "wait": int(wait * 1000)}
-        watch = self._start_call(params, wait + schedule.overdue + schedule.late_answer)
+        watch = self._start_call(params, wait + schedule.overdue_after + schedule.late_answer_time)
         self._overdue_watch = watch
-        await asyncio.wait({watch}, timeout=wait + schedule.overdue if schedule.late_answer else None)
+        await asyncio.wait(
+            {watch}, timeout=wait + schedule.overdue_after if schedule.late_answer_time else None
+        )
         if not watch.done():
             return CallResult.FAILED
         self._overdue_watch = None
@@ -177,28 +182,28 @@
     async def _request_complete_list(self) -> CallResult:
         """Request the complete list, with hedged calls.
 
-        While discovery is down an agent never answers a call, not even after discovery's return, so another
-        call is made beside one that takes long. A late answer counts too, also that of a watch that is
-        overdue.
+        A call that an agent receives while discovery is down is never answered, not even after discovery has
+        recovered, so a call that takes long is hedged with another one. Late answers still count, including
+        the answer to an overdue watch.
         """
         loop = asyncio.get_running_loop()
         calls = set[asyncio.Task[CallResult]]()
         result = CallResult.FAILED
-        next_call = loop.time()
+        next_call_at = loop.time()
         try:
-            while calls or next_call <= loop.time():
-                if next_call <= loop.time():
+            while calls or next_call_at <= loop.time():
+                if next_call_at <= loop.time():
                     calls.add(self._start_call({}, self.schedule.call_timeout))
-                    next_call = loop.time() + self.schedule.hedge_after
-                timeout = None if next_call == math.inf else max(0.0, next_call - loop.time())
-                watch = {self._overdue_watch} if self._overdue_watch is not None else set()
-                ended, _ = await asyncio.wait(
-                    calls | watch, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
+                    next_call_at = loop.time() + self.schedule.hedge_after
+                timeout = None if next_call_at == math.inf else max(0.0, next_call_at - loop.time())
+                overdue_watches = {self._overdue_watch} if self._overdue_watch is not None else set()
+                done, _ = await asyncio.wait(
+                    calls | overdue_watches, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
                 )
-                calls -= ended
-                if ended & watch:
+                calls -= done
+                if done & overdue_watches:
                     self._overdue_watch = None
-                for call in ended:
+                for call in done:
                     result = call.result()
                     if result is CallResult.ANSWERED:
                         return result
@@ -218,5 +223,5 @@
     async for chunk in response.content.iter_any():
         body += chunk
         if len(body) > MAX_RESPONSE_BYTES:
-            raise ValueError("an answer without end")
+            raise ValueError("the response is too long")
     return body
--- a/apigateway/membership/eureka/mapping.py
+++ b/apigateway/membership/eureka/mapping.py
@@ -1,4 +1,4 @@
-"""Map a registry's instances to endpoints, by settings. Pure."""
+"""Convert a registry's instances to endpoints according to the settings. Pure."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from apigateway.messages import EndpointStatus
 from apigateway.upstream.address import Address
 
-_STATE_BY_SETTING = {
+_STATUS_BY_SETTING = {
     "up": EndpointStatus.UP,
     "draining": EndpointStatus.LEAVING,
     "gone": EndpointStatus.DOWN,
 }
-_SEVERITY_BY_SETTING = {"up": 0, "draining": 1, "gone": 2}  # a higher one is worse
-_DEFAULT_STATE_SETTING = "draining"  # of a status that the settings leave out
+_SEVERITY_BY_SETTING = {"up": 0, "draining": 1, "gone": 2}  # a higher severity is a worse state
+_DEFAULT_STATE = "draining"  # for a status that the settings do not list
 DEFAULT_STATES = {
     "UP": "up",
     "STARTING": "draining",
@@ -27,15 +27,15 @@
     "OUT_OF_SERVICE": "draining",
     "UNKNOWN": "draining",
 }
-_MAX_SHOWN_ID = 80  # characters of an instance's id, in an error
+_MAX_SHOWN_ID_CHARACTERS = 80  # in an error message
 
 AddressSource = Literal["ip", "name"]
-"""Whether an endpoint's address is the instance's IP address or its host name, resolved."""
+"""Where an endpoint's address comes from: the instance's IP address or its resolved host name."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceMapping:
-    """Which metadata keys hold an endpoint's properties, and what each status means."""
+    """The metadata keys of an endpoint's properties, and the endpoint state for each instance status."""
 
     zone_key: str = "zone"
     cell_key: str = "cell"
@@ -43,22 +43,22 @@
     weight_key: str = "weight"
     default_zone: str = "a"
     address_source: AddressSource = "ip"
-    secure: bool = False  # whether the secure port is used
+    use_secure_port: bool = False
     states: Mapping[str, str] = field(default_factory=lambda: dict(DEFAULT_STATES))
 
 
 def read_endpoint(
     mapping: InstanceMapping, instance: EurekaInstance, addresses_by_name: Mapping[str, str] | None = None
 ) -> ReportedEndpoint:
-    """Make an endpoint of an instance.
+    """Convert an instance to an endpoint.
 
     Args:
-        mapping: the settings.
-        instance: as the registry reports it.
-        addresses_by_name: of resolved host names, where the mapping takes the address from the name.
+        mapping: the settings of the conversion.
+        instance: the instance as reported by the registry.
+        addresses_by_name: IP addresses of resolved host names, used if `mapping` takes addresses from names.
 
     Raises:
-        MalformedResponseError: the instance makes no endpoint.
+        MalformedResponseError: the instance cannot be converted.
     """
     address = _read_address(mapping, instance, addresses_by_name or {})
     metadata = instance.metadata
@@ -75,7 +75,7 @@
         cell=cell,
         weight=weight,
         kind=metadata.get(mapping.kind_key, ""),
-        state=_read_state(mapping, instance),
+        state=_read_status(mapping, instance),
         started_at=(instance.service_up_ms or instance.registered_ms) / 1000,
     )
     return ReportedEndpoint(endpoint, address, instance.last_dirty_ms)
@@ -86,10 +86,10 @@
     instances: Iterable[EurekaInstance],
     addresses_by_name: Mapping[str, str] | None = None,
 ) -> tuple[list[ReportedEndpoint], list[str]]:
-    """Make endpoints of instances; one that cannot be read is left out.
+    """Convert instances to endpoints; skip those that cannot be converted.
 
     Returns:
-        The endpoints, and what was left out, with the reason.
+        The endpoints, and a description of each skipped instance with the reason.
     """
     endpoints: list[ReportedEndpoint] = []
     malformed: list[str] = []
@@ -97,16 +97,16 @@
         try:
             endpoints.append(read_endpoint(mapping, instance, addresses_by_name))
         except MalformedResponseError as err:
-            malformed.append(f"{instance.id[:_MAX_SHOWN_ID]}: {err}")
+            malformed.append(f"{instance.id[:_MAX_SHOWN_ID_CHARACTERS]}: {err}")
     return endpoints, malformed
 
 
 def _read_address(
     mapping: InstanceMapping, instance: EurekaInstance, addresses_by_name: Mapping[str, str]
 ) -> Address:
-    port = instance.secure_port if mapping.secure else instance.port
+    port = instance.secure_port if mapping.use_secure_port else instance.port
     if not port:
-        raise MalformedResponseError(f"no {'secure ' if mapping.secure else ''}port is enabled")
+        raise MalformedResponseError(f"no {'secure ' if mapping.use_secure_port else ''}port is enabled")
     host = instance.ip
     if mapping.address_source == "name":
         host = addresses_by_name.get(instance.host_name, "")
@@ -115,13 +115,13 @@
     return host, port
 
 
-def _read_state(mapping: InstanceMapping, instance: EurekaInstance) -> EndpointStatus:
-    """Return the endpoint's state. An override can only make it worse than the status does.
+def _read_status(mapping: InstanceMapping, instance: EurekaInstance) -> EndpointStatus:
+    """Return the endpoint's state. An override can only make it worse than the instance's status does.
 
-    Where an override holds, the registry has put it into the status.
+    If an override is in force, the registry has already applied it to the status.
     """
-    state = mapping.states.get(instance.status, _DEFAULT_STATE_SETTING)
+    state = mapping.states.get(instance.status, _DEFAULT_STATE)
     if instance.overridden_status != InstanceStatus.UNKNOWN:
-        overridden = mapping.states.get(instance.overridden_status, _DEFAULT_STATE_SETTING)
+        overridden = mapping.states.get(instance.overridden_status, _DEFAULT_STATE)
         state = max(state, overridden, key=_SEVERITY_BY_SETTING.__getitem__)
-    return _STATE_BY_SETTING[state]
+    return _STATUS_BY_SETTING[state]
--- a/apigateway/membership/eureka/model.py
+++ b/apigateway/membership/eureka/model.py
@@ -1,4 +1,4 @@
-"""The types of a Eureka registry: instances, and responses that list them."""
+"""Data types of a Eureka registry: instances, and the responses that list them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class DeltaAction(StrEnum):
-    """What a delta says has happened to an instance; NONE outside a delta."""
+    """The change that a delta reports for an instance; NONE outside a delta."""
 
     NONE = ""
     ADDED = "ADDED"
@@ -26,12 +26,12 @@
 
 
 class MalformedResponseError(ValueError):
-    """An instance, or a response as a whole, that cannot be read."""
+    """An instance or a whole response cannot be read."""
 
 
 @dataclass(frozen=True, slots=True)
 class EurekaInstance:
-    """One instance of an application. Times in ms since 1970 by the registry's clock, 0: not reported."""
+    """One instance of an application. Times are in ms since 1970 by the registry's clock; 0: not reported."""
 
     id: str
     app: str
@@ -45,7 +45,7 @@
     secure_vip: str = ""
     registered_ms: int = 0
     service_up_ms: int = 0
-    last_dirty_ms: int = 0  # when the instance itself last changed: orders the reports on it
+    last_dirty_ms: int = 0  # time of the instance's own last change; orders the reports on it
     action: DeltaAction = DeltaAction.NONE
     metadata: dict[str, str] = field(default_factory=dict)
 
@@ -56,4 +56,4 @@
 
     instances: tuple[EurekaInstance, ...]
     hashcode: str  # apps__hashcode; empty: not reported
-    malformed: tuple[str, ...] = ()  # what could not be read, and why; the rest counts all the same
+    malformed: tuple[str, ...] = ()  # entries that could not be read, with the reason
--- a/apigateway/membership/eureka/registration.py
+++ b/apigateway/membership/eureka/registration.py
@@ -1,4 +1,4 @@
-"""This gateway as an instance of the registry: registered, renewed by heartbeats, deregistered."""
+"""Registration of this gateway with a Eureka registry: register, renew by heartbeats, deregister."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 from apigateway.membership.eureka.model import InstanceStatus
 
-FINAL_CALL_TIMEOUT_S = 1.0  # of each of the last two calls: a registry that is away must not hold up a stop
-MAX_RETRY_PAUSE_S = 1.0  # after a failure; the renewal interval, where that is shorter
-_UNUSED_SECURE_PORT = 443  # the registry wants one, also where it is not enabled
-_COUNTRY_ID = 1  # the registry wants one and nobody reads it; Netflix's clients send 1
+FINAL_CALL_TIMEOUT_S = 1.0  # for each of the last two calls; an unreachable registry must not delay a stop
+MAX_RETRY_PAUSE_S = 1.0  # after a failure; the renewal interval is used if it is shorter
+_UNUSED_SECURE_PORT = 443  # the registry requires a port even if it is not enabled
+_COUNTRY_ID = 1  # the registry requires a value but does not use it; Netflix's clients send 1
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class RegistrationSettings:
-    """What is registered of this gateway. Times in seconds."""
+    """The data that this gateway registers. Times are in seconds."""
 
     app: str
     id: str
@@ -37,8 +37,8 @@
     lease_duration: float = 30.0
     metadata: Mapping[str, str] = field(default_factory=dict)
 
-    def to_instance(self, status: InstanceStatus) -> dict[str, Any]:
-        """Return the body of a registration."""
+    def to_request_body(self, status: InstanceStatus) -> dict[str, Any]:
+        """Return the body of a registration request."""
         now_ms = int(time.time() * 1000)
         return {
             "instance": {
@@ -69,10 +69,10 @@
 
 
 class Registration:
-    """Keep this gateway registered.
+    """Keeps this gateway registered.
 
-    `start` registers it as STARTING, `mark_up` once it can serve, `mark_down` before the listeners close,
-    `deregister` at the end. A registry that is away delays none of it.
+    `start` registers it as STARTING. Call `mark_up` once it can serve, `mark_down` before its listeners close
+    and `deregister` at the end. An unreachable registry delays none of these steps.
     """
 
     def __init__(
@@ -89,24 +89,24 @@
         self._headers = {"Authorization": aiohttp.encode_basic_auth(user, password)} if user else {}
         self._status = InstanceStatus.STARTING
         self._url_index = 0
-        self._is_registered = False  # the registry lists this gateway with `_status`
+        self._is_registered = False  # whether the registry lists this gateway with `_status`
         self._status_changed = asyncio.Event()
         self._session: aiohttp.ClientSession | None = None
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Register as STARTING, and renew from now on."""
+        """Start the task that registers this gateway as STARTING and renews its lease."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def mark_up(self) -> None:
-        """Report that this gateway serves."""
+        """Set the status to UP and report it to the registry."""
         self._status = InstanceStatus.UP
         self._is_registered = False
         self._status_changed.set()
 
     async def mark_down(self) -> None:
-        """Report that clients are to stop sending, before the listeners close."""
-        body = self._settings.to_instance(InstanceStatus.DOWN)
+        """Report the status DOWN, so that clients stop sending before the listeners close."""
+        body = self._settings.to_request_body(InstanceStatus.DOWN)
         await self._make_final_call("POST", self._app_path(), body)
 
     async def deregister(self) -> None:
@@ -115,7 +115,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """Make no more calls: another process holds the registration, or it is over."""
+        """Stop without deregistering, because another process took over or the registration was deleted."""
         await self._stop_renewing()
         if self._session is not None:
             await self._session.close()
@@ -127,15 +127,15 @@
         return f"{self._app_path()}/{self._settings.id}"
 
     async def _run(self) -> None:
-        """Register and renew until cancelled, whatever the registry does."""
+        """Register and renew the lease until cancelled; failed calls are retried."""
         while True:
             self._status_changed.clear()
             try:
                 await self._renew_or_register()
                 pause = self._settings.renewal_interval
-            except Exception as err:  # whatever it is, the lease must be renewed once the registry is back
+            except Exception as err:  # no error may end the renewals
                 log.warning(
-                    "registry %s: not told of this gateway: %s %s",
+                    "registry %s: registration or renewal failed: %s %s",
                     self._urls[self._url_index],
                     type(err).__name__,
                     err,
@@ -150,21 +150,24 @@
                 await self._status_changed.wait()
 
     async def _renew_or_register(self) -> None:
-        """Renew the lease; register where the registry does not list this gateway, or not as it is now."""
+        """Renew the lease, or register if the registry does not list this gateway with its current status."""
         if self._is_registered and await self._call("PUT", self._instance_path()) == HTTPStatus.NOT_FOUND:
             log.info(
-                "registry %s: it has forgotten this gateway; registering anew", self._urls[self._url_index]
+                "registry %s: this gateway is no longer registered; registering it again",
+                self._urls[self._url_index],
             )
             self._is_registered = False
         if not self._is_registered:
             status = self._status
-            response_status = await self._call("POST", self._app_path(), self._settings.to_instance(status))
+            response_status = await self._call(
+                "POST", self._app_path(), self._settings.to_request_body(status)
+            )
             if response_status not in (HTTPStatus.OK, HTTPStatus.NO_CONTENT):
-                raise OSError(f"status {response_status} for a registration")
-            self._is_registered = status == self._status  # it may have changed during the call
+                raise OSError(f"registration failed with status {response_status}")
+            self._is_registered = status == self._status  # the status may have changed during the call
 
     async def _call(self, method: str, path: str, body: object = None, timeout: float | None = None) -> int:
-        """Call the registry; return the status of its response. Raises what aiohttp does."""
+        """Call the registry; return the status of its response. Raises the exceptions of aiohttp."""
         if self._session is None:
             self._session = aiohttp.ClientSession(trust_env=False)
         async with self._session.request(
@@ -184,13 +187,13 @@
             self._task = None
 
     async def _make_final_call(self, method: str, path: str, body: object = None) -> None:
-        """Stop renewing and make one short call; a failure is only logged."""
+        """Stop renewing and make one call with a short timeout; a failure is only logged."""
         await self._stop_renewing()
         try:
             await self._call(method, path, body, FINAL_CALL_TIMEOUT_S)
         except Exception as err:
             log.warning(
-                "registry %s: not told of the end: %s %s",
+                "registry %s: the final call failed: %s %s",
                 self._urls[self._url_index],
                 type(err).__name__,
                 err,
--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -1,6 +1,6 @@
-"""A Eureka registry as a source of the endpoint list: polls, fail-over, bounds.
+"""A Eureka registry as a source of the endpoint list: polling, failover and limits on responses.
 
-The reconciler says what of the list is accepted.
+The reconciler decides which reports to accept.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 from apigateway.upstream.address import Address
 
 MAX_BACKOFF_S = 30.0  # between polls while no registry answers
-FIRST_BACKOFF_S = 1.0  # or the poll interval, where that is shorter
-MAX_DOUBLINGS = 10  # of the backoff: past its limit, and the power stays small
-POLL_JITTER = 0.1  # part of a pause, either way: or all gateways would poll in step
-THREAD_BODY_BYTES = 64 * 1024  # a longer body is parsed in a thread: it must not hold up the serving loop
-THREAD_INSTANCES = 100  # more instances are mapped in a thread, likewise
-MAX_LOGGED_REASON = 200  # characters of why a poll failed
-MAX_LOGGED_VALUE = 80  # characters of a hash or a name that the registry gave
-MAX_LOGGED_MALFORMED = 3  # instances of one response that cannot be read, that are named in the log
+FIRST_BACKOFF_S = 1.0  # the poll interval is used if it is shorter
+MAX_DOUBLINGS = 10  # enough to reach MAX_BACKOFF_S; keeps the power of two small
+POLL_JITTER_RATIO = 0.1  # of a pause, up or down, so that gateways do not poll at the same time
+MAX_INLINE_BODY_BYTES = 64 * 1024  # longer bodies are parsed in a thread to keep the event loop free
+MAX_INLINE_INSTANCES = 100  # larger numbers of instances are converted in a thread
+MAX_LOGGED_REASON_CHARACTERS = 200
+MAX_LOGGED_VALUE_CHARACTERS = 80  # of a hash or name from the registry
+MAX_LOGGED_MALFORMED_INSTANCES = 3  # of one response
 
 _PATH_BY_LOOKUP = {"apps": "apps", "app": "apps/{}", "vip": "vips/{}", "svip": "svips/{}"}
 _ACCEPT_BY_FORMAT = {"json": "application/json", "xml": "application/xml"}
@@ -48,82 +48,82 @@
 
 log = logging.getLogger(__name__)
 
-Resolve = Callable[[str], Awaitable[str]]
+Resolver = Callable[[str], Awaitable[str]]
 """Resolves a host name to an IP address; raises OSError."""
 
 Lookup = Literal["apps", "app", "vip", "svip"]
-"""Which instances are requested: all, or those of one application, VIP or secure VIP address."""
+"""Which instances to request: all, or those of one application, VIP or secure VIP address."""
 
 ResponseFormat = Literal["json", "xml"]
 
 
 class UnusableResponseError(Exception):
-    """A response that cannot be used."""
+    """A response cannot be used, because of its status or size."""
 
 
 @dataclass(frozen=True, slots=True)
 class RegistrySettings:
-    """How a registry is polled.
+    """How to poll a registry.
 
-    `urls` are base paths, as `http://host:8761/eureka/v2`, tried in this order.
+    `urls` are base URLs such as `http://host:8761/eureka/v2`, tried in this order.
     """
 
     urls: tuple[str, ...]
     lookup: Lookup = "apps"
-    name: str = ""  # of the app or vip; with `apps`, only this app's instances where it is set
+    name: str = ""  # of the app or VIP; with `apps`, only this app's instances are used if it is set
     response_format: ResponseFormat = "json"
     poll_interval: float = 5.0  # s
     timeout: float = 2.0  # s
-    max_response_bytes: int = 32 * 1024 * 1024  # unpacked
+    max_response_bytes: int = 32 * 1024 * 1024  # uncompressed
     user: str = ""
     password: str = field(default="", repr=False)
-    use_deltas: bool = True  # whether deltas are requested
+    use_deltas: bool = True
     mapping: InstanceMapping = field(default_factory=InstanceMapping)
     reconciler: ReconcilerSettings = field(default_factory=ReconcilerSettings)
 
 
 class EurekaSource:
-    """Keep the endpoint list up to date from a registry, in the shape of `core.interfaces.EndpointSource`.
+    """Keeps the endpoint list up to date from a registry; implements `core.interfaces.EndpointSource`.
 
     Args:
-        registry: the settings.
-        known: the last list.
-        on_change: called with each change of what is accepted, as a delta.
+        settings: the registry's settings.
+        known: the last known list.
+        on_change: called with each change of the accepted list, as a delta.
         on_failure: called after each poll that failed.
-        own_addresses: never listed: a gateway must not route to itself.
-        resolve: resolves a host name to an IP address, where addresses are taken from names.
-        clock: the time, in seconds.
-        seed: of the jitter.
-        reconciler: one to go on with, with its doubts and its age.
+        own_addresses: addresses of this gateway; excluded so that it does not route to itself.
+        resolve: resolves a host name to an IP address; needed if addresses are taken from host names.
+        clock: returns the time in seconds.
+        seed: seed of the jitter.
+        reconciler: the reconciler of an earlier source, to continue with its doubts and its age.
     """
 
     def __init__(
         self,
-        registry: RegistrySettings,
+        settings: RegistrySettings,
         known: EndpointListing,
         on_change: Callable[[EndpointListing], None],
         on_failure: Callable[[], None],
         own_addresses: Collection[Address] = (),
-        resolve: Resolve | None = None,
+        resolve: Resolver | None = None,
         clock: Callable[[], float] = time.time,
         seed: int | None = None,
         reconciler: EndpointReconciler | None = None,
     ) -> None:
-        self.registry = registry
-        self.driver = ReconcilerDriver(registry.reconciler, known, on_change, clock, reconciler)
+        self.settings = settings
+        self.driver = ReconcilerDriver(settings.reconciler, known, on_change, clock, reconciler)
         self.reconciler = self.driver.reconciler
         self.cache = RegistryCache()
         self.etags: dict[str, str] = {}  # by path
-        self.malformed: tuple[str, ...] = ()  # what could not be read of the last response
+        self.malformed: tuple[str, ...] = ()  # descriptions of the unreadable entries of the last response
         self.session: aiohttp.ClientSession | None = None
         self._on_failure = on_failure
         self._own_addresses = set(own_addresses)
         self._resolve = resolve
         self._clock = clock
         self._rng = random.Random(seed)
-        self._url_index = 0  # of the registry that is polled
-        self._failures = 0  # polls in a row
-        self._addresses_by_name: dict[str, str] = {}  # of resolved host names
+        self._url_index = 0  # index of the polled registry in `settings.urls`
+        self._consecutive_failures = 0
+        self._addresses_by_name: dict[str, str] = {}  # IP addresses by host name
         self._watch_task: asyncio.Task[None] | None = None
         self._fetch_tasks: set[asyncio.Task[bool]] = set()
 
@@ -134,13 +134,13 @@
 
     @property
     def watching(self) -> bool:
-        """Whether the registry is polled."""
+        """Whether the registry is being polled."""
         return self._watch_task is not None
 
     @property
     def url(self) -> str:
-        """The base path of the registry that is polled."""
-        return self.registry.urls[self._url_index].rstrip("/")
+        """The base URL of the registry that is polled."""
+        return self.settings.urls[self._url_index].rstrip("/")
 
     def watch(self, on: bool) -> None:
         """Start or stop polling."""
@@ -151,14 +151,14 @@
             self._watch_task = None
 
     def fetch(self) -> None:
-        """Request the complete list, once."""
-        self._forget_registry_state()
+        """Request the complete list once."""
+        self._reset_registry_state()
         task = asyncio.get_running_loop().create_task(self.poll())
         self._fetch_tasks.add(task)
         task.add_done_callback(self._fetch_tasks.discard)
 
     async def close(self) -> None:
-        """End all calls and the reconciler's timer."""
+        """Cancel all calls and the reconciler's timer."""
         self.watch(False)
         for task in self._fetch_tasks:
             task.cancel()
@@ -167,50 +167,50 @@
             await self.session.close()
 
     async def poll(self) -> bool:
-        """Poll once; return whether the registry answered. Raises nothing but for being cancelled."""
+        """Poll once; return whether the poll succeeded. Raises only CancelledError."""
         try:
             await self._update()
-        except Exception as err:  # whatever it is, the watch must outlive it
+        except Exception as err:  # no error may end the polling
             self._on_poll_failed(err)
             return False
-        self._failures = 0
+        self._consecutive_failures = 0
         return True
 
     # Polls
 
     async def _run(self) -> None:
         while True:
-            pause = self.registry.poll_interval if await self.poll() else self._backoff()
-            await asyncio.sleep(pause * self._rng.uniform(1 - POLL_JITTER, 1 + POLL_JITTER))
+            pause = self.settings.poll_interval if await self.poll() else self._backoff()
+            await asyncio.sleep(pause * self._rng.uniform(1 - POLL_JITTER_RATIO, 1 + POLL_JITTER_RATIO))
 
     def _backoff(self) -> float:
-        """Return the pause after a failure, in seconds: it doubles with each round of all registries."""
-        rounds = self._failures // len(self.registry.urls)
-        first = min(FIRST_BACKOFF_S, self.registry.poll_interval)
-        return min(MAX_BACKOFF_S, first * 2.0 ** min(rounds, MAX_DOUBLINGS))
+        """Return the pause after a failure in seconds; it doubles once all registries have failed."""
+        rounds = self._consecutive_failures // len(self.settings.urls)
+        first_pause = min(FIRST_BACKOFF_S, self.settings.poll_interval)
+        return min(MAX_BACKOFF_S, first_pause * 2.0 ** min(rounds, MAX_DOUBLINGS))
 
     def _on_poll_failed(self, err: Exception) -> None:
-        self._failures += 1
-        is_own_error = isinstance(err, UnusableResponseError | MalformedResponseError)
-        reason = str(err) if is_own_error else f"{type(err).__name__} {err}"
-        log.warning("registry %s: %s; the last list stays", self.url, reason[:MAX_LOGGED_REASON])
-        self._url_index = (self._url_index + 1) % len(self.registry.urls)
-        self._forget_registry_state()  # the next one has a list and deltas of its own
+        self._consecutive_failures += 1
+        is_response_error = isinstance(err, UnusableResponseError | MalformedResponseError)
+        reason = str(err) if is_response_error else f"{type(err).__name__} {err}"
+        log.warning("registry %s: %s; keeping the last list", self.url, reason[:MAX_LOGGED_REASON_CHARACTERS])
+        self._url_index = (self._url_index + 1) % len(self.settings.urls)
+        self._reset_registry_state()  # the next registry has its own list and deltas
         self._on_failure()
 
-    def _forget_registry_state(self) -> None:
+    def _reset_registry_state(self) -> None:
         self.cache = RegistryCache()
         self.etags = {}
 
     async def _update(self) -> None:
-        """Request a delta, or the complete list where that is due. Raises whatever goes wrong."""
-        if self.registry.lookup == "apps" and self.registry.use_deltas and self.cache.is_filled:
+        """Request a delta, or the complete list if that is due. Raises any exception of the request."""
+        if self.settings.lookup == "apps" and self.settings.use_deltas and self.cache.has_complete_list:
             delta = await self._request(_DELTA_PATH)
             if delta is not None and not await self._apply_delta(delta):
                 return
-        path = _PATH_BY_LOOKUP[self.registry.lookup].format(self.registry.name)
+        path = _PATH_BY_LOOKUP[self.settings.lookup].format(self.settings.name)
         response = await self._request(path)
-        if response is None:  # not modified: it names again what it named
+        if response is None:  # not modified: the cached list is reported again
             self.cache.on_not_modified(self._clock())
             response = RegistryResponse(tuple(self.cache.instances.values()), "")
         else:
@@ -218,16 +218,16 @@
         await self._apply(response, set(), True)
 
     async def _apply_delta(self, delta: RegistryResponse) -> bool:
-        """Apply a delta; return whether a complete list is to be requested."""
+        """Apply a delta; return whether a complete list must be requested."""
         result = self.cache.apply_delta(self._clock(), delta.instances, delta.hashcode)
         if result.needs_complete_list:
             log.info(
-                "registry %s: its hash is %s, ours %s; asking for the whole list",
+                "registry %s: hash mismatch: registry %s, cache %s; requesting the complete list",
                 self.url,
-                delta.hashcode[:MAX_LOGGED_VALUE],
-                self.cache.hashcode()[:MAX_LOGGED_VALUE],
+                delta.hashcode[:MAX_LOGGED_VALUE_CHARACTERS],
+                self.cache.hashcode()[:MAX_LOGGED_VALUE_CHARACTERS],
             )
-        # also where a complete list follows: drains among it count at once
+        # Also if a complete list follows, so that drains in the delta take effect at once.
         await self._apply(delta, result.deleted_ids, False)
         return result.needs_complete_list
 
@@ -237,29 +237,33 @@
         """Request a list.
 
         Returns:
-            None where it is not modified, or the registry knows no deltas.
+            The response; None if the list is not modified or the registry does not support deltas.
 
         Raises:
-            UnusableResponseError, MalformedResponseError, or what aiohttp raises.
+            UnusableResponseError, MalformedResponseError: the response cannot be used.
+            aiohttp.ClientError, TimeoutError: the call failed.
         """
         if self.session is None:
             self.session = aiohttp.ClientSession(trust_env=False)
-        timeout = aiohttp.ClientTimeout(total=self.registry.timeout)
+        timeout = aiohttp.ClientTimeout(total=self.settings.timeout)
         async with self.session.get(
-            f"{self.url}/{path}", headers=self._request_headers(path), timeout=timeout, allow_redirects=False
+            f"{self.url}/{path}",
+            headers=self._build_request_headers(path),
+            timeout=timeout,
+            allow_redirects=False,
         ) as response:
             if response.status == HTTPStatus.NOT_MODIFIED and path in self.etags:
                 return None
             if response.status == HTTPStatus.NOT_FOUND and path == _DELTA_PATH:
                 return None
-            if response.status == HTTPStatus.NOT_FOUND and self.registry.lookup != "apps":
-                # the registry's way to say that an app or vip has no instance
+            if response.status == HTTPStatus.NOT_FOUND and self.settings.lookup != "apps":
+                # The registry answers so if an app or VIP has no instance.
                 return RegistryResponse((), "")
             if response.status != HTTPStatus.OK:
                 raise UnusableResponseError(f"status {response.status} for {path}")
             body = await self._read_body(response, path)
             parse = read_xml if "xml" in response.content_type else read_json
-            if len(body) > THREAD_BODY_BYTES:
+            if len(body) > MAX_INLINE_BODY_BYTES:
                 parsed = await asyncio.to_thread(parse, body)
             else:
                 parsed = parse(body)
@@ -267,21 +271,21 @@
                 self.etags[path] = etag
         return parsed
 
-    def _request_headers(self, path: str) -> dict[str, str]:
-        headers = {"Accept": _ACCEPT_BY_FORMAT[self.registry.response_format]}
+    def _build_request_headers(self, path: str) -> dict[str, str]:
+        headers = {"Accept": _ACCEPT_BY_FORMAT[self.settings.response_format]}
         if path in self.etags:
             headers["If-None-Match"] = self.etags[path]
-        if self.registry.user:
-            headers["Authorization"] = aiohttp.encode_basic_auth(self.registry.user, self.registry.password)
+        if self.settings.user:
+            headers["Authorization"] = aiohttp.encode_basic_auth(self.settings.user, self.settings.password)
         return headers
 
     async def _read_body(self, response: aiohttp.ClientResponse, path: str) -> bytes:
-        max_bytes = self.registry.max_response_bytes
+        max_bytes = self.settings.max_response_bytes
         body = bytearray()
         async for chunk in response.content.iter_any():
             body += chunk
             if len(body) > max_bytes:
-                raise UnusableResponseError(f"an answer of more than {max_bytes} bytes for {path}")
+                raise UnusableResponseError(f"response of more than {max_bytes} bytes for {path}")
         return bytes(body)
 
     # Reports to the reconciler
@@ -290,40 +294,42 @@
         instances = [
             instance
             for instance in response.instances
-            if instance.action != DeltaAction.DELETED and self._is_wanted(instance)
+            if instance.action != DeltaAction.DELETED and self._is_selected(instance)
         ]
-        if self.registry.mapping.address_source == "name":
+        if self.settings.mapping.address_source == "name":
             await self._resolve_names(instances)
         endpoints, malformed = await self._read_endpoints(instances)
         self._record_malformed((*response.malformed, *malformed))
-        others = [one for one in endpoints if one.address not in self._own_addresses]
-        removed_ids = {one.endpoint.id for one in others if one.endpoint.state == EndpointStatus.DOWN}
-        reported = [one for one in others if one.endpoint.state != EndpointStatus.DOWN]
+        external = [report for report in endpoints if report.address not in self._own_addresses]
+        removed_ids = {
+            report.endpoint.id for report in external if report.endpoint.state == EndpointStatus.DOWN
+        }
+        reported = [report for report in external if report.endpoint.state != EndpointStatus.DOWN]
         self.driver.apply(reported, deleted_ids | removed_ids, is_complete)
 
     async def _read_endpoints(
         self, instances: list[EurekaInstance]
     ) -> tuple[list[ReportedEndpoint], list[str]]:
-        mapping = self.registry.mapping
-        if len(instances) > THREAD_INSTANCES:
+        mapping = self.settings.mapping
+        if len(instances) > MAX_INLINE_INSTANCES:
             return await asyncio.to_thread(read_endpoints, mapping, instances, self._addresses_by_name)
         return read_endpoints(mapping, instances, self._addresses_by_name)
 
     def _record_malformed(self, malformed: tuple[str, ...]) -> None:
-        """Keep what could not be read, and log it where it is new."""
+        """Record which entries could not be read, and log them if they have changed."""
         if malformed and malformed != self.malformed:
-            hidden = len(malformed) - MAX_LOGGED_MALFORMED
-            more = f" and {hidden} more" if hidden > 0 else ""
-            shown = "; ".join(malformed[:MAX_LOGGED_MALFORMED])
-            log.warning("registry %s: left out %s%s", self.url, shown, more)
+            omitted_count = len(malformed) - MAX_LOGGED_MALFORMED_INSTANCES
+            more = f" and {omitted_count} more" if omitted_count > 0 else ""
+            shown = "; ".join(malformed[:MAX_LOGGED_MALFORMED_INSTANCES])
+            log.warning("registry %s: skipped %s%s", self.url, shown, more)
         self.malformed = malformed
 
-    def _is_wanted(self, instance: EurekaInstance) -> bool:
-        name = self.registry.name.upper()
-        return self.registry.lookup != "apps" or not name or instance.app == name
+    def _is_selected(self, instance: EurekaInstance) -> bool:
+        name = self.settings.name.upper()
+        return self.settings.lookup != "apps" or not name or instance.app == name
 
     async def _resolve_names(self, instances: list[EurekaInstance]) -> None:
-        """Resolve each host name once; one that fails keeps its last address."""
+        """Resolve each host name once; a name that cannot be resolved keeps its last address."""
         if self._resolve is None:
             return
         for name in {instance.host_name for instance in instances} - {""}:
@@ -331,12 +337,12 @@
                 self._addresses_by_name[name] = await self._resolve(name)
             except OSError as err:
                 log.warning(
-                    "registry %s: %s cannot be looked up (%s)", self.url, name[:MAX_LOGGED_VALUE], err
+                    "registry %s: cannot resolve %s (%s)", self.url, name[:MAX_LOGGED_VALUE_CHARACTERS], err
                 )
 
 
 async def resolve_host_name(name: str) -> str:
-    """Resolve a host name by the system's resolver. Raises OSError."""
+    """Resolve a host name with the system resolver. Raises OSError."""
     results = await asyncio.get_running_loop().getaddrinfo(name, None, type=socket.SOCK_STREAM)
     _, _, _, _, socket_address = results[0]
     return str(socket_address[0])
--- a/apigateway/membership/file.py
+++ b/apigateway/membership/file.py
@@ -1,7 +1,7 @@
-"""The endpoint list from a TOML file that is polled for changes: `[[hosts]]` with id, address and the rest.
+"""The endpoint list from a TOML file that is polled for changes; each `[[hosts]]` table is an endpoint.
 
-A file that cannot be used, or names no endpoint, leaves the last list in force: a list that is being written
-must not empty the fleet.
+If the file is invalid or contains no endpoint, the last list stays in force: a file that is still being
+written must not remove all endpoints.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from apigateway.messages import EndpointStatus, ListMode
 from apigateway.upstream.address import Address, read_address
 
-POLL_INTERVAL_S = 0.5  # soon enough for an operator who edits the file, and only one stat()
-_STATE_BY_FILE_NAME = {"up": EndpointStatus.UP, "draining": EndpointStatus.LEAVING}
+POLL_INTERVAL_S = 0.5  # picks up an edit quickly, at the cost of one stat() each
+_STATUS_BY_STATE_VALUE = {"up": EndpointStatus.UP, "draining": EndpointStatus.LEAVING}
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
     kind: str = ""
     weight: Annotated[float, msgspec.Meta(ge=0, le=1e6)] = 1.0
     state: Literal["up", "draining"] = "up"
-    started: Annotated[float, msgspec.Meta(ge=0, le=1e11)] = 0.0  # Unix time of its last start; 0: long ago
+    started: Annotated[float, msgspec.Meta(ge=0, le=1e11)] = 0.0  # Unix time of the last start; 0: long ago
 
 
 class _HostsFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -44,7 +44,7 @@
 
 
 class _FileVersion(NamedTuple):
-    """What tells one version of a file from another; all zero for a file that is not there."""
+    """Identifies a version of the file; all zero if the file does not exist."""
 
     modified_ns: int
     size: int
@@ -55,41 +55,41 @@
     """Read the file of endpoints.
 
     Raises:
-        InvalidConfigFileError: the file cannot be used; holds all that is wrong in it.
+        InvalidConfigFileError: the file is invalid; contains all problems that were found.
     """
     reader = ConfigReader(path)
     file = reader.read(read_toml(path), _HostsFile)
     endpoints: list[messages.Endpoint] = []
     addresses: dict[str, Address] = {}
-    for number, host in enumerate(file.hosts if file else ()):
-        at = ("hosts", number)
+    for index, host in enumerate(file.hosts if file else ()):
+        host_path = ("hosts", index)
         try:
             address = read_address(host.address)
         except ValueError:
             reader.add_semantic_problem(
-                (*at, "address"), host.address, "is no address", "write it as HOST:PORT"
+                (*host_path, "address"), host.address, "is not an address", "write it as HOST:PORT"
             )
             continue
         if host.id in addresses:
             reader.add_semantic_problem(
-                (*at, "id"), host.id, "stands twice", "give each host an id of its own"
+                (*host_path, "id"), host.id, "is used more than once", "give each host a unique id"
             )
         addresses[host.id] = address
         endpoints.append(_to_endpoint(host))
     if file is not None and not file.hosts:
-        reader.add_semantic_problem(("hosts",), None, "none", "add one [[hosts]] with id and address")
+        reader.add_semantic_problem(("hosts",), None, "is empty", "add one [[hosts]] with id and address")
     if reader.problems:
         raise InvalidConfigFileError(reader.problems)
     return EndpointListing(messages.EndpointList(mode, version, tuple(endpoints)), addresses)
 
 
 class EndpointFileSource:
-    """A source of the endpoint list, in the shape of `core.interfaces.EndpointSource`.
+    """A source that reads the endpoint list from a file; implements `core.interfaces.EndpointSource`.
 
     Args:
-        path: of the TOML file.
+        path: path of the TOML file.
         on_list: called with each new list.
-        on_failure: called when the file cannot be used.
+        on_failure: called when the file is invalid.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
         self._path = path
         self._on_list = on_list
         self._on_failure = on_failure
-        self._file_version: _FileVersion | None = None  # of the last read
+        self._file_version: _FileVersion | None = None  # at the last read
         self._timer: asyncio.TimerHandle | None = None
 
     @property
@@ -108,7 +108,7 @@
         return self._timer is not None
 
     def watch(self, on: bool) -> None:
-        """Start or stop polling the file; a start polls at once."""
+        """Start or stop polling the file; starting polls it at once."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -116,12 +116,12 @@
             self._poll()
 
     def fetch(self) -> None:
-        """Read the file now, changed or not."""
+        """Read the file now, whether or not it has changed."""
         try:
             listing = read_endpoint_file(self._path, version=self.version + 1)
         except InvalidConfigFileError as err:
             for problem in err.problems:
-                log.error("%s (the last list stays)", problem)
+                log.error("%s (keeping the last list)", problem)
             self._on_failure()
             return
         self.version += 1
@@ -133,13 +133,13 @@
 
     def _poll(self) -> None:
         self._timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._poll)
-        file_version = _file_version(self._path)
+        file_version = _read_file_version(self._path)
         if file_version != self._file_version:
             self._file_version = file_version
             self.fetch()
 
 
-def _file_version(path: str) -> _FileVersion:
+def _read_file_version(path: str) -> _FileVersion:
     try:
         status = os.stat(path)
     except OSError:
@@ -154,6 +154,6 @@
         cell=host.cell,
         weight=host.weight,
         kind=host.kind,
-        state=_STATE_BY_FILE_NAME[host.state],
+        state=_STATUS_BY_STATE_VALUE[host.state],
         started_at=host.started,
     )
--- a/apigateway/membership/reconciler_driver.py
+++ b/apigateway/membership/reconciler_driver.py
@@ -1,6 +1,6 @@
-"""Drive a reconciler: apply reports, publish changes, and run the timer that ends doubts.
+"""Run a reconciler: apply reports, publish changes, and keep the timer that resolves doubts.
 
-Shared by all sources whose lists are not accepted as they come.
+Used by all sources whose lists must pass the reconciler before they are accepted.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from apigateway.membership.reconciler import EndpointReconciler, ReconcilerSettings, ReportedEndpoint
 from apigateway.messages import EndpointStatus, ListMode
 
-MIN_TIMER_DELAY_S = 0.01  # a timer that comes a little early must not become a busy loop
+MIN_TIMER_DELAY_S = 0.01  # prevents a busy loop when the timer fires slightly early
 
 
 class ReconcilerDriver:
-    """Feed a source's reports to a reconciler, and its changes to `on_change`.
+    """Passes a source's reports to a reconciler and the resulting changes to `on_change`.
 
     Args:
-        settings: of the reconciler, also of one that is passed.
-        known: the last list; a new reconciler starts with it.
-        on_change: called with each change of what is accepted, as a delta.
-        clock: the time, in seconds.
-        reconciler: one to go on with, with its doubts and its age.
+        settings: the reconciler's settings; they also replace those of a reconciler that is passed.
+        known: the last known list; a new reconciler starts with it.
+        on_change: called with each change of the accepted list, as a delta.
+        clock: returns the time in seconds.
+        reconciler: the reconciler of an earlier source, to continue with its doubts and its age.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self._publish(self.reconciler.apply(self._clock(), reported, deleted, is_complete))
 
     def apply_listing(self, listing: EndpointListing) -> None:
-        """Apply a report in the form of the platform's discovery."""
+        """Apply a report that has the form of a discovery list."""
         endpoints = listing.endpoint_list.endpoints
         reported = [
             ReportedEndpoint(endpoint, listing.addresses[endpoint.id])
@@ -65,10 +65,10 @@
         self.apply(reported, deleted, listing.endpoint_list.mode != ListMode.DELTA)
 
     def mark_draining(self, ids: Iterable[str]) -> None:
-        """Drain endpoints of which another process of this gateway was notified, and this one not yet."""
+        """Drain endpoints whose drain was reported only to another process of this gateway so far."""
         records = self.reconciler.records
-        accepted = [records[name].accepted for name in ids if name in records]
-        self.apply([_draining(report) for report in accepted])
+        accepted = [records[endpoint_id].accepted for endpoint_id in ids if endpoint_id in records]
+        self.apply([_as_draining(report) for report in accepted])
 
     def close(self) -> None:
         """Stop the timer."""
@@ -80,14 +80,14 @@
         if change is not None:
             self._on_change(change)
         self.close()
-        due = self.reconciler.next_due()
-        if due < math.inf:
-            delay = max(MIN_TIMER_DELAY_S, due - self._clock())
+        due_at = self.reconciler.next_due_at()
+        if due_at < math.inf:
+            delay = max(MIN_TIMER_DELAY_S, due_at - self._clock())
             self._timer = asyncio.get_running_loop().call_later(delay, self._on_timer)
 
     def _on_timer(self) -> None:
         self._publish(self.reconciler.advance(self._clock()))
 
 
-def _draining(report: ReportedEndpoint) -> ReportedEndpoint:
-    return replace(report, endpoint=replace(report.endpoint, state=EndpointStatus.LEAVING), stamp=0)
+def _as_draining(report: ReportedEndpoint) -> ReportedEndpoint:
+    return replace(report, endpoint=replace(report.endpoint, state=EndpointStatus.LEAVING), timestamp_ms=0)
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -230,7 +230,7 @@
         ("[[hosts]]\nid='a'\n", "address: is missing"),
         ("[[hosts]", "TOML"),
         ("[[hosts]]\nid='a'\naddress='x'\n", "HOST:PORT"),
-        ("[[hosts]]\nid='a'\naddress='h:1'\n[[hosts]]\nid='a'\naddress='h:2'\n", "stands twice"),
+        ("[[hosts]]\nid='a'\naddress='h:1'\n[[hosts]]\nid='a'\naddress='h:2'\n", "is used more than once"),
         ("[[hosts]]\nid='a'\naddress='h:1'\nstate='asleep'\n", "asleep"),
     ],
 )
--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -109,7 +109,7 @@
         program = await site.start()
         async with Load(site, ledger) as load:
             site.registry.script.play(Step("silent"))
-            await site.line(program, b"the last list stays")
+            await site.line(program, b"keeping the last list")
             site.registry.clock_off = 1000.0  # all leases have run out
             await load.served(50)
             assert all(len(h.commands) > 0 for h in site.hosts[:2]) and not third.commands
--- a/tests/faults/test_reload.py
+++ b/tests/faults/test_reload.py
@@ -167,7 +167,7 @@
         site.list_hosts("up", None)
         program = await site.start()
         (tmp_path / "hosts.toml").write_text("[[hosts]\nid =")
-        await site.line(program, b"the last list stays")
+        await site.line(program, b"keeping the last list")
         assert await site.ask(command(b"a")) == SERVED
         site.list_hosts("draining", "up")
         n = 0
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -132,8 +132,8 @@
     schedule = WatchSchedule(
         is_polled=False,
         wait=0.1,
-        overdue=0.2,
-        late_answer=0.0,
+        overdue_after=0.2,
+        late_answer_time=0.0,
         hedge_after=0.1,
         call_timeout=0.2,
         first_backoff=0.05,
@@ -158,10 +158,10 @@
 @pytest.mark.parametrize("grace", [0.3, 0.5, 0.7, 1.0, 2.0, 4.0, 60.0])
 def test_change_when_a_dead_watch_missed_it_then_is_known_within_the_drain_grace(grace):
     schedule = WatchSchedule.for_agent(grace)
-    assert schedule.wait + schedule.overdue + schedule.hedge_after < grace
+    assert schedule.wait + schedule.overdue_after + schedule.hedge_after < grace
     # s; a list is not asked for in a busy loop
-    assert min(schedule.wait, schedule.overdue, schedule.hedge_after) >= 0.04
-    assert max(schedule.wait, schedule.overdue, schedule.hedge_after) <= 2.0
+    assert min(schedule.wait, schedule.overdue_after, schedule.hedge_after) >= 0.04
+    assert max(schedule.wait, schedule.overdue_after, schedule.hedge_after) <= 2.0
 
 
 @on_loop
@@ -195,7 +195,7 @@
             pass
         node.discovery.held = held = asyncio.Event()
         node.node.endpoint_source.fetch()
-        (fetching,) = node.node.endpoint_source.fetching
+        (fetching,) = node.node.endpoint_source.fetch_tasks
         while "index" in await node.discovery.calls.get():
             pass  # it has been asked, and its answer is of before the change
         node.discovery.change([entry(one, "h1", "draining")])
@@ -213,7 +213,7 @@
             pass
         node.node.endpoint_source.version = 9
         node.node.endpoint_source.fetch()
-        (fetching,) = node.node.endpoint_source.fetching
+        (fetching,) = node.node.endpoint_source.fetch_tasks
         assert await fetching is CallResult.ANSWERED
         assert node.node.endpoint_source.version == 1
 
--- a/tests/membership/test_eureka_model.py
+++ b/tests/membership/test_eureka_model.py
@@ -179,7 +179,7 @@
         1.5,
         5.0,
     )
-    assert entry.address == ("127.0.0.1", 8080) and entry.stamp > 0
+    assert entry.address == ("127.0.0.1", 8080) and entry.timestamp_ms > 0
     named = read_endpoint(
         InstanceMapping(address_source="name"), instance, {"node7.rota.example.org": "10.0.0.7"}
     )
@@ -189,7 +189,7 @@
 @pytest.mark.parametrize(
     "terms, change",
     [
-        (InstanceMapping(secure=True), {}),
+        (InstanceMapping(use_secure_port=True), {}),
         (InstanceMapping(), {"port": {"$": 1, "@enabled": "false"}}),
         (InstanceMapping(), {"ipAddr": None}),
         (InstanceMapping(), {"metadata": {"cell": "two"}}),
--- a/tests/membership/test_eureka_source.py
+++ b/tests/membership/test_eureka_source.py
@@ -147,7 +147,7 @@
         registry.restart()
         for n in range(3):
             registry.register(instance(f"other{n}", 8000 + n))
-        seen.source.cache.is_filled = False  # it asks for all, as after any trouble
+        seen.source.cache.has_complete_list = False  # it asks for all, as after any trouble
         await seen.poll()
         assert set(seen.hosts) == {"other0", "other1", "other2"}
         registry.register(instance("other0", 9999))
@@ -217,7 +217,7 @@
             assert not await seen.poll()
         async with Watched(registry, user="me", password="secret") as seen:
             assert await seen.poll() and len(seen.hosts) == 4
-            assert "secret" not in caplog.text + repr(seen.source.registry)
+            assert "secret" not in caplog.text + repr(seen.source.settings)
 
 
 @on_loop
--- a/tests/membership/test_polled_discovery.py
+++ b/tests/membership/test_polled_discovery.py
@@ -93,7 +93,7 @@
         nodes = await start_fleet(stack, service, hosts, tmp_path, 0.5)
         service.lag = 1.0  # past the time for which the watch is held: the answer is overdue
         schedule = nodes[0].node.endpoint_source.schedule
-        assert schedule.overdue < service.lag < schedule.overdue + schedule.late_answer
+        assert schedule.overdue_after < service.lag < schedule.overdue_after + schedule.late_answer_time
         service.held = asyncio.Event()  # the complete lists that are requested meanwhile never come
         service.change([entry(hosts[0], "h1", "draining")])
         await until_all(nodes, lambda known: "h1" not in known)
@@ -112,7 +112,7 @@
     schedule = WatchSchedule.for_polled_service()
     pacer = WatchPacer(schedule, random.Random(1))
     for _ in range(20):
-        assert pacer.next_wait() + schedule.overdue + ANSWER_S < SILENT_WATCH_S
+        assert pacer.next_wait() + schedule.overdue_after + ANSWER_S < SILENT_WATCH_S
 
 
 def test_backoff_doubles_up_to_its_limit_and_is_not_the_same_at_two_gateways():
--- a/tests/membership/test_reconciler.py
+++ b/tests/membership/test_reconciler.py
@@ -38,7 +38,9 @@
     reconciler = EndpointReconciler()
     changed = reconciler.apply(0.0, reports(3), is_complete=True)
     assert changed.endpoint_list.mode == "delta" and set(changed.addresses) == {"h0", "h1", "h2"}
-    assert reconciler.apply(1.0, reports(3), is_complete=True) is None and reconciler.next_due() == math.inf
+    assert (
+        reconciler.apply(1.0, reports(3), is_complete=True) is None and reconciler.next_due_at() == math.inf
+    )
 
 
 def test_marked_endpoints_when_most_are_then_all_drain_at_once(ten_known):
@@ -69,21 +71,23 @@
 def test_doubt_when_a_second_list_comes_too_soon_then_ends_by_time_alone(ten_known):
     ten_known.apply(1.0, reports(5), is_complete=True)
     assert ten_known.apply(2.0, reports(5), is_complete=True) is None
-    assert ten_known.next_due() == 31.0 and ten_known.advance(30.9) is None
+    assert ten_known.next_due_at() == 31.0 and ten_known.advance(30.9) is None
     assert len(ten_known.advance(31.0).endpoint_list.endpoints) == 5
 
 
 def test_doubt_when_the_endpoints_are_reported_again_then_ends(ten_known):
     ten_known.apply(1.0, [], is_complete=True)
     ten_known.apply(2.0, [], is_complete=True)
-    assert ten_known.apply(20.0, reports(10), is_complete=True) is None and ten_known.next_due() == math.inf
+    assert (
+        ten_known.apply(20.0, reports(10), is_complete=True) is None and ten_known.next_due_at() == math.inf
+    )
     assert not any(k.doubt for k in ten_known.records.values())
 
 
 def test_empty_lists_when_repeated_then_never_empty_what_is_accepted(ten_known):
     for now in range(1, 200):
         assert ten_known.apply(float(now), [], is_complete=True) is None
-    assert len(ten_known.records) == 10 and ten_known.next_due() == math.inf
+    assert len(ten_known.records) == 10 and ten_known.next_due_at() == math.inf
     ten_known.apply(
         300.0, [report("h77")], is_complete=True
     )  # another is named: the old ones, long missing, may go
@@ -147,7 +151,7 @@
         now += 1.0
         back = reconciler.apply(now, [report("h1")])
     assert back is None and reconciler.records["h1"].doubt == "flapping"
-    assert reconciler.next_due() == 5.0 + 10.0 and reconciler.advance(14.9) is None
+    assert reconciler.next_due_at() == 5.0 + 10.0 and reconciler.advance(14.9) is None
     assert reconciler.advance(15.0).endpoint_list.endpoints[0].state == "up"
 
 
@@ -192,6 +196,6 @@
             if one.endpoint.state == "leaving":
                 assert heard[one.endpoint.id] == "leaving"
         assert not gone & heard.keys()
-        assert reconciler.next_due() > now - 1e-9 or reconciler.advance(now) is None
+        assert reconciler.next_due_at() > now - 1e-9 or reconciler.advance(now) is None
         if had and not gone:
             assert heard  # what is merely missing never empties a list
--- a/tests/membership/test_reconciler_driver.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -62,7 +62,7 @@
         discovery.raw = "{"  # the watch fails, and the whole list is asked for
         discovery.change([])
         discovery.servers = []
-        await site.line(program, b"the last list stays")
+        await site.line(program, b"keeping the last list")
         while "index" not in await discovery.calls.get():
             pass  # it has read the empty list once it watches again
         for n in range(20):
