--- a/apigateway/cli/__init__.py
+++ b/apigateway/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command line interface."""
--- a/apigateway/cli/check.py
+++ b/apigateway/cli/check.py
@@ -1,4 +1,4 @@
-"""`api-gateway check FILE`: look through a settings file."""
+"""`api-gateway check FILE`: check a settings file."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def check(path: str) -> int:
-    """Print what a settings file comes to, or all that is wrong in it; return the exit code."""
+    """Print a summary of a settings file, or all its problems; return the exit code."""
     try:
         settings, config = read_configuration(path)
         _check_named_files(path, settings, config)
@@ -26,9 +26,9 @@
 
 
 def _check_named_files(path: str, settings: Settings, config: Config) -> None:
-    """Read the files that settings name. Raises InvalidConfigFileError.
+    """Read the files that the settings name. Raises InvalidConfigFileError.
 
-    What needs the libraries of an extra is imported only where settings ask for it.
+    Modules that need the libraries of an extra are imported only if the settings use them.
     """
     if settings.plugins or settings.records.file:
         plugins = importlib.import_module("apigateway.daemon.plugins")
--- a/apigateway/cli/deprecated.py
+++ b/apigateway/cli/deprecated.py
@@ -1,4 +1,4 @@
-"""The command's old name, `calicomast`: it says so and does the same. To be removed with the next release."""
+"""The command's old name, `calicomast`, which prints a warning. To be removed with the next release."""
 
 import sys
 
@@ -6,9 +6,9 @@
 
 
 def main() -> int:
-    """Run `api-gateway` with the same arguments, after a note on standard error."""
+    """Print a deprecation warning to standard error and run `api-gateway` with the same arguments."""
     print(
-        "calicomast: this command is now called api-gateway; the old name goes with the next release",
+        "calicomast: this command is now called api-gateway; the old name ends with the next release",
         file=sys.stderr,
     )
     return run_command()
--- a/apigateway/cli/experiment.py
+++ b/apigateway/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`api-gateway experiment`: play the model of a fleet."""
+"""`api-gateway experiment`: run a simulation of a fleet."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from apigateway.tools.experiment.summary import FiguresByLabel, SummaryRow, summarize
 from apigateway.tools.experiment.tables import figure_table, second_table
 
-_PIPE_WIDTH = 200  # characters of a table's line where standard output is no terminal
-_SECOND_COLUMN_WIDTH = 9  # characters of a column of the table by second
+_WIDTH_WITHOUT_TERMINAL = 200  # characters of a table's line if standard output is not a terminal
+_SECOND_COLUMN_WIDTH = 9  # characters of a column in the table by second
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,14 +29,14 @@
     """The command's arguments.
 
     Attributes:
-        path: The experiment's file.
-        seed_count: Seeds 1 to this one in place of the file's; 0: the file's.
-        process_count: Processes side by side; 0: all cores but one.
-        json_path: Where the figures are written; empty: nowhere.
-        compare_path: Figures of an earlier run; empty: none.
-        plot_path: Where the plot is written; empty: nowhere.
-        plot_seconds_path: Where the plot by second is written; empty: nowhere.
-        print_seconds: Whether each case is printed second by second as well.
+        path: Path of the experiment file.
+        seed_count: Use seeds 1 to this number; 0: use the seeds in the file.
+        process_count: Number of parallel processes; 0: all cores but one.
+        json_path: Output file of the figures; empty: none.
+        compare_path: File with the figures of an earlier run; empty: none.
+        plot_path: Output file of the plot; empty: none.
+        plot_seconds_path: Output file of the plot by second; empty: none.
+        print_seconds: Whether to print each case by second as well.
     """
 
     path: str
@@ -50,25 +50,25 @@
 
 
 class _Results(NamedTuple):
-    """Results by the number of the run, and whether the user stopped before the last one."""
+    """Results by the number of the run, and whether the user stopped the experiment before the last run."""
 
     by_run: dict[int, RunResult]
     is_stopped: bool
 
 
 def run(options: ExperimentOptions) -> int:
-    """Play an experiment and print its figures; return the exit code.
+    """Run an experiment and print its figures; return the exit code.
 
-    It is FAILED if a module broke one of the five rules, or the user stopped; a baseline keeps none of them.
+    The code is FAILED if a module broke one of the five rules or the user stopped the experiment. Baselines
+    do not count, since they keep none of the rules.
     """
-
     try:
         experiment = read_experiment(options.path, options.seed_count)
         older_figures = read_figures(options.compare_path) if options.compare_path else None
     except (InvalidConfigFileError, ValueError) as error:
         print(error, file=sys.stderr)
         return ExitCode.INVALID_INPUT
-    results = _play(experiment, options.process_count)
+    results = _run_all(experiment, options.process_count)
     rows = summarize(experiment, results.by_run)
     _write_files(options, experiment, rows)
     _print_table(experiment, rows, older_figures)
@@ -76,19 +76,19 @@
         _print_seconds(rows)
     has_broken_rules = _print_broken_rules(rows)
     if results.is_stopped:
-        print(f"stopped after {len(results.by_run)} of {len(experiment.runs)} plays", file=sys.stderr)
+        print(f"stopped after {len(results.by_run)} of {len(experiment.runs)} runs", file=sys.stderr)
     return ExitCode.FAILED if has_broken_rules or results.is_stopped else ExitCode.OK
 
 
-def _play(experiment: Experiment, process_count: int) -> _Results:
-    """Play everything behind a progress bar, until the user interrupts it."""
+def _run_all(experiment: Experiment, process_count: int) -> _Results:
+    """Run everything with a progress bar, until the user interrupts it."""
     results: dict[int, RunResult] = {}
     with Progress(console=Console(stderr=True), transient=True) as progress:
-        bar = progress.add_task(experiment.name, total=len(experiment.runs))
+        progress_task = progress.add_task(experiment.name, total=len(experiment.runs))
         try:
             for number, result in run_all(experiment.runs, process_count):
                 results[number] = result
-                progress.advance(bar)
+                progress.advance(progress_task)
         except KeyboardInterrupt:
             return _Results(results, is_stopped=True)
     return _Results(results, is_stopped=False)
@@ -111,11 +111,11 @@
 
     heading, *lines = figure_table(experiment, rows, older_figures)
     table = Table(title=f"{experiment.name}: median over seeds (least to most)")
-    for number, name in enumerate(heading):
-        table.add_column(name, justify="right" if number else "left")
+    for index, name in enumerate(heading):
+        table.add_column(name, justify="right" if index else "left")
     for line in lines:
         table.add_row(*line)
-    Console(width=None if sys.stdout.isatty() else _PIPE_WIDTH).print(table)
+    Console(width=None if sys.stdout.isatty() else _WIDTH_WITHOUT_TERMINAL).print(table)
 
 
 def _print_seconds(rows: list[SummaryRow]) -> None:
@@ -127,9 +127,11 @@
 
 
 def _print_broken_rules(rows: list[SummaryRow]) -> bool:
-    """Print the rules that modules broke; return whether there are any."""
-
-    broken = [f"{row.label}: {rule}" for row in rows if row.is_module for rule in row.violations]
-    for rule in broken:
-        print(f"BROKEN {rule}")
-    return bool(broken)
+    """Print the rules that modules broke; return whether any were broken."""
+
+    violations = [
+        f"{row.label}: {violation}" for row in rows if row.is_module for violation in row.violations
+    ]
+    for text in violations:
+        print(f"BROKEN {text}")
+    return bool(violations)
--- a/apigateway/cli/hosts.py
+++ b/apigateway/cli/hosts.py
@@ -1,4 +1,4 @@
-"""`api-gateway hosts FILE`: the endpoints that a gateway has accepted, or what the registry reports."""
+"""`api-gateway hosts FILE`: print the endpoints that a gateway has accepted or the registry reports."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from typing import Any
 
 from apigateway import messages
-from apigateway.cli.running_gateway import Status, StatusByWorker, print_answers, query_running_gateway
+from apigateway.cli.running_gateway import Status, StatusByWorker, print_statuses, query_running_gateway
 from apigateway.daemon.gateway_status import ListedEndpoint
 from apigateway.daemon.settings import Settings
 from apigateway.daemon.settings_runtime import build_registry
 from apigateway.membership.listing import EndpointListing
 
 _HOST_COLUMNS = ("id", "address", "zone", "cell", "kind", "state", "doubt")
-_SELECTION_COLUMNS = ("subset", "out", "load", "report", "sound")  # only of a gateway that runs
+_SELECTION_COLUMNS = ("subset", "out", "load", "report", "sound")  # only for a running gateway
 _COLUMN_GAP = "  "
 
 _Row = Sequence[str]
 
 
 def hosts(path: str, from_registry: bool, as_json: bool) -> int:
-    """Print the hosts as the running gateway or the registry knows them; return the exit code."""
-    return print_answers(path, partial(_query, from_registry=from_registry), _format_status, as_json)
+    """Print the hosts according to the running gateway or the registry; return the exit code."""
+    return print_statuses(path, partial(_query, from_registry=from_registry), _format_status, as_json)
 
 
 async def _query(settings: Settings, *, from_registry: bool) -> StatusByWorker:
@@ -33,10 +33,10 @@
 
 
 async def _query_registry(settings: Settings) -> Status:
-    """Poll the registry once; return the form of a gateway's answer. Raises OSError."""
+    """Poll the registry once; return the result in the form of a gateway's status. Raises OSError."""
     registry = build_registry(settings)
     if registry is None:
-        raise OSError("the file names no registry: hosts.source is not eureka")
+        raise OSError("the settings define no registry: hosts.source is not eureka")
     from apigateway.membership.eureka.source import EurekaSource, resolve_host_name
 
     source = EurekaSource(
@@ -47,11 +47,11 @@
         resolve=resolve_host_name if registry.mapping.address_source == "name" else None,
     )
     try:
-        for _ in registry.urls:  # each failure goes over to the next
+        for _ in registry.urls:  # a failed poll moves on to the next registry
             if await source.poll():
                 break
         else:
-            raise OSError("no registry answers")
+            raise OSError("no registry answered")
         accepted = [record.accepted for record in source.reconciler.records.values()]
         return {
             "source": f"registry {source.url}",
@@ -77,7 +77,7 @@
 
 
 def _host_rows(host_statuses: list[dict[str, Any]]) -> list[_Row]:
-    """Return the heading and a row for each host; how it is selected only where that is known of any."""
+    """Return the heading and a row for each host, with selection columns if any host has them."""
     has_selection = any(host.get("choice") for host in host_statuses)
     rows: list[_Row] = [_HOST_COLUMNS + _SELECTION_COLUMNS if has_selection else _HOST_COLUMNS]
     for host in host_statuses:
@@ -86,16 +86,16 @@
     return rows
 
 
-def _selection_cells(choice: dict[str, Any] | None) -> tuple[str, ...]:
+def _selection_cells(selection: dict[str, Any] | None) -> tuple[str, ...]:
     """Return the cells of `_SELECTION_COLUMNS`."""
-    if not choice:
+    if not selection:
         return ("",) * len(_SELECTION_COLUMNS)
     return (
-        "in" if choice["near"] else "-",
-        str(choice["out"]),
-        f"{choice['load']:.1f}",
-        "none" if choice["age"] is None else f"{choice['age']:.1f} s",
-        f"{choice['sound']:.2f}" + (" resting" if choice["rests"] else ""),
+        "in" if selection["near"] else "-",
+        str(selection["out"]),
+        f"{selection['load']:.1f}",
+        "none" if selection["age"] is None else f"{selection['age']:.1f} s",
+        f"{selection['sound']:.2f}" + (" resting" if selection["rests"] else ""),
     )
 
 
@@ -115,7 +115,7 @@
 
 
 def _format_selection_counts(counts: dict[str, int]) -> str:
-    """Return what decided this gateway's selections since its start."""
+    """Return how this gateway has selected hosts since its start."""
     return (
         f"choices: {counts['report']} by a fresh report, {counts['mean']} by the mean of all, "
         f"{counts['outside']} outside the subset; drawn and passed over: {counts['doubted']} in doubt or "
--- a/apigateway/cli/load.py
+++ b/apigateway/cli/load.py
@@ -1,4 +1,4 @@
-"""`api-gateway load plan` and `run`: rehearse traffic."""
+"""`api-gateway load plan` and `load run`: plan and run load tests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def print_plan(path: str, as_json: bool) -> int:
-    """Print what a scenario will send; return the exit code."""
+    """Print the requests that a scenario will send; return the exit code."""
     try:
         print(format_plan(plan_scenario(read_scenario(path)), as_json))
     except (InvalidConfigFileError, TooManyRequestsError) as error:
@@ -21,12 +21,12 @@
 
 
 def run(path: str, as_json: bool) -> int:
-    """Send what a scenario says and print the report; return the exit code."""
+    """Send the requests of a scenario and print the report; return the exit code."""
     try:
         scenario = read_scenario(path)
         if not scenario.targets.gateways:
-            return _print_unusable(path, ValueError("targets.gateways: none to send to; name them"))
-        from apigateway.tools.load.run import run as run_scenario  # its libraries are an extra's
+            return _print_unusable(path, ValueError("targets.gateways: none to send to; add at least one"))
+        from apigateway.tools.load.run import run as run_scenario  # needs the libraries of an extra
 
         return run_scenario(scenario, as_json)
     except (InvalidConfigFileError, TooManyRequestsError) as error:
--- a/apigateway/cli/main.py
+++ b/apigateway/cli/main.py
@@ -1,6 +1,6 @@
-"""`python -m apigateway`, or `api-gateway`: parse the arguments and call the command.
+"""Entry point of `api-gateway` and `python -m apigateway`: parse the arguments and run the command.
 
-Each command imports what it needs when it is called, and no more: a start loads none of the tools.
+Each command imports its modules when it is called, so that `serve` does not load the tools.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from apigateway.cli.arguments import build_parser
 from apigateway.exit_codes import ExitCode
 
-_EXTRA_BY_LIBRARY = {  # libraries that only some installations have, and the extra that brings them
+_EXTRA_BY_LIBRARY = {  # optional libraries and the extra that installs them
     "msgspec": "daemon",
     "rich": "tools",
     "hdrh": "load",
@@ -30,7 +30,7 @@
 
 
 def main(command_line: Sequence[str] | None = None) -> int:
-    """Run the command that `command_line`, or else that of the process, names; return its exit code."""
+    """Run the command of `command_line`, by default that of the process; return its exit code."""
     arguments = _parse(command_line)
     try:
         return _COMMANDS[arguments.command](arguments)
@@ -47,21 +47,21 @@
 
 
 def _parse(command_line: Sequence[str] | None) -> argparse.Namespace:
-    """Parse the arguments; ends the process for those that cannot be used."""
+    """Parse the arguments; exit the process if they are invalid."""
     parser = build_parser()
-    arguments, rest = parser.parse_known_args(command_line)
+    arguments, unparsed = parser.parse_known_args(command_line)
     takes_entries = getattr(arguments, "entries", None) is not None
-    if rest and takes_entries and not any(text.startswith("-") for text in rest):
-        arguments.entries += rest  # KEY=VALUE behind an option, which argparse leaves over
-    elif rest:
-        parser.error(f"unrecognized arguments: {' '.join(rest)}")
+    if unparsed and takes_entries and not any(text.startswith("-") for text in unparsed):
+        arguments.entries += unparsed  # argparse does not assign KEY=VALUE arguments that follow an option
+    elif unparsed:
+        parser.error(f"unrecognized arguments: {' '.join(unparsed)}")
     return arguments
 
 
 def _serve(arguments: argparse.Namespace) -> int:
     from apigateway.daemon import pending_signals
 
-    pending_signals.install_handlers()  # before what takes long to load
+    pending_signals.install_handlers()  # before the slow imports
     from apigateway.daemon.serve import serve
 
     return serve(arguments.file, arguments.take_over, arguments.workers)
--- a/apigateway/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -1,4 +1,4 @@
-"""`api-gateway plugin ...`: write, check, try and measure plug-ins."""
+"""`api-gateway plugin ...`: create, check, replay and benchmark plug-ins."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import json
 import sys
 
-from apigateway.cli.running_gateway import Status, format_answers, query_running_gateway
+from apigateway.cli.running_gateway import Status, format_statuses, query_running_gateway
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.settings import read_settings
@@ -15,12 +15,18 @@
 from apigateway.tools.plugins import bench, check, files, replay
 from apigateway.tools.plugins.report import Report, UnusableArgumentError
 
-_MICROSECONDS = 1e6  # in a second
-_COUNT_GROUPS = ("allowed", "denied", "failed", "not asked", "counters")  # of a plug-in's status
+_MICROSECONDS_PER_SECOND = 1e6
+_COUNT_GROUPS = (
+    "allowed",
+    "denied",
+    "failed",
+    "not asked",
+    "counters",
+)  # groups of counts in a plug-in's status
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run one of the plug-in commands; return the exit code."""
+    """Run a plug-in command; return the exit code."""
     try:
         return _run_action(arguments)
     except (InvalidConfigFileError, UnusableArgumentError) as error:
@@ -45,8 +51,8 @@
         case "build":
             print(files.assemble(arguments.file))
         case "status":
-            answers = asyncio.run(query_running_gateway(read_settings(arguments.file), "plugins"))
-            print(format_answers(answers, arguments.json, _format_status))
+            statuses = asyncio.run(query_running_gateway(read_settings(arguments.file), "plugins"))
+            print(format_statuses(statuses, arguments.json, _format_status))
     return ExitCode.OK
 
 
@@ -70,7 +76,7 @@
 
 def _format_plugin(plugin: Status) -> list[str]:
     calls = sum(plugin["calls"].values())
-    mean_us = plugin["cpu"] / max(calls, 1) * _MICROSECONDS
+    mean_us = plugin["cpu"] / max(calls, 1) * _MICROSECONDS_PER_SECOND
     back_in = f", back in {plugin['back in']:.1f} s" if plugin["back in"] else ""
     lines = [
         f"{plugin['name']} ({plugin['kind']} {plugin['digest']}): {plugin['state']}{back_in}, "
--- a/apigateway/cli/ratelimit_ask.py
+++ b/apigateway/cli/ratelimit_ask.py
@@ -1,4 +1,4 @@
-"""`api-gateway ratelimit ask`: ask a rate limit service once."""
+"""`api-gateway ratelimit ask`: send one check to a rate limit service."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 from apigateway.external_ratelimit.service_config import SHOULD_RATE_LIMIT_PATH
 from apigateway.upstream.address import Address, read_address
 
-_UNIT_NAMES = ("", "second", "minute", "hour", "day", "month", "year", "week")  # by rls.proto's number
-_CODE_NAMES = {0: "unknown", 1: "ok", 2: "over limit"}  # by rls.proto's number
-_NANOSECONDS = 1e9  # in a second
+# By their numbers in rls.proto.
+_UNIT_NAMES = ("", "second", "minute", "hour", "day", "month", "year", "week")
+_CODE_NAMES = {0: "unknown", 1: "ok", 2: "over limit"}
 
-_Descriptor = list[tuple[str, str]]  # entries: key and value
+_NANOSECONDS_PER_SECOND = 1e9
+
+_Descriptor = list[tuple[str, str]]  # entries of key and value
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,17 +28,17 @@
 
     Attributes:
         address: HOST:PORT of the service.
-        entries: KEY=VALUE of the first descriptor.
-        descriptors: KEY=VALUE,... of each further one.
-        domain: Of the question.
-        hits: `hits_addend`; 0: none.
-        timeout: Seconds.
-        use_tls: TLS with the system's certificates.
-        ca_file: TLS, with these certificates in their place; empty: not named.
-        cert_file: TLS, with a certificate of the client; empty: none.
-        key_file: Its key; empty: in the same file.
-        server_name: The name that the server's certificate has to have; empty: the address's.
-        as_json: Whether the answer is printed as JSON.
+        entries: Entries of the first descriptor, each KEY=VALUE.
+        descriptors: Further descriptors, each KEY=VALUE,...
+        domain: Domain of the request.
+        hits: `hits_addend`; 0: not set.
+        timeout: Timeout of the call in seconds.
+        use_tls: Whether to use TLS with the system's CA certificates.
+        ca_file: CA certificates that replace the system's, with TLS; empty: not set.
+        cert_file: Certificate of the client, with TLS; empty: none.
+        key_file: Key of the client certificate; empty: in the same file.
+        server_name: Name that the server's certificate must have; empty: that of the address.
+        as_json: Whether to print the response as JSON.
     """
 
     address: str
@@ -54,7 +56,7 @@
 
 
 class _Response(NamedTuple):
-    """How the call ended: gRPC status, its text, and the response message."""
+    """The result of a call: gRPC status, its text, and the response message."""
 
     status: int
     text: str
@@ -62,7 +64,7 @@
 
 
 def ask(options: AskOptions) -> int:
-    """Ask once and print the answer; return the exit code."""
+    """Send one request and print the response; return the exit code."""
     try:
         address = read_address(options.address)
         descriptors = _parse_descriptors(options)
@@ -72,17 +74,17 @@
         return ExitCode.INVALID_INPUT
     from envoy.service.ratelimit.v3 import rls_pb2
 
-    question = _encode_question(options, descriptors)
-    response = asyncio.run(_call(address, ssl_context, options, question))
+    request = _encode_request(options, descriptors)
+    response = asyncio.run(_call(address, ssl_context, options, request))
     if response.status:
         from apigateway.upstream.rpc import status_name
 
         name = status_name(response.status)
         print(f"api-gateway: {options.address}: {name}: {response.text}", file=sys.stderr)
         return ExitCode.FAILED
-    answer = rls_pb2.RateLimitResponse.FromString(response.message)
-    print(_format_json(answer) if options.as_json else _format_text(descriptors, answer))
-    is_over_limit = answer.overall_code == rls_pb2.RateLimitResponse.OVER_LIMIT
+    rls_response = rls_pb2.RateLimitResponse.FromString(response.message)
+    print(_format_json(rls_response) if options.as_json else _format_text(descriptors, rls_response))
+    is_over_limit = rls_response.overall_code == rls_pb2.RateLimitResponse.OVER_LIMIT
     return ExitCode.OVER_LIMIT if is_over_limit else ExitCode.OK
 
 
@@ -92,7 +94,7 @@
     if options.entries:
         descriptors.insert(0, _parse_entries(options.entries))
     if not descriptors:
-        raise ValueError("no descriptor: say KEY=VALUE, once or more")
+        raise ValueError("no descriptor: specify KEY=VALUE at least once")
     return descriptors
 
 
@@ -102,13 +104,13 @@
     for text in texts:
         key, separator, value = text.partition("=")
         if not (key and separator):
-            raise ValueError(f"{text!r} is no KEY=VALUE")
+            raise ValueError(f"{text!r} is not KEY=VALUE")
         entries.append((key, value))
     return entries
 
 
 def _create_ssl_context(options: AskOptions) -> ssl.SSLContext | None:
-    """Return None without TLS. Raises OSError for files that cannot be used."""
+    """Return the TLS context, or None without TLS. Raises OSError for unusable files."""
     if not (options.use_tls or options.ca_file or options.cert_file):
         return None
     context = ssl.create_default_context(cafile=options.ca_file or None)
@@ -118,45 +120,45 @@
     return context
 
 
-def _encode_question(options: AskOptions, descriptors: list[_Descriptor]) -> bytes:
+def _encode_request(options: AskOptions, descriptors: list[_Descriptor]) -> bytes:
     from envoy.service.ratelimit.v3 import rls_pb2
 
-    question = rls_pb2.RateLimitRequest(domain=options.domain, hits_addend=options.hits)
+    request = rls_pb2.RateLimitRequest(domain=options.domain, hits_addend=options.hits)
     for entries in descriptors:
-        descriptor = question.descriptors.add()
+        descriptor = request.descriptors.add()
         for key, value in entries:
             descriptor.entries.add(key=key, value=value)
-    return bytes(question.SerializeToString())
+    return bytes(request.SerializeToString())
 
 
 async def _call(
-    address: Address, ssl_context: ssl.SSLContext | None, options: AskOptions, question: bytes
+    address: Address, ssl_context: ssl.SSLContext | None, options: AskOptions, request: bytes
 ) -> _Response:
     from apigateway.external_ratelimit.channel import GrpcChannel
 
     channel = GrpcChannel(address, ssl_context, options.server_name)
-    ended: asyncio.Future[_Response] = asyncio.get_running_loop().create_future()
+    response_future: asyncio.Future[_Response] = asyncio.get_running_loop().create_future()
 
     def on_response(status: int, text: str, message: bytes) -> None:
-        ended.set_result(_Response(status, text, message))
+        response_future.set_result(_Response(status, text, message))
 
-    channel.call(SHOULD_RATE_LIMIT_PATH, question, options.timeout, on_response)
-    response = await ended
+    channel.call(SHOULD_RATE_LIMIT_PATH, request, options.timeout, on_response)
+    response = await response_future
     channel.close()
     return response
 
 
-def _format_json(answer: Any) -> str:
+def _format_json(rls_response: Any) -> str:
     from google.protobuf.json_format import MessageToDict
 
-    return json.dumps(MessageToDict(answer, preserving_proto_field_name=True), indent=1)
+    return json.dumps(MessageToDict(rls_response, preserving_proto_field_name=True), indent=1)
 
 
-def _format_text(descriptors: list[_Descriptor], answer: Any) -> str:
-    lines = [_CODE_NAMES.get(answer.overall_code, str(answer.overall_code))]
-    for entries, status in zip(descriptors, answer.statuses, strict=False):
+def _format_text(descriptors: list[_Descriptor], rls_response: Any) -> str:
+    lines = [_CODE_NAMES.get(rls_response.overall_code, str(rls_response.overall_code))]
+    for entries, status in zip(descriptors, rls_response.statuses, strict=False):
         lines.append(_format_descriptor_status(entries, status))
-    lines += [f"  {header.key}: {header.value}" for header in answer.response_headers_to_add]
+    lines += [f"  {header.key}: {header.value}" for header in rls_response.response_headers_to_add]
     return "\n".join(lines)
 
 
@@ -166,7 +168,7 @@
     if not status.HasField("current_limit"):
         return text
     limit = status.current_limit
-    reset_s = status.duration_until_reset.ToNanoseconds() / _NANOSECONDS
+    reset_s = status.duration_until_reset.ToNanoseconds() / _NANOSECONDS_PER_SECOND
     return text + (
         f"; {limit.requests_per_unit} a {_UNIT_NAMES[limit.unit]} ({limit.name}), "
         f"{status.limit_remaining} left, window turns in {reset_s:.1f} s"
--- a/apigateway/cli/ratelimit_status.py
+++ b/apigateway/cli/ratelimit_status.py
@@ -1,15 +1,15 @@
-"""`api-gateway ratelimit status`: what a gateway's rate limit service, tokens and external service did."""
+"""`api-gateway ratelimit status`: print the counts of a gateway's rate limit services and tokens."""
 
 from __future__ import annotations
 
 from functools import partial
 
-from apigateway.cli.running_gateway import Status, print_answers, query_running_gateway
+from apigateway.cli.running_gateway import Status, print_statuses, query_running_gateway
 
 
 def print_status(path: str, as_json: bool) -> int:
     """Print the status of the gateway that runs with a settings file; return the exit code."""
-    return print_answers(path, partial(query_running_gateway, query="ratelimit"), _format_status, as_json)
+    return print_statuses(path, partial(query_running_gateway, query="ratelimit"), _format_status, as_json)
 
 
 def _format_status(status: Status) -> str:
@@ -39,5 +39,5 @@
     )
 
 
-def _format_counts(counts: dict[str, int], if_none: str) -> str:
-    return ", ".join(f"{name} {count}" for name, count in sorted(counts.items())) or if_none
+def _format_counts(counts: dict[str, int], text_if_empty: str) -> str:
+    return ", ".join(f"{name} {count}" for name, count in sorted(counts.items())) or text_if_empty
--- a/apigateway/config_validation.py
+++ b/apigateway/config_validation.py
@@ -1,7 +1,7 @@
 """Read TOML settings files into typed structs (msgspec) and report all problems of a file at once.
 
-Each problem names the file, key, value, reason and remedy. Imported only where such a file is read: the
-platform's `run` does without.
+Each problem names the file, key, value, reason and remedy. The module is imported only where such a file is
+read: a gateway that is configured by the platform does not need it.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 import msgspec
 
-MAX_FILE_BYTES = 1024 * 1024  # a wrong path must not fill the memory
-MAX_VALUE_CHARACTERS = 60  # of a value in a message
-MIN_KEY_SIMILARITY = 0.6  # of a known key to an unknown one, to be suggested (difflib's ratio)
+MAX_FILE_BYTES = 1024 * 1024  # bounds the memory used if the path names a wrong, large file
+MAX_VALUE_CHARACTERS = 60  # longer values are truncated in messages
+MIN_KEY_SIMILARITY = 0.6  # difflib ratio from which a known key is suggested for an unknown one
 
-# Values under these keys are never shown, since messages go to the log.
+# Keys whose values are never shown, because messages are logged.
 SECRET_KEYS = frozenset({"password"})
-# Credentials in an address: `//user:password@`.
-CREDENTIALS = re.compile(r"//[^/@\s]*@")
+# Credentials in a URL: `//user:password@`.
+URL_CREDENTIALS = re.compile(r"//[^/@\s]*@")
 
-# msgspec's names of types, as people say them.
-TYPES_IN_WORDS = {
+# Descriptions for messages, by msgspec's names of types.
+TYPE_DESCRIPTIONS = {
     "`float`": "a number",
     "`int`": "a whole number",
     "`str`": "text",
@@ -38,7 +38,7 @@
 }
 
 Section = TypeVar("Section", bound=msgspec.Struct)
-KeyPath = tuple[str | int, ...]  # names of tables and keys, numbers of list items
+KeyPath = tuple[str | int, ...]  # names of tables and keys, indexes of list items
 
 
 class ConfigSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigProblem:
-    """Something in a settings file that cannot be used.
+    """One problem in a settings file.
 
     Attributes:
         file: Path of the file.
-        key: As people write it, `plans.basic.rate`; empty where the file as a whole is concerned.
-        value: As written in the file, shortened; empty if there is none.
+        key: Path of the key, such as `plans.basic.rate`; empty if the problem concerns the whole file.
+        value: Value as written in the file, truncated; empty if there is none.
         reason: What is wrong.
-        remedy: What to do about it.
+        remedy: How to fix it.
     """
 
     file: str
@@ -70,7 +70,7 @@
 
 
 class InvalidConfigFileError(Exception):
-    """A settings file cannot be used; `problems` has all that is wrong in it."""
+    """A settings file is invalid; `problems` contains everything that was found."""
 
     def __init__(self, problems: Iterable[ConfigProblem]) -> None:
         self.problems = tuple(problems)
@@ -78,15 +78,15 @@
 
 
 def format_value(value: object) -> str:
-    """Return a value for a message: on one line, shortened, without credentials."""
-    text = CREDENTIALS.sub("//(hidden)@", repr(value).replace("\n", " "))
+    """Return a value for a message: on one line, truncated, without credentials."""
+    text = URL_CREDENTIALS.sub("//(hidden)@", repr(value).replace("\n", " "))
     if len(text) <= MAX_VALUE_CHARACTERS:
         return text
     return text[: MAX_VALUE_CHARACTERS - 3] + "..."
 
 
 def format_path(path: KeyPath) -> str:
-    """Return a path as people write it: `listeners[1].address`."""
+    """Return a path as text, such as `listeners[1].address`."""
     text = ""
     for step in path:
         if isinstance(step, int):
@@ -97,59 +97,61 @@
 
 
 def read_toml(path: str) -> dict[str, Any]:
-    """Return the file's tree of tables and values.
+    """Return the parsed content of a TOML file.
 
     Raises:
-        InvalidConfigFileError: With one problem. It is no regular file, too long, not text or not TOML.
+        InvalidConfigFileError: With one problem. The file is missing, not regular, too long or not TOML.
     """
     raw = _read_file(path)
     try:
         return tomllib.loads(raw.decode("utf-8"))
     except UnicodeDecodeError as err:
-        raise _unusable(path, f"is not UTF-8 (byte {err.start})", "save it as UTF-8") from err
+        raise _file_error(path, f"is not UTF-8 (byte {err.start})", "save it as UTF-8") from err
     except tomllib.TOMLDecodeError as err:
-        raise _unusable(
-            path, f"is not TOML: {err}", "mend it there; a file half written ends like that"
+        raise _file_error(
+            path, f"is not TOML: {err}", "fix the syntax error; a half written file causes it too"
         ) from err
     except RecursionError as err:
-        raise _unusable(path, "is nested too deep", "write it flat") from err
+        raise _file_error(path, "is nested too deeply", "use fewer levels") from err
 
 
 def _read_file(path: str) -> bytes:
     try:
         status = os.stat(path)
         if not stat.S_ISREG(status.st_mode):
-            raise _unusable(path, "is no regular file", "name a TOML file")
+            raise _file_error(path, "is not a regular file", "specify a TOML file")
         if status.st_size > MAX_FILE_BYTES:
-            raise _unusable(
-                path, f"holds {status.st_size} bytes", f"{MAX_FILE_BYTES} at most; is it the right file?"
+            raise _file_error(
+                path, f"has {status.st_size} bytes", f"at most {MAX_FILE_BYTES} are allowed; check the path"
             )
         with open(path, "rb") as file:
             return file.read(MAX_FILE_BYTES + 1)
     except OSError as err:
-        raise _unusable(path, f"cannot be read ({err.strerror})", "check the path and its rights") from err
+        raise _file_error(
+            path, f"cannot be read ({err.strerror})", "check the path and its permissions"
+        ) from err
 
 
-def _unusable(path: str, reason: str, remedy: str) -> InvalidConfigFileError:
+def _file_error(path: str, reason: str, remedy: str) -> InvalidConfigFileError:
     return InvalidConfigFileError([ConfigProblem(path, "", "", reason, remedy)])
 
 
 class ConfigReader:
-    """Converts a file's tree into a struct and collects everything that does not fit.
+    """Converts the content of a file to a struct and collects the problems.
 
     Attributes:
         file: Path of the file, for messages.
-        problems: What was found so far.
+        problems: The problems found so far.
     """
 
     def __init__(self, file: str) -> None:
         self.file = file
         self.problems: list[ConfigProblem] = []
-        self._invalid_paths: list[KeyPath] = []  # of all problems
-        self._malformed_paths: list[KeyPath] = []  # of the keys that are wrong by themselves
+        self._invalid_paths: list[KeyPath] = []  # paths of all problems
+        self._malformed_paths: list[KeyPath] = []  # paths of keys that `read` found invalid
 
     def add_problem(self, path: KeyPath, value: object, reason: str, remedy: str) -> None:
-        """Add a problem; a `value` of None is not shown."""
+        """Add a problem; `value` is not shown if it is None."""
         self._invalid_paths.append(path)
         if value is None:
             text = ""
@@ -160,9 +162,9 @@
         self.problems.append(ConfigProblem(self.file, format_path(path), text, reason, remedy))
 
     def add_semantic_problem(self, path: KeyPath, value: object, reason: str, remedy: str) -> None:
-        """Add a problem between several keys, each of which is well-formed.
+        """Add a problem of keys that are well-formed, such as a conflict between several of them.
 
-        It is left out where the key or a neighbour in its table is malformed, which may be the cause.
+        It is skipped if the key or another key of its table is malformed, because that may be the cause.
         """
         table = path[:-1]
         for malformed in self._malformed_paths:
@@ -171,11 +173,11 @@
         self.add_problem(path, value, reason, remedy)
 
     def read(self, tree: dict[str, Any], section_type: type[Section]) -> Section | None:
-        """Convert a tree and collect its problems.
+        """Convert the content of a file and collect its problems.
 
         Returns:
-            The struct, with the defaults in place of values that are wrong; None if a value that is wrong or
-            missing has no default.
+            The struct, with defaults in place of invalid values; None if an invalid or missing value has no
+            default.
         """
         self._check_section(tree, section_type, ())
         self._malformed_paths = list(self._invalid_paths)
@@ -190,7 +192,7 @@
 
     def _check_section(self, tree: object, section_type: type[msgspec.Struct], path: KeyPath) -> None:
         if not isinstance(tree, dict):
-            self.add_problem(path, tree, "is no table", f"write [{format_path(path)}] and its keys under it")
+            self.add_problem(path, tree, "is not a table", f"write [{format_path(path)}] and its keys below")
             return
         fields = {field.encode_name: field for field in msgspec.structs.fields(section_type)}
         for name in tree.keys() - fields.keys():
@@ -208,9 +210,9 @@
         container = get_origin(field.type)
         item_type = get_args(field.type)[-1] if container in (list, dict) else None
         if container is list and _is_struct(item_type):
-            self._check_section_list(value, item_type, path)
+            self._check_list_of_sections(value, item_type, path)
         elif container is dict and _is_struct(item_type):
-            self._check_section_table(value, item_type, path)
+            self._check_table_of_sections(value, item_type, path)
         else:
             self._check_plain_value(value, field, path)
 
@@ -218,30 +220,32 @@
         try:
             msgspec.convert(value, field.type)
         except msgspec.ValidationError as err:
-            reason = _reason_in_words(err)
+            reason = _describe_validation_error(err)
             has_default = field.default is not msgspec.NODEFAULT and field.default is not None
-            remedy = f"its default is {format_value(field.default)}" if has_default else "mend the value"
+            remedy = f"its default is {format_value(field.default)}" if has_default else "correct the value"
             self.add_problem(path, value, reason, remedy)
 
-    def _check_section_list(self, value: object, item_type: Any, path: KeyPath) -> None:
+    def _check_list_of_sections(self, value: object, item_type: Any, path: KeyPath) -> None:
         if not isinstance(value, list):
-            self.add_problem(path, value, "is no list of tables", f"write [[{format_path(path)}]] over each")
+            self.add_problem(
+                path, value, "is not a list of tables", f"write [[{format_path(path)}]] above each"
+            )
             return
-        for number, item in enumerate(value):
-            self._check_section(item, item_type, (*path, number))
+        for index, item in enumerate(value):
+            self._check_section(item, item_type, (*path, index))
 
-    def _check_section_table(self, value: object, item_type: Any, path: KeyPath) -> None:
+    def _check_table_of_sections(self, value: object, item_type: Any, path: KeyPath) -> None:
         if not isinstance(value, dict):
             self.add_problem(
-                path, value, "is no table of tables", f"write [{format_path(path)}.NAME] over each"
+                path, value, "is not a table of tables", f"write [{format_path(path)}.NAME] above each"
             )
             return
         for name, item in value.items():
             self._check_section(item, item_type, (*path, name))
 
 
-def _is_struct(kind: Any) -> bool:
-    return isinstance(kind, type) and issubclass(kind, msgspec.Struct)
+def _is_struct(field_type: Any) -> bool:
+    return isinstance(field_type, type) and issubclass(field_type, msgspec.Struct)
 
 
 def _remove_key(tree: Any, path: KeyPath) -> None:
@@ -251,13 +255,13 @@
         tree.pop(path[-1], None)
 
 
-def _suggest_key(name: object, known: Iterable[str]) -> str:
-    similar = difflib.get_close_matches(str(name), known, 1, MIN_KEY_SIMILARITY)
-    return f"did you mean `{similar[0]}`?" if similar else f"known here: {', '.join(known)}"
+def _suggest_key(name: object, known_names: Iterable[str]) -> str:
+    similar = difflib.get_close_matches(str(name), known_names, 1, MIN_KEY_SIMILARITY)
+    return f"did you mean `{similar[0]}`?" if similar else f"valid keys: {', '.join(known_names)}"
 
 
-def _reason_in_words(err: msgspec.ValidationError) -> str:
+def _describe_validation_error(err: msgspec.ValidationError) -> str:
     reason = str(err).split(" - at ")[0]
-    for name, words in TYPES_IN_WORDS.items():
-        reason = reason.replace(name, words)
+    for name, description in TYPE_DESCRIPTIONS.items():
+        reason = reason.replace(name, description)
     return reason[0].lower() + reason[1:]
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -54,9 +54,9 @@
 @pytest.mark.parametrize(
     ("arguments", "message"),
     [
-        (["127.0.0.1:1"], "no descriptor: say KEY=VALUE, once or more"),
+        (["127.0.0.1:1"], "no descriptor: specify KEY=VALUE at least once"),
         (["nowhere", "a=b"], "'nowhere' is not HOST:PORT"),
-        (["127.0.0.1:1", "a=b", "--hits", "2", "c"], "'c' is no KEY=VALUE"),  # left over by argparse
+        (["127.0.0.1:1", "a=b", "--hits", "2", "c"], "'c' is not KEY=VALUE"),  # left over by argparse
     ],
 )
 def test_ratelimit_ask_when_an_argument_cannot_be_used_then_says_which(arguments, message, capsys):
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -65,7 +65,7 @@
     [
         ("[plan.p]\nrate = 1.0", "plan", "did you mean `plans`"),
         ("[plans.q]\nrte = 1.0\nburst = 3.0", "plans.q.rte", "did you mean `rate`"),
-        ("[daemon]\nxyz = 1", "daemon.xyz", "known here: state"),
+        ("[daemon]\nxyz = 1", "daemon.xyz", "valid keys: state"),
         ('[limits]\nmax_open = "many"', "limits.max_open", "a whole number, got text"),
         ("[limits]\nmax_open = 0", "limits.max_open", ">= 1; its default is 20000"),
         ("[rules]\ncold_share = 1.5", "rules.cold_share", "<= 1.0"),
@@ -175,17 +175,17 @@
     ):
         (fault,) = faults(tmp_path, text).values()
         assert fault.key == "" and word in str(fault)
-    with pytest.raises(InvalidConfigFileError, match="no regular file"):
+    with pytest.raises(InvalidConfigFileError, match="not a regular file"):
         read_settings(str(tmp_path))
     with pytest.raises(InvalidConfigFileError, match="No such file"):
         read_settings(str(tmp_path / "none.toml"))
     os.mkfifo(tmp_path / "fifo")
-    with pytest.raises(InvalidConfigFileError, match="no regular file"):
+    with pytest.raises(InvalidConfigFileError, match="not a regular file"):
         read_settings(str(tmp_path / "fifo"))
     big = tmp_path / "big.toml"
     with open(big, "wb") as file:
         file.truncate(60 * 1024 * 1024)
-    with pytest.raises(InvalidConfigFileError, match=f"{MAX_FILE_BYTES} at most"):
+    with pytest.raises(InvalidConfigFileError, match=f"at most {MAX_FILE_BYTES} are allowed"):
         read_settings(str(big))
 
 
