--- a/apigateway/cli/ratelimit_ask.py
+++ b/apigateway/cli/ratelimit_ask.py
@@ -11,7 +11,7 @@
 
 from apigateway.exit_codes import ExitCode
 from apigateway.external_ratelimit.service_config import SHOULD_RATE_LIMIT_PATH
-from apigateway.upstream.address import Address, read_address
+from apigateway.upstream.address import Address, parse_address
 
 # By their numbers in rls.proto.
 _UNIT_NAMES = ("", "second", "minute", "hour", "day", "month", "year", "week")
@@ -66,7 +66,7 @@
 def ask(options: AskOptions) -> int:
     """Send one request and print the response; return the exit code."""
     try:
-        address = read_address(options.address)
+        address = parse_address(options.address)
         descriptors = _parse_descriptors(options)
         ssl_context = _create_ssl_context(options)
     except (ValueError, OSError) as error:
--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -49,10 +49,10 @@
 
 
 class GatewayServer:
-    """One gateway. `start` and `stop` are its life.
+    """One gateway: `start` begins serving, `stop` ends it.
 
-    A process that takes over from another calls `prepare`, `begin` and `listen` in place of `start`; one that
-    hands over calls `pause`, and `resume` if the successor failed.
+    A process that takes over from another calls `prepare`, `reset_decision_module` and `listen` instead of
+    `start`. One that hands over calls `pause`, and `resume` if the successor failed.
 
     Attributes:
         config: In force.
@@ -104,7 +104,7 @@
         ]
         self._source_factory = EndpointSourceFactory(self.core, self.endpoint_list)
         self.endpoint_source: EndpointSource = self._source_factory.create(config)
-        self.core.membership = self.endpoint_source
+        self.core.endpoint_source = self.endpoint_source
         self.plugins: PluginManager | None = None
         self._closing_tasks: set[asyncio.Task[None]] = set()  # of what a reload replaced
 
@@ -169,7 +169,7 @@
         self.endpoint_list.apply(self.config.known_endpoints)
         if self.config.evacuated_zones:
             self.endpoint_list.evacuate_zones(self.config.evacuated_zones)
-        self.upstream.start_checks()
+        self.upstream.start_idle_checks()
         if self.counter:
             self.counter.start()
         if self.core.settings.discovery_mode == messages.DiscoveryMode.PUSH:
@@ -227,7 +227,7 @@
         """Take the endpoint list from another source; the last list stays until that one reports its own."""
         replaced = self.endpoint_source
         self.endpoint_source = source
-        self.core.membership = source
+        self.core.endpoint_source = source
         if replaced.watching:  # the watch begins with the complete list: another service has its own versions
             source.watch(True)
         replaced.watch(False)  # at once: what it receives in this turn of the loop is not read any more
@@ -246,7 +246,7 @@
         from apigateway.policy.overload_gate import OverloadGate
 
         limits = config.settings.limits
-        max_retry_after = limits.max_retry_after if limits.can_tell_retry_after else 0.0
+        max_retry_after = limits.max_retry_after if limits.can_send_retry_after else 0.0
         terms = (*config.overload, max_retry_after)
         if self._overload_gate is None:
             self._overload_gate = OverloadGate(*terms, config.seed)
@@ -297,7 +297,7 @@
         self.core.dispatch(messages.DrainGateway(False))
         await self.listen(sockets)
 
-    def begin(self, predecessor_listing: EndpointListing) -> None:
+    def reset_decision_module(self, predecessor_listing: EndpointListing) -> None:
         """Start the decision module anew, with the endpoints that this process knows.
 
         An endpoint drains if either process was told that it does: the gateway was told. The source is asked
--- a/apigateway/membership/file.py
+++ b/apigateway/membership/file.py
@@ -18,10 +18,10 @@
 from apigateway.config_validation import ConfigReader, InvalidConfigFileError, read_toml
 from apigateway.membership.listing import EndpointListing
 from apigateway.messages import EndpointStatus, ListMode
-from apigateway.upstream.address import Address, read_address
+from apigateway.upstream.address import Address, parse_address
 
 POLL_INTERVAL_S = 0.5  # picks up an edit quickly, at the cost of one stat() each
-_STATUS_BY_STATE_VALUE = {"up": EndpointStatus.UP, "draining": EndpointStatus.LEAVING}
+_STATUS_BY_STATE_VALUE = {"up": EndpointStatus.UP, "draining": EndpointStatus.DRAINING}
 
 log = logging.getLogger(__name__)
 
@@ -64,7 +64,7 @@
     for index, host in enumerate(file.hosts if file else ()):
         host_path = ("hosts", index)
         try:
-            address = read_address(host.address)
+            address = parse_address(host.address)
         except ValueError:
             reader.add_semantic_problem(
                 (*host_path, "address"), host.address, "is not an address", "write it as HOST:PORT"
--- a/apigateway/membership/listing.py
+++ b/apigateway/membership/listing.py
@@ -8,11 +8,11 @@
 
 from apigateway import messages
 from apigateway.messages import EndpointStatus, ListMode
-from apigateway.upstream.address import Address, read_address, write_address
+from apigateway.upstream.address import Address, format_address, parse_address
 
 _STATUS_BY_WIRE_NAME = {
     "up": EndpointStatus.UP,
-    "draining": EndpointStatus.LEAVING,
+    "draining": EndpointStatus.DRAINING,
     "removed": EndpointStatus.DOWN,
 }
 _WIRE_NAME_BY_STATUS = {state: name for name, state in _STATUS_BY_WIRE_NAME.items()}
@@ -92,7 +92,7 @@
         state=state,
         started_at=started_at,
     )
-    return endpoint, read_address(entry["addr"]) if entry.get("addr") else None
+    return endpoint, parse_address(entry["addr"]) if entry.get("addr") else None
 
 
 def _endpoint_to_json(endpoint: messages.Endpoint, address: Address | None) -> dict[str, Any]:
@@ -106,5 +106,5 @@
         "started_ms": endpoint.started_at * 1000,
     }
     if address is not None:
-        entry["addr"] = write_address(address)
+        entry["addr"] = format_address(address)
     return entry
--- a/apigateway/membership/reconciler.py
+++ b/apigateway/membership/reconciler.py
@@ -34,7 +34,7 @@
 from apigateway.upstream.address import Address
 
 # A higher severity is a worse state.
-_SEVERITY_BY_STATE = {EndpointStatus.UP: 0, EndpointStatus.LEAVING: 1, EndpointStatus.DOWN: 2}
+_SEVERITY_BY_STATE = {EndpointStatus.UP: 0, EndpointStatus.DRAINING: 1, EndpointStatus.DOWN: 2}
 
 
 class DoubtReason(StrEnum):
--- a/apigateway/membership/reconciler_driver.py
+++ b/apigateway/membership/reconciler_driver.py
@@ -90,4 +90,4 @@
 
 
 def _as_draining(report: ReportedEndpoint) -> ReportedEndpoint:
-    return replace(report, endpoint=replace(report.endpoint, state=EndpointStatus.LEAVING), timestamp_ms=0)
+    return replace(report, endpoint=replace(report.endpoint, state=EndpointStatus.DRAINING), timestamp_ms=0)
--- a/tests/counter/test_pending_call.py
+++ b/tests/counter/test_pending_call.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from netkit import on_loop
+from gateway_harness import run_on_uvloop
 
 from apigateway import messages
 from apigateway.counter.pending_call import PendingCall
@@ -11,7 +11,7 @@
 
 
 def test_results_when_compared_with_the_messages_then_are_the_same_words():
-    assert tuple(CounterCallResult) == messages.COUNT_RESULTS
+    assert tuple(CounterCallResult) == messages.COUNTER_CALL_RESULTS
     for result in CounterCallResult:
         assert json.dumps(result) == f'"{result}"' == f'"{result.value}"'
         assert messages.CounterResult(8, result, 0.0, 0.0) == messages.CounterResult(
@@ -27,7 +27,7 @@
     assert reported == [(8, "ok", 3.0)]
 
 
-@on_loop
+@run_on_uvloop
 async def test_deadline_when_it_passes_then_the_call_timed_out():
     results = asyncio.Queue()
     call = PendingCall(8, lambda key, result, total, elapsed: results.put_nowait((result, elapsed)))
@@ -37,11 +37,11 @@
     assert elapsed >= 0.015  # the loop's timers tick in milliseconds
 
 
-@on_loop
+@run_on_uvloop
 async def test_deadline_when_the_reply_came_before_then_reports_nothing_more():
     reported = []
     call = PendingCall(8, lambda key, result, total, elapsed: reported.append(result))
     call.set_deadline(asyncio.get_running_loop(), 0.01)
-    call.finish(CounterCallResult.FULL)
+    call.finish(CounterCallResult.REJECTED)
     await asyncio.sleep(0.03)
     assert reported == ["full"]
