--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -197,7 +197,9 @@
             [make_host_entry(one, "h1", state), make_host_entry(two, "h2")] for state in (ours, theirs)
         )
         harness.server.endpoint_list.apply(listing_from_json({"version": 2, "full": True, "servers": mine}))
-        harness.server.reset_decision_module(listing_from_json({"version": 1, "full": True, "servers": yours}, "cached"))
+        harness.server.reset_decision_module(
+            listing_from_json({"version": 1, "full": True, "servers": yours}, "cached")
+        )
         assert [s.host.id for s in harness.server.core.module.pool.available] == ["h2"]
         for n in range(4):
             assert await harness.send_command(make_command(b"r%d" % n)) == VALUE_REPLY
@@ -213,7 +215,11 @@
         told.append,
         lambda: 100.0,
     )
-    up = [ReportedEndpoint(messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
+    up = [
+        ReportedEndpoint(
+            messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), timestamp_ms=7
+        )
+    ]
     judge.apply(up, is_complete=True)
     judge.mark_draining(["h1", "unknown"])
     assert told[-1].endpoint_list.endpoints[0].state == "leaving"
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -136,7 +136,9 @@
             await asyncio.sleep(0)
         seen.clear()
         harness.server.endpoint_list.apply(
-            listing_from_json({"version": 2, "full": False, "servers": [make_host_entry(host, "h1", "draining")]})
+            listing_from_json(
+                {"version": 2, "full": False, "servers": [make_host_entry(host, "h1", "draining")]}
+            )
         )
         await done.wait()
         assert seen == [messages.EndpointList, messages.AttemptOutcome, "connect_failed"]
