--- a/apigateway/membership/discovery.py
+++ b/apigateway/membership/discovery.py
@@ -76,11 +76,11 @@
         """Whether the watch is running."""
         return self._watch_task is not None
 
-    def watch(self, on: bool) -> None:
+    def watch(self, is_on: bool) -> None:
         """Start or stop the watch; starting it requests the complete list first."""
-        if on and self._watch_task is None:
+        if is_on and self._watch_task is None:
             self._watch_task = asyncio.get_running_loop().create_task(self._run())
-        elif not on and self._watch_task is not None:
+        elif not is_on and self._watch_task is not None:
             self._watch_task.cancel()
             self._watch_task = None
             self._end_overdue_watch()
--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -142,11 +142,11 @@
         """The base URL of the registry that is polled."""
         return self.settings.urls[self._url_index].rstrip("/")
 
-    def watch(self, on: bool) -> None:
+    def watch(self, is_on: bool) -> None:
         """Start or stop polling."""
-        if on and self._watch_task is None:
+        if is_on and self._watch_task is None:
             self._watch_task = asyncio.get_running_loop().create_task(self._run())
-        elif not on and self._watch_task is not None:
+        elif not is_on and self._watch_task is not None:
             self._watch_task.cancel()
             self._watch_task = None
 
--- a/apigateway/membership/file.py
+++ b/apigateway/membership/file.py
@@ -107,12 +107,12 @@
         """Whether the file is polled for changes."""
         return self._timer is not None
 
-    def watch(self, on: bool) -> None:
+    def watch(self, is_on: bool) -> None:
         """Start or stop polling the file; starting polls it at once."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if on:
+        if is_on:
             self._poll()
 
     def fetch(self) -> None:
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""The command line: arguments, the commands that they name, exit codes."""
+"""The command line: arguments, commands and exit codes."""
 
 import pytest
 
@@ -18,35 +18,35 @@
     assert capsys.readouterr().out == f"api-gateway {__version__}\n"
 
 
-def test_unknown_argument_when_parsed_then_ends_with_unusable(capsys):
-    with pytest.raises(SystemExit) as ended:
+def test_unknown_argument_ends_with_the_exit_code_for_invalid_input(capsys):
+    with pytest.raises(SystemExit) as caught:
         main(["version", "more"])
-    assert ended.value.code == ExitCode.INVALID_INPUT
+    assert caught.value.code == ExitCode.INVALID_INPUT
     assert "unrecognized arguments: more" in capsys.readouterr().err
 
 
-def test_missing_library_when_a_command_needs_it_then_names_its_extra(monkeypatch, capsys):
-    def needs_matplotlib(arguments):
+def test_missing_library_of_a_command_is_reported_with_its_extra(monkeypatch, capsys):
+    def raise_missing_matplotlib(arguments):
         raise ModuleNotFoundError("No module named 'matplotlib.figure'", name="matplotlib.figure")
 
-    monkeypatch.setitem(_COMMANDS, "check", needs_matplotlib)
+    monkeypatch.setitem(_COMMANDS, "check", raise_missing_matplotlib)
     assert main(["check", "any.toml"]) == ExitCode.FAILED
     assert capsys.readouterr().err == (
         "api-gateway: check needs matplotlib.figure: pip install 'apigateway[experiment]'\n"
     )
 
 
-def test_missing_module_of_the_program_itself_is_raised(monkeypatch):
-    def is_broken(arguments):
+def test_missing_module_of_the_package_itself_is_raised(monkeypatch):
+    def raise_missing_own_module(arguments):
         raise ModuleNotFoundError("No module named 'apigateway.nothing'", name="apigateway.nothing")
 
-    monkeypatch.setitem(_COMMANDS, "check", is_broken)
+    monkeypatch.setitem(_COMMANDS, "check", raise_missing_own_module)
     with pytest.raises(ModuleNotFoundError):
         main(["check", "any.toml"])
 
 
 @pytest.mark.parametrize("command", ["check", "hosts"])
-def test_settings_file_when_missing_then_is_unusable(command, capsys):
+def test_missing_settings_file_is_invalid_input(command, capsys):
     assert main([command, "/nowhere/gateway.toml"]) == ExitCode.INVALID_INPUT
     assert "cannot be read" in capsys.readouterr().err
 
@@ -56,9 +56,9 @@
     [
         (["127.0.0.1:1"], "no descriptor: specify KEY=VALUE at least once"),
         (["nowhere", "a=b"], "'nowhere' is not HOST:PORT"),
-        (["127.0.0.1:1", "a=b", "--hits", "2", "c"], "'c' is not KEY=VALUE"),  # left over by argparse
+        (["127.0.0.1:1", "a=b", "--hits", "2", "c"], "'c' is not KEY=VALUE"),  # not assigned by argparse
     ],
 )
-def test_ratelimit_ask_when_an_argument_cannot_be_used_then_says_which(arguments, message, capsys):
+def test_ratelimit_ask_reports_which_argument_is_invalid(arguments, message, capsys):
     assert main(["ratelimit", "ask", *arguments]) == ExitCode.INVALID_INPUT
     assert capsys.readouterr().err == f"api-gateway: {message}\n"
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -1,4 +1,4 @@
-"""Lists of hosts: changes, drains, malformed answers."""
+"""Endpoint lists from discovery: changes, drains, malformed responses, retries."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 
 
 @run_on_uvloop
-async def test_host_when_draining_then_gets_no_new_request_nor_one_that_waits_for_a_connection(tmp_path):
+async def test_draining_host_gets_neither_new_requests_nor_requests_waiting_for_a_connection(tmp_path):
     async with (
         EmulatedHost() as one,
         EmulatedHost() as two,
@@ -34,15 +34,15 @@
         await harness.discovery.calls.get()
         harness.discovery.change([make_host_entry(one, "h1", "draining")])
         while (await harness.discovery.calls.get()).get("index") != "2":
-            pass  # the watch that follows the change: it has been told
-        before = len(one.commands)
+            pass  # the next watch shows that the gateway has received the change
+        command_count = len(one.commands)
         for n in range(8):
             assert await harness.send_command(make_command(b"b%d" % n)) == VALUE_REPLY
-        assert len(one.commands) == before
+        assert len(one.commands) == command_count
 
 
 @run_on_uvloop
-async def test_hosts_follow_the_list(tmp_path):
+async def test_list_change_replaces_the_address_of_a_host(tmp_path):
     async with EmulatedHost() as old, EmulatedHost() as new, GatewayHarness(old, path=tmp_path) as harness:
         assert await harness.send_command(make_command(b"a")) == VALUE_REPLY
         await harness.discovery.calls.get()
@@ -63,7 +63,7 @@
     ],
 )
 @run_on_uvloop
-async def test_malformed_lists_leave_the_last_one_in_force(raw, tmp_path):
+async def test_malformed_list_leaves_the_last_list_in_force(raw, tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         await harness.discovery.calls.get()
         await harness.discovery.calls.get()
@@ -71,12 +71,12 @@
         harness.discovery.change([])
         assert await harness.send_command(make_command()) == VALUE_REPLY
         while "index" in await harness.discovery.calls.get():
-            pass  # it asks for the whole list again
+            pass  # the gateway requests the complete list again
         assert await harness.send_command(make_command(b"r2")) == VALUE_REPLY
 
 
 @run_on_uvloop
-async def test_entry_when_malformed_then_does_not_hide_the_drains_beside_it(tmp_path):
+async def test_malformed_entries_do_not_hide_a_drain_in_the_same_list(tmp_path):
     async with (
         EmulatedHost() as one,
         EmulatedHost() as two,
@@ -103,25 +103,25 @@
     async with EmulatedHost() as one, GatewayHarness(one, path=tmp_path) as harness:
         while "index" not in await harness.discovery.calls.get():
             pass
-        gone = make_host_entry(one, "h1", "removed")
-        harness.discovery.raw = json.dumps({"version": 0, "full": False, "servers": [gone]})
+        removed_entry = make_host_entry(one, "h1", "removed")
+        harness.discovery.raw = json.dumps({"version": 0, "full": False, "servers": [removed_entry]})
         harness.discovery.change([])
         while "index" in await harness.discovery.calls.get():
-            pass  # it asks for the whole list again
+            pass  # the gateway requests the complete list again
         assert await harness.send_command(make_command()) == VALUE_REPLY
 
 
 @run_on_uvloop
-async def test_module_is_notified_of_a_drain_before_the_attempts_that_it_ends(tmp_path):
+async def test_module_receives_a_drain_before_the_outcomes_of_the_attempts_that_it_ends(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
-        seen, done = [], asyncio.Event()
+        seen, outcome_received = [], asyncio.Event()
 
-        class Sender:
+        class SendingModule:
             def handle(self, now, event):
                 seen.append(type(event))
                 if isinstance(event, messages.AttemptOutcome):
                     seen.append(event.result)
-                    done.set()
+                    outcome_received.set()
                     return [messages.Fail(event.request_id)]
                 return (
                     [messages.ForwardRequest(event.request_id, "h1")]
@@ -129,10 +129,10 @@
                     else []
                 )
 
-        harness.server.core.module = Sender()
-        asked = asyncio.create_task(harness.send_command(make_command()))
+        harness.server.core.module = SendingModule()
+        reply = asyncio.create_task(harness.send_command(make_command()))
         pool = harness.server.upstream.pools["h1"]
-        while not pool.connecting:  # the attempt waits for its connection
+        while not pool.connecting:  # until the attempt waits for a connection
             await asyncio.sleep(0)
         seen.clear()
         harness.server.endpoint_list.apply(
@@ -140,13 +140,15 @@
                 {"version": 2, "full": False, "servers": [make_host_entry(host, "h1", "draining")]}
             )
         )
-        await done.wait()
+        await outcome_received.wait()
         assert seen == [messages.EndpointList, messages.AttemptOutcome, "connect_failed"]
-        assert (await asked).startswith(b"-ERR") and not host.commands
+        assert (await reply).startswith(b"-ERR") and not host.commands
 
 
 @run_on_uvloop
-async def test_discovery_when_silent_then_is_called_again_while_the_last_list_serves(tmp_path, monkeypatch):
+async def test_discovery_that_does_not_answer_is_called_again_while_the_last_list_stays_in_use(
+    tmp_path, monkeypatch
+):
     schedule = WatchSchedule(
         is_polled=False,
         wait=0.1,
@@ -165,25 +167,25 @@
         harness.discovery.silent = True
         for _ in range(2):
             while "index" in await harness.discovery.calls.get():
-                pass  # a watch that failed is followed by calls for the whole list
+                pass  # after a failed watch the gateway requests the complete list
         assert await harness.send_command(make_command()) == VALUE_REPLY
         harness.discovery.silent = False
         while "index" not in await harness.discovery.calls.get():
-            pass  # it watches again
+            pass  # the gateway watches again
         assert await harness.send_command(make_command(b"r2")) == VALUE_REPLY
 
 
 @pytest.mark.parametrize("grace", [0.3, 0.5, 0.7, 1.0, 2.0, 4.0, 60.0])
-def test_change_when_a_dead_watch_missed_it_then_is_known_within_the_drain_grace(grace):
+def test_agent_schedule_detects_a_change_missed_by_a_dead_watch_within_the_drain_grace(grace):
     schedule = WatchSchedule.for_agent(grace)
     assert schedule.wait + schedule.overdue_after + schedule.hedge_after < grace
-    # s; a list is not asked for in a busy loop
+    # seconds; the list must not be requested in a busy loop
     assert min(schedule.wait, schedule.overdue_after, schedule.hedge_after) >= 0.04
     assert max(schedule.wait, schedule.overdue_after, schedule.hedge_after) <= 2.0
 
 
 @run_on_uvloop
-async def test_complete_list_when_a_call_is_never_answered_then_is_requested_beside_it(tmp_path, monkeypatch):
+async def test_complete_list_is_requested_again_while_an_earlier_call_is_not_answered(tmp_path, monkeypatch):
     monkeypatch.setattr(watch_schedule, "AGENT_CALL_TIMEOUT_S", 10.0 * TEST_TIMEOUT_S)
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         while "index" not in await harness.discovery.calls.get():
@@ -194,22 +196,21 @@
                 pass
         harness.discovery.silent = False
         while "index" not in await harness.discovery.calls.get():
-            pass  # it was told the whole list, and watches again
-        assert (
-            len(await quiet(harness.server.endpoint_source)) == 1
-        )  # those that were never answered are not kept
+            pass  # the gateway has received the complete list and watches again
+        # The connections of the unanswered calls are closed.
+        assert len(await wait_for_idle_connections(harness.server.endpoint_source)) == 1
 
 
-async def quiet(source):
-    """The connections that its calls hold, once it holds no more than its watch does."""
-    held = source._session.connector._acquired
-    while len(held) > 1:
+async def wait_for_idle_connections(source):
+    """Wait until at most one connection is in use, that of the watch; return the connections."""
+    acquired = source._session.connector._acquired
+    while len(acquired) > 1:
         await asyncio.sleep(0)
-    return held
+    return acquired
 
 
 @run_on_uvloop
-async def test_complete_list_when_older_than_the_last_then_brings_nothing_back(tmp_path):
+async def test_late_older_complete_list_does_not_bring_a_drained_host_back(tmp_path):
     async with (
         EmulatedHost() as one,
         EmulatedHost() as two,
@@ -217,21 +218,21 @@
     ):
         while "index" not in await harness.discovery.calls.get():
             pass
-        harness.discovery.held = held = asyncio.Event()
+        harness.discovery.held = release_response = asyncio.Event()
         harness.server.endpoint_source.fetch()
-        (fetching,) = harness.server.endpoint_source.fetch_tasks
+        (fetch_task,) = harness.server.endpoint_source.fetch_tasks
         while "index" in await harness.discovery.calls.get():
-            pass  # it has been asked, and its answer is of before the change
+            pass  # discovery has received the request; its response predates the change
         harness.discovery.change([make_host_entry(one, "h1", "draining")])
         while set(harness.server.upstream.pools) != {"h2"}:
             await asyncio.sleep(0)
-        held.set()
-        await fetching
+        release_response.set()
+        await fetch_task
         assert set(harness.server.upstream.pools) == {"h2"} and harness.server.endpoint_source.version == 2
 
 
 @run_on_uvloop
-async def test_complete_list_when_the_service_restarted_with_lower_versions_then_is_accepted(tmp_path):
+async def test_complete_list_with_a_lower_version_after_a_service_restart_is_accepted(tmp_path):
     async with (
         EmulatedHost() as one,
         EmulatedHost() as two,
@@ -241,32 +242,32 @@
             pass
         harness.server.endpoint_source.version = 9
         harness.server.endpoint_source.fetch()
-        (fetching,) = harness.server.endpoint_source.fetch_tasks
-        assert await fetching is CallResult.ANSWERED
+        (fetch_task,) = harness.server.endpoint_source.fetch_tasks
+        assert await fetch_task is CallResult.ANSWERED
         assert harness.server.endpoint_source.version == 1
 
 
 @run_on_uvloop
-async def test_watch_when_it_ends_without_changes_then_the_module_is_not_notified(tmp_path):
+async def test_watch_that_ends_without_changes_does_not_notify_the_module(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         while "index" not in await harness.discovery.calls.get():
             pass
-        seen, module = [], harness.server.core.module
+        events, module = [], harness.server.core.module
         harness.server.core.module = type(
-            "Watcher",
+            "RecordingModule",
             (),
-            {"handle": lambda _, now, event: (seen.append(event), module.handle(now, event))[1]},
+            {"handle": lambda _, now, event: (events.append(event), module.handle(now, event))[1]},
         )()
         harness.discovery.change([])
-        await harness.discovery.calls.get()  # the watch after it
-        assert not seen
+        await harness.discovery.calls.get()  # the next watch
+        assert not events
         harness.discovery.change([make_host_entry(host, "h1", "draining")])
-        while not seen:
+        while not events:
             await asyncio.sleep(0)
 
 
 @run_on_uvloop
-async def test_old_address_when_replaced_then_its_lists_are_ignored(tmp_path):
+async def test_lists_from_a_replaced_source_are_ignored(tmp_path):
     async with (
         EmulatedHost() as one,
         EmulatedHost() as two,
@@ -274,26 +275,30 @@
     ):
         while "index" not in await harness.discovery.calls.get():
             pass
-        old, heard, answer = harness.server.endpoint_source, [], harness.server.loop.create_future()
-        asked = asyncio.Event()
+        old_source, received, response = (
+            harness.server.endpoint_source,
+            [],
+            harness.server.loop.create_future(),
+        )
+        request_started = asyncio.Event()
 
         async def request(params, timeout):
-            asked.set()
-            heard.append(await answer)
+            request_started.set()
+            received.append(await response)
             await asyncio.Event().wait()
 
-        old._request = request
+        old_source._request = request
         harness.discovery.change([])
-        await asked.wait()
-        answer.set_result("a list")  # it is here, and the call goes on in the next turn of the loop
+        await request_started.wait()
+        response.set_result("a list")  # the call continues in the next iteration of the event loop
         harness.server.switch_endpoint_source(harness.server.create_endpoint_source(harness.server.config))
         while "index" not in await harness.discovery.calls.get():
             pass
-        assert not heard
+        assert not received
 
 
 @run_on_uvloop
-async def test_status_when_discovery_is_the_source_then_names_its_url(tmp_path):
+async def test_status_names_the_url_of_discovery(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         url = f"http://127.0.0.1:{harness.discovery.port}/v1/endpoints"
         assert endpoint_list_status(harness.server).as_json()["source"] == f"discovery {url}"
--- a/tests/membership/test_eureka_model.py
+++ b/tests/membership/test_eureka_model.py
@@ -1,4 +1,4 @@
-"""A registry's answers in all their forms, and what cannot be read."""
+"""Parsing of a Eureka registry's responses in all their forms, and the registry cache."""
 
 import json
 
@@ -20,10 +20,10 @@
 from apigateway.membership.eureka.parser import read_applications, read_instance, read_json, read_xml
 from apigateway.membership.eureka.registry_cache import MIN_COMPLETE_INTERVAL_S, RegistryCache, hashcode
 
-ONE = instance("node7", 8080, zone="east", cell="2", weight="1.5")
+INSTANCE = instance("node7", 8080, zone="east", cell="2", weight="1.5")
 
 
-def wrapped(*instances):
+def make_response_tree(*instances):
     return {
         "applications": {
             "apps__hashcode": "UP_1_",
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    "port, read",
+    "port, expected",
     [
         ({"$": 8080, "@enabled": "true"}, 8080),
         ({"$": "8080", "@enabled": True}, 8080),
@@ -44,8 +44,8 @@
         ({"$": 8080}, 8080),
     ],
 )
-def test_ports_in_all_their_forms(port, read):
-    assert read_instance(ONE | {"port": port}).port == read
+def test_port_is_read_in_all_its_forms(port, expected):
+    assert read_instance(INSTANCE | {"port": port}).port == expected
 
 
 @pytest.mark.parametrize(
@@ -59,23 +59,31 @@
         {"leaseInfo": {"registrationTimestamp": -5}},
     ],
 )
-def test_malformed_instance_when_among_others_then_is_left_out_alone(change):
-    answer = read_applications(
-        wrapped(ONE, ONE | {"instanceId": "bad"} | change, ONE | {"instanceId": "node8"})
+def test_only_the_malformed_instance_of_a_list_is_skipped(change):
+    response = read_applications(
+        make_response_tree(
+            INSTANCE, INSTANCE | {"instanceId": "bad"} | change, INSTANCE | {"instanceId": "node8"}
+        )
     )
-    assert [i.id for i in answer.instances] == ["node7", "node8"] and len(answer.malformed) == 1
+    assert [i.id for i in response.instances] == ["node7", "node8"] and len(response.malformed) == 1
 
 
-def test_json_and_xml_say_the_same():
+def test_json_and_xml_are_parsed_to_the_same_response():
     registry = EmulatedEureka()
     for n in range(3):
         registry.register(instance(f"node{n}", 8000 + n, app="ROSTER" if n else "OTHER", zone="a&b"))
     registry.override("ROSTER", "node1", "OUT_OF_SERVICE")
     tree = registry.applications(registry.whole())
-    one, other = read_json(json.dumps(tree).encode()), read_xml(registry.xml(tree).encode())
-    assert one == other and len(one.instances) == 3 and one.hashcode == "OUT_OF_SERVICE_1_UP_2_"
-    assert hashcode(one.instances) == one.hashcode
-    assert {i.id: (i.status, i.overridden_status) for i in one.instances}["node1"] == ("OUT_OF_SERVICE",) * 2
+    from_json, from_xml = read_json(json.dumps(tree).encode()), read_xml(registry.xml(tree).encode())
+    assert (
+        from_json == from_xml
+        and len(from_json.instances) == 3
+        and from_json.hashcode == "OUT_OF_SERVICE_1_UP_2_"
+    )
+    assert hashcode(from_json.instances) == from_json.hashcode
+    assert {i.id: (i.status, i.overridden_status) for i in from_json.instances}["node1"] == (
+        "OUT_OF_SERVICE",
+    ) * 2
 
 
 @pytest.mark.parametrize(
@@ -91,11 +99,12 @@
         b'{"applications":' + b'{"a":' * 5000,
     ],
 )
-def test_json_when_no_response_then_is_malformed(body):
+def test_json_that_is_not_a_response_is_malformed(body):
     with pytest.raises(MalformedResponseError):
         read_json(body)
 
 
+# An entity expansion attack (XML bomb)
 BOMB = b"""<?xml version="1.0"?><!DOCTYPE x [<!ENTITY a "aaaaaaaaaa"><!ENTITY b "&a;&a;&a;&a;&a;&a;&a;&a;">
 <!ENTITY c "&b;&b;&b;&b;&b;&b;&b;&b;">]><applications><apps__hashcode>&c;</apps__hashcode></applications>"""
 
@@ -111,17 +120,19 @@
         b'<!DOCTYPE x SYSTEM "file:///etc/passwd"><applications/>',
     ],
 )
-def test_xml_when_no_response_then_is_malformed(body):
+def test_xml_that_is_not_a_response_is_malformed(body):
     with pytest.raises(MalformedResponseError):
         read_xml(body)
 
 
-ANY = st.recursive(
+JSON_TREES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
-    lambda inner: (
-        st.lists(inner, max_size=3)
+    lambda subtrees: (
+        st.lists(subtrees, max_size=3)
         | st.dictionaries(
-            st.sampled_from([*ONE, "application", "instance", "name", "$", "@enabled"]), inner, max_size=5
+            st.sampled_from([*INSTANCE, "application", "instance", "name", "$", "@enabled"]),
+            subtrees,
+            max_size=5,
         )
     ),
     max_leaves=20,
@@ -130,20 +141,20 @@
 
 @seed(1)
 @settings(max_examples=400, deadline=None, database=None)
-@given(ANY)
-def test_any_tree_when_read_then_raises_nothing_but_malformed_response(tree):
-    for response in (
+@given(JSON_TREES)
+def test_reading_any_tree_raises_only_malformed_response_error(tree):
+    for response_tree in (
         tree,
         {"applications": tree},
-        wrapped(tree),
-        wrapped(ONE | tree if isinstance(tree, dict) else tree),
+        make_response_tree(tree),
+        make_response_tree(INSTANCE | tree if isinstance(tree, dict) else tree),
     ):
         try:
-            answer = read_applications(response)
+            response = read_applications(response_tree)
         except MalformedResponseError:
             continue
-        entries, malformed = read_endpoints(InstanceMapping(), answer.instances)
-        assert len(entries) + len(malformed) == len(answer.instances)
+        endpoints, malformed = read_endpoints(InstanceMapping(), response.instances)
+        assert len(endpoints) + len(malformed) == len(response.instances)
 
 
 @pytest.mark.parametrize(
@@ -159,35 +170,42 @@
         ("UP", "UP", "up"),
     ],
 )
-def test_each_status_has_its_state(status, overridden, state):
-    instance = read_instance(ONE | {"status": status, "overriddenstatus": overridden})
+def test_status_and_override_are_mapped_to_an_endpoint_state(status, overridden, state):
+    instance = read_instance(INSTANCE | {"status": status, "overriddenstatus": overridden})
     assert read_endpoint(InstanceMapping(), instance).endpoint.state == state
 
 
-def test_a_status_means_what_settings_say():
-    terms = InstanceMapping(states=DEFAULT_STATES | {"STARTING": "up", "DOWN": "gone"})
-    assert read_endpoint(terms, read_instance(ONE | {"status": "STARTING"})).endpoint.state == "up"
-    assert read_endpoint(terms, read_instance(ONE | {"status": "DOWN"})).endpoint.state == "down"
+def test_settings_define_the_endpoint_state_of_each_status():
+    mapping = InstanceMapping(states=DEFAULT_STATES | {"STARTING": "up", "DOWN": "gone"})
+    assert read_endpoint(mapping, read_instance(INSTANCE | {"status": "STARTING"})).endpoint.state == "up"
+    assert read_endpoint(mapping, read_instance(INSTANCE | {"status": "DOWN"})).endpoint.state == "down"
 
 
-def test_instance_when_mapped_then_metadata_and_lease_make_the_endpoint():
-    instance = read_instance(ONE | {"leaseInfo": {"serviceUpTimestamp": 5000, "registrationTimestamp": 4000}})
-    entry = read_endpoint(InstanceMapping(), instance)
-    assert (entry.endpoint.zone, entry.endpoint.cell, entry.endpoint.weight, entry.endpoint.started_at) == (
+def test_endpoint_is_built_from_metadata_and_lease():
+    instance = read_instance(
+        INSTANCE | {"leaseInfo": {"serviceUpTimestamp": 5000, "registrationTimestamp": 4000}}
+    )
+    report = read_endpoint(InstanceMapping(), instance)
+    assert (
+        report.endpoint.zone,
+        report.endpoint.cell,
+        report.endpoint.weight,
+        report.endpoint.started_at,
+    ) == (
         "east",
         2,
         1.5,
         5.0,
     )
-    assert entry.address == ("127.0.0.1", 8080) and entry.timestamp_ms > 0
-    named = read_endpoint(
+    assert report.address == ("127.0.0.1", 8080) and report.timestamp_ms > 0
+    report_by_name = read_endpoint(
         InstanceMapping(address_source="name"), instance, {"node7.rota.example.org": "10.0.0.7"}
     )
-    assert named.address == ("10.0.0.7", 8080)
+    assert report_by_name.address == ("10.0.0.7", 8080)
 
 
 @pytest.mark.parametrize(
-    "terms, change",
+    "mapping, change",
     [
         (InstanceMapping(use_secure_port=True), {}),
         (InstanceMapping(), {"port": {"$": 1, "@enabled": "false"}}),
@@ -198,16 +216,16 @@
         (InstanceMapping(address_source="name"), {}),
     ],
 )
-def test_instance_when_no_endpoint_can_be_made_then_is_malformed(terms, change):
+def test_instance_that_cannot_be_converted_to_an_endpoint_is_malformed(mapping, change):
     with pytest.raises(MalformedResponseError):
-        read_endpoint(terms, read_instance(ONE | change))
+        read_endpoint(mapping, read_instance(INSTANCE | change))
 
 
 def make_instance(id, status="UP", action="", app="A"):
     return EurekaInstance(id, app, id, "127.0.0.1", 80, 0, status, "UNKNOWN", action=action)
 
 
-def test_deltas_when_applied_then_keep_the_hash():
+def test_deltas_keep_the_hash_of_the_cache_up_to_date():
     cache = RegistryCache()
     cache.replace_all(0.0, [make_instance("a"), make_instance("b")], "UP_2_")
     assert cache.apply_delta(
@@ -217,24 +235,22 @@
         False,
     )
     assert cache.apply_delta(2.0, [make_instance("a", action="DELETED")], "DOWN_1_UP_1_") == ({"a"}, False)
-    assert cache.apply_delta(3.0, [make_instance("a", action="DELETED")], "DOWN_1_UP_1_") == (
-        {"a"},
-        False,
-    )  # told again
+    # The same deletion again.
+    assert cache.apply_delta(3.0, [make_instance("a", action="DELETED")], "DOWN_1_UP_1_") == ({"a"}, False)
     assert set(cache.instances) == {("A", "b"), ("A", "c")}
 
 
-def test_hash_when_it_never_fits_then_complete_lists_back_off():
+def test_complete_lists_back_off_while_the_hash_never_matches():
     cache = RegistryCache()
     cache.replace_all(0.0, [make_instance("a")], "UP_1_")
     assert cache.apply_delta(MIN_COMPLETE_INTERVAL_S + 1, [], "UP_2_") == (set(), True)
-    asked, now = 0, 0.0
+    complete_list_count, now = 0, 0.0
     while now < 3600.0:  # an hour of polls
         now += 5.0
         if cache.apply_delta(now, [], "UP_9_")[1]:
-            asked += 1
+            complete_list_count += 1
             cache.replace_all(now, [make_instance("a")], "UP_9_")
-    assert asked < 12
+    assert complete_list_count < 12
 
 
 @seed(1)
@@ -249,14 +265,16 @@
         max_size=40,
     )
 )
-def test_cache_when_it_gets_all_deltas_then_has_the_registrys_hash(steps):
-    cache, truth = RegistryCache(), {}
+def test_cache_that_receives_all_deltas_has_the_hash_of_the_registry(changes):
+    cache, registry = RegistryCache(), {}
     cache.replace_all(0.0, [], "")
-    for n, status, action in steps:
+    for n, status, action in changes:
         if action == "DELETED":
-            truth.pop(n, None)
+            registry.pop(n, None)
         else:
-            truth[n] = make_instance(f"i{n}", status)
-        true_hashcode = hashcode(truth.values())
-        _, whole = cache.apply_delta(1e6, [make_instance(f"i{n}", status, action)], true_hashcode)
-        assert not whole and cache.hashcode() == true_hashcode
+            registry[n] = make_instance(f"i{n}", status)
+        registry_hashcode = hashcode(registry.values())
+        _, needs_complete_list = cache.apply_delta(
+            1e6, [make_instance(f"i{n}", status, action)], registry_hashcode
+        )
+        assert not needs_complete_list and cache.hashcode() == registry_hashcode
--- a/tests/membership/test_reconciler_driver.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -1,4 +1,4 @@
-"""The reconciler beside discovery, and passed on from one source to the next."""
+"""The reconciler with discovery as its source, and its transfer from one source to the next."""
 
 from gateway_harness import make_command, run_on_uvloop
 from rig import LocalDeployment
@@ -9,10 +9,10 @@
 from apigateway.membership.reconciler import ReconcilerSettings, ReportedEndpoint
 from apigateway.membership.reconciler_driver import ReconcilerDriver
 
-NOTHING = EndpointListing(messages.EndpointList("cached", 0, ()), {})
+EMPTY_LISTING = EndpointListing(messages.EndpointList("cached", 0, ()), {})
 
 
-def listing(*ids, full=True, state="up"):
+def make_listing(*ids, full=True, state="up"):
     return listing_from_json(
         {
             "version": 1,
@@ -23,20 +23,20 @@
 
 
 @run_on_uvloop
-async def test_discovery_when_it_comes_back_empty_then_its_endpoints_stay_and_marks_count_at_once():
+async def test_empty_list_from_discovery_keeps_the_endpoints_and_marks_take_effect_at_once():
     changes = []
-    driver = ReconcilerDriver(ReconcilerSettings(), NOTHING, changes.append, lambda: 100.0)
-    driver.apply_listing(listing("a", "b", "c"))
-    driver.apply_listing(listing())
+    driver = ReconcilerDriver(ReconcilerSettings(), EMPTY_LISTING, changes.append, lambda: 100.0)
+    driver.apply_listing(make_listing("a", "b", "c"))
+    driver.apply_listing(make_listing())
     assert len(changes) == 1 and set(driver.reconciler.records) == {"a", "b", "c"}
-    driver.apply_listing(listing("a", full=False, state="removed"))
+    driver.apply_listing(make_listing("a", full=False, state="removed"))
     assert [h.state for h in changes[-1].endpoint_list.endpoints] == ["down"]
     assert set(driver.reconciler.records) == {"b", "c"}
 
 
 @run_on_uvloop
-async def test_reconciler_when_passed_on_then_keeps_its_doubts_and_its_age():
-    first = ReconcilerDriver(ReconcilerSettings(), NOTHING, lambda _: None, lambda: 100.0)
+async def test_transferred_reconciler_keeps_its_doubts_and_its_age():
+    first = ReconcilerDriver(ReconcilerSettings(), EMPTY_LISTING, lambda _: None, lambda: 100.0)
     first.apply(
         [
             ReportedEndpoint(messages.Endpoint(f"h{n}", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", n))
@@ -46,7 +46,7 @@
     )
     first.apply([], is_complete=True)
     second = ReconcilerDriver(
-        ReconcilerSettings(doubt_time=5.0), NOTHING, lambda _: None, lambda: 200.0, first.reconciler
+        ReconcilerSettings(doubt_time=5.0), EMPTY_LISTING, lambda _: None, lambda: 200.0, first.reconciler
     )
     assert second.reconciler.last_update_at == 100.0
     assert {record.doubt for record in second.reconciler.records.values()} == {"missing"}
@@ -54,17 +54,17 @@
 
 
 @run_on_uvloop
-async def test_gateway_when_discovery_comes_back_empty_then_serves_on(tmp_path):
+async def test_gateway_keeps_serving_when_discovery_returns_an_empty_list(tmp_path):
     async with LocalDeployment(tmp_path, hosts=2) as site, EmulatedDiscovery() as discovery:
         discovery.servers = [h.entry() for h in site.hosts]
         site.write_settings(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
         program = await site.start_gateway()
-        discovery.raw = "{"  # the watch fails, and the whole list is asked for
+        discovery.raw = "{"  # makes the watch fail, so that the complete list is requested
         discovery.change([])
         discovery.servers = []
         await site.wait_for_log_line(program, b"keeping the last list")
         while "index" not in await discovery.calls.get():
-            pass  # it has read the empty list once it watches again
+            pass  # the next watch shows that the gateway has read the empty list
         for n in range(20):
             assert (await site.send_request(make_command(b"r%d" % n))).startswith(b"$")
         assert sum(len(h.commands) for h in site.hosts) == 20
