--- a/apigateway/membership/discovery.py
+++ b/apigateway/membership/discovery.py
@@ -109,9 +109,8 @@
             await self._request(params, timeout)
         except Exception as err:  # no error may end the watch
             failure = f"{type(err).__name__} {err}"
-            if (
-                failure != self._last_failure
-            ):  # calls are retried several times a second while discovery is down
+            # While discovery is down, calls are retried several times a second: log only changes.
+            if failure != self._last_failure:
                 log.warning("discovery: %s; keeping the last list", failure)
             self._last_failure = failure
             self._on_failure()
@@ -147,8 +146,8 @@
         """Request the complete list, then watch for changes until cancelled.
 
         Each answer is followed by the next watch at once: after a gap of more than 200 ms it would count as a
-        new watch. After a failure the complete list is requested again. After a rejection by a polled
-        service the same call is repeated, which may cost the service less.
+        new watch. After a failure the complete list is requested again. After a rejection by a polled service
+        the same call is repeated, which may cost the service less.
         """
         has_list = self._is_list_known
         while True:
--- a/apigateway/membership/eureka/mapping.py
+++ b/apigateway/membership/eureka/mapping.py
@@ -47,7 +47,7 @@
     states: Mapping[str, str] = field(default_factory=lambda: dict(DEFAULT_STATES))
 
 
-def read_endpoint(
+def convert_instance(
     mapping: InstanceMapping, instance: EurekaInstance, addresses_by_name: Mapping[str, str] | None = None
 ) -> ReportedEndpoint:
     """Convert an instance to an endpoint.
@@ -81,7 +81,7 @@
     return ReportedEndpoint(endpoint, address, instance.last_dirty_ms)
 
 
-def read_endpoints(
+def convert_instances(
     mapping: InstanceMapping,
     instances: Iterable[EurekaInstance],
     addresses_by_name: Mapping[str, str] | None = None,
@@ -95,7 +95,7 @@
     malformed: list[str] = []
     for instance in instances:
         try:
-            endpoints.append(read_endpoint(mapping, instance, addresses_by_name))
+            endpoints.append(convert_instance(mapping, instance, addresses_by_name))
         except MalformedResponseError as err:
             malformed.append(f"{instance.id[:_MAX_SHOWN_ID_CHARACTERS]}: {err}")
     return endpoints, malformed
--- a/apigateway/membership/eureka/parser.py
+++ b/apigateway/membership/eureka/parser.py
@@ -34,15 +34,15 @@
 _ACTION_BY_NAME = {action.value: action for action in DeltaAction}
 
 
-def read_json(body: bytes) -> RegistryResponse:
+def parse_json(body: bytes) -> RegistryResponse:
     """Parse a response in JSON. Raises MalformedResponseError."""
     try:
-        return read_applications(msgspec.json.decode(body))
+        return parse_applications(msgspec.json.decode(body))
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as err:
         raise MalformedResponseError(f"invalid JSON: {err}") from err
 
 
-def read_xml(body: bytes) -> RegistryResponse:
+def parse_xml(body: bytes) -> RegistryResponse:
     """Parse a response in XML. Raises MalformedResponseError.
 
     defusedxml rejects entities and external documents.
@@ -60,14 +60,14 @@
     applications = {
         "apps__hashcode": root.findtext("apps__hashcode", ""),
         "application": [
-            {"name": app.findtext("name", ""), "instance": list(_xml_instances(app))} for app in apps
+            {"name": app.findtext("name", ""), "instance": list(_iterate_xml_instances(app))} for app in apps
         ],
     }
-    return read_applications({"applications": applications})
+    return parse_applications({"applications": applications})
 
 
-def read_applications(tree: object) -> RegistryResponse:
-    """Read a decoded response: `{"applications": {...}}` or `{"application": {...}}`.
+def parse_applications(tree: object) -> RegistryResponse:
+    """Parse a decoded response: `{"applications": {...}}` or `{"application": {...}}`.
 
     Instances that cannot be read are skipped.
 
@@ -83,14 +83,14 @@
             continue
         for instance_tree in _as_list(application.get("instance")):
             try:
-                instances.append(read_instance(instance_tree, _to_text(application.get("name"))))
+                instances.append(parse_instance(instance_tree, _to_text(application.get("name"))))
             except MalformedResponseError as err:
                 malformed.append(f"{_name_for_error(instance_tree)}: {err}")
     return RegistryResponse(tuple(instances), _to_text(applications.get("apps__hashcode")), tuple(malformed))
 
 
-def read_instance(tree: object, app: str = "") -> EurekaInstance:
-    """Read one instance; `app` is the name of the application that lists it.
+def parse_instance(tree: object, app: str = "") -> EurekaInstance:
+    """Parse one instance; `app` is the name of the application that lists it.
 
     Raises:
         MalformedResponseError: the instance cannot be read.
@@ -139,7 +139,7 @@
     return _to_text(name)[:_MAX_SHOWN_NAME_CHARACTERS] or "an instance"
 
 
-def _xml_instances(app: Element) -> Iterator[dict[str, Any]]:
+def _iterate_xml_instances(app: Element) -> Iterator[dict[str, Any]]:
     """Yield an application's instances in the form that they have in JSON."""
     for element in app.findall("instance"):
         tree: dict[str, Any] = {}
--- a/apigateway/membership/eureka/registry_cache.py
+++ b/apigateway/membership/eureka/registry_cache.py
@@ -1,6 +1,6 @@
 """A gateway's cached copy of a registry. Pure: no clock, no I/O.
 
-The cache applies complete lists and deltas, and tells when a complete list should be requested.
+The cache applies complete lists and deltas, and reports when a complete list should be requested.
 
 A delta contains the recent changes (Netflix's server: those of the last three minutes) and the hash of the
 whole registry after them, such as `UP_3_DOWN_1_`. Deltas overlap, so applying a change again has no effect. A
--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -17,14 +17,14 @@
 
 import aiohttp
 
-from apigateway.membership.eureka.mapping import InstanceMapping, read_endpoints
+from apigateway.membership.eureka.mapping import InstanceMapping, convert_instances
 from apigateway.membership.eureka.model import (
     DeltaAction,
     EurekaInstance,
     MalformedResponseError,
     RegistryResponse,
 )
-from apigateway.membership.eureka.parser import read_json, read_xml
+from apigateway.membership.eureka.parser import parse_json, parse_xml
 from apigateway.membership.eureka.registry_cache import RegistryCache
 from apigateway.membership.listing import EndpointListing
 from apigateway.membership.reconciler import EndpointReconciler, ReconcilerSettings, ReportedEndpoint
@@ -180,10 +180,10 @@
 
     async def _run(self) -> None:
         while True:
-            pause = self.settings.poll_interval if await self.poll() else self._backoff()
+            pause = self.settings.poll_interval if await self.poll() else self._next_backoff()
             await asyncio.sleep(pause * self._rng.uniform(1 - POLL_JITTER_RATIO, 1 + POLL_JITTER_RATIO))
 
-    def _backoff(self) -> float:
+    def _next_backoff(self) -> float:
         """Return the pause after a failure in seconds; it doubles once all registries have failed."""
         rounds = self._consecutive_failures // len(self.settings.urls)
         first_pause = min(FIRST_BACKOFF_S, self.settings.poll_interval)
@@ -262,7 +262,7 @@
             if response.status != HTTPStatus.OK:
                 raise UnusableResponseError(f"status {response.status} for {path}")
             body = await self._read_body(response, path)
-            parse = read_xml if "xml" in response.content_type else read_json
+            parse = parse_xml if "xml" in response.content_type else parse_json
             if len(body) > MAX_INLINE_BODY_BYTES:
                 parsed = await asyncio.to_thread(parse, body)
             else:
@@ -298,7 +298,7 @@
         ]
         if self.settings.mapping.address_source == "name":
             await self._resolve_names(instances)
-        endpoints, malformed = await self._read_endpoints(instances)
+        endpoints, malformed = await self._convert_instances(instances)
         self._record_malformed((*response.malformed, *malformed))
         external = [report for report in endpoints if report.address not in self._own_addresses]
         removed_ids = {
@@ -307,13 +307,13 @@
         reported = [report for report in external if report.endpoint.state != EndpointStatus.DOWN]
         self.driver.apply(reported, deleted_ids | removed_ids, is_complete)
 
-    async def _read_endpoints(
+    async def _convert_instances(
         self, instances: list[EurekaInstance]
     ) -> tuple[list[ReportedEndpoint], list[str]]:
         mapping = self.settings.mapping
         if len(instances) > MAX_INLINE_INSTANCES:
-            return await asyncio.to_thread(read_endpoints, mapping, instances, self._addresses_by_name)
-        return read_endpoints(mapping, instances, self._addresses_by_name)
+            return await asyncio.to_thread(convert_instances, mapping, instances, self._addresses_by_name)
+        return convert_instances(mapping, instances, self._addresses_by_name)
 
     def _record_malformed(self, malformed: tuple[str, ...]) -> None:
         """Record which entries could not be read, and log them if they have changed."""
--- a/apigateway/membership/file.py
+++ b/apigateway/membership/file.py
@@ -20,7 +20,7 @@
 from apigateway.messages import EndpointStatus, ListMode
 from apigateway.upstream.address import Address, parse_address
 
-POLL_INTERVAL_S = 0.5  # picks up an edit quickly, at the cost of one stat() each
+POLL_INTERVAL_S = 0.5  # edits take effect quickly, and a poll costs only one stat()
 _STATUS_BY_STATE_VALUE = {"up": EndpointStatus.UP, "draining": EndpointStatus.DRAINING}
 
 log = logging.getLogger(__name__)
--- a/apigateway/platform_settings.py
+++ b/apigateway/platform_settings.py
@@ -1,6 +1,6 @@
-"""The settings of a deployment: the wire's names and nanoseconds to `messages.Settings`.
+"""Convert the platform's settings, with its names and nanoseconds, to `messages.Settings`.
 
-The simulator sends them as flat text, a real gateway finds them as nested JSON; both are read here.
+Handles both forms: the flat text that the simulator sends and the nested JSON that a gateway reads.
 """
 
 from __future__ import annotations
@@ -10,13 +10,16 @@
 
 from apigateway import messages
 
-EFFECT = {
+IDEMPOTENCY_BY_WIRE_NAME = {
     "pure": messages.Idempotency.SAFE,
     "token": messages.Idempotency.KEYED,
     "side_effect": messages.Idempotency.UNSAFE,
 }
-DISCOVERY = {"pushed": messages.DiscoveryMode.PUSH, "on_request": messages.DiscoveryMode.POLL}
-REPORT = {
+DISCOVERY_MODE_BY_WIRE_NAME = {
+    "pushed": messages.DiscoveryMode.PUSH,
+    "on_request": messages.DiscoveryMode.POLL,
+}
+REPORT_FIELD_BY_WIRE_NAME = {
     "active": "inflight",
     "waiting": "queue",
     "cpu": "util",
@@ -24,59 +27,61 @@
     "rps": "rps",
     "err_rps": "errors",
 }
-LATENCY_FIELD = "avg_ms"  # of a load report, the only one in milliseconds
-BOOL = {"true": True, "1": True, "false": False, "0": False}
+LATENCY_WIRE_NAME = "avg_ms"  # the only field of a load report that is in milliseconds
+BOOL_BY_TEXT = {"true": True, "1": True, "false": False, "0": False}
 NANOSECONDS_PER_SECOND = 1e9
-MS = 1000  # milliseconds a second
+MILLISECONDS_PER_SECOND = 1000
 
-Node = dict[str, Any]  # an object of JSON
+JsonObject = dict[str, Any]
 
 
-def read_settings(tree: Node) -> messages.Settings:
-    """Read the settings from nested names, as JSON or as the simulator sends them."""
-    classes = [_read_class(node) for node in _items(tree["services"])]
-    plans = [_read_plan(node) for node in _items(tree["plans"])]
+def read_settings(tree: JsonObject) -> messages.Settings:
+    """Read the settings from nested objects, parsed from JSON or from the simulator's flat text."""
+    classes = [_read_class(node) for node in _read_items(tree["services"])]
+    plans = [_read_plan(node) for node in _read_items(tree["plans"])]
     limits = tree["limits"]
     rules = tree["rules"]
     specifics = tree["specifics"]
-    report_names = _names(tree.get("reporting", {}).get("names", ""))
+    report_names = _read_names(tree.get("reporting", {}).get("names", ""))
     return messages.Settings(
         gateway_index=int(tree["index"]),
         gateway_count=int(tree["group_size"]),
         zone=tree["locality"],
-        classes={one.name: one for one in classes},
-        plans={one.name: one for one in plans},
+        classes={service_class.name: service_class for service_class in classes},
+        plans={plan.name: plan for plan in plans},
         limits=_read_limits(limits),
         rules=_read_rules(rules),
         prices={name: float(price) for name, price in tree.get("prices", {}).items()},
         has_counter=read_flag(specifics, "shared_counter"),
-        counter_price=_number(specifics, "counter_price"),
+        counter_price=_read_number(specifics, "counter_price"),
         counter_timeout=nanoseconds_to_seconds(specifics.get("counter_timeout", "0")),
         meter_period=nanoseconds_to_seconds(specifics.get("meter_period", "0")),
         charges_actual_units=read_flag(specifics, "settles"),
         max_units=float(specifics.get("units_top", 1)),
-        discovery_mode=DISCOVERY[tree["registry_mode"]],
-        load_report_fields=tuple(REPORT[name] for name in report_names if name in REPORT),
+        discovery_mode=DISCOVERY_MODE_BY_WIRE_NAME[tree["registry_mode"]],
+        load_report_fields=tuple(
+            REPORT_FIELD_BY_WIRE_NAME[name] for name in report_names if name in REPORT_FIELD_BY_WIRE_NAME
+        ),
         weight_meaning=tree.get("weights", "none"),
     )
 
 
-def _read_class(node: Node) -> messages.ServiceClass:
+def _read_class(node: JsonObject) -> messages.ServiceClass:
     return messages.ServiceClass(
         name=node["name"],
         latency_objective=nanoseconds_to_seconds(node["slo"]),
         deadline=nanoseconds_to_seconds(node["deadline"]),
-        idempotency=EFFECT[node["effect"]],
+        idempotency=IDEMPOTENCY_BY_WIRE_NAME[node["effect"]],
         deduplication_window=nanoseconds_to_seconds(node.get("memory_span", "0")),
         priority_weight=float(node["gain"]),
-        late_priority_weight=_number(node, "late_value"),
+        late_priority_weight=_read_number(node, "late_value"),
         is_streaming=read_flag(node, "streaming"),
-        latency_objective_stretch=_number(node, "aim_stretch"),
-        deduplication_scope=_read_scope(node),
+        latency_objective_stretch=_read_number(node, "aim_stretch"),
+        deduplication_scope=_read_deduplication_scope(node),
     )
 
 
-def _read_scope(node: Node) -> messages.DeduplicationScope:
+def _read_deduplication_scope(node: JsonObject) -> messages.DeduplicationScope:
     scope = node.get("dedup_scope", messages.DeduplicationScope.ALL)
     try:
         return messages.DeduplicationScope(scope)
@@ -84,22 +89,22 @@
         raise ValueError(f"class {node['name']}: unknown scope {scope!r}") from None
 
 
-def _read_plan(node: Node) -> messages.Plan:
+def _read_plan(node: JsonObject) -> messages.Plan:
     return messages.Plan(
         name=node["name"],
-        rate=_number(node, "rate"),
-        burst=_number(node, "most_at_once"),
-        concurrency_limit=int(_number(node, "parallel")),
+        rate=_read_number(node, "rate"),
+        burst=_read_number(node, "most_at_once"),
+        concurrency_limit=int(_read_number(node, "parallel")),
         price_weight=float(node.get("value_factor", 1)),
-        over_quota_weight=_number(node, "beyond_earns"),
-        over_quota_cost=_number(node, "over_cost"),
-        ceiling_rate=_number(node, "cap_rate"),
-        ceiling_burst=_number(node, "cap_depth"),
-        ceiling_slack=_number(node, "hard_slack"),
+        over_quota_weight=_read_number(node, "beyond_earns"),
+        over_quota_cost=_read_number(node, "over_cost"),
+        ceiling_rate=_read_number(node, "cap_rate"),
+        ceiling_burst=_read_number(node, "cap_depth"),
+        ceiling_slack=_read_number(node, "hard_slack"),
     )
 
 
-def _read_limits(node: Node) -> messages.Limits:
+def _read_limits(node: JsonObject) -> messages.Limits:
     return messages.Limits(
         can_cancel=read_flag(node, "cancel"),
         can_hedge=read_flag(node, "second_copies"),
@@ -112,7 +117,7 @@
     )
 
 
-def _read_rules(node: Node) -> messages.Rules:
+def _read_rules(node: JsonObject) -> messages.Rules:
     return messages.Rules(
         answer_slack=nanoseconds_to_seconds(node["answer_slack"]),
         drain_grace=nanoseconds_to_seconds(node["drain_grace"]),
@@ -125,36 +130,38 @@
 
 
 def read_load_report(pairs: Iterable[tuple[str, str] | list[str]]) -> dict[str, float]:
-    """Return the fields of a load report that are known and have a value; latency in seconds."""
+    """Return the known, non-empty fields of a load report; the latency is in seconds."""
     return {
-        REPORT[name]: float(value) / MS if name == LATENCY_FIELD else float(value)
+        REPORT_FIELD_BY_WIRE_NAME[name]: float(value) / MILLISECONDS_PER_SECOND
+        if name == LATENCY_WIRE_NAME
+        else float(value)
         for name, value in pairs
-        if name in REPORT and value
+        if name in REPORT_FIELD_BY_WIRE_NAME and value
     }
 
 
 def nanoseconds_to_seconds(value: Any) -> float:
-    """Return nanoseconds as seconds."""
+    """Convert nanoseconds to seconds."""
     return int(value) / NANOSECONDS_PER_SECOND
 
 
-def read_flag(node: Node, name: str, default: bool = False) -> bool:
-    """Return a flag of the settings, in either of its forms."""
-    return BOOL[str(node[name]).lower()] if name in node else default
+def read_flag(node: JsonObject, name: str, default: bool = False) -> bool:
+    """Return a boolean setting, written as a JSON boolean, `true`/`false` or `1`/`0`."""
+    return BOOL_BY_TEXT[str(node[name]).lower()] if name in node else default
 
 
-def _number(node: Node, name: str) -> float:
+def _read_number(node: JsonObject, name: str) -> float:
     return float(node.get(name, 0))
 
 
-def _items(node: Any) -> list[Node]:
-    """Return a list of objects: as JSON has it, or as the simulator's flat paths count it."""
+def _read_items(node: Any) -> list[JsonObject]:
+    """Return a list of objects, from a JSON list or from the simulator's numbered keys and `count`."""
     if isinstance(node, list):
         return node
     return [node[str(index)] for index in range(int(node["count"]))]
 
 
-def _names(node: Any) -> list[str]:
-    """Return a list of names: as JSON has it, or separated by commas."""
+def _read_names(node: Any) -> list[str]:
+    """Return a list of names, from a JSON list or comma-separated text."""
     names: list[str] = node if isinstance(node, list) else node.split(",")
     return names
--- a/tests/membership/test_eureka_model.py
+++ b/tests/membership/test_eureka_model.py
@@ -10,14 +10,14 @@
 from apigateway.membership.eureka.mapping import (
     DEFAULT_STATES,
     InstanceMapping,
-    read_endpoint,
-    read_endpoints,
+    convert_instance,
+    convert_instances,
 )
 from apigateway.membership.eureka.model import (
     EurekaInstance,
     MalformedResponseError,
 )
-from apigateway.membership.eureka.parser import read_applications, read_instance, read_json, read_xml
+from apigateway.membership.eureka.parser import parse_applications, parse_instance, parse_json, parse_xml
 from apigateway.membership.eureka.registry_cache import MIN_COMPLETE_INTERVAL_S, RegistryCache, hashcode
 
 INSTANCE = instance("node7", 8080, zone="east", cell="2", weight="1.5")
@@ -45,7 +45,7 @@
     ],
 )
 def test_port_is_read_in_all_its_forms(port, expected):
-    assert read_instance(INSTANCE | {"port": port}).port == expected
+    assert parse_instance(INSTANCE | {"port": port}).port == expected
 
 
 @pytest.mark.parametrize(
@@ -60,7 +60,7 @@
     ],
 )
 def test_only_the_malformed_instance_of_a_list_is_skipped(change):
-    response = read_applications(
+    response = parse_applications(
         make_response_tree(
             INSTANCE, INSTANCE | {"instanceId": "bad"} | change, INSTANCE | {"instanceId": "node8"}
         )
@@ -74,7 +74,7 @@
         registry.register(instance(f"node{n}", 8000 + n, app="ROSTER" if n else "OTHER", zone="a&b"))
     registry.override("ROSTER", "node1", "OUT_OF_SERVICE")
     tree = registry.applications(registry.whole())
-    from_json, from_xml = read_json(json.dumps(tree).encode()), read_xml(registry.xml(tree).encode())
+    from_json, from_xml = parse_json(json.dumps(tree).encode()), parse_xml(registry.xml(tree).encode())
     assert (
         from_json == from_xml
         and len(from_json.instances) == 3
@@ -101,7 +101,7 @@
 )
 def test_json_that_is_not_a_response_is_malformed(body):
     with pytest.raises(MalformedResponseError):
-        read_json(body)
+        parse_json(body)
 
 
 # An entity expansion attack (XML bomb)
@@ -122,7 +122,7 @@
 )
 def test_xml_that_is_not_a_response_is_malformed(body):
     with pytest.raises(MalformedResponseError):
-        read_xml(body)
+        parse_xml(body)
 
 
 JSON_TREES = st.recursive(
@@ -150,10 +150,10 @@
         make_response_tree(INSTANCE | tree if isinstance(tree, dict) else tree),
     ):
         try:
-            response = read_applications(response_tree)
+            response = parse_applications(response_tree)
         except MalformedResponseError:
             continue
-        endpoints, malformed = read_endpoints(InstanceMapping(), response.instances)
+        endpoints, malformed = convert_instances(InstanceMapping(), response.instances)
         assert len(endpoints) + len(malformed) == len(response.instances)
 
 
@@ -171,21 +171,21 @@
     ],
 )
 def test_status_and_override_are_mapped_to_an_endpoint_state(status, overridden, state):
-    instance = read_instance(INSTANCE | {"status": status, "overriddenstatus": overridden})
-    assert read_endpoint(InstanceMapping(), instance).endpoint.state == state
+    instance = parse_instance(INSTANCE | {"status": status, "overriddenstatus": overridden})
+    assert convert_instance(InstanceMapping(), instance).endpoint.state == state
 
 
 def test_settings_define_the_endpoint_state_of_each_status():
     mapping = InstanceMapping(states=DEFAULT_STATES | {"STARTING": "up", "DOWN": "gone"})
-    assert read_endpoint(mapping, read_instance(INSTANCE | {"status": "STARTING"})).endpoint.state == "up"
-    assert read_endpoint(mapping, read_instance(INSTANCE | {"status": "DOWN"})).endpoint.state == "down"
+    assert convert_instance(mapping, parse_instance(INSTANCE | {"status": "STARTING"})).endpoint.state == "up"
+    assert convert_instance(mapping, parse_instance(INSTANCE | {"status": "DOWN"})).endpoint.state == "down"
 
 
 def test_endpoint_is_built_from_metadata_and_lease():
-    instance = read_instance(
+    instance = parse_instance(
         INSTANCE | {"leaseInfo": {"serviceUpTimestamp": 5000, "registrationTimestamp": 4000}}
     )
-    report = read_endpoint(InstanceMapping(), instance)
+    report = convert_instance(InstanceMapping(), instance)
     assert (
         report.endpoint.zone,
         report.endpoint.cell,
@@ -198,7 +198,7 @@
         5.0,
     )
     assert report.address == ("127.0.0.1", 8080) and report.timestamp_ms > 0
-    report_by_name = read_endpoint(
+    report_by_name = convert_instance(
         InstanceMapping(address_source="name"), instance, {"node7.rota.example.org": "10.0.0.7"}
     )
     assert report_by_name.address == ("10.0.0.7", 8080)
@@ -218,7 +218,7 @@
 )
 def test_instance_that_cannot_be_converted_to_an_endpoint_is_malformed(mapping, change):
     with pytest.raises(MalformedResponseError):
-        read_endpoint(mapping, read_instance(INSTANCE | change))
+        convert_instance(mapping, parse_instance(INSTANCE | change))
 
 
 def make_instance(id, status="UP", action="", app="A"):
