--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -99,7 +99,7 @@
 
 
 @run_on_uvloop
-async def test_delta_when_older_than_the_list_then_is_rejected(tmp_path):
+async def test_delta_older_than_the_last_list_is_rejected(tmp_path):
     async with EmulatedHost() as one, GatewayHarness(one, path=tmp_path) as harness:
         while "index" not in await harness.discovery.calls.get():
             pass
