--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -215,7 +215,11 @@
         told.append,
         lambda: 100.0,
     )
-    up = [ReportedEndpoint(messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
+    up = [
+        ReportedEndpoint(
+            messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), timestamp_ms=7
+        )
+    ]
     judge.apply(up, is_complete=True)
     judge.mark_draining(["h1", "unknown"])
     assert told[-1].endpoint_list.endpoints[0].state == "leaving"
--- a/tests/faults/test_reload.py
+++ b/tests/faults/test_reload.py
@@ -173,7 +173,7 @@
         site.publish_hosts("up", None)
         program = await site.start_gateway()
         (tmp_path / "hosts.toml").write_text("[[hosts]\nid =")
-        await site.wait_for_log_line(program, b"the last list stays")
+        await site.wait_for_log_line(program, b"keeping the last list")
         assert await site.send_request(make_command(b"a")) == VALUE_REPLY
         site.publish_hosts("draining", "up")
         n = 0
