--- a/apigateway/__init__.py
+++ b/apigateway/__init__.py
@@ -1,3 +1,3 @@
-"""An api gateway whose quotas hold over all gateways by leases on a counter service."""
+"""An API gateway that enforces customers' quotas across a fleet, by leases on a shared counter."""
 
 __version__ = "0.2.0"
--- a/apigateway/__main__.py
+++ b/apigateway/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m apigateway`."""
+"""Run the command line, `api-gateway`, as `python -m apigateway`."""
 
 import sys
 
--- a/apigateway/daemon/__init__.py
+++ b/apigateway/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Builds the parts from checked settings, starts them, reloads and ends them."""
+"""Build a gateway from checked settings, and start, reload and stop it."""
--- a/apigateway/daemon/__main__.py
+++ b/apigateway/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m apigateway.daemon`: one gateway of the platform, by the name that its deployment knows."""
+"""Run one gateway as `python -m apigateway.daemon`, the command that the platform's deployment uses."""
 
 import sys
 
--- a/apigateway/daemon/config.py
+++ b/apigateway/daemon/config.py
@@ -1,4 +1,4 @@
-"""Build what a gateway runs with, a Config, from the platform's environment and JSON file."""
+"""Define a gateway's runtime configuration, and build it from the platform's environment and JSON file."""
 
 from __future__ import annotations
 
@@ -18,53 +18,53 @@
     from apigateway.membership.eureka.source import RegistrySettings
     from apigateway.membership.reconciler import ReconcilerSettings
 
-# The platform sends SIGKILL no sooner after SIGTERM than the longest deadline, or this where it is less, ...
+# The platform sends SIGKILL at the earliest KILL_DELAY_S after the longest request deadline has passed since
+# SIGTERM. It counts at most MAX_SHUTDOWN_DEADLINE_S of that deadline.
 MAX_SHUTDOWN_DEADLINE_S = 3.0
-# ... and so much more;
 KILL_DELAY_S = 0.7
-# so long before that, everything is answered.
+# All requests are answered this long before the earliest SIGKILL.
 KILL_MARGIN_S = 0.3
-MIB = 1024 * 1024
+BYTES_PER_MIB = 1024 * 1024
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text says why in one line."""
+    """The configuration is invalid; the message gives the reason in one line."""
 
 
 class OverloadSettings(NamedTuple):
-    """When the event loop is overloaded, in seconds."""
+    """Thresholds above which the event loop counts as overloaded."""
 
-    target_lag: float
-    max_turn: float  # of one turn of the loop
+    target_lag_s: float
+    max_iteration_s: float  # duration of one iteration of the loop
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What a gateway runs with; durations are in seconds.
+    """The runtime configuration of a gateway; durations are in seconds.
 
     Attributes:
-        name: The gateway's.
-        listeners: Addresses, one at least.
-        discovery: Address of the discovery service; None: endpoints come from elsewhere.
-        counter: Address of the quota counter; None: there is none.
-        seed: Of all random choices.
-        memory_bytes: Past these the process is killed.
-        max_descriptors: Files and sockets that the process may hold.
-        known_endpoints: As this gateway last had them; they may be old.
-        settings: Of the decision module.
-        connect_timeout: Of a connection to an endpoint.
+        name: Name of the gateway.
+        listeners: Addresses to listen on, at least one.
+        discovery: Address of the discovery service; None if endpoints come from another source.
+        counter: Address of the quota counter; None if there is none.
+        seed: Seed of all random choices.
+        memory_bytes: Memory limit, above which the process is killed.
+        max_descriptors: Limit on the process's open files and sockets.
+        known_endpoints: The last endpoint list that this gateway received; it may be out of date.
+        settings: Settings of the decision module.
+        connect_timeout: Timeout for connecting to an endpoint.
         idle_timeout: Endpoints close a connection that has been idle for this long.
-        max_in_flight: Requests at once.
-        grpc_listeners: Those of `listeners` that speak gRPC; the others speak RESP2.
-        endpoint_file: In place of a discovery.
-        registry: Likewise.
-        reconciler: What of a discovery's lists is accepted; None: all.
-        gateways_at_address: Gateways that clients know as one: workers on one address.
-        registration: How this gateway registers itself with Eureka; None: it does not.
-        overload: When load is shed early; None: never.
-        evacuated_zones: Nothing new goes to them, by the operator's word.
-        linger: How long connections are still accepted after SIGTERM.
-        shutdown_timeout: How long after SIGTERM everything is answered.
+        max_in_flight: Limit on concurrent requests.
+        grpc_listeners: The addresses in `listeners` that speak gRPC; the others speak RESP2.
+        endpoint_file: File with the endpoint list, used instead of a discovery service.
+        registry: Eureka registry, used instead of a discovery service.
+        reconciler: How changes of the endpoint list are checked before they are accepted; None to accept all.
+        gateways_at_address: Number of gateways that clients reach at one address: workers that share it.
+        registration: How this gateway registers itself with Eureka; None if it does not.
+        overload: Thresholds of load shedding; None to never shed load early.
+        evacuated_zones: Zones that get no new requests, as set by the operator.
+        linger: How long after SIGTERM connections are still accepted.
+        shutdown_timeout: How long after SIGTERM all requests are answered.
     """
 
     name: str
@@ -91,44 +91,44 @@
     shutdown_timeout: float = 3.4
 
 
-def read_config(env: Mapping[str, str] = os.environ, again: bool = False) -> Config:
-    """Return the Config from the file that RELAY_CONFIG names and the variables beside it.
+def read_config(env: Mapping[str, str] = os.environ, is_reload: bool = False) -> Config:
+    """Return the configuration in the file named by RELAY_CONFIG, with overrides from the environment.
 
     Args:
         env: The environment.
-        again: The file was replaced while the program runs, so the discovery that it names is newer than the
-            one that the environment named at the start.
+        is_reload: Whether the file was replaced while the program runs. Its discovery address is then newer
+            than the one in the environment, which dates from the start.
 
     Raises:
-        ConfigError: The file cannot be used.
+        ConfigError: The file is missing or invalid.
     """
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
-            return _build_config(json.load(file), env, again)
+            return _build_config(json.load(file), env, is_reload)
     except KeyError as err:
         raise ConfigError(f"{path}: missing or unknown {err}") from err
     except (OSError, ValueError, TypeError, AttributeError) as err:
         raise ConfigError(f"{path}: {' '.join(str(err).split())}") from err
 
 
-def _build_config(tree: dict[str, Any], env: Mapping[str, str], again: bool) -> Config:
-    limits = tree["settings"]["limits"]
-    settings = read_settings(tree["settings"])
-    counter = tree.get("counter")
+def _build_config(document: dict[str, Any], env: Mapping[str, str], is_reload: bool) -> Config:
+    limits = document["settings"]["limits"]
+    settings = read_settings(document["settings"])
+    counter = document.get("counter")
     if settings.has_counter and not counter:
         raise ValueError("the settings allow a counter but no address is given")
     return Config(
-        name=env.get("RELAY_NAME") or tree["name"],
-        listeners=(read_address(env.get("RELAY_LISTEN") or tree["listen"]),),
-        discovery=read_address((not again and env.get("RELAY_DISCOVERY")) or tree["discovery"]),
+        name=env.get("RELAY_NAME") or document["name"],
+        listeners=(read_address(env.get("RELAY_LISTEN") or document["listen"]),),
+        discovery=read_address((not is_reload and env.get("RELAY_DISCOVERY")) or document["discovery"]),
         counter=read_address(counter) if counter else None,
-        seed=int(tree["seed"], 16),
-        memory_bytes=int(tree["limits"]["memory_mb"]) * MIB,
-        max_descriptors=int(tree["limits"]["sockets"]),
-        known_endpoints=read_list(tree["known"], messages.ListMode.CACHED),
+        seed=int(document["seed"], 16),
+        memory_bytes=int(document["limits"]["memory_mb"]) * BYTES_PER_MIB,
+        max_descriptors=int(document["limits"]["sockets"]),
+        known_endpoints=read_list(document["known"], messages.ListMode.CACHED),
         settings=settings,
         connect_timeout=seconds(limits["connect_timeout"]),
         idle_timeout=seconds(limits["idle_close"]),
--- a/apigateway/daemon/configuration.py
+++ b/apigateway/daemon/configuration.py
@@ -1,4 +1,4 @@
-"""Read all that a gateway is configured by: its settings file, and the platform's beside it."""
+"""Read a gateway's configuration: its settings file and, if there is one, the platform's configuration."""
 
 from __future__ import annotations
 
@@ -16,50 +16,54 @@
 
 
 class Configuration(NamedTuple):
-    """The settings file, and what a gateway runs with."""
+    """The settings file as read, and the runtime configuration built from it."""
 
     settings: Settings
     config: Config
 
 
-def is_beside_platform() -> bool:
-    """Return whether the platform's configuration has all but the listeners and the process's own."""
+def has_platform_config() -> bool:
+    """Return whether RELAY_CONFIG is set.
+
+    The settings file then has only the tables in `settings.TABLES_WITH_PLATFORM_CONFIG`.
+    """
     return bool(os.environ.get(PLATFORM_VARIABLE))
 
 
-def read_configuration(path: str, again: bool = False) -> Configuration:
+def read_configuration(path: str, is_reload: bool = False) -> Configuration:
     """Read the settings file, and the platform's configuration if there is one.
 
     Args:
-        path: Of the settings file.
-        again: A gateway runs with an earlier version of them.
+        path: Path of the settings file.
+        is_reload: Whether a gateway already runs with an earlier version.
 
     Raises:
-        InvalidConfigFileError, ConfigError: One of them cannot be used.
+        InvalidConfigFileError: The settings file is invalid.
+        ConfigError: The platform's configuration is invalid.
     """
-    if is_beside_platform():
-        return _read_beside_platform(path, again)
+    if has_platform_config():
+        return _read_with_platform_config(path, is_reload)
     settings = read_settings(path)
     assignment = read_worker_assignment()
     if assignment is None:
         return Configuration(settings, build_config(path, settings))
-    return _configuration_of_worker(path, settings, assignment)
+    return _configuration_for_worker(path, settings, assignment)
 
 
-def _read_beside_platform(path: str, again: bool) -> Configuration:
-    settings = read_settings(path, beside=True)
-    further_listeners = tuple(read_address(listener.address) for listener in settings.listeners)
-    config = read_config(again=again)
+def _read_with_platform_config(path: str, is_reload: bool) -> Configuration:
+    settings = read_settings(path, with_platform_config=True)
+    additional_listeners = tuple(read_address(listener.address) for listener in settings.listeners)
+    config = read_config(is_reload=is_reload)
     config = replace(
         config,
-        listeners=config.listeners + further_listeners,
+        listeners=config.listeners + additional_listeners,
         linger=settings.daemon.linger,
         shutdown_timeout=settings.daemon.finish,
     )
     return Configuration(settings, config)
 
 
-def _configuration_of_worker(path: str, settings: Settings, assignment: WorkerAssignment) -> Configuration:
+def _configuration_for_worker(path: str, settings: Settings, assignment: WorkerAssignment) -> Configuration:
     gateways_at_address = assignment.count if settings.workers.address == "shared" else 1
     worker_settings = settings_for_worker(settings, assignment)
     return Configuration(worker_settings, build_config(path, worker_settings, gateways_at_address))
--- a/apigateway/daemon/endpoint_list.py
+++ b/apigateway/daemon/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as last received, and the way by which each change of it reaches the core."""
+"""Hold the last endpoint list received, and pass each change of it to the core."""
 
 from __future__ import annotations
 
@@ -14,48 +14,49 @@
 
 
 class EndpointListState:
-    """The whole endpoint list, kept up to date from the changes that the source reports.
+    """The complete endpoint list, updated from the changes that the source reports.
 
     Attributes:
         listing: The list, with the endpoints' addresses.
-        received_at: When a source last reported, by the system's monotonic clock.
-        is_known: Set once the core has endpoints.
+        received_at: When a source last reported, by `time.monotonic`.
+        endpoints_known: Set once the core has endpoints.
     """
 
     def __init__(self, core: RequestDispatcher, listing: Listing) -> None:
         self.listing = listing
         self.received_at = time.monotonic()
-        self.is_known = asyncio.Event()
+        self.endpoints_known = asyncio.Event()
         self._core = core
 
     def apply(self, change: Listing) -> None:
-        """Take in a list or a change from the source, and tell the core."""
+        """Merge a list or a change from the source, and pass it to the core."""
         self.received_at = time.monotonic()
         if (
             self._core.is_ready
             and change.hosts.mode == messages.ListMode.DELTA
             and not change.hosts.endpoints
         ):
-            return  # a watch that ended without a change
+            return  # a watch request that timed out without a change
         self.listing = merge_listing(self.listing, change)
         self._core.on_endpoint_list(change.hosts, change.addresses)
         if self._core.is_ready:
-            self.is_known.set()
+            self.endpoints_known.set()
 
     def evacuate_zones(self, zones: tuple[str, ...]) -> None:
-        """Send nothing new to endpoints of these zones from now on, as long as there are others."""
+        """Send no new requests to endpoints in these zones, as long as there are endpoints in others."""
         self._core.dispatch(messages.EvacuateZones(zones))
         known_zones = {endpoint.zone for endpoint in self.listing.hosts.endpoints}
         if known_zones and known_zones <= set(zones):
             log.warning(
-                "sites.leave names all zones of the list (%s): none is left", " ".join(sorted(known_zones))
+                "sites.leave lists every zone that has endpoints (%s); no zone remains",
+                " ".join(sorted(known_zones)),
             )
         else:
-            log.info("sites left by the settings: %s", ", ".join(zones) or "none")
+            log.info("evacuated zones (sites.leave): %s", ", ".join(zones) or "none")
 
-    def available_but_draining_in(self, other: Listing) -> tuple[messages.Endpoint, ...]:
-        """Return the endpoints, as in the other list, that are up here and not there."""
-        up = {
+    def endpoints_draining_only_in(self, other: Listing) -> tuple[messages.Endpoint, ...]:
+        """Return the endpoints of the other list that are not up there, but up in this list."""
+        up_ids = {
             endpoint.id
             for endpoint in self.listing.hosts.endpoints
             if endpoint.state == messages.EndpointStatus.UP
@@ -63,12 +64,12 @@
         return tuple(
             endpoint
             for endpoint in other.hosts.endpoints
-            if endpoint.state != messages.EndpointStatus.UP and endpoint.id in up
+            if endpoint.state != messages.EndpointStatus.UP and endpoint.id in up_ids
         )
 
 
 def merge_listing(old: Listing, change: Listing) -> Listing:
-    """Return the complete list after a change; a change that is a complete list replaces the old one."""
+    """Return the complete list after a change; a change that is a complete list replaces the old list."""
     if change.hosts.mode != messages.ListMode.DELTA:
         return change
     by_id = {endpoint.id: endpoint for endpoint in old.hosts.endpoints}
--- a/apigateway/daemon/endpoint_source.py
+++ b/apigateway/daemon/endpoint_source.py
@@ -1,4 +1,4 @@
-"""Create the source of the endpoint list that the configuration names: a file, a registry or a discovery."""
+"""Create the source of the endpoint list that is configured: a file, a registry or a discovery service."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 
 
 class EndpointSourceFactory:
-    """Creates sources that report to one endpoint list; a later one goes on where the last one was."""
+    """Creates sources that report to one endpoint list; a new source keeps the previous one's state."""
 
     def __init__(self, core: RequestDispatcher, endpoint_list: EndpointListState) -> None:
         self._core = core
         self._endpoint_list = endpoint_list
 
     def create(self, config: Config, previous: EndpointSource | None = None) -> EndpointSource:
-        """Return the source that a configuration names; it does nothing yet.
+        """Return the source for a configuration; it is not started.
 
         Args:
-            config: Names the source.
-            previous: The source so far; None at the start.
+            config: Configuration that names the source.
+            previous: The source that is replaced; None at startup.
         """
         if config.endpoint_file is not None:
-            from apigateway.membership.file import EndpointFileSource  # not loaded on the platform
+            from apigateway.membership.file import EndpointFileSource  # not imported on the platform
 
             return EndpointFileSource(
                 config.endpoint_file, self._endpoint_list.apply, self._core.on_endpoint_list_failed
             )
-        reconciler = reconciler_of(previous)  # goes on, with its doubts and its age
+        reconciler = reconciler_of(previous)  # reused, with its pending changes and the age of its list
         if config.discovery is None:
             assert config.registry is not None
             return self._create_eureka_source(config, config.registry, reconciler)
@@ -57,14 +57,14 @@
             self._endpoint_list.apply,
             self._core.on_endpoint_list_failed,
             schedule,
-            # After a reload it is another service, with versions of its own.
+            # After a reload this is another service, which numbers its versions independently.
             is_list_known=previous is None and bool(config.known_endpoints.hosts.endpoints),
         )
 
     def _create_eureka_source(
         self, config: Config, registry: RegistrySettings, reconciler: EndpointReconciler | None
     ) -> EurekaSource:
-        from apigateway.membership.eureka.source import EurekaSource, resolve  # not loaded on the platform
+        from apigateway.membership.eureka.source import EurekaSource, resolve  # not imported on the platform
 
         own_addresses = set(config.listeners)
         if config.registration is not None:
@@ -83,7 +83,7 @@
     def _create_reconciler_driver(
         self, settings: ReconcilerSettings, reconciler: EndpointReconciler | None
     ) -> ReconcilerDriver:
-        from apigateway.membership.reconciler_driver import ReconcilerDriver  # not loaded on the platform
+        from apigateway.membership.reconciler_driver import ReconcilerDriver  # not imported on the platform
 
         return ReconcilerDriver(
             settings, self._endpoint_list.listing, self._endpoint_list.apply, self._core.clock, reconciler
@@ -91,11 +91,13 @@
 
 
 class ReconciledDiscovery(DiscoveryClient):
-    """A discovery whose lists pass a reconciler: not on the platform, whose agents are trusted.
+    """A discovery client whose lists pass a reconciler.
+
+    Not used on the platform, whose discovery agents are trusted.
 
     Attributes:
-        driver: Drives the reconciler.
-        reconciler: Says what of the lists is accepted.
+        driver: Passes lists and timers to the reconciler.
+        reconciler: Decides which changes of the list are accepted.
     """
 
     def __init__(
@@ -111,18 +113,18 @@
         self.reconciler = driver.reconciler
 
     async def close(self) -> None:
-        """End the watch and the reconciler's timer."""
+        """Stop the watch and the reconciler's timer."""
         self.driver.close()
         await super().close()
 
 
 def reconciler_of(source: EndpointSource | None) -> EndpointReconciler | None:
-    """Return the reconciler of a source that has one."""
+    """Return the source's reconciler, or None."""
     return getattr(source, "reconciler", None)
 
 
 def reconciler_driver_of(source: EndpointSource | None) -> ReconcilerDriver | None:
-    """Return the reconciler's driver of a source that has one."""
+    """Return the source's reconciler driver, or None."""
     return getattr(source, "driver", None)
 
 
--- a/apigateway/daemon/gateway_process.py
+++ b/apigateway/daemon/gateway_process.py
@@ -2,12 +2,12 @@
 
 Signals:
 
-- SIGTERM and SIGINT: `_stop_requested` is set; `run` goes on to `_shut_down`, which completes what was
-  accepted. Before the gateway serves, the process just ends.
-- SIGHUP: `_on_sighup` has the settings reloaded (reload.py). It is kept until there is a gateway, and
-  ignored during a shutdown or a hand-over.
+- SIGTERM and SIGINT set `_stop_requested`. `run` then calls `_shut_down`, which completes all accepted
+  requests. Before the gateway serves, the process exits without this.
+- SIGHUP calls `_on_sighup`, which reloads the settings (reload.py). A SIGHUP received before the gateway
+  exists is handled once it serves; one received during a shutdown or a hand-over is ignored.
 
-A hand-over (handover.py) ends as a shutdown does, but for the listeners, which the successor serves by then.
+A hand-over (handover.py) ends like a shutdown, except that the successor already accepts on the listeners.
 """
 
 from __future__ import annotations
@@ -44,14 +44,15 @@
 if TYPE_CHECKING:
     from apigateway.membership.eureka.registration import Registration
 
-# For a successor to wait until it is connected to the counter; one that is away stops no hand-over.
+# How long a successor waits for its connection to the counter. An unreachable counter must not prevent a
+# hand-over.
 MAX_COUNTER_WAIT_S = 1.0
 
 log = logging.getLogger(__name__)
 
 
 class GatewayProcess:
-    """The life of one gateway: start, signals, hand-over, shutdown."""
+    """One gateway process: start, signals, hand-over and shutdown."""
 
     def __init__(
         self,
@@ -59,42 +60,42 @@
         configuration: Configuration,
         log_rate_limiter: LogRateLimiter | None = None,
     ) -> None:
-        """Store what `run` needs.
+        """Store the configuration; `run` starts the gateway.
 
         Args:
-            path: Of the settings file.
-            configuration: As read from it.
-            log_rate_limiter: Takes its limit from the settings at a reload.
+            path: Path of the settings file.
+            configuration: The configuration read from it.
+            log_rate_limiter: Log rate limiter, whose limit a reload updates.
         """
         self._path = path
-        self._settings: Settings = configuration.settings  # at the start; then those of `_gateway`
-        self._config: Config = configuration.config  # likewise
+        self._settings: Settings = configuration.settings  # at the start; a reload updates only `_gateway`
+        self._config: Config = configuration.config  # same
         self._log_rate_limiter = log_rate_limiter
         self._loop = asyncio.get_running_loop()
         self._stop_requested = asyncio.Event()
         self._is_handed_over = False
         self._notifier = Notifier()
-        self._sockets: dict[Address, socket.socket] = {}  # listening, kept open for a hand-over
+        self._sockets: dict[Address, socket.socket] = {}  # listening sockets, kept open for a hand-over
         self._lock: StateFolderLock | None = None
         self._gateway: RunningGateway | None = None
         self._reloader: SettingsReloader | None = None
         self._registration: Registration | None = None
-        self._predecessor: HandoverPredecessor | None = None  # this process, as one that hands over
-        self._successor: HandoverSuccessor | None = None  # this process, as one that takes over
+        self._predecessor: HandoverPredecessor | None = None  # set while this process can hand over
+        self._successor: HandoverSuccessor | None = None  # set if this process takes over
 
     async def run(self, take_over: bool = False) -> None:
-        """Serve until a signal or a successor ends it.
+        """Serve until a signal arrives or a successor has taken over.
 
         Args:
-            take_over: Take over from the gateway that runs.
+            take_over: Whether to take over from the running gateway.
 
         Raises:
-            OSError, StateFolderLockedError, HandoverError, InvalidConfigFileError: It cannot start.
+            OSError, StateFolderLockedError, HandoverError, InvalidConfigFileError: The gateway cannot start.
         """
         self._install_signal_handlers()
         try:
             gateway = await self._start(take_over)
-            if gateway is not None:  # else it was told to stop before it served
+            if gateway is not None:  # None: a stop was requested before it served
                 if pending_signals.take_reload_request():
                     self._on_sighup()
                 await self._stop_requested.wait()
@@ -112,25 +113,27 @@
     def _on_sighup(self) -> None:
         is_handing_over = self._predecessor is not None and self._predecessor.is_in_progress
         if self._stop_requested.is_set() or is_handing_over:
-            log.warning("no reload during a stop or a hand-over")
+            log.warning("reload ignored: a shutdown or a hand-over is in progress")
         elif self._reloader is not None:
             self._reloader.request()
-        else:  # the settings were read before there is a gateway
+        else:  # the settings may have been read already, but there is no gateway yet
             pending_signals.record_reload()
 
     # Start
 
     async def _start(self, take_over: bool) -> RunningGateway | None:
-        """Return the gateway once it serves; None: it was told to stop before."""
+        """Return the gateway once it serves; None if a stop was requested before."""
         assignment = read_worker_assignment()
-        if assignment is not None:  # without its supervisor a worker would serve on unseen, and hold its port
+        if (
+            assignment is not None
+        ):  # without a supervisor, a worker would keep serving unsupervised and hold its port
             self._notifier.on_manager_gone = self._stop_requested.set
         await self._acquire_sockets(assignment, take_over)
         gateway = await self._build_gateway(assignment)
         server = gateway.server
         server.prepare()
         self._start_registration()
-        if not await self._wait_until_able(server, take_over):
+        if not await self._wait_until_ready_to_serve(server, take_over):
             return None
         if self._successor is None:
             await server.listen(self._sockets)
@@ -143,7 +146,7 @@
         return gateway
 
     async def _acquire_sockets(self, assignment: WorkerAssignment | None, take_over: bool) -> None:
-        """Get the lock and all listening sockets: passed in, inherited or bound."""
+        """Acquire the lock and all listening sockets, which are passed in, inherited or bound."""
         listeners = self._config.listeners
         passed_in = assignment.adopt_listeners() if assignment is not None else sockets_from_service_manager()
         self._sockets = match_to_listeners(passed_in, listeners)
@@ -156,19 +159,19 @@
                 self._sockets[address] = bind_listener(address)
 
     async def _inherit(self, listeners: tuple[Address, ...]) -> None:
-        """Take over what the predecessor passes on, once it has passed on everything."""
+        """Receive the predecessor's lock, listening sockets and endpoint list."""
         state = self._settings.daemon.state
         self._successor = create_successor(state)
         inherited = await inherit_resources(self._successor, state, listeners)
         self._lock = inherited.lock
-        if inherited.known is not None:
-            self._config = replace(self._config, known_endpoints=inherited.known)
+        if inherited.listing is not None:
+            self._config = replace(self._config, known_endpoints=inherited.listing)
         for address in inherited.sockets.keys() & self._sockets.keys():
-            self._sockets.pop(address).close()  # a worker's, passed in by its supervisor too
+            self._sockets.pop(address).close()  # duplicates that a worker's supervisor passed in
         self._sockets |= inherited.sockets
 
     async def _build_gateway(self, assignment: WorkerAssignment | None) -> RunningGateway:
-        """Build the gateway and its reloader; what cannot be built raises before anything is served."""
+        """Build the gateway and its reloader; raise before anything is served if a part cannot be built."""
         settings = self._settings
         plugin_update = await build_plugins(self._path, settings, self._config.settings)
         ratelimit_config = await build_ratelimit_config(self._path, settings, self._config)
@@ -176,7 +179,7 @@
         if assignment is not None:
             server.core.in_flight_registry = assignment.open_in_flight_table()
         if plugin_update is not None:
-            from apigateway.daemon.plugins import start_plugins  # loaded only where there are any
+            from apigateway.daemon.plugins import start_plugins  # imported only if plug-ins are configured
 
             start_plugins(server, plugin_update, settings.hooks.tick)
         gateway = RunningGateway(
@@ -192,39 +195,39 @@
         return gateway
 
     def _start_registration(self) -> None:
-        """Register with Eureka, as starting, if the settings say so."""
-        own = self._config.registration
+        """Register with Eureka, with status STARTING, if the settings ask for it."""
+        registration_settings = self._config.registration
         registry = self._config.registry
-        if own is None or registry is None:
+        if registration_settings is None or registry is None:
             return
-        from apigateway.membership.eureka.registration import Registration  # loaded only where it is used
+        from apigateway.membership.eureka.registration import Registration  # imported only if used
 
         self._registration = Registration(
-            registry.urls, own, registry.user, registry.password, registry.timeout
+            registry.urls, registration_settings, registry.user, registry.password, registry.timeout
         )
         self._registration.start()
 
-    async def _wait_until_able(self, server: GatewayServer, take_over: bool) -> bool:
-        """Wait until endpoints are known, and as a successor for the counter, as long as that may take.
+    async def _wait_until_ready_to_serve(self, server: GatewayServer, take_over: bool) -> bool:
+        """Wait until endpoints are known; a successor also waits for the counter, up to a time limit.
 
         Returns:
-            Whether it can serve; False: it was told to stop meanwhile.
+            Whether the gateway can serve; False if a stop was requested meanwhile.
 
         Raises:
-            HandoverError: A successor got no endpoint list in time.
+            HandoverError: This is a successor, and no endpoint list arrived in time.
         """
         if not server.core.is_ready:
-            log.info("waiting for a list of hosts")
+            log.info("waiting for an endpoint list")
         timeout_s = self._settings.daemon.handover_wait if take_over else None
         stop_requested = self._loop.create_task(self._stop_requested.wait())
-        endpoints_known = self._loop.create_task(server.endpoint_list.is_known.wait())
+        endpoints_known = self._loop.create_task(server.endpoint_list.endpoints_known.wait())
         done, _ = await asyncio.wait(
             (stop_requested, endpoints_known), timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED
         )
         stop_requested.cancel()
         endpoints_known.cancel()
         if not done:
-            raise HandoverError(f"no list of hosts within {timeout_s:.0f} s")
+            raise HandoverError(f"no endpoint list received within {timeout_s:.0f} s")
         if self._successor is not None and server.counter is not None:
             await server.counter.wait_until_connected(MAX_COUNTER_WAIT_S)
         return not self._stop_requested.is_set()
@@ -233,10 +236,10 @@
         """Accept connections in place of the predecessor.
 
         Raises:
-            HandoverError: The predecessor has disconnected, and accepts again: there must not be two.
+            HandoverError: The predecessor has disconnected and accepts again, so this process must not serve.
         """
-        known = await successor.announce_ready()
-        server.reset_decision_module(read_list(known, messages.ListMode.CACHED))
+        predecessor_state = await successor.announce_ready()
+        server.reset_decision_module(read_list(predecessor_state, messages.ListMode.CACHED))
         await server.listen(self._sockets)
         try:
             await successor.announce_serving()
@@ -245,17 +248,17 @@
             raise
 
     def _announce_ready(self, gateway: RunningGateway, take_over: bool) -> None:
-        """Tell the log and the service manager that it serves."""
-        gc.freeze()  # what the start made stays for good: no collection need look at it again
+        """Log, and notify the service manager, that the gateway serves."""
+        gc.freeze()  # startup objects are never freed, so garbage collections can skip them
         name = gateway.config.name
         for frontend in gateway.server.frontends:
             log.info("%s listens on %s", name, write_address((frontend.address[0], frontend.port)))
-        self._notifier.ready(f"serving as {name}", main=take_over)
+        self._notifier.ready(f"serving as {name}", is_main_process=take_over)
 
-    # Hand-over, as the predecessor
+    # Hand-over to a successor
 
     def _open_handover(self, gateway: RunningGateway) -> None:
-        """Answer successors and status queries, if there is a state folder."""
+        """Accept hand-overs and status queries, if there is a state folder."""
         if self._lock is None:
             return
         self._lock.record_holder()
@@ -275,13 +278,15 @@
 
     def _offer(self) -> HandoverOffer:
         assert self._lock is not None and self._gateway is not None
-        names = [write_address(address) for address in self._sockets]
+        listener_names = [write_address(address) for address in self._sockets]
         descriptors = [sock.fileno() for sock in self._sockets.values()]
         descriptors.append(self._lock.descriptor)
-        return HandoverOffer(names, descriptors, write_list(self._gateway.server.endpoint_list.listing))
+        return HandoverOffer(
+            listener_names, descriptors, write_list(self._gateway.server.endpoint_list.listing)
+        )
 
     async def _resume(self) -> None:
-        """Accept again, after a hand-over that failed; not if it was told to stop meanwhile."""
+        """Accept connections again after a failed hand-over, unless a stop was requested meanwhile."""
         if self._gateway is not None and not self._stop_requested.is_set():
             await self._gateway.server.resume(self._sockets)
 
@@ -292,7 +297,7 @@
     # Shutdown
 
     async def _shut_down(self, server: GatewayServer) -> None:
-        """Complete what was accepted, and close the gateway."""
+        """Complete the accepted requests and close the gateway."""
         if not self._is_handed_over:
             self._notifier.stopping()
         if self._reloader is not None:
@@ -300,15 +305,15 @@
         if self._is_handed_over:
             await self._stop_after_handover(server)
         else:
-            await self._stop_for_good(server)
+            await self._stop_without_successor(server)
 
     async def _stop_after_handover(self, server: GatewayServer) -> None:
-        """Stop without lingering: the successor accepts, and holds the registration under the same id."""
+        """Stop without lingering: the successor accepts already, and keeps the registration."""
         await server.stop(0.0)
         if self._registration is not None:
             await self._registration.close()
 
-    async def _stop_for_good(self, server: GatewayServer) -> None:
+    async def _stop_without_successor(self, server: GatewayServer) -> None:
         if self._registration is not None:
             await self._registration.mark_down()
         await server.stop()
@@ -316,7 +321,7 @@
             await self._registration.deregister()
 
     def _close(self) -> None:
-        """Close what the process holds, also after a start that failed."""
+        """Close the process's sockets and lock; also called after a failed start."""
         if self._predecessor is not None:
             self._predecessor.close()
         for sock in self._sockets.values():
--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -1,7 +1,7 @@
 """Assemble one gateway from its configuration, and start, reconfigure and stop it.
 
-What it is made of: the core, frontends, connections to endpoints, the quota counter's client, the endpoint
-list and its source; rate limit services and plug-ins where the settings have some.
+A gateway consists of the core, frontends, connections to endpoints, the quota counter's client, and the
+endpoint list with its source. Rate limit services and plug-ins are added if the settings configure them.
 """
 
 from __future__ import annotations
@@ -36,13 +36,14 @@
     from apigateway.plugins.manager import PluginManager
     from apigateway.policy.overload_gate import OverloadGate
 
-# Bytes that the program takes itself, with some to spare.
+# Memory of the program itself, rounded up.
 PROGRAM_BYTES = 40 * 1024 * 1024
-# Bytes of request bodies, and as many of incomplete commands, for which there is always room.
+# Request bodies may always take this much memory, and incomplete commands as much again.
 MIN_BODY_BYTES = 4 * 1024 * 1024
-# Part of the memory left by the program that request bodies may take, and likewise incomplete commands.
+# Request bodies may take this fraction (1/4) of the memory that the program leaves, and incomplete commands
+# as much again.
 BODY_MEMORY_DIVISOR = 4
-# File descriptors that are neither clients' nor endpoints' connections.
+# File descriptors reserved for other uses than connections of clients and to endpoints.
 RESERVED_DESCRIPTORS = 64
 
 log = logging.getLogger(__name__)
@@ -55,33 +56,33 @@
     `start`. One that hands over calls `pause`, and `resume` if the successor failed.
 
     Attributes:
-        config: In force.
-        clock: Unix time in seconds that never steps; one for the decision module's start and all its events.
-        core: The requests in flight.
+        config: The current configuration.
+        clock: Unix time in seconds without steps; the decision module's start and all its events use it.
+        core: Dispatches requests, and holds those in flight.
         upstream: Connections to the endpoints.
-        counter: None where the configuration has none.
-        endpoint_list: As last received.
-        endpoint_source: Where it comes from.
-        frontends: One for each listener.
-        ratelimit: Rate limit services; None: the settings want none.
-        plugins: Plug-ins that are asked about requests; None: none are.
+        counter: Client of the quota counter; None if none is configured.
+        endpoint_list: The endpoint list as last received.
+        endpoint_source: The source of the endpoint list.
+        frontends: One frontend for each listener.
+        ratelimit: Rate limit services; None if none are configured.
+        plugins: Plug-ins that are called for requests; None if none are configured.
     """
 
     def __init__(self, config: Config, ratelimit_config: RateLimitConfig | None = None) -> None:
-        """Build all parts; nothing runs yet.
+        """Build all parts without starting them.
 
         Args:
-            config: What it runs with.
-            ratelimit_config: What to build of rate limit services; None: nothing of them is loaded.
+            config: The configuration.
+            ratelimit_config: Configuration of the rate limit services; None to load none of their code.
         """
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.clock = MonotonicUnixClock()
-        # Half of all connections are clients'; the other half goes to endpoints.
+        # Half of the descriptors are for client connections, the other half for connections to endpoints.
         self._max_client_connections = (
             max(config.max_descriptors - RESERVED_DESCRIPTORS, config.max_descriptors // 2) // 2
         )
-        # Past its limit of memory the process is killed.
+        # Bounded because the process is killed when it exceeds its memory limit.
         self._max_body_bytes = max(
             MIN_BODY_BYTES, (config.memory_bytes - PROGRAM_BYTES) // BODY_MEMORY_DIVISOR
         )
@@ -97,7 +98,7 @@
         self.ratelimit: RateLimitServices | None = None
         if ratelimit_config is not None:
             self.ratelimit = self.create_ratelimit_services(ratelimit_config)
-            self.ratelimit.take_up(ratelimit_config, self.frontends)
+            self.ratelimit.apply(ratelimit_config, self.frontends)
         self.frontends = [
             self.create_frontend(address, config, self.ratelimit, ratelimit_config)
             for address in config.listeners
@@ -106,7 +107,7 @@
         self.endpoint_source: EndpointSource = self._source_factory.create(config)
         self.core.membership = self.endpoint_source
         self.plugins: PluginManager | None = None
-        self._closing_tasks: set[asyncio.Task[None]] = set()  # of what a reload replaced
+        self._closing_tasks: set[asyncio.Task[None]] = set()  # closing what a reload has replaced
 
     # Assembly
 
@@ -126,8 +127,8 @@
         return Gateway(self.config.settings, self.config.seed, self.clock())
 
     def create_ratelimit_services(self, ratelimit_config: RateLimitConfig) -> RateLimitServices:
-        """Return rate limit services that are not in force yet."""
-        from apigateway.daemon.ratelimit import RateLimitServices  # loaded only where settings want it
+        """Return rate limit services that are not used yet."""
+        from apigateway.daemon.ratelimit import RateLimitServices  # imported only if used
 
         return RateLimitServices(self.core, self.config, ratelimit_config)
 
@@ -141,10 +142,10 @@
         """Return a frontend for a listener's address; it does not listen yet.
 
         Args:
-            address: Of the listener.
-            config: Names the listener; it may not be in force yet.
-            ratelimit: Serves those listeners that speak gRPC.
-            ratelimit_config: Likewise; it may not be in force yet.
+            address: Address of the listener.
+            config: Configuration that contains the listener; it need not be in use yet.
+            ratelimit: Rate limit services, which serve the gRPC listeners.
+            ratelimit_config: Their configuration; it need not be in use yet.
         """
         if address in config.grpc_listeners:
             assert ratelimit is not None and ratelimit_config is not None
@@ -160,12 +161,12 @@
     # Start
 
     async def start(self) -> int:
-        """Start serving and return the port that clients connect to."""
+        """Start serving, and return the port of the first listener."""
         self.prepare()
         return await self.listen()
 
     def prepare(self) -> None:
-        """Start everything but the listeners, so that endpoints are known before the first request."""
+        """Start everything except the listeners, so that endpoints are known before the first request."""
         self.endpoint_list.apply(self.config.known_endpoints)
         if self.config.evacuated_zones:
             self.endpoint_list.evacuate_zones(self.config.evacuated_zones)
@@ -176,30 +177,31 @@
             self.endpoint_source.watch(True)
 
     async def listen(self, sockets: Mapping[Address, socket.socket] | None = None) -> int:
-        """Accept connections.
+        """Start accepting connections.
 
         Args:
-            sockets: Used in place of new ones; each frontend gets a duplicate, and these stay open.
+            sockets: Listening sockets by address, used instead of new ones. Each frontend gets a duplicate,
+                and the originals stay open.
 
         Returns:
             The first frontend's port.
         """
-        self._share_limits()
+        self._distribute_limits()
         for frontend in self.frontends:
             sock = sockets.get(frontend.address) if sockets else None
             await frontend.listen(sock.dup() if sock is not None else None)
         return self.frontends[0].port
 
-    def _share_limits(self) -> None:
-        """Give each frontend an even part of the connections and of the bytes of incomplete commands."""
+    def _distribute_limits(self) -> None:
+        """Divide the limits on connections and on bytes of incomplete commands evenly among the frontends."""
         count = len(self.frontends)
         for frontend in self.frontends:
             frontend.set_limits(self._max_client_connections // count, self._max_body_bytes // count)
 
-    # Reconfiguration: nothing here waits, and nothing can fail
+    # Reconfiguration: these steps neither wait nor fail
 
     def reload(self, config: Config) -> None:
-        """Switch to the addresses of a new platform configuration.
+        """Switch to the discovery and counter addresses of a new platform configuration.
 
         The rest of it takes effect at the next start.
         """
@@ -208,33 +210,37 @@
         old = self.config
         self.config = config
         if _platform_settings_of(old) != _platform_settings_of(config):
-            log.warning("only new addresses of discovery and counter are taken up before the next start")
+            log.warning("only new discovery and counter addresses take effect before the next start")
         self.change_counter_address(config.counter)
         self.switch_endpoint_source(self.create_endpoint_source(config))
         if config.discovery:
             log.info("new configuration: discovery %s:%d", *config.discovery)
 
     def change_counter_address(self, address: Address | None) -> None:
-        """Go to another address, if there is a counter now and in the new configuration."""
+        """Connect to the counter at another address, if there is one now and in the new configuration."""
         if self.counter and address:
             self.counter.change_address(address)
 
     def create_endpoint_source(self, config: Config) -> EndpointSource:
-        """Return a source for `switch_endpoint_source`."""
+        """Return a source to pass to `switch_endpoint_source`."""
         return self._source_factory.create(config, self.endpoint_source)
 
     def switch_endpoint_source(self, source: EndpointSource) -> None:
-        """Take the endpoint list from another source; the last list stays until that one reports its own."""
+        """Use another source; the last endpoint list stays in use until the new source reports one."""
         replaced = self.endpoint_source
         self.endpoint_source = source
         self.core.membership = source
-        if replaced.watching:  # the watch begins with the complete list: another service has its own versions
+        if (
+            replaced.watching
+        ):  # a new watch starts with the complete list, as versions differ between services
             source.watch(True)
-        replaced.watch(False)  # at once: what it receives in this turn of the loop is not read any more
+        replaced.watch(
+            False
+        )  # immediately, so that data that arrives in this iteration of the loop is not read
         self._close_in_background(replaced.close())
 
     def apply_overload_settings(self, config: Config) -> None:
-        """Shed load early, or not, as a configuration says; never on the platform."""
+        """Turn load shedding on or off as configured; on the platform it is always off."""
         self.core.admission = self._admission_controller(config)
         for frontend in self.frontends:
             frontend.update_admission()
@@ -247,29 +253,31 @@
 
         limits = config.settings.limits
         max_retry_after = limits.max_retry_after if limits.can_tell_retry_after else 0.0
-        terms = (*config.overload, max_retry_after)
+        gate_settings = (*config.overload, max_retry_after)
         if self._overload_gate is None:
-            self._overload_gate = OverloadGate(*terms, config.seed)
-        self._overload_gate.configure(*terms)
+            self._overload_gate = OverloadGate(*gate_settings, config.seed)
+        self._overload_gate.configure(*gate_settings)
         return self.core.admission or AdmissionController(self._overload_gate, self.loop)
 
     def replace_frontends(self, added: Sequence[Frontend], removed: Collection[Address]) -> list[Frontend]:
-        """Serve other listeners from now on, and return the frontends that are to be retired."""
+        """Add and remove frontends, and return the removed ones, which the caller has to retire."""
         retired = [frontend for frontend in self.frontends if frontend.address in removed]
         kept = [frontend for frontend in self.frontends if frontend.address not in removed]
         self.frontends = [*kept, *added]
-        self._share_limits()
+        self._distribute_limits()
         return retired
 
     def retire_frontend(self, frontend: Frontend) -> None:
-        """Complete what a frontend has accepted, in the background, and close it."""
+        """Complete a frontend's accepted requests in the background, then close it."""
         has_waiting_connections = frontend.has_pending_connections
-        if not has_waiting_connections:  # at once: who learns of the reload finds the address closed
+        if (
+            not has_waiting_connections
+        ):  # immediately: the address is closed by the time the reload is reported
             frontend.start_draining()
         self._close_in_background(retire_frontend(frontend, is_listener_open=has_waiting_connections))
 
     def set_plugins(self, plugins: PluginManager | None) -> None:
-        """Ask these about the requests from now on; None: ask none."""
+        """Replace the plug-ins that are called for requests; None to call none."""
         replaced = self.plugins
         self.plugins = plugins
         self.core.plugins = plugins
@@ -284,32 +292,34 @@
     # Hand-over
 
     async def pause(self) -> None:
-        """Accept no new connections: whoever else holds the listening sockets does.
+        """Stop accepting connections; the successor, which holds the same listening sockets, accepts them.
 
-        The ceilings' token buckets fill no further: from now on the successor's do.
+        The ceilings' token buckets are no longer refilled, since the successor's are refilled from now on.
         """
         for frontend in self.frontends:
             frontend.stop_accepting()
         self.core.dispatch(messages.DrainGateway(True))
 
     async def resume(self, sockets: Mapping[Address, socket.socket]) -> None:
-        """Go on as before: the successor failed."""
+        """Accept connections again after the successor failed."""
         self.core.dispatch(messages.DrainGateway(False))
         await self.listen(sockets)
 
     def reset_decision_module(self, predecessor_listing: Listing) -> None:
-        """Start the decision module anew, with the endpoints that this process knows.
+        """Replace the decision module by a new one that has the current endpoint list.
 
-        An endpoint drains if either process was told that it does: the gateway was told. The source is asked
-        again, so that a drain which is over ends.
+        An endpoint that either process knows to be draining counts as draining, since the gateway as a whole
+        was told so. The endpoint list is fetched again, so that a drain that has ended is noticed.
         """
         self.core.module = self._create_decision_module()
         self.core.dispatch(replace(self.endpoint_list.listing.hosts, mode=messages.ListMode.CACHED))
-        draining = self.endpoint_list.available_but_draining_in(predecessor_listing)
+        draining = self.endpoint_list.endpoints_draining_only_in(predecessor_listing)
         if not draining:
             return
         driver = reconciler_driver_of(self.endpoint_source)
-        if driver is not None:  # through the reconciler, or what it reports later would not be a change
+        if (
+            driver is not None
+        ):  # through the reconciler; otherwise its later reports would not count as changes
             driver.mark_draining(endpoint.id for endpoint in draining)
         else:
             version = self.endpoint_list.listing.hosts.version
@@ -321,10 +331,10 @@
     # Shutdown
 
     async def stop(self, linger_s: float | None = None) -> None:
-        """Go on accepting for a while, complete what was accepted, and close everything.
+        """Keep accepting connections for `linger_s`, complete the accepted requests, and close everything.
 
         Args:
-            linger_s: How long connections are still accepted; None: as the configuration says.
+            linger_s: How long connections are still accepted; None to use the configured time.
         """
         started_at = time.monotonic()
         self.core.is_draining = True
@@ -350,7 +360,7 @@
 
 
 def _platform_settings_of(config: Config) -> tuple[object, ...]:
-    """Return what of a platform configuration takes effect at a start only, and is watched for changes."""
+    """Return the settings whose change a reload reports, since they take effect only at a start."""
     return (config.settings, config.listeners[0], config.max_descriptors)
 
 
--- a/apigateway/daemon/gateway_status.py
+++ b/apigateway/daemon/gateway_status.py
@@ -1,6 +1,6 @@
-"""What a gateway tells operators of its state, typed, and its JSON for `api-gateway hosts` and the like.
+"""Define the status that a gateway reports to operators, and its JSON form (`api-gateway hosts` and others).
 
-The JSON's keys are read by operators' scripts: they stay as they are. Not loaded on the platform.
+The JSON's keys must not change, since operators' scripts read them. Not loaded on the platform.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from apigateway.external_ratelimit.limiter import LimiterStatus
 
-# The decision module's words for states of an endpoint, in those of operators; others are the same.
-_STATE_FOR_OPERATORS: dict[messages.EndpointStatus, str] = {
+# Names that operators see for the decision module's endpoint states; the other states keep their names.
+_OPERATOR_STATE_NAMES: dict[messages.EndpointStatus, str] = {
     messages.EndpointStatus.LEAVING: "draining",
     messages.EndpointStatus.DOWN: "gone",
 }
@@ -25,11 +25,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """An endpoint as the source tells of it.
+    """An endpoint as its source reports it.
 
     Attributes:
-        doubt: Why the reconciler does not accept what the source reports; empty: it does.
-        since_s: How long its state has been so; None: not known.
+        endpoint: The endpoint.
+        address: Its address; None if it is not known.
+        doubt: Why the reconciler does not accept what the source reports; empty if it does.
+        since_s: How long the endpoint has been in its state; None if not known.
     """
 
     endpoint: messages.Endpoint
@@ -38,7 +40,7 @@
     since_s: float | None = None
 
     def as_json(self) -> dict[str, Any]:
-        """Return it as JSON."""
+        """Return the JSON form."""
         endpoint = self.endpoint
         return {
             "id": endpoint.id,
@@ -46,7 +48,7 @@
             "zone": endpoint.zone,
             "cell": endpoint.cell,
             "kind": endpoint.kind,
-            "state": _STATE_FOR_OPERATORS.get(endpoint.state, endpoint.state),
+            "state": _OPERATOR_STATE_NAMES.get(endpoint.state, endpoint.state),
             "doubt": self.doubt,
             "since": self.since_s,
         }
@@ -54,13 +56,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SelectionStatus:
-    """What the decision module knows of the endpoints it selects from.
+    """The decision module's view of the endpoints that it selects from.
 
     Attributes:
-        loads: By endpoint id; endpoints that it does not know are absent.
-        choice_counts: What decided its choices since the start.
-        evacuated_zones: By the settings.
-        zones_with_faults: By zone, as the decision module's zone health tells.
+        loads: Load by endpoint id; endpoints that the decision module does not have are absent.
+        choice_counts: Number of selections since the start, by what decided them.
+        evacuated_zones: Zones evacuated by the settings.
+        zones_with_faults: The zone health's findings by zone.
     """
 
     loads: dict[str, EndpointLoad]
@@ -68,8 +70,8 @@
     evacuated_zones: Sequence[str]
     zones_with_faults: dict[str, dict[str, Any]]
 
-    def choice_of(self, endpoint_id: str) -> dict[str, Any]:
-        """Return an endpoint's load as JSON; empty: it is not known."""
+    def load_json(self, endpoint_id: str) -> dict[str, Any]:
+        """Return an endpoint's load as JSON; empty if it is not known."""
         load = self.loads.get(endpoint_id)
         return load.as_json() if load is not None else {}
 
@@ -79,10 +81,10 @@
     """The endpoint list for `api-gateway hosts`.
 
     Attributes:
-        source: Where it comes from, in words.
-        age_s: How long ago the source last reported; None: never.
-        endpoints: All of them.
-        selection: None where the decision module is not this package's own.
+        source: Description of the list's source.
+        age_s: How long ago the source last reported; None if never.
+        endpoints: All endpoints of the list.
+        selection: The decision module's view; None if the decision module is not this package's own.
     """
 
     source: str
@@ -91,14 +93,14 @@
     selection: SelectionStatus | None
 
     def as_json(self) -> dict[str, Any]:
-        """Return it as JSON."""
+        """Return the JSON form."""
         hosts = [endpoint.as_json() for endpoint in self.endpoints]
-        tree: dict[str, Any] = {"source": self.source, "age": self.age_s, "hosts": hosts}
+        status: dict[str, Any] = {"source": self.source, "age": self.age_s, "hosts": hosts}
         if self.selection is None:
-            return tree
+            return status
         for host in hosts:
-            host["choice"] = self.selection.choice_of(host["id"])
-        return tree | {
+            host["choice"] = self.selection.load_json(host["id"])
+        return status | {
             "choices": self.selection.choice_counts,
             "left": list(self.selection.evacuated_zones),
             "sites": self.selection.zones_with_faults,
@@ -110,11 +112,11 @@
     """One listener of the rate limit service.
 
     Attributes:
-        address: HOST:PORT.
-        is_tls: Whether it speaks TLS.
-        connection_count: Open now.
-        failed_handshake_count: Of TLS, since the start.
-        answer_counts: By answer, since the start.
+        address: Address as HOST:PORT.
+        is_tls: Whether the listener uses TLS.
+        connection_count: Number of open connections.
+        failed_handshake_count: Number of failed TLS handshakes since the start.
+        answer_counts: Number of responses since the start, by response.
     """
 
     address: str
@@ -124,7 +126,7 @@
     answer_counts: dict[str, int]
 
     def as_json(self) -> dict[str, Any]:
-        """Return it as JSON."""
+        """Return the JSON form."""
         return {
             "address": self.address,
             "tls": self.is_tls,
@@ -139,9 +141,9 @@
     """The rate limit service for `api-gateway ratelimit status`.
 
     Attributes:
-        listeners: All of them.
-        token_counts: By event; None: there are no tokens.
-        external_service: As the client of the external rate limit service tells; None: there is none.
+        listeners: All listeners of the service.
+        token_counts: Number of token events since the start, by event; None if there are no tokens.
+        external_service: Status of the external rate limit service's client; None if there is none.
     """
 
     listeners: Sequence[RateLimitListenerStatus] = ()
@@ -149,7 +151,7 @@
     external_service: LimiterStatus | None = None
 
     def as_json(self) -> dict[str, Any]:
-        """Return it as JSON."""
+        """Return the JSON form."""
         return {
             "listeners": [listener.as_json() for listener in self.listeners],
             "tokens": self.token_counts,
--- a/apigateway/daemon/graceful_shutdown.py
+++ b/apigateway/daemon/graceful_shutdown.py
@@ -1,6 +1,6 @@
 """Complete the requests that frontends have accepted, then close their connections.
 
-Used for all frontends at a shutdown, and for single ones whose listener a reload removes.
+Used for all frontends at a shutdown, and for a single frontend when a reload removes its listener.
 """
 
 from __future__ import annotations
@@ -16,20 +16,22 @@
 if TYPE_CHECKING:
     from apigateway.daemon.interfaces import Frontend
 
-# For connections that wait at a listener about to close; where they never end, later ones are reset.
+# How long a closing listener still accepts connections from the kernel's queue. If new ones keep arriving,
+# those after this time are reset.
 MAX_ACCEPT_WAIT_S = 0.1
-# For the loop to read what lay in the sockets when the connections were told to end; also between checks.
+# How long the event loop gets to read what was in the sockets when draining began; also the polling interval.
 READ_INTERVAL_S = 0.005
-# For clients of gRPC to receive GOAWAY and close their connections.
+# How long gRPC clients get to receive GOAWAY and close their connections.
 GRPC_SETTLE_S = 1.0
-# For the rest of an incomplete command to arrive once connections end.
+# How long the rest of an incomplete RESP command may take to arrive once connections are draining.
 RESP_SETTLE_S = 0.25
 
 
 async def close_listeners(frontends: Sequence[Frontend]) -> None:
-    """Close listeners and idle connections, once what waited at the listeners has been accepted.
+    """Close listeners and idle connections, after accepting the connections in the listeners' queues.
 
-    The kernel has accepted those connections: a close would reset them with the requests that they carry.
+    The kernel has already established those connections: closing the listener would reset them and lose the
+    requests that they carry.
     """
     deadline = time.monotonic() + MAX_ACCEPT_WAIT_S
     while any(frontend.has_pending_connections for frontend in frontends) and time.monotonic() < deadline:
@@ -39,11 +41,11 @@
 
 
 async def retire_frontend(frontend: Frontend, is_listener_open: bool) -> None:
-    """Complete what a frontend has accepted, then close it.
+    """Complete a frontend's accepted requests, then close it.
 
     Args:
-        frontend: A reload has removed its listener from the settings.
-        is_listener_open: Its listener is still to be closed, since connections wait to be accepted.
+        frontend: Frontend whose listener a reload has removed from the settings.
+        is_listener_open: Whether its listener is still open because connections wait to be accepted.
     """
     if is_listener_open:
         await close_listeners([frontend])
@@ -57,13 +59,13 @@
     grpc_addresses: Collection[Address],
     deadline: float,
 ) -> None:
-    """Close the frontends' listeners and answer everything that was accepted.
+    """Close the frontends' listeners, and answer all accepted requests.
 
     Args:
-        core: Holds the requests in flight; those that are late it fails.
-        frontends: All of them.
-        grpc_addresses: The addresses of those that speak gRPC.
-        deadline: By the system's monotonic clock.
+        core: Holds the requests in flight, and fails those that are not answered by the deadline.
+        frontends: All frontends.
+        grpc_addresses: Addresses of the frontends that speak gRPC.
+        deadline: When this must end, by `time.monotonic`.
     """
     await close_listeners(frontends)
     await asyncio.sleep(READ_INTERVAL_S)
@@ -72,7 +74,9 @@
         max_wait_s = GRPC_SETTLE_S if frontend.address in grpc_addresses else RESP_SETTLE_S
         await frontend.wait_settled(min(max_wait_s, max(0.0, deadline - time.monotonic())))
     await core.drain(deadline - time.monotonic())
-    await asyncio.sleep(0)  # the last answers are written at the end of this turn of the loop, if they fit
+    await asyncio.sleep(
+        0
+    )  # the last responses are written at the end of this loop iteration, if the socket buffers have room
     while any(frontend.has_unwritten_responses for frontend in frontends) and time.monotonic() < deadline:
         await asyncio.sleep(READ_INTERVAL_S)
     for frontend in frontends:
@@ -80,7 +84,7 @@
 
 
 async def _handle_deferred_commands(core: RequestDispatcher, deadline: float) -> None:
-    """Let the loop handle commands that were read while it was overloaded."""
+    """Let the event loop handle the commands that were deferred while it was overloaded."""
     admission = core.admission
     if admission is None:
         return
--- a/apigateway/daemon/handover.py
+++ b/apigateway/daemon/handover.py
@@ -1,6 +1,6 @@
 """Hand the listening sockets, the lock and the endpoint list of a running gateway to a new process.
 
-Both processes talk over a Unix socket, one line of JSON a message:
+Both processes exchange messages over a Unix socket, each a line of JSON:
 
     successor                               predecessor
     {"take": 1}                     ->
@@ -8,18 +8,18 @@
                                     <-      {"known": list}
     (builds everything, checks that it could serve)
     {"ready": true}                 ->
-                                            stops accepting; its rate ceilings fill no further
+                                            stops accepting; its ceilings are no longer refilled
                                     <-      {"go": true, "known": list}
     (accepts)
     {"serving": true}               ->
                                             completes its requests in flight, exits
 
-Each side bounds each wait. If the connection ends before `serving`, the predecessor goes on as before and the
-successor exits: exactly one of them is left, and the kernel's queue of connections was held by one of them
-throughout.
+Each side limits the time of each wait. If the connection closes before `serving`, the predecessor continues
+to serve and the successor exits. Exactly one of them is then left, and at every moment one of them held the
+listening sockets with the kernel's queue of connections.
 
-Here are the messages and errors. handover_predecessor.py and handover_successor.py have the two sides,
-handover_channel.py the connection between them.
+This module defines the messages and errors. handover_predecessor.py and handover_successor.py implement the
+two sides, handover_channel.py the connection between them.
 """
 
 from __future__ import annotations
@@ -27,16 +27,18 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-# An endpoint list in its stored form, or what a supervisor says of its workers.
-KnownEndpoints = dict[str, Any]
-# A message in its wire form, a JSON object. Successive versions of the program talk by it: it must stay.
+# A gateway's endpoint list in its stored form, or a supervisor's number of workers and first in-flight
+# region.
+PredecessorState = dict[str, Any]
+# A message in its wire form, a JSON object. It must not change, since different versions of the program
+# exchange it.
 WireMessage = dict[str, Any]
 
-TAKE_OVER_VERSION = 1  # of the protocol
+TAKE_OVER_VERSION = 1  # version of the protocol
 
 
 class HandoverError(Exception):
-    """The peer disconnected, sent something unexpected or took too long."""
+    """The peer disconnected, sent an unexpected message or timed out."""
 
 
 class HandoverInProgressError(HandoverError):
@@ -44,36 +46,36 @@
 
 
 class HandoverOffer(NamedTuple):
-    """What a predecessor passes on.
+    """Everything that a predecessor passes to its successor.
 
     Attributes:
         listeners: Addresses of the listening sockets.
-        descriptors: One for each listener in the same order, then the lock's.
-        known: The predecessor's endpoints.
+        descriptors: The socket of each listener in the same order, then the lock.
+        state: The predecessor's state.
     """
 
     listeners: list[str]
     descriptors: list[int]
-    known: KnownEndpoints
+    state: PredecessorState
 
 
 @dataclass(frozen=True, slots=True)
 class TakeOverRequest:
-    """A successor asks for everything."""
+    """The successor's request for sockets, lock and state."""
 
     def to_wire(self) -> WireMessage:
         """Return the wire form."""
         return {"take": TAKE_OVER_VERSION}
 
     @staticmethod
-    def is_sent_by(message: WireMessage) -> bool:
-        """Return whether a wire message is this one."""
+    def matches(message: WireMessage) -> bool:
+        """Return whether a wire message is a take-over request."""
         return bool(message.get("take") == TAKE_OVER_VERSION)
 
 
 @dataclass(frozen=True, slots=True)
 class TakeOverRejected:
-    """Another successor is taking over, or has."""
+    """The predecessor's rejection: another successor is taking over, or has taken over."""
 
     def to_wire(self) -> WireMessage:
         """Return the wire form."""
@@ -82,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenersMessage:
-    """The predecessor's listeners; their sockets and the lock come with the message."""
+    """The predecessor's listeners; their sockets and the lock are sent with the message."""
 
     listeners: list[str]
 
@@ -92,39 +94,39 @@
 
     @classmethod
     def from_wire(cls, message: WireMessage, descriptor_count: int) -> ListenersMessage:
-        """Read the answer to a TakeOverRequest, with which so many descriptors came.
+        """Parse the reply to a TakeOverRequest, received with `descriptor_count` descriptors.
 
         Raises:
-            HandoverInProgressError: It is a TakeOverRejected.
-            HandoverError: Descriptors are missing.
+            HandoverInProgressError: The reply is a TakeOverRejected.
+            HandoverError: The listeners or some descriptors are missing.
         """
         if message.get("busy"):
             raise HandoverInProgressError("another successor is taking over")
         listeners = message.get("listeners")
-        if not isinstance(listeners, list) or descriptor_count != len(listeners) + 1:  # and the lock
-            raise HandoverError("the sockets did not all come")
+        if not isinstance(listeners, list) or descriptor_count != len(listeners) + 1:  # one more for the lock
+            raise HandoverError("not all sockets were received")
         return cls(listeners)
 
 
 @dataclass(frozen=True, slots=True)
-class KnownMessage:
-    """The predecessor's endpoints."""
+class StateMessage:
+    """The predecessor's state."""
 
-    known: KnownEndpoints
+    state: PredecessorState
 
     def to_wire(self) -> WireMessage:
         """Return the wire form."""
-        return {"known": self.known}
+        return {"known": self.state}
 
     @classmethod
-    def from_wire(cls, message: WireMessage) -> KnownMessage:
-        """Read it; what is no object counts as nothing known."""
-        return cls(_known_of(message))
+    def from_wire(cls, message: WireMessage) -> StateMessage:
+        """Parse the wire form; a state that is not a JSON object is read as empty."""
+        return cls(_parse_state(message))
 
 
 @dataclass(frozen=True, slots=True)
 class ReadyMessage:
-    """The successor could serve."""
+    """The successor is ready to serve."""
 
     def to_wire(self) -> WireMessage:
         """Return the wire form."""
@@ -132,41 +134,41 @@
 
     @classmethod
     def from_wire(cls, message: WireMessage) -> ReadyMessage:
-        """Read it.
+        """Parse the wire form.
 
         Raises:
-            HandoverError: It is another message.
+            HandoverError: The message is of another type.
         """
         if not message.get("ready"):
-            raise HandoverError("the successor did not get ready")
+            raise HandoverError("expected `ready` from the successor, received another message")
         return cls()
 
 
 @dataclass(frozen=True, slots=True)
-class GoMessage:
-    """The predecessor has stopped accepting; with its last endpoints."""
+class StoppedAcceptingMessage:
+    """The predecessor has stopped accepting; carries its latest state."""
 
-    known: KnownEndpoints
+    state: PredecessorState
 
     def to_wire(self) -> WireMessage:
         """Return the wire form."""
-        return {"go": True, "known": self.known}
+        return {"go": True, "known": self.state}
 
     @classmethod
-    def from_wire(cls, message: WireMessage) -> GoMessage:
-        """Read it.
+    def from_wire(cls, message: WireMessage) -> StoppedAcceptingMessage:
+        """Parse the wire form.
 
         Raises:
-            HandoverError: It is another message.
+            HandoverError: The message is of another type.
         """
         if not message.get("go"):
-            raise HandoverError("no word to go")
-        return cls(_known_of(message))
+            raise HandoverError("expected `go` from the predecessor, received another message")
+        return cls(_parse_state(message))
 
 
 @dataclass(frozen=True, slots=True)
 class ServingMessage:
-    """The successor accepts."""
+    """The successor accepts connections."""
 
     def to_wire(self) -> WireMessage:
         """Return the wire form."""
@@ -174,19 +176,19 @@
 
     @classmethod
     def from_wire(cls, message: WireMessage) -> ServingMessage:
-        """Read it.
+        """Parse the wire form.
 
         Raises:
-            HandoverError: It is another message.
+            HandoverError: The message is of another type.
         """
         if not message.get("serving"):
-            raise HandoverError("the successor does not serve")
+            raise HandoverError("expected `serving` from the successor, received another message")
         return cls()
 
 
 @dataclass(frozen=True, slots=True)
 class StatusRequest:
-    """The command line asks for the status of that name; the answer is the status itself."""
+    """The command line's request for a status by its name; the reply is the status itself."""
 
     name: str
 
@@ -195,11 +197,11 @@
         return {"ask": self.name}
 
     @staticmethod
-    def name_of(message: WireMessage) -> Any:
-        """Return the status that a wire message asks for; None: it asks for none."""
+    def requested_name(message: WireMessage) -> Any:
+        """Return the name of the requested status; None if the message is not a status request."""
         return message.get("ask")
 
 
-def _known_of(message: WireMessage) -> KnownEndpoints:
-    known = message.get("known")
-    return known if isinstance(known, dict) else {}
+def _parse_state(message: WireMessage) -> PredecessorState:
+    state = message.get("known")
+    return state if isinstance(state, dict) else {}
--- a/apigateway/daemon/handover_channel.py
+++ b/apigateway/daemon/handover_channel.py
@@ -1,4 +1,4 @@
-"""Exchange the messages of a hand-over, a line of JSON each, over a Unix socket."""
+"""Exchange the messages of a hand-over over a Unix socket, each as a line of JSON."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 from apigateway.daemon.handover import HandoverError, WireMessage
 
-MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # an endpoint list of some ten thousand hosts
-MAX_DESCRIPTORS = 64  # in one message: the listeners and the lock
-READ_SIZE = 65_536  # bytes of one read
-REPLY_TIMEOUT_S = 5.0  # for replies that take no work: a first message, the answer to `go`
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # enough for an endpoint list of about ten thousand hosts
+MAX_DESCRIPTORS = 64  # per message: those of the listeners and of the lock
+READ_SIZE_BYTES = 65_536
+REPLY_TIMEOUT_S = 5.0  # for messages that the peer sends without lengthy work
 
 
 class HandoverChannel:
-    """Messages over one connection, a line of JSON each."""
+    """A connection that carries messages, each as a line of JSON."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self._buffer = b""  # received, but not yet returned as a message
+        self._buffer = b""  # received bytes not yet returned as a message
         sock.setblocking(False)
 
     async def send(self, message: WireMessage, descriptors: list[int] | None = None) -> None:
-        """Send a message, with file descriptors if there are any.
+        """Send a message, optionally with file descriptors.
 
         Raises:
             HandoverError: The peer has disconnected.
         """
         data = json.dumps(message).encode() + b"\n"
         try:
-            if descriptors:  # the first message on the connection, and short: it goes in one piece
+            if descriptors:  # sent with the first message, which is short and fits the socket buffer
                 sent = socket.send_fds(self.sock, [data], descriptors)
                 data = data[sent:]
             await asyncio.get_running_loop().sock_sendall(self.sock, data)
@@ -41,7 +41,7 @@
         """Return the next message.
 
         Raises:
-            HandoverError: None came in time, the peer disconnected, or it is not a message.
+            HandoverError: No message arrived in time, the peer disconnected, or the message is malformed.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -54,21 +54,21 @@
         try:
             message = json.loads(line)
         except ValueError as err:
-            raise HandoverError("not a message") from err
+            raise HandoverError("malformed message") from err
         if not isinstance(message, dict):
-            raise HandoverError("not a message")
+            raise HandoverError("malformed message")
         return message
 
     async def receive_with_descriptors(self, timeout_s: float) -> tuple[WireMessage, list[int]]:
-        """Return the next message and the file descriptors that came with it.
+        """Return the next message and the file descriptors received with it.
 
         Raises:
-            HandoverError: As for `receive`.
+            HandoverError: See `receive`.
         """
         try:
             async with asyncio.timeout(timeout_s):
                 await self._wait_until_readable()
-            data, descriptors, _, _ = socket.recv_fds(self.sock, READ_SIZE, MAX_DESCRIPTORS)
+            data, descriptors, _, _ = socket.recv_fds(self.sock, READ_SIZE_BYTES, MAX_DESCRIPTORS)
         except TimeoutError as err:
             raise _timed_out(timeout_s) from err
         except OSError as err:
@@ -83,12 +83,12 @@
     async def _fill_buffer_to_line_end(self) -> None:
         loop = asyncio.get_running_loop()
         while b"\n" not in self._buffer:
-            data = await loop.sock_recv(self.sock, READ_SIZE)
+            data = await loop.sock_recv(self.sock, READ_SIZE_BYTES)
             if not data:
-                raise HandoverError("the other side has gone")
+                raise HandoverError("the peer disconnected")
             self._buffer += data
             if len(self._buffer) > MAX_MESSAGE_BYTES:
-                raise HandoverError("a message without end")
+                raise HandoverError("message exceeds the size limit")
 
     async def _wait_until_readable(self) -> None:
         loop = asyncio.get_running_loop()
@@ -106,8 +106,8 @@
 
 
 def _disconnected(err: OSError) -> HandoverError:
-    return HandoverError(f"the other side has gone ({err.strerror})")
+    return HandoverError(f"the peer disconnected ({err.strerror})")
 
 
 def _timed_out(timeout_s: float) -> HandoverError:
-    return HandoverError(f"nothing heard for {timeout_s:.0f} s")
+    return HandoverError(f"no message received within {timeout_s:.0f} s")
--- a/apigateway/daemon/handover_predecessor.py
+++ b/apigateway/daemon/handover_predecessor.py
@@ -1,4 +1,4 @@
-"""The side of a hand-over that serves: it passes on its sockets and stops accepting."""
+"""Implement the predecessor's side of a hand-over: pass on the sockets, then stop accepting."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 from typing import Any
 
 from apigateway.daemon.handover import (
-    GoMessage,
     HandoverError,
     HandoverOffer,
-    KnownMessage,
     ListenersMessage,
     ReadyMessage,
     ServingMessage,
+    StateMessage,
     StatusRequest,
+    StoppedAcceptingMessage,
     TakeOverRejected,
     TakeOverRequest,
     WireMessage,
 )
 from apigateway.daemon.handover_channel import REPLY_TIMEOUT_S, HandoverChannel
 
-LISTEN_BACKLOG = 8  # connections; a successor and a few status queries
+LISTEN_BACKLOG = 8  # connections: a successor and a few status queries
 
 log = logging.getLogger(__name__)
 
 
 class HandoverPredecessor:
-    """The serving side: answers status queries and hands over to a successor that asks.
+    """The serving side: answers status queries, and hands over to a successor on request.
 
     Attributes:
-        status_queries: Answers by name to `{"ask": NAME}`, the gateway's own state for the command line.
-        ready_timeout_s: How long a successor may take to get ready, in seconds.
-        is_in_progress: A successor is taking over.
-        is_completed: A successor serves.
+        status_queries: Functions that return a status for the command line, by the name in `{"ask": NAME}`.
+        ready_timeout_s: How long a successor may take to become ready, in seconds.
+        is_in_progress: Whether a successor is taking over.
+        is_completed: Whether a successor serves.
     """
 
     status_queries: dict[str, Callable[[], dict[str, Any]]]
@@ -52,15 +52,15 @@
         on_completed: Callable[[], None],
         ready_timeout_s: float,
     ) -> None:
-        """Store the collaborators; nothing is open before `open`.
+        """Store the arguments; `open` opens the socket.
 
         Args:
-            path: Of the Unix socket.
-            offer: Returns what is passed on, as it is when called.
+            path: Path of the Unix socket.
+            offer: Returns the current resources and state to pass on.
             pause: Stops accepting connections.
-            resume: Accepts connections again, after a hand-over that failed.
+            resume: Accepts connections again after a failed hand-over.
             on_completed: Called once a successor serves.
-            ready_timeout_s: How long a successor may take to get ready, in seconds.
+            ready_timeout_s: How long a successor may take to become ready, in seconds.
         """
         self.ready_timeout_s = ready_timeout_s
         self.status_queries = {}
@@ -75,26 +75,28 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def open(self) -> None:
-        """Listen at the path, taken from its previous holder in one step: there is always someone to ask."""
+        """Listen at the path; the previous socket is replaced atomically, so the path always accepts."""
         self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self._socket.setblocking(False)
         temporary_path = f"{self._path}.{os.getpid()}"
         with contextlib.suppress(FileNotFoundError):
             os.unlink(temporary_path)
         self._socket.bind(temporary_path)
-        os.chmod(temporary_path, stat.S_IRUSR | stat.S_IWUSR)  # whoever may connect may take the sockets
+        os.chmod(
+            temporary_path, stat.S_IRUSR | stat.S_IWUSR
+        )  # a process that can connect can take the sockets
         self._socket.listen(LISTEN_BACKLOG)
         os.rename(temporary_path, self._path)
         self._start_task(self._accept_connections(self._socket))
 
     def close(self) -> None:
-        """Cancel what is under way and stop listening."""
+        """Cancel open connections and a hand-over in progress, and stop listening."""
         for task in list(self._tasks):
             task.cancel()
         if self._socket is None:
             return
         self._socket.close()
-        if not self.is_completed:  # else the path is the successor's
+        if not self.is_completed:  # otherwise the path belongs to the successor
             with contextlib.suppress(OSError):
                 os.unlink(self._path)
 
@@ -110,20 +112,20 @@
 
     async def _serve_connection(self, channel: HandoverChannel) -> None:
         try:
-            await self._answer(channel, await channel.receive(REPLY_TIMEOUT_S))
+            await self._handle_request(channel, await channel.receive(REPLY_TIMEOUT_S))
         except HandoverError as err:
-            log.warning("hand-over: %s; this process goes on", err)
+            log.warning("hand-over: %s; this process continues to serve", err)
         finally:
             channel.close()
 
-    async def _answer(self, channel: HandoverChannel, request: WireMessage) -> None:
-        """Answer a connection's first message."""
-        status_name = StatusRequest.name_of(request)
+    async def _handle_request(self, channel: HandoverChannel, request: WireMessage) -> None:
+        """Handle the first message of a connection."""
+        status_name = StatusRequest.requested_name(request)
         if status_name in self.status_queries:
             await channel.send(self.status_queries[status_name]())
             return
-        if not TakeOverRequest.is_sent_by(request):
-            raise HandoverError("not a successor's first word")
+        if not TakeOverRequest.matches(request):
+            raise HandoverError("the first message is neither a take-over request nor a known status request")
         if self.is_in_progress or self.is_completed:
             await channel.send(TakeOverRejected().to_wire())
             return
@@ -134,18 +136,18 @@
             self.is_in_progress = False
 
     async def _hand_over(self, channel: HandoverChannel) -> None:
-        """Hand over step by step; an error, or a cancellation, leaves this side serving."""
+        """Hand over to a successor; after an error or a cancellation this side continues to serve."""
         offer = self._offer()
         await channel.send(ListenersMessage(offer.listeners).to_wire(), offer.descriptors)
-        await channel.send(KnownMessage(offer.known).to_wire())
+        await channel.send(StateMessage(offer.state).to_wire())
         ReadyMessage.from_wire(await channel.receive(self.ready_timeout_s))
         await self._pause()
         try:
-            await channel.send(GoMessage(self._offer().known).to_wire())
+            await channel.send(StoppedAcceptingMessage(self._offer().state).to_wire())
             ServingMessage.from_wire(await channel.receive(REPLY_TIMEOUT_S))
-        except BaseException:  # also a cancellation: else nobody would accept
+        except BaseException:  # also on cancellation: otherwise no process would accept
             await self._resume()
             raise
         self.is_completed = True
-        log.info("hand-over: the successor serves; this process finishes what it has taken")
+        log.info("hand-over: the successor serves; this process completes its requests")
         self._on_completed()
--- a/apigateway/daemon/interfaces.py
+++ b/apigateway/daemon/interfaces.py
@@ -1,6 +1,6 @@
-"""What the daemon's modules need of each other's collaborators, one Protocol each.
+"""Define the interfaces of frontends and endpoint sources that the daemon's modules use.
 
-For annotations only: imported under TYPE_CHECKING, so that a running gateway does not load it.
+For annotations only: imported under TYPE_CHECKING, so that a running gateway does not load this module.
 """
 
 from __future__ import annotations
@@ -19,50 +19,50 @@
     port: int
 
     def update_admission(self) -> None:
-        """Take up the core's admission controller, which was set or removed."""
+        """Use the core's current admission controller, after it was set or removed."""
 
     def set_tokens(self, tokens: Any) -> None:
-        """Use these tokens of checks from now on; None: none are used."""
+        """Replace the quota tokens; None to use none."""
 
     def set_limits(self, max_connections: int, max_partial_bytes: int) -> None:
-        """Limit its connections, and the bytes of incomplete commands on all of them."""
+        """Limit the number of connections, and the total bytes of incomplete commands on them."""
 
     def announce_shutdown(self) -> None:
-        """Hear that a graceful shutdown has begun."""
+        """Handle the start of a graceful shutdown."""
 
     async def listen(self, sock: socket.socket | None = None) -> None:
-        """Accept connections, on this socket if there is one."""
+        """Start accepting connections, on the given socket if there is one."""
 
     def stop_accepting(self) -> None:
-        """Accept no new connections; the present ones go on."""
+        """Stop accepting connections; the existing ones stay open."""
 
     def start_draining(self) -> None:
-        """Close the listener, and each connection once its commands are answered."""
+        """Close the listener, and close each connection once its commands are answered."""
 
     async def wait_settled(self, timeout: float) -> None:
-        """Wait at most so long until commands that were received in part are complete."""
+        """Wait until partially received commands are complete, at most `timeout` seconds."""
 
     @property
     def has_pending_connections(self) -> bool:
-        """Whether a connection waits to be accepted."""
+        """Whether connections wait to be accepted."""
 
     @property
     def has_unwritten_responses(self) -> bool:
-        """Whether an answer is not written to the end."""
+        """Whether a response has not been written completely."""
 
     async def wait_disconnected(self) -> None:
-        """Wait until the last connection has ended."""
+        """Wait until the last connection is closed."""
 
     def close(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
 
 
 class EndpointSource(interfaces.EndpointSource, Protocol):
-    """A source of the endpoint list that can be replaced by another."""
+    """A source of the endpoint list that can be replaced at a reload."""
 
     @property
     def watching(self) -> object:
-        """Whether it watches the list."""
+        """Truthy while the source watches the list."""
 
     async def close(self) -> None:
-        """End what is under way."""
+        """Stop the watch and close the connections."""
--- a/apigateway/daemon/lock.py
+++ b/apigateway/daemon/lock.py
@@ -1,4 +1,4 @@
-"""Allow one instance for each state folder, by a file lock that a hand-over passes on."""
+"""Allow only one instance per state folder, by a file lock that a hand-over passes on."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import os
 
 LOCK_FILE = "lock"
-MAX_HOLDER_BYTES = 32  # of the lock file: a process id
+MAX_HOLDER_BYTES = 32  # read from the lock file, which holds a process id
 
 
 class StateFolderLockedError(Exception):
@@ -17,24 +17,24 @@
 class StateFolderLock:
     """An exclusive lock on the file `lock` of a folder, held while any process has its descriptor open.
 
-    The kernel releases it when the last such process exits, however it does.
+    The kernel releases it when the last such process exits, even after a crash.
     """
 
     def __init__(self, folder: str, descriptor: int | None = None) -> None:
         """Acquire the lock, or adopt the predecessor's.
 
         Args:
-            folder: The state folder, made if it is missing.
-            descriptor: The lock as the predecessor holds it, after a hand-over.
+            folder: The state folder, created if it is missing.
+            descriptor: The predecessor's lock, passed on by a hand-over; None to acquire the lock.
 
         Raises:
             StateFolderLockedError: Another instance holds the folder.
-            OSError: The folder or the file cannot be made.
+            OSError: The folder or the lock file cannot be created.
         """
         self.descriptor = _acquire(folder) if descriptor is None else descriptor
 
     def record_holder(self) -> None:
-        """Write this process's id to the file: for people, nothing relies on it."""
+        """Write this process's id to the lock file, for information only."""
         with contextlib.suppress(OSError):
             os.ftruncate(self.descriptor, 0)
             os.pwrite(self.descriptor, b"%d\n" % os.getpid(), 0)
--- a/apigateway/daemon/logs.py
+++ b/apigateway/daemon/logs.py
@@ -1,38 +1,38 @@
-"""Log to standard error, at a bounded rate."""
+"""Log to standard error at a limited rate."""
 
 from __future__ import annotations
 
 import logging
 import sys
 
-# CPU time is rationed, and a fault that repeats must not use it up for logging.
+# CPU time is limited, and logging a repeated fault must not use it up.
 DEFAULT_MAX_LINES_PER_SECOND = 5
 
 
 class LogRateLimiter(logging.Filter):
-    """Drops the records over so many in one second, and tells how many in the next line."""
+    """Drops records above a limit per second, and reports the number dropped in the next line."""
 
     def __init__(self, max_lines_per_second: int = DEFAULT_MAX_LINES_PER_SECOND) -> None:
         super().__init__()
         self.max_lines_per_second = max_lines_per_second
-        self._second = 0  # of the wall clock, to which the counts belong
+        self._second = 0  # wall-clock second that the counters belong to
         self._remaining_lines = 0
         self._dropped_lines = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether the record is logged."""
+        """Return whether to log the record."""
         second = int(record.created)
         if second != self._second:
-            self._start_second(second, record)
+            self._start_new_second(second, record)
         self._remaining_lines -= 1
         if self._remaining_lines < 0:
             self._dropped_lines += 1
             return False
         return True
 
-    def _start_second(self, second: int, record: logging.LogRecord) -> None:
+    def _start_new_second(self, second: int, record: logging.LogRecord) -> None:
         if self._dropped_lines:
-            record.msg = f"({self._dropped_lines} lines left out) {record.msg}"
+            record.msg = f"({self._dropped_lines} lines dropped) {record.msg}"
         self._second = second
         self._remaining_lines = self.max_lines_per_second
         self._dropped_lines = 0
--- a/apigateway/daemon/optional_services.py
+++ b/apigateway/daemon/optional_services.py
@@ -1,6 +1,6 @@
-"""Build plug-ins and rate limit services on another thread, where settings want them.
+"""Build plug-ins and rate limit services on another thread, if the settings configure them.
 
-Their modules are imported here and only then: a gateway without them holds none of their code.
+Their modules are imported only in that case, so that a gateway without them does not load their code.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from apigateway import messages
 from apigateway.daemon.config import Config
 from apigateway.daemon.settings import Settings
-from apigateway.daemon.settings_runtime import wants_plugins, wants_ratelimit
+from apigateway.daemon.settings_runtime import has_plugins, has_ratelimit
 
 if TYPE_CHECKING:
     from apigateway.daemon.plugins import PluginUpdate
@@ -27,12 +27,12 @@
     old: PluginManager | None = None,
     old_records: RecordsSection | None = None,
 ) -> PluginUpdate | None:
-    """Return the plug-ins that settings name; None: they name none.
+    """Return the configured plug-ins; None if none are configured.
 
     Raises:
-        InvalidConfigFileError: One cannot be used.
+        InvalidConfigFileError: A plug-in is invalid.
     """
-    if not wants_plugins(settings):
+    if not has_plugins(settings):
         return None
     from apigateway.daemon import plugins
 
@@ -40,12 +40,12 @@
 
 
 async def build_ratelimit_config(path: str, settings: Settings, config: Config) -> RateLimitConfig | None:
-    """Return what rate limit services run with; None: settings want none.
+    """Return the configuration of the rate limit services; None if none are configured.
 
     Raises:
-        InvalidConfigFileError: A file that settings name cannot be used.
+        InvalidConfigFileError: A file named in the settings is invalid.
     """
-    if not wants_ratelimit(settings):
+    if not has_ratelimit(settings):
         return None
     from apigateway.daemon import ratelimit_config
 
--- a/apigateway/daemon/platform.py
+++ b/apigateway/daemon/platform.py
@@ -1,4 +1,4 @@
-"""Run one gateway as the platform does: `python -m apigateway.daemon`, with RELAY_CONFIG."""
+"""Run one gateway on the platform, as `python -m apigateway.daemon` with RELAY_CONFIG set."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from apigateway.daemon.logs import start_log
 
 EXIT_OK = 0
-EXIT_UNUSABLE_CONFIG = 2  # also where the address cannot be bound
+EXIT_UNUSABLE_CONFIG = 2  # also if the address cannot be bound
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
     server = GatewayServer(config)
     loop.add_signal_handler(signal.SIGHUP, reload, server)
     port = await server.start()
-    gc.freeze()  # what the start made stays for good: no collection need look at it again
+    gc.freeze()  # startup objects are never freed, so garbage collections can skip them
     log.info("%s listens on %s:%d", config.name, config.listeners[0][0], port)
     if pending_signals.take_reload_request():
         reload(server)
@@ -39,11 +39,11 @@
 
 
 def reload(server: GatewayServer) -> None:
-    """Read the configuration again, after SIGHUP; one that cannot be used leaves the old in force."""
+    """Reload the configuration after SIGHUP; keep the old one if the new one is invalid."""
     try:
-        server.reload(read_config(again=True))
+        server.reload(read_config(is_reload=True))
     except ConfigError as err:
-        log.error("the old configuration stays: %s", err)
+        log.error("reload failed, the old configuration stays in force: %s", err)
 
 
 def main() -> int:
--- a/apigateway/daemon/plugins.py
+++ b/apigateway/daemon/plugins.py
@@ -1,6 +1,6 @@
-"""Build plug-ins and the recorder of requests from the settings, and swap them in at a reload.
+"""Build the plug-ins and the request recorder from the settings, and swap them in at a reload.
 
-Imported only where settings name some.
+Imported only if the settings configure one of them.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from apigateway.plugins.records import RequestRecorder
 from apigateway.plugins.settings import RecordsSection
 
-BYTES_PER_MB = 1024 * 1024  # as the settings count them
-DIGEST_DIGITS = 12  # of a plug-in's digest, in the log
+BYTES_PER_MIB = 1024 * 1024  # the unit of sizes in the settings
+LOGGED_DIGEST_DIGITS = 12  # leading digits of a plug-in's digest
 
 
 @dataclass(slots=True)
 class PluginUpdate:
-    """What a start or a reload is to go over to.
+    """The plug-ins and the recorder that a start or a reload puts in use.
 
     Attributes:
         version: The plug-ins.
-        recorder: Of requests; None: there is none, or the present one stays.
-        keeps_recorder: Whether the present one stays.
-        changes: What is other than before, for the log; empty: nothing.
+        recorder: The new request recorder; None if there is none or the current one is kept.
+        keeps_recorder: Whether the current recorder is kept.
+        changes: Description of the changes for the log; empty if there are none.
     """
 
     version: ChainVersion
@@ -46,17 +46,17 @@
     old: PluginManager | None = None,
     old_records: RecordsSection | None = None,
 ) -> PluginUpdate:
-    """Load and verify the plug-ins that settings name, on another thread than the event loop's.
+    """Load and verify the configured plug-ins; call this on another thread than the event loop's.
 
     Args:
-        path: Of the settings file.
-        settings: As checked.
-        module_settings: Of the decision module.
-        old: The plug-ins in force, if there are any.
+        path: Path of the settings file.
+        settings: The checked settings.
+        module_settings: Settings of the decision module.
+        old: The plug-ins in use, if there are any.
         old_records: The settings of their recorder.
 
     Raises:
-        InvalidConfigFileError: One cannot be used; nothing of the new is left.
+        InvalidConfigFileError: A plug-in or the recorder cannot be used; all new ones are closed again.
     """
     environment = PluginEnvironment(path, module_settings, settings.gateway.seed)
     old_version = old.version if old is not None else None
@@ -67,7 +67,7 @@
     try:
         recorder = _create_recorder(path, settings.records)
     except InvalidConfigFileError:
-        discard(version, old)
+        discard_version(version, old)
         raise
     return PluginUpdate(version, recorder, keeps_recorder=False, changes=changes)
 
@@ -77,67 +77,67 @@
         return None
     file = os.path.join(os.path.dirname(os.path.abspath(path)), section.file)
     try:
-        return RequestRecorder(file, section.only, section.max_mb * BYTES_PER_MB, section.waiting)
+        return RequestRecorder(file, section.only, section.max_mb * BYTES_PER_MIB, section.waiting)
     except OSError as err:
         problem = ConfigProblem(
             path,
             "records.file",
             repr(section.file),
             f"cannot be written ({err.strerror})",
-            "check the path and its rights",
+            "check the path and its permissions",
         )
         raise InvalidConfigFileError([problem]) from err
 
 
 def describe_changes(old: ChainVersion | None, new: ChainVersion | None) -> str:
-    """Say for the log which plug-ins are loaded or gone; empty: none."""
+    """Return a log text that lists loaded and removed plug-ins; empty if there are none."""
     old_runners = old.runners if old is not None else []
     new_runners = new.runners if new is not None else []
     loaded = [
-        f"{runner.name} {runner.digest[:DIGEST_DIGITS]}"
+        f"{runner.name} {runner.digest[:LOGGED_DIGEST_DIGITS]}"
         for runner in new_runners
         if runner not in old_runners
     ]
-    gone = sorted({runner.name for runner in old_runners} - {runner.name for runner in new_runners})
+    removed = sorted({runner.name for runner in old_runners} - {runner.name for runner in new_runners})
     parts = []
     if loaded:
         parts.append(f"plug-ins loaded: {', '.join(loaded)}")
-    if gone:
-        parts.append(f"plug-ins gone: {', '.join(gone)}")
+    if removed:
+        parts.append(f"plug-ins removed: {', '.join(removed)}")
     return "; ".join(parts)
 
 
 def check_plugins(path: str, settings: Settings, module_settings: messages.Settings) -> None:
-    """Load and verify all plug-ins, and let them go again.
+    """Load and verify all plug-ins, then close them.
 
     Raises:
-        InvalidConfigFileError: One cannot be used.
+        InvalidConfigFileError: A plug-in cannot be used.
     """
     load_chain(
         settings.plugins, settings.hooks, PluginEnvironment(path, module_settings, settings.gateway.seed)
     ).close()
 
 
-def discard(version: ChainVersion, old: PluginManager | None) -> None:
-    """Close a version that will not serve, but for what it shares with the one in force."""
-    shared = old.version.runners if old is not None else []
+def discard_version(version: ChainVersion, old: PluginManager | None) -> None:
+    """Close the plug-ins of an unused version, except those that it shares with the version in use."""
+    shared_runners = old.version.runners if old is not None else []
     for runner in version.runners:
-        if runner not in shared:
+        if runner not in shared_runners:
             runner.plugin.close()
 
 
 def start_plugins(server: GatewayServer, update: PluginUpdate, tick_s: float) -> None:
-    """Have a gateway that asks no plug-ins ask these, and call them every `tick_s` seconds."""
+    """Start plug-ins in a gateway that has none; their tick hook is called every `tick_s` seconds."""
     plugins = PluginManager(update.version, server.clock, server.loop, tick_s, update.recorder)
     plugins.start()
     server.set_plugins(plugins)
 
 
 def swap_plugins(path: str, server: GatewayServer, update: PluginUpdate, tick_s: float) -> None:
-    """Have a gateway ask these plug-ins in place of its present ones, whose saved state they take over.
+    """Replace a gateway's plug-ins by new ones, which load the saved state of the current ones.
 
     Raises:
-        InvalidConfigFileError: They could not; the present ones are as they were.
+        InvalidConfigFileError: The state could not be loaded; the current plug-ins are unchanged.
     """
     plugins = server.plugins
     if plugins is None:
@@ -146,10 +146,12 @@
     try:
         plugins.swap(update.version, tick_s)
     except StateTransferError as err:
-        discard(update.version, plugins)
+        discard_version(update.version, plugins)
         if update.recorder is not None:
             update.recorder.finish()
-        problem = ConfigProblem(path, f"plugins.{err.plugin_name}", "", err.reason, "mend its on_load")
+        problem = ConfigProblem(
+            path, f"plugins.{err.plugin_name}", "", err.reason, "correct its on_load function"
+        )
         raise InvalidConfigFileError([problem]) from err
     if not update.keeps_recorder:
         replaced = plugins.recorder
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -1,7 +1,7 @@
-"""Run the rate limit service's listeners and the client of an external one, and reconfigure them.
+"""Run and reconfigure the rate limit service's listeners and the client of an external rate limit service.
 
-Imported only where settings have a listener that speaks gRPC, keys for tokens, or an external service; each
-of them loads what it needs and no more.
+Imported only if the settings have a gRPC listener, keys for tokens, or an external service; each of them
+imports only what it needs.
 """
 
 from __future__ import annotations
@@ -28,20 +28,20 @@
 
 
 class RateLimitServices:
-    """All rate limit services of one gateway, in force once `take_up` was called.
+    """All rate limit services of one gateway; they are in use once `apply` was called.
 
     Attributes:
-        config: In force, or what `take_up` is to be called with first.
-        tokens: None: none are given.
+        config: The configuration in use, or the one for the first call of `apply`.
+        tokens: Issues and redeems quota tokens; None if there are no token keys.
     """
 
     def __init__(self, core: RequestDispatcher, config: Config, ratelimit_config: RateLimitConfig) -> None:
-        """Store the collaborators.
+        """Store the arguments.
 
         Args:
-            core: Takes the checks, and asks the external service.
-            config: The gateway's; of it only what no reload changes is used.
-            ratelimit_config: For the first `take_up`.
+            core: Handles the checks, and queries the external service.
+            config: The gateway's configuration; only values that no reload changes are used.
+            ratelimit_config: Configuration for the first call of `apply`.
         """
         self.config = ratelimit_config
         self.tokens: QuotaTokens | None = None
@@ -52,12 +52,12 @@
         self._external_service: EnvoyRateLimiter | None = None
         self._listeners: list[RateLimitListener] = []
 
-    def take_up(self, config: RateLimitConfig | None, frontends: Iterable[Frontend]) -> None:
-        """Go over to what a reload built, in one step that cannot fail.
+    def apply(self, config: RateLimitConfig | None, frontends: Iterable[Frontend]) -> None:
+        """Switch to a configuration, in one step that cannot fail.
 
         Args:
-            config: None: the settings want no rate limit service any more.
-            frontends: All of the gateway's.
+            config: The configuration; None if the settings configure no rate limit service any more.
+            frontends: All frontends of the gateway.
         """
         if config is not None:
             self.config = config
@@ -76,18 +76,18 @@
     def create_frontend(
         self, address: Address, max_connections: int, max_partial_bytes: int, config: RateLimitConfig
     ) -> GrpcFrontend:
-        """Return a new listener's frontend; `config` may not be in force yet."""
+        """Return the frontend of a new listener; `config` need not be in use yet."""
         listener = RateLimitListener(self._core, address, max_connections, max_partial_bytes)
         listener.apply(config, self.tokens)
         self._listeners.append(listener)
         return listener.frontend
 
-    def forget_frontend(self, frontend: Frontend) -> None:
-        """Leave out a frontend that is retired, if it is one of these listeners'."""
+    def remove_frontend(self, frontend: Frontend) -> None:
+        """Remove the listener of a retired frontend, if it is one of these listeners."""
         self._listeners = [listener for listener in self._listeners if listener.frontend is not frontend]
 
     def status(self) -> RateLimitStatus:
-        """Return the state for operators."""
+        """Return the status for operators."""
         external_service = self._external_service
         return RateLimitStatus(
             [listener.status() for listener in self._listeners],
@@ -107,7 +107,7 @@
         elif self.tokens is None:
             redeemed = RedeemedTokens(self._gateway_index, self._gateways_at_address, section.max_tokens)
             self.tokens = QuotaTokens(keys, redeemed, section.token_time, time.time, os.urandom)
-        else:  # which tokens were redeemed is remembered past a rotation of keys
+        else:  # the record of redeemed tokens survives a key rotation
             self.tokens.keys = keys
             self.tokens.lifetime = section.token_time
             self.tokens.redeemed.max_tokens = section.max_tokens
@@ -117,7 +117,7 @@
             self.close()
             self._external_service = None
         elif self._external_service is None:
-            from apigateway.external_ratelimit.limiter import EnvoyRateLimiter  # loaded only where it is used
+            from apigateway.external_ratelimit.limiter import EnvoyRateLimiter  # imported only if used
 
             self._external_service = EnvoyRateLimiter(service, self._gateway_name)
         else:
@@ -125,17 +125,17 @@
 
 
 class RateLimitListener:
-    """One listener that speaks gRPC, with its services: rate limits, health, reflection.
+    """One gRPC listener with its services: rate limits, health, reflection.
 
     Attributes:
-        frontend: Its connections.
+        frontend: Frontend with the listener's connections.
     """
 
     def __init__(
         self, core: RequestDispatcher, address: Address, max_connections: int, max_partial_bytes: int
     ) -> None:
         from apigateway.frontends.grpc.frontend import (
-            GrpcFrontend,  # loaded only where there is such a listener
+            GrpcFrontend,  # imported only for a gRPC listener
         )
         from apigateway.frontends.grpc.health import HealthService
         from apigateway.frontends.grpc.mapping import DescriptorMapping
@@ -161,7 +161,7 @@
         )
 
     def apply(self, config: RateLimitConfig, tokens: QuotaTokens | None) -> None:
-        """Go over to another configuration."""
+        """Switch to another configuration."""
         from apigateway.frontends.grpc.service import ServiceSettings
 
         section = config.section
@@ -176,7 +176,7 @@
         self.frontend.tls_context = config.tls_context
 
     def status(self) -> RateLimitListenerStatus:
-        """Return the state for operators."""
+        """Return the status for operators."""
         frontend = self.frontend
         return RateLimitListenerStatus(
             address=f"{frontend.address[0]}:{frontend.port}",
--- a/apigateway/daemon/ratelimit_config.py
+++ b/apigateway/daemon/ratelimit_config.py
@@ -1,7 +1,7 @@
-"""Build what the rate limit services run with, from the settings and the files that they name.
+"""Build the configuration of the rate limit services from the settings and the files that they name.
 
 Certificates, keys and rules are read and checked here, on another thread than the event loop's. Imported only
-where settings want such services.
+if the settings configure such services.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from apigateway.config_validation import ConfigProblem, InvalidConfigFileError
 from apigateway.daemon.config import Config
 from apigateway.daemon.settings import Settings
-from apigateway.daemon.settings_runtime import compile_ratelimit_rules, has_grpc_listener, wants_ratelimit
+from apigateway.daemon.settings_runtime import compile_ratelimit_rules, has_grpc_listener, has_ratelimit
 from apigateway.frontends.grpc.mapping import DescriptorMapping
 from apigateway.frontends.grpc.tokens import TokenKeys
 from apigateway.upstream.address import read_address
@@ -26,26 +26,26 @@
     from apigateway.external_ratelimit.settings import ExternalRateLimitSection
     from apigateway.frontends.grpc.settings import RateLimitSection
 
-# Bytes of a file with a certificate.
+# Size limit of a certificate file.
 MAX_FILE_BYTES = 1024 * 1024
-# Bytes of a file with a key for tokens.
+# Size limit of a file with a token key.
 MAX_KEY_BYTES = 4096
 MIN_KEY_BYTES = 16
-HTTP2_PROTOCOLS = ["h2"]
+ALPN_PROTOCOLS = ["h2"]
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimitConfig:
-    """What rate limit services run with.
+    """The configuration of the rate limit services.
 
     Attributes:
-        section: The settings' table.
-        has_listener: Whether there is a listener of the service.
-        mapping: Of a check's descriptors to a customer, plan and class.
-        token_keys: None: no tokens are given.
-        tls_context: Of the listeners; None: they speak plain text.
-        file_digests: Of all files that were read.
-        external_service: Whom to ask; None: nobody.
+        section: The table [ratelimit] of the settings.
+        has_listener: Whether there is a gRPC listener.
+        mapping: Mapping from the descriptors of a check to a customer, plan and class.
+        token_keys: Keys that sign quota tokens; None if no tokens are issued.
+        tls_context: TLS context of the listeners; None for plain text.
+        file_digests: Digests of all files that were read.
+        external_service: Configuration of the external rate limit service; None if there is none.
     """
 
     section: RateLimitSection
@@ -58,23 +58,23 @@
 
 
 def build_ratelimit_config(path: str, settings: Settings, config: Config) -> RateLimitConfig | None:
-    """Return what the settings and their files come to; None: they want no rate limit service.
+    """Return the configuration of the rate limit services; None if none are configured.
 
     Args:
-        path: Of the settings file; the other files are named relative to its folder.
-        settings: As checked.
-        config: Built from them.
+        path: Path of the settings file; the other files are named relative to its folder.
+        settings: The checked settings.
+        config: The runtime configuration built from them.
 
     Raises:
-        InvalidConfigFileError: With all that is wrong in the files.
+        InvalidConfigFileError: There are problems in the files; lists all of them.
     """
-    if not wants_ratelimit(settings):
+    if not has_ratelimit(settings):
         return None
     files = SettingsFiles(path)
     section = settings.ratelimit
     module_settings = config.settings
     has_listener = has_grpc_listener(settings)
-    mapping = compile_ratelimit_rules(  # which were checked with the settings
+    mapping = compile_ratelimit_rules(  # the rules were checked together with the settings
         section,
         module_settings.plans,
         module_settings.classes,
@@ -92,25 +92,25 @@
 
 
 def describe_file_changes(old: RateLimitConfig | None, new: RateLimitConfig | None) -> str:
-    """Say for the log which files a reload has read with another content; empty: none."""
+    """Return a log text about files whose content a reload keys changed; empty if there are none."""
     if old is None or new is None or old.file_digests == new.file_digests:
         return ""
-    text = "certificates or keys are read anew"
+    text = "certificates or keys reloaded"
     if old.token_keys is not None and new.token_keys is not None:
         rotation = old.token_keys.compare(new.token_keys)
         if rotation.is_signing_key_new:
-            text += ", tokens are signed by another key"
+            text += ", tokens are signed with another key"
         if not rotation.are_old_tokens_valid:
-            text += ", those given before hold no more"
+            text += ", tokens issued before are no longer valid"
     return text
 
 
 class SettingsFiles:
-    """Reads files that settings name, and collects all that is wrong with them.
+    """Reads the files named in the settings, and collects the problems with them.
 
     Attributes:
-        problems: So far.
-        digests: Of the files read so far.
+        problems: Problems keys so far.
+        digests: Digests of the files read so far.
     """
 
     def __init__(self, path: str) -> None:
@@ -124,15 +124,19 @@
         self.problems.append(ConfigProblem(self._path, key, repr(name), reason, remedy))
 
     def read(self, key: str, name: str, max_bytes: int = MAX_FILE_BYTES) -> bytes | None:
-        """Return a file's content; None: there is a problem with it."""
+        """Return a file's content; None after adding a problem if it cannot be used."""
         try:
-            with open(self._absolute(name), "rb") as file:
+            with open(self._absolute_path(name), "rb") as file:
                 data = file.read(max_bytes + 1)
         except OSError as err:
-            self.add_problem(key, name, f"cannot be read ({err.strerror})", "check the path and its rights")
+            self.add_problem(
+                key, name, f"cannot be read ({err.strerror})", "check the path and its permissions"
+            )
             return None
         if len(data) > max_bytes:
-            self.add_problem(key, name, f"is longer than {max_bytes} bytes", "is it the right file?")
+            self.add_problem(
+                key, name, f"is larger than {max_bytes} bytes", "check that it is the intended file"
+            )
             return None
         self.digests.append(hashlib.sha256(data).hexdigest())
         return data
@@ -143,34 +147,36 @@
         if None in contents:
             return
         try:
-            context.load_cert_chain(self._absolute(cert), self._absolute(key), password=lambda: b"")
+            context.load_cert_chain(self._absolute_path(cert), self._absolute_path(key), password=lambda: b"")
         except (ssl.SSLError, OSError, ValueError) as err:
             self.add_problem(
                 f"{table}.cert",
                 cert,
-                f"is no certificate with the key {key!r} ({_reason_of(err)})",
-                "give a PEM chain and its key without a password",
+                f"is not a certificate for the key {key!r} ({_ssl_error_reason(err)})",
+                "use a PEM certificate chain, and its key without a password",
             )
 
     def load_authorities(self, context: ssl.SSLContext, key: str, name: str) -> None:
-        """Load the certificates that sign those of the other side."""
+        """Load the certificate authorities that sign the peers' certificates."""
         if self.read(key, name) is None:
             return
         try:
-            context.load_verify_locations(self._absolute(name))
+            context.load_verify_locations(self._absolute_path(name))
         except (ssl.SSLError, OSError) as err:
-            self.add_problem(key, name, f"holds no certificates ({_reason_of(err)})", "give them as PEM")
+            self.add_problem(
+                key, name, f"contains no certificates ({_ssl_error_reason(err)})", "use PEM certificates"
+            )
 
-    def _absolute(self, name: str) -> str:
+    def _absolute_path(self, name: str) -> str:
         return os.path.join(self._folder, name)
 
 
-def _reason_of(err: Exception) -> str:
+def _ssl_error_reason(err: Exception) -> str:
     return str(getattr(err, "reason", "") or err.__class__.__name__).lower().replace("_", " ")
 
 
 def _read_token_keys(files: SettingsFiles, names: list[str]) -> TokenKeys | None:
-    found = []
+    keys = []
     for number, name in enumerate(names):
         settings_key = f"ratelimit.token_keys[{number}]"
         data = files.read(settings_key, name, MAX_KEY_BYTES)
@@ -181,22 +187,22 @@
             files.add_problem(
                 settings_key,
                 name,
-                f"holds less than {MIN_KEY_BYTES} bytes",
-                "make one by: head -c 32 /dev/urandom | base64",
+                f"contains less than {MIN_KEY_BYTES} bytes",
+                "create a key with: head -c 32 /dev/urandom | base64",
             )
         else:
-            found.append(token_key)
-    if len(found) < len(names) or not names:
+            keys.append(token_key)
+    if len(keys) < len(names) or not names:
         return None
     try:
-        return TokenKeys(found)
+        return TokenKeys(keys)
     except ValueError as err:
-        files.add_problem("ratelimit.token_keys", ", ".join(names), str(err), "make another key")
+        files.add_problem("ratelimit.token_keys", ", ".join(names), str(err), "create another key")
         return None
 
 
 def _create_server_context(files: SettingsFiles, section: RateLimitSection) -> ssl.SSLContext | None:
-    """Return the listeners' TLS; with `client_ca` clients have to show a certificate that it signed."""
+    """Return the listeners' TLS context; with `client_ca`, clients need a certificate signed by it."""
     tls = section.tls
     if not tls.cert:
         return None
@@ -225,7 +231,7 @@
 def _create_context(protocol: int) -> ssl.SSLContext:
     context = ssl.SSLContext(protocol)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    context.set_alpn_protocols(HTTP2_PROTOCOLS)
+    context.set_alpn_protocols(ALPN_PROTOCOLS)
     return context
 
 
@@ -235,7 +241,7 @@
     if not section.address:
         return None
     from apigateway.external_ratelimit.service_config import (
-        ExternalServiceConfig,  # loaded only where it is used
+        ExternalServiceConfig,  # imported only if used
     )
 
     digest_count = len(files.digests)
--- a/apigateway/daemon/reload.py
+++ b/apigateway/daemon/reload.py
@@ -1,11 +1,11 @@
-"""Reload the settings, as SIGHUP asks for.
+"""Reload the settings on SIGHUP.
 
 1. The files are read and checked on another thread.
-2. All that is new is built beside the gateway that serves: rate limit services, plug-ins, listeners, the
-   endpoint source. Whatever fails up to here leaves the old settings in force, and nothing of the new.
-3. The new is swapped in, in one step that does not wait and cannot fail.
+2. Everything new is built while the gateway keeps serving: rate limit services, plug-ins, listeners, the
+   endpoint source. A failure up to this point discards everything new and leaves the old settings in force.
+3. The new parts are swapped in, in one step that neither waits nor fails.
 
-A request during a reload becomes one more reload after it.
+A request that arrives during a reload starts one more reload after it.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.config import Config, ConfigError
-from apigateway.daemon.configuration import Configuration, is_beside_platform, read_configuration
+from apigateway.daemon.configuration import Configuration, has_platform_config, read_configuration
 from apigateway.daemon.gateway_server import GatewayServer
 from apigateway.daemon.handover_predecessor import HandoverPredecessor
 from apigateway.daemon.logs import LogRateLimiter
@@ -34,14 +34,14 @@
 if TYPE_CHECKING:
     from apigateway.daemon.interfaces import EndpointSource
 
-REJECTED = "refused, the old settings stay"
-UNCHANGED = "nothing changed"
+REJECTED = "rejected, the old settings stay in force"
+UNCHANGED = "no changes"
 
 log = logging.getLogger(__name__)
 
 
 class ReloadRejectedError(Exception):
-    """The new settings cannot take effect; `reasons` are lines for the log."""
+    """The new settings cannot take effect; `reasons` holds the lines to log."""
 
     def __init__(self, reasons: Iterable[str]) -> None:
         self.reasons = tuple(reasons)
@@ -50,16 +50,16 @@
 
 @dataclass(slots=True)
 class RunningGateway:
-    """A gateway in its process, and what it is configured by; a reload changes it.
+    """A gateway in its process and its current configuration, which a reload updates.
 
     Attributes:
-        path: Of the settings file.
-        settings: In force.
-        config: In force.
+        path: Path of the settings file.
+        settings: The settings in force.
+        config: The runtime configuration in force.
         server: The gateway.
         sockets: Its listening sockets, kept open for a hand-over.
-        predecessor: Its side of a hand-over; None: there is none yet, or the settings want none.
-        log_rate_limiter: None: the log is not limited.
+        predecessor: Its side of a hand-over; None before it is opened, or if no state folder is configured.
+        log_rate_limiter: Rate limiter of the log; None if the log is not limited.
     """
 
     path: str
@@ -78,17 +78,17 @@
         self._gateway = gateway
         self._notifier = notifier
         self._task: asyncio.Task[None] | None = None
-        self._is_requested_again = False
+        self._is_reload_pending = False
 
     def request(self) -> None:
-        """Start a reload, or have the one under way followed by another."""
+        """Start a reload, or schedule another one after the reload in progress."""
         if self._task is not None:
-            self._is_requested_again = True
+            self._is_reload_pending = True
         else:
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def cancel(self) -> None:
-        """Cancel the reload under way, if there is one; the old settings stay."""
+        """Cancel the reload in progress, if there is one; the old settings stay in force."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -96,18 +96,18 @@
     async def _run(self) -> None:
         try:
             while True:
-                self._is_requested_again = False
+                self._is_reload_pending = False
                 self._notifier.reloading()
                 status = await self._reload()
                 log.info("reload: %s", status)
                 self._notifier.ready(status)
-                if not self._is_requested_again:
+                if not self._is_reload_pending:
                     return
         finally:
             self._task = None
 
     async def _reload(self) -> str:
-        """Reload once, and return for the log what changed."""
+        """Reload once, and return a description of the changes for the log."""
         try:
             replacement = await self._build(await self._read())
         except ReloadRejectedError as err:
@@ -131,28 +131,28 @@
             raise ReloadRejectedError(
                 [
                     f"{self._gateway.path}: listeners: {write_address(address)}: "
-                    "its protocol changes by a restart or a hand-over only"
+                    "changing its protocol needs a restart or a hand-over"
                 ]
             )
 
     # Build
 
     async def _build(self, configuration: Configuration) -> Replacement:
-        """Build all that is new beside the old; the last step swaps the plug-ins."""
+        """Build all new parts while the old ones serve; the last step swaps the plug-ins."""
         replacement = await self._build_services(configuration)
         try:
             await self._open_listeners(replacement)
             replacement.endpoint_source = self._create_changed_source(replacement.config)
-            # The last step that can fail: plug-ins take over what those before them have saved.
+            # The last step that can fail: the new plug-ins load the state that the old ones have saved.
             replacement.plugin_changes = self._swap_plugins(replacement)
-        except InvalidConfigFileError as err:  # of the plug-ins, which are discarded already
+        except InvalidConfigFileError as err:  # raised by the plug-ins, which are closed already
             replacement.close_listeners()
             raise ReloadRejectedError([str(err)]) from err
         except OSError as err:
             self._discard(replacement)
             reason = f"{self._gateway.path}: listeners: {err.strerror}; choose another address"
             raise ReloadRejectedError([reason]) from err
-        except BaseException:  # also a stop in the middle of it
+        except BaseException:  # also on cancellation by a shutdown
             self._discard(replacement)
             raise
         return replacement
@@ -174,7 +174,7 @@
         ratelimit = gateway.server.ratelimit
         if ratelimit is None and ratelimit_config is not None:
             ratelimit = gateway.server.create_ratelimit_services(ratelimit_config)
-        new_config = config if is_beside_platform() else reloaded_config(gateway.config, config)
+        new_config = config if has_platform_config() else reloaded_config(gateway.config, config)
         return Replacement(settings, new_config, ratelimit, ratelimit_config, plugin_update)
 
     async def _open_listeners(self, replacement: Replacement) -> None:
@@ -189,9 +189,9 @@
             await frontend.listen(sock.dup())
 
     def _create_changed_source(self, config: Config) -> EndpointSource | None:
-        """Return where the endpoint list comes from now on; None: from where it came before.
+        """Return the new source of the endpoint list; None if it has not changed.
 
-        The platform's sources are switched by `GatewayServer.reload`.
+        With a platform configuration, `GatewayServer.reload` switches the source instead.
         """
         old = self._gateway.config
         is_same = (config.endpoint_file, config.discovery, config.registry, config.reconciler) == (
@@ -200,21 +200,21 @@
             old.registry,
             old.reconciler,
         )
-        if is_same or is_beside_platform():
+        if is_same or has_platform_config():
             return None
         return self._gateway.server.create_endpoint_source(config)
 
     def _swap_plugins(self, replacement: Replacement) -> str:
-        """Swap the plug-ins, and return for the log what changed.
+        """Swap the plug-ins, and return a description of the changes for the log.
 
         Raises:
-            InvalidConfigFileError: The old ones are as they were.
+            InvalidConfigFileError: The plug-ins could not be swapped; the old ones are unchanged.
         """
         server = self._gateway.server
         update = replacement.plugin_update
         if update is None:
             return self._remove_plugins()
-        from apigateway.daemon.plugins import swap_plugins  # loaded only where there are any
+        from apigateway.daemon.plugins import swap_plugins  # imported only if plug-ins are configured
 
         swap_plugins(self._gateway.path, server, update, replacement.settings.hooks.tick)
         return update.changes
@@ -233,18 +233,18 @@
         if replacement.plugin_update is not None:
             from apigateway.daemon import plugins
 
-            plugins.discard(replacement.plugin_update.version, self._gateway.server.plugins)
+            plugins.discard_version(replacement.plugin_update.version, self._gateway.server.plugins)
         replacement.close_listeners()
 
-    # Swap: from here on nothing waits and nothing can fail
+    # Swap: from here on, no step waits or fails
 
     def _swap_in(self, replacement: Replacement) -> str:
-        """Put the replacement in force, and return for the log what changed."""
+        """Put the replacement in force, and return a description of the changes for the log."""
         gateway = self._gateway
         settings_change = compare_settings(gateway.settings, replacement.settings)
         file_changes = _ratelimit_file_changes(replacement)
         removed = gateway.sockets.keys() - set(replacement.config.listeners)
-        if is_beside_platform():
+        if has_platform_config():
             gateway.server.reload(replacement.config)
         swap_in(gateway.server, replacement, removed)
         for address in removed:
@@ -264,9 +264,9 @@
 
 
 def reloaded_config(old: Config, new: Config) -> Config:
-    """Return what a gateway runs with after a reload: of the new config only what a reload takes up.
+    """Return the configuration after a reload: the old one, with the new values of reloadable settings.
 
-    A counter is not added by a reload: the decision module was built without one.
+    A reload does not add a counter, since the decision module was built without one.
     """
     return replace(
         old,
--- a/apigateway/daemon/replacement.py
+++ b/apigateway/daemon/replacement.py
@@ -1,4 +1,4 @@
-"""Swap what a reload has built into the gateway that serves, or discard it."""
+"""Hold the parts that a reload has built; swap them into the serving gateway, or discard them."""
 
 from __future__ import annotations
 
@@ -21,18 +21,19 @@
 
 @dataclass(slots=True)
 class Replacement:
-    """What a reload builds beside the gateway that serves.
+    """The new parts that a reload builds while the gateway serves.
 
     Attributes:
-        settings: As read.
-        config: What the gateway is to run with.
-        ratelimit: Rate limit services, new or those in force; None: there were none and are to be none.
-        ratelimit_config: What they are to go over to; None: none are wanted any more.
-        plugin_update: None: no plug-ins are wanted.
-        endpoint_source: None: it stays.
-        sockets: Of the added listeners.
-        frontends: Of the added listeners.
-        plugin_changes: What plug-ins are other than before, for the log; empty: none.
+        settings: The new settings.
+        config: The new runtime configuration.
+        ratelimit: Rate limit services, new or already in use; None if there were none and none are
+            configured.
+        ratelimit_config: Their new configuration; None if none are configured any more.
+        plugin_update: The new plug-ins; None if none are configured.
+        endpoint_source: The new endpoint source; None to keep the current one.
+        sockets: Sockets of the added listeners.
+        frontends: Frontends of the added listeners.
+        plugin_changes: Description of changed plug-ins for the log; empty if there are none.
     """
 
     settings: Settings
@@ -46,23 +47,23 @@
     plugin_changes: str = ""
 
     def close_listeners(self) -> None:
-        """Close the added listeners, which are not to serve."""
+        """Close the added listeners; used if the reload fails."""
         for frontend in self.frontends:
             frontend.start_draining()
             frontend.close()
             if self.ratelimit is not None:
-                self.ratelimit.forget_frontend(frontend)
+                self.ratelimit.remove_frontend(frontend)
         for sock in self.sockets.values():
             sock.close()
 
 
 def swap_in(server: GatewayServer, replacement: Replacement, removed: Collection[Address]) -> None:
-    """Have the gateway serve by a replacement, in one step: nothing here waits, and nothing can fail.
+    """Switch the gateway to a replacement, in one step that neither waits nor fails.
 
     Args:
         server: The gateway.
-        replacement: Complete; its plug-ins are swapped in already.
-        removed: Addresses of listeners that are to close.
+        replacement: The completed replacement, whose plug-ins are swapped in already.
+        removed: Addresses of the listeners to close.
     """
     old = server.config
     config = replacement.config
@@ -79,8 +80,8 @@
     ratelimit = replacement.ratelimit
     if ratelimit is not None:
         server.ratelimit = ratelimit
-        ratelimit.take_up(replacement.ratelimit_config, server.frontends)
+        ratelimit.apply(replacement.ratelimit_config, server.frontends)
     for frontend in retired:
         if ratelimit is not None:
-            ratelimit.forget_frontend(frontend)
+            ratelimit.remove_frontend(frontend)
         server.retire_frontend(frontend)
--- a/apigateway/daemon/serve.py
+++ b/apigateway/daemon/serve.py
@@ -8,7 +8,7 @@
 
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.daemon.config import ConfigError
-from apigateway.daemon.configuration import Configuration, is_beside_platform, read_configuration
+from apigateway.daemon.configuration import Configuration, has_platform_config, read_configuration
 from apigateway.daemon.gateway_process import GatewayProcess
 from apigateway.daemon.handover import HandoverError, HandoverInProgressError
 from apigateway.daemon.lock import StateFolderLockedError
@@ -19,12 +19,12 @@
 
 
 def serve(path: str, take_over: bool = False, workers: int = 0) -> int:
-    """Run until SIGTERM and return the exit code.
+    """Run until SIGTERM, and return the exit code.
 
     Args:
-        path: Of the settings file.
-        take_over: Take over from the gateway that runs.
-        workers: How many gateways share this machine; 0: as the settings say.
+        path: Path of the settings file.
+        take_over: Whether to take over from the running gateway.
+        workers: Number of worker processes; 0 to use the number in the settings.
     """
     try:
         configuration = read_configuration(path)
@@ -52,8 +52,8 @@
     settings, config = configuration
     count = workers or settings.workers.count
     if count > 1 and read_worker_assignment() is None:
-        if is_beside_platform() or not config.counter:
-            raise ValueError("several workers need a counter, and are not for the platform")
+        if has_platform_config() or not config.counter:
+            raise ValueError("several workers need a counter, and cannot be used with RELAY_CONFIG")
         return await supervise(path, settings, count, take_over)
     await GatewayProcess(path, configuration, log_rate_limiter).run(take_over)
     return ExitCode.OK
--- a/apigateway/daemon/settings.py
+++ b/apigateway/daemon/settings.py
@@ -1,7 +1,7 @@
-"""Read our own settings file: seconds, addresses, service classes, plans, endpoints.
+"""Read the gateway's own settings file.
 
-The parts: settings_schema.py has the tables, settings_validation.py the checks between keys,
-settings_runtime.py builds what the gateway runs with, settings_reload.py compares versions at a reload.
+settings_schema.py defines the tables, settings_validation.py checks keys against each other,
+settings_runtime.py builds the runtime configuration, and settings_reload.py compares versions at a reload.
 """
 
 from __future__ import annotations
@@ -14,39 +14,40 @@
 
 __all__ = ["Settings", "read_settings"]
 
-# Tables that may stand in the file where the platform's RELAY_CONFIG has the rest.
-TABLES_BESIDE_PLATFORM = ("listeners", "daemon", "plugins", "hooks", "records")
+# Tables that the file may have if the platform's RELAY_CONFIG provides the other settings.
+TABLES_WITH_PLATFORM_CONFIG = ("listeners", "daemon", "plugins", "hooks", "records")
 
 
-def read_settings(path: str, beside: bool = False) -> Settings:
+def read_settings(path: str, with_platform_config: bool = False) -> Settings:
     """Read and check the settings file.
 
     Args:
-        path: Of the TOML file.
-        beside: The platform's configuration has the rest; only TABLES_BESIDE_PLATFORM may be here.
+        path: Path of the TOML file.
+        with_platform_config: Whether the platform's configuration provides the other settings; the file may
+            then have only TABLES_WITH_PLATFORM_CONFIG.
 
     Raises:
-        InvalidConfigFileError: With all that is wrong in the file.
+        InvalidConfigFileError: There are problems in the file; lists all of them.
     """
-    tree = read_toml(path)
+    document = read_toml(path)
     reader = ConfigReader(path)
-    if beside:
-        _reject_platform_tables(reader, tree)
-        tree.setdefault("listeners", [])
-    settings = reader.read(tree, Settings)
+    if with_platform_config:
+        _reject_platform_tables(reader, document)
+        document.setdefault("listeners", [])
+    settings = reader.read(document, Settings)
     if settings is not None:
-        check_settings(reader, settings, beside)
+        check_settings(reader, settings, with_platform_config)
     if reader.problems or settings is None:
         raise InvalidConfigFileError(reader.problems)
     return settings
 
 
-def _reject_platform_tables(reader: ConfigReader, tree: dict[str, Any]) -> None:
-    for name in tree:
-        if name in Settings.__struct_fields__ and name not in TABLES_BESIDE_PLATFORM:
+def _reject_platform_tables(reader: ConfigReader, document: dict[str, Any]) -> None:
+    for name in document:
+        if name in Settings.__struct_fields__ and name not in TABLES_WITH_PLATFORM_CONFIG:
             reader.add_problem(
                 (name,),
                 None,
-                "is told by RELAY_CONFIG",
-                f"beside it only {', '.join(TABLES_BESIDE_PLATFORM)} go here",
+                "is set by the file that RELAY_CONFIG names",
+                f"with it, only {', '.join(TABLES_WITH_PLATFORM_CONFIG)} may be here",
             )
--- a/apigateway/daemon/settings_reload.py
+++ b/apigateway/daemon/settings_reload.py
@@ -1,4 +1,4 @@
-"""Compare two versions of the settings at a reload: what takes effect, and what needs a restart."""
+"""Compare two versions of the settings, and tell which changes take effect at a reload."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from apigateway.daemon.settings_schema import Settings
 
-# Tables and keys that a reload takes up. All else holds from the next start on, or the next hand-over.
+# Tables and keys that take effect at a reload. All others take effect at the next start or hand-over.
 RELOADABLE_KEYS = (
     "listeners",
     "sites",
@@ -36,12 +36,12 @@
 class SettingsChange(NamedTuple):
     """Keys whose values differ between two versions of the settings."""
 
-    reloaded: list[str]  # take effect by a reload
-    needs_restart: list[str]  # take effect by a restart or a hand-over
+    reloaded: list[str]  # take effect at the reload
+    needs_restart: list[str]  # take effect at a restart or a hand-over
 
 
 def compare_settings(old: Settings, new: Settings) -> SettingsChange:
-    """Return the keys whose values differ, sorted."""
+    """Return the keys whose values differ, in alphabetical order."""
     changed = sorted(key for key, _ in differences(msgspec.to_builtins(old), msgspec.to_builtins(new)))
     reloadable = reloadable_keys(old, new)
     reloaded = [key for key in changed if _is_within(key, reloadable)]
@@ -50,29 +50,29 @@
 
 
 def effective_settings(old: Settings, new: Settings) -> Settings:
-    """Return what holds after a reload: the new values of the keys that it takes up, else the old ones."""
-    tree = msgspec.to_builtins(old)
-    new_tree = msgspec.to_builtins(new)
+    """Return the settings in force after a reload: new values of reloadable keys, old values of others."""
+    result = msgspec.to_builtins(old)
+    new_values = msgspec.to_builtins(new)
     for key in reloadable_keys(old, new):
         table, _, name = key.partition(".")
         if name:
-            tree[table][name] = new_tree[table][name]
+            result[table][name] = new_values[table][name]
         else:
-            tree[table] = new_tree[table]
-    return msgspec.convert(tree, Settings)
+            result[table] = new_values[table]
+    return msgspec.convert(result, Settings)
 
 
 def reloadable_keys(old: Settings, new: Settings) -> list[str]:
-    """Return the keys that a reload between these versions takes up.
+    """Return the keys that take effect at a reload between these versions.
 
-    A counter is added or removed by a restart only: the decision module is built with or without one.
+    Adding or removing a counter needs a restart, since the decision module is built with or without one.
     """
     keeps_counter = bool(old.counter.address) == bool(new.counter.address)
     return [key for key in RELOADABLE_KEYS if keeps_counter or key != "counter.address"]
 
 
 def differences(old: Any, new: Any, path: str = "") -> Iterator[tuple[str, Any]]:
-    """Iterate over the keys, as `table.key`, and new values that differ between two trees."""
+    """Yield each differing key as `table.key` with its new value."""
     if isinstance(old, dict) and isinstance(new, dict):
         for name in old.keys() | new.keys():
             yield from differences(old.get(name), new.get(name), f"{path}.{name}" if path else name)
--- a/apigateway/daemon/settings_runtime.py
+++ b/apigateway/daemon/settings_runtime.py
@@ -1,4 +1,4 @@
-"""Build what the gateway runs with, a Config, from the checked settings file."""
+"""Build the runtime configuration from the checked settings."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
     from apigateway.membership.eureka.source import RegistrySettings
 
 
-# Bytes in a MiB, as the settings give memory.
-MIB = 1024 * 1024
+# The unit of sizes in the settings.
+BYTES_PER_MIB = 1024 * 1024
 
 
 def build_config(path: str, settings: Settings, gateways_at_address: int = 1) -> Config:
-    """Return what a gateway runs with.
+    """Return a gateway's runtime configuration.
 
     Args:
-        path: Of the settings file; the file of hosts is named relative to its folder, and read.
-        settings: As checked.
-        gateways_at_address: Gateways that clients know as one: workers on one address.
+        path: Path of the settings file; the hosts file is read from a path relative to its folder.
+        settings: The checked settings.
+        gateways_at_address: Number of gateways that clients reach at one address: workers that share it.
 
     Raises:
-        InvalidConfigFileError: With all that is wrong in the file of hosts.
+        InvalidConfigFileError: There are problems in the hosts file; lists all of them.
     """
     listeners = [read_address(listener.address) for listener in settings.listeners]
     endpoint_file = None
@@ -54,7 +54,7 @@
         known_endpoints = read_endpoint_file(endpoint_file, messages.ListMode.CACHED)
     return Config(
         grpc_listeners=frozenset(
-            read_address(one.address) for one in settings.listeners if one.protocol == "grpc"
+            read_address(listener.address) for listener in settings.listeners if listener.protocol == "grpc"
         ),
         registry=build_registry(settings),
         registration=_build_registration(settings, listeners[0][1]),
@@ -65,7 +65,7 @@
         endpoint_file=endpoint_file,
         counter=read_address(settings.counter.address) if settings.counter.address else None,
         seed=settings.gateway.seed or random.SystemRandom().getrandbits(63),
-        memory_bytes=settings.limits.memory_mb * MIB,
+        memory_bytes=settings.limits.memory_mb * BYTES_PER_MIB,
         max_descriptors=settings.limits.sockets,
         known_endpoints=known_endpoints,
         settings=build_module_settings(settings),
@@ -86,10 +86,10 @@
 
 
 def _build_registration(settings: Settings, port: int) -> RegistrationSettings | None:
-    """Return how this gateway registers itself with Eureka; None: it does not."""
+    """Return how this gateway registers itself with Eureka; None if it does not."""
     if not settings.register.on:
         return None
-    from apigateway.membership.eureka.registration import RegistrationSettings  # loaded only where it is used
+    from apigateway.membership.eureka.registration import RegistrationSettings  # imported only if used
 
     section = settings.register
     return RegistrationSettings(
@@ -106,14 +106,14 @@
 
 
 def build_registry(settings: Settings) -> RegistrySettings | None:
-    """Return how the Eureka registry is asked; None: nothing needs it."""
+    """Return the settings of the Eureka client; None if it is not used."""
     if settings.hosts.source != "eureka" and not settings.register.on:
         return None
-    from apigateway.membership.eureka.mapping import InstanceMapping  # loaded only where it is used
+    from apigateway.membership.eureka.mapping import InstanceMapping  # imported only if used
     from apigateway.membership.eureka.source import RegistrySettings
 
     section = settings.eureka
-    terms = InstanceMapping(
+    mapping = InstanceMapping(
         section.zone_key,
         section.cell_key,
         section.kind_key,
@@ -130,11 +130,11 @@
         section.form,
         section.poll,
         section.timeout,
-        section.max_answer_mb * MIB,
+        section.max_answer_mb * BYTES_PER_MIB,
         section.user,
         section.password,
         section.delta,
-        terms,
+        mapping,
         ReconcilerSettings(**msgspec.to_builtins(settings.trust)),
     )
 
@@ -142,7 +142,7 @@
 def build_module_settings(settings: Settings) -> messages.Settings:
     """Return the settings of the decision module.
 
-    What a gateway of its own settings file does not know (streams, meters, peers, health checks) is off.
+    Features that exist only on the platform (streams, meters, peers, health checks) are turned off.
     """
     limits = settings.limits
     return messages.Settings(
@@ -226,13 +226,13 @@
     )
 
 
-def wants_plugins(settings: Settings) -> bool:
-    """Return whether plug-ins or records of requests have to be loaded."""
+def has_plugins(settings: Settings) -> bool:
+    """Return whether plug-ins or request records are configured."""
     return bool(settings.plugins or settings.records.file)
 
 
-def wants_ratelimit(settings: Settings) -> bool:
-    """Return whether a rate limit service, tokens or an external service have to be loaded."""
+def has_ratelimit(settings: Settings) -> bool:
+    """Return whether a rate limit service, tokens or an external service are configured."""
     return bool(has_grpc_listener(settings) or settings.ratelimit.token_keys or settings.ask.address)
 
 
@@ -242,7 +242,11 @@
 
 
 def compile_ratelimit_rules(
-    section: RateLimitSection, plans: Iterable[str], classes: Iterable[str], gateways: int, span: int = 1
+    section: RateLimitSection,
+    plans: Iterable[str],
+    classes: Iterable[str],
+    gateways: int,
+    gateways_at_address: int = 1,
 ) -> DescriptorMapping:
     """Compile the rules that map the descriptors of a check to a customer, plan and class.
 
@@ -250,17 +254,18 @@
         section: The table with the rules.
         plans: Names of all plans.
         classes: Names of all service classes.
-        gateways: How many gateways there are.
-        span: Gateways that clients, and so the rules, know as one.
+        gateways: Number of gateways.
+        gateways_at_address: Number of gateways that clients reach at one address; the rules count them as
+            one.
 
     Raises:
-        InvalidRuleError: A rule cannot be used.
+        InvalidRuleError: A rule is invalid.
     """
-    rules = [_build_rule(rule, gateways, span) for rule in section.rules]
+    rules = [_build_rule(rule, gateways, gateways_at_address) for rule in section.rules]
     return DescriptorMapping(rules, plans, classes, gateways)
 
 
-def _build_rule(rule: RuleSection, gateways: int, span: int) -> MappingRule:
+def _build_rule(rule: RuleSection, gateways: int, gateways_at_address: int) -> MappingRule:
     return MappingRule(
         rule.domain,
         tuple(rule.entries),
@@ -268,8 +273,8 @@
         rule.plan,
         rule.cls,
         rule.units,
-        rule.first * span,
-        rule.spread * span or gateways,
+        rule.first * gateways_at_address,
+        rule.spread * gateways_at_address or gateways,
         rule.named,
         rule.token,
     )
--- a/apigateway/daemon/settings_schema.py
+++ b/apigateway/daemon/settings_schema.py
@@ -1,7 +1,7 @@
-"""Define the tables of the settings file, `deploy/gateway.toml`, which has every key at its default.
+"""Define the tables of the settings file; `deploy/gateway.toml` lists every key with its default.
 
-Durations are in seconds unless the key says otherwise. Only what one value shows is checked here, by its type
-and range; settings_validation.py compares keys.
+Durations are in seconds unless the key has another unit. The type and range of each single value are checked
+here; settings_validation.py checks keys against each other.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from apigateway.frontends.grpc.settings import RateLimitSection
 from apigateway.plugins.settings import HooksSection, PluginSection, RecordsSection
 
-# Bytes that the decision module keeps of a customer (benchmarks/module_cost.py).
+# Memory that the decision module uses per customer (benchmarks/module_cost.py).
 BYTES_PER_CUSTOMER = 700
-# MiB that the program takes before it serves anyone.
-PROGRAM_MEMORY_MB = 40
+# Memory of the program before it serves any customer.
+PROGRAM_MEMORY_MIB = 40
 
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=3600)]
-SecondsOrNone = Annotated[float, msgspec.Meta(ge=0, le=3600)]  # 0: there is none
-Amount = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
+SecondsOrZero = Annotated[float, msgspec.Meta(ge=0, le=3600)]  # 0 turns the feature off
+NonNegativeNumber = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 PositiveCount = Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9_.-]{1,64}$")]
@@ -30,13 +30,13 @@
 
 
 class GatewaySection(ConfigSection, frozen=True, kw_only=True):
-    """This gateway among all of the installation."""
+    """This gateway's identity within the installation."""
 
     name: Name = "gateway-0"
     index: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 0
     gateways: PositiveCount = 1
     zone: str = "a"
-    seed: Annotated[int, msgspec.Meta(ge=0)] = 0  # 0: drawn at each start
+    seed: Annotated[int, msgspec.Meta(ge=0)] = 0  # 0: chosen at random at each start
 
 
 class ListenerSection(ConfigSection, frozen=True, kw_only=True):
@@ -47,28 +47,30 @@
 
 
 class LimitsSection(ConfigSection, frozen=True, kw_only=True):
-    """Bounds of memory, sockets and attempts."""
+    """Limits on memory, sockets and attempts."""
 
     memory_mb: Annotated[int, msgspec.Meta(ge=48, le=1_000_000)] = 192
     sockets: Annotated[int, msgspec.Meta(ge=128, le=1_000_000)] = 1024
     max_open: PositiveCount = 20_000
-    max_customers: Annotated[int, msgspec.Meta(ge=0, le=1_000_000_000)] = 0  # 0: as memory_mb has room for
+    max_customers: Annotated[int, msgspec.Meta(ge=0, le=1_000_000_000)] = (
+        0  # 0: as many as fit into memory_mb
+    )
     max_attempts: Annotated[int, msgspec.Meta(ge=1, le=100)] = 3
     max_units: Annotated[float, msgspec.Meta(gt=0, le=1e6)] = 1.0
     cancel: bool = True
     second_copies: bool = False
     retry_after: bool = True
-    max_retry_after: SecondsOrNone = 2.0
+    max_retry_after: SecondsOrZero = 2.0
     connect_timeout: Seconds = 0.25
 
 
 class RulesSection(ConfigSection, frozen=True, kw_only=True):
-    """How endpoints are drained and warmed up, and how load shedding falls off."""
+    """Draining, slow start and overload of endpoints."""
 
-    drain_grace: SecondsOrNone = 2.0
+    drain_grace: SecondsOrZero = 2.0
     cold_share: Fraction = 0.15
-    cold_time: SecondsOrNone = 17.0
-    fall_multiple: Amount = 2.0
+    cold_time: SecondsOrZero = 17.0
+    fall_multiple: NonNegativeNumber = 2.0
     fall_time: Seconds = 2.0
 
 
@@ -90,7 +92,7 @@
 
 
 class StatesSection(ConfigSection, frozen=True, kw_only=True):
-    """What the registry's states mean here."""
+    """The endpoint state that each of the registry's states maps to."""
 
     UP: EndpointState = "up"
     STARTING: EndpointState = "draining"
@@ -100,7 +102,7 @@
 
 
 class EurekaSection(ConfigSection, frozen=True, kw_only=True):
-    """The Eureka registry to ask."""
+    """Access to the Eureka registry, and the mapping of its instances to endpoints."""
 
     urls: list[Annotated[str, msgspec.Meta(pattern=r"^https?://[^@\s]+$")]] = []
     by: Literal["apps", "app", "vip", "svip"] = "apps"
@@ -123,14 +125,14 @@
 
 
 class TrustSection(ConfigSection, frozen=True, kw_only=True):
-    """How much of a changed endpoint list is accepted at once."""
+    """Limits on how much of a changed endpoint list is accepted immediately."""
 
     doubt_share: Fraction = 0.34
-    doubt_time: SecondsOrNone = 30.0
+    doubt_time: SecondsOrZero = 30.0
     looks: Annotated[int, msgspec.Meta(ge=1, le=100)] = 2
     flaps: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 3
-    flap_time: SecondsOrNone = 60.0
-    calm_time: SecondsOrNone = 10.0
+    flap_time: SecondsOrZero = 60.0
+    calm_time: SecondsOrZero = 10.0
 
 
 class RegisterSection(ConfigSection, frozen=True, kw_only=True):
@@ -156,28 +158,28 @@
 
 
 class ClassSection(ConfigSection, frozen=True, kw_only=True):
-    """A service class: the kinds of requests that are handled alike."""
+    """A service class: how its requests may be retried, and by when they are answered."""
 
     effect: Literal["safe", "keyed", "unsafe"]
     aim: Seconds
     deadline: Seconds
-    worth: Amount = 1.0
+    worth: NonNegativeNumber = 1.0
     scope: Literal["all", "zone", "cell"] = "all"
-    memory: SecondsOrNone = 0.0
+    memory: SecondsOrZero = 0.0
 
 
 class PlanSection(ConfigSection, frozen=True, kw_only=True):
-    """A customers' plan: its quota and ceiling."""
+    """A plan: quota and ceiling of its customers."""
 
-    rate: Amount = 0.0
-    burst: Amount = 0.0
+    rate: NonNegativeNumber = 0.0
+    burst: NonNegativeNumber = 0.0
     open_limit: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 0
-    price: Amount = 1.0
-    over_worth: Amount = 0.0
-    over_cost: Amount = 0.5
-    ceiling_rate: Amount = 0.0
-    ceiling_burst: Amount = 0.0
-    ceiling_slack: Amount = 0.0
+    price: NonNegativeNumber = 1.0
+    over_worth: NonNegativeNumber = 0.0
+    over_cost: NonNegativeNumber = 0.5
+    ceiling_rate: NonNegativeNumber = 0.0
+    ceiling_burst: NonNegativeNumber = 0.0
+    ceiling_slack: NonNegativeNumber = 0.0
 
 
 class WorkersSection(ConfigSection, frozen=True, kw_only=True):
@@ -194,14 +196,14 @@
 
 
 class RouteSection(ConfigSection, frozen=True, kw_only=True):
-    """A route: which kinds of endpoints serve it."""
+    """A route: the kinds of endpoints that serve its requests."""
 
     kinds: Annotated[list[str], msgspec.Meta(min_length=1, max_length=64)]
     fallback: bool = True
 
 
 class OverloadSection(ConfigSection, frozen=True, kw_only=True):
-    """Load shedding by the lag of the event loop."""
+    """Load shedding when the event loop lags."""
 
     on: bool = True
     lag: Annotated[float, msgspec.Meta(ge=0.005, le=10)] = 0.015
@@ -209,10 +211,10 @@
 
 
 class DaemonSection(ConfigSection, frozen=True, kw_only=True):
-    """The process: state folder, shutdown, hand-over, log."""
+    """Process settings: state folder, shutdown, hand-over and log."""
 
     state: str = ""
-    linger: SecondsOrNone = 0.5
+    linger: SecondsOrZero = 0.5
     finish: Seconds = 10.0
     handover_wait: Seconds = 15.0
     log_lines: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 5
@@ -247,7 +249,7 @@
 def customer_capacity(limits: LimitsSection) -> int:
     """Return how many customers fit into memory.
 
-    They may use half of what the program leaves free; request bodies have the other half.
+    Customers may use half of the memory that the program leaves; the other half is for request bodies.
     """
-    free_bytes = (limits.memory_mb - PROGRAM_MEMORY_MB) * 1024 * 1024
+    free_bytes = (limits.memory_mb - PROGRAM_MEMORY_MIB) * 1024 * 1024
     return free_bytes // 2 // BYTES_PER_CUSTOMER
--- a/apigateway/daemon/settings_validation.py
+++ b/apigateway/daemon/settings_validation.py
@@ -1,6 +1,6 @@
-"""Check what no single key of the settings file shows: contradictions between keys, and addresses.
+"""Check the settings file for contradictions between keys, and for invalid addresses.
 
-The tables of rate limit services are checked in settings_validation_grpc.py.
+The tables of the rate limit services are checked in settings_validation_grpc.py.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from apigateway.daemon.settings_validation_grpc import check_external_ratelimit, check_ratelimit
 from apigateway.upstream.address import Address
 
-# Tables without which nothing can be served, and what to add.
+# Tables without which nothing can be served, and the text that says what to add.
 REQUIRED_TABLES = {
     "listeners": "one [[listeners]]",
     "plans": "[plans.NAME] with rate and burst",
@@ -24,20 +24,20 @@
 }
 
 
-def check_settings(reader: ConfigReader, settings: Settings, beside_platform: bool) -> None:
-    """Add every contradiction in the settings to the reader's problems.
+def check_settings(reader: ConfigReader, settings: Settings, with_platform_config: bool) -> None:
+    """Add all contradictions in the settings to the reader's problems.
 
     Args:
         reader: Collects the problems.
-        settings: As read, with defaults in place of values that are wrong by themselves.
-        beside_platform: The platform's configuration has all but the listeners and the process's own.
+        settings: The settings as read, with defaults in place of values that are invalid by themselves.
+        with_platform_config: Whether the platform's configuration provides the other settings.
     """
-    _check_listeners(reader, settings, beside_platform)
-    if beside_platform:
+    _check_listeners(reader, settings, with_platform_config)
+    if with_platform_config:
         return
     for name, remedy in REQUIRED_TABLES.items():
         if not getattr(settings, name):
-            reader.add_contradiction((name,), None, "none", f"add {remedy}")
+            reader.add_contradiction((name,), None, "there is none", f"add {remedy}")
     _check_counter(reader, settings)
     if settings.hosts.source == "discovery":
         check_address(reader, ("hosts", "discovery"), settings.hosts.discovery)
@@ -51,7 +51,7 @@
     check_external_ratelimit(reader, settings)
 
 
-def _check_listeners(reader: ConfigReader, settings: Settings, beside_platform: bool) -> None:
+def _check_listeners(reader: ConfigReader, settings: Settings, with_platform_config: bool) -> None:
     keys_by_address: dict[Address, str] = {}
     for number, listener in enumerate(settings.listeners):
         path: KeyPath = ("listeners", number, "address")
@@ -60,17 +60,17 @@
             reader.add_contradiction(
                 path,
                 listener.address,
-                f"is also that of {keys_by_address[address]}",
-                "give each its own port",
+                f"is also the address of {keys_by_address[address]}",
+                "give each listener its own port",
             )
         elif address is not None:
             keys_by_address[address] = f"listeners[{number}]"
-        if beside_platform and listener.protocol != "resp":
+        if with_platform_config and listener.protocol != "resp":
             reader.add_problem(
                 ("listeners", number, "protocol"),
                 listener.protocol,
-                "beside RELAY_CONFIG there is nothing to say whose a check is",
-                'let it be "resp"',
+                "with RELAY_CONFIG there are no rules to assign checks to customers",
+                'set it to "resp"',
             )
 
 
@@ -79,22 +79,22 @@
         reader.add_contradiction(
             ("gateway", "index"),
             settings.gateway.index,
-            f"of {settings.gateway.gateways} gateways",
-            "they are numbered from 0",
+            f"is out of range for {settings.gateway.gateways} gateways",
+            "gateways are numbered from 0",
         )
     if settings.gateway.gateways > 1 and not settings.counter.address:
         reader.add_contradiction(
             ("counter", "address"),
             settings.counter.address,
-            "several gateways cannot hold a quota without a counter",
-            "name the counter that they share",
+            "several gateways cannot enforce a quota without a counter",
+            "set the address of their shared counter",
         )
     if settings.workers.count > 1 and not settings.counter.address:
         reader.add_contradiction(
             ("workers", "count"),
             settings.workers.count,
-            "several workers cannot hold a quota without a counter",
-            "name the counter",
+            "several workers cannot enforce a quota without a counter",
+            "set counter.address",
         )
     if settings.counter.address:
         check_address(reader, ("counter", "address"), settings.counter.address)
@@ -105,81 +105,83 @@
         reader.add_contradiction(
             ("limits", "max_customers"),
             settings.limits.max_customers,
-            f"in limits.memory_mb is room for {customer_capacity(settings.limits)}",
-            "let it be fewer, or memory_mb more",
+            f"exceeds the {customer_capacity(settings.limits)} customers that fit into limits.memory_mb",
+            "decrease it, or increase memory_mb",
         )
     if settings.overload.turn < settings.overload.lag:
         reader.add_contradiction(
             ("overload", "turn"),
             settings.overload.turn,
-            f"is shorter than the lag aimed at, {settings.overload.lag}",
-            "let it be longer",
+            f"is less than overload.lag = {settings.overload.lag}",
+            "increase it to at least that",
         )
 
 
 def _check_eureka(reader: ConfigReader, settings: Settings) -> None:
     if (settings.hosts.source == "eureka" or settings.register.on) and not settings.eureka.urls:
         reader.add_contradiction(
-            ("eureka", "urls"), None, "no registry to ask", 'add urls = ["http://HOST:PORT/eureka"]'
+            ("eureka", "urls"), None, "no registry is set", 'add urls = ["http://HOST:PORT/eureka"]'
         )
     if settings.eureka.by != "apps" and not settings.eureka.name:
         reader.add_contradiction(
             ("eureka", "name"),
             settings.eureka.name,
-            f"no name of the {settings.eureka.by}",
-            "name it, or ask by apps",
+            f'eureka.by = "{settings.eureka.by}" needs a name',
+            'set the name, or set eureka.by to "apps"',
         )
     if settings.register.on and not settings.register.ip:
         reader.add_contradiction(
             ("register", "ip"),
             settings.register.ip,
-            "no address at which others reach this gateway",
-            "name it",
+            "registration needs an address at which clients reach this gateway",
+            "set register.ip",
         )
     if settings.register.renew * 2 > settings.register.duration:
         reader.add_contradiction(
             ("register", "duration"),
             settings.register.duration,
-            f"one lost renewal (every {settings.register.renew} s) may end it",
-            "let it be twice as long as renew, or more",
+            f"a single lost renewal (every {settings.register.renew} s) may expire the registration",
+            "set it to at least twice register.renew",
         )
 
 
-def _check_class(reader: ConfigReader, path: KeyPath, service_class: ClassSection, finish_s: float) -> None:
+def _check_class(
+    reader: ConfigReader, path: KeyPath, service_class: ClassSection, shutdown_timeout_s: float
+) -> None:
     if service_class.aim > service_class.deadline:
         reader.add_contradiction(
             (*path, "aim"),
             service_class.aim,
-            f"is after the deadline of {service_class.deadline}",
-            "aim at or before it",
+            f"exceeds the deadline of {service_class.deadline}",
+            "set it to the deadline or less",
         )
-    elif service_class.deadline > finish_s:
+    elif service_class.deadline > shutdown_timeout_s:
         reader.add_contradiction(
             (*path, "deadline"),
             service_class.deadline,
-            f"is longer than daemon.finish = {finish_s}: a stop would fail what it has taken",
-            "let daemon.finish be as long as the longest deadline",
+            f"exceeds daemon.finish = {shutdown_timeout_s}: a shutdown would fail requests in flight",
+            "set daemon.finish to at least the longest deadline",
         )
     elif service_class.effect == "keyed" and not service_class.memory:
         reader.add_contradiction(
             (*path, "memory"),
             service_class.memory,
-            "a keyed class whose repeats nobody drops",
-            "say for how long hosts drop a repeat, or make it unsafe",
+            "a keyed class needs a time during which hosts drop repeated requests",
+            "set that time, or make the class unsafe",
         )
     elif service_class.effect != "keyed" and service_class.memory:
         reader.add_contradiction(
             (*path, "memory"),
             service_class.memory,
-            f"a class that is {service_class.effect} has no repeats to drop",
-            "leave it out, or make it keyed",
+            f"hosts drop no repeated requests of a class that is {service_class.effect}",
+            "remove it, or make the class keyed",
         )
     elif service_class.effect != "keyed" and service_class.scope != "all":
         reader.add_contradiction(
             (*path, "scope"),
             service_class.scope,
             f"a class that is {service_class.effect} has no scope",
-            "leave it out",
+            "remove it",
         )
 
 
@@ -188,28 +190,31 @@
         reader.add_contradiction(
             (*path, "burst"),
             plan.burst,
-            f"the largest request ({max_units} units) never fits",
-            "a rate needs a burst of at least limits.max_units",
+            f"is less than the largest request ({max_units} units), which would always be rejected",
+            "set it to at least limits.max_units",
         )
     elif plan.ceiling_rate and plan.ceiling_rate < plan.rate:
         reader.add_contradiction(
             (*path, "ceiling_rate"),
             plan.ceiling_rate,
-            f"lies under the quota's rate of {plan.rate}",
-            "a ceiling lies at or over the quota",
+            f"is less than the quota's rate of {plan.rate}",
+            "set it to at least the quota's rate",
         )
     elif plan.ceiling_rate and plan.ceiling_burst < plan.burst:
         reader.add_contradiction(
             (*path, "ceiling_burst"),
             plan.ceiling_burst,
-            f"lies under the quota's burst of {plan.burst}",
-            "a ceiling lies at or over the quota",
+            f"is less than the quota's burst of {plan.burst}",
+            "set it to at least the quota's burst",
         )
     elif plan.ceiling_burst and not plan.ceiling_rate:
         reader.add_contradiction(
-            (*path, "ceiling_rate"), plan.ceiling_rate, "a ceiling's burst without its rate", "add the rate"
+            (*path, "ceiling_rate"),
+            plan.ceiling_rate,
+            "ceiling_burst is set without ceiling_rate",
+            "set the rate",
         )
     elif not (plan.rate or plan.open_limit):
         reader.add_contradiction(
-            (*path, "rate"), plan.rate, "neither a rate nor a limit of open attempts", "add rate and burst"
+            (*path, "rate"), plan.rate, "neither rate nor open_limit is set", "set rate and burst"
         )
--- a/apigateway/daemon/settings_validation_address.py
+++ b/apigateway/daemon/settings_validation_address.py
@@ -7,11 +7,11 @@
 
 
 def check_address(reader: ConfigReader, path: KeyPath, text: str) -> Address | None:
-    """Return a setting's address; None: it is none, which is added to the reader's problems."""
+    """Return the address in a setting; None after adding a problem if it is invalid."""
     try:
         return read_address(text)
     except ValueError:
         reader.add_contradiction(
-            path, text, "is no address", "write it as HOST:PORT, an IPv6 host in brackets"
+            path, text, "is not an address", "write it as HOST:PORT, an IPv6 host in brackets"
         )
         return None
--- a/apigateway/daemon/settings_validation_grpc.py
+++ b/apigateway/daemon/settings_validation_grpc.py
@@ -1,4 +1,4 @@
-"""Check the settings of the gRPC services: our rate limit service, [ratelimit], and an outer one, [ask]."""
+"""Check the settings of the rate limit service, [ratelimit], and of the external one, [ask]."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from apigateway.frontends.grpc.mapping import PLACEHOLDER, InvalidRuleError
 from apigateway.frontends.grpc.settings import ServerTlsSection
 
-# Fields of a request that ask.entries may use.
+# Fields of a request that ask.entries may refer to.
 ASK_ENTRY_FIELDS = ("customer", "plan", "class", "units", "gateway")
 
 
 def check_ratelimit(reader: ConfigReader, settings: Settings) -> None:
-    """Add what contradicts itself in [ratelimit] to the reader's problems."""
+    """Add all contradictions in [ratelimit] to the reader's problems."""
     section = settings.ratelimit
     grpc_listeners = [n for n, listener in enumerate(settings.listeners) if listener.protocol == "grpc"]
     if grpc_listeners and not section.rules:
         reader.add_contradiction(
             ("listeners", grpc_listeners[0], "protocol"),
             "grpc",
-            "no rule says whose a check is",
+            "there are no rules to assign checks to customers",
             "add [[ratelimit.rules]] with domain, entries, customer, plan and class",
         )
     _check_ratelimit_rules(reader, settings)
@@ -42,7 +42,7 @@
             ("ratelimit", "rules", number, err.key),
             rule[err.key],
             str(err.args[0]),
-            "mend the rule: docs/operate/ratelimit.md",
+            "correct the rule, see docs/operate/ratelimit.md",
         )
     for number, rule in enumerate(section.rules):
         if rule.token and not section.token_keys:
@@ -50,7 +50,7 @@
                 ("ratelimit", "rules", number, "token"),
                 True,
                 "there is no key to sign tokens with",
-                "name files with keys in ratelimit.token_keys",
+                "list key files in ratelimit.token_keys",
             )
 
 
@@ -58,25 +58,25 @@
     if bool(tls.cert) != bool(tls.key):
         missing = "key" if tls.cert else "cert"
         reader.add_contradiction(
-            ("ratelimit", "tls", missing), "", "a certificate and its key go together", "name both files"
+            ("ratelimit", "tls", missing), "", "a certificate and its key must both be set", "set both files"
         )
     elif tls.client_ca and not tls.cert:
         reader.add_contradiction(
             ("ratelimit", "tls", "client_ca"),
             tls.client_ca,
-            "without TLS no client shows a certificate",
-            "name cert and key",
+            "client certificates need TLS",
+            "set cert and key",
         )
 
 
 def check_external_ratelimit(reader: ConfigReader, settings: Settings) -> None:
-    """Add what contradicts itself in [ask] to the reader's problems."""
+    """Add all contradictions in [ask] to the reader's problems."""
     section = settings.ask
     if section.address:
         check_address(reader, ("ask", "address"), section.address)
         if not (section.plans or section.classes):
             reader.add_contradiction(
-                ("ask", "plans"), None, "nothing is asked about", "name plans or classes"
+                ("ask", "plans"), None, "no plans or classes are set", "set plans or classes"
             )
     _check_ask_scope(reader, settings)
     _check_ask_entries(reader, section.entries)
@@ -84,8 +84,8 @@
         reader.add_contradiction(
             ("ask", "most_rest"),
             section.most_rest,
-            f"is shorter than rest = {section.rest}",
-            "let it be longer",
+            f"is less than rest = {section.rest}",
+            "increase it to at least that",
         )
     _check_ask_tls(reader, section.tls)
 
@@ -97,7 +97,7 @@
                 reader.add_contradiction(
                     ("ask", key),
                     name,
-                    f"there is no such one of [{key}]",
+                    f"is not defined in [{key}]",
                     f"known: {', '.join(known) or 'none'}",
                 )
 
@@ -111,7 +111,7 @@
             reader.add_contradiction(
                 ("ask", "entries"),
                 entry,
-                f"{{{unknown[0]}}} is nothing of a request",
+                f"{{{unknown[0]}}} is not a field of a request",
                 f"known: {', '.join(ASK_ENTRY_FIELDS)}",
             )
 
@@ -119,10 +119,10 @@
 def _check_ask_tls(reader: ConfigReader, tls: ClientTlsSection) -> None:
     if not tls.on and (tls.ca or tls.cert or tls.key or tls.name):
         reader.add_contradiction(
-            ("ask", "tls", "on"), False, "the other keys of ask.tls are for nothing", "set on = true"
+            ("ask", "tls", "on"), False, "the other keys of ask.tls have no effect", "set on = true"
         )
     elif bool(tls.cert) != bool(tls.key):
         missing = "key" if tls.cert else "cert"
         reader.add_contradiction(
-            ("ask", "tls", missing), "", "a certificate and its key go together", "name both files"
+            ("ask", "tls", missing), "", "a certificate and its key must both be set", "set both files"
         )
--- a/apigateway/daemon/status_answers.py
+++ b/apigateway/daemon/status_answers.py
@@ -1,4 +1,4 @@
-"""Answer status queries (status_query.py) with what a gateway knows at that moment."""
+"""Answer status queries (status_query.py) with the current state of a gateway."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def status_queries(server: GatewayServer) -> dict[str, Callable[[], dict[str, Any]]]:
-    """Return the answers as JSON, by the name of the query."""
+    """Return functions that answer with JSON, by the name of the query."""
     return {
         "hosts": lambda: endpoint_list_status(server).as_json(),
         "plugins": lambda: plugins_status(server),
@@ -33,7 +33,7 @@
 
 
 def endpoint_list_status(server: GatewayServer) -> EndpointListStatus:
-    """Return what a gateway knows of its endpoints."""
+    """Return the status of a gateway's endpoint list."""
     reconciler = reconciler_of(server.endpoint_source)
     if reconciler is not None:
         age_s = server.clock() - reconciler.last_update_at
@@ -84,10 +84,10 @@
 
 
 def plugins_status(server: GatewayServer) -> dict[str, Any]:
-    """Return the plug-ins' status as JSON, as they tell it."""
+    """Return the plug-ins' status as JSON."""
     return server.plugins.status() if server.plugins is not None else {"plugins": [], "records": None}
 
 
 def ratelimit_status(server: GatewayServer) -> RateLimitStatus:
-    """Return the state of a gateway's rate limit services."""
+    """Return the status of a gateway's rate limit services."""
     return server.ratelimit.status() if server.ratelimit is not None else RateLimitStatus()
--- a/apigateway/daemon/status_query.py
+++ b/apigateway/daemon/status_query.py
@@ -1,4 +1,4 @@
-"""Ask the gateway that runs for its status, over the socket by which it also hands over."""
+"""Query a running gateway for its status, over the socket that it also uses for hand-overs."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 async def query_gateway(path: str, name: str) -> dict[str, Any]:
-    """Query the gateway that listens at this path for the status of that name.
+    """Return the status `name` of the gateway that listens at `path`.
 
     Raises:
-        HandoverError: No gateway runs there, or it does not answer.
+        HandoverError: No gateway listens at the path, or it does not answer.
     """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     channel = HandoverChannel(sock)
@@ -23,6 +23,6 @@
         await channel.send(StatusRequest(name).to_wire())
         return await channel.receive(REPLY_TIMEOUT_S)
     except OSError as err:
-        raise HandoverError(f"{path}: no gateway runs there ({err.strerror})") from err
+        raise HandoverError(f"{path}: no gateway listens there ({err.strerror})") from err
     finally:
         channel.close()
