--- a/apigateway/daemon/supervisor.py
+++ b/apigateway/daemon/supervisor.py
@@ -1,9 +1,9 @@
-"""Run `serve --workers N`: one supervisor, N gateways on one address, for machines with as many cores.
+"""Run `serve --workers N`: one supervisor and N gateways on one address, to use several cores of a machine.
 
-The supervisor holds the listening sockets and serves nothing. Its workers accept from the same sockets, so
-what waits in one of them is any worker's: that one hangs or dies costs no connection that it had not
-accepted. They send their heartbeats by the service manager's protocol (NOTIFY_SOCKET, WATCHDOG_USEC), which
-gateways speak anyway.
+The supervisor holds the listening sockets and serves no requests. Its workers accept from the same sockets,
+so any worker can accept a waiting connection. If a worker hangs or dies, only the connections that it has
+accepted are lost. Workers send their heartbeats by the service manager's protocol (NOTIFY_SOCKET,
+WATCHDOG_USEC), which every gateway implements.
 """
 
 from __future__ import annotations
@@ -33,27 +33,27 @@
 from apigateway.exit_codes import ExitCode
 from apigateway.upstream.address import Address, read_address, write_address
 
-# The shared memory's name beside the listeners of a hand-over.
-MARKS_NAME = "marks"
-# Status queries that only the workers can answer.
+# Name of the in-flight memory in the list of listeners that a hand-over passes on.
+IN_FLIGHT_MEMORY_NAME = "marks"
+# Status queries that the workers answer; the supervisor returns their number.
 WORKER_QUERIES = ("hosts", "plugins", "ratelimit")
-CHECK_INTERVAL_S = 0.1  # between checks of the workers
-TAKE_OVER_CHECK_INTERVAL_S = CHECK_INTERVAL_S / 10  # requests wait in the kernel's queue meanwhile
+CHECK_INTERVAL_S = 0.1
+TAKE_OVER_CHECK_INTERVAL_S = CHECK_INTERVAL_S / 10  # shorter: connections wait in the kernel's queue
 
 log = logging.getLogger(__name__)
 
 
 class Supervisor:
-    """Starts the workers, restarts those that fail, and passes signals and hand-overs on to them."""
+    """Starts the workers, restarts failed ones, and forwards signals and hand-overs to them."""
 
     def __init__(self, path: str, settings: Settings, count: int, take_over: bool = False) -> None:
-        """Store what `run` needs.
+        """Store the arguments; `run` starts the workers.
 
         Args:
-            path: Of the settings file.
-            settings: As read from it.
-            count: How many workers there are to be.
-            take_over: Take over from the supervisor that runs.
+            path: Path of the settings file.
+            settings: The settings read from it.
+            count: Number of workers.
+            take_over: Whether to take over from the running supervisor.
         """
         self._path = path
         self._settings = settings
@@ -64,19 +64,19 @@
         self._notifier = Notifier()
         self._pool: WorkerPool | None = None
         self._sockets: dict[Address, socket.socket] = {}
-        self._marks: InFlightRegions | None = None
+        self._in_flight_regions: InFlightRegions | None = None
         self._lock: StateFolderLock | None = None
-        self._predecessor: HandoverPredecessor | None = None  # this supervisor, as one that hands over
-        self._successor: HandoverSuccessor | None = None  # this supervisor, as one that takes over
+        self._predecessor: HandoverPredecessor | None = None  # set while this supervisor can hand over
+        self._successor: HandoverSuccessor | None = None  # set if this supervisor takes over
 
     async def run(self) -> ExitCode:
-        """Supervise until it is told to stop or a worker is in a crash loop.
+        """Supervise the workers until a stop is requested or a worker is in a crash loop.
 
         Returns:
             The exit code.
 
         Raises:
-            HandoverError, StateFolderLockedError, OSError: It cannot start.
+            HandoverError, StateFolderLockedError, OSError: The supervisor cannot start.
         """
         self._install_signal_handlers()
         folder = tempfile.mkdtemp(prefix="apigateway-")
@@ -93,12 +93,12 @@
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self._stop_requested.wait(), CHECK_INTERVAL_S)
             self._notifier.stopping()
-            ended_in_time = await self._end_workers(pool)
-            return ExitCode.OK if ended_in_time and not pool.has_failed else ExitCode.FAILED
-        except BaseException:  # a hand-over that failed: its workers end, and the predecessor's go on
+            exited_in_time = await self._stop_workers(pool)
+            return ExitCode.OK if exited_in_time and not pool.has_failed else ExitCode.FAILED
+        except BaseException:  # after a failed hand-over only the new workers stop
             self._stop_requested.set()
             if self._pool is not None:
-                await self._end_workers(self._pool)
+                await self._stop_workers(self._pool)
             raise
         finally:
             self._release_resources(folder)
@@ -109,7 +109,7 @@
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     async def _acquire_resources(self) -> None:
-        """Get the lock, the listening sockets and the marks, from a predecessor if there is one."""
+        """Acquire or inherit the lock, the listening sockets and the in-flight memory."""
         state = self._settings.daemon.state
         if self._take_over:
             await self._inherit_resources(state)
@@ -117,7 +117,7 @@
             self._lock = StateFolderLock(state)
         if self._settings.workers.address == "shared":
             self._bind_missing_listeners()
-            self._allocate_marks()
+            self._allocate_regions()
 
     def _bind_missing_listeners(self) -> None:
         for listener in self._settings.listeners:
@@ -125,16 +125,16 @@
             if address not in self._sockets:
                 self._sockets[address] = bind_listener(address)
 
-    def _allocate_marks(self) -> None:
-        marks = self._marks
-        if marks is None:
-            marks = InFlightRegions(os.memfd_create("apigateway-in-flight", os.MFD_CLOEXEC), 0, 0)
-        region_count = max(marks.region_count, marks.first_region + self._count)
-        self._marks = marks._replace(region_count=region_count)
-        os.ftruncate(marks.descriptor, shared_memory_size(region_count))
+    def _allocate_regions(self) -> None:
+        regions = self._in_flight_regions
+        if regions is None:
+            regions = InFlightRegions(os.memfd_create("apigateway-in-flight", os.MFD_CLOEXEC), 0, 0)
+        region_count = max(regions.region_count, regions.first_region + self._count)
+        self._in_flight_regions = regions._replace(region_count=region_count)
+        os.ftruncate(regions.descriptor, shared_memory_size(region_count))
 
     def _create_pool(self, folder: str) -> WorkerPool:
-        resources = WorkerResources(self._listener_descriptors(), self._marks, folder)
+        resources = WorkerResources(self._listener_descriptors(), self._in_flight_regions, folder)
         self._pool = WorkerPool(
             self._path,
             self._settings,
@@ -152,7 +152,7 @@
             self._count,
             ", ".join(listener.address for listener in self._settings.listeners),
         )
-        self._notifier.ready(f"{self._count} workers serve", main=self._take_over)
+        self._notifier.ready(f"{self._count} workers serve", is_main_process=self._take_over)
 
     def _release_resources(self, folder: str) -> None:
         if self._predecessor is not None:
@@ -162,20 +162,20 @@
         shutil.rmtree(folder, ignore_errors=True)
         for sock in self._sockets.values():
             sock.close()
-        if self._marks is not None:
-            os.close(self._marks.descriptor)
+        if self._in_flight_regions is not None:
+            os.close(self._in_flight_regions.descriptor)
         if self._lock is not None:
             self._lock.close()
         self._notifier.close()
 
-    # Hand-over: worker by worker, each as a gateway hands over to its successor
+    # Hand-over: each worker hands over to its successor, one after another
 
     def _open_handover(self) -> None:
         self._predecessor = HandoverPredecessor(
             handover_path(self._settings.daemon.state),
             self._offer,
-            self._leave_to_workers,
-            self._leave_to_workers,
+            self._no_op,
+            self._no_op,
             self._stop_requested.set,
             self._settings.daemon.handover_wait * self._count,
         )
@@ -188,61 +188,63 @@
 
     def _offer(self) -> HandoverOffer:
         assert self._lock is not None
-        names = [write_address(address) for address in self._sockets]
+        listener_names = [write_address(address) for address in self._sockets]
         descriptors = self._listener_descriptors()
         first_region = 0
-        if self._marks is not None:
-            names.append(MARKS_NAME)
-            descriptors.append(self._marks.descriptor)
-            first_region = self._marks.first_region
+        if self._in_flight_regions is not None:
+            listener_names.append(IN_FLIGHT_MEMORY_NAME)
+            descriptors.append(self._in_flight_regions.descriptor)
+            first_region = self._in_flight_regions.first_region
         descriptors.append(self._lock.descriptor)
-        return HandoverOffer(names, descriptors, {"workers": self._count, "base": first_region})
+        return HandoverOffer(listener_names, descriptors, {"workers": self._count, "base": first_region})
 
     def _listener_descriptors(self) -> list[int]:
         return [sock.fileno() for sock in self._sockets.values()]
 
-    async def _leave_to_workers(self) -> None:
-        """Do nothing: each worker pauses for its own successor, and resumes by itself."""
+    async def _no_op(self) -> None:
+        """Do nothing: each worker pauses for its own successor and resumes by itself."""
 
     async def _inherit_resources(self, state: str) -> None:
-        """Take sockets, marks and lock of the supervisor that runs.
+        """Take over sockets, in-flight memory and lock from the running supervisor.
 
         Raises:
-            HandoverError: Nothing runs there, or it has another number of workers.
+            HandoverError: No supervisor is running, or its number of workers differs.
         """
         self._successor = create_successor(state)
-        names, descriptors, known = await self._successor.take_over()
-        if known.get("workers") != self._count:
+        names, descriptors, predecessor_state = await self._successor.take_over()
+        if predecessor_state.get("workers") != self._count:
             for descriptor in descriptors:
                 os.close(descriptor)
-            count = known.get("workers", "no")
+            count = predecessor_state.get("workers", "no")
             raise HandoverError(
-                f"what runs there has {count} workers, and here are {self._count}: that needs a restart"
+                f"the running gateway has {count} workers, this one {self._count}: that needs a restart"
             )
         self._lock = StateFolderLock(state, descriptors.pop())
-        wanted = {listener.address for listener in self._settings.listeners}
+        listener_addresses = {listener.address for listener in self._settings.listeners}
         for name, descriptor in zip(names, descriptors, strict=True):
-            if name == MARKS_NAME:
-                self._marks = self._inherit_marks(descriptor, int(known.get("base", 0)))
-            elif name in wanted:
+            if name == IN_FLIGHT_MEMORY_NAME:
+                self._in_flight_regions = self._inherit_regions(
+                    descriptor, int(predecessor_state.get("base", 0))
+                )
+            elif name in listener_addresses:
                 sock = socket.socket(fileno=descriptor)
                 sock.setblocking(False)
                 self._sockets[read_address(name)] = sock
-            else:  # a listener that the new settings have no more
+            else:  # a listener that was removed from the settings
                 os.close(descriptor)
 
-    def _inherit_marks(self, descriptor: int, predecessor_first_region: int) -> InFlightRegions:
-        """Choose regions beside the predecessor's, whose marks hold until its requests have ended."""
-        is_room_below = predecessor_first_region >= self._count
-        first_region = 0 if is_room_below else predecessor_first_region + self._count
+    def _inherit_regions(self, descriptor: int, predecessor_first_region: int) -> InFlightRegions:
+        """Choose regions other than the predecessor's, whose marks are needed until its requests complete."""
+        has_room_below = predecessor_first_region >= self._count
+        first_region = 0 if has_room_below else predecessor_first_region + self._count
         region_count = os.fstat(descriptor).st_size // shared_memory_size(1)
         return InFlightRegions(descriptor, first_region, region_count)
 
     async def _take_over_workers(self, pool: WorkerPool, successor: HandoverSuccessor) -> None:
-        """Start one worker after another in place of the predecessor's.
+        """Start the workers one after another, each taking over from one of the predecessor's.
 
         Raises:
-            HandoverError: One of them could not take over; the predecessor's go on.
+            HandoverError: A worker could not take over; the predecessor's workers keep serving.
         """
         for worker in pool.workers:
             await pool.start(worker, take_over=True)
@@ -251,10 +253,10 @@
         await successor.announce_serving()
 
     async def _wait_until_ready(self, worker: WorkerProcess) -> None:
-        """Wait until a worker that takes over serves.
+        """Wait until a worker that takes over is serving.
 
         Raises:
-            HandoverError: It failed or took too long, or this supervisor was told to stop.
+            HandoverError: The worker failed or timed out, or a stop of this supervisor was requested.
         """
         process = worker.process
         deadline = self._loop.time() + self._settings.daemon.handover_wait
@@ -262,28 +264,28 @@
             if process is None or process.returncode is not None or self._loop.time() > deadline:
                 raise HandoverError(f"worker {worker.number} could not take over")
             if self._stop_requested.is_set():
-                raise HandoverError("told to stop")
+                raise HandoverError("stop requested during the hand-over")
             await asyncio.sleep(TAKE_OVER_CHECK_INTERVAL_S)
 
-    # Reload and shutdown act on all
+    # Reload and shutdown of all workers
 
     def _reload(self) -> None:
-        """Have the workers reload; reject for all what would need another supervisor."""
+        """Reload the workers' settings; reject changes that need a new supervisor."""
         if self._stop_requested.is_set() or self._is_handing_over():
-            log.warning("no reload during a stop or a hand-over")
+            log.warning("reload ignored: a shutdown or a hand-over is in progress")
             return
         try:
             new = read_settings(self._path)
         except InvalidConfigFileError as err:
             for line in str(err).splitlines():
                 log.error("%s", line)
-            log.info("reload: refused, the old settings stay")
+            log.info("reload: rejected, the old settings stay in force")
             return
         if not self._can_reload(new):
             log.error(
-                "%s: listeners, workers and daemon.state need a restart where there are workers", self._path
+                "%s: with workers, a change of listeners, workers or daemon.state needs a restart", self._path
             )
-            log.info("reload: refused, the old settings stay")
+            log.info("reload: rejected, the old settings stay in force")
             return
         self._settings = new
         if self._pool is not None:
@@ -298,18 +300,18 @@
             and new.daemon.state == old.daemon.state
         )
 
-    async def _end_workers(self, pool: WorkerPool) -> bool:
-        """Stop all workers, and kill those that are late; return whether none was."""
+    async def _stop_workers(self, pool: WorkerPool) -> bool:
+        """Stop all workers, and kill those that exceed the time limit; return whether none did."""
         if self._predecessor is None or not self._predecessor.is_completed:
             pool.stop()
-        # Else each has been replaced by its successor, and ends by itself.
-        return await pool.wait_until_ended()
+        # Otherwise each worker was replaced by its successor and exits by itself.
+        return await pool.wait_until_exited()
 
 
 async def supervise(path: str, settings: Settings, count: int, take_over: bool) -> ExitCode:
-    """Run a supervisor and return the exit code.
+    """Run a supervisor, and return the exit code.
 
     Raises:
-        HandoverError, StateFolderLockedError, OSError: It cannot start.
+        HandoverError, StateFolderLockedError, OSError: The supervisor cannot start.
     """
     return await Supervisor(path, settings, count, take_over).run()
--- a/apigateway/daemon/takeover.py
+++ b/apigateway/daemon/takeover.py
@@ -1,4 +1,4 @@
-"""Take over sockets, lock and endpoint list from the gateway that runs."""
+"""Take over sockets, lock and endpoint list from a running gateway."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 class InheritedResources(NamedTuple):
-    """What a predecessor passed on.
+    """Resources received from a predecessor.
 
     Attributes:
-        sockets: Listening, by address.
-        lock: Of the state folder.
-        known: The predecessor's endpoint list; None: it had none.
+        sockets: Listening sockets by address.
+        lock: Lock of the state folder.
+        listing: The predecessor's endpoint list; None if it had none.
     """
 
     sockets: dict[Address, socket.socket]
     lock: StateFolderLock
-    known: Listing | None
+    listing: Listing | None
 
 
 def handover_path(state_folder: str) -> str:
-    """Return the path of the Unix socket by which gateways hand over."""
+    """Return the path of the Unix socket that gateways use for hand-overs."""
     return os.path.join(state_folder, HANDOVER_SOCKET)
 
 
@@ -43,28 +43,28 @@
         HandoverError: The settings name no state folder, so no predecessor can be found.
     """
     if not state_folder:
-        raise HandoverError("daemon.state names no folder, so there is nobody to take over from")
+        raise HandoverError("daemon.state is not set, so no running gateway to take over from can be found")
     return HandoverSuccessor(handover_path(state_folder))
 
 
 async def inherit_resources(
     successor: HandoverSuccessor, state_folder: str, listeners: Collection[Address]
 ) -> InheritedResources:
-    """Take what the predecessor offers; sockets that are none of `listeners` are closed.
+    """Receive the predecessor's resources, and close sockets for addresses not in `listeners`.
 
     Raises:
-        HandoverError: There is no predecessor, or it is a supervisor with workers.
+        HandoverError: There is no predecessor, or the predecessor is a supervisor.
     """
     offer = await successor.take_over()
-    if "workers" in offer.known:
+    if "workers" in offer.state:
         for descriptor in offer.descriptors:
             os.close(descriptor)
-        raise HandoverError("what runs there has workers: say --workers, or restart it")
+        raise HandoverError("the running gateway has workers: use --workers, or restart it")
     *socket_descriptors, lock_descriptor = offer.descriptors
     sockets = [_open_socket(descriptor) for descriptor in socket_descriptors]
     lock = StateFolderLock(state_folder, lock_descriptor)
-    known = read_list(offer.known, messages.ListMode.CACHED) if offer.known else None
-    return InheritedResources(_match_by_name(offer.listeners, sockets, listeners), lock, known)
+    listing = read_list(offer.state, messages.ListMode.CACHED) if offer.state else None
+    return InheritedResources(_match_by_name(offer.listeners, sockets, listeners), lock, listing)
 
 
 def _open_socket(descriptor: int) -> socket.socket:
@@ -81,6 +81,6 @@
     for name, sock in zip(names, sockets, strict=True):
         if name in address_by_name:
             matched[address_by_name[name]] = sock
-        else:  # a listener that the new settings do not have
+        else:  # a listener that was removed from the settings
             sock.close()
     return matched
--- a/apigateway/daemon/worker_lifecycle.py
+++ b/apigateway/daemon/worker_lifecycle.py
@@ -1,6 +1,7 @@
-"""Decide when a worker is started, killed or given up.
+"""Decide when a worker is started, killed, or no longer restarted.
 
-Pure: callers tell what happened and when, and act on the answer. All times are in seconds of one clock.
+This module does no I/O: callers report events with their times, and act on the results. All times are in
+seconds of the same clock.
 """
 
 from __future__ import annotations
@@ -11,15 +12,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartPolicy:
-    """When a worker is taken for hung, and how soon it is started again.
+    """When a worker counts as hung, and how soon a failed worker is restarted.
 
     Attributes:
-        watchdog_timeout_s: Without a heartbeat for so long, a worker that serves is taken for hung.
+        watchdog_timeout_s: A serving worker counts as hung after this long without a heartbeat.
         ready_timeout_s: How long a worker may take from its start until it serves.
-        backoff_s: Pause after an exit; doubles with each further failure in a row.
-        max_backoff_s: The longest pause.
-        stable_after_s: An exit of a worker that served for so long ends the row of failures.
-        crash_loop_threshold: So many failures in a row of one worker are a crash loop.
+        backoff_s: Delay before a restart; doubles with each consecutive failure.
+        max_backoff_s: Upper limit of the delay.
+        stable_after_s: The exit of a worker that has served for at least this long resets the failure count.
+        crash_loop_threshold: Number of consecutive failures of one worker that counts as a crash loop.
     """
 
     watchdog_timeout_s: float = 10.0
@@ -34,12 +35,12 @@
     """The state of one worker.
 
     Attributes:
-        next_start_at: When it is to be started, if it is not running.
-        is_running: It has been started and has not exited.
-        is_ready: It serves.
+        next_start_at: When to start the worker, if it is not running.
+        is_running: Whether the process has been started and has not exited.
+        is_ready: Whether it serves.
         ready_at: When it began to serve.
-        failures_in_row: Exits since it last was stable.
-        exit_count: Exits in all.
+        consecutive_failures: Number of exits since it was last stable.
+        exit_count: Total number of exits.
     """
 
     def __init__(self, policy: RestartPolicy, now: float) -> None:
@@ -47,56 +48,56 @@
         self.is_running = False
         self.is_ready = False
         self.ready_at = now
-        self.failures_in_row = 0
+        self.consecutive_failures = 0
         self.exit_count = 0
         self._policy = policy
         self._started_at = now
         self._last_heartbeat_at = now
 
     def on_started(self, now: float) -> None:
-        """Record that its process was started."""
+        """Record the start of the process."""
         self.is_running = True
         self.is_ready = False
         self._started_at = now
         self._last_heartbeat_at = now
 
     def on_heartbeat(self, now: float, ready: bool = False) -> None:
-        """Record a sign of life; `ready`: that it serves now."""
+        """Record a heartbeat; `ready` is True if the worker has reported that it serves."""
         self._last_heartbeat_at = now
         if ready and not self.is_ready:
             self.is_ready = True
             self.ready_at = now
 
-    def on_ended(self, now: float) -> bool:
+    def on_exited(self, now: float) -> bool:
         """Record an exit.
 
         Returns:
-            Whether it is to be started again, at `next_start_at`; False: it is in a crash loop.
+            Whether to restart the worker, at `next_start_at`; False if it is in a crash loop.
         """
         was_stable = self.is_ready and now - self.ready_at >= self._policy.stable_after_s
         self.is_running = False
         self.is_ready = False
         self.exit_count += 1
-        self.failures_in_row = 1 if was_stable else self.failures_in_row + 1
-        if self.failures_in_row >= self._policy.crash_loop_threshold:
+        self.consecutive_failures = 1 if was_stable else self.consecutive_failures + 1
+        if self.consecutive_failures >= self._policy.crash_loop_threshold:
             return False
-        backoff = self._policy.backoff_s * 2.0 ** (self.failures_in_row - 1)
+        backoff = self._policy.backoff_s * 2.0 ** (self.consecutive_failures - 1)
         self.next_start_at = now + min(self._policy.max_backoff_s, backoff)
         return True
 
     def on_handed_over(self) -> None:
-        """Record that a successor's worker serves in its place; only `start_again` has it started."""
+        """Record that a successor's worker has replaced it; it is restarted only after `restart_now`."""
         self.is_running = False
         self.is_ready = False
         self.next_start_at = math.inf
 
-    def start_again(self, now: float) -> None:
-        """Have it started at once: the successor failed."""
+    def restart_now(self, now: float) -> None:
+        """Schedule an immediate start, after the successor failed."""
         self.next_start_at = now
-        self.failures_in_row = 0
+        self.consecutive_failures = 0
 
     def is_hung(self, now: float) -> bool:
-        """Return whether it runs, but is late with its heartbeat or with getting ready."""
+        """Return whether it is running, but its heartbeat or its readiness is overdue."""
         if not self.is_running:
             return False
         if not self.is_ready:
@@ -104,5 +105,5 @@
         return now - self._last_heartbeat_at > self._policy.watchdog_timeout_s
 
     def is_due(self, now: float) -> bool:
-        """Return whether it is to be started now."""
+        """Return whether to start it now."""
         return not self.is_running and now >= self.next_start_at
--- a/apigateway/daemon/worker_pool.py
+++ b/apigateway/daemon/worker_pool.py
@@ -1,4 +1,4 @@
-"""Start a supervisor's workers, restart those that fail, and end them."""
+"""Start a supervisor's workers, restart failed ones, and stop them."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from apigateway.daemon.worker_process import WorkerProcess, resident_bytes
 from apigateway.daemon.workers import InFlightRegions, worker_environment
 
-EXIT_MARGIN_S = 5.0  # past its own time limit that a worker has to exit before it is killed
-MIB = 1024 * 1024
-MICROSECONDS = 1e6  # in a second
-# Variables by which the supervisor's own service manager addresses the supervisor alone.
+EXIT_MARGIN_S = 5.0  # a worker is killed this long after its own shutdown timeout
+BYTES_PER_MIB = 1024 * 1024
+MICROSECONDS_PER_SECOND = 1e6
+# Variables from the service manager that are meant for the supervisor only.
 SUPERVISOR_VARIABLES = ("LISTEN_FDS", "LISTEN_PID", "WATCHDOG_PID")
 READY_NOTIFICATION = "READY=1"
 
@@ -26,16 +26,16 @@
 
 
 class WorkerResources(NamedTuple):
-    """What all workers share.
+    """Resources that all workers share.
 
     Attributes:
         listeners: Descriptors of the listening sockets.
-        marks: Where writes in flight are marked; None: they are not.
-        notify_folder: For the workers' notify sockets.
+        regions: Shared memory for marks of writes in flight; None if it is not used.
+        notify_folder: Folder for the workers' notify sockets.
     """
 
     listeners: list[int]
-    marks: InFlightRegions | None
+    regions: InFlightRegions | None
     notify_folder: str
 
 
@@ -43,9 +43,9 @@
     """The workers of one supervisor.
 
     Attributes:
-        settings: In force; the supervisor replaces them at a reload.
-        workers: All of them.
-        has_failed: A worker is in a crash loop, or one failed at the end.
+        settings: The settings in force; the supervisor replaces them at a reload.
+        workers: All workers.
+        has_failed: Whether a worker is in a crash loop, or failed during the shutdown.
     """
 
     def __init__(
@@ -58,16 +58,16 @@
         is_handing_over: Callable[[], bool],
         on_all_ready: Callable[[], None],
     ) -> None:
-        """Create the workers; none runs yet.
+        """Create the workers without starting them.
 
         Args:
-            path: Of the settings file.
-            settings: As read from it.
-            count: How many workers there are.
-            resources: What they share.
-            stop_requested: Set when all are to end; also set here, after a crash loop.
-            is_handing_over: Tells whether a successor's workers take over.
-            on_all_ready: Called once, when all serve.
+            path: Path of the settings file.
+            settings: The settings read from it.
+            count: Number of workers.
+            resources: The shared resources.
+            stop_requested: Set when all workers are to stop; also set here after a crash loop.
+            is_handing_over: Returns whether a successor's workers are taking over.
+            on_all_ready: Called once, when all workers serve.
         """
         self.settings = settings
         self.has_failed = False
@@ -80,7 +80,7 @@
         self._has_notified_ready = False
         self._loop = asyncio.get_running_loop()
         self._policy = _restart_policy(settings)
-        self._exit_waits: set[asyncio.Task[None]] = set()  # one for each process
+        self._exit_waits: set[asyncio.Task[None]] = set()  # one task per process
         now = self._loop.time()
         self.workers = [
             WorkerProcess(number, self._policy, now, resources.notify_folder) for number in range(count)
@@ -95,9 +95,9 @@
             worker.notify_socket.close()
 
     async def start(self, worker: WorkerProcess, take_over: bool = False) -> None:
-        """Start a worker's process; `take_over`: in place of a predecessor's worker."""
+        """Start a worker's process, which takes over from a predecessor's worker if `take_over` is set."""
         resources = self._resources
-        marks = [resources.marks.descriptor] if resources.marks is not None else []
+        in_flight_memory = [resources.regions.descriptor] if resources.regions is not None else []
         worker.is_terminating = False
         worker.lifecycle.on_started(self._loop.time())
         worker.process = await asyncio.create_subprocess_exec(
@@ -108,7 +108,7 @@
             self._path,
             *(["--take-over"] if take_over else []),
             env=self._environment_of(worker),
-            pass_fds=resources.listeners + marks,
+            pass_fds=resources.listeners + in_flight_memory,
         )
         exit_wait = self._loop.create_task(self._wait_for_exit(worker, worker.process))
         self._exit_waits.add(exit_wait)
@@ -117,19 +117,19 @@
     def _environment_of(self, worker: WorkerProcess) -> dict[str, str]:
         resources = self._resources
         environment = {name: value for name, value in os.environ.items() if name not in SUPERVISOR_VARIABLES}
-        environment |= worker_environment(worker.number, self._count, resources.listeners, resources.marks)
+        environment |= worker_environment(worker.number, self._count, resources.listeners, resources.regions)
         environment["NOTIFY_SOCKET"] = worker.notify_path
-        environment["WATCHDOG_USEC"] = str(int(self._policy.watchdog_timeout_s * MICROSECONDS))
+        environment["WATCHDOG_USEC"] = str(int(self._policy.watchdog_timeout_s * MICROSECONDS_PER_SECOND))
         return environment
 
     async def check(self) -> None:
-        """Start the workers that are due, and end those that hang or take too much memory."""
+        """Start the workers that are due, and terminate those that hang or exceed the memory limit."""
         now = self._loop.time()
         is_handing_over = self._is_handing_over()
         for worker in self.workers:
-            if worker.is_handed_over and not is_handing_over:  # the successor failed, its worker has ended
+            if worker.is_handed_over and not is_handing_over:  # the successor failed
                 worker.is_handed_over = False
-                worker.lifecycle.start_again(now)
+                worker.lifecycle.restart_now(now)
             if worker.lifecycle.is_due(now):
                 await self.start(worker)
             elif worker.process is not None and not worker.is_terminating:
@@ -137,11 +137,11 @@
 
     def _check_health(self, worker: WorkerProcess, pid: int, now: float) -> None:
         if worker.lifecycle.is_hung(now):
-            log.error("worker %d shows no sign of life: killed", worker.number)
+            log.error("worker %d is not responding: killed", worker.number)
             worker.terminate(signal.SIGKILL)
-        elif resident_bytes(pid) > self.settings.limits.memory_mb * MIB:
+        elif resident_bytes(pid) > self.settings.limits.memory_mb * BYTES_PER_MIB:
             log.error(
-                "worker %d holds more than limits.memory_mb: it is to finish, and is made anew",
+                "worker %d uses more than limits.memory_mb: stopping it for a restart",
                 worker.number,
             )
             worker.terminate(signal.SIGTERM)
@@ -150,9 +150,9 @@
         code = await process.wait()
         worker.process = None
         if self._stop_requested.is_set():
-            # One that was told to end while it still started had taken nothing.
-            ended_at_start = code == -signal.SIGTERM and not worker.lifecycle.is_ready
-            self.has_failed = self.has_failed or (code != 0 and not ended_at_start)
+            # A worker that SIGTERM ends during its start has accepted no requests.
+            stopped_during_start = code == -signal.SIGTERM and not worker.lifecycle.is_ready
+            self.has_failed = self.has_failed or (code != 0 and not stopped_during_start)
             worker.lifecycle.is_running = False
         elif code == 0 and self._is_handing_over():
             worker.is_handed_over = True
@@ -162,18 +162,18 @@
 
     def _on_worker_failed(self, worker: WorkerProcess, code: int) -> None:
         lifecycle = worker.lifecycle
-        is_restarted = lifecycle.on_ended(self._loop.time())
+        is_restarted = lifecycle.on_exited(self._loop.time())
         log.error(
-            "worker %d ended (%s)%s",
+            "worker %d exited (%s)%s",
             worker.number,
             f"signal {-code}" if code < 0 else f"exit code {code}",
-            f"; again in {lifecycle.next_start_at - self._loop.time():.1f} s" if is_restarted else "",
+            f"; restart in {lifecycle.next_start_at - self._loop.time():.1f} s" if is_restarted else "",
         )
         if not is_restarted:
             log.error(
-                "worker %d ended %d times in a row: given up, all end",
+                "worker %d failed %d times in a row: stopping all workers",
                 worker.number,
-                lifecycle.failures_in_row,
+                lifecycle.consecutive_failures,
             )
             self.has_failed = True
             self._stop_requested.set()
@@ -181,23 +181,23 @@
     def _on_notification(self, worker: WorkerProcess) -> None:
         for lines in worker.receive_notifications():
             worker.lifecycle.on_heartbeat(self._loop.time(), READY_NOTIFICATION in lines)
-        if not self._has_notified_ready and all(one.lifecycle.is_ready for one in self.workers):
+        if not self._has_notified_ready and all(other.lifecycle.is_ready for other in self.workers):
             self._has_notified_ready = True
             self._on_all_ready()
 
     def reload(self) -> None:
-        """Have the workers that serve reload their settings."""
+        """Make the serving workers reload their settings."""
         for worker in self.workers:
             if worker.lifecycle.is_ready:
                 worker.send_signal(signal.SIGHUP)
 
     def stop(self) -> None:
-        """Have all workers shut down."""
+        """Make all workers shut down."""
         for worker in self.workers:
             worker.send_signal(signal.SIGTERM)
 
-    async def wait_until_ended(self) -> bool:
-        """Wait until all processes have ended, kill those that are late, and return whether none was."""
+    async def wait_until_exited(self) -> bool:
+        """Wait until all processes have exited, kill late ones, and return whether none was late."""
         if not self._exit_waits:
             return True
         section = self.settings.daemon
@@ -206,7 +206,7 @@
         if not late:
             return True
         for worker in self.workers:
-            log.error("worker %d did not end in time: killed", worker.number)
+            log.error("worker %d did not exit in time: killed", worker.number)
             worker.send_signal(signal.SIGKILL)
         await asyncio.wait(late)
         return False
--- a/apigateway/daemon/worker_process.py
+++ b/apigateway/daemon/worker_process.py
@@ -1,4 +1,4 @@
-"""One worker of a supervisor: its process, and the socket on which it sends its heartbeats."""
+"""Manage one worker process of a supervisor, and the socket that receives its heartbeats."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
     """A worker process and its notify socket.
 
     Attributes:
-        number: From 0.
-        lifecycle: Decides when it is started or killed.
-        notify_path: Path of its notify socket.
-        notify_socket: Receives its heartbeats.
-        process: None while it does not run.
-        is_terminating: It was told to exit or killed, and is to be started again.
-        is_handed_over: A successor's worker serves in its place.
+        number: Number of the worker, from 0.
+        lifecycle: Decides when the process is started or killed.
+        notify_path: Path of the notify socket.
+        notify_socket: Socket that receives the heartbeats.
+        process: The process; None while it is not running.
+        is_terminating: Whether a signal was sent to end the process, which is restarted after its exit.
+        is_handed_over: Whether a successor's worker serves in its place.
     """
 
     def __init__(self, number: int, policy: RestartPolicy, now: float, folder: str) -> None:
-        """Open the notify socket; no process runs yet.
+        """Open the notify socket; the process is not started.
 
         Args:
-            number: From 0.
-            policy: Of restarts.
-            now: By the clock of `lifecycle`, in seconds.
-            folder: For the notify socket.
+            number: Number of the worker, from 0.
+            policy: Restart policy.
+            now: Current time of the clock that `lifecycle` uses, in seconds.
+            folder: Folder for the notify socket.
         """
         self.number = number
         self.lifecycle = WorkerLifecycle(policy, now)
@@ -48,18 +48,18 @@
         self.is_handed_over = False
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to its process, if there is one."""
+        """Send a signal to the process, if there is one."""
         if self.process is not None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
     def terminate(self, number: signal.Signals) -> None:
-        """End it by a signal, to be started again."""
+        """End the process by a signal; it is restarted after its exit."""
         self.is_terminating = True
         self.send_signal(number)
 
     def receive_notifications(self) -> Iterator[list[str]]:
-        """Iterate over the notifications that have arrived, each as its lines."""
+        """Yield the notifications that have arrived, each as a list of lines."""
         with contextlib.suppress(BlockingIOError):
             while True:
                 datagram = self.notify_socket.recv(MAX_NOTIFICATION_BYTES)
@@ -67,7 +67,7 @@
 
 
 def resident_bytes(pid: int) -> int:
-    """Return the process's resident memory; 0 if it cannot be read, as of one that has just ended."""
+    """Return the process's resident memory; 0 if it cannot be read, as after the process has exited."""
     try:
         with open(f"/proc/{pid}/statm", encoding="ascii") as file:
             resident_pages = int(file.read().split()[1])
--- a/apigateway/daemon/workers.py
+++ b/apigateway/daemon/workers.py
@@ -1,7 +1,7 @@
-"""Tell a supervisor's worker process what it is, and derive its settings from the machine's.
+"""Pass a worker process its assignment, and derive its settings from the machine's.
 
-The supervisor (supervisor.py) passes the assignment in environment variables, whose names and forms must
-stay: a supervisor and its workers may be of different versions of the program.
+The supervisor (supervisor.py) passes the assignment in environment variables. Their names and formats must
+not change, since a supervisor and its workers may be of different versions of the program.
 """
 
 from __future__ import annotations
@@ -21,39 +21,41 @@
 
 WORKER_VARIABLE = "CALICOMAST_WORKER"  # number and count, "2/4"
 LISTENERS_VARIABLE = "CALICOMAST_LISTENERS"  # descriptors, "5,6"
-MARKS_VARIABLE = "CALICOMAST_MARKS"  # an InFlightRegions, "7,0,4"
+IN_FLIGHT_REGIONS_VARIABLE = "CALICOMAST_MARKS"  # an InFlightRegions, "7,0,4"
 
 
 class InFlightRegions(NamedTuple):
-    """Where the workers of one supervisor mark their writes in flight (inflight.py)."""
+    """The part of the shared memory in which one supervisor's workers mark writes in flight (inflight.py)."""
 
-    descriptor: int  # of the shared memory
-    first_region: int  # the one of worker 0
-    region_count: int  # of all regions, a predecessor's among them
+    descriptor: int  # descriptor of the shared memory
+    first_region: int  # region of worker 0
+    region_count: int  # number of all regions, including a predecessor's
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerAssignment:
-    """Which worker this process is.
+    """A worker process's number and shared resources.
 
     Attributes:
-        number: From 0.
-        count: How many workers there are.
+        number: Number of the worker, from 0.
+        count: Number of workers.
         listeners: Descriptors of the listening sockets that the supervisor passed.
-        marks: Where writes in flight are marked; None if no other worker has this one's addresses.
+        in_flight_regions: Shared memory for marks of writes in flight; None if workers share no addresses.
     """
 
     number: int
     count: int
     listeners: tuple[int, ...]
-    marks: InFlightRegions | None = None
+    in_flight_regions: InFlightRegions | None = None
 
     def open_in_flight_table(self) -> InFlightWriteTable | None:
         """Return the shared table of writes in flight, if there is one."""
-        if self.marks is None:
+        if self.in_flight_regions is None:
             return None
-        own_region = self.marks.first_region + self.number
-        return InFlightWriteTable(self.marks.descriptor, own_region, self.marks.region_count)
+        own_region = self.in_flight_regions.first_region + self.number
+        return InFlightWriteTable(
+            self.in_flight_regions.descriptor, own_region, self.in_flight_regions.region_count
+        )
 
     def adopt_listeners(self) -> list[socket.socket]:
         """Return the listening sockets that the supervisor passed."""
@@ -61,42 +63,46 @@
 
 
 def read_worker_assignment(env: Mapping[str, str] = os.environ) -> WorkerAssignment | None:
-    """Return what the supervisor made of this process; None if it has no supervisor."""
+    """Return this process's assignment; None if it has no supervisor."""
     worker = env.get(WORKER_VARIABLE, "")
     if not worker:
         return None
     number, _, count = worker.partition("/")
-    marks = _parse_numbers(env.get(MARKS_VARIABLE, ""))
+    region_numbers = _parse_numbers(env.get(IN_FLIGHT_REGIONS_VARIABLE, ""))
     return WorkerAssignment(
         int(number),
         int(count),
         _parse_numbers(env.get(LISTENERS_VARIABLE, "")),
-        InFlightRegions(marks[0], marks[1], marks[2]) if marks else None,
+        InFlightRegions(region_numbers[0], region_numbers[1], region_numbers[2]) if region_numbers else None,
     )
 
 
 def worker_environment(
-    number: int, count: int, listeners: Iterable[int], marks: InFlightRegions | None
+    number: int, count: int, listeners: Iterable[int], in_flight_regions: InFlightRegions | None
 ) -> dict[str, str]:
-    """Return the variables from which `read_worker_assignment` reads these."""
+    """Return the environment variables that `read_worker_assignment` reads."""
     return {
         WORKER_VARIABLE: f"{number}/{count}",
         LISTENERS_VARIABLE: _format_numbers(listeners),
-        MARKS_VARIABLE: _format_numbers(marks) if marks is not None else "",
+        IN_FLIGHT_REGIONS_VARIABLE: _format_numbers(in_flight_regions)
+        if in_flight_regions is not None
+        else "",
     }
 
 
 def settings_for_worker(settings: Settings, assignment: WorkerAssignment) -> Settings:
-    """Return a worker's settings: a gateway of its own, in place of the machine's.
+    """Return the settings with which a worker runs as a gateway of its own.
 
-    With `workers.address = "own"` its ports lie above the machine's by its number.
+    With `workers.address = "own"`, the worker's number is added to the configured ports.
     """
     replace = msgspec.structs.replace
     number = assignment.number
     gateway = settings.gateway
     listeners = settings.listeners
     if settings.workers.address == "own":
-        listeners = [replace(one, address=_offset_port(one.address, number)) for one in listeners]
+        listeners = [
+            replace(listener, address=_offset_port(listener.address, number)) for listener in listeners
+        ]
     state = settings.daemon.state
     if state:
         state = os.path.join(state, f"worker-{number}")
--- a/tests/daemon/test_endpoint_list.py
+++ b/tests/daemon/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as last received, and its changes."""
+"""Test the stored endpoint list and the merging of changes."""
 
 import asyncio
 import logging
@@ -18,12 +18,12 @@
 
 
 def listing(mode, version, *endpoints):
-    addresses = {one.id: ("127.0.0.1", int(one.id[1:])) for one in endpoints if one.state != "down"}
+    addresses = {item.id: ("127.0.0.1", int(item.id[1:])) for item in endpoints if item.state != "down"}
     return Listing(messages.EndpointList(mode, version, endpoints), addresses)
 
 
 class FakeCore:
-    """Takes endpoint lists and events as the core does; it is ready once it was given endpoints."""
+    """Records endpoint lists and events; ready once it has received endpoints, as the core is."""
 
     def __init__(self):
         self.is_ready = False
@@ -38,7 +38,7 @@
         self.events.append(event)
 
 
-def test_merge_when_the_change_is_a_whole_list_then_replaces_the_old():
+def test_merge_when_the_change_is_a_complete_list_then_replaces_the_old_list():
     change = listing("full", 7, endpoint("h2"))
     assert merge_listing(listing("full", 6, endpoint("h1")), change) is change
 
@@ -48,7 +48,7 @@
     merged = merge_listing(
         old, listing("delta", 7, endpoint("h2", "leaving"), endpoint("h3", "down"), endpoint("h4"))
     )
-    assert [(one.id, one.state) for one in merged.hosts.endpoints] == [
+    assert [(item.id, item.state) for item in merged.hosts.endpoints] == [
         ("h1", "up"),
         ("h2", "leaving"),
         ("h4", "up"),
@@ -58,18 +58,18 @@
 
 
 @on_loop
-async def test_apply_when_there_are_endpoints_then_they_are_known():
+async def test_apply_when_the_list_has_endpoints_then_sets_endpoints_known():
     core = FakeCore()
     state = EndpointListState(core, EMPTY)
     state.apply(listing("full", 1))
-    assert not state.is_known.is_set()
+    assert not state.endpoints_known.is_set()
     state.apply(listing("full", 2, endpoint("h1")))
-    await asyncio.wait_for(state.is_known.wait(), 1.0)
+    await asyncio.wait_for(state.endpoints_known.wait(), 1.0)
     assert [endpoint_list.version for endpoint_list, _ in core.lists] == [1, 2]
 
 
 @on_loop
-async def test_apply_when_a_watch_ended_without_a_change_then_the_core_hears_nothing():
+async def test_apply_when_a_watch_ended_without_a_change_then_the_core_is_not_called():
     core = FakeCore()
     state = EndpointListState(core, EMPTY)
     state.apply(listing("full", 1, endpoint("h1")))
@@ -79,21 +79,21 @@
 
 
 @pytest.mark.parametrize(
-    ("zones", "word"),
-    [(("east", "west"), "none is left"), (("east",), "sites left by the settings: east"), ((), "none")],
+    ("zones", "log_text"),
+    [(("east", "west"), "no zone remains"), (("east",), "evacuated zones (sites.leave): east"), ((), "none")],
 )
 @on_loop
-async def test_evacuate_zones_then_the_log_says_whether_any_is_left(zones, word, caplog):
+async def test_evacuate_zones_then_logs_whether_any_zone_remains(zones, log_text, caplog):
     core = FakeCore()
     state = EndpointListState(core, listing("full", 1, endpoint("h1"), endpoint("h2", zone="west")))
     with caplog.at_level(logging.INFO):
         state.evacuate_zones(zones)
     assert core.events == [messages.EvacuateZones(zones)]
-    assert word in caplog.messages[0]
+    assert log_text in caplog.messages[0]
 
 
 @on_loop
-async def test_available_but_draining_in_another_list_then_only_what_is_up_here_and_not_there():
+async def test_endpoints_draining_only_in_another_list_then_are_up_here_and_draining_there():
     state = EndpointListState(
         FakeCore(), listing("full", 2, endpoint("h1"), endpoint("h2"), endpoint("h3", "leaving"))
     )
@@ -105,4 +105,4 @@
         endpoint("h3", "leaving"),
         endpoint("h4", "leaving"),
     )
-    assert [one.id for one in state.available_but_draining_in(other)] == ["h1"]
+    assert [item.id for item in state.endpoints_draining_only_in(other)] == ["h1"]
--- a/tests/daemon/test_gateway_process.py
+++ b/tests/daemon/test_gateway_process.py
@@ -49,7 +49,7 @@
         program.send_signal(signal.SIGHUP)
         told = await manager.until("RELOADING=1")
         assert told[1].startswith("MONOTONIC_USEC=") and int(told[1].split("=")[1]) > 0
-        assert await manager.until("READY=1") == ["READY=1", "STATUS=nothing changed"]
+        assert await manager.until("READY=1") == ["READY=1", "STATUS=no changes"]
         program.send_signal(signal.SIGTERM)
         assert await manager.until("STOPPING=1") == ["STOPPING=1"]
         assert await program.wait() == 0
@@ -75,7 +75,7 @@
         discovery.silent = True
         site.write_settings(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
         program = await site.start_gateway(ready=False)
-        await site.wait_for_log_line(program, b"waiting for a list of hosts")
+        await site.wait_for_log_line(program, b"waiting for an endpoint list")
         await discovery.calls.get()
         discovery.servers, discovery.silent = [h.entry() for h in site.hosts], False
         await site.wait_for_log_line(program, b"listens on")
@@ -90,7 +90,7 @@
         discovery.silent = True
         site.write_settings(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
         program = await site.start_gateway(ready=False)
-        await site.wait_for_log_line(program, b"waiting for a list of hosts")
+        await site.wait_for_log_line(program, b"waiting for an endpoint list")
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
 
@@ -149,7 +149,9 @@
             assert await site.send_request(command(b"b%d" % n), port) == SERVED
         site.settings_file.write_text("[plans.p]\nrate = 1.0\nburst = 1.0\n")
         bad = await site.start_gateway(env=env, ready=False)
-        assert await bad.wait() == 2 and b"is told by RELAY_CONFIG" in await bad.stderr.read()
+        assert (
+            await bad.wait() == 2 and b"is set by the file that RELAY_CONFIG names" in await bad.stderr.read()
+        )
 
 
 @on_loop
--- a/tests/daemon/test_gateway_status.py
+++ b/tests/daemon/test_gateway_status.py
@@ -23,7 +23,7 @@
 }
 LOAD = EndpointLoad(
     is_in_subset=True,
-    attempts_out=1,
+    attempts_in_flight=1,
     load=2.3456,
     report_weight=0.12345,
     report_age_s=3.00004,
--- a/tests/daemon/test_lock.py
+++ b/tests/daemon/test_lock.py
@@ -1,4 +1,4 @@
-"""One instance for each state folder."""
+"""Test that only one instance can use a state folder."""
 
 import os
 
@@ -14,7 +14,7 @@
         StateFolderLock(str(tmp_path / "state"))
     successor = StateFolderLock(str(tmp_path / "state"), os.dup(lock.descriptor))
     lock.close()
-    with pytest.raises(StateFolderLockedError):  # a lock that was passed on holds
+    with pytest.raises(StateFolderLockedError):  # the lock stays held after it was passed on
         StateFolderLock(str(tmp_path / "state"))
     successor.close()
     StateFolderLock(str(tmp_path / "state")).close()
--- a/tests/daemon/test_platform.py
+++ b/tests/daemon/test_platform.py
@@ -205,7 +205,7 @@
         await host.arrived.get()
         config.write_text("{")  # cannot be used: the old one stays
         program.send_signal(signal.SIGHUP)
-        assert b"the old configuration stays" in await program.stderr.readline()
+        assert b"reload failed, the old configuration stays in force" in await program.stderr.readline()
         config.write_text(json.dumps(told([], discovery2.port, counter2.port)))
         program.send_signal(signal.SIGHUP)
         assert "index" not in await discovery2.calls.get()  # the environment names the old one still
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -72,7 +72,7 @@
         (
             "[[listeners]]\naddress = '127.0.0.1:1'\n[[listeners]]\naddress = '127.0.0.1:1'",
             "listeners[1].address",
-            "also that of listeners[0]",
+            "also the address of listeners[0]",
         ),
         ("[[listeners]]\nprotocol = 'gopher'", "listeners[0].protocol", "gopher"),
         (
@@ -83,25 +83,33 @@
         ("[gateway]\ngateways = 3", "counter.address", "without a counter"),
         ("[counter]\naddress = 'nowhere'", "counter.address", "HOST:PORT"),
         ("[hosts]\nsource = 'discovery'", "hosts.discovery", "HOST:PORT"),
-        ("[hosts]\nsource = 'eureka'", "eureka.urls", "no registry to ask"),
+        ("[hosts]\nsource = 'eureka'", "eureka.urls", "no registry is set"),
         ("[eureka]\nurls = ['http://u:p@h/eureka']", "eureka.urls", "//(hidden)@h"),
-        ("[eureka]\nby = 'vip'", "eureka.name", "no name of the vip"),
+        ("[eureka]\nby = 'vip'", "eureka.name", 'eureka.by = "vip" needs a name'),
         ("[eureka]\npassword = 17", "eureka.password", "(hidden)"),
         ("[eureka.states]\nDOWN = 'asleep'", "eureka.states.DOWN", "asleep"),
-        ("[register]\non = true\n[eureka]\nurls = ['http://h/eureka']", "register.ip", "others reach"),
-        ("[register]\nrenew = 20.0", "register.duration", "one lost renewal"),
+        (
+            "[register]\non = true\n[eureka]\nurls = ['http://h/eureka']",
+            "register.ip",
+            "at which clients reach this gateway",
+        ),
+        ("[register]\nrenew = 20.0", "register.duration", "a single lost renewal"),
         (
             "[classes.c]\neffect = 'safe'\naim = 4.0\ndeadline = 3.0",
             "classes.c.aim",
-            "after the deadline of 3.0",
+            "exceeds the deadline of 3.0",
         ),
         ("[classes.c]\neffect = 'sometimes'\naim = 1.0\ndeadline = 3.0", "classes.c.effect", "sometimes"),
         ("[classes.c]\neffect = 'safe'\naim = 1.0", "classes.c.deadline", "missing"),
-        ("[classes.c]\neffect = 'keyed'\naim = 1.0\ndeadline = 3.0", "classes.c.memory", "nobody drops"),
+        (
+            "[classes.c]\neffect = 'keyed'\naim = 1.0\ndeadline = 3.0",
+            "classes.c.memory",
+            "a time during which hosts drop repeated requests",
+        ),
         (
             "[classes.c]\neffect = 'unsafe'\nmemory = 3.0\naim = 1.0\ndeadline = 3.0",
             "classes.c.memory",
-            "no repeats",
+            "hosts drop no repeated requests",
         ),
         (
             "[classes.c]\neffect = 'safe'\nscope = 'zone'\naim = 1.0\ndeadline = 3.0",
@@ -116,18 +124,22 @@
         (
             "[plans.q]\nrate = 2.0\nburst = 8.0\nceiling_rate = 1.0\nceiling_burst = 9.0",
             "plans.q.ceiling_rate",
-            "under the quota's rate of 2.0",
+            "less than the quota's rate of 2.0",
         ),
         (
             "[plans.q]\nrate = 2.0\nburst = 8.0\nceiling_rate = 4.0\nceiling_burst = 7.0",
             "plans.q.ceiling_burst",
-            "under the quota's burst of 8.0",
+            "less than the quota's burst of 8.0",
+        ),
+        ("[plans.q]\nrate = 2.0", "plans.q.burst", "less than the largest request"),
+        ("[plans.q]\nprice = 1.0", "plans.q.rate", "neither rate nor"),
+        (
+            "[limits]\nmemory_mb = 48\nmax_customers = 100000",
+            "limits.max_customers",
+            "the 5991 customers that fit",
         ),
-        ("[plans.q]\nrate = 2.0", "plans.q.burst", "never fits"),
-        ("[plans.q]\nprice = 1.0", "plans.q.rate", "neither a rate nor"),
-        ("[limits]\nmemory_mb = 48\nmax_customers = 100000", "limits.max_customers", "room for 5991"),
         ("[overload]\nlag = 0.0", "overload.lag", "0.005"),
-        ("[overload]\nlag = 0.5", "overload.turn", "shorter than the lag"),
+        ("[overload]\nlag = 0.5", "overload.turn", "less than overload.lag"),
     ],
 )
 def test_problem_when_a_value_is_wrong_then_names_its_key(text, key, words, tmp_path):
@@ -187,10 +199,12 @@
 
 
 def test_settings_beside_the_platform_then_have_only_what_it_lacks(tmp_path):
-    found = faults(tmp_path, GOOD + "[daemon]\nlinger = 0.1\n[limits]\nmax_open = 3\n", beside=True)
+    found = faults(
+        tmp_path, GOOD + "[daemon]\nlinger = 0.1\n[limits]\nmax_open = 3\n", with_platform_config=True
+    )
     assert set(found) == {"classes", "plans", "limits"} and "RELAY_CONFIG" in str(found["plans"])
     (tmp_path / "gateway.toml").write_text("[daemon]\nlinger = 0.1\n")
-    assert read_settings(str(tmp_path / "gateway.toml"), beside=True).listeners == []
+    assert read_settings(str(tmp_path / "gateway.toml"), with_platform_config=True).listeners == []
 
 
 TREES = st.recursive(
--- a/tests/daemon/test_worker_lifecycle.py
+++ b/tests/daemon/test_worker_lifecycle.py
@@ -20,13 +20,13 @@
     for _ in range(4):
         one.on_started(now)
         one.on_heartbeat(now, ready=True)
-        assert one.on_ended(now + 1) and not one.is_due(now + 1)
+        assert one.on_exited(now + 1) and not one.is_due(now + 1)
         rests.append(round(one.next_start_at - now - 1, 6))
         now = one.next_start_at
         assert one.is_due(now)
     assert rests == [0.2, 0.4, 0.8, 1.0]
     one.on_started(now)
-    assert not one.on_ended(now + 1)
+    assert not one.on_exited(now + 1)
 
 
 def test_exit_when_the_worker_was_stable_then_the_backoff_starts_again():
@@ -34,7 +34,7 @@
     for _ in range(20):
         one.on_started(0.0)
         one.on_heartbeat(1.0, ready=True)
-        assert one.on_ended(11.0) and one.next_start_at == 11.2
+        assert one.on_exited(11.0) and one.next_start_at == 11.2
 
 
 def test_is_hung_when_it_is_silent_or_never_ready_then_true():
@@ -64,7 +64,7 @@
         elif what == "end" and one.is_running:
             steady = one.is_ready and now - one.ready_at >= CARE.stable_after_s
             quick = 1 if steady else quick + 1
-            again = one.on_ended(now)
+            again = one.on_exited(now)
             assert again == (quick < CARE.crash_loop_threshold)
             if not again:
                 return
--- a/tests/faults/test_flood.py
+++ b/tests/faults/test_flood.py
@@ -67,7 +67,7 @@
         site.write_settings(overload="lag = 3.0\nturn = 0.1")
         program.send_signal(signal.SIGHUP)
         await site.wait_for_log_line(program, b"overload.turn")
-        assert b"refused" in await site.wait_for_log_line(program, b"reload: ")
+        assert b"rejected" in await site.wait_for_log_line(program, b"reload: ")
         writer.write(command(b"last"))
         assert (await read_reply(reader)).endswith(b":last\r\n")
         writer.close()
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -69,7 +69,7 @@
                 elif how == "talks nonsense":
                     channel.sock.sendall(b"\xff\n")
                 channel.close()
-                await site.wait_for_log_line(first, b"this process goes on")
+                await site.wait_for_log_line(first, b"this process continues to serve")
             await load.wait_for_served(30)
             site.write_settings()
             await site.start_gateway("--take-over")  # the next one can
@@ -85,7 +85,7 @@
         first = await site.start_gateway()
         async with BackgroundTraffic(site, ledger) as load:
             _, channel = await hand(site)
-            await site.wait_for_log_line(first, b"nothing heard for")
+            await site.wait_for_log_line(first, b"no message received within")
             await load.wait_for_served(30)
             channel.close()
             assert first.returncode is None
@@ -101,7 +101,7 @@
             second = await site.start_gateway("--take-over", ready=False)
             assert await second.wait() == 75 and b"try again" in await second.stderr.read()
             channel.close()
-            await site.wait_for_log_line(first, b"this process goes on")
+            await site.wait_for_log_line(first, b"this process continues to serve")
             await load.wait_for_served(30)
 
 
@@ -146,7 +146,9 @@
 async def test_nobody_to_take_over_from_and_a_folder_in_use(tmp_path):
     async with LocalDeployment(tmp_path) as site:
         alone = await site.start_gateway("--take-over", ready=False)
-        assert await alone.wait() == 1 and b"nobody to take over from" in await alone.stderr.read()
+        assert (
+            await alone.wait() == 1 and b"no running gateway to take over from" in await alone.stderr.read()
+        )
         await site.start_gateway()
         site.write_settings([free_port()])
         second = await site.start_gateway(ready=False)
--- a/tests/faults/test_links.py
+++ b/tests/faults/test_links.py
@@ -266,7 +266,10 @@
                 gateway.write()
                 gateway.process.send_signal(signal.SIGHUP)
             while not all(
-                any("sites left by the settings: " + (leave[2:-2] or "none") in line for line in gateway.log)
+                any(
+                    "evacuated zones (sites.leave): " + (leave[2:-2] or "none") in line
+                    for line in gateway.log
+                )
                 for gateway in play.fleet.gateways
             ):
                 await asyncio.sleep(0.01)
--- a/tests/faults/test_plugins.py
+++ b/tests/faults/test_plugins.py
@@ -83,7 +83,7 @@
             assert told["failed"] == {"fuel": 4} and told["state"] == "out" and told["not asked"]["out"] >= 46
             assert mark["allowed"]["tag"] >= 50 and mark["state"] == "in"
             site.plug("")  # and an operator can take it away
-            assert b"plug-ins gone: loop, mark" in await site.reload(program, b"gone")
+            assert b"plug-ins removed: loop, mark" in await site.reload(program, b"removed")
             await load.wait_for_served(30)
         assert (await site.told())["plugins"] == []
         program.send_signal(signal.SIGTERM)
@@ -293,7 +293,7 @@
                         ).encode()
                     ),
                 )
-            await site.reload(program, b"refused, the old settings stay")
+            await site.reload(program, b"rejected, the old settings stay in force")
             errors = [line for line in site.logs[program] if b"ERROR" in line]
             assert any(b"gateway.toml" in line and b"plugins" in line for line in errors), errors
             await load.wait_for_served(20)
@@ -332,7 +332,7 @@
                 for _ in range(rng.randint(1, 2)):
                     raw[rng.randrange(8, len(raw))] = rng.randrange(256)
                 replaced(file, bytes(raw))
-                taken += b"refused" not in await site.reload(program)
+                taken += b"rejected" not in await site.reload(program)
             await load.wait_for_served(20)
         assert 1 < taken < 30 and (await site.told())["version"] > 1
         program.send_signal(signal.SIGTERM)
--- a/tests/faults/test_reload.py
+++ b/tests/faults/test_reload.py
@@ -116,7 +116,7 @@
                     else good + "\n[rules]\ndrain_grace = -1\n",
                 )
             program.send_signal(signal.SIGHUP)
-            said = await site.wait_for_log_line(program, b"refused, the old settings stay")
+            said = await site.wait_for_log_line(program, b"rejected, the old settings stay in force")
             assert any(b"ERROR" in line for line in site.logs[program]), said
             await load.wait_for_served(20)
             with pytest.raises(ConnectionRefusedError):  # nothing of what was built beside is left
@@ -125,7 +125,7 @@
                 site.settings_file.rmdir()
             replaced(site, good)
             program.send_signal(signal.SIGHUP)
-            await site.wait_for_log_line(program, b"nothing changed")
+            await site.wait_for_log_line(program, b"no changes")
         taken.close()
 
 
@@ -138,7 +138,7 @@
         await site.hosts[0].arrived.get()
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGHUP):
             program.send_signal(number)
-        await site.wait_for_log_line(program, b"no reload during a stop")
+        await site.wait_for_log_line(program, b"reload ignored: a shutdown or a hand-over is in progress")
         site.hosts[0].writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
         assert await read_reply(reader) == SERVED
         assert await program.wait() == 0
--- a/tests/faults/test_workers.py
+++ b/tests/faults/test_workers.py
@@ -48,7 +48,10 @@
 
 @pytest.mark.parametrize(
     "how, word",
-    [(signal.SIGKILL, b"ended (signal 9); again in"), (signal.SIGSTOP, b"shows no sign of life: killed")],
+    [
+        (signal.SIGKILL, b"exited (signal 9); restart in"),
+        (signal.SIGSTOP, b"is not responding: killed"),
+    ],
 )
 @on_loop
 async def test_a_worker_that_dies_or_hangs_is_made_anew_and_its_requests_are_lost_in_no_other_way(
@@ -142,12 +145,12 @@
                         body=body,
                     )
                 )
-        await site.wait_for_log_line(program, b"holds more than limits.memory_mb")
+        await site.wait_for_log_line(program, b"uses more than limits.memory_mb")
         for reader, writer in lines:  # each is answered, in whichever worker it was
             for _ in range(4):
                 assert (await read_reply(reader))[:5] in (b"-ERR ", b"-BUSY")
             writer.close()
-        await site.wait_for_log_line(program, b"ended (exit code 0); again in")
+        await site.wait_for_log_line(program, b"exited (exit code 0); restart in")
         await until(lambda: len(children(program)) == 2 and children(program) != before, "made anew")
         site.hosts[0].answer = VALUE
         # the host that said nothing is doubted for a moment
@@ -171,7 +174,7 @@
         while line := await program.stderr.readline():
             site.logs[program].append(line)
         assert await program.wait() == 1
-        assert b"in a row: given up, all end" in b"".join(site.logs[program])
+        assert b"times in a row: stopping all workers" in b"".join(site.logs[program])
 
 
 @on_loop
@@ -214,10 +217,10 @@
                 assert b"limits.max_open" in await site.wait_for_log_line(program, b"reload: took effect")
             site.write_settings(ports=[site.port, 1], workers="watchdog = 1.0\nsteady = 0.5")
             program.send_signal(signal.SIGHUP)
-            await site.wait_for_log_line(program, b"need a restart where there are workers")
+            await site.wait_for_log_line(program, b"listeners, workers or daemon.state needs a restart")
             site.settings_file.write_text("nonsense")
             program.send_signal(signal.SIGHUP)
-            await site.wait_for_log_line(program, b"refused, the old settings stay")
+            await site.wait_for_log_line(program, b"rejected, the old settings stay in force")
             await load.wait_for_served(20)
         assert await site.ended(program) == 0
 
@@ -230,7 +233,7 @@
             site.settings_file.read_text().replace(f'address = "127.0.0.1:{site.counter.port}"', "")
         )
         program = await site.start_gateway(ready=False)
-        await site.wait_for_log_line(program, b"several workers cannot hold a quota without a counter")
+        await site.wait_for_log_line(program, b"several workers cannot enforce a quota without a counter")
         assert await program.wait() == 2
 
 
@@ -261,7 +264,7 @@
             ledger.died("g")  # what that one worker holds at this moment is for its clients to ask again
             ledger.listens("g")
             os.kill(children(first)[0], signal.SIGKILL)  # it tends them as its own
-            await site.wait_for_log_line(first, b"ended (signal 9); again in")
+            await site.wait_for_log_line(first, b"exited (signal 9); restart in")
             await until(lambda: len(children(first)) == 3, "made anew")
         assert await site.ended(first) == 0
 
@@ -290,7 +293,7 @@
         else:
             arguments = ["--workers", "2"] if how == "another count" else []
             second = await site.start_gateway("--take-over", *arguments, ready=False)
-            word = b"needs a restart" if arguments else b"say --workers"
+            word = b"needs a restart" if arguments else b"use --workers"
             await site.wait_for_log_line(second, word)
             assert await drained(second) == 1 and children(first) == before
         await load.wait_for_served(30)
--- a/tests/frontends/grpc/test_rate_limit_daemon.py
+++ b/tests/frontends/grpc/test_rate_limit_daemon.py
@@ -210,11 +210,11 @@
                         grpc.StatusCode.DEADLINE_EXCEEDED,
                     )
             (tmp_path / "server.key").write_text("no key")
-            assert b"refused, the old settings stay" in await site.reload(program)
+            assert b"rejected, the old settings stay in force" in await site.reload(program)
             async with site.channel(made.credentials(), "gateway.test") as again:
                 assert (await site.ask(again)).overall_code == OK
             made.issue("server", "renewed.test")
-            assert b"read anew" in await site.reload(program)
+            assert b"reloaded" in await site.reload(program)
             async with site.channel(made.credentials(), "renewed.test") as again:
                 assert (await site.ask(again)).overall_code == OK
             assert (await site.ask(channel)).overall_code == OK  # a connection from before goes on
@@ -304,12 +304,12 @@
             ]
             assert 1 <= codes.count(OK) <= 2
             site.write_settings(rules=keyed.replace("key-1", "key-3") + RULE)
-            assert b"refused, the old settings stay" in await site.reload(program)
+            assert b"rejected, the old settings stay in force" in await site.reload(program)
             site.write_settings(rules=keyed + RULE.replace('"quota"', '"nothing"').replace("{plan}", "gold"))
-            assert b"refused, the old settings stay" in await site.reload(program)
+            assert b"rejected, the old settings stay in force" in await site.reload(program)
             assert (await site.ask(channel, plan="p")).response_headers_to_add  # as before
             site.write_settings(rules=keyed.replace('"key-1"', '"key-2", "key-1"') + RULE + "token = true\n")
-            assert b"signed by another key" in await site.reload(program)
+            assert b"signed with another key" in await site.reload(program)
             reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
             token = f"t=p,d=3000,units=1,spread=1,first=0,tok={header.value}".encode()
             writer.write(command(b"r1", b"c=read," + token, customer=A.encode()))
@@ -342,7 +342,7 @@
             site.settings_file.write_text(
                 site.settings_file.read_text().replace('protocol = "grpc"', 'protocol = "resp"')
             )
-            assert b"refused" in await site.reload(program)
+            assert b"rejected" in await site.reload(program)
             assert (await site.ask(channel, plan="p")).overall_code == OK
             LocalDeployment.write_settings(site)
             assert b"listeners" in await site.reload(program)
