--- a/apigateway/daemon/config.py
+++ b/apigateway/daemon/config.py
@@ -9,9 +9,9 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from apigateway import messages
-from apigateway.membership.listing import Listing, read_list
-from apigateway.platform_settings import read_settings, seconds
-from apigateway.upstream.address import Address, read_address
+from apigateway.membership.listing import EndpointListing, listing_from_json
+from apigateway.platform_settings import nanoseconds_to_seconds, read_settings
+from apigateway.upstream.address import Address, parse_address
 
 if TYPE_CHECKING:
     from apigateway.membership.eureka.registration import RegistrationSettings
@@ -74,7 +74,7 @@
     seed: int
     memory_bytes: int
     max_descriptors: int
-    known_endpoints: Listing
+    known_endpoints: EndpointListing
     settings: messages.Settings
     connect_timeout: float
     idle_timeout: float
@@ -122,16 +122,16 @@
         raise ValueError("the settings allow a counter but no address is given")
     return Config(
         name=env.get("RELAY_NAME") or document["name"],
-        listeners=(read_address(env.get("RELAY_LISTEN") or document["listen"]),),
-        discovery=read_address((not is_reload and env.get("RELAY_DISCOVERY")) or document["discovery"]),
-        counter=read_address(counter) if counter else None,
+        listeners=(parse_address(env.get("RELAY_LISTEN") or document["listen"]),),
+        discovery=parse_address((not is_reload and env.get("RELAY_DISCOVERY")) or document["discovery"]),
+        counter=parse_address(counter) if counter else None,
         seed=int(document["seed"], 16),
         memory_bytes=int(document["limits"]["memory_mb"]) * BYTES_PER_MIB,
         max_descriptors=int(document["limits"]["sockets"]),
-        known_endpoints=read_list(document["known"], messages.ListMode.CACHED),
+        known_endpoints=listing_from_json(document["known"], messages.ListMode.CACHED),
         settings=settings,
-        connect_timeout=seconds(limits["connect_timeout"]),
-        idle_timeout=seconds(limits["idle_close"]),
+        connect_timeout=nanoseconds_to_seconds(limits["connect_timeout"]),
+        idle_timeout=nanoseconds_to_seconds(limits["idle_close"]),
         max_in_flight=int(limits["max_open"]),
         shutdown_timeout=_shutdown_timeout(settings),
     )
--- a/apigateway/daemon/configuration.py
+++ b/apigateway/daemon/configuration.py
@@ -10,7 +10,7 @@
 from apigateway.daemon.settings import Settings, read_settings
 from apigateway.daemon.settings_runtime import build_config
 from apigateway.daemon.workers import WorkerAssignment, read_worker_assignment, settings_for_worker
-from apigateway.upstream.address import read_address
+from apigateway.upstream.address import parse_address
 
 PLATFORM_VARIABLE = "RELAY_CONFIG"
 
@@ -52,7 +52,7 @@
 
 def _read_with_platform_config(path: str, is_reload: bool) -> Configuration:
     settings = read_settings(path, with_platform_config=True)
-    additional_listeners = tuple(read_address(listener.address) for listener in settings.listeners)
+    additional_listeners = tuple(parse_address(listener.address) for listener in settings.listeners)
     config = read_config(is_reload=is_reload)
     config = replace(
         config,
--- a/apigateway/daemon/gateway_process.py
+++ b/apigateway/daemon/gateway_process.py
@@ -38,8 +38,8 @@
 from apigateway.daemon.status_answers import status_queries
 from apigateway.daemon.takeover import create_successor, handover_path, inherit_resources
 from apigateway.daemon.workers import WorkerAssignment, read_worker_assignment
-from apigateway.membership.listing import read_list, write_list
-from apigateway.upstream.address import Address, write_address
+from apigateway.membership.listing import listing_from_json, listing_to_json
+from apigateway.upstream.address import Address, format_address
 
 if TYPE_CHECKING:
     from apigateway.membership.eureka.registration import Registration
@@ -239,7 +239,7 @@
             HandoverError: The predecessor has disconnected and accepts again, so this process must not serve.
         """
         predecessor_state = await successor.announce_ready()
-        server.reset_decision_module(read_list(predecessor_state, messages.ListMode.CACHED))
+        server.reset_decision_module(listing_from_json(predecessor_state, messages.ListMode.CACHED))
         await server.listen(self._sockets)
         try:
             await successor.announce_serving()
@@ -252,7 +252,7 @@
         gc.freeze()  # startup objects are never freed, so garbage collections can skip them
         name = gateway.config.name
         for frontend in gateway.server.frontends:
-            log.info("%s listens on %s", name, write_address((frontend.address[0], frontend.port)))
+            log.info("%s listens on %s", name, format_address((frontend.address[0], frontend.port)))
         self._notifier.ready(f"serving as {name}", is_main_process=take_over)
 
     # Hand-over to a successor
@@ -278,11 +278,11 @@
 
     def _offer(self) -> HandoverOffer:
         assert self._lock is not None and self._gateway is not None
-        listener_names = [write_address(address) for address in self._sockets]
+        listener_names = [format_address(address) for address in self._sockets]
         descriptors = [sock.fileno() for sock in self._sockets.values()]
         descriptors.append(self._lock.descriptor)
         return HandoverOffer(
-            listener_names, descriptors, write_list(self._gateway.server.endpoint_list.listing)
+            listener_names, descriptors, listing_to_json(self._gateway.server.endpoint_list.listing)
         )
 
     async def _resume(self) -> None:
--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -23,7 +23,7 @@
 from apigateway.daemon.endpoint_source import EndpointSourceFactory, reconciler_driver_of
 from apigateway.daemon.graceful_shutdown import complete_requests, retire_frontend
 from apigateway.frontends.resp.frontend import RespFrontend
-from apigateway.membership.listing import Listing
+from apigateway.membership.listing import EndpointListing
 from apigateway.policy import Gateway
 from apigateway.upstream.address import Address
 from apigateway.upstream.upstream_connections import UpstreamConnections
@@ -105,7 +105,7 @@
         ]
         self._source_factory = EndpointSourceFactory(self.core, self.endpoint_list)
         self.endpoint_source: EndpointSource = self._source_factory.create(config)
-        self.core.membership = self.endpoint_source
+        self.core.endpoint_source = self.endpoint_source
         self.plugins: PluginManager | None = None
         self._closing_tasks: set[asyncio.Task[None]] = set()  # closing what a reload has replaced
 
@@ -170,7 +170,7 @@
         self.endpoint_list.apply(self.config.known_endpoints)
         if self.config.evacuated_zones:
             self.endpoint_list.evacuate_zones(self.config.evacuated_zones)
-        self.upstream.start_checks()
+        self.upstream.start_idle_checks()
         if self.counter:
             self.counter.start()
         if self.core.settings.discovery_mode == messages.DiscoveryMode.PUSH:
@@ -229,7 +229,7 @@
         """Use another source; the last endpoint list stays in use until the new source reports one."""
         replaced = self.endpoint_source
         self.endpoint_source = source
-        self.core.membership = source
+        self.core.endpoint_source = source
         if (
             replaced.watching
         ):  # a new watch starts with the complete list, as versions differ between services
@@ -252,7 +252,7 @@
         from apigateway.policy.overload_gate import OverloadGate
 
         limits = config.settings.limits
-        max_retry_after = limits.max_retry_after if limits.can_tell_retry_after else 0.0
+        max_retry_after = limits.max_retry_after if limits.can_send_retry_after else 0.0
         gate_settings = (*config.overload, max_retry_after)
         if self._overload_gate is None:
             self._overload_gate = OverloadGate(*gate_settings, config.seed)
@@ -305,14 +305,14 @@
         self.core.dispatch(messages.DrainGateway(False))
         await self.listen(sockets)
 
-    def reset_decision_module(self, predecessor_listing: Listing) -> None:
+    def reset_decision_module(self, predecessor_listing: EndpointListing) -> None:
         """Replace the decision module by a new one that has the current endpoint list.
 
         An endpoint that either process knows to be draining counts as draining, since the gateway as a whole
         was told so. The endpoint list is fetched again, so that a drain that has ended is noticed.
         """
         self.core.module = self._create_decision_module()
-        self.core.dispatch(replace(self.endpoint_list.listing.hosts, mode=messages.ListMode.CACHED))
+        self.core.dispatch(replace(self.endpoint_list.listing.endpoint_list, mode=messages.ListMode.CACHED))
         draining = self.endpoint_list.endpoints_draining_only_in(predecessor_listing)
         if not draining:
             return
@@ -322,9 +322,9 @@
         ):  # through the reconciler; otherwise its later reports would not count as changes
             driver.mark_draining(endpoint.id for endpoint in draining)
         else:
-            version = self.endpoint_list.listing.hosts.version
+            version = self.endpoint_list.listing.endpoint_list.version
             self.endpoint_list.apply(
-                Listing(messages.EndpointList(messages.ListMode.DELTA, version, draining), {})
+                EndpointListing(messages.EndpointList(messages.ListMode.DELTA, version, draining), {})
             )
         self.endpoint_source.fetch()
 
--- a/apigateway/daemon/supervisor.py
+++ b/apigateway/daemon/supervisor.py
@@ -31,7 +31,7 @@
 from apigateway.daemon.worker_process import WorkerProcess
 from apigateway.daemon.workers import InFlightRegions
 from apigateway.exit_codes import ExitCode
-from apigateway.upstream.address import Address, read_address, write_address
+from apigateway.upstream.address import Address, format_address, parse_address
 
 # Name of the in-flight memory in the list of listeners that a hand-over passes on.
 IN_FLIGHT_MEMORY_NAME = "marks"
@@ -121,7 +121,7 @@
 
     def _bind_missing_listeners(self) -> None:
         for listener in self._settings.listeners:
-            address = read_address(listener.address)
+            address = parse_address(listener.address)
             if address not in self._sockets:
                 self._sockets[address] = bind_listener(address)
 
@@ -188,7 +188,7 @@
 
     def _offer(self) -> HandoverOffer:
         assert self._lock is not None
-        listener_names = [write_address(address) for address in self._sockets]
+        listener_names = [format_address(address) for address in self._sockets]
         descriptors = self._listener_descriptors()
         first_region = 0
         if self._in_flight_regions is not None:
@@ -229,7 +229,7 @@
             elif name in listener_addresses:
                 sock = socket.socket(fileno=descriptor)
                 sock.setblocking(False)
-                self._sockets[read_address(name)] = sock
+                self._sockets[parse_address(name)] = sock
             else:  # a listener that was removed from the settings
                 os.close(descriptor)
 
--- a/apigateway/daemon/takeover.py
+++ b/apigateway/daemon/takeover.py
@@ -11,8 +11,8 @@
 from apigateway.daemon.handover import HandoverError
 from apigateway.daemon.handover_successor import HandoverSuccessor
 from apigateway.daemon.lock import StateFolderLock
-from apigateway.membership.listing import Listing, read_list
-from apigateway.upstream.address import Address, write_address
+from apigateway.membership.listing import EndpointListing, listing_from_json
+from apigateway.upstream.address import Address, format_address
 
 HANDOVER_SOCKET = "handover"  # in the state folder
 
@@ -28,7 +28,7 @@
 
     sockets: dict[Address, socket.socket]
     lock: StateFolderLock
-    listing: Listing | None
+    listing: EndpointListing | None
 
 
 def handover_path(state_folder: str) -> str:
@@ -63,7 +63,7 @@
     *socket_descriptors, lock_descriptor = offer.descriptors
     sockets = [_open_socket(descriptor) for descriptor in socket_descriptors]
     lock = StateFolderLock(state_folder, lock_descriptor)
-    listing = read_list(offer.state, messages.ListMode.CACHED) if offer.state else None
+    listing = listing_from_json(offer.state, messages.ListMode.CACHED) if offer.state else None
     return InheritedResources(_match_by_name(offer.listeners, sockets, listeners), lock, listing)
 
 
@@ -76,7 +76,7 @@
 def _match_by_name(
     names: list[str], sockets: list[socket.socket], listeners: Collection[Address]
 ) -> dict[Address, socket.socket]:
-    address_by_name = {write_address(address): address for address in listeners}
+    address_by_name = {format_address(address): address for address in listeners}
     matched: dict[Address, socket.socket] = {}
     for name, sock in zip(names, sockets, strict=True):
         if name in address_by_name:
--- a/apigateway/membership/listing.py
+++ b/apigateway/membership/listing.py
@@ -8,11 +8,11 @@
 
 from apigateway import messages
 from apigateway.messages import EndpointStatus, ListMode
-from apigateway.upstream.address import Address, read_address, write_address
+from apigateway.upstream.address import Address, format_address, parse_address
 
 _STATE_BY_WIRE_NAME = {
     "up": EndpointStatus.UP,
-    "draining": EndpointStatus.LEAVING,
+    "draining": EndpointStatus.DRAINING,
     "removed": EndpointStatus.DOWN,
 }
 _WIRE_NAME_BY_STATE = {state: name for name, state in _STATE_BY_WIRE_NAME.items()}
@@ -23,14 +23,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class EndpointListing:
     """An endpoint list as the decision module takes it, and the address of each endpoint."""
 
-    hosts: messages.EndpointList
+    endpoint_list: messages.EndpointList
     addresses: dict[str, Address]
 
 
-def read_list(body: dict[str, Any], mode: ListMode | None = None) -> Listing:
+def listing_from_json(body: dict[str, Any], mode: ListMode | None = None) -> EndpointListing:
     """Read an endpoint list in discovery's form.
 
     An entry that cannot be read is left out; the others, drains among them, count all the same.
@@ -60,16 +60,17 @@
             addresses[endpoint.id] = address
     if entries and not endpoints:
         raise ValueError("not a list of hosts: no entry can be read")
-    return Listing(messages.EndpointList(list_mode, version, tuple(endpoints)), addresses)
+    return EndpointListing(messages.EndpointList(list_mode, version, tuple(endpoints)), addresses)
 
 
-def write_list(listing: Listing) -> dict[str, Any]:
+def listing_to_json(listing: EndpointListing) -> dict[str, Any]:
     """Write a complete list in discovery's form."""
     return {
-        "version": listing.hosts.version,
+        "version": listing.endpoint_list.version,
         "full": True,
         "servers": [
-            _write_entry(endpoint, listing.addresses.get(endpoint.id)) for endpoint in listing.hosts.endpoints
+            _write_entry(endpoint, listing.addresses.get(endpoint.id))
+            for endpoint in listing.endpoint_list.endpoints
         ],
     }
 
@@ -91,7 +92,7 @@
         state=state,
         started_at=started_at,
     )
-    return endpoint, read_address(entry["addr"]) if entry.get("addr") else None
+    return endpoint, parse_address(entry["addr"]) if entry.get("addr") else None
 
 
 def _write_entry(endpoint: messages.Endpoint, address: Address | None) -> dict[str, Any]:
@@ -105,5 +106,5 @@
         "started_ms": endpoint.started_at * 1000,
     }
     if address is not None:
-        entry["addr"] = write_address(address)
+        entry["addr"] = format_address(address)
     return entry
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -8,13 +8,20 @@
 import socket
 
 import pytest
-from netkit import SERVED, EmulatedHost, Node, command, entry, on_loop
+from gateway_harness import (
+    VALUE_REPLY,
+    EmulatedHost,
+    GatewayHarness,
+    make_command,
+    make_host_entry,
+    run_on_uvloop,
+)
 from rig import LEDGER_TERMS, BackgroundTraffic, LocalDeployment, free_port
 
 from apigateway import messages
 from apigateway.daemon.handover_channel import HandoverChannel
 from apigateway.emulators.ledger import Ledger
-from apigateway.membership.listing import Listing, read_list
+from apigateway.membership.listing import EndpointListing, listing_from_json
 from apigateway.membership.reconciler import ReconcilerSettings, ReportedEndpoint
 from apigateway.membership.reconciler_driver import ReconcilerDriver
 
@@ -31,7 +38,7 @@
     return told, channel
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_successor_takes_over_and_another_from_that_one(tmp_path):
     ledger = Ledger(LEDGER_TERMS)
     async with LocalDeployment(tmp_path, ledger=ledger) as site:
@@ -49,7 +56,7 @@
 @pytest.mark.parametrize(
     "how", ["crashes at once", "is killed before it is ready", "says ready and dies", "talks nonsense"]
 )
-@on_loop
+@run_on_uvloop
 async def test_a_successor_that_fails_leaves_the_old_one_serving(how, tmp_path):
     ledger = Ledger(LEDGER_TERMS)
     async with LocalDeployment(tmp_path, ledger=ledger) as site:
@@ -77,7 +84,7 @@
             await load.wait_for_served(30)
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_successor_that_never_gets_ready_is_given_up(tmp_path):
     ledger = Ledger(LEDGER_TERMS)
     async with LocalDeployment(tmp_path, ledger=ledger) as site:
@@ -91,7 +98,7 @@
             assert first.returncode is None
 
 
-@on_loop
+@run_on_uvloop
 async def test_of_two_successors_at_once_one_is_told_to_try_again(tmp_path):
     ledger = Ledger(LEDGER_TERMS)
     async with LocalDeployment(tmp_path, ledger=ledger) as site:
@@ -105,7 +112,7 @@
             await load.wait_for_served(30)
 
 
-@on_loop
+@run_on_uvloop
 async def test_the_successor_serves_by_its_own_settings(tmp_path):
     async with LocalDeployment(tmp_path) as site:
         first = await site.start_gateway()
@@ -113,11 +120,11 @@
         site.write_settings([site.port, more], limits="max_attempts = 2")
         await site.start_gateway("--take-over")
         assert await first.wait() == 0
-        assert (await site.send_request(command(b"a"), more)).startswith(b"$")
-        assert (await site.send_request(command(b"b"))).startswith(b"$")
+        assert (await site.send_request(make_command(b"a"), more)).startswith(b"$")
+        assert (await site.send_request(make_command(b"b"))).startswith(b"$")
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_port_that_was_drawn_is_handed_over(tmp_path):
     async with LocalDeployment(tmp_path) as site:
         site.write_settings([0])
@@ -126,23 +133,23 @@
         second = await site.start_gateway("--take-over", ready=False)
         assert int((await site.wait_for_log_line(second, b"listens on")).rsplit(b":", 1)[1]) == port
         assert await first.wait() == 0
-        assert (await site.send_request(command(), port)).startswith(b"$")
+        assert (await site.send_request(make_command(), port)).startswith(b"$")
 
 
-@on_loop
+@run_on_uvloop
 async def test_what_the_old_one_took_is_answered_by_it(tmp_path):
     async with LocalDeployment(tmp_path, hosts=1, answer=lambda: None) as site:
         first = await site.start_gateway()
-        asked = asyncio.ensure_future(site.send_request(command(b"before")))
+        asked = asyncio.ensure_future(site.send_request(make_command(b"before")))
         await site.hosts[0].arrived.get()
         await site.start_gateway("--take-over")
         assert first.returncode is None
         site.hosts[0].writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-        assert await asked == SERVED
+        assert await asked == VALUE_REPLY
         assert await first.wait() == 0
 
 
-@on_loop
+@run_on_uvloop
 async def test_nobody_to_take_over_from_and_a_folder_in_use(tmp_path):
     async with LocalDeployment(tmp_path) as site:
         alone = await site.start_gateway("--take-over", ready=False)
@@ -157,17 +164,17 @@
         assert b"in use by process %d" % site.processes[1].pid in said
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_killed_gateway_leaves_its_folder_free(tmp_path):
     async with LocalDeployment(tmp_path) as site:
         first = await site.start_gateway()
         first.send_signal(signal.SIGKILL)
         await first.wait()
         await site.start_gateway()
-        assert (await site.send_request(command())).startswith(b"$")
+        assert (await site.send_request(make_command())).startswith(b"$")
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_long_list_of_hosts_is_handed_over_whole():
     one, other = socket.socketpair()
     left, right = HandoverChannel(one), HandoverChannel(other)
@@ -180,31 +187,39 @@
 
 
 @pytest.mark.parametrize("ours, theirs", [("draining", "up"), ("up", "draining"), ("draining", "draining")])
-@on_loop
+@run_on_uvloop
 async def test_what_either_process_was_told_to_drain_drains(ours, theirs, tmp_path):
-    async with EmulatedHost() as one, EmulatedHost() as two, Node(one, two, path=tmp_path) as node:
-        node.discovery.silent = True  # nothing mends it meanwhile
-        mine, yours = ([entry(one, "h1", state), entry(two, "h2")] for state in (ours, theirs))
-        node.node.endpoint_list.apply(read_list({"version": 2, "full": True, "servers": mine}))
-        node.node.reset_decision_module(read_list({"version": 1, "full": True, "servers": yours}, "cached"))
-        assert [s.host.id for s in node.node.core.module.pool.available] == ["h2"]
+    async with (
+        EmulatedHost() as one,
+        EmulatedHost() as two,
+        GatewayHarness(one, two, path=tmp_path) as harness,
+    ):
+        harness.discovery.silent = True  # nothing mends it meanwhile
+        mine, yours = (
+            [make_host_entry(one, "h1", state), make_host_entry(two, "h2")] for state in (ours, theirs)
+        )
+        harness.server.endpoint_list.apply(listing_from_json({"version": 2, "full": True, "servers": mine}))
+        harness.server.reset_decision_module(
+            listing_from_json({"version": 1, "full": True, "servers": yours}, "cached")
+        )
+        assert [s.host.id for s in harness.server.core.module.pool.available] == ["h2"]
         for n in range(4):
-            assert await node.ask(command(b"r%d" % n)) == SERVED
+            assert await harness.send_command(make_command(b"r%d" % n)) == VALUE_REPLY
         assert not one.commands and len(two.commands) == 4
 
 
-@on_loop
+@run_on_uvloop
 async def test_a_drain_taken_over_through_a_belief_is_mended_by_its_source():
     told = []
     judge = ReconcilerDriver(
         ReconcilerSettings(calm_time=0.0),
-        Listing(messages.EndpointList("cached", 0, ()), {}),
+        EndpointListing(messages.EndpointList("cached", 0, ()), {}),
         told.append,
         lambda: 100.0,
     )
     up = [ReportedEndpoint(messages.Endpoint("h1", "a", 0, 1.0, "", "up", 0.0), ("127.0.0.1", 1), stamp=7)]
     judge.apply(up, is_complete=True)
     judge.mark_draining(["h1", "unknown"])
-    assert told[-1].hosts.endpoints[0].state == "leaving"
+    assert told[-1].endpoint_list.endpoints[0].state == "leaving"
     judge.apply(up, is_complete=True)
-    assert told[-1].hosts.endpoints[0].state == "up"
+    assert told[-1].endpoint_list.endpoints[0].state == "up"
