--- a/tests/daemon/test_gateway_process.py
+++ b/tests/daemon/test_gateway_process.py
@@ -17,7 +17,7 @@
     make_host_entry,
     run_on_uvloop,
 )
-from rig import GATEWAY_COMMAND, ROOT, LocalDeployment, free_port
+from local_deployment import GATEWAY_COMMAND, ROOT, LocalDeployment, free_port
 
 
 class Manager:
--- a/tests/daemon/test_sockets.py
+++ b/tests/daemon/test_sockets.py
@@ -3,7 +3,7 @@
 import socket
 
 import pytest
-from rig import free_port
+from local_deployment import free_port
 
 from apigateway.daemon.sockets import bind_listener, match_to_listeners
 
--- a/tests/faults/test_flood.py
+++ b/tests/faults/test_flood.py
@@ -7,7 +7,7 @@
 
 import pytest
 from gateway_harness import make_command, read_reply, run_on_uvloop
-from rig import LocalDeployment
+from local_deployment import LocalDeployment
 
 FLOOD = 4000  # commands in one write
 
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -16,7 +16,7 @@
     make_host_entry,
     run_on_uvloop,
 )
-from rig import LEDGER_TERMS, BackgroundTraffic, LocalDeployment, free_port
+from local_deployment import LEDGER_TERMS, BackgroundTraffic, LocalDeployment, free_port
 
 from apigateway import messages
 from apigateway.daemon.handover_channel import HandoverChannel
--- a/tests/faults/test_plugins.py
+++ b/tests/faults/test_plugins.py
@@ -9,7 +9,7 @@
 
 import pytest
 from gateway_harness import VALUE_REPLY, make_command, read_reply, run_on_uvloop
-from rig import LEDGER_TERMS, BackgroundTraffic, LocalDeployment
+from local_deployment import LEDGER_TERMS, BackgroundTraffic, LocalDeployment
 
 from apigateway.daemon.status_query import query_gateway
 from apigateway.emulators.clients import Client, Customer, Traffic
--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -9,7 +9,7 @@
 
 import pytest
 from gateway_harness import make_command, read_reply, run_on_uvloop
-from rig import GATEWAY_COMMAND, LEDGER_TERMS, ROOT, BackgroundTraffic, LocalDeployment
+from local_deployment import GATEWAY_COMMAND, LEDGER_TERMS, ROOT, BackgroundTraffic, LocalDeployment
 
 from apigateway.emulators.eureka import EmulatedEureka, instance
 from apigateway.emulators.ledger import Ledger
--- a/tests/faults/test_reload.py
+++ b/tests/faults/test_reload.py
@@ -7,7 +7,7 @@
 
 import pytest
 from gateway_harness import VALUE_REPLY, make_command, read_reply, run_on_uvloop
-from rig import LEDGER_TERMS, BackgroundTraffic, LocalDeployment, free_port
+from local_deployment import LEDGER_TERMS, BackgroundTraffic, LocalDeployment, free_port
 
 from apigateway.emulators.counter import EmulatedCounter
 from apigateway.emulators.ledger import Ledger
--- a/tests/faults/test_workers.py
+++ b/tests/faults/test_workers.py
@@ -8,7 +8,7 @@
 
 import pytest
 from gateway_harness import VALUE, VALUE_REPLY, make_command, make_fields, read_reply, run_on_uvloop
-from rig import GATEWAY_COMMAND, LEDGER_TERMS, ROOT, BackgroundTraffic, LocalDeployment
+from local_deployment import GATEWAY_COMMAND, LEDGER_TERMS, ROOT, BackgroundTraffic, LocalDeployment
 
 from apigateway.daemon.settings import read_settings
 from apigateway.daemon.workers import WorkerAssignment, settings_for_worker
--- a/tests/frontends/grpc/test_rate_limit_daemon.py
+++ b/tests/frontends/grpc/test_rate_limit_daemon.py
@@ -16,7 +16,14 @@
 from google.protobuf.descriptor_pool import DescriptorPool
 from grpc_health.v1 import health_pb2, health_pb2_grpc
 from grpc_reflection.v1alpha.proto_reflection_descriptor_database import ProtoReflectionDescriptorDatabase
-from rig import GATEWAY_COMMAND, LEDGER_TERMS, ROOT, BackgroundTraffic, LocalDeployment, free_port
+from local_deployment import (
+    GATEWAY_COMMAND,
+    LEDGER_TERMS,
+    ROOT,
+    BackgroundTraffic,
+    LocalDeployment,
+    free_port,
+)
 
 from apigateway.emulators.checks import Checks
 from apigateway.emulators.ledger import Ledger
--- a/tests/load/test_scenario.py
+++ b/tests/load/test_scenario.py
@@ -5,7 +5,7 @@
 import sys
 
 import pytest
-from rig import ROOT
+from local_deployment import ROOT
 
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.tools.load.scenario import read_scenario
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -13,7 +13,7 @@
 from gateway_harness import EmulatedHost, run_on_uvloop
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
-from rig import GATEWAY_COMMAND, ROOT, LocalDeployment, free_port
+from local_deployment import GATEWAY_COMMAND, ROOT, LocalDeployment, free_port
 
 from apigateway.emulators.script import Step
 from apigateway.tools.load.recorder import LoadRecord, Outcome, count_above
--- a/tests/membership/test_reconciler_driver.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -1,7 +1,7 @@
 """The reconciler beside discovery, and passed on from one source to the next."""
 
 from gateway_harness import make_command, run_on_uvloop
-from rig import LocalDeployment
+from local_deployment import LocalDeployment
 
 from apigateway import messages
 from apigateway.emulators.discovery import EmulatedDiscovery
--- a/tests/plugins/example_plugins.py
+++ b/tests/plugins/example_plugins.py
@@ -1,6 +1,6 @@
 """The examples that ship, as a test wants them."""
 
-from rig import ROOT
+from local_deployment import ROOT
 
 EXAMPLES = ROOT / "examples" / "plugins"
 FORMS = ["wat", "rules"]
--- a/tests/plugins/test_plugin_command.py
+++ b/tests/plugins/test_plugin_command.py
@@ -5,8 +5,8 @@
 import sys
 
 import pytest
+from local_deployment import ROOT
 from plugins.example_plugins import EXAMPLES, copy_example
-from rig import ROOT
 
 from apigateway.cli.main import main
 from apigateway.tools.plugins.skeletons import skeleton
--- a/tests/plugins/test_plugin_imports.py
+++ b/tests/plugins/test_plugin_imports.py
@@ -3,8 +3,8 @@
 import subprocess
 import sys
 
+from local_deployment import ROOT
 from plugins.example_plugins import copy_example
-from rig import ROOT
 
 
 def test_gateway_without_plugins_imports_only_their_settings():
--- a/tests/tools/test_demo.py
+++ b/tests/tools/test_demo.py
@@ -4,8 +4,8 @@
 import sys
 
 import pytest
+from local_deployment import ROOT
 from rich.console import Console
-from rig import ROOT
 
 from apigateway.emulators.ledger import Verdict
 from apigateway.tools.demo.installation import SHAPE, create_customers
