--- a/apigateway/daemon/config.py
+++ b/apigateway/daemon/config.py
@@ -18,8 +18,8 @@
     from apigateway.membership.eureka.source import RegistrySettings
     from apigateway.membership.reconciler import ReconcilerSettings
 
-# The platform sends SIGKILL at the earliest KILL_DELAY_S after the longest request deadline has passed since
-# SIGTERM. It counts at most MAX_SHUTDOWN_DEADLINE_S of that deadline.
+# After SIGTERM, the platform waits at least for the longest request deadline, of which it counts at most
+# MAX_SHUTDOWN_DEADLINE_S, and for KILL_DELAY_S more before it sends SIGKILL.
 MAX_SHUTDOWN_DEADLINE_S = 3.0
 KILL_DELAY_S = 0.7
 # All requests are answered this long before the earliest SIGKILL.
--- a/apigateway/daemon/endpoint_list.py
+++ b/apigateway/daemon/endpoint_list.py
@@ -55,7 +55,7 @@
             log.info("evacuated zones (sites.leave): %s", ", ".join(zones) or "none")
 
     def endpoints_draining_only_in(self, other: EndpointListing) -> tuple[messages.Endpoint, ...]:
-        """Return the endpoints of the other list that are not up there, but up in this list."""
+        """Return the other list's entries of endpoints that are up in this list and not up in the other."""
         up_ids = {
             endpoint.id
             for endpoint in self.listing.endpoint_list.endpoints
@@ -74,9 +74,11 @@
         return change
     by_id = {endpoint.id: endpoint for endpoint in old.endpoint_list.endpoints}
     by_id |= {endpoint.id: endpoint for endpoint in change.endpoint_list.endpoints}
-    kept = tuple(endpoint for endpoint in by_id.values() if endpoint.state != messages.EndpointStatus.DOWN)
+    remaining = tuple(
+        endpoint for endpoint in by_id.values() if endpoint.state != messages.EndpointStatus.DOWN
+    )
     addresses = {**old.addresses, **change.addresses}
     return EndpointListing(
-        messages.EndpointList(messages.ListMode.FULL, change.endpoint_list.version, kept),
-        {endpoint.id: addresses[endpoint.id] for endpoint in kept if endpoint.id in addresses},
+        messages.EndpointList(messages.ListMode.FULL, change.endpoint_list.version, remaining),
+        {endpoint.id: addresses[endpoint.id] for endpoint in remaining if endpoint.id in addresses},
     )
--- a/apigateway/daemon/gateway_process.py
+++ b/apigateway/daemon/gateway_process.py
@@ -68,8 +68,9 @@
             log_rate_limiter: Log rate limiter, whose limit a reload updates.
         """
         self._path = path
-        self._settings: Settings = configuration.settings  # at the start; a reload updates only `_gateway`
-        self._config: Config = configuration.config  # same
+        # As read at the start; a reload updates `_gateway` instead.
+        self._settings: Settings = configuration.settings
+        self._config: Config = configuration.config
         self._log_rate_limiter = log_rate_limiter
         self._loop = asyncio.get_running_loop()
         self._stop_requested = asyncio.Event()
@@ -106,8 +107,8 @@
     # Signals
 
     def _install_signal_handlers(self) -> None:
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self._stop_requested.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(signal_number, self._stop_requested.set)
         self._loop.add_signal_handler(signal.SIGHUP, self._on_sighup)
 
     def _on_sighup(self) -> None:
@@ -124,9 +125,8 @@
     async def _start(self, take_over: bool) -> RunningGateway | None:
         """Return the gateway once it serves; None if a stop was requested before."""
         assignment = read_worker_assignment()
-        if (
-            assignment is not None
-        ):  # without a supervisor, a worker would keep serving unsupervised and hold its port
+        # Without a supervisor, a worker would keep serving unsupervised and hold its port.
+        if assignment is not None:
             self._notifier.on_manager_gone = self._stop_requested.set
         await self._acquire_sockets(assignment, take_over)
         gateway = await self._build_gateway(assignment)
@@ -160,9 +160,9 @@
 
     async def _inherit(self, listeners: tuple[Address, ...]) -> None:
         """Receive the predecessor's lock, listening sockets and endpoint list."""
-        state = self._settings.daemon.state
-        self._successor = create_successor(state)
-        inherited = await inherit_resources(self._successor, state, listeners)
+        state_folder = self._settings.daemon.state
+        self._successor = create_successor(state_folder)
+        inherited = await inherit_resources(self._successor, state_folder, listeners)
         self._lock = inherited.lock
         if inherited.listing is not None:
             self._config = replace(self._config, known_endpoints=inherited.listing)
--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -40,8 +40,8 @@
 PROGRAM_BYTES = 40 * 1024 * 1024
 # Request bodies may always take this much memory, and incomplete commands as much again.
 MIN_BODY_BYTES = 4 * 1024 * 1024
-# Request bodies may take this fraction (1/4) of the memory that the program leaves, and incomplete commands
-# as much again.
+# Request bodies may take one part in BODY_MEMORY_DIVISOR of the memory that the program leaves, and
+# incomplete commands as much again.
 BODY_MEMORY_DIVISOR = 4
 # File descriptors reserved for other uses than connections of clients and to endpoints.
 RESERVED_DESCRIPTORS = 64
@@ -57,7 +57,7 @@
 
     Attributes:
         config: The current configuration.
-        clock: Unix time in seconds without steps; the decision module's start and all its events use it.
+        clock: Unix time in seconds that never steps; used for the decision module's start and all its events.
         core: Dispatches requests, and holds those in flight.
         upstream: Connections to the endpoints.
         counter: Client of the quota counter; None if none is configured.
@@ -230,13 +230,11 @@
         replaced = self.endpoint_source
         self.endpoint_source = source
         self.core.endpoint_source = source
-        if (
-            replaced.watching
-        ):  # a new watch starts with the complete list, as versions differ between services
+        # A new watch starts with the complete list, as versions differ between services.
+        if replaced.watching:
             source.watch(True)
-        replaced.watch(
-            False
-        )  # immediately, so that data that arrives in this iteration of the loop is not read
+        # Stop the old watch immediately, so that data that arrives in this loop iteration is not read.
+        replaced.watch(False)
         self._close_in_background(replaced.close())
 
     def apply_overload_settings(self, config: Config) -> None:
@@ -270,9 +268,8 @@
     def retire_frontend(self, frontend: Frontend) -> None:
         """Complete a frontend's accepted requests in the background, then close it."""
         has_waiting_connections = frontend.has_pending_connections
-        if (
-            not has_waiting_connections
-        ):  # immediately: the address is closed by the time the reload is reported
+        # Close the listener immediately: it must be closed by the time the reload is reported.
+        if not has_waiting_connections:
             frontend.start_draining()
         self._close_in_background(retire_frontend(frontend, is_listener_open=has_waiting_connections))
 
@@ -317,9 +314,8 @@
         if not draining:
             return
         driver = reconciler_driver_of(self.endpoint_source)
-        if (
-            driver is not None
-        ):  # through the reconciler; otherwise its later reports would not count as changes
+        # The reconciler must know of the change, or its later reports would not count as changes.
+        if driver is not None:
             driver.mark_draining(endpoint.id for endpoint in draining)
         else:
             version = self.endpoint_list.listing.endpoint_list.version
--- a/apigateway/daemon/graceful_shutdown.py
+++ b/apigateway/daemon/graceful_shutdown.py
@@ -74,9 +74,8 @@
         max_wait_s = GRPC_SETTLE_S if frontend.address in grpc_addresses else RESP_SETTLE_S
         await frontend.wait_settled(min(max_wait_s, max(0.0, deadline - time.monotonic())))
     await core.drain(deadline - time.monotonic())
-    await asyncio.sleep(
-        0
-    )  # the last responses are written at the end of this loop iteration, if the socket buffers have room
+    # The last responses are written at the end of this loop iteration, if the socket buffers have room.
+    await asyncio.sleep(0)
     while any(frontend.has_unwritten_responses for frontend in frontends) and time.monotonic() < deadline:
         await asyncio.sleep(READ_INTERVAL_S)
     for frontend in frontends:
--- a/apigateway/daemon/handover_predecessor.py
+++ b/apigateway/daemon/handover_predecessor.py
@@ -82,9 +82,8 @@
         with contextlib.suppress(FileNotFoundError):
             os.unlink(temporary_path)
         self._socket.bind(temporary_path)
-        os.chmod(
-            temporary_path, stat.S_IRUSR | stat.S_IWUSR
-        )  # a process that can connect can take the sockets
+        # A process that can connect can take the sockets.
+        os.chmod(temporary_path, stat.S_IRUSR | stat.S_IWUSR)
         self._socket.listen(LISTEN_BACKLOG)
         os.rename(temporary_path, self._path)
         self._start_task(self._accept_connections(self._socket))
