--- a/apigateway/daemon/handover_channel.py
+++ b/apigateway/daemon/handover_channel.py
@@ -11,7 +11,8 @@
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # enough for an endpoint list of about ten thousand hosts
 MAX_DESCRIPTORS = 64  # per message: those of the listeners and of the lock
 READ_SIZE_BYTES = 65_536
-REPLY_TIMEOUT_S = 5.0  # for messages that the peer sends without lengthy work
+# Timeout of messages that the peer can send immediately: the first message and the reply to `go`.
+REPLY_TIMEOUT_S = 5.0
 
 
 class HandoverChannel:
--- a/apigateway/daemon/pending_signals.py
+++ b/apigateway/daemon/pending_signals.py
@@ -1,9 +1,9 @@
 """Handle signals that arrive before the gateway exists: during imports and while the settings are read.
 
-By default each of these signals would kill the process. A SIGHUP must not, and the file that it refers to may
-have been read already, so the request is kept until there is a gateway to reload. A SIGTERM exits at once,
-since no request has been accepted yet. This module imports nothing from the package, since imports take up
-most of the start time.
+By default these signals end the process, which for a SIGHUP would be a crash. The file to reload may have
+been read already, so the SIGHUP is recorded until there is a gateway that can reload it. A SIGTERM ends the
+process immediately, since no request has been accepted yet. This module imports nothing from the package,
+since imports take up most of the start time.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
     Call this before any slow import.
     """
     signal.signal(signal.SIGHUP, record_reload)
-    signal.signal(signal.SIGTERM, _exit_at_once)
+    signal.signal(signal.SIGTERM, _exit_immediately)
 
 
-def record_reload(number: int = signal.SIGHUP, frame: FrameType | None = None) -> None:
+def record_reload(signal_number: int = signal.SIGHUP, frame: FrameType | None = None) -> None:
     """Record a SIGHUP for `take_reload_request`."""
-    _pending_reloads.append(number)
+    _pending_reloads.append(signal_number)
 
 
 def take_reload_request() -> bool:
@@ -36,6 +36,6 @@
     return is_requested
 
 
-def _exit_at_once(number: int, frame: FrameType | None) -> None:
+def _exit_immediately(signal_number: int, frame: FrameType | None) -> None:
     """Exit without clean-up: modules may be partly loaded, and the kernel closes all open files."""
     os._exit(0)
--- a/apigateway/daemon/platform.py
+++ b/apigateway/daemon/platform.py
@@ -25,8 +25,8 @@
     """Serve until SIGTERM or SIGINT."""
     stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop_requested.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     server = GatewayServer(config)
     loop.add_signal_handler(signal.SIGHUP, reload, server)
     port = await server.start()
--- a/apigateway/daemon/ratelimit.py
+++ b/apigateway/daemon/ratelimit.py
@@ -134,9 +134,7 @@
     def __init__(
         self, core: RequestDispatcher, address: Address, max_connections: int, max_partial_bytes: int
     ) -> None:
-        from apigateway.frontends.grpc.frontend import (
-            GrpcFrontend,  # imported only for a gRPC listener
-        )
+        from apigateway.frontends.grpc.frontend import GrpcFrontend  # imported only for a gRPC listener
         from apigateway.frontends.grpc.health import HealthService
         from apigateway.frontends.grpc.mapping import DescriptorMapping
         from apigateway.frontends.grpc.reflection import ReflectionService
--- a/apigateway/daemon/ratelimit_config.py
+++ b/apigateway/daemon/ratelimit_config.py
@@ -92,7 +92,7 @@
 
 
 def describe_file_changes(old: RateLimitConfig | None, new: RateLimitConfig | None) -> str:
-    """Return a log text about files whose content a reload keys changed; empty if there are none."""
+    """Return a log text about files whose content a reload found changed; empty if there are none."""
     if old is None or new is None or old.file_digests == new.file_digests:
         return ""
     text = "certificates or keys reloaded"
@@ -109,7 +109,7 @@
     """Reads the files named in the settings, and collects the problems with them.
 
     Attributes:
-        problems: Problems keys so far.
+        problems: Problems found so far.
         digests: Digests of the files read so far.
     """
 
@@ -240,9 +240,7 @@
 ) -> ExternalServiceConfig | None:
     if not section.address:
         return None
-    from apigateway.external_ratelimit.service_config import (
-        ExternalServiceConfig,  # imported only if used
-    )
+    from apigateway.external_ratelimit.service_config import ExternalServiceConfig  # imported only if used
 
     digest_count = len(files.digests)
     context = _create_client_context(files, section)
--- a/apigateway/daemon/settings_runtime.py
+++ b/apigateway/daemon/settings_runtime.py
@@ -255,8 +255,7 @@
         plans: Names of all plans.
         classes: Names of all service classes.
         gateways: Number of gateways.
-        gateways_at_address: Number of gateways that clients reach at one address; the rules count them as
-            one.
+        gateways_at_address: Number of gateways that clients reach at one address; in rules they are one.
 
     Raises:
         InvalidRuleError: A rule is invalid.
--- a/apigateway/daemon/settings_schema.py
+++ b/apigateway/daemon/settings_schema.py
@@ -21,7 +21,7 @@
 PROGRAM_MEMORY_MIB = 40
 
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=3600)]
-SecondsOrZero = Annotated[float, msgspec.Meta(ge=0, le=3600)]  # 0 turns the feature off
+SecondsOrZero = Annotated[float, msgspec.Meta(ge=0, le=3600)]  # 0 means none
 NonNegativeNumber = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 PositiveCount = Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
@@ -52,9 +52,7 @@
     memory_mb: Annotated[int, msgspec.Meta(ge=48, le=1_000_000)] = 192
     sockets: Annotated[int, msgspec.Meta(ge=128, le=1_000_000)] = 1024
     max_open: PositiveCount = 20_000
-    max_customers: Annotated[int, msgspec.Meta(ge=0, le=1_000_000_000)] = (
-        0  # 0: as many as fit into memory_mb
-    )
+    max_customers: Annotated[int, msgspec.Meta(ge=0, le=1_000_000_000)] = 0  # 0: as many as fit in memory_mb
     max_attempts: Annotated[int, msgspec.Meta(ge=1, le=100)] = 3
     max_units: Annotated[float, msgspec.Meta(gt=0, le=1e6)] = 1.0
     cancel: bool = True
--- a/apigateway/daemon/settings_validation.py
+++ b/apigateway/daemon/settings_validation.py
@@ -16,7 +16,7 @@
 from apigateway.daemon.settings_validation_grpc import check_external_ratelimit, check_ratelimit
 from apigateway.upstream.address import Address
 
-# Tables without which nothing can be served, and the text that says what to add.
+# Tables without which nothing can be served, with the text that tells the user what to add.
 REQUIRED_TABLES = {
     "listeners": "one [[listeners]]",
     "plans": "[plans.NAME] with rate and burst",
--- a/apigateway/daemon/supervisor.py
+++ b/apigateway/daemon/supervisor.py
@@ -95,7 +95,7 @@
             self._notifier.stopping()
             exited_in_time = await self._stop_workers(pool)
             return ExitCode.OK if exited_in_time and not pool.has_failed else ExitCode.FAILED
-        except BaseException:  # after a failed hand-over only the new workers stop
+        except BaseException:  # also a failed hand-over: the predecessor's workers keep serving
             self._stop_requested.set()
             if self._pool is not None:
                 await self._stop_workers(self._pool)
@@ -104,17 +104,17 @@
             self._release_resources(folder)
 
     def _install_signal_handlers(self) -> None:
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self._stop_requested.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(signal_number, self._stop_requested.set)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     async def _acquire_resources(self) -> None:
         """Acquire or inherit the lock, the listening sockets and the in-flight memory."""
-        state = self._settings.daemon.state
+        state_folder = self._settings.daemon.state
         if self._take_over:
-            await self._inherit_resources(state)
-        elif state:
-            self._lock = StateFolderLock(state)
+            await self._inherit_resources(state_folder)
+        elif state_folder:
+            self._lock = StateFolderLock(state_folder)
         if self._settings.workers.address == "shared":
             self._bind_missing_listeners()
             self._allocate_regions()
@@ -204,14 +204,14 @@
     async def _no_op(self) -> None:
         """Do nothing: each worker pauses for its own successor and resumes by itself."""
 
-    async def _inherit_resources(self, state: str) -> None:
+    async def _inherit_resources(self, state_folder: str) -> None:
         """Take over sockets, in-flight memory and lock from the running supervisor.
 
         Raises:
             HandoverError: No supervisor is running, or its number of workers differs.
         """
-        self._successor = create_successor(state)
-        names, descriptors, predecessor_state = await self._successor.take_over()
+        self._successor = create_successor(state_folder)
+        listener_names, descriptors, predecessor_state = await self._successor.take_over()
         if predecessor_state.get("workers") != self._count:
             for descriptor in descriptors:
                 os.close(descriptor)
@@ -219,9 +219,9 @@
             raise HandoverError(
                 f"the running gateway has {count} workers, this one {self._count}: that needs a restart"
             )
-        self._lock = StateFolderLock(state, descriptors.pop())
+        self._lock = StateFolderLock(state_folder, descriptors.pop())
         listener_addresses = {listener.address for listener in self._settings.listeners}
-        for name, descriptor in zip(names, descriptors, strict=True):
+        for name, descriptor in zip(listener_names, descriptors, strict=True):
             if name == IN_FLIGHT_MEMORY_NAME:
                 self._in_flight_regions = self._inherit_regions(
                     descriptor, int(predecessor_state.get("base", 0))
--- a/apigateway/daemon/worker_pool.py
+++ b/apigateway/daemon/worker_pool.py
@@ -127,7 +127,8 @@
         now = self._loop.time()
         is_handing_over = self._is_handing_over()
         for worker in self.workers:
-            if worker.is_handed_over and not is_handing_over:  # the successor failed
+            # The successor failed after this worker had handed over to it and exited.
+            if worker.is_handed_over and not is_handing_over:
                 worker.is_handed_over = False
                 worker.lifecycle.restart_now(now)
             if worker.lifecycle.is_due(now):
--- a/apigateway/daemon/worker_process.py
+++ b/apigateway/daemon/worker_process.py
@@ -47,16 +47,16 @@
         self.is_terminating = False
         self.is_handed_over = False
 
-    def send_signal(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         """Send a signal to the process, if there is one."""
         if self.process is not None:
             with contextlib.suppress(ProcessLookupError):
-                self.process.send_signal(number)
+                self.process.send_signal(signal_number)
 
-    def terminate(self, number: signal.Signals) -> None:
+    def terminate(self, signal_number: signal.Signals) -> None:
         """End the process by a signal; it is restarted after its exit."""
         self.is_terminating = True
-        self.send_signal(number)
+        self.send_signal(signal_number)
 
     def receive_notifications(self) -> Iterator[list[str]]:
         """Yield the notifications that have arrived, each as a list of lines."""
