--- a/tests/daemon/test_gateway_status.py
+++ b/tests/daemon/test_gateway_status.py
@@ -1,4 +1,4 @@
-"""The statuses' JSON, whose keys operators' scripts read."""
+"""Test the JSON of the statuses, whose keys operators' scripts read."""
 
 from apigateway import messages
 from apigateway.daemon.endpoint_load import EndpointLoad
@@ -10,8 +10,10 @@
     SelectionStatus,
 )
 
-HOST = messages.Endpoint("h1", zone="east", cell=2, weight=1.0, kind="std", state="leaving", started_at=0.0)
-HOST_JSON = {
+ENDPOINT = messages.Endpoint(
+    "h1", zone="east", cell=2, weight=1.0, kind="std", state="leaving", started_at=0.0
+)
+ENDPOINT_JSON = {
     "id": "h1",
     "address": "127.0.0.1:7",
     "zone": "east",
@@ -32,26 +34,26 @@
 )
 
 
-def test_endpoint_when_its_address_is_not_known_then_it_is_empty():
-    assert ListedEndpoint(HOST, ("127.0.0.1", 7)).as_json() == HOST_JSON
-    assert ListedEndpoint(HOST, None, "silent", 2.5).as_json() == HOST_JSON | {
+def test_endpoint_when_its_address_is_not_known_then_the_address_is_empty():
+    assert ListedEndpoint(ENDPOINT, ("127.0.0.1", 7)).as_json() == ENDPOINT_JSON
+    assert ListedEndpoint(ENDPOINT, None, "silent", 2.5).as_json() == ENDPOINT_JSON | {
         "address": "",
         "doubt": "silent",
         "since": 2.5,
     }
 
 
-def test_endpoint_list_when_the_decision_module_is_unknown_then_says_nothing_of_selection():
-    status = EndpointListStatus("file hosts.toml", None, [ListedEndpoint(HOST, ("127.0.0.1", 7))], None)
-    assert status.as_json() == {"source": "file hosts.toml", "age": None, "hosts": [HOST_JSON]}
+def test_endpoint_list_when_the_decision_module_is_unknown_then_has_no_selection_status():
+    status = EndpointListStatus("file hosts.toml", None, [ListedEndpoint(ENDPOINT, ("127.0.0.1", 7))], None)
+    assert status.as_json() == {"source": "file hosts.toml", "age": None, "hosts": [ENDPOINT_JSON]}
 
 
-def test_endpoint_list_when_a_load_is_known_then_it_is_rounded_else_empty():
+def test_endpoint_list_when_a_load_is_known_then_it_is_rounded_otherwise_empty():
     other = messages.Endpoint("h2", zone="", cell=0, weight=1.0, kind="", state="up", started_at=0.0)
     selection = SelectionStatus({"h1": LOAD}, {"report": 3}, ("west",), {"west": {"silent": 1}})
-    endpoints = [ListedEndpoint(HOST, ("127.0.0.1", 7)), ListedEndpoint(other, None)]
-    tree = EndpointListStatus("discovery x", 0.5, endpoints, selection).as_json()
-    assert tree["hosts"][0]["choice"] == {
+    endpoints = [ListedEndpoint(ENDPOINT, ("127.0.0.1", 7)), ListedEndpoint(other, None)]
+    status_json = EndpointListStatus("discovery x", 0.5, endpoints, selection).as_json()
+    assert status_json["hosts"][0]["choice"] == {
         "near": True,
         "out": 1,
         "load": 2.35,
@@ -60,16 +62,16 @@
         "sound": 0.988,
         "rests": ["host"],
     }
-    assert tree["hosts"][1]["choice"] == {}
-    assert list(tree) == ["source", "age", "hosts", "choices", "left", "sites"]
-    assert (tree["choices"], tree["left"], tree["sites"]) == (
+    assert status_json["hosts"][1]["choice"] == {}
+    assert list(status_json) == ["source", "age", "hosts", "choices", "left", "sites"]
+    assert (status_json["choices"], status_json["left"], status_json["sites"]) == (
         {"report": 3},
         ["west"],
         {"west": {"silent": 1}},
     )
 
 
-def test_rate_limit_when_there_is_a_listener_then_its_counts_are_told():
+def test_rate_limit_when_there_is_a_listener_then_its_counts_are_reported():
     assert RateLimitStatus().as_json() == {"listeners": [], "tokens": None, "outer": None}
     listener = RateLimitListenerStatus("127.0.0.1:7", True, 2, 1, {"ok": 5})
     assert RateLimitStatus([listener], {"given": 4}).as_json() == {
--- a/tests/daemon/test_platform.py
+++ b/tests/daemon/test_platform.py
@@ -1,4 +1,4 @@
-"""The program as the platform runs it: configuration, readiness, signals."""
+"""Test the program that the platform runs: configuration, start, signals."""
 
 import asyncio
 import json
@@ -27,48 +27,57 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 PING = b"*1\r\n$4\r\nPING\r\n"
-PROGRAM = [sys.executable, "-B", "-m", "apigateway.daemon"]
+COMMAND = [sys.executable, "-B", "-m", "apigateway.daemon"]
 
 
-def spoilt(**kw):
-    return json.dumps(make_configuration([], 1, 2) | kw)
+def make_invalid_configuration(**overrides):
+    return json.dumps(make_configuration([], 1, 2) | overrides)
 
 
 @pytest.mark.parametrize(
-    "text, word",
+    "content, expected",
     [
         (None, "RELAY_CONFIG"),
         ("{", "Expecting"),
         ("[]", "list"),
         ("{}", "settings"),
-        (spoilt(seed="xyz"), "xyz"),
-        (spoilt(listen="nowhere"), "nowhere"),
-        (spoilt(counter=""), "counter"),
-        (spoilt(settings={}), "limits"),
-        (spoilt(known={"version": 1}), "list of hosts"),
-        (spoilt(listen="127.0.0.1:99999999"), "99999999"),
+        (make_invalid_configuration(seed="xyz"), "xyz"),
+        (make_invalid_configuration(listen="nowhere"), "nowhere"),
+        (make_invalid_configuration(counter=""), "counter"),
+        (make_invalid_configuration(settings={}), "limits"),
+        (make_invalid_configuration(known={"version": 1}), "list of hosts"),
+        (make_invalid_configuration(listen="127.0.0.1:99999999"), "99999999"),
     ],
 )
-def test_configuration_when_it_is_wrong_then_one_line_says_why(text, word, tmp_path):
-    env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
-    if text is not None:
-        (tmp_path / "config.json").write_text(text)
+def test_configuration_when_it_is_invalid_then_one_line_gives_the_reason(content, expected, tmp_path):
+    env = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
+    if content is not None:
+        (tmp_path / "config.json").write_text(content)
         env["RELAY_CONFIG"] = str(tmp_path / "config.json")
-    ended = subprocess.run(PROGRAM, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
-    assert ended.returncode != 0
-    assert ended.stderr.startswith("api-gateway: ") and ended.stderr.count("\n") == 1 and word in ended.stderr
-
-
-@pytest.mark.parametrize("longest, finish", [(0.3, 0.7), (1.8, 2.2), (3.0, 3.4), (6.0, 3.4), (60.0, 3.4)])
-def test_shutdown_with_any_deadlines_then_ends_before_the_platforms_kill(longest, finish, tmp_path):
-    tree = make_configuration([make_host_entry(None, port=1)], 1, 2)
-    for part in tree["settings"]["services"]:
-        part["deadline"], part["slo"] = int(longest * 1e9), int(longest * 5e8)
-    file = tmp_path / "config.json"
-    file.write_text(json.dumps(tree))
-    config = read_config({"RELAY_CONFIG": str(file)})
+    result = subprocess.run(COMMAND, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
+    assert result.returncode != 0
     assert (
-        config.shutdown_timeout == pytest.approx(finish) and config.shutdown_timeout < min(longest, 3.0) + 0.7
+        result.stderr.startswith("api-gateway: ")
+        and result.stderr.count("\n") == 1
+        and expected in result.stderr
+    )
+
+
+@pytest.mark.parametrize(
+    "longest_deadline, timeout", [(0.3, 0.7), (1.8, 2.2), (3.0, 3.4), (6.0, 3.4), (60.0, 3.4)]
+)
+def test_shutdown_with_any_deadlines_then_completes_before_the_platforms_kill(
+    longest_deadline, timeout, tmp_path
+):
+    configuration = make_configuration([make_host_entry(None, port=1)], 1, 2)
+    for service in configuration["settings"]["services"]:
+        service["deadline"], service["slo"] = int(longest_deadline * 1e9), int(longest_deadline * 5e8)
+    config_file = tmp_path / "config.json"
+    config_file.write_text(json.dumps(configuration))
+    config = read_config({"RELAY_CONFIG": str(config_file)})
+    assert (
+        config.shutdown_timeout == pytest.approx(timeout)
+        and config.shutdown_timeout < min(longest_deadline, 3.0) + 0.7
     )
 
 
@@ -80,93 +89,99 @@
         config.write_text(
             json.dumps(make_configuration([make_host_entry(host)], discovery.port, counter.port))
         )
-        program = await asyncio.create_subprocess_exec(
-            *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
+        process = await asyncio.create_subprocess_exec(
+            *COMMAND, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
         )
-        port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
+        port = int((await process.stderr.readline()).decode().rsplit(":", 1)[1])
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(PING)
         assert await read_reply(reader) == b"+PONG\r\n"
         writer.write(make_command())
         await host.arrived.get()
-        program.send_signal(signal.SIGTERM)
+        process.send_signal(signal.SIGTERM)
         ping_reader, ping_writer = await asyncio.open_connection("127.0.0.1", port)
         ping_writer.write(PING)
-        while await read_reply(ping_reader) == b"+PONG\r\n":  # until it has heard of its end
+        while await read_reply(ping_reader) == b"+PONG\r\n":  # until it has handled SIGTERM
             ping_writer.write(PING)
         host.writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
         assert await read_reply(reader) == VALUE_REPLY
-        assert await program.wait() == 0
+        assert await process.wait() == 0
 
 
 @pytest.mark.parametrize(
-    "behind", [(signal.SIGTERM,), (signal.SIGHUP,), (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)]
+    "later_signals", [(signal.SIGTERM,), (signal.SIGHUP,), (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)]
 )
 @run_on_uvloop
-async def test_signals_behind_a_sigterm_then_change_nothing(behind, tmp_path):
-    """Also half a command that came before it, and a SIGHUP just ahead."""
+async def test_signals_after_a_sigterm_then_have_no_effect(later_signals, tmp_path):
+    """A SIGHUP comes just before the SIGTERM, and half a command was received before both."""
     async with EmulatedHost(None) as host, EmulatedCounter() as counter, EmulatedDiscovery() as discovery:
         config = tmp_path / "config.json"
         discovery.servers = [make_host_entry(host)]
         config.write_text(json.dumps(make_configuration(discovery.servers, discovery.port, counter.port)))
-        program = await asyncio.create_subprocess_exec(
-            *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
+        process = await asyncio.create_subprocess_exec(
+            *COMMAND, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
         )
-        port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
+        port = int((await process.stderr.readline()).decode().rsplit(":", 1)[1])
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         other_reader, other = await asyncio.open_connection("127.0.0.1", port)
         writer.write(make_command(b"first"))
         await host.arrived.get()
-        text = make_command(b"second", customer=b"%016x" % 7)
-        other.write(PING + text[:30])
+        second_command = make_command(b"second", customer=b"%016x" % 7)
+        other.write(PING + second_command[:30])
         assert await read_reply(other_reader) == b"+PONG\r\n"
-        program.send_signal(signal.SIGHUP)
-        program.send_signal(signal.SIGTERM)
+        process.send_signal(signal.SIGHUP)
+        process.send_signal(signal.SIGTERM)
         third_reader, third = await asyncio.open_connection("127.0.0.1", port)
         third.write(PING)
-        while await read_reply(third_reader) == b"+PONG\r\n":  # until it has heard of its end
+        while await read_reply(third_reader) == b"+PONG\r\n":  # until it has handled SIGTERM
             third.write(PING)
-        for number in behind:
-            program.send_signal(number)
-        other.write(text[30:])
+        for signal_number in later_signals:
+            process.send_signal(signal_number)
+        other.write(second_command[30:])
         while (await host.arrived.get())[2] != b"second":
             pass
-        for out in host.writers:
-            out.write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
+        for host_writer in host.writers:
+            host_writer.write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
         assert await read_reply(reader) == VALUE_REPLY and await read_reply(other_reader) == VALUE_REPLY
-        assert await program.wait() == 0
+        assert await process.wait() == 0
 
 
 @run_on_uvloop
-async def test_sighup_before_there_is_a_gateway_then_reloads_once_there_is(tmp_path):
-    """The program reads its configuration just then, which is not the newest any more."""
-    async with EmulatedCounter() as counter, EmulatedDiscovery() as discovery, EmulatedDiscovery() as new:
+async def test_sighup_before_the_gateway_exists_then_reloads_once_it_does(tmp_path):
+    """The SIGHUP arrives while the program reads a configuration that has since been replaced."""
+    async with (
+        EmulatedCounter() as counter,
+        EmulatedDiscovery() as discovery,
+        EmulatedDiscovery() as new_discovery,
+    ):
         config = tmp_path / "config.json"
-        held = BlockedFileRead(config, json.dumps(make_configuration([], new.port, counter.port)))
+        blocked_read = BlockedFileRead(
+            config, json.dumps(make_configuration([], new_discovery.port, counter.port))
+        )
         env = {**os.environ, "RELAY_CONFIG": str(config), "RELAY_DISCOVERY": f"127.0.0.1:{discovery.port}"}
-        program = await asyncio.create_subprocess_exec(*PROGRAM, cwd=ROOT, env=env, stderr=subprocess.PIPE)
-        async with held as file:
-            program.send_signal(signal.SIGHUP)
+        process = await asyncio.create_subprocess_exec(*COMMAND, cwd=ROOT, env=env, stderr=subprocess.PIPE)
+        async with blocked_read as file:
+            process.send_signal(signal.SIGHUP)
             file.write(
                 json.dumps(make_configuration([make_host_entry(None, port=1)], discovery.port, counter.port))
             )
-        assert b"listens on" in await program.stderr.readline()
-        await new.calls.get()
-        program.send_signal(signal.SIGTERM)
-        assert await program.wait() == 0
+        assert b"listens on" in await process.stderr.readline()
+        await new_discovery.calls.get()
+        process.send_signal(signal.SIGTERM)
+        assert await process.wait() == 0
 
 
 @run_on_uvloop
-async def test_sigterm_before_there_is_a_gateway_then_ends_it(tmp_path):
+async def test_sigterm_before_the_gateway_exists_then_exits(tmp_path):
     config = tmp_path / "config.json"
-    held = BlockedFileRead(config)
-    program = await asyncio.create_subprocess_exec(
-        *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
+    blocked_read = BlockedFileRead(config)
+    process = await asyncio.create_subprocess_exec(
+        *COMMAND, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
     )
-    async with held:
-        program.send_signal(signal.SIGTERM)
-        assert await program.wait() == 0
-    assert await program.stderr.read() == b""
+    async with blocked_read:
+        process.send_signal(signal.SIGTERM)
+        assert await process.wait() == 0
+    assert await process.stderr.read() == b""
 
 
 @run_on_uvloop
@@ -174,35 +189,35 @@
     async with EmulatedHost() as host, EmulatedCounter() as counter, EmulatedDiscovery() as discovery:
         discovery.servers = [make_host_entry(host)]
         config, port = tmp_path / "config.json", 0
-        for life in (b"first", b"second"):
-            text = make_configuration([make_host_entry(host)], discovery.port, counter.port) | {
+        for request_id in (b"first", b"second"):
+            configuration = make_configuration([make_host_entry(host)], discovery.port, counter.port) | {
                 "listen": f"127.0.0.1:{port}"
             }
-            config.write_text(json.dumps(text))
-            program = await asyncio.create_subprocess_exec(
-                *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
+            config.write_text(json.dumps(configuration))
+            process = await asyncio.create_subprocess_exec(
+                *COMMAND, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
             )
-            port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
+            port = int((await process.stderr.readline()).decode().rsplit(":", 1)[1])
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(make_command(life))
+            writer.write(make_command(request_id))
             assert await read_reply(reader) == VALUE_REPLY
-            program.kill()
-            assert await program.wait() == -signal.SIGKILL
+            process.kill()
+            assert await process.wait() == -signal.SIGKILL
 
 
 @run_on_uvloop
-async def test_sighup_when_the_file_has_other_addresses_then_moves_to_them(tmp_path):
+async def test_sighup_when_the_file_has_other_addresses_then_switches_to_them(tmp_path):
     async with (
         EmulatedHost(None) as host,
-        EmulatedHost() as new,
+        EmulatedHost() as new_host,
         EmulatedCounter() as counter,
-        EmulatedCounter() as counter2,
+        EmulatedCounter() as new_counter,
         EmulatedDiscovery() as discovery,
-        EmulatedDiscovery() as discovery2,
+        EmulatedDiscovery() as new_discovery,
     ):
-        discovery.servers, discovery2.servers, discovery2.version = (
+        discovery.servers, new_discovery.servers, new_discovery.version = (
             [make_host_entry(host)],
-            [make_host_entry(new, "h2")],
+            [make_host_entry(new_host, "h2")],
             1,
         )
         config = tmp_path / "config.json"
@@ -210,35 +225,35 @@
             json.dumps(make_configuration([make_host_entry(host)], discovery.port, counter.port))
         )
         env = {**os.environ, "RELAY_CONFIG": str(config), "RELAY_DISCOVERY": f"127.0.0.1:{discovery.port}"}
-        program = await asyncio.create_subprocess_exec(*PROGRAM, cwd=ROOT, env=env, stderr=subprocess.PIPE)
-        port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
+        process = await asyncio.create_subprocess_exec(*COMMAND, cwd=ROOT, env=env, stderr=subprocess.PIPE)
+        port = int((await process.stderr.readline()).decode().rsplit(":", 1)[1])
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(make_command(b"before"))
         await host.arrived.get()
-        config.write_text("{")  # cannot be used: the old one stays
-        program.send_signal(signal.SIGHUP)
-        assert b"reload failed, the old configuration stays in force" in await program.stderr.readline()
-        config.write_text(json.dumps(make_configuration([], discovery2.port, counter2.port)))
-        program.send_signal(signal.SIGHUP)
-        assert "index" not in await discovery2.calls.get()  # the environment names the old one still
-        assert "index" in await discovery2.calls.get()
-        while len(counter2.writers) < CONNECTION_COUNT:
+        config.write_text("{")  # invalid, so the old configuration stays in force
+        process.send_signal(signal.SIGHUP)
+        assert b"reload failed, the old configuration stays in force" in await process.stderr.readline()
+        config.write_text(json.dumps(make_configuration([], new_discovery.port, new_counter.port)))
+        process.send_signal(signal.SIGHUP)
+        assert "index" not in await new_discovery.calls.get()  # RELAY_DISCOVERY still names the old service
+        assert "index" in await new_discovery.calls.get()
+        while len(new_counter.writers) < CONNECTION_COUNT:
             await asyncio.sleep(0.01)
-        for n in range(4):
-            reader2, writer2 = await asyncio.open_connection("127.0.0.1", port)
-            writer2.write(make_command(b"after%d" % n))
-            assert await read_reply(reader2) == VALUE_REPLY
-        assert len(new.commands) == 4 and len(host.commands) == 1
+        for number in range(4):
+            new_reader, new_writer = await asyncio.open_connection("127.0.0.1", port)
+            new_writer.write(make_command(b"after%d" % number))
+            assert await read_reply(new_reader) == VALUE_REPLY
+        assert len(new_host.commands) == 4 and len(host.commands) == 1
         host.writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-        assert await read_reply(reader) == VALUE_REPLY  # what was out at the time is served all the same
-        program.send_signal(signal.SIGHUP)
-        program.send_signal(signal.SIGHUP)
-        program.send_signal(signal.SIGTERM)
-        program.send_signal(signal.SIGHUP)
-        assert await program.wait() == 0
+        assert await read_reply(reader) == VALUE_REPLY  # requests in flight at the reload are completed
+        process.send_signal(signal.SIGHUP)
+        process.send_signal(signal.SIGHUP)
+        process.send_signal(signal.SIGTERM)
+        process.send_signal(signal.SIGHUP)
+        assert await process.wait() == 0
 
 
-def test_imports_of_the_platforms_program_then_lack_what_only_serve_needs():
+def test_imports_of_the_platforms_program_then_exclude_modules_that_only_serve_needs():
     code = (
         "import sys, apigateway.daemon.platform; "
         "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'rich', 'wasmtime') or "
@@ -251,5 +266,7 @@
         "'apigateway.daemon.interfaces', "
         "'apigateway.membership.file'))])"
     )
-    ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert ended.stdout == "[]\n", ended.stderr
+    result = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
+    assert result.stdout == "[]\n", result.stderr
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -1,4 +1,4 @@
-"""Our settings file: each fault is told with its key, value, reason and remedy, all of them at once."""
+"""Test the settings file: all problems are reported at once, each with its key, value, reason and remedy."""
 
 import os
 import subprocess
@@ -17,7 +17,7 @@
 from apigateway.membership.file import read_endpoint_file
 
 ROOT = Path(__file__).resolve().parents[2]
-GOOD = """
+VALID_TABLES = """
 [classes.read]
 effect = "safe"
 aim = 1.0
@@ -29,20 +29,23 @@
 PREFIX = {"limits": "[limits]\n", "rules": "[rules]\n"}
 
 
-def faults(tmp_path, text, **kw):
+def read_problems(tmp_path, text, **options):
+    """Read an invalid settings file, and return the problems by key."""
     file = tmp_path / "gateway.toml"
     file.write_bytes(text if isinstance(text, bytes) else text.encode())
     with pytest.raises(InvalidConfigFileError) as caught:
-        read_settings(str(file), **kw)
-    assert all(fault.file == str(file) and fault.reason and fault.remedy for fault in caught.value.problems)
-    return {fault.key: fault for fault in caught.value.problems}
+        read_settings(str(file), **options)
+    assert all(
+        problem.file == str(file) and problem.reason and problem.remedy for problem in caught.value.problems
+    )
+    return {problem.key: problem for problem in caught.value.problems}
 
 
-def test_deploy_file_when_it_is_read_then_is_valid_and_at_its_defaults():
-    told = msgspec.to_builtins(read_settings(str(ROOT / "deploy" / "gateway.toml")))
-    default = msgspec.to_builtins(Settings())
-    for part in default.keys() - {"classes", "plans"}:
-        assert told[part] == default[part], part
+def test_deploy_file_when_it_is_read_then_is_valid_and_has_the_defaults():
+    values = msgspec.to_builtins(read_settings(str(ROOT / "deploy" / "gateway.toml")))
+    defaults = msgspec.to_builtins(Settings())
+    for table in defaults.keys() - {"classes", "plans"}:
+        assert values[table] == defaults[table], table
     config = build_config(
         str(ROOT / "deploy" / "gateway.toml"), read_settings(str(ROOT / "deploy" / "gateway.toml"))
     )
@@ -54,14 +57,14 @@
 
 def test_deploy_file_has_every_key():
     text = (ROOT / "deploy" / "gateway.toml").read_text()
-    for part, keys in msgspec.to_builtins(Settings()).items():
+    for table, keys in msgspec.to_builtins(Settings()).items():
         for key in keys if isinstance(keys, dict) else ():
-            stands = f"[{part}.{key}]" in text or f"\n{key} = " in text.split(f"[{part}]")[1]
-            assert stands, f"{part}.{key}"
+            is_listed = f"[{table}.{key}]" in text or f"\n{key} = " in text.split(f"[{table}]")[1]
+            assert is_listed, f"{table}.{key}"
 
 
 @pytest.mark.parametrize(
-    "text, key, words",
+    "text, key, message",
     [
         ("[plan.p]\nrate = 1.0", "plan", "did you mean `plans`"),
         ("[plans.q]\nrte = 1.0\nburst = 3.0", "plans.q.rte", "did you mean `rate`"),
@@ -145,13 +148,13 @@
         ("[overload]\nlag = 0.5", "overload.turn", "less than overload.lag"),
     ],
 )
-def test_problem_when_a_value_is_wrong_then_names_its_key(text, key, words, tmp_path):
-    found = faults(tmp_path, text + GOOD)
-    assert list(found) == [key] and words in str(found[key])
+def test_problem_when_a_value_is_invalid_then_names_its_key(text, key, message, tmp_path):
+    problems = read_problems(tmp_path, text + VALID_TABLES)
+    assert list(problems) == [key] and message in str(problems[key])
 
 
 def test_problems_when_there_are_several_then_all_are_reported(tmp_path):
-    found = faults(
+    problems = read_problems(
         tmp_path,
         """
         [limits]
@@ -169,7 +172,7 @@
         [wrong]
         """,
     )
-    assert set(found) == {
+    assert set(problems) == {
         "limits.max_open",
         "gateway.index",
         "plans.p.burst",
@@ -179,14 +182,14 @@
     }
 
 
-def test_file_when_it_is_no_settings_file_then_is_rejected(tmp_path):
-    for text, word in (
+def test_file_when_it_is_not_a_settings_file_then_is_rejected(tmp_path):
+    for content, message in (
         (b"\xff\xfe", "UTF-8 (byte 0)"),
         (b"[limits]\nmax_op", "half written"),
         (b"x = [[" * 5000, ""),
     ):
-        (fault,) = faults(tmp_path, text).values()
-        assert fault.key == "" and word in str(fault)
+        (problem,) = read_problems(tmp_path, content).values()
+        assert problem.key == "" and message in str(problem)
     with pytest.raises(InvalidConfigFileError, match="no regular file"):
         read_settings(str(tmp_path))
     with pytest.raises(InvalidConfigFileError, match="No such file"):
@@ -194,25 +197,27 @@
     os.mkfifo(tmp_path / "fifo")
     with pytest.raises(InvalidConfigFileError, match="no regular file"):
         read_settings(str(tmp_path / "fifo"))
-    big = tmp_path / "big.toml"
-    with open(big, "wb") as file:
+    large_file = tmp_path / "big.toml"
+    with open(large_file, "wb") as file:
         file.truncate(60 * 1024 * 1024)
     with pytest.raises(InvalidConfigFileError, match=f"{MAX_FILE_BYTES} at most"):
-        read_settings(str(big))
+        read_settings(str(large_file))
 
 
-def test_settings_beside_the_platform_then_have_only_what_it_lacks(tmp_path):
-    found = faults(
-        tmp_path, GOOD + "[daemon]\nlinger = 0.1\n[limits]\nmax_open = 3\n", with_platform_config=True
+def test_settings_with_a_platform_configuration_then_may_have_only_the_other_tables(tmp_path):
+    problems = read_problems(
+        tmp_path, VALID_TABLES + "[daemon]\nlinger = 0.1\n[limits]\nmax_open = 3\n", with_platform_config=True
     )
-    assert set(found) == {"classes", "plans", "limits"} and "RELAY_CONFIG" in str(found["plans"])
+    assert set(problems) == {"classes", "plans", "limits"} and "RELAY_CONFIG" in str(problems["plans"])
     (tmp_path / "gateway.toml").write_text("[daemon]\nlinger = 0.1\n")
     assert read_settings(str(tmp_path / "gateway.toml"), with_platform_config=True).listeners == []
 
 
-TREES = st.recursive(
+VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
-    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=5), inner, max_size=3),
+    lambda children: (
+        st.lists(children, max_size=3) | st.dictionaries(st.text(max_size=5), children, max_size=3)
+    ),
     max_leaves=6,
 )
 
@@ -222,23 +227,23 @@
 @given(
     st.dictionaries(
         st.sampled_from([*Settings.__struct_fields__, "other"]),
-        TREES | st.dictionaries(st.sampled_from(["rate", "index", "address", "aim", "x"]), TREES),
+        VALUES | st.dictionaries(st.sampled_from(["rate", "index", "address", "aim", "x"]), VALUES),
     )
 )
-def test_check_of_any_tree_then_raises_nothing(tree):
+def test_check_of_any_document_then_does_not_raise(document):
     from apigateway.config_validation import ConfigReader
     from apigateway.daemon.settings_validation import check_settings
 
     reader = ConfigReader("f")
-    told = reader.read(tree, Settings)
-    if told is not None:
-        check_settings(reader, told, False)
+    parsed = reader.read(document, Settings)
+    if parsed is not None:
+        check_settings(reader, parsed, False)
     if not reader.problems:
-        assert isinstance(build_module_settings(told), messages.Settings)
+        assert isinstance(build_module_settings(parsed), messages.Settings)
 
 
 @pytest.mark.parametrize(
-    "text, word",
+    "text, message",
     [
         ("", "add one [[hosts]]"),
         ("[[hosts]]\nid='a'\n", "address: is missing"),
@@ -248,14 +253,14 @@
         ("[[hosts]]\nid='a'\naddress='h:1'\nstate='asleep'\n", "asleep"),
     ],
 )
-def test_hosts_file_when_it_is_wrong_then_is_rejected(text, word, tmp_path):
+def test_hosts_file_when_it_is_invalid_then_is_rejected(text, message, tmp_path):
     (tmp_path / "hosts.toml").write_text(text)
     with pytest.raises(InvalidConfigFileError) as caught:
         read_endpoint_file(str(tmp_path / "hosts.toml"))
-    assert word in str(caught.value)
+    assert message in str(caught.value)
 
 
-def test_command_line_check_and_version(tmp_path):
+def test_check_and_version_commands(tmp_path):
     def run(*arguments):
         return subprocess.run(
             [sys.executable, "-B", "-m", "apigateway", *arguments],
@@ -267,11 +272,15 @@
 
     assert run("version").stdout == f"api-gateway {__version__}\n"
     assert f'version = "{__version__}"' in (ROOT / "pyproject.toml").read_text()
-    good = run("check", "deploy/gateway.toml")
-    assert good.returncode == 0 and "1 hosts" in good.stdout
+    valid = run("check", "deploy/gateway.toml")
+    assert valid.returncode == 0 and "1 hosts" in valid.stdout
     (tmp_path / "bad.toml").write_text("[daemon]\nlingr = 1\n")
-    bad = run("check", str(tmp_path / "bad.toml"))
-    assert bad.returncode == 2 and bad.stderr.count("\n") == 3 and "did you mean `linger`" in bad.stderr
+    invalid = run("check", str(tmp_path / "bad.toml"))
+    assert (
+        invalid.returncode == 2
+        and invalid.stderr.count("\n") == 3
+        and "did you mean `linger`" in invalid.stderr
+    )
     served = run("serve", str(tmp_path / "bad.toml"))
     assert served.returncode == 2 and "api-gateway: " in served.stderr
     assert run("nonsense").returncode == 2 and "usage" in run("--help").stdout
--- a/tests/daemon/test_settings_reload.py
+++ b/tests/daemon/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""What a reload of the settings takes up, and what needs a restart."""
+"""Test which changes of the settings take effect at a reload, and which need a restart."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
 )
 from apigateway.daemon.settings_schema import CounterSection
 
-GOOD = """
+VALID_TABLES = """
 [classes.read]
 effect = "safe"
 aim = 1.0
@@ -22,12 +22,12 @@
 """
 
 
-def test_comparison_when_settings_differ_then_tells_what_a_reload_takes_up(tmp_path):
+def test_comparison_when_settings_differ_then_separates_reloaded_keys_from_others(tmp_path):
     file = tmp_path / "gateway.toml"
-    file.write_text(GOOD)
+    file.write_text(VALID_TABLES)
     old = read_settings(str(file))
     file.write_text(
-        GOOD.replace("rate = 2.0", "rate = 3.0")
+        VALID_TABLES.replace("rate = 2.0", "rate = 3.0")
         + """
         [limits]
         max_open = 7
@@ -41,26 +41,33 @@
         """
     )
     new = read_settings(str(file))
-    live, restart = compare_settings(old, new)
-    assert live == ["limits.max_open", "listeners"]
-    assert restart == ["classes.more", "limits.max_attempts", "plans.p.rate"]
-    now = effective_settings(old, new)
-    assert now.limits.max_open == 7 and now.limits.max_attempts == 3 and now.plans["p"].rate == 2.0
-    assert compare_settings(now, new) == ([], restart)  # never silently left
+    reloaded, needs_restart = compare_settings(old, new)
+    assert reloaded == ["limits.max_open", "listeners"]
+    assert needs_restart == ["classes.more", "limits.max_attempts", "plans.p.rate"]
+    effective = effective_settings(old, new)
+    assert (
+        effective.limits.max_open == 7
+        and effective.limits.max_attempts == 3
+        and effective.plans["p"].rate == 2.0
+    )
+    assert compare_settings(effective, new) == ([], needs_restart)  # reported again, not dropped silently
 
 
 def test_counter_when_it_is_added_or_removed_then_needs_a_restart():
-    none, one, other = (Settings(counter=CounterSection(address=address)) for address in ("", "h:1", "h:2"))
+    without, with_first, with_second = (
+        Settings(counter=CounterSection(address=address)) for address in ("", "h:1", "h:2")
+    )
     assert (
-        compare_settings(one, other) == (["counter.address"], []) and effective_settings(one, other) == other
+        compare_settings(with_first, with_second) == (["counter.address"], [])
+        and effective_settings(with_first, with_second) == with_second
     )
-    for old, new in ((none, one), (one, none)):
+    for old, new in ((without, with_first), (with_first, without)):
         assert compare_settings(old, new) == ([], ["counter.address"]) and effective_settings(old, new) == old
 
 
 def test_reloadable_keys_exist():
-    tree = msgspec.to_builtins(Settings())
+    values = msgspec.to_builtins(Settings())
     for key in RELOADABLE_KEYS:
-        part, _, name = key.partition(".")
-        assert part in tree and (not name or name in tree[part]), key
-    assert list(differences(tree, tree, "")) == []
+        table, _, name = key.partition(".")
+        assert table in values and (not name or name in values[table]), key
+    assert list(differences(values, values, "")) == []
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -8,27 +8,27 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def test_module_stays_within_its_limits():
-    gateway = (ROOT / "apigateway" / "policy" / "gateway.py").read_text().splitlines()
-    named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    files = {str(file.relative_to(ROOT)) for file in (ROOT / "apigateway" / "policy").rglob("*.py")}
-    assert sorted(named) == sorted(files)
-    lines = [line for file in named for line in (ROOT / file).read_text().splitlines()]
+def test_decision_module_stays_within_its_size_limits():
+    gateway_lines = (ROOT / "apigateway" / "policy" / "gateway.py").read_text().splitlines()
+    listed_files = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    policy_files = {str(file.relative_to(ROOT)) for file in (ROOT / "apigateway" / "policy").rglob("*.py")}
+    assert sorted(listed_files) == sorted(policy_files)
+    lines = [line for file in listed_files for line in (ROOT / file).read_text().splitlines()]
     assert sum(1 for line in lines if line.strip()) <= 1200
     assert all(len(line) <= 110 for line in lines)
-    assert "messages.py" in "".join(gateway[:3])
+    assert "messages.py" in "".join(gateway_lines[:3])
 
 
 def test_architecture_example_runs():
     text = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
     code = text.split("```python\n")[1].split("```")[0]
-    scope: dict = {}
-    exec(compile(code, "ARCHITECTURE.md", "exec"), scope)
-    assert scope["actions"]
+    namespace: dict = {}
+    exec(compile(code, "ARCHITECTURE.md", "exec"), namespace)
+    assert namespace["actions"]
 
 
 @pytest.mark.parametrize(
-    "make",
+    "create",
     [
         lambda: messages.Plan("p", -1.0, 8.0, 0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0),
         lambda: messages.Plan("p", 1.0, 0.0, 0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0),
@@ -39,6 +39,6 @@
         lambda: messages.AttemptOutcome("r", 0, "h", "fine", 0.1, True),
     ],
 )
-def test_types_reject_what_makes_no_sense(make):
+def test_message_types_reject_invalid_values(create):
     with pytest.raises(ValueError):
-        make()
+        create()
