--- a/tests/daemon/test_endpoint_list.py
+++ b/tests/daemon/test_endpoint_list.py
@@ -13,11 +13,11 @@
 EMPTY = EndpointListing(messages.EndpointList("cached", 0, ()), {})
 
 
-def endpoint(name, state="up", zone="east"):
+def make_endpoint(name, state="up", zone="east"):
     return messages.Endpoint(name, zone=zone, cell=0, weight=1.0, kind="std", state=state, started_at=0.0)
 
 
-def listing(mode, version, *endpoints):
+def make_listing(mode, version, *endpoints):
     addresses = {item.id: ("127.0.0.1", int(item.id[1:])) for item in endpoints if item.state != "down"}
     return EndpointListing(messages.EndpointList(mode, version, endpoints), addresses)
 
@@ -39,14 +39,17 @@
 
 
 def test_merge_when_the_change_is_a_complete_list_then_replaces_the_old_list():
-    change = listing("full", 7, endpoint("h2"))
-    assert merge_listing(listing("full", 6, endpoint("h1")), change) is change
+    change = make_listing("full", 7, make_endpoint("h2"))
+    assert merge_listing(make_listing("full", 6, make_endpoint("h1")), change) is change
 
 
 def test_merge_when_the_change_is_a_delta_then_adds_replaces_and_removes():
-    old = listing("full", 6, endpoint("h1"), endpoint("h2"), endpoint("h3"))
+    old = make_listing("full", 6, make_endpoint("h1"), make_endpoint("h2"), make_endpoint("h3"))
     merged = merge_listing(
-        old, listing("delta", 7, endpoint("h2", "leaving"), endpoint("h3", "down"), endpoint("h4"))
+        old,
+        make_listing(
+            "delta", 7, make_endpoint("h2", "leaving"), make_endpoint("h3", "down"), make_endpoint("h4")
+        ),
     )
     assert [(item.id, item.state) for item in merged.endpoint_list.endpoints] == [
         ("h1", "up"),
@@ -61,9 +64,9 @@
 async def test_apply_when_the_list_has_endpoints_then_sets_endpoints_known():
     core = FakeCore()
     state = EndpointListState(core, EMPTY)
-    state.apply(listing("full", 1))
+    state.apply(make_listing("full", 1))
     assert not state.endpoints_known.is_set()
-    state.apply(listing("full", 2, endpoint("h1")))
+    state.apply(make_listing("full", 2, make_endpoint("h1")))
     await asyncio.wait_for(state.endpoints_known.wait(), 1.0)
     assert [endpoint_list.version for endpoint_list, _ in core.lists] == [1, 2]
 
@@ -72,9 +75,9 @@
 async def test_apply_when_a_watch_ended_without_a_change_then_the_core_is_not_called():
     core = FakeCore()
     state = EndpointListState(core, EMPTY)
-    state.apply(listing("full", 1, endpoint("h1")))
+    state.apply(make_listing("full", 1, make_endpoint("h1")))
     state.received_at = 0.0
-    state.apply(listing("delta", 2))
+    state.apply(make_listing("delta", 2))
     assert len(core.lists) == 1 and state.received_at > 0.0
 
 
@@ -85,7 +88,9 @@
 @run_on_uvloop
 async def test_evacuate_zones_then_logs_whether_any_zone_remains(zones, log_text, caplog):
     core = FakeCore()
-    state = EndpointListState(core, listing("full", 1, endpoint("h1"), endpoint("h2", zone="west")))
+    state = EndpointListState(
+        core, make_listing("full", 1, make_endpoint("h1"), make_endpoint("h2", zone="west"))
+    )
     with caplog.at_level(logging.INFO):
         state.evacuate_zones(zones)
     assert core.events == [messages.EvacuateZones(zones)]
@@ -95,14 +100,15 @@
 @run_on_uvloop
 async def test_endpoints_draining_only_in_another_list_then_are_up_here_and_draining_there():
     state = EndpointListState(
-        FakeCore(), listing("full", 2, endpoint("h1"), endpoint("h2"), endpoint("h3", "leaving"))
+        FakeCore(),
+        make_listing("full", 2, make_endpoint("h1"), make_endpoint("h2"), make_endpoint("h3", "leaving")),
     )
-    other = listing(
+    other = make_listing(
         "full",
         1,
-        endpoint("h1", "leaving"),
-        endpoint("h2"),
-        endpoint("h3", "leaving"),
-        endpoint("h4", "leaving"),
+        make_endpoint("h1", "leaving"),
+        make_endpoint("h2"),
+        make_endpoint("h3", "leaving"),
+        make_endpoint("h4", "leaving"),
     )
     assert [item.id for item in state.endpoints_draining_only_in(other)] == ["h1"]
