--- a/apigateway/daemon/pending_signals.py
+++ b/apigateway/daemon/pending_signals.py
@@ -1,9 +1,9 @@
-"""Handle the signals that come before there is a gateway: during imports and while the settings are read.
+"""Handle signals that arrive before the gateway exists: during imports and while the settings are read.
 
-By the system's default each would end the process. A SIGHUP would be a crash; the file that it is about may
-have been read already, so it is kept until there is a gateway to reload. A SIGTERM ends the process at once:
-no request has been accepted. This module imports nothing of the package, since the start takes long only by
-imports.
+By default these signals end the process, which for a SIGHUP would be a crash. The file to reload may have
+been read already, so the SIGHUP is recorded until there is a gateway that can reload it. A SIGTERM ends the
+process immediately, since no request has been accepted yet. This module imports nothing from the package,
+since imports take up most of the start time.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 def install_handlers() -> None:
     """Handle SIGHUP and SIGTERM until the event loop's own handlers replace these.
 
-    To be called before anything that takes time.
+    Call this before any slow import.
     """
     signal.signal(signal.SIGHUP, record_reload)
-    signal.signal(signal.SIGTERM, _exit_at_once)
+    signal.signal(signal.SIGTERM, _exit_immediately)
 
 
-def record_reload(number: int = signal.SIGHUP, frame: FrameType | None = None) -> None:
-    """Keep a SIGHUP for `take_reload_request`."""
-    _pending_reloads.append(number)
+def record_reload(signal_number: int = signal.SIGHUP, frame: FrameType | None = None) -> None:
+    """Record a SIGHUP for `take_reload_request`."""
+    _pending_reloads.append(signal_number)
 
 
 def take_reload_request() -> bool:
-    """Return whether a SIGHUP came since the last call, and forget it."""
+    """Return whether a SIGHUP arrived since the last call, and clear it."""
     is_requested = bool(_pending_reloads)
     _pending_reloads.clear()
     return is_requested
 
 
-def _exit_at_once(number: int, frame: FrameType | None) -> None:
-    """Exit without clean-up: modules may be half loaded, and the system closes all that is open yet."""
+def _exit_immediately(signal_number: int, frame: FrameType | None) -> None:
+    """Exit without clean-up: modules may be partly loaded, and the kernel closes all open files."""
     os._exit(0)
