--- a/tests/external_ratelimit/test_client_session.py
+++ b/tests/external_ratelimit/test_client_session.py
@@ -1,4 +1,4 @@
-"""The client's side of gRPC without a socket: against the server's, and against malformed bytes."""
+"""Tests of ClientSession without sockets, against ServerSession, an h2 server and malformed bytes."""
 
 import h2.config
 import h2.connection
@@ -19,81 +19,81 @@
 PATH = "/a.B/C"
 
 
-class Pair:
-    """A client's session, and a server that h2 alone makes."""
+class ClientWithH2Server:
+    """A ClientSession connected to a plain h2 server."""
 
-    def __init__(self, most=100):
+    def __init__(self, max_streams=100):
         self.session = ClientSession("host:1")
         self.server = h2.connection.H2Connection(
             h2.config.H2Configuration(client_side=False, header_encoding=None)
         )
         self.server.local_settings = h2.settings.Settings(
-            client=False, initial_values={h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: most}
+            client=False, initial_values={h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: max_streams}
         )
         self.server.initiate_connection()
         self.server_events, self.ended = [], []
-        self.go()
+        self.exchange()
 
-    def go(self):
+    def exchange(self):
         while True:
             data = self.session.data_to_send()
             if data:
                 self.server_events += self.server.receive_data(data)
-            back = self.server.data_to_send()
-            if not (data or back):
+            server_data = self.server.data_to_send()
+            if not (data or server_data):
                 return
-            self.ended += self.session.receive(back)
+            self.ended += self.session.receive(server_data)
 
-    def ask(self, message=b"hello"):
-        number = self.session.start_call(PATH, message, 0.25)
-        self.go()
-        return number
+    def call(self, message=b"hello"):
+        stream_id = self.session.start_call(PATH, message, 0.25)
+        self.exchange()
+        return stream_id
 
-    def answer(self, number, data, status=b"0", **more):
-        self.server.send_headers(number, [(b":status", b"200"), (b"content-type", b"application/grpc")])
-        self.server.send_data(number, data)
+    def respond(self, stream_id, data, status=b"0", **more):
+        self.server.send_headers(stream_id, [(b":status", b"200"), (b"content-type", b"application/grpc")])
+        self.server.send_data(stream_id, data)
         self.server.send_headers(
-            number, [(b"grpc-status", status)] if status is not None else [(b"x", b"y")], end_stream=True
+            stream_id, [(b"grpc-status", status)] if status is not None else [(b"x", b"y")], end_stream=True
         )
-        self.go()
+        self.exchange()
 
 
-def test_call_is_read_by_the_servers_session():
+def test_server_session_reads_and_answers_calls():
     client, server = ClientSession("host:1"), ServerSession()
-    number = client.start_call(PATH, b"hello", 0.25)
+    stream_id = client.start_call(PATH, b"hello", 0.25)
     events = server.receive(client.data_to_send())
-    assert events == [UnaryCall(number, PATH, b"hello", 0.25)]
+    assert events == [UnaryCall(stream_id, PATH, b"hello", 0.25)]
     client.receive(server.data_to_send())
     server.receive(client.data_to_send())
-    server.send_response(number, b"world")
-    assert client.receive(server.data_to_send()) == [CallEnded(number, GrpcStatus.OK, "", b"world")]
-    number = client.start_call(PATH, b"again", 1.0)
+    server.send_response(stream_id, b"world")
+    assert client.receive(server.data_to_send()) == [CallEnded(stream_id, GrpcStatus.OK, "", b"world")]
+    stream_id = client.start_call(PATH, b"again", 1.0)
     server.receive(client.data_to_send())
-    server.send_status(number, GrpcStatus.UNAVAILABLE, "50% é")
-    assert client.receive(server.data_to_send()) == [CallEnded(number, GrpcStatus.UNAVAILABLE, "50% é")]
-    number = client.start_call(PATH, b"never mind", 1.0)
-    client.cancel(number)
-    assert server.receive(client.data_to_send())[-1] == CallCancelled(number) and not client.open_calls
+    server.send_status(stream_id, GrpcStatus.UNAVAILABLE, "50% é")
+    assert client.receive(server.data_to_send()) == [CallEnded(stream_id, GrpcStatus.UNAVAILABLE, "50% é")]
+    stream_id = client.start_call(PATH, b"never mind", 1.0)
+    client.cancel(stream_id)
+    assert server.receive(client.data_to_send())[-1] == CallCancelled(stream_id) and not client.open_calls
 
 
 def test_request_longer_than_the_window_continues_when_it_opens():
-    pair = Pair()
-    number = pair.ask(b"x" * 200_000)
-    assert not any(isinstance(event, h2.events.StreamEnded) for event in pair.server_events)
-    got = 0
-    while got < 200_005:
-        events, pair.server_events = pair.server_events, []
+    peers = ClientWithH2Server()
+    stream_id = peers.call(b"x" * 200_000)
+    assert not any(isinstance(event, h2.events.StreamEnded) for event in peers.server_events)
+    received_bytes = 0
+    while received_bytes < 200_005:
+        events, peers.server_events = peers.server_events, []
         for event in events:
             if isinstance(event, h2.events.DataReceived):
-                got += len(event.data)
-                pair.server.acknowledge_received_data(event.flow_controlled_length, number)
-        pair.go()
-    pair.answer(number, rpc.frame_message(b"ok"))
-    assert pair.ended == [CallEnded(number, GrpcStatus.OK, "", b"ok")]
+                received_bytes += len(event.data)
+                peers.server.acknowledge_received_data(event.flow_controlled_length, stream_id)
+        peers.exchange()
+    peers.respond(stream_id, rpc.frame_message(b"ok"))
+    assert peers.ended == [CallEnded(stream_id, GrpcStatus.OK, "", b"ok")]
 
 
 @pytest.mark.parametrize(
-    "data, status, code",
+    "data, status, expected_status",
     [
         (rpc.frame_message(b"ok"), b"5", 5),
         (rpc.frame_message(b"ok"), None, GrpcStatus.UNKNOWN),
@@ -105,67 +105,69 @@
         (b"\0\xff\xff\xff\xff", b"0", GrpcStatus.RESOURCE_EXHAUSTED),
     ],
 )
-def test_malformed_response_fails_its_call_and_the_next_is_read(data, status, code):
-    pair = Pair()
+def test_malformed_response_fails_its_call_and_the_next_is_read(data, status, expected_status):
+    peers = ClientWithH2Server()
     try:
-        pair.answer(pair.ask(), data, status)
-    except h2.exceptions.StreamClosedError:  # it was called off at the first bytes
-        pair.go()
-    assert [one.status for one in pair.ended] == [code] and not pair.session.open_calls
-    pair.answer(pair.ask(), rpc.frame_message(b"ok"))
-    assert pair.ended[-1].message == b"ok"
+        peers.respond(peers.call(), data, status)
+    except h2.exceptions.StreamClosedError:  # the client cancelled the call after the first bytes
+        peers.exchange()
+    assert [call.status for call in peers.ended] == [expected_status] and not peers.session.open_calls
+    peers.respond(peers.call(), rpc.frame_message(b"ok"))
+    assert peers.ended[-1].message == b"ok"
 
 
 def test_refused_stream_is_reported_as_not_processed():
-    pair = Pair()
-    one, two = pair.ask(), pair.ask()
-    pair.server.reset_stream(one, h2.errors.ErrorCodes.REFUSED_STREAM)
-    pair.server.reset_stream(two, h2.errors.ErrorCodes.INTERNAL_ERROR)
-    pair.go()
-    assert [(t.stream_id, t.status, t.is_processed) for t in pair.ended] == [
-        (one, GrpcStatus.UNAVAILABLE, False),
-        (two, GrpcStatus.UNAVAILABLE, True),
+    peers = ClientWithH2Server()
+    refused_id, reset_id = peers.call(), peers.call()
+    peers.server.reset_stream(refused_id, h2.errors.ErrorCodes.REFUSED_STREAM)
+    peers.server.reset_stream(reset_id, h2.errors.ErrorCodes.INTERNAL_ERROR)
+    peers.exchange()
+    assert [(ended.stream_id, ended.status, ended.is_processed) for ended in peers.ended] == [
+        (refused_id, GrpcStatus.UNAVAILABLE, False),
+        (reset_id, GrpcStatus.UNAVAILABLE, True),
     ]
 
 
 def test_goaway_lets_earlier_calls_end_and_starts_no_more():
-    pair = Pair()
-    one, two = pair.ask(), pair.ask()
-    ended_calls = pair.session.receive(GoAwayFrame(0, last_stream_id=one, error_code=0).serialize())
-    assert ended_calls == [CallEnded(two, GrpcStatus.UNAVAILABLE, "server sent GOAWAY", is_processed=False)]
-    assert pair.session.available_streams() == 0 and not pair.session.is_finished
-    pair.answer(one, rpc.frame_message(b"ok"))
-    assert pair.ended == [CallEnded(one, GrpcStatus.OK, "", b"ok")] and pair.session.is_finished
+    peers = ClientWithH2Server()
+    first_id, second_id = peers.call(), peers.call()
+    ended_calls = peers.session.receive(GoAwayFrame(0, last_stream_id=first_id, error_code=0).serialize())
+    assert ended_calls == [
+        CallEnded(second_id, GrpcStatus.UNAVAILABLE, "server sent GOAWAY", is_processed=False)
+    ]
+    assert peers.session.available_streams() == 0 and not peers.session.is_finished
+    peers.respond(first_id, rpc.frame_message(b"ok"))
+    assert peers.ended == [CallEnded(first_id, GrpcStatus.OK, "", b"ok")] and peers.session.is_finished
 
 
 def test_available_streams_are_those_that_the_server_allows():
-    pair = Pair(most=2)
-    assert pair.session.available_streams() == 2
-    one = pair.ask()
-    pair.ask()
-    assert pair.session.available_streams() == 0
-    pair.answer(one, rpc.frame_message(b"ok"))
-    assert pair.session.available_streams() == 1
+    peers = ClientWithH2Server(max_streams=2)
+    assert peers.session.available_streams() == 2
+    stream_id = peers.call()
+    peers.call()
+    assert peers.session.available_streams() == 0
+    peers.respond(stream_id, rpc.frame_message(b"ok"))
+    assert peers.session.available_streams() == 1
 
 
 def test_http_errors_fail_their_calls():
-    pair = Pair()
-    number = pair.ask()
-    pair.server.send_headers(number, [(b":status", b"503")], end_stream=True)
-    pair.go()
-    assert pair.ended == [CallEnded(number, GrpcStatus.UNAVAILABLE, "HTTP status 503")]
-    number = pair.ask()
-    pair.server.send_headers(number, [(b":status", b"404")])
-    pair.go()
-    assert pair.ended[-1].text == "HTTP status 404" and not pair.session.open_calls
+    peers = ClientWithH2Server()
+    stream_id = peers.call()
+    peers.server.send_headers(stream_id, [(b":status", b"503")], end_stream=True)
+    peers.exchange()
+    assert peers.ended == [CallEnded(stream_id, GrpcStatus.UNAVAILABLE, "HTTP status 503")]
+    stream_id = peers.call()
+    peers.server.send_headers(stream_id, [(b":status", b"404")])
+    peers.exchange()
+    assert peers.ended[-1].text == "HTTP status 404" and not peers.session.open_calls
 
 
 def test_connection_loss_ends_all_calls():
-    pair = Pair()
-    numbers = [pair.ask(), pair.ask()]
+    peers = ClientWithH2Server()
+    stream_ids = [peers.call(), peers.call()]
     assert [
-        one.stream_id for one in pair.session.connection_lost("gone")
-    ] == numbers and pair.session.is_finished
+        call.stream_id for call in peers.session.connection_lost("gone")
+    ] == stream_ids and peers.session.is_finished
 
 
 @pytest.mark.parametrize(
@@ -186,27 +188,27 @@
 @seed(14)
 @settings(max_examples=150, deadline=None, database=None)
 @given(st.lists(st.integers(1, 400), max_size=12), st.binary(max_size=60), st.integers(0, 400))
-def test_any_bytes_end_each_call_exactly_once(cuts, noise, place):
+def test_any_bytes_end_each_call_exactly_once(chunk_sizes, noise, noise_offset):
     session = ClientSession("host:1")
     server = h2.connection.H2Connection(h2.config.H2Configuration(client_side=False, header_encoding=None))
     server.initiate_connection()
-    asked = [session.start_call(PATH, b"x" * 50, 1.0) for _ in range(3)]
+    stream_ids = [session.start_call(PATH, b"x" * 50, 1.0) for _ in range(3)]
     server.receive_data(session.data_to_send())
-    for number in asked:
-        server.send_headers(number, [(b":status", b"200")])
-        server.send_data(number, rpc.frame_message(b"y" * 30))
-        server.send_headers(number, [(b"grpc-status", b"0")], end_stream=True)
-    stream = bytearray(server.data_to_send())
+    for stream_id in stream_ids:
+        server.send_headers(stream_id, [(b":status", b"200")])
+        server.send_data(stream_id, rpc.frame_message(b"y" * 30))
+        server.send_headers(stream_id, [(b"grpc-status", b"0")], end_stream=True)
+    data = bytearray(server.data_to_send())
     if noise:
-        stream[min(place, len(stream)) : min(place, len(stream)) + len(noise)] = noise
-    ended_calls, at = [], 0
-    for cut in [*cuts, len(stream)]:
-        if at < len(stream) and not session.is_finished:
-            ended_calls += session.receive(bytes(stream[at : at + cut]))
-        at += cut
+        data[min(noise_offset, len(data)) : min(noise_offset, len(data)) + len(noise)] = noise
+    ended_calls, offset = [], 0
+    for chunk_size in [*chunk_sizes, len(data)]:
+        if offset < len(data) and not session.is_finished:
+            ended_calls += session.receive(bytes(data[offset : offset + chunk_size]))
+        offset += chunk_size
         session.data_to_send()
     ended_calls += session.connection_lost("the end")
-    ended = [one.stream_id for one in ended_calls]
-    assert sorted(ended) == asked
+    ended_ids = [call.stream_id for call in ended_calls]
+    assert sorted(ended_ids) == stream_ids
     if not noise:
-        assert all(one.message == b"y" * 30 for one in ended_calls)
+        assert all(call.message == b"y" * 30 for call in ended_calls)
--- a/tests/external_ratelimit/test_limiter.py
+++ b/tests/external_ratelimit/test_limiter.py
@@ -1,4 +1,4 @@
-"""Over sockets: a gateway, its hosts, and a scripted external rate limit service that fails in all ways."""
+"""Tests of a gateway with hosts and a scripted, faulty external rate limit service over sockets."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -20,14 +20,16 @@
 from apigateway.external_ratelimit.limiter import EnvoyRateLimiter
 from apigateway.external_ratelimit.service_config import ExternalServiceConfig
 
-CONF = SETTINGS | {"plans": [*SETTINGS["plans"], {"name": "quota", "rate": 0.01, "most_at_once": 5.0}]}
+GATEWAY_SETTINGS = SETTINGS | {
+    "plans": [*SETTINGS["plans"], {"name": "quota", "rate": 0.01, "most_at_once": 5.0}]
+}
 ENTRIES = (("customer", "{customer}"), ("class", "{class}"), ("by", "{gateway}:{units}"))
-A, B = "00000000000000aa", "00000000000000bb"
+CUSTOMER_A, CUSTOMER_B = "00000000000000aa", "00000000000000bb"
 
 
 @asynccontextmanager
-async def asking(tmp_path, service, batch=1, **kw):
-    """A gateway that asks `service` about plan p and quota."""
+async def gateway_with_limiter(tmp_path, service, batch=1, **overrides):
+    """Run a gateway that checks requests of the plans p and quota with `service`."""
     defaults = {
         "timeout": 2.0,
         "remaining_fraction": 1.0,
@@ -36,12 +38,15 @@
         "max_backoff": 0.2,
         "required_probes": 2,
     }
-    checks = CheckSettings(frozenset({"p", "quota"}), **defaults | kw)
-    async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=CONF) as harness:
+    checks = CheckSettings(frozenset({"p", "quota"}), **defaults | overrides)
+    async with (
+        EmulatedHost() as host,
+        GatewayHarness(host, path=tmp_path, settings=GATEWAY_SETTINGS) as harness,
+    ):
         config = ExternalServiceConfig(("127.0.0.1", service.port), checks, "roster", ENTRIES, batch)
         limiter = EnvoyRateLimiter(config, "g7")
         harness.server.core.external_ratelimit = limiter
-        harness.host, harness.limiter, harness.number = host, limiter, 0
+        harness.host, harness.limiter, harness.request_count = host, limiter, 0
         try:
             yield harness
         finally:
@@ -49,27 +54,35 @@
             assert limiter.breaker.outstanding == 0
 
 
-async def ask(harness, customer=A, plan="p", **kw):
-    harness.number += 1
+async def send_request(harness, customer=CUSTOMER_A, plan="p", **fields):
+    harness.request_count += 1
     return await harness.send_command(
-        make_command(b"r%d" % harness.number, make_fields(t=plan, **kw), customer=customer.encode())
+        make_command(
+            b"r%d" % harness.request_count, make_fields(t=plan, **fields), customer=customer.encode()
+        )
     )
 
 
-async def until(harness, state):
+async def send_until_state(harness, state):
     while harness.limiter.breaker.state is not state:
-        await ask(harness)
+        await send_request(harness)
 
 
 @run_on_uvloop
-async def test_check_is_sent_as_settings_say_and_over_limit_rejects(tmp_path):
-    async with EmulatedRateLimitService({A: 1}, reset_s=0.7) as service, asking(tmp_path, service) as harness:
-        assert [await ask(harness, units="0.5"), await ask(harness)] == [VALUE_REPLY, b"-BUSY 700\r\n"]
-        assert await ask(harness, B) == VALUE_REPLY
-        question = service.questions[0]
-        assert question.domain == "roster" and question.hits_addend == 1  # what is begun counts
-        assert {e.key: e.value for e in question.descriptors[0].entries} == {
-            "customer": A,
+async def test_check_follows_the_settings_and_over_limit_rejects_the_request(tmp_path):
+    async with (
+        EmulatedRateLimitService({CUSTOMER_A: 1}, reset_s=0.7) as service,
+        gateway_with_limiter(tmp_path, service) as harness,
+    ):
+        assert [await send_request(harness, units="0.5"), await send_request(harness)] == [
+            VALUE_REPLY,
+            b"-BUSY 700\r\n",
+        ]
+        assert await send_request(harness, CUSTOMER_B) == VALUE_REPLY
+        request = service.questions[0]
+        assert request.domain == "roster" and request.hits_addend == 1  # a started unit counts as a hit
+        assert {entry.key: entry.value for entry in request.descriptors[0].entries} == {
+            "customer": CUSTOMER_A,
             "class": "read",
             "by": "g7:0.5",
         }
@@ -78,15 +91,18 @@
 
 
 @run_on_uvloop
-async def test_request_passes_only_if_service_and_own_quota_allow_it(tmp_path):
-    async with EmulatedRateLimitService({B: 0}) as service, asking(tmp_path, service) as harness:
-        answers = [await ask(harness, plan="quota") for _ in range(14)]
-        assert 5 <= answers.count(VALUE_REPLY) <= 10 and answers[-1].startswith(b"-BUSY")
-        assert service.hits[A] == 14  # it said yes to each
-        assert (await ask(harness, B, plan="quota")).startswith(b"-BUSY")
-        # what it refused has spent nothing here
+async def test_request_is_served_only_if_service_and_own_quota_allow_it(tmp_path):
+    async with (
+        EmulatedRateLimitService({CUSTOMER_B: 0}) as service,
+        gateway_with_limiter(tmp_path, service) as harness,
+    ):
+        replies = [await send_request(harness, plan="quota") for _ in range(14)]
+        assert 5 <= replies.count(VALUE_REPLY) <= 10 and replies[-1].startswith(b"-BUSY")
+        assert service.hits[CUSTOMER_A] == 14  # the service allowed each of them
+        assert (await send_request(harness, CUSTOMER_B, plan="quota")).startswith(b"-BUSY")
+        # Requests rejected by the service have spent no quota of the gateway.
         service.limits.clear()
-        assert await ask(harness, B, plan="quota") == VALUE_REPLY
+        assert await send_request(harness, CUSTOMER_B, plan="quota") == VALUE_REPLY
 
 
 FAULTS = [
@@ -101,76 +117,80 @@
 
 
 @pytest.mark.parametrize("mode", ["own", "refuse"])
-@pytest.mark.parametrize("step", FAULTS, ids=[step.kind for step in FAULTS])
+@pytest.mark.parametrize("fault", FAULTS, ids=[fault.kind for fault in FAULTS])
 @run_on_uvloop
-async def test_failure_mode_decides_while_the_service_fails_until_it_recovers(step, mode, tmp_path):
-    slow = step.kind in ("stall", "silent")
+async def test_failure_mode_decides_while_the_service_fails_until_it_recovers(fault, mode, tmp_path):
+    times_out = fault.kind in ("stall", "silent")
     async with EmulatedRateLimitService() as service:
-        async with asking(
-            tmp_path, service, failure_mode=FailureMode(mode), timeout=0.05 if slow else 2.0
+        async with gateway_with_limiter(
+            tmp_path, service, failure_mode=FailureMode(mode), timeout=0.05 if times_out else 2.0
         ) as harness:
-            service.script.play(step)
-            answers = [await ask(harness) for _ in range(8)]
-            assert all(a == VALUE_REPLY if mode == "own" else a.startswith(b"-BUSY") for a in answers)
+            service.script.play(fault)
+            replies = [await send_request(harness) for _ in range(8)]
+            assert all(
+                reply == VALUE_REPLY if mode == "own" else reply.startswith(b"-BUSY") for reply in replies
+            )
             assert (
                 harness.limiter.breaker.trip_count == 1
                 and harness.limiter.breaker.state is not BreakerState.CLOSED
             )
             service.script.play()
-            await until(harness, BreakerState.CLOSED)
-            assert await ask(harness) == VALUE_REPLY
+            await send_until_state(harness, BreakerState.CLOSED)
+            assert await send_request(harness) == VALUE_REPLY
 
 
 @run_on_uvloop
-async def test_over_limit_answers_do_not_open_the_breaker(tmp_path):
-    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as harness:
+async def test_over_limit_responses_do_not_open_the_breaker(tmp_path):
+    async with EmulatedRateLimitService() as service, gateway_with_limiter(tmp_path, service) as harness:
         service.script.play(Step("over", count=40))
-        answers = await asyncio.gather(*(ask(harness) for _ in range(40)))
-        assert all(a.startswith(b"-BUSY") for a in answers) and not harness.host.commands
-        assert await ask(harness) == VALUE_REPLY and harness.limiter.breaker.trip_count == 0
+        replies = await asyncio.gather(*(send_request(harness) for _ in range(40)))
+        assert all(reply.startswith(b"-BUSY") for reply in replies) and not harness.host.commands
+        assert await send_request(harness) == VALUE_REPLY and harness.limiter.breaker.trip_count == 0
 
 
 @pytest.mark.parametrize("kind", ["goaway", "busy"])
 @run_on_uvloop
-async def test_check_that_was_not_processed_is_sent_once_more(kind, tmp_path):
-    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as harness:
-        assert await ask(harness) == VALUE_REPLY
+async def test_check_that_the_service_did_not_process_is_retried_once(kind, tmp_path):
+    async with EmulatedRateLimitService() as service, gateway_with_limiter(tmp_path, service) as harness:
+        assert await send_request(harness) == VALUE_REPLY
         service.script.play(Step(kind, count=1))
-        assert await ask(harness) == VALUE_REPLY
-        assert len(service.questions) == 2 and harness.limiter.breaker.trip_count == 0  # counted once each
-        assert service.hits[A] == 2
+        assert await send_request(harness) == VALUE_REPLY
+        assert (
+            len(service.questions) == 2 and harness.limiter.breaker.trip_count == 0
+        )  # each request was counted once
+        assert service.hits[CUSTOMER_A] == 2
 
 
 @run_on_uvloop
 async def test_goaway_among_many_checks_loses_none(tmp_path):
-    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as harness:
-        assert await ask(harness) == VALUE_REPLY
+    async with EmulatedRateLimitService() as service, gateway_with_limiter(tmp_path, service) as harness:
+        assert await send_request(harness) == VALUE_REPLY
         service.script.play(Step("answer", count=5), Step("goaway", count=1))
-        answers = await asyncio.gather(*(ask(harness) for _ in range(30)))
+        replies = await asyncio.gather(*(send_request(harness) for _ in range(30)))
         assert all(
-            a == VALUE_REPLY or a.startswith(b"-BUSY") for a in answers
-        )  # its host takes so many at once
-        assert harness.limiter.counts == {"questions": 31, "yes": 31} and service.hits[A] == 31
+            reply == VALUE_REPLY or reply.startswith(b"-BUSY") for reply in replies
+        )  # the capacity of the host is limited
+        assert harness.limiter.counts == {"questions": 31, "yes": 31} and service.hits[CUSTOMER_A] == 31
 
 
 @run_on_uvloop
 async def test_unreachable_service_is_used_once_it_comes_up(tmp_path):
-    service = EmulatedRateLimitService({A: 0})
+    service = EmulatedRateLimitService({CUSTOMER_A: 0})
     await service.open()
     await service.die()
-    async with asking(tmp_path, service, max_consecutive_failures=2, timeout=0.05) as harness:
-        assert [await ask(harness) for _ in range(4)] == [VALUE_REPLY] * 4
+    async with gateway_with_limiter(tmp_path, service, max_consecutive_failures=2, timeout=0.05) as harness:
+        assert [await send_request(harness) for _ in range(4)] == [VALUE_REPLY] * 4
         assert harness.limiter.breaker.trip_count == 1 and harness.limiter.channel.connect_failures > 0
-        await service.open()  # at its address
-        while (await ask(harness)) == VALUE_REPLY:
+        await service.open()  # at the same address
+        while (await send_request(harness)) == VALUE_REPLY:
             pass
-        await until(harness, BreakerState.CLOSED)
+        await send_until_state(harness, BreakerState.CLOSED)
         await service.__aexit__()
 
 
 @run_on_uvloop
 async def test_client_disconnect_cancels_its_check(tmp_path):
-    async with EmulatedRateLimitService() as service, asking(tmp_path, service) as harness:
+    async with EmulatedRateLimitService() as service, gateway_with_limiter(tmp_path, service) as harness:
         service.script.play(Step("stall", count=1, delay=1.0))
         _, writer = await harness.connect()
         writer.write(make_command(b"left"))
@@ -178,7 +198,7 @@
         writer.close()
         while harness.server.core.in_flight:
             await asyncio.sleep(0)
-        assert await ask(harness, B) == VALUE_REPLY
+        assert await send_request(harness, CUSTOMER_B) == VALUE_REPLY
         assert (
             service.called_off == 1
             and len(harness.host.commands) == 1
@@ -187,78 +207,91 @@
 
 
 @run_on_uvloop
-async def test_late_answer_changes_nothing(tmp_path):
-    async with EmulatedRateLimitService() as service, asking(tmp_path, service, timeout=0.05) as harness:
+async def test_late_response_is_ignored(tmp_path):
+    async with (
+        EmulatedRateLimitService() as service,
+        gateway_with_limiter(tmp_path, service, timeout=0.05) as harness,
+    ):
         service.script.play(Step("stall", count=1, delay=0.2), Step("over", count=1))
-        assert await ask(harness) == VALUE_REPLY  # unasked, as the mode says
-        assert (await ask(harness)).startswith(b"-BUSY")
+        assert await send_request(harness) == VALUE_REPLY  # no response in time: the failure mode allows it
+        assert (await send_request(harness)).startswith(b"-BUSY")
         for _ in range(20):
-            assert await ask(harness) == VALUE_REPLY
+            assert await send_request(harness) == VALUE_REPLY
         assert len(harness.host.commands) == 21
 
 
 @run_on_uvloop
-async def test_batched_requests_each_get_their_own_answer(tmp_path):
+async def test_each_request_of_a_batch_gets_its_own_decision(tmp_path):
     async with (
-        EmulatedRateLimitService({A: 3, B: 0}) as service,
-        asking(tmp_path, service, batch=10) as harness,
+        EmulatedRateLimitService({CUSTOMER_A: 3, CUSTOMER_B: 0}) as service,
+        gateway_with_limiter(tmp_path, service, batch=10) as harness,
     ):
         _, writer = await harness.connect()
         reader, writer = await harness.connect()
-        texts = []
+        commands = []
         for n in range(8):
-            harness.number += 1
-            customer = A if n % 2 else B
-            texts.append(make_command(b"r%d" % harness.number, make_fields(), customer=customer.encode()))
-        writer.write(b"".join(texts))
-        answers = []
+            harness.request_count += 1
+            customer = CUSTOMER_A if n % 2 else CUSTOMER_B
+            commands.append(
+                make_command(b"r%d" % harness.request_count, make_fields(), customer=customer.encode())
+            )
+        writer.write(b"".join(commands))
+        replies = []
         for _ in range(8):
             line = await reader.readline()
-            answers.append(line[:1])
+            replies.append(line[:1])
             if line[:1] == b"$":
                 await reader.readline()
         assert len(service.questions) == 1 and len(service.questions[0].descriptors) == 8
-        assert answers == [b"-", b"$", b"-", b"$", b"-", b"$", b"-", b"-"]
+        assert replies == [b"-", b"$", b"-", b"$", b"-", b"$", b"-", b"-"]
 
 
 @run_on_uvloop
-async def test_checks_wait_for_a_stream_when_the_server_limits_them(tmp_path):
-    async with EmulatedRateLimitService(most_streams=2) as service, asking(tmp_path, service) as harness:
-        assert await ask(harness) == VALUE_REPLY  # its settings are known now
+async def test_checks_wait_when_the_server_limits_concurrent_streams(tmp_path):
+    async with (
+        EmulatedRateLimitService(most_streams=2) as service,
+        gateway_with_limiter(tmp_path, service) as harness,
+    ):
+        assert await send_request(harness) == VALUE_REPLY  # the HTTP/2 settings of the server are known now
         service.script.play(Step("stall", count=4, delay=0.05))
-        assert await asyncio.gather(*(ask(harness) for _ in range(12))) == [VALUE_REPLY] * 12
+        assert await asyncio.gather(*(send_request(harness) for _ in range(12))) == [VALUE_REPLY] * 12
         assert len(service.questions) == 13
 
 
 @run_on_uvloop
 async def test_config_update_sends_new_checks_to_the_new_address(tmp_path):
     async with (
-        EmulatedRateLimitService() as one,
-        EmulatedRateLimitService({A: 0}) as two,
-        asking(tmp_path, one) as harness,
+        EmulatedRateLimitService() as old_service,
+        EmulatedRateLimitService({CUSTOMER_A: 0}) as new_service,
+        gateway_with_limiter(tmp_path, old_service) as harness,
     ):
-        assert await ask(harness) == VALUE_REPLY
-        one.script.play(Step("stall", count=1, delay=0.1))
-        waits = asyncio.ensure_future(ask(harness))
-        await one.arrived.get()
-        await one.arrived.get()
-        old = harness.limiter.config
-        address = ("127.0.0.1", two.port)
+        assert await send_request(harness) == VALUE_REPLY
+        old_service.script.play(Step("stall", count=1, delay=0.1))
+        pending_request = asyncio.ensure_future(send_request(harness))
+        await old_service.arrived.get()
+        await old_service.arrived.get()
+        old_config = harness.limiter.config
+        address = ("127.0.0.1", new_service.port)
         harness.limiter.update_config(
-            ExternalServiceConfig(address, old.checks, old.domain, old.descriptor_entries)
+            ExternalServiceConfig(
+                address, old_config.checks, old_config.domain, old_config.descriptor_entries
+            )
         )
-        assert (await ask(harness)).startswith(b"-BUSY") and await waits == VALUE_REPLY
-        assert harness.limiter.status()["address"].endswith(str(two.port))
+        assert (await send_request(harness)).startswith(b"-BUSY") and await pending_request == VALUE_REPLY
+        assert harness.limiter.status()["address"].endswith(str(new_service.port))
 
 
 @run_on_uvloop
-async def test_each_request_is_answered_once_through_a_walk_of_faults(tmp_path):
+async def test_each_request_is_answered_once_during_a_sequence_of_faults(tmp_path):
     kinds = ["stall", "silent", "reset", "error", "spoilt", "odd", "half", "over", "goaway", "busy", "answer"]
-    async with EmulatedRateLimitService() as service, asking(tmp_path, service, timeout=0.05) as harness:
+    async with (
+        EmulatedRateLimitService() as service,
+        gateway_with_limiter(tmp_path, service, timeout=0.05) as harness,
+    ):
         service.script.play(*(Step(kind, count=1 + n % 3, delay=0.1) for n, kind in enumerate(kinds * 4)))
         for _ in range(30):
-            answers = await asyncio.gather(*(ask(harness) for _ in range(6)))
-            assert all(a == VALUE_REPLY or a.startswith(b"-BUSY") for a in answers)
+            replies = await asyncio.gather(*(send_request(harness) for _ in range(6)))
+            assert all(reply == VALUE_REPLY or reply.startswith(b"-BUSY") for reply in replies)
         assert not harness.server.core.in_flight
         service.script.play()
-        await until(harness, BreakerState.CLOSED)
+        await send_until_state(harness, BreakerState.CLOSED)
--- a/tests/external_ratelimit/test_rls_codec.py
+++ b/tests/external_ratelimit/test_rls_codec.py
@@ -1,4 +1,4 @@
-"""Questions and answers of rls.proto, as the gateway writes and reads them."""
+"""Tests of encoding rate limit requests and decoding responses (rls.proto)."""
 
 import pytest
 from envoy.service.ratelimit.v3 import rls_pb2
@@ -19,16 +19,16 @@
 OVER_LIMIT = rls_pb2.RateLimitResponse.OVER_LIMIT
 
 
-def request(request_id="r1", units=1.0):
+def make_request(request_id="r1", units=1.0):
     return messages.Request(request_id, 3.0, "c1", "basic", "read", units, 0, 1)
 
 
-def config(batch_size=1):
+def make_config(batch_size=1):
     entries = (("customer", "{customer}"), ("by", "{gateway}:{plan}:{class}:{units}"))
     return ExternalServiceConfig(("127.0.0.1", 1), CheckSettings(), "roster", entries, batch_size)
 
 
-def answer(code, statuses=(), header=None):
+def encode_response(code, statuses=(), header=None):
     response = rls_pb2.RateLimitResponse(overall_code=code)
     for status_code, reset_s in statuses:
         status = response.statuses.add(code=status_code)
@@ -39,16 +39,16 @@
     return response.SerializeToString()
 
 
-def read(message, request_count=1):
+def decode(message, request_count=1):
     return decode_response(GrpcStatus.OK, "", message, request_count)
 
 
-def test_question_fills_in_its_entries_and_counts_hits():
-    question = rls_pb2.RateLimitRequest.FromString(
-        encode_rate_limit_request(config(), "g7", [request(units=1.5)])
+def test_request_has_filled_in_entries_and_counted_hits():
+    decoded = rls_pb2.RateLimitRequest.FromString(
+        encode_rate_limit_request(make_config(), "g7", [make_request(units=1.5)])
     )
-    (descriptor,) = question.descriptors
-    assert question.domain == "roster" and question.hits_addend == 2
+    (descriptor,) = decoded.descriptors
+    assert decoded.domain == "roster" and decoded.hits_addend == 2
     assert [(entry.key, entry.value) for entry in descriptor.entries] == [
         ("customer", "c1"),
         ("by", "g7:basic:read:1.5"),
@@ -56,33 +56,35 @@
     assert not descriptor.HasField("hits_addend")
 
 
-def test_question_when_batched_then_each_descriptor_has_its_hits():
-    encoded = encode_rate_limit_request(config(batch_size=2), "g7", [request("r1", 0.2), request("r2", 3.0)])
-    question = rls_pb2.RateLimitRequest.FromString(encoded)
-    assert [descriptor.hits_addend.value for descriptor in question.descriptors] == [1, 3]
-    assert question.hits_addend == 0
+def test_batched_request_has_hits_for_each_descriptor():
+    encoded = encode_rate_limit_request(
+        make_config(batch_size=2), "g7", [make_request("r1", 0.2), make_request("r2", 3.0)]
+    )
+    decoded = rls_pb2.RateLimitRequest.FromString(encoded)
+    assert [descriptor.hits_addend.value for descriptor in decoded.descriptors] == [1, 3]
+    assert decoded.hits_addend == 0
 
 
 @pytest.mark.parametrize(("units", "hits"), [(0.0, 1), (0.5, 1), (1.0, 1), (1.1, 2)])
 def test_hits_are_units_rounded_up(units, hits):
-    assert count_hits(request(units=units)) == hits
+    assert count_hits(make_request(units=units)) == hits
 
 
-def test_answer_ok_allows_all_whatever_its_statuses_say():
-    assert read(answer(OK, [(OVER_LIMIT, None)] * 2), 2) == CheckDecision([True, True], 0.0)
+def test_ok_response_allows_all_requests_whatever_its_statuses_say():
+    assert decode(encode_response(OK, [(OVER_LIMIT, None)] * 2), 2) == CheckDecision([True, True], 0.0)
 
 
 @pytest.mark.parametrize(
     ("statuses", "allowed"),
     [
         ([(OK, None), (OVER_LIMIT, None)], [True, False]),
-        ([(OK, None), (OK, None)], [False, False]),  # over the limit, and it does not say which
+        ([(OK, None), (OK, None)], [False, False]),  # OVER_LIMIT without a status that says which
         ([(OK, None)], [False, False]),
         ([], [False, False]),
     ],
 )
-def test_answer_over_limit_when_batched_then_allows_what_it_names(statuses, allowed):
-    assert read(answer(OVER_LIMIT, statuses), 2) == CheckDecision(allowed, 0.0)
+def test_over_limit_response_to_a_batch_allows_requests_with_status_ok(statuses, allowed):
+    assert decode(encode_response(OVER_LIMIT, statuses), 2) == CheckDecision(allowed, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -95,21 +97,21 @@
     ],
 )
 def test_retry_after_is_the_header_or_the_longest_reset(statuses, header, retry_after):
-    decision = read(answer(OVER_LIMIT, statuses, header))
+    decision = decode(encode_response(OVER_LIMIT, statuses, header))
     assert decision == CheckDecision([False], pytest.approx(retry_after))
 
 
 @pytest.mark.parametrize(
-    ("outcome", "failure"),
+    ("result", "failure"),
     [
         (decode_response(GrpcStatus.UNAVAILABLE, "gone", b"", 1), CheckFailure("UNAVAILABLE", "gone")),
         (decode_response(99, "odd", b"", 1), CheckFailure("99", "odd")),
-        (read(b"\xff"), CheckFailure("unread", "malformed response")),
+        (decode(b"\xff"), CheckFailure("unread", "malformed response")),
         (
-            read(answer(rls_pb2.RateLimitResponse.UNKNOWN)),
+            decode(encode_response(rls_pb2.RateLimitResponse.UNKNOWN)),
             CheckFailure("no code", "response without a code"),
         ),
     ],
 )
-def test_outcome_when_there_is_no_usable_answer_then_is_a_failure(outcome, failure):
-    assert outcome == failure
+def test_missing_or_unusable_response_is_a_failure(result, failure):
+    assert result == failure
