--- a/tests/frontends/grpc/test_descriptor_mapping.py
+++ b/tests/frontends/grpc/test_descriptor_mapping.py
@@ -1,4 +1,4 @@
-"""Descriptors to customers: rules from settings, the longest match first."""
+"""Tests of mapping descriptors to customers by rules, the most specific rule first."""
 
 import itertools
 
@@ -20,17 +20,17 @@
 HEX = "00000000000000ff"
 
 
-def rule(*entries, domain="payroll", customer="{account}", plan="basic", service_class="read", **kw):
+def make_rule(*entries, domain="payroll", customer="{account}", plan="basic", service_class="read", **kw):
     return MappingRule(domain, entries or ("account",), customer, plan, service_class, **kw)
 
 
-def mapping(*rules, gateways=4):
+def compile_rules(*rules, gateways=4):
     return DescriptorMapping(rules, PLANS, CLASSES, gateways)
 
 
-def test_values_are_taken_and_the_rest_is_the_rules():
-    told = mapping(
-        rule(
+def test_owner_takes_values_from_entries_and_the_rest_from_the_rule():
+    compiled = compile_rules(
+        make_rule(
             "account",
             "plan",
             plan="{plan}",
@@ -40,10 +40,10 @@
             gateway_spread=3,
         )
     )
-    owner = told.find_owner("payroll", [("account", HEX.upper()), ("plan", "gold"), ("more", "x")])
+    owner = compiled.find_owner("payroll", [("account", HEX.upper()), ("plan", "gold"), ("more", "x")])
     assert (owner.customer, owner.plan, owner.service_class) == (HEX, "gold", "write")
     assert (owner.units_per_hit, owner.first_gateway, owner.gateway_spread) == (2.0, 1, 3)
-    assert told.find_owner("payroll", [("plan", "gold"), ("account", HEX)]) == owner  # whatever the order
+    assert compiled.find_owner("payroll", [("plan", "gold"), ("account", HEX)]) == owner  # in any order
 
 
 @pytest.mark.parametrize(
@@ -57,34 +57,42 @@
         [("account", "f" * 16), ("plan", "gold")],
     ],
 )
-def test_a_descriptor_without_a_valid_match_has_no_owner(entries):
-    assert mapping(rule("account", "plan", plan="{plan}")).find_owner("payroll", entries) is None
+def test_descriptor_without_a_valid_match_has_no_owner(entries):
+    assert compile_rules(make_rule("account", "plan", plan="{plan}")).find_owner("payroll", entries) is None
 
 
-def test_another_domain_has_its_own_rules_and_a_star_those_of_all_others():
-    told = mapping(rule(customer=HEX, domain="*"), rule(plan="gold"))
-    assert told.find_owner("payroll", [("account", "00000000000000aa")]).plan == "gold"
-    assert told.find_owner("tools", [("account", "x")]).customer == HEX
-    assert told.find_owner("payroll", [("account", "no hex")]).customer == HEX  # none of its own takes it
+def test_rules_of_a_domain_come_before_rules_for_any_domain():
+    compiled = compile_rules(make_rule(customer=HEX, domain="*"), make_rule(plan="gold"))
+    assert compiled.find_owner("payroll", [("account", "00000000000000aa")]).plan == "gold"
+    assert compiled.find_owner("tools", [("account", "x")]).customer == HEX
+    assert (
+        compiled.find_owner("payroll", [("account", "no hex")]).customer == HEX
+    )  # no rule of its own domain matches
 
 
-def test_the_longest_match_goes_whatever_the_order_in_the_file():
+def test_most_specific_match_applies_in_any_order_of_rules():
     rules = [
-        rule("account", service_class="read"),
-        rule("account", "path=*", plan="gold"),
-        rule("account", "path=/pay/*", service_class="write"),
-        rule("account", "path=/pay/run", plan="gold", service_class="write"),
-        rule("account", "path=/pay/run", service_class="read", units_per_hit=9.0),
+        make_rule("account", service_class="read"),
+        make_rule("account", "path=*", plan="gold"),
+        make_rule("account", "path=/pay/*", service_class="write"),
+        make_rule("account", "path=/pay/run", plan="gold", service_class="write"),
+        make_rule("account", "path=/pay/run", service_class="read", units_per_hit=9.0),
     ]
-    wanted = {None: ("basic", "read", 1.0), "/x": ("gold", "read", 1.0), "/pay/x": ("basic", "write", 1.0)}
+    expected_by_path = {
+        None: ("basic", "read", 1.0),
+        "/x": ("gold", "read", 1.0),
+        "/pay/x": ("basic", "write", 1.0),
+    }
     for order in itertools.permutations(rules):
-        told = mapping(*order)
-        for path, (plan, cls, units) in wanted.items():
+        compiled = compile_rules(*order)
+        for path, (plan, service_class, units) in expected_by_path.items():
             entries = [("account", HEX)] + ([("path", path)] if path else [])
-            owner = told.find_owner("payroll", entries)
-            assert (owner.plan, owner.service_class, owner.units_per_hit) == (plan, cls, units)
-        first = next(r for r in order if "path=/pay/run" in r.entries)  # alike: the first in the file
-        owner = told.find_owner("payroll", [("account", HEX), ("path", "/pay/run")])
+            owner = compiled.find_owner("payroll", entries)
+            assert (owner.plan, owner.service_class, owner.units_per_hit) == (plan, service_class, units)
+        first = next(
+            candidate for candidate in order if "path=/pay/run" in candidate.entries
+        )  # equally specific: the first in the file applies
+        owner = compiled.find_owner("payroll", [("account", HEX), ("path", "/pay/run")])
         assert (owner.plan, owner.service_class, owner.units_per_hit) == (
             first.plan,
             first.service_class,
@@ -92,46 +100,48 @@
         )
 
 
-def test_names_become_customers_where_the_rule_says_so():
-    told = mapping(rule("employer", customer="{employer}", hashes_names=True))
-    one, two = (told.find_owner("payroll", [("employer", name)]).customer for name in ("Acme", "acme"))
+def test_names_are_hashed_to_customers_if_the_rule_says_so():
+    compiled = compile_rules(make_rule("employer", customer="{employer}", hashes_names=True))
+    customer, other_customer = (
+        compiled.find_owner("payroll", [("employer", name)]).customer for name in ("Acme", "acme")
+    )
     assert (
-        one != two
-        and is_customer(one)
-        and one == hash_customer("payroll", "Acme") != hash_customer("tools", "Acme")
+        customer != other_customer
+        and is_customer(customer)
+        and customer == hash_customer("payroll", "Acme") != hash_customer("tools", "Acme")
     )
-    assert told.find_owner("payroll", [("employer", HEX)]).customer == HEX
+    assert compiled.find_owner("payroll", [("employer", HEX)]).customer == HEX
 
 
 @pytest.mark.parametrize(
-    "bad, key",
+    "invalid_rule, key",
     [
-        (rule(plan="unknown"), "plan"),
-        (rule(service_class="unknown"), "class"),
-        (rule(customer="nobody"), "customer"),
-        (rule(customer="{other}"), "customer"),
-        (rule(plan="{other}"), "plan"),
-        (rule(customer="{account"), "customer"),
-        (rule(units_per_hit=float("inf")), "units"),
-        (rule("account", "account=x"), "entries"),
-        (rule("=x"), "entries"),
-        (rule(units_per_hit=0.0), "units"),
-        (rule(units_per_hit=float("nan")), "units"),
-        (rule(gateway_spread=5), "spread"),
-        (rule(first_gateway=4), "spread"),
-        (rule(gateway_spread=0), "spread"),
+        (make_rule(plan="unknown"), "plan"),
+        (make_rule(service_class="unknown"), "class"),
+        (make_rule(customer="nobody"), "customer"),
+        (make_rule(customer="{other}"), "customer"),
+        (make_rule(plan="{other}"), "plan"),
+        (make_rule(customer="{account"), "customer"),
+        (make_rule(units_per_hit=float("inf")), "units"),
+        (make_rule("account", "account=x"), "entries"),
+        (make_rule("=x"), "entries"),
+        (make_rule(units_per_hit=0.0), "units"),
+        (make_rule(units_per_hit=float("nan")), "units"),
+        (make_rule(gateway_spread=5), "spread"),
+        (make_rule(first_gateway=4), "spread"),
+        (make_rule(gateway_spread=0), "spread"),
     ],
 )
-def test_a_bad_rule_is_refused_with_its_place_and_key(bad, key):
-    with pytest.raises(InvalidRuleError) as told:
-        mapping(rule(), bad)
-    assert told.value.key == key and told.value.args[1] == 1 and str(told.value.args[0])
+def test_invalid_rule_is_reported_with_its_index_and_key(invalid_rule, key):
+    with pytest.raises(InvalidRuleError) as raised:
+        compile_rules(make_rule(), invalid_rule)
+    assert raised.value.key == key and raised.value.args[1] == 1 and str(raised.value.args[0])
 
 
-def test_a_descriptor_beyond_the_limits_has_no_owner():
-    told = mapping(rule())
-    assert told.find_owner("payroll", [("account", HEX)] + [("k", "v")] * MAX_ENTRIES) is None
-    assert told.find_owner("payroll", [("account", HEX), ("k", "v" * 100_000)]) is None
+def test_descriptor_beyond_the_size_limits_has_no_owner():
+    compiled = compile_rules(make_rule())
+    assert compiled.find_owner("payroll", [("account", HEX)] + [("k", "v")] * MAX_ENTRIES) is None
+    assert compiled.find_owner("payroll", [("account", HEX), ("k", "v" * 100_000)]) is None
 
 
 TEXT = st.text(alphabet="abc*?[]{}/é\n=", max_size=6)
@@ -144,17 +154,26 @@
     st.lists(st.tuples(TEXT, TEXT), max_size=5),
     st.booleans(),
 )
-def test_any_descriptor_has_a_valid_owner_or_none(wanted, entries, named):
+def test_any_descriptor_has_a_valid_owner_or_none(rule_entries, entries, hashes_names):
     try:
-        told = mapping(rule(*(f"{key}={value}" for key, value in wanted), customer=HEX, hashes_names=named))
+        compiled = compile_rules(
+            make_rule(
+                *(f"{key}={value}" for key, value in rule_entries), customer=HEX, hashes_names=hashes_names
+            )
+        )
     except InvalidRuleError:
         return
-    owner = told.find_owner("payroll", entries)
+    owner = compiled.find_owner("payroll", entries)
     assert owner is None or (is_customer(owner.customer) and int(owner.customer, 16) < MAX_CUSTOMERS)
-    exact = all(
-        any(k == key and v == value and not set(value) & set("*?[") for k, v in entries)
-        for key, value in wanted
+    is_exact_match = all(
+        any(
+            entry_key == key and entry_value == value and not set(value) & set("*?[")
+            for entry_key, entry_value in entries
+        )
+        for key, value in rule_entries
+    )
+    has_unique_keys = len({key for key, _ in entries}) == len(entries) and not any(
+        "=" in key for key, _ in rule_entries
     )
-    once = len({key for key, _ in entries}) == len(entries) and not any("=" in key for key, _ in wanted)
-    if exact and once:
-        assert owner is not None  # each entry is there as it is wanted
+    if is_exact_match and has_unique_keys:
+        assert owner is not None  # every entry of the rule is present exactly
--- a/tests/frontends/grpc/test_quota_tokens.py
+++ b/tests/frontends/grpc/test_quota_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens: what they are good for, and nothing else."""
+"""Tests of signing, verifying and redeeming tokens."""
 
 import base64
 
@@ -13,12 +13,12 @@
 NOW = 1_000_000.0
 
 
-def token(keys=None, purpose=PURPOSE, gateway=3, until=NOW + 5, name=b"12345678"):
-    return (keys or TokenKeys([OLD])).sign(purpose, gateway, until, name)
+def sign_token(keys=None, purpose=PURPOSE, gateway_index=3, expires_at=NOW + 5, nonce=b"12345678"):
+    return (keys or TokenKeys([OLD])).sign(purpose, gateway_index, expires_at, nonce)
 
 
-def test_a_signed_token_is_verified():
-    assert TokenKeys([OLD]).verify(token(), PURPOSE) == Token(
+def test_signed_token_is_verified():
+    assert TokenKeys([OLD]).verify(sign_token(), PURPOSE) == Token(
         next(iter(TokenKeys([OLD]).keys_by_id)), 3, NOW + 5, b"12345678"
     )
 
@@ -33,20 +33,20 @@
         PURPOSE._replace(customer="00000000000000ffb", plan="asic"),
     ],
 )
-def test_a_token_when_shown_for_another_purpose_is_refused(other):
-    assert TokenKeys([OLD]).verify(token(), other) is None
+def test_token_for_another_purpose_is_rejected(other):
+    assert TokenKeys([OLD]).verify(sign_token(), other) is None
 
 
-def test_every_altered_byte_and_every_other_spelling_is_refused():
-    text = token()
+def test_altered_bytes_and_non_canonical_encodings_are_rejected():
+    text = sign_token()
     data = base64.urlsafe_b64decode(text + "=" * (-len(text) % 4))
-    for place in range(len(data)):
+    for index in range(len(data)):
         for bit in range(8):
-            changed = bytearray(data)
-            changed[place] ^= 1 << bit
-            again = base64.urlsafe_b64encode(changed).decode().rstrip("=")
-            assert TokenKeys([OLD]).verify(again, PURPOSE) is None
-    for odd in (
+            altered = bytearray(data)
+            altered[index] ^= 1 << bit
+            altered_text = base64.urlsafe_b64encode(altered).decode().rstrip("=")
+            assert TokenKeys([OLD]).verify(altered_text, PURPOSE) is None
+    for invalid_text in (
         "",
         "A",
         text + "A",
@@ -56,66 +56,74 @@
         text.replace(text[5], "é"),
         "\x00" * 50,
     ):
-        assert TokenKeys([OLD]).verify(odd, PURPOSE) is None
+        assert TokenKeys([OLD]).verify(invalid_text, PURPOSE) is None
 
 
-def test_keys_are_rotated_without_a_gap_and_a_key_that_is_gone_is_not_taken():
-    before, both, after = TokenKeys([OLD]), TokenKeys([NEW, OLD]), TokenKeys([NEW])
-    old, new = token(before), token(both)
-    assert both.verify(old, PURPOSE) and both.verify(new, PURPOSE) and after.verify(new, PURPOSE)
-    assert before.verify(new, PURPOSE) is None and after.verify(old, PURPOSE) is None
-    assert before.compare(both) == KeyRotation(is_signing_key_new=True, are_old_tokens_valid=True)
-    assert before.compare(after) == KeyRotation(is_signing_key_new=True, are_old_tokens_valid=False)
-    assert both.compare(both) == KeyRotation(is_signing_key_new=False, are_old_tokens_valid=True)
+def test_tokens_stay_valid_during_key_rotation_until_their_key_is_removed():
+    old_keys, both_keys, new_keys = TokenKeys([OLD]), TokenKeys([NEW, OLD]), TokenKeys([NEW])
+    old_token, new_token = sign_token(old_keys), sign_token(both_keys)
+    assert (
+        both_keys.verify(old_token, PURPOSE)
+        and both_keys.verify(new_token, PURPOSE)
+        and new_keys.verify(new_token, PURPOSE)
+    )
+    assert old_keys.verify(new_token, PURPOSE) is None and new_keys.verify(old_token, PURPOSE) is None
+    assert old_keys.compare(both_keys) == KeyRotation(is_signing_key_new=True, are_old_tokens_valid=True)
+    assert old_keys.compare(new_keys) == KeyRotation(is_signing_key_new=True, are_old_tokens_valid=False)
+    assert both_keys.compare(both_keys) == KeyRotation(is_signing_key_new=False, are_old_tokens_valid=True)
 
 
 @pytest.mark.parametrize("keys", [[], [b"short"], [OLD, OLD]])
-def test_keys_that_cannot_be_used_raise(keys):
+def test_invalid_keys_raise(keys):
     with pytest.raises(ValueError):
         TokenKeys(keys)
 
 
-def test_a_token_is_redeemed_once_in_its_time_and_only_in_its_group():
-    one = TokenKeys([OLD]).verify(token(gateway=5), PURPOSE)
-    here, beside, away = RedeemedTokens(5, 4, 10), RedeemedTokens(6, 4, 10), RedeemedTokens(3, 4, 10)
-    assert here.redeem(one, NOW) and not here.redeem(one, NOW) and not here.redeem(one, NOW + 4)
-    # another worker of its address: span - 1 at most
-    assert beside.redeem(one, NOW) and not beside.redeem(one, NOW)
-    assert not away.redeem(one, NOW)
-    assert not RedeemedTokens(5, 4, 10).redeem(one, NOW + 5.1)
+def test_token_is_redeemed_once_before_expiry_and_only_in_its_group():
+    token = TokenKeys([OLD]).verify(sign_token(gateway_index=5), PURPOSE)
+    issuer, same_group, other_group = (
+        RedeemedTokens(5, 4, 10),
+        RedeemedTokens(6, 4, 10),
+        RedeemedTokens(3, 4, 10),
+    )
+    assert issuer.redeem(token, NOW) and not issuer.redeem(token, NOW) and not issuer.redeem(token, NOW + 4)
+    # Another gateway of the group redeems it too: at most group_size - 1 additional times.
+    assert same_group.redeem(token, NOW) and not same_group.redeem(token, NOW)
+    assert not other_group.redeem(token, NOW)
+    assert not RedeemedTokens(5, 4, 10).redeem(token, NOW + 5.1)
 
 
-def test_redeemed_tokens_are_bounded_and_forgotten_in_time():
-    here = RedeemedTokens(0, 1, 100)
-    taken = [here.redeem(Token(1, 0, NOW + 5, b"%08d" % n), NOW) for n in range(200)]
-    assert sum(taken) == 100 and len(here.nonces) == len(here.expiries) == 100
-    assert here.redeem(Token(1, 0, NOW + 20, b"later---"), NOW + 6)
-    assert len(here.nonces) == len(here.expiries) == 1
+def test_redeemed_tokens_are_bounded_and_removed_after_expiry():
+    redeemed = RedeemedTokens(0, 1, 100)
+    results = [redeemed.redeem(Token(1, 0, NOW + 5, b"%08d" % n), NOW) for n in range(200)]
+    assert sum(results) == 100 and len(redeemed.nonces) == len(redeemed.expiries) == 100
+    assert redeemed.redeem(Token(1, 0, NOW + 20, b"later---"), NOW + 6)
+    assert len(redeemed.nonces) == len(redeemed.expiries) == 1
 
 
 @seed(14)
 @settings(max_examples=300, deadline=None, database=None)
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 3), st.floats(0, 2)), max_size=60))
-def test_a_token_is_redeemed_at_most_once_at_each_gateway_of_its_group(steps):
-    span, now, uses = 2, NOW, {}
-    gateways = [RedeemedTokens(n, span, 50) for n in range(4)]
-    for name, at, gap in steps:
-        now += gap
-        given_by = name % 4
-        one = Token(1, given_by, NOW + 10, b"%08d" % name)
-        if gateways[at].redeem(one, now):
-            assert now <= NOW + 10 and at // span == given_by // span
-            uses.setdefault(name, []).append(at)
-    for at in uses.values():
-        assert len(at) == len(set(at)) <= span
+def test_token_is_redeemed_at_most_once_at_each_gateway_of_its_group(steps):
+    group_size, now, redeemed_at = 2, NOW, {}
+    gateways = [RedeemedTokens(index, group_size, 50) for index in range(4)]
+    for token_number, gateway_index, delay in steps:
+        now += delay
+        issuer = token_number % 4
+        token = Token(1, issuer, NOW + 10, b"%08d" % token_number)
+        if gateways[gateway_index].redeem(token, now):
+            assert now <= NOW + 10 and gateway_index // group_size == issuer // group_size
+            redeemed_at.setdefault(token_number, []).append(gateway_index)
+    for gateway_indexes in redeemed_at.values():
+        assert len(gateway_indexes) == len(set(gateway_indexes)) <= group_size
 
 
 @seed(14)
 @settings(max_examples=300, deadline=None, database=None)
 @given(
     st.one_of(
-        st.text(max_size=80), st.binary(max_size=60).map(lambda b: base64.urlsafe_b64encode(b).decode())
+        st.text(max_size=80), st.binary(max_size=60).map(lambda data: base64.urlsafe_b64encode(data).decode())
     )
 )
-def test_nothing_that_anybody_makes_up_is_a_token(text):
+def test_arbitrary_text_is_not_a_valid_token(text):
     assert TokenKeys([OLD, NEW, OTHER]).verify(text, PURPOSE) is None
