--- a/apigateway/simulation/faults.py
+++ b/apigateway/simulation/faults.py
@@ -42,7 +42,7 @@
             FaultKind.REFUSE_SOME: self._refuse_connections,
             FaultKind.FALSE_REPORT: self._falsify_reports,
             FaultKind.SLOW: self._slow_hosts,
-            FaultKind.ZONE_OUTAGE: self._lose_zone,
+            FaultKind.ZONE_OUTAGE: self._stop_zone,
             FaultKind.ZONE_PARTITION: self._partition_zone,
             FaultKind.LINK: self._impair_link,
             FaultKind.COUNTER_SILENT: self._silence_counter,
@@ -141,7 +141,7 @@
     def _hosts_in_zone(self, zone: str) -> list[SimulatedHost]:
         return [host for host in self._fleet.hosts.values() if host.endpoint.zone == zone]
 
-    def _lose_zone(self, fault: FaultSettings) -> None:
+    def _stop_zone(self, fault: FaultSettings) -> None:
         """Stop all hosts and gateways of a zone silently."""
         for host in self._hosts_in_zone(fault.zone):
             host.stop()
--- a/apigateway/simulation/shared_processor.py
+++ b/apigateway/simulation/shared_processor.py
@@ -17,7 +17,7 @@
 
     Attributes:
         work: Core seconds that it takes.
-        on_done: Called once with the result, unless the task is cancelled or the host dies.
+        on_done: Called once with the result, unless the task is cancelled or the host fails.
     """
 
     __slots__ = ("is_over", "is_running", "on_done", "work")
