--- a/tests/frontends/grpc/rate_limit_client.py
+++ b/tests/frontends/grpc/rate_limit_client.py
@@ -16,8 +16,8 @@
 class RateLimitClient:
     """A gRPC listener on a gateway, and a client of it."""
 
-    def __init__(self, node, spread=1, **kw):
-        core = node.node.core
+    def __init__(self, harness, spread=1, **kw):
+        core = harness.server.core
         self.front = GrpcFrontend(core, ("127.0.0.1", 0), 50)
         rules = [
             MappingRule("payroll", ("account",), "{account}", "quota", "read", gateway_spread=spread),
--- a/tests/gateway_harness.py
+++ b/tests/gateway_harness.py
@@ -125,7 +125,7 @@
     """Raise the estimated capacity of the gateway's hosts to a hundred concurrent attempts."""
     pool = harness.server.core.module.pool
     pool.capacity.scale = 25.0
-    pool.refresh(harness.server.clock())
+    pool.update_available(harness.server.clock())
 
 
 class GatewayHarness:
