--- a/tests/membership/test_reconciler_driver.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -1,7 +1,7 @@
 """The reconciler with discovery as its source, and its transfer from one source to the next."""
 
 from gateway_harness import make_command, run_on_uvloop
-from rig import LocalDeployment
+from local_deployment import LocalDeployment
 
 from apigateway import messages
 from apigateway.emulators.discovery import EmulatedDiscovery
