--- a/tests/frontends/grpc/test_rate_limit_daemon.py
+++ b/tests/frontends/grpc/test_rate_limit_daemon.py
@@ -1,5 +1,8 @@
-"""The rate limit service of a gateway as an operator runs it: `api-gateway serve` in a process of its own,
-asked by foreign clients (grpcio, with the messages, health and reflection of the package registry)."""
+"""End-to-end tests of the rate limit service of `api-gateway serve`.
+
+The gateway runs in a process of its own. The clients are grpcio with the published messages, health and
+reflection packages.
+"""
 
 import asyncio
 import json
@@ -29,7 +32,7 @@
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.ratelimit import EmulatedRateLimitService
 
-NAME = "envoy.service.ratelimit.v3.RateLimitService"
+RATE_LIMIT_SERVICE = "envoy.service.ratelimit.v3.RateLimitService"
 RULE = """[[ratelimit.rules]]
 domain = "roster"
 entries = ["customer", "plan"]
@@ -38,35 +41,39 @@
 class = "read"
 """
 QUOTA = "[plans.quota]\nrate = 0.05\nburst = 10.0\n"
-A = "00000000000000aa"
-OK, OVER = pb.RateLimitResponse.OK, pb.RateLimitResponse.OVER_LIMIT
+CUSTOMER = "00000000000000aa"
+OK, OVER_LIMIT = pb.RateLimitResponse.OK, pb.RateLimitResponse.OVER_LIMIT
 
 
-class GrpcSite(LocalDeployment):
-    """A site whose gateway has the service too."""
+class GrpcDeployment(LocalDeployment):
+    """A local deployment whose gateway also has a gRPC listener."""
 
-    def __init__(self, path, rules=RULE, **kw):
-        super().__init__(path, **kw)
-        self.checks, self.rules = free_port(), rules
+    def __init__(self, path, rules=RULE, **deployment_options):
+        super().__init__(path, **deployment_options)
+        self.grpc_port, self.rules = free_port(), rules
 
     def write_settings(self, ports=None, rules=None, **tables):
         super().write_settings(ports, **tables)
         text = self.settings_file.read_text()
-        listener = f'[[listeners]]\nprotocol = "grpc"\naddress = "127.0.0.1:{self.checks}"\n'
+        listener = f'[[listeners]]\nprotocol = "grpc"\naddress = "127.0.0.1:{self.grpc_port}"\n'
         self.settings_file.write_text(listener + text + QUOTA + (rules or self.rules))
 
     def channel(self, credentials=None, name=None):
-        target = f"127.0.0.1:{self.checks}"
+        target = f"127.0.0.1:{self.grpc_port}"
         if credentials is None:
             return grpc.aio.insecure_channel(target)
         options = [("grpc.ssl_target_name_override", name)] if name else []
         return grpc.aio.secure_channel(target, credentials, options)
 
-    async def ask(self, channel, customer=A, plan="quota", timeout=5.0, limit=None, **kw):
+    async def check(
+        self, channel, customer=CUSTOMER, plan="quota", timeout=5.0, limit=None, **request_fields
+    ):
         call = channel.unary_unary(
-            f"/{NAME}/ShouldRateLimit", pb.RateLimitRequest.SerializeToString, pb.RateLimitResponse.FromString
+            f"/{RATE_LIMIT_SERVICE}/ShouldRateLimit",
+            pb.RateLimitRequest.SerializeToString,
+            pb.RateLimitResponse.FromString,
         )
-        request = pb.RateLimitRequest(domain="roster", **kw)
+        request = pb.RateLimitRequest(domain="roster", **request_fields)
         descriptor = request.descriptors.add()
         for key, value in (("customer", customer), ("plan", plan)):
             descriptor.entries.add(key=key, value=value)
@@ -79,7 +86,7 @@
         return await self.wait_for_log_line(program, b"reload:")
 
 
-async def run(*arguments):
+async def run_cli(*arguments):
     program = await asyncio.create_subprocess_exec(
         *GATEWAY_COMMAND, *arguments, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE
     )
@@ -88,15 +95,15 @@
 
 
 @run_on_uvloop
-async def test_checks_and_requests_spend_of_one_store_and_both_ports_serve(tmp_path):
-    async with GrpcSite(tmp_path) as site:
+async def test_checks_and_requests_share_a_quota_and_both_ports_serve(tmp_path):
+    async with GrpcDeployment(tmp_path) as site:
         program = await site.start_gateway()
         async with site.channel() as channel:
-            told = [(await site.ask(channel)).overall_code for _ in range(25)]
-            assert 9 <= told.count(OK) <= 20 and told[-1] == OVER
+            overall_codes = [(await site.check(channel)).overall_code for _ in range(25)]
+            assert 9 <= overall_codes.count(OK) <= 20 and overall_codes[-1] == OVER_LIMIT
             reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
             writer.write(
-                make_command(b"r1", make_fields(t="quota"), customer=A.encode()) + make_command(b"r2")
+                make_command(b"r1", make_fields(t="quota"), customer=CUSTOMER.encode()) + make_command(b"r2")
             )
             assert (await read_reply(reader)).startswith(b"-BUSY")
             assert (await read_reply(reader)).startswith(b"$")
@@ -106,64 +113,69 @@
 
 
 @run_on_uvloop
-async def test_health_and_reflection_as_grpc_users_expect(tmp_path):
-    async with GrpcSite(tmp_path) as site:
+async def test_health_and_reflection_follow_the_grpc_protocols(tmp_path):
+    async with GrpcDeployment(tmp_path) as site:
         program = await site.start_gateway()
         async with site.channel() as channel:
             health = health_pb2_grpc.HealthStub(channel)
             request = health_pb2.HealthCheckRequest
-            told = health_pb2.HealthCheckResponse
-            serving, ending = told.SERVING, told.NOT_SERVING
-            for name in ("", NAME):
+            response_type = health_pb2.HealthCheckResponse
+            serving, not_serving = response_type.SERVING, response_type.NOT_SERVING
+            for name in ("", RATE_LIMIT_SERVICE):
                 assert (await health.Check(request(service=name))).status == serving
-            with pytest.raises(grpc.aio.AioRpcError) as told:
+            with pytest.raises(grpc.aio.AioRpcError) as raised:
                 await health.Check(request(service="nobody"))
-            assert told.value.code() == grpc.StatusCode.NOT_FOUND
-            assert set((await health.List(health_pb2.HealthListRequest())).statuses) == {"", NAME}
-            unknown = health.Watch(request(service="nobody"))
-            assert (await unknown.read()).status == health_pb2.HealthCheckResponse.SERVICE_UNKNOWN
-            unknown.cancel()
-            await asyncio.to_thread(self_described, site.checks)
-            watch = health.Watch(request(service=NAME))
+            assert raised.value.code() == grpc.StatusCode.NOT_FOUND
+            assert set((await health.List(health_pb2.HealthListRequest())).statuses) == {
+                "",
+                RATE_LIMIT_SERVICE,
+            }
+            unknown_watch = health.Watch(request(service="nobody"))
+            assert (await unknown_watch.read()).status == health_pb2.HealthCheckResponse.SERVICE_UNKNOWN
+            unknown_watch.cancel()
+            await asyncio.to_thread(assert_reflection_describes_services, site.grpc_port)
+            watch = health.Watch(request(service=RATE_LIMIT_SERVICE))
             assert (await watch.read()).status == serving
             program.send_signal(signal.SIGTERM)
-            assert (await watch.read()).status == ending
-            with pytest.raises(grpc.aio.AioRpcError) as told:
+            assert (await watch.read()).status == not_serving
+            with pytest.raises(grpc.aio.AioRpcError) as raised:
                 await watch.read()
-            assert told.value.code() == grpc.StatusCode.UNAVAILABLE
+            assert raised.value.code() == grpc.StatusCode.UNAVAILABLE
         assert await program.wait() == 0
 
 
-def self_described(port):
-    """A client that knows no message learns them from the server."""
+def assert_reflection_describes_services(port):
+    """Check that a client without message definitions can get them from the server."""
     with grpc.insecure_channel(f"127.0.0.1:{port}") as channel:
-        found = ProtoReflectionDescriptorDatabase(channel)
-        assert {NAME, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection"} <= set(
-            found.get_services()
+        database = ProtoReflectionDescriptorDatabase(channel)
+        assert {RATE_LIMIT_SERVICE, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection"} <= set(
+            database.get_services()
         )
-        pool = DescriptorPool(found)
-        service = pool.FindServiceByName(NAME)
+        pool = DescriptorPool(database)
+        service = pool.FindServiceByName(RATE_LIMIT_SERVICE)
         assert service.methods_by_name["ShouldRateLimit"].input_type.name == "RateLimitRequest"
-        again = pool.FindServiceByName("grpc.reflection.v1.ServerReflection")
-        assert again.methods[0].input_type.full_name == "grpc.reflection.v1.ServerReflectionRequest"
+        reflection_service = pool.FindServiceByName("grpc.reflection.v1.ServerReflection")
+        assert (
+            reflection_service.methods[0].input_type.full_name == "grpc.reflection.v1.ServerReflectionRequest"
+        )
         with pytest.raises(KeyError):
             pool.FindServiceByName("no.such.Service")
 
 
 @run_on_uvloop
-async def test_a_stop_and_a_hand_over_in_the_middle_of_checks_fail_none(tmp_path):
+async def test_no_check_fails_during_a_shutdown_and_hand_over(tmp_path):
     ledger = Ledger(LEDGER_TERMS)
-    async with GrpcSite(tmp_path, ledger=ledger) as site:
+    async with GrpcDeployment(tmp_path, ledger=ledger) as site:
         first = await site.start_gateway()
         async with BackgroundTraffic(site, ledger) as load:
-            checks = Checks(ledger, {"g": ("127.0.0.1", site.checks)})
-            over = False
+            checks = Checks(ledger, {"g": ("127.0.0.1", site.grpc_port)})
+            is_over = False
 
-            async def line():
-                while not over:
-                    await checks.ask("g", A, "p", timeout=3.0)
+            async def send_checks():
+                while not is_over:
+                    await checks.ask("g", CUSTOMER, "p", timeout=3.0)
 
-            lines = [asyncio.ensure_future(line()) for _ in range(4)]
+            senders = [asyncio.ensure_future(send_checks()) for _ in range(4)]
             for _ in range(2):
                 second = await site.start_gateway("--take-over")
                 assert await first.wait() == 0
@@ -171,8 +183,8 @@
                 before = checks.counts["ok"]
                 while checks.counts["ok"] < before + 20:
                     await load.wait_for_served(1)
-            over = True
-            await asyncio.gather(*lines)
+            is_over = True
+            await asyncio.gather(*senders)
             await checks.close()
             assert set(checks.counts) == {"ok"}, checks.failures
         first.send_signal(signal.SIGTERM)
@@ -186,17 +198,17 @@
         self.issue("server", "gateway.test")
 
     def issue(self, name, host, ca=None):
-        made = (ca or self.ca).issue_cert(host)
-        (self.path / f"{name}.pem").write_bytes(b"".join(p.bytes() for p in made.cert_chain_pems))
-        made.private_key_pem.write_to_path(self.path / f"{name}.key")
-        return made
+        issued = (ca or self.ca).issue_cert(host)
+        (self.path / f"{name}.pem").write_bytes(b"".join(pem.bytes() for pem in issued.cert_chain_pems))
+        issued.private_key_pem.write_to_path(self.path / f"{name}.key")
+        return issued
 
     def credentials(self, client=None, ca=None):
         root = (ca or self.ca).cert_pem.bytes()
         if client is None:
             return grpc.ssl_channel_credentials(root)
         return grpc.ssl_channel_credentials(
-            root, client.private_key_pem.bytes(), b"".join(p.bytes() for p in client.cert_chain_pems)
+            root, client.private_key_pem.bytes(), b"".join(pem.bytes() for pem in client.cert_chain_pems)
         )
 
 
@@ -204,53 +216,56 @@
 
 
 @run_on_uvloop
-async def test_tls_and_other_certificates_by_a_reload(tmp_path):
-    made = Certificates(tmp_path)
-    async with GrpcSite(tmp_path, rules=TLS + RULE) as site:
+async def test_tls_certificates_are_replaced_by_a_reload(tmp_path):
+    certificates = Certificates(tmp_path)
+    async with GrpcDeployment(tmp_path, rules=TLS + RULE) as site:
         program = await site.start_gateway()
-        async with site.channel(made.credentials(), "gateway.test") as channel:
-            assert (await site.ask(channel)).overall_code == OK
-            for wrong in (made.credentials(ca=made.other), None):
-                async with site.channel(wrong, "gateway.test") as odd:
-                    with pytest.raises(grpc.aio.AioRpcError) as told:
-                        await site.ask(odd, timeout=2.0)
-                    assert told.value.code() in (
+        async with site.channel(certificates.credentials(), "gateway.test") as channel:
+            assert (await site.check(channel)).overall_code == OK
+            for wrong_credentials in (certificates.credentials(ca=certificates.other), None):
+                async with site.channel(wrong_credentials, "gateway.test") as wrong_channel:
+                    with pytest.raises(grpc.aio.AioRpcError) as raised:
+                        await site.check(wrong_channel, timeout=2.0)
+                    assert raised.value.code() in (
                         grpc.StatusCode.UNAVAILABLE,
                         grpc.StatusCode.DEADLINE_EXCEEDED,
                     )
             (tmp_path / "server.key").write_text("no key")
             assert b"rejected, the old settings stay in force" in await site.reload(program)
-            async with site.channel(made.credentials(), "gateway.test") as again:
-                assert (await site.ask(again)).overall_code == OK
-            made.issue("server", "renewed.test")
+            async with site.channel(certificates.credentials(), "gateway.test") as new_channel:
+                assert (await site.check(new_channel)).overall_code == OK
+            certificates.issue("server", "renewed.test")
             assert b"reloaded" in await site.reload(program)
-            async with site.channel(made.credentials(), "renewed.test") as again:
-                assert (await site.ask(again)).overall_code == OK
-            assert (await site.ask(channel)).overall_code == OK  # a connection from before goes on
+            async with site.channel(certificates.credentials(), "renewed.test") as new_channel:
+                assert (await site.check(new_channel)).overall_code == OK
+            assert (await site.check(channel)).overall_code == OK  # an existing connection continues
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
 
 
 @run_on_uvloop
-async def test_mutual_tls_asks_clients_for_a_certificate_of_the_named_authority(tmp_path):
-    made = Certificates(tmp_path)
-    known, stranger = made.issue("client", "client.test"), made.issue("odd", "client.test", made.other)
-    async with GrpcSite(tmp_path, rules=TLS + 'client_ca = "ca.pem"\n' + RULE) as site:
+async def test_mutual_tls_requires_a_client_certificate_of_the_configured_ca(tmp_path):
+    certificates = Certificates(tmp_path)
+    known, stranger = (
+        certificates.issue("client", "client.test"),
+        certificates.issue("odd", "client.test", certificates.other),
+    )
+    async with GrpcDeployment(tmp_path, rules=TLS + 'client_ca = "ca.pem"\n' + RULE) as site:
         await site.start_gateway()
-        async with site.channel(made.credentials(known), "gateway.test") as channel:
-            assert (await site.ask(channel)).overall_code == OK
+        async with site.channel(certificates.credentials(known), "gateway.test") as channel:
+            assert (await site.check(channel)).overall_code == OK
         for client in (None, stranger):
-            async with site.channel(made.credentials(client), "gateway.test") as channel:
-                with pytest.raises(grpc.aio.AioRpcError) as told:
-                    await site.ask(channel)
-                assert told.value.code() == grpc.StatusCode.UNAVAILABLE
-        code, out, err = await run(
+            async with site.channel(certificates.credentials(client), "gateway.test") as channel:
+                with pytest.raises(grpc.aio.AioRpcError) as raised:
+                    await site.check(channel)
+                assert raised.value.code() == grpc.StatusCode.UNAVAILABLE
+        code, out, err = await run_cli(
             "ratelimit",
             "ask",
-            f"127.0.0.1:{site.checks}",
+            f"127.0.0.1:{site.grpc_port}",
             "--domain",
             "roster",
-            f"customer={A}",
+            f"customer={CUSTOMER}",
             "plan=quota",
             "--ca",
             str(tmp_path / "ca.pem"),
@@ -265,217 +280,228 @@
 
 
 @run_on_uvloop
-async def test_who_says_nothing_before_tls_holds_no_more_than_its_part(tmp_path):
-    made = Certificates(tmp_path)
-    async with GrpcSite(tmp_path, rules=TLS + RULE) as site:
+async def test_silent_clients_before_tls_hold_no_more_than_their_share_of_connections(tmp_path):
+    certificates = Certificates(tmp_path)
+    async with GrpcDeployment(tmp_path, rules=TLS + RULE) as site:
         site.settings_file.write_text(
             site.settings_file.read_text().replace("sockets = 1024", "sockets = 128")
         )
         await site.start_gateway()
-        lines = []
+        silent_connections = []
         for _ in range(60):
-            lines.append(await asyncio.open_connection("127.0.0.1", site.checks))
-        # Of 64 places half are clients', and half of those this front's: more are closed at once.
-        ends = [asyncio.ensure_future(reader.read()) for reader, _ in lines]
-        done, _ = await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
+            silent_connections.append(await asyncio.open_connection("127.0.0.1", site.grpc_port))
+        # Half of the 64 connections are for clients, and half of those for this frontend. Any others are
+        # closed at once.
+        closes = [asyncio.ensure_future(reader.read()) for reader, _ in silent_connections]
+        done, _ = await asyncio.wait(closes, return_when=asyncio.FIRST_COMPLETED)
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         writer.write(make_command(b"r1"))
-        assert (await read_reply(reader)).startswith(b"$")  # the other front has room
-        await asyncio.wait(ends)  # and after their time for a handshake so are all
-        while True:  # a client hears of an end before the server has cleared it away
-            async with site.channel(made.credentials(), "gateway.test") as channel:
+        assert (await read_reply(reader)).startswith(b"$")  # the other frontend still accepts connections
+        await asyncio.wait(closes)  # after the handshake timeout all of them are closed
+        while True:  # a client sees the close before the server has removed the connection
+            async with site.channel(certificates.credentials(), "gateway.test") as channel:
                 try:
-                    assert (await site.ask(channel)).overall_code == OK
+                    assert (await site.check(channel)).overall_code == OK
                     break
                 except grpc.aio.AioRpcError:
                     pass
-        for _, writer in lines:
+        for _, writer in silent_connections:
             writer.close()
 
 
 @run_on_uvloop
-async def test_rules_limits_and_keys_by_a_reload_whole_or_not_at_all(tmp_path):
+async def test_reload_applies_rules_limits_and_keys_completely_or_not_at_all(tmp_path):
     (tmp_path / "key-1").write_bytes(os.urandom(32))
     (tmp_path / "key-2").write_bytes(os.urandom(32))
-    async with GrpcSite(tmp_path) as site:
+    async with GrpcDeployment(tmp_path) as site:
         program = await site.start_gateway()
         async with site.channel() as channel:
-            assert not (await site.ask(channel, plan="p")).response_headers_to_add
-            keyed = '[ratelimit]\ntoken_keys = ["key-1"]\noverride = "tighten"\n'
-            site.write_settings(rules=keyed + RULE + "token = true\n")
+            assert not (await site.check(channel, plan="p")).response_headers_to_add
+            keyed_settings = '[ratelimit]\ntoken_keys = ["key-1"]\noverride = "tighten"\n'
+            site.write_settings(rules=keyed_settings + RULE + "token = true\n")
             assert b"ratelimit" in await site.reload(program)
-            (header,) = (await site.ask(channel, plan="p")).response_headers_to_add
+            (header,) = (await site.check(channel, plan="p")).response_headers_to_add
             assert header.key == "x-calicomast-token"
-            # its own limit: four a minute, of which one may come at once and one more each 15 s
+            # Limit in the descriptor: four a minute, with a burst of one and one more every 15 s.
             codes = [
-                (await site.ask(channel, "00000000000000bb", "p", limit=(4, 2))).overall_code
+                (await site.check(channel, "00000000000000bb", "p", limit=(4, 2))).overall_code
                 for _ in range(6)
             ]
             assert 1 <= codes.count(OK) <= 2
-            site.write_settings(rules=keyed.replace("key-1", "key-3") + RULE)
+            site.write_settings(rules=keyed_settings.replace("key-1", "key-3") + RULE)
             assert b"rejected, the old settings stay in force" in await site.reload(program)
-            site.write_settings(rules=keyed + RULE.replace('"quota"', '"nothing"').replace("{plan}", "gold"))
+            site.write_settings(
+                rules=keyed_settings + RULE.replace('"quota"', '"nothing"').replace("{plan}", "gold")
+            )
             assert b"rejected, the old settings stay in force" in await site.reload(program)
-            assert (await site.ask(channel, plan="p")).response_headers_to_add  # as before
-            site.write_settings(rules=keyed.replace('"key-1"', '"key-2", "key-1"') + RULE + "token = true\n")
+            assert (
+                await site.check(channel, plan="p")
+            ).response_headers_to_add  # the old settings are in force
+            site.write_settings(
+                rules=keyed_settings.replace('"key-1"', '"key-2", "key-1"') + RULE + "token = true\n"
+            )
             assert b"signed with another key" in await site.reload(program)
             reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
             token = f"t=p,d=3000,units=1,spread=1,first=0,tok={header.value}".encode()
-            writer.write(make_command(b"r1", b"c=read," + token, customer=A.encode()))
+            writer.write(make_command(b"r1", b"c=read," + token, customer=CUSTOMER.encode()))
             assert (await read_reply(reader)).startswith(b"$")
             writer.close()
-            code, out, _ = await run("ratelimit", "status", str(site.settings_file))
-            given = 2 + codes.count(OK)
-            assert code == 0 and f"tokens: given {given}, taken 1" in out and "ok " in out
-            site.write_settings(rules=keyed.replace("tighten", "refuse") + RULE)
+            code, out, _ = await run_cli("ratelimit", "status", str(site.settings_file))
+            issued_count = 2 + codes.count(OK)
+            assert code == 0 and f"tokens: given {issued_count}, taken 1" in out and "ok " in out
+            site.write_settings(rules=keyed_settings.replace("tighten", "refuse") + RULE)
             await site.reload(program)
-            with pytest.raises(grpc.aio.AioRpcError) as told:
-                await site.ask(channel, limit=(4, 2))
-            assert told.value.code() == grpc.StatusCode.INVALID_ARGUMENT
+            with pytest.raises(grpc.aio.AioRpcError) as raised:
+                await site.check(channel, limit=(4, 2))
+            assert raised.value.code() == grpc.StatusCode.INVALID_ARGUMENT
 
 
 @run_on_uvloop
-async def test_the_listener_comes_and_goes_by_a_reload(tmp_path):
-    async with GrpcSite(tmp_path) as site:
+async def test_reload_adds_and_removes_the_listener(tmp_path):
+    async with GrpcDeployment(tmp_path) as site:
         LocalDeployment.write_settings(site)
         program = await site.start_gateway()
         with pytest.raises(ConnectionRefusedError):
-            await asyncio.open_connection("127.0.0.1", site.checks)
+            await asyncio.open_connection("127.0.0.1", site.grpc_port)
         site.write_settings()
         site.settings_file.write_text(
             site.settings_file.read_text().replace(QUOTA, "")
         )  # plans wait for a restart
         assert b"listeners" in await site.reload(program)
         async with site.channel() as channel:
-            assert (await site.ask(channel, plan="p")).overall_code == OK
+            assert (await site.check(channel, plan="p")).overall_code == OK
             site.settings_file.write_text(
                 site.settings_file.read_text().replace('protocol = "grpc"', 'protocol = "resp"')
             )
             assert b"rejected" in await site.reload(program)
-            assert (await site.ask(channel, plan="p")).overall_code == OK
+            assert (await site.check(channel, plan="p")).overall_code == OK
             LocalDeployment.write_settings(site)
             assert b"listeners" in await site.reload(program)
         with pytest.raises(ConnectionRefusedError):
-            await asyncio.open_connection("127.0.0.1", site.checks)
+            await asyncio.open_connection("127.0.0.1", site.grpc_port)
 
 
 @run_on_uvloop
-async def test_asking_an_outer_service_by_settings_and_no_more_by_a_reload(tmp_path):
-    async with EmulatedRateLimitService({A: 0}) as service, GrpcSite(tmp_path) as site:
-        ask = f'[ask]\naddress = "127.0.0.1:{service.port}"\nplans = ["p"]\ntimeout = 2.0\nshare = 1.0\n'
-        site.write_settings(rules=ask + RULE)
+async def test_external_service_is_used_by_settings_and_removed_by_a_reload(tmp_path):
+    async with EmulatedRateLimitService({CUSTOMER: 0}) as service, GrpcDeployment(tmp_path) as site:
+        check = f'[ask]\naddress = "127.0.0.1:{service.port}"\nplans = ["p"]\ntimeout = 2.0\nshare = 1.0\n'
+        site.write_settings(rules=check + RULE)
         program = await site.start_gateway()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
-        writer.write(make_command(b"r1", customer=A.encode()))
+        writer.write(make_command(b"r1", customer=CUSTOMER.encode()))
         assert (await read_reply(reader)).startswith(b"-BUSY")
-        code, out, _ = await run("ratelimit", "status", str(site.settings_file), "--json")
+        code, out, _ = await run_cli("ratelimit", "status", str(site.settings_file), "--json")
         assert code == 0 and json.loads(out)["outer"]["counts"] == {"questions": 1, "no": 1}
         site.write_settings()
         assert b"ask" in await site.reload(program)
-        writer.write(make_command(b"r2", customer=A.encode()))
+        writer.write(make_command(b"r2", customer=CUSTOMER.encode()))
         assert (await read_reply(reader)).startswith(b"$")
         writer.close()
 
 
 @run_on_uvloop
-async def test_a_gateway_asks_another_over_tls(tmp_path):
-    """Its own service is one that another gateway can ask: both quotas hold."""
+async def test_gateway_uses_another_gateway_as_its_external_service_over_tls(tmp_path):
+    """A gateway's rate limit service can be another gateway's external service: both quotas apply."""
     Certificates(tmp_path)
-    asked = GrpcSite(tmp_path, rules=TLS + RULE.replace('"plan"]', '"plan=*"]').replace("{plan}", "quota"))
+    external = GrpcDeployment(
+        tmp_path, rules=TLS + RULE.replace('"plan"]', '"plan=*"]').replace("{plan}", "quota")
+    )
     (tmp_path / "b").mkdir()
-    async with asked, LocalDeployment(tmp_path / "b") as site:
-        await asked.start_gateway()
+    async with external, LocalDeployment(tmp_path / "b") as site:
+        await external.start_gateway()
         site.write_settings()
-        ask = (
-            f'[ask]\naddress = "127.0.0.1:{asked.checks}"\nplans = ["p"]\ndomain = "roster"\n'
+        check = (
+            f'[ask]\naddress = "127.0.0.1:{external.grpc_port}"\nplans = ["p"]\ndomain = "roster"\n'
             f'timeout = 2.0\nshare = 1.0\n[ask.tls]\non = true\nca = "../ca.pem"\nname = "gateway.test"\n'
         )
-        site.settings_file.write_text(site.settings_file.read_text() + ask)
+        site.settings_file.write_text(site.settings_file.read_text() + check)
         await site.start_gateway()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         answers = []
         for n in range(25):
-            writer.write(make_command(b"r%d" % n, customer=A.encode()))
+            writer.write(make_command(b"r%d" % n, customer=CUSTOMER.encode()))
             answers.append(await read_reply(reader))
-        served = sum(a.startswith(b"$") for a in answers)
+        served = sum(answer.startswith(b"$") for answer in answers)
         assert 9 <= served <= 20 and answers[-1].startswith(b"-BUSY ")
         writer.close()
 
 
 @run_on_uvloop
-async def test_the_command_line_asks_once(tmp_path):
-    async with GrpcSite(tmp_path) as site:
+async def test_command_line_sends_one_check(tmp_path):
+    async with GrpcDeployment(tmp_path) as site:
         await site.start_gateway()
-        at = (
+        arguments = (
             "ratelimit",
             "ask",
-            f"127.0.0.1:{site.checks}",
+            f"127.0.0.1:{site.grpc_port}",
             "--domain",
             "roster",
-            f"customer={A}",
+            f"customer={CUSTOMER}",
             "plan=quota",
         )
-        code, out, _ = await run(*at)
+        code, out, _ = await run_cli(*arguments)
         assert code == 0 and out.startswith("ok\n") and "3 a minute (quota)" in out and " left" in out
-        code, out, _ = await run(*at, "--descriptor", f"customer={A},plan=p", "--json")
-        told = json.loads(out)
-        assert code == 0 and [s["code"] for s in told["statuses"]] == ["OK", "OK"]
-        code, out, _ = await run(*at, "--hits", "1000")
+        code, out, _ = await run_cli(*arguments, "--descriptor", f"customer={CUSTOMER},plan=p", "--json")
+        response = json.loads(out)
+        assert code == 0 and [status["code"] for status in response["statuses"]] == ["OK", "OK"]
+        code, out, _ = await run_cli(*arguments, "--hits", "1000")
         assert code == 3 and out.startswith("over limit\n")
-        code, _, err = await run("ratelimit", "ask", f"127.0.0.1:{free_port()}", "a=b", "--timeout", "0.3")
+        code, _, err = await run_cli(
+            "ratelimit", "ask", f"127.0.0.1:{free_port()}", "a=b", "--timeout", "0.3"
+        )
         assert code == 1 and "DEADLINE_EXCEEDED" in err
-        for odd in (["nowhere", "a=b"], [at[2], "novalue"], [at[2]]):
-            code, _, err = await run("ratelimit", "ask", *odd)
+        for invalid_arguments in (["nowhere", "a=b"], [arguments[2], "novalue"], [arguments[2]]):
+            code, _, err = await run_cli("ratelimit", "ask", *invalid_arguments)
             assert code == 2 and err.startswith("api-gateway: ")
 
 
 @run_on_uvloop
-async def test_a_gateway_without_it_loads_nothing_of_it():
+async def test_gateway_without_rate_limit_service_does_not_import_its_modules():
     code = (
         "import sys; {}; print([m for m in sys.modules if m.split('.')[0] in ('h2', 'hpack', 'envoy', "
         "'google', 'grpc', 'grpc_health', 'grpc_reflection') "
         "or m in ('apigateway.upstream.rpc', 'apigateway.frontends.grpc.frontend', "
         "'apigateway.frontends.grpc.tokens') "
-        # The package and its settings are plain data.
+        # The package and its settings module do not import gRPC.
         "or 'ratelimit' in m and m not in ('apigateway.external_ratelimit', "
         "'apigateway.external_ratelimit.settings')])"
     )
-    for what in ("import apigateway.daemon.platform", "import apigateway.daemon.serve"):
+    for statement in ("import apigateway.daemon.platform", "import apigateway.daemon.serve"):
         program = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", code.format(what), cwd=ROOT, stdout=subprocess.PIPE
+            sys.executable, "-c", code.format(statement), cwd=ROOT, stdout=subprocess.PIPE
         )
-        assert (await program.communicate())[0] == b"[]\n", what
+        assert (await program.communicate())[0] == b"[]\n", statement
 
 
 @run_on_uvloop
-async def test_workers_share_the_listener_and_each_tells_of_its_own(tmp_path):
+async def test_workers_share_the_listener_and_report_their_own_counts(tmp_path):
     (tmp_path / "key-1").write_bytes(os.urandom(32))
     rules = '[ratelimit]\ntoken_keys = ["key-1"]\n' + RULE + "token = true\n"
-    async with GrpcSite(tmp_path, rules=rules) as site:
+    async with GrpcDeployment(tmp_path, rules=rules) as site:
         program = await site.start_gateway("--workers", "2", ready=False)
         await site.wait_for_log_line(program, b"workers listen on")
         tokens = []
         for _ in range(8):
             async with grpc.aio.insecure_channel(
-                f"127.0.0.1:{site.checks}", [("grpc.use_local_subchannel_pool", 1)]
+                f"127.0.0.1:{site.grpc_port}", [("grpc.use_local_subchannel_pool", 1)]
             ) as channel:
-                response = await site.ask(channel, plan="p")
+                response = await site.check(channel, plan="p")
                 tokens += [header.value for header in response.response_headers_to_add]
         assert len(tokens) == 8
-        code, out, err = await run("ratelimit", "status", str(site.settings_file))
-        told = [line for line in out.splitlines() if line.startswith("tokens: given ")]
+        code, out, err = await run_cli("ratelimit", "status", str(site.settings_file))
+        token_lines = [line for line in out.splitlines() if line.startswith("tokens: given ")]
         assert code == 0 and "worker-0:" in out and "worker-1:" in out, err
-        assert sum(int(line.split()[2].rstrip(",")) for line in told) == 8
+        assert sum(int(line.split()[2].rstrip(",")) for line in token_lines) == 8
         served = 0
-        for n in range(8):  # a token is taken by either worker, and once by each at most
+        for n in range(8):  # either worker redeems a token, each at most once
             reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
-            terms_told = f"c=read,t=p,d=3000,units=1,spread=1,first=0,tok={tokens[0]}".encode()
-            writer.write(make_command(b"r%d" % n, terms_told, customer=A.encode()))
+            fields = f"c=read,t=p,d=3000,units=1,spread=1,first=0,tok={tokens[0]}".encode()
+            writer.write(make_command(b"r%d" % n, fields, customer=CUSTOMER.encode()))
             served += (await read_reply(reader)).startswith(b"$")
             writer.close()
-        assert served == 8  # there is quota for all; those without a token pay
-        code, out, err = await run("ratelimit", "status", str(site.settings_file), "--json")
-        taken = [worker["tokens"].get("taken", 0) for worker in json.loads(out).values()]
-        assert 1 <= sum(taken) <= 2 and max(taken) == 1
+        assert served == 8  # the quota suffices for all; requests without a redeemed token use it
+        code, out, err = await run_cli("ratelimit", "status", str(site.settings_file), "--json")
+        redeemed_counts = [worker["tokens"].get("taken", 0) for worker in json.loads(out).values()]
+        assert 1 <= sum(redeemed_counts) <= 2 and max(redeemed_counts) == 1
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
--- a/tests/frontends/grpc/test_server_session.py
+++ b/tests/frontends/grpc/test_server_session.py
@@ -1,4 +1,4 @@
-"""gRPC over HTTP/2 without a socket: h2's client on the other side, and bytes that no client would send."""
+"""Tests of ServerSession (gRPC over HTTP/2) without sockets, against an h2 client and malformed bytes."""
 
 import h2.config
 import h2.connection
@@ -23,8 +23,8 @@
 PATH = b"/envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit"
 
 
-def headers(**more):
-    told = {
+def make_headers(**more):
+    headers = {
         b":method": b"POST",
         b":scheme": b"http",
         b":path": PATH,
@@ -32,67 +32,69 @@
         b"te": b"trailers",
         b"content-type": b"application/grpc",
     }
-    told |= {name.replace("_", "-").encode(): value for name, value in more.items()}
-    return [(name, value) for name, value in told.items() if value is not None]
+    headers |= {name.replace("_", "-").encode(): value for name, value in more.items()}
+    return [(name, value) for name, value in headers.items() if value is not None]
 
 
-def framed(message):
+def frame_message(message):
     return b"\0" + len(message).to_bytes(4, "big") + message
 
 
-class Pair:
-    """A session, and a client that hears what it says."""
+class ServerWithH2Client:
+    """A ServerSession connected to a plain h2 client."""
 
     def __init__(self):
         self.session = ServerSession()
         self.client = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
         self.client.initiate_connection()
-        self.heard, self.told = [], []
-        self.go()
+        self.client_events, self.server_events = [], []
+        self.exchange()
 
-    def go(self):
+    def exchange(self):
         while True:
-            self.told += self.session.receive(self.client.data_to_send())
+            self.server_events += self.session.receive(self.client.data_to_send())
             data = self.session.data_to_send()
             if not data:
                 return
-            self.heard += self.client.receive_data(data)
-
-    def ask(self, message=b"hello", end=True, data=None, **more):
-        number = self.client.get_next_available_stream_id()
-        self.client.send_headers(number, headers(**more))
-        self.client.send_data(number, framed(message) if data is None else data, end_stream=end)
-        self.go()
-        return number
-
-    def status(self, number):
-        """Status and message of a stream's end; None: it has not ended."""
-        for event in self.heard:
+            self.client_events += self.client.receive_data(data)
+
+    def call(self, message=b"hello", end_stream=True, data=None, **more):
+        stream_id = self.client.get_next_available_stream_id()
+        self.client.send_headers(stream_id, make_headers(**more))
+        self.client.send_data(
+            stream_id, frame_message(message) if data is None else data, end_stream=end_stream
+        )
+        self.exchange()
+        return stream_id
+
+    def status(self, stream_id):
+        """Return the gRPC status and message of a stream; None if it has not ended."""
+        for event in self.client_events:
             if isinstance(event, h2.events.ResponseReceived | h2.events.TrailersReceived):
-                told = dict(event.headers)
-                if event.stream_id == number and b"grpc-status" in told:
-                    return int(told[b"grpc-status"]), told.get(b"grpc-message", b"")
+                headers = dict(event.headers)
+                if event.stream_id == stream_id and b"grpc-status" in headers:
+                    return int(headers[b"grpc-status"]), headers.get(b"grpc-message", b"")
         return None
 
-    def data(self, number):
+    def data(self, stream_id):
         return b"".join(
             event.data
-            for event in self.heard
-            if isinstance(event, h2.events.DataReceived) and event.stream_id == number
+            for event in self.client_events
+            if isinstance(event, h2.events.DataReceived) and event.stream_id == stream_id
         )
 
 
-def test_a_call_and_its_answer():
-    pair = Pair()
-    number = pair.ask(grpc_timeout=b"250m")
-    assert pair.told == [UnaryCall(number, PATH.decode(), b"hello", 0.25)]
-    pair.session.send_response(number, b"world", [(b"x-more", b"1")])
-    pair.go()
-    assert pair.data(number) == framed(b"world") and pair.status(number) == (0, b"")
-    pair.session.send_response(number, b"again")  # once
-    pair.session.send_status(number, GrpcStatus.UNAVAILABLE, "again")
-    pair.go()
-    assert pair.data(number) == framed(b"world") and pair.session.is_idle
+def test_unary_call_gets_one_response():
+    peers = ServerWithH2Client()
+    stream_id = peers.call(grpc_timeout=b"250m")
+    assert peers.server_events == [UnaryCall(stream_id, PATH.decode(), b"hello", 0.25)]
+    peers.session.send_response(stream_id, b"world", [(b"x-more", b"1")])
+    peers.exchange()
+    assert peers.data(stream_id) == frame_message(b"world") and peers.status(stream_id) == (0, b"")
+    peers.session.send_response(stream_id, b"again")  # ignored: the call is answered
+    peers.session.send_status(stream_id, GrpcStatus.UNAVAILABLE, "again")
+    peers.exchange()
+    assert peers.data(stream_id) == frame_message(b"world") and peers.session.is_idle
 
 
 @pytest.mark.parametrize(
@@ -107,321 +109,331 @@
         (None, None),
     ],
 )
-def test_a_timeout_is_read_in_each_unit(text, seconds):
-    pair = Pair()
-    pair.ask(grpc_timeout=text)
-    told = pair.told[0].timeout
-    assert told is seconds if seconds is None else told == pytest.approx(seconds)
+def test_timeout_is_parsed_in_each_unit(text, seconds):
+    peers = ServerWithH2Client()
+    peers.call(grpc_timeout=text)
+    timeout = peers.server_events[0].timeout
+    assert timeout is seconds if seconds is None else timeout == pytest.approx(seconds)
 
 
 @pytest.mark.parametrize(
-    "what, status",
+    "call_options, status",
     [
         (dict(grpc_timeout=b"soon"), GrpcStatus.INTERNAL),
         (dict(grpc_timeout=b"123456789S"), GrpcStatus.INTERNAL),
         (dict(grpc_timeout=b"-1S"), GrpcStatus.INTERNAL),
         (dict(grpc_encoding=b"gzip"), GrpcStatus.UNIMPLEMENTED),
         (dict(data=b"\1\0\0\0\1x"), GrpcStatus.UNIMPLEMENTED),
-        (dict(data=framed(b"a") * 2), GrpcStatus.INTERNAL),
-        (dict(data=framed(b"abc")[:-1]), GrpcStatus.INTERNAL),
+        (dict(data=frame_message(b"a") * 2), GrpcStatus.INTERNAL),
+        (dict(data=frame_message(b"abc")[:-1]), GrpcStatus.INTERNAL),
         (dict(data=b"\0\0"), GrpcStatus.INTERNAL),
         (dict(data=b""), GrpcStatus.INTERNAL),
-        (dict(data=b"\0\xff\xff\xff\xff", end=False), GrpcStatus.RESOURCE_EXHAUSTED),
+        (dict(data=b"\0\xff\xff\xff\xff", end_stream=False), GrpcStatus.RESOURCE_EXHAUSTED),
     ],
 )
-def test_an_invalid_call_is_refused_and_the_next_is_taken(what, status):
-    pair = Pair()
-    number = pair.ask(**what)
-    assert pair.status(number)[0] == status and not pair.told and pair.session.is_idle
-    number = pair.ask()
-    assert [call.stream_id for call in pair.told] == [number]
+def test_invalid_call_fails_and_the_next_call_is_accepted(call_options, status):
+    peers = ServerWithH2Client()
+    stream_id = peers.call(**call_options)
+    assert peers.status(stream_id)[0] == status and not peers.server_events and peers.session.is_idle
+    stream_id = peers.call()
+    assert [call.stream_id for call in peers.server_events] == [stream_id]
 
 
 @pytest.mark.parametrize("more", [{"content_type": b"text/html"}, {"content_type": None}])
-def test_a_request_that_is_no_grpc_is_answered_by_an_http_status(more):
-    pair = Pair()
-    pair.ask(**more)
-    told = next(event for event in pair.heard if isinstance(event, h2.events.ResponseReceived))
-    assert dict(told.headers)[b":status"] == b"415" and not pair.told
-
-
-def test_a_message_is_put_together_and_one_of_four_megabytes_is_not_kept():
-    pair = Pair()
-    number = pair.ask(end=False, data=framed(b"hello")[:3])
-    for byte in framed(b"hello")[3:]:
-        pair.client.send_data(number, bytes([byte]))
-        pair.go()
-    assert not pair.told
-    pair.client.end_stream(number)
-    pair.go()
-    assert pair.told[0].message == b"hello"
-    big = pair.ask(end=False, data=b"\0" + (4 << 20).to_bytes(4, "big") + b"x" * 1000)
-    assert pair.status(big)[0] == GrpcStatus.RESOURCE_EXHAUSTED and not pair.session.incoming_calls
-
-
-def test_calls_when_cancelled_by_the_thousand_leave_nothing():
-    pair = Pair()
+def test_request_with_another_content_type_gets_an_http_error(more):
+    peers = ServerWithH2Client()
+    peers.call(**more)
+    response = next(event for event in peers.client_events if isinstance(event, h2.events.ResponseReceived))
+    assert dict(response.headers)[b":status"] == b"415" and not peers.server_events
+
+
+def test_message_is_assembled_from_parts_and_an_oversized_one_is_dropped():
+    peers = ServerWithH2Client()
+    stream_id = peers.call(end_stream=False, data=frame_message(b"hello")[:3])
+    for byte in frame_message(b"hello")[3:]:
+        peers.client.send_data(stream_id, bytes([byte]))
+        peers.exchange()
+    assert not peers.server_events
+    peers.client.end_stream(stream_id)
+    peers.exchange()
+    assert peers.server_events[0].message == b"hello"
+    big_stream_id = peers.call(end_stream=False, data=b"\0" + (4 << 20).to_bytes(4, "big") + b"x" * 1000)
+    assert (
+        peers.status(big_stream_id)[0] == GrpcStatus.RESOURCE_EXHAUSTED and not peers.session.incoming_calls
+    )
+
+
+def test_thousands_of_cancelled_calls_leave_no_state():
+    peers = ServerWithH2Client()
     for _ in range(3000):
-        number = pair.ask()
-        pair.client.reset_stream(number)
-        pair.go()
-        assert pair.told[-1] == CallCancelled(number)
-        pair.session.send_response(number, b"too late")
-    assert pair.session.is_idle and len(pair.told) == 6000
-    assert pair.ask() == pair.told[-1].stream_id
+        stream_id = peers.call()
+        peers.client.reset_stream(stream_id)
+        peers.exchange()
+        assert peers.server_events[-1] == CallCancelled(stream_id)
+        peers.session.send_response(stream_id, b"too late")
+    assert peers.session.is_idle and len(peers.server_events) == 6000
+    assert peers.call() == peers.server_events[-1].stream_id
 
 
-def test_more_streams_than_are_allowed_end_the_connection_and_its_calls():
-    pair = Pair()
+def test_exceeding_the_stream_limit_ends_the_connection_and_its_calls():
+    peers = ServerWithH2Client()
     for _ in range(server_session.MAX_CONCURRENT_STREAMS):
-        pair.ask()
-    raw = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
-    raw.initiate_connection()
+        peers.call()
+    client = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
+    client.initiate_connection()
     session = ServerSession()
-    told = []
-    for _ in range(server_session.MAX_CONCURRENT_STREAMS + 1):  # a client that has not heard the limit yet
-        number = raw.get_next_available_stream_id()
-        raw.send_headers(number, headers())
-        raw.send_data(number, framed(b"x"), end_stream=True)
-        told += session.receive(raw.data_to_send())
-    calls = [one.stream_id for one in told if isinstance(one, UnaryCall)]
+    events = []
+    for _ in range(server_session.MAX_CONCURRENT_STREAMS + 1):  # the client has not received the limit yet
+        stream_id = client.get_next_available_stream_id()
+        client.send_headers(stream_id, make_headers())
+        client.send_data(stream_id, frame_message(b"x"), end_stream=True)
+        events += session.receive(client.data_to_send())
+    call_ids = [event.stream_id for event in events if isinstance(event, UnaryCall)]
+    assert (
+        len(call_ids) == server_session.MAX_CONCURRENT_STREAMS
+        and len(peers.server_events) == server_session.MAX_CONCURRENT_STREAMS
+    )
     assert (
-        len(calls) == server_session.MAX_CONCURRENT_STREAMS
-        and len(pair.told) == server_session.MAX_CONCURRENT_STREAMS
+        session.must_close
+        and [event.stream_id for event in events if isinstance(event, CallCancelled)] == call_ids
     )
-    assert session.must_close and [one.stream_id for one in told if isinstance(one, CallCancelled)] == calls
 
 
-def test_a_client_that_opens_no_window_is_cut_off_before_it_fills_memory():
-    pair = Pair()
-    pair.client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 0})
-    pair.go()
+def test_connection_closes_when_a_client_opens_no_flow_control_window():
+    peers = ServerWithH2Client()
+    peers.client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 0})
+    peers.exchange()
     for _ in range(100):
-        number = pair.ask()
-        pair.session.send_response(number, b"x" * 60_000)
-        if pair.session.must_close:
+        stream_id = peers.call()
+        peers.session.send_response(stream_id, b"x" * 60_000)
+        if peers.session.must_close:
             break
-    kept = sum(len(response.data) for response in pair.session.responses.pending.values())
-    assert pair.session.must_close and kept <= server_session.MAX_UNSENT_BYTES + 60_005
-
-
-def test_an_answer_waits_for_the_window_and_goes_on():
-    pair = Pair()
-    pair.client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 10})
-    pair.go()
-    number = pair.ask()
-    pair.session.send_response(number, b"y" * 100)
-    pair.go()
-    assert len(pair.data(number)) == 10 and pair.status(number) is None
-    pair.client.increment_flow_control_window(200, number)
-    pair.go()
-    assert pair.data(number) == framed(b"y" * 100) and pair.status(number) == (0, b"")
-
-
-def test_draining_lets_calls_that_were_taken_be_answered_and_takes_no_new_ones():
-    pair = Pair()
-    number = pair.ask()
-    pair.session.start_draining()
-    raw, word = pair.client, pair.session.data_to_send()
-    late = raw.get_next_available_stream_id()
-    raw.send_headers(late, headers())  # sent before the client hears that it ends
-    raw.send_data(late, framed(b"late"), end_stream=True)
-    assert [call.stream_id for call in pair.session.receive(raw.data_to_send())] == [late]
-    assert not pair.session.is_finished
-    left, last = rpc.GoAwayFilter().feed(word)
-    assert last == 2**31 - 1
-    raw.receive_data(left)  # now it has heard, and says so
-    assert not pair.session.receive(raw.data_to_send())
-    assert rpc.GoAwayFilter().feed(pair.session.data_to_send())[1] == late
-    later = raw.get_next_available_stream_id()
-    raw.send_headers(later, headers(), end_stream=True)  # against its word
-    assert not pair.session.receive(raw.data_to_send())
-    pair.session.send_response(number, b"in time")
-    pair.session.send_response(late, b"in time too")
+    pending_bytes = sum(len(response.data) for response in peers.session.responses.pending.values())
+    assert peers.session.must_close and pending_bytes <= server_session.MAX_UNSENT_BYTES + 60_005
+
+
+def test_response_waits_for_the_flow_control_window():
+    peers = ServerWithH2Client()
+    peers.client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 10})
+    peers.exchange()
+    stream_id = peers.call()
+    peers.session.send_response(stream_id, b"y" * 100)
+    peers.exchange()
+    assert len(peers.data(stream_id)) == 10 and peers.status(stream_id) is None
+    peers.client.increment_flow_control_window(200, stream_id)
+    peers.exchange()
+    assert peers.data(stream_id) == frame_message(b"y" * 100) and peers.status(stream_id) == (0, b"")
+
+
+def test_draining_answers_accepted_calls_and_accepts_no_new_ones():
+    peers = ServerWithH2Client()
+    stream_id = peers.call()
+    peers.session.start_draining()
+    client, goaway_data = peers.client, peers.session.data_to_send()
+    late_id = client.get_next_available_stream_id()
+    client.send_headers(late_id, make_headers())  # sent before the client receives the GOAWAY
+    client.send_data(late_id, frame_message(b"late"), end_stream=True)
+    assert [call.stream_id for call in peers.session.receive(client.data_to_send())] == [late_id]
+    assert not peers.session.is_finished
+    other_data, last_stream_id = rpc.GoAwayFilter().feed(goaway_data)
+    assert last_stream_id == 2**31 - 1
+    client.receive_data(other_data)  # the client receives the GOAWAY and acknowledges the PING
+    assert not peers.session.receive(client.data_to_send())
+    assert rpc.GoAwayFilter().feed(peers.session.data_to_send())[1] == late_id
+    refused_id = client.get_next_available_stream_id()
+    client.send_headers(refused_id, make_headers(), end_stream=True)  # a protocol violation after the GOAWAY
+    assert not peers.session.receive(client.data_to_send())
+    peers.session.send_response(stream_id, b"in time")
+    peers.session.send_response(late_id, b"in time too")
     assert (
-        not pair.session.is_finished
-        and pair.session.data_to_send()
-        and pair.session.is_finished
-        and not pair.session.must_close
+        not peers.session.is_finished
+        and peers.session.data_to_send()
+        and peers.session.is_finished
+        and not peers.session.must_close
     )
 
 
-def test_a_call_when_reset_in_the_bytes_that_it_came_with_does_no_harm():
-    pair = Pair()
-    client = pair.client
+def test_call_reset_in_the_same_bytes_does_not_affect_others():
+    peers = ServerWithH2Client()
+    client = peers.client
     client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 2})
-    pair.go()
-    held = pair.ask()
-    pair.session.send_response(held, b"waits")
-    for data in (b"\1\0\0\0\1x", framed(b"x") * 2, framed(b"x")):
-        number = client.get_next_available_stream_id()
-        client.send_headers(number, headers())
-        client.send_data(number, data)
-        client.reset_stream(number)
-    for odd in (dict(grpc_timeout=b"soon"), dict(content_type=b"x")):
-        number = client.get_next_available_stream_id()
-        client.send_headers(number, headers(**odd))
-        client.reset_stream(number)
-    client.increment_flow_control_window(100, held)
-    client.reset_stream(held)
-    pair.go()
-    assert pair.session.is_idle and not pair.session.must_close
-    assert pair.ask() == pair.told[-1].stream_id
-
-
-def test_a_status_text_is_percent_encoded():
-    pair = Pair()
-    number = pair.ask()
-    pair.session.send_status(number, GrpcStatus.UNAVAILABLE, "50% é\n")
-    pair.go()
-    assert pair.status(number) == (GrpcStatus.UNAVAILABLE, b"50%25 %C3%A9%0A")
+    peers.exchange()
+    blocked_id = peers.call()
+    peers.session.send_response(blocked_id, b"waits")
+    for data in (b"\1\0\0\0\1x", frame_message(b"x") * 2, frame_message(b"x")):
+        stream_id = client.get_next_available_stream_id()
+        client.send_headers(stream_id, make_headers())
+        client.send_data(stream_id, data)
+        client.reset_stream(stream_id)
+    for invalid_headers in (dict(grpc_timeout=b"soon"), dict(content_type=b"x")):
+        stream_id = client.get_next_available_stream_id()
+        client.send_headers(stream_id, make_headers(**invalid_headers))
+        client.reset_stream(stream_id)
+    client.increment_flow_control_window(100, blocked_id)
+    client.reset_stream(blocked_id)
+    peers.exchange()
+    assert peers.session.is_idle and not peers.session.must_close
+    assert peers.call() == peers.server_events[-1].stream_id
+
+
+def test_status_message_is_percent_encoded():
+    peers = ServerWithH2Client()
+    stream_id = peers.call()
+    peers.session.send_status(stream_id, GrpcStatus.UNAVAILABLE, "50% é\n")
+    peers.exchange()
+    assert peers.status(stream_id) == (GrpcStatus.UNAVAILABLE, b"50%25 %C3%A9%0A")
 
 
 @seed(14)
 @settings(max_examples=150, deadline=None, database=None)
 @given(st.lists(st.integers(1, 400), max_size=12), st.binary(max_size=60), st.integers(0, 600))
-def test_any_bytes_however_they_are_cut_are_read_or_end_the_connection(cuts, noise, place):
+def test_any_bytes_in_any_chunks_are_parsed_or_end_the_connection(chunk_sizes, noise, noise_offset):
     client = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
     client.initiate_connection()
     for _ in range(4):
-        number = client.get_next_available_stream_id()
-        client.send_headers(number, headers())
-        client.send_data(number, framed(b"x" * 50), end_stream=True)
-    stream = bytearray(client.data_to_send())
+        stream_id = client.get_next_available_stream_id()
+        client.send_headers(stream_id, make_headers())
+        client.send_data(stream_id, frame_message(b"x" * 50), end_stream=True)
+    data = bytearray(client.data_to_send())
     if noise:
-        stream[min(place, len(stream)) : min(place, len(stream)) + len(noise)] = noise
-    session, told, at = ServerSession(), [], 0
-    for cut in [*cuts, len(stream)]:
-        if at < len(stream) and not session.must_close:
-            told += session.receive(bytes(stream[at : at + cut]))
-        at += cut
+        data[min(noise_offset, len(data)) : min(noise_offset, len(data)) + len(noise)] = noise
+    session, events, offset = ServerSession(), [], 0
+    for chunk_size in [*chunk_sizes, len(data)]:
+        if offset < len(data) and not session.must_close:
+            events += session.receive(bytes(data[offset : offset + chunk_size]))
+        offset += chunk_size
         session.data_to_send()
-    calls = [one.stream_id for one in told if isinstance(one, UnaryCall)]
-    assert len(calls) == len(set(calls)) <= 4
-    if not noise and sum(cuts) >= 0:
-        assert len(calls) == 4 or at < len(stream)
-    for number in calls:
-        session.send_response(number, b"x") if not session.must_close else None
+    call_ids = [event.stream_id for event in events if isinstance(event, UnaryCall)]
+    assert len(call_ids) == len(set(call_ids)) <= 4
+    if not noise and sum(chunk_sizes) >= 0:
+        assert len(call_ids) == 4 or offset < len(data)
+    for stream_id in call_ids:
+        session.send_response(stream_id, b"x") if not session.must_close else None
     session.data_to_send()
 
 
-def test_a_client_that_sent_goaway_still_gets_its_responses():
-    pair = Pair()
-    number = pair.ask()
-    pair.session.receive(GoAwayFrame(0, last_stream_id=0, error_code=0).serialize())
-    assert not pair.session.must_close
-    pair.session.send_response(number, b"in time")
-    pair.go()
-    assert pair.data(number) == framed(b"in time") and pair.session.is_finished
+def test_client_that_sent_goaway_still_gets_its_responses():
+    peers = ServerWithH2Client()
+    stream_id = peers.call()
+    peers.session.receive(GoAwayFrame(0, last_stream_id=0, error_code=0).serialize())
+    assert not peers.session.must_close
+    peers.session.send_response(stream_id, b"in time")
+    peers.exchange()
+    assert peers.data(stream_id) == frame_message(b"in time") and peers.session.is_finished
 
 
 STREAM = "/a.B/Talk"
 
 
-class StreamingPair(Pair):
+class StreamingServerWithH2Client(ServerWithH2Client):
     def __init__(self):
         super().__init__()
         self.session.streaming_paths = {STREAM}
 
-    def open(self, *messages, end=False):
-        number = self.client.get_next_available_stream_id()
-        told = [(k, STREAM.encode() if k == b":path" else v) for k, v in headers()]
-        self.client.send_headers(number, told)
+    def open(self, *messages, end_stream=False):
+        stream_id = self.client.get_next_available_stream_id()
+        headers = [(name, STREAM.encode() if name == b":path" else value) for name, value in make_headers()]
+        self.client.send_headers(stream_id, headers)
         for message in messages:
-            self.client.send_data(number, framed(message))
-        if end:
-            self.client.end_stream(number)
-        self.go()
-        return number
-
-
-def test_a_stream_is_given_out_message_by_message_and_answered_so():
-    pair = StreamingPair()
-    number = pair.open(b"one", b"two")
-    assert pair.told == [
-        StreamOpened(number, STREAM),
-        StreamMessage(number, b"one"),
-        StreamMessage(number, b"two"),
+            self.client.send_data(stream_id, frame_message(message))
+        if end_stream:
+            self.client.end_stream(stream_id)
+        self.exchange()
+        return stream_id
+
+
+def test_streaming_call_exchanges_messages_one_by_one():
+    peers = StreamingServerWithH2Client()
+    stream_id = peers.open(b"one", b"two")
+    assert peers.server_events == [
+        StreamOpened(stream_id, STREAM),
+        StreamMessage(stream_id, b"one"),
+        StreamMessage(stream_id, b"two"),
     ]
-    pair.session.send_message(number, b"first")
-    pair.session.send_message(number, b"second")
-    pair.client.send_data(number, framed(b"three") + framed(b"four"), end_stream=True)
-    pair.go()
-    assert pair.told[-3:] == [
-        StreamMessage(number, b"three"),
-        StreamMessage(number, b"four"),
-        StreamHalfClosed(number),
+    peers.session.send_message(stream_id, b"first")
+    peers.session.send_message(stream_id, b"second")
+    peers.client.send_data(stream_id, frame_message(b"three") + frame_message(b"four"), end_stream=True)
+    peers.exchange()
+    assert peers.server_events[-3:] == [
+        StreamMessage(stream_id, b"three"),
+        StreamMessage(stream_id, b"four"),
+        StreamHalfClosed(stream_id),
     ]
-    pair.session.send_status(number, 0, "")
-    pair.go()
-    assert pair.data(number) == framed(b"first") + framed(b"second") and pair.status(number)[0] == 0
-    pair.session.send_message(number, b"late")
-    pair.go()
-    assert pair.session.is_idle and not pair.session.partial_bytes
-
-
-def test_a_stream_ends_from_either_side():
-    pair = StreamingPair()
-    number = pair.open(b"one")
-    pair.client.reset_stream(number)
-    pair.go()
-    assert pair.told[-1] == CallCancelled(number) and pair.session.is_idle
-    number = pair.open(b"one")
-    pair.session.send_status(number, GrpcStatus.NOT_FOUND, "none")
-    pair.go()
-    assert pair.status(number) == (GrpcStatus.NOT_FOUND, b"none") and pair.session.is_idle
-    number = pair.open(b"one")
-    pair.session.send_message(number, b"said")
-    pair.session.send_status(number, GrpcStatus.UNAVAILABLE, "ends")
-    pair.go()
-    assert pair.status(number) == (GrpcStatus.UNAVAILABLE, b"ends") and pair.session.is_idle
-    number = pair.open(b"one", end=True)
-    assert pair.told[-1] == StreamHalfClosed(number)
-    assert pair.ask() == pair.told[-1].stream_id  # and calls go on beside them
-
-
-def test_a_stream_that_sends_what_is_no_message_is_ended():
-    pair = StreamingPair()
-    number = pair.open(b"one")
-    pair.client.send_data(number, b"\1\0\0\0\1x")
-    pair.go()
+    peers.session.send_status(stream_id, 0, "")
+    peers.exchange()
     assert (
-        pair.told[-1] == CallCancelled(number)
-        and pair.status(number)[0] == GrpcStatus.UNIMPLEMENTED
-        and pair.session.is_idle
+        peers.data(stream_id) == frame_message(b"first") + frame_message(b"second")
+        and peers.status(stream_id)[0] == 0
+    )
+    peers.session.send_message(stream_id, b"late")
+    peers.exchange()
+    assert peers.session.is_idle and not peers.session.partial_bytes
+
+
+def test_streaming_call_can_be_ended_by_client_or_server():
+    peers = StreamingServerWithH2Client()
+    stream_id = peers.open(b"one")
+    peers.client.reset_stream(stream_id)
+    peers.exchange()
+    assert peers.server_events[-1] == CallCancelled(stream_id) and peers.session.is_idle
+    stream_id = peers.open(b"one")
+    peers.session.send_status(stream_id, GrpcStatus.NOT_FOUND, "none")
+    peers.exchange()
+    assert peers.status(stream_id) == (GrpcStatus.NOT_FOUND, b"none") and peers.session.is_idle
+    stream_id = peers.open(b"one")
+    peers.session.send_message(stream_id, b"said")
+    peers.session.send_status(stream_id, GrpcStatus.UNAVAILABLE, "ends")
+    peers.exchange()
+    assert peers.status(stream_id) == (GrpcStatus.UNAVAILABLE, b"ends") and peers.session.is_idle
+    stream_id = peers.open(b"one", end_stream=True)
+    assert peers.server_events[-1] == StreamHalfClosed(stream_id)
+    assert peers.call() == peers.server_events[-1].stream_id  # unary calls still work on the same connection
+
+
+def test_streaming_call_with_an_invalid_message_is_ended():
+    peers = StreamingServerWithH2Client()
+    stream_id = peers.open(b"one")
+    peers.client.send_data(stream_id, b"\1\0\0\0\1x")
+    peers.exchange()
+    assert (
+        peers.server_events[-1] == CallCancelled(stream_id)
+        and peers.status(stream_id)[0] == GrpcStatus.UNIMPLEMENTED
+        and peers.session.is_idle
     )
 
 
-def test_a_stream_whose_client_reads_nothing_is_bounded():
-    pair = StreamingPair()
-    pair.client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 0})
-    number = pair.open(b"one")
+def test_unsent_bytes_of_a_stream_that_is_not_read_are_bounded():
+    peers = StreamingServerWithH2Client()
+    peers.client.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 0})
+    stream_id = peers.open(b"one")
     for _ in range(100):
-        pair.session.send_message(number, b"x" * 60_000)
-        if pair.session.must_close:
+        peers.session.send_message(stream_id, b"x" * 60_000)
+        if peers.session.must_close:
             break
     assert (
-        pair.session.must_close
-        and pair.session.responses.unsent_bytes <= server_session.MAX_UNSENT_BYTES + 60_005
+        peers.session.must_close
+        and peers.session.responses.unsent_bytes <= server_session.MAX_UNSENT_BYTES + 60_005
     )
 
 
-def test_partial_messages_are_bounded_together():
-    pair, numbers = Pair(), []
+def test_total_size_of_partial_messages_is_bounded():
+    peers, stream_ids = ServerWithH2Client(), []
     for _ in range(20):
-        number = pair.client.get_next_available_stream_id()
-        pair.client.send_headers(number, headers())
-        data = framed(b"x" * 200_000)[:100_000]
-        while data and not pair.status(number):
-            room = min(len(data), pair.client.local_flow_control_window(number), 16_384)
-            pair.client.send_data(number, data[:room])
-            data = data[room:]
-            pair.go()
-        numbers.append(number)
-    refused = [number for number in numbers if pair.status(number)]
-    assert refused and all(pair.status(n)[0] == GrpcStatus.RESOURCE_EXHAUSTED for n in refused)
-    assert pair.session.partial_bytes <= server_session.MAX_PARTIAL_BYTES + 100_000
-    for number in set(numbers) - set(refused):
-        pair.client.reset_stream(number)
-    pair.go()
-    assert pair.session.partial_bytes == 0
+        stream_id = peers.client.get_next_available_stream_id()
+        peers.client.send_headers(stream_id, make_headers())
+        data = frame_message(b"x" * 200_000)[:100_000]
+        while data and not peers.status(stream_id):
+            size = min(len(data), peers.client.local_flow_control_window(stream_id), 16_384)
+            peers.client.send_data(stream_id, data[:size])
+            data = data[size:]
+            peers.exchange()
+        stream_ids.append(stream_id)
+    refused_ids = [stream_id for stream_id in stream_ids if peers.status(stream_id)]
+    assert refused_ids and all(
+        peers.status(refused_id)[0] == GrpcStatus.RESOURCE_EXHAUSTED for refused_id in refused_ids
+    )
+    assert peers.session.partial_bytes <= server_session.MAX_PARTIAL_BYTES + 100_000
+    for stream_id in set(stream_ids) - set(refused_ids):
+        peers.client.reset_stream(stream_id)
+    peers.exchange()
+    assert peers.session.partial_bytes == 0
