--- a/tests/frontends/resp/test_client_connection.py
+++ b/tests/frontends/resp/test_client_connection.py
@@ -1,4 +1,4 @@
-"""One RESP2 connection: bad input, the order of responses, its end."""
+"""Tests of a RESP2 client connection: invalid input, order of responses and closing."""
 
 import asyncio
 import socket
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid_input",
     [
         b"*1\r\n$7\r\nUNKNOWN\r\n",
         b"*0\r\n",
@@ -55,22 +55,24 @@
         make_command(fields=make_fields(d="9" * 400)),
         make_command(fields=make_fields(d="9" * 12)),
         make_command(fields=make_fields(units="1e999")),
-        make_command(fields=make_fields(c="write"), verb=b"API.WRITE", body=b"x"),  # keyed, without its key
+        make_command(
+            fields=make_fields(c="write"), verb=b"API.WRITE", body=b"x"
+        ),  # a class that requires an idempotency key
         make_command(fields=make_fields(c="note"), verb=b"API.WRITE", body=b"x" * 65537),
     ],
 )
 @run_on_uvloop
-async def test_bad_commands_are_answered_and_the_connection_goes_on(bad, tmp_path):
+async def test_invalid_command_gets_an_error_and_the_connection_continues(invalid_input, tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
-        writer.write(bad + b"*1\r\n$4\r\nPING\r\n")
+        writer.write(invalid_input + b"*1\r\n$4\r\nPING\r\n")
         assert (await read_reply(reader)).startswith(b"-ERR")
         assert await read_reply(reader) == b"+PONG\r\n"
         assert not host.commands
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid_input",
     [
         b"GET / HTTP/1.1\r\n\r\n",
         b"*1\r\n$70000\r\n" + b"x" * 69900,
@@ -89,17 +91,17 @@
     ],
 )
 @run_on_uvloop
-async def test_lost_framing_ends_only_its_own_connection(bad, tmp_path):
+async def test_framing_error_closes_only_its_own_connection(invalid_input, tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
-        writer.write(bad)
+        writer.write(invalid_input)
         assert (await read_reply(reader)).startswith(b"-ERR")
         assert await read_reply(reader) == b""
         assert await harness.send_command(make_command()) == VALUE_REPLY
 
 
 @run_on_uvloop
-async def test_responses_come_in_the_order_of_the_commands(tmp_path):
+async def test_responses_follow_the_order_of_the_commands(tmp_path):
     async with EmulatedHost(answer=None) as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
         writer.write(make_command(b"slow"))
@@ -111,7 +113,7 @@
 
 
 @run_on_uvloop
-async def test_commands_that_come_when_a_connection_is_to_close_are_served(tmp_path):
+async def test_commands_received_while_draining_are_served(tmp_path):
     async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
         writer.write(make_command(b"first"))
@@ -120,38 +122,42 @@
         writer.write(make_command(b"second"))
         while (await host.arrived.get())[2] != b"second":
             pass
-        for out in host.writers:
-            out.write(VALUE)
+        for host_writer in host.writers:
+            host_writer.write(VALUE)
         assert [await read_reply(reader) for _ in range(3)] == [VALUE_REPLY, VALUE_REPLY, b""]
 
 
 @run_on_uvloop
-async def test_commands_that_lie_unread_when_draining_starts_are_served(tmp_path):
+async def test_unread_commands_are_served_when_draining_starts(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         server = harness.server.frontends[0].server
         with socket.create_connection(("127.0.0.1", harness.port)) as sock:
             sock.setblocking(False)
             while not server.connections:
                 await asyncio.sleep(0)
-            sock.send(make_command())  # in the server's socket, which it has not read
+            sock.send(make_command())  # stays unread in the server's socket
             harness.server.frontends[0].start_draining()
-            loop, got = asyncio.get_running_loop(), b""
+            loop, received = asyncio.get_running_loop(), b""
             while data := await loop.sock_recv(sock, 100):
-                got += data
-            assert got == VALUE_REPLY
+                received += data
+            assert received == VALUE_REPLY
 
 
 @run_on_uvloop
-async def test_commands_that_lie_unread_when_a_full_draining_connection_is_answered_at_once_are_served(
+async def test_unread_commands_are_served_when_a_draining_connection_at_its_limit_is_answered(
     tmp_path,
 ):
-    """It is not read while it has too much in work, and all of that is answered in one turn."""
+    """Guards against lost commands: closing the connection after the last response would reset it.
+
+    A connection with too many pending commands is not read. All of them are answered in one event loop
+    iteration here, while another command is still unread in the socket.
+    """
     async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
         server = harness.server.frontends[0].server
         writer.write(make_command(b"first"))
         await host.arrived.get()
-        writer.write(b"*1\r\n$4\r\nPING\r\n" * MAX_PENDING_COMMANDS)  # answered behind the first
+        writer.write(b"*1\r\n$4\r\nPING\r\n" * MAX_PENDING_COMMANDS)  # answered after the first
         (client,) = server.connections
         while not client.is_read_paused:
             await asyncio.sleep(0)
@@ -160,52 +166,54 @@
         while not client.has_unread_data():
             await asyncio.sleep(0)
         server.start_draining()
-        for out in host.writers:
-            out.write(VALUE)
-        told = [await read_reply(reader) for _ in range(MAX_PENDING_COMMANDS + 2)]
-        assert told[0] == told[-1] == VALUE_REPLY and set(told[1:-1]) == {b"+PONG\r\n"}
+        for host_writer in host.writers:
+            host_writer.write(VALUE)
+        replies = [await read_reply(reader) for _ in range(MAX_PENDING_COMMANDS + 2)]
+        assert replies[0] == replies[-1] == VALUE_REPLY and set(replies[1:-1]) == {b"+PONG\r\n"}
         assert await read_reply(reader) == b""
 
 
 @run_on_uvloop
-async def test_half_a_command_when_draining_starts_is_served_once_whole(tmp_path):
+async def test_partial_command_is_served_once_complete_while_draining(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
-        front, text = harness.server.frontends[0], make_command()
-        writer.write(text[:20])
-        while not front.server.partial_bytes:
+        frontend, command = harness.server.frontends[0], make_command()
+        writer.write(command[:20])
+        while not frontend.server.partial_bytes:
             await asyncio.sleep(0)
-        ending = asyncio.create_task(harness.server.stop(0.0))
-        while not all(client.is_closing for client in front.server.connections):
+        stop_task = asyncio.create_task(harness.server.stop(0.0))
+        while not all(client.is_closing for client in frontend.server.connections):
             await asyncio.sleep(0)
-        writer.write(text[20:])
+        writer.write(command[20:])
         assert await read_reply(reader) == VALUE_REPLY and await read_reply(reader) == b""
-        await ending
+        await stop_task
 
 
 @run_on_uvloop
-async def test_shutdown_waits_for_a_response_that_is_half_written(tmp_path):
+async def test_shutdown_waits_for_a_partially_written_response(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
-        owed = iter([True, True, False])
+        unwritten = iter([True, True, False])
 
-        class Front(type(harness.server.frontends[0])):
+        class FrontendWithUnwrittenResponses(type(harness.server.frontends[0])):
             @property
             def has_unwritten_responses(self):
-                return next(owed, False)
+                return next(unwritten, False)
 
-        harness.server.frontends[0].__class__ = Front
+        harness.server.frontends[0].__class__ = FrontendWithUnwrittenResponses
         await harness.server.stop(0.0)
-        assert next(owed, None) is None  # asked until nothing was owed
+        assert next(unwritten, None) is None  # polled until all responses were written
 
 
 @run_on_uvloop
-async def test_lost_framing_does_not_wait_for_pending_commands(tmp_path):
+async def test_framing_error_does_not_wait_for_pending_commands(tmp_path):
     async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
         writer.write(make_command())
         await host.arrived.get()
         writer.write(b"nonsense" + b"x" * 100_000)
-        assert await read_reply(reader) == b"-ERR failed\r\n"  # its one answer, though the host is silent
+        assert (
+            await read_reply(reader) == b"-ERR failed\r\n"
+        )  # the only response to the command, although the host is silent
         assert (await read_reply(reader)).startswith(b"-ERR protocol")
-        assert await reader.read() == b""  # an end, not a reset, though there was more to read
+        assert await reader.read() == b""  # end of file instead of a reset, despite unread input
         assert await host.arrived.get() is None and not harness.server.core.in_flight
--- a/tests/frontends/resp/test_command_scanner.py
+++ b/tests/frontends/resp/test_command_scanner.py
@@ -1,4 +1,4 @@
-"""The scan of a command finds what parsing it finds."""
+"""Tests that scanning a command gives the same values as parsing it."""
 
 import pytest
 from gateway_harness import SETTINGS
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    "text",
+    "fields",
     [
         b"c=read,t=p,d=3000,units=1,spread=1,first=0",
         b"c=no,t=p,d=1,units=1,spread=1,first=0",
@@ -20,13 +20,13 @@
         b"\xff\xfe=1",
     ],
 )
-def test_a_scan_says_what_parsing_says(text):
-    told = read_settings(SETTINGS)
-    parts = [b"API.READ", b"00000000B4D65521", b"id-1", text]
-    seen = CommandScanner(told).scan(parts)
+def test_scanned_command_equals_the_parsed_request(fields):
+    settings = read_settings(SETTINGS)
+    parts = [b"API.READ", b"00000000B4D65521", b"id-1", fields]
+    scanned = CommandScanner(settings).scan(parts)
     try:
-        request, _ = parse_command(told, parts, {})
+        request, _ = parse_command(settings, parts, {})
     except InvalidCommandError:
-        assert seen is None
+        assert scanned is None
         return
-    assert seen is None or seen == CommandScanner(told).from_request(request)
+    assert scanned is None or scanned == CommandScanner(settings).from_request(request)
--- a/tests/frontends/resp/test_resp_server.py
+++ b/tests/frontends/resp/test_resp_server.py
@@ -1,4 +1,4 @@
-"""The RESP2 server: idle connections, clients that take no responses, limits."""
+"""Tests of the RESP2 server: idle connections, clients that do not read responses, and limits."""
 
 import asyncio
 import contextlib
@@ -19,15 +19,17 @@
 
 
 @pytest.mark.parametrize(
-    "sent, told", [(b"", b""), (b"*4\r\n$8\r\nAPI.R", b"-ERR"), (b"*1\r\n$4\r\nPING\r\n", b"+PONG")]
+    "sent, expected_reply", [(b"", b""), (b"*4\r\n$8\r\nAPI.R", b"-ERR"), (b"*1\r\n$4\r\nPING\r\n", b"+PONG")]
 )
 @run_on_uvloop
-async def test_a_connection_without_a_request_is_closed_in_time(sent, told, tmp_path, monkeypatch):
+async def test_connection_without_a_request_is_closed_after_the_idle_timeout(
+    sent, expected_reply, tmp_path, monkeypatch
+):
     monkeypatch.setattr(resp_server, "IDLE_TIMEOUT_S", 0.1)
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
         writer.write(sent)
-        assert (await read_reply(reader)).startswith(told)
+        assert (await read_reply(reader)).startswith(expected_reply)
         assert await reader.read() == b""
         while harness.server.frontends[0].server.connections:
             await asyncio.sleep(0.01)
@@ -36,20 +38,20 @@
 
 
 @run_on_uvloop
-async def test_a_connection_with_a_pending_request_is_not_idle(tmp_path, monkeypatch):
+async def test_connection_with_a_pending_request_is_not_idle(tmp_path, monkeypatch):
     monkeypatch.setattr(resp_server, "IDLE_TIMEOUT_S", 0.1)
     async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
         idle, _ = await harness.connect()
         writer.write(make_command())
         await host.arrived.get()
-        assert await idle.read() == b""  # this one went, some sweeps later
+        assert await idle.read() == b""  # closed by a later timeout check
         host.writers[0].write(VALUE)
         assert await read_reply(reader) == VALUE_REPLY
 
 
 @run_on_uvloop
-async def test_a_client_that_takes_no_responses_is_disconnected(tmp_path, monkeypatch):
+async def test_client_that_does_not_read_responses_is_disconnected(tmp_path, monkeypatch):
     monkeypatch.setattr(resp_server, "WRITE_BLOCKED_TIMEOUT_S", 0.1)
     async with EmulatedHost(b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)) as host:
         async with GatewayHarness(host, path=tmp_path) as harness:
@@ -65,7 +67,7 @@
 
 
 @run_on_uvloop
-async def test_at_the_limit_the_longest_idle_connection_is_closed_or_else_the_new_one(tmp_path):
+async def test_connection_limit_evicts_the_longest_idle_connection_or_rejects_the_new_one(tmp_path):
     async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
         harness.server.frontends[0].server.max_connections = 2
         raise_capacity_estimate(harness)
@@ -85,7 +87,7 @@
 
 
 @run_on_uvloop
-async def test_partial_commands_of_all_connections_are_bounded(tmp_path):
+async def test_total_size_of_partial_commands_is_bounded(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         harness.server.frontends[0].server.max_partial_bytes = 100_000
         readers = []
