--- a/tests/external_ratelimit/test_limiter.py
+++ b/tests/external_ratelimit/test_limiter.py
@@ -155,9 +155,8 @@
         assert await send_request(harness) == VALUE_REPLY
         service.script.play(Step(kind, count=1))
         assert await send_request(harness) == VALUE_REPLY
-        assert (
-            len(service.questions) == 2 and harness.limiter.breaker.trip_count == 0
-        )  # each request was counted once
+        # Each request was counted once.
+        assert len(service.questions) == 2 and harness.limiter.breaker.trip_count == 0
         assert service.hits[CUSTOMER_A] == 2
 
 
@@ -167,9 +166,8 @@
         assert await send_request(harness) == VALUE_REPLY
         service.script.play(Step("answer", count=5), Step("goaway", count=1))
         replies = await asyncio.gather(*(send_request(harness) for _ in range(30)))
-        assert all(
-            reply == VALUE_REPLY or reply.startswith(b"-BUSY") for reply in replies
-        )  # the capacity of the host is limited
+        # The capacity of the host is limited.
+        assert all(reply == VALUE_REPLY or reply.startswith(b"-BUSY") for reply in replies)
         assert harness.limiter.counts == {"questions": 31, "yes": 31} and service.hits[CUSTOMER_A] == 31
 
 
--- a/tests/frontends/grpc/test_descriptor_mapping.py
+++ b/tests/frontends/grpc/test_descriptor_mapping.py
@@ -65,9 +65,8 @@
     compiled = compile_rules(make_rule(customer=HEX, domain="*"), make_rule(plan="gold"))
     assert compiled.find_owner("payroll", [("account", "00000000000000aa")]).plan == "gold"
     assert compiled.find_owner("tools", [("account", "x")]).customer == HEX
-    assert (
-        compiled.find_owner("payroll", [("account", "no hex")]).customer == HEX
-    )  # no rule of its own domain matches
+    # No rule of the domain itself matches.
+    assert compiled.find_owner("payroll", [("account", "no hex")]).customer == HEX
 
 
 def test_most_specific_match_applies_in_any_order_of_rules():
@@ -89,9 +88,8 @@
             entries = [("account", HEX)] + ([("path", path)] if path else [])
             owner = compiled.find_owner("payroll", entries)
             assert (owner.plan, owner.service_class, owner.units_per_hit) == (plan, service_class, units)
-        first = next(
-            candidate for candidate in order if "path=/pay/run" in candidate.entries
-        )  # equally specific: the first in the file applies
+        # Of equally specific rules the first in the file applies.
+        first = next(candidate for candidate in order if "path=/pay/run" in candidate.entries)
         owner = compiled.find_owner("payroll", [("account", HEX), ("path", "/pay/run")])
         assert (owner.plan, owner.service_class, owner.units_per_hit) == (
             first.plan,
--- a/tests/frontends/grpc/test_rate_limit_daemon.py
+++ b/tests/frontends/grpc/test_rate_limit_daemon.py
@@ -246,15 +246,15 @@
 @run_on_uvloop
 async def test_mutual_tls_requires_a_client_certificate_of_the_configured_ca(tmp_path):
     certificates = Certificates(tmp_path)
-    known, stranger = (
+    trusted_client, untrusted_client = (
         certificates.issue("client", "client.test"),
         certificates.issue("odd", "client.test", certificates.other),
     )
     async with GrpcDeployment(tmp_path, rules=TLS + 'client_ca = "ca.pem"\n' + RULE) as site:
         await site.start_gateway()
-        async with site.channel(certificates.credentials(known), "gateway.test") as channel:
+        async with site.channel(certificates.credentials(trusted_client), "gateway.test") as channel:
             assert (await site.check(channel)).overall_code == OK
-        for client in (None, stranger):
+        for client in (None, untrusted_client):
             async with site.channel(certificates.credentials(client), "gateway.test") as channel:
                 with pytest.raises(grpc.aio.AioRpcError) as raised:
                     await site.check(channel)
@@ -334,9 +334,8 @@
                 rules=keyed_settings + RULE.replace('"quota"', '"nothing"').replace("{plan}", "gold")
             )
             assert b"rejected, the old settings stay in force" in await site.reload(program)
-            assert (
-                await site.check(channel, plan="p")
-            ).response_headers_to_add  # the old settings are in force
+            # The old settings are still in force.
+            assert (await site.check(channel, plan="p")).response_headers_to_add
             site.write_settings(
                 rules=keyed_settings.replace('"key-1"', '"key-2", "key-1"') + RULE + "token = true\n"
             )
@@ -364,9 +363,8 @@
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", site.grpc_port)
         site.write_settings()
-        site.settings_file.write_text(
-            site.settings_file.read_text().replace(QUOTA, "")
-        )  # plans wait for a restart
+        # Changed plans require a restart.
+        site.settings_file.write_text(site.settings_file.read_text().replace(QUOTA, ""))
         assert b"listeners" in await site.reload(program)
         async with site.channel() as channel:
             assert (await site.check(channel, plan="p")).overall_code == OK
@@ -384,8 +382,10 @@
 @run_on_uvloop
 async def test_external_service_is_used_by_settings_and_removed_by_a_reload(tmp_path):
     async with EmulatedRateLimitService({CUSTOMER: 0}) as service, GrpcDeployment(tmp_path) as site:
-        check = f'[ask]\naddress = "127.0.0.1:{service.port}"\nplans = ["p"]\ntimeout = 2.0\nshare = 1.0\n'
-        site.write_settings(rules=check + RULE)
+        ask_settings = (
+            f'[ask]\naddress = "127.0.0.1:{service.port}"\nplans = ["p"]\ntimeout = 2.0\nshare = 1.0\n'
+        )
+        site.write_settings(rules=ask_settings + RULE)
         program = await site.start_gateway()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         writer.write(make_command(b"r1", customer=CUSTOMER.encode()))
@@ -410,11 +410,11 @@
     async with external, LocalDeployment(tmp_path / "b") as site:
         await external.start_gateway()
         site.write_settings()
-        check = (
+        ask_settings = (
             f'[ask]\naddress = "127.0.0.1:{external.grpc_port}"\nplans = ["p"]\ndomain = "roster"\n'
             f'timeout = 2.0\nshare = 1.0\n[ask.tls]\non = true\nca = "../ca.pem"\nname = "gateway.test"\n'
         )
-        site.settings_file.write_text(site.settings_file.read_text() + check)
+        site.settings_file.write_text(site.settings_file.read_text() + ask_settings)
         await site.start_gateway()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         answers = []
--- a/tests/frontends/grpc/test_rate_limit_service.py
+++ b/tests/frontends/grpc/test_rate_limit_service.py
@@ -291,10 +291,11 @@
             granted, over = await check_until_over_limit(client, CUSTOMER_A)
             assert 13 <= granted + overall_codes.count(OK) <= 41
             assert (await client.check(make_limited_descriptor(1000, 1))).overall_code == OVER_LIMIT
+            # Unit 6 is a year, which is not supported.
             assert (
                 await client.check_error_code(make_limited_descriptor(3, 6))
                 == grpc.StatusCode.INVALID_ARGUMENT
-            )  # a year
+            )
         async with RateLimitClient(harness, override="refuse") as client:
             assert (
                 await client.check_error_code({"account": CUSTOMER_B, "limit": (3, 1)})
--- a/tests/frontends/grpc/test_token_redemption.py
+++ b/tests/frontends/grpc/test_token_redemption.py
@@ -113,9 +113,8 @@
         for text in (token[:-1] + ("A" if token[-1] != "A" else "B"), token[1:], "x", "=" * 50, "é"):
             assert (await client.send_request(text)).startswith(b"-BUSY")
         assert (await client.send_request(token, customer=CUSTOMER_B)).startswith(b"-BUSY")
-        assert (await client.send_request(half_unit_token)).startswith(
-            b"-BUSY"
-        )  # issued for half a unit, used for one unit
+        # Issued for half a unit, used for one unit.
+        assert (await client.send_request(half_unit_token)).startswith(b"-BUSY")
         assert await client.send_request(half_unit_token, units="0.5") == VALUE_REPLY
         assert (await client.send_request(token, t="small")).startswith(b"-BUSY")  # a request of another plan
         assert client.counts["taken"] == 1
@@ -135,9 +134,8 @@
         await check_until_over_limit(client, CUSTOMER_A)
         client.tokens.keys = TokenKeys([OTHER, KEY])
         assert await client.send_request(first_token) == VALUE_REPLY
-        assert (await client.send_request(first_token)).startswith(
-            b"-BUSY"
-        )  # used tokens are remembered across a key rotation
+        # Used tokens are remembered across a key rotation.
+        assert (await client.send_request(first_token)).startswith(b"-BUSY")
         client.tokens.keys = TokenKeys([OTHER])
         assert (await client.send_request(second_token)).startswith(b"-BUSY")
         client.tokens.keys = TokenKeys([KEY])
@@ -177,9 +175,8 @@
         assert [header.value for header in response.response_headers_to_add] == [tokens[0], tokens[2]]
         assert await client.send_request(tokens[2], customer=CUSTOMER_B) == VALUE_REPLY
         await check_until_over_limit(client, CUSTOMER_A)
-        assert not await client.request_tokens(
-            CUSTOMER_B, CUSTOMER_A
-        )  # over the limit: granted units are returned, and no token is issued
+        # Over the limit: granted units are returned, and no token is issued.
+        assert not await client.request_tokens(CUSTOMER_B, CUSTOMER_A)
 
 
 @run_on_uvloop
--- a/tests/frontends/resp/test_client_connection.py
+++ b/tests/frontends/resp/test_client_connection.py
@@ -211,9 +211,8 @@
         writer.write(make_command())
         await host.arrived.get()
         writer.write(b"nonsense" + b"x" * 100_000)
-        assert (
-            await read_reply(reader) == b"-ERR failed\r\n"
-        )  # the only response to the command, although the host is silent
+        # The only response to the command, although the host is silent.
+        assert await read_reply(reader) == b"-ERR failed\r\n"
         assert (await read_reply(reader)).startswith(b"-ERR protocol")
         assert await reader.read() == b""  # end of file instead of a reset, despite unread input
         assert await host.arrived.get() is None and not harness.server.core.in_flight
--- a/tests/frontends/resp/test_client_disconnects.py
+++ b/tests/frontends/resp/test_client_disconnects.py
@@ -90,7 +90,7 @@
         writer.close()
         while server.connections:
             await asyncio.sleep(0.01)
-        resume()  # resume the deferred connection
+        resume()
         server.admission = None
         assert await harness.send_command(make_command(b"next")) == VALUE_REPLY
         assert [command[2] for command in host.commands] == [b"next"]
@@ -170,14 +170,12 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen(0)
             queued_sockets = [stack.enter_context(socket.socket()) for _ in range(4)]
-            for (
-                sock
-            ) in queued_sockets:  # the accept queue is full, so the next connection is established late
+            # These fill the accept queue, so that the next connection is established late.
+            for sock in queued_sockets:
                 sock.setblocking(False)
                 sock.connect_ex(listener.getsockname())
-            while (
-                not harness.server.endpoint_source.lists_received
-            ):  # the first endpoint list has the other address
+            # The first endpoint list would overwrite the address that is set below.
+            while not harness.server.endpoint_source.lists_received:
                 await asyncio.sleep(0)
             harness.server.upstream.update_endpoint("h1", listener.getsockname())
             harness.server.upstream.connect_timeout = 60.0
--- a/tests/frontends/resp/test_load_shedding.py
+++ b/tests/frontends/resp/test_load_shedding.py
@@ -95,9 +95,8 @@
 
 @run_on_uvloop
 async def test_flood_of_commands_is_deferred_and_completely_answered(tmp_path, monkeypatch):
-    monkeypatch.setattr(
-        core_admission, "READ_TIME_SLICE_S", 0.0
-    )  # the time slice is used up after the second command
+    # The time slice is used up after the second command.
+    monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         admission = install_admission(harness, ScriptedGate(CUSTOMER_A))
         connections = [await harness.connect() for _ in range(4)]
@@ -150,9 +149,8 @@
         reader, writer = await harness.connect()
         skipped_iterations = []
         start_iteration = admission.start_iteration
-        monkeypatch.setattr(
-            admission, "start_iteration", lambda: skipped_iterations.append(1)
-        )  # the test ends iterations
+        # No new iteration starts until the test starts one.
+        monkeypatch.setattr(admission, "start_iteration", lambda: skipped_iterations.append(1))
         writer.write(b"".join(make_command(b"s%d" % n) for n in range(30)))
         while not admission.deferred_connections:
             await asyncio.sleep(0)
@@ -160,10 +158,8 @@
         monkeypatch.setattr(admission, "start_iteration", start_iteration)
         admission.start_iteration()
         replies = [await read_reply(reader) for _ in range(30)]
-        assert VALUE_REPLY in replies and set(replies) <= {
-            VALUE_REPLY,
-            b"-BUSY\r\n",
-        }  # the decision module limits waiting requests
+        # The decision module limits the number of waiting requests.
+        assert VALUE_REPLY in replies and set(replies) <= {VALUE_REPLY, b"-BUSY\r\n"}
         assert await reader.read() == b""
 
 
@@ -172,9 +168,8 @@
     monkeypatch.setattr(core_admission, "READ_TIME_SLICE_S", 0.0)
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         admission = install_admission(harness, ScriptedGate(CUSTOMER_A))
-        harness.server.frontends[
-            0
-        ].server.max_partial_bytes = 1000  # bytes; half of them may hold deferred commands
+        # Half of these bytes may hold deferred commands.
+        harness.server.frontends[0].server.max_partial_bytes = 1000
         monkeypatch.setattr(admission, "start_iteration", lambda: None)
         reader, writer = await harness.connect()
         writer.write(b"".join(make_command(b"m%d" % n, customer=CUSTOMER_A.encode()) for n in range(100)))
@@ -186,10 +181,8 @@
 async def test_customer_rejected_by_the_module_is_rejected_early(tmp_path):
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         gate = OverloadGate(0.01, 10.0, 2.0, 1)
-        gate.admitted_share, gate.priority_floor = (
-            0.9,
-            -MAX_STEP - 1,
-        )  # overloaded, but every request has enough priority
+        # Overloaded, but every request has enough priority.
+        gate.admitted_share, gate.priority_floor = 0.9, -MAX_STEP - 1
         install_admission(harness, gate)
         customer = b"00000000000000cc"
         reply = b""
