--- a/apigateway/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -13,7 +13,7 @@
 from apigateway.daemon.settings import read_settings
 from apigateway.exit_codes import ExitCode
 from apigateway.tools.plugins import bench, check, files, replay
-from apigateway.tools.plugins.report import Report, UnusableArgumentError
+from apigateway.tools.plugins.report import InvalidArgumentError, Report
 
 _MICROSECONDS = 1e6  # in a second
 _COUNT_GROUPS = ("allowed", "denied", "failed", "not asked", "counters")  # of a plug-in's status
@@ -23,7 +23,7 @@
     """Run one of the plug-in commands; return the exit code."""
     try:
         return _run_action(arguments)
-    except (InvalidConfigFileError, UnusableArgumentError) as error:
+    except (InvalidConfigFileError, InvalidArgumentError) as error:
         print(error, file=sys.stderr)
         return ExitCode.INVALID_INPUT
     except (HandoverError, OSError) as error:
@@ -51,8 +51,8 @@
 
 
 def _print_report(report: Report, as_json: bool = False) -> int:
-    print(json.dumps(report.figures, indent=1) if as_json else "\n".join(report.lines))
-    return ExitCode.OK if report.is_good else ExitCode.FAILED
+    print(json.dumps(report.data, indent=1) if as_json else "\n".join(report.lines))
+    return ExitCode.OK if report.succeeded else ExitCode.FAILED
 
 
 def _format_status(status: Status) -> str:
--- a/apigateway/tools/plugins/bench.py
+++ b/apigateway/tools/plugins/bench.py
@@ -25,7 +25,7 @@
             for phase in Phase:
                 if phase in runner.plugin.phases:
                     figures = _measure(runner, phase, max(1, call_count))
-                    report.figures[f"{runner.name} {phase}"] = figures
+                    report.data[f"{runner.name} {phase}"] = figures
                     report.lines.append(_format_figures(runner, phase, figures))
     finally:
         kit.close()
--- a/apigateway/tools/plugins/loading.py
+++ b/apigateway/tools/plugins/loading.py
@@ -10,7 +10,7 @@
 from apigateway.plugins.loader import PluginEnvironment, load_chain
 from apigateway.plugins.settings import HooksSection, PluginSection
 from apigateway.plugins.testkit import Kit, read_plugins, settings
-from apigateway.tools.plugins.report import UnusableArgumentError
+from apigateway.tools.plugins.report import InvalidArgumentError
 
 _GATEWAY_KEYS = ("listeners", "classes", "plans", "gateway")  # only a gateway's settings have them
 
@@ -32,12 +32,12 @@
         module_settings: Classes, plans and limits; None: those of the gateway, else of the test kit.
 
     Raises:
-        UnusableArgumentError: it names no plug-in.
+        InvalidArgumentError: it names no plug-in.
         InvalidConfigFileError: it cannot be used, or a plug-in does not pass its checks.
     """
     source = _read_source(path)
     if not source.plugins:
-        raise UnusableArgumentError(f"{source.path}: names no plug-in")
+        raise InvalidArgumentError(f"{source.path}: names no plug-in")
     environment = PluginEnvironment(source.path, module_settings or source.module_settings or settings())
     return Kit(load_chain(source.plugins, source.hooks, environment))
 
--- a/apigateway/tools/plugins/replay.py
+++ b/apigateway/tools/plugins/replay.py
@@ -11,7 +11,7 @@
 from apigateway.plugins.records import parse_record, read_records
 from apigateway.plugins.testkit import Kit, RequestResult, settings
 from apigateway.tools.plugins.loading import load_plugins, read_module_settings
-from apigateway.tools.plugins.report import Report, UnusableArgumentError
+from apigateway.tools.plugins.report import InvalidArgumentError, Report
 
 _DEFAULT_PLANS = ("basic",)  # where nothing was recorded
 
@@ -69,7 +69,7 @@
         print_each: Whether the report has a line for each request.
 
     Raises:
-        UnusableArgumentError: the records cannot be read, or no plug-in is named.
+        InvalidArgumentError: the records cannot be read, or no plug-in is named.
         InvalidConfigFileError: plug-ins or settings cannot be used.
     """
     requests = _read_requests(records_path)
@@ -85,7 +85,7 @@
                 report.lines.append(
                     f"{request.line_number} {request.view.request_id}: {_format_result(result)}"
                 )
-        report.figures = {
+        report.data = {
             "requests": len(requests),
             **{name: dict(counter) for name, counter in counts.by_name().items()},
             "other tags than recorded": counts.other_tags,
@@ -97,7 +97,7 @@
     for name, counter in counts.by_name().items():
         if counter:
             report.lines.append(f"{name}: " + ", ".join(f"{key} {n}" for key, n in counter.most_common()))
-    report.is_good = not counts.failed
+    report.succeeded = not counts.failed
     return report
 
 
@@ -107,7 +107,7 @@
             _RecordedRequest(number, record, parse_record(record)) for number, record in read_records(path)
         ]
     except (ValueError, UnicodeDecodeError) as error:
-        raise UnusableArgumentError(f"{path}: no records ({error})") from error
+        raise InvalidArgumentError(f"{path}: no records ({error})") from error
 
 
 def _settings_of(requests: list[_RecordedRequest]) -> messages.Settings:
--- a/apigateway/tools/plugins/report.py
+++ b/apigateway/tools/plugins/report.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-class UnusableArgumentError(Exception):
+class InvalidArgumentError(Exception):
     """Arguments that cannot be used."""
 
 
@@ -15,11 +15,11 @@
     """What a tool found.
 
     Attributes:
-        lines: As text.
-        figures: As a JSON document.
-        is_good: Whether nothing is wrong.
+        lines: The report as text.
+        data: The report as a JSON document.
+        succeeded: Whether no call failed.
     """
 
     lines: list[str] = field(default_factory=list)
-    figures: dict[str, Any] = field(default_factory=dict)
-    is_good: bool = True
+    data: dict[str, Any] = field(default_factory=dict)
+    succeeded: bool = True
