--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -9,7 +9,7 @@
 
 import pytest
 from gateway_harness import make_command, read_reply, run_on_uvloop
-from rig import GATEWAY_COMMAND, LEDGER_TERMS, ROOT, BackgroundTraffic, LocalDeployment
+from local_deployment import GATEWAY_COMMAND, LEDGER_TERMS, ROOT, BackgroundTraffic, LocalDeployment
 
 from apigateway.emulators.eureka import EmulatedEureka, instance
 from apigateway.emulators.ledger import Ledger
@@ -109,7 +109,7 @@
         program = await site.start_gateway()
         async with BackgroundTraffic(site, ledger) as load:
             site.registry.script.play(Step("silent"))
-            await site.wait_for_log_line(program, b"the last list stays")
+            await site.wait_for_log_line(program, b"keeping the last list")
             site.registry.clock_off = 1000.0  # all leases have run out
             await load.wait_for_served(50)
             assert all(len(h.commands) > 0 for h in site.hosts[:2]) and not third.commands
