--- a/apigateway/plugins/abi.py
+++ b/apigateway/plugins/abi.py
@@ -1,6 +1,6 @@
-"""The ABI of WebAssembly modules, version 1: the bytes of their input and the text that they return. Pure.
+"""The ABI of WebAssembly modules, version 1: encodes their input and decodes their output, without I/O.
 
-docs/operate/plugin-abi.md describes the whole ABI.
+docs/operate/plugin-abi.md describes the complete ABI.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from apigateway.plugins.interfaces import FailureReason, Outcome, Phase, PluginError, Proposal, RequestView
 
 ABI_VERSION = 1
-IMPORT_MODULE = "calicomast"  # the module that imports are from
+IMPORT_MODULE = "calicomast"  # WebAssembly module name of all imports
 VERSION_GLOBAL = "calicomast_abi"
 INPUT_ADDRESS_GLOBAL = "calicomast_input"
 INPUT_SIZE_GLOBAL = "calicomast_input_size"
 
-MIN_INPUT_SIZE = 2048  # bytes that a module keeps for its input
-MAX_OUTPUT_SIZE = 65_536  # bytes of text that a call returns
-MAX_STATE_SIZE = 1024 * 1024  # bytes that are handed to a successor
+MIN_INPUT_BYTES = 2048  # that a module must reserve for its input
+MAX_OUTPUT_BYTES = 65_536  # of the text that a call returns
+MAX_STATE_BYTES = 1024 * 1024  # of the state that a module saves
 MAX_OUTPUT_LINES = 1000
 
 PHASE_EXPORTS = {
@@ -30,11 +30,11 @@
 
 FLAG_WRITE = 1
 FLAG_RETRY = 2
-FLAG_TAGS_CUT = 4  # there was no room for the tags
+FLAG_TAGS_CUT = 4  # the tags did not fit and were left out
 
 # version, phase, now, remaining, units, elapsed, flags, attempt, outcome, 0
 _HEADER = struct.Struct("<II4dIII I")
-_STRING_COUNT = 8  # (address, length) of: id, customer, plan, class, endpoint, route, tags, none
+_STRING_COUNT = 8  # (address, length) pairs: id, customer, plan, class, endpoint, route, tags, reserved
 _STRING_TABLE = struct.Struct(f"<{2 * _STRING_COUNT}I")
 _STRINGS_OFFSET = _HEADER.size + _STRING_TABLE.size  # 120
 _PHASE_NUMBERS = {Phase.REQUEST: 1, Phase.ATTEMPT: 2, Phase.ANSWER: 3, Phase.TICK: 4}
@@ -50,16 +50,17 @@
 
 
 class MemorySlice(NamedTuple):
-    """A part of a module's memory, in bytes."""
+    """A range of a module's memory; the address and the length are in bytes."""
 
     address: int
     length: int
 
 
 def encode_input(phase: Phase, view: RequestView, address: int, max_size: int) -> bytearray:
-    """Return what is written at `address` before a call, `max_size` bytes at most.
+    """Return the input of a call, which is written to the module's memory at `address`.
 
-    Tags that do not fit are left out, with FLAG_TAGS_CUT. Raises PluginError if even the rest does not fit.
+    If it would be longer than `max_size` bytes, the tags are left out and FLAG_TAGS_CUT is set. Raises
+    PluginError if it is too long without them.
     """
     flags = FLAG_WRITE * view.is_write | FLAG_RETRY * view.is_retry
     texts = (
@@ -79,7 +80,7 @@
         flags |= FLAG_TAGS_CUT
         if size > max_size:
             raise PluginError(
-                FailureReason.NONSENSE, f"the request needs {size} bytes of input, it keeps {max_size}"
+                FailureReason.INVALID_DATA, f"the input has {size} bytes, the module reserves {max_size}"
             )
     header = _HEADER.pack(
         ABI_VERSION,
@@ -98,7 +99,7 @@
 
 
 def _encode_string_table(strings: list[bytes], address: int) -> bytes:
-    """Return address and length of each string; the first one lies at `address`."""
+    """Return the encoded address and length of each string; the first string is at `address`."""
     entries: list[int] = []
     for string in strings:
         entries += (address, len(string))
@@ -108,27 +109,32 @@
 
 
 def decode_pointer(packed: int, memory_size: int, max_length: int) -> MemorySlice:
-    """Return where a call's result lies. Raises PluginError where that is not in its memory."""
+    """Return the memory range of a call's result. Raises PluginError if it is too long or out of bounds."""
     packed &= _U64_MASK
     address = packed >> 32
     length = packed & _U32_MASK
     if address + length > memory_size:
-        raise PluginError(FailureReason.NONSENSE, f"{length} bytes at {address} of a memory of {memory_size}")
+        raise PluginError(
+            FailureReason.INVALID_DATA,
+            f"{length} bytes at {address}, outside of the memory of {memory_size} bytes",
+        )
     if length > max_length:
-        raise PluginError(FailureReason.NONSENSE, f"{length} bytes of text, {max_length} at most")
+        raise PluginError(
+            FailureReason.INVALID_DATA, f"{length} bytes of text, at most {max_length} are allowed"
+        )
     return MemorySlice(address, length)
 
 
 def decode_proposals(raw: bytes) -> list[Proposal]:
-    """Return the proposals of `tag KEY VALUE`, `refuse SECONDS` and `route NAME`, a line each.
+    """Parse lines of the forms `tag KEY VALUE`, `refuse SECONDS` and `route NAME` into proposals.
 
-    Lines that are none of these become proposals too, for they are counted. Raises PluginError if the text is
+    Other lines become proposals too, so that they are counted as denied. Raises PluginError if the text is
     not UTF-8.
     """
     try:
         text = raw.decode("utf-8")
     except UnicodeDecodeError as err:
-        raise PluginError(FailureReason.NONSENSE, f"its text is not UTF-8 (byte {err.start})") from err
+        raise PluginError(FailureReason.INVALID_DATA, f"the output is not UTF-8 (byte {err.start})") from err
     lines = text.split("\n", MAX_OUTPUT_LINES)[:MAX_OUTPUT_LINES]
     return [_decode_line(line) for line in lines if line]
 
--- a/apigateway/plugins/chain_version.py
+++ b/apigateway/plugins/chain_version.py
@@ -1,6 +1,6 @@
-"""One version of the chain of plug-ins, which are asked in turn about each request.
+"""One version of the plug-in chain, which calls its plug-ins in order for each request.
 
-What they propose is judged before it takes effect. A request ends on the version that it began with.
+Proposals are checked before they take effect. A request uses the version that it started with until it ends.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from apigateway.plugins.proposals import ProposalLimits, RequestEffects, evaluate
 from apigateway.plugins.runner import PluginRunner
 
-DEFAULT_MAX_CHAIN_TIME = 0.02  # s
+DEFAULT_MAX_CHAIN_TIME_S = 0.02
 
-# Globals, for they are needed at each call: a member costs more to look up on its class.
+# Module globals, because they are used at each call and an enum member is slower to look up on its class.
 _REQUEST = Phase.REQUEST
 _REJECT = BudgetPolicy.REJECT
 
@@ -24,17 +24,20 @@
     """The plug-ins of one version, in the order of the settings.
 
     Attributes:
-        max_chain_time: Seconds that all plug-ins together may hold one request up.
-        number: Counts from 1.
-        open_requests: How many began with this version and are not over.
-        on_drained: Set when the version was replaced: called when its last request is over.
+        runners: Runners of the plug-ins.
+        limits: Limits on the plug-ins' proposals.
+        max_chain_time: Seconds that all plug-ins together may delay one request.
+        number: Version number, from 1.
+        open_requests: Number of unfinished requests that started with this version.
+        on_drained: Called when the last request has finished; set once the version was replaced.
+        runners_by_phase: Runners of the plug-ins that implement a phase.
     """
 
     def __init__(
         self,
         runners: list[PluginRunner],
         limits: ProposalLimits,
-        max_chain_time: float = DEFAULT_MAX_CHAIN_TIME,
+        max_chain_time: float = DEFAULT_MAX_CHAIN_TIME_S,
         number: int = 1,
     ) -> None:
         self.runners = runners
@@ -48,21 +51,21 @@
         }
 
     def acquire(self) -> None:
-        """Begin a request on this version."""
+        """Count a request that starts with this version."""
         self.open_requests += 1
 
     def release(self) -> None:
-        """End a request that began on this version."""
+        """Count the end of a request that started with this version."""
         self.open_requests -= 1
         if not self.open_requests and self.on_drained is not None:
             self.on_drained(self)
 
     def run_phase(self, phase: Phase, view: RequestView, effects: RequestEffects, now: float) -> float | None:
-        """Ask all plug-ins of a phase in turn, and apply to `effects` what is allowed.
+        """Call all plug-ins of a phase in order, and apply the allowed proposals to `effects`.
 
         Returns:
-            The seconds until the client may retry if the request is rejected, which ends the chain; else
-            None.
+            Seconds until the client may retry if a plug-in rejected the request, which ends the chain; None
+            otherwise.
         """
         deadline = now + self.max_chain_time
         is_first = True
@@ -95,9 +98,9 @@
         return min(runner.circuit_breaker.time_until_available(now), self.limits.max_retry_after)
 
     def tick(self, unix_time: float, now: float) -> None:
-        """Call the plug-ins that have the phase TICK."""
+        """Call the plug-ins that implement the phase TICK."""
         if self.runners_by_phase[Phase.TICK]:
-            self.run_phase(Phase.TICK, RequestView(now=unix_time), RequestEffects(is_over=True), now)
+            self.run_phase(Phase.TICK, RequestView(now=unix_time), RequestEffects(is_finished=True), now)
 
     def close(self) -> None:
         """Close all plug-ins."""
@@ -105,6 +108,6 @@
 
 
 def close_plugins(runners: Sequence[PluginRunner]) -> None:
-    """Close the plug-ins of these runners."""
+    """Close the plug-ins of the given runners."""
     for runner in runners:
         runner.plugin.close()
--- a/apigateway/plugins/circuit_breaker.py
+++ b/apigateway/plugins/circuit_breaker.py
@@ -1,6 +1,6 @@
-"""Decides whether a plug-in is called now, by its CPU share and its failures in a row. Pure.
+"""Decides by CPU use and consecutive failures whether a plug-in may be called; without I/O.
 
-Times are in seconds of any clock that does not step back.
+Times are in seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -9,70 +9,75 @@
 
 from apigateway.plugins.interfaces import Budget
 
-_OPEN_TIME_FACTOR = 2  # how much longer the breaker stays open after each failed trial
+_OPEN_TIME_FACTOR = 2  # by which a failed trial call extends the open time
 
 
 class CircuitState(enum.StrEnum):
-    """The values are those of statuses."""
+    """State of a circuit breaker. The values are part of status reports."""
 
     CLOSED = "in"
     OPEN = "out"
-    HALF_OPEN = "on trial"  # one call decides
+    HALF_OPEN = "on trial"  # the result of one trial call closes or opens the breaker
 
 
-# Globals, for they are needed at each call: a member costs more to look up on its class.
+# Module globals, because they are used at each call and an enum member is slower to look up on its class.
 _OPEN = CircuitState.OPEN
 _HALF_OPEN = CircuitState.HALF_OPEN
 
 
 class SkipReason(enum.StrEnum):
-    """Why a plug-in was not called. The values are those of statuses."""
+    """Why a plug-in was not called. The values are part of status reports."""
 
     CIRCUIT_OPEN = "out"
     CPU_SHARE = "share"
-    CHAIN_TIME = "chain"  # those before it took the time that all plug-ins together have for a request
+    CHAIN_TIME = "chain"  # earlier plug-ins used up the time that all plug-ins together have for a request
 
 
 class CpuShare:
     """A token bucket of CPU seconds, which a long call may overdraw.
 
     Attributes:
-        credit: CPU seconds left; below 0 after a call that took more than there were.
+        share: CPU seconds that are added per second.
+        capacity: Largest credit in CPU seconds.
+        credit: CPU seconds left; negative after a call that used more than were left.
     """
 
     def __init__(self, share: float, window: float, now: float) -> None:
-        """Start full: `share` of a core over `window` seconds."""
+        """Start with the full capacity, which is `share` of a core over `window` seconds."""
         self.share = share
         self.capacity = share * window
         self.credit = self.capacity
         self._updated_at = now
 
     def refill(self, now: float) -> None:
-        """Add what was gained since the last call."""
+        """Add the CPU seconds gained since the last refill."""
         elapsed = max(0.0, now - self._updated_at)
         self.credit = min(self.capacity, self.credit + elapsed * self.share)
         self._updated_at = max(self._updated_at, now)
 
     def spend(self, now: float, seconds: float) -> None:
-        """Take what a call used."""
+        """Deduct the CPU seconds that a call used."""
         self.refill(now)
         self.credit -= seconds
 
     def time_until_available(self) -> float:
-        """Return the seconds until there is credit again, 0 where none is ever gained."""
+        """Return the seconds until the credit is no longer negative; 0 if the share is 0."""
         return max(0.0, -self.credit / self.share) if self.share else 0.0
 
 
 class CircuitBreaker:
-    """Takes a plug-in out of service that fails too often or uses more than its CPU share.
+    """Blocks calls of a plug-in that fails repeatedly or exceeds its CPU share.
 
     Attributes:
-        open_time: How long the breaker is open the next time.
-        open_until: When an open breaker lets a trial call through.
+        budget: Budget of the plug-in.
+        cpu_share: CPU seconds that the plug-in may use.
+        state: Current state.
+        open_time: Seconds for which the breaker opens the next time.
+        open_until: Time at which an open breaker allows a trial call.
     """
 
     def __init__(self, budget: Budget, now: float) -> None:
-        """Start closed, with the whole CPU share."""
+        """Start closed, with the full CPU share."""
         self.budget = budget
         self.cpu_share = CpuShare(budget.cpu_share, budget.cpu_share_window, now)
         self.state = CircuitState.CLOSED
@@ -81,21 +86,21 @@
         self._consecutive_failures = 0
 
     def check(self, now: float) -> SkipReason | None:
-        """Return why the plug-in must not be called now, None if it may be.
+        """Return why the plug-in must not be called now; None if it may be called.
 
-        A breaker whose open time is over becomes half open by this call.
+        If the open time has passed, this call makes the breaker half open.
         """
         if self.state is _OPEN:
             if now < self.open_until:
                 return SkipReason.CIRCUIT_OPEN
             self.state = _HALF_OPEN
-        if self.cpu_share.credit > 0:  # the usual case: what was gained since changes nothing
+        if self.cpu_share.credit > 0:  # the usual case, in which a refill would not change the result
             return None
         self.cpu_share.refill(now)
         return None if self.cpu_share.credit > 0 else SkipReason.CPU_SHARE
 
     def record_call(self, now: float, cpu_seconds: float, failed: bool) -> None:
-        """Account for a call that was made. What it used past its share it has to wait for."""
+        """Record a call. CPU time beyond the share delays the next call."""
         self.cpu_share.spend(now, cpu_seconds)
         if failed:
             self._record_failure(now)
@@ -119,7 +124,7 @@
             self._consecutive_failures = 0
 
     def time_until_available(self, now: float) -> float:
-        """Return the seconds until the plug-in may be called again, 0 if it may now."""
+        """Return the seconds until the plug-in may be called again; 0 if it may be called now."""
         if self.state is _OPEN and now < self.open_until:
             return self.open_until - now
         return self.cpu_share.time_until_available()
--- a/apigateway/plugins/interfaces.py
+++ b/apigateway/plugins/interfaces.py
@@ -1,4 +1,4 @@
-"""What plug-ins see, what they may propose and what a gateway calls on them, whatever they are written in."""
+"""The interface of a plug-in of any kind: its input, its proposals, its budget and its methods."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 
 
 class PluginKind(enum.StrEnum):
-    """How a plug-in is written. The values are part of statuses."""
+    """How a plug-in is written. The values are part of status reports."""
 
     RULES = "rules"
     WASM = "wasm"
 
 
 class Phase(enum.StrEnum):
-    """When a plug-in is called. The values are part of the rules, of settings and of statuses."""
+    """When a plug-in is called. The values are part of rules, settings and status reports."""
 
-    REQUEST = "request"  # a request was taken, before the decision module is given it
+    REQUEST = "request"  # a request was accepted; the decision module has not seen it yet
     ATTEMPT = "attempt"  # an attempt is about to be sent to an endpoint
-    ANSWER = "answer"  # the request is over
-    TICK = "tick"  # some time has passed; there is no request
+    ANSWER = "answer"  # the request has finished
+    TICK = "tick"  # periodic call without a request
 
 
 class Outcome(enum.StrEnum):
-    """How a request ended. The values are part of the ABI, of the rules and of records."""
+    """How a request ended. The values are part of rules and request records."""
 
     COMPLETED = "served"
     REJECTED = "refused"
     FAILED = "failed"
-    DISCONNECTED = "gone"  # the client went away: nobody was answered
+    DISCONNECTED = "gone"  # the client disconnected before the response
 
 
 class Verb(enum.StrEnum):
-    """What a plug-in may propose. The values are part of the ABI and of the rules."""
+    """What a plug-in may propose. The values are part of the ABI and of rules."""
 
     TAG = "tag"
     REJECT = "refuse"
@@ -41,29 +41,29 @@
 
 
 class FailureReason(enum.StrEnum):
-    """Why a call gave nothing that can be used. The values are part of statuses and log lines."""
+    """Why a call failed. The values are part of status reports and log lines."""
 
-    FUEL = "fuel"  # it executed more instructions than its budget has
-    TIME = "time"  # it ran longer than its budget has
-    MEMORY = "memory"  # it reached outside its memory, or for more than it may have
+    FUEL = "fuel"  # it executed more instructions than its budget allows
+    TIME = "time"  # it ran longer than its budget allows
+    MEMORY = "memory"  # it accessed an address out of bounds, or requested more than its budget
     STACK = "stack"
     TRAP = "trap"
-    NONSENSE = "nonsense"  # what it returned cannot be read
+    INVALID_DATA = "nonsense"  # its input does not fit, or its output cannot be decoded
     ERROR = "error"
     SELF_TEST = "self-test"
 
 
 class BudgetPolicy(enum.StrEnum):
-    """What becomes of a request that a plug-in could not be asked about. The values are settings."""
+    """What happens to a request if a plug-in could not process it. The values are part of settings."""
 
-    SKIP = "skip"  # the request goes on without it
+    SKIP = "skip"  # the request continues without the plug-in
     REJECT = "refuse"
 
 
 class Proposal(NamedTuple):
-    """What a plug-in asks for: (tag, key, value), (refuse, seconds, "") or (route, name, "").
+    """A proposal of a plug-in: (tag, key, value), (refuse, seconds, "") or (route, name, "").
 
-    `verb` is the plug-in's own text, so that it need not be a Verb.
+    `verb` is text from the plug-in and is not necessarily a Verb.
     """
 
     verb: str
@@ -72,7 +72,7 @@
 
 
 class PluginError(Exception):
-    """A call of a plug-in that gave nothing that can be used. The message says more, for the log."""
+    """A call of a plug-in failed. The message has the details, for the log."""
 
     def __init__(self, reason: FailureReason, text: str = "") -> None:
         self.reason = reason
@@ -81,15 +81,15 @@
 
 @dataclass(slots=True)
 class RequestView:
-    """One request as plug-ins see it; in the phase TICK only `now` has a meaning.
+    """One request as plug-ins see it; in the phase TICK only `now` is set.
 
     Attributes:
-        remaining: Seconds until the client gives up.
+        remaining: Seconds until the client's deadline.
         now: Unix time of this call in seconds.
-        endpoint_id: Of the attempt that is to be sent.
-        attempt: Its number, from 0; in the phase ANSWER how many there were.
-        outcome: An Outcome, empty until the request is over.
-        elapsed: Seconds since the request was taken.
+        endpoint_id: Endpoint of the attempt that is about to be sent.
+        attempt: Number of that attempt, from 0; in the phase ANSWER the number of attempts.
+        outcome: An Outcome; empty until the request has finished.
+        elapsed: Seconds since the request was accepted.
     """
 
     request_id: str = ""
@@ -111,17 +111,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What one plug-in may use. Times in seconds, sizes in bytes.
+    """Resource limits of one plug-in. Times in seconds, sizes in bytes.
 
     Attributes:
-        fuel: Instructions of a call.
-        call_time: Of a call.
-        cpu_share: Of a core, counted over `cpu_share_window`.
-        key_value_bytes: Of its key-value store.
-        log_lines: In a second.
-        failure_threshold: Failures in a row that open its circuit breaker.
-        open_time: Until an open breaker lets a trial call through; doubles with each failed trial.
-        when_exceeded: What becomes of a request that it could not be asked about.
+        fuel: Instructions per call.
+        call_time: Wall time per call.
+        memory_bytes: Size of a module's memory.
+        cpu_share: Share of a core, measured over `cpu_share_window`.
+        key_value_bytes: Size of its key-value store.
+        log_lines: Log lines per second.
+        failure_threshold: Consecutive failures that open its circuit breaker.
+        open_time: Time until an open breaker allows a trial call; doubles with each failed trial.
+        max_open_time: Upper bound of `open_time`.
+        when_exceeded: What happens to a request that the plug-in could not process.
     """
 
     fuel: int = 200_000
@@ -144,25 +146,25 @@
     phases: frozenset[Phase]
 
     def call(self, phase: Phase, view: RequestView) -> list[Proposal]:
-        """Return what it proposes. Raises PluginError and nothing else."""
+        """Return the plug-in's proposals. Raises PluginError."""
 
     def self_test(self) -> None:
-        """Run its own self-test, if it brings one. Raises PluginError."""
+        """Run the plug-in's own self-test, if it has one. Raises PluginError."""
 
     def reset(self) -> None:
-        """Forget all that it did so far."""
+        """Discard all state from earlier calls."""
 
     def save_state(self) -> bytes | None:
-        """Return what it hands to its successor, None for nothing. Raises PluginError."""
+        """Return the state for the next version; None if there is none. Raises PluginError."""
 
     def load_state(self, state: bytes) -> bool:
-        """Take over its predecessor's state; return False if it takes none. Raises PluginError."""
+        """Load the previous version's state; return False if it was not loaded. Raises PluginError."""
 
     def counters(self) -> dict[str, float]:
-        """Return its own counters by name."""
+        """Return the plug-in's own counters by name."""
 
     def status(self) -> dict[str, Any]:
-        """Return what it holds, for operators."""
+        """Return the plug-in's part of the status report."""
 
     def close(self) -> None:
-        """Free what it holds. It is not called any more."""
+        """Release its resources. The plug-in is not used afterwards."""
--- a/apigateway/plugins/isolated_validation.py
+++ b/apigateway/plugins/isolated_validation.py
@@ -1,8 +1,7 @@
-"""Validates modules in a process of its own before this one touches them.
+"""Validates WebAssembly modules in a separate process before they are loaded into the gateway.
 
-The engine is safe against what a module does when it runs, but its C interface ends the process where it
-meets a part of the standard that it has no form for. What is loaded while a gateway serves must not find that
-out there.
+The engine isolates a running module, but its C API aborts the process on types of the WebAssembly standard
+that it cannot represent. A module that is loaded by a running gateway must not abort that gateway.
 """
 
 from __future__ import annotations
@@ -20,12 +19,12 @@
 from apigateway import messages
 from apigateway.plugins.interfaces import Budget, PluginError
 
-DEFAULT_TIMEOUT = 20.0  # s for all modules of one load
-PROCESS_ENDED = "ended the process that it was tried in"
+DEFAULT_TIMEOUT_S = 20.0  # for all modules of one load
+PROCESS_ENDED_REASON = "ended the process that validated it"
 
-_VALID = "good"  # what the process writes of a module; else why it cannot be used
-_UNEXPLAINED = "odd"  # a reason that says nothing
-_ROOT = Path(__file__).resolve().parents[2]  # the folder that the package is imported from
+_VALID = "good"  # output line for a valid module; otherwise the line is the reason
+_UNKNOWN_REASON = "no reason given"  # in place of an empty reason, which would mean that the module is valid
+_IMPORT_ROOT = Path(__file__).resolve().parents[2]  # folder from which the package is imported
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,8 +32,12 @@
     """A module to validate.
 
     Attributes:
-        raw: Its binary or text.
-        gateway_settings: Those of the gateway that it is to serve in.
+        name: Name of the plug-in.
+        raw: Binary or text of the module.
+        settings: Settings of the plug-in.
+        budget: Budget of the plug-in.
+        seed: Seed of the module's random numbers.
+        gateway_settings: Settings of the gateway that loads the module.
     """
 
     name: str
@@ -46,55 +49,55 @@
 
 
 class ProcessResult(NamedTuple):
-    """What one process came to.
+    """The output of one validation process.
 
     Attributes:
-        reasons: Why modules cannot be used, empty where they can; as many as it came to.
-        ending: How the process ended.
+        reasons: Why a module cannot be used, empty if it is valid; in order, for the modules processed.
+        process_end: How the process completed.
     """
 
     reasons: list[str]
-    ending: str
+    process_end: str
 
 
-def validate_isolated(jobs: Sequence[ValidationJob], timeout: float = DEFAULT_TIMEOUT) -> list[str]:
-    """Return for each module why it cannot be used, empty where it can.
+def validate_isolated(jobs: Sequence[ValidationJob], timeout: float = DEFAULT_TIMEOUT_S) -> list[str]:
+    """Return for each module why it cannot be used; empty if it is valid.
 
-    A process that ends early is started again behind the module that ended it. `timeout` is in seconds, for
-    each process.
+    If a module ends the process, a new process continues with the next module. `timeout` is in seconds and
+    applies to each process.
     """
     reasons: list[str] = []
     while len(reasons) < len(jobs):
         result = _run_process(jobs[len(reasons) :], timeout)
         reasons += result.reasons
         if len(reasons) < len(jobs):
-            reasons.append(f"{PROCESS_ENDED} ({result.ending})")
+            reasons.append(f"{PROCESS_ENDED_REASON} ({result.process_end})")
     return reasons
 
 
 def _run_process(jobs: Sequence[ValidationJob], timeout: float) -> ProcessResult:
     try:
-        ended = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "apigateway.plugins.isolated_validation"],
             input=b"".join(map(pickle.dumps, jobs)),
             capture_output=True,
             timeout=timeout,
             env=_environment(),
-            check=False,  # how it ended is part of the result
+            check=False,  # the exit code is part of the result
         )
-        output = ended.stdout
-        ending = f"exit code {ended.returncode}"
+        output = completed.stdout
+        process_end = f"exit code {completed.returncode}"
     except subprocess.TimeoutExpired as err:
         output = err.stdout or b""
-        ending = f"not done in {timeout:.0f} s"
-    lines = output.decode("utf-8", "replace").split("\n")[:-1]  # a line that was cut is none
+        process_end = f"timed out after {timeout:.0f} s"
+    lines = output.decode("utf-8", "replace").split("\n")[:-1]  # drops an incomplete last line
     reasons = [line.removeprefix(_VALID).strip() for line in lines[: len(jobs)]]
-    return ProcessResult(reasons, ending)
+    return ProcessResult(reasons, process_end)
 
 
 def _environment() -> dict[str, str]:
-    """Return an environment in which this package is found."""
-    paths = [str(_ROOT)]
+    """Return environment variables with which a child process can import this package."""
+    paths = [str(_IMPORT_ROOT)]
     inherited = os.environ.get("PYTHONPATH")
     if inherited:
         paths.append(inherited)
@@ -102,15 +105,15 @@
 
 
 def main() -> None:
-    """Validate the pickled jobs of stdin; write a line for each: `good`, or why it cannot be used."""
+    """Validate the pickled jobs on stdin; write one line for each: `good`, or why it cannot be used."""
     stream = io.BytesIO(sys.stdin.buffer.read())
     while stream.tell() < len(stream.getbuffer()):
         result = _validate_module(pickle.load(stream))
-        print(" ".join(result.split()) or _UNEXPLAINED, flush=True)
+        print(" ".join(result.split()) or _UNKNOWN_REASON, flush=True)
 
 
 def _validate_module(job: ValidationJob) -> str:
-    """Return `good`, or why a module cannot be used."""
+    """Return `good`, or why the module cannot be used."""
     from apigateway.plugins.validation import validate
     from apigateway.plugins.wasm import InvalidModuleError, WasmPlugin
 
@@ -121,7 +124,7 @@
     except InvalidModuleError as err:
         return str(err)
     except PluginError as err:
-        return f"failed its proof ({err})"
+        return f"failed validation ({err})"
     return _VALID
 
 
--- a/apigateway/plugins/language/__init__.py
+++ b/apigateway/plugins/language/__init__.py
@@ -1,8 +1,8 @@
-"""Expressions that operators write in settings, compiled to closures over a request's view.
+"""Expressions that operators write in settings, compiled to closures that take a RequestView.
 
-The syntax is a subset of CEL's. There are no loops and no calls of one expression by another, so each one
-ends after at most as many steps as it has nodes. `lexer` and `parser` make a tree of `nodes`; `compiler`
-gives each node a type and a closure, with the help of `operators`, `lookups` and `functions`.
+The syntax is a subset of CEL. Expressions have no loops and cannot call each other, so each evaluation takes
+at most as many steps as the expression has nodes. `lexer` and `parser` build a tree of `nodes`; `compiler`
+type-checks each node and compiles it to a closure, using `operators`, `lookups` and `functions`.
 """
 
 from apigateway.plugins.language.compiler import compile_expression
--- a/apigateway/plugins/language/compiler.py
+++ b/apigateway/plugins/language/compiler.py
@@ -1,7 +1,7 @@
-"""A tree to a closure over one request's view, with each type known before it ever runs.
+"""Compiles the tree of an expression to a closure that takes a RequestView, and checks all types.
 
-What can still go wrong when it runs (a key that a table lacks, a division by 0, too long a text) raises
-EvaluationError, and the rule has failed for that request.
+Errors that depend on the request (a key missing in a table, a division by 0, a text that is too long) raise
+EvaluationError at evaluation, and the rule fails for that request.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import Any
 
 from apigateway.plugins.language.errors import ExpressionError
-from apigateway.plugins.language.functions import compile_call, find_function, hash_share, to_unix_time
+from apigateway.plugins.language.functions import compile_call, find_function, hash_fraction, to_unix_time
 from apigateway.plugins.language.lookups import compile_get, compile_has, compile_index, compile_member
 from apigateway.plugins.language.nodes import (
     Binary,
@@ -40,15 +40,15 @@
     Expression,
     Field,
     ValueType,
-    bounded,
+    check_text_length,
     check_type,
-    constant,
+    make_constant,
 )
 
-MAX_LIST_ITEMS = 100  # of a list that is written out
+MAX_LIST_ITEMS = 100  # of a list literal
 
 _SETTINGS_NAME = "settings"
-_ID_FIELD = "id"  # by which a request is sampled
+_ID_FIELD = "id"  # requests are sampled by a hash of it
 
 
 def compile_expression(
@@ -57,12 +57,13 @@
     """Compile an expression.
 
     Args:
-        fields: What it may read of a view, by name.
-        settings: The plug-in's.
-        seed: Of its samples.
+        text: Source of the expression.
+        fields: Fields of the view that it may read, by name.
+        settings: Settings of the plug-in.
+        seed: Seed of the hash by which requests are sampled.
 
     Raises:
-        ExpressionError: It cannot be used.
+        ExpressionError: The expression is invalid.
     """
     return _Compiler(fields, settings, seed).compile(parse(text))
 
@@ -98,9 +99,9 @@
     def _compile_leaf(self, node: NumberLiteral | TextLiteral | Name) -> Expression:
         match node:
             case NumberLiteral(value=number):
-                return constant(ValueType.NUMBER, number)
+                return make_constant(ValueType.NUMBER, number)
             case TextLiteral(value=text):
-                return constant(ValueType.TEXT, bounded(text))
+                return make_constant(ValueType.TEXT, check_text_length(text))
             case Name():
                 return self._compile_name(node)
 
@@ -110,13 +111,15 @@
     def _compile_name(self, node: Name) -> Expression:
         match node.name:
             case "true" | "false":
-                return constant(ValueType.TRUTH, node.name == "true")
+                return make_constant(ValueType.BOOLEAN, node.name == "true")
             case "settings":
-                return constant(ValueType.SETTINGS, self._settings)
+                return make_constant(ValueType.SETTINGS, self._settings)
         field = self._fields.get(node.name)
         if field is None:
             known = ", ".join(sorted([*self._fields, _SETTINGS_NAME]))
-            raise ExpressionError(node.position, f"no field {node.name!r} in this phase; there are {known}")
+            raise ExpressionError(
+                node.position, f"no field {node.name!r} in this phase; known fields: {known}"
+            )
         return Expression(field.type, field.get)
 
     def _compile_list(self, node: ListLiteral) -> Expression:
@@ -126,23 +129,23 @@
         items = [self._compile_typed(item, ValueType.NUMBER, ValueType.TEXT) for item in node.items]
         types = {item.type for item in items}
         if len(types) > 1:
-            raise ExpressionError(node.position, "a list of numbers and texts")
+            raise ExpressionError(node.position, "a list cannot mix numbers and texts")
         list_type = LIST_TYPES[types.pop() if types else ValueType.TEXT]
         if all(item.is_constant for item in items):
-            return constant(list_type, tuple(item.value for item in items))
+            return make_constant(list_type, tuple(item.value for item in items))
         evaluators = [item.evaluate for item in items]
         return Expression(list_type, lambda view: tuple(evaluate(view) for evaluate in evaluators))
 
     def _compile_unary(self, node: Unary) -> Expression:
         if node.operator == "!":
-            return compile_not(self._compile_typed(node.operand, ValueType.TRUTH))
+            return compile_not(self._compile_typed(node.operand, ValueType.BOOLEAN))
         return compile_negation(self._compile_typed(node.operand, ValueType.NUMBER))
 
     def _compile_binary(self, node: Binary) -> Expression:
         match node.operator:
             case "&&" | "||":
-                left = self._compile_typed(node.left, ValueType.TRUTH)
-                return compile_logic(node, left, self._compile_typed(node.right, ValueType.TRUTH))
+                left = self._compile_typed(node.left, ValueType.BOOLEAN)
+                return compile_logic(node, left, self._compile_typed(node.right, ValueType.BOOLEAN))
             case "in":
                 item = self._compile_typed(node.left, ValueType.NUMBER, ValueType.TEXT)
                 return compile_membership(node, item, self.compile(node.right))
@@ -151,7 +154,7 @@
                 return compile_binary(node, left, self.compile(node.right))
 
     def _compile_conditional(self, node: Conditional) -> Expression:
-        condition = self._compile_typed(node.condition, ValueType.TRUTH)
+        condition = self._compile_typed(node.condition, ValueType.BOOLEAN)
         if_true = self.compile(node.if_true)
         if_false = self.compile(node.if_false)
         return compile_conditional(node, condition, if_true, if_false)
@@ -171,14 +174,14 @@
                 return compile_call(node, function, [self.compile(argument) for argument in node.arguments])
 
     def _compile_has(self, node: Call) -> Expression:
-        (argument,) = _arguments(node, 1)
+        (argument,) = _check_argument_count(node, 1)
         if not isinstance(argument, Member):
             reason = "has takes a member: has(tags.name) or has(settings.name)"
             raise ExpressionError(node.position, reason)
         return compile_has(argument, self.compile(argument.container))
 
     def _compile_get(self, node: Call) -> Expression:
-        container, key, default = _arguments(node, 3)
+        container, key, default = _check_argument_count(node, 3)
         return compile_get(
             node,
             self.compile(container),
@@ -187,30 +190,30 @@
         )
 
     def _compile_sample(self, node: Call) -> Expression:
-        """True for a part of all requests, the same for a request wherever and whenever it is asked."""
-        (argument,) = _arguments(node, 1)
+        """Compile a test that is true for a share of all requests, chosen by a hash of the request's id."""
+        (argument,) = _check_argument_count(node, 1)
         share = self._compile_typed(argument, ValueType.NUMBER).evaluate
         if _ID_FIELD not in self._fields:
-            raise ExpressionError(node.position, "sample goes with a request; this phase has none")
+            raise ExpressionError(node.position, "sample needs a request; this phase has none")
         get_id = self._fields[_ID_FIELD].get
         seed = self._seed
-        return Expression(ValueType.TRUTH, lambda view: hash_share(get_id(view), seed) < share(view))
+        return Expression(ValueType.BOOLEAN, lambda view: hash_fraction(get_id(view), seed) < share(view))
 
     def _compile_date(self, node: Call) -> Expression:
-        (argument,) = _arguments(node, 1)
+        (argument,) = _check_argument_count(node, 1)
         text = self._compile_typed(argument, ValueType.TEXT)
         if not text.is_constant:
-            reason = 'date takes a text that is written out, "2026-08-26T00:00+05:30"'
+            reason = 'date takes a literal text such as "2026-08-26T00:00+05:30"'
             raise ExpressionError(argument.position, reason)
         try:
             date = datetime.datetime.fromisoformat(text.value)
         except ValueError as err:
-            raise ExpressionError(argument.position, f"{text.value!r} is no date") from err
-        return constant(ValueType.NUMBER, to_unix_time(date))
+            raise ExpressionError(argument.position, f"{text.value!r} is not a date") from err
+        return make_constant(ValueType.NUMBER, to_unix_time(date))
 
 
-def _arguments(node: Call, count: int) -> tuple[Node, ...]:
+def _check_argument_count(node: Call, count: int) -> tuple[Node, ...]:
     if len(node.arguments) != count:
-        reason = f"{node.function} takes {count} values, not {len(node.arguments)}"
+        reason = f"{node.function} takes {count} arguments, not {len(node.arguments)}"
         raise ExpressionError(node.position, reason)
     return node.arguments
--- a/apigateway/plugins/language/errors.py
+++ b/apigateway/plugins/language/errors.py
@@ -1,10 +1,10 @@
-"""What is wrong with an expression, when it is loaded and when it is evaluated."""
+"""Errors of expressions, at compilation and at evaluation."""
 
 from __future__ import annotations
 
 
 class ExpressionError(Exception):
-    """An expression cannot be used; `position` is the character that is at fault, from 0."""
+    """An expression is invalid; `position` is the index of the character at fault, from 0."""
 
     def __init__(self, position: int, reason: str) -> None:
         self.position = position
--- a/apigateway/plugins/language/functions.py
+++ b/apigateway/plugins/language/functions.py
@@ -1,4 +1,7 @@
-"""The functions of the language. Each takes bounded time: there is no pattern matching, which need not."""
+"""The functions of the language.
+
+Each takes bounded time; pattern matching, whose time would be unbounded, is left out.
+"""
 
 from __future__ import annotations
 
@@ -10,36 +13,41 @@
 
 from apigateway.plugins.language.errors import EvaluationError, ExpressionError
 from apigateway.plugins.language.nodes import Call
-from apigateway.plugins.language.values import LIST_TYPES, Expression, ValueType, bounded
+from apigateway.plugins.language.values import LIST_TYPES, Expression, ValueType, check_text_length
 
-SPECIAL_FORMS = ("date", "get", "has", "sample")  # compiled apart: they look at more than values
+SPECIAL_FORMS = (
+    "date",
+    "get",
+    "has",
+    "sample",
+)  # compiled by `compiler`: they need more than the values of their arguments
 
-_MAX_NUMBER_LENGTH = 32  # characters of a text that is made a number
+_MAX_NUMBER_CHARACTERS = 32  # of a text that is converted to a number
 _HASH_RANGE = 2**32
 _U32_MASK = 0xFFFF_FFFF
 _SECONDS_PER_HOUR = 3600
 _ANY_LIST = "list"
 
-_N = ValueType.NUMBER
-_T = ValueType.TEXT
-_B = ValueType.TRUTH
+_NUMBER = ValueType.NUMBER
+_TEXT = ValueType.TEXT
+_BOOLEAN = ValueType.BOOLEAN
 
 
 class Function(NamedTuple):
-    """A function; `parameters` has the types that it takes, a tuple for each form."""
+    """A function of the language; `parameters` has a tuple of types for each accepted signature."""
 
     parameters: tuple[tuple[str, ...], ...]
     call: Callable[..., Any]
-    result: ValueType
+    result_type: ValueType
 
 
-def hash_share(request_id: str, seed: int) -> float:
-    """Return where a request's id lies in 0..1, the same wherever and whenever it is asked."""
+def hash_fraction(request_id: str, seed: int) -> float:
+    """Return a hash of a request's id in 0..1, the same on all gateways and at any time."""
     return zlib.crc32(request_id.encode("utf-8", "replace"), seed & _U32_MASK) / _HASH_RANGE
 
 
 def to_text(value: Any) -> str:
-    """Return a value as a text, a whole number without a fraction."""
+    """Return a value as text; a whole number has no fraction."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, float):
@@ -48,7 +56,7 @@
 
 
 def to_unix_time(date: datetime.date) -> float:
-    """Return a date in Unix seconds; without a zone it is UTC."""
+    """Return a date as Unix time in seconds; a date without a time zone is in UTC."""
     if not isinstance(date, datetime.datetime):
         date = datetime.datetime(date.year, date.month, date.day)
     if date.tzinfo is None:
@@ -58,80 +66,84 @@
 
 def _to_number(text: str) -> float:
     try:
-        if len(text) <= _MAX_NUMBER_LENGTH and math.isfinite(number := float(text)):
+        if len(text) <= _MAX_NUMBER_CHARACTERS and math.isfinite(number := float(text)):
             return number
     except ValueError:
         pass
-    raise EvaluationError("a text that is no number")
+    raise EvaluationError("the text is not a number")
 
 
 def _floor(value: float) -> float:
     if not math.isfinite(value):
-        raise EvaluationError("a number that is not finite")
+        raise EvaluationError("the number is not finite")
     return float(math.floor(value))
 
 
 def _substring(text: str, start: float, end: float) -> str:
     if not (math.isfinite(start) and math.isfinite(end)):
-        raise EvaluationError("a place that is not finite")
+        raise EvaluationError("the position is not finite")
     return text[max(0, int(start)) : max(0, int(end))]
 
 
 def _local_time(unix_time: float, hours: float = 0.0) -> datetime.datetime:
-    """Return the time in a zone `hours` east of UTC."""
+    """Return the time in the time zone `hours` east of UTC."""
     try:
         return datetime.datetime.fromtimestamp(unix_time + hours * _SECONDS_PER_HOUR, datetime.UTC)
     except (ValueError, OverflowError, OSError) as err:
-        raise EvaluationError("a time out of range") from err
+        raise EvaluationError("the time is out of range") from err
 
 
 def _calendar_function(get: Callable[[datetime.datetime], float]) -> Function:
-    """Return a function of a time, and of the hours of a zone east of UTC if they are given."""
-    return Function(((_N,), (_N, _N)), lambda time, hours=0.0: float(get(_local_time(time, hours))), _N)
+    """Return a function of a Unix time and, optionally, of the hours of a time zone east of UTC."""
+    return Function(
+        ((_NUMBER,), (_NUMBER, _NUMBER)),
+        lambda time, hours=0.0: float(get(_local_time(time, hours))),
+        _NUMBER,
+    )
 
 
 FUNCTIONS = {
     "size": Function(
-        ((_T,), (_ANY_LIST,), (ValueType.SETTINGS,), (ValueType.TAGS,)), lambda x: float(len(x)), _N
+        ((_TEXT,), (_ANY_LIST,), (ValueType.SETTINGS,), (ValueType.TAGS,)), lambda x: float(len(x)), _NUMBER
     ),
-    "startsWith": Function(((_T, _T),), lambda a, b: a.startswith(b), _B),
-    "endsWith": Function(((_T, _T),), lambda a, b: a.endswith(b), _B),
-    "contains": Function(((_T, _T),), lambda a, b: b in a, _B),
-    "lower": Function(((_T,),), lambda a: bounded(a.lower()), _T),
-    "upper": Function(((_T,),), lambda a: bounded(a.upper()), _T),
-    "substring": Function(((_T, _N, _N),), _substring, _T),
-    "string": Function(((_N,), (_T,), (_B,)), to_text, _T),
-    "number": Function(((_T,),), _to_number, _N),
-    "share": Function(((_T, _N),), lambda a, b: hash_share(a, int(_floor(b))), _N),
-    "min": Function(((_N, _N),), min, _N),
-    "max": Function(((_N, _N),), max, _N),
-    "abs": Function(((_N,),), abs, _N),
-    "floor": Function(((_N,),), _floor, _N),
+    "startsWith": Function(((_TEXT, _TEXT),), lambda a, b: a.startswith(b), _BOOLEAN),
+    "endsWith": Function(((_TEXT, _TEXT),), lambda a, b: a.endswith(b), _BOOLEAN),
+    "contains": Function(((_TEXT, _TEXT),), lambda a, b: b in a, _BOOLEAN),
+    "lower": Function(((_TEXT,),), lambda a: check_text_length(a.lower()), _TEXT),
+    "upper": Function(((_TEXT,),), lambda a: check_text_length(a.upper()), _TEXT),
+    "substring": Function(((_TEXT, _NUMBER, _NUMBER),), _substring, _TEXT),
+    "string": Function(((_NUMBER,), (_TEXT,), (_BOOLEAN,)), to_text, _TEXT),
+    "number": Function(((_TEXT,),), _to_number, _NUMBER),
+    "share": Function(((_TEXT, _NUMBER),), lambda a, b: hash_fraction(a, int(_floor(b))), _NUMBER),
+    "min": Function(((_NUMBER, _NUMBER),), min, _NUMBER),
+    "max": Function(((_NUMBER, _NUMBER),), max, _NUMBER),
+    "abs": Function(((_NUMBER,),), abs, _NUMBER),
+    "floor": Function(((_NUMBER,),), _floor, _NUMBER),
     "hour": _calendar_function(lambda time: time.hour),
-    "weekday": _calendar_function(lambda time: time.weekday()),  # 0: Monday
+    "weekday": _calendar_function(lambda time: time.weekday()),  # Monday is 0
     "monthday": _calendar_function(lambda time: time.day),
     "month": _calendar_function(lambda time: time.month),
 }
 
 
 def find_function(node: Call) -> Function:
-    """Return the function that a node calls. Raises ExpressionError."""
+    """Return the function that a node calls. Raises ExpressionError if it does not exist."""
     function = FUNCTIONS.get(node.function)
     if function is None:
         known = ", ".join(sorted([*FUNCTIONS, *SPECIAL_FORMS]))
-        raise ExpressionError(node.position, f"no function {node.function!r}; there are {known}")
+        raise ExpressionError(node.position, f"no function {node.function!r}; known functions: {known}")
     return function
 
 
 def compile_call(node: Call, function: Function, arguments: Sequence[Expression]) -> Expression:
-    """Return the call of a function. Raises ExpressionError where it does not take these arguments."""
+    """Compile the call of a function. Raises ExpressionError if it does not take these arguments."""
     types = tuple(
         _ANY_LIST if argument.type in LIST_TYPES.values() else argument.type for argument in arguments
     )
     if types not in function.parameters:
         forms = " or ".join(f"({', '.join(form)})" for form in function.parameters)
         raise ExpressionError(node.position, f"{node.function} takes {forms}, not ({', '.join(types)})")
-    return Expression(function.result, _call_evaluator(function.call, arguments))
+    return Expression(function.result_type, _call_evaluator(function.call, arguments))
 
 
 def _call_evaluator(call: Callable[..., Any], arguments: Sequence[Expression]) -> Callable[[Any], Any]:
--- a/apigateway/plugins/language/lexer.py
+++ b/apigateway/plugins/language/lexer.py
@@ -1,4 +1,4 @@
-"""The text of an expression to tokens."""
+"""Splits the text of an expression into tokens."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 """,
     re.VERBOSE,
 )
-_BLANK = "blank"
+_WHITESPACE = "blank"
 _ESCAPE_PATTERN = re.compile(r"\\(.)")
 _ESCAPES = {"n": "\n", "t": "\t", "\\": "\\", '"': '"', "'": "'"}
 
 
 class TokenKind(enum.StrEnum):
-    """The values are the groups of the pattern."""
+    """Kind of a token. The values are names of groups in the pattern."""
 
     NUMBER = "number"
-    TEXT = "text"  # with its quotes
+    TEXT = "text"  # including its quotes
     NAME = "name"
-    SIGN = "sign"
+    SYMBOL = "sign"
     END = "end"
 
 
 class Token(NamedTuple):
-    """A word of an expression; `position` is its first character, from 0."""
+    """A token of an expression; `position` is the index of its first character, from 0."""
 
     kind: TokenKind
     text: str
@@ -42,22 +42,22 @@
 
 
 def tokenize(text: str) -> list[Token]:
-    """Return the tokens, with one of kind END at last. Raises ExpressionError."""
+    """Return the tokens, of which the last has the kind END. Raises ExpressionError."""
     tokens: list[Token] = []
     position = 0
     while position < len(text):
         match = _TOKEN_PATTERN.match(text, position)
         if match is None:
-            raise ExpressionError(position, f"{text[position]!r} has no meaning here")
-        if match.lastgroup != _BLANK:
+            raise ExpressionError(position, f"unexpected character {text[position]!r}")
+        if match.lastgroup != _WHITESPACE:
             tokens.append(Token(TokenKind(str(match.lastgroup)), match.group(), position))
         position = match.end()
-    tokens.append(Token(TokenKind.END, "the end", len(text)))
+    tokens.append(Token(TokenKind.END, "end of expression", len(text)))
     return tokens
 
 
 def unquote(token: Token) -> str:
-    """Return the value of a token of kind TEXT. Raises ExpressionError."""
+    """Return the value of a token of kind TEXT. Raises ExpressionError on an unknown escape sequence."""
 
     def unescape(match: re.Match[str]) -> str:
         if match.group(1) not in _ESCAPES:
--- a/apigateway/plugins/language/nodes.py
+++ b/apigateway/plugins/language/nodes.py
@@ -1,4 +1,4 @@
-"""The tree of an expression. A position is the character that errors name, from 0."""
+"""The nodes of an expression's tree. A position is the index of a character, from 0, for error messages."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NumberLiteral:
-    """A number that is written out."""
+    """A number literal."""
 
     position: int
     value: float
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TextLiteral:
-    """A text that is written out, without quotes and escapes."""
+    """A text literal; `value` has no quotes or escape sequences."""
 
     position: int
     value: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListLiteral:
-    """`[a, b]`."""
+    """A list literal, `[a, b]`."""
 
     position: int
     items: tuple[Node, ...]
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """`f(a, b)`, or `a.f(b)`, whose object is the first argument."""
+    """A call, `f(a, b)` or `a.f(b)`, in which `a` is the first argument."""
 
     position: int
     function: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """`a.name`."""
+    """A member access, `a.name`."""
 
     position: int
     container: Node
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Index:
-    """`a[key]`."""
+    """An index access, `a[key]`."""
 
     position: int
     container: Node
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unary:
-    """`!a` or `-a`."""
+    """A unary operation, `!a` or `-a`."""
 
     position: int
     operator: str
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Binary:
-    """`a + b`, and the like."""
+    """A binary operation, such as `a + b`."""
 
     position: int
     operator: str
--- a/apigateway/plugins/language/operators.py
+++ b/apigateway/plugins/language/operators.py
@@ -1,4 +1,4 @@
-"""The operators of the language, on expressions that are compiled."""
+"""Compiles the operators of the language."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     LIST_TYPES,
     Expression,
     ValueType,
-    bounded,
-    constant,
+    check_text_length,
+    make_constant,
 )
 
 _Operation = Callable[[Any, Any], Any]
@@ -32,14 +32,14 @@
     return math.fmod(a, b)
 
 
-_EQUALITIES: dict[str, _Operation] = {"==": operator.eq, "!=": operator.ne}
-_RELATIONS: dict[str, _Operation] = {
+_EQUALITY_OPERATORS: dict[str, _Operation] = {"==": operator.eq, "!=": operator.ne}
+_ORDERING_OPERATORS: dict[str, _Operation] = {
     "<": operator.lt,
     "<=": operator.le,
     ">": operator.gt,
     ">=": operator.ge,
 }
-_ARITHMETIC: dict[str, _Operation] = {
+_ARITHMETIC_OPERATORS: dict[str, _Operation] = {
     "+": operator.add,
     "-": operator.sub,
     "*": operator.mul,
@@ -49,17 +49,17 @@
 
 
 def compile_not(operand: Expression) -> Expression:
-    """Return `!operand`."""
+    """Compile `!operand`."""
     if operand.is_constant:
-        return constant(operand.type, not operand.value)
+        return make_constant(operand.type, not operand.value)
     evaluate = operand.evaluate
-    return Expression(ValueType.TRUTH, lambda view: not evaluate(view))
+    return Expression(ValueType.BOOLEAN, lambda view: not evaluate(view))
 
 
 def compile_negation(operand: Expression) -> Expression:
-    """Return `-operand`."""
+    """Compile `-operand`."""
     if operand.is_constant:
-        return constant(operand.type, -operand.value)
+        return make_constant(operand.type, -operand.value)
     evaluate = operand.evaluate
     return Expression(ValueType.NUMBER, lambda view: -evaluate(view))
 
@@ -67,75 +67,80 @@
 def compile_conditional(
     node: Conditional, condition: Expression, if_true: Expression, if_false: Expression
 ) -> Expression:
-    """Return `condition ? if_true : if_false`. Raises ExpressionError."""
+    """Compile `condition ? if_true : if_false`. Raises ExpressionError."""
     if if_true.type != if_false.type:
-        reason = f"either {if_true.type} or {if_false.type}; both must be of one type"
+        reason = f"{if_true.type} or {if_false.type}: both must be of one type"
         raise ExpressionError(node.position, reason)
     if condition.is_constant:
         return if_true if condition.value else if_false
-    test = condition.evaluate
-    first = if_true.evaluate
-    second = if_false.evaluate
-    return Expression(if_true.type, lambda view: first(view) if test(view) else second(view))
+    evaluate_condition = condition.evaluate
+    evaluate_if_true = if_true.evaluate
+    evaluate_if_false = if_false.evaluate
+    return Expression(
+        if_true.type,
+        lambda view: evaluate_if_true(view) if evaluate_condition(view) else evaluate_if_false(view),
+    )
 
 
 def compile_logic(node: Binary, left: Expression, right: Expression) -> Expression:
-    """Return `left && right` or `left || right`."""
-    a = left.evaluate
-    b = right.evaluate
+    """Compile `left && right` or `left || right`."""
+    evaluate_left = left.evaluate
+    evaluate_right = right.evaluate
     if node.operator == "&&":
-        return Expression(ValueType.TRUTH, lambda view: a(view) and b(view))
-    return Expression(ValueType.TRUTH, lambda view: a(view) or b(view))
+        return Expression(ValueType.BOOLEAN, lambda view: evaluate_left(view) and evaluate_right(view))
+    return Expression(ValueType.BOOLEAN, lambda view: evaluate_left(view) or evaluate_right(view))
 
 
 def compile_membership(node: Binary, item: Expression, container: Expression) -> Expression:
-    """Return `item in container`. Raises ExpressionError."""
+    """Compile `item in container`. Raises ExpressionError."""
     get_item = item.evaluate
     if container.type == ValueType.SETTINGS and item.type == ValueType.TEXT:
         keys = frozenset(container.value)
-        return Expression(ValueType.TRUTH, lambda view: get_item(view) in keys)
+        return Expression(ValueType.BOOLEAN, lambda view: get_item(view) in keys)
     if container.type not in (LIST_TYPES[item.type], ValueType.TAGS):
-        reason = f"{item.type} in {container.type}: expected a list or table of such"
+        reason = f"{item.type} in {container.type}: expected a list or a table of such items"
         raise ExpressionError(node.position, reason)
     if container.is_constant:
         items = frozenset(container.value)
-        return Expression(ValueType.TRUTH, lambda view: get_item(view) in items)
+        return Expression(ValueType.BOOLEAN, lambda view: get_item(view) in items)
     get_container = container.evaluate
-    return Expression(ValueType.TRUTH, lambda view: get_item(view) in get_container(view))
+    return Expression(ValueType.BOOLEAN, lambda view: get_item(view) in get_container(view))
 
 
 def compile_binary(node: Binary, left: Expression, right: Expression) -> Expression:
-    """Return a comparison or a calculation. Raises ExpressionError."""
+    """Compile a comparison, an arithmetic operation or a concatenation. Raises ExpressionError."""
     if left.type != right.type:
         reason = f"{left.type} {node.operator} {right.type}: both must be of one type"
         raise ExpressionError(node.position, reason)
-    if node.operator in _EQUALITIES:
-        _check_operand(node, left, ValueType.NUMBER, ValueType.TEXT, ValueType.TRUTH)
-        return _apply(_EQUALITIES[node.operator], ValueType.TRUTH, left, right)
-    if node.operator in _RELATIONS:
+    if node.operator in _EQUALITY_OPERATORS:
+        _check_operand(node, left, ValueType.NUMBER, ValueType.TEXT, ValueType.BOOLEAN)
+        return _apply(_EQUALITY_OPERATORS[node.operator], ValueType.BOOLEAN, left, right)
+    if node.operator in _ORDERING_OPERATORS:
         _check_operand(node, left, ValueType.NUMBER, ValueType.TEXT)
-        return _apply(_RELATIONS[node.operator], ValueType.TRUTH, left, right)
+        return _apply(_ORDERING_OPERATORS[node.operator], ValueType.BOOLEAN, left, right)
     if node.operator == "+" and left.type == ValueType.TEXT:
         return _concatenate(left, right)
     _check_operand(node, left, ValueType.NUMBER)
-    return _apply(_ARITHMETIC[node.operator], ValueType.NUMBER, left, right)
+    return _apply(_ARITHMETIC_OPERATORS[node.operator], ValueType.NUMBER, left, right)
 
 
 def _check_operand(node: Binary, operand: Expression, *types: ValueType) -> None:
     if operand.type not in types:
-        raise ExpressionError(node.position, f"{node.operator} does not go with {operand.type}")
+        raise ExpressionError(node.position, f"{node.operator} cannot be applied to {operand.type}")
 
 
 def _apply(operation: _Operation, result: ValueType, left: Expression, right: Expression) -> Expression:
-    a = left.evaluate
-    b = right.evaluate
-    if right.is_constant and not left.is_constant:  # the common form, a field against a constant
+    evaluate_left = left.evaluate
+    evaluate_right = right.evaluate
+    if right.is_constant and not left.is_constant:  # the common case, a field compared with a constant
         value = right.value
-        return Expression(result, lambda view: operation(a(view), value))
-    return Expression(result, lambda view: operation(a(view), b(view)))
+        return Expression(result, lambda view: operation(evaluate_left(view), value))
+    return Expression(result, lambda view: operation(evaluate_left(view), evaluate_right(view)))
 
 
 def _concatenate(left: Expression, right: Expression) -> Expression:
-    a = left.evaluate
-    b = right.evaluate
-    return Expression(ValueType.TEXT, lambda view: bounded(a(view) + b(view)))
+    evaluate_left = left.evaluate
+    evaluate_right = right.evaluate
+    return Expression(
+        ValueType.TEXT, lambda view: check_text_length(evaluate_left(view) + evaluate_right(view))
+    )
--- a/apigateway/plugins/language/parser.py
+++ b/apigateway/plugins/language/parser.py
@@ -1,6 +1,7 @@
-"""Tokens to a tree of nodes.
+"""Parses tokens into a tree of nodes.
 
-Precedence as in CEL: `?:`, `||`, `&&`, relations, sums, products, unary operators, members.
+Operators have the precedence of CEL, from the lowest: `?:`, `||`, `&&`, relations, sums, products, unary
+operators, member access.
 """
 
 from __future__ import annotations
@@ -24,9 +25,9 @@
     Unary,
 )
 
-MAX_TEXT_LENGTH = 2000  # characters of an expression
+MAX_EXPRESSION_CHARACTERS = 2000
 MAX_NODES = 300
-MAX_DEPTH = 40  # nested brackets, calls and conditions: the compiler walks the tree by recursion
+MAX_DEPTH = 40  # of nested brackets, calls and conditions; bounds the recursion of the compiler
 
 _UNARY_OPERATORS = ("!", "-")
 _LOWEST_PRECEDENCE = 1
@@ -47,20 +48,22 @@
     "%": 5,
 }
 
-_N = TypeVar("_N", bound=Node)
+_NodeT = TypeVar("_NodeT", bound=Node)
 
 
 def parse(text: str) -> Node:
-    """Return the tree of an expression. Raises ExpressionError."""
+    """Parse an expression and return its tree. Raises ExpressionError."""
     return _Parser(text).parse()
 
 
 class _Parser:
-    """Recursive descent: a method for each level of precedence."""
+    """Recursive descent parser; binary operators are parsed by precedence climbing."""
 
     def __init__(self, text: str) -> None:
-        if len(text) > MAX_TEXT_LENGTH:
-            raise ExpressionError(MAX_TEXT_LENGTH, f"longer than {MAX_TEXT_LENGTH} characters")
+        if len(text) > MAX_EXPRESSION_CHARACTERS:
+            raise ExpressionError(
+                MAX_EXPRESSION_CHARACTERS, f"longer than {MAX_EXPRESSION_CHARACTERS} characters"
+            )
         self._tokens = tokenize(text)
         self._index = 0
         self._node_count = 0
@@ -75,11 +78,11 @@
         self._index += 1
         return token
 
-    def _is_sign(self, text: str) -> bool:
-        return self._token.kind == TokenKind.SIGN and self._token.text == text
+    def _is_symbol(self, text: str) -> bool:
+        return self._token.kind == TokenKind.SYMBOL and self._token.text == text
 
     def _accept(self, text: str) -> bool:
-        if self._token.kind in (TokenKind.SIGN, TokenKind.NAME) and self._token.text == text:
+        if self._token.kind in (TokenKind.SYMBOL, TokenKind.NAME) and self._token.text == text:
             self._index += 1
             return True
         return False
@@ -88,33 +91,35 @@
         if not self._accept(text):
             raise ExpressionError(self._token.position, f"expected {text!r}, found {self._token.text!r}")
 
-    def _add(self, node: _N) -> _N:
-        """Count a node."""
+    def _count_node(self, node: _NodeT) -> _NodeT:
+        """Count and return a node. Raises ExpressionError if the expression has too many."""
         self._node_count += 1
         if self._node_count > MAX_NODES:
             raise ExpressionError(node.position, f"more than {MAX_NODES} parts")
         return node
 
-    def _descend(self, position: int) -> None:
-        """Count a level of nesting; `_depth` is set back by the caller."""
+    def _enter_nesting(self, position: int) -> None:
+        """Increment the nesting depth, which the caller decrements afterwards. Raises ExpressionError."""
         self._depth += 1
         if self._depth > MAX_DEPTH:
-            raise ExpressionError(position, f"nested more than {MAX_DEPTH} deep")
+            raise ExpressionError(position, f"nested more than {MAX_DEPTH} levels deep")
 
     def parse(self) -> Node:
         node = self._parse_conditional()
         if self._token.kind != TokenKind.END:
-            raise ExpressionError(self._token.position, f"{self._token.text!r} follows a whole expression")
+            raise ExpressionError(
+                self._token.position, f"unexpected {self._token.text!r} after the expression"
+            )
         return node
 
     def _parse_conditional(self) -> Node:
-        self._descend(self._token.position)
+        self._enter_nesting(self._token.position)
         node = self._parse_binary(_LOWEST_PRECEDENCE)
-        if self._is_sign("?"):
+        if self._is_symbol("?"):
             position = self._advance().position
             if_true = self._parse_conditional()
             self._expect(":")
-            node = self._add(Conditional(position, node, if_true, self._parse_conditional()))
+            node = self._count_node(Conditional(position, node, if_true, self._parse_conditional()))
         self._depth -= 1
         return node
 
@@ -123,20 +128,20 @@
         while self._binary_precedence() >= min_precedence:
             operator = self._advance()
             right = self._parse_binary(_BINARY_PRECEDENCES[operator.text] + 1)
-            left = self._add(Binary(operator.position, operator.text, left, right))
+            left = self._count_node(Binary(operator.position, operator.text, left, right))
         return left
 
     def _binary_precedence(self) -> int:
-        """Return the precedence of the next token, 0 if it is no binary operator."""
-        if self._token.kind not in (TokenKind.SIGN, TokenKind.NAME):
+        """Return the precedence of the next token; 0 if it is not a binary operator."""
+        if self._token.kind not in (TokenKind.SYMBOL, TokenKind.NAME):
             return 0
         return _BINARY_PRECEDENCES.get(self._token.text, 0)
 
     def _parse_unary(self) -> Node:
-        if self._token.kind == TokenKind.SIGN and self._token.text in _UNARY_OPERATORS:
+        if self._token.kind == TokenKind.SYMBOL and self._token.text in _UNARY_OPERATORS:
             operator = self._advance()
-            self._descend(operator.position)
-            node = self._add(Unary(operator.position, operator.text, self._parse_unary()))
+            self._enter_nesting(operator.position)
+            node = self._count_node(Unary(operator.position, operator.text, self._parse_unary()))
             self._depth -= 1
             return node
         return self._parse_members(self._parse_primary())
@@ -147,7 +152,7 @@
             if self._accept("."):
                 node = self._parse_member(node)
             elif self._accept("["):
-                node = self._add(Index(position, node, self._parse_conditional()))
+                node = self._count_node(Index(position, node, self._parse_conditional()))
                 self._expect("]")
             else:
                 return node
@@ -158,8 +163,8 @@
             raise ExpressionError(name.position, f"expected a name after '.', found {name.text!r}")
         if self._accept("("):
             arguments = (container, *self._parse_items(")"))
-            return self._add(Call(name.position, name.text, arguments))
-        return self._add(Member(name.position, container, name.text))
+            return self._count_node(Call(name.position, name.text, arguments))
+        return self._count_node(Member(name.position, container, name.text))
 
     def _parse_items(self, closing: str) -> tuple[Node, ...]:
         items: list[Node] = []
@@ -176,22 +181,22 @@
             case TokenKind.NUMBER:
                 return self._parse_number(token)
             case TokenKind.TEXT:
-                return self._add(TextLiteral(token.position, unquote(token)))
+                return self._count_node(TextLiteral(token.position, unquote(token)))
             case TokenKind.NAME if token.text not in _BINARY_PRECEDENCES:
                 if self._accept("("):
-                    return self._add(Call(token.position, token.text, self._parse_items(")")))
-                return self._add(Name(token.position, token.text))
-            case TokenKind.SIGN if token.text == "(":
+                    return self._count_node(Call(token.position, token.text, self._parse_items(")")))
+                return self._count_node(Name(token.position, token.text))
+            case TokenKind.SYMBOL if token.text == "(":
                 node = self._parse_conditional()
                 self._expect(")")
                 return node
-            case TokenKind.SIGN if token.text == "[":
-                return self._add(ListLiteral(token.position, self._parse_items("]")))
+            case TokenKind.SYMBOL if token.text == "[":
+                return self._count_node(ListLiteral(token.position, self._parse_items("]")))
             case _:
                 raise ExpressionError(token.position, f"expected a value, found {token.text!r}")
 
     def _parse_number(self, token: Token) -> Node:
         value = float(token.text)
         if value == math.inf:
-            raise ExpressionError(token.position, "too large a number")
-        return self._add(NumberLiteral(token.position, value))
+            raise ExpressionError(token.position, "the number is too large")
+        return self._count_node(NumberLiteral(token.position, value))
--- a/apigateway/plugins/language/values.py
+++ b/apigateway/plugins/language/values.py
@@ -1,4 +1,4 @@
-"""The types of the language, and what an expression is compiled to."""
+"""The types of the language, and compiled expressions."""
 
 from __future__ import annotations
 
@@ -9,28 +9,31 @@
 
 from apigateway.plugins.language.errors import EvaluationError, ExpressionError
 
-MAX_TEXT_LENGTH = 1024  # characters of a text that an expression makes
+MAX_TEXT_CHARACTERS = 1024  # of a text that an expression evaluates to
 
 Evaluator = Callable[[Any], Any]  # takes a RequestView
 
 
 class ValueType(enum.StrEnum):
-    """The types of values. The words are part of messages."""
+    """Type of a value. The enum values are part of error messages."""
 
-    NUMBER = "number"  # there is one kind
+    NUMBER = "number"  # a float
     TEXT = "text"
-    TRUTH = "truth"
+    BOOLEAN = "truth"
     TAGS = "tags"
-    SETTINGS = "settings"  # a table of them
-    NUMBERS = "list of number"
-    TEXTS = "list of text"
+    SETTINGS = "settings"  # a table of settings
+    NUMBER_LIST = "list of number"
+    TEXT_LIST = "list of text"
 
 
-LIST_TYPES = {ValueType.NUMBER: ValueType.NUMBERS, ValueType.TEXT: ValueType.TEXTS}  # by the items' type
+LIST_TYPES = {
+    ValueType.NUMBER: ValueType.NUMBER_LIST,
+    ValueType.TEXT: ValueType.TEXT_LIST,
+}
 
 
 class Field(NamedTuple):
-    """What an expression may read of a view."""
+    """A field of a RequestView that expressions may read."""
 
     type: ValueType
     get: Evaluator
@@ -38,11 +41,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Expression:
-    """An expression, compiled.
+    """A compiled expression.
 
     Attributes:
-        evaluate: Raises EvaluationError where there is no value.
-        is_constant: `value` was known when it was compiled, as settings are.
+        type: Type of the value.
+        evaluate: Return the value for a view. Raises EvaluationError if there is none.
+        is_constant: Whether the value is known at compilation, as that of a setting is.
+        value: The value of a constant expression.
     """
 
     type: ValueType
@@ -51,20 +56,23 @@
     value: Any = None
 
 
-def constant(value_type: ValueType, value: Any) -> Expression:
-    """Return an expression of one value."""
+def make_constant(value_type: ValueType, value: Any) -> Expression:
+    """Return an expression that always evaluates to `value`."""
     return Expression(value_type, lambda _: value, True, value)
 
 
 def check_type(position: int, expression: Expression, *types: ValueType) -> Expression:
-    """Return an expression that must be of one of these types. Raises ExpressionError."""
+    """Return the expression if it has one of these types. Raises ExpressionError otherwise."""
     if expression.type not in types:
-        raise ExpressionError(position, f"expected {' or '.join(types)}, this is {expression.type}")
+        raise ExpressionError(position, f"expected {' or '.join(types)}, not {expression.type}")
     return expression
 
 
-def bounded(text: str) -> str:
-    """Return a text that is not too long: sums of sums of texts would double with each."""
-    if len(text) > MAX_TEXT_LENGTH:
-        raise EvaluationError(f"a text of more than {MAX_TEXT_LENGTH} characters")
+def check_text_length(text: str) -> str:
+    """Return the text if it is not too long. Raises EvaluationError otherwise.
+
+    Without the limit, each concatenation of a text with itself would double its length.
+    """
+    if len(text) > MAX_TEXT_CHARACTERS:
+        raise EvaluationError(f"the text has more than {MAX_TEXT_CHARACTERS} characters")
     return text
--- a/apigateway/plugins/loader.py
+++ b/apigateway/plugins/loader.py
@@ -1,6 +1,6 @@
-"""Makes a version of the chain from settings, each plug-in validated before it serves.
+"""Loads a version of the plug-in chain from settings, and validates each plug-in before it serves requests.
 
-That takes its time, so it runs on another thread than serves.
+Loading is slow, so it runs on another thread than the one that serves requests.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 from apigateway.plugins.proposals import ProposalLimits
 from apigateway.plugins.runner import PluginRunner
 from apigateway.plugins.settings import HooksSection, PluginSection
-from apigateway.plugins.source import BYTES_PER_MB, PluginSource, PluginSourceError, read_source
+from apigateway.plugins.source import BYTES_PER_MIB, PluginSource, PluginSourceError, read_source
 from apigateway.plugins.validation import validate
 
 MAX_PLUGINS = 64
 
 _ENGINE_PACKAGE = "wasmtime"
-_ENGINE_MISSING = "needs wasmtime, which is not installed: pip install 'apigateway[plugins]'"
+_ENGINE_MISSING_REASON = "needs wasmtime, which is not installed: pip install 'apigateway[plugins]'"
 
 
 @dataclass(frozen=True, slots=True)
 class PluginEnvironment:
-    """Where plug-ins serve.
+    """The gateway that plug-ins are loaded for.
 
     Attributes:
-        path: The settings file, for problems; plug-ins' files are named beside it.
-        settings: Those of the gateway.
-        seed: Of rules' samples and of modules' random numbers.
+        path: Path of the settings file; paths of plug-in files are relative to its folder.
+        settings: Settings of the gateway.
+        seed: Seed of the samples of rules and of the random numbers of modules.
     """
 
     path: str
@@ -44,7 +44,7 @@
     seed: int = 0
 
     def proposal_limits(self, hooks: HooksSection) -> ProposalLimits:
-        """Return what plug-ins may propose here."""
+        """Return the limits on the plug-ins' proposals."""
         limits = self.settings.limits
         return ProposalLimits(
             routes=frozenset(self.settings.routes),
@@ -60,23 +60,25 @@
     environment: PluginEnvironment,
     current: ChainVersion | None = None,
 ) -> ChainVersion:
-    """Return a version of all plug-ins, validated.
+    """Load and validate all plug-ins, and return them as a new version.
 
-    One whose file and settings are those of `current` goes on as it is, with its state and its statistics.
-    Raises InvalidConfigFileError with all problems; then nothing of the new is left.
+    A plug-in whose file and settings are unchanged since `current` is reused, with its state and statistics.
+    Raises InvalidConfigFileError with all problems; in that case all new plug-ins are closed.
     """
     return _ChainLoader(hooks, environment, current).load(sections)
 
 
 class _ChainLoader:
-    """One load. Plug-ins are known by their index in the settings."""
+    """Loads one version. Plug-ins are identified by their index in the settings."""
 
     def __init__(
         self, hooks: HooksSection, environment: PluginEnvironment, current: ChainVersion | None
     ) -> None:
         self._hooks = hooks
         self._environment = environment
-        self._serving = {runner.name: runner for runner in current.runners} if current is not None else {}
+        self._current_runners = (
+            {runner.name: runner for runner in current.runners} if current is not None else {}
+        )
         self._problems: list[ConfigProblem] = []
 
     def load(self, sections: Sequence[PluginSection]) -> ChainVersion:
@@ -85,8 +87,8 @@
         self._validate_modules(sources, unchanged)
         runners = self._create_runners(sources, unchanged)
         if self._problems:
-            serving = self._serving.values()
-            close_plugins([runner for runner in runners if runner not in serving])
+            current_runners = self._current_runners.values()
+            close_plugins([runner for runner in runners if runner not in current_runners])
             raise InvalidConfigFileError(self._problems)
         limits = self._environment.proposal_limits(self._hooks)
         return ChainVersion(runners, limits, self._hooks.time_ms / 1000)
@@ -105,7 +107,7 @@
 
     def _read_sources(self, sections: Sequence[PluginSection]) -> dict[int, PluginSource]:
         folder = os.path.dirname(os.path.abspath(self._environment.path))
-        max_bytes = self._hooks.max_file_mb * BYTES_PER_MB
+        max_bytes = self._hooks.max_file_mb * BYTES_PER_MIB
         sources: dict[int, PluginSource] = {}
         names: set[str] = set()
         for index, section in enumerate(sections):
@@ -116,26 +118,26 @@
         return sources
 
     def _find_unchanged(self, sources: dict[int, PluginSource]) -> dict[int, PluginRunner]:
-        """Return the runners that go on as they are."""
+        """Return the runners of unchanged plug-ins, which are reused."""
         unchanged: dict[int, PluginRunner] = {}
         for index, source in sources.items():
-            runner = self._serving.get(source.section.name)
+            runner = self._current_runners.get(source.section.name)
             if runner is not None and runner.digest == source.digest:
                 unchanged[index] = runner
         return unchanged
 
     def _validate_modules(self, sources: dict[int, PluginSource], unchanged: dict[int, PluginRunner]) -> None:
-        """Validate new modules in a process of their own, and take those that fail out of `sources`."""
+        """Validate new modules in a separate process, and remove the invalid ones from `sources`."""
         modules = {
             index: source for index, source in sources.items() if index not in unchanged and not source.rules
         }
         if not modules:
             return
-        if importlib.util.find_spec(_ENGINE_PACKAGE) is None:  # said plainly, not as a process that ended
-            reasons = [_ENGINE_MISSING] * len(modules)
+        if importlib.util.find_spec(_ENGINE_PACKAGE) is None:  # a clearer reason than a failed process
+            reasons = [_ENGINE_MISSING_REASON] * len(modules)
         else:
             reasons = validate_isolated([self._validation_job(source) for source in modules.values()])
-        remedy = "`api-gateway plugin check` says the same"
+        remedy = "run `api-gateway plugin check` to reproduce it"
         for (index, source), reason in zip(modules.items(), reasons, strict=True):
             if reason:
                 del sources[index]
@@ -162,7 +164,7 @@
         return runners
 
     def _create_runner(self, source: PluginSource) -> PluginRunner:
-        """Make and validate a plug-in. Raises PluginSourceError."""
+        """Create and validate a plug-in. Raises PluginSourceError."""
         section = source.section
         plugin = source.create_plugin()
         try:
@@ -170,15 +172,15 @@
         except PluginError as err:
             plugin.close()
             key = "file" if section.file else "rules"
-            reason = f"failed its proof ({err})"
-            remedy = "mend it, or widen its budget"
+            reason = f"failed validation ({err})"
+            remedy = "fix the plug-in or raise its budget"
             raise PluginSourceError(key, section.file or None, reason, remedy) from err
         return PluginRunner(section.name, plugin, source.budget, source.digest, time.monotonic())
 
 
 def _check_name(name: str, index: int, names: set[str]) -> None:
-    """Raise PluginSourceError where a name is not a plug-in's own, or one plug-in too many."""
+    """Raise PluginSourceError if the name is already used, or if there are too many plug-ins."""
     if name in names:
-        raise PluginSourceError("name", name, "is another plug-in's too", "give each its own")
+        raise PluginSourceError("name", name, "is used by another plug-in", "use a unique name")
     if index >= MAX_PLUGINS:
         raise PluginSourceError("name", name, f"more than {MAX_PLUGINS} plug-ins", "use fewer")
--- a/apigateway/plugins/manager.py
+++ b/apigateway/plugins/manager.py
@@ -1,4 +1,4 @@
-"""The plug-ins in service, as core.interfaces.PluginChain: the version in force, its swap, ticks, records."""
+"""Implements core.interfaces.PluginChain: calls the current version of the plug-ins and swaps versions."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from apigateway.plugins.records import RequestRecorder
 from apigateway.plugins.runner import PluginRunner
 
-MIN_DEDUCTED_TIME = 0.001  # s that plug-ins took, from which on the module is given less remaining time
+MIN_DEDUCTED_TIME_S = 0.001  # plug-in time up to this is not deducted from a request's remaining time
 
-# Globals, for they are needed at each call: a member costs more to look up on its class.
+# Module globals, because they are used at each call and an enum member is slower to look up on its class.
 _REQUEST = Phase.REQUEST
 _ATTEMPT = Phase.ATTEMPT
 _ANSWER = Phase.ANSWER
@@ -26,11 +26,11 @@
 
 
 class StateTransferError(Exception):
-    """A plug-in of a new version could not take over the state of the one before; the old version stays.
+    """A plug-in of a new version could not load the state of its predecessor; the old version stays in use.
 
     Attributes:
-        plugin_name: The plug-in that failed.
-        reason: What it failed with.
+        plugin_name: Name of the plug-in that failed.
+        reason: Why it failed.
     """
 
     def __init__(self, plugin_name: str, reason: str) -> None:
@@ -40,14 +40,14 @@
 
 
 class Scheduler(Protocol):
-    """What is needed of an event loop."""
+    """The part of an event loop that the manager uses."""
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Any:
-        """Call back after `delay` seconds; return a handle with `cancel`."""
+        """Schedule a callback in `delay` seconds; return a handle with `cancel`."""
 
 
 class RequestSession:
-    """One request's way through the version that it began with."""
+    """Calls the plug-ins for one request, always in the version that it started with."""
 
     __slots__ = ("_manager", "_version", "_view", "_effects", "_endpoint_ids", "_started_at")
 
@@ -67,7 +67,7 @@
         self._started_at = started_at
 
     def on_attempt(self, endpoint_id: str) -> None:
-        """Hear of an attempt that is about to be sent."""
+        """Call the plug-ins for an attempt that is about to be sent."""
         now = time.monotonic()
         self._effects.attempt_tags.append({})
         self._endpoint_ids.append(endpoint_id)
@@ -83,11 +83,14 @@
         self._version.run_phase(_ATTEMPT, view, self._effects, now)
 
     def on_end(self, outcome: str) -> None:
-        """Notify of the final answer, or of a client that disconnected before it. Called once."""
+        """Call the plug-ins for a finished request, and record it.
+
+        Called once, after the final response or after the client has disconnected.
+        """
         now = time.monotonic()
         view = self._view
         effects = self._effects
-        effects.is_over = True
+        effects.is_finished = True
         view.outcome = outcome
         view.elapsed = now - self._started_at
         view.attempt = len(self._endpoint_ids)
@@ -103,13 +106,14 @@
 
 
 class PluginManager:
-    """Asks the version in force about each request, and swaps versions.
+    """Calls the current version of the plug-ins for each request, and swaps versions.
 
     Attributes:
-        version: The version that new requests begin with.
-        clock: Unix time in seconds.
+        version: Version that new requests start with.
+        clock: Return the Unix time in seconds.
         tick_interval: Seconds between two calls of the phase TICK.
-        draining_versions: Replaced versions with requests that are not over.
+        recorder: Recorder of finished requests; None if there is none.
+        draining_versions: Replaced versions that have unfinished requests.
     """
 
     def __init__(
@@ -134,17 +138,17 @@
         self._timer = self._scheduler.call_later(self.tick_interval, self.tick)
 
     def tick(self) -> None:
-        """Call the plug-ins' phase TICK, and schedule the next one."""
+        """Call the phase TICK of the plug-ins, and schedule the next call."""
         self.start()
         try:
             self.version.tick(self.clock(), time.monotonic())
         except Exception:
-            log.exception("plug-ins: tick")
+            log.exception("plug-ins: the call of the phase tick failed")
 
     def on_request(
         self, request: messages.Request
     ) -> tuple[RequestSession, messages.Request | messages.RejectedByPlugin]:
-        """Return the event for the decision module: the request, with its route, or its rejection."""
+        """Call the plug-ins; return the event for the decision module, a request or its rejection."""
         version = self.version
         started_at = time.monotonic()
         effects = RequestEffects()
@@ -167,15 +171,15 @@
             if retry_after is not None:
                 return session, messages.RejectedByPlugin(request.request_id, retry_after)
         elapsed = time.monotonic() - started_at
-        if elapsed > MIN_DEDUCTED_TIME or effects.route:
-            deducted = elapsed if elapsed > MIN_DEDUCTED_TIME else 0.0
+        if elapsed > MIN_DEDUCTED_TIME_S or effects.route:
+            deducted = elapsed if elapsed > MIN_DEDUCTED_TIME_S else 0.0
             request = replace(request, route=effects.route, remaining=request.remaining - deducted)
         return session, request
 
-    # The swap: all that can fail comes before anything changes
+    # A swap changes nothing until all steps that can fail have succeeded.
 
     def swap(self, version: ChainVersion, tick_interval: float | None = None) -> None:
-        """Have requests that are taken from now on begin with `version`. Raises StateTransferError."""
+        """Start new requests with `version` from now on. Raises StateTransferError."""
         replaced = self.version
         _transfer_states(replaced, version)
         self.version = version
@@ -184,7 +188,7 @@
         self._drain(replaced)
 
     def retire(self) -> None:
-        """Take no more requests: what is held goes with the last one that is open."""
+        """Stop serving new requests; plug-ins and recorder are closed after the last open request."""
         if self._timer is not None:
             self._timer.cancel()
         self.tick_interval = 0.0
@@ -199,7 +203,7 @@
             self._on_drained(version)
 
     def _on_drained(self, version: ChainVersion) -> None:
-        """Close what a replaced version has for itself alone: its last request is over."""
+        """Close the plug-ins that only this drained version uses."""
         self.draining_versions.discard(version)
         versions_in_use = set(self.draining_versions)
         if not self._is_retired:
@@ -210,7 +214,7 @@
             self.recorder.finish()
 
     def close(self) -> None:
-        """Close all versions at once, and the records once they are written."""
+        """Close all versions at once; write the pending records and close their file."""
         if self._timer is not None:
             self._timer.cancel()
         for version in (self.version, *self.draining_versions):
@@ -219,7 +223,7 @@
             self.recorder.close()
 
     def status(self) -> dict[str, Any]:
-        """Return the state of versions, plug-ins and records, for operators. Times in seconds."""
+        """Return the status report of versions, plug-ins and records. Times in seconds."""
         now = time.monotonic()
         return {
             "version": self.version.number,
@@ -233,7 +237,7 @@
 
 
 def _transfer_states(old: ChainVersion, new: ChainVersion) -> None:
-    """Hand each plug-in the state of the one of its name before. Raises StateTransferError."""
+    """Transfer each plug-in's state to the new plug-in of its name. Raises StateTransferError."""
     predecessors = {runner.name: runner for runner in old.runners}
     for runner in new.runners:
         predecessor = predecessors.get(runner.name)
@@ -245,17 +249,17 @@
         try:
             runner.plugin.load_state(state)
         except Exception as err:
-            reason = f"could not take the state of the one before: {err}"
+            reason = f"could not load the state of its previous version: {err}"
             raise StateTransferError(runner.name, reason) from err
 
 
 def _save_state(runner: PluginRunner) -> bytes | None:
-    """Return what a replaced plug-in hands over.
+    """Return the saved state of a plug-in that is replaced.
 
-    One that fails at that is replaced all the same: it may be for its failures that it is.
+    A plug-in that fails to save its state is still replaced, because its failures may be why it is replaced.
     """
     try:
         return runner.plugin.save_state()
     except PluginError as err:
-        log.warning("plug-in %s: its state is lost (%s)", runner.name, err)
+        log.warning("plug-in %s: its state could not be saved and is lost (%s)", runner.name, err)
         return None
--- a/apigateway/plugins/proposals.py
+++ b/apigateway/plugins/proposals.py
@@ -1,8 +1,8 @@
-"""Judges what a plug-in proposed: what of it takes effect, and what is denied with which reason.
+"""Decides which proposals of a plug-in take effect, and why the others are denied.
 
-Pure: no I/O, no clock, nothing is changed here. No verb reaches a request's class, customer, plan, deadline,
-units, id or host, nor sends, repeats or holds it: such verbs are known only so that an attempt at them is
-counted by name.
+Evaluation is free of I/O, clocks and side effects. No verb can change a request's class, customer, plan,
+deadline, units, id or host, and none can send, repeat or hold a request. Verbs for that are listed only so
+that attempts to use them are counted by name.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 from apigateway.plugins.interfaces import Phase, Proposal, Verb
 
-MAX_PROPOSALS = 64  # of one call; the rest is dropped unread
-MAX_TAG_VALUE_LENGTH = 128  # characters
+MAX_PROPOSALS = 64  # of one call; further ones are ignored
+MAX_TAG_VALUE_CHARACTERS = 128
 TAG_KEY_PATTERN = re.compile(r"[a-z][a-z0-9_.-]{0,31}")
 
-# Nothing that a plug-in may change: these verbs are denied and counted by name.
+# Verbs that no plug-in may use; they are denied and counted by name.
 FORBIDDEN_VERBS = frozenset(
     (
         "class",
@@ -44,7 +44,7 @@
 )
 
 _VERBS = frozenset(Verb)
-_UNKNOWN_VERB = "other"  # in place of a verb that nobody knows: counts by verb must stay bounded
+_UNKNOWN_VERB = "other"  # replaces unknown verbs, so that the number of counters by verb is bounded
 _ALLOWED_VERBS: dict[Phase, frozenset[str]] = {
     Phase.REQUEST: _VERBS,
     Phase.ATTEMPT: frozenset((Verb.TAG,)),
@@ -52,16 +52,16 @@
     Phase.TICK: frozenset(),
 }
 
-# Globals, for they are needed at each call: a member costs more to look up on its class.
+# Module globals, because they are used at each call and an enum member is slower to look up on its class.
 _ATTEMPT = Phase.ATTEMPT
 _TAG = Verb.TAG
 _ROUTE = Verb.ROUTE
 
 
 class DenialReason(enum.StrEnum):
-    """Why a proposal has no effect. The values are those of statuses."""
+    """Why a proposal was denied. The values are part of status reports."""
 
-    REQUEST_OVER = "over"
+    REQUEST_FINISHED = "over"
     WRONG_PHASE = "wrong phase"
     FORBIDDEN = "fixed"
     UNKNOWN_VERB = "unknown"
@@ -72,12 +72,12 @@
     TOO_MANY_BYTES = "too many bytes"
     UNKNOWN_ROUTE = "unknown route"
     ALREADY_ROUTED = "routed already"
-    WAIT_CUT = "wait cut"  # the request is rejected, with another wait than the plug-in named
+    RETRY_AFTER_CLAMPED = "wait cut"  # the request is rejected, but with another retry time than proposed
     TOO_MANY_PROPOSALS = "too many"
 
 
 class Denial(NamedTuple):
-    """A proposal without effect."""
+    """A denied proposal: its verb and the reason."""
 
     verb: str
     reason: DenialReason
@@ -85,13 +85,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalLimits:
-    """What plug-ins may propose here.
+    """Limits on the proposals of plug-ins.
 
     Attributes:
-        routes: The names of those that settings have.
-        max_tags: Of a request, by all plug-ins together.
-        max_tag_bytes: Of a request's keys and values together.
-        max_retry_after: Longest wait of a rejection in seconds; 0 where rejections tell none.
+        routes: Names of the configured routes.
+        max_tags: Largest number of tags on a request, from all plug-ins together.
+        max_tag_bytes: Largest total size of a request's tag keys and values.
+        max_retry_after: Longest retry time of a rejection in seconds; 0 if rejections have none.
     """
 
     routes: frozenset[str] = frozenset()
@@ -102,11 +102,14 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What of one call's proposals takes effect, and what does not.
+    """The allowed and the denied proposals of one call.
 
     Attributes:
-        tag_bytes: What `tags` come to.
-        retry_after: Seconds until the client of a rejected request may retry; None: not rejected.
+        tags: Tags to set.
+        tag_bytes: Total size of `tags`.
+        retry_after: Seconds until the client of a rejected request may retry; None if it is not rejected.
+        route: Route to select; empty if none.
+        denied: Denied proposals.
     """
 
     tags: dict[str, str] = field(default_factory=dict)
@@ -118,12 +121,16 @@
 
 @dataclass(slots=True)
 class RequestEffects:
-    """What has taken effect on one request so far, by all plug-ins together.
+    """The effects of all plug-ins on one request so far.
 
     Attributes:
-        attempt_tags: The tags of each attempt.
-        tag_count: Of the request's tags and its attempts' together, as `tag_bytes`.
-        rejected_by: The plug-in that had the request rejected.
+        tags: Tags of the request.
+        attempt_tags: Tags of each attempt.
+        tag_count: Number of tags of the request and its attempts.
+        tag_bytes: Total size of these tags.
+        route: Selected route; empty if none.
+        rejected_by: Name of the plug-in that rejected the request; empty if none did.
+        is_finished: Whether the request has finished.
     """
 
     tags: dict[str, str] = field(default_factory=dict)
@@ -132,32 +139,32 @@
     tag_bytes: int = 0
     route: str = ""
     rejected_by: str = ""
-    is_over: bool = False
+    is_finished: bool = False
 
     def apply(self, phase: Phase, verdict: Verdict) -> None:
-        """Add tags and route of a verdict."""
+        """Apply the tags and the route of a verdict."""
         tags = self.attempt_tags[-1] if phase == _ATTEMPT else self.tags
         tags.update(verdict.tags)
         self.tag_count += len(verdict.tags)
         self.tag_bytes += verdict.tag_bytes
         self.route = verdict.route or self.route
 
-    def tags_of(self, phase: Phase) -> dict[str, str]:
-        """Return the tags that a phase adds to: the last attempt's or the request's."""
+    def tags_for_phase(self, phase: Phase) -> dict[str, str]:
+        """Return the tags that a phase may add to: those of the last attempt or of the request."""
         if phase == _ATTEMPT and self.attempt_tags:
             return self.attempt_tags[-1]
         return self.tags
 
 
 def tag_size(key: str, value: str) -> int:
-    """Return the bytes that a tag is counted with."""
+    """Return the size of a tag in bytes."""
     return len(key) + (len(value) if value.isascii() else len(value.encode("utf-8", "replace")))
 
 
 def evaluate(
     phase: Phase, proposals: Sequence[Proposal], effects: RequestEffects, limits: ProposalLimits
 ) -> Verdict:
-    """Return what of one call's proposals takes effect on a request."""
+    """Decide which proposals of one call take effect on a request."""
     verdict = Verdict()
     allowed_verbs = _ALLOWED_VERBS[phase]
     for proposal in proposals[:MAX_PROPOSALS]:
@@ -167,12 +174,12 @@
         elif verb not in _VERBS:
             verb = _UNKNOWN_VERB
             reason = DenialReason.UNKNOWN_VERB
-        elif effects.is_over:
-            reason = DenialReason.REQUEST_OVER
+        elif effects.is_finished:
+            reason = DenialReason.REQUEST_FINISHED
         elif verb not in allowed_verbs:
             reason = DenialReason.WRONG_PHASE
         elif verb == _TAG:
-            reason = _evaluate_tag(proposal, effects.tags_of(phase), effects, limits, verdict)
+            reason = _evaluate_tag(proposal, effects.tags_for_phase(phase), effects, limits, verdict)
         elif verb == _ROUTE:
             reason = _evaluate_route(proposal.argument, effects, limits, verdict)
         else:
@@ -196,7 +203,7 @@
     reason: DenialReason | None = None
     if not TAG_KEY_PATTERN.fullmatch(key):
         reason = DenialReason.BAD_KEY
-    elif len(value) > MAX_TAG_VALUE_LENGTH or not value.isprintable():
+    elif len(value) > MAX_TAG_VALUE_CHARACTERS or not value.isprintable():
         reason = DenialReason.BAD_VALUE
     elif key in existing_tags or key in verdict.tags:
         reason = DenialReason.ALREADY_TAGGED
@@ -222,7 +229,7 @@
 
 
 def _evaluate_rejection(text: str, limits: ProposalLimits, verdict: Verdict) -> DenialReason | None:
-    """A rejection stands, whatever wait it names; that one is cut to what rejections may tell."""
+    """Accept a rejection with any retry time, but clamp that time to the allowed range."""
     if verdict.retry_after is not None:
         return None
     try:
@@ -231,6 +238,6 @@
         proposed = math.nan
     if math.isnan(proposed):
         verdict.retry_after = 0.0
-        return DenialReason.WAIT_CUT
+        return DenialReason.RETRY_AFTER_CLAMPED
     verdict.retry_after = min(max(proposed, 0.0), limits.max_retry_after)
-    return DenialReason.WAIT_CUT if verdict.retry_after != proposed else None
+    return DenialReason.RETRY_AFTER_CLAMPED if verdict.retry_after != proposed else None
--- a/apigateway/plugins/records.py
+++ b/apigateway/plugins/records.py
@@ -1,6 +1,6 @@
-"""Records of requests that are over, a line of JSON each.
+"""Records of finished requests, one line of JSON each.
 
-A thread writes them, so that the disk never holds up what serves.
+They are written by a separate thread, so that a slow disk never delays requests.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 ROTATED_SUFFIX = ".1"
 
-_CLOSE_TIMEOUT = 5.0  # s that an end waits for the disk: one that hangs must not hold it up
-_FULL_QUEUE_TIMEOUT = 1.0  # s of them for a place in the queue
+_CLOSE_TIMEOUT_S = 5.0  # a hanging disk must not delay the shutdown for longer
+_FULL_QUEUE_TIMEOUT_S = 1.0  # the part of it that is spent waiting for space in a full queue
 
 log = logging.getLogger(__name__)
 
 
 def build_record(view: RequestView, effects: RequestEffects, endpoint_ids: Sequence[str]) -> dict[str, Any]:
-    """Return the record of a request that is over; `endpoint_ids` are those of its attempts."""
+    """Return the record of a finished request; `endpoint_ids` are the endpoints of its attempts."""
     return {
         "at": round(view.now, 6),
         "id": view.request_id,
@@ -49,7 +49,7 @@
 
 
 def parse_record(record: dict[str, Any]) -> RequestView:
-    """Return a recorded request as it was when it was taken. Raises ValueError where it is none."""
+    """Return a recorded request as it was when accepted. Raises ValueError if the record is invalid."""
     try:
         return RequestView(
             request_id=str(record["id"]),
@@ -63,35 +63,39 @@
             is_retry=bool(record.get("repeat")),
         )
     except (KeyError, TypeError) as err:
-        raise ValueError(f"a record without {err}") from err
+        raise ValueError(f"invalid or missing field: {err}") from err
 
 
 def read_records(path: str) -> Iterator[tuple[int, dict[str, Any]]]:
-    """Yield line number and record of each line, but for a last one that was cut short. Raises ValueError."""
+    """Yield the number and the record of each line; skip an incomplete last line. Raises ValueError."""
     with open(path, encoding="utf-8") as file:
-        for number, line in enumerate(file, 1):
+        for line_number, line in enumerate(file, 1):
             if not line.endswith("\n"):
                 return
             record = json.loads(line)
             if not isinstance(record, dict):
-                raise ValueError(f"line {number} is no record")
-            yield number, record
+                raise ValueError(f"line {line_number} is not a record")
+            yield line_number, record
 
 
 class RequestRecorder:
-    """Writes records to a file from a thread of its own.
+    """Writes records to a file in a separate thread.
 
     Attributes:
-        only_tag: Requests without this tag are not recorded; empty: all are.
-        max_bytes: At this size the file becomes FILE.1, in place of the one before.
+        path: Path of the file.
+        required_tag: Only requests with this tag are recorded; empty if all are.
+        max_bytes: File size at which the file is renamed to FILE.1, replacing the previous FILE.1.
         accepted: Records that were put into the queue.
-        dropped: Records for which the queue had no room.
+        written: Records that were written.
+        dropped: Records that were dropped because the queue was full.
+        failed: Records that could not be written.
+        thread: The thread that writes.
     """
 
-    def __init__(self, path: str, only_tag: str, max_bytes: float, queue_size: int) -> None:
-        """Open the file and start the thread. Raises OSError where it cannot be written."""
+    def __init__(self, path: str, required_tag: str, max_bytes: float, queue_size: int) -> None:
+        """Open the file and start the thread. Raises OSError if the file cannot be opened."""
         self.path = path
-        self.only_tag = only_tag
+        self.required_tag = required_tag
         self.max_bytes = max_bytes
         self.accepted = 0
         self.written = 0
@@ -99,18 +103,18 @@
         self.failed = 0
         self._size = 0  # bytes
         self._file = self._open()
-        self._queue: queue.Queue[dict[str, Any] | None] = queue.Queue(queue_size)  # None: the end
+        self._queue: queue.Queue[dict[str, Any] | None] = queue.Queue(queue_size)  # None ends the thread
         self.thread = threading.Thread(target=self._run, name="records", daemon=True)
         self.thread.start()
 
     def _open(self) -> TextIO:
-        file = open(self.path, "a", encoding="utf-8")  # noqa: SIM115 - open for as long as the recorder is
+        file = open(self.path, "a", encoding="utf-8")  # noqa: SIM115 - stays open while the recorder is in use
         self._size = file.tell()
         return file
 
     def record(self, view: RequestView, effects: RequestEffects, endpoint_ids: Sequence[str]) -> None:
-        """Take a request that is over, if it is to be recorded; never waits."""
-        if self.only_tag and self.only_tag not in effects.tags:
+        """Queue the record of a finished request, if it is to be recorded; never blocks."""
+        if self.required_tag and self.required_tag not in effects.tags:
             return
         try:
             self._queue.put_nowait(build_record(view, effects, list(endpoint_ids)))
@@ -125,7 +129,7 @@
             except (OSError, ValueError) as err:
                 self.failed += 1
                 if self.failed == 1:
-                    log.error("records: %s: %s", self.path, err)
+                    log.error("records: cannot write %s: %s", self.path, err)
         self._file.close()
 
     def _write(self, record: dict[str, Any]) -> None:
@@ -146,10 +150,10 @@
         self._file = self._open()
 
     def status(self) -> dict[str, Any]:
-        """Return what was recorded so far, for operators."""
+        """Return the counts of records for the status report."""
         return {
             "file": self.path,
-            "only": self.only_tag,
+            "only": self.required_tag,
             "written": self.written,
             "dropped": self.dropped,
             "failed": self.failed,
@@ -157,16 +161,16 @@
         }
 
     def finish(self) -> None:
-        """Take no more and write what there is, without being waited for."""
+        """Have the thread write the queued records and end, without waiting for it."""
         try:
             self._queue.put_nowait(None)
         except queue.Full:
             self.dropped += 1
 
     def close(self) -> None:
-        """Write what there is, and wait for it for a bounded time."""
+        """Have the thread write the queued records and end, and wait for it for a limited time."""
         try:
-            self._queue.put(None, timeout=_FULL_QUEUE_TIMEOUT)
+            self._queue.put(None, timeout=_FULL_QUEUE_TIMEOUT_S)
         except queue.Full:
             return
-        self.thread.join(_CLOSE_TIMEOUT)
+        self.thread.join(_CLOSE_TIMEOUT_S)
--- a/apigateway/plugins/rule_vocabulary.py
+++ b/apigateway/plugins/rule_vocabulary.py
@@ -1,4 +1,4 @@
-"""The words of rules: which fields a rule can read in a phase, and what it may do there."""
+"""The vocabulary of rules: the fields and the actions that are available in each phase."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RuleAction(enum.StrEnum):
-    """What a rule does. The values are the keys of a rule."""
+    """An action of a rule. The values are the keys of a rule in settings."""
 
     TAG = "tag"
     REJECT = "refuse"
@@ -19,7 +19,7 @@
     LOG = "log"
 
 
-# What a rule may do in which phase: all else is rejected when it is loaded.
+# The actions permitted in each phase; rules with other actions are rejected when they are loaded.
 PERMITTED_ACTIONS = {
     Phase.REQUEST: tuple(RuleAction),
     Phase.ATTEMPT: (RuleAction.TAG, RuleAction.COUNT, RuleAction.LOG),
@@ -29,7 +29,7 @@
 
 
 def _field(attribute: str, value_type: ValueType) -> Field:
-    """Return a field of rules that is this attribute of a RequestView."""
+    """Return a field that reads this attribute of a RequestView."""
     return Field(value_type, attrgetter(attribute))
 
 
@@ -41,8 +41,8 @@
     "class": _field("service_class", ValueType.TEXT),
     "units": _field("units", ValueType.NUMBER),
     "left": _field("remaining", ValueType.NUMBER),
-    "write": _field("is_write", ValueType.TRUTH),
-    "repeat": _field("is_retry", ValueType.TRUTH),
+    "write": _field("is_write", ValueType.BOOLEAN),
+    "repeat": _field("is_retry", ValueType.BOOLEAN),
     "tags": _field("tags", ValueType.TAGS),
     "route": _field("route", ValueType.TEXT),
 }
--- a/apigateway/plugins/rules.py
+++ b/apigateway/plugins/rules.py
@@ -1,4 +1,4 @@
-"""A plug-in that is written as rules: conditions and effects in the language of expressions."""
+"""Plug-ins written as rules, whose conditions and actions are expressions."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
 
 MAX_RULES = 200
 
-_ALWAYS = "true"  # a condition that need not be asked
+_ALWAYS_TRUE = "true"  # source of a condition that need not be evaluated
 
-# Globals, for they are needed at each call: a member costs more to look up on its class.
+# Module globals, because they are used at each call and an enum member is slower to look up on its class.
 _TAG = Verb.TAG
 _ROUTE = Verb.ROUTE
 _REJECT = Verb.REJECT
 
 
 class InvalidRuleError(Exception):
-    """A rule cannot be used; `key` is as in `rules[2].when`."""
+    """A rule is invalid; `key` is the path of the invalid key, such as `rules[2].when`."""
 
     def __init__(self, key: str, value: object, reason: str) -> None:
         self.key = key
@@ -55,7 +55,7 @@
 
     key: str
     evaluate: Evaluator
-    is_text: bool  # else its value is to be made one
+    is_text: bool  # otherwise the value must be converted to text
 
 
 class CounterExpression(NamedTuple):
@@ -66,23 +66,24 @@
 
 
 class Rule:
-    """One rule, expression.
+    """One compiled rule.
 
     Attributes:
-        condition: Whether the rule applies to a view; None: it always does.
-        stops: No later rule is looked at if this one applies.
+        phase: Phase in which the rule is evaluated.
+        stops_evaluation: Whether later rules are skipped if this one applies.
+        condition: Return whether the rule applies to a view; None if it always applies.
     """
 
     def __init__(self, section: RuleSection, key: str, settings: Mapping[str, Any], seed: int) -> None:
-        """Compile a rule; `key` is its place, as `rules[2]`. Raises InvalidRuleError."""
+        """Compile a rule; `key` is its path, such as `rules[2]`. Raises InvalidRuleError."""
         self.phase = Phase(section.on)
-        self.stops = section.stop
+        self.stops_evaluation = section.stop
         self._key = key
         self._settings = settings
         self._seed = seed
         self._check_actions(section)
-        condition = self._compile("when", section.when, ValueType.TRUTH).evaluate
-        self.condition = None if section.when.strip() == _ALWAYS else condition
+        condition = self._compile("when", section.when, ValueType.BOOLEAN).evaluate
+        self.condition = None if section.when.strip() == _ALWAYS_TRUE else condition
         self._tags = self._compile_tags(section.tag)
         self._retry_after = self._compile_optional("refuse", section.refuse, ValueType.NUMBER)
         self._route = self._compile_optional("route", section.route, ValueType.TEXT)
@@ -97,18 +98,22 @@
         for action in RuleAction:
             value = getattr(section, action)
             if value and action not in permitted:
-                reason = f"not in the phase {self.phase}: a rule may {', '.join(permitted)} there"
+                reason = f"not allowed in the phase {self.phase}; allowed there: {', '.join(permitted)}"
                 raise InvalidRuleError(f"{self._key}.{action}", value, reason)
 
     def _compile_tags(self, tags: Mapping[str, str]) -> list[TagExpression]:
         expressions: list[TagExpression] = []
         for key, value in tags.items():
-            expression = self._compile(f"tag.{key}", value, ValueType.TEXT, ValueType.NUMBER, ValueType.TRUTH)
+            expression = self._compile(
+                f"tag.{key}", value, ValueType.TEXT, ValueType.NUMBER, ValueType.BOOLEAN
+            )
             is_text = expression.type == ValueType.TEXT
             expressions.append(TagExpression(key, expression.evaluate, is_text))
         for key in tags:
             if not TAG_KEY_PATTERN.fullmatch(key):
-                reason = "a tag's name is small letters, digits and _.-, 32 at most"
+                reason = (
+                    "a tag's name must have 1 to 32 lower-case letters, digits or _.- and start with a letter"
+                )
                 raise InvalidRuleError(f"{self._key}.tag", key, reason)
         return expressions
 
@@ -121,12 +126,12 @@
         except ExpressionError as err:
             raise InvalidRuleError(f"{self._key}.{key}", source, str(err)) from err
         if expression.type not in types:
-            reason = f"gives {expression.type}, not {' or '.join(types)}"
+            reason = f"evaluates to {expression.type}, not {' or '.join(types)}"
             raise InvalidRuleError(f"{self._key}.{key}", source, reason)
         return expression
 
     def apply(self, view: RequestView, counters: Counters, log_lines: list[str]) -> list[Proposal]:
-        """Return what it proposes; add to counters and log lines."""
+        """Return the rule's proposals; add to `counters` and append to `log_lines`."""
         proposals: list[Proposal] = []
         for key, evaluate, is_text in self._tags:
             value = evaluate(view)
@@ -143,7 +148,7 @@
 
 
 class RulesPlugin:
-    """An interfaces.Plugin. It brings no self-test and carries no state over."""
+    """Implements interfaces.Plugin with rules; it has no self-test and saves no state."""
 
     kind = PluginKind.RULES
 
@@ -155,7 +160,7 @@
         budget: Budget,
         seed: int = 0,
     ) -> None:
-        """Compile the rules; `name` is for log lines. Raises InvalidRuleError."""
+        """Compile the rules; `name` is the prefix of log lines. Raises InvalidRuleError."""
         self.name = name
         self._budget = budget
         if not sections:
@@ -170,19 +175,19 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget counters and the log's rate."""
+        """Reset the counters and the log's rate limit."""
         self._counters = Counters()
         self._log = PluginLog(self.name, self._budget.log_lines)
 
     def call(self, phase: Phase, view: RequestView) -> list[Proposal]:
-        """Return what the rules of a phase propose. Raises PluginError."""
+        """Return the proposals of the rules of a phase. Raises PluginError."""
         proposals: list[Proposal] = []
         log_lines: list[str] = []
         try:
             for rule in self._rules_by_phase.get(phase, ()):
                 if rule.condition is None or rule.condition(view):
                     proposals += rule.apply(view, self._counters, log_lines)
-                    if rule.stops:
+                    if rule.stops_evaluation:
                         break
         except EvaluationError as err:
             raise PluginError(FailureReason.ERROR, str(err)) from err
@@ -193,14 +198,14 @@
         return proposals
 
     def self_test(self) -> None:
-        """Do nothing: rules bring no self-test of their own."""
+        """Do nothing; rules have no self-test."""
 
     def save_state(self) -> bytes | None:
-        """Return None: rules keep nothing that a successor could use."""
+        """Return None; rules have no state to transfer."""
         return None
 
     def load_state(self, state: bytes) -> bool:
-        """Return False: rules take no state."""
+        """Return False; rules load no state."""
         return False
 
     def counters(self) -> dict[str, float]:
@@ -208,8 +213,8 @@
         return self._counters.values
 
     def status(self) -> dict[str, Any]:
-        """Return what it holds, for operators."""
+        """Return the plug-in's part of the status report."""
         return {"log lines dropped": self._log.dropped, "counts dropped": self._counters.dropped}
 
     def close(self) -> None:
-        """Do nothing: rules hold nothing that must be freed."""
+        """Do nothing; rules have no resources to release."""
--- a/apigateway/plugins/runner.py
+++ b/apigateway/plugins/runner.py
@@ -1,4 +1,4 @@
-"""Calls one plug-in within its budget, and counts what came of it for operators."""
+"""Calls one plug-in within its budget, and collects its statistics for the status report."""
 
 from __future__ import annotations
 
@@ -21,27 +21,31 @@
 )
 from apigateway.plugins.proposals import Verdict
 
-DISPLAYED_DIGEST_LENGTH = 12  # characters of a digest that operators see
+DISPLAYED_DIGEST_DIGITS = 12  # of a digest in status reports
 
-_LOG_INTERVAL = 10.0  # s between two lines of the log on the same plug-in's failures
-_MAX_LOGGED_LENGTH = 300  # characters of an error in the log
-_OVERTIME_FACTOR = 2  # times a call's time: a plug-in that cannot be interrupted has failed past it
-_REJECTED_BY_BUDGET = "refuse past budget"  # counted among what was allowed
+_LOG_INTERVAL_S = 10.0  # shortest time between two log lines about failures of a plug-in
+_MAX_LOGGED_CHARACTERS = 300  # of an error in the log
+_OVERTIME_FACTOR = 2  # a call that took more than this multiple of its time budget has failed
+_BUDGET_REJECTION_KEY = "refuse past budget"  # key in `allowed`
 
 log = logging.getLogger(__name__)
 
 
 class PluginRunner:
-    """One plug-in in service: its budget, its circuit breaker, its statistics.
+    """One plug-in in use, with its budget, its circuit breaker and its statistics.
 
     Attributes:
-        digest: Of the file and the settings that it was made from.
-        calls: By phase.
-        failures: By reason.
-        skipped: How often it was not called, by reason.
-        allowed: Proposals that took effect, by verb.
-        denied: Proposals that did not, as `verb: reason`.
-        cpu_seconds: What its calls took.
+        name: Name of the plug-in.
+        plugin: The plug-in.
+        budget: Its resource limits.
+        digest: Digest of its file and its settings.
+        circuit_breaker: Decides whether it may be called.
+        calls: Number of calls, by phase.
+        failures: Number of failed calls, by reason.
+        skipped: Number of skipped calls, by reason.
+        allowed: Number of proposals that took effect, by verb.
+        denied: Number of denied proposals, by `verb: reason`.
+        cpu_seconds: Total time of its calls.
     """
 
     def __init__(self, name: str, plugin: Plugin, budget: Budget, digest: str, now: float) -> None:
@@ -56,14 +60,14 @@
         self.allowed: Counter[str] = Counter()
         self.denied: Counter[str] = Counter()
         self.cpu_seconds = 0.0
-        self._logged_at = -_LOG_INTERVAL
-        # What the machine takes from the gateway is not a plug-in's doing, so that a module is charged by the
-        # CPU of the thread: its calls are long enough for the price of that clock, a system call. A rule ends
-        # within microseconds.
+        self._logged_at = -_LOG_INTERVAL_S
+        # A module is charged the CPU time of the thread, which excludes the time in which the machine ran
+        # other processes. Reading that clock is a system call: cheap compared with the call of a module, but
+        # not with that of rules, which takes microseconds.
         self._clock = time.thread_time if plugin.kind == PluginKind.WASM else time.monotonic
 
     def run(self, phase: Phase, view: RequestView, now: float) -> list[Proposal] | None:
-        """Return what the plug-in proposes, None if it could not be called or failed."""
+        """Call the plug-in and return its proposals; None if it was skipped or failed."""
         skip_reason = self.circuit_breaker.check(now)
         if skip_reason is not None:
             self.skip(skip_reason)
@@ -74,29 +78,29 @@
         try:
             proposals = self.plugin.call(phase, view)
         except PluginError as err:
-            self._on_failure(err.reason, str(err), now)
-        except Exception as err:  # a plug-in's every fault ends here
-            self._on_failure(FailureReason.ERROR, f"{type(err).__name__} {err}", now)
+            self._record_failure(err.reason, str(err), now)
+        except Exception as err:  # no fault of a plug-in may reach the caller
+            self._record_failure(FailureReason.ERROR, f"{type(err).__name__} {err}", now)
         seconds = self._clock() - started_at
         if proposals is not None and seconds > _OVERTIME_FACTOR * self.budget.call_time:
             proposals = None
-            self._on_failure(FailureReason.TIME, f"{seconds * 1000:.0f} ms", now)
+            self._record_failure(FailureReason.TIME, f"the call took {seconds * 1000:.0f} ms", now)
         self.cpu_seconds += seconds
         self.circuit_breaker.record_call(now, seconds, failed=proposals is None)
         return proposals
 
     def skip(self, reason: SkipReason) -> None:
-        """Count that the plug-in was not called."""
+        """Count a skipped call."""
         self.skipped[reason] += 1
 
-    def _on_failure(self, reason: FailureReason, text: str, now: float) -> None:
+    def _record_failure(self, reason: FailureReason, text: str, now: float) -> None:
         self.failures[reason] += 1
-        if now - self._logged_at >= _LOG_INTERVAL:
+        if now - self._logged_at >= _LOG_INTERVAL_S:
             self._logged_at = now
-            log.warning("plug-in %s failed (%s)", self.name, text[:_MAX_LOGGED_LENGTH])
+            log.warning("plug-in %s failed (%s)", self.name, text[:_MAX_LOGGED_CHARACTERS])
 
     def record_verdict(self, verdict: Verdict) -> None:
-        """Count what became of its proposals."""
+        """Count the allowed and the denied proposals."""
         if verdict.tags:
             self.allowed[Verb.TAG] += len(verdict.tags)
         if verdict.retry_after is not None:
@@ -107,17 +111,17 @@
             self.denied[f"{verb}: {reason}"] += 1
 
     def record_rejection_by_budget(self) -> None:
-        """Count a request that was rejected because the plug-in could not be asked about it."""
-        self.allowed[_REJECTED_BY_BUDGET] += 1
+        """Count a request that was rejected because the plug-in was skipped or failed."""
+        self.allowed[_BUDGET_REJECTION_KEY] += 1
 
     def status(self, now: float) -> dict[str, Any]:
-        """Return its state and statistics, for operators. Times in seconds."""
+        """Return the plug-in's state and statistics for the status report. Times in seconds."""
         state = self.circuit_breaker.state
         is_open = state is CircuitState.OPEN
         return {
             "name": self.name,
             "kind": self.plugin.kind,
-            "digest": self.digest[:DISPLAYED_DIGEST_LENGTH],
+            "digest": self.digest[:DISPLAYED_DIGEST_DIGITS],
             "phases": [phase for phase in Phase if phase in self.plugin.phases],
             "state": state,
             "back in": round(self.circuit_breaker.time_until_available(now), 3) if is_open else 0.0,
--- a/apigateway/plugins/settings.py
+++ b/apigateway/plugins/settings.py
@@ -1,6 +1,6 @@
-"""The tables of plug-ins in a settings file, and a file of rules. Only their shapes: nothing is loaded here.
+"""Schemas of the plug-in tables in a settings file and of rule files; nothing is loaded here.
 
-docs/operate/plugins.md describes the keys, docs/operate/plugin-abi.md those of a rule.
+docs/operate/plugins.md describes the keys of plug-ins, docs/operate/plugin-abi.md the keys of rules.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 
 
 class RuleSection(ConfigSection, frozen=True, kw_only=True):
-    """One rule; all but `on` and `stop` are expressions."""
+    """One rule; the values of all keys except `on` and `stop` are expressions."""
 
     on: Literal["request", "attempt", "answer", "tick"] = "request"
     when: ExpressionText = "true"
     tag: dict[str, ExpressionText] = {}
-    refuse: ExpressionText = ""  # empty: left out
-    route: ExpressionText = ""  # empty: left out
+    refuse: ExpressionText = ""  # empty if not set
+    route: ExpressionText = ""  # empty if not set
     count: dict[str, ExpressionText] = {}
-    log: ExpressionText = ""  # empty: left out
-    stop: bool = False  # no later rule of this plug-in is looked at
+    log: ExpressionText = ""  # empty if not set
+    stop: bool = False  # later rules of this plug-in are skipped if this rule applies
 
 
 class RuleFile(ConfigSection, frozen=True, kw_only=True):
-    """A file of [[rules]]."""
+    """A file with [[rules]]."""
 
     rules: list[RuleSection] = []
 
 
 class BudgetSection(ConfigSection, frozen=True, kw_only=True):
-    """[plugins.budget]: what one plug-in may use."""
+    """[plugins.budget]: resource limits of one plug-in."""
 
     fuel: Annotated[int, msgspec.Meta(ge=1000, le=1_000_000_000)] = 200_000
     time_ms: Annotated[float, msgspec.Meta(ge=1, le=1000)] = 10.0
@@ -50,7 +50,7 @@
 
 
 class PluginSection(ConfigSection, frozen=True, kw_only=True):
-    """One of [[plugins]]: a file or rules."""
+    """An entry of [[plugins]], which has either a file or rules."""
 
     name: PluginName
     file: str = ""
@@ -61,7 +61,7 @@
 
 
 class HooksSection(ConfigSection, frozen=True, kw_only=True):
-    """[hooks]: what holds for all plug-ins together."""
+    """[hooks]: settings that apply to all plug-ins together."""
 
     tick: Annotated[float, msgspec.Meta(gt=0, le=3600)] = 1.0
     time_ms: Annotated[float, msgspec.Meta(ge=1, le=1000)] = 20.0
@@ -71,7 +71,7 @@
 
 
 class RecordsSection(ConfigSection, frozen=True, kw_only=True):
-    """[records]: where requests that are over are recorded."""
+    """[records]: the file in which finished requests are recorded."""
 
     file: str = ""
     only: str = ""
--- a/apigateway/plugins/source.py
+++ b/apigateway/plugins/source.py
@@ -1,4 +1,4 @@
-"""A plug-in as it stands in settings and files, and the plug-in that is made from it."""
+"""Reads the sources of a plug-in from settings and files, and creates the plug-in from them."""
 
 from __future__ import annotations
 
@@ -13,19 +13,22 @@
 from apigateway.plugins.rules import InvalidRuleError, RulesPlugin
 from apigateway.plugins.settings import PluginSection, RuleFile, RuleSection
 
-BYTES_PER_MB = 1024 * 1024
+BYTES_PER_MIB = 1024 * 1024
 
 _RULES_SUFFIX = ".toml"
 _MODULE_SUFFIXES = (".wasm", ".wat")
-_MAX_VALUE_LENGTH = 60  # characters of a value in a problem
+_MAX_VALUE_CHARACTERS = 60  # longer values are truncated in problems
 
 
 class PluginSourceError(Exception):
-    """A plug-in's settings or file cannot be used.
+    """A plug-in's settings or its file cannot be used.
 
     Attributes:
-        key: Under the plug-in's table, or in `file`.
-        file: Empty where the problem is in the settings.
+        key: Key in the plug-in's table, or in `file` if that is set.
+        value: Value at fault; None if there is none.
+        reason: What is wrong.
+        remedy: How to fix it.
+        file: Path of the file with the problem; empty if the problem is in the settings.
     """
 
     def __init__(self, key: str, value: object, reason: str, remedy: str, file: str = "") -> None:
@@ -37,19 +40,23 @@
         super().__init__(reason)
 
     def to_problem(self, settings_path: str, index: int) -> ConfigProblem:
-        """Return what operators read; `index` is the plug-in's in the settings."""
+        """Return the problem for the operator; `index` is the plug-in's index in the settings."""
         key = self.key if self.file else f"plugins[{index}].{self.key}"
-        value = "" if self.value is None else repr(self.value)[:_MAX_VALUE_LENGTH]
+        value = "" if self.value is None else repr(self.value)[:_MAX_VALUE_CHARACTERS]
         return ConfigProblem(self.file or settings_path, key, value, self.reason, self.remedy)
 
 
 @dataclass(slots=True)
 class PluginSource:
-    """All that a plug-in is made from, read but not compiled. It has rules or a module.
+    """The uncompiled source of a plug-in: rules or a module, with its settings and budget.
 
     Attributes:
-        module: The module's binary or text.
-        path: Of the plug-in's file.
+        section: The plug-in's table in the settings.
+        budget: Resource limits of the plug-in.
+        module: Binary or text of the module; empty if there is none.
+        rules: The rules; empty for a module.
+        seed: Seed of the samples of rules and of the random numbers of modules.
+        path: Path of the plug-in's file.
     """
 
     section: PluginSection
@@ -61,12 +68,12 @@
 
     @property
     def digest(self) -> str:
-        """What tells whether a plug-in would be the same as one that serves."""
+        """Hash of everything that the plug-in depends on; an unchanged plug-in keeps its digest."""
         settings = repr((self.section.settings, self.budget, self.rules, self.seed)).encode()
         return hashlib.sha256(self.module + b"\0" + settings).hexdigest()
 
     def create_plugin(self) -> Plugin:
-        """Compile it. Raises PluginSourceError."""
+        """Compile the plug-in. Raises PluginSourceError."""
         return self._create_rules_plugin() if self.rules else self._create_module_plugin()
 
     def _create_rules_plugin(self) -> Plugin:
@@ -75,7 +82,7 @@
             return RulesPlugin(section.name, self.rules, section.settings, self.budget, self.seed)
         except InvalidRuleError as err:
             file = self.path if section.file else ""
-            raise PluginSourceError(err.key, err.value, err.reason, "mend the rule", file) from err
+            raise PluginSourceError(err.key, err.value, err.reason, "fix the rule", file) from err
 
     def _create_module_plugin(self) -> Plugin:
         from apigateway.plugins.wasm import InvalidModuleError, WasmPlugin
@@ -84,21 +91,21 @@
         try:
             return WasmPlugin(section.name, self.module, section.settings, self.budget, self.seed)
         except InvalidModuleError as err:
-            remedy = "`api-gateway plugin check` says more"
+            remedy = "run `api-gateway plugin check` for details"
             raise PluginSourceError("file", section.file, str(err), remedy) from err
         except PluginError as err:
-            reason = f"its start failed ({err})"
-            raise PluginSourceError("file", section.file, reason, "mend the module") from err
+            reason = f"failed to start ({err})"
+            raise PluginSourceError("file", section.file, reason, "fix the module") from err
 
 
 def read_source(section: PluginSection, folder: str, max_bytes: float, seed: int) -> PluginSource:
-    """Read a plug-in's file, named beside `folder`.
+    """Read a plug-in's file, whose path is relative to `folder`.
 
-    Raises PluginSourceError, or InvalidConfigFileError with the problems of a file of rules.
+    Raises PluginSourceError, or InvalidConfigFileError with the problems of a rule file.
     """
     if bool(section.file) == bool(section.rules):
-        reason = "both a file and rules" if section.file else "neither a file nor rules"
-        raise PluginSourceError("file", section.file or None, reason, "give one of them")
+        reason = "has both a file and rules" if section.file else "has neither a file nor rules"
+        raise PluginSourceError("file", section.file or None, reason, "specify one of them")
     path = os.path.join(folder, section.file)
     module = b""
     rules = section.rules
@@ -107,10 +114,12 @@
         if section.file.endswith(_RULES_SUFFIX):
             rules = _read_rules(path)
             if not rules:
-                raise PluginSourceError("file", section.file, "holds no rule", "write [[rules]] over each")
+                raise PluginSourceError(
+                    "file", section.file, "contains no rule", "write [[rules]] before each rule"
+                )
         elif not section.file.endswith(_MODULE_SUFFIXES):
             reason = "is neither .wasm, .wat nor .toml"
-            raise PluginSourceError("file", section.file, reason, "name what it is by its ending")
+            raise PluginSourceError("file", section.file, reason, "use the suffix of the file's format")
     return PluginSource(section, _build_budget(section), module, rules, seed, path)
 
 
@@ -118,15 +127,19 @@
     try:
         status = os.stat(path)
         if not stat.S_ISREG(status.st_mode):
-            raise PluginSourceError("file", path, "is no regular file", "name a .wasm, .wat or .toml file")
+            raise PluginSourceError(
+                "file", path, "is not a regular file", "specify a .wasm, .wat or .toml file"
+            )
         if status.st_size > max_bytes:
-            reason = f"holds {status.st_size} bytes"
-            raise PluginSourceError("file", path, reason, f"{int(max_bytes)} at most (hooks.max_file_mb)")
+            reason = f"has {status.st_size} bytes"
+            raise PluginSourceError(
+                "file", path, reason, f"at most {int(max_bytes)} are allowed (hooks.max_file_mb)"
+            )
         with open(path, "rb") as file:
             return file.read(int(max_bytes) + 1)
     except OSError as err:
         reason = f"cannot be read ({err.strerror})"
-        raise PluginSourceError("file", path, reason, "check the path and its rights") from err
+        raise PluginSourceError("file", path, reason, "check the path and its permissions") from err
 
 
 def _read_rules(path: str) -> list[RuleSection]:
@@ -135,7 +148,7 @@
         reader = ConfigReader(path)
         rule_file = reader.read(tree, RuleFile)
     except InvalidConfigFileError as err:
-        raise PluginSourceError("file", path, str(err), "mend the rules") from err
+        raise PluginSourceError("file", path, str(err), "fix the rules") from err
     if reader.problems or rule_file is None:
         raise InvalidConfigFileError(reader.problems)
     return rule_file.rules
@@ -146,7 +159,7 @@
     return Budget(
         fuel=budget.fuel,
         call_time=budget.time_ms / 1000,
-        memory_bytes=int(budget.memory_mb * BYTES_PER_MB),
+        memory_bytes=int(budget.memory_mb * BYTES_PER_MIB),
         cpu_share=budget.share,
         cpu_share_window=budget.span,
         key_value_bytes=budget.key_bytes,
--- a/apigateway/plugins/testkit/__init__.py
+++ b/apigateway/plugins/testkit/__init__.py
@@ -1,12 +1,12 @@
-"""For those who write plug-ins: what a gateway would make of one, without a gateway.
+"""Test kit for authors of plug-ins: runs plug-ins as a gateway does, but without a gateway.
 
     kit = Kit.load("plugin.toml")
     result = kit.request(customer="00000000b4d65521", cls="read")
     assert result.tags == {"district": "ernakulam"} and result.refuse is None
     kit.close()
 
-Plug-ins are loaded, validated and judged as a gateway does it, under their budgets. Time is the test's:
-`kit.now`.
+Plug-ins are loaded, validated and limited by their budgets as in a gateway, and their proposals are checked
+in the same way. The test sets the time that plug-ins see, in `kit.now`.
 """
 
 from apigateway.plugins.testkit.gateway_settings import CLASSES, PLANS, settings
--- a/apigateway/plugins/testkit/gateway_settings.py
+++ b/apigateway/plugins/testkit/gateway_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a gateway that plug-ins are tested for."""
+"""Settings of the gateway that the test kit imitates."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from apigateway import messages
 
-# The classes, by their effects, and the plans of a test's gateway that names none.
+# The default classes, with their effects, and the default plans.
 CLASSES = {"roster-read": "safe", "shift-update": "keyed", "staff-notice": "unsafe"}
 PLANS = ("basic", "standard", "enterprise")
 
-_DEDUPLICATION_WINDOW = 6.0  # s, of keyed classes
+_DEDUPLICATION_WINDOW_S = 6.0  # of keyed classes
 
 
 def settings(
@@ -19,12 +19,13 @@
     routes: Mapping[str, Sequence[str]] | None = None,
     max_wait: float = 2.0,
 ) -> messages.Settings:
-    """Return a gateway's settings.
+    """Return settings of a gateway.
 
     Args:
-        classes: Names with their effects.
-        routes: Names with the kinds of their hosts.
-        max_wait: Longest wait that a rejection tells, in seconds.
+        classes: Names of the classes with their effects; None for CLASSES.
+        plans: Names of the plans.
+        routes: Names of the routes with the kinds of their hosts.
+        max_wait: Longest retry time of a rejection in seconds.
     """
     return messages.Settings(
         gateway_index=0,
@@ -71,7 +72,7 @@
         deadline=3.0,
         idempotency=messages.Idempotency(effect),
         deduplication_scope=messages.DeduplicationScope.ALL,
-        deduplication_window=_DEDUPLICATION_WINDOW if effect == messages.Idempotency.KEYED else 0.0,
+        deduplication_window=_DEDUPLICATION_WINDOW_S if effect == messages.Idempotency.KEYED else 0.0,
         priority_weight=1.0,
         late_priority_weight=0.0,
         is_streaming=False,
--- a/apigateway/plugins/testkit/kit.py
+++ b/apigateway/plugins/testkit/kit.py
@@ -1,4 +1,4 @@
-"""Plug-ins without a gateway, called by a test."""
+"""Loads plug-ins and calls them from a test, without a gateway."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 from apigateway.plugins.settings import HooksSection, PluginSection
 from apigateway.plugins.testkit.gateway_settings import PLANS, settings
 
-DEFAULT_NOW = 1_790_000_000.0  # Unix time that plug-ins see, in seconds
+DEFAULT_NOW = 1_790_000_000.0  # Unix time in seconds
 DEFAULT_ELAPSED = 0.05  # s that a request takes
 
 _PLUGIN_FILE = "plugin.toml"
 
-# The keywords of `Kit.request`, which are the words of rules, where a view's attribute has another name.
+# Attributes of RequestView by keyword of `Kit.request`, for keywords that are not attributes themselves. The
+# keywords are the field names of rules.
 _VIEW_ATTRIBUTES = {
     "id": "request_id",
     "cls": "service_class",
@@ -34,19 +35,19 @@
 
 
 class PluginFile(ConfigSection, frozen=True, kw_only=True):
-    """A file of [[plugins]] alone, as one writes it beside a module."""
+    """A file that has only [[plugins]] and [hooks], such as one next to a module."""
 
     plugins: list[PluginSection] = []
     hooks: HooksSection = HooksSection()
 
 
 def find_plugin_file(path: str) -> str:
-    """Return `path`, or plugin.toml in it if it is a folder."""
+    """Return `path`, or the path of its plugin.toml if it is a folder."""
     return os.path.join(path, _PLUGIN_FILE) if os.path.isdir(path) else path
 
 
 def read_plugins(path: str) -> PluginFile:
-    """Return what is in a file of [[plugins]], or in a folder's. Raises InvalidConfigFileError."""
+    """Read a file with [[plugins]], or the plugin.toml of a folder. Raises InvalidConfigFileError."""
     file = find_plugin_file(path)
     tree = read_toml(file)
     reader = ConfigReader(file)
@@ -58,12 +59,14 @@
 
 @dataclass(slots=True)
 class RequestResult:
-    """What came of one request.
+    """The result of one request.
 
     Attributes:
-        refuse: Seconds until the client of a rejected request may retry; None: it was not rejected.
-        denied: Proposals without effect: plug-in, and `verb: reason`.
-        failed: Failed calls: plug-in, and reason.
+        view: The request as plug-ins see it.
+        effects: The effects of the plug-ins on it.
+        refuse: Seconds until the client of a rejected request may retry; None if it was not rejected.
+        denied: Denied proposals, as pairs of plug-in and `verb: reason`.
+        failed: Failed calls, as pairs of plug-in and reason.
     """
 
     view: RequestView
@@ -74,19 +77,20 @@
 
     @property
     def tags(self) -> dict[str, str]:
-        """The request's tags, without those of its attempts."""
+        """Tags of the request, without those of its attempts."""
         return self.effects.tags
 
     @property
     def route(self) -> str:
-        """The route that was chosen; empty: none."""
+        """Selected route; empty if none."""
         return self.effects.route
 
 
 class Kit:
-    """Plug-ins without a gateway, called by a test.
+    """Calls plug-ins from a test, without a gateway.
 
     Attributes:
+        version: The loaded version of the plug-in chain.
         now: Unix time that plug-ins see, in seconds.
     """
 
@@ -97,7 +101,7 @@
 
     @classmethod
     def load(cls, path: str, gateway_settings: messages.Settings | None = None) -> Kit:
-        """Load the plug-ins of a file, or of a folder's plugin.toml. Raises InvalidConfigFileError."""
+        """Load the plug-ins of a file, or of the plugin.toml of a folder. Raises InvalidConfigFileError."""
         file = find_plugin_file(path)
         plugin_file = read_plugins(file)
         environment = PluginEnvironment(file, gateway_settings or settings())
@@ -105,20 +109,20 @@
 
     @property
     def runners(self) -> list[PluginRunner]:
-        """The plug-ins in service."""
+        """Runners of the plug-ins."""
         return self.version.runners
 
     def runner(self, name: str) -> PluginRunner:
-        """Return the plug-in of a name."""
+        """Return the runner of the plug-in with this name."""
         return next(runner for runner in self.runners if runner.name == name)
 
     def request(self, *, now: float | None = None, **fields: Any) -> RequestResult:
-        """Take a request; return what came of it.
+        """Call the plug-ins for a new request and return the result.
 
         Args:
-            now: Unix time that plug-ins see, if it is not that of the kit.
-            fields: What differs from a plain request, by the words of rules: id, customer, plan, cls (its
-                class), units, left, write, repeat.
+            now: Unix time that plug-ins see, in seconds; None for the kit's `now`.
+            fields: Fields that differ from the default request, by their names in rules: id, customer, plan,
+                cls (the class), units, left, write, repeat.
         """
         self._request_count += 1
         effects = RequestEffects()
@@ -137,7 +141,7 @@
         return result
 
     def attempt(self, result: RequestResult, host: str = "h1") -> dict[str, str]:
-        """Send an attempt of a request to a host; return the attempt's tags."""
+        """Call the plug-ins for an attempt at a host; return the attempt's tags."""
         attempt_tags = result.effects.attempt_tags
         attempt_tags.append({})
         result.view.endpoint_id = host
@@ -148,8 +152,8 @@
     def answer(
         self, result: RequestResult, outcome: str = Outcome.COMPLETED, elapsed: float = DEFAULT_ELAPSED
     ) -> None:
-        """End a request; `elapsed` is in seconds."""
-        result.effects.is_over = True
+        """Call the plug-ins for the end of a request; `elapsed` is in seconds."""
+        result.effects.is_finished = True
         result.view.outcome = outcome
         result.view.elapsed = elapsed
         result.view.endpoint_id = ""
@@ -157,19 +161,19 @@
         self._run_phase(Phase.ANSWER, result)
 
     def tick(self) -> None:
-        """Call the phase TICK."""
+        """Call the phase TICK of the plug-ins."""
         self.version.tick(self.now, time.monotonic())
 
     def _run_phase(self, phase: Phase, result: RequestResult) -> float | None:
         before = [(runner.denied.copy(), runner.failures.copy()) for runner in self.runners]
         retry_after = self.version.run_phase(phase, result.view, result.effects, time.monotonic())
         for runner, (denied, failures) in zip(self.runners, before, strict=True):
-            result.denied += [(runner.name, what) for what in (runner.denied - denied).elements()]
-            result.failed += [(runner.name, what) for what in (runner.failures - failures).elements()]
+            result.denied += [(runner.name, denial) for denial in (runner.denied - denied).elements()]
+            result.failed += [(runner.name, reason) for reason in (runner.failures - failures).elements()]
         return retry_after
 
     def counters(self, name: str) -> dict[str, float]:
-        """Return the counters of a plug-in."""
+        """Return the counters of the plug-in with this name."""
         return self.runner(name).plugin.counters()
 
     def close(self) -> None:
--- a/apigateway/plugins/testkit/module_text.py
+++ b/apigateway/plugins/testkit/module_text.py
@@ -1,10 +1,10 @@
-"""The text of modules, for tests: the ABI's imports, memory and globals, and bodies."""
+"""Generates the text of WebAssembly modules for tests."""
 
 from __future__ import annotations
 
 from apigateway.plugins.interfaces import Phase
 
-_OUTPUT_ADDRESS = 40_960  # of the text that `says` proposes, behind the room for input
+_OUTPUT_ADDRESS = 40_960  # of the output of `says`; it follows the memory reserved for input
 
 PRELUDE = """(module
   (import "calicomast" "setting" (func $setting (param i32 i32 i32 i32) (result i32)))
@@ -22,12 +22,12 @@
 
 
 def module(body: str) -> str:
-    """Return a module's text: the ABI's imports, memory and globals, then `body`."""
+    """Return the text of a module: the imports, memory and globals of the ABI, and `body`."""
     return PRELUDE + body + ")\n"
 
 
 def says(text: str, phase: str = Phase.REQUEST) -> str:
-    """Return a module's body that always proposes `text`."""
+    """Return the body of a module that always returns the proposals in `text`."""
     data = text.encode()
     escaped = "".join(f"\\{byte:02x}" for byte in data)
     packed = (_OUTPUT_ADDRESS << 32) | len(data)
--- a/apigateway/plugins/validation.py
+++ b/apigateway/plugins/validation.py
@@ -1,4 +1,4 @@
-"""Calls a plug-in as a gateway would, before it serves."""
+"""Validates a plug-in before it is used, by calling it as a gateway would."""
 
 from __future__ import annotations
 
@@ -7,34 +7,38 @@
 from apigateway import messages
 from apigateway.plugins.interfaces import Outcome, Phase, Plugin, RequestView
 
-MAX_SAMPLE_REQUESTS = 12  # that each plug-in is called for
+MAX_SAMPLE_REQUESTS = 12  # per plug-in
 
 _SAMPLE_ENDPOINT_ID = "proof-host"
-_SAMPLE_ELAPSED = 0.01  # s
+_SAMPLE_ELAPSED_S = 0.01
 
 
 def sample_requests(settings: messages.Settings) -> list[RequestView]:
-    """Return requests of each class and plan that a gateway has, MAX_SAMPLE_REQUESTS at most."""
-    kinds = [(cls, plan) for cls in settings.classes.values() for plan in settings.plans.values()]
+    """Return a sample request for each pair of class and plan, at most MAX_SAMPLE_REQUESTS."""
+    class_plan_pairs = [
+        (service_class, plan)
+        for service_class in settings.classes.values()
+        for plan in settings.plans.values()
+    ]
     return [
         RequestView(
             request_id=f"proof-{number}",
             customer=f"{number:016x}",
             plan=plan.name,
-            service_class=cls.name,
+            service_class=service_class.name,
             units=1.0,
-            remaining=cls.deadline,
+            remaining=service_class.deadline,
             now=time.time(),
-            is_write=not cls.is_safe,
+            is_write=not service_class.is_safe,
         )
-        for number, (cls, plan) in enumerate(kinds[:MAX_SAMPLE_REQUESTS], 1)
+        for number, (service_class, plan) in enumerate(class_plan_pairs[:MAX_SAMPLE_REQUESTS], 1)
     ]
 
 
 def validate(plugin: Plugin, settings: messages.Settings) -> None:
-    """Run a plug-in's own self-test, then each of its phases for each kind of request.
+    """Run a plug-in's own self-test, then call each of its phases for each sample request.
 
-    It forgets all of it. Raises PluginError.
+    The plug-in is reset afterwards. Raises PluginError if any of it fails.
     """
     plugin.self_test()
     outcomes = list(Outcome)
@@ -53,6 +57,6 @@
         plugin.call(Phase.ATTEMPT, view)
     if Phase.ANSWER in plugin.phases:
         view.outcome = outcome
-        view.elapsed = _SAMPLE_ELAPSED
+        view.elapsed = _SAMPLE_ELAPSED_S
         view.endpoint_id = ""
         plugin.call(Phase.ANSWER, view)
--- a/apigateway/plugins/wasm/__init__.py
+++ b/apigateway/plugins/wasm/__init__.py
@@ -1,6 +1,6 @@
-"""Plug-ins as WebAssembly modules, run by wasmtime within fuel, time and memory.
+"""Plug-ins that are WebAssembly modules, run by wasmtime within limits of fuel, time and memory.
 
-Imported only where a module is loaded: the engine takes time to import, and memory.
+Imported only when a module is loaded, because importing the engine takes time and memory.
 """
 
 from apigateway.plugins.wasm.engine import assemble_module
--- a/apigateway/plugins/wasm/engine.py
+++ b/apigateway/plugins/wasm/engine.py
@@ -1,4 +1,4 @@
-"""The engine that all modules share, and the clock that bounds the time of their calls."""
+"""The engine that all modules share, and the epoch clock that limits the time of their calls."""
 
 from __future__ import annotations
 
@@ -7,20 +7,21 @@
 
 import wasmtime
 
-from apigateway.plugins.wasm.errors import InvalidModuleError, describe
+from apigateway.plugins.wasm.errors import InvalidModuleError, describe_error
 
-EPOCH_LENGTH = 0.005  # s: a call's wall time is bounded to this grain
-IDLE_EPOCHS = 200  # epochs without a call, after which the clock rests
+EPOCH_LENGTH_S = 0.005  # resolution of the limit on a call's wall time
+MAX_IDLE_EPOCHS = 200  # epochs without a call after which the clock stops
 
-_MAX_STACK_SIZE = 256 * 1024  # bytes
+_MAX_STACK_BYTES = 256 * 1024
 _BINARY_MAGIC = b"\0asm"
 
 
 class WasmEngine:
-    """The engine, and the thread that counts its epochs, which sleeps while nothing is called.
+    """The engine, and the thread that increments its epoch; the thread sleeps while there are no calls.
 
     Attributes:
-        is_clock_running: The thread counts epochs.
+        engine: The wasmtime engine.
+        is_clock_running: Whether the thread increments the epoch.
     """
 
     def __init__(self) -> None:
@@ -30,8 +31,8 @@
         self._idle_epochs = 0
         self._thread: threading.Thread | None = None
 
-    def on_call(self) -> None:
-        """Hear that a call begins: from now on epochs are counted."""
+    def start_clock(self) -> None:
+        """Start the epoch clock for a call that begins, or keep it running."""
         self._idle_epochs = 0
         if self.is_clock_running:
             return
@@ -42,16 +43,16 @@
             self._thread.start()
 
     def _count_epochs(self) -> None:
-        pause = threading.Event()  # never set: waits without holding the interpreter
+        never_set = threading.Event()  # its wait releases the GIL
         while True:
             self._wake_up.wait()
             self._wake_up.clear()
-            while self._idle_epochs < IDLE_EPOCHS:
+            while self._idle_epochs < MAX_IDLE_EPOCHS:
                 self._idle_epochs += 1
-                pause.wait(EPOCH_LENGTH)
+                never_set.wait(EPOCH_LENGTH_S)
                 self.engine.increment_epoch()
-            self.is_clock_running = False  # a call that begins just now sets it again, and `_wake_up`
-            if self._idle_epochs < IDLE_EPOCHS:
+            self.is_clock_running = False  # a concurrent start_clock() sets it again, and `_wake_up`
+            if self._idle_epochs < MAX_IDLE_EPOCHS:
                 self._wake_up.set()
 
 
@@ -59,17 +60,19 @@
     config = wasmtime.Config()
     config.consume_fuel = True
     config.epoch_interruption = True
-    config.max_wasm_stack = _MAX_STACK_SIZE
-    config.parallel_compilation = False  # it would take the cores of others
-    config.memory_reservation = 0  # not 4 GiB of addresses a module: installations bound those too
+    config.max_wasm_stack = _MAX_STACK_BYTES
+    config.parallel_compilation = False  # it would use cores that other processes need
+    config.memory_reservation = (
+        0  # the default reserves 4 GiB per module of an address space that installations limit
+    )
     config.memory_guard_size = 0
     config.memory_reservation_for_growth = 0
-    config.cranelift_nan_canonicalization = True  # the same on each machine
+    config.cranelift_nan_canonicalization = True  # the same results on each machine
     config.wasm_relaxed_simd = False
     config.wasm_threads = False
     config.wasm_memory64 = False
     config.wasm_multi_memory = False
-    # What the C interface has no form for ends the process when a type of it is looked at.
+    # Inspecting a type that the C API cannot represent aborts the process.
     config.wasm_gc = False
     config.wasm_function_references = False
     config.wasm_exceptions = False
@@ -81,26 +84,26 @@
 
 @functools.cache
 def shared_engine() -> WasmEngine:
-    """Return the one engine of this process."""
+    """Return the engine that this process shares."""
     return WasmEngine()
 
 
 def assemble_module(raw: bytes) -> bytes:
-    """Return a module's binary, given that or its text. Raises InvalidModuleError."""
+    """Return a module's binary, given the binary or the text. Raises InvalidModuleError."""
     if raw.startswith(_BINARY_MAGIC):
         return raw
     try:
         return bytes(wasmtime.wat2wasm(raw.decode("utf-8")))
     except UnicodeDecodeError as err:
-        raise InvalidModuleError("is neither WebAssembly nor its text") from err
+        raise InvalidModuleError("is neither a WebAssembly binary nor a WebAssembly text") from err
     except wasmtime.WasmtimeError as err:
-        raise InvalidModuleError(f"its text cannot be assembled: {describe(err)}") from err
+        raise InvalidModuleError(f"its text cannot be assembled: {describe_error(err)}") from err
 
 
 def compile_module(engine: WasmEngine, raw: bytes) -> wasmtime.Module:
-    """Return a compiled module, given its binary or text. Raises InvalidModuleError."""
+    """Compile a module, given its binary or text. Raises InvalidModuleError."""
     binary = assemble_module(raw)
     try:
         return wasmtime.Module(engine.engine, binary)
     except wasmtime.WasmtimeError as err:
-        raise InvalidModuleError(f"is no sound module: {describe(err)}") from err
+        raise InvalidModuleError(f"is not a valid module: {describe_error(err)}") from err
--- a/apigateway/plugins/wasm/host_functions.py
+++ b/apigateway/plugins/wasm/host_functions.py
@@ -1,8 +1,8 @@
-"""What a module may call on its host.
+"""The functions of the host that a module may import.
 
-A host function never raises: wasmtime's binding keeps an exception of one in a variable that all threads
-share, and modules are validated on another thread than serves. It notes the violation and takes the fuel away
-instead.
+A host function never raises, because wasmtime's Python binding stores its exception in a variable that all
+threads share, and modules are validated on another thread than the one that serves requests. Instead, it
+records the violation and sets the fuel to 0.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from apigateway.plugins import abi
 from apigateway.plugins.interfaces import Budget, PluginError
 from apigateway.plugins.language.functions import to_unix_time
-from apigateway.plugins.plugin_log import MAX_LINE_LENGTH, PluginLog
+from apigateway.plugins.plugin_log import MAX_LINE_CHARACTERS, PluginLog
 from apigateway.plugins.plugin_state import MAX_COUNTER_NAME_LENGTH, Counters, KeyValueStore
 from apigateway.plugins.wasm.memory import ModuleMemory
 from apigateway.plugins.wasm.signatures import (
@@ -30,13 +30,13 @@
     Lifecycle,
 )
 
-_MAX_TEXT_LENGTH = 4096  # bytes of a setting's path, a key, a text of the log
-_MAX_UTF8_LENGTH = 4  # bytes of a character
-_NOT_FOUND = -1  # also: not taken
+_MAX_TEXT_BYTES = 4096  # of a setting's path, a key or a log line
+_MAX_UTF8_BYTES = 4  # per character
+_NOT_FOUND = -1  # also returned if a value is not stored
 _PATH_SEPARATOR = "/"
 
-# What a function returns that could not do its work.
-_DEFAULT_RESULTS: dict[HostFunction, float | None] = {
+# The return value of a function that failed.
+_FAILURE_RESULTS: dict[HostFunction, float | None] = {
     HostFunction.SETTING: _NOT_FOUND,
     HostFunction.SETTING_NUMBER: math.nan,
     HostFunction.GET: _NOT_FOUND,
@@ -48,11 +48,14 @@
 
 
 class HostFunctions:
-    """The host of one plug-in: its settings, and what it keeps between calls.
+    """The host functions of one plug-in, with its settings and its state between calls.
 
     Attributes:
-        now: Unix time of the call in seconds, for the log's rate.
-        violation: What the module did in this call that it may not; empty: nothing.
+        key_values: Key-value store of the plug-in.
+        counters: Counters of the plug-in.
+        log: Log of the plug-in.
+        now: Unix time of the call in seconds, for the log's rate limit.
+        violation: Description of a forbidden action of the module in this call; empty if there was none.
     """
 
     def __init__(self, plugin_name: str, settings: Mapping[str, Any], budget: Budget, seed: int) -> None:
@@ -68,21 +71,21 @@
         self._memory: ModuleMemory | None = None
 
     def attach_store(self, store: wasmtime.Store) -> None:
-        """Serve the instance that is about to be made in a store."""
+        """Set the store in which the next instance is about to be created."""
         self._store = store
         self._memory = None
 
     def attach_memory(self, memory: ModuleMemory) -> None:
-        """Work on the memory of the instance that was made."""
+        """Set the memory of the instance that was created."""
         self._memory = memory
 
     def begin_call(self, kind: CallKind) -> None:
-        """Hear that a call of the module begins, and of which kind."""
+        """Record the kind of the call that begins, and clear the violation."""
         self._call_kind = kind
         self.violation = ""
 
     def define_on(self, linker: wasmtime.Linker) -> None:
-        """Make the functions importable."""
+        """Define the functions on a linker, so that a module can import them."""
         implementations: dict[HostFunction, Callable[..., Any]] = {
             HostFunction.SETTING: self._setting,
             HostFunction.SETTING_NUMBER: self._setting_number,
@@ -90,7 +93,7 @@
             HostFunction.PUT: self._put,
             HostFunction.LOG: self._write_log,
             HostFunction.COUNT: self._count,
-            HostFunction.RANDOM: self._draw,
+            HostFunction.RANDOM: self._generate_random,
         }
         for function, implementation in implementations.items():
             signature = HOST_SIGNATURES[function]
@@ -102,32 +105,32 @@
             )
 
     def _guard(self, function: HostFunction, implementation: Callable[..., Any]) -> Callable[..., Any]:
-        """Return the function as it is called by the module: within its rights, and without exceptions."""
-        default_result = _DEFAULT_RESULTS[function]
+        """Wrap a function so that it checks whether the call is permitted and never raises."""
+        failure_result = _FAILURE_RESULTS[function]
 
         def call(*values: Any) -> Any:
             if self.violation:
-                return default_result
+                return failure_result
             if function not in PERMITTED_FUNCTIONS[self._call_kind]:
-                self._on_violation(f"called {function} in the phase {self._call_kind}")
-                return default_result
+                self._record_violation(f"called {function} in the phase {self._call_kind}")
+                return failure_result
             try:
                 return implementation(*values)
             except PluginError as err:
-                self._on_violation(f"{function}: {err}")
+                self._record_violation(f"{function}: {err}")
             except Exception as err:
-                self._on_violation(f"{function}: {type(err).__name__} {err}")
-            return default_result
+                self._record_violation(f"{function}: {type(err).__name__} {err}")
+            return failure_result
 
         return call
 
-    def _on_violation(self, text: str) -> None:
+    def _record_violation(self, text: str) -> None:
         self.violation = text
         if self._store is not None:
-            self._store.set_fuel(0)  # the call ends at its next step
+            self._store.set_fuel(0)  # the call traps at its next instruction
 
-    def _read(self, address: int, length: int, max_length: int = _MAX_TEXT_LENGTH) -> bytes:
-        assert self._memory is not None  # no function is permitted before there is an instance
+    def _read(self, address: int, length: int, max_length: int = _MAX_TEXT_BYTES) -> bytes:
+        assert self._memory is not None  # no function is permitted before the instance is created
         return self._memory.read(address, length, max_length)
 
     def _write(self, value: bytes | None, address: int, max_length: int) -> int:
@@ -135,7 +138,7 @@
         return self._memory.write_result(value, address, max_length)
 
     def _find_setting(self, address: int, length: int) -> Any:
-        """Return a setting by its path, as `district/00000000b4d65521`; None if there is none."""
+        """Return a setting by its path, such as `district/00000000b4d65521`; None if there is none."""
         setting: Any = self._settings
         path = self._read(address, length).decode("utf-8", "replace")
         for key in path.split(_PATH_SEPARATOR):
@@ -165,12 +168,12 @@
         return 0 if self.key_values.put(key, value) else _NOT_FOUND
 
     def _write_log(self, address: int, length: int) -> None:
-        line = self._read(address, length)[: _MAX_UTF8_LENGTH * MAX_LINE_LENGTH]
+        line = self._read(address, length)[: _MAX_UTF8_BYTES * MAX_LINE_CHARACTERS]
         self.log.write(line.decode("utf-8", "replace"), self.now)
 
     def _count(self, address: int, length: int, amount: float) -> None:
         name = self._read(address, length, MAX_COUNTER_NAME_LENGTH)
         self.counters.add(name.decode("utf-8", "replace"), amount)
 
-    def _draw(self) -> float:
+    def _generate_random(self) -> float:
         return self._random.random()
--- a/apigateway/plugins/wasm/plugin.py
+++ b/apigateway/plugins/wasm/plugin.py
@@ -1,4 +1,4 @@
-"""A plug-in that is a WebAssembly module."""
+"""Plug-ins that are WebAssembly modules."""
 
 from __future__ import annotations
 
@@ -25,15 +25,17 @@
 
 
 class WasmPlugin:
-    """An interfaces.Plugin.
+    """Implements interfaces.Plugin with a WebAssembly module.
 
-    A failed call leaves no instance: the next one makes a new one, so that what it left in memory and globals
-    is gone. Keys, counters and the log's rate stay.
+    A failed call discards the instance with its memory and globals, and the next call creates a new instance.
+    The key-value store, the counters and the log's rate limit are kept.
 
     Attributes:
-        host: What the module may call, and what it keeps between calls.
-        instance: The one in use, None after a failed call.
-        reinstantiations: How often it was made anew after a failure.
+        name: Name of the plug-in.
+        engine: Engine that all modules share.
+        host: Host functions of the module, with its state between calls.
+        instance: Current instance; None after a failed call.
+        reinstantiations: Number of instances that were created after a failure.
     """
 
     kind = PluginKind.WASM
@@ -43,7 +45,7 @@
     ) -> None:
         """Compile and instantiate a module; `raw` is its binary or text.
 
-        Raises InvalidModuleError where it cannot be used, PluginError where its start fails.
+        Raises InvalidModuleError if it cannot be used, PluginError if its start function fails.
         """
         self.name = name
         self.engine = shared_engine()
@@ -56,10 +58,10 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget all that it did so far."""
+        """Discard the instance and all state from earlier calls, and create a new instance."""
         self.host = HostFunctions(self.name, self._settings, self._budget, self._seed)
         self.reinstantiations = -1
-        self._input = self._instantiate().input
+        self._input_slice = self._instantiate().input_slice
 
     def _instantiate(self) -> WasmInstance:
         self._discard_instance()
@@ -74,29 +76,29 @@
             instance.close()
 
     def close(self) -> None:
-        """Free the instance."""
+        """Discard the instance."""
         self._discard_instance()
 
     def call(self, phase: Phase, view: RequestView) -> list[Proposal]:
-        """Return what the module proposes. Raises PluginError."""
+        """Return the module's proposals. Raises PluginError."""
         self.host.now = view.now
         try:
-            data = abi.encode_input(phase, view, self._input.address, self._input.length)
+            data = abi.encode_input(phase, view, self._input_slice.address, self._input_slice.length)
             output = self._run(_call_phase, phase, data)
             return abi.decode_proposals(output) if output else []
         except PluginError:
             raise
-        except Exception as err:  # the binding's own: whatever a module does must end here
+        except Exception as err:  # an error of wasmtime's binding; no fault of a module may reach the caller
             self._discard_instance()
             raise PluginError(FailureReason.ERROR, f"{type(err).__name__} {err}") from err
 
     def _run(
-        self, act: Callable[Concatenate[WasmInstance, _P], _T], *args: _P.args, **kwargs: _P.kwargs
+        self, operation: Callable[Concatenate[WasmInstance, _P], _T], *args: _P.args, **kwargs: _P.kwargs
     ) -> _T:
-        """Return what `act` returns for an instance, which goes if that fails. Raises PluginError."""
+        """Run `operation` on the instance, and discard the instance if it fails. Raises PluginError."""
         instance = self.instance if self.instance is not None else self._instantiate()
         try:
-            return act(instance, *args, **kwargs)
+            return operation(instance, *args, **kwargs)
         except PluginError:
             self._discard_instance()
             raise
@@ -107,22 +109,22 @@
             return
         result = self._run(WasmInstance.call, Lifecycle.SELF_TEST, SELF_TEST_EXPORT)
         if result != 0:
-            raise PluginError(FailureReason.SELF_TEST, f"gave {result}")
+            raise PluginError(FailureReason.SELF_TEST, f"returned {result}")
 
     def save_state(self) -> bytes | None:
-        """Return what the module hands to its successor, None for nothing. Raises PluginError."""
+        """Return the state for the next version; None if there is none. Raises PluginError."""
         if SAVE_EXPORT not in self._module.functions:
             return None
         return self._run(_save_state)
 
     def load_state(self, state: bytes) -> bool:
-        """Take over a predecessor's state; return False if the module takes none. Raises PluginError."""
+        """Load the previous version's state; return False if it was not loaded. Raises PluginError."""
         if LOAD_EXPORT not in self._module.functions:
             return False
-        if len(state) > self._input.length:
+        if len(state) > self._input_slice.length:
             raise PluginError(
-                FailureReason.NONSENSE,
-                f"{len(state)} bytes were saved, it keeps {self._input.length} for input",
+                FailureReason.INVALID_DATA,
+                f"the state has {len(state)} bytes, the module reserves {self._input_slice.length} for input",
             )
         return self._run(_load_state, state)
 
@@ -131,11 +133,11 @@
         return self.host.counters.values
 
     def fuel_used(self) -> int:
-        """Return what the last call used; the whole budget if it failed."""
+        """Return the fuel that the last call used; the full budget if it failed."""
         return self.instance.fuel_used() if self.instance is not None else self._budget.fuel
 
     def status(self) -> dict[str, Any]:
-        """Return what it holds, for operators."""
+        """Return the plug-in's part of the status report."""
         return {
             "memory": self.instance.memory.size if self.instance is not None else 0,
             "key bytes": self.host.key_values.used_bytes,
@@ -148,12 +150,12 @@
 def _call_phase(instance: WasmInstance, phase: Phase, data: bytearray) -> bytes:
     instance.write_input(data)
     packed = instance.call(phase, abi.PHASE_EXPORTS[phase], len(data))
-    return instance.read_output(packed, abi.MAX_OUTPUT_SIZE)
+    return instance.read_output(packed, abi.MAX_OUTPUT_BYTES)
 
 
 def _save_state(instance: WasmInstance) -> bytes:
     packed = instance.call(Lifecycle.SAVE, SAVE_EXPORT)
-    return instance.read_output(packed, abi.MAX_STATE_SIZE)
+    return instance.read_output(packed, abi.MAX_STATE_BYTES)
 
 
 def _load_state(instance: WasmInstance, state: bytes) -> bool:
--- a/apigateway/plugins/wasm/signatures.py
+++ b/apigateway/plugins/wasm/signatures.py
@@ -1,4 +1,4 @@
-"""The types of the ABI's imports and exports, and the check that a module keeps to them."""
+"""The types of the ABI's imports and exports, and the check of a module against them."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class Signature(NamedTuple):
-    """What a function takes and returns."""
+    """The types of a function's parameters and results."""
 
     params: list[ValType]
     results: list[ValType]
 
 
 class Lifecycle(enum.StrEnum):
-    """Calls of a module beside those of a phase. The values are part of error messages."""
+    """Calls of a module that do not belong to a phase. The values are part of error messages."""
 
-    START = "start"  # its instantiation
+    START = "start"  # instantiation, which runs the start function
     SELF_TEST = "self_test"
     SAVE = "save"
     LOAD = "load"
@@ -37,7 +37,7 @@
 
 
 class HostFunction(enum.StrEnum):
-    """What a module may import."""
+    """Functions that a module may import. The values are their names."""
 
     SETTING = "setting"
     SETTING_NUMBER = "setting_number"
@@ -58,13 +58,13 @@
     HostFunction.RANDOM: Signature([], [F64]),
 }
 
-_READERS = frozenset((HostFunction.SETTING, HostFunction.SETTING_NUMBER, HostFunction.GET))
+_READ_FUNCTIONS = frozenset((HostFunction.SETTING, HostFunction.SETTING_NUMBER, HostFunction.GET))
 _ALL_FUNCTIONS = frozenset(HostFunction)
-# Which of them may be called when. A module's start may call none: it has no budget yet.
+# The functions that are permitted in each call; the start function may call none, as it has no budget yet.
 PERMITTED_FUNCTIONS: dict[CallKind, frozenset[HostFunction]] = {
     Lifecycle.START: frozenset(),
-    Lifecycle.SAVE: _READERS,
-    Lifecycle.LOAD: _READERS | {HostFunction.PUT},
+    Lifecycle.SAVE: _READ_FUNCTIONS,
+    Lifecycle.LOAD: _READ_FUNCTIONS | {HostFunction.PUT},
     Lifecycle.SELF_TEST: _ALL_FUNCTIONS,
     **dict.fromkeys(Phase, _ALL_FUNCTIONS),
 }
@@ -82,7 +82,7 @@
 
 
 def check_signatures(module: wasmtime.Module) -> frozenset[Phase]:
-    """Return a module's phases. Raises InvalidModuleError where it does not keep to the ABI."""
+    """Return the phases that a module implements. Raises InvalidModuleError if it violates the ABI."""
     for item in module.imports:
         _check_import(item)
     exports = {item.name: item.type for item in module.exports}
@@ -90,7 +90,7 @@
     for name, signature in EXPORT_SIGNATURES.items():
         kind = exports.get(name)
         if kind is not None and not _has_signature(kind, signature):
-            raise InvalidModuleError(f"exports {name} as something else than {_type_names(signature)}")
+            raise InvalidModuleError(f"exports {name} with a type other than {_type_names(signature)}")
     phases = frozenset(phase for phase, name in abi.PHASE_EXPORTS.items() if name in exports)
     if not phases:
         raise InvalidModuleError(f"exports none of {', '.join(abi.PHASE_EXPORTS.values())}")
@@ -101,10 +101,10 @@
     name = f"{item.module}.{item.name}"
     if item.module != abi.IMPORT_MODULE or item.name not in HOST_SIGNATURES:
         known = ", ".join(f"{abi.IMPORT_MODULE}.{function}" for function in HostFunction)
-        raise InvalidModuleError(f"imports {name}; there are {known}")
+        raise InvalidModuleError(f"imports {name}; available are {known}")
     signature = HOST_SIGNATURES[HostFunction(item.name)]
     if not _has_signature(item.type, signature):
-        raise InvalidModuleError(f"imports {name} as something else than {_type_names(signature)}")
+        raise InvalidModuleError(f"imports {name} with a type other than {_type_names(signature)}")
 
 
 def _check_memory_and_globals(exports: dict[str, Any]) -> None:
--- a/apigateway/tools/plugins/__init__.py
+++ b/apigateway/tools/plugins/__init__.py
@@ -1,1 +1,1 @@
-"""Tools for those who write plug-ins: skeletons, checks, replays of recorded requests, the cost of a call."""
+"""Tools for authors of plug-ins: skeletons, checks, replays of recorded requests, measurements of calls."""
--- a/apigateway/tools/plugins/check.py
+++ b/apigateway/tools/plugins/check.py
@@ -1,4 +1,4 @@
-"""Check plug-ins as a gateway does when it loads them."""
+"""Checks plug-ins as a gateway does when it loads them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def check(path: str) -> Report:
-    """Load the plug-ins and report what they are. Raises InvalidConfigFileError with all that is wrong."""
+    """Load the plug-ins and describe them. Raises InvalidConfigFileError with all problems."""
     kit = load_plugins(path)
     try:
         return Report([_describe(runner) for runner in kit.runners])
@@ -23,13 +23,13 @@
 
 def _describe(runner: PluginRunner) -> str:
     fuel = _max_fuel(runner)
-    fuel_text = "" if fuel is None else f", {fuel} of {runner.budget.fuel} fuel at most in its proof"
+    fuel_text = "" if fuel is None else f", at most {fuel} of {runner.budget.fuel} fuel used in validation"
     phases = ", ".join(phase for phase in Phase if phase in runner.plugin.phases)
     return f"{runner.name}: good; {runner.plugin.kind}, phases {phases}{fuel_text}"
 
 
 def _max_fuel(runner: PluginRunner) -> int | None:
-    """Return the most fuel that a call of the proof takes; None for a plug-in that needs none."""
+    """Return the most fuel that a call with a sample request uses; None if the plug-in uses no fuel."""
     plugin: Any = runner.plugin
     if not hasattr(plugin, "fuel_used"):
         return None
--- a/apigateway/tools/plugins/files.py
+++ b/apigateway/tools/plugins/files.py
@@ -1,4 +1,4 @@
-"""Files of plug-ins: create them from a skeleton, assemble a module's text."""
+"""Creates the files of a plug-in from a skeleton, and assembles the text of a module."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from apigateway.tools.plugins.report import InvalidArgumentError
 from apigateway.tools.plugins.skeletons import skeleton
 
-_NAME = re.compile(r"[a-z][a-z0-9_-]{0,31}")
+_NAME_PATTERN = re.compile(r"[a-z][a-z0-9_-]{0,31}")
 
 
 def create(name: str, kind: str, parent_folder: str) -> list[str]:
     """Write the files of a new plug-in and return their paths.
 
     Raises:
-        InvalidArgumentError: the name is no plug-in's name.
-        OSError: a file is there already, which is not written over, or cannot be written.
+        InvalidArgumentError: The name is not valid.
+        OSError: A file exists already, which is not overwritten, or cannot be written.
     """
-    if not _NAME.fullmatch(name):
+    if not _NAME_PATTERN.fullmatch(name):
         raise InvalidArgumentError(
-            f"{name!r}: a plug-in's name is small letters, digits, _ and -, 32 at most"
+            f"{name!r}: a plug-in's name is 1 to 32 lower-case letters, digits, _ or -, a letter first"
         )
     folder = os.path.join(parent_folder, name)
     os.makedirs(folder, exist_ok=True)
@@ -34,16 +34,16 @@
 
 
 def assemble(path: str) -> str:
-    """Assemble FILE.wat to FILE.wasm and return what was written.
+    """Assemble FILE.wat to FILE.wasm, and return the path and the size that were written.
 
     Raises:
-        InvalidArgumentError: it is no module's text.
-        OSError: a file cannot be read or written.
+        InvalidArgumentError: The file is not the text of a module.
+        OSError: A file cannot be read or written.
     """
     from apigateway.plugins.wasm import InvalidModuleError, assemble_module
 
     if not path.endswith(".wat"):
-        raise InvalidArgumentError(f"{path}: name a .wat file")
+        raise InvalidArgumentError(f"{path}: specify a .wat file")
     with open(path, "rb") as file:
         text = file.read()
     try:
--- a/apigateway/tools/plugins/loading.py
+++ b/apigateway/tools/plugins/loading.py
@@ -1,4 +1,4 @@
-"""Load plug-ins as a gateway would, from a file of plug-ins or from a gateway's settings."""
+"""Loads plug-ins as a gateway does, from a file with plug-ins or from a gateway's settings."""
 
 from __future__ import annotations
 
@@ -12,11 +12,16 @@
 from apigateway.plugins.testkit import Kit, read_plugins, settings
 from apigateway.tools.plugins.report import InvalidArgumentError
 
-_GATEWAY_KEYS = ("listeners", "classes", "plans", "gateway")  # only a gateway's settings have them
+_GATEWAY_KEYS = (
+    "listeners",
+    "classes",
+    "plans",
+    "gateway",
+)  # top-level keys that only a gateway's settings have
 
 
 class _PluginSource(NamedTuple):
-    """The file, its plug-ins, and the decision module's settings where it is a gateway's."""
+    """A file, its plug-ins, and the decision module's settings if it is a gateway's settings file."""
 
     path: str
     plugins: list[PluginSection]
@@ -25,25 +30,26 @@
 
 
 def load_plugins(path: str, module_settings: messages.Settings | None = None) -> Kit:
-    """Load the plug-ins of a file, of a folder with plugin.toml or of a gateway's settings.
+    """Load the plug-ins of a file, of a folder with a plugin.toml or of a gateway's settings.
 
     Args:
-        path: Of the file or folder.
-        module_settings: Classes, plans and limits; None: those of the gateway, else of the test kit.
+        path: Path of the file or folder.
+        module_settings: Classes, plans and limits; None for those of the gateway's settings, or else of the
+                test kit.
 
     Raises:
-        InvalidArgumentError: it names no plug-in.
-        InvalidConfigFileError: it cannot be used, or a plug-in does not pass its checks.
+        InvalidArgumentError: The file contains no plug-in.
+        InvalidConfigFileError: The file cannot be used, or a plug-in fails its checks.
     """
     source = _read_source(path)
     if not source.plugins:
-        raise InvalidArgumentError(f"{source.path}: names no plug-in")
+        raise InvalidArgumentError(f"{source.path}: contains no plug-in")
     environment = PluginEnvironment(source.path, module_settings or source.module_settings or settings())
     return Kit(load_chain(source.plugins, source.hooks, environment))
 
 
 def read_module_settings(path: str) -> messages.Settings:
-    """Return what a gateway's settings file tells the decision module. Raises InvalidConfigFileError."""
+    """Read the decision module's settings from a gateway's settings. Raises InvalidConfigFileError."""
     from apigateway.daemon.settings import read_settings
     from apigateway.daemon.settings_runtime import build_module_settings
 
--- a/apigateway/tools/plugins/replay.py
+++ b/apigateway/tools/plugins/replay.py
@@ -1,4 +1,4 @@
-"""Run recorded requests through plug-ins as if they came now; attempts and answers are as they were."""
+"""Replays recorded requests through plug-ins, with their recorded times, attempts and outcomes."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from apigateway.tools.plugins.loading import load_plugins, read_module_settings
 from apigateway.tools.plugins.report import InvalidArgumentError, Report
 
-_DEFAULT_PLANS = ("basic",)  # where nothing was recorded
+_DEFAULT_PLANS = ("basic",)  # if there are no records
 
 
 class _RecordedRequest(NamedTuple):
-    """A line of a file of records: its number, the record, and the request as plug-ins see it."""
+    """A line of a records file: its number, the record, and the request as plug-ins see it."""
 
     line_number: int
     record: dict[str, Any]
@@ -26,14 +26,18 @@
 
 @dataclass(slots=True)
 class _Counts:
-    """What the plug-ins proposed over all requests; the names are those of the report."""
+    """Counts of the plug-ins' effects and failures over all requests, as in the report.
+
+    Attributes:
+        changed_tags: Number of requests whose tags differ from the recorded ones.
+    """
 
     tags: Counter[str] = field(default_factory=Counter)
     refused: Counter[str] = field(default_factory=Counter)
     routes: Counter[str] = field(default_factory=Counter)
     denied: Counter[str] = field(default_factory=Counter)
     failed: Counter[str] = field(default_factory=Counter)
-    other_tags: int = 0  # requests with other tags than recorded
+    changed_tags: int = 0
 
     def add(self, request: _RecordedRequest, result: RequestResult) -> None:
         """Count the result of one request."""
@@ -42,12 +46,12 @@
             self.refused[request.view.service_class] += 1
         if result.route:
             self.routes[result.route] += 1
-        self.denied.update(f"{name}: {what}" for name, what in result.denied)
-        self.failed.update(f"{name}: {what}" for name, what in result.failed)
-        self.other_tags += result.tags != request.record.get("tags", {})
+        self.denied.update(f"{name}: {denial}" for name, denial in result.denied)
+        self.failed.update(f"{name}: {reason}" for name, reason in result.failed)
+        self.changed_tags += result.tags != request.record.get("tags", {})
 
     def by_name(self) -> dict[str, Counter[str]]:
-        """Return the counters by their name in the report."""
+        """Return the counters by their names in the report."""
         return {
             "tags": self.tags,
             "refused": self.refused,
@@ -60,26 +64,29 @@
 def replay(
     path: str, records_path: str, settings_path: str | None = None, print_each: bool = False
 ) -> Report:
-    """Run the requests of a file of records through the plug-ins of another.
+    """Run the requests of a records file through plug-ins.
 
     Args:
-        path: The plug-ins; see `load_plugins`.
-        records_path: A file that a gateway wrote.
-        settings_path: A gateway's settings, for its routes and limits; None: what the records name.
+        path: Path of the plug-ins; see `load_plugins`.
+        records_path: Path of a records file that a gateway wrote.
+        settings_path: Path of a gateway's settings, for its routes and limits; None to derive the classes and
+            plans from the records.
         print_each: Whether the report has a line for each request.
 
     Raises:
-        InvalidArgumentError: the records cannot be read, or no plug-in is named.
-        InvalidConfigFileError: plug-ins or settings cannot be used.
+        InvalidArgumentError: The records cannot be read, or there is no plug-in.
+        InvalidConfigFileError: The plug-ins or the settings cannot be used.
     """
     requests = _read_requests(records_path)
-    module_settings = _settings_of(requests) if settings_path is None else read_module_settings(settings_path)
+    module_settings = (
+        _settings_from_records(requests) if settings_path is None else read_module_settings(settings_path)
+    )
     kit = load_plugins(path, module_settings)
     report = Report()
     counts = _Counts()
     try:
         for request in requests:
-            result = _play(kit, request)
+            result = _replay_request(kit, request)
             counts.add(request, result)
             if print_each:
                 report.lines.append(
@@ -88,12 +95,12 @@
         report.data = {
             "requests": len(requests),
             **{name: dict(counter) for name, counter in counts.by_name().items()},
-            "other tags than recorded": counts.other_tags,
+            "other tags than recorded": counts.changed_tags,
             "counters": {runner.name: dict(runner.plugin.counters()) for runner in kit.runners},
         }
     finally:
         kit.close()
-    report.lines.append(f"{len(requests)} requests, {counts.other_tags} with other tags than recorded")
+    report.lines.append(f"{len(requests)} requests, {counts.changed_tags} with other tags than recorded")
     for name, counter in counts.by_name().items():
         if counter:
             report.lines.append(f"{name}: " + ", ".join(f"{key} {n}" for key, n in counter.most_common()))
@@ -104,14 +111,15 @@
 def _read_requests(path: str) -> list[_RecordedRequest]:
     try:
         return [
-            _RecordedRequest(number, record, parse_record(record)) for number, record in read_records(path)
+            _RecordedRequest(line_number, record, parse_record(record))
+            for line_number, record in read_records(path)
         ]
     except (ValueError, UnicodeDecodeError) as error:
-        raise InvalidArgumentError(f"{path}: no records ({error})") from error
+        raise InvalidArgumentError(f"{path}: cannot read records ({error})") from error
 
 
-def _settings_of(requests: list[_RecordedRequest]) -> messages.Settings:
-    """Return settings with the classes and plans that the records name."""
+def _settings_from_records(requests: list[_RecordedRequest]) -> messages.Settings:
+    """Return settings with the classes and plans that occur in the records."""
     effects = {
         request.view.service_class: "unsafe" if request.view.is_write else "safe" for request in requests
     }
@@ -119,8 +127,8 @@
     return settings(effects or None, plans or _DEFAULT_PLANS)
 
 
-def _play(kit: Kit, request: _RecordedRequest) -> RequestResult:
-    """Take one request through all its phases."""
+def _replay_request(kit: Kit, request: _RecordedRequest) -> RequestResult:
+    """Run one request through all its phases."""
     view = request.view
     result = kit.request(
         id=view.request_id,
@@ -149,6 +157,6 @@
         parts.append(f"route {result.route}")
     if result.refuse is not None:
         parts.append(f"refused, back in {result.refuse:g} s")
-    parts += [f"denied {name} {what}" for name, what in result.denied]
-    parts += [f"failed {name} {what}" for name, what in result.failed]
+    parts += [f"denied {name} {denial}" for name, denial in result.denied]
+    parts += [f"failed {name} {reason}" for name, reason in result.failed]
     return ", ".join(parts) or "nothing"
--- a/apigateway/tools/plugins/report.py
+++ b/apigateway/tools/plugins/report.py
@@ -1,4 +1,4 @@
-"""What a plug-in tool found."""
+"""The report of a plug-in tool."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class InvalidArgumentError(Exception):
-    """Arguments that cannot be used."""
+    """An argument of a tool is invalid."""
 
 
 @dataclass(slots=True)
 class Report:
-    """What a tool found.
+    """The report of a tool.
 
     Attributes:
         lines: The report as text.
--- a/apigateway/tools/plugins/skeletons.py
+++ b/apigateway/tools/plugins/skeletons.py
@@ -1,15 +1,15 @@
-"""What `api-gateway plugin new` writes: a plug-in that works, its settings, a test."""
+"""The files that `api-gateway plugin new` writes: a working plug-in, its settings and a test."""
 
 from __future__ import annotations
 
-_SETTINGS = """# For a gateway's settings (its file beside them), `api-gateway plugin` and `demo --plugin`.
+_SETTINGS = """# For `api-gateway plugin`, `demo --plugin` or a gateway's settings in the same folder.
 [[plugins]]
 name = "{name}"
 file = "{file}"
 settings = {{ class = "roster-read", mark = "first" }}
 """
 
-_RULES = """# {name}: docs/operate/plugin-abi.md, The language.
+_RULES = """# {name}: docs/operate/plugin-abi.md describes the language.
 [[rules]]
 when = 'class == settings.class'
 tag = {{ mark = 'settings.mark' }}
@@ -22,7 +22,7 @@
   (import "calicomast" "count" (func $count (param i32 i32 f64)))
   (memory (export "memory") 1)
   (global (export "calicomast_abi") i32 (i32.const 1))
-  ;; Where the host writes a request before each call.
+  ;; The host writes a request here before each call.
   (global (export "calicomast_input") i32 (i32.const 4096))
   (global (export "calicomast_input_size") i32 (i32.const 32768))
 
@@ -36,10 +36,10 @@
     (if (i32.or (i32.lt_s (local.get $size) (i32.const 1)) (i32.gt_s (local.get $size) (i32.const 128)))
       (then (return (i64.const 0))))
     (call $count (i32.const 16) (i32.const 6) (f64.const 1))
-    ;; The text's address, 512, in the upper half; its length in the lower.
+    ;; The upper half is the address of the text, 512; the lower half is its length.
     (i64.or (i64.const 0x20000000000) (i64.extend_i32_u (i32.add (i32.const 9) (local.get $size)))))
 
-  ;; 0: fit to serve. A gateway asks before it takes the module up.
+  ;; 0 means that the module can be used; a gateway calls this before it loads the module.
   (func (export "self_test") (result i32)
     (i32.lt_s (call $setting (i32.const 0) (i32.const 4) (i32.const 521) (i32.const 128)) (i32.const 1))))
 """
@@ -49,10 +49,10 @@
 from apigateway.plugins.testkit import Kit
 
 
-def test_it_marks_requests():
+def test_requests_are_tagged():
     kit = Kit.load(str(Path(__file__).parent))
-    told = kit.request(cls="roster-read")
-    assert told.tags == {{"mark": "first"}} and told.refuse is None and not told.denied
+    result = kit.request(cls="roster-read")
+    assert result.tags == {{"mark": "first"}} and result.refuse is None and not result.denied
     assert kit.counters("{name}") == {{"marked": 1.0}}
     kit.close()
 """
--- a/tests/plugins/language/test_expressions.py
+++ b/tests/plugins/language/test_expressions.py
@@ -6,7 +6,7 @@
 
 from apigateway.plugins.interfaces import RequestView
 from apigateway.plugins.language import EvaluationError, ExpressionError, compile_expression
-from apigateway.plugins.language.values import MAX_TEXT_LENGTH
+from apigateway.plugins.language.values import MAX_TEXT_CHARACTERS
 from apigateway.plugins.rule_vocabulary import FIELDS
 
 SETTINGS = {
@@ -102,14 +102,14 @@
         ("(" * 60 + "1" + ")" * 60, "nested"),
         ("1 ? 2 : 3", "expected truth"),
         ('true ? 1 : "a"', "one type"),
-        ("date(id)", "written out"),
-        ('date("soon")', "is no date"),
-        ("$", "has no meaning"),
-        ("1 2", "follows"),
+        ("date(id)", "literal text"),
+        ('date("soon")', "is not a date"),
+        ("$", "unexpected character"),
+        ("1 2", "after the expression"),
         ("settings.odd[customer]", "one type"),
         ("has(id)", "has takes a member"),
         ("id.size", "no member"),
-        ("true < false", "does not go with"),
+        ("true < false", "cannot be applied to"),
         ('["a", 1]', "numbers and texts"),
         ("get(id, id, id)", "table of settings"),
         ('get(settings.weight, id, "a")', "the default is text"),
@@ -146,7 +146,7 @@
 
 def test_text_that_grows_too_long_raises():
     with pytest.raises(EvaluationError):
-        evaluate("+".join(["plan"] * 2), plan="x" * (MAX_TEXT_LENGTH - 1))
+        evaluate("+".join(["plan"] * 2), plan="x" * (MAX_TEXT_CHARACTERS - 1))
 
 
 def test_sample_is_the_same_for_a_request_and_near_its_share_of_all():
--- a/tests/plugins/test_isolated_validation.py
+++ b/tests/plugins/test_isolated_validation.py
@@ -6,7 +6,7 @@
 import pytest
 
 from apigateway.plugins.interfaces import Budget
-from apigateway.plugins.isolated_validation import PROCESS_ENDED, ValidationJob, validate_isolated
+from apigateway.plugins.isolated_validation import PROCESS_ENDED_REASON, ValidationJob, validate_isolated
 from apigateway.plugins.testkit import module, says
 from apigateway.plugins.testkit import settings as gateway_settings
 
@@ -23,7 +23,9 @@
         return time.sleep, (600,)
 
 
-@pytest.mark.parametrize("how, words", [(EndsProcess(), "exit code -6"), (HangsProcess(), "not done in 5 s")])
+@pytest.mark.parametrize(
+    "how, words", [(EndsProcess(), "exit code -6"), (HangsProcess(), "timed out after 5 s")]
+)
 def test_module_that_ends_or_hangs_its_process_is_found_out_and_the_others_are_validated(how, words):
     raw = module(says("tag a 1")).encode()
     jobs = [
@@ -49,4 +51,4 @@
     (reason,) = validate_isolated(
         [ValidationJob("p", module(says("") + body).encode(), {}, Budget(), 0, gateway_settings())]
     )
-    assert reason and PROCESS_ENDED not in reason
+    assert reason and PROCESS_ENDED_REASON not in reason
--- a/tests/plugins/test_plugin_command.py
+++ b/tests/plugins/test_plugin_command.py
@@ -15,7 +15,7 @@
 def test_example_without_its_settings_is_rejected_at_load(tmp_path, capsys):
     folder = copy_example("calendar", "wat", tmp_path, **{'class = "shift-update"': ""})
     assert main(["plugin", "check", str(folder)]) == 2
-    assert "failed its proof (self-test: gave 3)" in capsys.readouterr().err
+    assert "failed validation (self-test: returned 3)" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize("name", ["districts", "calendar", "sampler"])
--- a/tests/plugins/test_plugin_loader.py
+++ b/tests/plugins/test_plugin_loader.py
@@ -23,7 +23,7 @@
         (
             lambda p: (p / "x.wasm").write_bytes(b"\0asm\1\0\0") and plugin_section(file="x.wasm"),
             "plugins[0].file",
-            "no sound",
+            "not a valid module",
         ),
         (
             lambda p: (p / "x.wasm").write_bytes(bytes(50 * 1024 * 1024)) and plugin_section(file="x.wasm"),
@@ -33,7 +33,7 @@
         (
             lambda p: (p / "x.wat").mkdir() or plugin_section(file="x.wat"),
             "plugins[0].file",
-            "no regular file",
+            "not a regular file",
         ),
         (
             lambda p: (
@@ -43,7 +43,7 @@
                 and plugin_section(file="x.wat")
             ),
             "plugins[0].file",
-            "failed its proof (trap",
+            "failed validation (trap",
         ),
         (
             lambda p: (
@@ -51,23 +51,27 @@
                 and plugin_section(file="x.wat")
             ),
             "plugins[0].file",
-            "failed its proof (fuel",
+            "failed validation (fuel",
+        ),
+        (
+            lambda p: plugin_section(rules=[RuleSection(when="1")]),
+            "plugins[0].rules[0].when",
+            "evaluates to number",
         ),
-        (lambda p: plugin_section(rules=[RuleSection(when="1")]), "plugins[0].rules[0].when", "gives number"),
         (
             lambda p: plugin_section(rules=[RuleSection(tag={"A b": "id"})]),
             "plugins[0].rules[0].tag",
-            "small letters",
+            "lower-case letters",
         ),
         (
             lambda p: plugin_section(rules=[RuleSection(on="answer", refuse="1")]),
             "plugins[0].rules[0].refuse",
-            "not in the phase",
+            "not allowed in the phase",
         ),
         (
             lambda p: plugin_section(rules=[RuleSection(tag={"a": "1 / 0"})]),
             "plugins[0].rules",
-            "failed its proof (error",
+            "failed validation (error",
         ),
         (
             lambda p: (p / "r.toml").write_text("[[rules]]\nwhen = 'nix'") and plugin_section(file="r.toml"),
--- a/tests/plugins/test_plugin_proposals.py
+++ b/tests/plugins/test_plugin_proposals.py
@@ -55,7 +55,7 @@
             phase,
             ("tag", "a", "1"),
             ("refuse", "1"),
-            effects=RequestEffects(attempt_tags=[{}], is_over=True),
+            effects=RequestEffects(attempt_tags=[{}], is_finished=True),
         )
         assert (
             not verdict.tags
@@ -134,7 +134,7 @@
 @settings(max_examples=300, deadline=None, database=None)
 @given(st.lists(st.tuples(st.sampled_from(Phase), PROPOSALS), max_size=6), st.booleans())
 def test_limits_hold_and_every_proposal_is_accounted_for_whatever_is_proposed(calls, over):
-    effects = RequestEffects(attempt_tags=[{}], is_over=over)
+    effects = RequestEffects(attempt_tags=[{}], is_finished=over)
     for phase, proposals in calls:
         before = (dict(effects.tags), list(map(dict, effects.attempt_tags)), effects.route)
         verdict = evaluate(phase, proposals, effects, LIMITS)
--- a/tests/plugins/wasm/test_wasm_engine.py
+++ b/tests/plugins/wasm/test_wasm_engine.py
@@ -15,7 +15,7 @@
     )
     until = time.monotonic() + 30
     while plugin.engine.is_clock_running and time.monotonic() < until:
-        time.sleep(0.05)  # until it has seen no call for IDLE_EPOCHS epochs
+        time.sleep(0.05)  # until it has seen no call for MAX_IDLE_EPOCHS epochs
     assert not plugin.engine.is_clock_running
     with pytest.raises(PluginError) as caught:
         plugin.call(Phase.REQUEST, VIEW)
--- a/tests/plugins/wasm/test_wasm_plugin.py
+++ b/tests/plugins/wasm/test_wasm_plugin.py
@@ -141,7 +141,7 @@
     plugin = make_plugin(
         export_phase("request", "(i64.const 0)") + '(func (export "self_test") (result i32) (i32.const 3))'
     )
-    with pytest.raises(PluginError, match="gave 3"):
+    with pytest.raises(PluginError, match="returned 3"):
         plugin.self_test()
     raw = (EXAMPLES / "sampler" / "sampler.wat").read_bytes()
     old, new = (WasmPlugin("s", raw, {"share": 0.0}, BUDGET) for _ in "ab")
