--- a/examples/plugins/sampler/sampler.wat
+++ b/examples/plugins/sampler/sampler.wat
@@ -1,5 +1,5 @@
-;; Marks a part of all requests for export, by a hash of the id: a request asked again is marked again. Counts
-;; all that it saw, and carries that count over when it is replaced.
+;; Tags a share of all requests for export, chosen by a hash of the id, so that a repeated request gets the same
+;; result. Counts all requests that it has seen, and transfers the count to the next version.
 (module
   (import "calicomast" "setting_number" (func $number (param i32 i32) (result f64)))
   (import "calicomast" "count" (func $count (param i32 i32 f64)))
@@ -11,24 +11,24 @@
   (data (i32.const 0) "share")
   (data (i32.const 16) "marked")
   (data (i32.const 512) "tag export 1")
-  ;; 1024: how many requests it saw, 8 bytes
+  ;; 1024: number of requests seen, 8 bytes
 
   (global $share (mut f64) (f64.const -1))
 
-  ;; FNV-1a over the id, the first string.
+  ;; Return the FNV-1a hash of the id, which is the first string.
   (func $hash (result i32)
-    (local $at i32) (local $end i32) (local $hash i32)
-    (local.set $at (i32.load (i32.const 4152)))
-    (local.set $end (i32.add (local.get $at) (i32.load (i32.const 4156))))
+    (local $address i32) (local $end i32) (local $hash i32)
+    (local.set $address (i32.load (i32.const 4152)))
+    (local.set $end (i32.add (local.get $address) (i32.load (i32.const 4156))))
     (local.set $hash (i32.const 0x811c9dc5))
     (block $done
       (loop $next
-        (br_if $done (i32.ge_u (local.get $at) (local.get $end)))
+        (br_if $done (i32.ge_u (local.get $address) (local.get $end)))
         (local.set $hash
-          (i32.mul (i32.xor (local.get $hash) (i32.load8_u (local.get $at))) (i32.const 0x01000193)))
-        (local.set $at (i32.add (local.get $at) (i32.const 1)))
+          (i32.mul (i32.xor (local.get $hash) (i32.load8_u (local.get $address))) (i32.const 0x01000193)))
+        (local.set $address (i32.add (local.get $address) (i32.const 1)))
         (br $next)))
-    ;; The low bits of FNV are the better mixed ones; ids often differ in their last digit only.
+    ;; The low bits of an FNV hash are mixed better; ids often differ only in their last digit.
     (i32.xor (local.get $hash) (i32.shr_u (local.get $hash) (i32.const 15))))
 
   (func (export "on_request") (param $length i32) (result i64)
--- a/tests/plugins/example_plugins.py
+++ b/tests/plugins/example_plugins.py
@@ -1,4 +1,4 @@
-"""The examples that ship, as a test wants them."""
+"""Copies of the shipped example plug-ins, for tests."""
 
 from local_deployment import ROOT
 
@@ -7,7 +7,10 @@
 
 
 def copy_example(name, form, tmp_path, **changes):
-    """Return a copy of an example as it ships, or by its rules; `changes` replace text of plugin.toml."""
+    """Copy an example in its WebAssembly or its rules form, and return the copy's folder.
+
+    `changes` replaces text in plugin.toml.
+    """
     folder = tmp_path / f"{name}-{form}"
     folder.mkdir()
     for file in (EXAMPLES / name).iterdir():
--- a/tests/plugins/language/test_expressions.py
+++ b/tests/plugins/language/test_expressions.py
@@ -1,4 +1,4 @@
-"""The language of rules: what it means, what it rejects, and that nothing an operator types can do harm."""
+"""Tests of the rule language: values, rejected expressions, and safety against arbitrary input."""
 
 import pytest
 from hypothesis import given, seed, settings
@@ -79,12 +79,12 @@
         ("sample(1) && !sample(0)", True),
     ],
 )
-def test_expression_has_its_value(text, value):
+def test_expression_evaluates_to_expected_value(text, value):
     assert evaluate(text) == value
 
 
 @pytest.mark.parametrize(
-    "text, words",
+    "text, expected_reason",
     [
         ('units + "a"', "both must be of one type"),
         ("foo", "no field 'foo'"),
@@ -121,10 +121,10 @@
         ("size(1)", "size takes"),
     ],
 )
-def test_invalid_expression_is_rejected_with_reason_and_position(text, words):
+def test_invalid_expression_is_rejected_with_reason_and_position(text, expected_reason):
     with pytest.raises(ExpressionError, match=".") as caught:
         evaluate(text)
-    assert words in caught.value.reason and 0 <= caught.value.position <= len(text)
+    assert expected_reason in caught.value.reason and 0 <= caught.value.position <= len(text)
 
 
 @pytest.mark.parametrize(
@@ -149,13 +149,13 @@
         evaluate("+".join(["plan"] * 2), plan="x" * (MAX_TEXT_CHARACTERS - 1))
 
 
-def test_sample_is_the_same_for_a_request_and_near_its_share_of_all():
-    drawn = [evaluate("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
-    assert drawn == [evaluate("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
-    assert 400 < sum(drawn) < 600
+def test_sample_is_stable_per_request_and_selects_about_its_share():
+    sampled = [evaluate("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
+    assert sampled == [evaluate("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
+    assert 400 < sum(sampled) < 600
 
 
-PIECES = st.sampled_from(
+TOKENS = st.sampled_from(
     [
         "1",
         "2.5",
@@ -202,9 +202,9 @@
 
 @seed(12)
 @settings(max_examples=400, deadline=None, database=None)
-@given(st.one_of(st.text(max_size=60), st.lists(PIECES, max_size=14).map(" ".join)))
-def test_whatever_is_typed_is_rejected_or_has_a_value(text):
-    """Nothing but the two exceptions of the language ever comes out."""
+@given(st.one_of(st.text(max_size=60), st.lists(TOKENS, max_size=14).map(" ".join)))
+def test_arbitrary_text_is_rejected_or_evaluated(text):
+    """Only the two exceptions of the language may be raised."""
     try:
         evaluate(text)
     except (ExpressionError, EvaluationError):
@@ -223,7 +223,7 @@
 @seed(13)
 @settings(max_examples=200, deadline=None, database=None)
 @given(st.recursive(st.sampled_from(["1", "0", "units", "left", "1e300"]), arithmetic, max_leaves=12))
-def test_sound_arithmetic_gives_a_number(text):
+def test_valid_arithmetic_evaluates_to_a_number(text):
     try:
         assert isinstance(evaluate(text), float)
     except EvaluationError as err:
--- a/tests/plugins/plugin_fakes.py
+++ b/tests/plugins/plugin_fakes.py
@@ -1,4 +1,4 @@
-"""Plug-ins as a test wants them, and the core's dispatcher with a manager of plug-ins."""
+"""Fake plug-ins, and helpers that load plug-ins or run the dispatcher with them."""
 
 from core.fakes import DispatcherHarness
 
@@ -15,7 +15,7 @@
 
 
 class ScriptedPlugin:
-    """A plug-in of the test's own: proposes what `response` makes of phase and view, or raises it."""
+    """A plug-in that returns or raises `response`, or the result of calling it with phase and view."""
 
     kind = "scripted"
 
@@ -23,12 +23,12 @@
         self.response = response
         self.phases = frozenset(phases)
         self.state = state
-        self.seen = []
+        self.calls = []
         self.closed = False
 
     def call(self, phase, view):
-        assert not self.closed, "called after its end"
-        self.seen.append((phase, view.request_id, view.outcome))
+        assert not self.closed, "called after close"
+        self.calls.append((phase, view.request_id, view.outcome))
         response = self.response(phase, view) if callable(self.response) else self.response
         if isinstance(response, Exception):
             raise response
@@ -60,8 +60,8 @@
     return PluginRunner(name, plugin, Budget(**budget), f"{id(plugin)}", 0.0)
 
 
-def make_version(*runners, chain=5.0):
-    return ChainVersion(list(runners), LIMITS, chain)
+def make_version(*runners, max_chain_time=5.0):
+    return ChainVersion(list(runners), LIMITS, max_chain_time)
 
 
 def make_harness(*runners, recorder=None, **kwargs):
@@ -82,7 +82,10 @@
     return PluginSection(name=name, **kwargs)
 
 
-def load(tmp_path, *parts, old=None):
+def load(tmp_path, *sections, current=None):
     return load_chain(
-        parts, HooksSection(), PluginEnvironment(str(tmp_path / "gateway.toml"), gateway_settings()), old
+        sections,
+        HooksSection(),
+        PluginEnvironment(str(tmp_path / "gateway.toml"), gateway_settings()),
+        current,
     )
--- a/tests/plugins/test_isolated_validation.py
+++ b/tests/plugins/test_isolated_validation.py
@@ -1,4 +1,4 @@
-"""Modules that end or hang the process that they are validated in."""
+"""Tests of validation in a separate process, with modules that end or hang that process."""
 
 import os
 import time
@@ -11,29 +11,37 @@
 from apigateway.plugins.testkit import settings as gateway_settings
 
 
-class EndsProcess:
-    """Ends the process that reads it from a pickle."""
+class AbortOnUnpickling:
+    """Aborts the process that unpickles it."""
 
     def __reduce__(self):
         return os.abort, ()
 
 
-class HangsProcess:
+class HangOnUnpickling:
     def __reduce__(self):
         return time.sleep, (600,)
 
 
 @pytest.mark.parametrize(
-    "how, words", [(EndsProcess(), "exit code -6"), (HangsProcess(), "timed out after 5 s")]
+    "breaking_settings, expected_reason",
+    [(AbortOnUnpickling(), "exit code -6"), (HangOnUnpickling(), "timed out after 5 s")],
 )
-def test_module_that_ends_or_hangs_its_process_is_found_out_and_the_others_are_validated(how, words):
+def test_module_that_ends_or_hangs_its_process_is_reported_and_the_others_are_validated(
+    breaking_settings, expected_reason
+):
     raw = module(says("tag a 1")).encode()
     jobs = [
-        ValidationJob("p", raw, settings, Budget(), 0, gateway_settings()) for settings in ({}, how, {}, {})
+        ValidationJob("p", raw, settings, Budget(), 0, gateway_settings())
+        for settings in ({}, breaking_settings, {}, {})
     ]
     jobs[3] = ValidationJob("p", b"(module", {}, Budget(), 0, gateway_settings())
     reasons = validate_isolated(jobs, 5.0)
-    assert reasons[0] == reasons[2] == "" and words in reasons[1] and "cannot be assembled" in reasons[3]
+    assert (
+        reasons[0] == reasons[2] == ""
+        and expected_reason in reasons[1]
+        and "cannot be assembled" in reasons[3]
+    )
 
 
 @pytest.mark.parametrize(
@@ -46,8 +54,8 @@
         '(func (export "on_save") (param i31ref))',
     ],
 )
-def test_types_that_the_engines_interface_lacks_are_rejected_without_ending_the_process(body):
-    """They ended the process: found by mutated modules."""
+def test_types_that_the_c_api_lacks_are_rejected_without_ending_the_process(body):
+    """These types aborted the process, as a test with mutated modules showed."""
     (reason,) = validate_isolated(
         [ValidationJob("p", module(says("") + body).encode(), {}, Budget(), 0, gateway_settings())]
     )
--- a/tests/plugins/test_plugin_abi.py
+++ b/tests/plugins/test_plugin_abi.py
@@ -1,4 +1,4 @@
-"""The ABI's bytes: a module's input, and the text that it returns."""
+"""Tests of the ABI's encoding: a module's input, and the text that it returns."""
 
 import struct
 
@@ -13,18 +13,22 @@
 LIMITS = ProposalLimits(frozenset(["batch", "fast"]), max_tags=3, max_tag_bytes=40, max_retry_after=2.0)
 
 
-def test_input_has_each_field_where_the_page_says():
+def test_input_has_each_field_at_its_documented_offset():
     view = RequestView(
         "r1", "c1", "basic", "read", 2.5, 3.0, 100.25, True, True, {"a": "1"}, "batch", "h1", 4, "failed", 0.5
     )
     raw = abi.encode_input(Phase.ANSWER, view, 4096, 2048)
     assert struct.unpack_from("<II4dIII", raw) == (1, 3, 100.25, 3.0, 2.5, 0.5, 3, 4, 3)
     table = struct.unpack_from("<16I", raw, 56)
-    texts = [raw[a - 4096 : a - 4096 + n].decode() for a, n in zip(table[::2], table[1::2], strict=True) if a]
+    texts = [
+        raw[address - 4096 : address - 4096 + length].decode()
+        for address, length in zip(table[::2], table[1::2], strict=True)
+        if address
+    ]
     assert texts == ["r1", "c1", "basic", "read", "h1", "batch", "a=1\n"]
 
 
-def test_input_when_tags_do_not_fit_leaves_them_out_and_when_the_rest_does_not_fails():
+def test_input_omits_tags_that_do_not_fit_and_fails_if_the_rest_does_not_fit():
     raw = abi.encode_input(Phase.REQUEST, RequestView("r1", tags={"a": "x" * 3000}), 0, 2048)
     assert struct.unpack_from("<I", raw, 40)[0] == abi.FLAG_TAGS_CUT and len(raw) < 2048
     with pytest.raises(PluginError):
@@ -32,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    "packed, fits",
+    "packed, is_valid",
     [
         (0, True),
         ((100 << 32) | 28, True),
@@ -43,8 +47,8 @@
         (65, False),
     ],
 )
-def test_result_pointer_is_checked_against_the_memory(packed, fits):
-    if fits:
+def test_result_pointer_is_checked_against_the_memory(packed, is_valid):
+    if is_valid:
         abi.decode_pointer(packed, 128, 64)
     else:
         with pytest.raises(PluginError):
@@ -54,7 +58,7 @@
 @seed(4)
 @settings(max_examples=300, deadline=None, database=None)
 @given(st.one_of(st.binary(max_size=200), st.text(max_size=100).map(str.encode)))
-def test_output_whatever_it_is_gives_proposals_or_fails_as_nonsense(raw):
+def test_arbitrary_output_is_decoded_or_fails_as_invalid_data(raw):
     try:
         proposals = abi.decode_proposals(raw)
     except PluginError as err:
--- a/tests/plugins/test_plugin_command.py
+++ b/tests/plugins/test_plugin_command.py
@@ -1,4 +1,4 @@
-"""The command line for those who write plug-ins, and the demo with plug-ins."""
+"""Tests of `api-gateway plugin`, and of the demo with plug-ins."""
 
 import json
 import subprocess
@@ -32,10 +32,10 @@
 
 
 @pytest.mark.parametrize("kind", ["rules", "wat"])
-def test_skeleton_works_as_it_is_and_is_not_overwritten(kind, tmp_path, capsys):
+def test_skeleton_works_unchanged_and_is_not_overwritten(kind, tmp_path, capsys):
     assert main(["plugin", "new", "first-try", "--kind", kind, "--folder", str(tmp_path)]) == 0
     assert main(["plugin", "check", str(tmp_path / "first-try")]) == 0
-    ended = subprocess.run(
+    completed = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -54,17 +54,17 @@
         text=True,
         timeout=120,
     )
-    assert ended.returncode == 0, ended.stdout
+    assert completed.returncode == 0, completed.stdout
     assert main(["plugin", "new", "first-try", "--kind", kind, "--folder", str(tmp_path)]) == 1
     assert set(skeleton("first-try", kind)) == {
-        f.name for f in (tmp_path / "first-try").iterdir() if f.is_file()
+        file.name for file in (tmp_path / "first-try").iterdir() if file.is_file()
     }
     assert main(["plugin", "new", "No Name", "--folder", str(tmp_path)]) == 2
     capsys.readouterr()
 
 
 def write_records(path, count=20):
-    """Write records of requests, and a last line that was cut short; return the path."""
+    """Write records of requests and an incomplete last line; return the path."""
     lines = [
         json.dumps(
             {
@@ -88,7 +88,7 @@
     return str(path)
 
 
-def test_run_over_records_reports_what_was_proposed_and_what_was_allowed(tmp_path, capsys):
+def test_run_reports_the_effects_on_recorded_requests(tmp_path, capsys):
     file = write_records(tmp_path / "records")
     assert main(["plugin", "run", str(EXAMPLES / "districts"), file, "--json"]) == 0
     report = json.loads(capsys.readouterr().out)
@@ -101,7 +101,7 @@
     assert main(["plugin", "run", str(EXAMPLES / "calendar"), str(tmp_path / "odd")]) == 2
 
 
-def test_run_with_a_gateways_settings_knows_its_routes(tmp_path, capsys):
+def test_run_with_a_gateways_settings_uses_its_routes(tmp_path, capsys):
     (tmp_path / "gateway.toml").write_text(
         '[[listeners]]\naddress = "127.0.0.1:7000"\n'
         '[routes.batch]\nkinds = ["b"]\n'
@@ -116,12 +116,12 @@
     assert main(["plugin", "run", path, file, "--settings", path, "--json"]) == 0
     report = json.loads(capsys.readouterr().out)
     assert report["routes"] == {"batch": 20} and report["denied"] == {"r: route: unknown route": 20}
-    assert main(["check", path]) == 2  # it names no hosts file
+    assert main(["check", path]) == 2  # the settings name no hosts file
     capsys.readouterr()
 
 
 def test_demo_reports_tags_and_rejections_of_plugins():
-    ended = subprocess.run(
+    completed = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -139,13 +139,16 @@
         text=True,
         timeout=120,
     )
-    assert ended.returncode == 0 and "BROKEN" not in ended.stdout, ended.stdout + ended.stderr
-    assert "tagged district=ernakulam" in ended.stdout and "refused by calendar: shift-update" in ended.stdout
-    ended = subprocess.run(
+    assert completed.returncode == 0 and "BROKEN" not in completed.stdout, completed.stdout + completed.stderr
+    assert (
+        "tagged district=ernakulam" in completed.stdout
+        and "refused by calendar: shift-update" in completed.stdout
+    )
+    completed = subprocess.run(
         [sys.executable, "-m", "apigateway", "demo", "--plugin", "nowhere"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert ended.returncode == 2 and "nowhere" in ended.stdout
+    assert completed.returncode == 2 and "nowhere" in completed.stdout
--- a/tests/plugins/test_plugin_imports.py
+++ b/tests/plugins/test_plugin_imports.py
@@ -1,4 +1,4 @@
-"""What is not used is not imported."""
+"""Tests that unused parts are not imported."""
 
 import subprocess
 import sys
@@ -12,10 +12,12 @@
         "import sys, apigateway.daemon.serve, apigateway.daemon.gateway_server; "
         "print(sorted(m for m in sys.modules if m.startswith(('apigateway.plugins', 'wasmtime'))))"
     )
-    ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert ended.stdout == "['apigateway.plugins', 'apigateway.plugins.settings']\n", (
-        ended.stderr
-    )  # shapes alone
+    completed = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
+    assert completed.stdout == "['apigateway.plugins', 'apigateway.plugins.settings']\n", (
+        completed.stderr
+    )  # the schemas only
 
 
 def test_rules_do_not_import_the_engine(tmp_path):
@@ -24,5 +26,7 @@
         f"import sys; from apigateway.plugins.testkit import Kit; Kit.load({str(folder)!r}); "
         "print('wasmtime' in sys.modules)"
     )
-    ended = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert ended.stdout == "False\n", ended.stderr
+    completed = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
+    assert completed.stdout == "False\n", completed.stderr
--- a/tests/plugins/test_plugin_manager.py
+++ b/tests/plugins/test_plugin_manager.py
@@ -1,4 +1,4 @@
-"""Plug-ins in the core, without a socket: rejections, routes, failures, swaps with requests in flight."""
+"""Tests of plug-ins in the dispatcher: rejections, routes, failures, swaps with requests in flight."""
 
 import logging
 import random
@@ -26,7 +26,7 @@
 from apigateway.plugins.testkit import module
 
 
-def test_rejection_reaches_the_module_and_nothing_else_of_the_request():
+def test_decision_module_gets_only_the_rejection_of_a_rejected_request():
     harness = make_harness(make_runner(ScriptedPlugin(propose_on_request(("refuse", "1.5")))))
     sink = harness.submit("a", [messages.Reject("a", 1.5)])
     assert (
@@ -37,26 +37,26 @@
     assert harness.manager.version.open_requests == 0
 
 
-def test_module_answers_a_request_rejected_by_a_plugin_at_once_and_takes_no_units():
+def test_decision_module_rejects_at_once_and_charges_no_units_if_a_plugin_rejects():
     from helpers import DecisionHarness
 
     harness = DecisionHarness()
-    accounts = dict(harness.gateway.quotas)
+    quotas = dict(harness.gateway.quotas)
     assert harness.handle(messages.RejectedByPlugin("x", 0.7)) == [messages.Reject("x", 0.7)]
     assert (
         harness.handle(messages.RejectedByPlugin("y", 60.0)) == [messages.Reject("y", 1.0)]
-        and harness.gateway.quotas == accounts
+        and harness.gateway.quotas == quotas
         and not harness.gateway.pending
     )
 
 
-def test_route_and_tags_go_with_the_request():
+def test_route_reaches_the_decision_module_and_each_phase_is_called():
     plugin = ScriptedPlugin(propose_on_request(("route", "batch"), ("tag", "district", "kochi")))
     harness = make_harness(make_runner(plugin))
     harness.submit("a", [messages.ForwardRequest("a", "h1")])
     assert harness.module.events[0].route == "batch"
     harness.upstream.sent[0].end("ok")
-    assert [(p, o) for p, _, o in plugin.seen] == [
+    assert [(phase, outcome) for phase, _, outcome in plugin.calls] == [
         (Phase.REQUEST, ""),
         (Phase.ATTEMPT, ""),
         (Phase.ANSWER, "served"),
@@ -79,7 +79,7 @@
     assert sum(harness.manager.version.runners[0].failures.values()) == 4
 
 
-def test_request_is_rejected_where_settings_say_so_when_its_plugin_is_past_its_budget():
+def test_request_is_rejected_if_its_plugin_exceeds_the_budget_and_settings_demand_it():
     harness = make_harness(
         make_runner(
             ScriptedPlugin(PluginError(FailureReason.FUEL), [Phase.REQUEST]),
@@ -93,12 +93,12 @@
         assert sink.answers == ["refused"]
     status = harness.manager.status()["plugins"][0]
     assert status["failed"] == {"fuel": 2} and status["not asked"] == {"out": 2} and status["state"] == "out"
-    # cut to what may be status
+    # clamped to the longest retry time that is allowed
     event = harness.module.events[-1]
     assert isinstance(event, messages.RejectedByPlugin) and event.retry_after == 2.0
 
 
-FIVE_RULES = [
+RULE_BREAKING_PROPOSALS = [
     ("no request lost", [("hold", "5"), ("serve", "")]),
     (
         "no effect twice",
@@ -111,13 +111,13 @@
 ]
 
 
-@pytest.mark.parametrize("rule, proposals", FIVE_RULES)
-def test_plugin_that_tries_a_rule_by_name_changes_nothing(rule, proposals, monkeypatch):
-    # The time that plug-ins took is deducted from what the request has left. Here they take none, also where
-    # the machine is busy, so that what the module hears of has to be the same to the last digit.
-    standing_clock = SimpleNamespace(monotonic=lambda: 1000.0)
-    monkeypatch.setattr(manager, "time", standing_clock)
-    monkeypatch.setattr(runner, "time", standing_clock)
+@pytest.mark.parametrize("rule, proposals", RULE_BREAKING_PROPOSALS)
+def test_plugin_that_proposes_to_break_a_rule_changes_nothing(rule, proposals, monkeypatch):
+    # The time that plug-ins take is deducted from the request's remaining time. With a frozen clock they take
+    # none, even on a busy machine, so that the module must get an equal request.
+    frozen_clock = SimpleNamespace(monotonic=lambda: 1000.0)
+    monkeypatch.setattr(manager, "time", frozen_clock)
+    monkeypatch.setattr(runner, "time", frozen_clock)
     harness = make_harness(make_runner(ScriptedPlugin([Proposal(*p) for p in proposals])))
     request = make_request("a")
     sink = RecordingSink()
@@ -130,7 +130,7 @@
     assert sum(denied.values()) == 3 * len(proposals) and all(what.endswith(": fixed") for what in denied)
 
 
-def test_request_ends_on_the_version_it_began_with_and_the_old_closes_with_its_last():
+def test_request_ends_on_its_first_version_which_closes_after_its_last_request():
     old, new = ScriptedPlugin(None), ScriptedPlugin(None)
     harness = make_harness(make_runner(old))
     first, second = (
@@ -143,7 +143,9 @@
         assert not old.closed or attempt is harness.upstream.sent[2]
         attempt.end("ok")
     assert first.answers == second.answers == ["served"]
-    assert {id for _, id, _ in old.seen} == {"a", "b"} and {id for _, id, _ in new.seen} == {"c"}
+    assert {request_id for _, request_id, _ in old.calls} == {"a", "b"} and {
+        request_id for _, request_id, _ in new.calls
+    } == {"c"}
     assert old.closed and not new.closed and not harness.manager.draining_versions
 
 
@@ -157,26 +159,25 @@
     for attempt in harness.upstream.sent:
         attempt.end("ok")
     assert all(sink.answers == ["served"] for sink in sinks)
-    assert old.closed and len(bad.seen) == 3 and len(old.seen) == 3 * 400
+    assert old.closed and len(bad.calls) == 3 and len(old.calls) == 3 * 400
 
 
-def test_two_hundred_swaps_in_a_row_leave_nothing_behind():
-    made = [ScriptedPlugin(None, state=b"0")]
-    harness = make_harness(make_runner(made[0]), max_in_flight=1000, max_body_bytes=10**6)
+def test_two_hundred_swaps_leave_no_open_version():
+    plugins = [ScriptedPlugin(None, state=b"0")]
+    harness = make_harness(make_runner(plugins[0]), max_in_flight=1000, max_body_bytes=10**6)
     for n in range(200):
         harness.submit(str(n), [messages.ForwardRequest(str(n), "h1")])
-        made.append(ScriptedPlugin(None))
-        harness.manager.swap(make_version(make_runner(made[-1])))
-    assert (
-        len(harness.manager.draining_versions) == 200 and made[-1].state == b"0"
-    )  # each carried it over to the next
+        plugins.append(ScriptedPlugin(None))
+        harness.manager.swap(make_version(make_runner(plugins[-1])))
+    # The state was transferred at each swap.
+    assert len(harness.manager.draining_versions) == 200 and plugins[-1].state == b"0"
     for attempt in random.Random(1).sample(harness.upstream.sent, 200):
         attempt.end("ok")
-    assert not harness.manager.draining_versions and [p.closed for p in made] == [True] * 200 + [False]
+    assert not harness.manager.draining_versions and [p.closed for p in plugins] == [True] * 200 + [False]
     assert harness.manager.status()["version"] == 201
 
 
-def test_swap_when_state_cannot_be_taken_leaves_the_old_version_in_force():
+def test_swap_keeps_the_old_version_if_its_state_cannot_be_loaded():
     old, bad = ScriptedPlugin(None, state=b"x"), ScriptedPlugin(None, state=PluginError(FailureReason.TRAP))
     harness = make_harness(make_runner(old))
     with pytest.raises(StateTransferError):
@@ -185,16 +186,17 @@
     broken = ScriptedPlugin(None, state=PluginError(FailureReason.TRAP))
     harness = make_harness(make_runner(broken))
     fresh = ScriptedPlugin(None)
-    harness.manager.swap(make_version(make_runner(fresh)))  # the one that is replaced may be the broken one
+    # A plug-in that cannot save its state is still replaced.
+    harness.manager.swap(make_version(make_runner(fresh)))
     assert fresh.state is None and broken.closed
 
 
-def test_plugin_that_versions_share_closes_with_the_later():
-    kept, gone = ScriptedPlugin(None), ScriptedPlugin(None)
+def test_plugin_that_two_versions_share_closes_with_the_later_one():
+    kept, removed = ScriptedPlugin(None), ScriptedPlugin(None)
     same = make_runner(kept, "kept")
-    harness = make_harness(same, make_runner(gone, "gone"))
+    harness = make_harness(same, make_runner(removed, "gone"))
     harness.manager.swap(make_version(same))
-    assert gone.closed and not kept.closed
+    assert removed.closed and not kept.closed
     harness.submit("a", [messages.ForwardRequest("a", "h1")])
     harness.manager.retire()
     harness.core.plugins = None
@@ -233,20 +235,22 @@
         min_size=1,
     ),
 )
-def test_each_request_ends_once_whatever_plugins_propose_and_whenever_they_are_swapped(steps, responses):
-    """The module is the test's and answers soundly: it sends what it hears of and refuses what is barred."""
+def test_each_request_ends_once_with_arbitrary_proposals_and_swaps(steps, responses):
+    """The fake decision module forwards each request, and rejects those that a plug-in rejected."""
     logging.disable(logging.CRITICAL)
-    turn = iter(range(10**9))
-    made, sinks, gone = [], {}, set()
+    call_number = iter(range(10**9))
+    plugins, sinks, disconnected = [], {}, set()
 
-    def one():
-        made.append(ScriptedPlugin(lambda phase, view: responses[next(turn) % len(responses)], state=b"s"))
+    def make_next_version():
+        plugins.append(
+            ScriptedPlugin(lambda phase, view: responses[next(call_number) % len(responses)], state=b"s")
+        )
         return make_version(
-            make_runner(made[-1], failure_threshold=10**6, cpu_share=1.0, cpu_share_window=1000.0)
+            make_runner(plugins[-1], failure_threshold=10**6, cpu_share=1.0, cpu_share_window=1000.0)
         )
 
     harness = make_harness(max_in_flight=10_000, max_body_bytes=10**9)
-    harness.manager.version = one()
+    harness.manager.version = make_next_version()
     harness.module.handle = lambda now, event: (
         [messages.ForwardRequest(event.request_id, "h1")]
         if isinstance(event, messages.Request)
@@ -257,53 +261,56 @@
         else []
     )
     try:
-        for what, which, result in steps:
-            out = [a for a in harness.upstream.sent if not a.result]
-            if what == "take":
-                id = str(len(sinks))
-                sinks[id] = RecordingSink()
-                harness.core.submit("front", make_request(id), FakeUpstreamRequest(), sinks[id])
-            elif what == "swap":
-                harness.manager.swap(one())
-            elif what == "tick":
+        for action, choice, result in steps:
+            pending_attempts = [attempt for attempt in harness.upstream.sent if not attempt.result]
+            if action == "take":
+                request_id = str(len(sinks))
+                sinks[request_id] = RecordingSink()
+                harness.core.submit(
+                    "front", make_request(request_id), FakeUpstreamRequest(), sinks[request_id]
+                )
+            elif action == "swap":
+                harness.manager.swap(make_next_version())
+            elif action == "tick":
                 harness.manager.tick()
-            elif what == "gone" and sinks:
-                id = str(which % len(sinks))
-                gone.add(id) if not sinks[id].answers else None
-                harness.core.on_client_disconnected(sinks[id])
-            elif what == "late" and harness.core.in_flight:
+            elif action == "gone" and sinks:
+                request_id = str(choice % len(sinks))
+                disconnected.add(request_id) if not sinks[request_id].answers else None
+                harness.core.on_client_disconnected(sinks[request_id])
+            elif action == "late" and harness.core.in_flight:
                 harness.core.deadline_guard.on_deadline(
-                    list(harness.core.in_flight.values())[which % len(harness.core.in_flight)]
+                    list(harness.core.in_flight.values())[choice % len(harness.core.in_flight)]
                 )
-            elif what == "end" and out:
-                out[which % len(out)].end(result)
+            elif action == "end" and pending_attempts:
+                pending_attempts[choice % len(pending_attempts)].end(result)
         for attempt in harness.upstream.sent:
             attempt.end("reset")
         harness.loop.timers.clear()
     finally:
         logging.disable(logging.NOTSET)
-    for id, sink in sinks.items():
-        assert len(sink.answers) == (id not in gone), (id, sink.answers)
+    for request_id, sink in sinks.items():
+        assert len(sink.answers) == (request_id not in disconnected), (request_id, sink.answers)
     assert (
         not harness.core.in_flight
         and not harness.manager.draining_versions
         and harness.manager.version.open_requests == 0
     )
-    assert [p.closed for p in made] == [True] * (len(made) - 1) + [False]
-    for plugin in made:  # each request that a plug-in was asked about it was told the end of, once
-        begun = [id for phase, id, _ in plugin.seen if phase == Phase.REQUEST]
-        ended = [id for phase, id, _ in plugin.seen if phase == Phase.ANSWER]
-        assert sorted(begun) == sorted(ended)
+    assert [p.closed for p in plugins] == [True] * (len(plugins) - 1) + [False]
+    for plugin in plugins:  # a plug-in is called once for the end of each request that it was called for
+        started = [request_id for phase, request_id, _ in plugin.calls if phase == Phase.REQUEST]
+        finished = [request_id for phase, request_id, _ in plugin.calls if phase == Phase.ANSWER]
+        assert sorted(started) == sorted(finished)
 
 
-def test_plugin_that_passes_validation_and_fails_in_service_is_taken_out(tmp_path):
+def test_plugin_that_passes_validation_and_then_fails_is_no_longer_called(tmp_path):
+    # Traps for a customer that starts with f.
     (tmp_path / "a.wat").write_text(
         module(
             '(func (export "on_request") (param i32) (result i64)'
             "(if (i32.eq (i32.load8_u (i32.load (i32.const 4160)))"
             "(i32.const 102)) (then unreachable)) (i64.const 0))"
         )
-    )  # a customer that begins with f
+    )
     loaded = load(tmp_path, plugin_section("a", file="a.wat", budget=BudgetSection(failures=3, rest=100.0)))
     harness = make_harness()
     harness.manager.version = loaded
@@ -322,7 +329,7 @@
     assert status["failed"] == {"trap": 3} and status["state"] == "out" and status["not asked"] == {"out": 3}
 
 
-def test_plugin_just_under_its_fuel_at_each_call_is_held_to_its_cpu_share(tmp_path):
+def test_plugin_that_uses_almost_all_fuel_per_call_is_limited_to_its_cpu_share(tmp_path):
     (tmp_path / "a.wat").write_text(
         module(
             '(func (export "on_request") (param i32) (result i64) (local $n i32)'
@@ -332,7 +339,7 @@
         )
     )
     harness = make_harness(max_in_flight=2000, max_body_bytes=10**6)
-    # Its time is not what this is about: a core that is taken away for 10 ms would count as too long a call.
+    # A long time budget, because a call that loses its core for 10 ms would exceed the default one.
     budget = BudgetSection(share=0.001, span=5.0, time_ms=1000.0)
     harness.manager.version = load(tmp_path, plugin_section("a", file="a.wat", budget=budget))
     sinks = [harness.submit(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(1000)]
--- a/tests/plugins/test_plugin_proposals.py
+++ b/tests/plugins/test_plugin_proposals.py
@@ -1,4 +1,4 @@
-"""What a plug-in may propose, and what of it takes effect."""
+"""Tests of which proposals take effect and why the others are denied."""
 
 import pytest
 from hypothesis import given, seed, settings
@@ -103,7 +103,7 @@
         ("", 0.0, 1),
     ],
 )
-def test_rejection_stands_whatever_wait_it_names(text, wait, cut):
+def test_rejection_is_accepted_and_its_retry_time_is_clamped(text, wait, cut):
     verdict = evaluate_all(Phase.REQUEST, ("refuse", text))
     assert verdict.retry_after == wait and len(verdict.denied) == cut
 
@@ -133,12 +133,12 @@
 @seed(1)
 @settings(max_examples=300, deadline=None, database=None)
 @given(st.lists(st.tuples(st.sampled_from(Phase), PROPOSALS), max_size=6), st.booleans())
-def test_limits_hold_and_every_proposal_is_accounted_for_whatever_is_proposed(calls, over):
+def test_limits_hold_and_each_proposal_is_counted_for_arbitrary_proposals(calls, over):
     effects = RequestEffects(attempt_tags=[{}], is_finished=over)
     for phase, proposals in calls:
         before = (dict(effects.tags), list(map(dict, effects.attempt_tags)), effects.route)
         verdict = evaluate(phase, proposals, effects, LIMITS)
-        assert before == (effects.tags, effects.attempt_tags, effects.route)  # it changes nothing itself
+        assert before == (effects.tags, effects.attempt_tags, effects.route)  # evaluate has no side effects
         assert all(why in set(DenialReason) for _, why in verdict.denied)
         seen = len(proposals[:MAX_PROPOSALS])
         repeats = sum(p.verb in ("refuse", "route") for p in proposals)
--- a/tests/plugins/test_plugin_records.py
+++ b/tests/plugins/test_plugin_records.py
@@ -1,4 +1,4 @@
-"""Records of requests that are over."""
+"""Tests of the records of finished requests."""
 
 import json
 import threading
@@ -11,7 +11,7 @@
 from apigateway.plugins.records import RequestRecorder, parse_record, read_records
 
 
-def test_records_tell_what_came_of_the_tagged_requests(tmp_path):
+def test_records_contain_the_results_of_the_tagged_requests(tmp_path):
     file = tmp_path / "records.jsonl"
     recorder = RequestRecorder(str(file), "export", 10**6, 100)
     responses = {
@@ -37,7 +37,7 @@
     assert parse_record(record).service_class == "read"
 
 
-def test_recorder_rotates_drops_and_counts_and_a_cut_line_is_left_out(tmp_path):
+def test_recorder_rotates_and_drops_and_reader_skips_an_incomplete_line(tmp_path):
     file = tmp_path / "r.jsonl"
     recorder = RequestRecorder(str(file), "", 2000, 1000)
     for n in range(20):
@@ -50,7 +50,7 @@
     assert list(read_records(str(file))) == complete and json.loads(file.read_text().splitlines()[0])
     full = RequestRecorder(str(file), "", 10**6, 1)
     full.thread.join(0)
-    full._write = lambda record: blocked.wait()  # a disk that hangs
+    full._write = lambda record: blocked.wait()  # a hanging disk
     blocked = threading.Event()
     for n in range(10):
         full.record(RequestView(str(n)), RequestEffects(), [])
--- a/tests/plugins/test_plugin_state.py
+++ b/tests/plugins/test_plugin_state.py
@@ -1,4 +1,4 @@
-"""What a plug-in keeps between calls stays within its bounds."""
+"""Tests of the limits on the state that a plug-in keeps between calls."""
 
 import math
 
@@ -11,9 +11,9 @@
 @seed(3)
 @settings(max_examples=200, deadline=None, database=None)
 @given(st.lists(st.tuples(st.binary(max_size=6), st.binary(max_size=60)), max_size=60))
-def test_key_value_store_holds_what_fits_and_no_more(puts):
+def test_key_value_store_accepts_exactly_the_values_that_fit(changes):
     store, model = KeyValueStore(400), {}
-    for key, value in puts:
+    for key, value in changes:
         cost = sum(len(k) + len(v) + 64 for k, v in model.items() if k != key)
         fits = not value or cost + len(key) + len(value) + 64 <= 400
         assert store.put(key, value) is fits
@@ -26,7 +26,7 @@
         )
 
 
-def test_counters_and_log_lines_are_bounded():
+def test_counters_and_log_lines_are_limited():
     counters = Counters()
     for n in range(MAX_COUNTERS + 5):
         counters.add(f"c{n}", 1.0)
--- a/tests/plugins/test_plugin_testkit.py
+++ b/tests/plugins/test_plugin_testkit.py
@@ -1,9 +1,9 @@
-"""The kit for those who write plug-ins."""
+"""Tests of the test kit for authors of plug-ins."""
 
 from apigateway.plugins.testkit import Kit, settings
 
 
-def test_kit_reports_what_was_denied_and_what_failed(tmp_path):
+def test_kit_reports_denied_proposals_and_failed_calls(tmp_path):
     (tmp_path / "plugin.toml").write_text("""
 [[plugins]]
 name = "odd"
--- a/tests/plugins/wasm/test_wasm_host_functions.py
+++ b/tests/plugins/wasm/test_wasm_host_functions.py
@@ -1,4 +1,4 @@
-"""What a module may call on its host, and when."""
+"""Tests of the host functions, and of the calls in which they are permitted."""
 
 import logging
 
@@ -27,7 +27,7 @@
         plugin.load_state(b"x")
 
 
-def test_module_has_keys_settings_counters_and_seeded_random_numbers():
+def test_module_can_use_keys_settings_counters_and_seeded_random_numbers():
     plugin = make_plugin(
         '(data (i32.const 0) "key/a") (data (i32.const 16) "n")'
         + export_phase(
@@ -55,7 +55,7 @@
     assert drawn == two.instance.memory.read(200, 8, 8) != bytes(8)
 
 
-def test_missing_settings_and_keys_are_reported_as_such():
+def test_missing_settings_and_keys_have_their_documented_results():
     plugin = make_plugin(
         export_phase(
             "request",
@@ -72,7 +72,7 @@
     assert plugin.call(Phase.REQUEST, VIEW) == []
 
 
-def test_log_lines_are_bounded_and_cannot_forge_others(caplog):
+def test_log_lines_are_rate_limited_and_cannot_contain_line_breaks(caplog):
     plugin = make_plugin(
         '(data (i32.const 0) "a\\nb")'
         + export_phase("request", "(call $log (i32.const 0) (i32.const 3)) (i64.const 0)")
--- a/tests/plugins/wasm/test_wasm_plugin.py
+++ b/tests/plugins/wasm/test_wasm_plugin.py
@@ -1,4 +1,4 @@
-"""Modules that fail in every way there is: each ends in its reason, and the next call is sound."""
+"""Tests of modules that fail: each failure has its reason, and the next call succeeds."""
 
 import random
 
@@ -9,9 +9,8 @@
 from apigateway.plugins.testkit import says
 from apigateway.plugins.wasm import InvalidModuleError, WasmPlugin, assemble_module
 
-SLOW_BUDGET = Budget(
-    fuel=50_000, memory_bytes=1024 * 1024, call_time=5.0
-)  # for a call that its fuel is to end
+# With this budget, the fuel runs out before the time.
+SLOW_BUDGET = Budget(fuel=50_000, memory_bytes=1024 * 1024, call_time=5.0)
 
 
 FAILING_BODIES = {
@@ -49,17 +48,17 @@
 
 
 @pytest.mark.parametrize("name", FAILING_BODIES)
-def test_failed_call_ends_in_its_reason_and_leaves_nothing_behind(name):
+def test_failed_call_has_its_reason_and_leaves_no_state(name):
     body, reason = FAILING_BODIES[name]
-    # Sound for every request but r1, so that the next one shows what the failed call left.
-    sound = (
+    # Succeeds for each request except r1, so that the next request shows what the failed call left behind.
+    success_body = (
         "(if (i32.ne (i32.load (i32.const 4156)) (i32.const 2))"
         "(then (return (i64.const 0xa00000000003))))"
         "(i32.store (i32.const 900) (i32.const 77))"
     )
-    # Its fuel is to end it, not its time, which a busy machine spends for it.
+    # The long time budget lets the fuel run out first, even on a busy machine.
     plugin = make_plugin(
-        '(data (i32.const 40960) "tag")\n' + export_phase("request", sound + body), budget=SLOW_BUDGET
+        '(data (i32.const 40960) "tag")\n' + export_phase("request", success_body + body), budget=SLOW_BUDGET
     )
     for _ in range(3):
         with pytest.raises(PluginError) as caught:
@@ -70,7 +69,7 @@
     plugin.close()
 
 
-def test_endless_recursion_is_stopped_by_the_stack():
+def test_endless_recursion_is_stopped_by_the_stack_limit():
     plugin = make_plugin(
         "(func $f (param i64) (result i64) (i64.add (call $f (i64.add (local.get 0) (i64.const 1)))"
         "(i64.const 1)))" + export_phase("request", "(call $f (i64.const 1))"),
@@ -81,7 +80,7 @@
     assert caught.value.reason == "stack"
 
 
-def test_endless_loop_with_endless_fuel_is_stopped_by_time():
+def test_endless_loop_with_ample_fuel_is_stopped_by_the_time_limit():
     plugin = make_plugin(
         export_phase("request", "(loop $l (br $l)) (i64.const 0)"), budget=Budget(fuel=10**12, call_time=0.02)
     )
@@ -90,7 +89,7 @@
     assert caught.value.reason == "time"
 
 
-def test_output_that_is_not_utf8_fails_and_a_thousand_tags_are_read():
+def test_output_that_is_not_utf8_fails_and_a_thousand_tags_are_decoded():
     plugin = make_plugin(
         '(data (i32.const 40960) "tag a \\ff\\fe")' + export_phase("request", "(i64.const 0xa00000000008)")
     )
@@ -108,17 +107,17 @@
         ("start", "(func $s (loop $l (br $l))) (start $s)" + export_phase("request", "(i64.const 0)")),
     ],
 )
-def test_start_that_calls_the_host_or_never_ends_is_rejected(phase, body):
+def test_start_function_that_calls_the_host_or_never_ends_is_rejected(phase, body):
     with pytest.raises(PluginError):
         make_plugin(body)
 
 
-def test_memory_beyond_the_budget_is_rejected_at_the_start():
+def test_memory_beyond_the_budget_is_rejected_at_instantiation():
     with pytest.raises(PluginError):
         make_plugin(export_phase("request", "(i64.const 0)"), budget=Budget(memory_bytes=1024))
 
 
-def test_module_hears_which_phase_it_is_called_for():
+def test_input_names_the_phase_of_the_call():
     body = "(i64.const 0)"
     plugin = make_plugin(
         "".join(
@@ -137,7 +136,7 @@
     assert plugin.counters() == {"p": 10.0}
 
 
-def test_self_test_decides_and_state_goes_to_the_successor():
+def test_failed_self_test_raises_and_saved_state_can_be_loaded():
     plugin = make_plugin(
         export_phase("request", "(i64.const 0)") + '(func (export "self_test") (result i32) (i32.const 3))'
     )
@@ -151,22 +150,21 @@
     assert not new.load_state(b"odd")
 
 
-def test_mutated_modules_do_no_harm():
-    """Seeded: bytes of a sound module changed, taken out, put in. Each is rejected or stays within its
-    budget."""
+def test_mutated_modules_are_rejected_or_stay_within_their_budget():
+    """The modules are made from a valid one by changing, deleting or inserting bytes, with a fixed seed."""
     binary, rng = assemble_module((EXAMPLES / "calendar" / "calendar.wat").read_bytes()), random.Random(12)
     settings = {"class": "read", "from": 1.0, "until": 1e12, "wait": 1}
     served = rejected = 0
     for _ in range(400):
         raw = bytearray(binary)
         for _ in range(rng.randint(1, 2)):
-            at = rng.randrange(8, len(raw))
+            position = rng.randrange(8, len(raw))
             if rng.random() < 0.7:
-                raw[at] = rng.randrange(256)
+                raw[position] = rng.randrange(256)
             elif rng.random() < 0.5:
-                del raw[at]
+                del raw[position]
             else:
-                raw.insert(at, rng.randrange(256))
+                raw.insert(position, rng.randrange(256))
         try:
             plugin = WasmPlugin("m", bytes(raw), settings, BUDGET)
         except (InvalidModuleError, PluginError):
--- a/tests/plugins/wasm/test_wasm_signatures.py
+++ b/tests/plugins/wasm/test_wasm_signatures.py
@@ -1,4 +1,4 @@
-"""Modules that do not keep to the ABI."""
+"""Tests of modules that violate the ABI."""
 
 import pytest
 from plugins.wasm.wasm_plugins import BUDGET, EXAMPLES
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    "raw, words",
+    "raw, expected_reason",
     [
         (b"", "cannot be assembled"),
         (b"\0asm", "not a valid module"),
@@ -52,13 +52,13 @@
         ),
     ],
 )
-def test_invalid_module_is_rejected_with_its_reason(raw, words):
+def test_invalid_module_is_rejected_with_its_reason(raw, expected_reason):
     with pytest.raises(InvalidModuleError, match=".") as caught:
         WasmPlugin("p", raw, {}, BUDGET)
-    assert words in str(caught.value)
+    assert expected_reason in str(caught.value)
 
 
-def test_every_cut_of_a_module_is_rejected():
+def test_truncated_module_is_rejected():
     binary = assemble_module((EXAMPLES / "sampler" / "sampler.wat").read_bytes())
     for end in range(0, len(binary), 7):
         with pytest.raises(InvalidModuleError):
--- a/tests/plugins/wasm/wasm_plugins.py
+++ b/tests/plugins/wasm/wasm_plugins.py
@@ -1,4 +1,4 @@
-"""Modules as a test wants them."""
+"""Helpers that build WebAssembly plug-ins for tests."""
 
 from pathlib import Path
 
@@ -12,10 +12,10 @@
 
 
 def make_plugin(body, settings=None, budget=BUDGET):
-    """Return a plug-in of a module with this body."""
+    """Return a plug-in whose module has this body."""
     return WasmPlugin("p", module(body).encode(), settings or {}, budget, 7)
 
 
 def export_phase(phase, body):
-    """Return the export of a phase with this body."""
+    """Return the exported function of a phase with this body."""
     return f'(func (export "on_{phase}") (param i32) (result i64) {body})'
