--- a/apigateway/plugins/circuit_breaker.py
+++ b/apigateway/plugins/circuit_breaker.py
@@ -9,7 +9,7 @@
 
 from apigateway.plugins.interfaces import Budget
 
-_OPEN_TIME_FACTOR = 2  # by which a failed trial call extends the open time
+_OPEN_TIME_FACTOR = 2  # by which each failed trial call multiplies the open time
 
 
 class CircuitState(enum.StrEnum):
--- a/apigateway/plugins/isolated_validation.py
+++ b/apigateway/plugins/isolated_validation.py
@@ -53,7 +53,7 @@
 
     Attributes:
         reasons: Why a module cannot be used, empty if it is valid; in order, for the modules processed.
-        process_end: How the process completed.
+        process_end: How the process ended.
     """
 
     reasons: list[str]
@@ -82,7 +82,7 @@
             input=b"".join(map(pickle.dumps, jobs)),
             capture_output=True,
             timeout=timeout,
-            env=_environment(),
+            env=_child_environment(),
             check=False,  # the exit code is part of the result
         )
         output = completed.stdout
@@ -95,7 +95,7 @@
     return ProcessResult(reasons, process_end)
 
 
-def _environment() -> dict[str, str]:
+def _child_environment() -> dict[str, str]:
     """Return environment variables with which a child process can import this package."""
     paths = [str(_IMPORT_ROOT)]
     inherited = os.environ.get("PYTHONPATH")
--- a/apigateway/plugins/language/functions.py
+++ b/apigateway/plugins/language/functions.py
@@ -15,12 +15,8 @@
 from apigateway.plugins.language.nodes import Call
 from apigateway.plugins.language.values import LIST_TYPES, Expression, ValueType, check_text_length
 
-SPECIAL_FORMS = (
-    "date",
-    "get",
-    "has",
-    "sample",
-)  # compiled by `compiler`: they need more than the values of their arguments
+# Compiled by `compiler`, because they need more than the values of their arguments.
+SPECIAL_FORMS = ("date", "get", "has", "sample")
 
 _MAX_NUMBER_CHARACTERS = 32  # of a text that is converted to a number
 _HASH_RANGE = 2**32
@@ -93,7 +89,7 @@
         raise EvaluationError("the time is out of range") from err
 
 
-def _calendar_function(get: Callable[[datetime.datetime], float]) -> Function:
+def _create_calendar_function(get: Callable[[datetime.datetime], float]) -> Function:
     """Return a function of a Unix time and, optionally, of the hours of a time zone east of UTC."""
     return Function(
         ((_NUMBER,), (_NUMBER, _NUMBER)),
@@ -119,10 +115,10 @@
     "max": Function(((_NUMBER, _NUMBER),), max, _NUMBER),
     "abs": Function(((_NUMBER,),), abs, _NUMBER),
     "floor": Function(((_NUMBER,),), _floor, _NUMBER),
-    "hour": _calendar_function(lambda time: time.hour),
-    "weekday": _calendar_function(lambda time: time.weekday()),  # Monday is 0
-    "monthday": _calendar_function(lambda time: time.day),
-    "month": _calendar_function(lambda time: time.month),
+    "hour": _create_calendar_function(lambda time: time.hour),
+    "weekday": _create_calendar_function(lambda time: time.weekday()),  # Monday is 0
+    "monthday": _create_calendar_function(lambda time: time.day),
+    "month": _create_calendar_function(lambda time: time.month),
 }
 
 
@@ -143,10 +139,10 @@
     if types not in function.parameters:
         forms = " or ".join(f"({', '.join(form)})" for form in function.parameters)
         raise ExpressionError(node.position, f"{node.function} takes {forms}, not ({', '.join(types)})")
-    return Expression(function.result_type, _call_evaluator(function.call, arguments))
+    return Expression(function.result_type, _create_call_evaluator(function.call, arguments))
 
 
-def _call_evaluator(call: Callable[..., Any], arguments: Sequence[Expression]) -> Callable[[Any], Any]:
+def _create_call_evaluator(call: Callable[..., Any], arguments: Sequence[Expression]) -> Callable[[Any], Any]:
     match [argument.evaluate for argument in arguments]:
         case [first]:
             return lambda view: call(first(view))
--- a/apigateway/plugins/language/values.py
+++ b/apigateway/plugins/language/values.py
@@ -9,7 +9,7 @@
 
 from apigateway.plugins.language.errors import EvaluationError, ExpressionError
 
-MAX_TEXT_CHARACTERS = 1024  # of a text that an expression evaluates to
+MAX_TEXT_CHARACTERS = 1024  # of a text literal or of the result of an operation
 
 Evaluator = Callable[[Any], Any]  # takes a RequestView
 
@@ -45,7 +45,7 @@
 
     Attributes:
         type: Type of the value.
-        evaluate: Return the value for a view. Raises EvaluationError if there is none.
+        evaluate: Function that returns the value for a view. Raises EvaluationError if there is none.
         is_constant: Whether the value is known at compilation, as that of a setting is.
         value: The value of a constant expression.
     """
--- a/apigateway/plugins/loader.py
+++ b/apigateway/plugins/loader.py
@@ -136,14 +136,14 @@
         if importlib.util.find_spec(_ENGINE_PACKAGE) is None:  # a clearer reason than a failed process
             reasons = [_ENGINE_MISSING_REASON] * len(modules)
         else:
-            reasons = validate_isolated([self._validation_job(source) for source in modules.values()])
+            reasons = validate_isolated([self._create_validation_job(source) for source in modules.values()])
         remedy = "run `api-gateway plugin check` to reproduce it"
         for (index, source), reason in zip(modules.items(), reasons, strict=True):
             if reason:
                 del sources[index]
                 self._add_problem(index, PluginSourceError("file", source.section.file, reason, remedy))
 
-    def _validation_job(self, source: PluginSource) -> ValidationJob:
+    def _create_validation_job(self, source: PluginSource) -> ValidationJob:
         return ValidationJob(
             source.section.name,
             source.module,
--- a/apigateway/plugins/manager.py
+++ b/apigateway/plugins/manager.py
@@ -110,7 +110,7 @@
 
     Attributes:
         version: Version that new requests start with.
-        clock: Return the Unix time in seconds.
+        clock: Function that returns the Unix time in seconds.
         tick_interval: Seconds between two calls of the phase TICK.
         recorder: Recorder of finished requests; None if there is none.
         draining_versions: Replaced versions that have unfinished requests.
--- a/apigateway/plugins/plugin_state.py
+++ b/apigateway/plugins/plugin_state.py
@@ -9,7 +9,7 @@
 KEY_OVERHEAD_BYTES = 64  # charged for each key in addition to its own length and that of its value
 
 _LOG_BURST_S = 5  # a burst may have the lines of this many seconds
-_MIN_LOG_BURST_LINES = 1.0  # if any lines are allowed
+_MIN_LOG_BURST_LINES = 1.0  # if the rate is not 0
 
 
 class KeyValueStore:
--- a/apigateway/plugins/records.py
+++ b/apigateway/plugins/records.py
@@ -18,8 +18,8 @@
 
 ROTATED_SUFFIX = ".1"
 
-_CLOSE_TIMEOUT_S = 5.0  # a hanging disk must not delay the shutdown for longer
-_FULL_QUEUE_TIMEOUT_S = 1.0  # the part of it that is spent waiting for space in a full queue
+_CLOSE_TIMEOUT_S = 5.0  # wait for the thread at close; a hanging disk must not block the shutdown
+_FULL_QUEUE_TIMEOUT_S = 1.0  # wait for space in a full queue at close
 
 log = logging.getLogger(__name__)
 
--- a/apigateway/plugins/rules.py
+++ b/apigateway/plugins/rules.py
@@ -71,7 +71,7 @@
     Attributes:
         phase: Phase in which the rule is evaluated.
         stops_evaluation: Whether later rules are skipped if this one applies.
-        condition: Return whether the rule applies to a view; None if it always applies.
+        condition: Function that returns whether the rule applies to a view; None if it always applies.
     """
 
     def __init__(self, section: RuleSection, key: str, settings: Mapping[str, Any], seed: int) -> None:
--- a/apigateway/plugins/runner.py
+++ b/apigateway/plugins/runner.py
@@ -25,7 +25,9 @@
 
 _LOG_INTERVAL_S = 10.0  # shortest time between two log lines about failures of a plug-in
 _MAX_LOGGED_CHARACTERS = 300  # of an error in the log
-_OVERTIME_FACTOR = 2  # a call that took more than this multiple of its time budget has failed
+# A call that cannot be interrupted, such as that of rules, has failed if it took longer than its time budget
+# times this factor.
+_OVERTIME_FACTOR = 2
 _BUDGET_REJECTION_KEY = "refuse past budget"  # key in `allowed`
 
 log = logging.getLogger(__name__)
@@ -45,7 +47,7 @@
         skipped: Number of skipped calls, by reason.
         allowed: Number of proposals that took effect, by verb.
         denied: Number of denied proposals, by `verb: reason`.
-        cpu_seconds: Total time of its calls.
+        cpu_seconds: Total time of its calls; CPU time for modules, wall time for rules.
     """
 
     def __init__(self, name: str, plugin: Plugin, budget: Budget, digest: str, now: float) -> None:
--- a/apigateway/plugins/wasm/engine.py
+++ b/apigateway/plugins/wasm/engine.py
@@ -25,7 +25,7 @@
     """
 
     def __init__(self) -> None:
-        self.engine = wasmtime.Engine(_engine_config())
+        self.engine = wasmtime.Engine(_create_engine_config())
         self.is_clock_running = False
         self._wake_up = threading.Event()
         self._idle_epochs = 0
@@ -56,15 +56,14 @@
                 self._wake_up.set()
 
 
-def _engine_config() -> wasmtime.Config:
+def _create_engine_config() -> wasmtime.Config:
     config = wasmtime.Config()
     config.consume_fuel = True
     config.epoch_interruption = True
     config.max_wasm_stack = _MAX_STACK_BYTES
     config.parallel_compilation = False  # it would use cores that other processes need
-    config.memory_reservation = (
-        0  # the default reserves 4 GiB per module of an address space that installations limit
-    )
+    # The default reserves 4 GiB of addresses per module, and installations limit the address space too.
+    config.memory_reservation = 0
     config.memory_guard_size = 0
     config.memory_reservation_for_growth = 0
     config.cranelift_nan_canonicalization = True  # the same results on each machine
--- a/apigateway/tools/plugins/loading.py
+++ b/apigateway/tools/plugins/loading.py
@@ -12,12 +12,8 @@
 from apigateway.plugins.testkit import Kit, read_plugins, settings
 from apigateway.tools.plugins.report import InvalidArgumentError
 
-_GATEWAY_KEYS = (
-    "listeners",
-    "classes",
-    "plans",
-    "gateway",
-)  # top-level keys that only a gateway's settings have
+# Top-level keys that only a gateway's settings have.
+_GATEWAY_KEYS = ("listeners", "classes", "plans", "gateway")
 
 
 class _PluginSource(NamedTuple):
--- a/tests/plugins/test_plugin_imports.py
+++ b/tests/plugins/test_plugin_imports.py
@@ -15,9 +15,8 @@
     completed = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60
     )
-    assert completed.stdout == "['apigateway.plugins', 'apigateway.plugins.settings']\n", (
-        completed.stderr
-    )  # the schemas only
+    # Only the schemas of the settings are imported.
+    assert completed.stdout == "['apigateway.plugins', 'apigateway.plugins.settings']\n", completed.stderr
 
 
 def test_rules_do_not_import_the_engine(tmp_path):
--- a/tests/plugins/test_plugin_manager.py
+++ b/tests/plugins/test_plugin_manager.py
@@ -127,7 +127,7 @@
     harness.upstream.sent[0].end("ok")
     assert sink.answers == ["served"]
     denied = harness.manager.version.runners[0].denied
-    assert sum(denied.values()) == 3 * len(proposals) and all(what.endswith(": fixed") for what in denied)
+    assert sum(denied.values()) == 3 * len(proposals) and all(denial.endswith(": fixed") for denial in denied)
 
 
 def test_request_ends_on_its_first_version_which_closes_after_its_last_request():
@@ -153,13 +153,13 @@
     old = ScriptedPlugin(propose_on_request(("tag", "a", "1")))
     harness = make_harness(make_runner(old), max_in_flight=1000, max_body_bytes=10**6)
     sinks = [harness.submit(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(400)]
-    bad = ScriptedPlugin(PluginError(FailureReason.TRAP))
-    harness.manager.swap(make_version(make_runner(bad, failure_threshold=3)))
+    failing = ScriptedPlugin(PluginError(FailureReason.TRAP))
+    harness.manager.swap(make_version(make_runner(failing, failure_threshold=3)))
     sinks += [harness.submit(str(n), [messages.ForwardRequest(str(n), "h1")]) for n in range(400, 800)]
     for attempt in harness.upstream.sent:
         attempt.end("ok")
     assert all(sink.answers == ["served"] for sink in sinks)
-    assert old.closed and len(bad.calls) == 3 and len(old.calls) == 3 * 400
+    assert old.closed and len(failing.calls) == 3 and len(old.calls) == 3 * 400
 
 
 def test_two_hundred_swaps_leave_no_open_version():
@@ -178,10 +178,13 @@
 
 
 def test_swap_keeps_the_old_version_if_its_state_cannot_be_loaded():
-    old, bad = ScriptedPlugin(None, state=b"x"), ScriptedPlugin(None, state=PluginError(FailureReason.TRAP))
+    old, failing = (
+        ScriptedPlugin(None, state=b"x"),
+        ScriptedPlugin(None, state=PluginError(FailureReason.TRAP)),
+    )
     harness = make_harness(make_runner(old))
     with pytest.raises(StateTransferError):
-        harness.manager.swap(make_version(make_runner(bad)))
+        harness.manager.swap(make_version(make_runner(failing)))
     assert harness.manager.version.runners[0].plugin is old and not old.closed
     broken = ScriptedPlugin(None, state=PluginError(FailureReason.TRAP))
     harness = make_harness(make_runner(broken))
--- a/tests/plugins/test_plugin_proposals.py
+++ b/tests/plugins/test_plugin_proposals.py
@@ -23,7 +23,7 @@
     return evaluate(phase, [Proposal(*p) for p in proposals], effects, LIMITS)
 
 
-def test_evaluate_when_request_is_taken_allows_tags_route_and_rejection():
+def test_evaluate_when_request_is_accepted_allows_tags_route_and_rejection():
     verdict = evaluate_all(Phase.REQUEST, ("tag", "district", "kochi"), ("route", "batch"), ("refuse", "1.5"))
     assert (verdict.tags, verdict.route, verdict.retry_after, verdict.denied) == (
         {"district": "kochi"},
@@ -45,11 +45,11 @@
         assert (
             not verdict.tags
             and verdict.retry_after is None
-            and [why for _, why in verdict.denied] == ["wrong phase"] * 3
+            and [reason for _, reason in verdict.denied] == ["wrong phase"] * 3
         )
 
 
-def test_evaluate_when_request_is_over_denies_everything():
+def test_evaluate_when_request_has_finished_denies_everything():
     for phase in Phase:
         verdict = evaluate_all(
             phase,
@@ -60,7 +60,7 @@
         assert (
             not verdict.tags
             and verdict.retry_after is None
-            and {why for _, why in verdict.denied} == {"over"}
+            and {reason for _, reason in verdict.denied} == {"over"}
         )
 
 
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, wait, cut",
+    "text, retry_after, denial_count",
     [
         ("0.5", 0.5, 0),
         ("9", 2.0, 1),
@@ -103,9 +103,9 @@
         ("", 0.0, 1),
     ],
 )
-def test_rejection_is_accepted_and_its_retry_time_is_clamped(text, wait, cut):
+def test_rejection_is_accepted_and_its_retry_time_is_clamped(text, retry_after, denial_count):
     verdict = evaluate_all(Phase.REQUEST, ("refuse", text))
-    assert verdict.retry_after == wait and len(verdict.denied) == cut
+    assert verdict.retry_after == retry_after and len(verdict.denied) == denial_count
 
 
 def test_tag_and_route_when_already_set_are_kept():
@@ -133,22 +133,25 @@
 @seed(1)
 @settings(max_examples=300, deadline=None, database=None)
 @given(st.lists(st.tuples(st.sampled_from(Phase), PROPOSALS), max_size=6), st.booleans())
-def test_limits_hold_and_each_proposal_is_counted_for_arbitrary_proposals(calls, over):
-    effects = RequestEffects(attempt_tags=[{}], is_finished=over)
+def test_limits_hold_and_each_proposal_is_counted_for_arbitrary_proposals(calls, is_finished):
+    effects = RequestEffects(attempt_tags=[{}], is_finished=is_finished)
     for phase, proposals in calls:
         before = (dict(effects.tags), list(map(dict, effects.attempt_tags)), effects.route)
         verdict = evaluate(phase, proposals, effects, LIMITS)
         assert before == (effects.tags, effects.attempt_tags, effects.route)  # evaluate has no side effects
-        assert all(why in set(DenialReason) for _, why in verdict.denied)
-        seen = len(proposals[:MAX_PROPOSALS])
-        repeats = sum(p.verb in ("refuse", "route") for p in proposals)
-        assert len(verdict.tags) + len(verdict.denied) + repeats >= seen
-        if over or phase in (Phase.ANSWER, Phase.TICK):
+        assert all(reason in set(DenialReason) for _, reason in verdict.denied)
+        evaluated_count = len(proposals[:MAX_PROPOSALS])
+        refuse_and_route_count = sum(p.verb in ("refuse", "route") for p in proposals)
+        assert len(verdict.tags) + len(verdict.denied) + refuse_and_route_count >= evaluated_count
+        if is_finished or phase in (Phase.ANSWER, Phase.TICK):
             assert not verdict.tags and not verdict.route
         if verdict.retry_after is not None:
-            assert phase == Phase.REQUEST and not over and 0 <= verdict.retry_after <= 2.0
+            assert phase == Phase.REQUEST and not is_finished and 0 <= verdict.retry_after <= 2.0
         effects.apply(phase, verdict)
-        tags = [*effects.tags.items(), *(item for one in effects.attempt_tags for item in one.items())]
+        tags = [
+            *effects.tags.items(),
+            *(item for attempt_tags in effects.attempt_tags for item in attempt_tags.items()),
+        ]
         assert (
             len(tags) == effects.tag_count <= 3
             and sum(tag_size(*tag) for tag in tags) == effects.tag_bytes <= 40
--- a/tests/plugins/test_plugin_records.py
+++ b/tests/plugins/test_plugin_records.py
@@ -15,21 +15,26 @@
     file = tmp_path / "records.jsonl"
     recorder = RequestRecorder(str(file), "export", 10**6, 100)
     responses = {
-        Phase.REQUEST: lambda v: [Proposal("tag", "export", "1")] if v.request_id == "a" else [],
-        Phase.ATTEMPT: lambda v: [Proposal("tag", "host", v.endpoint_id)],
+        Phase.REQUEST: lambda view: [Proposal("tag", "export", "1")] if view.request_id == "a" else [],
+        Phase.ATTEMPT: lambda view: [Proposal("tag", "host", view.endpoint_id)],
     }
     harness = make_harness(
-        make_runner(ScriptedPlugin(lambda phase, view: responses.get(phase, lambda v: [])(view))),
+        make_runner(ScriptedPlugin(lambda phase, view: responses.get(phase, lambda _: [])(view))),
         recorder=recorder,
     )
-    for id in "ab":
-        harness.submit(id, [messages.ForwardRequest(id, "h1")])
-        harness.module.next_actions = [messages.ForwardRequest(id, "h2")]
+    for request_id in "ab":
+        harness.submit(request_id, [messages.ForwardRequest(request_id, "h1")])
+        harness.module.next_actions = [messages.ForwardRequest(request_id, "h2")]
         harness.upstream.sent[-1].end("full")
         harness.upstream.sent[-1].end("ok")
     harness.manager.close()
-    ((number, record),) = read_records(str(file))
-    assert (number, record["id"], record["outcome"], record["tags"]) == (1, "a", "served", {"export": "1"})
+    ((line_number, record),) = read_records(str(file))
+    assert (line_number, record["id"], record["outcome"], record["tags"]) == (
+        1,
+        "a",
+        "served",
+        {"export": "1"},
+    )
     assert record["attempts"] == [
         {"host": "h1", "tags": {"host": "h1"}},
         {"host": "h2", "tags": {"host": "h2"}},
@@ -48,12 +53,12 @@
     with open(file, "a") as out:
         out.write('{"id": "cut')
     assert list(read_records(str(file))) == complete and json.loads(file.read_text().splitlines()[0])
-    full = RequestRecorder(str(file), "", 10**6, 1)
-    full.thread.join(0)
-    full._write = lambda record: blocked.wait()  # a hanging disk
+    full_recorder = RequestRecorder(str(file), "", 10**6, 1)
+    full_recorder.thread.join(0)
+    full_recorder._write = lambda record: blocked.wait()  # a hanging disk
     blocked = threading.Event()
     for n in range(10):
-        full.record(RequestView(str(n)), RequestEffects(), [])
-    assert full.dropped >= 8
+        full_recorder.record(RequestView(str(n)), RequestEffects(), [])
+    assert full_recorder.dropped >= 8
     blocked.set()
-    full.close()
+    full_recorder.close()
--- a/tests/plugins/wasm/test_wasm_host_functions.py
+++ b/tests/plugins/wasm/test_wasm_host_functions.py
@@ -45,14 +45,14 @@
     )
     assert plugin.call(Phase.REQUEST, VIEW) == [("tag", "v", "w")]
     assert plugin.host.key_values.values == {b"n": b"v w"} and plugin.counters() == {"n": 2.5}
-    one, two = (
+    first, second = (
         make_plugin(export_phase("request", "(f64.store (i32.const 200) (call $random)) (i64.const 0)"))
         for _ in "ab"
     )
-    for plugin in (one, two):
+    for plugin in (first, second):
         plugin.call(Phase.REQUEST, VIEW)
-    drawn = one.instance.memory.read(200, 8, 8)
-    assert drawn == two.instance.memory.read(200, 8, 8) != bytes(8)
+    random_bytes = first.instance.memory.read(200, 8, 8)
+    assert random_bytes == second.instance.memory.read(200, 8, 8) != bytes(8)
 
 
 def test_missing_settings_and_keys_have_their_documented_results():
--- a/tests/plugins/wasm/test_wasm_plugin.py
+++ b/tests/plugins/wasm/test_wasm_plugin.py
@@ -17,33 +17,33 @@
     "loops forever": ("(loop $l (br $l)) (i64.const 0)", "fuel"),
     "traps": ("unreachable", "trap"),
     "divides by zero": ("(i64.div_u (i64.const 1) (i64.const 0))", "trap"),
-    "reads outside": ("(i64.load (i32.const -8))", "memory"),
-    "allocates without end": ("(loop $l (drop (memory.grow (i32.const 1))) (br $l)) (i64.const 0)", "fuel"),
-    "allocates, then uses what it did not get": (
+    "reads out of bounds": ("(i64.load (i32.const -8))", "memory"),
+    "allocates endlessly": ("(loop $l (drop (memory.grow (i32.const 1))) (br $l)) (i64.const 0)", "fuel"),
+    "uses memory that could not be allocated": (
         "(i64.store (i32.mul (memory.grow (i32.const 100)) (i32.const 65536)) (i64.const 1)) (i64.const 0)",
         "memory",
     ),
-    "gives an address outside": ("(i64.const 0x7fffffff00000008)", "nonsense"),
-    "gives a length outside": ("(i64.const 0x00000000ffffffff)", "nonsense"),
-    "gives all bits": ("(i64.const -1)", "nonsense"),
-    "logs from outside": ("(call $log (i32.const 65530) (i32.const 100)) (i64.const 0)", "trap"),
-    "asks for a setting with a negative length": (
+    "returns an address out of bounds": ("(i64.const 0x7fffffff00000008)", "nonsense"),
+    "returns a length out of bounds": ("(i64.const 0x00000000ffffffff)", "nonsense"),
+    "returns all bits set": ("(i64.const -1)", "nonsense"),
+    "logs text from out of bounds": ("(call $log (i32.const 65530) (i32.const 100)) (i64.const 0)", "trap"),
+    "requests a setting with a negative length": (
         "(drop (call $setting (i32.const 0) (i32.const -1) (i32.const 0) (i32.const 8)))(i64.const 0)",
         "trap",
     ),
-    "has a setting written outside": (
+    "requests a setting into a buffer out of bounds": (
         "(drop (call $setting (i32.const 0) (i32.const 1) (i32.const 65530) (i32.const 100))) (i64.const 0)",
         "trap",
     ),
-    "puts a value from outside": (
+    "puts a value from out of bounds": (
         "(drop (call $put (i32.const 0) (i32.const 1) (i32.const 65536) (i32.const 1)))(i64.const 0)",
         "trap",
     ),
-    "fills memory for ever": (
+    "fills memory endlessly": (
         "(loop $l (memory.fill (i32.const 0) (i32.const 1) (i32.const 65536)) (br $l))(i64.const 0)",
         "fuel",
     ),
-    "calls the host for ever": ("(loop $l (drop (call $random)) (br $l)) (i64.const 0)", ("fuel", "time")),
+    "calls the host endlessly": ("(loop $l (drop (call $random)) (br $l)) (i64.const 0)", ("fuel", "time")),
 }
 
 
