--- a/apigateway/plugins/manager.py
+++ b/apigateway/plugins/manager.py
@@ -143,7 +143,7 @@
         try:
             self.version.tick(self.clock(), time.monotonic())
         except Exception:
-            log.exception("plug-ins: the call of the phase tick failed")
+            log.exception("plug-ins: tick failed")
 
     def on_request(
         self, request: messages.Request
--- a/apigateway/plugins/runner.py
+++ b/apigateway/plugins/runner.py
@@ -28,7 +28,7 @@
 # A call that cannot be interrupted, such as that of rules, has failed if it took longer than its time budget
 # times this factor.
 _OVERTIME_FACTOR = 2
-_BUDGET_REJECTION_KEY = "refuse past budget"  # key in `allowed`
+_BUDGET_REJECTION_KEY = "refuse past budget"  # counted in `allowed`
 
 log = logging.getLogger(__name__)
 
--- a/apigateway/plugins/wasm/host_functions.py
+++ b/apigateway/plugins/wasm/host_functions.py
@@ -1,8 +1,8 @@
 """The functions of the host that a module may import.
 
-A host function never raises, because wasmtime's Python binding stores its exception in a variable that all
-threads share, and modules are validated on another thread than the one that serves requests. Instead, it
-records the violation and sets the fuel to 0.
+A host function never raises, because wasmtime's Python binding stores the exceptions of host functions in a
+variable that all threads share, and modules are validated on another thread than the one that serves
+requests. Instead, it records a violation and sets the fuel to 0.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
         counters: Counters of the plug-in.
         log: Log of the plug-in.
         now: Unix time of the call in seconds, for the log's rate limit.
-        violation: Description of a forbidden action of the module in this call; empty if there was none.
+        violation: Description of a forbidden or invalid action in this call; empty if there was none.
     """
 
     def __init__(self, plugin_name: str, settings: Mapping[str, Any], budget: Budget, seed: int) -> None:
