--- a/apigateway/tools/plugins/report.py
+++ b/apigateway/tools/plugins/report.py
@@ -1,4 +1,4 @@
-"""What a plug-in tool found."""
+"""The report of a plug-in tool."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from typing import Any
 
 
-class UnusableArgumentError(Exception):
-    """Arguments that cannot be used."""
+class InvalidArgumentError(Exception):
+    """An argument of a tool is invalid."""
 
 
 @dataclass(slots=True)
 class Report:
-    """What a tool found.
+    """The report of a tool.
 
     Attributes:
-        lines: As text.
-        figures: As a JSON document.
-        is_good: Whether nothing is wrong.
+        lines: The report as text.
+        data: The report as a JSON document.
+        succeeded: Whether no call failed.
     """
 
     lines: list[str] = field(default_factory=list)
-    figures: dict[str, Any] = field(default_factory=dict)
-    is_good: bool = True
+    data: dict[str, Any] = field(default_factory=dict)
+    succeeded: bool = True
--- a/tests/plugins/language/test_expressions.py
+++ b/tests/plugins/language/test_expressions.py
@@ -1,4 +1,4 @@
-"""The language of rules: what it means, what it rejects, and that nothing an operator types can do harm."""
+"""Tests of the rule language: values, rejected expressions, and safety against arbitrary input."""
 
 import pytest
 from hypothesis import given, seed, settings
@@ -6,7 +6,7 @@
 
 from apigateway.plugins.interfaces import RequestView
 from apigateway.plugins.language import EvaluationError, ExpressionError, compile_expression
-from apigateway.plugins.language.values import MAX_TEXT_LENGTH
+from apigateway.plugins.language.values import MAX_TEXT_CHARACTERS
 from apigateway.plugins.rule_vocabulary import FIELDS
 
 SETTINGS = {
@@ -79,12 +79,12 @@
         ("sample(1) && !sample(0)", True),
     ],
 )
-def test_expression_has_its_value(text, value):
+def test_expression_evaluates_to_expected_value(text, value):
     assert evaluate(text) == value
 
 
 @pytest.mark.parametrize(
-    "text, words",
+    "text, expected_reason",
     [
         ('units + "a"', "both must be of one type"),
         ("foo", "no field 'foo'"),
@@ -102,14 +102,14 @@
         ("(" * 60 + "1" + ")" * 60, "nested"),
         ("1 ? 2 : 3", "expected truth"),
         ('true ? 1 : "a"', "one type"),
-        ("date(id)", "written out"),
-        ('date("soon")', "is no date"),
-        ("$", "has no meaning"),
-        ("1 2", "follows"),
+        ("date(id)", "literal text"),
+        ('date("soon")', "is not a date"),
+        ("$", "unexpected character"),
+        ("1 2", "after the expression"),
         ("settings.odd[customer]", "one type"),
         ("has(id)", "has takes a member"),
         ("id.size", "no member"),
-        ("true < false", "does not go with"),
+        ("true < false", "cannot be applied to"),
         ('["a", 1]', "numbers and texts"),
         ("get(id, id, id)", "table of settings"),
         ('get(settings.weight, id, "a")', "the default is text"),
@@ -121,10 +121,10 @@
         ("size(1)", "size takes"),
     ],
 )
-def test_invalid_expression_is_rejected_with_reason_and_position(text, words):
+def test_invalid_expression_is_rejected_with_reason_and_position(text, expected_reason):
     with pytest.raises(ExpressionError, match=".") as caught:
         evaluate(text)
-    assert words in caught.value.reason and 0 <= caught.value.position <= len(text)
+    assert expected_reason in caught.value.reason and 0 <= caught.value.position <= len(text)
 
 
 @pytest.mark.parametrize(
@@ -146,16 +146,16 @@
 
 def test_text_that_grows_too_long_raises():
     with pytest.raises(EvaluationError):
-        evaluate("+".join(["plan"] * 2), plan="x" * (MAX_TEXT_LENGTH - 1))
+        evaluate("+".join(["plan"] * 2), plan="x" * (MAX_TEXT_CHARACTERS - 1))
 
 
-def test_sample_is_the_same_for_a_request_and_near_its_share_of_all():
-    drawn = [evaluate("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
-    assert drawn == [evaluate("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
-    assert 400 < sum(drawn) < 600
+def test_sample_is_stable_per_request_and_selects_about_its_share():
+    sampled = [evaluate("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
+    assert sampled == [evaluate("sample(0.25)", request_id=f"r{n}") for n in range(2000)]
+    assert 400 < sum(sampled) < 600
 
 
-PIECES = st.sampled_from(
+TOKENS = st.sampled_from(
     [
         "1",
         "2.5",
@@ -202,9 +202,9 @@
 
 @seed(12)
 @settings(max_examples=400, deadline=None, database=None)
-@given(st.one_of(st.text(max_size=60), st.lists(PIECES, max_size=14).map(" ".join)))
-def test_whatever_is_typed_is_rejected_or_has_a_value(text):
-    """Nothing but the two exceptions of the language ever comes out."""
+@given(st.one_of(st.text(max_size=60), st.lists(TOKENS, max_size=14).map(" ".join)))
+def test_arbitrary_text_is_rejected_or_evaluated(text):
+    """Only the two exceptions of the language may be raised."""
     try:
         evaluate(text)
     except (ExpressionError, EvaluationError):
@@ -223,7 +223,7 @@
 @seed(13)
 @settings(max_examples=200, deadline=None, database=None)
 @given(st.recursive(st.sampled_from(["1", "0", "units", "left", "1e300"]), arithmetic, max_leaves=12))
-def test_sound_arithmetic_gives_a_number(text):
+def test_valid_arithmetic_evaluates_to_a_number(text):
     try:
         assert isinstance(evaluate(text), float)
     except EvaluationError as err:
