--- a/apigateway/external_ratelimit/channel.py
+++ b/apigateway/external_ratelimit/channel.py
@@ -36,7 +36,7 @@
         address: Address,
         ssl_context: ssl.SSLContext | None = None,
         server_name: str = "",
-        max_waiting: int = 1000,
+        max_waiting_calls: int = 1000,
     ) -> None:
         """Create a channel without connecting it; the first call connects.
 
@@ -44,13 +44,13 @@
             address: The address of the server.
             ssl_context: The TLS context; None for plain text.
             server_name: The name that the server certificate must match; if empty, the host of the address.
-            max_waiting: The maximum number of calls that wait for a connection or a stream.
+            max_waiting_calls: The maximum number of calls that wait for a connection or a stream.
         """
         self.connect_failures = 0
         self._address = address
         self._ssl_context = ssl_context
         self._server_name = server_name
-        self._max_waiting = max_waiting
+        self._max_waiting_calls = max_waiting_calls
         self._waiting_calls: dict[PendingCall, None] = {}  # used as an ordered set
         self._current_connection: GrpcConnection | None = None  # used for new calls
         self._connections: set[GrpcConnection] = set()  # open ones, including those that are draining
@@ -70,7 +70,7 @@
         loop = asyncio.get_running_loop()
         call = PendingCall(path, message, monotonic() + timeout, on_response)
         call.deadline_timer = loop.call_later(timeout, self._on_deadline, call)
-        if self._is_closed or len(self._waiting_calls) >= self._max_waiting:
+        if self._is_closed or len(self._waiting_calls) >= self._max_waiting_calls:
             status = GrpcStatus.UNAVAILABLE if self._is_closed else GrpcStatus.RESOURCE_EXHAUSTED
             loop.call_soon(self._end, call, status, "channel is closed or too many calls are waiting", b"")
             return call
@@ -115,7 +115,7 @@
             return
         self._end(call, ended.status, ended.text, ended.message)
 
-    def on_capacity(self) -> None:
+    def on_capacity_available(self) -> None:
         """Send waiting calls."""
         self._send_waiting()
 
@@ -126,7 +126,7 @@
             if self._waiting_calls:
                 self._schedule_send()
 
-    def on_lost(self, connection: GrpcConnection) -> None:
+    def on_connection_lost(self, connection: GrpcConnection) -> None:
         """Remove a closed connection."""
         self._connections.discard(connection)
         self.on_draining(connection)
--- a/apigateway/external_ratelimit/connection.py
+++ b/apigateway/external_ratelimit/connection.py
@@ -53,13 +53,13 @@
     def on_call_ended(self, call: PendingCall, ended: CallEnded) -> None:
         """Handle the end of a call."""
 
-    def on_capacity(self) -> None:
+    def on_capacity_available(self) -> None:
         """Handle a connection that may have room for more calls."""
 
     def on_draining(self, connection: GrpcConnection) -> None:
         """Handle a connection that accepts no more calls."""
 
-    def on_lost(self, connection: GrpcConnection) -> None:
+    def on_connection_lost(self, connection: GrpcConnection) -> None:
         """Handle a lost connection. Its calls are reported as ended afterwards."""
 
 
@@ -100,12 +100,12 @@
         if self.session.is_draining:
             self._owner.on_draining(self)
         else:
-            self._owner.on_capacity()
+            self._owner.on_capacity_available()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End all calls."""
         self.is_connected = False
-        self._owner.on_lost(self)
+        self._owner.on_connection_lost(self)
         self._end_calls(self.session.connection_lost("connection lost"))
 
     def pause_writing(self) -> None:
@@ -115,7 +115,7 @@
     def resume_writing(self) -> None:
         """Allow new calls again: the write buffer has drained."""
         self._is_write_blocked = False
-        self._owner.on_capacity()
+        self._owner.on_capacity_available()
 
     def available_streams(self) -> int:
         """Return the number of calls that may be started now."""
--- a/apigateway/frontends/grpc/connection.py
+++ b/apigateway/frontends/grpc/connection.py
@@ -140,7 +140,7 @@
                 if event.stream_id in self._stream_handlers:
                     self._stream_handlers[event.stream_id].on_half_closed()
             case CallCancelled():
-                call = self.forget_call(event.stream_id)
+                call = self.remove_call(event.stream_id)
                 if call is not None:
                     call.on_cancelled()
 
@@ -163,7 +163,7 @@
         self.open_calls[event.stream_id] = handler
         self._stream_handlers[event.stream_id] = handler
 
-    def forget_call(self, stream_id: int) -> OpenCall | None:
+    def remove_call(self, stream_id: int) -> OpenCall | None:
         """Remove and return a call that has its status or was cancelled."""
         self._stream_handlers.pop(stream_id, None)
         return self.open_calls.pop(stream_id, None)
@@ -187,7 +187,7 @@
     def start_draining(self) -> None:
         """Accept no new calls, let unary calls finish and end streaming calls, which have no natural end."""
         for stream_id, handler in list(self._stream_handlers.items()):
-            self.forget_call(stream_id)
+            self.remove_call(stream_id)
             handler.on_cancelled()
             self.session.send_status(stream_id, GrpcStatus.UNAVAILABLE, "this server ends")
         self._owner.on_draining(self)
@@ -231,6 +231,6 @@
         self._connection.write()
 
     def end(self, status: int, text: str = "") -> None:
-        self._connection.forget_call(self._stream_id)
+        self._connection.remove_call(self._stream_id)
         self._connection.session.send_status(self._stream_id, status, text)
         self._connection.write()
--- a/apigateway/frontends/grpc/frontend.py
+++ b/apigateway/frontends/grpc/frontend.py
@@ -25,7 +25,7 @@
 # Interval of timeout checks, and delay before accepting again after running out of file descriptors.
 SWEEP_INTERVAL_S = 1.0
 # Connections accepted in one event loop iteration.
-MAX_ACCEPTS_PER_TURN = 64
+MAX_ACCEPTS_PER_ITERATION = 64
 # Connections that the kernel queues until they are accepted.
 LISTEN_BACKLOG = 1024
 # Default limit for the bytes of partial messages on all connections together.
@@ -125,7 +125,7 @@
         more than this frontend's share of file descriptors.
         """
         loop = asyncio.get_running_loop()
-        for _ in range(MAX_ACCEPTS_PER_TURN):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             if self._listener is None:
                 return
             try:
--- a/apigateway/frontends/grpc/rate_limit_call.py
+++ b/apigateway/frontends/grpc/rate_limit_call.py
@@ -142,13 +142,13 @@
 
     def _add_retry_after(self, response: pb.RateLimitResponse) -> None:
         """Add the time after which all descriptors may have units again."""
-        waits = [
+        retry_delays = [
             check.result.retry_after
             for check in self._all_checks()
             if isinstance(check.result, messages.QuotaDenied) and check.result.is_over_quota
         ]
-        if waits and max(waits) > 0:
-            milliseconds = math.ceil(max(waits) * 1000)
+        if retry_delays and max(retry_delays) > 0:
+            milliseconds = math.ceil(max(retry_delays) * 1000)
             response.response_headers_to_add.add(key=RETRY_AFTER_HEADER, value=str(milliseconds))
 
     def _add_tokens(self, response: pb.RateLimitResponse, tokens: QuotaTokens) -> None:
--- a/apigateway/frontends/grpc/server_session.py
+++ b/apigateway/frontends/grpc/server_session.py
@@ -99,7 +99,7 @@
         self._raw_frames: list[bytes] = []  # frames that h2 cannot create
         self._last_stream_id = 0  # the highest accepted one
         self._is_draining = False  # the client was asked to open no more calls
-        self._rejects_new_calls = False  # new calls are rejected
+        self._rejects_new_calls = False
 
     def data_to_send(self) -> bytes:
         """Return the bytes to write and clear them."""
@@ -122,9 +122,8 @@
         """Parse received bytes and return their events."""
         events: list[SessionEvent] = []
         data, last_stream_id = self._goaway_filter.feed(data)
-        if (
-            last_stream_id is not None
-        ):  # the client opens no more streams, but expects responses to its open calls
+        # The client opens no more streams, but expects responses to its open calls.
+        if last_stream_id is not None:
             self._rejects_new_calls = True
         try:
             h2_events = self._connection.receive_data(data) if data else []
@@ -217,7 +216,7 @@
                     f"over {MAX_PARTIAL_BYTES} bytes of messages that are not whole",
                 )
         except RpcError as error:
-            self._forget_incoming(stream_id)
+            self._remove_incoming_call(stream_id)
             if stream_id in self._open_calls:  # a streaming call: notify its handler
                 self._open_calls.discard(stream_id)
                 events.append(CallCancelled(stream_id))
@@ -228,7 +227,7 @@
     def _on_half_closed(self, stream_id: int | None, events: list[SessionEvent]) -> None:
         """Handle the half-close of a stream: report a unary call or the end of a client stream."""
         stream_id = stream_id or 0
-        call = self._forget_incoming(stream_id)
+        call = self._remove_incoming_call(stream_id)
         if call is None:
             return
         if call.is_streaming:
@@ -246,14 +245,14 @@
     def _on_reset(self, stream_id: int | None, events: list[SessionEvent]) -> None:
         """Handle a call that the client cancelled."""
         stream_id = stream_id or 0
-        self._forget_incoming(stream_id)
+        self._remove_incoming_call(stream_id)
         self.responses.discard(stream_id)
         if stream_id in self._open_calls:
             self._open_calls.discard(stream_id)
             self._started_streams.discard(stream_id)
             events.append(CallCancelled(stream_id))
 
-    def _forget_incoming(self, stream_id: int) -> _IncomingCall | None:
+    def _remove_incoming_call(self, stream_id: int) -> _IncomingCall | None:
         """Stop reading messages of a call and return it; None if it was fully read."""
         call = self.incoming_calls.pop(stream_id, None)
         if call is not None:
@@ -286,7 +285,7 @@
         if stream_id not in self._open_calls:
             return
         self._open_calls.discard(stream_id)
-        has_unread_messages = self._forget_incoming(stream_id) is not None
+        has_unread_messages = self._remove_incoming_call(stream_id) is not None
         if stream_id in self._started_streams:
             self._started_streams.discard(stream_id)
             self._write(stream_id, b"", status_headers(status, text))
@@ -312,9 +311,8 @@
 
     def _write(self, stream_id: int, data: bytes, trailers: Headers | None) -> None:
         self.responses.write(stream_id, data, trailers)
-        if (
-            self.responses.unsent_bytes > MAX_UNSENT_BYTES
-        ):  # the client opens no window but keeps sending calls
+        # The client does not open its flow control window but keeps sending calls.
+        if self.responses.unsent_bytes > MAX_UNSENT_BYTES:
             self._connection.close_connection(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
             self.must_close = True
 
--- a/apigateway/frontends/grpc/tokens.py
+++ b/apigateway/frontends/grpc/tokens.py
@@ -1,5 +1,6 @@
-"""Tokens of quota checks. A client sends a token with the request that it checked before, so that the request
-is not counted twice.
+"""Tokens that show that the units of a request were granted by an earlier quota check.
+
+A client sends a token with the request that it checked before, so that the request is not counted twice.
 
 Without I/O: keys, times and random bytes are passed in. A token does not contain its purpose. The purpose is
 authenticated by the token's MAC (HMAC-SHA256, RFC 2104, truncated to 16 bytes) and is taken from the request
@@ -34,7 +35,7 @@
 
 
 class TokenPurpose(NamedTuple):
-    """The only request that a token is valid for."""
+    """The properties of the request that a token is issued for. It is invalid for any other."""
 
     customer: str
     plan: str
@@ -89,7 +90,7 @@
                 raise ValueError(f"a token key must have at least {MIN_KEY_BYTES} bytes")
             key_id = hashlib.sha256(b"number" + key).digest()[0]
             if key_id in self.keys_by_id:
-                raise ValueError("two token keys have the same key id: replace one of them")
+                raise ValueError("two token keys have the same key id")
             self.keys_by_id[key_id] = key
         if not self.keys_by_id:
             raise ValueError("no token key")
@@ -99,7 +100,7 @@
         """Create a token.
 
         Args:
-            purpose: The request that the token is valid for.
+            purpose: What the token is valid for.
             gateway_index: The index of the issuing gateway.
             expires_at: The expiry in seconds of Unix time.
             nonce: NONCE_BYTES random bytes.
--- a/tests/external_ratelimit/test_client_session.py
+++ b/tests/external_ratelimit/test_client_session.py
@@ -49,7 +49,7 @@
         self.exchange()
         return stream_id
 
-    def respond(self, stream_id, data, status=b"0", **more):
+    def respond(self, stream_id, data, status=b"0", **ignored):
         self.server.send_headers(stream_id, [(b":status", b"200"), (b"content-type", b"application/grpc")])
         self.server.send_data(stream_id, data)
         self.server.send_headers(
--- a/tests/frontends/grpc/test_descriptor_mapping.py
+++ b/tests/frontends/grpc/test_descriptor_mapping.py
@@ -20,8 +20,10 @@
 HEX = "00000000000000ff"
 
 
-def make_rule(*entries, domain="payroll", customer="{account}", plan="basic", service_class="read", **kw):
-    return MappingRule(domain, entries or ("account",), customer, plan, service_class, **kw)
+def make_rule(
+    *entries, domain="payroll", customer="{account}", plan="basic", service_class="read", **rule_options
+):
+    return MappingRule(domain, entries or ("account",), customer, plan, service_class, **rule_options)
 
 
 def compile_rules(*rules, gateways=4):
--- a/tests/frontends/grpc/test_rate_limit_service.py
+++ b/tests/frontends/grpc/test_rate_limit_service.py
@@ -234,9 +234,8 @@
         async with RateLimitClient(harness, spread=2) as client:
             harness.counter.script.play(Step("silent"))
             overall_codes = [(await client.check(CUSTOMER_A)).overall_code for _ in range(30)]
-            while (
-                overall_codes[-1] != OVER_LIMIT and len(overall_codes) < 120
-            ):  # more is denied at first on a busy machine
+            # A busy machine denies more at first.
+            while overall_codes[-1] != OVER_LIMIT and len(overall_codes) < 120:
                 overall_codes.append((await client.check(CUSTOMER_A)).overall_code)
             assert (
                 set(overall_codes) <= {OK, OVER_LIMIT}
--- a/tests/frontends/grpc/test_server_session.py
+++ b/tests/frontends/grpc/test_server_session.py
@@ -23,7 +23,7 @@
 PATH = b"/envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit"
 
 
-def make_headers(**more):
+def make_headers(**header_overrides):
     headers = {
         b":method": b"POST",
         b":scheme": b"http",
@@ -32,7 +32,7 @@
         b"te": b"trailers",
         b"content-type": b"application/grpc",
     }
-    headers |= {name.replace("_", "-").encode(): value for name, value in more.items()}
+    headers |= {name.replace("_", "-").encode(): value for name, value in header_overrides.items()}
     return [(name, value) for name, value in headers.items() if value is not None]
 
 
@@ -58,9 +58,9 @@
                 return
             self.client_events += self.client.receive_data(data)
 
-    def call(self, message=b"hello", end_stream=True, data=None, **more):
+    def call(self, message=b"hello", end_stream=True, data=None, **header_overrides):
         stream_id = self.client.get_next_available_stream_id()
-        self.client.send_headers(stream_id, make_headers(**more))
+        self.client.send_headers(stream_id, make_headers(**header_overrides))
         self.client.send_data(
             stream_id, frame_message(message) if data is None else data, end_stream=end_stream
         )
@@ -139,10 +139,10 @@
     assert [call.stream_id for call in peers.server_events] == [stream_id]
 
 
-@pytest.mark.parametrize("more", [{"content_type": b"text/html"}, {"content_type": None}])
-def test_request_with_another_content_type_gets_an_http_error(more):
+@pytest.mark.parametrize("header_overrides", [{"content_type": b"text/html"}, {"content_type": None}])
+def test_request_with_another_content_type_gets_an_http_error(header_overrides):
     peers = ServerWithH2Client()
-    peers.call(**more)
+    peers.call(**header_overrides)
     response = next(event for event in peers.client_events if isinstance(event, h2.events.ResponseReceived))
     assert dict(response.headers)[b":status"] == b"415" and not peers.server_events
 
