--- a/apigateway/frontends/grpc/descriptor_check.py
+++ b/apigateway/frontends/grpc/descriptor_check.py
@@ -32,7 +32,7 @@
     """The call to which a check belongs."""
 
     def on_check_decided(self) -> None:
-        """Handle a check that has got its result."""
+        """Handle a check that has its result."""
 
 
 class DescriptorCheck:
--- a/tests/frontends/grpc/rate_limit_client.py
+++ b/tests/frontends/grpc/rate_limit_client.py
@@ -1,4 +1,4 @@
-"""Test helper: a gRPC listener on a gateway, and a grpcio client with the messages published on PyPI."""
+"""Test helper: a gRPC listener on a gateway, and a grpcio client with the published messages."""
 
 import grpc
 import pytest
--- a/tests/frontends/grpc/test_token_redemption.py
+++ b/tests/frontends/grpc/test_token_redemption.py
@@ -1,5 +1,7 @@
-"""Tests of RESP2 requests with the token of an earlier check: they are not counted twice, and a token allows
-nothing else."""
+"""Tests of RESP2 requests with the token of an earlier check.
+
+Such requests are not counted twice, and a token allows nothing else.
+"""
 
 import os
 
