--- a/apigateway/tools/__init__.py
+++ b/apigateway/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs of their own over public interfaces: demo, later load generator and planner."""
+"""Command-line tools: demo, simulation experiments, load generator and plug-in tools."""
--- a/apigateway/tools/demo/__init__.py
+++ b/apigateway/tools/demo/__init__.py
@@ -1,1 +1,1 @@
-"""`api-gateway demo`: an emulated installation, three real gateways, some faults, and what came of it."""
+"""`api-gateway demo`: run gateways against emulated hosts, inject faults, and report the outcomes."""
--- a/apigateway/tools/experiment/__init__.py
+++ b/apigateway/tools/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""`api-gateway experiment`: simulations of a fleet, over cases, sweeps and seeds."""
+"""`api-gateway experiment`: simulate a fleet for each case, swept value and seed."""
--- a/apigateway/tools/load/__init__.py
+++ b/apigateway/tools/load/__init__.py
@@ -1,1 +1,1 @@
-"""A load generator that cannot hide a stall (docs/design/load.md)."""
+"""Open-loop load generator that shows every stall of its target (docs/design/load.md)."""
--- a/apigateway/tools/load/arrivals.py
+++ b/apigateway/tools/load/arrivals.py
@@ -1,8 +1,8 @@
-"""When the requests of a stream arrive, by its rate over time. Pure and seeded.
+"""Arrival times of the requests of a stream, from its rate over time. Deterministic for a seed, without I/O.
 
-`poisson_arrivals` are drawn by thinning (Lewis and Shedler 1979): candidates at the shape's highest rate,
-each kept with the probability rate / highest rate. Of `even_arrivals` the n-th comes when the integral of the
-rate has reached n.
+`poisson_arrivals` draws by thinning (Lewis and Shedler 1979): it draws candidates at the shape's highest rate
+and keeps each with the probability rate / highest rate. `even_arrivals` places the n-th arrival where the
+integral of the rate reaches n.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from apigateway.tools.load.shapes import Shape
 
-_MIN_STEP_S = 0.001  # of the integral for even arrivals
-_MAX_STEPS = 1_000_000  # of it; a longer run has longer steps
+_MIN_STEP_S = 0.001  # step of the numerical integration for even arrivals
+_MAX_STEPS = 1_000_000  # of the integration; a longer run has longer steps
 
 
 def seeded_random(seed: int, *purpose: object) -> random.Random:
-    """Return a generator of its own for each purpose, so that a change in one moves nothing in the others."""
+    """Return a generator for one purpose; more draws for one purpose leave the others unchanged."""
     text = "\x1f".join(str(part) for part in (seed, *purpose)).encode()
     return random.Random(int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big"))
 
@@ -40,7 +40,7 @@
     """Yield evenly spaced times, in seconds from the start."""
     if shape.max_rate() <= 0:
         return
-    next_arrival = 0.0  # the first comes when the integral is at 0 and the rate is not
+    next_arrival = 0.0  # value of the integral; the first arrival is at 0, as soon as the rate is above 0
     integral = 0.0
     step_length = max(_MIN_STEP_S, seconds / _MAX_STEPS)
     for step in range(math.ceil(seconds / step_length)):
--- a/apigateway/tools/load/customers.py
+++ b/apigateway/tools/load/customers.py
@@ -1,4 +1,4 @@
-"""The customers of a plan (employers, in scenario files): who asks how much, and at which gateways. Pure."""
+"""The customers of a plan (`employers` in scenario files): their shares of the load and their gateways."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from apigateway.tools.load.arrivals import seeded_random
 from apigateway.tools.load.scenario import PlanSection
 
-_PLAN_ID_SHIFT = 24  # bits of a customer's id below those of its plan: more than a plan may have customers
-_MIN_GATEWAY_WEIGHT = 0.01  # so that each gateway of a customer gets something
+_PLAN_ID_SHIFT = 24  # bits; 2**24 is more than the greatest number of customers of a plan
+_MIN_GATEWAY_WEIGHT = 0.01  # so that each gateway of a customer receives some requests
 
 
 class PlanCustomers:
     """The customers of one plan, by their index.
 
     Attributes:
-        ids: 16 hex digits each.
-        gateway_spread: How many gateways each customer uses.
-        first_gateways: The first of them for each customer; the others follow it.
+        ids: Customer ids of 16 hex digits.
+        gateway_spread: Number of gateways that each customer uses.
+        first_gateways: Index of the first gateway of each customer; its other gateways have the next indexes.
     """
 
     def __init__(self, plan: PlanSection, name: str, plan_index: int, gateway_count: int, seed: int) -> None:
@@ -35,18 +35,18 @@
         self.first_gateways = [rng.randrange(self._gateway_count) for _ in customers]
 
     def draw_customer(self, rng: random.Random) -> int:
-        """Draw who asks next."""
+        """Draw the customer of the next request."""
         weights = self._cumulative_weights
         return min(len(weights) - 1, bisect(weights, rng.random() * weights[-1]))
 
     def share(self, customer: int) -> float:
-        """Return a customer's part of what the plan asks."""
+        """Return a customer's share of the plan's requests."""
         weights = self._cumulative_weights
-        before = weights[customer - 1] if customer else 0.0
-        return float((weights[customer] - before) / weights[-1])
+        lower_weight = weights[customer - 1] if customer else 0.0
+        return float((weights[customer] - lower_weight) / weights[-1])
 
     def draw_gateway(self, customer: int, time: float, rng: random.Random) -> int:
-        """Draw where a customer asks: unevenly over its gateways, with new weights at each shift."""
+        """Draw the gateway of a customer's request, by uneven weights that change every `shift` seconds."""
         epoch = int(time / self._plan.shift) if self._plan.shift else 0
         weight_rng = seeded_random(self._seed, "weights", self._name, customer, epoch)
         weights = [weight_rng.random() ** 2 + _MIN_GATEWAY_WEIGHT for _ in range(self.gateway_spread)]
--- a/apigateway/tools/load/plan.py
+++ b/apigateway/tools/load/plan.py
@@ -1,4 +1,4 @@
-"""What a scenario will send, before anything is sent: figures, and a plot in text."""
+"""Computes and formats the figures of a scenario's schedule, without sending anything."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 PLOT_COLUMNS = 60
 
 _BARS = " ▁▂▃▄▅▆▇█"
-_SHOWN_DIGEST = 16  # characters of the SHA-256 in the text
+_SHOWN_DIGEST_LENGTH = 16  # characters of the SHA-256 in the text
 
 
 @dataclass(slots=True)
@@ -23,15 +23,15 @@
 
     Attributes:
         name: The scenario's name.
-        seconds: How long it lasts.
-        seed: What it is drawn by.
-        requests: How many there are.
-        sha256: Over all of them.
-        by_plan_and_class: Requests of each plan and class.
-        by_customer: Requests of each customer.
-        by_gateway: Requests to each target.
-        by_second: Requests due in each second.
-        by_column: Requests due in each column of the plot.
+        seconds: Duration of the run.
+        seed: Seed of the schedule.
+        requests: Number of requests.
+        sha256: Digest of all requests.
+        by_plan_and_class: Number of requests of each plan and class.
+        by_customer: Number of requests of each customer.
+        by_gateway: Number of requests to each target, by its index.
+        by_second: Number of requests due in each second.
+        by_column: Number of requests due in each column of the plot.
     """
 
     name: str
@@ -47,17 +47,17 @@
 
     @property
     def mean_rate(self) -> float:
-        """Requests a second over the whole run."""
+        """Mean requests per second over the whole run."""
         return self.requests / self.seconds if self.seconds else 0.0
 
     @property
     def rates(self) -> list[float]:
-        """Requests a second in each column of the plot."""
+        """Requests per second in each column of the plot."""
         column_seconds = self.seconds / PLOT_COLUMNS
         return [count / column_seconds if self.seconds else 0.0 for count in self.by_column]
 
     def count(self, request: ScheduledRequest) -> None:
-        """Count one request."""
+        """Add one request to the figures."""
         column = int(request.due_us / US_PER_S / self.seconds * PLOT_COLUMNS)
         self.by_column[min(PLOT_COLUMNS - 1, column)] += 1
         self.by_plan_and_class[request.plan, request.service_class] += 1
@@ -84,7 +84,7 @@
 
 
 def plan_scenario(scenario: Scenario) -> SchedulePlan:
-    """Draw a scenario's schedule and count it. Raises TooManyRequestsError."""
+    """Compute a scenario's schedule and return its figures. Raises TooManyRequestsError."""
     run = scenario.run
     plan = SchedulePlan(run.name, run.seconds, run.seed)
 
@@ -105,7 +105,7 @@
     max_rate = max(plan.rates, default=0.0)
     lines = [
         f"{plan.name}: {plan.requests} requests in {plan.seconds:g} s, seed {plan.seed}, "
-        f"sha256 {plan.sha256[:_SHOWN_DIGEST]}",
+        f"sha256 {plan.sha256[:_SHOWN_DIGEST_LENGTH]}",
         f"  {plan.mean_rate:.1f} a second in the mean, {document['busiest second']} in the busiest; "
         f"{document['employers']} employers, the busiest asks {document['busiest employer']}",
         f"  {_plot(plan.rates, max_rate)}  up to {max_rate:.0f} a second",
--- a/apigateway/tools/load/recorder.py
+++ b/apigateway/tools/load/recorder.py
@@ -1,8 +1,8 @@
-"""What became of all that was due: histograms and counts, by class, plan and outcome.
+"""Records the outcomes and latencies of requests, by class, plan and outcome.
 
-Latency is counted from when a request was due, not from when it was sent: a generator that waits for a
-stalled target would otherwise hide the stall (coordinated omission). How late the generator itself was is
-counted apart. Times are whole microseconds.
+Latency is measured from the time a request was due, not from the time it was sent: a generator that waits for
+a stalled target would otherwise hide the stall (coordinated omission). The lateness of the generator itself
+is recorded separately. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 
 from apigateway.tools.load.schedule import US_PER_S
 
-MAX_RECORDED_US = 3_600_000_000  # an hour; longer is counted as this
-SIGNIFICANT_DIGITS = 3  # that are exact of each value
+MAX_RECORDED_US = 3_600_000_000  # an hour; longer values are recorded as this
+SIGNIFICANT_DIGITS = 3  # precision of each recorded value
 
-Histogram = Any  # hdrh has no types
+Histogram = Any  # hdrh has no type hints
 
 
 class Outcome(enum.StrEnum):
-    """What became of a request; the values are those of the report."""
+    """The outcome of a request; the values appear in the report."""
 
     SERVED = "served"
-    REFUSED = "refused"  # the gateway rejected it: trying again is harmless
-    FAILED = "failed"  # the gateway answered that it may have run
-    LOST = "lost"  # no answer in its client's time
+    REFUSED = "refused"  # the gateway rejected it without running it, so a retry is safe
+    FAILED = "failed"  # the gateway answered with an error; a host may have run it
+    LOST = "lost"  # no answer within the client's timeout
     UNSENT = "unsent"  # no connection could be made
 
 
 class RecordKey(NamedTuple):
-    """What is counted in one histogram."""
+    """Key of one latency histogram."""
 
     service_class: str
     plan: str
@@ -40,15 +40,15 @@
 
 
 class LoadRecord:
-    """The outcomes of one run, or of one process's part of it.
+    """The outcomes of one run, or of the part of it that one process sends.
 
     Attributes:
-        latencies: Histograms of the latency from when a request was due.
-        lateness: Histogram of how late the generator began with each request.
-        outcomes_by_second: Outcomes by the second in which a request was due.
-        surplus_answers: Answers that no request waits for.
-        descriptor_shortages: Requests for which the generator had no file descriptor.
-        played_s: Seconds of the schedule that were played.
+        latencies: Histograms of the time from when a request was due to its outcome.
+        lateness: Histogram of the delay between the time a request was due and the time it was started.
+        outcomes_by_second: Number of requests with each outcome, by the second in which they were due.
+        surplus_answers: Number of answers that no request was waiting for.
+        descriptor_shortages: Number of requests for which the generator had no file descriptor.
+        played_s: Seconds of the schedule that were run.
     """
 
     def __init__(self) -> None:
@@ -60,17 +60,17 @@
         self.played_s = 0.0
 
     def record_start(self, late_us: int) -> None:
-        """Record how late the generator began with a request."""
-        self.lateness.record_value(_recordable(late_us))
+        """Record how late the generator started a request."""
+        self.lateness.record_value(_clamp_recorded(late_us))
 
     def record_outcome(
         self, due_us: int, service_class: str, plan: str, outcome: Outcome, latency_us: int
     ) -> None:
-        """Record the end of a request that was due at `due_us`."""
+        """Record the outcome of a request that was due at `due_us`."""
         key = RecordKey(service_class, plan, outcome)
         if key not in self.latencies:
             self.latencies[key] = create_histogram()
-        self.latencies[key].record_value(_recordable(latency_us))
+        self.latencies[key].record_value(_clamp_recorded(latency_us))
         self.outcomes_by_second.setdefault(due_us // US_PER_S, Counter())[outcome] += 1
 
     def add(self, other: LoadRecord) -> None:
@@ -87,7 +87,7 @@
         self.played_s = max(self.played_s, other.played_s)
 
     def latency_of(self, *outcomes: Outcome) -> Histogram:
-        """Return one histogram over these outcomes; without any, over all."""
+        """Return one latency histogram over the given outcomes; over all if none is given."""
         merged = create_histogram()
         for key, histogram in self.latencies.items():
             if not outcomes or key.outcome in outcomes:
@@ -95,7 +95,7 @@
         return merged
 
     def counts(self) -> dict[Outcome, int]:
-        """Return how many requests came to each outcome."""
+        """Return the number of requests with each outcome."""
         return {outcome: self.latency_of(outcome).get_total_count() for outcome in Outcome}
 
 
@@ -105,7 +105,7 @@
 
 
 def count_above(histogram: Histogram, threshold_us: float) -> int:
-    """Return how many values are above a threshold."""
+    """Return the number of recorded values above a threshold."""
     return sum(
         step.count_added_in_this_iter_step
         for step in histogram.get_recorded_iterator()
@@ -113,5 +113,5 @@
     )
 
 
-def _recordable(value_us: int) -> int:
+def _clamp_recorded(value_us: int) -> int:
     return min(MAX_RECORDED_US, max(1, value_us))
--- a/apigateway/tools/load/report.py
+++ b/apigateway/tools/load/report.py
@@ -1,4 +1,4 @@
-"""The report of a run: its figures as a JSON document and as text, and whether the run is void."""
+"""Builds the report of a run as a JSON document and as text, and decides whether the run is void."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 _MAX_PERCENTILE = 100.0
 _PERCENTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p99.9": 99.9, "max": _MAX_PERCENTILE}
 _NAME_WIDTH = 34  # characters of a row's name
-_FIGURE_WIDTH = 9
+_FIGURE_WIDTH = 9  # characters of a figure
 
 
 def percentiles_ms(histogram: Histogram) -> dict[str, float]:
-    """Return the percentiles of a histogram; none where nothing was counted."""
+    """Return the percentiles of a histogram; an empty dict if it has no values."""
     if not histogram.get_total_count():
         return {}
     return {
@@ -27,13 +27,13 @@
 
 
 def void_reason(record: LoadRecord, late_ms: float, late_share: float) -> str:
-    """Return why a run says nothing of its target; empty: it does.
+    """Return the reason why a run is void, or an empty string for a valid run.
 
-    It is void if the generator had no descriptor left, or began more than `late_share` of its requests more
-    than `late_ms` late.
+    The figures of a void run say nothing about its target. A run is void if the generator ran out of file
+    descriptors, or started more than `late_share` of its requests more than `late_ms` late.
     """
     if record.descriptor_shortages:
-        return f"the generator had no descriptor left for {record.descriptor_shortages} requests"
+        return f"the generator had no file descriptor for {record.descriptor_shortages} requests"
     total = record.lateness.get_total_count()
     if not total:
         return ""
@@ -42,13 +42,13 @@
         return ""
     max_late_ms = record.lateness.get_value_at_percentile(_MAX_PERCENTILE) / _US_PER_MS
     return (
-        f"the generator itself began {late} of {total} requests more than {late_ms:g} ms late "
-        f"({max_late_ms:.0f} ms at the most)"
+        f"the generator itself started {late} of {total} requests more than {late_ms:g} ms late "
+        f"(at most {max_late_ms:.0f} ms)"
     )
 
 
 def build_report(record: LoadRecord, name: str, void: str) -> Report:
-    """Return the report of the run `name`; `void` is its `void_reason`."""
+    """Return the report of the run `name`; `void` is the result of `void_reason`."""
     counts = record.counts()
     return {
         "name": name,
@@ -92,12 +92,12 @@
         f"{'ms from when it was due':{_NAME_WIDTH}} {columns}",
         _format_row("all", report["latency_ms"]["all"]),
     ]
-    for part in report["by"]:
-        name = f"{part['class']} {part['plan']} {part['outcome']} ({part['count']})"
-        lines.append(_format_row(name, part))
+    for group in report["by"]:
+        name = f"{group['class']} {group['plan']} {group['outcome']} ({group['count']})"
+        lines.append(_format_row(name, group))
     lines.append(_format_row("the generator's own lateness", report["late_ms"]))
     if report["surplus"]:
-        lines.append(f"{report['surplus']} answers that nobody had asked for")
+        lines.append(f"{report['surplus']} answers without a matching request")
     return "\n".join(lines)
 
 
--- a/apigateway/tools/load/resp.py
+++ b/apigateway/tools/load/resp.py
@@ -1,4 +1,4 @@
-"""RESP2 as clients speak it to gateways: commands out, replies in. By the platform's protocol."""
+"""Encodes the RESP2 commands that clients send to a gateway, and classifies its replies."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def encode_request(request: ScheduledRequest, service_class: ClassSection) -> bytes:
     """Encode the command of a request."""
     is_write = service_class.effect != "safe"
-    terms = [
+    options = [
         f"c={request.service_class}",
         f"t={request.plan}",
         f"d={int(service_class.wait * _MS_PER_S)}",
@@ -25,20 +25,20 @@
         f"first={request.first_gateway}",
     ]
     if service_class.effect == "keyed":
-        terms.append(f"k={request.request_id}")
-    parts = [
+        options.append(f"k={request.request_id}")
+    arguments = [
         b"API.WRITE" if is_write else b"API.READ",
         request.customer.encode(),
         request.request_id.encode(),
-        ",".join(terms).encode(),
+        ",".join(options).encode(),
     ]
     if is_write:
-        parts.append(_WRITE_BODY)
-    return b"*%d\r\n%s" % (len(parts), b"".join(encode_bulk_string(part) for part in parts))
+        arguments.append(_WRITE_BODY)
+    return b"*%d\r\n%s" % (len(arguments), b"".join(encode_bulk_string(argument) for argument in arguments))
 
 
 def read_outcome(reply: object) -> Outcome:
-    """Return what a reply, as hiredis reads it, says became of the request."""
+    """Return the outcome of a request from its reply, as hiredis parsed it."""
     value = reply[0] if isinstance(reply, list) and reply else reply
     if isinstance(value, bytes):
         return Outcome.SERVED
--- a/apigateway/tools/load/run.py
+++ b/apigateway/tools/load/run.py
@@ -1,4 +1,4 @@
-"""`api-gateway load run`: play a scenario and print what became of it."""
+"""`api-gateway load run`: run a scenario and print its report."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 def run(scenario: Scenario, as_json: bool) -> int:
-    """Play a scenario and print its report; return the exit code.
+    """Run a scenario and print its report; return the exit code.
 
     Raises TooManyRequestsError before anything is sent.
     """
-    sender = uvloop.run(_play(scenario))
+    sender = uvloop.run(_send_schedule(scenario))
     void = void_reason(sender.record, scenario.run.late_ms, scenario.run.late_share)
     report = build_report(sender.record, scenario.run.name, void)
     if sender.is_stopped:
@@ -29,11 +29,11 @@
     return ExitCode.FAILED if void else ExitCode.OK
 
 
-async def _play(scenario: Scenario) -> Sender:
-    requests = list(schedule(scenario))  # all drawn before the first is due
+async def _send_schedule(scenario: Scenario) -> Sender:
+    requests = list(schedule(scenario))  # drawn before the run, so that drawing delays no request
     sender = Sender(iter(requests), scenario.classes, target_addresses(scenario))
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, sender.stop)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, sender.stop)
     await sender.run()
     return sender
--- a/apigateway/tools/load/scenario.py
+++ b/apigateway/tools/load/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario file: what is due when, from whom, to which gateways. TOML, checked as all settings are.
+"""Reads and validates a scenario file (TOML): which customers send which requests, when, to which gateways.
 
 The fields of the sections are the keys of the file; docs/operate/load.md describes them.
 """
@@ -21,9 +21,9 @@
 
 
 class RunSection(ConfigSection, frozen=True, kw_only=True):
-    """`[run]`.
+    """`[run]`: the run as a whole.
 
-    A run is void where the generator began more than the fraction `late_share` of its requests more than
+    A run is void if the generator started more than the share `late_share` of its requests more than
     `late_ms` late.
     """
 
@@ -36,24 +36,24 @@
 
 
 class TargetsSection(ConfigSection, frozen=True, kw_only=True):
-    """`[targets]`: the gateways in the order of their numbers; `off_loopback` allows any address."""
+    """`[targets]`: the gateways by their index; `off_loopback` allows addresses off loopback."""
 
     gateways: Annotated[list[str], msgspec.Meta(max_length=10_000)] = []
     off_loopback: bool = False
 
 
 class ClassSection(ConfigSection, frozen=True, kw_only=True):
-    """`[classes.NAME]`: a service class; its clients wait `wait` seconds."""
+    """`[classes.NAME]`: a service class; its clients wait `wait` seconds for an answer."""
 
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
     wait: _Seconds = 3.0
 
 
 class PlanSection(ConfigSection, frozen=True, kw_only=True):
-    """`[plans.NAME]`: the customers of a plan, called employers here.
+    """`[plans.NAME]`: the customers of a plan, called employers in the file.
 
-    By `skew` the n-th asks 1/n^skew as much as the first. `spread`: gateways of each, 0 for all; which of
-    them are busy changes every `shift` seconds, 0 for never.
+    The n-th customer sends 1/n^skew times as many requests as the first. `spread` is the number of gateways
+    that each customer uses, 0 for all. Its distribution over them changes every `shift` seconds, 0 for never.
     """
 
     employers: _Count = 1
@@ -63,7 +63,7 @@
 
 
 class StreamSection(ConfigSection, frozen=True, kw_only=True):
-    """`[[streams]]`: requests of one class and plan, at the rate of a shape."""
+    """`[[streams]]`: requests of one class and plan, at the rate that a shape gives."""
 
     cls: _Name = msgspec.field(name="class")
     plan: _Name
@@ -74,9 +74,10 @@
 
 
 class SpellSection(ConfigSection, frozen=True, kw_only=True):
-    """`[[spells]]`: some customers ask more for a while.
+    """`[[spells]]`: some customers send more requests for a limited time.
 
-    `employers` of a plan, drawn by the seed, each ask `times` as much as usual for `length` seconds.
+    A number of `employers` of a plan, drawn with the seed, each send `times` as many requests as usual for
+    `length` seconds.
     """
 
     plan: _Name
@@ -87,7 +88,7 @@
 
 
 class Scenario(ConfigSection, frozen=True, kw_only=True):
-    """A scenario file."""
+    """The content of a scenario file."""
 
     run: RunSection = RunSection()
     targets: TargetsSection = TargetsSection()
@@ -98,7 +99,7 @@
 
 
 def read_scenario(path: str) -> Scenario:
-    """Read a scenario file. Raises InvalidConfigFileError with all that is wrong in it."""
+    """Read a scenario file. Raises InvalidConfigFileError with all its problems."""
     reader = ConfigReader(path)
     scenario = reader.read(read_toml(path), Scenario)
     if scenario is not None:
@@ -113,31 +114,33 @@
 
 
 def target_addresses(scenario: Scenario) -> list[Address]:
-    """Return the addresses of the gateways, in the order of their numbers."""
+    """Return the addresses of the gateways, in the order of their indexes."""
     return [parse_address(text) for text in scenario.targets.gateways]
 
 
 def _check_streams(reader: ConfigReader, scenario: Scenario) -> None:
     for index, stream in enumerate(scenario.streams):
-        _check_known(reader, ("streams", index, "class"), stream.cls, list(scenario.classes))
-        _check_known(reader, ("streams", index, "plan"), stream.plan, list(scenario.plans))
+        _check_name_is_defined(reader, ("streams", index, "class"), stream.cls, list(scenario.classes))
+        _check_name_is_defined(reader, ("streams", index, "plan"), stream.plan, list(scenario.plans))
 
 
-def _check_known(reader: ConfigReader, path: tuple[str, int, str], name: str, known_names: list[str]) -> None:
-    if name in known_names:
+def _check_name_is_defined(
+    reader: ConfigReader, path: tuple[str, int, str], name: str, defined_names: list[str]
+) -> None:
+    if name in defined_names:
         return
-    remedy = f"known: {', '.join(known_names) or 'none'}"
-    reader.add_semantic_problem(path, name, f"there is no such {path[-1]}", remedy)
+    remedy = f"valid names: {', '.join(defined_names) or 'none'}"
+    reader.add_semantic_problem(path, name, f"no such {path[-1]} is defined", remedy)
 
 
 def _check_spells(reader: ConfigReader, scenario: Scenario) -> None:
     for index, spell in enumerate(scenario.spells):
-        _check_known(reader, ("spells", index, "plan"), spell.plan, list(scenario.plans))
+        _check_name_is_defined(reader, ("spells", index, "plan"), spell.plan, list(scenario.plans))
         plan = scenario.plans.get(spell.plan)
         if plan is not None and spell.employers > plan.employers:
             path = ("spells", index, "employers")
-            reason = f"the plan has {plan.employers}"
-            reader.add_semantic_problem(path, spell.employers, reason, "let it be fewer")
+            reason = f"the plan has employers = {plan.employers}"
+            reader.add_semantic_problem(path, spell.employers, reason, "lower the value")
 
 
 def _check_spreads(reader: ConfigReader, scenario: Scenario) -> None:
@@ -146,23 +149,23 @@
         if gateway_count and plan.spread > gateway_count:
             path = ("plans", name, "spread")
             reason = f"there are {gateway_count} gateways"
-            reader.add_semantic_problem(path, plan.spread, reason, "let it be fewer")
+            reader.add_semantic_problem(path, plan.spread, reason, "lower the value")
 
 
-def _check_target(reader: ConfigReader, index: int, text: str, is_any_allowed: bool) -> None:
+def _check_target(reader: ConfigReader, index: int, text: str, allow_off_loopback: bool) -> None:
     path = ("targets", "gateways", index)
     try:
         host, _ = parse_address(text)
     except ValueError:
         remedy = "write it as HOST:PORT, an IPv6 host in brackets"
-        reader.add_semantic_problem(path, text, "is no address", remedy)
+        reader.add_semantic_problem(path, text, "is not an address", remedy)
         return
-    if not (_is_loopback(host) or is_any_allowed):
+    if not (_is_loopback(host) or allow_off_loopback):
         reader.add_semantic_problem(
             path,
             text,
-            "is not on loopback, and load is sent there",
-            "set targets.off_loopback = true where it is yours to load",
+            "is not on loopback, and the load generator would send load to it",
+            "set targets.off_loopback = true if you may load this gateway",
         )
 
 
--- a/apigateway/tools/load/schedule.py
+++ b/apigateway/tools/load/schedule.py
@@ -1,6 +1,7 @@
-"""From a scenario to what is due: every request with its time, customer, gateway and id.
+"""Computes the schedule of a scenario: every request with its due time, customer, gateway and id.
 
-Pure and seeded: the same to the byte each time. Times are whole microseconds from the start of the run.
+A scenario and its seed always give the same schedule, byte for byte. Times are whole microseconds from the
+start of the run.
 """
 
 from __future__ import annotations
@@ -20,23 +21,23 @@
 
 
 class TooManyRequestsError(Exception):
-    """More requests would be due than `run.max_requests` allows."""
+    """The schedule has more requests than `run.max_requests` allows."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledRequest:
-    """One request.
+    """One request of the schedule.
 
     Attributes:
-        due_us: When it is due.
-        request_id: Its id.
-        customer: 16 hex digits.
+        due_us: Time at which the request is due.
+        request_id: Unique id.
+        customer: Id of the customer, 16 hex digits.
         plan: The customer's plan.
-        service_class: Its class.
-        units: What it costs.
-        gateway_index: The target that it is sent to.
-        first_gateway: The first of its customer's gateways.
-        gateway_spread: How many gateways its customer uses.
+        service_class: Name of the service class.
+        units: Cost in units of quota.
+        gateway_index: Index of the target that receives the request.
+        first_gateway: Index of the customer's first gateway.
+        gateway_spread: Number of gateways that the customer uses.
     """
 
     due_us: int
@@ -50,7 +51,7 @@
     gateway_spread: int
 
     def digest_line(self) -> str:
-        """Return the request as `digest` counts it."""
+        """Return the line that represents the request in `digest`."""
         return (
             f"{self.due_us} {self.request_id} {self.customer} {self.plan} {self.service_class} "
             f"{self.units:g} {self.gateway_index} {self.first_gateway} {self.gateway_spread}\n"
@@ -58,7 +59,7 @@
 
 
 class _Arrival(NamedTuple):
-    """A request before it has an id. Sorted by its fields in this order."""
+    """A request before it has an id. Arrivals sort by these fields in this order."""
 
     due_us: int
     stream_index: int
@@ -67,7 +68,7 @@
 
 
 class SpellShape(Shape, frozen=True, kw_only=True, tag="spell"):
-    """What a customer asks beside its usual part, while a spell lasts."""
+    """The additional rate of a customer during a spell."""
 
     shape: Shape
     factor: float
@@ -84,7 +85,7 @@
 
 
 def schedule(scenario: Scenario) -> Iterator[ScheduledRequest]:
-    """Yield all that is due, in order of time. Raises TooManyRequestsError where it is more than allowed."""
+    """Yield the requests in order of due time. Raises TooManyRequestsError after `run.max_requests`."""
     run = scenario.run
     gateway_count = max(1, len(scenario.targets.gateways))
     customers_by_plan = {
@@ -99,8 +100,8 @@
     for number, arrival in enumerate(heapq.merge(*streams)):
         if number >= run.max_requests:
             raise TooManyRequestsError(
-                f"more than run.max_requests = {run.max_requests} would be due: "
-                f"by {arrival.due_us / US_PER_S:.1f} s there are"
+                f"the schedule exceeds run.max_requests = {run.max_requests} "
+                f"after {arrival.due_us / US_PER_S:.1f} s"
             )
         stream = scenario.streams[arrival.stream_index]
         customers = customers_by_plan[stream.plan]
@@ -118,17 +119,17 @@
 
 
 def digest(requests: Iterator[ScheduledRequest]) -> tuple[int, str]:
-    """Return how many requests there are, and a SHA-256 over them: two runs of a scenario send the same."""
+    """Return the number of requests and a SHA-256 over them; it is equal for all runs of a scenario."""
     count = 0
-    hash_of_lines = hashlib.sha256()
+    hasher = hashlib.sha256()
     for request in requests:
-        hash_of_lines.update(request.digest_line().encode())
+        hasher.update(request.digest_line().encode())
         count += 1
-    return count, hash_of_lines.hexdigest()
+    return count, hasher.hexdigest()
 
 
 class _StreamArrivals:
-    """The arrivals of one stream: those of all its customers, and the additional ones of spells."""
+    """The arrivals of one stream: the usual ones of all its customers and the additional ones of spells."""
 
     def __init__(self, scenario: Scenario, stream_index: int, customers: PlanCustomers) -> None:
         self._scenario = scenario
@@ -138,23 +139,25 @@
         self._customers = customers
 
     def merged(self) -> Iterator[_Arrival]:
-        """Return all arrivals in order of time."""
-        sources = [self._usual()]
+        """Return the usual and the additional arrivals, merged in order of time."""
+        sources = [self._usual_arrivals()]
         for spell_index, spell in enumerate(self._scenario.spells):
             if spell.plan == self._stream.plan:
                 rng = seeded_random(self._seed, "spelled", spell_index)
                 chosen = rng.sample(range(len(self._customers.ids)), spell.employers)
-                sources += [self._additional(spell, spell_index, customer) for customer in chosen]
+                sources += [self._additional_arrivals(spell, spell_index, customer) for customer in chosen]
         return heapq.merge(*sources)
 
-    def _usual(self) -> Iterator[_Arrival]:
+    def _usual_arrivals(self) -> Iterator[_Arrival]:
         rng = seeded_random(self._seed, "who", self._stream_index)
-        for time in self._times(self._stream.shape):
+        for time in self._arrival_times(self._stream.shape):
             customer = self._customers.draw_customer(rng)
             gateway = self._customers.draw_gateway(customer, time, rng)
             yield _Arrival(int(time * US_PER_S), self._stream_index, customer, gateway)
 
-    def _additional(self, spell: SpellSection, spell_index: int, customer: int) -> Iterator[_Arrival]:
+    def _additional_arrivals(
+        self, spell: SpellSection, spell_index: int, customer: int
+    ) -> Iterator[_Arrival]:
         rng = seeded_random(self._seed, "spell", self._stream_index, spell_index, customer)
         shape = SpellShape(
             shape=self._stream.shape,
@@ -162,11 +165,11 @@
             start=spell.at_s,
             end=spell.at_s + spell.length,
         )
-        for time in self._times(shape, "spell", spell_index, customer):
+        for time in self._arrival_times(shape, "spell", spell_index, customer):
             gateway = self._customers.draw_gateway(customer, time, rng)
             yield _Arrival(int(time * US_PER_S), self._stream_index, customer, gateway)
 
-    def _times(self, shape: Shape, *purpose: object) -> Iterator[float]:
+    def _arrival_times(self, shape: Shape, *purpose: object) -> Iterator[float]:
         seconds = self._scenario.run.seconds
         if self._stream.arrivals == "even":
             return even_arrivals(shape, seconds)
--- a/apigateway/tools/load/sender.py
+++ b/apigateway/tools/load/sender.py
@@ -1,6 +1,6 @@
-"""Sends what is due when it is due, whatever the targets do, over RESP2.
+"""Sends each request over RESP2 at the time it is due, whatever the targets do.
 
-An open loop: a request whose connection is not there yet, or whose target stalls, delays no other.
+This is an open loop: a request that waits for its connection or for a stalled target delays no other request.
 """
 
 from __future__ import annotations
@@ -18,17 +18,19 @@
 from apigateway.tools.load.target import OutgoingRequest, Target
 from apigateway.upstream.address import Address
 
-_TIMER_RESOLUTION_S = 0.0015  # the loop's timer counts in ms: the last of a wait is spent turning the loop
-_MAX_STARTED_AT_ONCE = 64  # requests begun in one turn of the loop, so that answers are read in between
+_TIMER_RESOLUTION_S = 0.0015  # event loop timers count in ms, so the end of a wait polls the loop instead
+_MAX_STARTED_AT_ONCE = (
+    64  # requests started in one iteration of the event loop, so that answers are read in between
+)
 
 
 class Sender:
-    """Sends one process's part of a run.
+    """Sends the requests of a run, or the part of them that one process sends.
 
     Attributes:
-        record: What became of the requests.
-        targets: The gateways, by their number.
-        started_at: When the run began, on the monotonic clock.
+        record: Outcomes of the requests.
+        targets: The gateways, by their index.
+        started_at: Start of the run on the monotonic clock.
     """
 
     def __init__(
@@ -37,7 +39,7 @@
         classes: dict[str, ClassSection],
         addresses: Sequence[Address],
     ) -> None:
-        """Prepare to send `requests`, which come in order of time."""
+        """Create a sender for `requests`, which must be in order of due time."""
         self.record = LoadRecord()
         self.targets = [Target(address, self.record, self._on_outcome) for address in addresses]
         self.started_at = 0.0
@@ -53,13 +55,13 @@
         return self._stop_requested.is_set()
 
     def stop(self) -> None:
-        """Begin nothing more; what was begun comes to its outcome."""
+        """Start no more requests; those already started run to their outcome."""
         self._stop_requested.set()
 
     async def run(self) -> LoadRecord:
-        """Send all that is due, or until `stop` is called, and wait for the outcomes.
+        """Send all requests, or those due before `stop` is called, and wait for their outcomes.
 
-        Garbage is not collected until the end: collections are pauses of the generator's own.
+        The garbage collector is off during the run, since a collection would pause the generator.
         """
         gc.collect()
         gc.freeze()
@@ -94,7 +96,7 @@
             self.record.played_s = request.due_us / US_PER_S
 
     async def _wait_until(self, due_at: float) -> bool:
-        """Wait until a time or until `stop` is called; return whether the loop was given a turn."""
+        """Wait until a time or until `stop` is called; return whether the event loop ran meanwhile."""
         has_waited = False
         while not self.is_stopped and (remaining := due_at - time.monotonic()) > 0:
             has_waited = True
@@ -112,24 +114,26 @@
         self._outstanding += 1
         late_us = self._elapsed_us(scheduled)
         self.record.record_start(late_us)
-        remaining = service_class.wait - late_us / US_PER_S  # its client's time began when it was due
+        remaining = (
+            service_class.wait - late_us / US_PER_S
+        )  # the client's timeout starts when the request is due
         loop = asyncio.get_running_loop()
         request.timer = loop.call_later(max(0.0, remaining), self._on_timeout, request)
         self.targets[scheduled.gateway_index % len(self.targets)].send(request)
 
     def _elapsed_us(self, scheduled: ScheduledRequest) -> int:
-        """Return the time since a request was due."""
+        """Return the time since a request was due, in microseconds."""
         return int((time.monotonic() - self.started_at) * US_PER_S) - scheduled.due_us
 
     def _on_timeout(self, request: OutgoingRequest) -> None:
-        """End a request whose client's time is over."""
+        """Record a request as lost when its client's timeout expires, and abort its connection."""
         connection = request.connection
         self._on_outcome(request, Outcome.LOST)
         if connection is not None and connection.request is request:
             connection.abandon()
 
     def _on_outcome(self, request: OutgoingRequest, outcome: Outcome) -> None:
-        """Record an outcome, unless the request has come to one before."""
+        """Record the outcome of a request, unless it already has one."""
         if request.is_over:
             return
         request.is_over = True
--- a/apigateway/tools/load/shapes.py
+++ b/apigateway/tools/load/shapes.py
@@ -1,7 +1,7 @@
-"""How many requests a second are due, over time: shapes of a scenario, their sums and products. Pure.
+"""Request rates over time: the shapes that a scenario file can use, and their sums and products.
 
-Rates are requests a second; times are seconds from the start of the run. Each shape knows a rate that it
-never exceeds, by which arrivals are drawn. The fields of the shapes are keys of scenario files.
+Rates are requests per second; times are seconds from the start of the run. Each shape has an upper bound of
+its rate, which is needed to draw arrivals. The fields of the shapes are keys of scenario files.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 import msgspec
 
-WORK_STARTS = 0.25  # of `Day`, as a fraction of it: 6 o'clock
-WORK_ENDS = 0.75  # 18 o'clock
+WORK_START = 0.25  # position in the day of `Day`, as a share of it: 6:00
+WORK_END = 0.75  # 18:00
 
 _Rate = Annotated[float, msgspec.Meta(ge=0, le=1e6)]
 _Time = Annotated[float, msgspec.Meta(ge=0, le=1e8)]
@@ -21,19 +21,19 @@
 
 
 class Shape(msgspec.Struct, frozen=True, kw_only=True, tag_field="kind", forbid_unknown_fields=True):
-    """A rate over time; `kind` of a scenario's table names the subclass."""
+    """A rate over time; the key `kind` of a table in a scenario file selects the subclass."""
 
     def rate_at(self, time: float) -> float:
         """Return the rate at a time."""
         raise NotImplementedError
 
     def max_rate(self) -> float:
-        """Return a rate that `rate_at` never exceeds."""
+        """Return an upper bound of `rate_at`."""
         raise NotImplementedError
 
 
 class Constant(Shape, frozen=True, kw_only=True, tag="constant"):
-    """The same rate all the time."""
+    """A constant rate."""
 
     rate: _Rate
 
@@ -45,7 +45,7 @@
 
 
 class Ramp(Shape, frozen=True, kw_only=True, tag="ramp"):
-    """From `start` to `end`, linearly within `over` seconds from `at_s` on; constant before and after."""
+    """A linear change from `start` to `end` within `over` seconds from `at_s`; constant before and after."""
 
     start: _Rate
     end: _Rate
@@ -61,7 +61,7 @@
 
 
 class Steps(Shape, frozen=True, kw_only=True, tag="steps"):
-    """Each of `rates` for `each` seconds; the last one stays."""
+    """A sequence of `rates`, each for `each` seconds; the last one lasts to the end of the run."""
 
     rates: Annotated[list[_Rate], msgspec.Meta(min_length=1, max_length=10_000)]
     each: _Duration
@@ -75,7 +75,7 @@
 
 
 class Burst(Shape, frozen=True, kw_only=True, tag="burst"):
-    """`rate` from `at_s` on for `length` seconds, else nothing; with `every`, again each so many seconds."""
+    """`rate` for `length` seconds from `at_s`, else 0; repeats every `every` seconds unless that is 0."""
 
     rate: _Rate
     at_s: _Time
@@ -95,7 +95,7 @@
 
 
 class OnOff(Shape, frozen=True, kw_only=True, tag="on-off"):
-    """`rate` for `on` seconds, nothing for `off` seconds, and so on."""
+    """`rate` for `on` seconds and 0 for `off` seconds, alternating."""
 
     rate: _Rate
     on: _Duration
@@ -109,7 +109,7 @@
 
 
 class Sine(Shape, frozen=True, kw_only=True, tag="sine"):
-    """Around `mean`, up and down by the fraction `swing` of it within each `period` seconds."""
+    """A sine around `mean` with the amplitude `swing` * `mean` and a period of `period` seconds."""
 
     mean: _Rate
     swing: _Fraction
@@ -124,9 +124,9 @@
 
 
 class Day(Shape, frozen=True, kw_only=True, tag="day"):
-    """Office hours: the fraction `low` of `rate` by night, all of it at noon.
+    """Office hours: the fraction `low` of `rate` at night, rising to `rate` at noon.
 
-    A day has `day` seconds and begins at midnight.
+    A day lasts `day` seconds and begins at midnight.
     """
 
     rate: _Rate
@@ -135,10 +135,10 @@
 
     def rate_at(self, time: float) -> float:
         time_of_day = time / self.day % 1.0
-        height = 0.0  # of the rate over that of the night, from 0 to 1
-        if WORK_STARTS <= time_of_day <= WORK_ENDS:
-            worked = (time_of_day - WORK_STARTS) / (WORK_ENDS - WORK_STARTS)
-            height = max(0.0, math.sin(math.pi * worked))
+        height = 0.0  # position between the night rate (0) and the noon rate (1)
+        if WORK_START <= time_of_day <= WORK_END:
+            work_progress = (time_of_day - WORK_START) / (WORK_END - WORK_START)
+            height = max(0.0, math.sin(math.pi * work_progress))
         return self.rate * (self.low + (1 - self.low) * height)
 
     def max_rate(self) -> float:
@@ -146,9 +146,9 @@
 
 
 class BuildUp(Shape, frozen=True, kw_only=True, tag="build-up"):
-    """Weeks before a holiday: from `start` to `end` by the same factor each day, within `over` seconds.
+    """The weeks before a holiday: `start` grows to `end` by the same factor each day, within `over` seconds.
 
-    The rates are those at noon; each day has the shape of `Day`.
+    `start` and `end` are noon rates; each day has the shape of `Day`.
     """
 
     start: Annotated[float, msgspec.Meta(gt=0, le=1e6)]
@@ -167,9 +167,9 @@
 
 
 class MonthStart(Shape, frozen=True, kw_only=True, tag="month-start"):
-    """`base`, and from `at_s` on up to `peak` within `rise` seconds, then back.
+    """`base`, with a rise to `peak` within `rise` seconds from `at_s`, and a decay back to `base`.
 
-    What is above `base` halves every `half` seconds.
+    The excess over `base` halves every `half` seconds.
     """
 
     base: _Rate
--- a/apigateway/tools/load/target.py
+++ b/apigateway/tools/load/target.py
@@ -1,4 +1,4 @@
-"""One gateway that load is sent to: kept connections with one request on each at a time."""
+"""A gateway under load: a pool of keep-alive connections, each with one request in flight."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class OutgoingRequest:
-    """A request that was begun; it comes to one outcome.
+    """A request that was started; it gets exactly one outcome.
 
     Attributes:
-        scheduled: What is due.
-        command: Its bytes.
-        timer: Ends it when its client's time is over.
-        connection: The connection that it was sent on.
-        is_over: It has come to its outcome.
-        is_retry: It was sent on a kept connection that ended, and is sent once more.
+        scheduled: The request as it stands in the schedule.
+        command: The encoded command.
+        timer: Expires at the end of the client's timeout.
+        connection: The connection that the request was sent on.
+        is_over: Whether the request has its outcome.
+        is_retry: Whether the request was sent again because its keep-alive connection was closed.
     """
 
     __slots__ = ("scheduled", "command", "timer", "connection", "is_over", "is_retry")
@@ -44,7 +44,7 @@
 
 
 class TargetConnection(asyncio.Protocol):
-    """A kept connection with one request on it at a time."""
+    """A keep-alive connection with at most one request in flight."""
 
     def __init__(self, target: Target) -> None:
         self.transport: asyncio.Transport
@@ -54,29 +54,31 @@
         self._answer_count = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take note of the transport."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's has no base in common with asyncio's
+        """Store the transport and add the connection to those of the target."""
+        self.transport = cast(
+            asyncio.Transport, transport
+        )  # uvloop's transports do not derive from asyncio.Transport
         self._target.connections.add(self)
 
     def send(self, request: OutgoingRequest) -> None:
-        """Send a request; its answer is the next reply."""
+        """Send a request; the next reply on this connection answers it."""
         self.request = request
         request.connection = self
         self.transport.write(request.command)
 
     def abandon(self) -> None:
-        """Give up the request: what still comes here would be taken for another's answer."""
+        """Abort the connection: a late reply would be taken for the answer to another request."""
         self.request = None
         self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """End the request with its answer, and keep the connection."""
+        """Parse replies, report the outcome of the request, and return the connection to the pool."""
         try:
             self._parser.feed(data)
             while (reply := self._parser.gets()) is not ...:
                 request = self.request
                 self.request = None
-                if request is None:  # an answer too many: nothing that follows can be told apart
+                if request is None:  # surplus answer: later replies cannot be matched to requests
                     self._target.record.surplus_answers += 1
                     self.transport.abort()
                     return
@@ -89,7 +91,7 @@
             self._target.idle.append(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the request, or send it once more if the connection had been idle before it."""
+        """Send the request in flight again if the connection was reused; otherwise report it as lost."""
         self._target.connections.discard(self)
         if self in self._target.idle:
             self._target.idle.remove(self)
@@ -97,9 +99,10 @@
         self.request = None
         if request is None:
             return
-        # A gateway may close a connection between requests; one that crosses that is sent once more.
-        was_kept = self._answer_count > 0
-        if was_kept and not request.is_retry and not request.is_over and not self._target.is_closing:
+        # A gateway may close a keep-alive connection between requests. A request that was sent just then is
+        # sent once more on a new connection.
+        was_reused = self._answer_count > 0
+        if was_reused and not request.is_retry and not request.is_over and not self._target.is_closing:
             request.is_retry = True
             request.connection = None
             self._target.send_on_new_connection(request)
@@ -111,11 +114,11 @@
     """A gateway, and the connections to it.
 
     Attributes:
-        record: Counts what no request's outcome tells.
-        on_outcome: Called with each outcome, maybe more than once for a request.
-        idle: Connections without a request.
-        connections: All that are up.
-        is_closing: Nothing is sent any more.
+        record: Counts surplus answers and descriptor shortages.
+        on_outcome: Called with each outcome, possibly more than once for a request.
+        idle: Open connections without a request.
+        connections: All open connections.
+        is_closing: Whether the target is being closed, after which nothing is sent.
     """
 
     def __init__(self, address: Address, record: LoadRecord, on_outcome: OutcomeCallback) -> None:
@@ -135,22 +138,24 @@
             self.send_on_new_connection(request)
 
     def send_on_new_connection(self, request: OutgoingRequest) -> None:
-        """Connect, and send a request then."""
+        """Start a task that connects and then sends a request."""
         task = asyncio.get_running_loop().create_task(self.connect(request))
         self._connect_tasks.add(task)
         task.add_done_callback(self._connect_tasks.discard)
 
     async def connect(self, request: OutgoingRequest) -> None:
-        """Connect, and send the request unless its time ran out meanwhile."""
+        """Connect, and send the request unless its timeout has expired meanwhile."""
         try:
             loop = asyncio.get_running_loop()
             _, connection = await loop.create_connection(lambda: TargetConnection(self), *self._address)
         except OSError as error:
-            if error.errno in _DESCRIPTOR_SHORTAGE_ERRORS:  # the generator's own, no fault of the target's
+            if (
+                error.errno in _DESCRIPTOR_SHORTAGE_ERRORS
+            ):  # a limit of the generator's process, not a fault of the target
                 self.record.descriptor_shortages += 1
             self.on_outcome(request, Outcome.UNSENT)
             return
-        if request.is_over:  # others can use the connection
+        if request.is_over:  # another request can use the connection
             self.idle.append(connection)
         else:
             connection.send(request)
--- a/tests/load/test_scenario.py
+++ b/tests/load/test_scenario.py
@@ -36,11 +36,11 @@
         ("[targets]\ngateways = ['10.0.0.1:6379']", "targets.gateways[0]", "not on loopback"),
         ("[targets]\ngateways = ['gateway.test:6379']", "targets.gateways[0]", "off_loopback = true"),
         ("[targets]\ngateways = ['nowhere']", "targets.gateways[0]", "HOST:PORT"),
-        ("[[spells]]\nplan = 'q'\ntimes = 2.0\nat_s = 1.0\nlength = 1.0", "spells[0].plan", "known: p"),
+        ("[[spells]]\nplan = 'q'\ntimes = 2.0\nat_s = 1.0\nlength = 1.0", "spells[0].plan", "valid names: p"),
         (
             "[[spells]]\nplan = 'p'\nemployers = 2\ntimes = 2.0\nat_s = 1.0\nlength = 1.0",
             "spells[0].employers",
-            "the plan has 1",
+            "the plan has employers = 1",
         ),
         (
             "[plans.q]\nspread = 2\n[targets]\ngateways = ['127.0.0.1:1']",
@@ -50,7 +50,7 @@
         (
             "[[streams]]\nclass = 'write'\nplan = 'p'\nshape = { kind = 'constant', rate = 1.0 }",
             "streams[1].class",
-            "known: read",
+            "valid names: read",
         ),
         (
             "[[streams]]\nclass = 'read'\nplan = 'p'\nshape = { kind = 'circle', rate = 1.0 }",
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -199,7 +199,7 @@
 
         record = await sent(evenly(100, 0.8), host.port, before=starve)
         why = void_reason(record, 10.0, 0.001)
-        assert "the generator itself began" in why and record.lateness.get_max_value() >= 0.3 * US_PER_S
+        assert "the generator itself started" in why and record.lateness.get_max_value() >= 0.3 * US_PER_S
         document = build_report(record, "starved", why)
         assert "VOID" in format_report(document) and document["due"] == 80
         assert (
@@ -245,7 +245,7 @@
         target.connect = connect
         target.idle = Never()
         record = await sender.run()
-        assert record.descriptor_shortages == 2 and "no descriptor" in void_reason(record, 10_000, 1.0)
+        assert record.descriptor_shortages == 2 and "no file descriptor" in void_reason(record, 10_000, 1.0)
 
 
 class Never(list):
