--- a/apigateway/cli/experiment.py
+++ b/apigateway/cli/experiment.py
@@ -16,7 +16,7 @@
 from apigateway.tools.experiment.experiment_file import read_experiment
 from apigateway.tools.experiment.json_report import format_report, read_figures
 from apigateway.tools.experiment.plots import plot_figures, plot_seconds
-from apigateway.tools.experiment.runner import RunResult, run_all
+from apigateway.tools.experiment.runner import RunResult, run_simulations
 from apigateway.tools.experiment.summary import FiguresByLabel, SummaryRow, summarize
 from apigateway.tools.experiment.tables import figure_table, second_table
 
@@ -86,7 +86,7 @@
     with Progress(console=Console(stderr=True), transient=True) as progress:
         progress_task = progress.add_task(experiment.name, total=len(experiment.runs))
         try:
-            for number, result in run_all(experiment.runs, process_count):
+            for number, result in run_simulations(experiment.runs, process_count):
                 results[number] = result
                 progress.advance(progress_task)
         except KeyboardInterrupt:
--- a/apigateway/tools/experiment/experiment.py
+++ b/apigateway/tools/experiment/experiment.py
@@ -1,4 +1,4 @@
-"""What an experiment is: the simulations that are to be run, and what is shown of them."""
+"""The definition of an experiment: its simulation runs, and the columns of its table."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from apigateway.simulation.scenario import Scenario
 
-MODULE_POLICY = "module"  # the decision module; "module:FILE": one that stands in a file of its own
+MODULE_POLICY = "module"  # this program's decision module; "module:FILE" loads another from a file
 
 
 class SweptValue(NamedTuple):
-    """A key that an experiment sweeps, and its value in one run."""
+    """A key that an experiment sweeps, with its value in one run."""
 
-    key: str  # of a scenario, with dots between tables
+    key: str  # path of a key in a scenario, with dots between tables
     value: Any
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedRun:
-    """One simulation of an experiment."""
+    """One simulation run of an experiment."""
 
     case: str
     swept: tuple[SweptValue, ...]
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """An experiment as its file describes it.
+    """An experiment as defined by its file.
 
     Attributes:
-        columns: The figures that the table shows.
-        runs: In the order of the file: by case, swept values and seed.
+        columns: Names of the figures that the table shows.
+        runs: Runs in the order of the file: by case, swept values and seed.
     """
 
     name: str
@@ -42,10 +42,10 @@
 
 
 def is_module_policy(policy: str) -> bool:
-    """Return whether a scenario's policy is a decision module, and no baseline."""
+    """Return whether a scenario's policy is a decision module rather than a baseline."""
     return policy.startswith(MODULE_POLICY)
 
 
 def module_path(policy: str) -> str:
-    """Return the file of a policy "module:FILE"; empty for the program's own module."""
+    """Return the file of a policy "module:FILE", or an empty string for this program's own module."""
     return policy.partition(":")[2] if is_module_policy(policy) else ""
--- a/apigateway/tools/experiment/experiment_file.py
+++ b/apigateway/tools/experiment/experiment_file.py
@@ -1,7 +1,7 @@
-"""Reads a file of experiments: cases, what is swept, and seeds, into the runs that it asks for.
+"""Reads an experiment file (cases, swept values, seeds) and expands it into runs.
 
-A table in the file has the fields of a dataclass of simulation/scenario.py; what it leaves out keeps the
-default there.
+A table in the file has the fields of a dataclass in simulation/scenario.py; an omitted key keeps the default
+of its field.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from apigateway.tools.experiment.experiment import Experiment, PlannedRun, SweptValue
 from apigateway.tools.experiment.scenario_reader import read_scenario, suggest_key
 
-MAX_RUNS = 10_000  # a sweep of too many keys would run for days
+MAX_RUNS = 10_000  # guards against a sweep of many keys that would run for days
 DEFAULT_COLUMNS = (
     "in_aim",
     "refused",
@@ -31,14 +31,14 @@
 
 
 def read_experiment(path: str, seed_count: int = 0) -> Experiment:
-    """Read a file of experiments.
+    """Read an experiment file.
 
     Args:
-        path: The file.
-        seed_count: Seeds 1 to this one in place of the file's; 0: the file's.
+        path: Path of the file.
+        seed_count: Use seeds 1 to this number instead of the seeds in the file; 0: use the seeds in the file.
 
     Raises:
-        InvalidConfigFileError: With all problems of the first case that has any.
+        InvalidConfigFileError: The file is invalid; it reports all problems of the first invalid case.
     """
     tree = read_toml(path)
     reader = ConfigReader(path)
@@ -71,7 +71,7 @@
         sweep[key] = values
         if not isinstance(values, list) or not values:
             remedy = "write it as [first, second]"
-            reader.add_problem(("sweep", key), values, "is no list of values", remedy)
+            reader.add_problem(("sweep", key), values, "is not a list of values", remedy)
             sweep[key] = [values]
     return sweep
 
@@ -81,17 +81,17 @@
         return list(range(1, seed_count + 1))
     seeds: list[int] = tree.get("seeds", [1])
     if not seeds or not all(isinstance(seed, int) for seed in seeds):
-        reader.add_problem(("seeds",), seeds, "is no list of whole numbers", "write it as [1, 2, 3]")
+        reader.add_problem(("seeds",), seeds, "is not a list of whole numbers", "write it as [1, 2, 3]")
     return seeds
 
 
-def _check_run_count(reader: ConfigReader, runs_of_point: int, sweep: dict[str, list[Any]]) -> None:
-    """Report a sweep that asks for too many runs; `runs_of_point` are those for one choice of values."""
-    count = runs_of_point
+def _check_run_count(reader: ConfigReader, runs_per_choice: int, sweep: dict[str, list[Any]]) -> None:
+    """Report an experiment with too many runs; `runs_per_choice` is the number for one choice of values."""
+    count = runs_per_choice
     for values in sweep.values():
         count *= len(values)
     if count > MAX_RUNS:
-        reader.add_problem((), None, f"asks for {count} plays", f"{MAX_RUNS} at most")
+        reader.add_problem((), None, f"requires {count} runs", f"reduce them to {MAX_RUNS} or fewer")
 
 
 def _read_case(
@@ -102,7 +102,7 @@
     sweep: dict[str, list[Any]],
     seeds: list[int],
 ) -> Iterator[PlannedRun]:
-    """Yield the runs of a case: one for each choice of swept values and each seed."""
+    """Yield the runs of a case: one for each combination of swept values and each seed."""
     name = str(case.get("name", f"case {number + 1}"))
     own_settings = {key: value for key, value in case.items() if key != "name"}
     choices = ([SweptValue(key, value) for value in values] for key, values in sweep.items())
@@ -117,7 +117,7 @@
 
 
 def merge_tables(base: dict[str, Any], override: dict[str, Any]) -> dict[str, Any]:
-    """Return `base` with the values of `override`, table by table."""
+    """Return a copy of `base` with the values of `override`; nested tables are merged."""
     merged = copy.deepcopy(base)
     for key, value in override.items():
         old = merged.get(key)
@@ -129,6 +129,6 @@
 
 
 def _set_value(tree: dict[str, Any], path: list[str], value: Any) -> None:
-    for step in path[:-1]:
-        tree = tree.setdefault(step, {})
+    for key in path[:-1]:
+        tree = tree.setdefault(key, {})
     tree[path[-1]] = value
--- a/apigateway/tools/experiment/file_keys.py
+++ b/apigateway/tools/experiment/file_keys.py
@@ -1,4 +1,4 @@
-"""The keys of an experiment's file where they are other than the names of the fields that they fill."""
+"""Maps keys of experiment files to fields whose names differ from them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from apigateway import messages
 
-# By type: the key in the file, and the field. Files keep their keys when fields are renamed.
+# By type, the field of each key. The keys are stable, so files stay valid when a field is renamed.
 FIELDS_BY_KEY: dict[type, dict[str, str]] = {
     messages.Plan: {
         "open_limit": "concurrency_limit",
@@ -30,18 +30,18 @@
 
 
 def key_types(schema: Any) -> dict[str, Any]:
-    """Return the keys of a dataclass's table in a file, and the types of what they hold."""
+    """Return the keys of a dataclass's table in a file, with the types of their values."""
     keys = {field: key for key, field in FIELDS_BY_KEY.get(schema, {}).items()}
     return {keys.get(field, field): kind for field, kind in typing.get_type_hints(schema).items()}
 
 
 def item_type(kind: Any) -> Any:
-    """Return the type of a tuple's items, or the type itself if it is no tuple."""
+    """Return the type of a tuple's items, or the type itself if it is not a tuple."""
     return typing.get_args(kind)[0] if typing.get_origin(kind) is tuple else kind
 
 
 def rename_keys(tree: Any, schema: Any) -> Any:
-    """Return a file's table with the names of the fields for its keys; `schema` is the dataclass it fills."""
+    """Return a file's table with keys replaced by field names; `schema` is the dataclass of the table."""
     if isinstance(tree, list):
         return [rename_keys(item, schema) for item in tree]
     if not isinstance(tree, dict) or not dataclasses.is_dataclass(schema):
@@ -52,7 +52,7 @@
 
 
 def key_of_field(name: str) -> str:
-    """Return the key in a file of a field, for messages."""
+    """Return the key of a field in files, for messages."""
     for fields in FIELDS_BY_KEY.values():
         for key, field in fields.items():
             if field == name:
--- a/apigateway/tools/experiment/json_report.py
+++ b/apigateway/tools/experiment/json_report.py
@@ -1,4 +1,4 @@
-"""The file of figures that an experiment writes, and that a later one is compared with."""
+"""Writes the figures of an experiment to a JSON file, and reads them to compare a later run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def format_report(experiment: Experiment, rows: list[SummaryRow]) -> str:
-    """Return the text of a file of figures."""
+    """Return the content of a figures file."""
     report = {"version": FORMAT_VERSION, "name": experiment.name, "rows": [_row_as_json(row) for row in rows]}
     return json.dumps(report, indent=1)
 
@@ -30,10 +30,10 @@
 
 
 def read_figures(path: str) -> FiguresByLabel:
-    """Read the figures of an earlier run.
+    """Read the figures of an earlier run from a figures file.
 
     Raises:
-        ValueError: With the reason why the file cannot be read.
+        ValueError: The file cannot be read or is not a figures file.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -42,7 +42,7 @@
         raise ValueError(f"{path}: cannot be read ({error})") from error
     is_report = isinstance(report, dict) and report.get("version") == FORMAT_VERSION
     if not is_report or not isinstance(report.get("rows"), list):
-        raise ValueError(f"{path}: is no file of figures of version {FORMAT_VERSION}")
+        raise ValueError(f"{path}: is not a figures file of version {FORMAT_VERSION}")
     return {
         row_label(row["case"], row["swept"]): {
             name: FigureRange(*values) for name, values in row["figures"].items()
--- a/apigateway/tools/experiment/plots.py
+++ b/apigateway/tools/experiment/plots.py
@@ -1,4 +1,4 @@
-"""The plots of an experiment; they need matplotlib."""
+"""Draws the plots of an experiment with matplotlib."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from apigateway.tools.experiment.experiment import Experiment
 from apigateway.tools.experiment.summary import FigureRange, SummaryRow
 
-NO_FIGURE = FigureRange(0.0, 0.0, 0.0)
-TITLE_SIZE = 9  # points, as all sizes of text
+MISSING_FIGURE = FigureRange(0.0, 0.0, 0.0)
+TITLE_SIZE = 9  # points, like all font sizes here
 PANEL_TITLE_SIZE = 8
 LABEL_SIZE = 7
 LEGEND_SIZE = 6
 
 
 def plot_figures(experiment: Experiment, rows: list[SummaryRow], path: str) -> None:
-    """Draw a panel for each column, with a bar for each row and what its seeds span."""
+    """Draw a panel for each column, with a bar for each row and an error bar for the range over its seeds."""
     pyplot = _load_pyplot()
     columns = [name for name in experiment.columns if any(name in row.figures for row in rows)]
     labels = [row.label for row in rows]
@@ -24,12 +24,12 @@
         1, len(columns), figsize=(2.2 + 1.8 * len(columns), height), sharey=True, squeeze=False
     )
     for panel, name in zip(panels[0], columns, strict=True):
-        values = [row.figures.get(name, NO_FIGURE) for row in rows]
-        spans = [
-            [value.median - value.least for value in values],
-            [value.most - value.median for value in values],
+        values = [row.figures.get(name, MISSING_FIGURE) for row in rows]
+        error_bars = [
+            [value.median - value.minimum for value in values],
+            [value.maximum - value.median for value in values],
         ]
-        panel.barh(labels, [value.median for value in values], xerr=spans, height=0.7)
+        panel.barh(labels, [value.median for value in values], xerr=error_bars, height=0.7)
         panel.set_title(name, fontsize=PANEL_TITLE_SIZE)
         panel.tick_params(labelsize=LABEL_SIZE)
     panels[0][0].invert_yaxis()
@@ -37,7 +37,7 @@
 
 
 def plot_seconds(experiment: Experiment, rows: list[SummaryRow], path: str) -> None:
-    """Draw for each case the share within the objective by second, and below it the attempts in vain.
+    """Draw for each case, by second, the share within the latency objective and the attempts in vain.
 
     Each row of a case is a line.
     """
@@ -63,7 +63,7 @@
 def _load_pyplot() -> Any:
     import matplotlib
 
-    matplotlib.use("Agg")  # draws to files without a display
+    matplotlib.use("Agg")  # backend that writes files and needs no display
     from matplotlib import pyplot
 
     return pyplot
--- a/apigateway/tools/experiment/runner.py
+++ b/apigateway/tools/experiment/runner.py
@@ -1,4 +1,4 @@
-"""Runs an experiment's simulations side by side, each in a process of its own."""
+"""Runs the simulations of an experiment in parallel worker processes."""
 
 from __future__ import annotations
 
@@ -15,19 +15,21 @@
 from apigateway.simulation.simulation import Simulation
 from apigateway.tools.experiment.experiment import PlannedRun, is_module_policy, module_path
 
-MAX_SHOWN_VIOLATIONS = 3  # of a run
-MODULE_NAME = "apigateway_other_policy"  # of a decision module that is loaded from a file
-FULL_COST = 3  # of a run, against one whose policy has an argument: mostly a baseline that sees the past
+MAX_SHOWN_VIOLATIONS = 3  # broken rules reported per run
+MODULE_NAME = "apigateway_other_policy"  # Python module name of a decision module loaded from a file
+# Duration of a run whose policy has no argument, relative to one whose policy has an argument: that is mostly
+# a baseline that sees past state.
+FULL_RUN_COST_RATIO = 3
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """What one run came to.
+    """The result of one run.
 
     Attributes:
-        figures: By their names in reports; "seconds" has the counts by second.
+        figures: Figures by their names in reports; "seconds" holds the counts by second.
         violations: The first broken rules.
-        is_module: Whether a decision module was run, and no baseline.
+        is_module: Whether the policy was a decision module rather than a baseline.
     """
 
     figures: dict[str, Any]
@@ -36,17 +38,17 @@
 
 
 class FinishedRun(NamedTuple):
-    """A run that has ended, by its number in the experiment."""
+    """A finished run with its number in the experiment."""
 
     number: int
     result: RunResult
 
 
 def load_module(policy: str) -> ModuleFactory:
-    """Return what makes the decision modules of a policy: the program's own, or those of a file.
+    """Return the factory of a policy's decision modules, from this program or from a file.
 
     Raises:
-        FileNotFoundError: There is no such file.
+        FileNotFoundError: The file does not exist.
     """
     path = module_path(policy)
     if not path:
@@ -57,13 +59,13 @@
     if spec is None or spec.loader is None:
         raise FileNotFoundError(path)
     module = importlib.util.module_from_spec(spec)
-    sys.modules[spec.name] = module  # its dataclasses look themselves up there
+    sys.modules[spec.name] = module  # dataclasses look up their module there
     spec.loader.exec_module(module)
     factory: ModuleFactory = module.Gateway
     return factory
 
 
-def run_one(run: PlannedRun) -> RunResult:
+def run_simulation(run: PlannedRun) -> RunResult:
     """Run one simulation."""
     policy = run.scenario.policy
     simulation = Simulation(run.scenario, run.seed, load_module(policy))
@@ -72,19 +74,19 @@
     return RunResult(figures, tuple(str(violation) for violation in violations), is_module_policy(policy))
 
 
-def run_all(runs: tuple[PlannedRun, ...], process_count: int = 0) -> Iterator[FinishedRun]:
-    """Run simulations side by side, and yield each as it ends.
+def run_simulations(runs: tuple[PlannedRun, ...], process_count: int = 0) -> Iterator[FinishedRun]:
+    """Run simulations in parallel, and yield each result as its run finishes.
 
-    The longest begin first, so that none is waited for alone.
+    The longest runs start first, so that no long run is left alone at the end.
 
     Args:
-        runs: The simulations.
-        process_count: Processes side by side; 0: as many as there are cores, but one.
+        runs: The runs to simulate.
+        process_count: Number of parallel processes; 0: all cores but one.
     """
     max_workers = process_count or max(1, (os.cpu_count() or 2) - 1)
     longest_first = sorted(range(len(runs)), key=lambda number: -estimated_cost(runs[number]))
     with ProcessPoolExecutor(max_workers, get_context("spawn")) as pool:
-        numbers = {pool.submit(run_one, runs[number]): number for number in longest_first}
+        numbers = {pool.submit(run_simulation, runs[number]): number for number in longest_first}
         try:
             for future in as_completed(numbers):
                 yield FinishedRun(numbers[future], future.result())
@@ -94,8 +96,8 @@
 
 
 def estimated_cost(run: PlannedRun) -> float:
-    """Return how long a run takes against others."""
+    """Return the estimated duration of a run, relative to other runs."""
     scenario = run.scenario
     busy_cores = scenario.load * scenario.machines.count * scenario.machines.cores
     has_argument = ":" in scenario.policy
-    return busy_cores * (scenario.length + scenario.warm_up) * (1 if has_argument else FULL_COST)
+    return busy_cores * (scenario.length + scenario.warm_up) * (1 if has_argument else FULL_RUN_COST_RATIO)
--- a/apigateway/tools/experiment/scenario_reader.py
+++ b/apigateway/tools/experiment/scenario_reader.py
@@ -1,4 +1,4 @@
-"""Converts a table of an experiment's file into a scenario, and reports what cannot be simulated."""
+"""Converts a table of an experiment file into a scenario, and reports invalid keys and values."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from apigateway.tools.experiment.file_keys import item_type, key_of_field, key_types, rename_keys
 
 FAULT_KINDS = tuple(kind.value for kind in FaultKind)
-ZONE_FAULTS = (FaultKind.ZONE_OUTAGE, FaultKind.ZONE_PARTITION)  # need the name of a zone
+ZONE_FAULTS = (FaultKind.ZONE_OUTAGE, FaultKind.ZONE_PARTITION)  # faults that require a zone
 
 
-def suggest_key(key: str, known: Iterable[str]) -> str:
-    """Return the remedy for an unknown key: the most similar one, or all that are known."""
-    known = tuple(known)
-    similar = difflib.get_close_matches(key, known, 1, MIN_KEY_SIMILARITY)
-    return f"did you mean `{similar[0]}`?" if similar else f"known here: {', '.join(known)}"
+def suggest_key(key: str, valid_keys: Iterable[str]) -> str:
+    """Return the remedy for an unknown key: the most similar valid key, or all valid keys."""
+    valid_keys = tuple(valid_keys)
+    similar = difflib.get_close_matches(key, valid_keys, 1, MIN_KEY_SIMILARITY)
+    return f"did you mean `{similar[0]}`?" if similar else f"valid keys: {', '.join(valid_keys)}"
 
 
 def read_scenario(reader: ConfigReader, tree: dict[str, Any], path: KeyPath) -> Scenario | None:
@@ -32,11 +32,11 @@
 
     Args:
         reader: Collects the problems.
-        tree: The table; what it leaves out keeps the default.
-        path: Where the table stands in the file, for messages.
+        tree: The table; an omitted key keeps its default.
+        path: Path of the table in the file, for messages.
 
     Returns:
-        The scenario; None if the reader has problems, from before or now.
+        The scenario, or None if the reader has any problems, earlier ones included.
     """
     _check_keys(reader, tree, Scenario, path)
     if reader.problems:
@@ -51,7 +51,7 @@
 
 
 def _check_keys(reader: ConfigReader, tree: object, schema: Any, path: KeyPath) -> None:
-    """Report each key that the schema, a dataclass, does not have."""
+    """Report each key that is not a field of the schema, a dataclass."""
     if not dataclasses.is_dataclass(schema) or not isinstance(tree, dict):
         return
     types = key_types(schema)
@@ -72,19 +72,19 @@
     reason, _, location = str(error).partition(" - at ")
     parents, dot, field = location.strip("`$").rpartition(".")
     key = format_path(path) + parents + dot + key_of_field(field)
-    problem = ConfigProblem(reader.file, key, "", reason[0].lower() + reason[1:], "mend the value")
+    problem = ConfigProblem(reader.file, key, "", reason[0].lower() + reason[1:], "correct the value")
     reader.problems.append(problem)
 
 
 def _check_values(reader: ConfigReader, scenario: Scenario, path: KeyPath) -> None:
-    """Report what no simulation can be made of, though each value is of its type."""
+    """Report values that have the right type but cannot be simulated."""
     _check_policy(reader, scenario.policy, (*path, "policy"))
     _check_minimums(reader, scenario, path)
     customers = scenario.customers
     if len(customers.plans) != len(customers.shares):
         reason = f"there are {len(customers.plans)} plans"
         key = (*path, "customers", "shares")
-        reader.add_problem(key, customers.shares, reason, "one share for each")
+        reader.add_problem(key, customers.shares, reason, "give one share per plan")
     for number, fault in enumerate(scenario.faults):
         _check_fault(reader, scenario, fault, (*path, "faults", number))
 
@@ -93,11 +93,11 @@
     is_known_module = is_module_policy(policy) and policy.partition(":")[0] == MODULE_POLICY
     if not is_known_module and not is_baseline(policy):
         kinds = ", ".join(BaselineKind)
-        remedy = f"{MODULE_POLICY}, {MODULE_POLICY}:FILE, {kinds}, or one of these :SECONDS behind"
-        reader.add_problem(path, policy, "is no way to choose", remedy)
+        remedy = f"use {MODULE_POLICY}, {MODULE_POLICY}:FILE, {kinds}, or BASELINE:AGE in seconds"
+        reader.add_problem(path, policy, "is not a policy", remedy)
     file = module_path(policy) if is_known_module else ""
     if file and not os.path.isfile(file):
-        reader.add_problem(path, policy, "there is no such file", "name one that has a class Gateway")
+        reader.add_problem(path, policy, "no such file exists", "name a Python file with a class Gateway")
 
 
 def _check_minimums(reader: ConfigReader, scenario: Scenario, path: KeyPath) -> None:
@@ -115,16 +115,16 @@
     )
     for key, value, minimum in minimums:
         if value < minimum:
-            reader.add_problem((*path, *key), value, f"is less than {minimum}", "let it be more")
+            reader.add_problem((*path, *key), value, f"is less than {minimum}", "raise the value")
 
 
 def _check_fault(reader: ConfigReader, scenario: Scenario, fault: FaultSettings, path: KeyPath) -> None:
     if fault.what not in FAULT_KINDS:
-        remedy = f"known: {', '.join(FAULT_KINDS)}"
-        reader.add_problem((*path, "what"), fault.what, "is no fault", remedy)
+        remedy = f"valid kinds: {', '.join(FAULT_KINDS)}"
+        reader.add_problem((*path, "what"), fault.what, "is not a kind of fault", remedy)
     if fault.what in ZONE_FAULTS and fault.zone not in scenario.zones:
-        remedy = f"known: {', '.join(scenario.zones)}"
-        reader.add_problem((*path, "zone"), fault.zone, "there is no such zone", remedy)
+        remedy = f"valid zones: {', '.join(scenario.zones)}"
+        reader.add_problem((*path, "zone"), fault.zone, "no such zone is defined", remedy)
     if not 0 <= fault.at <= scenario.length:
-        remedy = f"0 to {scenario.length:g}"
-        reader.add_problem((*path, "at"), fault.at, "lies outside of the play", remedy)
+        remedy = f"use 0 to {scenario.length:g}"
+        reader.add_problem((*path, "at"), fault.at, "is outside the run", remedy)
--- a/apigateway/tools/experiment/summary.py
+++ b/apigateway/tools/experiment/summary.py
@@ -1,4 +1,4 @@
-"""What an experiment came to: the figures of each case and setting over all seeds."""
+"""Summarizes the results of an experiment over all seeds, for each case and choice of swept values."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 
 
 class FigureRange(NamedTuple):
-    """A figure over the seeds."""
+    """Median and range of a figure over the seeds."""
 
     median: float
-    least: float
-    most: float
+    minimum: float
+    maximum: float
 
 
 class SecondShares(NamedTuple):
-    """One second, over all seeds, for each first request inside quotas that was created in it."""
+    """Shares of one second over all seeds, per request inside quotas whose first try was created in it."""
 
-    in_aim: float  # those that were answered within the latency objective
+    in_aim: float  # requests that were answered within the latency objective
     refused: float  # requests that were rejected
-    in_vain: float  # attempts sent to where nothing could be reached
+    in_vain: float  # attempts sent to unreachable hosts
 
 
-FiguresByLabel = dict[str, dict[str, FigureRange]]  # figures by name, by the label of their row
+FiguresByLabel = dict[str, dict[str, FigureRange]]  # by the label of the row, figures by name
 
 
 def row_label(case: str, swept: Mapping[str, Any]) -> str:
-    """Return a case and its swept values, without the tables of their keys."""
+    """Return the label of a row: its case and swept values, with keys shortened to their last part."""
     values = " ".join(f"{key.rpartition('.')[2]}={value}" for key, value in swept.items())
     return f"{case} {values}".strip()
 
 
 @dataclass(frozen=True, slots=True)
 class SummaryRow:
-    """A case with one choice of the swept values.
+    """The results of a case with one choice of swept values.
 
     Attributes:
-        is_module: Whether a decision module was run, and no baseline.
+        is_module: Whether the policy was a decision module rather than a baseline.
         violations: Broken rules, each with its seed.
     """
 
@@ -55,24 +55,24 @@
 
     @property
     def label(self) -> str:
-        """The row's name in tables and plots."""
+        """Return the row's name in tables and plots."""
         return row_label(self.case, self.swept)
 
 
 @dataclass(frozen=True, slots=True)
 class SeedResult:
-    """What a run came to, and its seed."""
+    """The result of a run, with its seed."""
 
     seed: int
     result: RunResult
 
 
 def summarize(experiment: Experiment, results: Mapping[int, RunResult]) -> list[SummaryRow]:
-    """Return a row for each case and choice of swept values that has results.
+    """Return a row for each case and choice of swept values with results.
 
     Args:
         experiment: The experiment.
-        results: By the numbers of the runs; some may be missing.
+        results: Results by the number of the run; some runs may be missing.
     """
     groups: dict[tuple[str, tuple[SweptValue, ...]], list[SeedResult]] = {}
     for number, run in enumerate(experiment.runs):
@@ -106,7 +106,7 @@
 
 
 def _shares_by_second(counts_by_seed: list[list[dict[str, int]]]) -> list[SecondShares]:
-    """Return the shares of each second over all seeds together."""
+    """Return the shares for each second, over all seeds together."""
     shares = []
     for counts in zip(*counts_by_seed, strict=True):
         total = {name: sum(seed_counts[name] for seed_counts in counts) for name in counts[0]}
--- a/apigateway/tools/experiment/tables.py
+++ b/apigateway/tools/experiment/tables.py
@@ -1,22 +1,21 @@
-"""The tables that an experiment prints, as lists of cells."""
+"""Builds the tables that an experiment prints, as lists of cells."""
 
 from __future__ import annotations
 
 from apigateway.tools.experiment.experiment import Experiment
 from apigateway.tools.experiment.summary import FigureRange, FiguresByLabel, SecondShares, SummaryRow
 
-MISSING = "-"  # a column that a row has no figure for
-FEW_DIGITS_FROM = 100  # figures from this one on have no decimals
-SOME_DIGITS_FROM = 10  # from this one on one decimal; smaller ones have three
+MISSING = "-"  # shown if a row has no figure for a column
+NO_DECIMALS_FROM = 100  # figures of at least this size have no decimals
+ONE_DECIMAL_FROM = 10  # figures of at least this size have one decimal; smaller ones have three
 
 
 def figure_table(
     experiment: Experiment, rows: list[SummaryRow], older_figures: FiguresByLabel | None = None
 ) -> list[list[str]]:
-    """Return a heading, and a line for each row.
+    """Return a heading and a line for each row.
 
-    A figure whose median lies outside of what the seeds of an earlier run spanned has the older median behind
-    it.
+    A figure whose median is outside the range of an earlier run is followed by the median of that run.
     """
     older_figures = older_figures or {}
     lines = [["case", *experiment.columns]]
@@ -31,27 +30,27 @@
     if figure is None:
         return MISSING
     text = format_range(figure)
-    if older is not None and not older.least <= figure.median <= older.most:
+    if older is not None and not older.minimum <= figure.median <= older.maximum:
         text += f" was {format_range(older).partition(' ')[0]}"
     return text
 
 
 def format_range(figure: FigureRange) -> str:
-    """Return a figure as text: its median, and in brackets what the seeds span."""
+    """Format a figure: its median, and the range over the seeds in parentheses."""
     size = abs(figure.median)
-    if size >= FEW_DIGITS_FROM:
+    if size >= NO_DECIMALS_FROM:
         digits = 0
-    elif size >= SOME_DIGITS_FROM:
+    elif size >= ONE_DECIMAL_FROM:
         digits = 1
     else:
         digits = 3
-    if figure.least == figure.most:
+    if figure.minimum == figure.maximum:
         return f"{figure.median:.{digits}f}"
-    return f"{figure.median:.{digits}f} ({figure.least:.{digits}f} to {figure.most:.{digits}f})"
+    return f"{figure.median:.{digits}f} ({figure.minimum:.{digits}f} to {figure.maximum:.{digits}f})"
 
 
 def second_table(row: SummaryRow) -> list[list[str]]:
-    """Return a heading, and a line for each second from the end of the warm-up on."""
+    """Return a heading and a line for each second after the warm-up."""
     heading = ["second", *SecondShares._fields]
     lines = [
         [str(number), *(f"{share:.3f}" for share in shares)] for number, shares in enumerate(row.seconds)
--- a/tests/experiment/experiment_files.py
+++ b/tests/experiment/experiment_files.py
@@ -1,6 +1,6 @@
-"""A small file of experiments for the tests, and what writes variants of it."""
+"""A small experiment file for the tests, and a helper that writes variants of it."""
 
-SMALL = """
+SMALL_EXPERIMENT = """
 name = "small"
 seeds = [1, 2]
 columns = ["in_aim", "p99_ms", "broken"]
@@ -22,8 +22,8 @@
 """
 
 
-def write_experiment(path, text=SMALL, *changes):
-    """Write the text with some parts replaced; return the path."""
+def write_experiment(path, text=SMALL_EXPERIMENT, *changes):
+    """Write the text with the given replacements; return the path."""
     for old, new in changes:
         assert old in text
         text = text.replace(old, new)
