--- a/apigateway/tools/demo/installation.py
+++ b/apigateway/tools/demo/installation.py
@@ -1,4 +1,4 @@
-"""What the demo installs: classes, plans, customers, and the plug-ins that the user names."""
+"""Defines the demo installation: classes, plans, customers and the user's plug-ins."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
     },
 )
 
-GRPC_CLASS = "roster-read"  # of the requests that come by the rate limit service
+GRPC_CLASS = "roster-read"  # class of the requests that are checked through the rate limit service
 
-# What each customer of a plan asks for, in parts of its rate: under, at and over its quota.
-_DEMANDS = {
+# Request rate of each customer of a plan, as a share of the plan's rate: under, near and over its quota.
+_DEMAND_SHARES = {
     "basic": [0.4] * 8 + [0.95] * 3 + [2.5],
     "standard": [0.4] * 6 + [0.95] * 2 + [3.0],
     "enterprise": [0.4, 0.95, 4.0],
 }
-_MIN_GATEWAYS = 2  # that a customer uses
+_MIN_GATEWAYS = 2  # per customer
 
 _FILE_KEY = re.compile(r'^file = "', re.MULTILINE)
 
 
 def create_customers(seed: int) -> list[Customer]:
-    """Return the customers; the seed draws the gateways that each uses."""
+    """Return the customers; their gateways are drawn with the seed."""
     rng = random.Random(seed)
     customers: list[Customer] = []
-    for plan, demands in _DEMANDS.items():
-        for demand in demands:
+    for plan, demand_shares in _DEMAND_SHARES.items():
+        for demand_share in demand_shares:
             customers.append(
                 Customer(
                     f"{len(customers) + 1:016x}",
                     plan,
-                    demand * SHAPE.plans[plan].rate,
+                    demand_share * SHAPE.plans[plan].rate,
                     rng.randrange(SHAPE.gateways),
                     rng.randint(_MIN_GATEWAYS, SHAPE.gateways),
                 )
@@ -56,11 +56,14 @@
 
 
 def read_plugin_settings(paths: list[str]) -> str:
-    """Return the `[[plugins]]` of all files, with the files that they name in full.
+    """Return the `[[plugins]]` sections of all files, with absolute paths for the files that they name.
+
+    Plug-ins are checked here, so that an invalid one is reported once and not by three gateways that fail to
+    start.
 
     Raises:
-        InvalidConfigFileError: one cannot be used: told now, not by three gateways that do not start.
-        OSError: one cannot be read.
+        InvalidConfigFileError: a plug-in is invalid.
+        OSError: a file cannot be read.
     """
     return "\n".join(_read_plugin_file(path) for path in paths)
 
@@ -69,4 +72,4 @@
     file = Path(path) / "plugin.toml" if Path(path).is_dir() else Path(path)
     read_plugins(str(file))
     folder = str(file.resolve().parent) + os.sep
-    return _FILE_KEY.sub(lambda found: found.group() + folder, file.read_text(encoding="utf-8"))
+    return _FILE_KEY.sub(lambda match: match.group() + folder, file.read_text(encoding="utf-8"))
--- a/apigateway/tools/demo/main.py
+++ b/apigateway/tools/demo/main.py
@@ -1,4 +1,4 @@
-"""Run the demo from its options to its exit code."""
+"""Runs the demo with the given options, prints its results and returns the exit code."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     """The command's arguments.
 
     Attributes:
-        seconds: How long traffic runs.
-        seed: Of the traffic.
-        keep: Whether the installation stays up afterwards, until Ctrl-C.
-        source: Where the endpoint list comes from, `discovery` or `eureka`.
+        seconds: Duration of the traffic.
+        seed: Seed of the traffic.
+        keep: Whether to keep the installation running after the traffic, until Ctrl-C.
+        source: Source of the endpoint list, `discovery` or `eureka`.
         plugins: Files or folders of plug-ins.
-        use_grpc: Whether half of the requests come by the rate limit service.
+        use_grpc: Whether to send half of the requests through the rate limit service.
     """
 
     seconds: float
@@ -71,7 +71,7 @@
         if options.use_grpc:
             session.send_half_as_checks()
         verdicts = await session.run()
-        if console.is_terminal:  # else they were printed as they came
+        if console.is_terminal:  # otherwise each note was printed when its event happened
             for note in session.notes:
                 console.print(note)
         console.print(outcomes_table(fleet.ledger, session.traffic.latency), verdicts_table(verdicts))
@@ -82,15 +82,15 @@
             )
             await checks.close()
         if options.plugins:
-            await _wait_for_records(fleet)
+            await _wait_until_records_are_written(fleet)
             console.print(plugins_table(fleet.folder))
         if options.keep:
-            await _keep_up(fleet, console)
+            await _keep_running(fleet, console)
     return ExitCode.OK if all(verdict.kept for verdict in verdicts) else ExitCode.FAILED
 
 
-async def _wait_for_records(fleet: Fleet) -> None:
-    """Wait until no gateway has records that its disk has not taken yet."""
+async def _wait_until_records_are_written(fleet: Fleet) -> None:
+    """Wait until all gateways have written their records to disk."""
     for gateway in fleet.gateways:
         socket = str(fleet.folder / gateway.name / "handover")
         while True:
@@ -100,39 +100,39 @@
             await asyncio.sleep(_RECORDS_POLL_INTERVAL_S)
 
 
-async def _keep_up(fleet: Fleet, console: Console) -> None:
-    """Print how to use the installation by hand, and wait for Ctrl-C."""
+async def _keep_running(fleet: Fleet, console: Console) -> None:
+    """Print how to send requests to the installation by hand, and wait for Ctrl-C."""
     first = fleet.gateways[0]
     if fleet.shape.grpc:
         console.print(
-            "The rate limit service: "
+            "Send a check to the rate limit service: "
             f"api-gateway ratelimit ask 127.0.0.1:{first.checks} --domain roster "
             "customer=00000000000000ff plan=basic",
             soft_wrap=True,
         )
     addresses = ", ".join(f"127.0.0.1:{gateway.port}" for gateway in fleet.gateways)
     console.print(
-        f"The gateways stay up: {addresses}. Try one:\n"
+        f"The gateways keep running: {addresses}. Send a request to one:\n"
         f"  redis-cli -p {first.port} API.READ 00000000000000ff request-1 "
         f"c=roster-read,t=basic,d=3000,units=1,spread=3,first=0\n"
-        f"Each request needs an id of its own. Settings and state: {fleet.folder}. Ctrl-C ends it.",
+        f"Each request needs a unique id. Settings and state: {fleet.folder}. Stop the demo with Ctrl-C.",
         soft_wrap=True,
     )
     hosts_file = fleet.folder / "hosts.toml"
     hosts_file.write_text(_format_hosts(fleet))
     console.print(
-        f"For gateways of your own: hosts in {hosts_file}, counter.address "
-        f"127.0.0.1:{fleet.counter.port}, a registry at {fleet.registry.url}.",
+        f"To start your own gateways, use the hosts file {hosts_file}, counter.address "
+        f"127.0.0.1:{fleet.counter.port} and the registry {fleet.registry.url}.",
         soft_wrap=True,
     )
     stop_requested = asyncio.Event()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop_requested.set)
     await stop_requested.wait()
 
 
 def _format_hosts(fleet: Fleet) -> str:
-    """Return the hosts as a gateway's file of hosts."""
+    """Return the content of a gateway's hosts file."""
     return "".join(
         f'[[hosts]]\nid = "{host.name}"\naddress = "{host.address}:{host.port}"\nzone = "{host.zone}"\n'
         f"cell = {host.cell}\n"
--- a/apigateway/tools/demo/session.py
+++ b/apigateway/tools/demo/session.py
@@ -1,4 +1,4 @@
-"""One run of the demo: traffic, faults on a schedule, and a table that follows them."""
+"""Runs the demo: sends traffic, injects faults on a schedule, and shows the outcomes while it runs."""
 
 from __future__ import annotations
 
@@ -23,30 +23,30 @@
     from apigateway.emulators.checks import Checks
 
 _LOOPBACK = "127.0.0.1"
-_SILENCE = 0.25  # part of the run for which a host is silent
+_SILENCE_SHARE = 0.25  # share of the run during which a host is silent
 _SILENT_HOST = 1  # index
 _DRAINING_HOST = 5  # index
 _KILLED_GATEWAY = 2  # index
-_LIVE_OUTCOMES = OUTCOMES[:3]  # shown while it runs
-_LIVE_ROWS = 12  # seconds shown while it runs
+_LIVE_OUTCOMES = OUTCOMES[:3]  # columns of the live table
+_LIVE_ROWS = 12  # seconds shown in the live table
 
 
 class _Fault(NamedTuple):
-    """Something that happens to the installation, at a part of the run."""
+    """A fault or recovery that is injected at a point of the run."""
 
-    at: float
+    at_share: float  # share of the run
     text: str
     apply: Callable[[], Awaitable[None]]
 
 
 class DemoSession:
-    """One run over a fleet that is up.
+    """One demo run over a running fleet.
 
     Attributes:
-        traffic: The customers' requests.
-        checks: The requests that come by the rate limit service; None: all come by RESP2.
-        checking_customers: Those who send them.
-        notes: What happened, and when.
+        traffic: The customers' requests over RESP2.
+        checks: The requests through the rate limit service; None: all requests use RESP2.
+        checking_customers: The customers that use the rate limit service.
+        notes: Descriptions of the injected faults with their times.
     """
 
     def __init__(self, fleet: Fleet, seconds: float, seed: int, console: Console) -> None:
@@ -62,7 +62,7 @@
         self.notes: list[str] = []
 
     def send_half_as_checks(self) -> None:
-        """Let half of each customer's requests come as checks, at any of the gateways: all are its own."""
+        """Send half of each customer's requests as checks, and spread both halves over all gateways."""
         from apigateway.emulators.checks import Checks
 
         halved = [
@@ -75,18 +75,18 @@
         self.checks = Checks(self._fleet.ledger, addresses)
 
     async def run(self) -> tuple[Verdict, ...]:
-        """Run traffic and faults to their end; return the verdicts on the five rules."""
+        """Run the traffic and the faults to the end; return the verdicts on the five rules."""
         with contextlib.ExitStack() as stack:
             live = None
             if self._console.is_terminal:
                 live = stack.enter_context(Live(console=self._console, transient=True))
-            display = asyncio.ensure_future(self._display(live))
+            display = asyncio.ensure_future(self._show_progress(live))
             faults = asyncio.ensure_future(self._apply_faults())
             try:
-                sources = [self.traffic.run(self._seconds)]
+                senders = [self.traffic.run(self._seconds)]
                 if self.checks is not None:
-                    sources.append(self.checks.run(self.checking_customers, self._seconds))
-                await asyncio.gather(*sources)
+                    senders.append(self.checks.run(self.checking_customers, self._seconds))
+                await asyncio.gather(*senders)
                 await faults
             finally:
                 display.cancel()
@@ -95,11 +95,11 @@
         return self._fleet.ledger.judge()
 
     async def _apply_faults(self) -> None:
-        """Let a host fall silent, one drain and come back cold, a gateway die and return."""
+        """Make one host silent, drain and restart another, and kill and restart a gateway."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         for fault in self._faults():
-            await asyncio.sleep(max(0.0, started_at + fault.at * self._seconds - loop.time()))
+            await asyncio.sleep(max(0.0, started_at + fault.at_share * self._seconds - loop.time()))
             self._note(loop.time() - started_at, fault.text)
             await fault.apply()
 
@@ -110,21 +110,25 @@
         gateway = fleet.gateways[_KILLED_GATEWAY]
 
         async def fall_silent() -> None:
-            silent.script.play(Step("silent", seconds=_SILENCE * self._seconds))
+            silent.script.play(Step("silent", seconds=_SILENCE_SHARE * self._seconds))
 
         async def drain() -> None:
             fleet.tell((draining, "draining"))
 
-        async def come_back() -> None:
+        async def restart() -> None:
             await draining.restart()
             fleet.tell((draining, "up"))
 
         return [
-            _Fault(0.15, f"host {silent.name} falls silent: it takes requests and answers none", fall_silent),
+            _Fault(
+                0.15, f"host {silent.name} falls silent: it accepts requests and answers none", fall_silent
+            ),
             _Fault(0.30, f"host {draining.name} drains", drain),
             _Fault(0.45, f"gateway {gateway.name} is killed", gateway.kill),
-            _Fault(0.60, f"gateway {gateway.name} returns with nothing but its settings", gateway.start),
-            _Fault(0.65, f"host {draining.name} comes back, cold", come_back),
+            _Fault(
+                0.60, f"gateway {gateway.name} returns with its settings only, without state", gateway.start
+            ),
+            _Fault(0.65, f"host {draining.name} comes back, cold", restart),
         ]
 
     def _note(self, second: float, text: str) -> None:
@@ -132,8 +136,8 @@
         if not self._console.is_terminal:
             self._console.print(self.notes[-1])
 
-    async def _display(self, live: Live | None) -> None:
-        """Show each second's outcomes: as a table on a terminal, else as a line."""
+    async def _show_progress(self, live: Live | None) -> None:
+        """Show the outcomes of each second: as a table on a terminal, otherwise as one line per second."""
         second = 0
         previous = dict.fromkeys(OUTCOMES, 0)
         while True:
@@ -144,13 +148,13 @@
             previous = totals
             self._outcomes_by_second.append((second, outcomes))
             if live is not None:
-                live.update(self._screen())
+                live.update(self._build_live_view())
             else:
                 counts = ", ".join(f"{name} {count}" for name, count in outcomes.items() if count)
                 self._console.print(f"{second:4d} s  {counts}")
 
-    def _screen(self) -> Group:
-        table = Table("second", *_LIVE_OUTCOMES, title="answers a second")
+    def _build_live_view(self) -> Group:
+        table = Table("second", *_LIVE_OUTCOMES, title="answers per second")
         for second, outcomes in self._outcomes_by_second[-_LIVE_ROWS:]:
             table.add_row(str(second), *(str(outcomes[name]) for name in _LIVE_OUTCOMES))
         return Group(table, *self.notes)
