--- a/apigateway/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -13,7 +13,7 @@
 from apigateway.daemon.settings import read_settings
 from apigateway.exit_codes import ExitCode
 from apigateway.tools.plugins import bench, check, files, replay
-from apigateway.tools.plugins.report import Report, UnusableArgumentError
+from apigateway.tools.plugins.report import InvalidArgumentError, Report
 
 _MICROSECONDS_PER_SECOND = 1e6
 _COUNT_GROUPS = (
@@ -29,7 +29,7 @@
     """Run a plug-in command; return the exit code."""
     try:
         return _run_action(arguments)
-    except (InvalidConfigFileError, UnusableArgumentError) as error:
+    except (InvalidConfigFileError, InvalidArgumentError) as error:
         print(error, file=sys.stderr)
         return ExitCode.INVALID_INPUT
     except (HandoverError, OSError) as error:
@@ -57,8 +57,8 @@
 
 
 def _print_report(report: Report, as_json: bool = False) -> int:
-    print(json.dumps(report.figures, indent=1) if as_json else "\n".join(report.lines))
-    return ExitCode.OK if report.is_good else ExitCode.FAILED
+    print(json.dumps(report.data, indent=1) if as_json else "\n".join(report.lines))
+    return ExitCode.OK if report.succeeded else ExitCode.FAILED
 
 
 def _format_status(status: Status) -> str:
