--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -1,12 +1,12 @@
-"""The same calm and herd with real gateway processes on loopback and in the fleet's model, side by side.
+"""Compares real gateway processes on loopback with the fleet simulation, under calm and mass-restart load.
 
     python benchmarks/fleet_processes.py [--gateways 200] [--hosts 50] [--load 0.4] [--seconds 12]
                                          [--json FILE]
 
-Real: each gateway is `api-gateway serve` in a process of its own, with relays between zones and hosts;
-clients, hosts and relays share one process, which bounds the load that can be played. Model: the same
-numbers, the same distribution of work, hosts that work on as many requests at once as they have cores. Not
-the same: which request comes when.
+Real: each gateway is an `api-gateway serve` process, with relays between zones and hosts. Clients, hosts and
+relays share one process, which limits the load. Model: the simulation with the same parameters and the same
+distribution of work; its hosts run as many requests at once as they have cores. The arrival times of requests
+differ between the two.
 """
 
 from __future__ import annotations
@@ -43,33 +43,35 @@
 )
 from apigateway.simulation.simulation import Simulation  # noqa: E402
 
-MEAN, CORES, QUEUE = 0.2, 4, 48  # s of work; of a host
-AIM, DEADLINE = 2.0, 5.0  # s
-KILLED, AWAY = 0.7, 3.0  # part of the gateways on the herd day; s until they are started again,
-BACK_AT_ONCE = 3  # so many side by side: their starts take cores that the others need
-SPREAD = 20, 60  # gateways that a customer comes through
+MEAN_WORK_S, CORES, QUEUE = 0.2, 4, 48  # work of a request; cores and queue length of a host
+LATENCY_OBJECTIVE_S, DEADLINE_S = 2.0, 5.0
+KILLED_SHARE, DOWNTIME_S = 0.7, 3.0  # gateways that are killed at once, and the time until they are restarted
+MAX_PARALLEL_STARTS = 3  # starting gateways take cores that the running ones need
+SPREAD = 20, 60  # least and greatest number of gateways that a customer uses
 
 
-def figures(
-    taken: Sequence[int], latency: Sequence[float], longest: int, idle: float, served: float
+def summarize(
+    accepted: Sequence[int], latencies: Sequence[float], longest: int, idle: float, served: float
 ) -> dict[str, Any]:
-    times, mean = sorted(latency), statistics.fmean(taken)
+    """Return the figures of a run; `accepted` is the number of requests of each host."""
+    times, mean = sorted(latencies), statistics.fmean(accepted)
     return {
         "served": served,
-        "in_aim": sum(t <= AIM for t in times) / max(1, len(times)) * served,
+        "in_aim": sum(latency <= LATENCY_OBJECTIVE_S for latency in times) / max(1, len(times)) * served,
         "p50_ms": 1000 * times[len(times) // 2],
         "p99_ms": 1000 * times[int(0.99 * len(times))],
-        "host_cv": statistics.pstdev(taken) / mean,
-        "most_host": max(taken) / mean,
-        "least_host": min(taken) / mean,
+        "host_cv": statistics.pstdev(accepted) / mean,
+        "most_host": max(accepted) / mean,
+        "least_host": min(accepted) / mean,
         "longest": longest,
         "idle_waiting": idle,
     }
 
 
-async def real(args: argparse.Namespace, herd: bool) -> dict[str, Any]:
+async def run_processes(args: argparse.Namespace, with_kill: bool) -> dict[str, Any]:
+    """Run real gateway processes, and kill and restart some of them if `with_kill`."""
     shape = Shape(
-        {"read": Class("safe", AIM, DEADLINE, 1.0, MEAN, 1.0)},
+        {"read": Class("safe", LATENCY_OBJECTIVE_S, DEADLINE_S, 1.0, MEAN_WORK_S, 1.0)},
         {"p": Plan(1e5, 1e6)},
         gateways=args.gateways,
         hosts=args.hosts,
@@ -77,44 +79,52 @@
         queue=QUEUE,
         extra={"overload": "on = false"},
     )
-    rate = args.load * args.hosts * CORES / MEAN
-    people = customers(args.gateways, ["p"], rate, 400, args.seed, SPREAD)
+    rate = args.load * args.hosts * CORES / MEAN_WORK_S
+    fleet_customers = customers(args.gateways, ["p"], rate, 400, args.seed, SPREAD)
     with tempfile.TemporaryDirectory() as folder:
-        crowd = LoadedFleet(Path(folder), shape, people, seed=args.seed, work=exponential(MEAN, args.seed))
-        began, away = time.monotonic(), 0.0
-        async with crowd:
-            started = time.monotonic() - began
-            playing = crowd.begin(args.warm_up + args.seconds)
+        loaded_fleet = LoadedFleet(
+            Path(folder), shape, fleet_customers, seed=args.seed, work=exponential(MEAN_WORK_S, args.seed)
+        )
+        started_at, downtime_s = time.monotonic(), 0.0
+        async with loaded_fleet:
+            start_s = time.monotonic() - started_at
+            load_task = loaded_fleet.begin(args.warm_up + args.seconds)
             await asyncio.sleep(args.warm_up)
-            before, crowd.idle, crowd.looks = crowd.taken(), 0.0, 0.0
-            crowd.longest.clear()
-            crowd.traffic.latency.clear()
-            if herd:
-                at = time.monotonic()
-                gone = crowd.fleet.gateways[: int(KILLED * args.gateways)]
-                await crowd.kill(gone)
-                await asyncio.sleep(AWAY)
-                await crowd.revive(gone, BACK_AT_ONCE)
-                away = time.monotonic() - at
-            await playing
-            taken = crowd.taken() - before
-            verdicts = crowd.verdicts()
-            idle = crowd.idle / max(1.0, crowd.looks)
-            told = figures(
-                [taken[h.name] for h in crowd.fleet.hosts],
-                crowd.traffic.latency,
-                max(crowd.longest.values()),
+            accepted_before, loaded_fleet.idle, loaded_fleet.looks = loaded_fleet.taken(), 0.0, 0.0
+            loaded_fleet.longest.clear()
+            loaded_fleet.traffic.latency.clear()
+            if with_kill:
+                killed_at = time.monotonic()
+                killed = loaded_fleet.fleet.gateways[: int(KILLED_SHARE * args.gateways)]
+                await loaded_fleet.kill(killed)
+                await asyncio.sleep(DOWNTIME_S)
+                await loaded_fleet.revive(killed, MAX_PARALLEL_STARTS)
+                downtime_s = time.monotonic() - killed_at
+            await load_task
+            accepted = loaded_fleet.taken() - accepted_before
+            verdicts = loaded_fleet.verdicts()
+            idle = loaded_fleet.idle / max(1.0, loaded_fleet.looks)
+            figures = summarize(
+                [accepted[host.name] for host in loaded_fleet.fleet.hosts],
+                loaded_fleet.traffic.latency,
+                max(loaded_fleet.longest.values()),
                 idle,
-                crowd.part_served(),
+                loaded_fleet.part_served(),
             )
-    told["start_s"], told["away_s"] = started, away
-    told["broken"] = 0 if all(v.kept for v in verdicts) else report(verdicts)
-    return told
+    figures["start_s"], figures["away_s"] = start_s, downtime_s
+    figures["broken"] = 0 if all(verdict.kept for verdict in verdicts) else report(verdicts)
+    return figures
+
 
+def run_simulation(args: argparse.Namespace, downtime_s: float) -> dict[str, Any]:
+    """Simulate the same fleet.
 
-def model(args: argparse.Namespace, away: float) -> dict[str, Any]:
-    """`away`: s after which the last killed gateway was back, one after another from AWAY on; 0: none was."""
-    read = messages.ServiceClass("read", AIM, DEADLINE, "safe", "all", 0.0, 1.0, 0.0, False, 0.0)
+    `downtime_s` is the time until the last killed gateway was back; the others came back one after another
+    from DOWNTIME_S on. 0: no gateway was killed.
+    """
+    read = messages.ServiceClass(
+        "read", LATENCY_OBJECTIVE_S, DEADLINE_S, "safe", "all", 0.0, 1.0, 0.0, False, 0.0
+    )
     machines = HostSettings(
         count=args.hosts,
         cores=CORES,
@@ -128,7 +138,7 @@
         handshake=0.0,
     )
     low, high = (n / args.gateways for n in SPREAD)
-    who = CustomerSettings(
+    customer_settings = CustomerSettings(
         (FREE,),
         (1.0,),
         count=400,
@@ -142,32 +152,36 @@
         patience=1.0,
         notice=0.0,
     )
-    # The model's come back evenly between 0.75 and 1.25 of `back`.
-    faults = (FaultSettings("kill", 0.0, part=KILLED, back=(AWAY + away) / 2),) if away else ()
+    # Simulated gateways come back evenly spread between 0.75 and 1.25 times `back`.
+    faults = (
+        (FaultSettings("kill", 0.0, part=KILLED_SHARE, back=(DOWNTIME_S + downtime_s) / 2),)
+        if downtime_s
+        else ()
+    )
     scenario = Scenario(
         gateways=args.gateways,
         load=args.load,
         length=args.seconds,
         warm_up=args.warm_up,
-        works=(Workload(read, 1.0, MEAN),),
+        works=(Workload(read, 1.0, MEAN_WORK_S),),
         machines=machines,
-        customers=who,
+        customers=customer_settings,
         faults=faults,
         listing=EndpointListSettings(0.01, 0.01),
         probes=False,
     )
     simulation = Simulation(scenario, args.seed, Gateway)
-    told = simulation.run()
-    return figures(
+    figures = simulation.run()
+    return summarize(
         [host.accepted_count for host in simulation.fleet.hosts.values()],
         simulation.metrics.latencies,
-        told["longest"],
-        told["idle_waiting"],
-        told["served"],
-    ) | {"broken": told["broken"]}
+        figures["longest"],
+        figures["idle_waiting"],
+        figures["served"],
+    ) | {"broken": figures["broken"]}
 
 
-def shown(value: Any) -> str:
+def format_cell(value: Any) -> str:
     return f"{value:>10.3f}" if isinstance(value, float) else f"{value!s:>10}"
 
 
@@ -181,19 +195,19 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json")
     args = parser.parse_args()
-    out: dict[str, Any] = {}
-    for name, herd in (("calm", False), ("seven in ten killed", True)):
-        met = uvloop.run(real(args, herd))
-        out[name] = {"real": met, "model": model(args, met["away_s"])}
+    runs: dict[str, Any] = {}
+    for name, with_kill in (("calm", False), ("seven in ten killed", True)):
+        real = uvloop.run(run_processes(args, with_kill))
+        runs[name] = {"real": real, "model": run_simulation(args, real["away_s"])}
         print(
             f"{name}: {args.gateways} gateways, {args.hosts} hosts, load {args.load}, started within "
-            f"{met['start_s']:.0f} s, away for {met['away_s']:.0f} s at most"
+            f"{real['start_s']:.0f} s, down for at most {real['away_s']:.0f} s"
         )
         print(f"  {'':14}{'real':>10}{'model':>10}")
-        for key in out[name]["model"]:
-            print(f"  {key:14}{shown(out[name]['real'][key])}{shown(out[name]['model'][key])}")
+        for key in runs[name]["model"]:
+            print(f"  {key:14}{format_cell(runs[name]['real'][key])}{format_cell(runs[name]['model'][key])}")
     if args.json:
-        Path(args.json).write_text(json.dumps(out, indent=1))
+        Path(args.json).write_text(json.dumps(runs, indent=1))
 
 
 if __name__ == "__main__":
--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -1,9 +1,10 @@
-"""What do hand-overs and reloads cost clients under constant load?
+"""Measures the effect of hand-overs and reloads on clients under constant load.
 
     python benchmarks/handover.py [--handovers 20] [--reloads 200] [--rate 200] [--json FILE]
 
-One gateway, three stand-in hosts, requests on their own schedule. Counts what was lost, refused as a request
-and refused as a connection, and the longest time without a served answer; then the same span with neither.
+There are one gateway, three emulated hosts, and requests on a fixed schedule. Counts lost requests, refused
+requests and refused connections, and measures the longest time without a served answer. The last run, of the
+same length as the first, has neither hand-overs nor reloads.
 """
 
 from __future__ import annotations
@@ -42,90 +43,101 @@
 )
 
 
-async def lines(gateway: Gateway, word: str, more: int) -> None:
-    """Until its log has so many lines with `word`."""
-    while sum(word in line for line in gateway.log) < more:
+async def wait_for_log_lines(gateway: Gateway, text: str, count: int) -> None:
+    """Wait until a gateway's log has a number of lines that contain a text."""
+    while sum(text in line for line in gateway.log) < count:
         await asyncio.sleep(0.005)
 
 
-async def handovers(gateway: Gateway, count: int) -> None:
+async def run_handovers(gateway: Gateway, count: int) -> None:
+    """Hand the gateway over to a new process a number of times."""
     for _ in range(count):
-        old = gateway.process
+        predecessor = gateway.process
         await gateway.start("--take-over")
-        assert old is not None
-        if await old.wait() != 0:
-            raise RuntimeError("a predecessor did not end well")
+        assert predecessor is not None
+        if await predecessor.wait() != 0:
+            raise RuntimeError("a predecessor exited with an error")
 
 
-async def reloads(gateway: Gateway, count: int) -> None:
+async def run_reloads(gateway: Gateway, count: int) -> None:
+    """Reload changed settings a number of times."""
     text = gateway.file.read_text()
-    before = sum("reload: " in line for line in gateway.log)
+    earlier_reloads = sum("reload: " in line for line in gateway.log)
     for n in range(count):
         gateway.file.write_text(text.replace("[limits]", f"[limits]\nmax_open = {10_000 + n}"))
         assert gateway.process is not None
         gateway.process.send_signal(1)
-        await lines(gateway, "reload: took effect", before + n + 1)
+        await wait_for_log_lines(gateway, "reload: took effect", earlier_reloads + n + 1)
 
 
-async def span(name: str, rate: float, act: Callable[[Gateway], Awaitable[None]]) -> dict[str, Any]:
+async def measure_span(name: str, rate: float, act: Callable[[Gateway], Awaitable[None]]) -> dict[str, Any]:
+    """Run an action under load; return figures of the requests meanwhile."""
     with tempfile.TemporaryDirectory() as folder:
         async with Fleet(SHAPE, Path(folder)) as fleet:
             gateway = fleet.gateways[0]
             client = Client(fleet.ledger, {"g0": ("127.0.0.1", gateway.port)})
             customers = [Customer(f"{n + 1:016x}", "p", rate / 8, 0, 1) for n in range(8)]
             traffic = Traffic(client, customers, SHAPE.used(), retries=0.0)
-            running = asyncio.ensure_future(traffic.run(3600.0))
+            traffic_task = asyncio.ensure_future(traffic.run(3600.0))
             while len(traffic.latency) < 100:
                 await asyncio.sleep(0.01)
-            began = time.monotonic()
+            started_at = time.monotonic()
             await act(gateway)
-            seconds = time.monotonic() - began
-            running.cancel()
+            seconds = time.monotonic() - started_at
+            traffic_task.cancel()
             while traffic.tasks:
                 await asyncio.wait(list(traffic.tasks))
             client.close()
-            served = sorted(t.answers[0][0] for t in fleet.ledger.tries.values() if t.answers)
-            gap = max(b - a for a, b in zip(served, served[1:], strict=False))
+            answer_times = sorted(
+                request.answers[0][0] for request in fleet.ledger.tries.values() if request.answers
+            )
+            longest_gap = max(
+                later - earlier for earlier, later in zip(answer_times, answer_times[1:], strict=False)
+            )
             counts: dict[str, int] = {}
-            for (_, _, kind), count in fleet.ledger.outcomes().items():
-                counts[kind] = counts.get(kind, 0) + count
+            for (_, _, outcome), count in fleet.ledger.outcomes().items():
+                counts[outcome] = counts.get(outcome, 0) + count
             verdicts = fleet.ledger.judge()
-            if not all(v.kept for v in verdicts):
+            if not all(verdict.kept for verdict in verdicts):
                 print(report(verdicts))
-            latency = sorted(traffic.latency)
+            latencies = sorted(traffic.latency)
             return {
                 "what": name,
                 "seconds": round(seconds, 1),
                 **counts,
                 "lost": counts.get("lost", 0),
                 "refused connections": client.refused,
-                "longest gap ms": round(gap * 1000, 1),
-                "p99 ms": round(latency[int(len(latency) * 0.99)] * 1000, 1),
-                "slowest ms": round(latency[-1] * 1000, 1),
-                "rules kept": all(v.kept for v in verdicts),
+                "longest gap ms": round(longest_gap * 1000, 1),
+                "p99 ms": round(latencies[int(len(latencies) * 0.99)] * 1000, 1),
+                "slowest ms": round(latencies[-1] * 1000, 1),
+                "rules kept": all(verdict.kept for verdict in verdicts),
             }
 
 
-async def measure(told: argparse.Namespace) -> list[dict[str, Any]]:
+async def measure(args: argparse.Namespace) -> list[dict[str, Any]]:
     spans = [
-        await span(f"{told.handovers} hand-overs", told.rate, lambda g: handovers(g, told.handovers)),
-        await span(f"{told.reloads} reloads", told.rate, lambda g: reloads(g, told.reloads)),
+        await measure_span(
+            f"{args.handovers} hand-overs", args.rate, lambda gateway: run_handovers(gateway, args.handovers)
+        ),
+        await measure_span(
+            f"{args.reloads} reloads", args.rate, lambda gateway: run_reloads(gateway, args.reloads)
+        ),
     ]
-    return [*spans, await span("neither", told.rate, lambda _: asyncio.sleep(spans[0]["seconds"]))]
+    return [*spans, await measure_span("neither", args.rate, lambda _: asyncio.sleep(spans[0]["seconds"]))]
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--handovers", type=int, default=20)
     parser.add_argument("--reloads", type=int, default=200)
-    parser.add_argument("--rate", type=float, default=200.0, help="requests a second")
+    parser.add_argument("--rate", type=float, default=200.0, help="requests per second")
     parser.add_argument("--json", metavar="FILE")
-    told = parser.parse_args()
-    spans = uvloop.run(measure(told))
+    args = parser.parse_args()
+    spans = uvloop.run(measure(args))
     for figures in spans:
         print("; ".join(f"{key} {value}" if key != "what" else str(value) for key, value in figures.items()))
-    if told.json:
-        Path(told.json).write_text(json.dumps(spans, indent=1))
+    if args.json:
+        Path(args.json).write_text(json.dumps(spans, indent=1))
 
 
 if __name__ == "__main__":
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,14 +1,15 @@
-"""What does following a Eureka registry cost, and does it keep the cutoff and the service?
+"""Measures the cost of following a Eureka registry, and the effect of its changes and faults on requests.
 
     python benchmarks/membership.py cost  [--sizes 10,100,1000,5000] [--json FILE]
     python benchmarks/membership.py flips [--flips 1000] [--json FILE]
     python benchmarks/membership.py walk  [--seeds 5] [--json FILE]
     python benchmarks/membership.py serve [--seconds 60] [--json FILE]
 
-cost: CPU of a poll and memory of the list by the number of instances, whole lists, deltas with nothing new
-and with ten changes. flips: seeded changes of state under load; time from told to the last new send, by the
-ledger. walk: seeded random faults of the registry under load, the five rules judged. serve: the share served
-while the registry is silent, and after it came back empty, beside a healthy one.
+cost: CPU of a poll and memory of the list by the number of instances, for full lists, deltas without changes
+and deltas with ten changes. flips: seeded state changes under load; the time from the drain of a host to the
+last new attempt at it, by the ledger. walk: seeded random faults of the registry under load, with a check of
+the five rules. serve: the share of requests served while the registry does not answer, after it restarted
+empty, and while it is healthy.
 """
 
 from __future__ import annotations
@@ -57,195 +58,199 @@
 )
 
 
-NOTHING = EndpointListing(messages.EndpointList("cached", 0, ()), {})
+EMPTY_LISTING = EndpointListing(messages.EndpointList("cached", 0, ()), {})
 
 
 # Cost
 
 
-async def cost(told: argparse.Namespace) -> list[dict[str, Any]]:
-    """The registry runs in a process of its own, so that CPU counted here is the source's."""
+async def measure_cost(args: argparse.Namespace) -> list[dict[str, Any]]:
+    """Measure polls. The registry runs in another process, so that only the source's CPU time is counted."""
     rows = []
-    for size in (int(text) for text in told.sizes.split(",")):
-        registry = await asyncio.create_subprocess_exec(
+    for size in (int(text) for text in args.sizes.split(",")):
+        registry_process = await asyncio.create_subprocess_exec(
             sys.executable, __file__, "registry", "--sizes", str(size), stdout=asyncio.subprocess.PIPE
         )
-        assert registry.stdout is not None
-        url = (await registry.stdout.readline()).decode().strip()
+        assert registry_process.stdout is not None
+        url = (await registry_process.stdout.readline()).decode().strip()
         row: dict[str, Any] = {"instances": size}
-        for name, path, delta in (
+        for name, change_path, use_deltas in (
             ("whole", "", False),
             ("quiet delta", "", True),
             ("10 changes", "/touch", True),
         ):
-            asked = RegistrySettings((url,), use_deltas=delta, timeout=10.0)
-            source = EurekaSource(asked, NOTHING, lambda _: None, lambda: None)
+            settings = RegistrySettings((url,), use_deltas=use_deltas, timeout=10.0)
+            source = EurekaSource(settings, EMPTY_LISTING, lambda _: None, lambda: None)
             if not await source.poll():
-                raise RuntimeError("the stand-in does not answer")
-            figures = []
+                raise RuntimeError("the emulated registry does not answer")
+            poll_ms = []
             for _turn in range(20):
-                if path:
+                if change_path:
                     assert source.session is not None
-                    async with source.session.put(url + path):
+                    async with source.session.put(url + change_path):
                         pass
-                source.etags = {}  # or a whole list would be told as unchanged
-                began = time.process_time()
+                source.etags = {}  # otherwise the registry reports an unchanged list
+                started_at = time.process_time()
                 if not await source.poll():
-                    raise RuntimeError("the stand-in does not answer")
-                figures.append((time.process_time() - began) * 1000)
-            row[f"{name} ms"] = round(statistics.median(figures), 2)
+                    raise RuntimeError("the emulated registry does not answer")
+                poll_ms.append((time.process_time() - started_at) * 1000)
+            row[f"{name} ms"] = round(statistics.median(poll_ms), 2)
             await source.close()
         tracemalloc.start()
-        source = EurekaSource(RegistrySettings((url,), timeout=10.0), NOTHING, lambda _: None, lambda: None)
+        source = EurekaSource(
+            RegistrySettings((url,), timeout=10.0), EMPTY_LISTING, lambda _: None, lambda: None
+        )
         await source.poll()
         row["list MB"] = round(tracemalloc.get_traced_memory()[0] / 1e6, 2)
         tracemalloc.stop()
         await source.close()
         row["CPU s a minute"] = round(row["quiet delta ms"] * 12 / 1000, 3)
-        registry.terminate()
-        await registry.wait()
+        registry_process.terminate()
+        await registry_process.wait()
         rows.append(row)
     return rows
 
 
-class Touched(EmulatedEureka):
-    """Each PUT changes ten instances, and deltas tell those alone."""
+class ChangingRegistry(EmulatedEureka):
+    """A registry that changes ten instances on each PUT; its deltas contain only those."""
 
-    turn = 0
+    change_count = 0
 
     async def write(self, request: web.Request) -> web.Response:
-        self.turn, self.log = self.turn + 1, []
+        self.change_count, self.log = self.change_count + 1, []
         for n in range(10):
-            self.override("ROSTER", f"node{n}", "OUT_OF_SERVICE" if self.turn % 2 else "")
+            self.override("ROSTER", f"node{n}", "OUT_OF_SERVICE" if self.change_count % 2 else "")
         return web.Response()
 
 
-async def registry(told: argparse.Namespace) -> None:
-    """The other process of `cost`."""
-    held = Touched(base="/eureka")
-    for n in range(int(told.sizes)):
+async def run_registry(args: argparse.Namespace) -> None:
+    """Run the registry process of `cost`."""
+    emulated = ChangingRegistry(base="/eureka")
+    for n in range(int(args.sizes)):
         ip = f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}"
-        held.register(instance(f"node{n}", 8000, ip=ip, zone="a", cell="1"))
-    held.log = []
-    async with held:
-        print(held.url, flush=True)
+        emulated.register(instance(f"node{n}", 8000, ip=ip, zone="a", cell="1"))
+    emulated.log = []
+    async with emulated:
+        print(emulated.url, flush=True)
         await asyncio.sleep(600.0)
 
 
 # Under load
 
 
-async def under_load(
+async def run_under_load(
     seed: int, act: Callable[[Fleet, Traffic], Awaitable[None]], rate: float = 120.0, shape: Shape = SHAPE
 ) -> tuple[Fleet, Traffic]:
+    """Run an action while customers send requests; return the fleet with its ledger, and the traffic."""
     with tempfile.TemporaryDirectory() as folder:
         async with Fleet(shape, Path(folder), source="eureka", poll=0.1) as fleet:
             client = Client(fleet.ledger, {g.name: ("127.0.0.1", g.port) for g in fleet.gateways})
             customers = [Customer(f"{n + 1:016x}", "p", rate / 8, n % 2, 2) for n in range(8)]
             traffic = Traffic(client, customers, shape.used(), seed, retries=0.0)
-            running = asyncio.ensure_future(traffic.run(3600.0))
+            traffic_task = asyncio.ensure_future(traffic.run(3600.0))
             while len(traffic.latency) < 50:
                 await asyncio.sleep(0.01)
             await act(fleet, traffic)
-            running.cancel()
+            traffic_task.cancel()
             while traffic.tasks:
                 await asyncio.wait(list(traffic.tasks))
             client.close()
     return fleet, traffic
 
 
-def judged(fleet: Fleet) -> bool:
+def check_rules(fleet: Fleet) -> bool:
+    """Return whether all rules were kept; otherwise print the breaches."""
     verdicts = fleet.ledger.judge()
-    kept = all(v.kept for v in verdicts)
+    kept = all(verdict.kept for verdict in verdicts)
     if not kept:
         print(report(verdicts))
     return kept
 
 
-async def flips(told: argparse.Namespace) -> list[dict[str, Any]]:
-    rng = random.Random(told.seed)
+async def measure_flips(args: argparse.Namespace) -> list[dict[str, Any]]:
+    rng = random.Random(args.seed)
 
     async def act(fleet: Fleet, _: Traffic) -> None:
-        for _turn in range(told.flips):
+        for _turn in range(args.flips):
             host = rng.choice(fleet.hosts[2:])
             fleet.registry.override(
                 "ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", "STARTING", "", ""])
             )
             await asyncio.sleep(rng.uniform(0.0, 0.1))
 
-    fleet, _ = await under_load(told.seed, act)
-    late, tellings = [], 0
+    fleet, _ = await run_under_load(args.seed, act)
+    delays_ms, drain_count = [], 0
     for (gateway, host), changes in fleet.ledger.tellings.items():
-        sends = [
-            a.first
-            for a in fleet.ledger.attempts
-            if a.host == host and fleet.ledger.tries[a.id].gateway == gateway
+        send_times = [
+            attempt.first
+            for attempt in fleet.ledger.attempts
+            if attempt.host == host and fleet.ledger.tries[attempt.id].gateway == gateway
         ]
         for n, (at, state) in enumerate(changes):
             if state == "up":
                 continue
             until = changes[n + 1][0] if n + 1 < len(changes) else float("inf")
-            tellings += 1
-            after = [first - at for first in sends if at < first < until]
-            late.append(max(after, default=0.0) * 1000)
-    late.sort()
+            drain_count += 1
+            delays = [first - at for first in send_times if at < first < until]
+            delays_ms.append(max(delays, default=0.0) * 1000)
+    delays_ms.sort()
     return [
         {
-            "flips": told.flips,
-            "drains told": tellings,
+            "flips": args.flips,
+            "drains told": drain_count,
             "requests": len(fleet.ledger.tries),
-            "told to last send ms, median": round(late[len(late) // 2], 2),
-            "99th": round(late[int(len(late) * 0.99)], 2),
-            "most": round(late[-1], 2),
-            "rules kept": judged(fleet),
+            "told to last send ms, median": round(delays_ms[len(delays_ms) // 2], 2),
+            "99th": round(delays_ms[int(len(delays_ms) * 0.99)], 2),
+            "most": round(delays_ms[-1], 2),
+            "rules kept": check_rules(fleet),
         }
     ]
 
 
-async def walk(told: argparse.Namespace) -> list[dict[str, Any]]:
+async def run_walk(args: argparse.Namespace) -> list[dict[str, Any]]:
     rows = []
-    for seed in range(told.seed, told.seed + told.seeds):
-        rng, did = random.Random(seed), []
+    for seed in range(args.seed, args.seed + args.seeds):
+        rng, faults = random.Random(seed), []
 
-        async def act(fleet: Fleet, _: Traffic, rng: random.Random = rng, did: list[str] = did) -> None:
-            held = fleet.registry
+        async def act(fleet: Fleet, _: Traffic, rng: random.Random = rng, faults: list[str] = faults) -> None:
+            registry = fleet.registry
             for _turn in range(40):
-                what = rng.choice(
+                fault = rng.choice(
                     ["silent", "error", "half", "spoilt", "restart", "hash", "lost", "clock", "flip", "fill"]
                 )
-                did.append(what)
-                if what in ("silent", "error", "half", "spoilt"):
-                    held.script.play(Step(what, count=rng.randint(1, 8)))
-                elif what == "restart":
-                    held.restart()
-                elif what == "hash":
-                    held.hashcode = rng.choice([None, "UP_99_"])
-                elif what == "lost":
-                    held.lost = rng.randint(1, 5)
-                elif what == "clock":
-                    held.clock_off = rng.uniform(-100.0, 100.0)
-                elif what == "flip":
+                faults.append(fault)
+                if fault in ("silent", "error", "half", "spoilt"):
+                    registry.script.play(Step(fault, count=rng.randint(1, 8)))
+                elif fault == "restart":
+                    registry.restart()
+                elif fault == "hash":
+                    registry.hashcode = rng.choice([None, "UP_99_"])
+                elif fault == "lost":
+                    registry.lost = rng.randint(1, 5)
+                elif fault == "clock":
+                    registry.clock_off = rng.uniform(-100.0, 100.0)
+                elif fault == "flip":
                     host = rng.choice(fleet.hosts)
-                    held.override("ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", ""]))
+                    registry.override("ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", ""]))
                 else:
                     for host in fleet.hosts:
                         fleet.register(host)
                 await asyncio.sleep(rng.uniform(0.0, 0.4))
-            held.script.play()
+            registry.script.play()
             for host in fleet.hosts:
-                held.override("ROSTER", host.name, "")
+                registry.override("ROSTER", host.name, "")
                 fleet.register(host)
             await asyncio.sleep(1.0)
 
-        fleet, _ = await under_load(seed, act)
+        fleet, _ = await run_under_load(seed, act)
         counts: dict[str, int] = {}
-        for (_, _, kind), count in fleet.ledger.outcomes().items():
-            counts[kind] = counts.get(kind, 0) + count
-        rows.append({"seed": seed, "faults": len(did), **counts, "rules kept": judged(fleet)})
+        for (_, _, outcome), count in fleet.ledger.outcomes().items():
+            counts[outcome] = counts.get(outcome, 0) + count
+        rows.append({"seed": seed, "faults": len(faults), **counts, "rules kept": check_rules(fleet)})
     return rows
 
 
-async def serve(told: argparse.Namespace) -> list[dict[str, Any]]:
+async def measure_service(args: argparse.Namespace) -> list[dict[str, Any]]:
     rows = []
     for name in ("healthy", "silent", "empty restart"):
 
@@ -254,19 +259,21 @@
                 fleet.registry.script.play(Step("silent"))
             elif name == "empty restart":
                 fleet.registry.restart()
-            for _turn in range(round(told.seconds)):
+            for _turn in range(round(args.seconds)):
                 await asyncio.sleep(1.0)
 
-        fleet, _ = await under_load(told.seed, act)
-        served = sum(count for (_, _, kind), count in fleet.ledger.outcomes().items() if kind == "served")
+        fleet, _ = await run_under_load(args.seed, act)
+        served = sum(
+            count for (_, _, outcome), count in fleet.ledger.outcomes().items() if outcome == "served"
+        )
         total = len(fleet.ledger.tries)
         rows.append(
             {
                 "registry": name,
-                "seconds": told.seconds,
+                "seconds": args.seconds,
                 "requests": total,
                 "served share": round(served / total, 4),
-                "rules kept": judged(fleet),
+                "rules kept": check_rules(fleet),
             }
         )
     return rows
@@ -281,15 +288,19 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--json", metavar="FILE")
-    told = parser.parse_args()
-    if told.what == "registry":
-        uvloop.run(registry(told))
+    args = parser.parse_args()
+    if args.what == "registry":
+        uvloop.run(run_registry(args))
         return
-    rows = uvloop.run({"cost": cost, "flips": flips, "walk": walk, "serve": serve}[told.what](told))
+    rows = uvloop.run(
+        {"cost": measure_cost, "flips": measure_flips, "walk": run_walk, "serve": measure_service}[args.what](
+            args
+        )
+    )
     for row in rows:
         print("; ".join(f"{key} {value}" for key, value in row.items()))
-    if told.json:
-        Path(told.json).write_text(json.dumps(rows, indent=1))
+    if args.json:
+        Path(args.json).write_text(json.dumps(rows, indent=1))
 
 
 if __name__ == "__main__":
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -1,14 +1,16 @@
-"""What does the decision module cost a request, as hosts, customers and requests held grow?
+"""Measures the decision module's CPU cost per request by the number of hosts, customers and held requests.
 
     python benchmarks/module_cost.py [--before REV] [--requests 3000] [--rounds 5] [--json FILE]
 
-No sockets: events go in, each attempt is answered after so many others, each counter call at once. Prints us
-of CPU a request, medians over rounds, and with --before the same for that commit, in turn, with the ratio.
-`hosts`: at 10, 100 and 1,000, one gateway and a light load, as many attempts out as a third of the hosts.
-`customers`: of 1, 10,000 and 200,000, at 10 hosts. `held`: 0, 1,000 and 20,000 requests that wait, while a
-few hosts are free only now and then; `queued`: so many that stay in the queue all the while, its bound taken
-off. `refused`: a customer beyond its quota. Then the bytes that an account, a host and a request in work take
-in the module."""
+There are no sockets: the module gets its events directly. Each attempt is answered after a fixed number of
+others, and each counter call immediately. Prints the CPU us per request as medians over rounds; with --before
+also those of that commit, measured in alternation, and the ratio. `hosts`: 10, 100 and 1,000 hosts, one
+gateway and a light load, with a third as many attempts in flight as hosts. `customers`: 1, 10,000 and 200,000
+customers with 10 hosts. `held`: 0, 1,000 and 20,000 requests that wait, while a few hosts are free only at
+times. `queued`: that many requests stay in the queue during the whole round, without the bound of the queue.
+`refused`: a customer over its quota. Then prints the bytes that the module uses per customer account, host
+and request in progress.
+"""
 
 from __future__ import annotations
 
@@ -42,13 +44,13 @@
     "refused": "refused=True",
 }
 
-CHILD = r"""
+CHILD_CODE = r"""
 import collections, random, sys, time
 from apigateway import messages
 from apigateway.policy import dispatch
 from apigateway.policy import Gateway
 
-def settings(refused):
+def settings_for(refused):
     classes = {
         "read": messages.ServiceClass("read", 1.0, 3.0, "safe", "all", 0.0, 1.0, 0.0, False, 0.0),
         "note": messages.ServiceClass("note", 1.0, 3.0, "unsafe", "all", 0.0, 3.0, 0.0, False, 0.0)}
@@ -63,122 +65,126 @@
 def measure(requests, hosts=10, customers=97, held=0, silent=False, refused=False,
             queued=0):
     rng, now = random.Random(1), 1000.0
-    gateway = Gateway(settings(refused), 1, now)
-    listed = tuple(messages.Endpoint(f"h{n}", "ab"[n % 2], n % 4, 1.0, "k", "up", 0.0) for n in range(hosts))
-    dead = {f"h{n}" for n in range(0, hosts, 2)} if silent else set()
-    out, totals = collections.deque(), collections.Counter()
-    most = max(2, hosts // 3)
-
-    def feed(event):
-        queue = [event]
-        while queue:
-            for act in gateway.handle(now, queue.pop(0)):
-                if type(act) is messages.ForwardRequest:
-                    out.append(act)
-                elif type(act) is messages.AddToCounter:
-                    totals[act.counter_key] += act.amount
-                    total = totals[act.counter_key]
-                    queue.append(messages.CounterResult(act.counter_key, "ok", total, 0.001))
-                elif type(act) is messages.CancelAttempt:
-                    moot = messages.AttemptOutcome(act.request_id, act.attempt, "h0", "moot", 0.1, False)
-                    queue.append(moot)
-
-    def answer():
-        act = out.popleft()
-        bad = act.endpoint_id in dead
-        result = "reset" if bad else "ok"
-        feed(messages.AttemptOutcome(act.request_id, 0, act.endpoint_id, result, 0.05, not bad,
+    gateway = Gateway(settings_for(refused), 1, now)
+    endpoints = tuple(messages.Endpoint(f"h{n}", "ab"[n % 2], n % 4, 1.0, "k", "up", 0.0)
+                      for n in range(hosts))
+    silent_ids = {f"h{n}" for n in range(0, hosts, 2)} if silent else set()
+    in_flight, totals = collections.deque(), collections.Counter()
+    max_in_flight = max(2, hosts // 3)
+
+    def deliver(event):
+        events = [event]
+        while events:
+            for action in gateway.handle(now, events.pop(0)):
+                if type(action) is messages.ForwardRequest:
+                    in_flight.append(action)
+                elif type(action) is messages.AddToCounter:
+                    totals[action.counter_key] += action.amount
+                    total = totals[action.counter_key]
+                    events.append(messages.CounterResult(action.counter_key, "ok", total, 0.001))
+                elif type(action) is messages.CancelAttempt:
+                    cancelled = messages.AttemptOutcome(action.request_id, action.attempt, "h0", "moot",
+                                                        0.1, False)
+                    events.append(cancelled)
+
+    def answer_oldest():
+        action = in_flight.popleft()
+        is_silent = action.endpoint_id in silent_ids
+        result = "reset" if is_silent else "ok"
+        deliver(messages.AttemptOutcome(action.request_id, 0, action.endpoint_id, result, 0.05, not is_silent,
                          load_report={"inflight": 1.0 + rng.random()}))
 
-    feed(messages.EndpointList("full", 1, listed))
+    deliver(messages.EndpointList("full", 1, endpoints))
     number = 0
 
-    def ask():
+    def send_request():
         nonlocal number
         number += 1
-        cls = "note" if number % 10 == 0 else "read"
-        feed(messages.Request(f"r{number}", 3.0, f"{number % customers:016x}", "p", cls, 1.0, 0, 1))
+        service_class = "note" if number % 10 == 0 else "read"
+        deliver(messages.Request(f"r{number}", 3.0, f"{number % customers:016x}", "p", service_class, 1.0,
+                                 0, 1))
 
     if queued:
         dispatch.MIN_QUEUE_LENGTH = 10 ** 6
-    for _ in range(queued + 40 if queued else 0):  # all hosts are full
+    for _ in range(queued + 40 if queued else 0):  # fills all hosts and then the queue
         now += 0.00001
-        ask()
-    most = 39 if queued else most
-    for _ in range(held):  # they wait: nothing is answered
+        send_request()
+    max_in_flight = 39 if queued else max_in_flight
+    for _ in range(held):  # these requests wait, since nothing is answered
         gateway.pool.reported_mean_load, gateway.pool.congestion.value = 1.0, 0.0
-        ask()
+        send_request()
     if customers > 1000:
         for _ in range(customers):
             now += 0.00001
-            ask()
-            while out:
-                answer()
+            send_request()
+            while in_flight:
+                answer_oldest()
     for _ in range(500):
         now += 0.0003
-        ask()
-        while len(out) > most:
-            answer()
-            if queued:  # one comes, one goes
+        send_request()
+        while len(in_flight) > max_in_flight:
+            answer_oldest()
+            if queued:  # one answer per new request keeps the queue's length
                 break
-    began = time.process_time()
+    started_at = time.process_time()
     for _ in range(requests):
         now += 0.0003
-        ask()
-        while len(out) > most:
-            answer()
+        send_request()
+        while len(in_flight) > max_in_flight:
+            answer_oldest()
             if queued:
                 break
-    return (time.process_time() - began) / requests * 1e6
+    return (time.process_time() - started_at) / requests * 1e6
 
-def held(what, count=50000):
-    # Bytes that one account, host or request in work takes, by the allocator.
+def bytes_each(what, count=50000):
+    # Returns the bytes that one account, host or request in progress uses, as tracemalloc reports them.
     import tracemalloc
-    gateway, now = Gateway(settings(False), 1, 1000.0), 1000.0
-    size = count if what == "host" else 10
-    hosts = tuple(messages.Endpoint(f"h{n}", "a", 0, 1.0, "k", "up", 0.0) for n in range(size))
+    gateway, now = Gateway(settings_for(False), 1, 1000.0), 1000.0
+    host_count = count if what == "host" else 10
+    hosts = tuple(messages.Endpoint(f"h{n}", "a", 0, 1.0, "k", "up", 0.0) for n in range(host_count))
     if what != "host":
         gateway.handle(now, messages.EndpointList("full", 1, hosts))
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
+    bytes_before = tracemalloc.get_traced_memory()[0]
     if what == "host":
         gateway.handle(now, messages.EndpointList("full", 1, hosts))
     for n in range(count if what != "host" else 0):
         now += 0.00001
         customer = f"{n if what == 'account' else 1:016x}"
-        for act in gateway.handle(now, messages.Request(f"r{n}", 3.0, customer, "p", "read", 1.0, 0, 1)):
-            if type(act) is messages.ForwardRequest and what == "account":
-                ended = messages.AttemptOutcome(act.request_id, 0, act.endpoint_id, "ok", 0.01, True)
-                gateway.handle(now, ended)
-    most = len(gateway.pending) if what == "request" else count
-    return (tracemalloc.get_traced_memory()[0] - before) / max(1, most)
+        for action in gateway.handle(now, messages.Request(f"r{n}", 3.0, customer, "p", "read", 1.0, 0, 1)):
+            if type(action) is messages.ForwardRequest and what == "account":
+                outcome = messages.AttemptOutcome(action.request_id, 0, action.endpoint_id, "ok", 0.01, True)
+                gateway.handle(now, outcome)
+    object_count = len(gateway.pending) if what == "request" else count
+    return (tracemalloc.get_traced_memory()[0] - bytes_before) / max(1, object_count)
 
 if sys.argv[2].startswith("held:"):
-    print(held(sys.argv[2][5:], int(sys.argv[1])))
+    print(bytes_each(sys.argv[2][5:], int(sys.argv[1])))
 else:
     print(measure(int(sys.argv[1]), **eval(f"dict({sys.argv[2]})")))
 """
 
 
-def load_of(tree: Path) -> str:
-    """Return the load for this tree: one whose messages have other names has a load of its own."""
+def child_code_of(tree: Path) -> str:
+    """Return the child process's code for a tree: the messages of older trees have other names."""
     if (tree / "apigateway").is_dir():
-        return CHILD
+        return CHILD_CODE
     text = (tree / "benchmarks" / "module_cost.py").read_text()
     return text.split('CHILD = r"""')[1].split('"""')[0]
 
 
-def one(tree: Path, requests: int, case: str) -> float:
-    ended = subprocess.run(
-        [sys.executable, "-c", load_of(tree), str(requests), case],
+def run_case(tree: Path, requests: int, case: str) -> float:
+    """Run a case in a child process; return the figure that it prints."""
+    child = subprocess.run(
+        [sys.executable, "-c", child_code_of(tree), str(requests), case],
         cwd=tree,
         capture_output=True,
         text=True,
         timeout=600,
     )
-    if ended.returncode:
-        raise RuntimeError(ended.stderr[-2000:])
-    return float(ended.stdout)
+    if child.returncode:
+        raise RuntimeError(child.stderr[-2000:])
+    return float(child.stdout)
 
 
 def main() -> None:
@@ -186,53 +192,56 @@
     parser.add_argument("--before", metavar="REV")
     parser.add_argument("--requests", type=int, default=3000)
     parser.add_argument("--rounds", type=int, default=5)
-    parser.add_argument("--case", action="append", choices=list(CASES), help="only these")
+    parser.add_argument(
+        "--case", action="append", choices=list(CASES), help="measure only this case; may be repeated"
+    )
     parser.add_argument("--json", metavar="FILE")
-    parser.add_argument("--plot", metavar="FOLDER", help="one SVG for each of hosts, customers, queue")
-    told = parser.parse_args()
+    parser.add_argument("--plot", metavar="FOLDER", help="write one SVG each for hosts, customers and queue")
+    args = parser.parse_args()
     figures: dict[str, dict[str, float]] = {}
     with tempfile.TemporaryDirectory(prefix="module-cost-") as folder:
         trees = {"now": ROOT}
-        if told.before:
+        if args.before:
             archive = subprocess.run(
-                ["git", "archive", told.before], cwd=ROOT, check=True, capture_output=True
+                ["git", "archive", args.before], cwd=ROOT, check=True, capture_output=True
             ).stdout
             subprocess.run(["tar", "-x"], cwd=folder, input=archive, check=True)
             trees["before"] = Path(folder)
-        print(f"{'':22}" + "".join(f"{name:>10}" for name in trees) + ("   now/it" if told.before else ""))
-        for name in told.case or CASES:
-            taken: dict[str, list[float]] = {tree: [] for tree in trees}
-            for _ in range(told.rounds):
-                for tree, place in trees.items():
-                    taken[tree].append(one(place, told.requests, CASES[name]))
-            row = {tree: statistics.median(values) for tree, values in taken.items()}
-            if told.before:
+        print(f"{'':22}" + "".join(f"{name:>10}" for name in trees) + ("   now/it" if args.before else ""))
+        for name in args.case or CASES:
+            cpu_us: dict[str, list[float]] = {tree: [] for tree in trees}
+            for _ in range(args.rounds):
+                for tree, path in trees.items():
+                    cpu_us[tree].append(run_case(path, args.requests, CASES[name]))
+            row = {tree: statistics.median(values) for tree, values in cpu_us.items()}
+            if args.before:
                 row["ratio"] = statistics.median(
-                    a / b for a, b in zip(taken["now"], taken["before"], strict=True)
+                    now / before for now, before in zip(cpu_us["now"], cpu_us["before"], strict=True)
                 )
             figures[name] = row
             print(
                 f"{name:22}"
                 + "".join(f"{row[tree]:10.1f}" for tree in trees)
-                + (f"{row['ratio']:9.3f}" if told.before else ""),
+                + (f"{row['ratio']:9.3f}" if args.before else ""),
                 flush=True,
             )
-    for what in ("account", "host", "request") if not told.case else ():
-        figures[f"bytes a {what}"] = {"now": one(ROOT, 20_000, f"held:{what}")}
+    for what in ("account", "host", "request") if not args.case else ():
+        figures[f"bytes a {what}"] = {"now": run_case(ROOT, 20_000, f"held:{what}")}
         print(f"{'bytes a ' + what:22}{figures[f'bytes a {what}']['now']:10.0f}")
-    if told.json:
-        Path(told.json).write_text(json.dumps(figures, indent=1))
-    if told.plot:
-        plot(figures, Path(told.plot))
+    if args.json:
+        Path(args.json).write_text(json.dumps(figures, indent=1))
+    if args.plot:
+        plot_figures(figures, Path(args.plot))
 
 
-def plot(figures: dict[str, dict[str, float]], folder: Path) -> None:
-    for what, across, cases in (
+def plot_figures(figures: dict[str, dict[str, float]], folder: Path) -> None:
+    """Write a plot for each group of cases that was measured in full."""
+    for what, x_label, cases in (
         ("hosts", "hosts", {"10 hosts": 10, "100 hosts": 100, "1000 hosts": 1000}),
         ("customers", "customers", {"1 customer": 1, "10k customers": 10_000, "200k customers": 200_000}),
         (
             "queue",
-            "requests that wait (none: at 1)",
+            "queued requests (0 is shown at 1)",
             {"0 queued": 1, "1k queued": 1000, "20k queued": 20_000},
         ),
     ):
@@ -243,7 +252,7 @@
             Line(tree, [(count, figures[name][tree]) for name, count in cases.items()], tree == "before")
             for tree in trees
         ]
-        text = draw(f"The module's cost a request, by {what}", across, "us of CPU", lines, True, True)
+        text = draw(f"The module's cost a request, by {what}", x_label, "us of CPU", lines, True, True)
         (folder / f"module-{what}.svg").write_text(text)
 
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,11 +1,12 @@
-"""What becomes of requests when more come than the gateway's core can do?
+"""Measures how a gateway treats requests when they arrive faster than its core can handle them.
 
     python benchmarks/overload.py [--seconds 10] [--times 0.7 1 2 3] [--hosts 50] [--json FILE] [--plot FILE]
 
-One gateway on one core, hosts that answer at once, and load by a schedule that does not wait for answers,
-from three processes over 24 connections. First its peak, in a closed loop; then so many times that, with
-`overload.on` and without. A fifth of the requests are of a plan worth three times the other's. Times are from
-when a request was due to be sent."""
+One gateway runs on one core, with hosts that answer immediately. Three processes send an open-loop load over
+24 connections. The benchmark first measures the gateway's peak in a closed loop, then sends multiples of that
+peak (`--times`), with `overload.on` and without. A fifth of the requests belong to a plan whose price weight
+is three times that of the other. Latencies start when a request is due to be sent.
+"""
 
 from __future__ import annotations
 
@@ -28,81 +29,90 @@
 
 import request_cost  # noqa: E402
 from plots import Line, draw  # noqa: E402
-from request_cost import FastHost, cpu, memory  # noqa: E402
-from workers import LOAD as CLOSED  # noqa: E402
+from request_cost import FastHost, cpu_seconds, memory_kb  # noqa: E402
+from workers import CLOSED_LOOP_CODE  # noqa: E402
 
 from apigateway.emulators.ports import free_port  # noqa: E402
 
-SENDERS, CONNECTIONS = 3, 8
-AIM = 1.0  # s
-OPEN = """
+SENDERS, CONNECTIONS = 3, 8  # processes, connections of each
+LATENCY_OBJECTIVE_S = 1.0
+OPEN_LOOP_CODE = """
 import asyncio, json, sys, time, uvloop
 from collections import deque
 RATE, SECONDS, PORT, NUMBER = {rate!r}, {seconds!r}, {port!r}, {number!r}
 
-class Line(asyncio.Protocol):
+class Connection(asyncio.Protocol):
     def connection_made(self, transport):
-        self.transport, self.due, self.buffer, self.out = transport, deque(), b"", []
+        self.transport, self.due, self.buffer, self.unsent = transport, deque(), b"", []
     def data_received(self, data):
-        now, parts = time.monotonic(), (self.buffer + data).split(b"\\r\\n")
-        self.buffer = parts.pop()
-        for part in parts:
-            if part[:1] == b"$":
+        now, lines = time.monotonic(), (self.buffer + data).split(b"\\r\\n")
+        self.buffer = lines.pop()
+        for line in lines:
+            if line[:1] == b"$":
                 continue
             gold, due = self.due.popleft()
-            took[gold][part[:1] == b"-"].append(now - due)
-            if part[:1] == b"-" and part[:5] != b"-BUSY":
-                odd.append(part.decode())
+            latencies[gold][line[:1] == b"-"].append(now - due)
+            if line[:1] == b"-" and line[:5] != b"-BUSY":
+                unexpected.append(line.decode())
 
-took, odd = [[[], []], [[], []]], []
+latencies, unexpected = [[[], []], [[], []]], []  # latencies by plan (1: gold) and by outcome (1: refused)
 
 async def main():
     loop = asyncio.get_running_loop()
-    lines = [(await loop.create_connection(Line, "127.0.0.1", PORT))[1] for _ in range({connections})]
-    began, sent = time.monotonic(), 0
-    while (now := time.monotonic()) < began + SECONDS:
-        while sent < (now - began) * RATE:
-            gold, line = sent % 5 == 0, lines[sent % len(lines)]
-            terms = b"c=read,t=%s,d=3000,units=1,spread=1,first=0" % (b"gold" if gold else b"basic")
-            id = b"%d-%010d" % (NUMBER, sent)
-            line.out.append(b"*4\\r\\n$8\\r\\nAPI.READ\\r\\n$16\\r\\n%016x\\r\\n" % (sent % 97 + 700)
-                            + b"$%d\\r\\n%s\\r\\n$%d\\r\\n%s\\r\\n" % (len(id), id, len(terms), terms))
-            line.due.append((gold, began + sent / RATE))
+    connections = [(await loop.create_connection(Connection, "127.0.0.1", PORT))[1]
+                   for _ in range({connections})]
+    started_at, sent = time.monotonic(), 0
+    while (now := time.monotonic()) < started_at + SECONDS:
+        while sent < (now - started_at) * RATE:
+            gold, connection = sent % 5 == 0, connections[sent % len(connections)]
+            options = b"c=read,t=%s,d=3000,units=1,spread=1,first=0" % (b"gold" if gold else b"basic")
+            request_id = b"%d-%010d" % (NUMBER, sent)
+            connection.unsent.append(b"*4\\r\\n$8\\r\\nAPI.READ\\r\\n$16\\r\\n%016x\\r\\n" % (sent % 97 + 700)
+                            + b"$%d\\r\\n%s\\r\\n$%d\\r\\n%s\\r\\n"
+                            % (len(request_id), request_id, len(options), options))
+            connection.due.append((gold, started_at + sent / RATE))
             sent += 1
-        for line in lines:
-            if line.out:
-                line.transport.write(b"".join(line.out))
-                line.out.clear()
+        for connection in connections:
+            if connection.unsent:
+                connection.transport.write(b"".join(connection.unsent))
+                connection.unsent.clear()
         await asyncio.sleep(0.001)
     for _ in range(100):
-        if not any(line.due for line in lines):
+        if not any(connection.due for connection in connections):
             break
         await asyncio.sleep(0.05)
-    print(json.dumps(dict(sent=sent, took=took, odd=odd[:5], left=sum(len(line.due) for line in lines))))
+    print(json.dumps(dict(sent=sent, latencies=latencies, unexpected=unexpected[:5],
+                          unanswered=sum(len(connection.due) for connection in connections))))
 
 uvloop.run(main())
 """
 
 
-def run(texts: list[str], seconds: float, cores: set[int]) -> list[str]:
-    running = [
-        subprocess.Popen([sys.executable, "-c", text], stdout=subprocess.PIPE, text=True) for text in texts
+def run_senders(codes: list[str], seconds: float, cores: set[int]) -> list[str]:
+    """Run Python code in parallel processes; return what each prints."""
+    processes = [
+        subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE, text=True) for code in codes
     ]
-    for one in running:
-        os.sched_setaffinity(one.pid, cores)
-    return [one.communicate(timeout=seconds + 60)[0] for one in running]
+    for process in processes:
+        os.sched_setaffinity(process.pid, cores)
+    return [process.communicate(timeout=seconds + 60)[0] for process in processes]
 
 
-def at(times: list[float], part: float) -> float:
-    return sorted(times)[min(len(times) - 1, int(part * len(times)))] if times else 0.0
+def quantile(values: list[float], share: float) -> float:
+    return sorted(values)[min(len(values) - 1, int(share * len(values)))] if values else 0.0
 
 
 async def measure(
-    on: bool, loads: list[float], seconds: float, folder: Path, peak: float, fleet: int
+    overload_on: bool,
+    multiples: list[float],
+    seconds: float,
+    folder: Path,
+    peak: float,
+    host_count: int,
 ) -> list[dict[str, Any]]:
     loop, cores = asyncio.get_running_loop(), os.sched_getaffinity(0)
-    hosts = [await loop.create_server(FastHost, "127.0.0.1", 0) for _ in range(fleet)]
-    port, own = free_port(), {min(cores)}
+    hosts = [await loop.create_server(FastHost, "127.0.0.1", 0) for _ in range(host_count)]
+    port, gateway_cores = free_port(), {min(cores)}
     (folder / "hosts.toml").write_text(
         "".join(
             f'[[hosts]]\nid = "h{n}"\naddress = "127.0.0.1:{host.sockets[0].getsockname()[1]}"\n'
@@ -110,12 +120,12 @@
         )
     )
     (folder / "gateway.toml").write_text(
-        f'[[listeners]]\naddress = "127.0.0.1:{port}"\n[overload]\non = {str(on).lower()}\n'
-        f'[classes.read]\neffect = "safe"\naim = {AIM}\ndeadline = 3.0\n'
+        f'[[listeners]]\naddress = "127.0.0.1:{port}"\n[overload]\non = {str(overload_on).lower()}\n'
+        f'[classes.read]\neffect = "safe"\naim = {LATENCY_OBJECTIVE_S}\ndeadline = 3.0\n'
         "[plans.basic]\nrate = 1000000.0\nburst = 1000000.0\n"
         "[plans.gold]\nrate = 1000000.0\nburst = 1000000.0\nprice = 3.0\n"
     )
-    program = await asyncio.create_subprocess_exec(
+    gateway = await asyncio.create_subprocess_exec(
         sys.executable,
         "-B",
         "-m",
@@ -125,22 +135,22 @@
         cwd=ROOT,
         stderr=asyncio.subprocess.PIPE,
     )
-    assert program.stderr is not None
-    while b"listens on" not in (line := await program.stderr.readline()):
+    assert gateway.stderr is not None
+    while b"listens on" not in (line := await gateway.stderr.readline()):
         if not line:
-            raise RuntimeError("it does not start")
-    reading = loop.create_task(program.stderr.read())
-    os.sched_setaffinity(program.pid, own)
-    others = cores - own
-    os.sched_setaffinity(0, others)
+            raise RuntimeError("the gateway does not start")
+    stderr_reader = loop.create_task(gateway.stderr.read())
+    os.sched_setaffinity(gateway.pid, gateway_cores)
+    other_cores = cores - gateway_cores
+    os.sched_setaffinity(0, other_cores)
     rows = []
     try:
         if not peak:
-            for length in (1.0, 4.0):  # the first warms up
-                told = await asyncio.to_thread(
-                    run,
+            for length in (1.0, 4.0):  # the first run is a warm-up
+                outputs = await asyncio.to_thread(
+                    run_senders,
                     [
-                        CLOSED.format(
+                        CLOSED_LOOP_CODE.format(
                             paths=[str(ROOT), str(ROOT / "benchmarks")],
                             plan=b"basic",
                             connections=CONNECTIONS,
@@ -152,49 +162,57 @@
                         for n in range(SENDERS)
                     ],
                     length,
-                    others,
+                    other_cores,
                 )
-            peak = sum(int(one.split()[0]) for one in told) / length
-        for times in loads:
-            before = cpu(program.pid)
-            texts = [
-                OPEN.format(
-                    rate=peak * times / SENDERS, seconds=seconds, port=port, number=n, connections=CONNECTIONS
+            peak = sum(int(output.split()[0]) for output in outputs) / length
+        for multiple in multiples:
+            cpu_before = cpu_seconds(gateway.pid)
+            codes = [
+                OPEN_LOOP_CODE.format(
+                    rate=peak * multiple / SENDERS,
+                    seconds=seconds,
+                    port=port,
+                    number=n,
+                    connections=CONNECTIONS,
                 )
                 for n in range(SENDERS)
             ]
-            told = await asyncio.to_thread(run, texts, seconds, others)
-            heard = [json.loads(one) for one in told]
-            kinds = [
-                [sum((one["took"][gold][bad] for one in heard), []) for bad in (0, 1)] for gold in (0, 1)
+            outputs = await asyncio.to_thread(run_senders, codes, seconds, other_cores)
+            results = [json.loads(output) for output in outputs]
+            latencies = [
+                [
+                    sum((result["latencies"][gold][is_refused] for result in results), [])
+                    for is_refused in (0, 1)
+                ]
+                for gold in (0, 1)
             ]
-            served, refused = kinds[0][0] + kinds[1][0], kinds[0][1] + kinds[1][1]
+            served, refused = latencies[0][0] + latencies[1][0], latencies[0][1] + latencies[1][1]
             rows.append(
                 {
-                    "on": on,
-                    "times": times,
+                    "on": overload_on,
+                    "times": multiple,
                     "peak": peak,
-                    "sent": sum(one["sent"] for one in heard) / seconds,
-                    "good": sum(t <= AIM for t in served) / seconds,
+                    "sent": sum(result["sent"] for result in results) / seconds,
+                    "good": sum(latency <= LATENCY_OBJECTIVE_S for latency in served) / seconds,
                     "served": len(served) / seconds,
                     "refused": len(refused) / seconds,
-                    "p50": at(served, 0.5),
-                    "p99": at(served, 0.99),
+                    "p50": quantile(served, 0.5),
+                    "p99": quantile(served, 0.99),
                     "most": max(served, default=0.0),
-                    "refused_p50": at(refused, 0.5),
-                    "refused_p99": at(refused, 0.99),
-                    "left": sum(one["left"] for one in heard),
-                    "gold": len(kinds[1][0]) / max(1, len(kinds[1][0]) + len(kinds[1][1])),
-                    "basic": len(kinds[0][0]) / max(1, len(kinds[0][0]) + len(kinds[0][1])),
-                    "odd": sum((one["odd"] for one in heard), [])[:3],
-                    "cpu": (cpu(program.pid) - before) / seconds,
-                    "kb": memory(program.pid),
+                    "refused_p50": quantile(refused, 0.5),
+                    "refused_p99": quantile(refused, 0.99),
+                    "left": sum(result["unanswered"] for result in results),
+                    "gold": len(latencies[1][0]) / max(1, len(latencies[1][0]) + len(latencies[1][1])),
+                    "basic": len(latencies[0][0]) / max(1, len(latencies[0][0]) + len(latencies[0][1])),
+                    "odd": sum((result["unexpected"] for result in results), [])[:3],
+                    "cpu": (cpu_seconds(gateway.pid) - cpu_before) / seconds,
+                    "kb": memory_kb(gateway.pid),
                 }
             )
             await asyncio.sleep(1.0)
     finally:
-        program.send_signal(signal.SIGTERM)
-        await asyncio.gather(program.wait(), reading)
+        gateway.send_signal(signal.SIGTERM)
+        await asyncio.gather(gateway.wait(), stderr_reader)
         for host in hosts:
             host.close()
         os.sched_setaffinity(0, cores)
@@ -209,7 +227,7 @@
     parser.add_argument("--early", choices=["on", "off", "both"], default="both")
     parser.add_argument("--hosts", type=int, default=50)
     parser.add_argument("--json", metavar="FILE")
-    told = parser.parse_args()
+    args = parser.parse_args()
     request_cost.CONNECTIONS = CONNECTIONS
     figures: list[dict[str, Any]] = []
     print(
@@ -217,16 +235,16 @@
         f"{'p99 ms':>7} {'most':>7} {'ref p50':>8} {'ref p99':>8} {'gold':>5} {'basic':>5} {'cpu':>5} "
         f"{'left':>5}"
     )
-    for on in {"on": [True], "off": [False], "both": [True, False]}[told.early]:
+    for on in {"on": [True], "off": [False], "both": [True, False]}[args.early]:
         with tempfile.TemporaryDirectory(prefix="overload-") as folder:
             rows = uvloop.run(
                 measure(
                     on,
-                    told.times,
-                    told.seconds,
+                    args.times,
+                    args.seconds,
                     Path(folder),
                     figures[0]["peak"] if figures else 0.0,
-                    told.hosts,
+                    args.hosts,
                 )
             )
         for row in rows:
@@ -239,9 +257,9 @@
                 flush=True,
             )
         figures += rows
-    if told.json:
-        Path(told.json).write_text(json.dumps(figures, indent=1))
-    if told.plot:
+    if args.json:
+        Path(args.json).write_text(json.dumps(figures, indent=1))
+    if args.plot:
         lines = [
             Line(
                 f"{what}, early {'on' if on else 'off'}",
@@ -255,7 +273,7 @@
             for key, what in (("good", "in time, of peak"), ("gold", "of worth 3"))
             for on in sorted({row["on"] for row in figures}, reverse=True)
         ]
-        Path(told.plot).write_text(draw("Served in time as more comes", "times the peak", "part", lines))
+        Path(args.plot).write_text(draw("Served in time as more comes", "times the peak", "part", lines))
 
 
 if __name__ == "__main__":
--- a/benchmarks/ratelimit_mixed.py
+++ b/benchmarks/ratelimit_mixed.py
@@ -1,13 +1,15 @@
-"""Does the ceiling hold over RESP2 and gRPC together, and how far does the quota, while the counter stalls?
+"""Checks the ceiling over RESP2 and gRPC together while the counter stalls, and measures quota use.
 
     python benchmarks/ratelimit_mixed.py [--seconds 60] [--json FILE]
 
-Three gateways, nine hosts, four customers that each ask for three times their ceiling (six times their
-quota), by RESP2 and by checks (grpcio) 1:1 and 9:1. The counter falls silent for 2 s in each 6. The ledger
-judges from what passed: requests as hosts saw them, checks as their clients were told. Beside the verdict:
-what passed in all against what quota and ceiling allow in that time, and how near any customer's ceiling came
-to being passed over any span (its store, which fills at the ceiling's rate up to its burst: the least that
-was ever in it; below none, minus that is the largest excess)."""
+There are three gateways, nine hosts and four customers. Each customer sends three times its ceiling (six
+times its quota), over RESP2 and gRPC checks (grpcio) in the ratios 1:1 and 9:1. The counter does not answer
+for 2 s of every 6 s. The ledger checks the rules against the requests that hosts received and the answers
+that clients of checks got. Besides the verdict, the benchmark prints the units that passed relative to
+those that quota and ceiling allow in that time, and the least level of any customer's token bucket for its
+ceiling, which fills at the ceiling's rate up to its burst. A negative level is the largest excess over the
+ceiling in any time span.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +33,8 @@
 from apigateway.emulators.ledger import Attempt  # noqa: E402
 from apigateway.emulators.script import Step  # noqa: E402
 
-RATE, BURST, CEILING, CEILING_BURST, ASKED = 8.0, 16.0, 16.0, 32.0, 48.0  # units a second, units
+# Units per second and units; SENT_RATE is the request rate of each customer.
+RATE, BURST, CEILING, CEILING_BURST, SENT_RATE = 8.0, 16.0, 16.0, 32.0, 48.0
 CUSTOMERS = [f"{n:016x}" for n in range(1, 5)]
 SHAPE = Shape(
     classes={"roster-read": Class("safe", 1.0, 3.0, 1.0, 0.03, 1.0)},
@@ -40,7 +43,8 @@
 )
 
 
-async def stalls(fleet: Fleet, seconds: float) -> None:
+async def stall_counter(fleet: Fleet, seconds: float) -> None:
+    """Silence the counter for the last 2 s of every 6 s."""
     for _ in range(int(seconds / 6)):
         await asyncio.sleep(4.0)
         fleet.counter.script.play(Step("silent", seconds=2.0))
@@ -48,44 +52,46 @@
         fleet.counter.script.play()
 
 
-async def play(resp: float, seconds: float, folder: Path) -> dict[str, Any]:
-    """`resp`: the part of what is asked that comes by RESP2."""
+async def measure(resp_share: float, seconds: float, folder: Path) -> dict[str, Any]:
+    """Run the load; `resp_share` is the share of requests that are sent over RESP2."""
     async with Fleet(SHAPE, folder) as fleet:
         ledger = fleet.ledger
         client = Client(ledger, {g.name: ("127.0.0.1", g.port) for g in fleet.gateways})
         checks = Checks(ledger, {g.name: ("127.0.0.1", g.checks) for g in fleet.gateways})
 
-        def asking(part: float) -> list[Customer]:
-            return [Customer(name, "enterprise", ASKED * part, 0, SHAPE.gateways) for name in CUSTOMERS]
+        def customers_with_share(share: float) -> list[Customer]:
+            return [Customer(name, "enterprise", SENT_RATE * share, 0, SHAPE.gateways) for name in CUSTOMERS]
 
-        traffic = Traffic(client, asking(resp), SHAPE.used(), retries=0.0)
-        began = asyncio.get_running_loop().time()
+        traffic = Traffic(client, customers_with_share(resp_share), SHAPE.used(), retries=0.0)
+        started_at = asyncio.get_running_loop().time()
         await asyncio.gather(
-            traffic.run(seconds), checks.run(asking(1 - resp), seconds), stalls(fleet, seconds)
+            traffic.run(seconds),
+            checks.run(customers_with_share(1 - resp_share), seconds),
+            stall_counter(fleet, seconds),
         )
-        span = asyncio.get_running_loop().time() - began
+        elapsed = asyncio.get_running_loop().time() - started_at
         client.close()
         await checks.close()
         verdicts = ledger.judge()
-        by_id: dict[str, list[Attempt]] = defaultdict(list)
-        for attempt in sorted(ledger.attempts, key=lambda a: a.last):
-            by_id[attempt.id].append(attempt)
-        stores = ledger.stores(by_id)
-        sent = sum(1 for id in by_id if id in ledger.tries)
+        attempts_by_id: dict[str, list[Attempt]] = defaultdict(list)
+        for attempt in sorted(ledger.attempts, key=lambda attempt: attempt.last):
+            attempts_by_id[attempt.id].append(attempt)
+        ceiling_uses = ledger.stores(attempts_by_id)
+        resp_sent = sum(1 for request_id in attempts_by_id if request_id in ledger.tries)
         granted = sum(units for *_, units in ledger.grants)
-    count = len(CUSTOMERS)
+    customer_count = len(CUSTOMERS)
     return {
-        "resp_sent": sent,
+        "resp_sent": resp_sent,
         "checks_granted": granted,
-        "passed": sent + granted,
+        "passed": resp_sent + granted,
         "asked": len(ledger.tries) + sum(checks.counts.values()),
-        "span_s": span,
-        "quota": count * (BURST + RATE * seconds),
-        "ceiling": count * (CEILING_BURST + CEILING * seconds),
-        "least_left": min(least for least, _ in stores.values()),
-        "slack": min(slack for _, slack in stores.values()),
+        "span_s": elapsed,
+        "quota": customer_count * (BURST + RATE * seconds),
+        "ceiling": customer_count * (CEILING_BURST + CEILING * seconds),
+        "least_left": min(least for least, _ in ceiling_uses.values()),
+        "slack": min(slack for _, slack in ceiling_uses.values()),
         "checks": dict(checks.counts),
-        "broken": [text for v in verdicts for text in v.breaches],
+        "broken": [breach for verdict in verdicts for breach in verdict.breaches],
     }
 
 
@@ -93,23 +99,23 @@
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--json", metavar="FILE")
-    told = parser.parse_args()
+    args = parser.parse_args()
     figures = {}
     print(
         f"{'RESP2:gRPC':>10} {'asked':>7} {'passed':>7} {'of quota':>9} {'of ceiling':>11} "
         f"{'least left':>11} {'slack':>6}  rules"
     )
-    for name, resp in (("1:1", 0.5), ("9:1", 0.9)):
+    for name, resp_share in (("1:1", 0.5), ("9:1", 0.9)):
         with tempfile.TemporaryDirectory(prefix="mixed-") as folder:
-            row = figures[name] = uvloop.run(play(resp, told.seconds, Path(folder)))
+            row = figures[name] = uvloop.run(measure(resp_share, args.seconds, Path(folder)))
         print(
             f"{name:>10} {row['asked']:7d} {row['passed']:7.0f} {row['passed'] / row['quota']:9.3f} "
             f"{row['passed'] / row['ceiling']:11.3f} {row['least_left']:11.1f} {row['slack']:6.1f}  "
             f"{'BROKEN ' + row['broken'][0] if row['broken'] else 'kept'}",
             flush=True,
         )
-    if told.json:
-        Path(told.json).write_text(json.dumps(figures, indent=1))
+    if args.json:
+        Path(args.json).write_text(json.dumps(figures, indent=1))
 
 
 if __name__ == "__main__":
