--- a/apigateway/tools/load/sender.py
+++ b/apigateway/tools/load/sender.py
@@ -19,9 +19,8 @@
 from apigateway.upstream.address import Address
 
 _TIMER_RESOLUTION_S = 0.0015  # event loop timers count in ms, so the end of a wait polls the loop instead
-_MAX_STARTED_AT_ONCE = (
-    64  # requests started in one iteration of the event loop, so that answers are read in between
-)
+# Requests started in one iteration of the event loop; a limit lets answers be read in between.
+_MAX_STARTED_AT_ONCE = 64
 
 
 class Sender:
@@ -114,9 +113,8 @@
         self._outstanding += 1
         late_us = self._elapsed_us(scheduled)
         self.record.record_start(late_us)
-        remaining = (
-            service_class.wait - late_us / US_PER_S
-        )  # the client's timeout starts when the request is due
+        # The client's timeout starts when the request is due.
+        remaining = service_class.wait - late_us / US_PER_S
         loop = asyncio.get_running_loop()
         request.timer = loop.call_later(max(0.0, remaining), self._on_timeout, request)
         self.targets[scheduled.gateway_index % len(self.targets)].send(request)
--- a/apigateway/tools/load/target.py
+++ b/apigateway/tools/load/target.py
@@ -55,9 +55,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and add the connection to those of the target."""
-        self.transport = cast(
-            asyncio.Transport, transport
-        )  # uvloop's transports do not derive from asyncio.Transport
+        # uvloop's transports do not derive from asyncio.Transport.
+        self.transport = cast(asyncio.Transport, transport)
         self._target.connections.add(self)
 
     def send(self, request: OutgoingRequest) -> None:
@@ -149,9 +148,8 @@
             loop = asyncio.get_running_loop()
             _, connection = await loop.create_connection(lambda: TargetConnection(self), *self._address)
         except OSError as error:
-            if (
-                error.errno in _DESCRIPTOR_SHORTAGE_ERRORS
-            ):  # a limit of the generator's process, not a fault of the target
+            # This is a limit of the generator's process, not a fault of the target.
+            if error.errno in _DESCRIPTOR_SHORTAGE_ERRORS:
                 self.record.descriptor_shortages += 1
             self.on_outcome(request, Outcome.UNSENT)
             return
--- a/tests/load/scenarios.py
+++ b/tests/load/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios and shapes that the tests of the load generator share."""
+"""Scenarios and shapes shared by the tests of the load generator."""
 
 from apigateway.tools.load.scenario import (
     ClassSection,
@@ -23,13 +23,13 @@
 )
 
 
-def scenario(
-    shape=None, seconds=10.0, plans=None, spells=(), gateways=3, cls="read", arrivals="poisson", **run
+def make_scenario(
+    shape=None, seconds=10.0, plans=None, spells=(), gateway_count=3, cls="read", arrivals="poisson", **run
 ):
     return Scenario(
         run=RunSection(seconds=seconds, **run),
         classes={"read": ClassSection()},
-        targets=TargetsSection(gateways=[f"127.0.0.1:{7000 + n}" for n in range(gateways)]),
+        targets=TargetsSection(gateways=[f"127.0.0.1:{7000 + n}" for n in range(gateway_count)]),
         plans=plans or {"p": PlanSection(employers=20)},
         spells=list(spells),
         streams=[StreamSection(cls=cls, plan="p", shape=shape or Constant(rate=100.0), arrivals=arrivals)],
--- a/tests/load/test_scenario.py
+++ b/tests/load/test_scenario.py
@@ -1,4 +1,4 @@
-"""A scenario file: each problem is reported with its key; nothing is sent off loopback unless it says so."""
+"""Reading scenario files: each problem is reported with its key, and targets off loopback need a setting."""
 
 import json
 import subprocess
@@ -10,7 +10,7 @@
 from apigateway.config_validation import InvalidConfigFileError
 from apigateway.tools.load.scenario import read_scenario
 
-GOOD = """
+VALID_SCENARIO = """
 [classes.read]
 [plans.p]
 [[streams]]
@@ -23,13 +23,13 @@
 def read_problems(tmp_path, text):
     file = tmp_path / "scenario.toml"
     file.write_text(text)
-    with pytest.raises(InvalidConfigFileError) as caught:
+    with pytest.raises(InvalidConfigFileError) as error_info:
         read_scenario(str(file))
-    return {problem.key: problem for problem in caught.value.problems}
+    return {problem.key: problem for problem in error_info.value.problems}
 
 
 @pytest.mark.parametrize(
-    "text, key, words",
+    "text, key, text_in_problem",
     [
         ("[run]\nsecond = 3", "run.second", "did you mean `seconds`"),
         ("[run]\nseconds = -1", "run.seconds", ">= 0"),
@@ -65,21 +65,21 @@
         ("[[streams]]\nclass = 'read'\nplan = 'p'", "streams[1].shape", "missing"),
     ],
 )
-def test_problem_is_reported_with_its_key(text, key, words, tmp_path):
-    found = read_problems(tmp_path, GOOD + text)
-    assert list(found) == [key] and words in str(found[key])
+def test_problem_is_reported_with_its_key(text, key, text_in_problem, tmp_path):
+    problems = read_problems(tmp_path, VALID_SCENARIO + text)
+    assert list(problems) == [key] and text_in_problem in str(problems[key])
 
 
 @pytest.mark.parametrize("address", ["127.0.0.1:1", "localhost:1", "[::1]:1", "127.9.9.9:1"])
 def test_target_when_on_loopback_or_allowed_then_is_accepted(address, tmp_path):
     file = tmp_path / "scenario.toml"
-    file.write_text(GOOD + f'[targets]\ngateways = ["{address}"]')
+    file.write_text(VALID_SCENARIO + f'[targets]\ngateways = ["{address}"]')
     assert read_scenario(str(file)).targets.gateways == [address]
-    file.write_text(GOOD + '[targets]\ngateways = ["10.0.0.1:1"]\noff_loopback = true')
+    file.write_text(VALID_SCENARIO + '[targets]\ngateways = ["10.0.0.1:1"]\noff_loopback = true')
     assert read_scenario(str(file)).targets.off_loopback
 
 
-def command(*arguments):
+def run_load_command(*arguments):
     return subprocess.run(
         [sys.executable, "-B", "-m", "apigateway", "load", *arguments],
         cwd=ROOT,
@@ -89,14 +89,18 @@
     )
 
 
-def test_plan_command_prints_figures_and_plot(tmp_path):
-    ended = command("plan", "examples/load/month-start.toml")
-    assert ended.returncode == 0 and "month start: " in ended.stdout and "█" in ended.stdout, ended.stderr
-    document = json.loads(command("plan", "examples/load/month-start.toml", "--json").stdout)
-    assert f"{document['requests']} requests" in ended.stdout and document["sha256"][:16] in ended.stdout
+def test_plan_command_prints_figures_and_plot_or_the_problem(tmp_path):
+    completed = run_load_command("plan", "examples/load/month-start.toml")
+    assert completed.returncode == 0 and "month start: " in completed.stdout and "█" in completed.stdout, (
+        completed.stderr
+    )
+    document = json.loads(run_load_command("plan", "examples/load/month-start.toml", "--json").stdout)
+    assert (
+        f"{document['requests']} requests" in completed.stdout and document["sha256"][:16] in completed.stdout
+    )
     file = tmp_path / "scenario.toml"
-    file.write_text(GOOD + "[run]\nmax_requests = 5")
-    ended = command("plan", str(file))
-    assert ended.returncode == 2 and "run.max_requests = 5" in ended.stderr
-    ended = command("plan", str(tmp_path / "none.toml"))
-    assert ended.returncode == 2 and "cannot be read" in ended.stderr
+    file.write_text(VALID_SCENARIO + "[run]\nmax_requests = 5")
+    completed = run_load_command("plan", str(file))
+    assert completed.returncode == 2 and "run.max_requests = 5" in completed.stderr
+    completed = run_load_command("plan", str(tmp_path / "none.toml"))
+    assert completed.returncode == 2 and "cannot be read" in completed.stderr
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -1,5 +1,8 @@
-"""Open loop against targets that stall, refuse, lie and die: every request that was due is recorded, with the
-latency that the schedule says. Lower bounds only: a slow machine makes them longer, never shorter."""
+"""The open loop against targets that stall, refuse, send surplus answers and die.
+
+Every scheduled request is recorded, with its latency from the time it was due. Latencies are only checked
+against lower bounds, since a slow machine makes them longer but never shorter.
+"""
 
 import asyncio
 import errno
@@ -25,16 +28,18 @@
 VALUE = b"$5\r\nvalue\r\n"
 
 
-def due(at, n=0, cls="read"):
-    return ScheduledRequest(int(at * US_PER_S), f"r{n}", f"{n % 5:016x}", "p", cls, 1.0, 0, 0, 1)
+def request_due(at_s, number=0, service_class="read"):
+    return ScheduledRequest(
+        int(at_s * US_PER_S), f"r{number}", f"{number % 5:016x}", "p", service_class, 1.0, 0, 0, 1
+    )
 
 
-def evenly(rate, seconds, cls="read"):
-    return [due(n / rate, n, cls) for n in range(int(rate * seconds))]
+def evenly_spaced(rate, seconds, service_class="read"):
+    return [request_due(n / rate, n, service_class) for n in range(int(rate * seconds))]
 
 
-async def sent(dues, port, wait=5.0, effect="safe", before=None):
-    sender = Sender(iter(dues), {"read": ClassSection(effect=effect, wait=wait)}, [("127.0.0.1", port)])
+async def send_all(requests, port, wait=5.0, effect="safe", before=None):
+    sender = Sender(iter(requests), {"read": ClassSection(effect=effect, wait=wait)}, [("127.0.0.1", port)])
     if before is not None:
         before(sender)
     record = await sender.run()
@@ -42,85 +47,85 @@
     return record
 
 
-class Freezing(asyncio.Protocol):
-    """Answers each command at once; while it is frozen it reads nothing."""
+class FreezableServer(asyncio.Protocol):
+    """Answers each command immediately; while frozen, it reads nothing from open connections."""
 
-    frozen, lines = False, set()
+    frozen, connections = False, set()
 
     def connection_made(self, transport):
         self.transport = transport
-        self.lines.add(self)
+        self.connections.add(self)
 
     def data_received(self, data):
         self.transport.write(VALUE * data.count(b"API."))
 
     def connection_lost(self, exc):
-        self.lines.discard(self)
+        self.connections.discard(self)
 
     @classmethod
     def freeze(cls, on):
-        for line in cls.lines:
-            line.transport.pause_reading() if on else line.transport.resume_reading()
+        for connection in cls.connections:
+            connection.transport.pause_reading() if on else connection.transport.resume_reading()
 
 
 @run_on_uvloop
-async def test_freeze_of_the_target_is_recorded_in_full():
+async def test_target_when_frozen_then_latencies_show_the_whole_freeze():
     loop = asyncio.get_running_loop()
-    server = await loop.create_server(Freezing, "127.0.0.1", 0)
-    spans, dues = [], evenly(200, 2.5)
+    server = await loop.create_server(FreezableServer, "127.0.0.1", 0)
+    freeze_times, requests = [], evenly_spaced(200, 2.5)
 
     def freeze(sender):
-        async def go():
-            while not (Freezing.lines and time.monotonic() > sender.started_at + 0.5):
+        async def freeze_for_a_second():
+            while not (FreezableServer.connections and time.monotonic() > sender.started_at + 0.5):
                 await asyncio.sleep(0.01)
-            Freezing.freeze(True)
-            spans.append(time.monotonic() - sender.started_at)
+            FreezableServer.freeze(True)
+            freeze_times.append(time.monotonic() - sender.started_at)
             await asyncio.sleep(1.0)
-            spans.append(time.monotonic() - sender.started_at)
-            Freezing.freeze(False)
+            freeze_times.append(time.monotonic() - sender.started_at)
+            FreezableServer.freeze(False)
 
-        sender.task = loop.create_task(go())
+        sender.task = loop.create_task(freeze_for_a_second())
 
-    record = await sent(dues, server.sockets[0].getsockname()[1], before=freeze)
-    begin, end = spans
+    record = await send_all(requests, server.sockets[0].getsockname()[1], before=freeze)
+    begin, end = freeze_times
     latencies = record.latency_of()
-    # New connections are taken on, so what is due in it waits where a kept one is at hand, as it does for
-    # clients; each that was out at its begin, and each behind it, shows the whole rest of the freeze.
+    # The server accepts new connections during the freeze, so only requests on existing connections wait, as for
+    # real clients. Those in flight at the start of the freeze, and any behind them, show the rest of it.
     assert (
         count_above(latencies, (end - begin) * 0.95 * US_PER_S) >= 1
         and latencies.get_max_value() >= (end - begin) * 0.95 * US_PER_S
     )
-    assert latencies.get_total_count() == len(dues) and record.counts()[Outcome.SERVED] == len(dues)
+    assert latencies.get_total_count() == len(requests) and record.counts()[Outcome.SERVED] == len(requests)
     server.close()
 
 
 @run_on_uvloop
-async def test_gateway_when_stopped_then_every_request_due_shows_the_stop(tmp_path):
-    """SIGSTOP of a real one, for a second: what is due in it waits for the rest of it; none is left out."""
-    async with LocalDeployment(tmp_path) as site:
-        program = await site.start_gateway()
-        dues, spans = evenly(100, 2.5), []
+async def test_gateway_when_stopped_then_every_request_due_meanwhile_shows_the_stop(tmp_path):
+    """SIGSTOP stops a real gateway for a second: each request due meanwhile waits for the rest of it."""
+    async with LocalDeployment(tmp_path) as deployment:
+        gateway = await deployment.start_gateway()
+        requests, stop_times = evenly_spaced(100, 2.5), []
 
         def stop(sender):
-            async def go():
+            async def stop_for_a_second():
                 while time.monotonic() < sender.started_at + 0.7:
                     await asyncio.sleep(0.01)
-                program.send_signal(signal.SIGSTOP)
-                spans.append(time.monotonic() - sender.started_at)
+                gateway.send_signal(signal.SIGSTOP)
+                stop_times.append(time.monotonic() - sender.started_at)
                 await asyncio.sleep(1.0)
-                spans.append(time.monotonic() - sender.started_at)
-                program.send_signal(signal.SIGCONT)
+                stop_times.append(time.monotonic() - sender.started_at)
+                gateway.send_signal(signal.SIGCONT)
 
-            sender.task = asyncio.get_running_loop().create_task(go())
+            sender.task = asyncio.get_running_loop().create_task(stop_for_a_second())
 
-        record = await sent(dues, site.port, before=stop)
-        begin, end = spans
-        latencies, total = record.latency_of(), len(dues)
+        record = await send_all(requests, deployment.port, before=stop)
+        begin, end = stop_times
+        latencies, total = record.latency_of(), len(requests)
         assert latencies.get_total_count() == total
-        for least in (0.2, 0.5, 0.8):
-            in_it = sum(begin <= one.due_us / US_PER_S <= end - least for one in dues)
-            assert count_above(latencies, least * 0.99 * US_PER_S) >= in_it > 0, least
-        # A client that waited with it would have seen one slow answer.
+        for min_wait in (0.2, 0.5, 0.8):
+            due_meanwhile = sum(begin <= request.due_us / US_PER_S <= end - min_wait for request in requests)
+            assert count_above(latencies, min_wait * 0.99 * US_PER_S) >= due_meanwhile > 0, min_wait
+        # A closed-loop client would have waited with the gateway and recorded one slow answer.
         assert percentiles_ms(latencies)["p90"] >= 200
 
 
@@ -135,55 +140,57 @@
     ],
 )
 @run_on_uvloop
-async def test_answer_of_each_kind_has_its_outcome(step, outcome):
+async def test_reply_of_each_kind_has_its_outcome(step, outcome):
     async with EmulatedHost() as host:
         host.script.play(step)
-        record = await sent(evenly(100, 0.3), host.port, wait=0.4)
+        record = await send_all(evenly_spaced(100, 0.3), host.port, wait=0.4)
         assert record.counts() == dict.fromkeys(Outcome, 0) | {outcome: 30}
         latencies = record.latency_of(outcome)
-        if step.kind == "silent":  # counted for as long as its client would have waited
-            assert latencies.get_min_value() >= 0.99 * 0.4 * US_PER_S  # to the resolution of timer and record
+        if step.kind == "silent":  # its latency is the client's timeout
+            assert (
+                latencies.get_min_value() >= 0.99 * 0.4 * US_PER_S
+            )  # within the resolution of timer and histogram
 
 
 @run_on_uvloop
 async def test_target_when_unreachable_then_requests_are_unsent():
-    record = await sent(evenly(100, 0.3), free_port())
+    record = await send_all(evenly_spaced(100, 0.3), free_port())
     assert record.counts()[Outcome.UNSENT] == 30 and not void_reason(record, 10_000, 1.0)
 
 
 @run_on_uvloop
-async def test_surplus_answers_are_counted_and_serve_no_request():
-    class Twice(asyncio.Protocol):
+async def test_surplus_answers_are_counted_and_not_taken_for_other_requests():
+    class DuplicatingServer(asyncio.Protocol):
         def connection_made(self, transport):
             self.transport = transport
 
         def data_received(self, data):
             self.transport.write(VALUE * 2)
 
-    server = await asyncio.get_running_loop().create_server(Twice, "127.0.0.1", 0)
-    record = await sent(evenly(50, 0.4), server.sockets[0].getsockname()[1])
+    server = await asyncio.get_running_loop().create_server(DuplicatingServer, "127.0.0.1", 0)
+    record = await send_all(evenly_spaced(50, 0.4), server.sockets[0].getsockname()[1])
     assert record.surplus_answers > 0 and record.counts()[Outcome.SERVED] == 20
     server.close()
 
 
 @run_on_uvloop
-async def test_target_when_killed_then_loses_only_what_was_in_flight():
+async def test_target_when_killed_then_only_some_requests_are_lost():
     host = EmulatedHost()
     await host.open()
     host.script.play(Step("stall", delay=0.1))
     killed = []
 
     def kill(sender):
-        async def go():
+        async def kill_after_20_requests():
             for _ in range(20):
                 await host.arrived.get()
             await host.die()
             killed.append(True)
             await host.open()
 
-        sender.task = asyncio.get_running_loop().create_task(go())
+        sender.task = asyncio.get_running_loop().create_task(kill_after_20_requests())
 
-    record = await sent(evenly(100, 1.0), host.port, wait=2.0, before=kill)
+    record = await send_all(evenly_spaced(100, 1.0), host.port, wait=2.0, before=kill)
     counts = record.counts()
     assert killed and sum(counts.values()) == 100 and counts[Outcome.SERVED] > 0
     assert 0 < counts[Outcome.LOST] + counts[Outcome.UNSENT] < 60
@@ -191,83 +198,84 @@
 
 
 @run_on_uvloop
-async def test_run_when_the_generator_was_starved_then_is_void():
+async def test_run_when_the_generator_is_starved_then_is_void():
     async with EmulatedHost() as host:
 
         def starve(sender):
             asyncio.get_running_loop().call_later(0.1, time.sleep, 0.4)
 
-        record = await sent(evenly(100, 0.8), host.port, before=starve)
-        why = void_reason(record, 10.0, 0.001)
-        assert "the generator itself started" in why and record.lateness.get_max_value() >= 0.3 * US_PER_S
-        document = build_report(record, "starved", why)
-        assert "VOID" in format_report(document) and document["due"] == 80
-        assert (
-            percentiles_ms(record.latency_of(Outcome.SERVED))["max"] >= 300
-        )  # and latency is counted from when it was due
+        record = await send_all(evenly_spaced(100, 0.8), host.port, before=starve)
+        void = void_reason(record, 10.0, 0.001)
+        assert "the generator itself started" in void and record.lateness.get_max_value() >= 0.3 * US_PER_S
+        report = build_report(record, "starved", void)
+        assert "VOID" in format_report(report) and report["due"] == 80
+        # Latency is measured from the time a request was due.
+        assert percentiles_ms(record.latency_of(Outcome.SERVED))["max"] >= 300
 
 
 @run_on_uvloop
 async def test_run_when_the_generator_has_no_descriptors_then_is_void(monkeypatch):
     async with EmulatedHost() as host:
-        dues = evenly(50, 0.2)
+        requests = evenly_spaced(50, 0.2)
 
-        class Short(Sender):
+        class SenderUnderTest(Sender):
             pass
 
-        sender = Short(iter(dues), {"read": ClassSection()}, [("127.0.0.1", host.port)])
+        sender = SenderUnderTest(iter(requests), {"read": ClassSection()}, [("127.0.0.1", host.port)])
         target = sender.targets[0]
 
-        async def none(request):
+        async def fail_without_descriptor(request):
             sender.record.descriptor_shortages += 1
             sender._on_outcome(request, Outcome.UNSENT)
 
-        real = type(target).connect
+        real_connect = type(target).connect
 
         async def connect(request):
             if request.scheduled.request_id in ("r3", "r4"):
                 error = OSError(errno.EMFILE, "too many")
 
-                async def fails(*_, **__):
+                async def fail(*_, **__):
                     raise error
 
-                class Loop:
-                    create_connection = staticmethod(fails)
+                class FailingLoop:
+                    create_connection = staticmethod(fail)
 
-                monkeypatch.setattr("apigateway.tools.load.target.asyncio.get_running_loop", lambda: Loop)
+                monkeypatch.setattr(
+                    "apigateway.tools.load.target.asyncio.get_running_loop", lambda: FailingLoop
+                )
                 try:
-                    await real(target, request)
+                    await real_connect(target, request)
                 finally:
                     monkeypatch.undo()
             else:
-                await real(target, request)
+                await real_connect(target, request)
 
         target.connect = connect
-        target.idle = Never()
+        target.idle = EmptyPool()
         record = await sender.run()
         assert record.descriptor_shortages == 2 and "no file descriptor" in void_reason(record, 10_000, 1.0)
 
 
-class Never(list):
-    """No connection is kept."""
+class EmptyPool(list):
+    """A pool that keeps no idle connection, so that each request connects."""
 
     def append(self, _):
         pass
 
 
 @run_on_uvloop
-async def test_run_of_no_request_and_of_one():
+async def test_run_without_requests_and_with_one():
     async with EmulatedHost() as host:
-        record = await sent([], host.port)
+        record = await send_all([], host.port)
         assert build_report(record, "none", "")["due"] == 0 and percentiles_ms(record.latency_of()) == {}
-        record = await sent([due(0.05)], host.port)
+        record = await send_all([request_due(0.05)], host.port)
         assert record.counts()[Outcome.SERVED] == 1
 
 
 @run_on_uvloop
 async def test_write_command_has_its_key_and_body():
     async with EmulatedHost() as host:
-        await sent([due(0.0, 7, "read")], host.port, effect="keyed")
+        await send_all([request_due(0.0, 7, "read")], host.port, effect="keyed")
         assert host.commands[0][0] == b"API.WRITE" and b"k=r7" in host.commands[0][3]
 
 
@@ -278,11 +286,11 @@
         'employers = 3\n[[streams]]\nclass = "read"\nplan = "p"\n'
         'shape = {{ kind = "constant", rate = 100.0 }}\n[targets]\ngateways = ["127.0.0.1:{}"]\n'
     )
-    async with LocalDeployment(tmp_path) as site:
-        await site.start_gateway()
+    async with LocalDeployment(tmp_path) as deployment:
+        await deployment.start_gateway()
         file = tmp_path / "scenario.toml"
         for seconds in (1.0, 60.0):
-            file.write_text(scenario.format(seconds, site.port))
+            file.write_text(scenario.format(seconds, deployment.port))
             program = await asyncio.create_subprocess_exec(
                 *GATEWAY_COMMAND,
                 "load",
@@ -295,25 +303,25 @@
             )
             if seconds > 10:
                 for _ in range(50):
-                    await site.hosts[0].arrived.get()
-                while site.hosts[0].arrived.qsize():
-                    site.hosts[0].arrived.get_nowait()
-                await site.hosts[0].arrived.get()  # it is in the middle of it
+                    await deployment.hosts[0].arrived.get()
+                while deployment.hosts[0].arrived.qsize():
+                    deployment.hosts[0].arrived.get_nowait()
+                await deployment.hosts[0].arrived.get()  # the run is in progress
                 program.send_signal(signal.SIGINT)
             out, err = await program.communicate()
             assert program.returncode == 0, err
-            document = json.loads(out)
-            assert document["due"] == sum(document["counts"].values()) > 0 and not document["void"]
-            assert document.get("stopped", False) is (seconds > 10) and document["counts"]["served"] > 0
+            report = json.loads(out)
+            assert report["due"] == sum(report["counts"].values()) > 0 and not report["void"]
+            assert report.get("stopped", False) is (seconds > 10) and report["counts"]["served"] > 0
         file.write_text(scenario.format(1.0, 1).replace('"127.0.0.1:1"', ""))
-        ended = await asyncio.to_thread(
+        completed = await asyncio.to_thread(
             subprocess.run,
             [sys.executable, "-m", "apigateway", "load", "run", str(file)],
             cwd=ROOT,
             capture_output=True,
             text=True,
         )
-        assert ended.returncode == 2 and "none to send to" in ended.stderr
+        assert completed.returncode == 2 and "none to send to" in completed.stderr
 
 
 @seed(15)
@@ -326,16 +334,17 @@
     ),
     st.integers(0, 200),
 )
-def test_records_of_several_processes_add_up_to_that_of_one(rows, cut):
-    one, parts = LoadRecord(), (LoadRecord(), LoadRecord())
+def test_records_of_two_processes_when_added_equal_that_of_one(rows, cut):
+    whole, parts = LoadRecord(), (LoadRecord(), LoadRecord())
     for n, (outcome, latency, second) in enumerate(rows):
-        for record in (one, parts[n < cut]):
+        for record in (whole, parts[n < cut]):
             record.record_start(latency)
             record.record_outcome(second * US_PER_S, "read", "p", outcome, latency)
     parts[0].add(parts[1])
-    assert build_report(one, "x", "") == build_report(parts[0], "x", "")
-    exact = sorted(latency for _, latency, _ in rows)
-    latencies = one.latency_of()
-    for part in (50.0, 90.0, 99.0, 100.0):
-        true = exact[max(0, int(part * len(exact) / 100 + 0.5) - 1)]  # to the nearest rank
-        assert latencies.get_value_at_percentile(part) == pytest.approx(true, rel=0.002, abs=1)
+    assert build_report(whole, "x", "") == build_report(parts[0], "x", "")
+    exact_latencies = sorted(latency for _, latency, _ in rows)
+    latencies = whole.latency_of()
+    for percentile in (50.0, 90.0, 99.0, 100.0):
+        # The nearest rank.
+        exact = exact_latencies[max(0, int(percentile * len(exact_latencies) / 100 + 0.5) - 1)]
+        assert latencies.get_value_at_percentile(percentile) == pytest.approx(exact, rel=0.002, abs=1)
--- a/tests/load/test_shapes.py
+++ b/tests/load/test_shapes.py
@@ -1,4 +1,4 @@
-"""Rates over time."""
+"""The rates of each shape over time."""
 
 import msgspec
 import pytest
@@ -32,11 +32,11 @@
         (SHAPES[10], 1.25, 10.0),
     ],
 )
-def test_rate_at_each_time(shape, time, rate):
+def test_rate_at_a_time(shape, time, rate):
     assert shape.rate_at(time) == pytest.approx(rate)
 
 
 @pytest.mark.parametrize("shape", SHAPES, ids=lambda shape: type(shape).__name__)
-def test_rate_never_exceeds_the_maximum_and_shapes_are_read_back_as_written(shape):
+def test_rate_never_exceeds_the_maximum_and_shape_survives_a_round_trip(shape):
     assert all(0 <= shape.rate_at(n / 50) <= shape.max_rate() + 1e-9 for n in range(2000))
     assert msgspec.convert(msgspec.to_builtins(shape), AnyShape) == shape
