--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -205,9 +205,8 @@
             await run_load(self.port, WARM_UP_REQUESTS)
         before = cpu_seconds(self.process.pid)
         _, bad_answers = await run_load(self.port, requests, HELD_REQUESTS if self.name != "relay" else 0)
-        if bad_answers > (
-            0.02 * requests if HELD_REQUESTS else 0
-        ):  # a few are refused if thousands arrive at once
+        # A few requests are refused if thousands arrive at once.
+        if bad_answers > (0.02 * requests if HELD_REQUESTS else 0):
             raise RuntimeError(f"{self.name}: {bad_answers} answers are not a value")
         self.cpu_us.append((cpu_seconds(self.process.pid) - before) / requests * 1e6)
 
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -89,8 +89,8 @@
     record = await send_all(requests, server.sockets[0].getsockname()[1], before=freeze)
     begin, end = freeze_times
     latencies = record.latency_of()
-    # The server accepts new connections during the freeze, so only requests on existing connections wait, as for
-    # real clients. Those in flight at the start of the freeze, and any behind them, show the rest of it.
+    # The server accepts new connections during the freeze, so only requests on existing connections wait, as
+    # for real clients. Those in flight at the start of the freeze, and any behind them, show the rest of it.
     assert (
         count_above(latencies, (end - begin) * 0.95 * US_PER_S) >= 1
         and latencies.get_max_value() >= (end - begin) * 0.95 * US_PER_S
@@ -147,9 +147,8 @@
         assert record.counts() == dict.fromkeys(Outcome, 0) | {outcome: 30}
         latencies = record.latency_of(outcome)
         if step.kind == "silent":  # its latency is the client's timeout
-            assert (
-                latencies.get_min_value() >= 0.99 * 0.4 * US_PER_S
-            )  # within the resolution of timer and histogram
+            # Exact to the resolution of timer and histogram.
+            assert latencies.get_min_value() >= 0.99 * 0.4 * US_PER_S
 
 
 @run_on_uvloop
