--- a/apigateway/daemon/gateway_server.py
+++ b/apigateway/daemon/gateway_server.py
@@ -305,8 +305,9 @@
     def reset_decision_module(self, predecessor_listing: EndpointListing) -> None:
         """Replace the decision module by a new one that has the current endpoint list.
 
-        An endpoint that either process knows to be draining counts as draining, since the gateway as a whole
-        was told so. The endpoint list is fetched again, so that a drain that has ended is noticed.
+        An endpoint that either process knows to be draining counts as draining, since the drain was requested
+        of the gateway as a whole. The endpoint list is fetched again, so that a drain that has ended is
+        noticed.
         """
         self.core.module = self._create_decision_module()
         self.core.dispatch(replace(self.endpoint_list.listing.endpoint_list, mode=messages.ListMode.CACHED))
--- a/apigateway/daemon/gateway_status.py
+++ b/apigateway/daemon/gateway_status.py
@@ -62,7 +62,7 @@
         loads: Load by endpoint id; endpoints that the decision module does not have are absent.
         choice_counts: Number of selections since the start, by what decided them.
         evacuated_zones: Zones evacuated by the settings.
-        zones_with_faults: The zone health's findings by zone.
+        zones_with_faults: Status by zone of the zones with a recent failure.
     """
 
     loads: dict[str, EndpointLoad]
--- a/apigateway/daemon/settings_validation_grpc.py
+++ b/apigateway/daemon/settings_validation_grpc.py
@@ -19,7 +19,9 @@
 def check_ratelimit(reader: ConfigReader, settings: Settings) -> None:
     """Add all contradictions in [ratelimit] to the reader's problems."""
     section = settings.ratelimit
-    grpc_listeners = [n for n, listener in enumerate(settings.listeners) if listener.protocol == "grpc"]
+    grpc_listeners = [
+        number for number, listener in enumerate(settings.listeners) if listener.protocol == "grpc"
+    ]
     if grpc_listeners and not section.rules:
         reader.add_semantic_problem(
             ("listeners", grpc_listeners[0], "protocol"),
