--- a/tests/frontends/grpc/test_rate_limit_daemon.py
+++ b/tests/frontends/grpc/test_rate_limit_daemon.py
@@ -223,7 +223,7 @@
             async with site.channel(made.credentials(), "gateway.test") as again:
                 assert (await site.ask(again)).overall_code == OK
             made.issue("server", "renewed.test")
-            assert b"reloaded" in await site.reload(program)
+            assert b"certificates or keys reloaded" in await site.reload(program)
             async with site.channel(made.credentials(), "renewed.test") as again:
                 assert (await site.ask(again)).overall_code == OK
             assert (await site.ask(channel)).overall_code == OK  # a connection from before goes on
