--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -1,4 +1,4 @@
-"""Compares real gateway processes on loopback with the fleet simulation, under calm and mass-restart load.
+"""Compares real gateway processes with the simulated fleet, under steady load and after a mass restart.
 
     python benchmarks/fleet_processes.py [--gateways 200] [--hosts 50] [--load 0.4] [--seconds 12]
                                          [--json FILE]
--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -63,26 +63,28 @@
     """Reload changed settings a number of times."""
     text = gateway.file.read_text()
     earlier_reloads = sum("reload: " in line for line in gateway.log)
-    for n in range(count):
-        gateway.file.write_text(text.replace("[limits]", f"[limits]\nmax_open = {10_000 + n}"))
+    for index in range(count):
+        gateway.file.write_text(text.replace("[limits]", f"[limits]\nmax_open = {10_000 + index}"))
         assert gateway.process is not None
         gateway.process.send_signal(1)
-        await wait_for_log_lines(gateway, "reload: took effect", earlier_reloads + n + 1)
+        await wait_for_log_lines(gateway, "reload: took effect", earlier_reloads + index + 1)
 
 
-async def measure_span(name: str, rate: float, act: Callable[[Gateway], Awaitable[None]]) -> dict[str, Any]:
-    """Run an action under load; return figures of the requests meanwhile."""
+async def measure_span(
+    name: str, rate: float, action: Callable[[Gateway], Awaitable[None]]
+) -> dict[str, Any]:
+    """Run an action under load; return the figures of the requests sent meanwhile."""
     with tempfile.TemporaryDirectory() as folder:
         async with Fleet(SHAPE, Path(folder)) as fleet:
             gateway = fleet.gateways[0]
             client = Client(fleet.ledger, {"g0": ("127.0.0.1", gateway.port)})
-            customers = [Customer(f"{n + 1:016x}", "p", rate / 8, 0, 1) for n in range(8)]
+            customers = [Customer(f"{index + 1:016x}", "p", rate / 8, 0, 1) for index in range(8)]
             traffic = Traffic(client, customers, SHAPE.used(), retries=0.0)
             traffic_task = asyncio.ensure_future(traffic.run(3600.0))
             while len(traffic.latency) < 100:
                 await asyncio.sleep(0.01)
             started_at = time.monotonic()
-            await act(gateway)
+            await action(gateway)
             seconds = time.monotonic() - started_at
             traffic_task.cancel()
             while traffic.tasks:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -139,7 +139,7 @@
 
 
 async def run_under_load(
-    seed: int, act: Callable[[Fleet, Traffic], Awaitable[None]], rate: float = 120.0, shape: Shape = SHAPE
+    seed: int, action: Callable[[Fleet, Traffic], Awaitable[None]], rate: float = 120.0, shape: Shape = SHAPE
 ) -> tuple[Fleet, Traffic]:
     """Run an action while customers send requests; return the fleet with its ledger, and the traffic."""
     with tempfile.TemporaryDirectory() as folder:
@@ -150,7 +150,7 @@
             traffic_task = asyncio.ensure_future(traffic.run(3600.0))
             while len(traffic.latency) < 50:
                 await asyncio.sleep(0.01)
-            await act(fleet, traffic)
+            await action(fleet, traffic)
             traffic_task.cancel()
             while traffic.tasks:
                 await asyncio.wait(list(traffic.tasks))
@@ -170,7 +170,7 @@
 async def measure_flips(args: argparse.Namespace) -> list[dict[str, Any]]:
     rng = random.Random(args.seed)
 
-    async def act(fleet: Fleet, _: Traffic) -> None:
+    async def action(fleet: Fleet, _: Traffic) -> None:
         for _turn in range(args.flips):
             host = rng.choice(fleet.hosts[2:])
             fleet.registry.override(
@@ -178,7 +178,7 @@
             )
             await asyncio.sleep(rng.uniform(0.0, 0.1))
 
-    fleet, _ = await run_under_load(args.seed, act)
+    fleet, _ = await run_under_load(args.seed, action)
     delays_ms, drain_count = [], 0
     for (gateway, host), changes in fleet.ledger.tellings.items():
         send_times = [
@@ -207,12 +207,14 @@
     ]
 
 
-async def run_walk(args: argparse.Namespace) -> list[dict[str, Any]]:
+async def run_random_walk(args: argparse.Namespace) -> list[dict[str, Any]]:
     rows = []
     for seed in range(args.seed, args.seed + args.seeds):
         rng, faults = random.Random(seed), []
 
-        async def act(fleet: Fleet, _: Traffic, rng: random.Random = rng, faults: list[str] = faults) -> None:
+        async def action(
+            fleet: Fleet, _: Traffic, rng: random.Random = rng, faults: list[str] = faults
+        ) -> None:
             registry = fleet.registry
             for _turn in range(40):
                 fault = rng.choice(
@@ -242,7 +244,7 @@
                 fleet.register(host)
             await asyncio.sleep(1.0)
 
-        fleet, _ = await run_under_load(seed, act)
+        fleet, _ = await run_under_load(seed, action)
         counts: dict[str, int] = {}
         for (_, _, outcome), count in fleet.ledger.outcomes().items():
             counts[outcome] = counts.get(outcome, 0) + count
@@ -254,7 +256,7 @@
     rows = []
     for name in ("healthy", "silent", "empty restart"):
 
-        async def act(fleet: Fleet, traffic: Traffic, name: str = name) -> None:
+        async def action(fleet: Fleet, traffic: Traffic, name: str = name) -> None:
             if name == "silent":
                 fleet.registry.script.play(Step("silent"))
             elif name == "empty restart":
@@ -262,7 +264,7 @@
             for _turn in range(round(args.seconds)):
                 await asyncio.sleep(1.0)
 
-        fleet, _ = await run_under_load(args.seed, act)
+        fleet, _ = await run_under_load(args.seed, action)
         served = sum(
             count for (_, _, outcome), count in fleet.ledger.outcomes().items() if outcome == "served"
         )
@@ -293,9 +295,9 @@
         uvloop.run(run_registry(args))
         return
     rows = uvloop.run(
-        {"cost": measure_cost, "flips": measure_flips, "walk": run_walk, "serve": measure_service}[args.what](
-            args
-        )
+        {"cost": measure_cost, "flips": measure_flips, "walk": run_random_walk, "serve": measure_service}[
+            args.what
+        ](args)
     )
     for row in rows:
         print("; ".join(f"{key} {value}" for key, value in row.items()))
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -136,26 +136,26 @@
                 break
     return (time.process_time() - started_at) / requests * 1e6
 
-def bytes_each(what, count=50000):
+def bytes_each(kind, count=50000):
     # Returns the bytes that one account, host or request in progress uses, as tracemalloc reports them.
     import tracemalloc
     gateway, now = Gateway(settings_for(False), 1, 1000.0), 1000.0
-    host_count = count if what == "host" else 10
+    host_count = count if kind == "host" else 10
     hosts = tuple(messages.Endpoint(f"h{n}", "a", 0, 1.0, "k", "up", 0.0) for n in range(host_count))
-    if what != "host":
+    if kind != "host":
         gateway.handle(now, messages.EndpointList("full", 1, hosts))
     tracemalloc.start()
     bytes_before = tracemalloc.get_traced_memory()[0]
-    if what == "host":
+    if kind == "host":
         gateway.handle(now, messages.EndpointList("full", 1, hosts))
-    for n in range(count if what != "host" else 0):
+    for n in range(count if kind != "host" else 0):
         now += 0.00001
-        customer = f"{n if what == 'account' else 1:016x}"
+        customer = f"{n if kind == 'account' else 1:016x}"
         for action in gateway.handle(now, messages.Request(f"r{n}", 3.0, customer, "p", "read", 1.0, 0, 1)):
-            if type(action) is messages.ForwardRequest and what == "account":
+            if type(action) is messages.ForwardRequest and kind == "account":
                 outcome = messages.AttemptOutcome(action.request_id, 0, action.endpoint_id, "ok", 0.01, True)
                 gateway.handle(now, outcome)
-    object_count = len(gateway.pending) if what == "request" else count
+    object_count = len(gateway.pending) if kind == "request" else count
     return (tracemalloc.get_traced_memory()[0] - bytes_before) / max(1, object_count)
 
 if sys.argv[2].startswith("held:"):
@@ -225,9 +225,9 @@
                 + (f"{row['ratio']:9.3f}" if args.before else ""),
                 flush=True,
             )
-    for what in ("account", "host", "request") if not args.case else ():
-        figures[f"bytes a {what}"] = {"now": run_case(ROOT, 20_000, f"held:{what}")}
-        print(f"{'bytes a ' + what:22}{figures[f'bytes a {what}']['now']:10.0f}")
+    for kind in ("account", "host", "request") if not args.case else ():
+        figures[f"bytes a {kind}"] = {"now": run_case(ROOT, 20_000, f"held:{kind}")}
+        print(f"{'bytes a ' + kind:22}{figures[f'bytes a {kind}']['now']:10.0f}")
     if args.json:
         Path(args.json).write_text(json.dumps(figures, indent=1))
     if args.plot:
@@ -236,7 +236,7 @@
 
 def plot_figures(figures: dict[str, dict[str, float]], folder: Path) -> None:
     """Write a plot for each group of cases that was measured in full."""
-    for what, x_label, cases in (
+    for group, x_label, cases in (
         ("hosts", "hosts", {"10 hosts": 10, "100 hosts": 100, "1000 hosts": 1000}),
         ("customers", "customers", {"1 customer": 1, "10k customers": 10_000, "200k customers": 200_000}),
         (
@@ -252,8 +252,8 @@
             Line(tree, [(count, figures[name][tree]) for name, count in cases.items()], tree == "before")
             for tree in trees
         ]
-        text = draw(f"The module's cost a request, by {what}", x_label, "us of CPU", lines, True, True)
-        (folder / f"module-{what}.svg").write_text(text)
+        text = draw(f"The module's cost a request, by {group}", x_label, "us of CPU", lines, True, True)
+        (folder / f"module-{group}.svg").write_text(text)
 
 
 if __name__ == "__main__":
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -103,7 +103,7 @@
 
 
 async def measure(
-    overload_on: bool,
+    is_on: bool,
     multiples: list[float],
     seconds: float,
     folder: Path,
@@ -120,7 +120,7 @@
         )
     )
     (folder / "gateway.toml").write_text(
-        f'[[listeners]]\naddress = "127.0.0.1:{port}"\n[overload]\non = {str(overload_on).lower()}\n'
+        f'[[listeners]]\naddress = "127.0.0.1:{port}"\n[overload]\non = {str(is_on).lower()}\n'
         f'[classes.read]\neffect = "safe"\naim = {LATENCY_OBJECTIVE_S}\ndeadline = 3.0\n'
         "[plans.basic]\nrate = 1000000.0\nburst = 1000000.0\n"
         "[plans.gold]\nrate = 1000000.0\nburst = 1000000.0\nprice = 3.0\n"
@@ -189,7 +189,7 @@
             served, refused = latencies[0][0] + latencies[1][0], latencies[0][1] + latencies[1][1]
             rows.append(
                 {
-                    "on": overload_on,
+                    "on": is_on,
                     "times": multiple,
                     "peak": peak,
                     "sent": sum(result["sent"] for result in results) / seconds,
@@ -235,11 +235,11 @@
         f"{'p99 ms':>7} {'most':>7} {'ref p50':>8} {'ref p99':>8} {'gold':>5} {'basic':>5} {'cpu':>5} "
         f"{'left':>5}"
     )
-    for on in {"on": [True], "off": [False], "both": [True, False]}[args.early]:
+    for is_on in {"on": [True], "off": [False], "both": [True, False]}[args.early]:
         with tempfile.TemporaryDirectory(prefix="overload-") as folder:
             rows = uvloop.run(
                 measure(
-                    on,
+                    is_on,
                     args.times,
                     args.seconds,
                     Path(folder),
@@ -249,7 +249,7 @@
             )
         for row in rows:
             print(
-                f"{'on' if on else 'off':5} {row['times']:5.1f} {row['sent']:7.0f} {row['good']:7.0f} "
+                f"{'on' if is_on else 'off':5} {row['times']:5.1f} {row['sent']:7.0f} {row['good']:7.0f} "
                 f"{row['good'] / row['peak']:7.2f} {row['refused']:8.0f} {row['p50'] * 1e3:7.1f} "
                 f"{row['p99'] * 1e3:7.1f} {row['most'] * 1e3:7.0f} {row['refused_p50'] * 1e3:8.1f} "
                 f"{row['refused_p99'] * 1e3:8.1f} {row['gold']:5.2f} {row['basic']:5.2f} {row['cpu']:5.2f} "
@@ -262,16 +262,16 @@
     if args.plot:
         lines = [
             Line(
-                f"{what}, early {'on' if on else 'off'}",
+                f"{what}, early {'on' if is_on else 'off'}",
                 [
                     (row["times"], row[key] / (row["peak"] if key == "good" else 1.0))
                     for row in figures
-                    if row["on"] == on
+                    if row["on"] == is_on
                 ],
-                not on,
+                not is_on,
             )
             for key, what in (("good", "in time, of peak"), ("gold", "of worth 3"))
-            for on in sorted({row["on"] for row in figures}, reverse=True)
+            for is_on in sorted({row["on"] for row in figures}, reverse=True)
         ]
         Path(args.plot).write_text(draw("Served in time as more comes", "times the peak", "part", lines))
 
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -148,15 +148,15 @@
     """
     # A gateway reads at most 512 requests ahead on a connection.
     count = max(CONNECTIONS, math.ceil(held / 400))
-    loop, run = asyncio.get_running_loop(), ClosedLoopLoad(requests, 1 + round(held / count), count)
+    loop, load = asyncio.get_running_loop(), ClosedLoopLoad(requests, 1 + round(held / count), count)
     started_at = time.monotonic()
     connections = [
-        await loop.create_connection(lambda: LoadConnection(run), "127.0.0.1", port) for _ in range(count)
+        await loop.create_connection(lambda: LoadConnection(load), "127.0.0.1", port) for _ in range(count)
     ]
-    await run.done.wait()
+    await load.done.wait()
     for transport, _ in connections:
         transport.close()
-    return time.monotonic() - started_at, run.bad_answers
+    return time.monotonic() - started_at, load.bad_answers
 
 
 def cpu_seconds(pid: int) -> float:
--- a/tests/tools/test_demo.py
+++ b/tests/tools/test_demo.py
@@ -65,7 +65,7 @@
 
 
 def test_customers_send_under_near_and_over_their_quotas_by_seed():
-    one, other = create_customers(1), create_customers(2)
-    assert one == create_customers(1) != other
-    shares = {customer.rate / SHAPE.plans[customer.plan].rate for customer in one}
+    customers, others = create_customers(1), create_customers(2)
+    assert customers == create_customers(1) != others
+    shares = {customer.rate / SHAPE.plans[customer.plan].rate for customer in customers}
     assert min(shares) < 0.5 and max(shares) > 2 and any(0.9 < share < 1 for share in shares)
