--- a/apigateway/tools/demo/session.py
+++ b/apigateway/tools/demo/session.py
@@ -34,7 +34,7 @@
 class _Fault(NamedTuple):
     """A fault or recovery that is injected at a point of the run."""
 
-    at_share: float  # share of the run
+    at_share: float  # point in time, as a share of the run
     text: str
     apply: Callable[[], Awaitable[None]]
 
@@ -100,7 +100,7 @@
         started_at = loop.time()
         for fault in self._faults():
             await asyncio.sleep(max(0.0, started_at + fault.at_share * self._seconds - loop.time()))
-            self._note(loop.time() - started_at, fault.text)
+            self._add_note(loop.time() - started_at, fault.text)
             await fault.apply()
 
     def _faults(self) -> list[_Fault]:
@@ -131,7 +131,7 @@
             _Fault(0.65, f"host {draining.name} comes back, cold", restart),
         ]
 
-    def _note(self, second: float, text: str) -> None:
+    def _add_note(self, second: float, text: str) -> None:
         self.notes.append(f"{second:4.1f} s  {text}")
         if not self._console.is_terminal:
             self._console.print(self.notes[-1])
