--- a/apigateway/emulators/checks.py
+++ b/apigateway/emulators/checks.py
@@ -21,20 +21,20 @@
 OK = pb.RateLimitResponse.OK
 
 
-class DueCheck(NamedTuple):
+class ScheduledCheck(NamedTuple):
     """When a customer checks next, by its number."""
 
     at: float  # s from the start
     customer: int
 
 
-class Checks:
+class CheckClient:
     """Asks gateways, by name, with a customer's id and plan as entries.
 
     Attributes:
-        counts: Answers by "ok", "over", and "failed" with their gRPC status.
-        failures: The details of those that failed.
-        latency: Seconds of each that was answered.
+        outcome_counts: Answers by "ok", "over", and "failed" with their gRPC status.
+        error_details: The details of those that failed.
+        latencies_s: Seconds of each that was answered.
     """
 
     def __init__(
@@ -45,18 +45,18 @@
         self.channels = {
             name: grpc.aio.insecure_channel(f"{host}:{port}") for name, (host, port) in gateways.items()
         }
-        self.calls = {
+        self.stubs = {
             name: channel.unary_unary(
                 METHOD, pb.RateLimitRequest.SerializeToString, pb.RateLimitResponse.FromString
             )
             for name, channel in self.channels.items()
         }
-        self.counts: Counter[str] = Counter()
-        self.failures: list[str] = []
-        self.latency: list[float] = []
+        self.outcome_counts: Counter[str] = Counter()
+        self.error_details: list[str] = []
+        self.latencies_s: list[float] = []
 
-    async def ask(
-        self, gateway: str, customer: str, plan: str, hits: int = 1, timeout: float = 1.0
+    async def check(
+        self, gateway: str, customer: str, plan: str, hits: int = 1, timeout_s: float = 1.0
     ) -> pb.RateLimitResponse | None:
         """Check so many hits of a customer; return None if nobody could say."""
         loop = asyncio.get_running_loop()
@@ -66,26 +66,26 @@
         descriptor.entries.add(key="plan", value=plan)
         began = loop.time()
         try:
-            response: pb.RateLimitResponse = await self.calls[gateway](request, timeout=timeout)
+            response: pb.RateLimitResponse = await self.stubs[gateway](request, timeout=timeout_s)
         except grpc.aio.AioRpcError as error:
-            self.counts[f"failed {error.code().name}"] += 1
-            self.failures.append(error.details() or "")
+            self.outcome_counts[f"failed {error.code().name}"] += 1
+            self.error_details.append(error.details() or "")
             return None
-        self.latency.append(loop.time() - began)
+        self.latencies_s.append(loop.time() - began)
         if response.overall_code == OK:
-            self.ledger.granted(customer, plan, float(hits))
-            self.counts["ok"] += 1
+            self.ledger.record_grant(customer, plan, float(hits))
+            self.outcome_counts["ok"] += 1
         else:
-            self.counts["over"] += 1
+            self.outcome_counts["over"] += 1
         return response
 
     async def run(self, customers: Sequence[Customer], seconds: float, seed: int = 1) -> None:
         """Send checks by a schedule of their own (Poisson), each to a gateway of its customer."""
         loop = asyncio.get_running_loop()
         rng = random.Random(seed)
-        gateways = list(self.calls)
+        gateways = list(self.stubs)
         schedule = sorted(
-            DueCheck(at, number)
+            ScheduledCheck(at, number)
             for number, customer in enumerate(customers)
             for at in arrival_times(rng, customer.rate, seconds)
         )
@@ -94,8 +94,10 @@
         for due in schedule:
             await asyncio.sleep(max(0.0, began + due.at - loop.time()))
             customer = customers[due.customer]
-            gateway = gateways[(customer.first + rng.randrange(customer.spread)) % len(gateways)]
-            task = loop.create_task(self.ask(gateway, customer.id, customer.plan))
+            gateway = gateways[
+                (customer.first_gateway + rng.randrange(customer.gateway_count)) % len(gateways)
+            ]
+            task = loop.create_task(self.check(gateway, customer.id, customer.plan))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         while tasks:
--- a/apigateway/emulators/client_messages.py
+++ b/apigateway/emulators/client_messages.py
@@ -14,29 +14,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class ClientRequest:
     """One request.
 
     Attributes:
         customer: 16 hex digits.
         effect: "safe", "keyed" or "unsafe".
-        wait: Seconds that its client waits.
-        spread: So many gateways in a row from `first` on may get it.
-        again: Whether it is a retry.
+        timeout_s: Seconds that its client waits.
+        gateway_count: So many gateways in a row from `first_gateway` on may get it.
+        is_retry: Whether it is a retry.
     """
 
     id: str
     customer: str
     plan: str
-    cls: str
+    service_class: str
     effect: str
-    wait: float
+    timeout_s: float
     units: float = 1.0
-    spread: int = 1
-    first: int = 0
-    again: bool = False
+    gateway_count: int = 1
+    first_gateway: int = 0
+    is_retry: bool = False
 
-    def message(self) -> bytes:
+    def encode(self) -> bytes:
         """Return the command."""
         is_write = self.effect != "safe"
         parts = [
@@ -51,12 +51,12 @@
 
     def _fields(self) -> str:
         text = (
-            f"c={self.cls},t={self.plan},d={int(self.wait * 1000)},units={self.units:g},"
-            f"spread={self.spread},first={self.first}"
+            f"c={self.service_class},t={self.plan},d={int(self.timeout_s * 1000)},units={self.units:g},"
+            f"spread={self.gateway_count},first={self.first_gateway}"
         )
         if self.effect == "keyed":
             text += f",k={self.id}"
-        if self.again:
+        if self.is_retry:
             text += ",r=1"
         return text
 
@@ -77,10 +77,10 @@
 
     kind: str
     value: bytes = b""
-    come_again: float = 0.0  # s, with a refusal
+    retry_after_s: float = 0.0  # s, with a refusal
 
 
-def read_answer(reply: Any) -> Answer:
+def parse_answer(reply: Any) -> Answer:
     """Return what a reply, as hiredis gives it, says."""
     if isinstance(reply, bytes):
         return Answer(ResultKind.SERVED, reply)
--- a/apigateway/emulators/clients.py
+++ b/apigateway/emulators/clients.py
@@ -14,13 +14,22 @@
 
 import hiredis
 
-from apigateway.emulators.client_messages import Answer, Order, ResultKind, read_answer
+from apigateway.emulators.client_messages import Answer, ClientRequest, ResultKind, parse_answer
 from apigateway.emulators.ledger import Ledger
 
-__all__ = ["Address", "Answer", "Client", "Customer", "Kind", "Order", "Traffic", "read_answer"]
+__all__ = [
+    "Address",
+    "Answer",
+    "Client",
+    "Customer",
+    "TrafficClass",
+    "ClientRequest",
+    "Traffic",
+    "parse_answer",
+]
 
 Address = tuple[str, int]
-GIVE_UP_MARGIN_S = 1.0  # past its own time, after which a client takes a request for lost
+TIMEOUT_MARGIN_S = 1.0  # past its own time, after which a client takes a request for lost
 CONNECT_TIMEOUT_S = 1.0
 MIN_RETRY_WAIT_S = 0.1
 ID_PREFIX_BITS = 32  # of the ids of one traffic
@@ -30,7 +39,7 @@
     """A connection that is kept, with one request on it at a time.
 
     Attributes:
-        answered: Requests that were answered on it.
+        answer_count: Requests that were answered on it.
         is_open: Whether the gateway has not ended it.
     """
 
@@ -39,7 +48,7 @@
         self._parser = hiredis.Reader(notEnoughData=...)
         self._pending: asyncio.Future[Answer] | None = None
         self.gateway = gateway
-        self.answered = 0
+        self.answer_count = 0
         self.is_open = True
         self.transport: asyncio.Transport
 
@@ -52,19 +61,19 @@
         self._parser.feed(data)
         while (reply := self._parser.gets()) is not ...:
             if self._pending is None or self._pending.done():
-                self._client.ledger.unasked(self.gateway)
+                self._client.ledger.record_unsolicited_answer(self.gateway)
             else:
-                self.answered += 1
-                self._pending.set_result(read_answer(reply))
+                self.answer_count += 1
+                self._pending.set_result(parse_answer(reply))
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Take the request that waits for lost."""
         self.is_open = False
-        self._client.forget(self)
+        self._client.remove_idle(self)
         if self._pending is not None and not self._pending.done():
             self._pending.set_result(Answer(ResultKind.LOST))
 
-    async def ask(self, message: bytes, seconds: float) -> Answer:
+    async def send(self, message: bytes, seconds: float) -> Answer:
         """Send a request and wait for its answer; after so many seconds it is lost."""
         self._pending = asyncio.get_running_loop().create_future()
         self.transport.write(message)
@@ -82,16 +91,16 @@
     """Sends requests to gateways by name.
 
     Attributes:
-        refused: Connections that were refused.
+        connect_failures: Connections that were refused.
     """
 
     def __init__(self, ledger: Ledger, gateways: Mapping[str, Address]) -> None:
         self.ledger = ledger
         self.gateways = gateways
         self._idle: dict[str, list[ClientConnection]] = {name: [] for name in gateways}
-        self.refused = 0
+        self.connect_failures = 0
 
-    async def ask(self, gateway: str, order: Order) -> Answer:
+    async def send(self, gateway: str, order: ClientRequest) -> Answer:
         """Send a request and return its answer, which the ledger is told.
 
         The gateway may close a connection between requests; a request that crosses that is sent once more, on
@@ -100,7 +109,7 @@
         connection = await self._connection(gateway)
         if connection is None:
             return Answer(ResultKind.UNREACHABLE)
-        was_used = connection.answered > 0
+        was_used = connection.answer_count > 0
         answer = await self._ask_on(connection, order)
         if answer.kind == ResultKind.LOST and was_used:
             new_connection = await self._connection(gateway, is_new=True)
@@ -108,9 +117,9 @@
                 connection = new_connection
                 answer = await self._ask_on(connection, order)
         if answer.kind == ResultKind.LOST:
-            self.ledger.broke_off(order.id)
+            self.ledger.record_disconnect(order.id)
         else:
-            self.ledger.answered(order.id, answer.kind, answer.value)
+            self.ledger.record_answer(order.id, answer.kind, answer.value)
             if connection.is_open:
                 self._idle[gateway].append(connection)
         return answer
@@ -126,17 +135,23 @@
                     lambda: ClientConnection(self, gateway), *self.gateways[gateway]
                 )
         except (OSError, TimeoutError):
-            self.refused += 1
+            self.connect_failures += 1
             return None
         return connection
 
-    async def _ask_on(self, connection: ClientConnection, order: Order) -> Answer:
-        self.ledger.asked(
-            order.id, connection.gateway, order.wait, order.customer, order.plan, order.cls, order.units
+    async def _ask_on(self, connection: ClientConnection, order: ClientRequest) -> Answer:
+        self.ledger.record_request(
+            order.id,
+            connection.gateway,
+            order.timeout_s,
+            order.customer,
+            order.plan,
+            order.service_class,
+            order.units,
         )
-        return await connection.ask(order.message(), order.wait + GIVE_UP_MARGIN_S)
+        return await connection.send(order.encode(), order.timeout_s + TIMEOUT_MARGIN_S)
 
-    def forget(self, connection: ClientConnection) -> None:
+    def remove_idle(self, connection: ClientConnection) -> None:
         """Keep a connection no longer: it has ended."""
         idle = self._idle[connection.gateway]
         if connection in idle:
@@ -149,27 +164,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class TrafficClass:
     """A class as customers use it: its share of requests and how many seconds they wait."""
 
     name: str
     effect: str
     share: float
-    wait: float
+    timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer: it comes through `spread` gateways in a row from `first` on."""
+    """A customer: it comes through `gateway_count` gateways in a row from `first_gateway` on."""
 
     id: str
     plan: str
     rate: float  # requests a second that it asks for
-    first: int
-    spread: int
+    first_gateway: int
+    gateway_count: int
 
 
-class DueRequest(NamedTuple):
+class ScheduledRequest(NamedTuple):
     """When a customer asks next, by its number."""
 
     at: float  # s from the start of the traffic
@@ -184,32 +199,32 @@
 
     Attributes:
         tasks: The requests that are under way.
-        latency: Seconds of each request that was served.
+        latencies_s: Seconds of each request that was served.
     """
 
     def __init__(
         self,
         client: Client,
         customers: Sequence[Customer],
-        kinds: Sequence[Kind],
+        classes: Sequence[TrafficClass],
         seed: int = 1,
-        retries: float = 0.5,
+        retry_share: float = 0.5,
     ) -> None:
         """Prepare the traffic.
 
         Args:
             client: Sends the requests.
             customers: Who asks.
-            kinds: What they ask for.
+            classes: What they ask for.
             seed: Of the schedule.
-            retries: Part of those refused that come again.
+            retry_share: Part of those refused that come again.
         """
         self.client = client
         self.customers = customers
-        self.kinds = kinds
-        self.retries = retries
+        self.classes = classes
+        self.retry_share = retry_share
         self.tasks: set[asyncio.Task[None]] = set()
-        self.latency: list[float] = []
+        self.latencies_s: list[float] = []
         self._rng = random.Random(seed)
         self._gateways = list(client.gateways)
         self._orders = 0
@@ -222,33 +237,33 @@
         began = loop.time()
         for due in schedule:
             await asyncio.sleep(max(0.0, began + due.at - loop.time()))
-            self.start(self.customers[due.customer])
+            self.start_request(self.customers[due.customer])
         while self.tasks:
             await asyncio.wait(list(self.tasks))
 
-    def _draw_schedule(self, seconds: float) -> list[DueRequest]:
+    def _draw_schedule(self, seconds: float) -> list[ScheduledRequest]:
         due = [
-            DueRequest(self._rng.expovariate(customer.rate), number)
+            ScheduledRequest(self._rng.expovariate(customer.rate), number)
             for number, customer in enumerate(self.customers)
             if customer.rate > 0
         ]
-        schedule: list[DueRequest] = []
+        schedule: list[ScheduledRequest] = []
         while due:
             request = due.pop()
             if request.at < seconds:
                 schedule.append(request)
                 interval = self._rng.expovariate(self.customers[request.customer].rate)
-                due.append(DueRequest(request.at + interval, request.customer))
+                due.append(ScheduledRequest(request.at + interval, request.customer))
         return sorted(schedule)
 
-    def start(self, customer: Customer) -> None:
+    def start_request(self, customer: Customer) -> None:
         """Begin a request of a customer."""
-        kind = self._rng.choices(self.kinds, [kind.share for kind in self.kinds])[0]
+        kind = self._rng.choices(self.classes, [kind.share for kind in self.classes])[0]
         task = asyncio.get_running_loop().create_task(self._request(customer, kind))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _request(self, customer: Customer, kind: Kind) -> None:
+    async def _request(self, customer: Customer, kind: TrafficClass) -> None:
         """Send a request, and once more if it is refused."""
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -256,33 +271,35 @@
         while True:
             answer = await self._try_gateways(customer, kind, is_retry)
             if answer.kind == ResultKind.SERVED:
-                self.latency.append(loop.time() - began)
-            if is_retry or answer.kind != ResultKind.REFUSED or self._rng.random() >= self.retries:
+                self.latencies_s.append(loop.time() - began)
+            if is_retry or answer.kind != ResultKind.REFUSED or self._rng.random() >= self.retry_share:
                 return
             is_retry = True
-            await asyncio.sleep(max(MIN_RETRY_WAIT_S, answer.come_again))
+            await asyncio.sleep(max(MIN_RETRY_WAIT_S, answer.retry_after_s))
 
-    async def _try_gateways(self, customer: Customer, kind: Kind, is_retry: bool) -> Answer:
+    async def _try_gateways(self, customer: Customer, kind: TrafficClass, is_retry: bool) -> Answer:
         """Send a request to the customer's gateways in a random order, until one is reached."""
         count = len(self._gateways)
-        gateways = [self._gateways[(customer.first + n) % count] for n in range(customer.spread)]
+        gateways = [
+            self._gateways[(customer.first_gateway + n) % count] for n in range(customer.gateway_count)
+        ]
         self._rng.shuffle(gateways)
         for gateway in gateways:
-            answer = await self.client.ask(gateway, self._new_order(customer, kind, is_retry))
+            answer = await self.client.send(gateway, self._new_order(customer, kind, is_retry))
             if answer.kind != ResultKind.UNREACHABLE:
                 return answer
         return Answer(ResultKind.UNREACHABLE)
 
-    def _new_order(self, customer: Customer, kind: Kind, is_retry: bool) -> Order:
+    def _new_order(self, customer: Customer, kind: TrafficClass, is_retry: bool) -> ClientRequest:
         self._orders += 1
-        return Order(
+        return ClientRequest(
             id=f"{self._id_prefix}{self._orders:08x}",
             customer=customer.id,
             plan=customer.plan,
-            cls=kind.name,
+            service_class=kind.name,
             effect=kind.effect,
-            wait=kind.wait,
-            spread=customer.spread,
-            first=customer.first,
-            again=is_retry,
+            timeout_s=kind.timeout_s,
+            gateway_count=customer.gateway_count,
+            first_gateway=customer.first_gateway,
+            is_retry=is_retry,
         )
--- a/apigateway/emulators/counter.py
+++ b/apigateway/emulators/counter.py
@@ -12,7 +12,7 @@
 MAX_LIFETIME_S = 60.0
 ADD_VERB = b"incr"
 ADD_WORDS = 4  # of the command: verb, name, amount, lifetime in ms
-HALF_BYTES = 2  # of half an answer
+TRUNCATED_BYTES = 2  # of half an answer
 
 
 class HeldAnswer(NamedTuple):
@@ -31,10 +31,10 @@
 
     Attributes:
         calls: The words of all calls.
-        ends: When each name is forgotten.
-        silent: While set, calls are added and not answered until `answer_all`.
-        held: The answers that wait for that.
-        arrived: Each call as it comes.
+        expires_at: When each name is forgotten.
+        silent: While set, calls are added and not answered until `send_held_answers`.
+        held_answers: The answers that wait for that.
+        arrivals: Each call as it comes.
     """
 
     def __init__(self, address: str = "127.0.0.1", script: Script | None = None) -> None:
@@ -42,27 +42,27 @@
         self.script = script or Script()
         self.calls: list[list[bytes]] = []
         self.totals: dict[bytes, float] = {}
-        self.ends: dict[bytes, float] = {}
+        self.expires_at: dict[bytes, float] = {}
         self.silent = False
-        self.held: list[HeldAnswer] = []
-        self.arrived: asyncio.Queue[list[bytes]] = asyncio.Queue()
+        self.held_answers: list[HeldAnswer] = []
+        self.arrivals: asyncio.Queue[list[bytes]] = asyncio.Queue()
 
-    async def restart(self, down: float = 0.0) -> None:
-        """Die, and come back empty at the same address after `down` seconds."""
-        await self.die()
+    async def restart(self, down_s: float = 0.0) -> None:
+        """Die, and come back empty at the same address after `down_s` seconds."""
+        await self.kill()
         self.totals = {}
-        self.ends = {}
-        self.held = []
-        await asyncio.sleep(down)
+        self.expires_at = {}
+        self.held_answers = []
+        await asyncio.sleep(down_s)
         await self.open()
 
-    def add(self, name: bytes, amount: float, life: float) -> float:
-        """Add to a name, which is forgotten `life` seconds after it was new, and return its total."""
+    def add(self, name: bytes, amount: float, lifetime_s: float) -> float:
+        """Add to a name, which is forgotten `lifetime_s` seconds after it was new, and return its total."""
         now = time.monotonic()
-        if self.ends.get(name, now) < now:
+        if self.expires_at.get(name, now) < now:
             del self.totals[name]
         if name not in self.totals:
-            self.ends[name] = now + min(MAX_LIFETIME_S, life)
+            self.expires_at[name] = now + min(MAX_LIFETIME_S, lifetime_s)
         self.totals[name] = self.totals.get(name, 0.0) + amount
         return self.totals[name]
 
@@ -80,7 +80,7 @@
     def _take(self, words: list[bytes], writer: asyncio.StreamWriter) -> bool:
         """Take a call; return False if the connection is to end."""
         self.calls.append(words)
-        self.arrived.put_nowait(words)
+        self.arrivals.put_nowait(words)
         step = self.script.next(time.monotonic())
         if step.kind in (StepKind.BUSY, StepKind.ERROR):
             writer.write(step.kind.encode() + b"\r\n")
@@ -88,30 +88,30 @@
         _, name, amount, lifetime_ms = words
         answer = b"ok %.7g\r\n" % self.add(name, float(amount), float(lifetime_ms) / 1000)
         if self.silent:
-            self.held.append(HeldAnswer(writer, answer))
+            self.held_answers.append(HeldAnswer(writer, answer))
             return True
         match step.kind:
             case StepKind.SILENT:
-                self.held.append(HeldAnswer(writer, answer))
+                self.held_answers.append(HeldAnswer(writer, answer))
             case StepKind.RESET:
                 writer.transport.abort()
                 return False
-            case StepKind.SPOILT:
+            case StepKind.MALFORMED:
                 writer.write(b"ok {}\r\n")
-            case StepKind.HALF:
-                writer.write(answer[:HALF_BYTES])
+            case StepKind.TRUNCATED:
+                writer.write(answer[:TRUNCATED_BYTES])
                 return False
             case StepKind.STALL | StepKind.SLOW:
-                asyncio.get_running_loop().call_later(step.delay, _write_late, writer, answer)
+                asyncio.get_running_loop().call_later(step.delay_s, _write_late, writer, answer)
             case _:
                 writer.write(answer)
         return True
 
-    def answer_all(self) -> None:
+    def send_held_answers(self) -> None:
         """Send the answers that were held back."""
-        for held in self.held:
+        for held in self.held_answers:
             held.writer.write(held.answer)
-        self.held = []
+        self.held_answers = []
 
 
 def _write_late(writer: asyncio.StreamWriter, answer: bytes) -> None:
--- a/apigateway/emulators/eureka.py
+++ b/apigateway/emulators/eureka.py
@@ -17,11 +17,11 @@
 
 from aiohttp import web
 
-from apigateway.emulators.eureka_format import Told, instance, instance_id, to_xml
+from apigateway.emulators.eureka_format import JsonObject, instance, instance_id, to_xml
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.script import Script, Step, StepKind
 
-__all__ = ["Lease", "EmulatedEureka", "Told", "instance"]
+__all__ = ["Lease", "EmulatedEureka", "JsonObject", "instance"]
 
 DEFAULT_LEASE_S = 90
 CHUNK_BYTES = 65536  # of an answer without end
@@ -30,19 +30,19 @@
 class Lease:
     """One instance and when it is to be renewed."""
 
-    def __init__(self, told: Told, now: float) -> None:
-        lease = told.get("leaseInfo") or {}
-        self.told = told
-        self.duration = float(lease.get("durationInSecs", DEFAULT_LEASE_S))
-        self.registered = now
-        self.renewed = now
+    def __init__(self, instance: JsonObject, now: float) -> None:
+        lease = instance.get("leaseInfo") or {}
+        self.instance = instance
+        self.duration_s = float(lease.get("durationInSecs", DEFAULT_LEASE_S))
+        self.registered_at = now
+        self.renewed_at = now
         self.up_at = 0.0
         self.override = ""
 
     @property
     def status(self) -> str:
         """The status that callers are told."""
-        return self.override or str(self.told.get("status", "UNKNOWN"))
+        return self.override or str(self.instance.get("status", "UNKNOWN"))
 
 
 class EmulatedEureka:
@@ -51,68 +51,68 @@
     Script, for each read: silent; error (500); half (a cut answer); spoilt (no JSON); stall; slow is stall.
 
     Attributes:
-        base: Its path.
-        retention: Seconds that deltas go back.
-        protect: Whether leases are kept that are not renewed (self-preservation).
-        lag: Seconds until `peer`, if there is one, hears of changes here.
-        log: What changed when, for deltas.
-        hashcode: Told in place of the right one.
-        lost: Deltas that are told empty, in place of what they hold.
-        endless: Bytes of an answer that does not end as it should.
-        clock_off: Seconds that its clock is ahead.
-        raw: Told in place of any read.
-        auth: The value of Authorization that is wanted.
-        calls: By method and kind of path.
-        asked: The kind of path of each read, as it comes.
+        base_path: Its path.
+        delta_retention_s: Seconds that deltas go back.
+        self_preservation: Whether leases are kept that are not renewed (self-preservation).
+        replication_lag_s: Seconds until `peer`, if there is one, hears of changes here.
+        changes: What changed when, for deltas.
+        hashcode: JsonObject in place of the right one.
+        empty_deltas: Deltas that are told empty, in place of what they hold.
+        endless_bytes: Bytes of an answer that does not end as it should.
+        clock_offset_s: Seconds that its clock is ahead.
+        raw_body: JsonObject in place of any read.
+        expected_authorization: The value of Authorization that is wanted.
+        call_counts: By method and kind of path.
+        reads: The kind of path of each read, as it comes.
     """
 
     def __init__(
         self,
-        base: str = "/eureka/v2",
+        base_path: str = "/eureka/v2",
         script: Script | None = None,
-        retention: float = 180.0,
-        protect: bool = False,
-        lag: float = 0.0,
+        delta_retention_s: float = 180.0,
+        self_preservation: bool = False,
+        replication_lag_s: float = 0.0,
         gateway: str = "",
         ledger: Ledger | None = None,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        self.base = base
+        self.base_path = base_path
         self.script = script or Script()
-        self.retention = retention
-        self.protect = protect
-        self.lag = lag
+        self.delta_retention_s = delta_retention_s
+        self.self_preservation = self_preservation
+        self.replication_lag_s = replication_lag_s
         self.gateway = gateway
         self.ledger = ledger
         self._clock = clock
         self.leases: dict[tuple[str, str], Lease] = {}
-        self.log: list[tuple[float, str, Told]] = []
+        self.changes: list[tuple[float, str, JsonObject]] = []
         self.peer: EmulatedEureka | None = None
         self.hashcode: str | None = None
-        self.lost = 0
-        self.endless = 0
-        self.clock_off = 0.0
-        self.raw: bytes | None = None
-        self.etags = True
-        self.deltas = True
-        self.auth: str | None = None
-        self.calls: Counter[str] = Counter()
-        self.asked: asyncio.Queue[str] = asyncio.Queue()
-        self.ending = asyncio.Event()
+        self.empty_deltas = 0
+        self.endless_bytes = 0
+        self.clock_offset_s = 0.0
+        self.raw_body: bytes | None = None
+        self.sends_etags = True
+        self.serves_deltas = True
+        self.expected_authorization: str | None = None
+        self.call_counts: Counter[str] = Counter()
+        self.reads: asyncio.Queue[str] = asyncio.Queue()
+        self.closing = asyncio.Event()
         self.port = 0
 
     def now(self) -> float:
         """Return the time by its own clock."""
-        return self._clock() + self.clock_off
+        return self._clock() + self.clock_offset_s
 
     @property
     def url(self) -> str:
         """The address that clients are given."""
-        return f"http://127.0.0.1:{self.port}{self.base}"
+        return f"http://127.0.0.1:{self.port}{self.base_path}"
 
     # What it holds
 
-    def register(self, told: Told, replicated: bool = False) -> None:
+    def register(self, told: JsonObject, replicated: bool = False) -> None:
         """Register an instance, for the first time or again."""
         key = (str(told["app"]).upper(), instance_id(told))
         old = self.leases.get(key)
@@ -123,13 +123,13 @@
         if lease.status == "UP" and (old is None or old.status != "UP"):
             lease.up_at = self.now()
         self.leases[key] = lease
-        self.note("ADDED" if old is None else "MODIFIED", key)
+        self.record_change("ADDED" if old is None else "MODIFIED", key)
         self.replicate(replicated, "register", told)
 
-    def long_ago(self, app: str, id: str) -> None:
+    def mark_warm(self, app: str, id: str) -> None:
         """Let an instance have been there for long: it is not cold."""
         lease = self.leases[app.upper(), id]
-        lease.registered = 0.0
+        lease.registered_at = 0.0
         lease.up_at = 0.0
 
     def renew(self, app: str, id: str, replicated: bool = False) -> bool:
@@ -137,7 +137,7 @@
         lease = self.leases.get((app.upper(), id))
         if lease is None:
             return False
-        lease.renewed = self.now()
+        lease.renewed_at = self.now()
         self.replicate(replicated, "renew", app, id)
         return True
 
@@ -146,7 +146,7 @@
         key = (app.upper(), id)
         if key not in self.leases:
             return False
-        self.note("DELETED", key)
+        self.record_change("DELETED", key)
         del self.leases[key]
         self.replicate(replicated, "cancel", app, id)
         return True
@@ -160,71 +160,71 @@
         lease.override = status
         if lease.status == "UP" and before != "UP":
             lease.up_at = self.now()
-        self.note("MODIFIED", (app.upper(), id))
+        self.record_change("MODIFIED", (app.upper(), id))
         self.replicate(replicated, "override", app, id, status)
         return True
 
     def restart(self) -> None:
         """Forget all leases and deltas."""
         self.leases = {}
-        self.log = []
+        self.changes = []
 
     def expire(self) -> None:
         """Drop the leases that were not renewed in time."""
         now = self.now()
-        for key in [key for key, lease in self.leases.items() if now - lease.renewed > lease.duration]:
-            if not self.protect:
-                self.note("DELETED", key)
+        for key in [key for key, lease in self.leases.items() if now - lease.renewed_at > lease.duration_s]:
+            if not self.self_preservation:
+                self.record_change("DELETED", key)
                 del self.leases[key]
 
-    def note(self, action: str, key: tuple[str, str]) -> None:
+    def record_change(self, action: str, key: tuple[str, str]) -> None:
         """Log a change, for deltas."""
-        self.log.append((self.now(), action, self.written(key, action)))
+        self.changes.append((self.now(), action, self.render_instance(key, action)))
 
     def replicate(self, replicated: bool, what: str, *told: Any) -> None:
         """Let the peer do as was done here, after the lag, unless it was done by replication."""
         if self.peer is not None and not replicated:
             asyncio.get_running_loop().call_later(
-                self.lag, lambda: getattr(self.peer, what)(*told, replicated=True)
+                self.replication_lag_s, lambda: getattr(self.peer, what)(*told, replicated=True)
             )
 
     # As it is written
 
-    def written(self, key: tuple[str, str], action: str = "") -> Told:
+    def render_instance(self, key: tuple[str, str], action: str = "") -> JsonObject:
         """Return an instance as callers are told of it."""
         lease = self.leases[key]
         told = {
-            **lease.told,
+            **lease.instance,
             "app": key[0],
             "status": lease.status,
             "overriddenstatus": lease.override or "UNKNOWN",
             "leaseInfo": {
                 "renewalIntervalInSecs": 30,
-                "durationInSecs": int(lease.duration),
-                "registrationTimestamp": int(lease.registered * 1000),
-                "lastRenewalTimestamp": int(lease.renewed * 1000),
+                "durationInSecs": int(lease.duration_s),
+                "registrationTimestamp": int(lease.registered_at * 1000),
+                "lastRenewalTimestamp": int(lease.renewed_at * 1000),
                 "evictionTimestamp": 0,
                 "serviceUpTimestamp": int(lease.up_at * 1000),
             },
         }
         return {**told, "actionType": action} if action else told
 
-    def hash(self) -> str:
+    def status_hash(self) -> str:
         """Return the hash of all statuses, by which clients check their deltas."""
         if self.hashcode is not None:
             return self.hashcode
         counts = Counter(lease.status for lease in self.leases.values())
         return "".join(f"{status}_{count}_" for status, count in sorted(counts.items()))
 
-    def applications(self, instances: list[Told]) -> Told:
+    def applications(self, instances: list[JsonObject]) -> JsonObject:
         """Return instances by application; a single one is an object, several are a list (an oddity)."""
-        apps: dict[str, list[Told]] = {}
+        apps: dict[str, list[JsonObject]] = {}
         for told in instances:
             apps.setdefault(str(told["app"]), []).append(told)
         return {
             "applications": {
                 "versions__delta": "1",
-                "apps__hashcode": self.hash(),
+                "apps__hashcode": self.status_hash(),
                 "application": [
                     {"name": name, "instance": told[0] if len(told) == 1 else told}
                     for name, told in apps.items()
@@ -232,29 +232,31 @@
             }
         }
 
-    def whole(self, wanted: Callable[[Told], bool] = lambda _: True) -> list[Told]:
+    def select_instances(self, wanted: Callable[[JsonObject], bool] = lambda _: True) -> list[JsonObject]:
         """Return all instances that are wanted."""
-        return [told for key in self.leases if wanted(told := self.written(key))]
+        return [told for key in self.leases if wanted(told := self.render_instance(key))]
 
-    def delta(self) -> list[Told]:
+    def delta(self) -> list[JsonObject]:
         """Return what has changed within the retention, each instance once."""
-        since = self.now() - self.retention
-        latest: dict[tuple[str, str], Told] = {}
-        for at, action, told in self.log:
+        since = self.now() - self.delta_retention_s
+        latest: dict[tuple[str, str], JsonObject] = {}
+        for at, action, told in self.changes:
             if at >= since:
                 key = (str(told["app"]), instance_id(told))
-                now = self.written(key, action) if key in self.leases and action != "DELETED" else told
+                now = (
+                    self.render_instance(key, action) if key in self.leases and action != "DELETED" else told
+                )
                 latest[key] = {**now, "actionType": action}
         return list(latest.values())
 
     # Reads
 
-    async def read(self, request: web.Request) -> web.StreamResponse:
+    async def handle_read(self, request: web.Request) -> web.StreamResponse:
         """Answer a read as the script says."""
         path = request.match_info["path"].strip("/")
         kind = "delta" if path == "apps/delta" else path.split("/")[0]
-        self.calls[f"GET {kind}"] += 1
-        self.asked.put_nowait(kind)
+        self.call_counts[f"GET {kind}"] += 1
+        self.reads.put_nowait(kind)
         if not self._is_authorized(request):
             return web.Response(status=401)
         self.expire()
@@ -262,53 +264,56 @@
         failure = await self._fail_or_wait(step)
         if failure is not None:
             return failure
-        if self.endless:
-            return await self.without_end(request)
+        if self.endless_bytes:
+            return await self.send_endless(request)
         instances = self._select(kind, path)
         if instances is None:
             return web.Response(status=404)
         xml = "json" not in request.headers.get("Accept", "")  # XML is a registry's own choice
         body = self._body(instances, xml, step)
-        is_complete = step.kind not in (StepKind.HALF, StepKind.SPOILT) and self.raw is None
+        is_complete = step.kind not in (StepKind.TRUNCATED, StepKind.MALFORMED) and self.raw_body is None
         if is_complete:
-            self.tell_ledger(instances, asked_by(request) or self.gateway)
-        return await self.send(request, body, xml, kind, step.kind == StepKind.HALF)
+            self.record_in_ledger(instances, basic_auth_user(request) or self.gateway)
+        return await self.send(request, body, xml, kind, step.kind == StepKind.TRUNCATED)
 
     def _is_authorized(self, request: web.Request) -> bool:
-        return self.auth is None or request.headers.get("Authorization") == self.auth
+        return (
+            self.expected_authorization is None
+            or request.headers.get("Authorization") == self.expected_authorization
+        )
 
     async def _fail_or_wait(self, step: Step) -> web.Response | None:
         """Return the answer of a read that fails; else wait as the script says, and return None."""
         match step.kind:
             case StepKind.SILENT:
-                await self.ending.wait()
+                await self.closing.wait()
                 return web.Response(status=503)
             case StepKind.ERROR:
                 return web.Response(status=500)
             case StepKind.STALL | StepKind.SLOW:
-                await asyncio.sleep(step.delay)
+                await asyncio.sleep(step.delay_s)
         return None
 
-    def _select(self, kind: str, path: str) -> list[Told] | None:
+    def _select(self, kind: str, path: str) -> list[JsonObject] | None:
         """Return the instances that a read is told; None: it is not found."""
         if kind != "delta":
             return self.instances(path)
-        if not self.deltas:
+        if not self.serves_deltas:
             return None
-        if self.lost:
-            self.lost -= 1
+        if self.empty_deltas:
+            self.empty_deltas -= 1
             return []
         return self.delta()
 
-    def _body(self, instances: list[Told], xml: bool, step: Step) -> bytes:
-        if step.kind == StepKind.SPOILT:
+    def _body(self, instances: list[JsonObject], xml: bool, step: Step) -> bytes:
+        if step.kind == StepKind.MALFORMED:
             return b"{what"
-        if self.raw is not None:
-            return self.raw
+        if self.raw_body is not None:
+            return self.raw_body
         tree = self.applications(instances)
         return self.xml(tree).encode() if xml else json.dumps(tree).encode()
 
-    def xml(self, tree: Told) -> str:
+    def xml(self, tree: JsonObject) -> str:
         """Return a tree of applications as XML."""
         return to_xml(tree)
 
@@ -317,7 +322,7 @@
     ) -> web.StreamResponse:
         """Send an answer, or `half` of it."""
         headers = {"Content-Type": "application/xml" if xml else "application/json"}
-        if self.etags and kind != "delta":
+        if self.sends_etags and kind != "delta":
             headers["ETag"] = f'"{hash(body) & 0xFFFFFFFF:x}"'
             if request.headers.get("If-None-Match") == headers["ETag"]:
                 return web.Response(status=304)
@@ -333,43 +338,43 @@
             headers["Content-Encoding"] = "gzip"
         return web.Response(body=body, headers=headers)
 
-    async def without_end(self, request: web.Request) -> web.StreamResponse:
+    async def send_endless(self, request: web.Request) -> web.StreamResponse:
         """Send `endless` bytes that are never a complete answer."""
         answer = web.StreamResponse(headers={"Content-Type": "application/json"})
         await answer.prepare(request)
-        remaining = self.endless
+        remaining = self.endless_bytes
         while remaining > 0:
             await answer.write(b"[" * CHUNK_BYTES)
             remaining -= CHUNK_BYTES
         return answer
 
-    def instances(self, path: str) -> list[Told] | None:
+    def instances(self, path: str) -> list[JsonObject] | None:
         """Return what a path names; None: nothing is known by it."""
         if path == "apps":
-            return self.whole()
+            return self.select_instances()
         if path == "apps/delta":
             return self.delta()
         kind, _, name = path.partition("/")
         if kind == "apps":
-            found = self.whole(lambda told: str(told["app"]) == name.upper())
+            found = self.select_instances(lambda told: str(told["app"]) == name.upper())
         else:
             key = {"vips": "vipAddress", "svips": "secureVipAddress"}[kind]
-            found = self.whole(lambda told: name in str(told.get(key, "")).split(","))
+            found = self.select_instances(lambda told: name in str(told.get(key, "")).split(","))
         return found or None
 
-    def tell_ledger(self, instances: list[Told], gateway: str) -> None:
+    def record_in_ledger(self, instances: list[JsonObject], gateway: str) -> None:
         """Tell the ledger what a gateway was told, for the drain rule."""
         if self.ledger is not None:
             for told in instances:
                 state = "up" if told["status"] == "UP" and told.get("actionType") != "DELETED" else "draining"
-                self.ledger.told(gateway, instance_id(told), state)
+                self.ledger.record_host_state(gateway, instance_id(told), state)
 
     # Writes
 
-    async def write(self, request: web.Request) -> web.Response:
+    async def handle_write(self, request: web.Request) -> web.Response:
         """Carry out POST apps/APP; PUT, DELETE apps/APP/ID; PUT, DELETE apps/APP/ID/status."""
         parts = request.match_info["path"].strip("/").split("/")
-        self.calls[f"{request.method} {parts[0]}{' status' if parts[-1] == 'status' else ''}"] += 1
+        self.call_counts[f"{request.method} {parts[0]}{' status' if parts[-1] == 'status' else ''}"] += 1
         if not self._is_authorized(request):
             return web.Response(status=401)
         if self.script.next(time.monotonic()).kind == StepKind.ERROR:
@@ -390,9 +395,9 @@
 
     async def __aenter__(self) -> Self:
         app = web.Application()
-        app.router.add_get(self.base + "/{path:.*}", self.read)
+        app.router.add_get(self.base_path + "/{path:.*}", self.handle_read)
         for method in ("POST", "PUT", "DELETE"):
-            app.router.add_route(method, self.base + "/{path:.*}", self.write)
+            app.router.add_route(method, self.base_path + "/{path:.*}", self.handle_write)
         self.runner = web.AppRunner(app, shutdown_timeout=0.1)
         await self.runner.setup()
         await web.TCPSite(self.runner, "127.0.0.1", self.port).start()
@@ -400,11 +405,11 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.ending.set()
+        self.closing.set()
         await self.runner.cleanup()
 
 
-def asked_by(request: web.Request) -> str:
+def basic_auth_user(request: web.Request) -> str:
     """Return the user of basic credentials, by which one registry tells several gateways apart."""
     try:
         told = request.headers["Authorization"].removeprefix("Basic ")
--- a/apigateway/emulators/eureka_format.py
+++ b/apigateway/emulators/eureka_format.py
@@ -7,7 +7,7 @@
 from typing import Any
 from xml.sax.saxutils import escape
 
-Told = dict[str, Any]  # an instance or a tree of applications, as JSON has it
+JsonObject = dict[str, Any]  # an instance or a tree of applications, as JSON has it
 PORT_KEYS = ("port", "securePort")
 
 
@@ -16,10 +16,10 @@
     port: int,
     app: str = "ROSTER",
     status: str = "UP",
-    duration: int = 90,
+    duration_s: int = 90,
     ip: str = "127.0.0.1",
     **metadata: str,
-) -> Told:
+) -> JsonObject:
     """Return an instance as a client would register it, oddities included."""
     stamp = str(int(time.time() * 1000))
     return {
@@ -36,7 +36,7 @@
             "@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo",
             "name": "MyOwn",
         },
-        "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": duration},
+        "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": duration_s},
         "metadata": metadata or {"@class": "java.util.Collections$EmptyMap"},
         "vipAddress": app.lower(),
         "secureVipAddress": app.lower(),
@@ -46,12 +46,12 @@
     }
 
 
-def instance_id(told: Told) -> str:
+def instance_id(told: JsonObject) -> str:
     """Return an instance's id; an instance without one goes by its host's name."""
     return str(told.get("instanceId") or told.get("hostName"))
 
 
-def to_xml(tree: Told) -> str:
+def to_xml(tree: JsonObject) -> str:
     """Return a tree of applications as XML."""
     applications = tree["applications"]
     parts = [
@@ -65,7 +65,7 @@
     return "".join(parts) + "</applications>"
 
 
-def _elements(told: Told) -> Iterator[str]:
+def _elements(told: JsonObject) -> Iterator[str]:
     """Yield the elements of an instance."""
     for name, value in told.items():
         if name in PORT_KEYS and isinstance(value, dict):
--- a/apigateway/emulators/fleet.py
+++ b/apigateway/emulators/fleet.py
@@ -12,13 +12,13 @@
 
 from apigateway.emulators.counter import EmulatedCounter
 from apigateway.emulators.eureka import EmulatedEureka, instance
+from apigateway.emulators.fleet_settings import ClassSettings, FleetSettings, PlanSettings
 from apigateway.emulators.gateway_process import Gateway
 from apigateway.emulators.hosts import Command, EmulatedHost, fields
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.relay import Links
-from apigateway.emulators.shape import Class, Plan, Shape
 
-__all__ = ["Class", "Fleet", "Gateway", "Plan", "Shape"]
+__all__ = ["ClassSettings", "Fleet", "Gateway", "PlanSettings", "FleetSettings"]
 
 DEFAULT_WORK_S = 0.05  # of a request whose class the shape does not know
 RENEWAL_PERIOD_S = 5.0  # of the hosts at the registry
@@ -32,7 +32,7 @@
 
     Attributes:
         folder: Gets the settings files and state folders.
-        source: Where gateways have their hosts from: "discovery", or "eureka", which they ask every `poll`
+        source: Where gateways have their hosts from: "discovery", or "eureka", which they ask every `poll_s`
             seconds and where each host is registered and renewed for as long as its process lives.
         links: The relays through which gateways reach hosts (named by discovery) and the counter, and which
             can be faulty; None: there are none.
@@ -40,45 +40,45 @@
 
     def __init__(
         self,
-        shape: Shape,
+        settings: FleetSettings,
         folder: Path,
         work: Callable[[Command], float] | None = None,
         source: str = "discovery",
-        poll: float = 0.5,
+        poll_s: float = 0.5,
         links: Links | None = None,
     ) -> None:
-        self.shape = shape
+        self.settings = settings
         self.folder = folder
         self.source = source
-        self.poll = poll
+        self.poll_s = poll_s
         self.links = links
-        self.ledger = Ledger(shape.terms())
+        self.ledger = Ledger(settings.rule_limits())
         self.counter = EmulatedCounter()
         self.registry = EmulatedEureka(ledger=self.ledger)
         self._renewal: asyncio.Task[None] | None = None
-        self.hosts = [self._new_host(number, work or self.work) for number in range(shape.hosts)]
-        self.gateways = [Gateway(self, number) for number in range(shape.gateways)]
+        self.hosts = [self._new_host(number, work or self.class_work) for number in range(settings.hosts)]
+        self.gateways = [Gateway(self, number) for number in range(settings.gateways)]
 
     def _new_host(self, number: int, work: Callable[[Command], float]) -> EmulatedHost:
-        shape = self.shape
+        shape = self.settings
         zone_number = number % len(shape.zones)
         return EmulatedHost(
             name=f"h{number}",
             zone=shape.zones[zone_number],
             cell=zone_number,
             cores=shape.cores,
-            queue=shape.queue,
+            queue_capacity=shape.queue_capacity,
             work=work,
             cold_share=shape.cold_share,
             cold_time=shape.cold_time,
             ledger=self.ledger,
         )
 
-    def work(self, command: Command) -> float:
+    def class_work(self, command: Command) -> float:
         """Return the core seconds of a command by its class."""
-        cls = self.shape.classes.get(fields(command).get("c", ""))
+        cls = self.settings.classes.get(fields(command).get("c", ""))
         # A class that the shape does not know is somebody's who tries by hand.
-        return cls.work if cls is not None else DEFAULT_WORK_S
+        return cls.work_s if cls is not None else DEFAULT_WORK_S
 
     def counter_port(self, gateway: str) -> int:
         """Return the port at which a gateway reaches the counter."""
@@ -86,10 +86,10 @@
 
     # Discovery and registry
 
-    def tell(self, *changed: tuple[EmulatedHost, str]) -> None:
+    def announce(self, *changed: tuple[EmulatedHost, str]) -> None:
         """Let discovery and registry tell of hosts that are now up, draining or removed."""
         for gateway in self.gateways:
-            gateway.discovery.change([self.entry(gateway, host, state) for host, state in changed])
+            gateway.discovery.apply_changes([self.entry(gateway, host, state) for host, state in changed])
         for host, state in changed:
             if state == "up":
                 self.registry.override(HOST_APP, host.name, "")
@@ -127,14 +127,14 @@
         await self.registry.__aenter__()
         for host in self.hosts:
             self.register(host)
-            self.registry.long_ago(HOST_APP, host.name)
+            self.registry.mark_warm(HOST_APP, host.name)
         self._renewal = asyncio.get_running_loop().create_task(self._renew())
         if self.links is not None:
             await self._open_links(self.links)
         for gateway in self.gateways:
             gateway.discovery.servers = [self.entry(gateway, host) for host in self.hosts]
             await gateway.discovery.__aenter__()
-            gateway.write()
+            gateway.write_settings()
         try:
             await self._start_gateways()
         except BaseException:  # nothing is left behind by a start that fails or is interrupted
@@ -155,7 +155,7 @@
             await asyncio.gather(*(gateway.start() for gateway in group))
 
     async def __aexit__(self, *_: object) -> None:
-        await asyncio.gather(*(gateway.end() for gateway in self.gateways))
+        await asyncio.gather(*(gateway.stop() for gateway in self.gateways))
         for gateway in self.gateways:
             await gateway.discovery.__aexit__()
         if self.links is not None:
--- a/apigateway/emulators/gateway_file.py
+++ b/apigateway/emulators/gateway_file.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from apigateway.emulators.shape import Class, Plan, Shape
+from apigateway.emulators.fleet_settings import ClassSettings, FleetSettings, PlanSettings
 
 MAX_ATTEMPTS = 6
 DOMAIN = "roster"  # of the rate limit service; also the name that hosts have at the registry
@@ -17,46 +17,46 @@
 
     Attributes:
         port: Of RESP2.
-        checks_port: Of the rate limit service.
+        rate_limit_port: Of the rate limit service.
         source: Where it has its hosts from: "discovery" or "eureka".
-        poll: Seconds between two requests to the registry.
+        poll_s: Seconds between two requests to the registry.
     """
 
-    shape: Shape
+    settings: FleetSettings
     folder: Path
     name: str
     number: int
     zone: str
     port: int
-    checks_port: int
+    rate_limit_port: int
     source: str
     discovery_port: int
     registry_url: str
-    poll: float
+    poll_s: float
     counter_port: int
 
     def text(self) -> str:
         """Return the file's text."""
         tables = self._tables()
-        for name, keys in self.shape.extra.items():
+        for name, keys in self.settings.extra_keys.items():
             tables[name] = tables.get(name, "") + "\n" + keys
         return (
             self._listeners()
             + "".join(f"[{name}]\n{keys}\n" for name, keys in tables.items())
-            + self.shape.plugins
+            + self.settings.plugins_toml
             + self._records()
             + self._ratelimit_rules()
         )
 
     def _listeners(self) -> str:
         text = f'[[listeners]]\naddress = "127.0.0.1:{self.port}"\n'
-        if self.shape.grpc:
-            text += f'[[listeners]]\nprotocol = "grpc"\naddress = "127.0.0.1:{self.checks_port}"\n'
+        if self.settings.check_class:
+            text += f'[[listeners]]\nprotocol = "grpc"\naddress = "127.0.0.1:{self.rate_limit_port}"\n'
         return text
 
     def _tables(self) -> dict[str, str]:
         """Return the keys of each table, by its name."""
-        shape = self.shape
+        shape = self.settings
         tables = {
             "gateway": f'name = "{self.name}"\nindex = {self.number}\ngateways = {shape.gateways}\n'
             f'zone = "{self.zone}"\nseed = {self.number + 1}',
@@ -65,7 +65,7 @@
             f"cold_time = {shape.cold_time}",
             "hosts": f'source = "{self.source}"\ndiscovery = "127.0.0.1:{self.discovery_port}"\n'
             'reports = ["inflight", "queue", "util"]',
-            "eureka": f'urls = ["{self.registry_url}"]\nname = "{DOMAIN}"\npoll = {self.poll}\n'
+            "eureka": f'urls = ["{self.registry_url}"]\nname = "{DOMAIN}"\npoll = {self.poll_s}\n'
             f'user = "{self.name}"\npassword = "none"',
             "counter": f'address = "127.0.0.1:{self.counter_port}"',
             "daemon": f'state = "{self.folder / self.name}"',
@@ -77,25 +77,28 @@
         return tables
 
     def _records(self) -> str:
-        return f'[records]\nfile = "{self.name}.records"\n' if self.shape.plugins else ""
+        return f'[records]\nfile = "{self.name}.records"\n' if self.settings.plugins_toml else ""
 
     def _ratelimit_rules(self) -> str:
-        if not self.shape.grpc:
+        if not self.settings.check_class:
             return ""
         return (
             f'[[ratelimit.rules]]\ndomain = "{DOMAIN}"\nentries = ["customer", "plan"]\n'
-            f'customer = "{{customer}}"\nplan = "{{plan}}"\nclass = "{self.shape.grpc}"\n'
+            f'customer = "{{customer}}"\nplan = "{{plan}}"\nclass = "{self.settings.check_class}"\n'
         )
 
 
-def _class_keys(cls: Class) -> str:
-    keys = f'effect = "{cls.effect}"\naim = {cls.aim}\ndeadline = {cls.deadline}\nworth = {cls.worth}\n'
+def _class_keys(cls: ClassSettings) -> str:
+    keys = (
+        f'effect = "{cls.effect}"\naim = {cls.latency_objective_s}\n'
+        f"deadline = {cls.deadline_s}\nworth = {cls.priority_weight}\n"
+    )
     if cls.effect == "keyed":
-        keys += f'scope = "{cls.scope}"\nmemory = {cls.memory}'
+        keys += f'scope = "{cls.deduplication_scope}"\nmemory = {cls.deduplication_window_s}'
     return keys
 
 
-def _plan_keys(plan: Plan, ceiling_slack: float) -> str:
+def _plan_keys(plan: PlanSettings, ceiling_slack: float) -> str:
     return (
         f"rate = {plan.rate}\nburst = {plan.burst}\nprice = {plan.price}\n"
         f"ceiling_rate = {plan.ceiling_rate}\nceiling_burst = {plan.ceiling_burst}\n"
--- a/apigateway/emulators/gateway_process.py
+++ b/apigateway/emulators/gateway_process.py
@@ -11,10 +11,10 @@
 
 from apigateway.emulators.discovery import EmulatedDiscovery
 from apigateway.emulators.eureka import EmulatedEureka
+from apigateway.emulators.fleet_settings import FleetSettings
 from apigateway.emulators.gateway_file import GatewayFile
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.ports import free_port
-from apigateway.emulators.shape import Shape
 
 READY_TIMEOUT_S = 20.0  # for a gateway to say that it listens
 READY_LOG_TEXT = " listens on "  # in the line by which it says so
@@ -24,10 +24,10 @@
 class Installation(Protocol):
     """What a gateway is installed in."""
 
-    shape: Shape
+    settings: FleetSettings
     folder: Path
     source: str
-    poll: float
+    poll_s: float
     ledger: Ledger
     registry: EmulatedEureka
 
@@ -40,43 +40,43 @@
 
     Attributes:
         port: Of RESP2.
-        checks: Port of the rate limit service.
-        log: The lines that it has written.
+        rate_limit_port: Port of the rate limit service.
+        log_lines: The lines that it has written.
     """
 
     def __init__(self, installation: Installation, number: int) -> None:
         self._installation = installation
-        shape = installation.shape
+        shape = installation.settings
         self.number = number
         self.name = f"g{number}"
         self.zone = shape.zones[number % len(shape.zones)]
         self.port = free_port()
-        self.checks = free_port()
+        self.rate_limit_port = free_port()
         self.discovery = EmulatedDiscovery(self.name, installation.ledger)
-        self.file = installation.folder / f"{self.name}.toml"
+        self.settings_file = installation.folder / f"{self.name}.toml"
         self.process: asyncio.subprocess.Process | None = None
-        self.log: list[str] = []
+        self.log_lines: list[str] = []
         self._log_reader: asyncio.Task[None] | None = None
         self._listens = asyncio.Event()
 
-    def write(self) -> None:
+    def write_settings(self) -> None:
         """Write the settings file; discovery, registry and counter must be open."""
         installation = self._installation
         settings = GatewayFile(
-            shape=installation.shape,
+            settings=installation.settings,
             folder=installation.folder,
             name=self.name,
             number=self.number,
             zone=self.zone,
             port=self.port,
-            checks_port=self.checks,
+            rate_limit_port=self.rate_limit_port,
             source=installation.source,
             discovery_port=self.discovery.port,
             registry_url=installation.registry.url,
-            poll=installation.poll,
+            poll_s=installation.poll_s,
             counter_port=installation.counter_port(self.name),
         )
-        self.file.write_text(settings.text())
+        self.settings_file.write_text(settings.text())
 
     async def start(self, *arguments: str) -> None:
         """Start the process and wait until it says that it listens.
@@ -93,7 +93,7 @@
             "-m",
             "apigateway",
             "serve",
-            str(self.file),
+            str(self.settings_file),
             *arguments,
             stderr=asyncio.subprocess.PIPE,
             env=_environment(),
@@ -102,26 +102,26 @@
         try:
             async with asyncio.timeout(READY_TIMEOUT_S):
                 await self._listens.wait()
-                self._installation.ledger.listens(self.name)
+                self._installation.ledger.record_gateway_start(self.name)
         except TimeoutError as error:
-            last_lines = "\n".join(self.log[-SHOWN_LOG_LINES:])
+            last_lines = "\n".join(self.log_lines[-SHOWN_LOG_LINES:])
             raise RuntimeError(f"{self.name} does not listen:\n{last_lines}") from error
 
     async def _read_log(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
         while line := await process.stderr.readline():
-            self.log.append(line.decode("utf-8", "replace").rstrip())
-            if READY_LOG_TEXT in self.log[-1]:
+            self.log_lines.append(line.decode("utf-8", "replace").rstrip())
+            if READY_LOG_TEXT in self.log_lines[-1]:
                 self._listens.set()
 
     async def kill(self) -> None:
         """Kill it as a loss of power would: what it held is for its clients to ask again."""
         assert self.process is not None
-        self._installation.ledger.died(self.name)
+        self._installation.ledger.record_gateway_kill(self.name)
         self.process.send_signal(signal.SIGKILL)
         await self.process.wait()
 
-    async def end(self) -> int:
+    async def stop(self) -> int:
         """Stop it by SIGTERM, if it runs, and return its exit code."""
         if self.process is None or self.process.returncode is not None:
             return 0
--- a/apigateway/emulators/hosts.py
+++ b/apigateway/emulators/hosts.py
@@ -15,14 +15,14 @@
 from apigateway.emulators.ledger_records import AttemptEnd
 from apigateway.emulators.listener import Listener
 from apigateway.emulators.pending_answers import PendingAnswer, PendingAnswers
-from apigateway.emulators.resp import BUSY, ERROR, PONG, SPOILT, VALUE, Command, bulk, fields
+from apigateway.emulators.resp import BUSY, ERROR, MALFORMED, PONG, VALUE, Command, bulk, fields
 from apigateway.emulators.script import Script, Step, StepKind
 
-__all__ = ["BUSY", "ERROR", "SPOILT", "VALUE", "Answer", "Command", "EmulatedHost", "bulk", "fields"]
+__all__ = ["BUSY", "ERROR", "MALFORMED", "VALUE", "Answer", "Command", "EmulatedHost", "bulk", "fields"]
 
 READ_BYTES = 65536
 HEALTH_CHECK = "probe"  # how a health check ends; the ledger does not know of it
-CUT_BYTES = 5  # that half an answer lacks
+TRUNCATED_BYTES = 5  # that half an answer lacks
 
 Answer = bytes | None | Callable[[], bytes | None]
 
@@ -52,20 +52,20 @@
 class EmulatedHost(Listener):
     """Answers each command by its script.
 
-    Where the script says `answer`, it answers with `answer` or what that returns: None is silence, b"" ends
-    the connection. With `work`, which returns a command's seconds at full capacity, it is a server of `cores`
-    at once and `queue` waiting, cold after `restart`: its answers are then made for each id, with a load
-    report, and the ledger is told of them.
+    Where the script says `answer`, it sends `answer` or what that returns: None sends nothing, and b""
+    closes the connection. With `work`, which returns a command's seconds of one core at full capacity, it
+    executes `cores` commands at once, queues up to `queue_capacity` more, and is cold after `restart`. Its
+    answers then name the request and contain a load report, and the ledger records them.
 
     Attributes:
         commands: All that have come.
-        arrived: Each command as it comes; None at a connection's end.
+        arrivals: Each command as it comes; None at a connection's end.
         running: Commands that have a core.
-        line: Work that waits for a core.
-        started: Unix time of the last start; 0: long ago.
+        queued: Work that waits for a core.
+        started_at: Unix time of the last start; 0: long ago.
         draining: While set, commands are rejected.
-        lies: While set, it reports that it is idle.
-        behind: Seconds that its reports are old.
+        reports_idle: While set, it reports that it is idle.
+        report_age_s: Seconds that its reports are old.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         script: Script | None = None,
         work: Callable[[Command], float] | None = None,
         cores: int = 2,
-        queue: int = 32,
+        queue_capacity: int = 32,
         cold_share: float = 0.2,
         cold_time: float = 10.0,
         ledger: Ledger | None = None,
@@ -92,19 +92,19 @@
         self.script = script or Script()
         self.work = work
         self.cores = cores
-        self.queue = queue
+        self.queue_capacity = queue_capacity
         self.cold_share = cold_share
         self.cold_time = cold_time
         self.ledger = ledger
         self.commands: list[Any] = []
-        self.arrived: asyncio.Queue[Any] = asyncio.Queue()
+        self.arrivals: asyncio.Queue[Any] = asyncio.Queue()
         self.connections = 0
         self.running = 0
-        self.line: deque[QueuedWork] = deque()
-        self.started = 0.0
+        self.queued: deque[QueuedWork] = deque()
+        self.started_at = 0.0
         self.draining = False
-        self.lies = False
-        self.behind = 0.0
+        self.reports_idle = False
+        self.report_age_s = 0.0
         self._reports: deque[TakenReport] = deque()  # as far back as one may be told
         self._incarnation = 0  # work of an earlier one is void
 
@@ -118,27 +118,27 @@
             "cell": self.cell,
             "state": state,
             "weight": 1.0,
-            "started_ms": int(self.started * 1000),
+            "started_ms": int(self.started_at * 1000),
         }
 
-    def warmth(self) -> float:
+    def warm_share(self) -> float:
         """Return the share of its capacity that it has reached since its start."""
-        age = time.time() - self.started
-        if not self.started or age >= self.cold_time:
+        age = time.time() - self.started_at
+        if not self.started_at or age >= self.cold_time:
             return 1.0
         return self.cold_share + (1 - self.cold_share) * max(0.0, age) / self.cold_time
 
-    async def restart(self, down: float = 0.0) -> None:
-        """Die, and come back cold and empty at the same address after `down` seconds."""
-        await self.die()
+    async def restart(self, down_s: float = 0.0) -> None:
+        """Die, and come back cold and empty at the same address after `down_s` seconds."""
+        await self.kill()
         self._incarnation += 1
         self.running = 0
-        self.line.clear()
-        await asyncio.sleep(down)
-        self.started = time.time()
+        self.queued.clear()
+        await asyncio.sleep(down_s)
+        self.started_at = time.time()
         self.draining = False
         if self.ledger is not None:
-            self.ledger.started(self.name, self.cores, self.cold_share, self.cold_time)
+            self.ledger.record_cold_start(self.name, self.cores, self.cold_share, self.cold_time)
         await self.open()
 
     # Commands
@@ -155,14 +155,14 @@
                 parser.feed(data)
                 while (command := parser.gets()) is not ...:
                     self.commands.append(command)
-                    self.arrived.put_nowait(command)
+                    self.arrivals.put_nowait(command)
                     if not self._take(command, answers, first_byte_at):
                         return
                     first_byte_at = 0.0
         finally:
             answers.connection_closed()
             self.connections -= 1
-            self.arrived.put_nowait(None)
+            self.arrivals.put_nowait(None)
 
     def _take(self, command: Any, answers: PendingAnswers, first_byte_at: float) -> bool:
         """Take a command; return False if the connection is to end."""
@@ -185,7 +185,7 @@
         """Tell the ledger of an attempt, and return what tells it of the end."""
         if self.ledger is None or not isinstance(command, list) or not command[0].startswith(b"API."):
             return _ignore_end
-        number = self.ledger.arrived(
+        number = self.ledger.record_attempt(
             self.name,
             command[2].decode(),
             fields(command).get("c", ""),
@@ -194,7 +194,7 @@
             first_byte_at,
             self.work(command) if self.work else 0.0,
         )
-        return partial(self.ledger.ended, number)
+        return partial(self.ledger.record_attempt_end, number)
 
     def _answer(self, answer: PendingAnswer, command: Command, step: Step) -> bool:
         """Answer a command as the script's step says; return False if the connection is to end."""
@@ -206,15 +206,17 @@
                 answer.write(BUSY, AttemptEnd.BUSY)
             case StepKind.ERROR:
                 answer.write(ERROR, AttemptEnd.ERROR)
-            case StepKind.SPOILT:
-                answer.write(SPOILT, AttemptEnd.SPOILT)
-            case StepKind.HALF:
-                answer.write(self._make_answer(command).reply[:-CUT_BYTES], AttemptEnd.HALF, is_last=True)
+            case StepKind.MALFORMED:
+                answer.write(MALFORMED, AttemptEnd.MALFORMED)
+            case StepKind.TRUNCATED:
+                answer.write(
+                    self._make_answer(command).reply[:-TRUNCATED_BYTES], AttemptEnd.TRUNCATED, is_last=True
+                )
             case StepKind.STALL:
                 loop = asyncio.get_running_loop()
-                loop.call_later(step.delay, self._finish, answer, command, self._incarnation)
+                loop.call_later(step.delay_s, self._finish, answer, command, self._incarnation)
             case _ if self.work is not None:
-                self._enqueue(answer, command, self.work, step.factor)
+                self._enqueue(answer, command, self.work, step.work_factor)
             case _:
                 return self._answer_at_once(answer)
         return True
@@ -240,13 +242,13 @@
     def report(self) -> bytes:
         """Return the load report that it sends now."""
         now = time.monotonic()
-        running = 0 if self.lies else self.running
-        waiting = 0 if self.lies else len(self.line)
+        running = 0 if self.reports_idle else self.running
+        waiting = 0 if self.reports_idle else len(self.queued)
         text = b"active=%d,waiting=%d,cpu=%.2f" % (running + waiting, waiting, running / self.cores)
-        if not self.behind:
+        if not self.report_age_s:
             return text
         self._reports.append(TakenReport(now, text))
-        while len(self._reports) > 1 and self._reports[1].at <= now - self.behind:
+        while len(self._reports) > 1 and self._reports[1].at <= now - self.report_age_s:
             self._reports.popleft()
         return self._reports[0].text
 
@@ -256,20 +258,20 @@
         self, answer: PendingAnswer, command: Command, work: Callable[[Command], float], factor: float
     ) -> None:
         """Queue a command's work, `factor` times the usual, or reject it if the queue is full."""
-        if self.running >= self.cores and len(self.line) >= self.queue:
+        if self.running >= self.cores and len(self.queued) >= self.queue_capacity:
             answer.write(BUSY, AttemptEnd.BUSY)
             return
-        self.line.append(QueuedWork(work(command) * factor, answer, command))
+        self.queued.append(QueuedWork(work(command) * factor, answer, command))
         self._start_work()
 
     def _start_work(self) -> None:
         """Give free cores to what waits."""
-        while self.line and self.running < self.cores:
-            work = self.line.popleft()
+        while self.queued and self.running < self.cores:
+            work = self.queued.popleft()
             if work.answer.is_over:  # its client has gone: what waits is dropped, what runs goes on
                 continue
             self.running += 1
-            delay = work.seconds / self.warmth()
+            delay = work.seconds / self.warm_share()
             asyncio.get_running_loop().call_later(
                 delay, self._complete, work.answer, work.command, self._incarnation
             )
--- a/apigateway/emulators/ledger.py
+++ b/apigateway/emulators/ledger.py
@@ -15,20 +15,30 @@
     Attempt,
     AttemptsById,
     Ceiling,
+    ClassRules,
     ColdStart,
     Grant,
-    Kind,
+    HostState,
     Outcome,
     RecordedAnswer,
+    RecordedRequest,
     Records,
-    SurplusAnswer,
-    Terms,
-    ToldState,
-    Try,
+    RuleLimits,
+    UnsolicitedAnswer,
 )
-from apigateway.emulators.ledger_rules import RULES, CeilingUse, Verdict, ceiling_uses, judge
-
-__all__ = ["RULES", "Attempt", "Ceiling", "Kind", "Ledger", "Terms", "Try", "Verdict", "report"]
+from apigateway.emulators.ledger_rules import RULES, CeilingUse, Verdict, ceiling_uses, check_rules
+
+__all__ = [
+    "RULES",
+    "Attempt",
+    "Ceiling",
+    "ClassRules",
+    "Ledger",
+    "RuleLimits",
+    "RecordedRequest",
+    "Verdict",
+    "format_verdicts",
+]
 
 MAX_SHOWN_BREACHES = 5  # of a rule, in a report
 
@@ -36,83 +46,103 @@
 class Ledger(Records):
     """Takes notes for clients, hosts and discovery, and judges them once all is over."""
 
-    def __init__(self, terms: Terms, clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(self, limits: RuleLimits, clock: Callable[[], float] = time.monotonic) -> None:
         super().__init__()
-        self.terms = terms
+        self.limits = limits
         self.clock = clock
 
     # Clients
 
-    def asked(
-        self, id: str, gateway: str, wait: float, customer: str, plan: str, cls: str, units: float
+    def record_request(
+        self,
+        id: str,
+        gateway: str,
+        timeout_s: float,
+        customer: str,
+        plan: str,
+        service_class: str,
+        units: float,
     ) -> None:
         """Note that a request's last byte is written. Sent again on a new connection it stays one request."""
-        if id in self.tries:
-            self.tries[id].broken = math.nan
+        if id in self.requests:
+            self.requests[id].disconnected_at = math.nan
         else:
-            self.tries[id] = Try(id, gateway, self.clock(), wait, customer, plan, cls, units)
+            self.requests[id] = RecordedRequest(
+                id, gateway, self.clock(), timeout_s, customer, plan, service_class, units
+            )
 
-    def answered(self, id: str, kind: str, value: bytes = b"") -> None:
+    def record_answer(self, id: str, kind: str, value: bytes = b"") -> None:
         """Note a request's answer; `kind` is one of `AnswerKind`."""
-        self.tries[id].answers.append(RecordedAnswer(self.clock(), kind, value))
+        self.requests[id].answers.append(RecordedAnswer(self.clock(), kind, value))
 
-    def broke_off(self, id: str) -> None:
+    def record_disconnect(self, id: str) -> None:
         """Note that a request's connection ended without an answer."""
-        self.tries[id].broken = self.clock()
+        self.requests[id].disconnected_at = self.clock()
 
-    def unasked(self, gateway: str) -> None:
+    def record_unsolicited_answer(self, gateway: str) -> None:
         """Note an answer that nobody had asked for."""
-        self.surplus.append(SurplusAnswer(self.clock(), gateway))
+        self.unsolicited_answers.append(UnsolicitedAnswer(self.clock(), gateway))
 
-    def granted(self, customer: str, plan: str, units: float) -> None:
+    def record_grant(self, customer: str, plan: str, units: float) -> None:
         """Note that a check was granted."""
         self.grants.append(Grant(self.clock(), customer, plan, units))
 
     # Gateways, hosts, discovery
 
-    def died(self, gateway: str) -> None:
+    def record_gateway_kill(self, gateway: str) -> None:
         """Note that a gateway was killed outright: what it held is for its clients to ask again."""
-        self.deaths[gateway].append(self.clock())
+        self.gateway_kills[gateway].append(self.clock())
 
-    def listens(self, gateway: str) -> None:
+    def record_gateway_start(self, gateway: str) -> None:
         """Note that a gateway is there, for the first time or again."""
-        self.births[gateway].append(self.clock())
-
-    def arrived(self, host: str, id: str, cls: str, cell: int, zone: str, first: float, work: float) -> int:
-        """Note that an attempt's last byte is there; its first one came at `first`.
+        self.gateway_starts[gateway].append(self.clock())
+
+    def record_attempt(
+        self,
+        host: str,
+        id: str,
+        service_class: str,
+        cell: int,
+        zone: str,
+        first_byte_at: float,
+        work_s: float,
+    ) -> int:
+        """Note that an attempt's last byte is there; its first one came at `first_byte_at`.
 
         Returns:
             The attempt's number, for `ended`.
         """
-        self.attempts.append(Attempt(id, host, cls, cell, zone, first, self.clock(), work))
+        self.attempts.append(
+            Attempt(id, host, service_class, cell, zone, first_byte_at, self.clock(), work_s)
+        )
         return len(self.attempts) - 1
 
-    def ended(self, number: int, how: str, value: bytes = b"") -> None:
-        """Note the end of an attempt; `how` is one of `AttemptEnd`."""
+    def record_attempt_end(self, number: int, end_kind: str, value: bytes = b"") -> None:
+        """Note the end of an attempt; `end_kind` is one of `AttemptEnd`."""
         attempt = self.attempts[number]
-        attempt.end = self.clock()
-        attempt.how = how
+        attempt.ended_at = self.clock()
+        attempt.end_kind = end_kind
         attempt.value = value
 
-    def told(self, gateway: str, host: str, state: str) -> None:
+    def record_host_state(self, gateway: str, host: str, state: str) -> None:
         """Note that discovery has written a host's state to a gateway: up, draining or removed."""
-        history = self.tellings[gateway, host]
+        history = self.host_states[gateway, host]
         if not history or history[-1].state != state:
-            history.append(ToldState(self.clock(), state))
+            history.append(HostState(self.clock(), state))
 
-    def started(self, host: str, cores: int, share: float, seconds: float) -> None:
-        """Note a cold start: `share` of its `cores` now, all of them evenly within `seconds`."""
-        self.starts.append(ColdStart(self.clock(), host, cores, share, seconds))
+    def record_cold_start(self, host: str, cores: int, start_share: float, warm_up_s: float) -> None:
+        """Note a cold start: `start_share` of its `cores` now, all of them evenly within `warm_up_s`."""
+        self.cold_starts.append(ColdStart(self.clock(), host, cores, start_share, warm_up_s))
 
     # Judgement
 
-    def judge(self) -> tuple[Verdict, ...]:
+    def check_rules(self) -> tuple[Verdict, ...]:
         """Return one verdict for each rule, in the order of `RULES`; due once all is over."""
-        return judge(self, self.terms)
+        return check_rules(self, self.limits)
 
-    def stores(self, by_id: AttemptsById) -> dict[str, CeilingUse]:
+    def ceiling_uses(self, by_id: AttemptsById) -> dict[str, CeilingUse]:
         """Return what each customer under a ceiling left of it."""
-        return ceiling_uses(self, self.terms, by_id)
+        return ceiling_uses(self, self.limits, by_id)
 
     def outcomes(self) -> dict[tuple[str, str, str], int]:
         """Return how many requests had each outcome, by plan, class and outcome.
@@ -120,16 +150,16 @@
         An outcome is an `AnswerKind`, or an `Outcome` for requests without an answer.
         """
         counts: dict[tuple[str, str, str], int] = defaultdict(int)
-        for request in self.tries.values():
+        for request in self.requests.values():
             if request.answers:
                 outcome = request.answers[0].kind
             else:
-                outcome = Outcome.WITH_GATEWAY if self.excused(request) else Outcome.LOST
-            counts[request.plan, request.cls, outcome] += 1
+                outcome = Outcome.WITH_GATEWAY if self.is_excused(request) else Outcome.LOST
+            counts[request.plan, request.service_class, outcome] += 1
         return dict(counts)
 
 
-def report(verdicts: Iterable[Verdict]) -> str:
+def format_verdicts(verdicts: Iterable[Verdict]) -> str:
     """Return verdicts as text, each with its first breaches."""
     lines = []
     for verdict in verdicts:
--- a/apigateway/emulators/ledger_records.py
+++ b/apigateway/emulators/ledger_records.py
@@ -16,21 +16,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class ClassRules:
     """A class of requests.
 
     Attributes:
         effect: "safe", "keyed" or "unsafe".
-        scope: Of keyed ones: the hosts that discard a repeat: "all", "zone" or "cell".
-        memory: Of keyed ones: for how many seconds they do.
+        deduplication_scope: Of keyed ones: the hosts that discard a repeat: "all", "zone" or "cell".
+        deduplication_window_s: Of keyed ones: for how many seconds they do.
     """
 
     effect: str
-    scope: str = "all"
-    memory: float = 0.0
+    deduplication_scope: str = "all"
+    deduplication_window_s: float = 0.0
 
 
-UNKNOWN = Kind("unsafe")  # a class that the terms do not name is judged by the strictest
+UNKNOWN_CLASS_RULES = ClassRules("unsafe")  # a class that the terms do not name is judged by the strictest
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,22 +43,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class RuleLimits:
     """What the rules are judged by.
 
     Attributes:
-        kinds: By the names of classes.
+        classes: By the names of classes.
         ceilings: By plan.
-        drain_grace: Seconds after which nothing more may be sent to a draining host.
-        fall_multiple: A host that starts cold bears so many times what it can do ...
-        fall_time: ... in so many seconds.
+        drain_grace_s: Seconds after which nothing more may be sent to a draining host.
+        overload_ratio: A host that starts cold bears so many times what it can do ...
+        overload_window_s: ... in so many seconds.
     """
 
-    kinds: dict[str, Kind]
+    classes: dict[str, ClassRules]
     ceilings: dict[str, Ceiling] = field(default_factory=dict)
-    drain_grace: float = 2.0
-    fall_multiple: float = 2.0
-    fall_time: float = 2.0
+    drain_grace_s: float = 2.0
+    overload_ratio: float = 2.0
+    overload_window_s: float = 2.0
 
 
 class AnswerKind(StrEnum):
@@ -83,8 +83,8 @@
     ANSWERED = "answered"
     BUSY = "busy"  # the host said that it will not execute it
     ERROR = "error"
-    SPOILT = "spoilt"
-    HALF = "half"
+    MALFORMED = "spoilt"
+    TRUNCATED = "half"
     CLOSED = "closed"
 
 
@@ -97,30 +97,30 @@
 
 
 @dataclass(slots=True)
-class Try:
+class RecordedRequest:
     """One request as its client sees it.
 
     Attributes:
-        asked: When its last byte was written.
-        wait: Seconds that its client waits.
-        broken: When its connection ended without an answer.
+        sent_at: When its last byte was written.
+        timeout_s: Seconds that its client waits.
+        disconnected_at: When its connection ended without an answer.
     """
 
     id: str
     gateway: str
-    asked: float
-    wait: float
+    sent_at: float
+    timeout_s: float
     customer: str
     plan: str
-    cls: str
+    service_class: str
     units: float
     answers: list[RecordedAnswer] = field(default_factory=list)
-    broken: float = math.nan
+    disconnected_at: float = math.nan
 
     @property
     def name(self) -> str:
         """The request's name in a breach."""
-        return f"{self.cls} {self.id} at {self.gateway}"
+        return f"{self.service_class} {self.id} at {self.gateway}"
 
 
 @dataclass(slots=True)
@@ -128,38 +128,38 @@
     """One message at a host.
 
     Attributes:
-        first: When its first byte came.
-        last: When its last byte came.
-        work: Seconds of one core at full capacity.
-        end: When it ended.
-        how: How it ended, of `AttemptEnd`.
+        first_byte_at: When its first byte came.
+        last_byte_at: When its last byte came.
+        work_s: Seconds of one core at full capacity.
+        ended_at: When it ended.
+        end_kind: How it ended, of `AttemptEnd`.
         value: What the host answered.
     """
 
     id: str
     host: str
-    cls: str
+    service_class: str
     cell: int
     zone: str
-    first: float
-    last: float
-    work: float
-    end: float = math.inf
-    how: str = AttemptEnd.ACTIVE
+    first_byte_at: float
+    last_byte_at: float
+    work_s: float
+    ended_at: float = math.inf
+    end_kind: str = AttemptEnd.ACTIVE
     value: bytes = b""
 
     @property
     def may_have_run(self) -> bool:
         """Whether the host may have executed it."""
-        return self.how != AttemptEnd.BUSY
+        return self.end_kind != AttemptEnd.BUSY
 
     @property
     def name(self) -> str:
         """The request's name in a breach."""
-        return f"{self.cls} {self.id}"
+        return f"{self.service_class} {self.id}"
 
 
-class ToldState(NamedTuple):
+class HostState(NamedTuple):
     """A host's state as discovery wrote it to a gateway: up, draining or removed."""
 
     at: float
@@ -172,17 +172,19 @@
     at: float
     host: str
     cores: int
-    share: float  # of its cores that it has at the start
-    seconds: float  # until it has all of them
+    start_share: float  # of its cores that it has at the start
+    warm_up_s: float  # until it has all of them
 
     def work_until(self, now: float) -> float:
         """Return the core seconds that the host can have done from its start to `now`."""
-        age = min(max(0.0, now - self.at), self.seconds)
-        warm = max(0.0, now - self.at - self.seconds)
-        return self.cores * (self.share * age + (1 - self.share) * age**2 / 2 / self.seconds + warm)
+        age = min(max(0.0, now - self.at), self.warm_up_s)
+        warm = max(0.0, now - self.at - self.warm_up_s)
+        return self.cores * (
+            self.start_share * age + (1 - self.start_share) * age**2 / 2 / self.warm_up_s + warm
+        )
 
 
-class SurplusAnswer(NamedTuple):
+class UnsolicitedAnswer(NamedTuple):
     """An answer that nobody had asked for."""
 
     at: float
@@ -212,41 +214,45 @@
     """All that a ledger has written down.
 
     Attributes:
-        tellings: What discovery told each gateway of each host.
-        deaths: When a gateway was killed, by its name.
-        births: When it listened, likewise.
-        paid: Ids of requests that came with the token of a check, which was counted.
+        host_states: What discovery told each gateway of each host.
+        gateway_kills: When a gateway was killed, by its name.
+        gateway_starts: When it listened, likewise.
+        prepaid_requests: Ids of requests that came with the token of a check, which was counted.
     """
 
     def __init__(self) -> None:
-        self.tries: dict[str, Try] = {}
+        self.requests: dict[str, RecordedRequest] = {}
         self.attempts: list[Attempt] = []
-        self.tellings: dict[tuple[str, str], list[ToldState]] = defaultdict(list)
-        self.deaths: dict[str, list[float]] = defaultdict(list)
-        self.births: dict[str, list[float]] = defaultdict(list)
-        self.starts: list[ColdStart] = []
-        self.surplus: list[SurplusAnswer] = []
+        self.host_states: dict[tuple[str, str], list[HostState]] = defaultdict(list)
+        self.gateway_kills: dict[str, list[float]] = defaultdict(list)
+        self.gateway_starts: dict[str, list[float]] = defaultdict(list)
+        self.cold_starts: list[ColdStart] = []
+        self.unsolicited_answers: list[UnsolicitedAnswer] = []
         self.grants: list[Grant] = []
-        self.paid: set[str] = set()
+        self.prepaid_requests: set[str] = set()
 
     def attempts_by_id(self) -> dict[str, list[Attempt]]:
         """Return the attempts of each request in the order in which they came."""
         by_id: dict[str, list[Attempt]] = defaultdict(list)
-        for attempt in sorted(self.attempts, key=lambda attempt: attempt.last):
+        for attempt in sorted(self.attempts, key=lambda attempt: attempt.last_byte_at):
             by_id[attempt.id].append(attempt)
         return by_id
 
-    def excused(self, request: Try) -> bool:
+    def is_excused(self, request: RecordedRequest) -> bool:
         """Return whether a request needs no answer, since its gateway was killed.
 
         That is so if it held the request then, or was dead when it was asked: a client may write to a
         connection before it hears of its end, above all where many are killed at once.
         """
-        until = request.asked + request.wait if math.isnan(request.broken) else request.broken
-        deaths = self.deaths[request.gateway]
-        if any(request.asked - LIMIT_MARGIN_S <= death <= until + LIMIT_MARGIN_S for death in deaths):
+        until = (
+            request.sent_at + request.timeout_s
+            if math.isnan(request.disconnected_at)
+            else request.disconnected_at
+        )
+        deaths = self.gateway_kills[request.gateway]
+        if any(request.sent_at - LIMIT_MARGIN_S <= death <= until + LIMIT_MARGIN_S for death in deaths):
             return True
-        last_death = max((death for death in deaths if death <= request.asked), default=None)
+        last_death = max((death for death in deaths if death <= request.sent_at), default=None)
         if last_death is None:
             return False
-        return not any(last_death < birth < request.asked for birth in self.births[request.gateway])
+        return not any(last_death < birth < request.sent_at for birth in self.gateway_starts[request.gateway])
--- a/apigateway/emulators/ledger_rules.py
+++ b/apigateway/emulators/ledger_rules.py
@@ -14,17 +14,17 @@
 
 from apigateway.emulators.ledger_records import (
     LIMIT_MARGIN_S,
-    UNKNOWN,
+    UNKNOWN_CLASS_RULES,
     AnswerKind,
     Attempt,
     AttemptEnd,
     AttemptsById,
+    ClassRules,
     ColdStart,
-    Kind,
+    HostState,
+    RecordedRequest,
     Records,
-    Terms,
-    ToldState,
-    Try,
+    RuleLimits,
 )
 
 CEILING_MARGIN_S = 0.15  # of its rate, by which a ceiling's slack is wider on sockets
@@ -87,7 +87,7 @@
     plan: str
 
 
-def judge(records: Records, terms: Terms) -> tuple[Verdict, ...]:
+def check_rules(records: Records, terms: RuleLimits) -> tuple[Verdict, ...]:
     """Return one verdict for each rule, in the order of `RULES`."""
     by_id = records.attempts_by_id()
     findings = (
@@ -108,10 +108,12 @@
 
 def find_lost_requests(records: Records, by_id: AttemptsById) -> Findings:
     """Find requests without exactly one true answer in time, and answers that nobody had asked for."""
-    breaches = [f"{answer.gateway}: an answer that nobody had asked for" for answer in records.surplus]
+    breaches = [
+        f"{answer.gateway}: an answer that nobody had asked for" for answer in records.unsolicited_answers
+    ]
     checked = 0
-    for request in records.tries.values():
-        if not request.answers and records.excused(request):
+    for request in records.requests.values():
+        if not request.answers and records.is_excused(request):
             continue
         checked += 1
         if len(request.answers) != 1:
@@ -121,37 +123,37 @@
     return Findings(checked, breaches)
 
 
-def _find_wrong_answer(request: Try, attempts: Sequence[Attempt]) -> Iterator[str]:
+def _find_wrong_answer(request: RecordedRequest, attempts: Sequence[Attempt]) -> Iterator[str]:
     answer = request.answers[0]
-    late = answer.at - request.asked - request.wait
-    if answer.at > request.asked + request.wait + LIMIT_MARGIN_S:
+    late = answer.at - request.sent_at - request.timeout_s
+    if answer.at > request.sent_at + request.timeout_s + LIMIT_MARGIN_S:
         yield f"{request.name}: answered {late:.3f} s after its client's time"
-    made = [attempt.value for attempt in attempts if attempt.how == AttemptEnd.ANSWERED]
+    made = [attempt.value for attempt in attempts if attempt.end_kind == AttemptEnd.ANSWERED]
     if answer.kind == AnswerKind.SERVED and answer.value not in made:
         yield f"{request.name}: served with what no host made for it"
     for attempt in attempts:
-        if attempt.first > answer.at + LIMIT_MARGIN_S:
-            late = attempt.first - answer.at
+        if attempt.first_byte_at > answer.at + LIMIT_MARGIN_S:
+            late = attempt.first_byte_at - answer.at
             yield f"{request.name}: sent to {attempt.host} {late:.3f} s after its answer"
 
 
 # No effect twice
 
 
-def find_repeated_effects(records: Records, terms: Terms, by_id: AttemptsById) -> Findings:
+def find_repeated_effects(records: Records, terms: RuleLimits, by_id: AttemptsById) -> Findings:
     """Find attempts beside or after others that forbid them, and refusals of what may have run."""
     breaches: list[str] = []
     for request_id, attempts in by_id.items():
-        kind = terms.kinds.get(attempts[0].cls, UNKNOWN)
+        kind = terms.classes.get(attempts[0].service_class, UNKNOWN_CLASS_RULES)
         for number, attempt in enumerate(attempts):
             breaches += _find_forbidden_attempt(kind, attempts[:number], attempt)
-        breaches += _find_false_refusal(kind, records.tries.get(request_id), attempts)
+        breaches += _find_false_refusal(kind, records.requests.get(request_id), attempts)
     return Findings(len(by_id), breaches)
 
 
-def _find_forbidden_attempt(kind: Kind, earlier: Sequence[Attempt], later: Attempt) -> Iterator[str]:
+def _find_forbidden_attempt(kind: ClassRules, earlier: Sequence[Attempt], later: Attempt) -> Iterator[str]:
     for attempt in earlier:
-        if attempt.end > later.last + LIMIT_MARGIN_S:
+        if attempt.ended_at > later.last_byte_at + LIMIT_MARGIN_S:
             yield f"{later.name}: at {later.host} while out at {attempt.host}"
     executed = [attempt for attempt in earlier if attempt.may_have_run]
     if not executed:
@@ -160,9 +162,9 @@
     if kind.effect == "unsafe":
         yield f"{later.name}: at {later.host} though it may have run at {first.host}"
     elif kind.effect == "keyed":
-        if later.first > first.last + kind.memory + LIMIT_MARGIN_S:
+        if later.first_byte_at > first.last_byte_at + kind.deduplication_window_s + LIMIT_MARGIN_S:
             yield f"{later.name}: at {later.host} after its repeats are forgotten"
-        if any(not _share_memory(kind.scope, attempt, later) for attempt in executed):
+        if any(not _share_memory(kind.deduplication_scope, attempt, later) for attempt in executed):
             yield f"{later.name}: at {later.host}, outside the group that drops repeats"
 
 
@@ -177,11 +179,13 @@
             return one.cell == other.cell
 
 
-def _find_false_refusal(kind: Kind, request: Try | None, attempts: Sequence[Attempt]) -> Iterator[str]:
+def _find_false_refusal(
+    kind: ClassRules, request: RecordedRequest | None, attempts: Sequence[Attempt]
+) -> Iterator[str]:
     """Find a refusal, after which clients try again, of a request whose repeat may do harm."""
     if request is None or not any(answer.kind == AnswerKind.REFUSED for answer in request.answers):
         return
-    is_harmless = kind.effect == "safe" or (kind.effect == "keyed" and kind.scope == "all")
+    is_harmless = kind.effect == "safe" or (kind.effect == "keyed" and kind.deduplication_scope == "all")
     if not is_harmless and any(attempt.may_have_run for attempt in attempts):
         yield f"{attempts[0].name}: refused though it may have run"
 
@@ -189,23 +193,23 @@
 # Drains kept
 
 
-def find_broken_drains(records: Records, terms: Terms) -> Findings:
+def find_broken_drains(records: Records, terms: RuleLimits) -> Findings:
     """Find attempts at hosts past the grace after their gateway was told that they drain or are gone."""
-    checked = sum(told.state != "up" for history in records.tellings.values() for told in history)
+    checked = sum(told.state != "up" for history in records.host_states.values() for told in history)
     breaches = []
     for attempt in records.attempts:
-        request = records.tries.get(attempt.id)
+        request = records.requests.get(attempt.id)
         if request is None:
             continue
-        history = records.tellings.get((request.gateway, attempt.host), [])
-        since = _draining_since(history, attempt.first)
-        if attempt.first > since + terms.drain_grace + LIMIT_MARGIN_S:
-            late = attempt.first - since
+        history = records.host_states.get((request.gateway, attempt.host), [])
+        since = _draining_since(history, attempt.first_byte_at)
+        if attempt.first_byte_at > since + terms.drain_grace_s + LIMIT_MARGIN_S:
+            late = attempt.first_byte_at - since
             breaches.append(f"{attempt.name}: at {attempt.host} {late:.2f} s after its gateway was told")
     return Findings(checked, breaches)
 
 
-def _draining_since(history: Sequence[ToldState], now: float) -> float:
+def _draining_since(history: Sequence[HostState], now: float) -> float:
     """Return since when a gateway knows that a host drains or is gone; infinite if it is up."""
     since = math.inf
     for told in history:
@@ -217,31 +221,33 @@
 # Cold hosts
 
 
-def find_overloaded_starts(records: Records, terms: Terms) -> Findings:
+def find_overloaded_starts(records: Records, terms: RuleLimits) -> Findings:
     """Find hosts that were sent more, in any `fall_time` after a cold start, than they bear."""
     breaches: list[str] = []
-    for start in records.starts:
+    for start in records.cold_starts:
         breaches += _find_overload(records, terms, start)
-    return Findings(len(records.starts), breaches)
+    return Findings(len(records.cold_starts), breaches)
 
 
-def _find_overload(records: Records, terms: Terms, start: ColdStart) -> list[str]:
+def _find_overload(records: Records, terms: RuleLimits, start: ColdStart) -> list[str]:
     """Find the first overload of a start. One more request of the largest kind is chance, not a fault."""
-    later_starts = [other.at for other in records.starts if other.host == start.host and other.at > start.at]
-    until = min([start.at + start.seconds, *later_starts])
+    later_starts = [
+        other.at for other in records.cold_starts if other.host == start.host and other.at > start.at
+    ]
+    until = min([start.at + start.warm_up_s, *later_starts])
     sent = [
         attempt
         for attempt in records.attempts
-        if attempt.host == start.host and start.at <= attempt.last < until
+        if attempt.host == start.host and start.at <= attempt.last_byte_at < until
     ]
-    largest = max((attempt.work for attempt in sent), default=0.0)
+    largest = max((attempt.work_s for attempt in sent), default=0.0)
     for number, last in enumerate(sent):
-        window_start = max(start.at, last.last - terms.fall_time)
-        work = sum(attempt.work for attempt in sent[: number + 1] if attempt.last > window_start)
-        capacity = start.work_until(window_start + terms.fall_time) - start.work_until(window_start)
-        allowed = terms.fall_multiple * capacity + largest
+        window_start = max(start.at, last.last_byte_at - terms.overload_window_s)
+        work = sum(attempt.work_s for attempt in sent[: number + 1] if attempt.last_byte_at > window_start)
+        capacity = start.work_until(window_start + terms.overload_window_s) - start.work_until(window_start)
+        allowed = terms.overload_ratio * capacity + largest
         if work > allowed + ROUNDING:
-            window = f"within {terms.fall_time} s"
+            window = f"within {terms.overload_window_s} s"
             return [f"{start.host}: {work:.2f} s of work {window}, at most {allowed:.2f}"]
     return []
 
@@ -249,7 +255,7 @@
 # Ceilings kept
 
 
-def find_passed_ceilings(records: Records, terms: Terms, by_id: AttemptsById) -> Findings:
+def find_passed_ceilings(records: Records, terms: RuleLimits, by_id: AttemptsById) -> Findings:
     """Find customers that used more than their ceiling and its slack."""
     uses = ceiling_uses(records, terms, by_id)
     breaches = [
@@ -260,7 +266,7 @@
     return Findings(len(uses), breaches)
 
 
-def ceiling_uses(records: Records, terms: Terms, by_id: AttemptsById) -> dict[str, CeilingUse]:
+def ceiling_uses(records: Records, terms: RuleLimits, by_id: AttemptsById) -> dict[str, CeilingUse]:
     """Return what each customer under a ceiling left of it.
 
     The bucket of each starts full. A request takes its units with its first attempt, a check when it is
@@ -268,9 +274,13 @@
     """
     spendings: dict[str, list[Spending]] = defaultdict(list)
     for request_id, attempts in by_id.items():
-        request = records.tries.get(request_id)
-        if request is not None and request.plan in terms.ceilings and request_id not in records.paid:
-            spending = Spending(attempts[0].last, request.units, request.plan)
+        request = records.requests.get(request_id)
+        if (
+            request is not None
+            and request.plan in terms.ceilings
+            and request_id not in records.prepaid_requests
+        ):
+            spending = Spending(attempts[0].last_byte_at, request.units, request.plan)
             spendings[request.customer].append(spending)
     for grant in records.grants:
         if grant.plan in terms.ceilings:
@@ -278,7 +288,7 @@
     return {customer: _ceiling_use(terms, sorted(own)) for customer, own in spendings.items()}
 
 
-def _ceiling_use(terms: Terms, spendings: Sequence[Spending]) -> CeilingUse:
+def _ceiling_use(terms: RuleLimits, spendings: Sequence[Spending]) -> CeilingUse:
     """Return what a customer's spendings, in the order of time, left of its ceiling."""
     ceiling = terms.ceilings[spendings[0].plan]
     largest = max(spending.units for spending in spendings)
--- a/apigateway/emulators/listener.py
+++ b/apigateway/emulators/listener.py
@@ -30,17 +30,17 @@
 
     async def open(self) -> None:
         """Listen, at the same port as before if there was one."""
-        self.server = await asyncio.start_server(self.joined, self.address, self.port, backlog=BACKLOG)
+        self.server = await asyncio.start_server(self.on_connection, self.address, self.port, backlog=BACKLOG)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    async def joined(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve a new connection, and close it."""
         self.writers.append(writer)
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             await self.serve(reader, writer)
         writer.close()
 
-    async def die(self) -> None:
+    async def kill(self) -> None:
         """End as a process that is killed: connections are reset, new ones refused."""
         self.server.close()
         writers = self.writers
--- a/apigateway/emulators/loaded_fleet.py
+++ b/apigateway/emulators/loaded_fleet.py
@@ -11,7 +11,7 @@
 from typing import Any, Self
 
 from apigateway.emulators.clients import Client, Customer, Traffic
-from apigateway.emulators.fleet import Fleet, Gateway, Shape
+from apigateway.emulators.fleet import Fleet, FleetSettings, Gateway
 from apigateway.emulators.hosts import Command, EmulatedHost
 from apigateway.emulators.ledger import Verdict
 from apigateway.emulators.ledger_records import AnswerKind
@@ -22,7 +22,7 @@
 TRAFFIC_SIGMA = 0.7  # of the logarithm of customers' traffic
 
 
-def customers(
+def draw_customers(
     gateways: int,
     plans: Sequence[str],
     rate: float,
@@ -48,8 +48,8 @@
             id=f"{number:016x}",
             plan=plans[number % len(plans)],
             rate=rate * weight / total,
-            first=rng.randrange(gateways),
-            spread=min(gateways, rng.randint(*spread)),
+            first_gateway=rng.randrange(gateways),
+            gateway_count=min(gateways, rng.randint(*spread)),
         )
         for number, weight in enumerate(weights)
     ]
@@ -59,34 +59,40 @@
     """An installation and its clients; as a context manager it is started, and ended whatever happens.
 
     Attributes:
-        longest: The most requests that each host held at once.
-        idle: Sum over all samples of the cores that idled while as many requests waited elsewhere.
-        looks: Sum over all samples of all cores.
+        max_held_requests: The most requests that each host held at once.
+        idle_core_samples: Sum over all samples of idle cores for which a request waited at another host.
+        core_samples: Sum over all samples of all cores.
     """
 
     def __init__(
         self,
         folder: Path,
-        shape: Shape,
-        people: Sequence[Customer],
+        settings: FleetSettings,
+        customers: Sequence[Customer],
         links: bool = True,
         seed: int = 1,
         work: Any = None,
     ) -> None:
         self.links = Links(seed) if links else None
-        self.fleet = Fleet(shape, folder, work=work, links=self.links)
-        self.people = people
+        self.fleet = Fleet(settings, folder, work=work, links=self.links)
+        self.customers = customers
         self.seed = seed
-        self.longest: Counter[str] = Counter()
-        self.idle = 0.0
-        self.looks = 0.0
+        self.max_held_requests: Counter[str] = Counter()
+        self.idle_core_samples = 0.0
+        self.core_samples = 0.0
         self.tasks: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> Self:
         await self.fleet.__aenter__()
         addresses = {g.name: ("127.0.0.1", g.port) for g in self.fleet.gateways}
         self.client = Client(self.fleet.ledger, addresses)
-        self.traffic = Traffic(self.client, self.people, self.fleet.shape.used(), seed=self.seed, retries=1.0)
+        self.traffic = Traffic(
+            self.client,
+            self.customers,
+            self.fleet.settings.traffic_classes(),
+            seed=self.seed,
+            retry_share=1.0,
+        )
         return self
 
     async def __aexit__(
@@ -98,13 +104,13 @@
         self.client.close()
         await self.fleet.__aexit__()
 
-    def begin(self, seconds: float) -> asyncio.Task[None]:
+    def start_traffic(self, seconds: float) -> asyncio.Task[None]:
         """Send requests for so long; the task that is returned ends once each has come to its end."""
         loop = asyncio.get_running_loop()
         sampling = loop.create_task(self._sample())
-        playing = loop.create_task(self.traffic.run(seconds))
-        self.tasks += [sampling, playing]
-        return playing
+        traffic_task = loop.create_task(self.traffic.run(seconds))
+        self.tasks += [sampling, traffic_task]
+        return traffic_task
 
     async def _sample(self) -> None:
         """Sample what hosts hold, again and again."""
@@ -112,52 +118,52 @@
             await asyncio.sleep(SAMPLE_PERIOD_S)
             hosts = self.fleet.hosts
             for host in hosts:
-                held = host.running + len(host.line)
-                self.longest[host.name] = max(self.longest[host.name], held)
+                held = host.running + len(host.queued)
+                self.max_held_requests[host.name] = max(self.max_held_requests[host.name], held)
             busy = sum(host.running for host in hosts)
-            waiting = sum(len(host.line) for host in hosts)
+            waiting = sum(len(host.queued) for host in hosts)
             cores = sum(host.cores for host in hosts)
-            self.idle += min(cores - busy, waiting)
-            self.looks += cores
+            self.idle_core_samples += min(cores - busy, waiting)
+            self.core_samples += cores
 
-    async def served(self, more: int, playing: asyncio.Task[None]) -> None:
+    async def wait_for_served(self, request_count: int, traffic_task: asyncio.Task[None]) -> None:
         """Wait until so many more have been served, or all has been played."""
-        until = len(self.traffic.latency) + more
-        while len(self.traffic.latency) < until and not playing.done():
+        until = len(self.traffic.latencies_s) + request_count
+        while len(self.traffic.latencies_s) < until and not traffic_task.done():
             await asyncio.sleep(POLL_PERIOD_S)
 
-    async def end(self, playing: asyncio.Task[None]) -> None:
+    async def stop_traffic(self, traffic_task: asyncio.Task[None]) -> None:
         """Send nothing more, and wait until all that was sent has come to its end."""
-        playing.cancel()
+        traffic_task.cancel()
         while self.traffic.tasks:
             await asyncio.wait(list(self.traffic.tasks))
 
-    def taken(self) -> Counter[str]:
+    def received_counts(self) -> Counter[str]:
         """Return the requests that have come to each host so far."""
         return Counter({host.name: len(host.commands) for host in self.fleet.hosts})
 
-    async def replace(self, old: EmulatedHost, grace: float) -> None:
+    async def replace_host(self, old: EmulatedHost, grace: float) -> None:
         """Drain a host; past the grace it dies and comes back at its address, cold, and is told as new."""
-        self.fleet.tell((old, "draining"))
+        self.fleet.announce((old, "draining"))
         await asyncio.sleep(grace)
         await old.restart()
-        self.fleet.tell((old, "up"))
+        self.fleet.announce((old, "up"))
 
-    async def kill(self, gone: Sequence[Gateway]) -> None:
+    async def kill_gateways(self, gateways: Sequence[Gateway]) -> None:
         """Kill gateways at once."""
-        await asyncio.gather(*(gateway.kill() for gateway in gone))
+        await asyncio.gather(*(gateway.kill() for gateway in gateways))
 
-    async def revive(self, gone: Sequence[Gateway], at_once: int = 0) -> None:
+    async def restart_gateways(self, gateways: Sequence[Gateway], max_concurrent: int = 0) -> None:
         """Start gateways again, so many side by side, which leaves the others their cores; 0: all at once."""
-        slots = asyncio.Semaphore(at_once or len(gone) or 1)
+        slots = asyncio.Semaphore(max_concurrent or len(gateways) or 1)
 
         async def start(gateway: Gateway) -> None:
             async with slots:
                 await gateway.start()
 
-        await asyncio.gather(*(start(gateway) for gateway in gone))
+        await asyncio.gather(*(start(gateway) for gateway in gateways))
 
-    def part_served(self) -> float:
+    def served_share(self) -> float:
         """Return the part of all requests that was served."""
         counts = self.fleet.ledger.outcomes()
         served = sum(count for (*_, outcome), count in counts.items() if outcome == AnswerKind.SERVED)
@@ -165,10 +171,10 @@
 
     def verdicts(self) -> Sequence[Verdict]:
         """Return the ledger's verdicts."""
-        return self.fleet.ledger.judge()
+        return self.fleet.ledger.check_rules()
 
 
-def exponential(mean: float, seed: int = 1) -> Any:
+def exponential_work(mean: float, seed: int = 1) -> Any:
     """Return what draws the work of each request, in seconds of one core."""
     rng = random.Random(f"work/{seed}")
 
--- a/apigateway/emulators/platform.py
+++ b/apigateway/emulators/platform.py
@@ -63,7 +63,7 @@
 }
 
 
-def entry(name: str, port: int, state: str = "up") -> dict[str, Any]:
+def make_discovery_entry(name: str, port: int, state: str = "up") -> dict[str, Any]:
     """A host in discovery's form."""
     return {
         "id": name,
@@ -77,7 +77,7 @@
     }
 
 
-def configuration(
+def make_configuration(
     listed: list[dict[str, Any]],
     discovery_port: int,
     counter_port: int,
--- a/apigateway/emulators/ports.py
+++ b/apigateway/emulators/ports.py
@@ -6,18 +6,21 @@
 import os
 import socket
 
-FIRST, LAST = 12_000, 32_000  # below what the system deals out by itself for port 0 and to connections
-STEP = 8  # between ports that are given: workers with addresses of their own listen at those above
+FIRST_PORT, LAST_PORT = (
+    12_000,
+    32_000,
+)  # below what the system deals out by itself for port 0 and to connections
+PORT_STEP = 8  # between ports that are given: workers with addresses of their own listen at those above
 
 _claims: list[socket.socket] = []
-_next = itertools.count(os.getpid() * 37 * STEP, STEP)
+_next = itertools.count(os.getpid() * 37 * PORT_STEP, PORT_STEP)
 
 
 def free_port() -> int:
     """A port on 127.0.0.1 that is free for TCP, and that no other call gives while this process lives: its
     UDP side is kept. Raises OSError if none is left."""
-    for _ in range(LAST - FIRST):
-        port = FIRST + next(_next) % (LAST - FIRST)
+    for _ in range(LAST_PORT - FIRST_PORT):
+        port = FIRST_PORT + next(_next) % (LAST_PORT - FIRST_PORT)
         claim = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             claim.bind(("127.0.0.1", port))
--- a/apigateway/emulators/ratelimit.py
+++ b/apigateway/emulators/ratelimit.py
@@ -24,14 +24,14 @@
 from apigateway.emulators.script import Script, Step, StepKind
 
 OK = pb.RateLimitResponse.OK
-OVER = pb.RateLimitResponse.OVER_LIMIT
+OVER_LIMIT = pb.RateLimitResponse.OVER_LIMIT
 MAX_STREAM_ID = 2**31 - 1
 STREAM_ID_STEP = 2  # between the streams that a client opens
-MESSAGE_HEAD_BYTES = 5  # of gRPC: whether it is compressed, and its length
+MESSAGE_PREFIX_BYTES = 5  # of gRPC: whether it is compressed, and its length
 READ_BYTES = 65536
 INTERNAL = "13"  # the gRPC status
 RESPONSE_HEADERS = [(":status", "200"), ("content-type", "application/grpc")]
-SPOILT_MESSAGE = b"\xff\xff\xff"
+MALFORMED_MESSAGE = b"\xff\xff\xff"
 UNANSWERED_KINDS = (StepKind.GOAWAY, StepKind.SILENT, StepKind.BUSY)
 
 
@@ -40,33 +40,33 @@
 
     Attributes:
         limits: Hits left by customer, the value of the entry `key`; others have no limit.
-        most_streams: What it announces as MAX_CONCURRENT_STREAMS.
+        max_concurrent_streams: What it announces as MAX_CONCURRENT_STREAMS.
         reset_s: The time until a reset that an answer of OVER_LIMIT names; 0: none.
-        questions: The requests whose answer was decided, in order.
+        decided_requests: The requests whose answer was decided, in order.
         timeouts: The `grpc-timeout` of each call.
         hits: Counted, by customer.
-        called_off: Streams that the caller has reset.
-        arrived: Each request as it comes.
+        reset_streams: Streams that the caller has reset.
+        arrivals: Each request as it comes.
     """
 
     def __init__(
         self,
         limits: dict[str, int] | None = None,
         key: str = "customer",
-        most_streams: int = 100,
+        max_concurrent_streams: int = 100,
         reset_s: float = 0.0,
     ) -> None:
         super().__init__()
         self.limits = dict(limits or {})
         self.key = key
-        self.most_streams = most_streams
+        self.max_concurrent_streams = max_concurrent_streams
         self.reset_s = reset_s
         self.script = Script()
-        self.questions: list[pb.RateLimitRequest] = []
+        self.decided_requests: list[pb.RateLimitRequest] = []
         self.timeouts: list[bytes] = []
         self.hits: dict[str, int] = defaultdict(int)
-        self.called_off = 0
-        self.arrived: asyncio.Queue[pb.RateLimitRequest] = asyncio.Queue()
+        self.reset_streams = 0
+        self.arrivals: asyncio.Queue[pb.RateLimitRequest] = asyncio.Queue()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection until it ends."""
@@ -83,9 +83,9 @@
             if not over and name in self.limits:
                 self.limits[name] -= count
             self.hits[name] += count
-            status = response.statuses.add(code=OVER if over else OK)
+            status = response.statuses.add(code=OVER_LIMIT if over else OK)
             if over:
-                response.overall_code = OVER
+                response.overall_code = OVER_LIMIT
                 if self.reset_s:
                     status.duration_until_reset.FromNanoseconds(int(self.reset_s * 1e9))
         if step.kind == StepKind.NO_CODE:
@@ -107,7 +107,7 @@
         )
         self._connection.local_settings = h2.settings.Settings(
             client=False,
-            initial_values={h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: service.most_streams},
+            initial_values={h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: service.max_concurrent_streams},
         )
         self._bodies: dict[int, bytearray] = {}  # of the requests that come in, by stream
         self._last_stream = MAX_STREAM_ID  # later ones are not looked at
@@ -145,7 +145,7 @@
                 )
             case h2.events.StreamReset():
                 self._bodies.pop(event.stream_id or 0, None)
-                self._service.called_off += 1
+                self._service.reset_streams += 1
             case h2.events.StreamEnded():
                 stream = event.stream_id or 0
                 body = self._bodies.pop(stream, None)
@@ -157,17 +157,17 @@
         if body is None or stream > self._last_stream:
             return
         service = self._service
-        request = pb.RateLimitRequest.FromString(bytes(body[MESSAGE_HEAD_BYTES:]))
+        request = pb.RateLimitRequest.FromString(bytes(body[MESSAGE_PREFIX_BYTES:]))
         step = service.script.next(time.monotonic())
         if step.kind not in UNANSWERED_KINDS:
-            service.questions.append(request)
-        service.arrived.put_nowait(request)
+            service.decided_requests.append(request)
+        service.arrivals.put_nowait(request)
         if step.kind == StepKind.STALL:
-            await asyncio.sleep(step.delay)
+            await asyncio.sleep(step.delay_s)
         with contextlib.suppress(h2.exceptions.ProtocolError):  # it was called off, or is closed
             self._answer(stream, request, step)
         self._flush()
-        if step.kind == StepKind.HALF:
+        if step.kind == StepKind.TRUNCATED:
             self._writer.close()
 
     def _answer(self, stream: int, request: pb.RateLimitRequest, step: Step) -> None:
@@ -191,7 +191,7 @@
             case _:
                 message = _message(self._service.decide(request, step), step)
                 connection.send_headers(stream, RESPONSE_HEADERS)
-                if step.kind == StepKind.HALF:
+                if step.kind == StepKind.TRUNCATED:
                     connection.send_data(stream, message[:-1])
                     return
                 connection.send_data(stream, message)
@@ -200,5 +200,5 @@
 
 def _message(response: pb.RateLimitResponse, step: Step) -> bytes:
     """Return the response as a message of gRPC, not compressed."""
-    body = SPOILT_MESSAGE if step.kind == StepKind.SPOILT else response.SerializeToString()
+    body = MALFORMED_MESSAGE if step.kind == StepKind.MALFORMED else response.SerializeToString()
     return b"\0" + len(body).to_bytes(4, "big") + body
--- a/apigateway/emulators/relay.py
+++ b/apigateway/emulators/relay.py
@@ -36,16 +36,16 @@
     """
 
     kind: str = LinkFaultKind.NO_FAULT
-    seconds: float = 0.0
-    jitter: float = 0.0
+    delay_s: float = 0.0
+    jitter_s: float = 0.0
     one_way: bool = False
-    after: int = 0
-    part: float = 0.0
+    after_bytes: int = 0
+    share: float = 0.0
 
     def __post_init__(self) -> None:
         if self.kind not in tuple(LinkFaultKind):
             raise ValueError(f"unknown link fault {self.kind!r}, one of {', '.join(LinkFaultKind)}")
-        if min(self.seconds, self.jitter, self.after, self.part) < 0 or self.part > 1:
+        if min(self.delay_s, self.jitter_s, self.after_bytes, self.share) < 0 or self.share > 1:
             raise ValueError(f"link fault {self.kind}: figure out of range")
 
 
@@ -76,7 +76,7 @@
         self.transport = transport  # type: ignore[assignment]
         self._relay.ends.add(self)
         if not self.faces_target:
-            self._relay.join(self)
+            self._relay.connect_target(self)
 
     def data_received(self, data: bytes) -> None:
         """Pass a piece on, as the fault lets it."""
@@ -87,8 +87,8 @@
             self._held.append(data)
             return
         is_cut = fault.kind == LinkFaultKind.CUT and self.faces_target
-        if is_cut and self._passed_bytes + len(data) > fault.after:
-            self._write(data[: max(0, fault.after - self._passed_bytes)])
+        if is_cut and self._passed_bytes + len(data) > fault.after_bytes:
+            self._write(data[: max(0, fault.after_bytes - self._passed_bytes)])
             self.abort()
             return
         self._write_in_time(data, fault)
@@ -96,7 +96,7 @@
     def _drops(self, fault: LinkFault) -> bool:
         """Return whether a piece that comes now does not pass."""
         is_lossy = fault.kind == LinkFaultKind.LOSE and self.faces_target
-        if is_lossy and self._relay.rng.random() < fault.part:
+        if is_lossy and self._relay.rng.random() < fault.share:
             self._is_mute = True
         is_silent = fault.kind == LinkFaultKind.SILENT and (self.faces_target or not fault.one_way)
         return self._is_mute or is_silent
@@ -107,7 +107,7 @@
         now = loop.time()
         delay = 0.0
         if fault.kind == LinkFaultKind.DELAY:
-            delay = fault.seconds + fault.jitter * self._relay.rng.random()
+            delay = fault.delay_s + fault.jitter_s * self._relay.rng.random()
         self._due = max(self._due, now + delay)  # in order, whatever the jitter
         if self._due > now:
             loop.call_at(self._due, self._write, data)
@@ -132,7 +132,7 @@
         """End the other side in the same way, if the fault lets it know."""
         self._relay.ends.discard(self)
         peer = self.peer
-        if peer is None or peer.transport is None or not self._relay.tells_ends():
+        if peer is None or peer.transport is None or not self._relay.propagates_close():
             return
         if exc is None:
             peer.transport.close()
@@ -150,7 +150,7 @@
     """A listener whose connections go on to a target, through the fault that a test sets in time.
 
     Attributes:
-        fault: The fault now; change it by `set`.
+        fault: The fault now; change it by `set_fault`.
         ends: The sides of all connections that are up.
         connections: Connections that there ever were.
     """
@@ -173,7 +173,7 @@
         )
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def join(self, near: RelayEnd) -> None:
+    def connect_target(self, near: RelayEnd) -> None:
         """Connect a new connection to the target, or reset it."""
         self.connections += 1
         if self.fault.kind == LinkFaultKind.REFUSE:
@@ -197,11 +197,11 @@
         elif self.fault.kind != LinkFaultKind.STALL:
             near.release()
 
-    def tells_ends(self) -> bool:
+    def propagates_close(self) -> bool:
         """Return whether one side's end is told to the other: not while nothing passes."""
         return self.fault.kind not in MUTE_KINDS
 
-    def set(self, fault: LinkFault) -> None:
+    def set_fault(self, fault: LinkFault) -> None:
         """Change the fault.
 
         What a stall held passes. After a silence all connections are reset, as their senders would find out
@@ -258,11 +258,13 @@
     def _new_relay(self, target: tuple[str, int]) -> Relay:
         return Relay(target, self._seed * SEEDS_PER_LINKS + next(self._numbers))
 
-    def between(self, fault: LinkFault, zones: set[str] | None = None, hosts: set[str] | None = None) -> None:
+    def set_host_fault(
+        self, fault: LinkFault, zones: set[str] | None = None, hosts: set[str] | None = None
+    ) -> None:
         """Set the fault on the links of gateways of these zones to these hosts; None: of all."""
         for (zone, host), relay in self.hosts.items():
             if (zones is None or zone in zones) and (hosts is None or host in hosts):
-                relay.set(fault)
+                relay.set_fault(fault)
 
     async def close(self) -> None:
         """Close all relays."""
--- a/apigateway/emulators/resp.py
+++ b/apigateway/emulators/resp.py
@@ -7,7 +7,7 @@
 VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 BUSY = b"-BUSY\r\n"
 ERROR = b"-ERR failed\r\n"
-SPOILT = b"?what\r\n*-7\r\n"
+MALFORMED = b"?what\r\n*-7\r\n"
 PONG = b"+PONG\r\n"
 
 FIELDS_INDEX = 3  # of a command's fields
--- a/apigateway/emulators/script.py
+++ b/apigateway/emulators/script.py
@@ -18,10 +18,10 @@
     STALL = "stall"  # answered `delay` s late
     SILENT = "silent"  # never answered
     RESET = "reset"  # the connection is reset
-    SPOILT = "spoilt"  # bytes that are no message
+    MALFORMED = "spoilt"  # bytes that are no message
     BUSY = "busy"  # rejected
     ERROR = "error"  # the peer's error
-    HALF = "half"  # half an answer, then the end of the connection
+    TRUNCATED = "half"  # half an answer, then the end of the connection
     SLOW = "slow"  # `factor` times the usual work
     # Of a rate limit service:
     OVER_LIMIT = "over"  # over its limit, whatever that is
@@ -35,19 +35,19 @@
 
     Attributes:
         count: Messages that it lasts for; 0: not limited.
-        seconds: Time that it lasts for; 0: not limited.
+        duration_s: Time that it lasts for; 0: not limited.
     """
 
     kind: str = StepKind.ANSWER
     count: int = 0
-    seconds: float = 0.0
-    delay: float = 0.0
-    factor: float = 1.0
+    duration_s: float = 0.0
+    delay_s: float = 0.0
+    work_factor: float = 1.0
 
     def __post_init__(self) -> None:
         if self.kind not in tuple(StepKind):
             raise ValueError(f"unknown step {self.kind!r}, one of {', '.join(StepKind)}")
-        if min(self.count, self.seconds, self.delay, self.factor) < 0:
+        if min(self.count, self.duration_s, self.delay_s, self.work_factor) < 0:
             raise ValueError(f"step {self.kind}: negative figure")
 
 
@@ -61,18 +61,18 @@
 
     Attributes:
         steps: The steps to come, the current one first.
-        used: Messages that the current step has had.
+        message_count: Messages that the current step has had.
     """
 
     def __init__(self, steps: Iterable[Step] = ()) -> None:
         self.steps = list(steps)
-        self.used = 0
+        self.message_count = 0
         self._began = math.nan  # when the current step began; NaN: not yet
 
-    def play(self, *steps: Step) -> None:
+    def set_steps(self, *steps: Step) -> None:
         """Replace all that was still to come."""
         self.steps = list(steps)
-        self.used = 0
+        self.message_count = 0
         self._began = math.nan
 
     def next(self, now: float) -> Step:
@@ -80,13 +80,13 @@
         while self.steps:
             step = self.steps[0]
             began = now if math.isnan(self._began) else self._began
-            is_time_over = step.seconds > 0 and now - began >= step.seconds
-            is_count_over = step.count > 0 and self.used >= step.count
+            is_time_over = step.duration_s > 0 and now - began >= step.duration_s
+            is_count_over = step.count > 0 and self.message_count >= step.count
             if not is_time_over and not is_count_over:
-                self.used += 1
+                self.message_count += 1
                 self._began = began
                 return step
             self.steps.pop(0)
-            self.used = 0
-            self._began = began + step.seconds if is_time_over else now
+            self.message_count = 0
+            self._began = began + step.duration_s if is_time_over else now
         return ANSWER
--- a/apigateway/tools/demo/installation.py
+++ b/apigateway/tools/demo/installation.py
@@ -8,19 +8,19 @@
 from pathlib import Path
 
 from apigateway.emulators.clients import Customer
-from apigateway.emulators.fleet import Class, Plan, Shape
+from apigateway.emulators.fleet import ClassSettings, FleetSettings, PlanSettings
 from apigateway.plugins.testkit import read_plugins
 
-SHAPE = Shape(
+SHAPE = FleetSettings(
     classes={
-        "roster-read": Class("safe", 1.0, 3.0, 1.0, 0.06, 0.41),
-        "shift-update": Class("keyed", 1.5, 4.0, 5.0, 0.09, 0.40, "cell", 6.0),
-        "staff-notice": Class("unsafe", 1.0, 3.0, 3.0, 0.06, 0.19),
+        "roster-read": ClassSettings("safe", 1.0, 3.0, 1.0, 0.06, 0.41),
+        "shift-update": ClassSettings("keyed", 1.5, 4.0, 5.0, 0.09, 0.40, "cell", 6.0),
+        "staff-notice": ClassSettings("unsafe", 1.0, 3.0, 3.0, 0.06, 0.19),
     },
     plans={
-        "basic": Plan(1.0, 5.0, 0.88),
-        "standard": Plan(3.0, 12.0, 1.2),
-        "enterprise": Plan(12.0, 24.0, 1.8, 24.0, 48.0),
+        "basic": PlanSettings(1.0, 5.0, 0.88),
+        "standard": PlanSettings(3.0, 12.0, 1.2),
+        "enterprise": PlanSettings(12.0, 24.0, 1.8, 24.0, 48.0),
     },
 )
 
--- a/apigateway/tools/demo/main.py
+++ b/apigateway/tools/demo/main.py
@@ -63,9 +63,9 @@
     )
     shape = SHAPE
     if options.plugins:
-        shape = replace(shape, plugins=read_plugin_settings(options.plugins))
+        shape = replace(shape, plugins_toml=read_plugin_settings(options.plugins))
     if options.use_grpc:
-        shape = replace(shape, grpc=GRPC_CLASS)
+        shape = replace(shape, check_class=GRPC_CLASS)
     async with Fleet(shape, folder, source=options.source) as fleet:
         session = DemoSession(fleet, options.seconds, options.seed, console)
         if options.use_grpc:
@@ -74,11 +74,13 @@
         if console.is_terminal:  # else they were printed as they came
             for note in session.notes:
                 console.print(note)
-        console.print(outcomes_table(fleet.ledger, session.traffic.latency), verdicts_table(verdicts))
+        console.print(outcomes_table(fleet.ledger, session.traffic.latencies_s), verdicts_table(verdicts))
         if session.checks is not None:
             checks = session.checks
             console.print(
-                checks_table(fleet.ledger, checks.counts, checks.latency, session.checking_customers)
+                checks_table(
+                    fleet.ledger, checks.outcome_counts, checks.latencies_s, session.checking_customers
+                )
             )
             await checks.close()
         if options.plugins:
@@ -103,10 +105,10 @@
 async def _keep_up(fleet: Fleet, console: Console) -> None:
     """Print how to use the installation by hand, and wait for Ctrl-C."""
     first = fleet.gateways[0]
-    if fleet.shape.grpc:
+    if fleet.settings.check_class:
         console.print(
             "The rate limit service: "
-            f"api-gateway ratelimit ask 127.0.0.1:{first.checks} --domain roster "
+            f"api-gateway ratelimit ask 127.0.0.1:{first.rate_limit_port} --domain roster "
             "customer=00000000000000ff plan=basic",
             soft_wrap=True,
         )
--- a/apigateway/tools/demo/session.py
+++ b/apigateway/tools/demo/session.py
@@ -20,7 +20,7 @@
 from apigateway.tools.demo.tables import OUTCOMES, count_outcomes
 
 if TYPE_CHECKING:
-    from apigateway.emulators.checks import Checks
+    from apigateway.emulators.checks import CheckClient
 
 _LOOPBACK = "127.0.0.1"
 _SILENCE = 0.25  # part of the run for which a host is silent
@@ -56,23 +56,23 @@
         addresses = {gateway.name: (_LOOPBACK, gateway.port) for gateway in fleet.gateways}
         self._client = Client(fleet.ledger, addresses)
         self._outcomes_by_second: list[tuple[int, dict[str, int]]] = []
-        self.traffic = Traffic(self._client, create_customers(seed), SHAPE.used(), seed)
-        self.checks: Checks | None = None
+        self.traffic = Traffic(self._client, create_customers(seed), SHAPE.traffic_classes(), seed)
+        self.checks: CheckClient | None = None
         self.checking_customers: list[Customer] = []
         self.notes: list[str] = []
 
     def send_half_as_checks(self) -> None:
         """Let half of each customer's requests come as checks, at any of the gateways: all are its own."""
-        from apigateway.emulators.checks import Checks
+        from apigateway.emulators.checks import CheckClient
 
         halved = [
-            replace(customer, rate=customer.rate / 2, first=0, spread=SHAPE.gateways)
+            replace(customer, rate=customer.rate / 2, first_gateway=0, gateway_count=SHAPE.gateways)
             for customer in self.traffic.customers
         ]
         self.traffic.customers = halved
         self.checking_customers = halved
-        addresses = {gateway.name: (_LOOPBACK, gateway.checks) for gateway in self._fleet.gateways}
-        self.checks = Checks(self._fleet.ledger, addresses)
+        addresses = {gateway.name: (_LOOPBACK, gateway.rate_limit_port) for gateway in self._fleet.gateways}
+        self.checks = CheckClient(self._fleet.ledger, addresses)
 
     async def run(self) -> tuple[Verdict, ...]:
         """Run traffic and faults to their end; return the verdicts on the five rules."""
@@ -92,7 +92,7 @@
                 display.cancel()
                 faults.cancel()
         self._client.close()
-        return self._fleet.ledger.judge()
+        return self._fleet.ledger.check_rules()
 
     async def _apply_faults(self) -> None:
         """Let a host fall silent, one drain and come back cold, a gateway die and return."""
@@ -110,14 +110,14 @@
         gateway = fleet.gateways[_KILLED_GATEWAY]
 
         async def fall_silent() -> None:
-            silent.script.play(Step("silent", seconds=_SILENCE * self._seconds))
+            silent.script.set_steps(Step("silent", duration_s=_SILENCE * self._seconds))
 
         async def drain() -> None:
-            fleet.tell((draining, "draining"))
+            fleet.announce((draining, "draining"))
 
         async def come_back() -> None:
             await draining.restart()
-            fleet.tell((draining, "up"))
+            fleet.announce((draining, "up"))
 
         return [
             _Fault(0.15, f"host {silent.name} falls silent: it takes requests and answers none", fall_silent),
--- a/apigateway/tools/demo/tables.py
+++ b/apigateway/tools/demo/tables.py
@@ -23,7 +23,7 @@
 def count_outcomes(ledger: Ledger) -> dict[str, int]:
     """Return how many requests came to each outcome so far."""
     counts = dict.fromkeys(OUTCOMES, 0)
-    for request in ledger.tries.values():
+    for request in ledger.requests.values():
         if request.answers:
             _, outcome, *_ = request.answers[0]
             counts[outcome] += 1
@@ -73,10 +73,10 @@
     for answer, count in sorted(counts.items()):
         table.add_row(answer, str(count))
     attempts_by_id: dict[str, list[Attempt]] = defaultdict(list)
-    for attempt in sorted(ledger.attempts, key=lambda attempt: attempt.last):
+    for attempt in sorted(ledger.attempts, key=lambda attempt: attempt.last_byte_at):
         attempts_by_id[attempt.id].append(attempt)
     plan_by_customer = {customer.id: customer.plan for customer in customers}
-    for customer, (least_remaining, slack) in sorted(ledger.stores(attempts_by_id).items()):
+    for customer, (least_remaining, slack) in sorted(ledger.ceiling_uses(attempts_by_id).items()):
         name = f"ceiling of {customer[-_SHOWN_CUSTOMER:]} ({plan_by_customer[customer]})"
         if least_remaining >= 0:
             table.add_row(name, f"{least_remaining:.1f} left at the least")
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -28,9 +28,9 @@
 sys.path.insert(0, str(ROOT))
 
 from apigateway import messages  # noqa: E402
-from apigateway.emulators.fleet import Class, Plan, Shape  # noqa: E402
-from apigateway.emulators.ledger import report  # noqa: E402
-from apigateway.emulators.loaded_fleet import LoadedFleet, customers, exponential  # noqa: E402
+from apigateway.emulators.fleet import ClassSettings, FleetSettings, PlanSettings  # noqa: E402
+from apigateway.emulators.ledger import format_verdicts  # noqa: E402
+from apigateway.emulators.loaded_fleet import LoadedFleet, draw_customers, exponential_work  # noqa: E402
 from apigateway.policy import Gateway  # noqa: E402
 from apigateway.simulation.scenario import (  # noqa: E402
     FREE,
@@ -68,47 +68,49 @@
 
 
 async def real(args: argparse.Namespace, herd: bool) -> dict[str, Any]:
-    shape = Shape(
-        {"read": Class("safe", AIM, DEADLINE, 1.0, MEAN, 1.0)},
-        {"p": Plan(1e5, 1e6)},
+    shape = FleetSettings(
+        {"read": ClassSettings("safe", AIM, DEADLINE, 1.0, MEAN, 1.0)},
+        {"p": PlanSettings(1e5, 1e6)},
         gateways=args.gateways,
         hosts=args.hosts,
         cores=CORES,
-        queue=QUEUE,
-        extra={"overload": "on = false"},
+        queue_capacity=QUEUE,
+        extra_keys={"overload": "on = false"},
     )
     rate = args.load * args.hosts * CORES / MEAN
-    people = customers(args.gateways, ["p"], rate, 400, args.seed, SPREAD)
+    people = draw_customers(args.gateways, ["p"], rate, 400, args.seed, SPREAD)
     with tempfile.TemporaryDirectory() as folder:
-        crowd = LoadedFleet(Path(folder), shape, people, seed=args.seed, work=exponential(MEAN, args.seed))
+        crowd = LoadedFleet(
+            Path(folder), shape, people, seed=args.seed, work=exponential_work(MEAN, args.seed)
+        )
         began, away = time.monotonic(), 0.0
         async with crowd:
             started = time.monotonic() - began
-            playing = crowd.begin(args.warm_up + args.seconds)
+            playing = crowd.start_traffic(args.warm_up + args.seconds)
             await asyncio.sleep(args.warm_up)
-            before, crowd.idle, crowd.looks = crowd.taken(), 0.0, 0.0
-            crowd.longest.clear()
-            crowd.traffic.latency.clear()
+            before, crowd.idle_core_samples, crowd.core_samples = crowd.received_counts(), 0.0, 0.0
+            crowd.max_held_requests.clear()
+            crowd.traffic.latencies_s.clear()
             if herd:
                 at = time.monotonic()
                 gone = crowd.fleet.gateways[: int(KILLED * args.gateways)]
-                await crowd.kill(gone)
+                await crowd.kill_gateways(gone)
                 await asyncio.sleep(AWAY)
-                await crowd.revive(gone, BACK_AT_ONCE)
+                await crowd.restart_gateways(gone, BACK_AT_ONCE)
                 away = time.monotonic() - at
             await playing
-            taken = crowd.taken() - before
+            taken = crowd.received_counts() - before
             verdicts = crowd.verdicts()
-            idle = crowd.idle / max(1.0, crowd.looks)
+            idle = crowd.idle_core_samples / max(1.0, crowd.core_samples)
             told = figures(
                 [taken[h.name] for h in crowd.fleet.hosts],
-                crowd.traffic.latency,
-                max(crowd.longest.values()),
+                crowd.traffic.latencies_s,
+                max(crowd.max_held_requests.values()),
                 idle,
-                crowd.part_served(),
+                crowd.served_share(),
             )
     told["start_s"], told["away_s"] = started, away
-    told["broken"] = 0 if all(v.kept for v in verdicts) else report(verdicts)
+    told["broken"] = 0 if all(v.kept for v in verdicts) else format_verdicts(verdicts)
     return told
 
 
--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -24,27 +24,27 @@
 sys.path.insert(0, str(ROOT))
 
 from apigateway.emulators.clients import Client, Customer, Traffic  # noqa: E402
-from apigateway.emulators.fleet import Class, Fleet, Gateway, Plan, Shape  # noqa: E402
-from apigateway.emulators.ledger import report  # noqa: E402
+from apigateway.emulators.fleet import ClassSettings, Fleet, FleetSettings, Gateway, PlanSettings  # noqa: E402
+from apigateway.emulators.ledger import format_verdicts  # noqa: E402
 
-SHAPE = Shape(
+SHAPE = FleetSettings(
     classes={
-        "read": Class("safe", 1.0, 3.0, 1.0, 0.005, 0.6),
-        "note": Class("unsafe", 1.0, 3.0, 1.0, 0.005, 0.4),
+        "read": ClassSettings("safe", 1.0, 3.0, 1.0, 0.005, 0.6),
+        "note": ClassSettings("unsafe", 1.0, 3.0, 1.0, 0.005, 0.4),
     },
-    plans={"p": Plan(100_000.0, 100_000.0)},
+    plans={"p": PlanSettings(100_000.0, 100_000.0)},
     gateways=1,
     hosts=3,
     cores=4,
-    queue=200,
+    queue_capacity=200,
     zones=("a",),
-    extra={"daemon": "log_lines = 10000"},
+    extra_keys={"daemon": "log_lines = 10000"},
 )
 
 
 async def lines(gateway: Gateway, word: str, more: int) -> None:
     """Until its log has so many lines with `word`."""
-    while sum(word in line for line in gateway.log) < more:
+    while sum(word in line for line in gateway.log_lines) < more:
         await asyncio.sleep(0.005)
 
 
@@ -58,10 +58,10 @@
 
 
 async def reloads(gateway: Gateway, count: int) -> None:
-    text = gateway.file.read_text()
-    before = sum("reload: " in line for line in gateway.log)
+    text = gateway.settings_file.read_text()
+    before = sum("reload: " in line for line in gateway.log_lines)
     for n in range(count):
-        gateway.file.write_text(text.replace("[limits]", f"[limits]\nmax_open = {10_000 + n}"))
+        gateway.settings_file.write_text(text.replace("[limits]", f"[limits]\nmax_open = {10_000 + n}"))
         assert gateway.process is not None
         gateway.process.send_signal(1)
         await lines(gateway, "reload: took effect", before + n + 1)
@@ -73,9 +73,9 @@
             gateway = fleet.gateways[0]
             client = Client(fleet.ledger, {"g0": ("127.0.0.1", gateway.port)})
             customers = [Customer(f"{n + 1:016x}", "p", rate / 8, 0, 1) for n in range(8)]
-            traffic = Traffic(client, customers, SHAPE.used(), retries=0.0)
+            traffic = Traffic(client, customers, SHAPE.traffic_classes(), retry_share=0.0)
             running = asyncio.ensure_future(traffic.run(3600.0))
-            while len(traffic.latency) < 100:
+            while len(traffic.latencies_s) < 100:
                 await asyncio.sleep(0.01)
             began = time.monotonic()
             await act(gateway)
@@ -84,21 +84,21 @@
             while traffic.tasks:
                 await asyncio.wait(list(traffic.tasks))
             client.close()
-            served = sorted(t.answers[0][0] for t in fleet.ledger.tries.values() if t.answers)
+            served = sorted(t.answers[0][0] for t in fleet.ledger.requests.values() if t.answers)
             gap = max(b - a for a, b in zip(served, served[1:], strict=False))
             counts: dict[str, int] = {}
             for (_, _, kind), count in fleet.ledger.outcomes().items():
                 counts[kind] = counts.get(kind, 0) + count
-            verdicts = fleet.ledger.judge()
+            verdicts = fleet.ledger.check_rules()
             if not all(v.kept for v in verdicts):
-                print(report(verdicts))
-            latency = sorted(traffic.latency)
+                print(format_verdicts(verdicts))
+            latency = sorted(traffic.latencies_s)
             return {
                 "what": name,
                 "seconds": round(seconds, 1),
                 **counts,
                 "lost": counts.get("lost", 0),
-                "refused connections": client.refused,
+                "refused connections": client.connect_failures,
                 "longest gap ms": round(gap * 1000, 1),
                 "p99 ms": round(latency[int(len(latency) * 0.99)] * 1000, 1),
                 "slowest ms": round(latency[-1] * 1000, 1),
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -35,25 +35,25 @@
 from apigateway import messages  # noqa: E402
 from apigateway.emulators.clients import Client, Customer, Traffic  # noqa: E402
 from apigateway.emulators.eureka import EmulatedEureka, instance  # noqa: E402
-from apigateway.emulators.fleet import Class, Fleet, Plan, Shape  # noqa: E402
-from apigateway.emulators.ledger import report  # noqa: E402
+from apigateway.emulators.fleet import ClassSettings, Fleet, FleetSettings, PlanSettings  # noqa: E402
+from apigateway.emulators.ledger import format_verdicts  # noqa: E402
 from apigateway.emulators.script import Step  # noqa: E402
 from apigateway.membership.eureka.source import EurekaSource, RegistrySettings  # noqa: E402
 from apigateway.membership.listing import EndpointListing  # noqa: E402
 
-SHAPE = Shape(
+SHAPE = FleetSettings(
     classes={
-        "read": Class("safe", 1.0, 3.0, 1.0, 0.01, 0.6),
-        "note": Class("unsafe", 1.0, 3.0, 1.0, 0.01, 0.4),
+        "read": ClassSettings("safe", 1.0, 3.0, 1.0, 0.01, 0.6),
+        "note": ClassSettings("unsafe", 1.0, 3.0, 1.0, 0.01, 0.4),
     },
-    plans={"p": Plan(100_000.0, 100_000.0)},
+    plans={"p": PlanSettings(100_000.0, 100_000.0)},
     gateways=2,
     hosts=6,
     cores=4,
-    queue=100,
+    queue_capacity=100,
     zones=("a", "b"),
     cold_time=0.0,
-    extra={"trust": "calm_time = 0.0", "daemon": "log_lines = 10000"},
+    extra_keys={"trust": "calm_time = 0.0", "daemon": "log_lines = 10000"},
 )
 
 
@@ -113,8 +113,8 @@
 
     turn = 0
 
-    async def write(self, request: web.Request) -> web.Response:
-        self.turn, self.log = self.turn + 1, []
+    async def handle_write(self, request: web.Request) -> web.Response:
+        self.turn, self.changes = self.turn + 1, []
         for n in range(10):
             self.override("ROSTER", f"node{n}", "OUT_OF_SERVICE" if self.turn % 2 else "")
         return web.Response()
@@ -122,11 +122,11 @@
 
 async def registry(told: argparse.Namespace) -> None:
     """The other process of `cost`."""
-    held = Touched(base="/eureka")
+    held = Touched(base_path="/eureka")
     for n in range(int(told.sizes)):
         ip = f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}"
         held.register(instance(f"node{n}", 8000, ip=ip, zone="a", cell="1"))
-    held.log = []
+    held.changes = []
     async with held:
         print(held.url, flush=True)
         await asyncio.sleep(600.0)
@@ -136,15 +136,18 @@
 
 
 async def under_load(
-    seed: int, act: Callable[[Fleet, Traffic], Awaitable[None]], rate: float = 120.0, shape: Shape = SHAPE
+    seed: int,
+    act: Callable[[Fleet, Traffic], Awaitable[None]],
+    rate: float = 120.0,
+    shape: FleetSettings = SHAPE,
 ) -> tuple[Fleet, Traffic]:
     with tempfile.TemporaryDirectory() as folder:
-        async with Fleet(shape, Path(folder), source="eureka", poll=0.1) as fleet:
+        async with Fleet(shape, Path(folder), source="eureka", poll_s=0.1) as fleet:
             client = Client(fleet.ledger, {g.name: ("127.0.0.1", g.port) for g in fleet.gateways})
             customers = [Customer(f"{n + 1:016x}", "p", rate / 8, n % 2, 2) for n in range(8)]
-            traffic = Traffic(client, customers, shape.used(), seed, retries=0.0)
+            traffic = Traffic(client, customers, shape.traffic_classes(), seed, retry_share=0.0)
             running = asyncio.ensure_future(traffic.run(3600.0))
-            while len(traffic.latency) < 50:
+            while len(traffic.latencies_s) < 50:
                 await asyncio.sleep(0.01)
             await act(fleet, traffic)
             running.cancel()
@@ -155,10 +158,10 @@
 
 
 def judged(fleet: Fleet) -> bool:
-    verdicts = fleet.ledger.judge()
+    verdicts = fleet.ledger.check_rules()
     kept = all(v.kept for v in verdicts)
     if not kept:
-        print(report(verdicts))
+        print(format_verdicts(verdicts))
     return kept
 
 
@@ -175,11 +178,11 @@
 
     fleet, _ = await under_load(told.seed, act)
     late, tellings = [], 0
-    for (gateway, host), changes in fleet.ledger.tellings.items():
+    for (gateway, host), changes in fleet.ledger.host_states.items():
         sends = [
-            a.first
+            a.first_byte_at
             for a in fleet.ledger.attempts
-            if a.host == host and fleet.ledger.tries[a.id].gateway == gateway
+            if a.host == host and fleet.ledger.requests[a.id].gateway == gateway
         ]
         for n, (at, state) in enumerate(changes):
             if state == "up":
@@ -193,7 +196,7 @@
         {
             "flips": told.flips,
             "drains told": tellings,
-            "requests": len(fleet.ledger.tries),
+            "requests": len(fleet.ledger.requests),
             "told to last send ms, median": round(late[len(late) // 2], 2),
             "99th": round(late[int(len(late) * 0.99)], 2),
             "most": round(late[-1], 2),
@@ -215,15 +218,15 @@
                 )
                 did.append(what)
                 if what in ("silent", "error", "half", "spoilt"):
-                    held.script.play(Step(what, count=rng.randint(1, 8)))
+                    held.script.set_steps(Step(what, count=rng.randint(1, 8)))
                 elif what == "restart":
                     held.restart()
                 elif what == "hash":
                     held.hashcode = rng.choice([None, "UP_99_"])
                 elif what == "lost":
-                    held.lost = rng.randint(1, 5)
+                    held.empty_deltas = rng.randint(1, 5)
                 elif what == "clock":
-                    held.clock_off = rng.uniform(-100.0, 100.0)
+                    held.clock_offset_s = rng.uniform(-100.0, 100.0)
                 elif what == "flip":
                     host = rng.choice(fleet.hosts)
                     held.override("ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", ""]))
@@ -231,7 +234,7 @@
                     for host in fleet.hosts:
                         fleet.register(host)
                 await asyncio.sleep(rng.uniform(0.0, 0.4))
-            held.script.play()
+            held.script.set_steps()
             for host in fleet.hosts:
                 held.override("ROSTER", host.name, "")
                 fleet.register(host)
@@ -251,7 +254,7 @@
 
         async def act(fleet: Fleet, traffic: Traffic, name: str = name) -> None:
             if name == "silent":
-                fleet.registry.script.play(Step("silent"))
+                fleet.registry.script.set_steps(Step("silent"))
             elif name == "empty restart":
                 fleet.registry.restart()
             for _turn in range(round(told.seconds)):
@@ -259,7 +262,7 @@
 
         fleet, _ = await under_load(told.seed, act)
         served = sum(count for (_, _, kind), count in fleet.ledger.outcomes().items() if kind == "served")
-        total = len(fleet.ledger.tries)
+        total = len(fleet.ledger.requests)
         rows.append(
             {
                 "registry": name,
--- a/benchmarks/ratelimit_mixed.py
+++ b/benchmarks/ratelimit_mixed.py
@@ -25,27 +25,27 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from apigateway.emulators.checks import Checks  # noqa: E402
+from apigateway.emulators.checks import CheckClient  # noqa: E402
 from apigateway.emulators.clients import Client, Customer, Traffic  # noqa: E402
-from apigateway.emulators.fleet import Class, Fleet, Plan, Shape  # noqa: E402
+from apigateway.emulators.fleet import ClassSettings, Fleet, FleetSettings, PlanSettings  # noqa: E402
 from apigateway.emulators.ledger import Attempt  # noqa: E402
 from apigateway.emulators.script import Step  # noqa: E402
 
 RATE, BURST, CEILING, CEILING_BURST, ASKED = 8.0, 16.0, 16.0, 32.0, 48.0  # units a second, units
 CUSTOMERS = [f"{n:016x}" for n in range(1, 5)]
-SHAPE = Shape(
-    classes={"roster-read": Class("safe", 1.0, 3.0, 1.0, 0.03, 1.0)},
-    plans={"enterprise": Plan(RATE, BURST, 1.8, CEILING, CEILING_BURST)},
-    grpc="roster-read",
+SHAPE = FleetSettings(
+    classes={"roster-read": ClassSettings("safe", 1.0, 3.0, 1.0, 0.03, 1.0)},
+    plans={"enterprise": PlanSettings(RATE, BURST, 1.8, CEILING, CEILING_BURST)},
+    check_class="roster-read",
 )
 
 
 async def stalls(fleet: Fleet, seconds: float) -> None:
     for _ in range(int(seconds / 6)):
         await asyncio.sleep(4.0)
-        fleet.counter.script.play(Step("silent", seconds=2.0))
+        fleet.counter.script.set_steps(Step("silent", duration_s=2.0))
         await asyncio.sleep(2.0)
-        fleet.counter.script.play()
+        fleet.counter.script.set_steps()
 
 
 async def play(resp: float, seconds: float, folder: Path) -> dict[str, Any]:
@@ -53,12 +53,12 @@
     async with Fleet(SHAPE, folder) as fleet:
         ledger = fleet.ledger
         client = Client(ledger, {g.name: ("127.0.0.1", g.port) for g in fleet.gateways})
-        checks = Checks(ledger, {g.name: ("127.0.0.1", g.checks) for g in fleet.gateways})
+        checks = CheckClient(ledger, {g.name: ("127.0.0.1", g.rate_limit_port) for g in fleet.gateways})
 
         def asking(part: float) -> list[Customer]:
             return [Customer(name, "enterprise", ASKED * part, 0, SHAPE.gateways) for name in CUSTOMERS]
 
-        traffic = Traffic(client, asking(resp), SHAPE.used(), retries=0.0)
+        traffic = Traffic(client, asking(resp), SHAPE.traffic_classes(), retry_share=0.0)
         began = asyncio.get_running_loop().time()
         await asyncio.gather(
             traffic.run(seconds), checks.run(asking(1 - resp), seconds), stalls(fleet, seconds)
@@ -66,25 +66,25 @@
         span = asyncio.get_running_loop().time() - began
         client.close()
         await checks.close()
-        verdicts = ledger.judge()
+        verdicts = ledger.check_rules()
         by_id: dict[str, list[Attempt]] = defaultdict(list)
-        for attempt in sorted(ledger.attempts, key=lambda a: a.last):
+        for attempt in sorted(ledger.attempts, key=lambda a: a.last_byte_at):
             by_id[attempt.id].append(attempt)
-        stores = ledger.stores(by_id)
-        sent = sum(1 for id in by_id if id in ledger.tries)
+        stores = ledger.ceiling_uses(by_id)
+        sent = sum(1 for id in by_id if id in ledger.requests)
         granted = sum(units for *_, units in ledger.grants)
     count = len(CUSTOMERS)
     return {
         "resp_sent": sent,
         "checks_granted": granted,
         "passed": sent + granted,
-        "asked": len(ledger.tries) + sum(checks.counts.values()),
+        "asked": len(ledger.requests) + sum(checks.outcome_counts.values()),
         "span_s": span,
         "quota": count * (BURST + RATE * seconds),
         "ceiling": count * (CEILING_BURST + CEILING * seconds),
         "least_left": min(least for least, _ in stores.values()),
         "slack": min(slack for _, slack in stores.values()),
-        "checks": dict(checks.counts),
+        "checks": dict(checks.outcome_counts),
         "broken": [text for v in verdicts for text in v.breaches],
     }
 
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -36,7 +36,7 @@
 from apigateway.emulators.counter import EmulatedCounter  # noqa: E402
 from apigateway.emulators.discovery import EmulatedDiscovery  # noqa: E402
 from apigateway.emulators.hosts import VALUE  # noqa: E402
-from apigateway.emulators.platform import SETTINGS, configuration, entry  # noqa: E402
+from apigateway.emulators.platform import SETTINGS, make_configuration, make_discovery_entry  # noqa: E402
 from apigateway.emulators.ports import free_port  # noqa: E402
 
 CONNECTIONS, WARM = 24, 2000
@@ -228,7 +228,7 @@
     loop = asyncio.get_running_loop()
     hosts = [await loop.create_server(FastHost, "127.0.0.1", 0) for _ in range(fleet)]
     ports = [host.sockets[0].getsockname()[1] for host in hosts]
-    entries = [entry(f"h{n}", port) for n, port in enumerate(ports)]
+    entries = [make_discovery_entry(f"h{n}", port) for n, port in enumerate(ports)]
     folder = Path(tempfile.mkdtemp(prefix="request-cost-"))
     programs: list[Program] = []
     async with EmulatedCounter() as counter, EmulatedDiscovery() as discovery:
@@ -242,7 +242,7 @@
             subprocess.run(["tar", "-x"], cwd=old, input=archive, check=True)
             for name, tree in (("now", ROOT), ("before", old)):
                 port = free_port()
-                told = configuration(entries, discovery.port, counter.port, settings()) | {
+                told = make_configuration(entries, discovery.port, counter.port, settings()) | {
                     "listen": f"127.0.0.1:{port}",
                     "limits": {"cores": 1.0, "memory_mb": 2000, "sockets": 1024 + 4 * fleet},
                 }
--- a/tests/counter/test_counter_client.py
+++ b/tests/counter/test_counter_client.py
@@ -43,7 +43,7 @@
         assert (await results.get())[0] == "timeout"
         harness.counter.silent = False
         add(2)
-        harness.counter.answer_all()  # sends the first reply, before or after the second call
+        harness.counter.send_held_answers()  # sends the first reply, before or after the second call
         assert await results.get() == ("ok", 3.0)
         assert [words[1:] for words in harness.counter.calls] == [
             [b"8", b"1", b"4000"],
@@ -63,12 +63,12 @@
         harness.counter.silent = True
         for waited_s, result in ((9.0, "ok"), (11.0, "timeout")):
             counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait(result))
-            await harness.counter.arrived.get()
+            await harness.counter.arrivals.get()
             connection = counter.connections[0]
             connection.pending_calls[0].started_at -= waited_s
             connection.check_liveness()
             if result == "ok":
-                harness.counter.answer_all()
+                harness.counter.send_held_answers()
             assert await results.get() == result
 
 
@@ -86,7 +86,7 @@
             await asyncio.sleep(0)
         harness.counter.silent = True
         add()
-        await harness.counter.arrived.get()
+        await harness.counter.arrivals.get()
         harness.counter.server.close()
         for writer in harness.counter.writers:
             writer.transport.abort()
@@ -96,7 +96,7 @@
         assert await results.get() == "connect_failed"
         harness.counter.silent = False
         harness.counter.server = await asyncio.start_server(
-            harness.counter.joined, "127.0.0.1", harness.counter.port
+            harness.counter.on_connection, "127.0.0.1", harness.counter.port
         )
         while not counter.connections[0].is_connected:
             await asyncio.sleep(0.01)
@@ -117,7 +117,7 @@
         old_transport = counter.connections[0].transport
         harness.counter.silent = True
         counter.add(8, 1, 4, lambda key, result, total, elapsed: results.put_nowait(result))
-        await harness.counter.arrived.get()
+        await harness.counter.arrivals.get()
         for writer in harness.counter.writers:
             writer.write(malformed_reply)
         assert await results.get() == "spoilt"
@@ -144,7 +144,7 @@
         old_connections = list(counter.connections)
         harness.counter.silent = True
         add(1)
-        await harness.counter.arrived.get()
+        await harness.counter.arrivals.get()
         counter.change_address(("127.0.0.1", new_counter.port))
         counter.change_address(("127.0.0.1", new_counter.port))  # a repeated change has no effect
         while counter.replacements:
@@ -152,7 +152,7 @@
         add(5)
         assert (await results.get()) == ("ok", 5.0)
         assert [words[2] for words in new_counter.calls] == [b"5"]
-        harness.counter.answer_all()
+        harness.counter.send_held_answers()
         assert (await results.get()) == ("ok", 1.0)
         await asyncio.wait([connection.reconnect_task for connection in old_connections])
         assert all(
@@ -172,8 +172,8 @@
         await wait_until_connected(counter.connections)
         harness.counter.silent = True
         add()
-        await harness.counter.arrived.get()
-        ((writer, _),) = harness.counter.held
+        await harness.counter.arrivals.get()
+        ((writer, _),) = harness.counter.held_answers
         writer.write(b"ok {}\r\n")
         assert (await results.get())[0] == "spoilt"  # the amount was added, but the total is unknown
         harness.counter.silent = False
--- a/tests/daemon/test_gateway_server.py
+++ b/tests/daemon/test_gateway_server.py
@@ -127,12 +127,12 @@
         _, idle_writer = idle = await harness.connect()
         reader, writer = await harness.connect()
         writer.write(make_command(b"before"))
-        await host.arrived.get()
+        await host.arrivals.get()
         stop_task = asyncio.create_task(harness.server.stop())
         await asyncio.sleep(0)
         late_reader, late_writer = await harness.connect()  # accepted while the gateway lingers
         late_writer.write(make_command(b"after"))
-        while (received := await host.arrived.get()) is None or received[2] != b"after":
+        while (received := await host.arrivals.get()) is None or received[2] != b"after":
             pass
         assert await read_reply(idle[0]) == b""  # idle connections are closed, busy ones not yet
         assert not stop_task.done()
--- a/tests/daemon/test_platform.py
+++ b/tests/daemon/test_platform.py
@@ -97,7 +97,7 @@
         writer.write(PING)
         assert await read_reply(reader) == b"+PONG\r\n"
         writer.write(make_command())
-        await host.arrived.get()
+        await host.arrivals.get()
         process.send_signal(signal.SIGTERM)
         ping_reader, ping_writer = await asyncio.open_connection("127.0.0.1", port)
         ping_writer.write(PING)
@@ -125,7 +125,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         other_reader, other = await asyncio.open_connection("127.0.0.1", port)
         writer.write(make_command(b"first"))
-        await host.arrived.get()
+        await host.arrivals.get()
         second_command = make_command(b"second", customer=b"%016x" % 7)
         other.write(PING + second_command[:30])
         assert await read_reply(other_reader) == b"+PONG\r\n"
@@ -138,7 +138,7 @@
         for signal_number in later_signals:
             process.send_signal(signal_number)
         other.write(second_command[30:])
-        while (await host.arrived.get())[2] != b"second":
+        while (await host.arrivals.get())[2] != b"second":
             pass
         for host_writer in host.writers:
             host_writer.write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
@@ -229,7 +229,7 @@
         port = int((await process.stderr.readline()).decode().rsplit(":", 1)[1])
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(make_command(b"before"))
-        await host.arrived.get()
+        await host.arrivals.get()
         config.write_text("{")  # invalid, so the old configuration stays in force
         process.send_signal(signal.SIGHUP)
         assert b"reload failed, the old configuration stays in force" in await process.stderr.readline()
--- a/tests/emulators/test_emulated_systems.py
+++ b/tests/emulators/test_emulated_systems.py
@@ -7,15 +7,15 @@
 import pytest
 from gateway_harness import make_command, read_reply, run_on_uvloop
 
-from apigateway.emulators.clients import Client, Order
+from apigateway.emulators.clients import Client, ClientRequest
 from apigateway.emulators.counter import EmulatedCounter
 from apigateway.emulators.discovery import EmulatedDiscovery
 from apigateway.emulators.hosts import EmulatedHost
-from apigateway.emulators.ledger import RULES, Kind, Ledger, Terms
+from apigateway.emulators.ledger import RULES, ClassRules, Ledger, RuleLimits
 from apigateway.emulators.listener import Listener
 from apigateway.emulators.script import Script, Step
 
-TERMS = Terms({"read": Kind("safe"), "note": Kind("unsafe")})
+TERMS = RuleLimits({"read": ClassRules("safe"), "note": ClassRules("unsafe")})
 
 
 async def ask(port, text):
@@ -39,8 +39,8 @@
         (Step("error"), b"-ERR failed\r\n"),
         (Step("spoilt"), b"?what\r\n"),
         (Step("half"), b"*3\r\n"),
-        (Step("stall", delay=0.01), b"*3\r\n"),
-        (Step("slow", factor=2.0), b"*3\r\n"),
+        (Step("stall", delay_s=0.01), b"*3\r\n"),
+        (Step("slow", work_factor=2.0), b"*3\r\n"),
     ],
 )
 @run_on_uvloop
@@ -56,25 +56,25 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", host.port)
         writer.write(make_command(b"a") + make_command(b"b"))
         while len(host.commands) < 3:
-            await host.arrived.get()
+            await host.arrivals.get()
         writer.write_eof()
         assert await reader.read() == b""  # answers come in order: behind the silent one there is none
 
 
 @run_on_uvloop
 async def test_a_host_has_so_many_cores_and_so_much_room():
-    async with EmulatedHost(work=lambda _: 60.0, cores=1, queue=1) as host:
+    async with EmulatedHost(work=lambda _: 60.0, cores=1, queue_capacity=1) as host:
         first = [await asyncio.open_connection("127.0.0.1", host.port) for _ in range(2)]
         for n, (_, writer) in enumerate(first):
             writer.write(make_command(b"r%d" % n))
-            await host.arrived.get()
+            await host.arrivals.get()
         assert await ask(host.port, make_command(b"more")) == b"-BUSY\r\n"
         assert await ask(host.port, b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n") == b"$27\r\n"
         assert host.report() == b"active=2,waiting=1,cpu=1.00"
         first[1][1].close()  # what waits is dropped with its connection
         while host.connections > 1:
-            await host.arrived.get()
-        assert (host.running, len(host.line)) == (1, 1)
+            await host.arrivals.get()
+        assert (host.running, len(host.queued)) == (1, 1)
         first[0][1].close()
 
 
@@ -84,13 +84,13 @@
     async with EmulatedHost(work=lambda _: 60.0, cold_share=0.2, ledger=ledger) as host:
         reader, writer = await asyncio.open_connection("127.0.0.1", host.port)
         writer.write(make_command())
-        await host.arrived.get()
-        assert host.warmth() == 1.0 and host.running == 1
+        await host.arrivals.get()
+        assert host.warm_share() == 1.0 and host.running == 1
         await host.restart()
         assert await reader.read() == b""
-        assert 0.2 <= host.warmth() < 0.3 and host.running == 0 and host.entry()["started_ms"] > 0
-        assert [start[1] for start in ledger.starts] == [host.name]
-        assert [a.how for a in ledger.attempts] == ["closed"]
+        assert 0.2 <= host.warm_share() < 0.3 and host.running == 0 and host.entry()["started_ms"] > 0
+        assert [start[1] for start in ledger.cold_starts] == [host.name]
+        assert [a.end_kind for a in ledger.attempts] == ["closed"]
         writer.close()
 
 
@@ -102,7 +102,7 @@
         Step("spoilt", count=1),
         Step("half", count=1),
         Step("reset", count=1),
-        Step("stall", count=1, delay=0.01),
+        Step("stall", count=1, delay_s=0.01),
     ]
     async with EmulatedCounter(script=Script(steps)) as counter:
         said = [await ask(counter.port, b"incr n 1 60000\r\n") for _ in range(7)]
@@ -112,7 +112,7 @@
         assert await ask(counter.port, b"what\r\n") == b"error\r\n"
         await counter.restart()
         assert await ask(counter.port, b"incr n 2 1\r\n") == b"ok 2\r\n"
-        counter.ends[b"n"] = 0.0  # its life is over
+        counter.expires_at[b"n"] = 0.0  # its life is over
         assert await ask(counter.port, b"incr n 3 60000\r\n") == b"ok 3\r\n"
 
 
@@ -133,11 +133,11 @@
         watch = asyncio.ensure_future(get(index=whole["version"], wait=20_000))
         while discovery.calls.qsize() < 2:
             await asyncio.sleep(0)
-        assert not watch.done() and ledger.tellings["g0", "h1"][-1][1] == "up"
-        discovery.change([one.entry("draining")])
+        assert not watch.done() and ledger.host_states["g0", "h1"][-1][1] == "up"
+        discovery.apply_changes([one.entry("draining")])
         assert [s["state"] for s in (await watch)["servers"]] == ["draining"]
-        assert [state for _, state in ledger.tellings["g0", "h1"]] == ["up", "draining"]
-        discovery.change([one.entry("removed")])
+        assert [state for _, state in ledger.host_states["g0", "h1"]] == ["up", "draining"]
+        discovery.apply_changes([one.entry("removed")])
         assert (await get(index=whole["version"], wait=0))["servers"][-1]["state"] == "removed"
         assert (await get())["servers"] == []
 
@@ -163,7 +163,7 @@
 @pytest.mark.parametrize("answers, broken", [(0, {RULES[0], RULES[1]}), (2, {RULES[0], RULES[1]})])
 @run_on_uvloop
 async def test_the_ledger_finds_a_rogue_out(answers, broken, monkeypatch):
-    monkeypatch.setattr("apigateway.emulators.clients.GIVE_UP_MARGIN_S", 0.0)
+    monkeypatch.setattr("apigateway.emulators.clients.TIMEOUT_MARGIN_S", 0.0)
     ledger = Ledger(TERMS)
     async with (
         EmulatedHost(name="h1", work=lambda _: 0.2, ledger=ledger) as one,
@@ -171,13 +171,13 @@
         Rogue([one, two], answers) as rogue,
     ):
         client = Client(ledger, {"g0": ("127.0.0.1", rogue.port)})
-        order = Order("r1", "0000000000000001", "p", "note", "unsafe", 0.5)
-        answer = await client.ask("g0", order)
+        order = ClientRequest("r1", "0000000000000001", "p", "note", "unsafe", 0.5)
+        answer = await client.send("g0", order)
         assert answer.kind == ("lost" if answers == 0 else "served")
-        while answers == 2 and not ledger.surplus:
+        while answers == 2 and not ledger.unsolicited_answers:
             await asyncio.sleep(0)
         client.close()
-        assert {v.rule for v in ledger.judge() if not v.kept} == broken
+        assert {v.rule for v in ledger.check_rules() if not v.kept} == broken
 
 
 @run_on_uvloop
@@ -195,7 +195,7 @@
     async with Closer() as gateway:
         client = Client(ledger, {"g0": ("127.0.0.1", gateway.port)})
         for n in range(2):
-            order = Order(f"r{n}", "0000000000000001", "p", "read", "safe", 3.0)
-            assert (await client.ask("g0", order)).kind == "served"
-        assert len(gateway.writers) == 2 and len(ledger.tries) == 2
+            order = ClientRequest(f"r{n}", "0000000000000001", "p", "read", "safe", 3.0)
+            assert (await client.send("g0", order)).kind == "served"
+        assert len(gateway.writers) == 2 and len(ledger.requests) == 2
         client.close()
--- a/tests/external_ratelimit/test_limiter.py
+++ b/tests/external_ratelimit/test_limiter.py
@@ -66,7 +66,7 @@
     async with EmulatedRateLimitService({A: 1}, reset_s=0.7) as service, asking(tmp_path, service) as harness:
         assert [await ask(harness, units="0.5"), await ask(harness)] == [VALUE_REPLY, b"-BUSY 700\r\n"]
         assert await ask(harness, B) == VALUE_REPLY
-        question = service.questions[0]
+        question = service.decided_requests[0]
         assert question.domain == "roster" and question.hits_addend == 1  # what is begun counts
         assert {e.key: e.value for e in question.descriptors[0].entries} == {
             "customer": A,
@@ -90,7 +90,7 @@
 
 
 FAULTS = [
-    Step("stall", delay=5.0),
+    Step("stall", delay_s=5.0),
     Step("silent"),
     Step("reset"),
     Step("error"),
@@ -109,14 +109,14 @@
         async with asking(
             tmp_path, service, failure_mode=FailureMode(mode), timeout=0.05 if slow else 2.0
         ) as harness:
-            service.script.play(step)
+            service.script.set_steps(step)
             answers = [await ask(harness) for _ in range(8)]
             assert all(a == VALUE_REPLY if mode == "own" else a.startswith(b"-BUSY") for a in answers)
             assert (
                 harness.limiter.breaker.trip_count == 1
                 and harness.limiter.breaker.state is not BreakerState.CLOSED
             )
-            service.script.play()
+            service.script.set_steps()
             await until(harness, BreakerState.CLOSED)
             assert await ask(harness) == VALUE_REPLY
 
@@ -124,7 +124,7 @@
 @run_on_uvloop
 async def test_over_limit_answers_do_not_open_the_breaker(tmp_path):
     async with EmulatedRateLimitService() as service, asking(tmp_path, service) as harness:
-        service.script.play(Step("over", count=40))
+        service.script.set_steps(Step("over", count=40))
         answers = await asyncio.gather(*(ask(harness) for _ in range(40)))
         assert all(a.startswith(b"-BUSY") for a in answers) and not harness.host.commands
         assert await ask(harness) == VALUE_REPLY and harness.limiter.breaker.trip_count == 0
@@ -135,9 +135,11 @@
 async def test_check_that_was_not_processed_is_sent_once_more(kind, tmp_path):
     async with EmulatedRateLimitService() as service, asking(tmp_path, service) as harness:
         assert await ask(harness) == VALUE_REPLY
-        service.script.play(Step(kind, count=1))
+        service.script.set_steps(Step(kind, count=1))
         assert await ask(harness) == VALUE_REPLY
-        assert len(service.questions) == 2 and harness.limiter.breaker.trip_count == 0  # counted once each
+        assert (
+            len(service.decided_requests) == 2 and harness.limiter.breaker.trip_count == 0
+        )  # counted once each
         assert service.hits[A] == 2
 
 
@@ -145,7 +147,7 @@
 async def test_goaway_among_many_checks_loses_none(tmp_path):
     async with EmulatedRateLimitService() as service, asking(tmp_path, service) as harness:
         assert await ask(harness) == VALUE_REPLY
-        service.script.play(Step("answer", count=5), Step("goaway", count=1))
+        service.script.set_steps(Step("answer", count=5), Step("goaway", count=1))
         answers = await asyncio.gather(*(ask(harness) for _ in range(30)))
         assert all(
             a == VALUE_REPLY or a.startswith(b"-BUSY") for a in answers
@@ -157,7 +159,7 @@
 async def test_unreachable_service_is_used_once_it_comes_up(tmp_path):
     service = EmulatedRateLimitService({A: 0})
     await service.open()
-    await service.die()
+    await service.kill()
     async with asking(tmp_path, service, max_consecutive_failures=2, timeout=0.05) as harness:
         assert [await ask(harness) for _ in range(4)] == [VALUE_REPLY] * 4
         assert harness.limiter.breaker.trip_count == 1 and harness.limiter.channel.connect_failures > 0
@@ -171,16 +173,16 @@
 @run_on_uvloop
 async def test_client_disconnect_cancels_its_check(tmp_path):
     async with EmulatedRateLimitService() as service, asking(tmp_path, service) as harness:
-        service.script.play(Step("stall", count=1, delay=1.0))
+        service.script.set_steps(Step("stall", count=1, delay_s=1.0))
         _, writer = await harness.connect()
         writer.write(make_command(b"left"))
-        await service.arrived.get()
+        await service.arrivals.get()
         writer.close()
         while harness.server.core.in_flight:
             await asyncio.sleep(0)
         assert await ask(harness, B) == VALUE_REPLY
         assert (
-            service.called_off == 1
+            service.reset_streams == 1
             and len(harness.host.commands) == 1
             and harness.limiter.breaker.sample_count == 1
         )
@@ -189,7 +191,7 @@
 @run_on_uvloop
 async def test_late_answer_changes_nothing(tmp_path):
     async with EmulatedRateLimitService() as service, asking(tmp_path, service, timeout=0.05) as harness:
-        service.script.play(Step("stall", count=1, delay=0.2), Step("over", count=1))
+        service.script.set_steps(Step("stall", count=1, delay_s=0.2), Step("over", count=1))
         assert await ask(harness) == VALUE_REPLY  # unasked, as the mode says
         assert (await ask(harness)).startswith(b"-BUSY")
         for _ in range(20):
@@ -217,17 +219,20 @@
             answers.append(line[:1])
             if line[:1] == b"$":
                 await reader.readline()
-        assert len(service.questions) == 1 and len(service.questions[0].descriptors) == 8
+        assert len(service.decided_requests) == 1 and len(service.decided_requests[0].descriptors) == 8
         assert answers == [b"-", b"$", b"-", b"$", b"-", b"$", b"-", b"-"]
 
 
 @run_on_uvloop
 async def test_checks_wait_for_a_stream_when_the_server_limits_them(tmp_path):
-    async with EmulatedRateLimitService(most_streams=2) as service, asking(tmp_path, service) as harness:
+    async with (
+        EmulatedRateLimitService(max_concurrent_streams=2) as service,
+        asking(tmp_path, service) as harness,
+    ):
         assert await ask(harness) == VALUE_REPLY  # its settings are known now
-        service.script.play(Step("stall", count=4, delay=0.05))
+        service.script.set_steps(Step("stall", count=4, delay_s=0.05))
         assert await asyncio.gather(*(ask(harness) for _ in range(12))) == [VALUE_REPLY] * 12
-        assert len(service.questions) == 13
+        assert len(service.decided_requests) == 13
 
 
 @run_on_uvloop
@@ -238,10 +243,10 @@
         asking(tmp_path, one) as harness,
     ):
         assert await ask(harness) == VALUE_REPLY
-        one.script.play(Step("stall", count=1, delay=0.1))
+        one.script.set_steps(Step("stall", count=1, delay_s=0.1))
         waits = asyncio.ensure_future(ask(harness))
-        await one.arrived.get()
-        await one.arrived.get()
+        await one.arrivals.get()
+        await one.arrivals.get()
         old = harness.limiter.config
         address = ("127.0.0.1", two.port)
         harness.limiter.update_config(
@@ -255,10 +260,12 @@
 async def test_each_request_is_answered_once_through_a_walk_of_faults(tmp_path):
     kinds = ["stall", "silent", "reset", "error", "spoilt", "odd", "half", "over", "goaway", "busy", "answer"]
     async with EmulatedRateLimitService() as service, asking(tmp_path, service, timeout=0.05) as harness:
-        service.script.play(*(Step(kind, count=1 + n % 3, delay=0.1) for n, kind in enumerate(kinds * 4)))
+        service.script.set_steps(
+            *(Step(kind, count=1 + n % 3, delay_s=0.1) for n, kind in enumerate(kinds * 4))
+        )
         for _ in range(30):
             answers = await asyncio.gather(*(ask(harness) for _ in range(6)))
             assert all(a == VALUE_REPLY or a.startswith(b"-BUSY") for a in answers)
         assert not harness.server.core.in_flight
-        service.script.play()
+        service.script.set_steps()
         await until(harness, BreakerState.CLOSED)
--- a/tests/faults/test_fronts.py
+++ b/tests/faults/test_fronts.py
@@ -73,7 +73,7 @@
 async def test_one_id_on_two_fronts_at_once_is_in_work_once(tmp_path):
     async with EmulatedHost(None) as host, TwoFronts(tmp_path, host) as gate:
         first = asyncio.ensure_future(gate.ask(0, make_command(b"same")))
-        await host.arrived.get()
+        await host.arrivals.get()
         assert await gate.ask(1, make_command(b"same")) == b"-ERR this id is in work\r\n"
         host.writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
         assert await first == VALUE_REPLY and len(host.commands) == 1
@@ -112,7 +112,7 @@
         monkeypatch.setattr(ResponseSlot, "complete", broken)
         _, writer = await gate.connect(0)
         writer.write(make_command(b"a"))
-        await host.arrived.get()
+        await host.arrivals.get()
         assert await gate.ask(1, make_command(b"b")) == VALUE_REPLY
         while gate.node.core.in_flight:
             await asyncio.sleep(0)
--- a/tests/faults/test_handover.py
+++ b/tests/faults/test_handover.py
@@ -141,7 +141,7 @@
     async with LocalDeployment(tmp_path, hosts=1, answer=lambda: None) as site:
         first = await site.start_gateway()
         asked = asyncio.ensure_future(site.send_request(make_command(b"before")))
-        await site.hosts[0].arrived.get()
+        await site.hosts[0].arrivals.get()
         await site.start_gateway("--take-over")
         assert first.returncode is None
         site.hosts[0].writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
--- a/tests/faults/test_plugins.py
+++ b/tests/faults/test_plugins.py
@@ -13,8 +13,8 @@
 
 from apigateway.daemon.status_query import query_gateway
 from apigateway.emulators.clients import Client, Customer, Traffic
-from apigateway.emulators.fleet import Class, Fleet, Plan, Shape
-from apigateway.emulators.ledger import Ledger, report
+from apigateway.emulators.fleet import ClassSettings, Fleet, FleetSettings, PlanSettings
+from apigateway.emulators.ledger import Ledger, format_verdicts
 from apigateway.emulators.script import Step
 from apigateway.plugins.records import read_records
 from apigateway.plugins.testkit import module, says
@@ -141,18 +141,18 @@
 async def test_one_that_tries_each_rule_by_name_changes_none(tmp_path):
     """Traffic, a host that errs, one that drains, one that comes back cold, a ceiling: the ledger's
     verdict."""
-    shape = Shape(
+    shape = FleetSettings(
         classes={
-            "read": Class("safe", 1.0, 3.0, 1.0, 0.03, 0.5),
-            "update": Class("keyed", 1.0, 3.0, 5.0, 0.03, 0.25, "cell", 6.0),
-            "notice": Class("unsafe", 1.0, 3.0, 3.0, 0.03, 0.25),
+            "read": ClassSettings("safe", 1.0, 3.0, 1.0, 0.03, 0.5),
+            "update": ClassSettings("keyed", 1.0, 3.0, 5.0, 0.03, 0.25, "cell", 6.0),
+            "notice": ClassSettings("unsafe", 1.0, 3.0, 3.0, 0.03, 0.25),
         },
-        plans={"basic": Plan(20.0, 40.0, 1.0), "top": Plan(10.0, 20.0, 1.0, 20.0, 40.0)},
+        plans={"basic": PlanSettings(20.0, 40.0, 1.0), "top": PlanSettings(10.0, 20.0, 1.0, 20.0, 40.0)},
         gateways=2,
         hosts=4,
         zones=("a", "b"),
         cold_time=3.0,
-        plugins="".join(
+        plugins_toml="".join(
             plugin(phase, f"[plugins.budget]\n{UNHURRIED}", file=f"{phase}.wat")
             for phase in ("request", "attempt", "answer", "tick")
         ),
@@ -165,22 +165,22 @@
             Customer(f"{n:016x}", plan, rate, n % 2, 2)
             for n, (plan, rate) in enumerate([("basic", 15.0)] * 4 + [("top", 60.0)])
         ]
-        traffic = Traffic(client, customers, shape.used(), 1)
+        traffic = Traffic(client, customers, shape.traffic_classes(), 1)
         errs, leaves = fleet.hosts[0], fleet.hosts[1]
 
         async def trouble():
-            errs.script.play(Step("error", seconds=2.0))
+            errs.script.set_steps(Step("error", duration_s=2.0))
             await asyncio.sleep(0.5)
-            fleet.tell((leaves, "draining"))
+            fleet.announce((leaves, "draining"))
             await asyncio.sleep(2.5)
             await leaves.restart()
-            fleet.tell((leaves, "up"))
+            fleet.announce((leaves, "up"))
 
         await asyncio.gather(traffic.run(5.0), trouble())
         told = [await query_gateway(str(tmp_path / g.name / "handover"), "plugins") for g in fleet.gateways]
         client.close()
-        verdicts = fleet.ledger.judge()
-        assert all(v.kept and v.checked for v in verdicts), report(verdicts)
+        verdicts = fleet.ledger.check_rules()
+        assert all(v.kept and v.checked for v in verdicts), format_verdicts(verdicts)
     for one in (plugin for gateway in told for plugin in gateway["plugins"]):
         if one["name"] != "tick":
             assert one["denied"]["send: fixed"] > 0 and one["denied"]["hold: fixed"] > 0, one
@@ -207,7 +207,7 @@
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
     found = [told for _, told in read_records(str(tmp_path / "records"))]
-    assert len({told["id"] for told in found}) == len(found) == len(ledger.tries)  # each one once
+    assert len({told["id"] for told in found}) == len(found) == len(ledger.requests)  # each one once
     assert {told["tags"]["v"] for told in found} >= {"0", "40"}
 
 
@@ -227,7 +227,7 @@
             writer.write(make_command(b"q%d" % n))
         arrived = 0
         while arrived < 2:  # a gateway has a bounded number out at a host
-            await site.hosts[arrived % 2].arrived.get()
+            await site.hosts[arrived % 2].arrivals.get()
             arrived += 1
         replaced(
             file,
--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -55,10 +55,10 @@
 
 async def polled(site, count=2):
     """Until the gateway has asked so often from now on."""
-    while not site.registry.asked.empty():
-        site.registry.asked.get_nowait()
+    while not site.registry.reads.empty():
+        site.registry.reads.get_nowait()
     for _ in range(count):
-        await site.registry.asked.get()
+        await site.registry.reads.get()
 
 
 @run_on_uvloop
@@ -73,7 +73,7 @@
                 site.registry.override("ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", ""]))
                 await polled(site, rng.choice([0, 1, 2]))
             await load.wait_for_served(20)
-        tellings = [state for told in ledger.tellings.values() for _, state in told]
+        tellings = [state for told in ledger.host_states.values() for _, state in told]
         assert tellings.count("draining") >= 5 and tellings.count("up") >= 5
 
 
@@ -90,8 +90,8 @@
             before = len(first.commands)
             while len(first.commands) == before:  # it is used on
                 await load.wait_for_served(1)
-            first.script.play(Step("stall", count=1, delay=0.3))
-            while first.script.steps and not first.script.used:
+            first.script.set_steps(Step("stall", count=1, delay_s=0.3))
+            while first.script.steps and not first.script.message_count:
                 await load.wait_for_served(1)
             site.registry.override("ROSTER", first.name, "OUT_OF_SERVICE")  # with an attempt out there
             await polled(site, 3)
@@ -108,15 +108,15 @@
         site.registry.cancel("ROSTER", third.name)
         program = await site.start_gateway()
         async with BackgroundTraffic(site, ledger) as load:
-            site.registry.script.play(Step("silent"))
+            site.registry.script.set_steps(Step("silent"))
             await site.wait_for_log_line(program, b"keeping the last list")
-            site.registry.clock_off = 1000.0  # all leases have run out
+            site.registry.clock_offset_s = 1000.0  # all leases have run out
             await load.wait_for_served(50)
             assert all(len(h.commands) > 0 for h in site.hosts[:2]) and not third.commands
             site.registry.restart()
             for host in (site.hosts[0], third):
                 site.registry.register(site.instance(host))
-            site.registry.script.play()
+            site.registry.script.set_steps()
             while not third.commands:  # followed at once
                 await load.wait_for_served(1)
 
@@ -147,13 +147,13 @@
         await site.start_gateway()
         sick = site.hosts[0]
         async with BackgroundTraffic(site, ledger) as load:
-            sick.script.play(Step("silent"))
+            sick.script.set_steps(Step("silent"))
             await load.wait_for_served(100)
-            before, was = len(sick.commands), len(load.traffic.latency)
+            before, was = len(sick.commands), len(load.traffic.latencies_s)
             await load.wait_for_served(200)
             tried = len(sick.commands) - before
-            assert tried < (len(load.traffic.latency) - was) / 6  # a third, if nobody minded
-            sick.script.play()
+            assert tried < (len(load.traffic.latencies_s) - was) / 6  # a third, if nobody minded
+            sick.script.set_steps()
             before = len(sick.commands)
             while len(sick.commands) < before + 10:
                 await load.wait_for_served(1)
@@ -177,7 +177,9 @@
             await load.wait_for_served(100)
             assert len(site.hosts[1].commands) == gone  # one of three is missing: believed at once
             LocalDeployment.write_settings(site)
-            ledger.told("g", site.hosts[1].name, "up")  # by the file: else past the grace it counts as gone
+            ledger.record_host_state(
+                "g", site.hosts[1].name, "up"
+            )  # by the file: else past the grace it counts as gone
             program.send_signal(signal.SIGHUP)
             await site.wait_for_log_line(program, b"reload: took effect")
             while len(site.hosts[1].commands) == gone:
@@ -189,16 +191,16 @@
 async def test_the_gateway_is_an_instance_itself_and_never_routes_to_itself(tmp_path):
     register = 'on = true\nip = "127.0.0.1"\nid = "gw"\napp = "ROSTER"\nrenew = 0.2\nduration = 5.0'
     async with RegistrySite(tmp_path, hosts=1, register=register) as site:
-        site.hosts[0].script.play(Step("stall", delay=0.3))
+        site.hosts[0].script.set_steps(Step("stall", delay_s=0.3))
         program = await site.start_gateway()
         key = ("ROSTER", "gw")
         while key not in site.registry.leases or site.registry.leases[key].status != "UP":
-            await site.registry.asked.get()
+            await site.registry.reads.get()
         await polled(site, 3)
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         writer.write(make_command())
         while not site.hosts[0].commands:
-            await site.hosts[0].arrived.get()
+            await site.hosts[0].arrivals.get()
         seen = []
         real = site.registry.register
 
@@ -274,15 +276,15 @@
                     ["error", "half", "spoilt", "restart", "hash", "lost", "clock", "flip", "fill"]
                 )
                 if what in ("error", "half", "spoilt"):
-                    held.script.play(Step(what, count=rng.randint(1, 3)))
+                    held.script.set_steps(Step(what, count=rng.randint(1, 3)))
                 elif what == "restart":
                     held.restart()
                 elif what == "hash":
                     held.hashcode = rng.choice([None, "UP_99_"])
                 elif what == "lost":
-                    held.lost = rng.randint(1, 3)
+                    held.empty_deltas = rng.randint(1, 3)
                 elif what == "clock":
-                    held.clock_off = rng.uniform(-100.0, 100.0)
+                    held.clock_offset_s = rng.uniform(-100.0, 100.0)
                 elif what == "flip":
                     host = rng.choice(site.hosts[1:])
                     held.override("ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", ""]))
--- a/tests/faults/test_reload.py
+++ b/tests/faults/test_reload.py
@@ -49,7 +49,7 @@
         program, more = await site.start_gateway(), free_port()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         writer.write(make_command(b"before"))
-        await site.hosts[0].arrived.get()
+        await site.hosts[0].arrivals.get()
         site.write_settings([more], limits="max_attempts = 2")
         program.send_signal(signal.SIGHUP)
         said = await site.wait_for_log_line(program, b"reload: ")
@@ -135,7 +135,7 @@
         program = await site.start_gateway()
         reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
         writer.write(make_command(b"before"))
-        await site.hosts[0].arrived.get()
+        await site.hosts[0].arrivals.get()
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGHUP):
             program.send_signal(number)
         await site.wait_for_log_line(program, b"reload ignored: a shutdown or a hand-over is in progress")
--- a/tests/faults/test_workers.py
+++ b/tests/faults/test_workers.py
@@ -12,10 +12,9 @@
 
 from apigateway.daemon.settings import read_settings
 from apigateway.daemon.workers import WorkerAssignment, settings_for_worker
-from apigateway.emulators.clients import Client, Customer, Kind, Traffic
-from apigateway.emulators.ledger import Ceiling, Ledger, report
-from apigateway.emulators.ledger import Kind as Class
-from apigateway.emulators.ledger import Terms as LedgerTerms
+from apigateway.emulators.clients import Client, Customer, Traffic, TrafficClass
+from apigateway.emulators.ledger import Ceiling, ClassRules, Ledger, format_verdicts
+from apigateway.emulators.ledger import RuleLimits as LedgerTerms
 
 
 def children(program):
@@ -74,8 +73,8 @@
         # What a worker had accepted dies with it, as with a machine: the client's connection ends or its
         # time does.
         # No other rule gives way.
-        for verdict in ledger.judge():
-            assert verdict.kept or verdict.rule == "no request lost", report([verdict])
+        for verdict in ledger.check_rules():
+            assert verdict.kept or verdict.rule == "no request lost", format_verdicts([verdict])
         assert set(children(program)) & set(workers) == {workers[0], workers[2]}
         assert await site.ended(program) == 0
 
@@ -83,7 +82,7 @@
 @run_on_uvloop
 async def test_ceilings_hold_over_all_workers_of_one_address(tmp_path):
     """Its clients know one gateway: spread 1, first 0. One worker is killed on the way."""
-    kinds = {"read": Class("safe"), "note": Class("unsafe")}
+    kinds = {"read": ClassRules("safe"), "note": ClassRules("unsafe")}
     ledger = Ledger(LedgerTerms(kinds, {"p": Ceiling(40.0, 60.0, 0.1)}))
     async with Group(tmp_path, ledger=ledger) as site:
         site.write_settings(workers="watchdog = 1.0")
@@ -98,7 +97,7 @@
         traffic = Traffic(
             client,
             [Customer(f"{n:016x}", "p", 150.0, 0, 1) for n in range(2)],
-            [Kind("read", "safe", 0.7, 3.0), Kind("note", "unsafe", 0.3, 3.0)],
+            [TrafficClass("read", "safe", 0.7, 3.0), TrafficClass("note", "unsafe", 0.3, 3.0)],
         )
 
         async def trouble():
@@ -107,9 +106,9 @@
 
         await asyncio.gather(traffic.run(5.0), trouble())
         client.close()
-        for verdict in ledger.judge():
-            assert verdict.kept or verdict.rule == "no request lost", report([verdict])
-        told = {v.rule: v for v in ledger.judge()}
+        for verdict in ledger.check_rules():
+            assert verdict.kept or verdict.rule == "no request lost", format_verdicts([verdict])
+        told = {v.rule: v for v in ledger.check_rules()}
         assert told["ceilings kept"].checked and told["ceilings kept"].kept
         served = sum(count for (_, _, kind), count in ledger.outcomes().items() if kind == "served")
         assert served > 100  # and quotas are not simply shut
@@ -261,8 +260,10 @@
                 assert await drained(first) == 0
                 await load.wait_for_served(30)
                 first = second
-            ledger.died("g")  # what that one worker holds at this moment is for its clients to ask again
-            ledger.listens("g")
+            ledger.record_gateway_kill(
+                "g"
+            )  # what that one worker holds at this moment is for its clients to ask again
+            ledger.record_gateway_start("g")
             os.kill(children(first)[0], signal.SIGKILL)  # it tends them as its own
             await site.wait_for_log_line(first, b"exited (signal 9); restart in")
             await until(lambda: len(children(first)) == 3, "made anew")
@@ -303,8 +304,10 @@
         await load.stop()
         # A supervisor that is killed is more than a hand-over that fails: its workers end, and clients see
         # it.
-        for verdict in ledger.judge():
-            assert verdict.kept or (verdict.rule == "no request lost" and "killed" in how), report([verdict])
+        for verdict in ledger.check_rules():
+            assert verdict.kept or (verdict.rule == "no request lost" and "killed" in how), format_verdicts(
+                [verdict]
+            )
         assert await site.ended(third) == 0
 
 
@@ -316,7 +319,7 @@
         # Long enough for the successor to start on a busy machine: past it the id would rightly be free.
         note = make_command(b"n1", b"c=note,t=p,d=9000,units=1,spread=1,first=0", b"API.WRITE", body=b"B")
         writer.write(note)
-        await site.hosts[0].arrived.get()
+        await site.hosts[0].arrivals.get()
         second = await successor(site, "--workers", "2")
         for _ in range(4):  # whichever worker accepts
             assert await site.send_request(note) == b"-ERR this id is in work\r\n"
--- a/tests/frontends/grpc/test_rate_limit_daemon.py
+++ b/tests/frontends/grpc/test_rate_limit_daemon.py
@@ -25,7 +25,7 @@
     free_port,
 )
 
-from apigateway.emulators.checks import Checks
+from apigateway.emulators.checks import CheckClient
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.ratelimit import EmulatedRateLimitService
 
@@ -156,25 +156,25 @@
     async with GrpcSite(tmp_path, ledger=ledger) as site:
         first = await site.start_gateway()
         async with BackgroundTraffic(site, ledger) as load:
-            checks = Checks(ledger, {"g": ("127.0.0.1", site.checks)})
+            checks = CheckClient(ledger, {"g": ("127.0.0.1", site.checks)})
             over = False
 
             async def line():
                 while not over:
-                    await checks.ask("g", A, "p", timeout=3.0)
+                    await checks.check("g", A, "p", timeout_s=3.0)
 
             lines = [asyncio.ensure_future(line()) for _ in range(4)]
             for _ in range(2):
                 second = await site.start_gateway("--take-over")
                 assert await first.wait() == 0
                 first = second
-                before = checks.counts["ok"]
-                while checks.counts["ok"] < before + 20:
+                before = checks.outcome_counts["ok"]
+                while checks.outcome_counts["ok"] < before + 20:
                     await load.wait_for_served(1)
             over = True
             await asyncio.gather(*lines)
             await checks.close()
-            assert set(checks.counts) == {"ok"}, checks.failures
+            assert set(checks.outcome_counts) == {"ok"}, checks.error_details
         first.send_signal(signal.SIGTERM)
         assert await first.wait() == 0
 
