--- a/tests/frontends/grpc/test_rate_limit_service.py
+++ b/tests/frontends/grpc/test_rate_limit_service.py
@@ -203,14 +203,14 @@
     }
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path, settings=conf) as harness:
         async with RateLimitClient(harness, spread=2) as asking:
-            harness.counter.script.play(Step("silent"))
+            harness.counter.script.set_steps(Step("silent"))
             told = [(await asking.ask(A)).overall_code for _ in range(30)]
             while told[-1] != OVER and len(told) < 120:  # a busy machine denies more at first
                 told.append((await asking.ask(A)).overall_code)
             assert set(told) <= {OK, OVER} and told[0] == OK and told[-1] == OVER and told.count(OK) < 30
             late = asyncio.ensure_future(asking.status(A, timeout=0.001))
             assert await late in (grpc.StatusCode.DEADLINE_EXCEEDED, grpc.StatusCode.UNAVAILABLE)
-            harness.counter.script.play()
+            harness.counter.script.set_steps()
             while harness.server.core.in_flight:
                 await asyncio.sleep(0.01)
             assert (await asking.ask(B)).overall_code == OK and not harness.server.core.request_budget.used
--- a/tests/frontends/resp/test_client_connection.py
+++ b/tests/frontends/resp/test_client_connection.py
@@ -103,7 +103,7 @@
     async with EmulatedHost(answer=None) as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
         writer.write(make_command(b"slow"))
-        await host.arrived.get()
+        await host.arrivals.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n")
         host.writers[0].write(VALUE)
         assert await read_reply(reader) == VALUE_REPLY
@@ -115,10 +115,10 @@
     async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
         writer.write(make_command(b"first"))
-        await host.arrived.get()
+        await host.arrivals.get()
         harness.server.frontends[0].server.start_draining()
         writer.write(make_command(b"second"))
-        while (await host.arrived.get())[2] != b"second":
+        while (await host.arrivals.get())[2] != b"second":
             pass
         for out in host.writers:
             out.write(VALUE)
@@ -150,7 +150,7 @@
         reader, writer = await harness.connect()
         server = harness.server.frontends[0].server
         writer.write(make_command(b"first"))
-        await host.arrived.get()
+        await host.arrivals.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n" * MAX_PENDING_COMMANDS)  # answered behind the first
         (client,) = server.connections
         while not client.is_read_paused:
@@ -203,9 +203,9 @@
     async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
         writer.write(make_command())
-        await host.arrived.get()
+        await host.arrivals.get()
         writer.write(b"nonsense" + b"x" * 100_000)
         assert await read_reply(reader) == b"-ERR failed\r\n"  # its one answer, though the host is silent
         assert (await read_reply(reader)).startswith(b"-ERR protocol")
         assert await reader.read() == b""  # an end, not a reset, though there was more to read
-        assert await host.arrived.get() is None and not harness.server.core.in_flight
+        assert await host.arrivals.get() is None and not harness.server.core.in_flight
--- a/tests/frontends/resp/test_client_disconnects.py
+++ b/tests/frontends/resp/test_client_disconnects.py
@@ -23,9 +23,9 @@
     async with EmulatedHost(answer=None) as host, GatewayHarness(host, path=tmp_path) as harness:
         _, writer = await harness.connect()
         writer.write(make_command())
-        await host.arrived.get()
+        await host.arrivals.get()
         writer.close()
-        assert await host.arrived.get() is None  # the connection to the host ended
+        assert await host.arrivals.get() is None  # the connection to the host ended
         assert not harness.server.core.in_flight
 
 
@@ -48,7 +48,7 @@
         _, writer = await harness.connect()
         seen, server = record_outcomes(harness), harness.server.frontends[0].server
         writer.write(make_command(b"first", make_fields(d="60000")))
-        await host.arrived.get()
+        await host.arrivals.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n" * MAX_PENDING_COMMANDS)  # answered behind the first
         while not (
             server.read_paused or server.connections and next(iter(server.connections)).is_read_paused
@@ -115,7 +115,7 @@
             host.answer = None
             writer.write(make_command(b"last", make_fields(d="60000"), customer=b"%016x" % 999))
             while host.commands[-1][2] != b"last":
-                await host.arrived.get()
+                await host.arrivals.get()
             writer.write_eof()
             assert await seen.get() == ("last", "gone") and not harness.server.core.in_flight
 
--- a/tests/frontends/resp/test_load_shedding.py
+++ b/tests/frontends/resp/test_load_shedding.py
@@ -76,7 +76,7 @@
         install_admission(harness, gate := ScriptedGate())
         _, writer = await harness.connect()
         writer.write(make_write_command(b"w"))
-        await host.arrived.get()
+        await host.arrivals.get()
         gate.customers = ("00000000b4d65521",)
         assert await harness.send_command(make_write_command(b"w")) == b"-ERR this id is in work\r\n"
         assert await harness.send_command(make_write_command(b"v")) == b"-BUSY 250\r\n"
--- a/tests/frontends/resp/test_resp_server.py
+++ b/tests/frontends/resp/test_resp_server.py
@@ -42,7 +42,7 @@
         reader, writer = await harness.connect()
         idle, _ = await harness.connect()
         writer.write(make_command())
-        await host.arrived.get()
+        await host.arrivals.get()
         assert await idle.read() == b""  # this one went, some sweeps later
         host.writers[0].write(VALUE)
         assert await read_reply(reader) == VALUE_REPLY
@@ -74,7 +74,7 @@
         for n in range(2):
             reader, writer = await harness.connect()
             writer.write(make_command(b"r%d" % n))
-            await host.arrived.get()
+            await host.arrivals.get()
             busy.append(reader)
         assert await first.read() == b""
         last, _ = await harness.connect()
--- a/tests/gateway_harness.py
+++ b/tests/gateway_harness.py
@@ -14,9 +14,7 @@
 from apigateway.emulators.discovery import EmulatedDiscovery
 from apigateway.emulators.hosts import VALUE, EmulatedHost
 from apigateway.emulators.ledger_records import AttemptEnd
-from apigateway.emulators.platform import SETTINGS
-from apigateway.emulators.platform import configuration as make_configuration
-from apigateway.emulators.platform import entry as platform_entry
+from apigateway.emulators.platform import SETTINGS, make_configuration, make_discovery_entry
 
 __all__ = ["SETTINGS", "VALUE", "EmulatedCounter", "EmulatedDiscovery", "EmulatedHost", "make_configuration"]
 
@@ -88,7 +86,7 @@
 
 
 def make_host_entry(host, name="h1", state="up", port=None):
-    return platform_entry(name, port or host.port, state)
+    return make_discovery_entry(name, port or host.port, state)
 
 
 class BlockedFileRead:
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -137,7 +137,7 @@
 @run_on_uvloop
 async def test_answer_of_each_kind_has_its_outcome(step, outcome):
     async with EmulatedHost() as host:
-        host.script.play(step)
+        host.script.set_steps(step)
         record = await sent(evenly(100, 0.3), host.port, wait=0.4)
         assert record.counts() == dict.fromkeys(Outcome, 0) | {outcome: 30}
         latencies = record.latency_of(outcome)
@@ -170,14 +170,14 @@
 async def test_target_when_killed_then_loses_only_what_was_in_flight():
     host = EmulatedHost()
     await host.open()
-    host.script.play(Step("stall", delay=0.1))
+    host.script.set_steps(Step("stall", delay_s=0.1))
     killed = []
 
     def kill(sender):
         async def go():
             for _ in range(20):
-                await host.arrived.get()
-            await host.die()
+                await host.arrivals.get()
+            await host.kill()
             killed.append(True)
             await host.open()
 
@@ -295,10 +295,10 @@
             )
             if seconds > 10:
                 for _ in range(50):
-                    await site.hosts[0].arrived.get()
-                while site.hosts[0].arrived.qsize():
-                    site.hosts[0].arrived.get_nowait()
-                await site.hosts[0].arrived.get()  # it is in the middle of it
+                    await site.hosts[0].arrivals.get()
+                while site.hosts[0].arrivals.qsize():
+                    site.hosts[0].arrivals.get_nowait()
+                await site.hosts[0].arrivals.get()  # it is in the middle of it
                 program.send_signal(signal.SIGINT)
             out, err = await program.communicate()
             assert program.returncode == 0, err
--- a/tests/local_deployment.py
+++ b/tests/local_deployment.py
@@ -9,11 +9,10 @@
 
 from gateway_harness import read_reply
 
-from apigateway.emulators.clients import Client, Customer, Kind, Traffic
+from apigateway.emulators.clients import Client, Customer, Traffic, TrafficClass
 from apigateway.emulators.counter import EmulatedCounter
 from apigateway.emulators.hosts import EmulatedHost
-from apigateway.emulators.ledger import Kind as LedgerClass
-from apigateway.emulators.ledger import Terms, report
+from apigateway.emulators.ledger import ClassRules, RuleLimits, format_verdicts
 from apigateway.emulators.ports import free_port
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -49,7 +48,7 @@
                 **({"answer": answer} if answer is not None else {}),
                 name=f"h{number}",
                 cores=8,
-                queue=500,
+                queue_capacity=500,
             )
             for number in range(hosts)
         ]
@@ -138,8 +137,8 @@
             await server.__aexit__()
 
 
-LEDGER_TERMS = Terms({"read": LedgerClass("safe"), "note": LedgerClass("unsafe")})
-REQUEST_KINDS = [Kind("read", "safe", 0.5, 3.0), Kind("note", "unsafe", 0.5, 3.0)]
+LEDGER_TERMS = RuleLimits({"read": ClassRules("safe"), "note": ClassRules("unsafe")})
+REQUEST_KINDS = [TrafficClass("read", "safe", 0.5, 3.0), TrafficClass("note", "unsafe", 0.5, 3.0)]
 
 
 class BackgroundTraffic:
@@ -161,8 +160,8 @@
 
     async def wait_for_served(self, count):
         """Wait until `count` more requests have been served."""
-        target_count = len(self.traffic.latency) + count
-        while len(self.traffic.latency) < target_count:
+        target_count = len(self.traffic.latencies_s) + count
+        while len(self.traffic.latencies_s) < target_count:
             await asyncio.sleep(0.01)
 
     async def stop(self):
@@ -176,7 +175,7 @@
     async def __aexit__(self, exception_type, *_):
         await self.stop()
         if exception_type is None:
-            verdicts = self.ledger.judge()
-            assert all(verdict.kept for verdict in verdicts), report(verdicts)
-            assert self.client.refused == 0
+            verdicts = self.ledger.check_rules()
+            assert all(verdict.kept for verdict in verdicts), format_verdicts(verdicts)
+            assert self.client.connect_failures == 0
             assert self.ledger.outcomes().get(("p", "read", "served"), 0) > 0
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -32,7 +32,7 @@
         for n in range(4):
             await harness.send_command(make_command(b"a%d" % n))
         await harness.discovery.calls.get()
-        harness.discovery.change([make_host_entry(one, "h1", "draining")])
+        harness.discovery.apply_changes([make_host_entry(one, "h1", "draining")])
         while (await harness.discovery.calls.get()).get("index") != "2":
             pass  # the next watch shows that the gateway has received the change
         command_count = len(one.commands)
@@ -46,7 +46,7 @@
     async with EmulatedHost() as old, EmulatedHost() as new, GatewayHarness(old, path=tmp_path) as harness:
         assert await harness.send_command(make_command(b"a")) == VALUE_REPLY
         await harness.discovery.calls.get()
-        harness.discovery.change([make_host_entry(new, "h1")])
+        harness.discovery.apply_changes([make_host_entry(new, "h1")])
         while (await harness.discovery.calls.get()).get("index") != "2":
             pass
         assert await harness.send_command(make_command(b"b")) == VALUE_REPLY
@@ -67,8 +67,8 @@
     async with EmulatedHost() as host, GatewayHarness(host, path=tmp_path) as harness:
         await harness.discovery.calls.get()
         await harness.discovery.calls.get()
-        harness.discovery.raw = raw
-        harness.discovery.change([])
+        harness.discovery.raw_answer = raw
+        harness.discovery.apply_changes([])
         assert await harness.send_command(make_command()) == VALUE_REPLY
         while "index" in await harness.discovery.calls.get():
             pass  # the gateway requests the complete list again
@@ -83,7 +83,7 @@
         GatewayHarness(one, two, path=tmp_path) as harness,
     ):
         await harness.discovery.calls.get()
-        harness.discovery.change(
+        harness.discovery.apply_changes(
             [
                 {"id": "h9"},
                 None,
@@ -104,8 +104,8 @@
         while "index" not in await harness.discovery.calls.get():
             pass
         removed_entry = make_host_entry(one, "h1", "removed")
-        harness.discovery.raw = json.dumps({"version": 0, "full": False, "servers": [removed_entry]})
-        harness.discovery.change([])
+        harness.discovery.raw_answer = json.dumps({"version": 0, "full": False, "servers": [removed_entry]})
+        harness.discovery.apply_changes([])
         while "index" in await harness.discovery.calls.get():
             pass  # the gateway requests the complete list again
         assert await harness.send_command(make_command()) == VALUE_REPLY
@@ -218,12 +218,12 @@
     ):
         while "index" not in await harness.discovery.calls.get():
             pass
-        harness.discovery.held = release_response = asyncio.Event()
+        harness.discovery.full_list_gate = release_response = asyncio.Event()
         harness.server.endpoint_source.fetch()
         (fetch_task,) = harness.server.endpoint_source.fetch_tasks
         while "index" in await harness.discovery.calls.get():
             pass  # discovery has received the request; its response predates the change
-        harness.discovery.change([make_host_entry(one, "h1", "draining")])
+        harness.discovery.apply_changes([make_host_entry(one, "h1", "draining")])
         while set(harness.server.upstream.pools) != {"h2"}:
             await asyncio.sleep(0)
         release_response.set()
@@ -258,10 +258,10 @@
             (),
             {"handle": lambda _, now, event: (events.append(event), module.handle(now, event))[1]},
         )()
-        harness.discovery.change([])
+        harness.discovery.apply_changes([])
         await harness.discovery.calls.get()  # the next watch
         assert not events
-        harness.discovery.change([make_host_entry(host, "h1", "draining")])
+        harness.discovery.apply_changes([make_host_entry(host, "h1", "draining")])
         while not events:
             await asyncio.sleep(0)
 
@@ -288,7 +288,7 @@
             await asyncio.Event().wait()
 
         old_source._request = request
-        harness.discovery.change([])
+        harness.discovery.apply_changes([])
         await request_started.wait()
         response.set_result("a list")  # the call continues in the next iteration of the event loop
         harness.server.switch_endpoint_source(harness.server.create_endpoint_source(harness.server.config))
--- a/tests/membership/test_eureka_model.py
+++ b/tests/membership/test_eureka_model.py
@@ -73,7 +73,7 @@
     for n in range(3):
         registry.register(instance(f"node{n}", 8000 + n, app="ROSTER" if n else "OTHER", zone="a&b"))
     registry.override("ROSTER", "node1", "OUT_OF_SERVICE")
-    tree = registry.applications(registry.whole())
+    tree = registry.applications(registry.select_instances())
     from_json, from_xml = parse_json(json.dumps(tree).encode()), parse_xml(registry.xml(tree).encode())
     assert (
         from_json == from_xml
--- a/tests/membership/test_eureka_source.py
+++ b/tests/membership/test_eureka_source.py
@@ -75,7 +75,7 @@
 @run_on_uvloop
 async def test_source_reads_the_list_and_applies_its_changes(base_path, response_format):
     async with (
-        make_registry(base=base_path) as registry,
+        make_registry(base_path=base_path) as registry,
         SourceHarness(registry, response_format=response_format) as harness,
     ):
         assert await harness.poll() and harness.states() == dict.fromkeys(
@@ -89,7 +89,7 @@
         assert harness.states() == {"node0": "up", "node1": "leaving", "node2": "leaving", "node4": "up"}
         registry.override("ROSTER", "node1", "")
         assert await harness.poll() and harness.states()["node1"] == "up"
-        assert registry.calls == {"GET apps": 1, "GET delta": 2}
+        assert registry.call_counts == {"GET apps": 1, "GET delta": 2}
 
 
 @pytest.mark.parametrize(
@@ -117,20 +117,20 @@
         make_registry() as registry,
         SourceHarness(registry, timeout=0.3, max_response_bytes=200_000) as harness,
     ):
-        registry.etags = False
+        registry.sends_etags = False
         await harness.poll()
         states_before = harness.states()
         if fault == "endless":
-            registry.endless = 200 * 1024 * 1024
+            registry.endless_bytes = 200 * 1024 * 1024
         elif fault == "raw":
-            registry.raw = json.dumps({"applications": []}).encode()
+            registry.raw_body = json.dumps({"applications": []}).encode()
         else:
-            registry.script.play(Step(fault))
+            registry.script.set_steps(Step(fault))
         for _ in range(3):
             assert not await harness.poll()
         assert harness.states() == states_before and harness.failure_count == 3
-        registry.script.play()
-        registry.endless, registry.raw = 0, None
+        registry.script.set_steps()
+        registry.endless_bytes, registry.raw_body = 0, None
         registry.register(instance("node9", 8009))
         # Changes are applied again at once.
         assert await harness.poll() and set(harness.hosts) == {*states_before, "node9"}
@@ -143,7 +143,7 @@
         make_registry(10) as registry,
         SourceHarness(registry, clock=lambda: now, use_deltas=False) as harness,
     ):
-        registry.etags = False
+        registry.sends_etags = False
         await harness.poll()
         registry.restart()
         for _ in range(50):
@@ -177,22 +177,22 @@
     now = 1000.0
     async with make_registry() as registry, SourceHarness(registry, clock=lambda: now) as harness:
         await harness.poll()
-        registry.lost = 1
+        registry.empty_deltas = 1
         registry.register(instance("node7", 8007))
         now += 60.0
         assert await harness.poll() and "node7" in harness.hosts
-        assert registry.calls == {"GET apps": 2, "GET delta": 1}
+        assert registry.call_counts == {"GET apps": 2, "GET delta": 1}
         registry.hashcode = "UP_77_"
         for _ in range(120):
             now += 5.0
             assert await harness.poll()
-        assert registry.calls["GET apps"] < 8 and registry.calls["GET delta"] > 110
+        assert registry.call_counts["GET apps"] < 8 and registry.call_counts["GET delta"] > 110
 
 
 @run_on_uvloop
 async def test_malformed_instance_among_a_thousand_is_skipped_and_logged(caplog):
     async with make_registry(1000) as registry, SourceHarness(registry) as harness:
-        registry.leases["ROSTER", "node500"].told["port"] = {"$": "eighty"}
+        registry.leases["ROSTER", "node500"].instance["port"] = {"$": "eighty"}
         assert await harness.poll() and len(harness.hosts) == 999
         assert any("node500" in text for text in harness.source.malformed) and "node500" in caplog.text
 
@@ -209,19 +209,19 @@
         first.override("ROSTER", "node0", "OUT_OF_SERVICE")
         await harness.poll()
         assert harness.states()["node0"] == "leaving"
-        stale = second.leases["ROSTER", "node0"].told
-        second.leases["ROSTER", "node0"].told = stale | {"lastDirtyTimestamp": "5"}  # lacks the override
-        first.script.play(Step("error", count=1))
+        stale = second.leases["ROSTER", "node0"].instance
+        second.leases["ROSTER", "node0"].instance = stale | {"lastDirtyTimestamp": "5"}  # lacks the override
+        first.script.set_steps(Step("error", count=1))
         assert not await harness.poll()
         for _ in range(5):  # from the second registry, whose older report is ignored
             now += 1.0
             assert await harness.poll() and harness.states()["node0"] == "leaving"
-        assert second.calls["GET apps"] == 1
+        assert second.call_counts["GET apps"] == 1
 
 
 @run_on_uvloop
 async def test_lagging_emulated_replica_registers_late():
-    async with make_registry(1) as primary, EmulatedEureka(lag=0.02) as replica:
+    async with make_registry(1) as primary, EmulatedEureka(replication_lag_s=0.02) as replica:
         primary.peer = replica
         primary.register(instance("node5", 8005))
         assert not replica.leases
@@ -233,7 +233,7 @@
 @run_on_uvloop
 async def test_credentials_are_sent_and_never_logged(caplog):
     async with make_registry() as registry:
-        registry.auth = "Basic " + base64.b64encode(b"me:secret").decode()
+        registry.expected_authorization = "Basic " + base64.b64encode(b"me:secret").decode()
         async with SourceHarness(registry, user="me", password="wrong") as harness:
             assert not await harness.poll()
         async with SourceHarness(registry, user="me", password="secret") as harness:
@@ -268,9 +268,9 @@
 async def test_emulated_leases_expire_unless_self_preservation_is_on():
     now = 1000.0
     for protect, remaining in ((False, {"node9"}), (True, {"node9", "node0"})):
-        registry = EmulatedEureka(protect=protect, clock=lambda: now)  # noqa: B023 - used only in this iteration
-        registry.register(instance("node0", 8000, duration=10))
-        registry.register(instance("node9", 8009, duration=10))
+        registry = EmulatedEureka(self_preservation=protect, clock=lambda: now)  # noqa: B023 - used only in this iteration
+        registry.register(instance("node0", 8000, duration_s=10))
+        registry.register(instance("node9", 8009, duration_s=10))
         now += 8.0
         assert registry.renew("ROSTER", "node9")
         now += 8.0
@@ -300,7 +300,7 @@
         make_registry(4) as registry,
         SourceHarness(registry, use_deltas=False, reconciler=ReconcilerSettings(doubt_time=0.05)) as harness,
     ):
-        registry.etags = False
+        registry.sends_etags = False
         await harness.poll()
         registry.restart()
         registry.register(instance("node0", 8000))
@@ -330,7 +330,7 @@
         registration.mark_up()
         while registered_status(registry) != "UP":
             await asyncio.sleep(0.005)
-        while registry.calls["PUT apps"] < 2:
+        while registry.call_counts["PUT apps"] < 2:
             await asyncio.sleep(0.005)
         registry.restart()  # loses the registration, so that the renewal receives 404
         while registered_status(registry) != "UP":
@@ -377,7 +377,7 @@
 @run_on_uvloop
 async def test_emulated_registry_serves_a_third_party_client():
     """Checks the emulated registry with py-eureka-client, and the source with what that client wrote."""
-    async with EmulatedEureka(base="/eureka") as registry, SourceHarness(registry) as harness:
+    async with EmulatedEureka(base_path="/eureka") as registry, SourceHarness(registry) as harness:
         pipe = asyncio.subprocess.PIPE
         client_process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -391,7 +391,7 @@
         assert await client_process.stdout.readline() == b"8123\n"
         assert await harness.poll() and harness.states() == {"node7:8123": "up"}
         assert harness.hosts["node7:8123"].zone == "east"
-        while not registry.calls["PUT apps"]:
+        while not registry.call_counts["PUT apps"]:
             await asyncio.sleep(0.01)
         client_process.stdin.write(b"\n")
         assert await client_process.stdout.readline() == b"gone\n"
--- a/tests/membership/test_polled_discovery.py
+++ b/tests/membership/test_polled_discovery.py
@@ -58,8 +58,8 @@
     hosts = [await stack.enter_async_context(EmulatedHost()) for _ in range(3)]
     service = await stack.enter_async_context(EmulatedDiscovery())
     service.servers = [make_host_entry(host, f"h{number}") for number, host in enumerate(hosts[:2], 1)]
-    service.change([make_host_entry(hosts[2], "h3")])
-    service.capacity = CallCapacity(call_s=0.33, rejection_s=0.03, max_wait_s=2.0)
+    service.apply_changes([make_host_entry(hosts[2], "h3")])
+    service.capacity = CallCapacity(call_work_s=0.33, rejection_work_s=0.03, max_wait_s=2.0)
     return service, hosts
 
 
@@ -72,7 +72,7 @@
         service, hosts = await start_service(stack)
         harnesses = await start_fleet(stack, service, hosts, tmp_path, drain_grace_s)
         service.silence_watches()
-        service.change([make_host_entry(hosts[0], "h1", "draining")])
+        service.apply_changes([make_host_entry(hosts[0], "h1", "draining")])
         await wait_for_all(harnesses, lambda pools: "h1" not in pools)
         command_count = len(hosts[0].commands)
         for number, harness in enumerate(harnesses):
@@ -92,7 +92,7 @@
         for _ in range(2 * GATEWAY_COUNT):
             await service.calls.get()  # the gateways retry during the outage
         service.silent = False
-        service.change([make_host_entry(hosts[0], "h1", "draining")])
+        service.apply_changes([make_host_entry(hosts[0], "h1", "draining")])
         await wait_for_all(harnesses, lambda pools: "h1" not in pools)
 
 
@@ -102,11 +102,15 @@
         service, hosts = await start_service(stack)
         service.capacity = None
         harnesses = await start_fleet(stack, service, hosts, tmp_path, 0.5)
-        service.lag = 1.0  # longer than the watch may be held, so the answer is overdue
+        service.change_delay_s = 1.0  # longer than the watch may be held, so the answer is overdue
         schedule = harnesses[0].server.endpoint_source.schedule
-        assert schedule.overdue_after < service.lag < schedule.overdue_after + schedule.late_answer_time
-        service.held = asyncio.Event()  # complete lists are never sent
-        service.change([make_host_entry(hosts[0], "h1", "draining")])
+        assert (
+            schedule.overdue_after
+            < service.change_delay_s
+            < schedule.overdue_after + schedule.late_answer_time
+        )
+        service.full_list_gate = asyncio.Event()  # complete lists are never sent
+        service.apply_changes([make_host_entry(hosts[0], "h1", "draining")])
         await wait_for_all(harnesses, lambda pools: "h1" not in pools)
 
 
--- a/tests/membership/test_reconciler_driver.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -59,8 +59,8 @@
         discovery.servers = [h.entry() for h in site.hosts]
         site.write_settings(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
         program = await site.start_gateway()
-        discovery.raw = "{"  # makes the watch fail, so that the complete list is requested
-        discovery.change([])
+        discovery.raw_answer = "{"  # makes the watch fail, so that the complete list is requested
+        discovery.apply_changes([])
         discovery.servers = []
         await site.wait_for_log_line(program, b"keeping the last list")
         while "index" not in await discovery.calls.get():
--- a/tests/upstream/test_upstream.py
+++ b/tests/upstream/test_upstream.py
@@ -106,7 +106,7 @@
         assert (
             await harness.send_command(make_write_command(service_class=b"note", wait_ms=300))
         ).startswith(b"-ERR")
-        assert await host.arrived.get() and await host.arrived.get() is None  # the connection is closed
+        assert await host.arrivals.get() and await host.arrivals.get() is None  # the connection is closed
         host.writers[0].write(b"*3\r\n$4\r\nlate\r\n$-1\r\n$-1\r\n")
         host.answer = VALUE
         assert await harness.send_command(make_command(b"r2")) == VALUE_REPLY
@@ -160,7 +160,7 @@
         connection.idle_since -= 28.0  # the host would close the connection after 30 s
         harness.server.upstream.close_stale_connections()
         assert harness.server.upstream.pools["h1"].idle == []
-        while await host.arrived.get() is not None:
+        while await host.arrivals.get() is not None:
             pass
 
 
@@ -200,14 +200,14 @@
 
         harness.server.core.module = ResendingModule()
         request = asyncio.create_task(harness.send_command(make_command()))
-        await first_host.arrived.get()
+        await first_host.arrivals.get()
         (attempt,) = harness.server.core.in_flight["r1"].active_attempts.values()
         sock = socket.socket(fileno=os.dup(attempt.connection.descriptor))
         harness.server.core.attempts.cancel(messages.CancelAttempt("r1", 0))
         with pytest.raises(OSError):  # shut down at once, not in a later iteration of the loop
             sock.send(b"x")
         sock.close()
-        assert await first_host.arrived.get() is None
+        assert await first_host.arrivals.get() is None
         assert await request == VALUE_REPLY and len(second_host.commands) == 1
 
 
@@ -232,7 +232,7 @@
     async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
         for number in range(3):
             request = asyncio.create_task(harness.send_command(make_command(b"a%d" % number)))
-            while not (command := await host.arrived.get()):
+            while not (command := await host.arrivals.get()):
                 pass
             reply = b"*3\r\n$2\r\n%s\r\n$-1\r\n$-1\r\n" % command[2]
             writer = host.writers[-1]
@@ -357,7 +357,7 @@
         assert (await harness.send_command(make_write_command(service_class=b"note"))).startswith(
             (b"-BUSY", b"-ERR")
         )
-        assert await host.arrived.get() is None and not host.commands  # it was closed without a command
+        assert await host.arrivals.get() is None and not host.commands  # it was closed without a command
         assert not harness.server.upstream.connections and not harness.server.upstream.open_count
 
 
