--- a/apigateway/emulators/__init__.py
+++ b/apigateway/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Emulated outside systems on loopback, by script."""
+"""Emulated outside systems on loopback, with scripted faults."""
--- a/apigateway/emulators/checks.py
+++ b/apigateway/emulators/checks.py
@@ -1,6 +1,6 @@
-"""Clients of a rate limit service that carry customers' checks and tell the ledger what they were granted.
+"""A client of the rate limit service that sends customers' quota checks and records granted ones in a ledger.
 
-They are those of grpcio, which shares no code with the gateway.
+It uses grpcio, which shares no code with the gateway.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 
 
 class ScheduledCheck(NamedTuple):
-    """When a customer checks next, by its number."""
+    """The time of a customer's next check, with the customer's index."""
 
-    at: float  # s from the start
+    at: float  # seconds from the start
     customer: int
 
 
 class CheckClient:
-    """Asks gateways, by name, with a customer's id and plan as entries.
+    """Sends checks to gateways by name, with a customer's id and plan as descriptor entries.
 
     Attributes:
-        outcome_counts: Answers by "ok", "over", and "failed" with their gRPC status.
-        error_details: The details of those that failed.
-        latencies_s: Seconds of each that was answered.
+        outcome_counts: The number of checks by outcome: "ok", "over", or "failed" with the gRPC status.
+        error_details: The error details of each failed check.
+        latencies_s: The latency of each answered check.
     """
 
     def __init__(
@@ -58,20 +58,20 @@
     async def check(
         self, gateway: str, customer: str, plan: str, hits: int = 1, timeout_s: float = 1.0
     ) -> pb.RateLimitResponse | None:
-        """Check so many hits of a customer; return None if nobody could say."""
+        """Check `hits` of a customer and return the response, or None if the call failed."""
         loop = asyncio.get_running_loop()
         request = pb.RateLimitRequest(domain=self.domain, hits_addend=hits)
         descriptor = request.descriptors.add()
         descriptor.entries.add(key="customer", value=customer)
         descriptor.entries.add(key="plan", value=plan)
-        began = loop.time()
+        started_at = loop.time()
         try:
             response: pb.RateLimitResponse = await self.stubs[gateway](request, timeout=timeout_s)
         except grpc.aio.AioRpcError as error:
             self.outcome_counts[f"failed {error.code().name}"] += 1
             self.error_details.append(error.details() or "")
             return None
-        self.latencies_s.append(loop.time() - began)
+        self.latencies_s.append(loop.time() - started_at)
         if response.overall_code == OK:
             self.ledger.record_grant(customer, plan, float(hits))
             self.outcome_counts["ok"] += 1
@@ -80,7 +80,7 @@
         return response
 
     async def run(self, customers: Sequence[Customer], seconds: float, seed: int = 1) -> None:
-        """Send checks by a schedule of their own (Poisson), each to a gateway of its customer."""
+        """Send checks on a Poisson schedule, independent of the answers, to gateways of their customers."""
         loop = asyncio.get_running_loop()
         rng = random.Random(seed)
         gateways = list(self.stubs)
@@ -90,10 +90,10 @@
             for at in arrival_times(rng, customer.rate, seconds)
         )
         tasks: set[asyncio.Task[object]] = set()
-        began = loop.time()
-        for due in schedule:
-            await asyncio.sleep(max(0.0, began + due.at - loop.time()))
-            customer = customers[due.customer]
+        started_at = loop.time()
+        for scheduled in schedule:
+            await asyncio.sleep(max(0.0, started_at + scheduled.at - loop.time()))
+            customer = customers[scheduled.customer]
             gateway = gateways[
                 (customer.first_gateway + rng.randrange(customer.gateway_count)) % len(gateways)
             ]
@@ -110,7 +110,7 @@
 
 
 def arrival_times(rng: random.Random, rate: float, seconds: float) -> list[float]:
-    """Draw the times of a Poisson process of so many a second."""
+    """Draw the event times of a Poisson process with `rate` events a second."""
     times: list[float] = []
     at = rng.expovariate(rate) if rate > 0 else seconds
     while at < seconds:
--- a/apigateway/emulators/client_messages.py
+++ b/apigateway/emulators/client_messages.py
@@ -1,4 +1,4 @@
-"""What clients send to gateways and what comes back."""
+"""The requests that clients send to gateways, and their results."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from apigateway.emulators.resp import bulk
 
-REJECTION = "BUSY"  # the first word of an error that rejects a request; the second is a wait in ms
+REJECTION = "BUSY"  # first word of the error for a rejected request; the second is a wait in ms
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """One request.
+    """One request of a client.
 
     Attributes:
-        customer: 16 hex digits.
+        customer: The customer's id, 16 hex digits.
         effect: "safe", "keyed" or "unsafe".
-        timeout_s: Seconds that its client waits.
-        gateway_count: So many gateways in a row from `first_gateway` on may get it.
+        timeout_s: How long the client waits for the answer.
+        gateway_count: How many consecutive gateways, from `first_gateway` on, may receive it.
         is_retry: Whether it is a retry.
     """
 
@@ -37,7 +37,7 @@
     is_retry: bool = False
 
     def encode(self) -> bytes:
-        """Return the command."""
+        """Return the request as a RESP command."""
         is_write = self.effect != "safe"
         parts = [
             b"API.WRITE" if is_write else b"API.READ",
@@ -62,26 +62,26 @@
 
 
 class ResultKind(StrEnum):
-    """How a request ended for its client."""
+    """The result of a request for its client."""
 
     SERVED = "served"
-    REFUSED = "refused"  # it was not executed; trying again is harmless
+    REFUSED = "refused"  # not executed, so a retry is safe
     FAILED = "failed"
-    LOST = "lost"  # the connection ended or nothing came
-    UNREACHABLE = "unreachable"  # it was never sent
+    LOST = "lost"  # the connection ended, or no answer came in time
+    UNREACHABLE = "unreachable"  # never sent
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """How a request ended for its client, a `ResultKind`, and what came back."""
+    """The result of a request for its client: a `ResultKind`, and the value if it was served."""
 
     kind: str
     value: bytes = b""
-    retry_after_s: float = 0.0  # s, with a refusal
+    retry_after_s: float = 0.0  # only set for refused requests
 
 
 def parse_answer(reply: Any) -> Answer:
-    """Return what a reply, as hiredis gives it, says."""
+    """Return the answer that a reply parsed by hiredis represents."""
     if isinstance(reply, bytes):
         return Answer(ResultKind.SERVED, reply)
     words = str(reply).split()
--- a/apigateway/emulators/clients.py
+++ b/apigateway/emulators/clients.py
@@ -1,6 +1,6 @@
-"""Clients that speak RESP2 to gateways, and customers whose traffic they carry.
+"""Clients that send customers' requests to gateways over RESP2.
 
-The ledger is told of each request and of what comes back.
+They record each request and its answer in the ledger.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 ]
 
 Address = tuple[str, int]
-TIMEOUT_MARGIN_S = 1.0  # past its own time, after which a client takes a request for lost
+TIMEOUT_MARGIN_S = 1.0  # after its timeout, a client counts a request as lost
 CONNECT_TIMEOUT_S = 1.0
 MIN_RETRY_WAIT_S = 0.1
-ID_PREFIX_BITS = 32  # of the ids of one traffic
+ID_PREFIX_BITS = 32  # shared by all request ids of one `Traffic`
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection that is kept, with one request on it at a time.
+    """A persistent connection with at most one open request.
 
     Attributes:
-        answer_count: Requests that were answered on it.
-        is_open: Whether the gateway has not ended it.
+        answer_count: The number of requests answered on it.
+        is_open: Whether it has not been closed.
     """
 
     def __init__(self, client: Client, gateway: str) -> None:
@@ -53,11 +53,11 @@
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = transport  # type: ignore[assignment]
 
     def data_received(self, data: bytes) -> None:
-        """Hand the replies over; one that nobody waits for goes to the ledger."""
+        """Complete the open request with its reply; record a reply without a request in the ledger."""
         self._parser.feed(data)
         while (reply := self._parser.gets()) is not ...:
             if self._pending is None or self._pending.done():
@@ -67,14 +67,14 @@
                 self._pending.set_result(parse_answer(reply))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take the request that waits for lost."""
+        """Complete the open request as lost."""
         self.is_open = False
         self._client.remove_idle(self)
         if self._pending is not None and not self._pending.done():
             self._pending.set_result(Answer(ResultKind.LOST))
 
     async def send(self, message: bytes, seconds: float) -> Answer:
-        """Send a request and wait for its answer; after so many seconds it is lost."""
+        """Send a request and return its answer; after `seconds` without one it counts as lost."""
         self._pending = asyncio.get_running_loop().create_future()
         self.transport.write(message)
         try:
@@ -91,7 +91,7 @@
     """Sends requests to gateways by name.
 
     Attributes:
-        connect_failures: Connections that were refused.
+        connect_failures: The number of connections that could not be opened.
     """
 
     def __init__(self, ledger: Ledger, gateways: Mapping[str, Address]) -> None:
@@ -100,26 +100,26 @@
         self._idle: dict[str, list[ClientConnection]] = {name: [] for name in gateways}
         self.connect_failures = 0
 
-    async def send(self, gateway: str, order: ClientRequest) -> Answer:
-        """Send a request and return its answer, which the ledger is told.
+    async def send(self, gateway: str, request: ClientRequest) -> Answer:
+        """Send a request, record it in the ledger and return its answer.
 
-        The gateway may close a connection between requests; a request that crosses that is sent once more, on
-        a new connection.
+        The gateway may close an idle connection just as a request is sent on it. Such a request is sent once
+        more, on a new connection.
         """
         connection = await self._connection(gateway)
         if connection is None:
             return Answer(ResultKind.UNREACHABLE)
         was_used = connection.answer_count > 0
-        answer = await self._ask_on(connection, order)
+        answer = await self._send_on(connection, request)
         if answer.kind == ResultKind.LOST and was_used:
             new_connection = await self._connection(gateway, is_new=True)
             if new_connection is not None:
                 connection = new_connection
-                answer = await self._ask_on(connection, order)
+                answer = await self._send_on(connection, request)
         if answer.kind == ResultKind.LOST:
-            self.ledger.record_disconnect(order.id)
+            self.ledger.record_disconnect(request.id)
         else:
-            self.ledger.record_answer(order.id, answer.kind, answer.value)
+            self.ledger.record_answer(request.id, answer.kind, answer.value)
             if connection.is_open:
                 self._idle[gateway].append(connection)
         return answer
@@ -139,20 +139,20 @@
             return None
         return connection
 
-    async def _ask_on(self, connection: ClientConnection, order: ClientRequest) -> Answer:
+    async def _send_on(self, connection: ClientConnection, request: ClientRequest) -> Answer:
         self.ledger.record_request(
-            order.id,
+            request.id,
             connection.gateway,
-            order.timeout_s,
-            order.customer,
-            order.plan,
-            order.service_class,
-            order.units,
+            request.timeout_s,
+            request.customer,
+            request.plan,
+            request.service_class,
+            request.units,
         )
-        return await connection.send(order.encode(), order.timeout_s + TIMEOUT_MARGIN_S)
+        return await connection.send(request.encode(), request.timeout_s + TIMEOUT_MARGIN_S)
 
     def remove_idle(self, connection: ClientConnection) -> None:
-        """Keep a connection no longer: it has ended."""
+        """Remove a closed connection from the idle ones."""
         idle = self._idle[connection.gateway]
         if connection in idle:
             idle.remove(connection)
@@ -165,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """A class as customers use it: its share of requests and how many seconds they wait."""
+    """A class in the traffic: its share of the requests, and their timeout."""
 
     name: str
     effect: str
@@ -175,31 +175,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer: it comes through `gateway_count` gateways in a row from `first_gateway` on."""
+    """A customer that uses `gateway_count` consecutive gateways from `first_gateway` on."""
 
     id: str
     plan: str
-    rate: float  # requests a second that it asks for
+    rate: float  # requests a second
     first_gateway: int
     gateway_count: int
 
 
 class ScheduledRequest(NamedTuple):
-    """When a customer asks next, by its number."""
+    """The time of a customer's next request, with the customer's index."""
 
-    at: float  # s from the start of the traffic
+    at: float  # seconds from the start of the traffic
     customer: int
 
 
 class Traffic:
-    """Customers' requests by a schedule of their own (Poisson), whatever the gateways do.
+    """Customers' requests on a Poisson schedule that does not depend on the gateways' answers (open loop).
 
-    Whom a gateway refuses comes once more, after the time that it was told; whom it does not reach tries
-    another gateway of its set.
+    A refused request is retried once, after the wait that the refusal names. If a gateway cannot be reached,
+    the request goes to another gateway of its customer.
 
     Attributes:
-        tasks: The requests that are under way.
-        latencies_s: Seconds of each request that was served.
+        tasks: The tasks of the open requests.
+        latencies_s: The latency of each served request.
     """
 
     def __init__(
@@ -214,10 +214,10 @@
 
         Args:
             client: Sends the requests.
-            customers: Who asks.
-            classes: What they ask for.
-            seed: Of the schedule.
-            retry_share: Part of those refused that come again.
+            customers: The customers that send requests.
+            classes: The classes of the requests.
+            seed: The seed of the schedule.
+            retry_share: The share of refused requests that are retried.
         """
         self.client = client
         self.customers = customers
@@ -227,16 +227,16 @@
         self.latencies_s: list[float] = []
         self._rng = random.Random(seed)
         self._gateways = list(client.gateways)
-        self._orders = 0
+        self._request_count = 0
         self._id_prefix = f"{self._rng.getrandbits(ID_PREFIX_BITS):08x}"
 
     async def run(self, seconds: float) -> None:
-        """Send requests for so long, and wait until each has come to its end."""
+        """Send requests for `seconds`, and wait until all have ended."""
         loop = asyncio.get_running_loop()
         schedule = self._draw_schedule(seconds)
-        began = loop.time()
+        started_at = loop.time()
         for due in schedule:
-            await asyncio.sleep(max(0.0, began + due.at - loop.time()))
+            await asyncio.sleep(max(0.0, started_at + due.at - loop.time()))
             self.start_request(self.customers[due.customer])
         while self.tasks:
             await asyncio.wait(list(self.tasks))
@@ -257,48 +257,50 @@
         return sorted(schedule)
 
     def start_request(self, customer: Customer) -> None:
-        """Begin a request of a customer."""
-        kind = self._rng.choices(self.classes, [kind.share for kind in self.classes])[0]
-        task = asyncio.get_running_loop().create_task(self._request(customer, kind))
+        """Start a request of a customer."""
+        traffic_class = self._rng.choices(
+            self.classes, [traffic_class.share for traffic_class in self.classes]
+        )[0]
+        task = asyncio.get_running_loop().create_task(self._request(customer, traffic_class))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _request(self, customer: Customer, kind: TrafficClass) -> None:
-        """Send a request, and once more if it is refused."""
+    async def _request(self, customer: Customer, traffic_class: TrafficClass) -> None:
+        """Send a request, and retry it once if it is refused."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         is_retry = False
         while True:
-            answer = await self._try_gateways(customer, kind, is_retry)
+            answer = await self._try_gateways(customer, traffic_class, is_retry)
             if answer.kind == ResultKind.SERVED:
-                self.latencies_s.append(loop.time() - began)
+                self.latencies_s.append(loop.time() - started_at)
             if is_retry or answer.kind != ResultKind.REFUSED or self._rng.random() >= self.retry_share:
                 return
             is_retry = True
             await asyncio.sleep(max(MIN_RETRY_WAIT_S, answer.retry_after_s))
 
-    async def _try_gateways(self, customer: Customer, kind: TrafficClass, is_retry: bool) -> Answer:
-        """Send a request to the customer's gateways in a random order, until one is reached."""
+    async def _try_gateways(self, customer: Customer, traffic_class: TrafficClass, is_retry: bool) -> Answer:
+        """Send a request to the customer's gateways in a random order until one can be reached."""
         count = len(self._gateways)
         gateways = [
             self._gateways[(customer.first_gateway + n) % count] for n in range(customer.gateway_count)
         ]
         self._rng.shuffle(gateways)
         for gateway in gateways:
-            answer = await self.client.send(gateway, self._new_order(customer, kind, is_retry))
+            answer = await self.client.send(gateway, self._new_request(customer, traffic_class, is_retry))
             if answer.kind != ResultKind.UNREACHABLE:
                 return answer
         return Answer(ResultKind.UNREACHABLE)
 
-    def _new_order(self, customer: Customer, kind: TrafficClass, is_retry: bool) -> ClientRequest:
-        self._orders += 1
+    def _new_request(self, customer: Customer, traffic_class: TrafficClass, is_retry: bool) -> ClientRequest:
+        self._request_count += 1
         return ClientRequest(
-            id=f"{self._id_prefix}{self._orders:08x}",
+            id=f"{self._id_prefix}{self._request_count:08x}",
             customer=customer.id,
             plan=customer.plan,
-            service_class=kind.name,
-            effect=kind.effect,
-            timeout_s=kind.timeout_s,
+            service_class=traffic_class.name,
+            effect=traffic_class.effect,
+            timeout_s=traffic_class.timeout_s,
             gateway_count=customer.gateway_count,
             first_gateway=customer.first_gateway,
             is_retry=is_retry,
--- a/apigateway/emulators/counter.py
+++ b/apigateway/emulators/counter.py
@@ -1,4 +1,4 @@
-"""An emulated quota counter: totals by name, each with a lifetime, by the platform's protocol of lines."""
+"""An emulated quota counter: totals by name, each with a lifetime, over the platform's line protocol."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 MAX_LIFETIME_S = 60.0
 ADD_VERB = b"incr"
-ADD_WORDS = 4  # of the command: verb, name, amount, lifetime in ms
-TRUNCATED_BYTES = 2  # of half an answer
+ADD_WORDS = 4  # verb, name, amount, lifetime in ms
+TRUNCATED_BYTES = 2  # sent of a truncated answer
 
 
 class HeldAnswer(NamedTuple):
-    """An answer that is not sent yet."""
+    """An answer that has not been sent yet."""
 
     writer: asyncio.StreamWriter
     answer: bytes
 
 
 class EmulatedCounter(Listener):
-    """Adds and tells the total.
+    """Adds amounts and answers with the total.
 
-    By its script, silent and stall are added and answered never or late; busy and error add nothing; reset
-    ends the connection after adding; spoilt is added and answered with what is no total; half ends within the
-    answer.
+    The script's steps act as follows. SILENT and STALL add, and answer never or late. BUSY and ERROR add
+    nothing. RESET adds and resets the connection. MALFORMED adds and answers with something that is no total.
+    TRUNCATED adds and closes the connection within the answer.
 
     Attributes:
         calls: The words of all calls.
         expires_at: When each name is forgotten.
-        silent: While set, calls are added and not answered until `send_held_answers`.
-        held_answers: The answers that wait for that.
-        arrivals: Each call as it comes.
+        silent: While set, calls are added but not answered until `send_held_answers`.
+        held_answers: The answers that are held back.
+        arrivals: Each call as it arrives.
     """
 
     def __init__(self, address: str = "127.0.0.1", script: Script | None = None) -> None:
@@ -48,7 +48,7 @@
         self.arrivals: asyncio.Queue[list[bytes]] = asyncio.Queue()
 
     async def restart(self, down_s: float = 0.0) -> None:
-        """Die, and come back empty at the same address after `down_s` seconds."""
+        """Stop as if killed, and start empty at the same address after `down_s`."""
         await self.kill()
         self.totals = {}
         self.expires_at = {}
@@ -57,7 +57,7 @@
         await self.open()
 
     def add(self, name: bytes, amount: float, lifetime_s: float) -> float:
-        """Add to a name, which is forgotten `lifetime_s` seconds after it was new, and return its total."""
+        """Add to a name and return its total; the name is forgotten `lifetime_s` after its first use."""
         now = time.monotonic()
         if self.expires_at.get(name, now) < now:
             del self.totals[name]
@@ -67,18 +67,18 @@
         return self.totals[name]
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Take the calls of one connection until it ends."""
+        """Handle the calls of one connection until it ends."""
         while line := await reader.readline():
             words = line.split()
             if words == [b"ping"]:
                 writer.write(b"pong\r\n")
             elif len(words) != ADD_WORDS or words[0] != ADD_VERB:
                 writer.write(b"error\r\n")
-            elif not self._take(words, writer):
+            elif not self._handle_call(words, writer):
                 return
 
-    def _take(self, words: list[bytes], writer: asyncio.StreamWriter) -> bool:
-        """Take a call; return False if the connection is to end."""
+    def _handle_call(self, words: list[bytes], writer: asyncio.StreamWriter) -> bool:
+        """Handle a call; return False if the connection must be closed."""
         self.calls.append(words)
         self.arrivals.put_nowait(words)
         step = self.script.next(time.monotonic())
--- a/apigateway/emulators/discovery.py
+++ b/apigateway/emulators/discovery.py
@@ -1,4 +1,4 @@
-"""An emulated discovery of the platform: one list, told to each gateway by an agent of its own."""
+"""An emulated discovery service of the platform: one list, which each gateway reads from its own agent."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 @dataclass(slots=True)
 class CallCapacity:
-    """What a service that many gateways poll can do: calls wait in turn, up to a limit.
+    """The capacity of a service that many gateways poll: calls are queued in order, up to a longest wait.
 
-    One that would wait for longer is rejected, which is work as well. The work of a call is spent also if
-    nobody waits for its answer any more.
+    A call that would wait longer is rejected, which costs work as well. The work of a call is spent even if
+    its caller no longer waits for the answer.
     """
 
-    call_work_s: float  # of work for each call
-    rejection_work_s: float  # of work for a call that is rejected
-    max_wait_s: float  # until its answer, past which a call is rejected
+    call_work_s: float  # work for one call
+    rejection_work_s: float  # work for one rejected call
+    max_wait_s: float  # a call that would wait longer is rejected
     busy_until: float = 0.0
 
     def admit(self, now: float) -> float | None:
@@ -39,20 +39,20 @@
 
 
 class EmulatedDiscovery:
-    """Answers with the whole list, or with what has changed since a version, once something has.
+    """Answers with the complete list, or with the changes since a version once there are any.
 
     Attributes:
-        servers: The list.
-        silent: While set, what is asked is never answered, not even later.
-        change_delay_s: Seconds until a change is told.
-        raw_answer: Answered once in place of the next answer.
-        capacity: Of a service that is polled; None: not limited.
-        rejected: Calls that it had no capacity for.
-        full_list_gate: Complete lists are written once it is set, as they were when they were asked for.
+        servers: The current list.
+        silent: While set, new calls are never answered.
+        change_delay_s: How long a change is held back from open watches.
+        raw_answer: The text of the next answer, sent once in place of the right one.
+        capacity: The capacity of a polled service; None means unlimited.
+        rejected: The number of calls rejected for lack of capacity.
+        full_list_gate: If not None, complete lists are sent only once it is set, as they were at the call.
         calls: The query of each call.
-        changes: What changed with each version.
-        changed: Set at the next change; then replaced.
-        silenced_count: Times that all open watches fell silent.
+        changes: The changed entries of each version.
+        changed: Set at the next change, and then replaced.
+        silenced_count: How often `silence_watches` was called.
     """
 
     def __init__(self, gateway: str = "", ledger: Ledger | None = None) -> None:
@@ -73,9 +73,9 @@
         self.port = 0
 
     def apply_changes(self, entries: list[Entry]) -> None:
-        """Set entries as they are from now on; without any the watches end with no news.
+        """Apply changed entries to the list and answer the open watches; without entries, with no change.
 
-        They may be malformed on purpose.
+        Entries may be malformed on purpose.
         """
         if entries:
             self.version += 1
@@ -88,12 +88,12 @@
         woken.set()
 
     def silence_watches(self) -> None:
-        """Never answer the watches that are open now, as on connections that a peer has lost."""
+        """Leave the open watches without an answer for good, as on connections whose peer is gone."""
         self.silenced_count += 1
         self.changed = asyncio.Event()
 
     async def answer(self, request: web.Request) -> web.Response:
-        """Answer a call: the whole list, or a watch from an index on."""
+        """Answer a call for the complete list, or a watch from an index on."""
         self.calls.put_nowait(dict(request.query))
         if self.silent:
             await asyncio.Event().wait()
@@ -116,7 +116,7 @@
         return self.respond(complete)
 
     async def _answer_watch(self, query: Mapping[str, str]) -> web.Response:
-        """Answer with what has changed since the version `index`, once something has or its wait ends."""
+        """Answer with the changes since version `index`, once there are any or the watch's wait ends."""
         index = int(query["index"])
         if index >= self.version:
             silenced = self.silenced_count
@@ -130,7 +130,7 @@
         return self.respond({"version": self.version, "full": False, "servers": changed})
 
     def respond(self, answer: dict[str, Any]) -> web.Response:
-        """Write an answer, and tell the ledger of it."""
+        """Return the response with an answer, and record its host states in the ledger."""
         if self.ledger is not None:
             for entry in answer["servers"]:
                 self.ledger.record_host_state(self.gateway, entry["id"], entry["state"])
--- a/apigateway/emulators/eureka.py
+++ b/apigateway/emulators/eureka.py
@@ -1,7 +1,7 @@
-"""An emulated Eureka registry after Netflix's REST operations.
+"""An emulated Eureka registry with Netflix's REST operations.
 
-It has registrations, leases, overrides, deltas, two replicas with lag, JSON and XML. By script it is silent,
-fails, lies, cuts its answers and comes back empty.
+It has registrations, leases, overrides, deltas, two replicas with a replication lag, JSON and XML. A test can
+make it silent, failing, wrong, truncating its answers, or empty after a restart.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 __all__ = ["Lease", "EmulatedEureka", "JsonObject", "instance"]
 
 DEFAULT_LEASE_S = 90
-CHUNK_BYTES = 65536  # of an answer without end
+CHUNK_BYTES = 65536  # written at a time of an endless answer
 
 
 class Lease:
-    """One instance and when it is to be renewed."""
+    """A registered instance and its lease."""
 
     def __init__(self, instance: JsonObject, now: float) -> None:
         lease = instance.get("leaseInfo") or {}
@@ -41,29 +41,30 @@
 
     @property
     def status(self) -> str:
-        """The status that callers are told."""
+        """The status that callers see."""
         return self.override or str(self.instance.get("status", "UNKNOWN"))
 
 
 class EmulatedEureka:
-    """A registry; leases that are not renewed in time are dropped at each request.
+    """A registry that drops expired leases at each request.
 
-    Script, for each read: silent; error (500); half (a cut answer); spoilt (no JSON); stall; slow is stall.
+    The script's steps act on reads: SILENT, ERROR (status 500), TRUNCATED, MALFORMED (invalid JSON), STALL,
+    and SLOW, which acts as STALL.
 
     Attributes:
-        base_path: Its path.
-        delta_retention_s: Seconds that deltas go back.
-        self_preservation: Whether leases are kept that are not renewed (self-preservation).
-        replication_lag_s: Seconds until `peer`, if there is one, hears of changes here.
-        changes: What changed when, for deltas.
-        hashcode: JsonObject in place of the right one.
-        empty_deltas: Deltas that are told empty, in place of what they hold.
-        endless_bytes: Bytes of an answer that does not end as it should.
-        clock_offset_s: Seconds that its clock is ahead.
-        raw_body: JsonObject in place of any read.
-        expected_authorization: The value of Authorization that is wanted.
-        call_counts: By method and kind of path.
-        reads: The kind of path of each read, as it comes.
+        base_path: The path of the REST API.
+        delta_retention_s: How far back deltas go.
+        self_preservation: Whether expired leases are kept (Eureka's self-preservation mode).
+        replication_lag_s: The time until changes reach `peer`, if there is one.
+        changes: The time, action and instance of each change, for deltas.
+        hashcode: If not None, sent in place of the right hash code.
+        empty_deltas: The number of deltas still to be sent empty.
+        endless_bytes: If positive, reads get an answer of this size that is never complete.
+        clock_offset_s: How far its clock is ahead.
+        raw_body: If not None, the body of every answer to a read.
+        expected_authorization: The required value of the Authorization header; None means no check.
+        call_counts: The number of calls by method and kind of path.
+        reads: The kind of path of each read, as it arrives.
     """
 
     def __init__(
@@ -102,21 +103,21 @@
         self.port = 0
 
     def now(self) -> float:
-        """Return the time by its own clock."""
+        """Return the time of its own clock."""
         return self._clock() + self.clock_offset_s
 
     @property
     def url(self) -> str:
-        """The address that clients are given."""
+        """The service URL for clients."""
         return f"http://127.0.0.1:{self.port}{self.base_path}"
 
-    # What it holds
+    # Registrations
 
-    def register(self, told: JsonObject, replicated: bool = False) -> None:
-        """Register an instance, for the first time or again."""
-        key = (str(told["app"]).upper(), instance_id(told))
+    def register(self, instance_data: JsonObject, replicated: bool = False) -> None:
+        """Register an instance, or replace its registration."""
+        key = (str(instance_data["app"]).upper(), instance_id(instance_data))
         old = self.leases.get(key)
-        lease = Lease(told, self.now())
+        lease = Lease(instance_data, self.now())
         if old is not None:
             lease.override = old.override
             lease.up_at = old.up_at
@@ -124,10 +125,10 @@
             lease.up_at = self.now()
         self.leases[key] = lease
         self.record_change("ADDED" if old is None else "MODIFIED", key)
-        self.replicate(replicated, "register", told)
+        self.replicate(replicated, "register", instance_data)
 
     def mark_warm(self, app: str, id: str) -> None:
-        """Let an instance have been there for long: it is not cold."""
+        """Move an instance's registration far into the past, so that gateways do not treat it as cold."""
         lease = self.leases[app.upper(), id]
         lease.registered_at = 0.0
         lease.up_at = 0.0
@@ -152,7 +153,7 @@
         return True
 
     def override(self, app: str, id: str, status: str, replicated: bool = False) -> bool:
-        """Override a status, or take the override off by an empty one; return False if there is no lease."""
+        """Set the override of a status, or remove it if empty; return False if there is no lease."""
         lease = self.leases.get((app.upper(), id))
         if lease is None:
             return False
@@ -178,22 +179,22 @@
                 del self.leases[key]
 
     def record_change(self, action: str, key: tuple[str, str]) -> None:
-        """Log a change, for deltas."""
+        """Record a change, for deltas."""
         self.changes.append((self.now(), action, self.render_instance(key, action)))
 
-    def replicate(self, replicated: bool, what: str, *told: Any) -> None:
-        """Let the peer do as was done here, after the lag, unless it was done by replication."""
+    def replicate(self, replicated: bool, operation: str, *arguments: Any) -> None:
+        """Repeat an operation at the peer after the lag, unless it was itself a replication."""
         if self.peer is not None and not replicated:
             asyncio.get_running_loop().call_later(
-                self.replication_lag_s, lambda: getattr(self.peer, what)(*told, replicated=True)
+                self.replication_lag_s, lambda: getattr(self.peer, operation)(*arguments, replicated=True)
             )
 
-    # As it is written
+    # Representations
 
     def render_instance(self, key: tuple[str, str], action: str = "") -> JsonObject:
-        """Return an instance as callers are told of it."""
+        """Return an instance as callers see it."""
         lease = self.leases[key]
-        told = {
+        instance_data = {
             **lease.instance,
             "app": key[0],
             "status": lease.status,
@@ -207,52 +208,54 @@
                 "serviceUpTimestamp": int(lease.up_at * 1000),
             },
         }
-        return {**told, "actionType": action} if action else told
+        return {**instance_data, "actionType": action} if action else instance_data
 
     def status_hash(self) -> str:
-        """Return the hash of all statuses, by which clients check their deltas."""
+        """Return the hash code of all statuses, with which clients check their deltas."""
         if self.hashcode is not None:
             return self.hashcode
         counts = Counter(lease.status for lease in self.leases.values())
         return "".join(f"{status}_{count}_" for status, count in sorted(counts.items()))
 
     def applications(self, instances: list[JsonObject]) -> JsonObject:
-        """Return instances by application; a single one is an object, several are a list (an oddity)."""
+        """Return instances by application. As in Eureka, a single one is an object and several are a list."""
         apps: dict[str, list[JsonObject]] = {}
-        for told in instances:
-            apps.setdefault(str(told["app"]), []).append(told)
+        for instance_data in instances:
+            apps.setdefault(str(instance_data["app"]), []).append(instance_data)
         return {
             "applications": {
                 "versions__delta": "1",
                 "apps__hashcode": self.status_hash(),
                 "application": [
-                    {"name": name, "instance": told[0] if len(told) == 1 else told}
-                    for name, told in apps.items()
+                    {"name": name, "instance": members[0] if len(members) == 1 else members}
+                    for name, members in apps.items()
                 ],
             }
         }
 
     def select_instances(self, wanted: Callable[[JsonObject], bool] = lambda _: True) -> list[JsonObject]:
-        """Return all instances that are wanted."""
-        return [told for key in self.leases if wanted(told := self.render_instance(key))]
+        """Return all instances for which `wanted` is true."""
+        return [instance_data for key in self.leases if wanted(instance_data := self.render_instance(key))]
 
     def delta(self) -> list[JsonObject]:
-        """Return what has changed within the retention, each instance once."""
+        """Return the instances that changed within the retention time, each once."""
         since = self.now() - self.delta_retention_s
         latest: dict[tuple[str, str], JsonObject] = {}
-        for at, action, told in self.changes:
+        for at, action, instance_data in self.changes:
             if at >= since:
-                key = (str(told["app"]), instance_id(told))
-                now = (
-                    self.render_instance(key, action) if key in self.leases and action != "DELETED" else told
+                key = (str(instance_data["app"]), instance_id(instance_data))
+                latest_data = (
+                    self.render_instance(key, action)
+                    if key in self.leases and action != "DELETED"
+                    else instance_data
                 )
-                latest[key] = {**now, "actionType": action}
+                latest[key] = {**latest_data, "actionType": action}
         return list(latest.values())
 
     # Reads
 
     async def handle_read(self, request: web.Request) -> web.StreamResponse:
-        """Answer a read as the script says."""
+        """Answer a read as the script's step says."""
         path = request.match_info["path"].strip("/")
         kind = "delta" if path == "apps/delta" else path.split("/")[0]
         self.call_counts[f"GET {kind}"] += 1
@@ -269,7 +272,7 @@
         instances = self._select(kind, path)
         if instances is None:
             return web.Response(status=404)
-        xml = "json" not in request.headers.get("Accept", "")  # XML is a registry's own choice
+        xml = "json" not in request.headers.get("Accept", "")  # a registry sends XML by default
         body = self._body(instances, xml, step)
         is_complete = step.kind not in (StepKind.TRUNCATED, StepKind.MALFORMED) and self.raw_body is None
         if is_complete:
@@ -283,7 +286,7 @@
         )
 
     async def _fail_or_wait(self, step: Step) -> web.Response | None:
-        """Return the answer of a read that fails; else wait as the script says, and return None."""
+        """Return the response of a read that fails; otherwise wait as the step says, and return None."""
         match step.kind:
             case StepKind.SILENT:
                 await self.closing.wait()
@@ -295,7 +298,7 @@
         return None
 
     def _select(self, kind: str, path: str) -> list[JsonObject] | None:
-        """Return the instances that a read is told; None: it is not found."""
+        """Return the instances for a read, or None if the path is not found."""
         if kind != "delta":
             return self.instances(path)
         if not self.serves_deltas:
@@ -320,7 +323,7 @@
     async def send(
         self, request: web.Request, body: bytes, xml: bool, kind: str, half: bool
     ) -> web.StreamResponse:
-        """Send an answer, or `half` of it."""
+        """Send an answer, or only `half` of it."""
         headers = {"Content-Type": "application/xml" if xml else "application/json"}
         if self.sends_etags and kind != "delta":
             headers["ETag"] = f'"{hash(body) & 0xFFFFFFFF:x}"'
@@ -349,30 +352,36 @@
         return answer
 
     def instances(self, path: str) -> list[JsonObject] | None:
-        """Return what a path names; None: nothing is known by it."""
+        """Return the instances that a path names, or None if there are none."""
         if path == "apps":
             return self.select_instances()
         if path == "apps/delta":
             return self.delta()
         kind, _, name = path.partition("/")
         if kind == "apps":
-            found = self.select_instances(lambda told: str(told["app"]) == name.upper())
+            found = self.select_instances(lambda instance_data: str(instance_data["app"]) == name.upper())
         else:
             key = {"vips": "vipAddress", "svips": "secureVipAddress"}[kind]
-            found = self.select_instances(lambda told: name in str(told.get(key, "")).split(","))
+            found = self.select_instances(
+                lambda instance_data: name in str(instance_data.get(key, "")).split(",")
+            )
         return found or None
 
     def record_in_ledger(self, instances: list[JsonObject], gateway: str) -> None:
-        """Tell the ledger what a gateway was told, for the drain rule."""
+        """Record the states sent to a gateway in the ledger, for the drain rule."""
         if self.ledger is not None:
-            for told in instances:
-                state = "up" if told["status"] == "UP" and told.get("actionType") != "DELETED" else "draining"
-                self.ledger.record_host_state(gateway, instance_id(told), state)
+            for instance_data in instances:
+                state = (
+                    "up"
+                    if instance_data["status"] == "UP" and instance_data.get("actionType") != "DELETED"
+                    else "draining"
+                )
+                self.ledger.record_host_state(gateway, instance_id(instance_data), state)
 
     # Writes
 
     async def handle_write(self, request: web.Request) -> web.Response:
-        """Carry out POST apps/APP; PUT, DELETE apps/APP/ID; PUT, DELETE apps/APP/ID/status."""
+        """Handle POST apps/APP; PUT and DELETE apps/APP/ID; PUT and DELETE apps/APP/ID/status."""
         parts = request.match_info["path"].strip("/").split("/")
         self.call_counts[f"{request.method} {parts[0]}{' status' if parts[-1] == 'status' else ''}"] += 1
         if not self._is_authorized(request):
@@ -381,8 +390,8 @@
             return web.Response(status=500)
         self.expire()
         if request.method == "POST" and len(parts) == 2:
-            told = json.loads(await request.read())["instance"]
-            self.register({**told, "app": parts[1]})
+            instance_data = json.loads(await request.read())["instance"]
+            self.register({**instance_data, "app": parts[1]})
             return web.Response(status=204)
         if len(parts) < 3:
             return web.Response(status=400)
@@ -410,9 +419,9 @@
 
 
 def basic_auth_user(request: web.Request) -> str:
-    """Return the user of basic credentials, by which one registry tells several gateways apart."""
+    """Return the user of the basic credentials, by which a registry distinguishes its gateways."""
     try:
-        told = request.headers["Authorization"].removeprefix("Basic ")
-        return base64.b64decode(told).decode().split(":")[0]
+        encoded = request.headers["Authorization"].removeprefix("Basic ")
+        return base64.b64decode(encoded).decode().split(":")[0]
     except (KeyError, ValueError):
         return ""
--- a/apigateway/emulators/eureka_format.py
+++ b/apigateway/emulators/eureka_format.py
@@ -1,4 +1,4 @@
-"""Eureka's forms of an instance: as a client registers it, and as XML, with the oddities of both."""
+"""Eureka's representations of an instance: as a client registers it, and as XML, with the quirks of both."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 from xml.sax.saxutils import escape
 
-JsonObject = dict[str, Any]  # an instance or a tree of applications, as JSON has it
+JsonObject = dict[str, Any]  # an instance or a tree of applications, as in JSON
 PORT_KEYS = ("port", "securePort")
 
 
@@ -20,7 +20,7 @@
     ip: str = "127.0.0.1",
     **metadata: str,
 ) -> JsonObject:
-    """Return an instance as a client would register it, oddities included."""
+    """Return an instance as a client would register it, with the quirks of its JSON form."""
     stamp = str(int(time.time() * 1000))
     return {
         "instanceId": id,
@@ -47,7 +47,7 @@
 
 
 def instance_id(told: JsonObject) -> str:
-    """Return an instance's id; an instance without one goes by its host's name."""
+    """Return an instance's id, or its host name if it has no id."""
     return str(told.get("instanceId") or told.get("hostName"))
 
 
--- a/apigateway/emulators/fleet.py
+++ b/apigateway/emulators/fleet.py
@@ -1,6 +1,6 @@
-"""A whole installation on loopback: emulated hosts, counter and discovery, and real gateways.
+"""A complete installation on loopback: emulated hosts, counter, discovery and registry, and real gateways.
 
-Each gateway is a process of its own with a settings file as an operator would write it.
+Each gateway is a separate process with a settings file as an operator would write it.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 
 __all__ = ["ClassSettings", "Fleet", "Gateway", "PlanSettings", "FleetSettings"]
 
-DEFAULT_WORK_S = 0.05  # of a request whose class the shape does not know
-RENEWAL_PERIOD_S = 5.0  # of the hosts at the registry
-STARTS_AT_ONCE = 8  # gateways; each start takes a core for a while
-HOST_APP = "ROSTER"  # the hosts' name at the registry
+DEFAULT_WORK_S = 0.05  # for a class that is not in the settings
+RENEWAL_PERIOD_S = 5.0  # of the hosts' leases at the registry
+STARTS_AT_ONCE = 8  # gateways; each start keeps a core busy for a while
+HOST_APP = "ROSTER"  # the hosts' application at the registry
 HOST_KIND = "std"
 
 
 class Fleet:
-    """An installation; as a context manager it is open and its gateways listen.
+    """An installation; within the context all servers are open and all gateways listen.
 
     Attributes:
-        folder: Gets the settings files and state folders.
-        source: Where gateways have their hosts from: "discovery", or "eureka", which they ask every `poll_s`
-            seconds and where each host is registered and renewed for as long as its process lives.
-        links: The relays through which gateways reach hosts (named by discovery) and the counter, and which
-            can be faulty; None: there are none.
+        folder: Receives the settings files and state folders.
+        source: Where gateways read their hosts from: "discovery", or "eureka", which they poll every `poll_s`
+            and where each host is registered and renewed while the installation runs.
+        links: The relays, possibly faulty, through which gateways reach hosts (whose addresses they learn
+            from discovery) and the counter; None means direct connections.
     """
 
     def __init__(
@@ -75,19 +75,19 @@
         )
 
     def class_work(self, command: Command) -> float:
-        """Return the core seconds of a command by its class."""
+        """Return the core seconds of work of a command, by its class."""
         cls = self.settings.classes.get(fields(command).get("c", ""))
-        # A class that the shape does not know is somebody's who tries by hand.
+        # A class that is not in the settings comes from requests sent by hand.
         return cls.work_s if cls is not None else DEFAULT_WORK_S
 
     def counter_port(self, gateway: str) -> int:
-        """Return the port at which a gateway reaches the counter."""
+        """Return the port at which a gateway connects to the counter."""
         return self.links.counter[gateway].port if self.links is not None else self.counter.port
 
     # Discovery and registry
 
     def announce(self, *changed: tuple[EmulatedHost, str]) -> None:
-        """Let discovery and registry tell of hosts that are now up, draining or removed."""
+        """Publish hosts that are now up, draining or removed, in discovery and in the registry."""
         for gateway in self.gateways:
             gateway.discovery.apply_changes([self.entry(gateway, host, state) for host, state in changed])
         for host, state in changed:
@@ -100,7 +100,7 @@
                 self.registry.cancel(HOST_APP, host.name)
 
     def entry(self, gateway: Gateway, host: EmulatedHost, state: str = "up") -> dict[str, Any]:
-        """Return a host as a gateway's discovery names it: at its relay, where there is one."""
+        """Return a host's entry in a gateway's discovery, with the address of its relay if there is one."""
         entry = host.entry(state)
         if self.links is not None:
             entry["addr"] = f"127.0.0.1:{self.links.hosts[gateway.zone, host.name].port}"
@@ -113,7 +113,7 @@
         )
 
     async def _renew(self) -> None:
-        """Renew each host that is there, also one that answers nothing."""
+        """Renew the leases of all registered hosts periodically, even of hosts that do not answer."""
         while True:
             await asyncio.sleep(RENEWAL_PERIOD_S)
             for host in self.hosts:
@@ -137,7 +137,7 @@
             gateway.write_settings()
         try:
             await self._start_gateways()
-        except BaseException:  # nothing is left behind by a start that fails or is interrupted
+        except BaseException:  # clean up after a start that failed or was interrupted
             await self.__aexit__()
             raise
         return self
--- a/apigateway/emulators/fleet_settings.py
+++ b/apigateway/emulators/fleet_settings.py
@@ -1,4 +1,4 @@
-"""What an emulated installation is made of."""
+"""The settings of an emulated installation."""
 
 from __future__ import annotations
 
@@ -15,12 +15,10 @@
 
     Attributes:
         effect: "safe", "keyed" or "unsafe".
-        latency_objective_s: Its latency objective, in seconds, as `deadline_s`.
-        priority_weight: Its priority weight.
-        work_s: Seconds of one core.
-        traffic_share: Of the traffic.
-        deduplication_scope: Of keyed ones: the hosts that discard a repeat.
-        deduplication_window_s: Of keyed ones: for how many seconds they do.
+        work_s: The work of a request, in seconds of one core.
+        traffic_share: The class's share of the traffic.
+        deduplication_scope: For keyed classes, the hosts that discard duplicates.
+        deduplication_window_s: For keyed classes, how long a host discards duplicates of a request.
     """
 
     effect: str
@@ -35,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanSettings:
-    """What a customer of a plan may use."""
+    """The quota and ceiling of a plan's customers."""
 
     rate: float  # units a second
     burst: float  # units
@@ -46,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """What is installed. Times are in seconds.
+    """The settings of an installation. Times are in seconds.
 
     Attributes:
-        cores: Of each host, as `queue_capacity`, `cold_share` and `cold_time`.
-        ceiling_slack: Part of a ceiling's burst.
-        extra_keys: Further keys of a table of the gateways' files, in TOML, by the table's name.
+        cores: The cores of each host; `queue_capacity`, `cold_share` and `cold_time` are per host as well.
+        ceiling_slack: The slack of ceilings, as a share of their burst.
+        extra_keys: Further keys for tables of the gateways' files, in TOML, by the table's name.
         plugins_toml: The `[[plugins]]` of each gateway, in TOML.
-        check_class: A class: each gateway has the rate limit service too, and its checks are of that class.
+        check_class: The class of checks; if set, each gateway also serves the rate limit service.
     """
 
     classes: Mapping[str, ClassSettings]
@@ -72,8 +70,8 @@
     check_class: str = ""
 
     def rule_limits(self) -> RuleLimits:
-        """Return what a ledger judges such an installation by."""
-        kinds = {
+        """Return the limits that a ledger checks the rules against."""
+        classes = {
             name: ClassRules(cls.effect, cls.deduplication_scope, cls.deduplication_window_s)
             for name, cls in self.classes.items()
         }
@@ -82,10 +80,10 @@
             for name, plan in self.plans.items()
             if plan.ceiling_rate
         }
-        return RuleLimits(kinds, ceilings, drain_grace_s=self.drain_grace)
+        return RuleLimits(classes, ceilings, drain_grace_s=self.drain_grace)
 
     def traffic_classes(self) -> list[TrafficClass]:
-        """Return the classes as customers use them."""
+        """Return the classes for the clients' traffic."""
         return [
             TrafficClass(name, cls.effect, cls.traffic_share, cls.deadline_s)
             for name, cls in self.classes.items()
--- a/apigateway/emulators/gateway_file.py
+++ b/apigateway/emulators/gateway_file.py
@@ -1,4 +1,4 @@
-"""The settings file of an emulated installation's gateway, as an operator would write it."""
+"""The settings file of a gateway in an emulated installation, as an operator would write it."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from apigateway.emulators.fleet_settings import ClassSettings, FleetSettings, PlanSettings
 
 MAX_ATTEMPTS = 6
-DOMAIN = "roster"  # of the rate limit service; also the name that hosts have at the registry
+DOMAIN = "roster"  # of the rate limit service, and the hosts' application at the registry
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayFile:
-    """What a gateway's file is made from.
+    """The values of a gateway's settings file.
 
     Attributes:
-        port: Of RESP2.
-        rate_limit_port: Of the rate limit service.
-        source: Where it has its hosts from: "discovery" or "eureka".
-        poll_s: Seconds between two requests to the registry.
+        port: The port for RESP2.
+        rate_limit_port: The port of the rate limit service.
+        source: Where the gateway reads its hosts from: "discovery" or "eureka".
+        poll_s: The poll period at the registry.
     """
 
     settings: FleetSettings
@@ -55,7 +55,7 @@
         return text
 
     def _tables(self) -> dict[str, str]:
-        """Return the keys of each table, by its name."""
+        """Return the text of each table's keys, by the table's name."""
         shape = self.settings
         tables = {
             "gateway": f'name = "{self.name}"\nindex = {self.number}\ngateways = {shape.gateways}\n'
--- a/apigateway/emulators/gateway_process.py
+++ b/apigateway/emulators/gateway_process.py
@@ -1,4 +1,4 @@
-"""A real gateway in a process of its own, with its settings file and its own discovery."""
+"""A real gateway in a separate process, with its settings file and its own discovery."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.ports import free_port
 
-READY_TIMEOUT_S = 20.0  # for a gateway to say that it listens
-READY_LOG_TEXT = " listens on "  # in the line by which it says so
-SHOWN_LOG_LINES = 5  # of a gateway that does not start
+READY_TIMEOUT_S = 20.0  # until a gateway logs that it listens
+READY_LOG_TEXT = " listens on "  # in the log line of a gateway that is ready
+SHOWN_LOG_LINES = 5  # of a gateway that failed to start
 
 
 class Installation(Protocol):
-    """What a gateway is installed in."""
+    """The installation that a gateway belongs to."""
 
     settings: FleetSettings
     folder: Path
@@ -32,16 +32,16 @@
     registry: EmulatedEureka
 
     def counter_port(self, gateway: str) -> int:
-        """Return the port at which this gateway reaches the counter."""
+        """Return the port at which this gateway connects to the counter."""
 
 
 class Gateway:
     """One gateway's settings file and process.
 
     Attributes:
-        port: Of RESP2.
-        rate_limit_port: Port of the rate limit service.
-        log_lines: The lines that it has written.
+        port: The port for RESP2.
+        rate_limit_port: The port of the rate limit service.
+        log_lines: The lines that the process has logged.
     """
 
     def __init__(self, installation: Installation, number: int) -> None:
@@ -79,13 +79,13 @@
         self.settings_file.write_text(settings.text())
 
     async def start(self, *arguments: str) -> None:
-        """Start the process and wait until it says that it listens.
+        """Start the process and wait until it logs that it listens.
 
         Args:
-            *arguments: Further ones of the command line.
+            *arguments: Further arguments of the command line.
 
         Raises:
-            RuntimeError: With its last lines, if it does not listen in time.
+            RuntimeError: If it does not listen in time; with its last log lines.
         """
         self._listens.clear()
         self.process = await asyncio.create_subprocess_exec(
@@ -105,7 +105,7 @@
                 self._installation.ledger.record_gateway_start(self.name)
         except TimeoutError as error:
             last_lines = "\n".join(self.log_lines[-SHOWN_LOG_LINES:])
-            raise RuntimeError(f"{self.name} does not listen:\n{last_lines}") from error
+            raise RuntimeError(f"{self.name} did not listen in time:\n{last_lines}") from error
 
     async def _read_log(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
@@ -115,14 +115,14 @@
                 self._listens.set()
 
     async def kill(self) -> None:
-        """Kill it as a loss of power would: what it held is for its clients to ask again."""
+        """Kill the process with SIGKILL; its open requests are lost and clients may retry them."""
         assert self.process is not None
         self._installation.ledger.record_gateway_kill(self.name)
         self.process.send_signal(signal.SIGKILL)
         await self.process.wait()
 
     async def stop(self) -> int:
-        """Stop it by SIGTERM, if it runs, and return its exit code."""
+        """Stop the process with SIGTERM if it runs, and return its exit code."""
         if self.process is None or self.process.returncode is not None:
             return 0
         self.process.send_signal(signal.SIGTERM)
@@ -130,7 +130,7 @@
 
 
 def _environment() -> dict[str, str]:
-    """Return this process's environment without settings of a gateway, and with the program's path."""
+    """Return this process's environment without a gateway's settings, and with the path of this package."""
     environment = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
     root = Path(__file__).resolve().parents[2]
     environment["PYTHONPATH"] = os.pathsep.join([str(root), environment.get("PYTHONPATH", "")])
--- a/apigateway/emulators/hosts.py
+++ b/apigateway/emulators/hosts.py
@@ -1,4 +1,4 @@
-"""An emulated host: RESP2 commands in, values out, with work, cold starts and scripted faults."""
+"""An emulated host that answers RESP2 commands, with work, cold starts and scripted faults."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 __all__ = ["BUSY", "ERROR", "MALFORMED", "VALUE", "Answer", "Command", "EmulatedHost", "bulk", "fields"]
 
 READ_BYTES = 65536
-HEALTH_CHECK = "probe"  # how a health check ends; the ledger does not know of it
-TRUNCATED_BYTES = 5  # that half an answer lacks
+HEALTH_CHECK = "probe"  # the end of a health check, which the ledger does not record
+TRUNCATED_BYTES = 5  # missing from a truncated answer
 
 Answer = bytes | None | Callable[[], bytes | None]
 
@@ -30,20 +30,20 @@
 class QueuedWork(NamedTuple):
     """A command that waits for a core."""
 
-    seconds: float  # of one core at full capacity
+    seconds: float  # of work, for one core at full capacity
     answer: PendingAnswer
     command: Command
 
 
 class TakenReport(NamedTuple):
-    """A load report, and when it was taken."""
+    """A load report, with the time at which it was taken."""
 
     at: float
     text: bytes
 
 
 class MadeAnswer(NamedTuple):
-    """An answer, and the value in it that no other request gets."""
+    """An answer, and the value in it, which is unique to its request."""
 
     reply: bytes
     value: bytes
@@ -58,14 +58,14 @@
     answers then name the request and contain a load report, and the ledger records them.
 
     Attributes:
-        commands: All that have come.
-        arrivals: Each command as it comes; None at a connection's end.
-        running: Commands that have a core.
-        queued: Work that waits for a core.
-        started_at: Unix time of the last start; 0: long ago.
+        commands: All commands so far.
+        arrivals: Each command as it arrives; None at a connection's end.
+        running: The number of commands that are being executed.
+        queued: The commands that wait for a core.
+        started_at: The Unix time of the last start; 0 means long ago.
         draining: While set, commands are rejected.
-        reports_idle: While set, it reports that it is idle.
-        report_age_s: Seconds that its reports are old.
+        reports_idle: While set, its load reports say that it is idle.
+        report_age_s: The age of its load reports.
     """
 
     def __init__(
@@ -105,11 +105,11 @@
         self.draining = False
         self.reports_idle = False
         self.report_age_s = 0.0
-        self._reports: deque[TakenReport] = deque()  # as far back as one may be told
-        self._incarnation = 0  # work of an earlier one is void
+        self._reports: deque[TakenReport] = deque()  # back to `report_age_s`
+        self._incarnation = 0  # the work of earlier ones is discarded
 
     def entry(self, state: str = "up") -> dict[str, Any]:
-        """Return this host in discovery's form."""
+        """Return this host's entry in discovery."""
         return {
             "id": self.name,
             "addr": f"{self.address}:{self.port}",
@@ -122,14 +122,14 @@
         }
 
     def warm_share(self) -> float:
-        """Return the share of its capacity that it has reached since its start."""
+        """Return the share of its capacity that the host has reached since its start."""
         age = time.time() - self.started_at
         if not self.started_at or age >= self.cold_time:
             return 1.0
         return self.cold_share + (1 - self.cold_share) * max(0.0, age) / self.cold_time
 
     async def restart(self, down_s: float = 0.0) -> None:
-        """Die, and come back cold and empty at the same address after `down_s` seconds."""
+        """Stop as if killed, and start cold and empty at the same address after `down_s`."""
         await self.kill()
         self._incarnation += 1
         self.running = 0
@@ -144,11 +144,11 @@
     # Commands
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Take the commands of one connection until it ends."""
+        """Handle the commands of one connection until it ends."""
         parser = hiredis.Reader(notEnoughData=...)
         answers = PendingAnswers(writer)
         self.connections += 1
-        first_byte_at = 0.0  # of the command that is coming in; 0: none is
+        first_byte_at = 0.0  # of the command being received; 0 if there is none
         try:
             while data := await reader.read(READ_BYTES):
                 first_byte_at = first_byte_at or time.monotonic()
@@ -156,7 +156,7 @@
                 while (command := parser.gets()) is not ...:
                     self.commands.append(command)
                     self.arrivals.put_nowait(command)
-                    if not self._take(command, answers, first_byte_at):
+                    if not self._handle_command(command, answers, first_byte_at):
                         return
                     first_byte_at = 0.0
         finally:
@@ -164,9 +164,9 @@
             self.connections -= 1
             self.arrivals.put_nowait(None)
 
-    def _take(self, command: Any, answers: PendingAnswers, first_byte_at: float) -> bool:
-        """Take a command; return False if the connection is to end."""
-        answer = PendingAnswer(answers, self._note_arrival(command, first_byte_at))
+    def _handle_command(self, command: Any, answers: PendingAnswers, first_byte_at: float) -> bool:
+        """Handle a command; return False if the connection must be closed."""
+        answer = PendingAnswer(answers, self._record_attempt(command, first_byte_at))
         if command == [b"PING"]:
             answer.write(PONG, HEALTH_CHECK)
             return True
@@ -181,8 +181,8 @@
             return False
         return self._answer(answer, command, step)
 
-    def _note_arrival(self, command: Any, first_byte_at: float) -> Callable[[str, bytes], None]:
-        """Tell the ledger of an attempt, and return what tells it of the end."""
+    def _record_attempt(self, command: Any, first_byte_at: float) -> Callable[[str, bytes], None]:
+        """Record an attempt in the ledger, and return the function that records its end."""
         if self.ledger is None or not isinstance(command, list) or not command[0].startswith(b"API."):
             return _ignore_end
         number = self.ledger.record_attempt(
@@ -197,7 +197,7 @@
         return partial(self.ledger.record_attempt_end, number)
 
     def _answer(self, answer: PendingAnswer, command: Command, step: Step) -> bool:
-        """Answer a command as the script's step says; return False if the connection is to end."""
+        """Answer a command as the script's step says; return False if the connection must be closed."""
         if self.draining:
             answer.write(BUSY, AttemptEnd.BUSY)
             return True
@@ -222,25 +222,25 @@
         return True
 
     def _answer_at_once(self, answer: PendingAnswer) -> bool:
-        """Answer without work; return False if the connection is to end."""
-        reply = self._plain_reply()
+        """Answer without work; return False if the connection must be closed."""
+        reply = self._configured_reply()
         if reply == b"":
             return False
         if reply is not None:
             answer.write(reply, AttemptEnd.ANSWERED)
         return True
 
-    def _plain_reply(self) -> bytes | None:
+    def _configured_reply(self) -> bytes | None:
         return self.answer() if callable(self.answer) else self.answer
 
     def _make_answer(self, command: Command) -> MadeAnswer:
         if self.work is None:
-            return MadeAnswer(self._plain_reply() or VALUE, b"")
+            return MadeAnswer(self._configured_reply() or VALUE, b"")
         value = b"%s:%s" % (self.name.encode(), command[2])
         return MadeAnswer(b"*3\r\n%s$-1\r\n%s" % (bulk(value), bulk(self.report())), value)
 
     def report(self) -> bytes:
-        """Return the load report that it sends now."""
+        """Return the load report to send now."""
         now = time.monotonic()
         running = 0 if self.reports_idle else self.running
         waiting = 0 if self.reports_idle else len(self.queued)
@@ -257,7 +257,7 @@
     def _enqueue(
         self, answer: PendingAnswer, command: Command, work: Callable[[Command], float], factor: float
     ) -> None:
-        """Queue a command's work, `factor` times the usual, or reject it if the queue is full."""
+        """Queue a command's work, multiplied by `factor`, or reject the command if the queue is full."""
         if self.running >= self.cores and len(self.queued) >= self.queue_capacity:
             answer.write(BUSY, AttemptEnd.BUSY)
             return
@@ -265,10 +265,12 @@
         self._start_work()
 
     def _start_work(self) -> None:
-        """Give free cores to what waits."""
+        """Start queued work on free cores."""
         while self.queued and self.running < self.cores:
             work = self.queued.popleft()
-            if work.answer.is_over:  # its client has gone: what waits is dropped, what runs goes on
+            if (
+                work.answer.is_over
+            ):  # the client has disconnected; queued work is dropped, running work continues
                 continue
             self.running += 1
             delay = work.seconds / self.warm_share()
@@ -277,7 +279,7 @@
             )
 
     def _complete(self, answer: PendingAnswer, command: Command, incarnation: int) -> None:
-        """Answer, and free the core."""
+        """Answer a command, and free its core."""
         if incarnation == self._incarnation:
             self.running -= 1
             self._finish(answer, command, incarnation)
@@ -285,9 +287,9 @@
 
     def _finish(self, answer: PendingAnswer, command: Command, incarnation: int) -> None:
         if incarnation == self._incarnation and not answer.is_over:
-            made = self._make_answer(command)
-            answer.write(made.reply, AttemptEnd.ANSWERED, made.value)
+            made_answer = self._make_answer(command)
+            answer.write(made_answer.reply, AttemptEnd.ANSWERED, made_answer.value)
 
 
-def _ignore_end(how: str, value: bytes) -> None:
-    """Take the end of a command that the ledger does not know of."""
+def _ignore_end(end_kind: str, value: bytes) -> None:
+    """Ignore the end of a command that the ledger does not record."""
--- a/apigateway/emulators/ledger.py
+++ b/apigateway/emulators/ledger.py
@@ -1,7 +1,7 @@
-"""What really passed on the sockets, written down at clients and hosts, and the rules judged from that alone.
+"""A ledger of the traffic on the sockets of clients and hosts, and the check of the rules against it.
 
-It knows nothing of the gateway's code. Times are seconds of one monotonic clock: all emulators and clients of
-a ledger run in one process.
+It uses none of the gateway's code. Times are seconds of one monotonic clock, since all emulators and clients
+of a ledger run in one process.
 """
 
 from __future__ import annotations
@@ -40,11 +40,11 @@
     "format_verdicts",
 ]
 
-MAX_SHOWN_BREACHES = 5  # of a rule, in a report
+MAX_SHOWN_BREACHES = 5  # per rule, in formatted verdicts
 
 
 class Ledger(Records):
-    """Takes notes for clients, hosts and discovery, and judges them once all is over."""
+    """Records the events that clients, hosts and discovery report, and checks the rules at the end."""
 
     def __init__(self, limits: RuleLimits, clock: Callable[[], float] = time.monotonic) -> None:
         super().__init__()
@@ -63,7 +63,7 @@
         service_class: str,
         units: float,
     ) -> None:
-        """Note that a request's last byte is written. Sent again on a new connection it stays one request."""
+        """Record that a request's last byte was written; a resent request remains one request."""
         if id in self.requests:
             self.requests[id].disconnected_at = math.nan
         else:
@@ -72,29 +72,29 @@
             )
 
     def record_answer(self, id: str, kind: str, value: bytes = b"") -> None:
-        """Note a request's answer; `kind` is one of `AnswerKind`."""
+        """Record a request's answer; `kind` is an `AnswerKind`."""
         self.requests[id].answers.append(RecordedAnswer(self.clock(), kind, value))
 
     def record_disconnect(self, id: str) -> None:
-        """Note that a request's connection ended without an answer."""
+        """Record that a request's connection ended without an answer."""
         self.requests[id].disconnected_at = self.clock()
 
     def record_unsolicited_answer(self, gateway: str) -> None:
-        """Note an answer that nobody had asked for."""
+        """Record an answer on a connection without an open request."""
         self.unsolicited_answers.append(UnsolicitedAnswer(self.clock(), gateway))
 
     def record_grant(self, customer: str, plan: str, units: float) -> None:
-        """Note that a check was granted."""
+        """Record that a quota check was granted."""
         self.grants.append(Grant(self.clock(), customer, plan, units))
 
     # Gateways, hosts, discovery
 
     def record_gateway_kill(self, gateway: str) -> None:
-        """Note that a gateway was killed outright: what it held is for its clients to ask again."""
+        """Record that a gateway was killed; its open requests need no answer, and clients may retry them."""
         self.gateway_kills[gateway].append(self.clock())
 
     def record_gateway_start(self, gateway: str) -> None:
-        """Note that a gateway is there, for the first time or again."""
+        """Record that a gateway began to listen, also after a kill."""
         self.gateway_starts[gateway].append(self.clock())
 
     def record_attempt(
@@ -107,10 +107,10 @@
         first_byte_at: float,
         work_s: float,
     ) -> int:
-        """Note that an attempt's last byte is there; its first one came at `first_byte_at`.
+        """Record that an attempt's last byte arrived; its first byte arrived at `first_byte_at`.
 
         Returns:
-            The attempt's number, for `ended`.
+            The attempt's number, for `record_attempt_end`.
         """
         self.attempts.append(
             Attempt(id, host, service_class, cell, zone, first_byte_at, self.clock(), work_s)
@@ -118,36 +118,36 @@
         return len(self.attempts) - 1
 
     def record_attempt_end(self, number: int, end_kind: str, value: bytes = b"") -> None:
-        """Note the end of an attempt; `end_kind` is one of `AttemptEnd`."""
+        """Record the end of an attempt; `end_kind` is an `AttemptEnd`."""
         attempt = self.attempts[number]
         attempt.ended_at = self.clock()
         attempt.end_kind = end_kind
         attempt.value = value
 
     def record_host_state(self, gateway: str, host: str, state: str) -> None:
-        """Note that discovery has written a host's state to a gateway: up, draining or removed."""
+        """Record that discovery sent a host's state to a gateway: up, draining or removed."""
         history = self.host_states[gateway, host]
         if not history or history[-1].state != state:
             history.append(HostState(self.clock(), state))
 
     def record_cold_start(self, host: str, cores: int, start_share: float, warm_up_s: float) -> None:
-        """Note a cold start: `start_share` of its `cores` now, all of them evenly within `warm_up_s`."""
+        """Record a cold start, from `start_share` of the cores to all of them within `warm_up_s`."""
         self.cold_starts.append(ColdStart(self.clock(), host, cores, start_share, warm_up_s))
 
-    # Judgement
+    # Rules
 
     def check_rules(self) -> tuple[Verdict, ...]:
-        """Return one verdict for each rule, in the order of `RULES`; due once all is over."""
+        """Return one verdict for each rule, in the order of `RULES`; call it once all traffic has ended."""
         return check_rules(self, self.limits)
 
     def ceiling_uses(self, by_id: AttemptsById) -> dict[str, CeilingUse]:
-        """Return what each customer under a ceiling left of it."""
+        """Return how much of its ceiling each customer left unused."""
         return ceiling_uses(self, self.limits, by_id)
 
     def outcomes(self) -> dict[tuple[str, str, str], int]:
-        """Return how many requests had each outcome, by plan, class and outcome.
+        """Return the number of requests by plan, class and outcome.
 
-        An outcome is an `AnswerKind`, or an `Outcome` for requests without an answer.
+        An outcome is an `AnswerKind`, or an `Outcome` for a request without an answer.
         """
         counts: dict[tuple[str, str, str], int] = defaultdict(int)
         for request in self.requests.values():
@@ -160,7 +160,7 @@
 
 
 def format_verdicts(verdicts: Iterable[Verdict]) -> str:
-    """Return verdicts as text, each with its first breaches."""
+    """Return verdicts as text, each with its first `MAX_SHOWN_BREACHES` breaches."""
     lines = []
     for verdict in verdicts:
         lines.append(str(verdict))
--- a/apigateway/emulators/ledger_records.py
+++ b/apigateway/emulators/ledger_records.py
@@ -1,6 +1,6 @@
-"""What a ledger writes down: requests, attempts, and what happened to gateways and hosts.
+"""The records of a ledger: requests, attempts, and events of gateways and hosts.
 
-Times are seconds of the ledger's clock.
+Times are in seconds of the ledger's clock.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-LIMIT_MARGIN_S = 0.05  # each time limit is longer by this on sockets
+LIMIT_MARGIN_S = 0.05  # added to each time limit, for delays on sockets
 
 
 @dataclass(frozen=True, slots=True)
 class ClassRules:
-    """A class of requests.
+    """How often requests of a class may be executed.
 
     Attributes:
         effect: "safe", "keyed" or "unsafe".
-        deduplication_scope: Of keyed ones: the hosts that discard a repeat: "all", "zone" or "cell".
-        deduplication_window_s: Of keyed ones: for how many seconds they do.
+        deduplication_scope: For keyed classes, the hosts that discard duplicates: "all", "zone" or "cell".
+        deduplication_window_s: For keyed classes, how long a host discards duplicates of a request.
     """
 
     effect: str
@@ -30,28 +30,29 @@
     deduplication_window_s: float = 0.0
 
 
-UNKNOWN_CLASS_RULES = ClassRules("unsafe")  # a class that the terms do not name is judged by the strictest
+UNKNOWN_CLASS_RULES = ClassRules("unsafe")  # the strictest rules apply to a class without rules of its own
 
 
 @dataclass(frozen=True, slots=True)
 class Ceiling:
-    """What customers of a plan may use at most, over all gateways."""
+    """The most that a customer of a plan may use over all gateways."""
 
     rate: float  # units a second
     burst: float  # units
-    slack: float = 0.1  # part of the burst
+    slack: float = 0.1  # share of the burst
 
 
 @dataclass(frozen=True, slots=True)
 class RuleLimits:
-    """What the rules are judged by.
+    """The limits that the rules are checked against.
 
     Attributes:
-        classes: By the names of classes.
-        ceilings: By plan.
-        drain_grace_s: Seconds after which nothing more may be sent to a draining host.
-        overload_ratio: A host that starts cold bears so many times what it can do ...
-        overload_window_s: ... in so many seconds.
+        classes: The rules of each class, by its name.
+        ceilings: The ceiling of each plan that has one, by the plan's name.
+        drain_grace_s: How long attempts may still be sent to a draining host.
+        overload_ratio: The most work that a cold host may be sent within `overload_window_s`, as a multiple
+            of the work that it can do in that time.
+        overload_window_s: The window of `overload_ratio`.
     """
 
     classes: dict[str, ClassRules]
@@ -62,26 +63,26 @@
 
 
 class AnswerKind(StrEnum):
-    """What a client is told."""
+    """The kind of answer that a client received."""
 
     SERVED = "served"
-    REFUSED = "refused"  # it was not executed; trying again is harmless
+    REFUSED = "refused"  # not executed, so a retry is safe
     FAILED = "failed"
 
 
 class Outcome(StrEnum):
-    """What became of a request that was not answered."""
+    """The outcome of a request that was not answered."""
 
     LOST = "lost"
-    WITH_GATEWAY = "with gateway"  # its gateway was killed while it held the request
+    WITH_GATEWAY = "with gateway"  # the gateway was killed while it handled the request
 
 
 class AttemptEnd(StrEnum):
-    """How an attempt ended, as seen on the host's socket."""
+    """How an attempt ended on the host's socket."""
 
-    ACTIVE = ""  # still out
+    ACTIVE = ""  # has not ended
     ANSWERED = "answered"
-    BUSY = "busy"  # the host said that it will not execute it
+    BUSY = "busy"  # rejected by the host without executing it
     ERROR = "error"
     MALFORMED = "spoilt"
     TRUNCATED = "half"
@@ -89,21 +90,21 @@
 
 
 class RecordedAnswer(NamedTuple):
-    """An answer that a client got."""
+    """An answer that a client received."""
 
     at: float
-    kind: str  # of `AnswerKind`
+    kind: str  # an `AnswerKind`
     value: bytes
 
 
 @dataclass(slots=True)
 class RecordedRequest:
-    """One request as its client sees it.
+    """One request as seen by its client.
 
     Attributes:
         sent_at: When its last byte was written.
-        timeout_s: Seconds that its client waits.
-        disconnected_at: When its connection ended without an answer.
+        timeout_s: How long its client waits.
+        disconnected_at: When its connection ended without an answer; NaN if it has not.
     """
 
     id: str
@@ -125,15 +126,15 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One message at a host.
+    """One attempt as seen by its host.
 
     Attributes:
-        first_byte_at: When its first byte came.
-        last_byte_at: When its last byte came.
+        first_byte_at: When its first byte arrived.
+        last_byte_at: When its last byte arrived.
         work_s: Seconds of one core at full capacity.
-        ended_at: When it ended.
-        end_kind: How it ended, of `AttemptEnd`.
-        value: What the host answered.
+        ended_at: When it ended; infinite if it has not.
+        end_kind: How it ended, an `AttemptEnd`.
+        value: The value that the host answered with.
     """
 
     id: str
@@ -160,39 +161,39 @@
 
 
 class HostState(NamedTuple):
-    """A host's state as discovery wrote it to a gateway: up, draining or removed."""
+    """A host's state as discovery sent it to a gateway: up, draining or removed."""
 
     at: float
     state: str
 
 
 class ColdStart(NamedTuple):
-    """A host that has started cold."""
+    """A cold start of a host."""
 
     at: float
     host: str
     cores: int
-    start_share: float  # of its cores that it has at the start
-    warm_up_s: float  # until it has all of them
+    start_share: float  # share of the cores that the host can use at the start
+    warm_up_s: float  # until it can use all of them
 
     def work_until(self, now: float) -> float:
-        """Return the core seconds that the host can have done from its start to `now`."""
+        """Return the most core seconds of work that the host can have done from its start to `now`."""
         age = min(max(0.0, now - self.at), self.warm_up_s)
-        warm = max(0.0, now - self.at - self.warm_up_s)
+        warm_s = max(0.0, now - self.at - self.warm_up_s)
         return self.cores * (
-            self.start_share * age + (1 - self.start_share) * age**2 / 2 / self.warm_up_s + warm
+            self.start_share * age + (1 - self.start_share) * age**2 / 2 / self.warm_up_s + warm_s
         )
 
 
 class UnsolicitedAnswer(NamedTuple):
-    """An answer that nobody had asked for."""
+    """An answer on a connection without an open request."""
 
     at: float
     gateway: str
 
 
 class Grant(NamedTuple):
-    """A check that was granted."""
+    """A quota check that was granted."""
 
     at: float
     customer: str
@@ -201,23 +202,23 @@
 
 
 class GatewayAndHost(NamedTuple):
-    """Names a gateway and a host."""
+    """The names of a gateway and a host."""
 
     gateway: str
     host: str
 
 
-AttemptsById = Mapping[str, Sequence[Attempt]]  # by the requests' ids
+AttemptsById = Mapping[str, Sequence[Attempt]]  # by request id
 
 
 class Records:
-    """All that a ledger has written down.
+    """All records of a ledger.
 
     Attributes:
-        host_states: What discovery told each gateway of each host.
-        gateway_kills: When a gateway was killed, by its name.
-        gateway_starts: When it listened, likewise.
-        prepaid_requests: Ids of requests that came with the token of a check, which was counted.
+        host_states: The states that discovery sent, by gateway and host.
+        gateway_kills: The times at which each gateway was killed, by its name.
+        gateway_starts: The times at which each gateway began to listen, by its name.
+        prepaid_requests: Ids of requests that carried the token of a check. The check's units were counted.
     """
 
     def __init__(self) -> None:
@@ -232,27 +233,28 @@
         self.prepaid_requests: set[str] = set()
 
     def attempts_by_id(self) -> dict[str, list[Attempt]]:
-        """Return the attempts of each request in the order in which they came."""
+        """Return the attempts of each request in the order of their arrival."""
         by_id: dict[str, list[Attempt]] = defaultdict(list)
         for attempt in sorted(self.attempts, key=lambda attempt: attempt.last_byte_at):
             by_id[attempt.id].append(attempt)
         return by_id
 
     def is_excused(self, request: RecordedRequest) -> bool:
-        """Return whether a request needs no answer, since its gateway was killed.
+        """Return whether a request needs no answer because its gateway was killed.
 
-        That is so if it held the request then, or was dead when it was asked: a client may write to a
-        connection before it hears of its end, above all where many are killed at once.
+        That is so if the gateway was killed while it handled the request, or was not running when the request
+        was sent. A client may write to a connection before it learns that the connection has ended, above all
+        when many gateways are killed at once.
         """
         until = (
             request.sent_at + request.timeout_s
             if math.isnan(request.disconnected_at)
             else request.disconnected_at
         )
-        deaths = self.gateway_kills[request.gateway]
-        if any(request.sent_at - LIMIT_MARGIN_S <= death <= until + LIMIT_MARGIN_S for death in deaths):
+        kills = self.gateway_kills[request.gateway]
+        if any(request.sent_at - LIMIT_MARGIN_S <= kill <= until + LIMIT_MARGIN_S for kill in kills):
             return True
-        last_death = max((death for death in deaths if death <= request.sent_at), default=None)
-        if last_death is None:
+        last_kill = max((kill for kill in kills if kill <= request.sent_at), default=None)
+        if last_kill is None:
             return False
-        return not any(last_death < birth < request.sent_at for birth in self.gateway_starts[request.gateway])
+        return not any(last_kill < start < request.sent_at for start in self.gateway_starts[request.gateway])
--- a/apigateway/emulators/ledger_rules.py
+++ b/apigateway/emulators/ledger_rules.py
@@ -1,7 +1,7 @@
-"""The five rules, judged from a ledger's records alone.
+"""The platform's five rules, checked against a ledger's records alone.
 
-What a rule counts is told with its verdict: a rule of which nothing was seen is not called kept. The rules
-are those of the platform; `The rules on sockets` of its protocol page gives their margins.
+A verdict says how many cases were checked, and a rule without any case does not count as kept. The section
+`The rules on sockets` of the platform's protocol page gives the margins.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
     RuleLimits,
 )
 
-CEILING_MARGIN_S = 0.15  # of its rate, by which a ceiling's slack is wider on sockets
-ROUNDING = 1e-9  # of sums of work and of units
+CEILING_MARGIN_S = 0.15  # seconds of a ceiling's rate, added to its slack on sockets
+ROUNDING = 1e-9  # tolerance for sums of work and of units
 RULES = ("no request lost", "no effect twice", "drains kept", "cold hosts", "ceilings kept")
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What was found of one rule.
+    """The result of checking one rule.
 
     Attributes:
-        checked: Cases in which the rule could have been broken.
-        breaches: What broke it.
+        checked: The number of cases in which the rule could have been broken.
+        breaches: One line for each breach.
     """
 
     rule: str
@@ -47,7 +47,7 @@
 
     @property
     def kept(self) -> bool:
-        """Whether nothing broke it."""
+        """Whether there is no breach."""
         return not self.breaches
 
     def __str__(self) -> str:
@@ -57,22 +57,22 @@
             state = "kept"
         else:
             state = "not seen"
-        return f"{self.rule}: {state} ({self.checked} looked at)"
+        return f"{self.rule}: {state} ({self.checked} checked)"
 
 
 class Findings(NamedTuple):
-    """What a rule's check has found."""
+    """The number of checked cases and the breaches of one rule."""
 
     checked: int
     breaches: list[str]
 
 
 class CeilingUse(NamedTuple):
-    """What a customer left of its ceiling.
+    """How far a customer used its ceiling.
 
     Attributes:
-        least: The least units that were ever in its bucket; below 0 where the ceiling was passed.
-        slack: By how many units it may be passed.
+        least: The lowest level of the customer's bucket, in units; below 0 if the ceiling was exceeded.
+        slack: The number of units by which the ceiling may be exceeded.
     """
 
     least: float
@@ -80,22 +80,22 @@
 
 
 class Spending(NamedTuple):
-    """Units that a customer has taken from its ceiling; in the order of time."""
+    """Units that a customer took from its ceiling; sorts by time."""
 
     at: float
     units: float
     plan: str
 
 
-def check_rules(records: Records, terms: RuleLimits) -> tuple[Verdict, ...]:
+def check_rules(records: Records, limits: RuleLimits) -> tuple[Verdict, ...]:
     """Return one verdict for each rule, in the order of `RULES`."""
     by_id = records.attempts_by_id()
     findings = (
         find_lost_requests(records, by_id),
-        find_repeated_effects(records, terms, by_id),
-        find_broken_drains(records, terms),
-        find_overloaded_starts(records, terms),
-        find_passed_ceilings(records, terms, by_id),
+        find_duplicate_executions(records, limits, by_id),
+        find_late_drain_attempts(records, limits),
+        find_overloaded_cold_starts(records, limits),
+        find_exceeded_ceilings(records, limits, by_id),
     )
     return tuple(
         Verdict(rule, found.checked, tuple(found.breaches))
@@ -107,10 +107,8 @@
 
 
 def find_lost_requests(records: Records, by_id: AttemptsById) -> Findings:
-    """Find requests without exactly one true answer in time, and answers that nobody had asked for."""
-    breaches = [
-        f"{answer.gateway}: an answer that nobody had asked for" for answer in records.unsolicited_answers
-    ]
+    """Find requests without exactly one correct answer in time, and unsolicited answers."""
+    breaches = [f"{answer.gateway}: an unsolicited answer" for answer in records.unsolicited_answers]
     checked = 0
     for request in records.requests.values():
         if not request.answers and records.is_excused(request):
@@ -127,10 +125,10 @@
     answer = request.answers[0]
     late = answer.at - request.sent_at - request.timeout_s
     if answer.at > request.sent_at + request.timeout_s + LIMIT_MARGIN_S:
-        yield f"{request.name}: answered {late:.3f} s after its client's time"
+        yield f"{request.name}: answered {late:.3f} s after its client's timeout"
     made = [attempt.value for attempt in attempts if attempt.end_kind == AttemptEnd.ANSWERED]
     if answer.kind == AnswerKind.SERVED and answer.value not in made:
-        yield f"{request.name}: served with what no host made for it"
+        yield f"{request.name}: served with a value that no host produced for it"
     for attempt in attempts:
         if attempt.first_byte_at > answer.at + LIMIT_MARGIN_S:
             late = attempt.first_byte_at - answer.at
@@ -140,36 +138,36 @@
 # No effect twice
 
 
-def find_repeated_effects(records: Records, terms: RuleLimits, by_id: AttemptsById) -> Findings:
-    """Find attempts beside or after others that forbid them, and refusals of what may have run."""
+def find_duplicate_executions(records: Records, limits: RuleLimits, by_id: AttemptsById) -> Findings:
+    """Find attempts that earlier ones forbid, and refusals of requests that may have been executed."""
     breaches: list[str] = []
     for request_id, attempts in by_id.items():
-        kind = terms.classes.get(attempts[0].service_class, UNKNOWN_CLASS_RULES)
+        rules = limits.classes.get(attempts[0].service_class, UNKNOWN_CLASS_RULES)
         for number, attempt in enumerate(attempts):
-            breaches += _find_forbidden_attempt(kind, attempts[:number], attempt)
-        breaches += _find_false_refusal(kind, records.requests.get(request_id), attempts)
+            breaches += _find_forbidden_attempt(rules, attempts[:number], attempt)
+        breaches += _find_unsafe_refusal(rules, records.requests.get(request_id), attempts)
     return Findings(len(by_id), breaches)
 
 
-def _find_forbidden_attempt(kind: ClassRules, earlier: Sequence[Attempt], later: Attempt) -> Iterator[str]:
+def _find_forbidden_attempt(rules: ClassRules, earlier: Sequence[Attempt], later: Attempt) -> Iterator[str]:
     for attempt in earlier:
         if attempt.ended_at > later.last_byte_at + LIMIT_MARGIN_S:
-            yield f"{later.name}: at {later.host} while out at {attempt.host}"
+            yield f"{later.name}: sent to {later.host} during its attempt at {attempt.host}"
     executed = [attempt for attempt in earlier if attempt.may_have_run]
     if not executed:
         return
     first = executed[0]
-    if kind.effect == "unsafe":
-        yield f"{later.name}: at {later.host} though it may have run at {first.host}"
-    elif kind.effect == "keyed":
-        if later.first_byte_at > first.last_byte_at + kind.deduplication_window_s + LIMIT_MARGIN_S:
-            yield f"{later.name}: at {later.host} after its repeats are forgotten"
-        if any(not _share_memory(kind.deduplication_scope, attempt, later) for attempt in executed):
-            yield f"{later.name}: at {later.host}, outside the group that drops repeats"
+    if rules.effect == "unsafe":
+        yield f"{later.name}: sent to {later.host} though {first.host} may have executed it"
+    elif rules.effect == "keyed":
+        if later.first_byte_at > first.last_byte_at + rules.deduplication_window_s + LIMIT_MARGIN_S:
+            yield f"{later.name}: sent to {later.host} after the deduplication window"
+        if any(not _share_memory(rules.deduplication_scope, attempt, later) for attempt in executed):
+            yield f"{later.name}: sent to {later.host}, outside the deduplication scope"
 
 
 def _share_memory(scope: str, one: Attempt, other: Attempt) -> bool:
-    """Return whether two hosts know of each other's requests."""
+    """Return whether the hosts of two attempts share their deduplication memory."""
     match scope:
         case "all":
             return True
@@ -179,23 +177,23 @@
             return one.cell == other.cell
 
 
-def _find_false_refusal(
-    kind: ClassRules, request: RecordedRequest | None, attempts: Sequence[Attempt]
+def _find_unsafe_refusal(
+    rules: ClassRules, request: RecordedRequest | None, attempts: Sequence[Attempt]
 ) -> Iterator[str]:
-    """Find a refusal, after which clients try again, of a request whose repeat may do harm."""
+    """Find a refusal, after which clients retry, of a request that may not be executed twice."""
     if request is None or not any(answer.kind == AnswerKind.REFUSED for answer in request.answers):
         return
-    is_harmless = kind.effect == "safe" or (kind.effect == "keyed" and kind.deduplication_scope == "all")
+    is_harmless = rules.effect == "safe" or (rules.effect == "keyed" and rules.deduplication_scope == "all")
     if not is_harmless and any(attempt.may_have_run for attempt in attempts):
-        yield f"{attempts[0].name}: refused though it may have run"
+        yield f"{attempts[0].name}: refused though it may have been executed"
 
 
 # Drains kept
 
 
-def find_broken_drains(records: Records, terms: RuleLimits) -> Findings:
-    """Find attempts at hosts past the grace after their gateway was told that they drain or are gone."""
-    checked = sum(told.state != "up" for history in records.host_states.values() for told in history)
+def find_late_drain_attempts(records: Records, limits: RuleLimits) -> Findings:
+    """Find attempts sent after the grace time to hosts that discovery had reported as draining or removed."""
+    checked = sum(entry.state != "up" for history in records.host_states.values() for entry in history)
     breaches = []
     for attempt in records.attempts:
         request = records.requests.get(attempt.id)
@@ -203,34 +201,36 @@
             continue
         history = records.host_states.get((request.gateway, attempt.host), [])
         since = _draining_since(history, attempt.first_byte_at)
-        if attempt.first_byte_at > since + terms.drain_grace_s + LIMIT_MARGIN_S:
+        if attempt.first_byte_at > since + limits.drain_grace_s + LIMIT_MARGIN_S:
             late = attempt.first_byte_at - since
-            breaches.append(f"{attempt.name}: at {attempt.host} {late:.2f} s after its gateway was told")
+            breaches.append(
+                f"{attempt.name}: sent to {attempt.host} {late:.2f} s after its gateway learned of the drain"
+            )
     return Findings(checked, breaches)
 
 
 def _draining_since(history: Sequence[HostState], now: float) -> float:
-    """Return since when a gateway knows that a host drains or is gone; infinite if it is up."""
+    """Return since when a gateway has known a host as draining or removed; infinite if it is up."""
     since = math.inf
-    for told in history:
-        if told.at <= now:
-            since = math.inf if told.state == "up" else min(since, told.at)
+    for entry in history:
+        if entry.at <= now:
+            since = math.inf if entry.state == "up" else min(since, entry.at)
     return since
 
 
 # Cold hosts
 
 
-def find_overloaded_starts(records: Records, terms: RuleLimits) -> Findings:
-    """Find hosts that were sent more, in any `fall_time` after a cold start, than they bear."""
+def find_overloaded_cold_starts(records: Records, limits: RuleLimits) -> Findings:
+    """Find hosts that were sent too much work in any `overload_window_s` after a cold start."""
     breaches: list[str] = []
     for start in records.cold_starts:
-        breaches += _find_overload(records, terms, start)
+        breaches += _find_overload(records, limits, start)
     return Findings(len(records.cold_starts), breaches)
 
 
-def _find_overload(records: Records, terms: RuleLimits, start: ColdStart) -> list[str]:
-    """Find the first overload of a start. One more request of the largest kind is chance, not a fault."""
+def _find_overload(records: Records, limits: RuleLimits, start: ColdStart) -> list[str]:
+    """Find the first overload after a start; one more request of the largest size is allowed as chance."""
     later_starts = [
         other.at for other in records.cold_starts if other.host == start.host and other.at > start.at
     ]
@@ -242,12 +242,12 @@
     ]
     largest = max((attempt.work_s for attempt in sent), default=0.0)
     for number, last in enumerate(sent):
-        window_start = max(start.at, last.last_byte_at - terms.overload_window_s)
+        window_start = max(start.at, last.last_byte_at - limits.overload_window_s)
         work = sum(attempt.work_s for attempt in sent[: number + 1] if attempt.last_byte_at > window_start)
-        capacity = start.work_until(window_start + terms.overload_window_s) - start.work_until(window_start)
-        allowed = terms.overload_ratio * capacity + largest
+        capacity = start.work_until(window_start + limits.overload_window_s) - start.work_until(window_start)
+        allowed = limits.overload_ratio * capacity + largest
         if work > allowed + ROUNDING:
-            window = f"within {terms.overload_window_s} s"
+            window = f"within {limits.overload_window_s} s"
             return [f"{start.host}: {work:.2f} s of work {window}, at most {allowed:.2f}"]
     return []
 
@@ -255,42 +255,41 @@
 # Ceilings kept
 
 
-def find_passed_ceilings(records: Records, terms: RuleLimits, by_id: AttemptsById) -> Findings:
-    """Find customers that used more than their ceiling and its slack."""
-    uses = ceiling_uses(records, terms, by_id)
+def find_exceeded_ceilings(records: Records, limits: RuleLimits, by_id: AttemptsById) -> Findings:
+    """Find customers that exceeded their ceiling by more than its slack."""
+    uses = ceiling_uses(records, limits, by_id)
     breaches = [
-        f"{customer}: {-use.least:.1f} units beyond its ceiling, {use.slack:.1f} allowed"
+        f"{customer}: {-use.least:.1f} units above its ceiling, {use.slack:.1f} allowed"
         for customer, use in uses.items()
         if use.least < -use.slack - ROUNDING
     ]
     return Findings(len(uses), breaches)
 
 
-def ceiling_uses(records: Records, terms: RuleLimits, by_id: AttemptsById) -> dict[str, CeilingUse]:
-    """Return what each customer under a ceiling left of it.
+def ceiling_uses(records: Records, limits: RuleLimits, by_id: AttemptsById) -> dict[str, CeilingUse]:
+    """Return the ceiling use of each customer that has a ceiling.
 
-    The bucket of each starts full. A request takes its units with its first attempt, a check when it is
-    granted.
+    Each bucket starts full. A request takes its units with its first attempt, a check when it is granted.
     """
     spendings: dict[str, list[Spending]] = defaultdict(list)
     for request_id, attempts in by_id.items():
         request = records.requests.get(request_id)
         if (
             request is not None
-            and request.plan in terms.ceilings
+            and request.plan in limits.ceilings
             and request_id not in records.prepaid_requests
         ):
             spending = Spending(attempts[0].last_byte_at, request.units, request.plan)
             spendings[request.customer].append(spending)
     for grant in records.grants:
-        if grant.plan in terms.ceilings:
+        if grant.plan in limits.ceilings:
             spendings[grant.customer].append(Spending(grant.at, grant.units, grant.plan))
-    return {customer: _ceiling_use(terms, sorted(own)) for customer, own in spendings.items()}
+    return {customer: _ceiling_use(limits, sorted(own)) for customer, own in spendings.items()}
 
 
-def _ceiling_use(terms: RuleLimits, spendings: Sequence[Spending]) -> CeilingUse:
-    """Return what a customer's spendings, in the order of time, left of its ceiling."""
-    ceiling = terms.ceilings[spendings[0].plan]
+def _ceiling_use(limits: RuleLimits, spendings: Sequence[Spending]) -> CeilingUse:
+    """Return a customer's ceiling use, from its spendings in the order of time."""
+    ceiling = limits.ceilings[spendings[0].plan]
     largest = max(spending.units for spending in spendings)
     slack = max(ceiling.slack * ceiling.burst, largest) + CEILING_MARGIN_S * ceiling.rate
     level = ceiling.burst
--- a/apigateway/emulators/listener.py
+++ b/apigateway/emulators/listener.py
@@ -1,4 +1,4 @@
-"""A listener on loopback that keeps its connections and can go away and come back at its address."""
+"""A listener on loopback that tracks its connections and can be killed and reopened at its address."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 import contextlib
 from typing import Self
 
-BACKLOG = 512  # connections; hundreds of gateways connect at once
+BACKLOG = 512  # hundreds of gateways connect at once
 
 
 class Listener:
-    """Calls `serve` for each connection; its end closes the connection.
+    """Calls `serve` for each connection, and closes the connection when it returns.
 
     Attributes:
-        port: 0 until it is open, if none was given.
-        writers: Of all connections that there ever were since it was opened.
+        port: The port; 0 before `open` if none was given.
+        writers: The writers of all connections since it was opened.
     """
 
     server: asyncio.Server
@@ -25,23 +25,23 @@
         self.writers: list[asyncio.StreamWriter] = []
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection until it is to be closed."""
+        """Serve one connection; the connection is closed when this returns."""
         raise NotImplementedError
 
     async def open(self) -> None:
-        """Listen, at the same port as before if there was one."""
+        """Listen, at the previous port if there was one."""
         self.server = await asyncio.start_server(self.on_connection, self.address, self.port, backlog=BACKLOG)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a new connection, and close it."""
+        """Serve a new connection, then close it."""
         self.writers.append(writer)
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             await self.serve(reader, writer)
         writer.close()
 
     async def kill(self) -> None:
-        """End as a process that is killed: connections are reset, new ones refused."""
+        """Stop like a killed process: reset all connections and refuse new ones."""
         self.server.close()
         writers = self.writers
         self.writers = []
--- a/apigateway/emulators/loaded_fleet.py
+++ b/apigateway/emulators/loaded_fleet.py
@@ -1,4 +1,4 @@
-"""Many gateway processes under a stream of requests, and what came of it: for tests and benchmarks."""
+"""Many gateway processes under load, with measurements, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from apigateway.emulators.ledger_records import AnswerKind
 from apigateway.emulators.relay import Links
 
-SAMPLE_PERIOD_S = 0.05  # between two samples of what hosts hold
-POLL_PERIOD_S = 0.01  # between two looks at whether something has come about
-TRAFFIC_SIGMA = 0.7  # of the logarithm of customers' traffic
+SAMPLE_PERIOD_S = 0.05  # between two samples of the hosts' load
+POLL_PERIOD_S = 0.01  # between two checks of a condition
+TRAFFIC_SIGMA = 0.7  # of the log-normal distribution of customers' traffic
 
 
 def draw_customers(
@@ -30,15 +30,15 @@
     seed: int = 1,
     spread: tuple[int, int] = (2, 6),
 ) -> list[Customer]:
-    """Draw customers that share the traffic unevenly.
+    """Draw customers with a log-normal distribution of traffic.
 
     Args:
-        gateways: Each customer comes through some of these in a row.
-        plans: Dealt out in turn.
-        rate: Requests a second, of all customers.
-        count: How many there are.
-        seed: Of what is drawn.
-        spread: Gateways of a customer: the least, the most.
+        gateways: The number of gateways, of which each customer uses some consecutive ones.
+        plans: The plans, assigned to customers in turn.
+        rate: Requests a second of all customers together.
+        count: The number of customers.
+        seed: The seed of the random draws.
+        spread: The least and the most gateways of a customer.
     """
     rng = random.Random(f"customers/{seed}")
     weights = [rng.lognormvariate(0.0, TRAFFIC_SIGMA) for _ in range(count)]
@@ -56,12 +56,12 @@
 
 
 class LoadedFleet:
-    """An installation and its clients; as a context manager it is started, and ended whatever happens.
+    """An installation and its clients; the context starts it, and stops it even after an error.
 
     Attributes:
-        max_held_requests: The most requests that each host held at once.
+        max_held_requests: The most requests that each host held at the same time.
         idle_core_samples: Sum over all samples of idle cores for which a request waited at another host.
-        core_samples: Sum over all samples of all cores.
+        core_samples: Sum over all samples of all cores, idle or not.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         await self.fleet.__aexit__()
 
     def start_traffic(self, seconds: float) -> asyncio.Task[None]:
-        """Send requests for so long; the task that is returned ends once each has come to its end."""
+        """Send requests for `seconds`; return the task, which finishes once all requests have ended."""
         loop = asyncio.get_running_loop()
         sampling = loop.create_task(self._sample())
         traffic_task = loop.create_task(self.traffic.run(seconds))
@@ -113,7 +113,7 @@
         return traffic_task
 
     async def _sample(self) -> None:
-        """Sample what hosts hold, again and again."""
+        """Sample the load of the hosts periodically."""
         while True:
             await asyncio.sleep(SAMPLE_PERIOD_S)
             hosts = self.fleet.hosts
@@ -127,34 +127,34 @@
             self.core_samples += cores
 
     async def wait_for_served(self, request_count: int, traffic_task: asyncio.Task[None]) -> None:
-        """Wait until so many more have been served, or all has been played."""
+        """Wait until `request_count` more requests have been served, or the traffic has ended."""
         until = len(self.traffic.latencies_s) + request_count
         while len(self.traffic.latencies_s) < until and not traffic_task.done():
             await asyncio.sleep(POLL_PERIOD_S)
 
     async def stop_traffic(self, traffic_task: asyncio.Task[None]) -> None:
-        """Send nothing more, and wait until all that was sent has come to its end."""
+        """Stop sending requests, and wait until all open ones have ended."""
         traffic_task.cancel()
         while self.traffic.tasks:
             await asyncio.wait(list(self.traffic.tasks))
 
     def received_counts(self) -> Counter[str]:
-        """Return the requests that have come to each host so far."""
+        """Return the number of commands that each host has received so far."""
         return Counter({host.name: len(host.commands) for host in self.fleet.hosts})
 
     async def replace_host(self, old: EmulatedHost, grace: float) -> None:
-        """Drain a host; past the grace it dies and comes back at its address, cold, and is told as new."""
+        """Drain a host, restart it after the grace time, cold and at its address, and announce it as up."""
         self.fleet.announce((old, "draining"))
         await asyncio.sleep(grace)
         await old.restart()
         self.fleet.announce((old, "up"))
 
     async def kill_gateways(self, gateways: Sequence[Gateway]) -> None:
-        """Kill gateways at once."""
+        """Kill gateways at the same time."""
         await asyncio.gather(*(gateway.kill() for gateway in gateways))
 
     async def restart_gateways(self, gateways: Sequence[Gateway], max_concurrent: int = 0) -> None:
-        """Start gateways again, so many side by side, which leaves the others their cores; 0: all at once."""
+        """Restart gateways, `max_concurrent` at a time to leave cores to the others; 0 means all at once."""
         slots = asyncio.Semaphore(max_concurrent or len(gateways) or 1)
 
         async def start(gateway: Gateway) -> None:
@@ -164,7 +164,7 @@
         await asyncio.gather(*(start(gateway) for gateway in gateways))
 
     def served_share(self) -> float:
-        """Return the part of all requests that was served."""
+        """Return the share of requests that were served."""
         counts = self.fleet.ledger.outcomes()
         served = sum(count for (*_, outcome), count in counts.items() if outcome == AnswerKind.SERVED)
         return served / max(1, sum(counts.values()))
@@ -175,7 +175,7 @@
 
 
 def exponential_work(mean: float, seed: int = 1) -> Any:
-    """Return what draws the work of each request, in seconds of one core."""
+    """Return a function that draws a request's work, in seconds of one core, with the given mean."""
     rng = random.Random(f"work/{seed}")
 
     def work(command: Command) -> float:
--- a/apigateway/emulators/pending_answers.py
+++ b/apigateway/emulators/pending_answers.py
@@ -1,4 +1,4 @@
-"""The answers of one connection, in the order of its commands (pipelining)."""
+"""The answers of one connection, sent in the order of its pipelined commands."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class PendingAnswers:
-    """Holds answers back until those before them are written.
+    """Holds each answer back until the answers before it are written.
 
     Attributes:
-        is_open: Whether the client is there.
+        is_open: Whether the connection is open.
     """
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
@@ -22,22 +22,22 @@
         self._waiting: deque[PendingAnswer] = deque()
 
     def append(self, answer: PendingAnswer) -> None:
-        """Take the place of a command."""
+        """Add the pending answer of the next command."""
         self._waiting.append(answer)
 
     def flush(self) -> None:
-        """Write what is due."""
+        """Write all answers that are next in order and ready."""
         while self._waiting and self._waiting[0].reply is not None:
             answer = self._waiting.popleft()
             assert answer.reply is not None
             if self.is_open:
                 self.writer.write(answer.reply)
-            answer.end(answer.how)
+            answer.end(answer.end_kind)
             if answer.is_last:
                 self.writer.close()
 
     def connection_closed(self) -> None:
-        """End all commands without an answer: their client has gone."""
+        """End all commands without an answer, because the client has disconnected."""
         self.is_open = False
         for answer in self._waiting:
             answer.end(AttemptEnd.CLOSED)
@@ -47,34 +47,34 @@
     """The answer to one command.
 
     Attributes:
-        reply: Its bytes; None while there are none.
-        how: How the attempt ends with it, as seen on the socket.
-        value: The value in it.
+        reply: The bytes of the answer; None until it is ready.
+        end_kind: How the attempt ends on the socket, an `AttemptEnd`.
+        value: The value in the answer.
         is_over: Whether the attempt has ended.
-        is_last: Whether the connection ends after it.
+        is_last: Whether the connection is closed after it.
     """
 
     def __init__(self, connection: PendingAnswers, on_end: Callable[[str, bytes], None]) -> None:
-        """Take the next place of a connection; `on_end` is called once with `how` and `value`."""
+        """Add the answer to its connection; `on_end` is called once with `end_kind` and `value`."""
         self._connection = connection
         self._on_end = on_end
         self.reply: bytes | None = None
-        self.how = ""
+        self.end_kind = ""
         self.value = b""
         self.is_over = False
         self.is_last = False
         connection.append(self)
 
-    def write(self, reply: bytes, how: str, value: bytes = b"", is_last: bool = False) -> None:
-        """Answer the command, once those before it are answered."""
+    def write(self, reply: bytes, end_kind: str, value: bytes = b"", is_last: bool = False) -> None:
+        """Set the answer, which is sent once all answers before it have been."""
         self.reply = reply
-        self.how = how
+        self.end_kind = end_kind
         self.value = value
         self.is_last = is_last
         self._connection.flush()
 
-    def end(self, how: str) -> None:
-        """End the attempt, unless it has ended."""
+    def end(self, end_kind: str) -> None:
+        """End the attempt, unless it has ended already."""
         if not self.is_over:
             self.is_over = True
-            self._on_end(how, self.value)
+            self._on_end(end_kind, self.value)
--- a/apigateway/emulators/platform.py
+++ b/apigateway/emulators/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration of one gateway, as its deployment writes it, for stand-ins on loopback."""
+"""The platform's configuration of one gateway, as a deployment writes it, for emulators on loopback."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 def make_discovery_entry(name: str, port: int, state: str = "up") -> dict[str, Any]:
-    """A host in discovery's form."""
+    """Return a host's entry in discovery."""
     return {
         "id": name,
         "addr": f"127.0.0.1:{port}",
@@ -78,12 +78,12 @@
 
 
 def make_configuration(
-    listed: list[dict[str, Any]],
+    entries: list[dict[str, Any]],
     discovery_port: int,
     counter_port: int,
     settings: dict[str, Any] | None = None,
 ) -> dict[str, Any]:
-    """What RELAY_CONFIG names, for a gateway at a free port. Times in nanoseconds."""
+    """Return the content of the RELAY_CONFIG file of a gateway at a free port; times are in ns."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -91,6 +91,6 @@
         "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "counter": f"127.0.0.1:{counter_port}",
-        "known": {"version": 1, "full": True, "servers": listed},
+        "known": {"version": 1, "full": True, "servers": entries},
         "settings": settings or SETTINGS,
     }
--- a/apigateway/emulators/ports.py
+++ b/apigateway/emulators/ports.py
@@ -1,4 +1,4 @@
-"""Ports for programs that a test starts: nobody else's, also where tests run side by side."""
+"""Free ports for programs that a test starts, also where tests run in parallel."""
 
 from __future__ import annotations
 
@@ -9,16 +9,21 @@
 FIRST_PORT, LAST_PORT = (
     12_000,
     32_000,
-)  # below what the system deals out by itself for port 0 and to connections
-PORT_STEP = 8  # between ports that are given: workers with addresses of their own listen at those above
+)  # below the ports that the system assigns for port 0 and to connections
+PORT_STEP = 8  # between returned ports, since workers with addresses of their own listen at the ports above
 
 _claims: list[socket.socket] = []
 _next = itertools.count(os.getpid() * 37 * PORT_STEP, PORT_STEP)
 
 
 def free_port() -> int:
-    """A port on 127.0.0.1 that is free for TCP, and that no other call gives while this process lives: its
-    UDP side is kept. Raises OSError if none is left."""
+    """Return a port on 127.0.0.1 that is free for TCP and that no other call returns while this process runs.
+
+    The port's UDP side stays bound as a claim, which other processes see.
+
+    Raises:
+        OSError: If no port is left.
+    """
     for _ in range(LAST_PORT - FIRST_PORT):
         port = FIRST_PORT + next(_next) % (LAST_PORT - FIRST_PORT)
         claim = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -32,4 +37,4 @@
             continue
         _claims.append(claim)
         return port
-    raise OSError("no port is left")
+    raise OSError("no free port left")
--- a/apigateway/emulators/ratelimit.py
+++ b/apigateway/emulators/ratelimit.py
@@ -1,7 +1,7 @@
-"""An emulated rate limit service (Envoy's rls.proto over gRPC), by script.
+"""An emulated rate limit service (Envoy's rls.proto over gRPC) with scripted faults.
 
-It may be slow or silent, answer with wrong codes or storms of OVER_LIMIT, reset streams and send GOAWAY in
-the middle. Its HTTP/2 is h2's; nothing of it is the gateway's code.
+It may be slow or silent, answer with wrong codes or many OVER_LIMIT, reset streams, and send GOAWAY while
+requests are open. Its HTTP/2 comes from h2, and it uses none of the gateway's code.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 OK = pb.RateLimitResponse.OK
 OVER_LIMIT = pb.RateLimitResponse.OVER_LIMIT
 MAX_STREAM_ID = 2**31 - 1
-STREAM_ID_STEP = 2  # between the streams that a client opens
-MESSAGE_PREFIX_BYTES = 5  # of gRPC: whether it is compressed, and its length
+STREAM_ID_STEP = 2  # between the ids of streams that a client opens
+MESSAGE_PREFIX_BYTES = 5  # of a gRPC message: compression flag and length
 READ_BYTES = 65536
-INTERNAL = "13"  # the gRPC status
+INTERNAL = "13"  # gRPC status
 RESPONSE_HEADERS = [(":status", "200"), ("content-type", "application/grpc")]
 MALFORMED_MESSAGE = b"\xff\xff\xff"
 UNANSWERED_KINDS = (StepKind.GOAWAY, StepKind.SILENT, StepKind.BUSY)
@@ -39,14 +39,14 @@
     """Counts hits against limits and answers by its script.
 
     Attributes:
-        limits: Hits left by customer, the value of the entry `key`; others have no limit.
-        max_concurrent_streams: What it announces as MAX_CONCURRENT_STREAMS.
-        reset_s: The time until a reset that an answer of OVER_LIMIT names; 0: none.
+        limits: The remaining hits of each customer, the value of the entry `key`; others have no limit.
+        max_concurrent_streams: The announced MAX_CONCURRENT_STREAMS.
+        reset_s: The `duration_until_reset` of OVER_LIMIT answers; 0 means none.
         decided_requests: The requests whose answer was decided, in order.
         timeouts: The `grpc-timeout` of each call.
-        hits: Counted, by customer.
-        reset_streams: Streams that the caller has reset.
-        arrivals: Each request as it comes.
+        hits: The counted hits of each customer.
+        reset_streams: The number of streams that the caller has reset.
+        arrivals: Each request as it arrives.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
 
 
 class RateLimitConnection:
-    """One connection of a rate limit service: the events of h2 in, its bytes out."""
+    """One connection of a rate limit service, which handles the events of h2."""
 
     def __init__(
         self, service: EmulatedRateLimitService, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -109,12 +109,12 @@
             client=False,
             initial_values={h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: service.max_concurrent_streams},
         )
-        self._bodies: dict[int, bytearray] = {}  # of the requests that come in, by stream
-        self._last_stream = MAX_STREAM_ID  # later ones are not looked at
+        self._bodies: dict[int, bytearray] = {}  # of the requests being received, by stream
+        self._last_stream = MAX_STREAM_ID  # requests on later streams are ignored, after a GOAWAY
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Take what comes until the connection ends."""
+        """Handle received data until the connection ends."""
         self._connection.initiate_connection()
         self._flush()
         try:
@@ -136,8 +136,8 @@
         match event:
             case h2.events.RequestReceived():
                 self._bodies[event.stream_id or 0] = bytearray()
-                told = dict(event.headers or ())
-                self._service.timeouts.append(bytes(told.get(b"grpc-timeout", b"")))
+                headers = dict(event.headers or ())
+                self._service.timeouts.append(bytes(headers.get(b"grpc-timeout", b"")))
             case h2.events.DataReceived():
                 self._bodies[event.stream_id or 0] += event.data or b""
                 self._connection.acknowledge_received_data(
@@ -164,7 +164,7 @@
         service.arrivals.put_nowait(request)
         if step.kind == StepKind.STALL:
             await asyncio.sleep(step.delay_s)
-        with contextlib.suppress(h2.exceptions.ProtocolError):  # it was called off, or is closed
+        with contextlib.suppress(h2.exceptions.ProtocolError):  # the stream was reset or is closed
             self._answer(stream, request, step)
         self._flush()
         if step.kind == StepKind.TRUNCATED:
@@ -178,12 +178,12 @@
                 return
             case StepKind.RESET:
                 connection.reset_stream(stream, h2.errors.ErrorCodes.INTERNAL_ERROR)
-            case StepKind.BUSY:  # never looked at
+            case StepKind.BUSY:  # not processed
                 connection.reset_stream(stream, h2.errors.ErrorCodes.REFUSED_STREAM)
             case StepKind.ERROR:
                 failure = [("grpc-status", INTERNAL), ("grpc-message", "it failed")]
                 connection.send_headers(stream, [*RESPONSE_HEADERS, *failure], end_stream=True)
-            case StepKind.GOAWAY:  # this one, and what follows it, was not looked at
+            case StepKind.GOAWAY:  # this request and later ones are not processed
                 self._last_stream = max(0, stream - STREAM_ID_STEP)
                 self._writer.write(connection.data_to_send())
                 goaway = GoAwayFrame(0, last_stream_id=self._last_stream, error_code=0)
@@ -199,6 +199,6 @@
 
 
 def _message(response: pb.RateLimitResponse, step: Step) -> bytes:
-    """Return the response as a message of gRPC, not compressed."""
+    """Return the response as an uncompressed gRPC message."""
     body = MALFORMED_MESSAGE if step.kind == StepKind.MALFORMED else response.SerializeToString()
     return b"\0" + len(body).to_bytes(4, "big") + body
--- a/apigateway/emulators/relay.py
+++ b/apigateway/emulators/relay.py
@@ -1,4 +1,4 @@
-"""Links that can be faulty: a relay stands between a gateway and what it connects to, on loopback."""
+"""Links with faults: a TCP relay on loopback between a gateway and a host or the counter."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-BACKLOG = 512  # connections; hundreds of gateways connect at once
-SEEDS_PER_LINKS = 10_000  # relays of one `Links` have seeds of their own
+BACKLOG = 512  # hundreds of gateways connect at once
+SEEDS_PER_LINKS = 10_000  # each relay of one `Links` has its own seed
 
 
 class LinkFaultKind(StrEnum):
-    """What a link does to what passes it."""
+    """The kind of a link's fault."""
 
-    NO_FAULT = "sound"  # nothing
-    DELAY = "delay"  # each piece comes `seconds` late, and up to `jitter` later, in order
-    SILENT = "silent"  # nothing passes and nobody is told; connections stay open
-    STALL = "stall"  # as SILENT, and all of it passes when the fault changes
-    CUT = "cut"  # each connection is reset once `after` bytes have come back
+    NO_FAULT = "sound"
+    DELAY = "delay"  # data is delayed by `delay_s` and up to `jitter_s` more, in order
+    SILENT = "silent"  # all data is dropped; connections stay open
+    STALL = "stall"  # data is held back until the fault changes
+    CUT = "cut"  # connections are reset after `after_bytes` bytes from the target
     REFUSE = "refuse"  # new connections are reset, open ones stay
-    LOSE = "lose"  # a `part` of the connections, drawn with each piece that comes back, says nothing more
+    LOSE = "lose"  # with probability `share` per chunk from the target, the connection goes silent
 
 
 MUTE_KINDS = (LinkFaultKind.SILENT, LinkFaultKind.STALL)
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFault:
-    """What a link does, a `LinkFaultKind`, and its figures.
+    """A link's fault: a `LinkFaultKind` and its parameters.
 
     Attributes:
-        one_way: Of SILENT: what goes to the target passes, and only what comes back does not.
+        one_way: For SILENT, whether only data from the target is dropped.
     """
 
     kind: str = LinkFaultKind.NO_FAULT
@@ -46,7 +46,7 @@
         if self.kind not in tuple(LinkFaultKind):
             raise ValueError(f"unknown link fault {self.kind!r}, one of {', '.join(LinkFaultKind)}")
         if min(self.delay_s, self.jitter_s, self.after_bytes, self.share) < 0 or self.share > 1:
-            raise ValueError(f"link fault {self.kind}: figure out of range")
+            raise ValueError(f"link fault {self.kind}: parameter out of range")
 
 
 NO_FAULT = LinkFault()
@@ -56,9 +56,9 @@
     """One side of a connection through a relay.
 
     Attributes:
-        faces_target: Whether it faces what is connected to, and not the one that connects.
-        peer: The other side; None until that is up.
-        transport: Its own connection; None until that is up.
+        faces_target: Whether it is the side of the target, and not of the client.
+        peer: The other side; None until it is connected.
+        transport: Its own connection; None until it is connected.
     """
 
     def __init__(self, relay: Relay, faces_target: bool) -> None:
@@ -66,20 +66,20 @@
         self.faces_target = faces_target
         self.peer: RelayEnd | None = None
         self.transport: asyncio.Transport | None = None
-        self._held: list[bytes] = []  # before the other side is up, or while the link stalls
+        self._held: list[bytes] = []  # until the other side is connected, or while the link stalls
         self._passed_bytes = 0
         self._is_mute = False
-        self._due = 0.0  # when the last piece passes
+        self._due = 0.0  # when the last delayed chunk is forwarded
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connect to the target, for the side that faces the one that connects."""
+        """Store the transport; on the client's side, connect to the target."""
         self.transport = transport  # type: ignore[assignment]
         self._relay.ends.add(self)
         if not self.faces_target:
             self._relay.connect_target(self)
 
     def data_received(self, data: bytes) -> None:
-        """Pass a piece on, as the fault lets it."""
+        """Forward a chunk, subject to the fault."""
         fault = self._relay.fault
         if self._drops(fault):
             return
@@ -91,24 +91,24 @@
             self._write(data[: max(0, fault.after_bytes - self._passed_bytes)])
             self.abort()
             return
-        self._write_in_time(data, fault)
+        self._write_delayed(data, fault)
 
     def _drops(self, fault: LinkFault) -> bool:
-        """Return whether a piece that comes now does not pass."""
+        """Return whether a chunk that arrives now is dropped."""
         is_lossy = fault.kind == LinkFaultKind.LOSE and self.faces_target
         if is_lossy and self._relay.rng.random() < fault.share:
             self._is_mute = True
         is_silent = fault.kind == LinkFaultKind.SILENT and (self.faces_target or not fault.one_way)
         return self._is_mute or is_silent
 
-    def _write_in_time(self, data: bytes, fault: LinkFault) -> None:
-        """Pass a piece on, after the delay that the fault asks for."""
+    def _write_delayed(self, data: bytes, fault: LinkFault) -> None:
+        """Forward a chunk after the fault's delay."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         delay = 0.0
         if fault.kind == LinkFaultKind.DELAY:
             delay = fault.delay_s + fault.jitter_s * self._relay.rng.random()
-        self._due = max(self._due, now + delay)  # in order, whatever the jitter
+        self._due = max(self._due, now + delay)  # keeps the order despite the jitter
         if self._due > now:
             loop.call_at(self._due, self._write, data)
         else:
@@ -117,19 +117,19 @@
     def _write(self, data: bytes) -> None:
         self._passed_bytes += len(data)
         transport = self.peer.transport if self.peer is not None else None
-        # The other side may end while a stall holds this back.
+        # The other side may close while a stall holds this data back.
         if transport is not None and data and not transport.is_closing():
             transport.write(data)
 
     def release(self) -> None:
-        """Pass on what was held back."""
+        """Forward the data that was held back."""
         held = self._held
         self._held = []
         for data in held:
             self._write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the other side in the same way, if the fault lets it know."""
+        """Close the other side in the same way, unless the fault hides the close."""
         self._relay.ends.discard(self)
         peer = self.peer
         if peer is None or peer.transport is None or not self._relay.propagates_close():
@@ -147,12 +147,12 @@
 
 
 class Relay:
-    """A listener whose connections go on to a target, through the fault that a test sets in time.
+    """A listener that forwards its connections to a target, through a fault that a test may change.
 
     Attributes:
-        fault: The fault now; change it by `set_fault`.
-        ends: The sides of all connections that are up.
-        connections: Connections that there ever were.
+        fault: The current fault; use `set_fault` to change it.
+        ends: The sides of all open connections.
+        connections: The number of connections so target_end.
     """
 
     def __init__(self, target: tuple[str, int], seed: int = 0) -> None:
@@ -173,39 +173,39 @@
         )
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def connect_target(self, near: RelayEnd) -> None:
-        """Connect a new connection to the target, or reset it."""
+    def connect_target(self, client_end: RelayEnd) -> None:
+        """Connect a new connection to the target, or reset it if the fault says so."""
         self.connections += 1
         if self.fault.kind == LinkFaultKind.REFUSE:
-            near.abort()
+            client_end.abort()
             return
-        task = asyncio.get_running_loop().create_task(self._connect(near))
+        task = asyncio.get_running_loop().create_task(self._connect(client_end))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _connect(self, near: RelayEnd) -> None:
-        far = RelayEnd(self, faces_target=True)
+    async def _connect(self, client_end: RelayEnd) -> None:
+        target_end = RelayEnd(self, faces_target=True)
         try:
-            await asyncio.get_running_loop().create_connection(lambda: far, *self._target)
-        except OSError:  # the target has died: the one that connects learns it as it would without a relay
-            near.abort()
+            await asyncio.get_running_loop().create_connection(lambda: target_end, *self._target)
+        except OSError:  # the target is down: the client sees a reset, as without a relay
+            client_end.abort()
             return
-        far.peer = near
-        near.peer = far
-        if near.transport is None or near.transport.is_closing():
-            far.abort()
+        target_end.peer = client_end
+        client_end.peer = target_end
+        if client_end.transport is None or client_end.transport.is_closing():
+            target_end.abort()
         elif self.fault.kind != LinkFaultKind.STALL:
-            near.release()
+            client_end.release()
 
     def propagates_close(self) -> bool:
-        """Return whether one side's end is told to the other: not while nothing passes."""
+        """Return whether a close of one side is forwarded to the other, which muting faults prevent."""
         return self.fault.kind not in MUTE_KINDS
 
     def set_fault(self, fault: LinkFault) -> None:
         """Change the fault.
 
-        What a stall held passes. After a silence all connections are reset, as their senders would find out
-        when the link is back.
+        Data held by a stall is forwarded. After SILENT, all connections are reset, as their senders would see
+        once the link is back.
         """
         before = self.fault
         self.fault = fault
@@ -227,12 +227,12 @@
 class Links:
     """The relays of an installation.
 
-    There is one for each zone of gateways and each host, and one for each gateway to the counter: hundreds of
-    gateways do not need a relay for each pair.
+    There is one relay from each zone of gateways to each host, and one from each gateway to the counter.
+    Hundreds of gateways would need too many relays if each pair had its own.
 
     Attributes:
-        hosts: By the gateways' zone and the host's name.
-        counter: By the gateway's name.
+        hosts: The relays to hosts, by the gateways' zone and the host's name.
+        counter: The relays to the counter, by the gateway's name.
     """
 
     def __init__(self, seed: int = 0) -> None:
@@ -261,7 +261,7 @@
     def set_host_fault(
         self, fault: LinkFault, zones: set[str] | None = None, hosts: set[str] | None = None
     ) -> None:
-        """Set the fault on the links of gateways of these zones to these hosts; None: of all."""
+        """Set the fault on the links from gateways in `zones` to `hosts`; None means all."""
         for (zone, host), relay in self.hosts.items():
             if (zones is None or zone in zones) and (hosts is None or host in hosts):
                 relay.set_fault(fault)
--- a/apigateway/emulators/resp.py
+++ b/apigateway/emulators/resp.py
@@ -1,4 +1,4 @@
-"""The bytes that hosts and clients exchange, in RESP2."""
+"""RESP2 messages between hosts and clients."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 MALFORMED = b"?what\r\n*-7\r\n"
 PONG = b"+PONG\r\n"
 
-FIELDS_INDEX = 3  # of a command's fields
+FIELDS_INDEX = 3  # position of the fields in a command
 
 
 def bulk(data: bytes) -> bytes:
-    """Return a bulk string."""
+    """Return a RESP bulk string."""
     return b"$%d\r\n%s\r\n" % (len(data), data)
 
 
 def fields(command: Command) -> dict[str, str]:
-    """Return the names and values of a command's `c=read,t=p,...`; none where there are none."""
+    """Return a command's fields (`c=read,t=p,...`) by name; empty if it has none."""
     try:
         return dict(pair.split("=", 1) for pair in command[FIELDS_INDEX].decode().split(","))
     except (IndexError, ValueError):
--- a/apigateway/emulators/script.py
+++ b/apigateway/emulators/script.py
@@ -1,6 +1,6 @@
-"""What an emulator does, by count or in time.
+"""Scripts of an emulator's behaviour, by message count or time.
 
-A script is data, so that a test or a rehearsal can print and repeat it.
+A script is data, so that a test can print and repeat it.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 
 
 class StepKind(StrEnum):
-    """A behaviour."""
+    """The kind of a script's step."""
 
-    ANSWER = "answer"  # as it should be
-    STALL = "stall"  # answered `delay` s late
+    ANSWER = "answer"  # answered normally
+    STALL = "stall"  # answered `delay_s` late
     SILENT = "silent"  # never answered
     RESET = "reset"  # the connection is reset
-    MALFORMED = "spoilt"  # bytes that are no message
-    BUSY = "busy"  # rejected
-    ERROR = "error"  # the peer's error
-    TRUNCATED = "half"  # half an answer, then the end of the connection
-    SLOW = "slow"  # `factor` times the usual work
-    # Of a rate limit service:
-    OVER_LIMIT = "over"  # over its limit, whatever that is
-    NO_CODE = "odd"  # an answer without a code
-    GOAWAY = "goaway"  # the connection takes no more, from this message on
+    MALFORMED = "spoilt"  # answered with bytes that form no message
+    BUSY = "busy"  # rejected as busy
+    ERROR = "error"  # answered with an error
+    TRUNCATED = "half"  # part of an answer, then the connection is closed
+    SLOW = "slow"  # `work_factor` times the usual work
+    # Only for the rate limit service:
+    OVER_LIMIT = "over"  # answered with OVER_LIMIT whatever the limit
+    NO_CODE = "odd"  # answered without a code
+    GOAWAY = "goaway"  # GOAWAY: this message and later ones are not processed
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One behaviour, a `StepKind`, for some messages or some time, whichever is set and over first.
+    """A `StepKind` that applies to a number of messages or for a time, whichever ends first.
 
     Attributes:
-        count: Messages that it lasts for; 0: not limited.
-        duration_s: Time that it lasts for; 0: not limited.
+        count: The number of messages that it applies to; 0 means unlimited.
+        duration_s: How long it applies; 0 means unlimited.
     """
 
     kind: str = StepKind.ANSWER
@@ -48,45 +48,45 @@
         if self.kind not in tuple(StepKind):
             raise ValueError(f"unknown step {self.kind!r}, one of {', '.join(StepKind)}")
         if min(self.count, self.duration_s, self.delay_s, self.work_factor) < 0:
-            raise ValueError(f"step {self.kind}: negative figure")
+            raise ValueError(f"step {self.kind}: negative parameter")
 
 
 ANSWER = Step()
 
 
 class Script:
-    """Steps one after another; past the last all is answered.
+    """A sequence of steps; after the last one, messages are answered normally.
 
-    A step in time begins with its first message, or where the step before it was over.
+    A step with a duration begins with its first message, or at the end of a step with a duration before it.
 
     Attributes:
-        steps: The steps to come, the current one first.
-        message_count: Messages that the current step has had.
+        steps: The remaining steps, the current one first.
+        message_count: The number of messages that the current step has handled.
     """
 
     def __init__(self, steps: Iterable[Step] = ()) -> None:
         self.steps = list(steps)
         self.message_count = 0
-        self._began = math.nan  # when the current step began; NaN: not yet
+        self._started_at = math.nan  # start time of the current step; NaN if it has not begun
 
     def set_steps(self, *steps: Step) -> None:
-        """Replace all that was still to come."""
+        """Replace the remaining steps."""
         self.steps = list(steps)
         self.message_count = 0
-        self._began = math.nan
+        self._started_at = math.nan
 
     def next(self, now: float) -> Step:
-        """Return the step for a message that came at `now`, by any clock that does not run backwards."""
+        """Return the step for a message that arrives at `now`, on any monotonic clock."""
         while self.steps:
             step = self.steps[0]
-            began = now if math.isnan(self._began) else self._began
-            is_time_over = step.duration_s > 0 and now - began >= step.duration_s
+            started_at = now if math.isnan(self._started_at) else self._started_at
+            is_time_over = step.duration_s > 0 and now - started_at >= step.duration_s
             is_count_over = step.count > 0 and self.message_count >= step.count
             if not is_time_over and not is_count_over:
                 self.message_count += 1
-                self._began = began
+                self._started_at = started_at
                 return step
             self.steps.pop(0)
             self.message_count = 0
-            self._began = began + step.duration_s if is_time_over else now
+            self._started_at = started_at + step.duration_s if is_time_over else now
         return ANSWER
