--- a/tests/emulators/test_emulated_systems.py
+++ b/tests/emulators/test_emulated_systems.py
@@ -1,5 +1,4 @@
-"""The stand-ins by themselves: each does what its script says, and the ledger sees what passes on their
-sockets."""
+"""The emulated systems follow their scripts, and the ledger records what passes on their sockets."""
 
 import asyncio
 
@@ -18,11 +17,11 @@
 TERMS = RuleLimits({"read": ClassRules("safe"), "note": ClassRules("unsafe")})
 
 
-async def ask(port, text):
+async def exchange(port, data):
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(text)
+    writer.write(data)
     try:
-        return await reader.read() if text == b"" else await reader.readuntil(b"\r\n")
+        return await reader.read() if data == b"" else await reader.readuntil(b"\r\n")
     except asyncio.IncompleteReadError as err:
         return err.partial
     except ConnectionResetError:
@@ -44,34 +43,34 @@
     ],
 )
 @run_on_uvloop
-async def test_a_host_does_what_its_script_says(step, answer):
+async def test_host_follows_its_script(step, answer):
     async with EmulatedHost(script=Script([step]), work=lambda _: 0.001) as host:
-        assert await ask(host.port, make_command()) == answer
+        assert await exchange(host.port, make_command()) == answer
 
 
 @run_on_uvloop
-async def test_a_host_that_resets_and_one_that_is_silent():
+async def test_host_script_with_reset_and_silent_steps():
     async with EmulatedHost(script=Script([Step("reset", count=1), Step("silent", count=1)])) as host:
-        assert await ask(host.port, make_command()) in (b"reset", b"")
+        assert await exchange(host.port, make_command()) in (b"reset", b"")
         reader, writer = await asyncio.open_connection("127.0.0.1", host.port)
         writer.write(make_command(b"a") + make_command(b"b"))
         while len(host.commands) < 3:
             await host.arrivals.get()
         writer.write_eof()
-        assert await reader.read() == b""  # answers come in order: behind the silent one there is none
+        assert await reader.read() == b""  # answers keep their order, so none follows the silent step
 
 
 @run_on_uvloop
-async def test_a_host_has_so_many_cores_and_so_much_room():
+async def test_host_when_its_cores_and_queue_are_full_then_rejects():
     async with EmulatedHost(work=lambda _: 60.0, cores=1, queue_capacity=1) as host:
         first = [await asyncio.open_connection("127.0.0.1", host.port) for _ in range(2)]
         for n, (_, writer) in enumerate(first):
             writer.write(make_command(b"r%d" % n))
             await host.arrivals.get()
-        assert await ask(host.port, make_command(b"more")) == b"-BUSY\r\n"
-        assert await ask(host.port, b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n") == b"$27\r\n"
+        assert await exchange(host.port, make_command(b"more")) == b"-BUSY\r\n"
+        assert await exchange(host.port, b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n") == b"$27\r\n"
         assert host.report() == b"active=2,waiting=1,cpu=1.00"
-        first[1][1].close()  # what waits is dropped with its connection
+        first[1][1].close()  # queued work is dropped with its connection
         while host.connections > 1:
             await host.arrivals.get()
         assert (host.running, len(host.queued)) == (1, 1)
@@ -79,7 +78,7 @@
 
 
 @run_on_uvloop
-async def test_a_host_that_restarts_is_cold_and_has_forgotten_its_work():
+async def test_host_after_a_restart_is_cold_and_has_no_work():
     ledger = Ledger(TERMS)
     async with EmulatedHost(work=lambda _: 60.0, cold_share=0.2, ledger=ledger) as host:
         reader, writer = await asyncio.open_connection("127.0.0.1", host.port)
@@ -95,7 +94,7 @@
 
 
 @run_on_uvloop
-async def test_a_counter_does_what_its_script_says():
+async def test_counter_follows_its_script():
     steps = [
         Step("busy", count=1),
         Step("error", count=1),
@@ -105,19 +104,22 @@
         Step("stall", count=1, delay_s=0.01),
     ]
     async with EmulatedCounter(script=Script(steps)) as counter:
-        said = [await ask(counter.port, b"incr n 1 60000\r\n") for _ in range(7)]
-        assert said[:4] == [b"busy\r\n", b"error\r\n", b"ok {}\r\n", b"ok"] and said[4] in (b"reset", b"")
-        assert said[5:] == [b"ok 4\r\n", b"ok 5\r\n"]  # busy and error added nothing, the others did
-        assert await ask(counter.port, b"ping\r\n") == b"pong\r\n"
-        assert await ask(counter.port, b"what\r\n") == b"error\r\n"
+        replies = [await exchange(counter.port, b"incr n 1 60000\r\n") for _ in range(7)]
+        assert replies[:4] == [b"busy\r\n", b"error\r\n", b"ok {}\r\n", b"ok"] and replies[4] in (
+            b"reset",
+            b"",
+        )
+        assert replies[5:] == [b"ok 4\r\n", b"ok 5\r\n"]  # busy and error add nothing, the other steps do
+        assert await exchange(counter.port, b"ping\r\n") == b"pong\r\n"
+        assert await exchange(counter.port, b"what\r\n") == b"error\r\n"
         await counter.restart()
-        assert await ask(counter.port, b"incr n 2 1\r\n") == b"ok 2\r\n"
-        counter.expires_at[b"n"] = 0.0  # its life is over
-        assert await ask(counter.port, b"incr n 3 60000\r\n") == b"ok 3\r\n"
+        assert await exchange(counter.port, b"incr n 2 1\r\n") == b"ok 2\r\n"
+        counter.expires_at[b"n"] = 0.0  # its lifetime has ended
+        assert await exchange(counter.port, b"incr n 3 60000\r\n") == b"ok 3\r\n"
 
 
 @run_on_uvloop
-async def test_discovery_tells_changes_to_the_watch_and_the_ledger_when():
+async def test_discovery_sends_changes_to_watches_and_records_them_in_the_ledger():
     ledger = Ledger(TERMS)
     async with EmulatedDiscovery("g0", ledger) as discovery, aiohttp.ClientSession() as session:
         url = f"http://127.0.0.1:{discovery.port}/v1/endpoints"
@@ -128,9 +130,9 @@
             async with session.get(url, params=query) as answer:
                 return await answer.json(content_type=None)
 
-        whole = await get()
-        assert whole["full"] and [s["id"] for s in whole["servers"]] == ["h1"]
-        watch = asyncio.ensure_future(get(index=whole["version"], wait=20_000))
+        full_list = await get()
+        assert full_list["full"] and [s["id"] for s in full_list["servers"]] == ["h1"]
+        watch = asyncio.ensure_future(get(index=full_list["version"], wait=20_000))
         while discovery.calls.qsize() < 2:
             await asyncio.sleep(0)
         assert not watch.done() and ledger.host_states["g0", "h1"][-1][1] == "up"
@@ -138,17 +140,16 @@
         assert [s["state"] for s in (await watch)["servers"]] == ["draining"]
         assert [state for _, state in ledger.host_states["g0", "h1"]] == ["up", "draining"]
         discovery.apply_changes([one.entry("removed")])
-        assert (await get(index=whole["version"], wait=0))["servers"][-1]["state"] == "removed"
+        assert (await get(index=full_list["version"], wait=0))["servers"][-1]["state"] == "removed"
         assert (await get())["servers"] == []
 
 
-class Rogue(Listener):
-    """A gateway that breaks a rule: it sends each request to all hosts at once, and answers twice or not at
-    all."""
+class RuleBreakingGateway(Listener):
+    """A gateway that breaks two rules: it copies requests to all hosts, and answers twice or never."""
 
-    def __init__(self, hosts, answers):
+    def __init__(self, hosts, answer_count):
         super().__init__()
-        self.hosts, self.answers, self.copies = hosts, answers, []
+        self.hosts, self.answer_count, self.copies = hosts, answer_count, []
 
     async def serve(self, reader, writer):
         while data := await reader.read(65536):
@@ -157,45 +158,45 @@
                 self.copies[-1][1].write(data)
             for copy, _ in self.copies:
                 await read_reply(copy)
-            writer.write(b"$8\r\nmade up!\r\n" * self.answers)
+            writer.write(b"$8\r\nmade up!\r\n" * self.answer_count)
 
 
-@pytest.mark.parametrize("answers, broken", [(0, {RULES[0], RULES[1]}), (2, {RULES[0], RULES[1]})])
+@pytest.mark.parametrize("answer_count, broken_rules", [(0, {RULES[0], RULES[1]}), (2, {RULES[0], RULES[1]})])
 @run_on_uvloop
-async def test_the_ledger_finds_a_rogue_out(answers, broken, monkeypatch):
+async def test_ledger_detects_a_gateway_that_breaks_rules(answer_count, broken_rules, monkeypatch):
     monkeypatch.setattr("apigateway.emulators.clients.TIMEOUT_MARGIN_S", 0.0)
     ledger = Ledger(TERMS)
     async with (
         EmulatedHost(name="h1", work=lambda _: 0.2, ledger=ledger) as one,
         EmulatedHost(name="h2", work=lambda _: 0.2, ledger=ledger) as two,
-        Rogue([one, two], answers) as rogue,
+        RuleBreakingGateway([one, two], answer_count) as gateway,
     ):
-        client = Client(ledger, {"g0": ("127.0.0.1", rogue.port)})
-        order = ClientRequest("r1", "0000000000000001", "p", "note", "unsafe", 0.5)
-        answer = await client.send("g0", order)
-        assert answer.kind == ("lost" if answers == 0 else "served")
-        while answers == 2 and not ledger.unsolicited_answers:
+        client = Client(ledger, {"g0": ("127.0.0.1", gateway.port)})
+        request = ClientRequest("r1", "0000000000000001", "p", "note", "unsafe", 0.5)
+        answer = await client.send("g0", request)
+        assert answer.kind == ("lost" if answer_count == 0 else "served")
+        while answer_count == 2 and not ledger.unsolicited_answers:
             await asyncio.sleep(0)
         client.close()
-        assert {v.rule for v in ledger.check_rules() if not v.kept} == broken
+        assert {v.rule for v in ledger.check_rules() if not v.kept} == broken_rules
 
 
 @run_on_uvloop
-async def test_a_client_asks_once_more_where_its_request_crossed_a_close():
+async def test_client_resends_a_request_when_the_gateway_closes_its_idle_connection():
     ledger = Ledger(TERMS)
 
-    class Closer(Listener):
-        """Answers the first request of a connection and closes it with the second unread."""
+    class ClosingGateway(Listener):
+        """A gateway that answers the first request of a connection and closes it at the second."""
 
         async def serve(self, reader, writer):
             await reader.read(65536)
             writer.write(b"$1\r\nv\r\n")
             await reader.read(65536)
 
-    async with Closer() as gateway:
+    async with ClosingGateway() as gateway:
         client = Client(ledger, {"g0": ("127.0.0.1", gateway.port)})
         for n in range(2):
-            order = ClientRequest(f"r{n}", "0000000000000001", "p", "read", "safe", 3.0)
-            assert (await client.send("g0", order)).kind == "served"
+            request = ClientRequest(f"r{n}", "0000000000000001", "p", "read", "safe", 3.0)
+            assert (await client.send("g0", request)).kind == "served"
         assert len(gateway.writers) == 2 and len(ledger.requests) == 2
         client.close()
--- a/tests/emulators/test_ledger.py
+++ b/tests/emulators/test_ledger.py
@@ -1,4 +1,4 @@
-"""Each rule: a planted breach is found, its neighbours that are allowed are not."""
+"""The ledger reports a breach of each rule, and does not report similar traffic that is allowed."""
 
 import pytest
 from hypothesis import given, seed, settings
@@ -15,107 +15,111 @@
 )
 
 
-class World:
-    """A ledger with a clock that the test moves."""
+class LedgerHarness:
+    """A ledger with a clock that the test controls."""
 
     def __init__(self):
         self.now = 100.0
-        self.book = Ledger(TERMS, lambda: self.now)
-        self.n = 0
+        self.ledger = Ledger(TERMS, lambda: self.now)
+        self.request_count = 0
 
-    def ask(self, cls="read", plan="small", gateway="g0", customer="c", wait=5.0, units=1.0):
-        self.n += 1
-        self.book.record_request(f"r{self.n}", gateway, wait, customer, plan, cls, units)
-        return f"r{self.n}"
+    def send_request(
+        self, service_class="read", plan="small", gateway="g0", customer="c", wait=5.0, units=1.0
+    ):
+        self.request_count += 1
+        self.ledger.record_request(
+            f"r{self.request_count}", gateway, wait, customer, plan, service_class, units
+        )
+        return f"r{self.request_count}"
 
-    def send(self, id, host="h1", cls="read", cell=0, zone="a", work=0.1):
-        return self.book.record_attempt(host, id, cls, cell, zone, self.now, work)
+    def start_attempt(self, request_id, host="h1", service_class="read", cell=0, zone="a", work=0.1):
+        return self.ledger.record_attempt(host, request_id, service_class, cell, zone, self.now, work)
 
-    def serve(self, id, number, value=b"v"):
-        self.book.record_attempt_end(number, "answered", value)
-        self.book.record_answer(id, "served", value)
+    def serve_request(self, request_id, number, value=b"v"):
+        self.ledger.record_attempt_end(number, "answered", value)
+        self.ledger.record_answer(request_id, "served", value)
 
-    def broken(self):
-        return [v.rule for v in self.book.check_rules() if not v.kept]
+    def broken_rules(self):
+        return [v.rule for v in self.ledger.check_rules() if not v.kept]
 
 
 @pytest.fixture
-def w():
-    return World()
+def harness():
+    return LedgerHarness()
 
 
-def test_a_day_that_keeps_the_rules(w):
-    id = w.ask()
-    w.serve(id, w.send(id))
-    assert w.broken() == []
-    assert {v.rule: v.checked for v in w.book.check_rules()}[RULES[0]] == 1
-    assert "drains kept: not seen" in format_verdicts(w.book.check_rules())
+def test_rules_when_a_request_is_served_are_kept(harness):
+    request_id = harness.send_request()
+    harness.serve_request(request_id, harness.start_attempt(request_id))
+    assert harness.broken_rules() == []
+    assert {v.rule: v.checked for v in harness.ledger.check_rules()}[RULES[0]] == 1
+    assert "drains kept: not seen" in format_verdicts(harness.ledger.check_rules())
 
 
-def test_a_request_without_an_answer_is_lost(w):
-    w.ask()
-    assert w.broken() == [RULES[0]]
+def test_request_without_an_answer_is_lost(harness):
+    harness.send_request()
+    assert harness.broken_rules() == [RULES[0]]
 
 
-def test_what_is_asked_of_a_gateway_that_was_killed_is_excused_until_it_listens_again(w):
-    w.book.record_gateway_start("g0")
-    w.book.record_gateway_kill("g0")
-    w.now += 3.0
-    w.ask()  # on a connection whose end its client has not heard of yet
-    assert w.broken() == []
-    w.book.record_gateway_start("g0")
-    w.now += 3.0
-    w.ask()
-    assert w.broken() == [RULES[0]]
+def test_request_to_a_killed_gateway_is_excused_until_the_gateway_listens_again(harness):
+    harness.ledger.record_gateway_start("g0")
+    harness.ledger.record_gateway_kill("g0")
+    harness.now += 3.0
+    harness.send_request()  # on a connection whose end the client has not noticed yet
+    assert harness.broken_rules() == []
+    harness.ledger.record_gateway_start("g0")
+    harness.now += 3.0
+    harness.send_request()
+    assert harness.broken_rules() == [RULES[0]]
 
 
-def test_two_answers(w):
-    id = w.ask()
-    w.book.record_answer(id, "failed")
-    w.book.record_answer(id, "refused")
-    assert w.broken() == [RULES[0]]
+def test_request_with_two_answers_is_a_breach(harness):
+    request_id = harness.send_request()
+    harness.ledger.record_answer(request_id, "failed")
+    harness.ledger.record_answer(request_id, "refused")
+    assert harness.broken_rules() == [RULES[0]]
 
 
-def test_an_answer_nobody_asked_for(w):
-    w.book.record_unsolicited_answer("g0")
-    assert w.broken() == [RULES[0]]
+def test_unsolicited_answer_is_a_breach(harness):
+    harness.ledger.record_unsolicited_answer("g0")
+    assert harness.broken_rules() == [RULES[0]]
 
 
-@pytest.mark.parametrize("late, rules", [(0.04, []), (0.06, [RULES[0]])])
-def test_an_answer_after_the_clients_time(w, late, rules):
-    id = w.ask(wait=1.0)
-    w.now += 1.0 + late
-    w.book.record_answer(id, "failed")
-    assert w.broken() == rules
+@pytest.mark.parametrize("lateness_s, broken", [(0.04, []), (0.06, [RULES[0]])])
+def test_answer_after_the_clients_timeout_is_a_breach(harness, lateness_s, broken):
+    request_id = harness.send_request(wait=1.0)
+    harness.now += 1.0 + lateness_s
+    harness.ledger.record_answer(request_id, "failed")
+    assert harness.broken_rules() == broken
 
 
-def test_a_value_that_no_host_made(w):
-    id, other = w.ask(), w.ask()
-    w.serve(other, w.send(other), b"other")
-    w.book.record_attempt_end(w.send(id), "answered", b"mine")
-    w.book.record_answer(id, "served", b"other")
-    assert w.broken() == [RULES[0]]
+def test_value_that_no_host_produced_is_a_breach(harness):
+    request_id, other = harness.send_request(), harness.send_request()
+    harness.serve_request(other, harness.start_attempt(other), b"other")
+    harness.ledger.record_attempt_end(harness.start_attempt(request_id), "answered", b"mine")
+    harness.ledger.record_answer(request_id, "served", b"other")
+    assert harness.broken_rules() == [RULES[0]]
 
 
-def test_a_send_after_the_answer(w):
-    id = w.ask()
-    w.book.record_answer(id, "failed")
-    w.now += 0.2
-    w.book.record_attempt_end(w.send(id), "busy")
-    assert w.broken() == [RULES[0]]
+def test_attempt_after_the_answer_is_a_breach(harness):
+    request_id = harness.send_request()
+    harness.ledger.record_answer(request_id, "failed")
+    harness.now += 0.2
+    harness.ledger.record_attempt_end(harness.start_attempt(request_id), "busy")
+    assert harness.broken_rules() == [RULES[0]]
 
 
-def test_what_a_killed_gateway_held_is_not_lost(w):
-    w.ask(gateway="g1")
-    w.ask(gateway="g2")
-    w.now += 1.0
-    w.book.record_gateway_kill("g1")
-    assert [t.gateway for t in w.book.requests.values() if not w.book.is_excused(t)] == ["g2"]
-    assert w.broken() == [RULES[0]]  # the other one's
+def test_request_held_by_a_killed_gateway_is_not_lost(harness):
+    harness.send_request(gateway="g1")
+    harness.send_request(gateway="g2")
+    harness.now += 1.0
+    harness.ledger.record_gateway_kill("g1")
+    assert [t.gateway for t in harness.ledger.requests.values() if not harness.ledger.is_excused(t)] == ["g2"]
+    assert harness.broken_rules() == [RULES[0]]  # the request at g2
 
 
 @pytest.mark.parametrize(
-    "how, cls, rules",
+    "end_kind, service_class, broken",
     [
         ("busy", "note", []),
         ("closed", "note", [RULES[1]]),
@@ -126,36 +130,40 @@
         ("error", "write", []),
     ],
 )
-def test_another_attempt_only_where_it_cannot_run_twice(w, how, cls, rules):
-    id = w.ask(cls)
-    w.book.record_attempt_end(w.send(id, "h1", cls), how)
-    w.now += 0.1
-    w.serve(id, w.send(id, "h2", cls))
-    assert w.broken() == rules
-
-
-def test_a_second_copy(w):
-    id = w.ask()
-    first = w.send(id, "h1")
-    w.now += 0.1
-    second = w.send(id, "h2")
-    w.now += 0.1
-    w.book.record_attempt_end(first, "closed")
-    w.serve(id, second)
-    assert w.broken() == [RULES[1]]
-
-
-@pytest.mark.parametrize("cell, after, rules", [(0, 3.0, []), (1, 3.0, [RULES[1]]), (0, 6.1, [RULES[1]])])
-def test_a_keyed_request_goes_again_to_its_group_while_that_remembers(w, cell, after, rules):
-    id = w.ask("write", wait=10.0)
-    w.book.record_attempt_end(w.send(id, "h1", "write", cell=0), "closed")
-    w.now += after
-    w.serve(id, w.send(id, "h2", "write", cell=cell))
-    assert w.broken() == rules
+def test_second_attempt_is_a_breach_if_the_request_may_be_executed_twice(
+    harness, end_kind, service_class, broken
+):
+    request_id = harness.send_request(service_class)
+    harness.ledger.record_attempt_end(harness.start_attempt(request_id, "h1", service_class), end_kind)
+    harness.now += 0.1
+    harness.serve_request(request_id, harness.start_attempt(request_id, "h2", service_class))
+    assert harness.broken_rules() == broken
+
+
+def test_two_attempts_at_the_same_time_are_a_breach(harness):
+    request_id = harness.send_request()
+    first = harness.start_attempt(request_id, "h1")
+    harness.now += 0.1
+    second = harness.start_attempt(request_id, "h2")
+    harness.now += 0.1
+    harness.ledger.record_attempt_end(first, "closed")
+    harness.serve_request(request_id, second)
+    assert harness.broken_rules() == [RULES[1]]
+
+
+@pytest.mark.parametrize("cell, delay_s, broken", [(0, 3.0, []), (1, 3.0, [RULES[1]]), (0, 6.1, [RULES[1]])])
+def test_keyed_request_may_be_resent_within_its_deduplication_scope_and_window(
+    harness, cell, delay_s, broken
+):
+    request_id = harness.send_request("write", wait=10.0)
+    harness.ledger.record_attempt_end(harness.start_attempt(request_id, "h1", "write", cell=0), "closed")
+    harness.now += delay_s
+    harness.serve_request(request_id, harness.start_attempt(request_id, "h2", "write", cell=cell))
+    assert harness.broken_rules() == broken
 
 
 @pytest.mark.parametrize(
-    "cls, how, rules",
+    "service_class, end_kind, broken",
     [
         ("note", "busy", []),
         ("note", "closed", [RULES[1]]),
@@ -163,89 +171,95 @@
         ("read", "closed", []),
     ],
 )
-def test_a_refusal_promises_that_nothing_ran(w, cls, how, rules):
-    id = w.ask(cls)
-    w.book.record_attempt_end(w.send(id, "h1", cls), how)
-    w.book.record_answer(id, "refused")
-    assert w.broken() == rules
-
-
-@pytest.mark.parametrize("after, again, rules", [(1.9, False, []), (2.1, False, [RULES[2]]), (2.1, True, [])])
-def test_sends_to_a_host_that_drains(w, after, again, rules):
-    w.book.record_host_state("g0", "h1", "up")
-    w.book.record_host_state("g0", "h1", "draining")
-    if again:
-        w.book.record_host_state("g0", "h1", "up")
-    w.now += after
-    id = w.ask()
-    w.serve(id, w.send(id))
-    assert w.broken() == rules
-
-
-def test_a_drain_told_anew_does_not_begin_its_grace_anew(w):
-    w.book.record_host_state("g0", "h1", "draining")
-    w.now += 1.5
-    w.book.record_host_state("g0", "h1", "removed")
-    w.now += 1.0
-    id = w.ask()
-    w.serve(id, w.send(id))
-    assert w.broken() == [RULES[2]]
-
-
-@pytest.mark.parametrize("sent, rules", [(4, []), (12, [RULES[3]])])
-def test_a_cold_host_pushed_over(w, sent, rules):
-    w.book.record_cold_start("h1", cores=1, start_share=0.2, warm_up_s=10.0)
-    for _ in range(sent):  # 0.2 to 0.36 of a core for 2 s, times 2: 1.1 s of work, and one request
-        w.now += 0.1
-        id = w.ask()
-        w.serve(id, w.send(id, work=0.2))
-    assert w.broken() == rules
-
-
-@pytest.mark.parametrize("sent, rules", [(23, []), (30, [RULES[4]])])
-def test_a_ceiling_over_all_gateways(w, sent, rules):
-    for n in range(sent):  # at once: 20 and a slack of 2 + 1.5
-        id = w.ask(plan="big", gateway=f"g{n % 3}")
-        w.serve(id, w.send(id))
-    assert w.broken() == rules
-
-
-@pytest.mark.parametrize("sent, granted, rules", [(12, 11, []), (12, 18, [RULES[4]]), (0, 30, [RULES[4]])])
-def test_checks_and_requests_take_of_one_ceiling(w, sent, granted, rules):
-    for n in range(max(sent, granted)):
-        if n < sent:
-            id = w.ask(plan="big")
-            w.serve(id, w.send(id))
-        if n < granted:
-            w.book.record_grant("c", "big", 1.0)
-            w.book.record_grant("other", "small", 1.0)
-    assert w.broken() == rules
-
-
-def test_a_request_that_was_paid_for_counts_with_its_check(w):
+def test_refusal_of_a_request_that_may_have_been_executed_is_a_breach(
+    harness, service_class, end_kind, broken
+):
+    request_id = harness.send_request(service_class)
+    harness.ledger.record_attempt_end(harness.start_attempt(request_id, "h1", service_class), end_kind)
+    harness.ledger.record_answer(request_id, "refused")
+    assert harness.broken_rules() == broken
+
+
+@pytest.mark.parametrize(
+    "delay_s, is_up_again, broken", [(1.9, False, []), (2.1, False, [RULES[2]]), (2.1, True, [])]
+)
+def test_attempt_at_a_draining_host_after_the_grace_is_a_breach(harness, delay_s, is_up_again, broken):
+    harness.ledger.record_host_state("g0", "h1", "up")
+    harness.ledger.record_host_state("g0", "h1", "draining")
+    if is_up_again:
+        harness.ledger.record_host_state("g0", "h1", "up")
+    harness.now += delay_s
+    request_id = harness.send_request()
+    harness.serve_request(request_id, harness.start_attempt(request_id))
+    assert harness.broken_rules() == broken
+
+
+def test_repeated_drain_does_not_restart_the_grace(harness):
+    harness.ledger.record_host_state("g0", "h1", "draining")
+    harness.now += 1.5
+    harness.ledger.record_host_state("g0", "h1", "removed")
+    harness.now += 1.0
+    request_id = harness.send_request()
+    harness.serve_request(request_id, harness.start_attempt(request_id))
+    assert harness.broken_rules() == [RULES[2]]
+
+
+@pytest.mark.parametrize("request_count, broken", [(4, []), (12, [RULES[3]])])
+def test_overload_of_a_cold_host_is_a_breach(harness, request_count, broken):
+    harness.ledger.record_cold_start("h1", cores=1, start_share=0.2, warm_up_s=10.0)
+    for _ in range(request_count):  # 0.2 to 0.36 of a core for 2 s, times 2: 1.1 s of work, and one request
+        harness.now += 0.1
+        request_id = harness.send_request()
+        harness.serve_request(request_id, harness.start_attempt(request_id, work=0.2))
+    assert harness.broken_rules() == broken
+
+
+@pytest.mark.parametrize("request_count, broken", [(23, []), (30, [RULES[4]])])
+def test_ceiling_is_checked_over_all_gateways(harness, request_count, broken):
+    for n in range(request_count):  # at once: 20 and a slack of 2 + 1.5
+        request_id = harness.send_request(plan="big", gateway=f"g{n % 3}")
+        harness.serve_request(request_id, harness.start_attempt(request_id))
+    assert harness.broken_rules() == broken
+
+
+@pytest.mark.parametrize(
+    "request_count, granted_count, broken", [(12, 11, []), (12, 18, [RULES[4]]), (0, 30, [RULES[4]])]
+)
+def test_checks_and_requests_use_the_same_ceiling(harness, request_count, granted_count, broken):
+    for n in range(max(request_count, granted_count)):
+        if n < request_count:
+            request_id = harness.send_request(plan="big")
+            harness.serve_request(request_id, harness.start_attempt(request_id))
+        if n < granted_count:
+            harness.ledger.record_grant("c", "big", 1.0)
+            harness.ledger.record_grant("other", "small", 1.0)
+    assert harness.broken_rules() == broken
+
+
+def test_request_with_a_checks_token_counts_only_with_its_check(harness):
     for _ in range(20):
-        w.book.record_grant("c", "big", 1.0)
-        id = w.ask(plan="big")
-        w.book.prepaid_requests.add(id)
-        w.serve(id, w.send(id))
-    assert w.broken() == []
+        harness.ledger.record_grant("c", "big", 1.0)
+        request_id = harness.send_request(plan="big")
+        harness.ledger.prepaid_requests.add(request_id)
+        harness.serve_request(request_id, harness.start_attempt(request_id))
+    assert harness.broken_rules() == []
 
 
 @seed(1)
 @settings(max_examples=100, deadline=None, database=None)
 @given(st.lists(st.tuples(st.floats(0, 1), st.integers(1, 5)), max_size=60))
-def test_a_ceilings_store_is_a_token_bucket(steps):
+def test_ceiling_is_a_token_bucket(steps):
     """Against the plain definition: within any span no more than burst + rate * span + slack."""
-    w, sent = World(), []
+    harness, sent = LedgerHarness(), []
     for wait, units in steps:
-        w.now += wait
-        id = w.ask(plan="big", units=units)
-        w.serve(id, w.send(id))
-        sent.append((w.now, units))
+        harness.now += wait
+        request_id = harness.send_request(plan="big", units=units)
+        harness.serve_request(request_id, harness.start_attempt(request_id))
+        sent.append((harness.now, units))
     slack = max([2.0, *[u for _, u in sent]]) + 1.5
     over = any(
         sum(u for _, u in sent[a : b + 1]) > 20 + 10 * (sent[b][0] - sent[a][0]) + slack + 1e-6
         for a in range(len(sent))
         for b in range(a, len(sent))
     )
-    assert (w.broken() == [RULES[4]]) == over
+    assert (harness.broken_rules() == [RULES[4]]) == over
