--- a/tests/faults/test_links.py
+++ b/tests/faults/test_links.py
@@ -1,6 +1,7 @@
-"""A dozen gateways in processes of their own among stand-ins, with links that fail and peers that die.
+"""A dozen gateway processes among emulated systems, with failing links and peers.
 
-The ledger judges the rules from both ends."""
+The ledger checks the rules at both ends, the clients and the hosts.
+"""
 
 import asyncio
 import signal
@@ -24,20 +25,24 @@
     "note": ClassSettings("unsafe", 1.0, 3.0, 3.0, 0.02, 0.2),
 }
 PLANS = {"free": PlanSettings(20.0, 60.0), "capped": PlanSettings(6.0, 12.0, 1.8, 12.0, 24.0)}
-SHAPE = FleetSettings(
+SETTINGS = FleetSettings(
     CLASSES, PLANS, gateways=12, hosts=9, cores=4, queue_capacity=40, extra_keys={"overload": "on = false"}
 )
-# Hosts that are two fifths busy. Idle hosts are as good as each other: which of them a gateway prefers goes
-# by response times, on a busy machine by its own stalls, and says nothing of a herd.
-BUSY = replace(SHAPE, classes={name: replace(kind, work_s=5 * kind.work_s) for name, kind in CLASSES.items()})
-DOZEN = [Customer(f"{n:016x}", "capped" if n % 4 == 0 else "free", 6.0, n % 12, 2 + n % 5) for n in range(24)]
+# The hosts are two fifths busy. Among idle hosts a gateway chooses by response times, which on a busy machine
+# depend on the machine's own stalls and do not show whether gateways crowd onto the same hosts.
+BUSY_SETTINGS = replace(
+    SETTINGS, classes={name: replace(kind, work_s=5 * kind.work_s) for name, kind in CLASSES.items()}
+)
+CUSTOMERS = [
+    Customer(f"{n:016x}", "capped" if n % 4 == 0 else "free", 6.0, n % 12, 2 + n % 5) for n in range(24)
+]
 
 
-class Play(LoadedFleet):
-    """The dozen, until it has been judged."""
+class RuleCheckingFleet(LoadedFleet):
+    """A loaded fleet that asserts at exit that all rules were kept."""
 
-    def __init__(self, folder, shape=SHAPE, people=DOZEN):
-        super().__init__(folder, shape, people)
+    def __init__(self, folder, settings=SETTINGS, customers=CUSTOMERS):
+        super().__init__(folder, settings, customers)
 
     async def __aexit__(self, kind, *more):
         await super().__aexit__(kind, *more)
@@ -47,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    "fault, zones, hosts, least",
+    "fault, zones, hosts, min_served_share",
     [
         (LinkFault("delay", 0.05, 0.05), {"a"}, None, 0.9),
         (LinkFault("lose", share=0.1), {"b"}, None, 0.7),
@@ -59,105 +64,110 @@
     ids=lambda x: x.kind if isinstance(x, LinkFault) else "",
 )
 @run_on_uvloop
-async def test_rules_hold_and_most_is_served_through_bad_links(fault, zones, hosts, least, tmp_path):
-    async with Play(tmp_path) as play:
-        task = play.start_traffic(6.0)
-        await play.wait_for_served(100, task)
-        play.links.set_host_fault(fault, zones, hosts)
-        await play.wait_for_served(250, task)
-        play.links.set_host_fault(NO_FAULT)
+async def test_rules_are_kept_and_most_requests_served_over_faulty_links(
+    fault, zones, hosts, min_served_share, tmp_path
+):
+    async with RuleCheckingFleet(tmp_path) as loaded_fleet:
+        task = loaded_fleet.start_traffic(6.0)
+        await loaded_fleet.wait_for_served(100, task)
+        loaded_fleet.links.set_host_fault(fault, zones, hosts)
+        await loaded_fleet.wait_for_served(250, task)
+        loaded_fleet.links.set_host_fault(NO_FAULT)
         await task
-        assert play.served_share() >= least
+        assert loaded_fleet.served_share() >= min_served_share
 
 
 @run_on_uvloop
-async def test_seven_in_ten_gateways_die_and_come_back_without_a_herd(tmp_path):
-    """Judged over all that comes from the kill on, and apart over what comes once all are back."""
-    async with Play(tmp_path, BUSY) as play:
-        task = play.start_traffic(60.0)  # at most: it is ended below
-        await play.wait_for_served(200, task)
-        gone = play.fleet.gateways[:8]
-        await play.kill_gateways(gone)
-        killed = play.received_counts()
-        await play.restart_gateways(gone)
-        revived = play.received_counts()
-        await play.wait_for_served(700, task)
-        last = play.received_counts()
-        await play.stop_traffic(task)
-        for taken in (last - killed, last - revived):
-            mean = sum(taken.values()) / len(play.fleet.hosts)
-            assert mean > 10 and max(taken.values()) < 1.6 * mean and min(taken.values()) > 0.5 * mean
+async def test_load_stays_even_when_two_thirds_of_the_gateways_are_killed_and_restarted(tmp_path):
+    """The load must be even over all requests from the kill on, and over those after the restart."""
+    async with RuleCheckingFleet(tmp_path, BUSY_SETTINGS) as loaded_fleet:
+        task = loaded_fleet.start_traffic(60.0)  # at most; it is stopped below
+        await loaded_fleet.wait_for_served(200, task)
+        killed_gateways = loaded_fleet.fleet.gateways[:8]
+        await loaded_fleet.kill_gateways(killed_gateways)
+        counts_at_kill = loaded_fleet.received_counts()
+        await loaded_fleet.restart_gateways(killed_gateways)
+        counts_at_restart = loaded_fleet.received_counts()
+        await loaded_fleet.wait_for_served(700, task)
+        final_counts = loaded_fleet.received_counts()
+        await loaded_fleet.stop_traffic(task)
+        for received in (final_counts - counts_at_kill, final_counts - counts_at_restart):
+            mean = sum(received.values()) / len(loaded_fleet.fleet.hosts)
+            assert mean > 10 and max(received.values()) < 1.6 * mean and min(received.values()) > 0.5 * mean
 
 
 @run_on_uvloop
-async def test_a_site_that_is_cut_off_and_a_counter_that_some_cannot_reach_break_no_ceiling(tmp_path):
-    async with Play(tmp_path) as play:
-        task = play.start_traffic(7.0)
-        await play.wait_for_served(100, task)
-        there = {host.name for host in play.fleet.hosts if host.zone == "c"}
-        play.links.set_host_fault(LinkFault("silent"), {"a", "b"}, there)
-        for gateway in play.fleet.gateways[::2]:
-            play.links.counter[gateway.name].set_fault(LinkFault("silent"))
-        await play.wait_for_served(250, task)
-        play.links.set_host_fault(NO_FAULT)
-        for relay in play.links.counter.values():
+async def test_ceilings_hold_when_a_zone_and_the_counter_are_unreachable(tmp_path):
+    async with RuleCheckingFleet(tmp_path) as loaded_fleet:
+        task = loaded_fleet.start_traffic(7.0)
+        await loaded_fleet.wait_for_served(100, task)
+        zone_hosts = {host.name for host in loaded_fleet.fleet.hosts if host.zone == "c"}
+        loaded_fleet.links.set_host_fault(LinkFault("silent"), {"a", "b"}, zone_hosts)
+        for gateway in loaded_fleet.fleet.gateways[::2]:
+            loaded_fleet.links.counter[gateway.name].set_fault(LinkFault("silent"))
+        await loaded_fleet.wait_for_served(250, task)
+        loaded_fleet.links.set_host_fault(NO_FAULT)
+        for relay in loaded_fleet.links.counter.values():
             relay.set_fault(NO_FAULT)
         await task
-        assert play.served_share() > 0.5
+        assert loaded_fleet.served_share() > 0.5
 
 
-def lying(host):
+def report_idle(host):
     host.reports_idle = True
 
 
-def failing(host):
-    host.script = Script([Step("error")])  # for good
+def fail_all(host):
+    host.script = Script([Step("error")])  # until the end of the test
 
 
-def behind(host):
+def report_late(host):
     host.report_age_s = 2.0
 
 
-@pytest.mark.parametrize("odd, which, most", [(lying, 1, 1.6), (failing, 1, 1.0), (behind, 3, 1.6)])
+@pytest.mark.parametrize(
+    "apply_fault, host_count, max_ratio", [(report_idle, 1, 1.6), (fail_all, 1, 1.0), (report_late, 3, 1.6)]
+)
 @run_on_uvloop
-async def test_a_host_that_tells_what_is_not_so_draws_no_more_than_its_part(odd, which, most, tmp_path):
-    """One that says it is empty, one that errs at once and so is always free, a zone with old reports."""
-    async with Play(tmp_path) as play:
-        for host in play.fleet.hosts[:: len(play.fleet.hosts) // which][:which]:
-            odd(host)
-        task = play.start_traffic(
-            14.0
-        )  # some 200 requests a host: of 85 chance alone brings one to 1.6 of the mean
-        await play.wait_for_served(60, task)  # until what it does has been met
-        before = play.received_counts()
+async def test_host_with_wrong_load_reports_does_not_attract_traffic(
+    apply_fault, host_count, max_ratio, tmp_path
+):
+    """A host reports no load, one fails at once and so is always idle, or a zone sends old reports."""
+    async with RuleCheckingFleet(tmp_path) as loaded_fleet:
+        for host in loaded_fleet.fleet.hosts[:: len(loaded_fleet.fleet.hosts) // host_count][:host_count]:
+            apply_fault(host)
+        # About 200 requests per host; with 85, chance alone brings one to 1.6 times the mean.
+        task = loaded_fleet.start_traffic(14.0)
+        await loaded_fleet.wait_for_served(60, task)  # until the gateways have seen the faults
+        before = loaded_fleet.received_counts()
         await task
-        taken = play.received_counts() - before
-        mean = sum(taken.values()) / len(play.fleet.hosts)
-        assert mean > 20 and taken[play.fleet.hosts[0].name] < most * mean
+        received = loaded_fleet.received_counts() - before
+        mean = sum(received.values()) / len(loaded_fleet.fleet.hosts)
+        assert mean > 20 and received[loaded_fleet.fleet.hosts[0].name] < max_ratio * mean
 
 
 @run_on_uvloop
-async def test_six_in_ten_hosts_replaced_by_cold_ones_are_not_pushed_over(tmp_path):
-    """The ledger judges the cutoff of each drain and what each cold one is sent."""
-    shape = replace(SHAPE, drain_grace=1.0, cold_share=0.15, cold_time=6.0)
-    async with Play(tmp_path, shape) as play:
-        task = play.start_traffic(8.0)
-        await play.wait_for_served(60, task)
+async def test_cold_hosts_that_replace_half_of_the_hosts_are_not_overloaded(tmp_path):
+    """The ledger checks the end of each drain and the work sent to each cold host."""
+    settings = replace(SETTINGS, drain_grace=1.0, cold_share=0.15, cold_time=6.0)
+    async with RuleCheckingFleet(tmp_path, settings) as loaded_fleet:
+        task = loaded_fleet.start_traffic(8.0)
+        await loaded_fleet.wait_for_served(60, task)
         loop = asyncio.get_running_loop()
-        changes = []
-        for host in play.fleet.hosts[:5]:
-            changes.append(loop.create_task(play.replace_host(host, 1.5)))
-            await play.wait_for_served(25, task)  # one after another, while requests come
-        await asyncio.gather(*changes)
+        replacements = []
+        for host in loaded_fleet.fleet.hosts[:5]:
+            replacements.append(loop.create_task(loaded_fleet.replace_host(host, 1.5)))
+            await loaded_fleet.wait_for_served(25, task)  # one after another under load
+        await asyncio.gather(*replacements)
         await task
-        assert play.served_share() > 0.8
-        verdicts = {v.rule: v.checked for v in play.verdicts()}
-        assert sum(verdicts.values()) > 0 and len(play.fleet.ledger.cold_starts) == 5
+        assert loaded_fleet.served_share() > 0.8
+        verdicts = {v.rule: v.checked for v in loaded_fleet.verdicts()}
+        assert sum(verdicts.values()) > 0 and len(loaded_fleet.fleet.ledger.cold_starts) == 5
 
 
-async def hosts_as_told(gateway):
-    """What `api-gateway hosts` prints of it."""
-    asked = await asyncio.create_subprocess_exec(
+async def hosts_command_output(gateway):
+    """Return the output of `api-gateway hosts` for a gateway."""
+    process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "apigateway",
@@ -166,130 +176,144 @@
         cwd=Path(__file__).resolve().parents[2],
         stdout=asyncio.subprocess.PIPE,
     )
-    return (await asked.communicate())[0]
+    return (await process.communicate())[0]
 
 
 @run_on_uvloop
-async def test_a_site_that_falls_silent_is_left_but_for_trials_and_found_again(tmp_path):
-    """Of 18 hosts six stand in the site: an even part of what two sites' gateways send would be a third."""
-    async with Play(tmp_path, replace(SHAPE, hosts=18, cores=2)) as play:
-        task = play.start_traffic(60.0)  # at most: it is ended below
-        there = {host.name for host in play.fleet.hosts if host.zone == "c"}
-        ways = [relay for (zone, host), relay in play.links.hosts.items() if zone != "c" and host in there]
-
-        def tries():
-            return sum(relay.connections for relay in ways)
-
-        await play.wait_for_served(150, task)
-        play.links.set_host_fault(LinkFault("silent"), {"a", "b"}, there)
-        await play.wait_for_served(150, task)  # by now it is known
-        before = tries()
-        await play.wait_for_served(450, task)
-        assert tries() - before < 30  # trials: 1 to 21 in ten plays, 38 to 64 where a lost site gets its part
-        # A gateway learns it by its own attempts, of which this one may have had none there yet.
-        while b"site c: " not in await hosts_as_told(play.fleet.gateways[0]):
+async def test_silent_zone_gets_only_trials_and_is_used_again_after_it_recovers(tmp_path):
+    """Six of 18 hosts are in the zone, so an even share of the other zones' attempts would be a third."""
+    async with RuleCheckingFleet(tmp_path, replace(SETTINGS, hosts=18, cores=2)) as loaded_fleet:
+        task = loaded_fleet.start_traffic(60.0)  # at most; it is stopped below
+        zone_hosts = {host.name for host in loaded_fleet.fleet.hosts if host.zone == "c"}
+        relays = [
+            relay
+            for (zone, host), relay in loaded_fleet.links.hosts.items()
+            if zone != "c" and host in zone_hosts
+        ]
+
+        def connection_count():
+            return sum(relay.connections for relay in relays)
+
+        await loaded_fleet.wait_for_served(150, task)
+        loaded_fleet.links.set_host_fault(LinkFault("silent"), {"a", "b"}, zone_hosts)
+        await loaded_fleet.wait_for_served(150, task)  # by now the gateways have noticed
+        before = connection_count()
+        await loaded_fleet.wait_for_served(450, task)
+        # Trials only: 1 to 21 in ten runs; it is 38 to 64 if a failed zone gets its share.
+        assert connection_count() - before < 30
+        # A gateway notices by its own attempts, and this one may not have had any there yet.
+        while b"site c: " not in await hosts_command_output(loaded_fleet.fleet.gateways[0]):
             assert not task.done()
-            await play.wait_for_served(10, task)
-        play.links.set_host_fault(NO_FAULT)
-        back = play.received_counts()
-        await play.wait_for_served(250, task)
-        found = play.received_counts() - back
-        assert sum(found[name] for name in there) > 0.04 * sum(found.values())
-        await play.stop_traffic(task)
-
-
-async def killed_with_it(play):
-    gone = [gateway for gateway in play.fleet.gateways if gateway.zone == "c"]
-    await play.kill_gateways(gone)
+            await loaded_fleet.wait_for_served(10, task)
+        loaded_fleet.links.set_host_fault(NO_FAULT)
+        counts_before = loaded_fleet.received_counts()
+        await loaded_fleet.wait_for_served(250, task)
+        received = loaded_fleet.received_counts() - counts_before
+        assert sum(received[name] for name in zone_hosts) > 0.04 * sum(received.values())
+        await loaded_fleet.stop_traffic(task)
+
+
+async def kill_gateways_of_the_zone(loaded_fleet):
+    killed_gateways = [gateway for gateway in loaded_fleet.fleet.gateways if gateway.zone == "c"]
+    await loaded_fleet.kill_gateways(killed_gateways)
     yield
-    await play.restart_gateways(gone)
+    await loaded_fleet.restart_gateways(killed_gateways)
 
 
-async def stopped(play):
-    """They wake in another world: hosts drained meanwhile, requests that nobody waits for any more."""
-    frozen = play.fleet.gateways[:4]
-    for gateway in frozen:
-        play.fleet.ledger.record_gateway_kill(gateway.name)  # what it holds it cannot answer in time
+async def suspend_gateways(loaded_fleet):
+    """Suspend gateways, which resume with a drained host and with requests whose clients have given up."""
+    suspended = loaded_fleet.fleet.gateways[:4]
+    for gateway in suspended:
+        # It cannot answer its open requests in time.
+        loaded_fleet.fleet.ledger.record_gateway_kill(gateway.name)
         gateway.process.send_signal(signal.SIGSTOP)
-    play.fleet.announce((play.fleet.hosts[0], "draining"))
+    loaded_fleet.fleet.announce((loaded_fleet.fleet.hosts[0], "draining"))
     yield
-    for gateway in frozen:
+    for gateway in suspended:
         gateway.process.send_signal(signal.SIGCONT)
-        play.fleet.ledger.record_gateway_start(gateway.name)
+        loaded_fleet.fleet.ledger.record_gateway_start(gateway.name)
 
 
-async def reloaded(play):
-    play.fleet.settings = replace(SHAPE, extra_keys={**SHAPE.extra_keys, "daemon": "linger = 0.4"})
-    for gateway in play.fleet.gateways:
+async def reload_settings(loaded_fleet):
+    loaded_fleet.fleet.settings = replace(
+        SETTINGS, extra_keys={**SETTINGS.extra_keys, "daemon": "linger = 0.4"}
+    )
+    for gateway in loaded_fleet.fleet.gateways:
         gateway.write_settings()
         gateway.process.send_signal(signal.SIGHUP)
     while not all(
         any("took effect: daemon.linger" in line for line in gateway.log_lines)
-        for gateway in play.fleet.gateways
+        for gateway in loaded_fleet.fleet.gateways
     ):
         await asyncio.sleep(0.01)
     yield
 
 
-async def drained(play):
-    play.fleet.announce((play.fleet.hosts[0], "draining"), (play.fleet.hosts[4], "draining"))
+async def drain_hosts(loaded_fleet):
+    loaded_fleet.fleet.announce(
+        (loaded_fleet.fleet.hosts[0], "draining"), (loaded_fleet.fleet.hosts[4], "draining")
+    )
     yield
-    play.fleet.announce((play.fleet.hosts[0], "up"))
+    loaded_fleet.fleet.announce((loaded_fleet.fleet.hosts[0], "up"))
 
 
 @pytest.mark.parametrize(
     "fault", [LinkFault("silent"), LinkFault("refuse"), LinkFault("delay", 0.3)], ids=lambda w: w.kind
 )
-@pytest.mark.parametrize("meanwhile", [killed_with_it, stopped, reloaded, drained])
+@pytest.mark.parametrize(
+    "other_event", [kill_gateways_of_the_zone, suspend_gateways, reload_settings, drain_hosts]
+)
 @run_on_uvloop
-async def test_a_site_is_lost_and_something_else_happens_in_the_middle_of_it(meanwhile, fault, tmp_path):
-    async with Play(tmp_path, replace(SHAPE, hosts=18, cores=2)) as play:
-        task = play.start_traffic(6.0)
-        there = {host.name for host in play.fleet.hosts if host.zone == "c"}
-        await play.wait_for_served(80, task)
-        play.links.set_host_fault(fault, {"a", "b"}, there)
-        await play.wait_for_served(40, task)
-        steps = meanwhile(play)
-        await anext(steps)
-        await play.wait_for_served(80, task)
-        await anext(steps, None)
-        await play.wait_for_served(40, task)
-        play.links.set_host_fault(NO_FAULT)
+async def test_rules_are_kept_when_something_else_happens_during_a_zone_failure(other_event, fault, tmp_path):
+    async with RuleCheckingFleet(tmp_path, replace(SETTINGS, hosts=18, cores=2)) as loaded_fleet:
+        task = loaded_fleet.start_traffic(6.0)
+        zone_hosts = {host.name for host in loaded_fleet.fleet.hosts if host.zone == "c"}
+        await loaded_fleet.wait_for_served(80, task)
+        loaded_fleet.links.set_host_fault(fault, {"a", "b"}, zone_hosts)
+        await loaded_fleet.wait_for_served(40, task)
+        event_steps = other_event(loaded_fleet)
+        await anext(event_steps)
+        await loaded_fleet.wait_for_served(80, task)
+        await anext(event_steps, None)
+        await loaded_fleet.wait_for_served(40, task)
+        loaded_fleet.links.set_host_fault(NO_FAULT)
         await task
-        assert play.served_share() > 0.4 and len(play.traffic.latencies_s) > 250
+        assert loaded_fleet.served_share() > 0.4 and len(loaded_fleet.traffic.latencies_s) > 250
 
 
 @run_on_uvloop
-async def test_a_planned_leave_of_a_site_by_reload_loses_nothing_and_is_taken_back(tmp_path):
-    async with Play(tmp_path) as play:
-        task = play.start_traffic(9.0)
-        there = [host.name for host in play.fleet.hosts if host.zone == "c"]
-
-        async def told(leave):
-            play.fleet.settings = replace(SHAPE, extra_keys={**SHAPE.extra_keys, "sites": f"leave = {leave}"})
-            for gateway in play.fleet.gateways:
+async def test_zone_is_evacuated_and_used_again_by_reloads(tmp_path):
+    async with RuleCheckingFleet(tmp_path) as loaded_fleet:
+        task = loaded_fleet.start_traffic(9.0)
+        zone_hosts = [host.name for host in loaded_fleet.fleet.hosts if host.zone == "c"]
+
+        async def reload_and_wait(zones):
+            loaded_fleet.fleet.settings = replace(
+                SETTINGS, extra_keys={**SETTINGS.extra_keys, "sites": f"leave = {zones}"}
+            )
+            for gateway in loaded_fleet.fleet.gateways:
                 gateway.write_settings()
                 gateway.process.send_signal(signal.SIGHUP)
             while not all(
                 any(
-                    "evacuated zones (sites.leave): " + (leave[2:-2] or "none") in line
+                    "evacuated zones (sites.leave): " + (zones[2:-2] or "none") in line
                     for line in gateway.log_lines
                 )
-                for gateway in play.fleet.gateways
+                for gateway in loaded_fleet.fleet.gateways
             ):
                 await asyncio.sleep(0.01)
 
-        await play.wait_for_served(100, task)
-        await told('["c"]')
-        before = play.received_counts()
-        await play.wait_for_served(150, task)
-        assert not any((play.received_counts() - before)[name] for name in there)
-        await told("[]")
-        before = play.received_counts()
-        await play.wait_for_served(150, task)
-        assert sum((play.received_counts() - before)[name] for name in there) > 15
+        await loaded_fleet.wait_for_served(100, task)
+        await reload_and_wait('["c"]')
+        before = loaded_fleet.received_counts()
+        await loaded_fleet.wait_for_served(150, task)
+        assert not any((loaded_fleet.received_counts() - before)[name] for name in zone_hosts)
+        await reload_and_wait("[]")
+        before = loaded_fleet.received_counts()
+        await loaded_fleet.wait_for_served(150, task)
+        assert sum((loaded_fleet.received_counts() - before)[name] for name in zone_hosts) > 15
         await task
-        assert play.served_share() > 0.8
+        assert loaded_fleet.served_share() > 0.8
 
 
 class Echo(asyncio.Protocol):
@@ -301,7 +325,7 @@
 
 
 @pytest.mark.parametrize(
-    "fault, got",
+    "fault, expected",
     [
         (NO_FAULT, b"hello"),
         (LinkFault("delay", 0.01, 0.01), b"hello"),
@@ -315,7 +339,7 @@
     ids=lambda x: f"{x.kind}{'-one-way' * x.one_way}" if isinstance(x, LinkFault) else "",
 )
 @run_on_uvloop
-async def test_a_relay_does_what_its_fault_says(fault, got):
+async def test_relay_applies_its_fault(fault, expected):
     loop = asyncio.get_running_loop()
     server = await loop.create_server(Echo, "127.0.0.1", 0)
     relay = Relay(server.sockets[0].getsockname()[:2])
@@ -330,26 +354,26 @@
             task = asyncio.ensure_future(reader.read(100))
             done, _ = await asyncio.wait([task], timeout=0.05)
             assert not done
-            relay.set_fault(NO_FAULT)  # a stall lets pass what it held; after silence the connection is reset
+            relay.set_fault(NO_FAULT)  # data held by a stall passes; after silence the connection is reset
         else:
             task = asyncio.ensure_future(reader.read(100))
-        if got is None:
+        if expected is None:
             done, _ = await asyncio.wait([task], timeout=0.05)
             assert not done
             task.cancel()
             return
         try:
-            text = await task
+            data = await task
         except ConnectionError:
-            text = b""
-        assert text == got
+            data = b""
+        assert data == expected
     finally:
         writer.close()
         await relay.close()
         server.close()
 
 
-def test_fault_that_no_link_has_is_refused():
-    for wrong in (dict(kind="rain"), dict(kind="lose", share=1.5), dict(kind="delay", delay_s=-1.0)):
+def test_invalid_link_fault_is_rejected():
+    for parameters in (dict(kind="rain"), dict(kind="lose", share=1.5), dict(kind="delay", delay_s=-1.0)):
         with pytest.raises(ValueError):
-            LinkFault(**wrong)
+            LinkFault(**parameters)
--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -1,4 +1,7 @@
-"""Gateways whose hosts come from a registry that fails, lies and flips, judged by the ledger."""
+"""Gateways whose hosts come from a registry that fails, sends wrong data or flips states.
+
+The ledger checks the rules.
+"""
 
 import asyncio
 import json
@@ -16,11 +19,11 @@
 from apigateway.emulators.script import Step
 
 
-class RegistrySite(LocalDeployment):
-    """A site whose gateway asks a stand-in registry, ten times a second."""
+class RegistryDeployment(LocalDeployment):
+    """A deployment whose gateway polls an emulated registry ten times a second."""
 
-    def __init__(self, path, hosts=3, ledger=None, register="", **kw):
-        super().__init__(path, hosts, ledger=ledger, **kw)
+    def __init__(self, path, hosts=3, ledger=None, register="", **options):
+        super().__init__(path, hosts, ledger=ledger, **options)
         self.registry, self.register = EmulatedEureka(gateway="g", ledger=ledger), register
 
     async def __aenter__(self):
@@ -33,19 +36,20 @@
             self.registry.register(self.instance(host))
 
     @staticmethod
-    def instance(host, **kw):
-        return instance(host.name, host.port, **kw)
+    def instance(host, **options):
+        return instance(host.name, host.port, **options)
 
     def write_settings(self, ports=None, **tables):
-        # Registered just now they count as just started: these tests are not about that.
-        mine = {
+        # Newly registered hosts would otherwise count as cold, which these tests are not about.
+        own_tables = {
             "hosts": 'source = "eureka"',
             "rules": "cold_time = 0.0",
             "register": self.register,
             "eureka": f'urls = ["{self.registry.url}"]\npoll = 0.1\ntimeout = 0.5\nname = "roster"',
         }
         super().write_settings(
-            ports, **{k: "\n".join(filter(None, [mine.get(k), tables.get(k)])) for k in mine | tables}
+            ports,
+            **{k: "\n".join(filter(None, [own_tables.get(k), tables.get(k)])) for k in own_tables | tables},
         )
 
     async def __aexit__(self, *_):
@@ -53,242 +57,256 @@
         await self.registry.__aexit__()
 
 
-async def polled(site, count=2):
-    """Until the gateway has asked so often from now on."""
-    while not site.registry.reads.empty():
-        site.registry.reads.get_nowait()
+async def wait_for_polls(deployment, count=2):
+    """Wait until the gateway has polled `count` more times."""
+    while not deployment.registry.reads.empty():
+        deployment.registry.reads.get_nowait()
     for _ in range(count):
-        await site.registry.reads.get()
+        await deployment.registry.reads.get()
 
 
 @run_on_uvloop
-async def test_flips_under_load_keep_the_cutoff(tmp_path):
+async def test_state_flips_under_load_keep_the_drain_rule(tmp_path):
     ledger, rng = Ledger(LEDGER_TERMS), random.Random(7)
-    async with RegistrySite(tmp_path, hosts=4, ledger=ledger) as site:
-        site.write_settings(trust="calm_time = 0.0")
-        await site.start_gateway()
-        async with BackgroundTraffic(site, ledger) as load:
+    async with RegistryDeployment(tmp_path, hosts=4, ledger=ledger) as deployment:
+        deployment.write_settings(trust="calm_time = 0.0")
+        await deployment.start_gateway()
+        async with BackgroundTraffic(deployment, ledger) as traffic:
             for _ in range(40):
-                host = rng.choice(site.hosts[1:])  # one stays up, so that all is served
-                site.registry.override("ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", ""]))
-                await polled(site, rng.choice([0, 1, 2]))
-            await load.wait_for_served(20)
-        tellings = [state for told in ledger.host_states.values() for _, state in told]
-        assert tellings.count("draining") >= 5 and tellings.count("up") >= 5
+                host = rng.choice(deployment.hosts[1:])  # one host stays up, so that all requests are served
+                deployment.registry.override("ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", ""]))
+                await wait_for_polls(deployment, rng.choice([0, 1, 2]))
+            await traffic.wait_for_served(20)
+        states = [state for entries in ledger.host_states.values() for _, state in entries]
+        assert states.count("draining") >= 5 and states.count("up") >= 5
 
 
 @run_on_uvloop
-async def test_a_flip_within_one_poll_and_one_while_an_attempt_is_out(tmp_path):
+async def test_state_flip_within_a_poll_period_and_one_during_an_attempt(tmp_path):
     ledger = Ledger(LEDGER_TERMS)
-    async with RegistrySite(tmp_path, hosts=2, ledger=ledger) as site:
-        await site.start_gateway()
-        first = site.hosts[0]
-        async with BackgroundTraffic(site, ledger) as load:
-            site.registry.override("ROSTER", first.name, "OUT_OF_SERVICE")
-            site.registry.override("ROSTER", first.name, "")
-            await polled(site)
-            before = len(first.commands)
-            while len(first.commands) == before:  # it is used on
-                await load.wait_for_served(1)
-            first.script.set_steps(Step("stall", count=1, delay_s=0.3))
-            while first.script.steps and not first.script.message_count:
-                await load.wait_for_served(1)
-            site.registry.override("ROSTER", first.name, "OUT_OF_SERVICE")  # with an attempt out there
-            await polled(site, 3)
-            before = len(first.commands)
-            await load.wait_for_served(50)
-            assert len(first.commands) == before
+    async with RegistryDeployment(tmp_path, hosts=2, ledger=ledger) as deployment:
+        await deployment.start_gateway()
+        first_host = deployment.hosts[0]
+        async with BackgroundTraffic(deployment, ledger) as traffic:
+            deployment.registry.override("ROSTER", first_host.name, "OUT_OF_SERVICE")
+            deployment.registry.override("ROSTER", first_host.name, "")
+            await wait_for_polls(deployment)
+            count_before = len(first_host.commands)
+            while len(first_host.commands) == count_before:  # the host is still used
+                await traffic.wait_for_served(1)
+            first_host.script.set_steps(Step("stall", count=1, delay_s=0.3))
+            while first_host.script.steps and not first_host.script.message_count:
+                await traffic.wait_for_served(1)
+            # During an attempt at the host:
+            deployment.registry.override("ROSTER", first_host.name, "OUT_OF_SERVICE")
+            await wait_for_polls(deployment, 3)
+            count_before = len(first_host.commands)
+            await traffic.wait_for_served(50)
+            assert len(first_host.commands) == count_before
 
 
 @run_on_uvloop
-async def test_a_registry_that_is_silent_for_longer_than_every_lease(tmp_path):
+async def test_registry_that_is_silent_for_longer_than_all_leases(tmp_path):
     ledger = Ledger(LEDGER_TERMS)
-    async with RegistrySite(tmp_path, hosts=3, ledger=ledger) as site:
-        third = site.hosts[2]
-        site.registry.cancel("ROSTER", third.name)
-        program = await site.start_gateway()
-        async with BackgroundTraffic(site, ledger) as load:
-            site.registry.script.set_steps(Step("silent"))
-            await site.wait_for_log_line(program, b"keeping the last list")
-            site.registry.clock_offset_s = 1000.0  # all leases have run out
-            await load.wait_for_served(50)
-            assert all(len(h.commands) > 0 for h in site.hosts[:2]) and not third.commands
-            site.registry.restart()
-            for host in (site.hosts[0], third):
-                site.registry.register(site.instance(host))
-            site.registry.script.set_steps()
-            while not third.commands:  # followed at once
-                await load.wait_for_served(1)
+    async with RegistryDeployment(tmp_path, hosts=3, ledger=ledger) as deployment:
+        third_host = deployment.hosts[2]
+        deployment.registry.cancel("ROSTER", third_host.name)
+        process = await deployment.start_gateway()
+        async with BackgroundTraffic(deployment, ledger) as traffic:
+            deployment.registry.script.set_steps(Step("silent"))
+            await deployment.wait_for_log_line(process, b"keeping the last list")
+            deployment.registry.clock_offset_s = 1000.0  # all leases have expired
+            await traffic.wait_for_served(50)
+            assert all(len(h.commands) > 0 for h in deployment.hosts[:2]) and not third_host.commands
+            deployment.registry.restart()
+            for host in (deployment.hosts[0], third_host):
+                deployment.registry.register(deployment.instance(host))
+            deployment.registry.script.set_steps()
+            while not third_host.commands:  # the new list takes effect at once
+                await traffic.wait_for_served(1)
 
 
 @pytest.mark.parametrize("left", [0, 1])
 @run_on_uvloop
-async def test_a_registry_that_comes_back_empty_or_with_half_serves_on(left, tmp_path):
+async def test_gateway_keeps_its_hosts_when_the_registry_restarts_empty_or_incomplete(
+    instance_count, tmp_path
+):
     ledger = Ledger(LEDGER_TERMS)
-    async with RegistrySite(tmp_path, hosts=4, ledger=ledger) as site:
-        site.write_settings(eureka="delta = false")
-        await site.start_gateway()
-        async with BackgroundTraffic(site, ledger) as load:
-            site.registry.restart()
-            for host in site.hosts[:left]:
-                site.registry.register(site.instance(host))
-            await polled(site, 3)
-            before = [len(h.commands) for h in site.hosts]
-            # A hundredth of the requests at least, over 400 of them: idle hosts are chosen by response times,
-            # and of a hundred one may get none. They take 3 s; missing hosts are in doubt for 30 s.
-            await load.wait_for_served(400)
-            assert all(len(h.commands) >= was + 4 for h, was in zip(site.hosts, before, strict=True))
+    async with RegistryDeployment(tmp_path, hosts=4, ledger=ledger) as deployment:
+        deployment.write_settings(eureka="delta = false")
+        await deployment.start_gateway()
+        async with BackgroundTraffic(deployment, ledger) as traffic:
+            deployment.registry.restart()
+            for host in deployment.hosts[:instance_count]:
+                deployment.registry.register(deployment.instance(host))
+            await wait_for_polls(deployment, 3)
+            counts_before = [len(h.commands) for h in deployment.hosts]
+            # Each host must get a hundredth of 400 requests: idle hosts are chosen by response times, and one
+            # host may get none of a hundred. 400 requests take 3 s; missing hosts are in doubt for 30 s.
+            await traffic.wait_for_served(400)
+            assert all(
+                len(h.commands) >= count_before + 4
+                for h, count_before in zip(deployment.hosts, counts_before, strict=True)
+            )
 
 
 @run_on_uvloop
-async def test_a_host_that_renews_and_answers_nothing_is_gone_round_and_used_again(tmp_path):
+async def test_silent_host_that_renews_its_lease_is_avoided_and_used_again_after_recovery(tmp_path):
     ledger = Ledger(LEDGER_TERMS)
-    async with RegistrySite(tmp_path, hosts=3, ledger=ledger) as site:
-        await site.start_gateway()
-        sick = site.hosts[0]
-        async with BackgroundTraffic(site, ledger) as load:
-            sick.script.set_steps(Step("silent"))
-            await load.wait_for_served(100)
-            before, was = len(sick.commands), len(load.traffic.latencies_s)
-            await load.wait_for_served(200)
-            tried = len(sick.commands) - before
-            assert tried < (len(load.traffic.latencies_s) - was) / 6  # a third, if nobody minded
-            sick.script.set_steps()
-            before = len(sick.commands)
-            while len(sick.commands) < before + 10:
-                await load.wait_for_served(1)
+    async with RegistryDeployment(tmp_path, hosts=3, ledger=ledger) as deployment:
+        await deployment.start_gateway()
+        silent_host = deployment.hosts[0]
+        async with BackgroundTraffic(deployment, ledger) as traffic:
+            silent_host.script.set_steps(Step("silent"))
+            await traffic.wait_for_served(100)
+            count_before, served_before = len(silent_host.commands), len(traffic.traffic.latencies_s)
+            await traffic.wait_for_served(200)
+            attempt_count = len(silent_host.commands) - count_before
+            # It would be a third if the gateway ignored the failures.
+            assert attempt_count < (len(traffic.traffic.latencies_s) - served_before) / 6
+            silent_host.script.set_steps()
+            count_before = len(silent_host.commands)
+            while len(silent_host.commands) < count_before + 10:
+                await traffic.wait_for_served(1)
 
 
 @run_on_uvloop
-async def test_a_reload_goes_from_a_file_to_a_registry_and_back_in_traffic(tmp_path):
+async def test_reload_switches_from_a_file_to_a_registry_and_back_under_load(tmp_path):
     ledger = Ledger(LEDGER_TERMS)
-    async with RegistrySite(tmp_path, hosts=3, ledger=ledger) as site:
-        LocalDeployment.write_settings(site)  # the file, which names all three
-        program = await site.start_gateway()
-        async with BackgroundTraffic(site, ledger) as load:
-            kept = site.hosts[0]
-            for host in site.hosts[1:2]:
-                site.registry.cancel("ROSTER", host.name)
-            site.write_settings()
-            program.send_signal(signal.SIGHUP)
-            assert b"hosts.source" in await site.wait_for_log_line(program, b"reload: took effect")
-            await polled(site, 3)
-            gone, connections = len(site.hosts[1].commands), len(kept.writers)
-            await load.wait_for_served(100)
-            assert len(site.hosts[1].commands) == gone  # one of three is missing: believed at once
-            LocalDeployment.write_settings(site)
-            ledger.record_host_state(
-                "g", site.hosts[1].name, "up"
-            )  # by the file: else past the grace it counts as gone
-            program.send_signal(signal.SIGHUP)
-            await site.wait_for_log_line(program, b"reload: took effect")
-            while len(site.hosts[1].commands) == gone:
-                await load.wait_for_served(1)
-            assert connections > 0 and kept.connections > 0
+    async with RegistryDeployment(tmp_path, hosts=3, ledger=ledger) as deployment:
+        LocalDeployment.write_settings(deployment)  # the hosts file, which lists all three
+        process = await deployment.start_gateway()
+        async with BackgroundTraffic(deployment, ledger) as traffic:
+            kept_host = deployment.hosts[0]
+            for host in deployment.hosts[1:2]:
+                deployment.registry.cancel("ROSTER", host.name)
+            deployment.write_settings()
+            process.send_signal(signal.SIGHUP)
+            assert b"hosts.source" in await deployment.wait_for_log_line(process, b"reload: took effect")
+            await wait_for_polls(deployment, 3)
+            count_before, connections = len(deployment.hosts[1].commands), len(kept_host.writers)
+            await traffic.wait_for_served(100)
+            # One missing host of three is accepted at once.
+            assert len(deployment.hosts[1].commands) == count_before
+            LocalDeployment.write_settings(deployment)
+            # The file lists the host; otherwise the ledger would count it as removed.
+            ledger.record_host_state("g", deployment.hosts[1].name, "up")
+            process.send_signal(signal.SIGHUP)
+            await deployment.wait_for_log_line(process, b"reload: took effect")
+            while len(deployment.hosts[1].commands) == count_before:
+                await traffic.wait_for_served(1)
+            assert connections > 0 and kept_host.connections > 0
 
 
 @run_on_uvloop
-async def test_the_gateway_is_an_instance_itself_and_never_routes_to_itself(tmp_path):
+async def test_gateway_registers_itself_and_never_routes_to_itself(tmp_path):
     register = 'on = true\nip = "127.0.0.1"\nid = "gw"\napp = "ROSTER"\nrenew = 0.2\nduration = 5.0'
-    async with RegistrySite(tmp_path, hosts=1, register=register) as site:
-        site.hosts[0].script.set_steps(Step("stall", delay_s=0.3))
-        program = await site.start_gateway()
+    async with RegistryDeployment(tmp_path, hosts=1, register=register) as deployment:
+        deployment.hosts[0].script.set_steps(Step("stall", delay_s=0.3))
+        process = await deployment.start_gateway()
         key = ("ROSTER", "gw")
-        while key not in site.registry.leases or site.registry.leases[key].status != "UP":
-            await site.registry.reads.get()
-        await polled(site, 3)
-        reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
+        while key not in deployment.registry.leases or deployment.registry.leases[key].status != "UP":
+            await deployment.registry.reads.get()
+        await wait_for_polls(deployment, 3)
+        reader, writer = await asyncio.open_connection("127.0.0.1", deployment.port)
         writer.write(make_command())
-        while not site.hosts[0].commands:
-            await site.hosts[0].arrivals.get()
-        seen = []
-        real = site.registry.register
+        while not deployment.hosts[0].commands:
+            await deployment.hosts[0].arrivals.get()
+        registrations = []
+        original_register = deployment.registry.register
 
-        def register_down(told, replicated=False):
-            seen.append((told["status"], told["instanceId"]))
-            real(told, replicated)
+        def register_down(entries, replicated=False):
+            registrations.append((entries["status"], entries["instanceId"]))
+            original_register(entries, replicated)
 
-        site.registry.register = register_down
-        program.send_signal(signal.SIGTERM)
+        deployment.registry.register = register_down
+        process.send_signal(signal.SIGTERM)
         assert (await read_reply(reader)).startswith(b"$")
-        assert await program.wait() == 0
-        assert ("DOWN", "gw") in seen and key not in site.registry.leases
+        assert await process.wait() == 0
+        assert ("DOWN", "gw") in registrations and key not in deployment.registry.leases
         writer.close()
 
 
 @run_on_uvloop
-async def test_what_a_gateway_believes_can_be_asked(tmp_path):
-    async with RegistrySite(tmp_path, hosts=2) as site:
-        site.registry.override("ROSTER", "h1", "OUT_OF_SERVICE")
-        await site.start_gateway()
+async def test_hosts_command_shows_the_gateways_view(tmp_path):
+    async with RegistryDeployment(tmp_path, hosts=2) as deployment:
+        deployment.registry.override("ROSTER", "h1", "OUT_OF_SERVICE")
+        await deployment.start_gateway()
 
         async def run(*arguments):
-            program = await asyncio.create_subprocess_exec(
+            process = await asyncio.create_subprocess_exec(
                 *GATEWAY_COMMAND,
                 "hosts",
-                str(site.settings_file),
+                str(deployment.settings_file),
                 *arguments,
                 cwd=ROOT,
                 stdout=subprocess.PIPE,
             )
-            out, _ = await program.communicate()
-            return program.returncode, out.decode()
+            out, _ = await process.communicate()
+            return process.returncode, out.decode()
 
         for arguments in ((), ("--registry",)):
-            code, text = await run(*arguments)
-            assert code == 0 and "2 hosts" in text and "draining" in text and site.registry.url in text
-        code, text = await run("--json")
-        told = json.loads(text)
-        assert {h["id"]: h["state"] for h in told["hosts"]} == {"h0": "up", "h1": "draining"} and told[
+            code, output = await run(*arguments)
+            assert (
+                code == 0
+                and "2 hosts" in output
+                and "draining" in output
+                and deployment.registry.url in output
+            )
+        code, output = await run("--json")
+        entries = json.loads(output)
+        assert {h["id"]: h["state"] for h in entries["hosts"]} == {"h0": "up", "h1": "draining"} and entries[
             "age"
         ] < 60
-        up, gone = (next(h["choice"] for h in told["hosts"] if h["id"] == name) for name in ("h0", "h1"))
+        up, count_before = (
+            next(h["choice"] for h in entries["hosts"] if h["id"] == name) for name in ("h0", "h1")
+        )
         assert up["near"] and up["out"] == 0 and up["sound"] > 0.9 and up["age"] is None and not up["rests"]
-        assert not gone["near"]
-        assert (await site.send_request(make_command(b"counted"))).startswith(b"$")
-        text = (await run())[1]
-        assert "choices: 0 by a fresh report, 1 by the mean of all" in text
+        assert not count_before["near"]
+        assert (await deployment.send_request(make_command(b"counted"))).startswith(b"$")
+        output = (await run())[1]
+        assert "choices: 0 by a fresh report, 1 by the mean of all" in output
         assert "subset" not in (await run("--registry"))[1]
 
 
 @run_on_uvloop
-async def test_the_platforms_program_loads_no_registry():
+async def test_platform_entry_point_does_not_import_the_registry_client():
     code = (
         "import sys, apigateway.daemon.platform; "
         "print([m for m in sys.modules if 'eureka' in m or 'reconciler' in m or 'defusedxml' in m])"
     )
-    program = await asyncio.create_subprocess_exec(
+    process = await asyncio.create_subprocess_exec(
         sys.executable, "-c", code, cwd=ROOT, stdout=subprocess.PIPE
     )
-    assert (await program.communicate())[0] == b"[]\n"
+    assert (await process.communicate())[0] == b"[]\n"
 
 
 @run_on_uvloop
-async def test_a_walk_of_faults_keeps_the_rules(tmp_path):
+async def test_random_sequence_of_registry_faults_keeps_the_rules(tmp_path):
     ledger, rng = Ledger(LEDGER_TERMS), random.Random(5)
-    async with RegistrySite(tmp_path, hosts=3, ledger=ledger) as site:
-        site.write_settings(trust="calm_time = 0.0")
-        await site.start_gateway()
-        held = site.registry
-        async with BackgroundTraffic(site, ledger, rate=80.0) as load:
+    async with RegistryDeployment(tmp_path, hosts=3, ledger=ledger) as deployment:
+        deployment.write_settings(trust="calm_time = 0.0")
+        await deployment.start_gateway()
+        registry = deployment.registry
+        async with BackgroundTraffic(deployment, ledger, rate=80.0) as traffic:
             for _ in range(25):
-                what = rng.choice(
+                fault = rng.choice(
                     ["error", "half", "spoilt", "restart", "hash", "lost", "clock", "flip", "fill"]
                 )
-                if what in ("error", "half", "spoilt"):
-                    held.script.set_steps(Step(what, count=rng.randint(1, 3)))
-                elif what == "restart":
-                    held.restart()
-                elif what == "hash":
-                    held.hashcode = rng.choice([None, "UP_99_"])
-                elif what == "lost":
-                    held.empty_deltas = rng.randint(1, 3)
-                elif what == "clock":
-                    held.clock_offset_s = rng.uniform(-100.0, 100.0)
-                elif what == "flip":
-                    host = rng.choice(site.hosts[1:])
-                    held.override("ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", ""]))
+                if fault in ("error", "half", "spoilt"):
+                    registry.script.set_steps(Step(fault, count=rng.randint(1, 3)))
+                elif fault == "restart":
+                    registry.restart()
+                elif fault == "hash":
+                    registry.hashcode = rng.choice([None, "UP_99_"])
+                elif fault == "lost":
+                    registry.empty_deltas = rng.randint(1, 3)
+                elif fault == "clock":
+                    registry.clock_offset_s = rng.uniform(-100.0, 100.0)
+                elif fault == "flip":
+                    host = rng.choice(deployment.hosts[1:])
+                    registry.override("ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", ""]))
                 else:
-                    for host in site.hosts:
-                        held.register(site.instance(host))
-                await load.wait_for_served(rng.randint(1, 15))
+                    for host in deployment.hosts:
+                        registry.register(deployment.instance(host))
+                await traffic.wait_for_served(rng.randint(1, 15))
--- a/tests/faults/test_reload.py
+++ b/tests/faults/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the new settings whole, or the old."""
+"""Reload by SIGHUP: either all new settings take effect, or the old ones stay in force."""
 
 import asyncio
 import os
@@ -13,65 +13,71 @@
 from apigateway.emulators.ledger import Ledger
 
 
-def replaced(site, text):
-    """The file in one step, as a careful operator would."""
-    new = site.folder / "new.toml"
-    new.write_text(text)
-    os.rename(new, site.settings_file)
+def replace_settings_file(deployment, text):
+    """Replace the settings file atomically."""
+    new_file = deployment.folder / "new.toml"
+    new_file.write_text(text)
+    os.rename(new_file, deployment.settings_file)
 
 
 @run_on_uvloop
-async def test_a_hundred_reloads_in_traffic(tmp_path):
+async def test_hundred_reloads_under_load(tmp_path):
     ledger = Ledger(LEDGER_TERMS)
-    async with LocalDeployment(tmp_path, ledger=ledger) as site:
-        program, more = await site.start_gateway(), free_port()
-        async with BackgroundTraffic(site, ledger) as load:
+    async with LocalDeployment(tmp_path, ledger=ledger) as deployment:
+        process, added_port = await deployment.start_gateway(), free_port()
+        async with BackgroundTraffic(deployment, ledger) as traffic:
             for n in range(100):
-                site.write_settings(
-                    [site.port, more] if n % 2 else [site.port], limits=f"max_open = {1000 + n}"
+                deployment.write_settings(
+                    [deployment.port, added_port] if n % 2 else [deployment.port],
+                    limits=f"max_open = {1000 + n}",
                 )
-                program.send_signal(signal.SIGHUP)
+                process.send_signal(signal.SIGHUP)
                 if n % 10 == 9:
-                    await site.wait_for_log_line(program, b"reload: took effect")
-                    await load.wait_for_served(5)
-            site.write_settings(limits="max_open = 77")
-            program.send_signal(signal.SIGHUP)
-            while b"limits.max_open" not in await site.wait_for_log_line(program, b"reload: "):
+                    await deployment.wait_for_log_line(process, b"reload: took effect")
+                    await traffic.wait_for_served(5)
+            deployment.write_settings(limits="max_open = 77")
+            process.send_signal(signal.SIGHUP)
+            while b"limits.max_open" not in await deployment.wait_for_log_line(process, b"reload: "):
                 pass
-            await load.wait_for_served(20)
-        program.send_signal(signal.SIGTERM)
-        assert await program.wait() == 0
+            await traffic.wait_for_served(20)
+        process.send_signal(signal.SIGTERM)
+        assert await process.wait() == 0
 
 
 @run_on_uvloop
-async def test_a_reload_opens_and_closes_listeners_and_tells_what_needs_a_restart(tmp_path):
-    async with LocalDeployment(tmp_path, hosts=1, answer=lambda: None) as site:
-        program, more = await site.start_gateway(), free_port()
-        reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
+async def test_reload_opens_and_closes_listeners_and_reports_what_needs_a_restart(tmp_path):
+    async with LocalDeployment(tmp_path, hosts=1, answer=lambda: None) as deployment:
+        process, added_port = await deployment.start_gateway(), free_port()
+        reader, writer = await asyncio.open_connection("127.0.0.1", deployment.port)
         writer.write(make_command(b"before"))
-        await site.hosts[0].arrivals.get()
-        site.write_settings([more], limits="max_attempts = 2")
-        program.send_signal(signal.SIGHUP)
-        said = await site.wait_for_log_line(program, b"reload: ")
-        assert b"took effect: listeners" in said and b"restart or a hand-over: limits.max_attempts" in said
+        await deployment.hosts[0].arrivals.get()
+        deployment.write_settings([added_port], limits="max_attempts = 2")
+        process.send_signal(signal.SIGHUP)
+        log_line = await deployment.wait_for_log_line(process, b"reload: ")
+        assert (
+            b"took effect: listeners" in log_line
+            and b"restart or a hand-over: limits.max_attempts" in log_line
+        )
         with pytest.raises(ConnectionRefusedError):
-            await asyncio.open_connection("127.0.0.1", site.port)
-        site.hosts[0].writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-        assert await read_reply(reader) == VALUE_REPLY  # what was taken on the old one is answered there
-        # Answered for by hand, the stub says nothing more there: what comes is to go by another line.
-        site.hosts[0].writers[0].close()
+            await asyncio.open_connection("127.0.0.1", deployment.port)
+        deployment.hosts[0].writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
+        assert (
+            await read_reply(reader) == VALUE_REPLY
+        )  # requests accepted on the closed listener are answered
+        # The test replied on this connection itself, so later commands need another one.
+        deployment.hosts[0].writers[0].close()
         assert await read_reply(reader) == b""
-        site.hosts[0].answer = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
-        assert await site.send_request(make_command(b"after"), more) == VALUE_REPLY
-        program.send_signal(signal.SIGHUP)
-        assert b"max_attempts" in await site.wait_for_log_line(
-            program, b"reload: "
-        )  # told each time, never silently left
+        deployment.hosts[0].answer = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+        assert await deployment.send_request(make_command(b"after"), added_port) == VALUE_REPLY
+        process.send_signal(signal.SIGHUP)
+        assert b"max_attempts" in await deployment.wait_for_log_line(
+            process, b"reload: "
+        )  # reported at each reload
         writer.close()
 
 
 @pytest.mark.parametrize(
-    "how",
+    "fault",
     [
         "half written",
         "a folder",
@@ -84,102 +90,115 @@
     ],
 )
 @run_on_uvloop
-async def test_what_cannot_be_taken_up_leaves_the_old_in_force(how, tmp_path):
+async def test_invalid_settings_leave_the_old_ones_in_force(fault, tmp_path):
     ledger = Ledger(LEDGER_TERMS)
-    async with LocalDeployment(tmp_path, ledger=ledger) as site:
-        program = await site.start_gateway()
-        good = site.settings_file.read_text()
-        taken = socket.socket()
-        taken.bind(("127.0.0.1", 0))
-        taken.listen(1)
-        async with BackgroundTraffic(site, ledger) as load:
-            fresh = free_port()
-            if how == "a folder":
-                site.settings_file.unlink()
-                site.settings_file.mkdir()
-            elif how == "gone":
-                site.settings_file.unlink()
-            elif how == "60 MB":
-                with open(site.settings_file, "ab") as file:
+    async with LocalDeployment(tmp_path, ledger=ledger) as deployment:
+        process = await deployment.start_gateway()
+        valid_text = deployment.settings_file.read_text()
+        occupied_socket = socket.socket()
+        occupied_socket.bind(("127.0.0.1", 0))
+        occupied_socket.listen(1)
+        async with BackgroundTraffic(deployment, ledger) as traffic:
+            new_port = free_port()
+            if fault == "a folder":
+                deployment.settings_file.unlink()
+                deployment.settings_file.mkdir()
+            elif fault == "gone":
+                deployment.settings_file.unlink()
+            elif fault == "60 MB":
+                with open(deployment.settings_file, "ab") as file:
                     file.truncate(60 * 1024 * 1024)
-            elif how == "not UTF-8":
-                site.settings_file.write_bytes(b"\xff\xfe" + good.encode())
-            elif how == "an address that is taken":
-                site.write_settings([site.port, fresh, taken.getsockname()[1]])
-            elif how == "no hosts file":
-                site.write_settings(hosts='file = "other.toml"')
+            elif fault == "not UTF-8":
+                deployment.settings_file.write_bytes(b"\xff\xfe" + valid_text.encode())
+            elif fault == "an address that is taken":
+                deployment.write_settings([deployment.port, new_port, occupied_socket.getsockname()[1]])
+            elif fault == "no hosts file":
+                deployment.write_settings(hosts='file = "other.toml"')
             else:
-                replaced(
-                    site,
-                    good[: len(good) // 2] + "[limits"
-                    if how == "half written"
-                    else good + "\n[rules]\ndrain_grace = -1\n",
+                replace_settings_file(
+                    deployment,
+                    valid_text[: len(valid_text) // 2] + "[limits"
+                    if fault == "half written"
+                    else valid_text + "\n[rules]\ndrain_grace = -1\n",
                 )
-            program.send_signal(signal.SIGHUP)
-            said = await site.wait_for_log_line(program, b"rejected, the old settings stay in force")
-            assert any(b"ERROR" in line for line in site.logs[program]), said
-            await load.wait_for_served(20)
-            with pytest.raises(ConnectionRefusedError):  # nothing of what was built beside is left
-                await asyncio.open_connection("127.0.0.1", fresh)
-            if site.settings_file.is_dir():
-                site.settings_file.rmdir()
-            replaced(site, good)
-            program.send_signal(signal.SIGHUP)
-            await site.wait_for_log_line(program, b"no changes")
-        taken.close()
+            process.send_signal(signal.SIGHUP)
+            log_line = await deployment.wait_for_log_line(
+                process, b"rejected, the old settings stay in force"
+            )
+            assert any(b"ERROR" in line for line in deployment.logs[process]), log_line
+            await traffic.wait_for_served(20)
+            with pytest.raises(ConnectionRefusedError):  # listeners opened by the failed reload are closed
+                await asyncio.open_connection("127.0.0.1", new_port)
+            if deployment.settings_file.is_dir():
+                deployment.settings_file.rmdir()
+            replace_settings_file(deployment, valid_text)
+            process.send_signal(signal.SIGHUP)
+            await deployment.wait_for_log_line(process, b"no changes")
+        occupied_socket.close()
 
 
 @run_on_uvloop
-async def test_a_stop_during_a_reload_and_a_reload_during_a_stop(tmp_path):
-    async with LocalDeployment(tmp_path, hosts=1, answer=lambda: None) as site:
-        program = await site.start_gateway()
-        reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
+async def test_shutdown_during_a_reload_and_reload_during_a_shutdown(tmp_path):
+    async with LocalDeployment(tmp_path, hosts=1, answer=lambda: None) as deployment:
+        process = await deployment.start_gateway()
+        reader, writer = await asyncio.open_connection("127.0.0.1", deployment.port)
         writer.write(make_command(b"before"))
-        await site.hosts[0].arrivals.get()
-        for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGHUP):
-            program.send_signal(number)
-        await site.wait_for_log_line(program, b"reload ignored: a shutdown or a hand-over is in progress")
-        site.hosts[0].writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
+        await deployment.hosts[0].arrivals.get()
+        for signal_number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGHUP):
+            process.send_signal(signal_number)
+        await deployment.wait_for_log_line(
+            process, b"reload ignored: a shutdown or a hand-over is in progress"
+        )
+        deployment.hosts[0].writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
         assert await read_reply(reader) == VALUE_REPLY
-        assert await program.wait() == 0
+        assert await process.wait() == 0
         writer.close()
 
 
 @run_on_uvloop
-async def test_a_reload_goes_over_to_another_counter_and_another_file_of_hosts(tmp_path):
-    async with LocalDeployment(tmp_path, hosts=2, answer=b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n") as site:
-        site.publish_hosts("up", None)
-        program = await site.start_gateway()
-        assert await site.send_request(make_command(b"a")) == VALUE_REPLY and len(site.hosts[0].commands) == 1
-        others = f'[[hosts]]\nid = "h9"\naddress = "127.0.0.1:{site.hosts[1].port}"\n'
-        (tmp_path / "others.toml").write_text(others)
-        async with EmulatedCounter() as other:
-            site.write_settings(hosts='file = "others.toml"')
-            site.settings_file.write_text(
-                site.settings_file.read_text().replace(str(site.counter.port), str(other.port))
+async def test_reload_switches_to_another_counter_and_another_hosts_file(tmp_path):
+    async with LocalDeployment(
+        tmp_path, hosts=2, answer=b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+    ) as deployment:
+        deployment.publish_hosts("up", None)
+        process = await deployment.start_gateway()
+        assert (
+            await deployment.send_request(make_command(b"a")) == VALUE_REPLY
+            and len(deployment.hosts[0].commands) == 1
+        )
+        other_hosts = f'[[hosts]]\nid = "h9"\naddress = "127.0.0.1:{deployment.hosts[1].port}"\n'
+        (tmp_path / "others.toml").write_text(other_hosts)
+        async with EmulatedCounter() as other_counter:
+            deployment.write_settings(hosts='file = "others.toml"')
+            deployment.settings_file.write_text(
+                deployment.settings_file.read_text().replace(
+                    str(deployment.counter.port), str(other_counter.port)
+                )
             )
-            program.send_signal(signal.SIGHUP)
-            said = await site.wait_for_log_line(program, b"reload: ")
-            assert b"counter.address" in said and b"hosts.file" in said
-            assert await site.send_request(make_command(b"b")) == VALUE_REPLY
-            assert [len(h.commands) for h in site.hosts] == [1, 1]
-            while not other.writers:
+            process.send_signal(signal.SIGHUP)
+            log_line = await deployment.wait_for_log_line(process, b"reload: ")
+            assert b"counter.address" in log_line and b"hosts.file" in log_line
+            assert await deployment.send_request(make_command(b"b")) == VALUE_REPLY
+            assert [len(h.commands) for h in deployment.hosts] == [1, 1]
+            while not other_counter.writers:
                 await asyncio.sleep(0.01)
 
 
 @run_on_uvloop
-async def test_the_file_of_hosts_is_followed_and_a_bad_one_leaves_the_list(tmp_path):
-    async with LocalDeployment(tmp_path, hosts=2, answer=b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n") as site:
-        site.publish_hosts("up", None)
-        program = await site.start_gateway()
+async def test_hosts_file_is_followed_and_an_invalid_one_leaves_the_list(tmp_path):
+    async with LocalDeployment(
+        tmp_path, hosts=2, answer=b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+    ) as deployment:
+        deployment.publish_hosts("up", None)
+        process = await deployment.start_gateway()
         (tmp_path / "hosts.toml").write_text("[[hosts]\nid =")
-        await site.wait_for_log_line(program, b"keeping the last list")
-        assert await site.send_request(make_command(b"a")) == VALUE_REPLY
-        site.publish_hosts("draining", "up")
+        await deployment.wait_for_log_line(process, b"keeping the last list")
+        assert await deployment.send_request(make_command(b"a")) == VALUE_REPLY
+        deployment.publish_hosts("draining", "up")
         n = 0
-        while not site.hosts[1].commands:  # until it has been read
-            assert await site.send_request(make_command(b"b%d" % (n := n + 1))) == VALUE_REPLY
-        before = len(site.hosts[0].commands)
+        while not deployment.hosts[1].commands:  # until the file has been read
+            assert await deployment.send_request(make_command(b"b%d" % (n := n + 1))) == VALUE_REPLY
+        before = len(deployment.hosts[0].commands)
         for n in range(10):
-            assert await site.send_request(make_command(b"c%d" % n)) == VALUE_REPLY
-        assert len(site.hosts[0].commands) == before
+            assert await deployment.send_request(make_command(b"c%d" % n)) == VALUE_REPLY
+        assert len(deployment.hosts[0].commands) == before
--- a/tests/faults/test_workers.py
+++ b/tests/faults/test_workers.py
@@ -1,5 +1,7 @@
-"""Several gateways on one address under a supervisor: killed, hung, fat, in a crash loop, reloaded,
-stopped."""
+"""Several worker processes on one address under a supervisor.
+
+Workers are killed, hang, exceed their memory limit, crash repeatedly, are reloaded and stopped.
+"""
 
 import asyncio
 import os
@@ -13,128 +15,127 @@
 from apigateway.daemon.settings import read_settings
 from apigateway.daemon.workers import WorkerAssignment, settings_for_worker
 from apigateway.emulators.clients import Client, Customer, Traffic, TrafficClass
-from apigateway.emulators.ledger import Ceiling, ClassRules, Ledger, format_verdicts
-from apigateway.emulators.ledger import RuleLimits as LedgerTerms
+from apigateway.emulators.ledger import Ceiling, ClassRules, Ledger, RuleLimits, format_verdicts
 
 
-def children(program):
-    told = Path(f"/proc/{program.pid}/task/{program.pid}/children").read_text().split()
-    return [int(pid) for pid in told]
+def worker_pids(process):
+    text = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
+    return [int(pid) for pid in text]
 
 
-async def until(true, what):
-    """Waits for something that only the system shows."""
+async def wait_until(condition, description):
+    """Wait until `condition` returns a true value, for conditions that only the operating system shows."""
     for _ in range(3000):
-        if value := true():
+        if value := condition():
             return value
         await asyncio.sleep(0.01)
-    raise AssertionError(what)
+    raise AssertionError(description)
 
 
-class Group(LocalDeployment):
-    async def up(self, count=3, settings="", **kw):
-        self.write_settings(workers=settings or "watchdog = 1.0\nsteady = 0.5", **kw)
-        program = await self.start_gateway("--workers", str(count), ready=False)
-        await self.wait_for_log_line(program, b"workers listen on")
-        return program
+class WorkerDeployment(LocalDeployment):
+    async def start_workers(self, count=3, settings="", **tables):
+        self.write_settings(workers=settings or "watchdog = 1.0\nsteady = 0.5", **tables)
+        process = await self.start_gateway("--workers", str(count), ready=False)
+        await self.wait_for_log_line(process, b"workers listen on")
+        return process
 
-    async def ended(self, program):
-        program.send_signal(signal.SIGTERM)
-        while await program.stderr.readline():
+    async def stop(self, process):
+        process.send_signal(signal.SIGTERM)
+        while await process.stderr.readline():
             pass
-        return await program.wait()
+        return await process.wait()
 
 
 @pytest.mark.parametrize(
-    "how, word",
+    "signal_number, log_text",
     [
         (signal.SIGKILL, b"exited (signal 9); restart in"),
         (signal.SIGSTOP, b"is not responding: killed"),
     ],
 )
 @run_on_uvloop
-async def test_a_worker_that_dies_or_hangs_is_made_anew_and_its_requests_are_lost_in_no_other_way(
-    how, word, tmp_path
+async def test_worker_that_dies_or_hangs_is_restarted_and_only_its_requests_are_lost(
+    signal_number, log_text, tmp_path
 ):
     ledger = Ledger(LEDGER_TERMS)
-    async with Group(tmp_path, ledger=ledger) as site:
-        program = await site.up()
-        workers = children(program)
-        load = BackgroundTraffic(site, ledger, 200.0)
+    async with WorkerDeployment(tmp_path, ledger=ledger) as deployment:
+        process = await deployment.start_workers()
+        workers = worker_pids(process)
+        traffic = BackgroundTraffic(deployment, ledger, 200.0)
         async with asyncio.timeout(60):
-            await load.__aenter__()
-            os.kill(workers[1], how)
-            await site.wait_for_log_line(program, word)
-            await until(
-                lambda: len(children(program)) == 3 and workers[1] not in children(program), "made anew"
+            await traffic.__aenter__()
+            os.kill(workers[1], signal_number)
+            await deployment.wait_for_log_line(process, log_text)
+            await wait_until(
+                lambda: len(worker_pids(process)) == 3 and workers[1] not in worker_pids(process),
+                "restart of the worker",
             )
-            await load.wait_for_served(100)
-            await load.stop()
-        # What a worker had accepted dies with it, as with a machine: the client's connection ends or its
-        # time does.
-        # No other rule gives way.
+            await traffic.wait_for_served(100)
+            await traffic.stop()
+        # Requests that a worker had accepted are lost with it, as with a machine: the client's connection
+        # ends or its timeout passes. All other rules must hold.
         for verdict in ledger.check_rules():
             assert verdict.kept or verdict.rule == "no request lost", format_verdicts([verdict])
-        assert set(children(program)) & set(workers) == {workers[0], workers[2]}
-        assert await site.ended(program) == 0
+        assert set(worker_pids(process)) & set(workers) == {workers[0], workers[2]}
+        assert await deployment.stop(process) == 0
 
 
 @run_on_uvloop
 async def test_ceilings_hold_over_all_workers_of_one_address(tmp_path):
-    """Its clients know one gateway: spread 1, first 0. One worker is killed on the way."""
-    kinds = {"read": ClassRules("safe"), "note": ClassRules("unsafe")}
-    ledger = Ledger(LedgerTerms(kinds, {"p": Ceiling(40.0, 60.0, 0.1)}))
-    async with Group(tmp_path, ledger=ledger) as site:
-        site.write_settings(workers="watchdog = 1.0")
-        text = site.settings_file.read_text().replace(
+    """The clients see one gateway (spread 1, first 0). One worker is killed under load."""
+    classes = {"read": ClassRules("safe"), "note": ClassRules("unsafe")}
+    ledger = Ledger(RuleLimits(classes, {"p": Ceiling(40.0, 60.0, 0.1)}))
+    async with WorkerDeployment(tmp_path, ledger=ledger) as deployment:
+        deployment.write_settings(workers="watchdog = 1.0")
+        text = deployment.settings_file.read_text().replace(
             "rate = 10000.0\nburst = 100000.0",
             "rate = 20.0\nburst = 30.0\nceiling_rate = 40.0\nceiling_burst = 60.0\nceiling_slack = 6.0",
         )
-        site.settings_file.write_text(text)
-        program = await site.start_gateway("--workers", "3", ready=False)
-        await site.wait_for_log_line(program, b"workers listen on")
-        client = Client(ledger, {"g": ("127.0.0.1", site.port)})
+        deployment.settings_file.write_text(text)
+        process = await deployment.start_gateway("--workers", "3", ready=False)
+        await deployment.wait_for_log_line(process, b"workers listen on")
+        client = Client(ledger, {"g": ("127.0.0.1", deployment.port)})
         traffic = Traffic(
             client,
             [Customer(f"{n:016x}", "p", 150.0, 0, 1) for n in range(2)],
             [TrafficClass("read", "safe", 0.7, 3.0), TrafficClass("note", "unsafe", 0.3, 3.0)],
         )
 
-        async def trouble():
+        async def kill_worker():
             await asyncio.sleep(1.5)
-            os.kill(children(program)[0], signal.SIGKILL)
+            os.kill(worker_pids(process)[0], signal.SIGKILL)
 
-        await asyncio.gather(traffic.run(5.0), trouble())
+        await asyncio.gather(traffic.run(5.0), kill_worker())
         client.close()
         for verdict in ledger.check_rules():
             assert verdict.kept or verdict.rule == "no request lost", format_verdicts([verdict])
-        told = {v.rule: v for v in ledger.check_rules()}
-        assert told["ceilings kept"].checked and told["ceilings kept"].kept
+        verdicts = {v.rule: v for v in ledger.check_rules()}
+        assert verdicts["ceilings kept"].checked and verdicts["ceilings kept"].kept
         served = sum(count for (_, _, kind), count in ledger.outcomes().items() if kind == "served")
-        assert served > 100  # and quotas are not simply shut
-        assert await site.ended(program) == 0
+        assert served > 100  # the quota must not reject everything
+        assert await deployment.stop(process) == 0
 
 
-def held(pid):
-    """MB that a process holds."""
+def resident_mb(pid):
+    """Return the resident memory of a process in MB."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS")) / 1024
 
 
 @run_on_uvloop
-async def test_one_that_grows_to_its_limit_finishes_what_it_has_and_is_made_anew(tmp_path):
-    """A host that says nothing lets bodies pile up in both workers."""
-    async with Group(tmp_path, hosts=1, answer=lambda: None) as site:
-        program = await site.up(2)
-        before = children(program)
-        most = int(max(map(held, before))) + 4
-        site.write_settings(workers="watchdog = 1.0\nsteady = 0.5", limits=f"memory_mb = {most}")
-        program.send_signal(signal.SIGHUP)
+async def test_worker_over_its_memory_limit_finishes_its_requests_and_is_restarted(tmp_path):
+    """A silent host makes request bodies accumulate in both workers."""
+    async with WorkerDeployment(tmp_path, hosts=1, answer=lambda: None) as deployment:
+        process = await deployment.start_workers(2)
+        pids_before = worker_pids(process)
+        limit_mb = int(max(map(resident_mb, pids_before))) + 4
+        deployment.write_settings(workers="watchdog = 1.0\nsteady = 0.5", limits=f"memory_mb = {limit_mb}")
+        process.send_signal(signal.SIGHUP)
         for _ in range(2):
-            await site.wait_for_log_line(program, b"reload: ")
-        lines = [await asyncio.open_connection("127.0.0.1", site.port) for _ in range(80)]
+            await deployment.wait_for_log_line(process, b"reload: ")
+        connections = [await asyncio.open_connection("127.0.0.1", deployment.port) for _ in range(80)]
         body = b"x" * 64_000
-        for k, (_, writer) in enumerate(lines):
+        for k, (_, writer) in enumerate(connections):
             for n in range(4):
                 writer.write(
                     make_command(
@@ -144,192 +145,216 @@
                         body=body,
                     )
                 )
-        await site.wait_for_log_line(program, b"uses more than limits.memory_mb")
-        for reader, writer in lines:  # each is answered, in whichever worker it was
+        await deployment.wait_for_log_line(process, b"uses more than limits.memory_mb")
+        for reader, writer in connections:  # each request is answered, whichever worker holds it
             for _ in range(4):
                 assert (await read_reply(reader))[:5] in (b"-ERR ", b"-BUSY")
             writer.close()
-        await site.wait_for_log_line(program, b"exited (exit code 0); restart in")
-        await until(lambda: len(children(program)) == 2 and children(program) != before, "made anew")
-        site.hosts[0].answer = VALUE
-        # the host that said nothing is doubted for a moment
-        while await site.send_request(make_command(b"after")) != VALUE_REPLY:
+        await deployment.wait_for_log_line(process, b"exited (exit code 0); restart in")
+        await wait_until(
+            lambda: len(worker_pids(process)) == 2 and worker_pids(process) != pids_before,
+            "restart of the worker",
+        )
+        deployment.hosts[0].answer = VALUE
+        # The host that was silent is not used for a moment.
+        while await deployment.send_request(make_command(b"after")) != VALUE_REPLY:
             await asyncio.sleep(0.05)
-        assert await site.ended(program) == 0
+        assert await deployment.stop(process) == 0
 
 
 @run_on_uvloop
-async def test_a_crash_loop_ends_plainly(tmp_path):
-    async with Group(tmp_path) as site:
-        program = await site.up(2, "crashes = 3\nrest = 0.05\nsteady = 600.0")
-        stays = children(program)[1]
-        for _ in range(3):  # always the same worker
-            others = await until(lambda: [one for one in children(program) if one != stays], "another")
-            pid = others[0]
+async def test_supervisor_stops_all_workers_after_a_crash_loop(tmp_path):
+    async with WorkerDeployment(tmp_path) as deployment:
+        process = await deployment.start_workers(2, "crashes = 3\nrest = 0.05\nsteady = 600.0")
+        other_pid = worker_pids(process)[1]
+        for _ in range(3):  # kill the same worker each time
+            pids = await wait_until(
+                lambda: [worker_pid for worker_pid in worker_pids(process) if worker_pid != other_pid],
+                "replacement of the worker",
+            )
+            pid = pids[0]
             os.kill(pid, signal.SIGKILL)
-            await until(
-                lambda pid=pid: program.returncode is not None or pid not in children(program), "its end"
+            await wait_until(
+                lambda pid=pid: process.returncode is not None or pid not in worker_pids(process),
+                "exit of the worker",
             )
-        while line := await program.stderr.readline():
-            site.logs[program].append(line)
-        assert await program.wait() == 1
-        assert b"times in a row: stopping all workers" in b"".join(site.logs[program])
+        while line := await process.stderr.readline():
+            deployment.logs[process].append(line)
+        assert await process.wait() == 1
+        assert b"times in a row: stopping all workers" in b"".join(deployment.logs[process])
 
 
 @run_on_uvloop
-async def test_workers_end_by_themselves_when_their_supervisor_is_killed(tmp_path):
+async def test_workers_exit_when_their_supervisor_is_killed(tmp_path):
     ledger = Ledger(LEDGER_TERMS)
-    async with Group(tmp_path, ledger=ledger) as site:
-        program = await site.up(2)
-        workers = children(program)
-        async with BackgroundTraffic(site, ledger):
+    async with WorkerDeployment(tmp_path, ledger=ledger) as deployment:
+        process = await deployment.start_workers(2)
+        workers = worker_pids(process)
+        async with BackgroundTraffic(deployment, ledger):
             pass
-        os.kill(program.pid, signal.SIGKILL)
-        await program.wait()
-        await until(lambda: not any(Path(f"/proc/{pid}").exists() for pid in workers), "their end")
-        program = await site.up(2)  # and the address is free again
-        assert await site.ended(program) == 0
+        os.kill(process.pid, signal.SIGKILL)
+        await process.wait()
+        await wait_until(
+            lambda: not any(Path(f"/proc/{pid}").exists() for pid in workers), "exit of the workers"
+        )
+        process = await deployment.start_workers(2)  # the address is free again
+        assert await deployment.stop(process) == 0
 
 
 @run_on_uvloop
-async def test_what_asks_a_gateway_asks_all_its_workers(tmp_path):
-    async with Group(tmp_path) as site:
-        program = await site.up(2)
-        for act in (["hosts"], ["plugin", "status"]):
-            asked = await asyncio.create_subprocess_exec(
-                *GATEWAY_COMMAND, *act, str(site.settings_file), cwd=ROOT, stdout=asyncio.subprocess.PIPE
+async def test_commands_query_all_workers_of_a_gateway(tmp_path):
+    async with WorkerDeployment(tmp_path) as deployment:
+        process = await deployment.start_workers(2)
+        for command in (["hosts"], ["plugin", "status"]):
+            command_process = await asyncio.create_subprocess_exec(
+                *GATEWAY_COMMAND,
+                *command,
+                str(deployment.settings_file),
+                cwd=ROOT,
+                stdout=asyncio.subprocess.PIPE,
             )
-            said, _ = await asked.communicate()
-            assert asked.returncode == 0 and b"worker-0:\n" in said and b"worker-1:\n" in said
-        assert await site.ended(program) == 0
+            output, _ = await command_process.communicate()
+            assert command_process.returncode == 0 and b"worker-0:\n" in output and b"worker-1:\n" in output
+        assert await deployment.stop(process) == 0
 
 
 @run_on_uvloop
-async def test_reload_and_stop_act_on_all_and_what_only_the_supervisor_could_is_refused(tmp_path):
+async def test_reload_and_stop_reach_all_workers_and_supervisor_settings_need_a_restart(tmp_path):
     ledger = Ledger(LEDGER_TERMS)
-    async with Group(tmp_path, ledger=ledger) as site:
-        program = await site.up(3)
-        async with BackgroundTraffic(site, ledger) as load:
-            site.write_settings(workers="watchdog = 1.0\nsteady = 0.5", limits="max_open = 77")
-            program.send_signal(signal.SIGHUP)
+    async with WorkerDeployment(tmp_path, ledger=ledger) as deployment:
+        process = await deployment.start_workers(3)
+        async with BackgroundTraffic(deployment, ledger) as traffic:
+            deployment.write_settings(workers="watchdog = 1.0\nsteady = 0.5", limits="max_open = 77")
+            process.send_signal(signal.SIGHUP)
             for _ in range(3):
-                assert b"limits.max_open" in await site.wait_for_log_line(program, b"reload: took effect")
-            site.write_settings(ports=[site.port, 1], workers="watchdog = 1.0\nsteady = 0.5")
-            program.send_signal(signal.SIGHUP)
-            await site.wait_for_log_line(program, b"listeners, workers or daemon.state needs a restart")
-            site.settings_file.write_text("nonsense")
-            program.send_signal(signal.SIGHUP)
-            await site.wait_for_log_line(program, b"rejected, the old settings stay in force")
-            await load.wait_for_served(20)
-        assert await site.ended(program) == 0
+                assert b"limits.max_open" in await deployment.wait_for_log_line(
+                    process, b"reload: took effect"
+                )
+            deployment.write_settings(ports=[deployment.port, 1], workers="watchdog = 1.0\nsteady = 0.5")
+            process.send_signal(signal.SIGHUP)
+            await deployment.wait_for_log_line(process, b"listeners, workers or daemon.state needs a restart")
+            deployment.settings_file.write_text("nonsense")
+            process.send_signal(signal.SIGHUP)
+            await deployment.wait_for_log_line(process, b"rejected, the old settings stay in force")
+            await traffic.wait_for_served(20)
+        assert await deployment.stop(process) == 0
 
 
 @run_on_uvloop
-async def test_workers_without_a_counter_are_refused(tmp_path):
-    async with Group(tmp_path) as site:
-        site.write_settings(workers="count = 2")
-        site.settings_file.write_text(
-            site.settings_file.read_text().replace(f'address = "127.0.0.1:{site.counter.port}"', "")
+async def test_workers_without_a_counter_are_rejected(tmp_path):
+    async with WorkerDeployment(tmp_path) as deployment:
+        deployment.write_settings(workers="count = 2")
+        deployment.settings_file.write_text(
+            deployment.settings_file.read_text().replace(
+                f'address = "127.0.0.1:{deployment.counter.port}"', ""
+            )
         )
-        program = await site.start_gateway(ready=False)
-        await site.wait_for_log_line(program, b"several workers cannot enforce a quota without a counter")
-        assert await program.wait() == 2
+        process = await deployment.start_gateway(ready=False)
+        await deployment.wait_for_log_line(
+            process, b"several workers cannot enforce a quota without a counter"
+        )
+        assert await process.wait() == 2
 
 
-async def drained(program):
-    """Its end, its log read to the last line."""
-    while await program.stderr.readline():
+async def wait_for_exit(process):
+    """Read the process's log to the end, and return its exit code."""
+    while await process.stderr.readline():
         pass
-    return await program.wait()
+    return await process.wait()
 
 
-async def successor(site, *arguments):
-    program = await site.start_gateway("--take-over", *arguments, ready=False)
-    await site.wait_for_log_line(program, b"workers listen on")
-    return program
+async def start_successor(deployment, *arguments):
+    process = await deployment.start_gateway("--take-over", *arguments, ready=False)
+    await deployment.wait_for_log_line(process, b"workers listen on")
+    return process
 
 
 @run_on_uvloop
-async def test_a_supervisor_takes_over_worker_by_worker_and_another_from_that_one(tmp_path):
+async def test_two_supervisors_take_over_one_after_the_other_worker_by_worker(tmp_path):
     ledger = Ledger(LEDGER_TERMS)
-    async with Group(tmp_path, ledger=ledger) as site:
-        first = await site.up(3)
-        async with BackgroundTraffic(site, ledger) as load:
+    async with WorkerDeployment(tmp_path, ledger=ledger) as deployment:
+        first = await deployment.start_workers(3)
+        async with BackgroundTraffic(deployment, ledger) as traffic:
             for _ in range(2):
-                second = await successor(site, "--workers", "3")
-                assert await drained(first) == 0
-                await load.wait_for_served(30)
+                second = await start_successor(deployment, "--workers", "3")
+                assert await wait_for_exit(first) == 0
+                await traffic.wait_for_served(30)
                 first = second
-            ledger.record_gateway_kill(
-                "g"
-            )  # what that one worker holds at this moment is for its clients to ask again
+            # The clients have to retry the requests that the killed worker holds.
+            ledger.record_gateway_kill("g")
             ledger.record_gateway_start("g")
-            os.kill(children(first)[0], signal.SIGKILL)  # it tends them as its own
-            await site.wait_for_log_line(first, b"exited (signal 9); restart in")
-            await until(lambda: len(children(first)) == 3, "made anew")
-        assert await site.ended(first) == 0
+            os.kill(worker_pids(first)[0], signal.SIGKILL)  # a worker that the new supervisor took over
+            await deployment.wait_for_log_line(first, b"exited (signal 9); restart in")
+            await wait_until(lambda: len(worker_pids(first)) == 3, "restart of the worker")
+        assert await deployment.stop(first) == 0
 
 
-@pytest.mark.parametrize("how", ["a bad file", "killed at its second worker", "another count", "no workers"])
+@pytest.mark.parametrize(
+    "failure", ["a bad file", "killed at its second worker", "another count", "no workers"]
+)
 @run_on_uvloop
-async def test_a_successor_that_fails_leaves_the_old_supervisor_with_all_its_workers(how, tmp_path):
+async def test_old_supervisor_keeps_all_workers_when_its_successor_fails(failure, tmp_path):
     ledger = Ledger(LEDGER_TERMS)
-    async with Group(tmp_path, ledger=ledger) as site:
-        first = await site.up(3)
-        before = children(first)
-        load = BackgroundTraffic(site, ledger, 100.0)
-        await load.__aenter__()
-        if how == "a bad file":
-            good = site.settings_file.read_text()
-            site.settings_file.write_text("nonsense")
-            second = await site.start_gateway("--take-over", "--workers", "3", ready=False)
-            assert await drained(second) == 2
-            site.settings_file.write_text(good)
-        elif how == "killed at its second worker":
-            second = await site.start_gateway("--take-over", "--workers", "3", ready=False)
-            await until(lambda: len(children(second)) >= 2, "its second worker")
+    async with WorkerDeployment(tmp_path, ledger=ledger) as deployment:
+        first = await deployment.start_workers(3)
+        pids_before = worker_pids(first)
+        traffic = BackgroundTraffic(deployment, ledger, 100.0)
+        await traffic.__aenter__()
+        if failure == "a bad file":
+            valid_text = deployment.settings_file.read_text()
+            deployment.settings_file.write_text("nonsense")
+            second = await deployment.start_gateway("--take-over", "--workers", "3", ready=False)
+            assert await wait_for_exit(second) == 2
+            deployment.settings_file.write_text(valid_text)
+        elif failure == "killed at its second worker":
+            second = await deployment.start_gateway("--take-over", "--workers", "3", ready=False)
+            await wait_until(lambda: len(worker_pids(second)) >= 2, "second worker of the successor")
             second.send_signal(signal.SIGKILL)
-            await drained(second)
-            await until(lambda: len(children(first)) == 3 and before[0] not in children(first), "made anew")
+            await wait_for_exit(second)
+            await wait_until(
+                lambda: len(worker_pids(first)) == 3 and pids_before[0] not in worker_pids(first),
+                "restart of the worker",
+            )
         else:
-            arguments = ["--workers", "2"] if how == "another count" else []
-            second = await site.start_gateway("--take-over", *arguments, ready=False)
-            word = b"needs a restart" if arguments else b"use --workers"
-            await site.wait_for_log_line(second, word)
-            assert await drained(second) == 1 and children(first) == before
-        await load.wait_for_served(30)
-        third = await successor(site, "--workers", "3")  # and the next one can
-        assert await drained(first) == 0
-        await load.wait_for_served(30)
-        await load.stop()
-        # A supervisor that is killed is more than a hand-over that fails: its workers end, and clients see
-        # it.
+            arguments = ["--workers", "2"] if failure == "another count" else []
+            second = await deployment.start_gateway("--take-over", *arguments, ready=False)
+            log_text = b"needs a restart" if arguments else b"use --workers"
+            await deployment.wait_for_log_line(second, log_text)
+            assert await wait_for_exit(second) == 1 and worker_pids(first) == pids_before
+        await traffic.wait_for_served(30)
+        next_successor = await start_successor(deployment, "--workers", "3")  # the next successor succeeds
+        assert await wait_for_exit(first) == 0
+        await traffic.wait_for_served(30)
+        await traffic.stop()
+        # A killed supervisor is worse than a failed hand-over: its workers exit, and clients notice.
         for verdict in ledger.check_rules():
-            assert verdict.kept or (verdict.rule == "no request lost" and "killed" in how), format_verdicts(
-                [verdict]
+            assert verdict.kept or (verdict.rule == "no request lost" and "killed" in failure), (
+                format_verdicts([verdict])
             )
-        assert await site.ended(third) == 0
+        assert await deployment.stop(next_successor) == 0
 
 
 @run_on_uvloop
-async def test_a_write_in_work_at_a_predecessors_worker_is_taken_by_no_successors(tmp_path):
-    async with Group(tmp_path, hosts=1, answer=lambda: None) as site:
-        first = await site.up(2)
-        reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
-        # Long enough for the successor to start on a busy machine: past it the id would rightly be free.
-        note = make_command(b"n1", b"c=note,t=p,d=9000,units=1,spread=1,first=0", b"API.WRITE", body=b"B")
-        writer.write(note)
-        await site.hosts[0].arrivals.get()
-        second = await successor(site, "--workers", "2")
-        for _ in range(4):  # whichever worker accepts
-            assert await site.send_request(note) == b"-ERR this id is in work\r\n"
-        assert (await reader.readline()) == b"-ERR failed\r\n"  # in time, though nobody answered it
+async def test_write_in_flight_at_an_old_worker_is_rejected_by_the_new_workers(tmp_path):
+    async with WorkerDeployment(tmp_path, hosts=1, answer=lambda: None) as deployment:
+        first = await deployment.start_workers(2)
+        reader, writer = await asyncio.open_connection("127.0.0.1", deployment.port)
+        # Long enough for the successor to start on a busy machine; after the deadline the id would be free.
+        write_command = make_command(
+            b"n1", b"c=note,t=p,d=9000,units=1,spread=1,first=0", b"API.WRITE", body=b"B"
+        )
+        writer.write(write_command)
+        await deployment.hosts[0].arrivals.get()
+        second = await start_successor(deployment, "--workers", "2")
+        for _ in range(4):  # whichever worker accepts the connection
+            assert await deployment.send_request(write_command) == b"-ERR this id is in work\r\n"
+        assert (await reader.readline()) == b"-ERR failed\r\n"  # at the deadline, since no host answered
         writer.close()
-        assert len(site.hosts[0].commands) == 1
-        assert await drained(first) == 0 and await site.ended(second) == 0
+        assert len(deployment.hosts[0].commands) == 1
+        assert await wait_for_exit(first) == 0 and await deployment.stop(second) == 0
 
 
-def test_a_workers_place_in_the_group(tmp_path):
+def test_worker_settings_follow_from_its_assignment(tmp_path):
     file = tmp_path / "gateway.toml"
     file.write_text(
         '[[listeners]]\naddress = "127.0.0.1:7000"\n[gateway]\nindex = 1\ngateways = 2\n'
@@ -338,13 +363,13 @@
         '[classes.read]\neffect = "safe"\naim = 1.0\ndeadline = 3.0\n'
         '[plans.p]\nrate = 1.0\nburst = 4.0\n[workers]\ncount = 4\naddress = "own"\n'
     )
-    told = settings_for_worker(read_settings(str(file)), WorkerAssignment(2, 4, ()))
-    assert (told.gateway.index, told.gateway.gateways, told.gateway.seed) == (6, 8, 7)
-    assert told.gateway.name == "gateway-0.2" and told.daemon.state == "/run/x/worker-2"
-    assert told.listeners[0].address == "127.0.0.1:7002"
+    settings = settings_for_worker(read_settings(str(file)), WorkerAssignment(2, 4, ()))
+    assert (settings.gateway.index, settings.gateway.gateways, settings.gateway.seed) == (6, 8, 7)
+    assert settings.gateway.name == "gateway-0.2" and settings.daemon.state == "/run/x/worker-2"
+    assert settings.listeners[0].address == "127.0.0.1:7002"
 
 
-def test_a_set_of_gateways_that_clients_know_as_one_spans_all_its_workers():
+def test_spread_of_a_gateway_with_workers_covers_all_of_them():
     from gateway_harness import SETTINGS
 
     from apigateway.frontends.resp.command import InvalidCommandError, parse_command
@@ -352,11 +377,11 @@
 
     settings = platform(SETTINGS)
     parts = [b"API.READ", b"00000000b4d65521", b"r1", make_fields(spread="1", first="0")]
-    one, _ = parse_command(settings, parts, {})
-    assert (one.first_gateway, one.gateway_spread) == (0, 1)
+    parsed, _ = parse_command(settings, parts, {})
+    assert (parsed.first_gateway, parsed.gateway_spread) == (0, 1)
     count = settings.gateway_count
-    whole, _ = parse_command(settings, parts, {}, count)  # all gateways are one machine's workers
-    assert (whole.first_gateway, whole.gateway_spread) == (0, count)
+    parsed_for_group, _ = parse_command(settings, parts, {}, count)  # all gateways are workers of one machine
+    assert (parsed_for_group.first_gateway, parsed_for_group.gateway_spread) == (0, count)
     with pytest.raises(InvalidCommandError):
         parse_command(settings, [*parts[:3], make_fields(spread="2", first="0")], {}, count)
     assert make_command(b"x")
