--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -126,7 +126,7 @@
                 await traffic.wait_for_served(1)
 
 
-@pytest.mark.parametrize("left", [0, 1])
+@pytest.mark.parametrize("instance_count", [0, 1])
 @run_on_uvloop
 async def test_gateway_keeps_its_hosts_when_the_registry_restarts_empty_or_incomplete(
     instance_count, tmp_path
