--- a/apigateway/emulators/eureka.py
+++ b/apigateway/emulators/eureka.py
@@ -272,12 +272,12 @@
         instances = self._select(kind, path)
         if instances is None:
             return web.Response(status=404)
-        xml = "json" not in request.headers.get("Accept", "")  # a registry sends XML by default
-        body = self._body(instances, xml, step)
+        as_xml = "json" not in request.headers.get("Accept", "")  # a registry sends XML by default
+        body = self._body(instances, as_xml, step)
         is_complete = step.kind not in (StepKind.TRUNCATED, StepKind.MALFORMED) and self.raw_body is None
         if is_complete:
             self.record_in_ledger(instances, basic_auth_user(request) or self.gateway)
-        return await self.send(request, body, xml, kind, step.kind == StepKind.TRUNCATED)
+        return await self.send(request, body, as_xml, kind, step.kind == StepKind.TRUNCATED)
 
     def _is_authorized(self, request: web.Request) -> bool:
         return (
@@ -308,28 +308,28 @@
             return []
         return self.delta()
 
-    def _body(self, instances: list[JsonObject], xml: bool, step: Step) -> bytes:
+    def _body(self, instances: list[JsonObject], as_xml: bool, step: Step) -> bytes:
         if step.kind == StepKind.MALFORMED:
             return b"{what"
         if self.raw_body is not None:
             return self.raw_body
         tree = self.applications(instances)
-        return self.xml(tree).encode() if xml else json.dumps(tree).encode()
+        return self.xml(tree).encode() if as_xml else json.dumps(tree).encode()
 
     def xml(self, tree: JsonObject) -> str:
         """Return a tree of applications as XML."""
         return to_xml(tree)
 
     async def send(
-        self, request: web.Request, body: bytes, xml: bool, kind: str, half: bool
+        self, request: web.Request, body: bytes, as_xml: bool, kind: str, truncated: bool
     ) -> web.StreamResponse:
-        """Send an answer, or only `half` of it."""
-        headers = {"Content-Type": "application/xml" if xml else "application/json"}
+        """Send an answer, or only half of it if `truncated`."""
+        headers = {"Content-Type": "application/xml" if as_xml else "application/json"}
         if self.sends_etags and kind != "delta":
             headers["ETag"] = f'"{hash(body) & 0xFFFFFFFF:x}"'
             if request.headers.get("If-None-Match") == headers["ETag"]:
                 return web.Response(status=304)
-        if half:
+        if truncated:
             answer = web.StreamResponse(headers=headers | {"Content-Length": str(len(body))})
             await answer.prepare(request)
             await answer.write(body[: len(body) // 2])
--- a/apigateway/emulators/eureka_format.py
+++ b/apigateway/emulators/eureka_format.py
@@ -46,9 +46,9 @@
     }
 
 
-def instance_id(told: JsonObject) -> str:
+def instance_id(instance_data: JsonObject) -> str:
     """Return an instance's id, or its host name if it has no id."""
-    return str(told.get("instanceId") or told.get("hostName"))
+    return str(instance_data.get("instanceId") or instance_data.get("hostName"))
 
 
 def to_xml(tree: JsonObject) -> str:
@@ -60,14 +60,16 @@
     ]
     for app in applications["application"]:
         instances = app["instance"] if isinstance(app["instance"], list) else [app["instance"]]
-        inner = "".join(f"<instance>{''.join(_elements(told))}</instance>" for told in instances)
+        inner = "".join(
+            f"<instance>{''.join(_elements(instance_data))}</instance>" for instance_data in instances
+        )
         parts.append(f"<application><name>{escape(app['name'])}</name>{inner}</application>")
     return "".join(parts) + "</applications>"
 
 
-def _elements(told: JsonObject) -> Iterator[str]:
+def _elements(instance_data: JsonObject) -> Iterator[str]:
     """Yield the elements of an instance."""
-    for name, value in told.items():
+    for name, value in instance_data.items():
         if name in PORT_KEYS and isinstance(value, dict):
             yield f'<{name} enabled="{value["@enabled"]}">{value["$"]}</{name}>'
         elif isinstance(value, dict):
--- a/apigateway/emulators/hosts.py
+++ b/apigateway/emulators/hosts.py
@@ -171,7 +171,7 @@
             answer.write(PONG, HEALTH_CHECK)
             return True
         if command == [b"INFO", b"load"] and self.work is not None:
-            answer.write(bulk(self.report()), HEALTH_CHECK)
+            answer.write(bulk(self.load_report()), HEALTH_CHECK)
             return True
         step = self.script.next(time.monotonic())
         if step.kind == StepKind.SILENT:
@@ -237,9 +237,9 @@
         if self.work is None:
             return MadeAnswer(self._configured_reply() or VALUE, b"")
         value = b"%s:%s" % (self.name.encode(), command[2])
-        return MadeAnswer(b"*3\r\n%s$-1\r\n%s" % (bulk(value), bulk(self.report())), value)
+        return MadeAnswer(b"*3\r\n%s$-1\r\n%s" % (bulk(value), bulk(self.load_report())), value)
 
-    def report(self) -> bytes:
+    def load_report(self) -> bytes:
         """Return the load report to send now."""
         now = time.monotonic()
         running = 0 if self.reports_idle else self.running
--- a/apigateway/emulators/ledger_records.py
+++ b/apigateway/emulators/ledger_records.py
@@ -150,7 +150,7 @@
     value: bytes = b""
 
     @property
-    def may_have_run(self) -> bool:
+    def may_have_executed(self) -> bool:
         """Whether the host may have executed it."""
         return self.end_kind != AttemptEnd.BUSY
 
--- a/apigateway/emulators/ledger_rules.py
+++ b/apigateway/emulators/ledger_rules.py
@@ -123,16 +123,16 @@
 
 def _find_wrong_answer(request: RecordedRequest, attempts: Sequence[Attempt]) -> Iterator[str]:
     answer = request.answers[0]
-    late = answer.at - request.sent_at - request.timeout_s
+    late_s = answer.at - request.sent_at - request.timeout_s
     if answer.at > request.sent_at + request.timeout_s + LIMIT_MARGIN_S:
-        yield f"{request.name}: answered {late:.3f} s after its client's timeout"
-    made = [attempt.value for attempt in attempts if attempt.end_kind == AttemptEnd.ANSWERED]
-    if answer.kind == AnswerKind.SERVED and answer.value not in made:
+        yield f"{request.name}: answered {late_s:.3f} s after its client's timeout"
+    produced_values = [attempt.value for attempt in attempts if attempt.end_kind == AttemptEnd.ANSWERED]
+    if answer.kind == AnswerKind.SERVED and answer.value not in produced_values:
         yield f"{request.name}: served with a value that no host produced for it"
     for attempt in attempts:
         if attempt.first_byte_at > answer.at + LIMIT_MARGIN_S:
-            late = attempt.first_byte_at - answer.at
-            yield f"{request.name}: sent to {attempt.host} {late:.3f} s after its answer"
+            late_s = attempt.first_byte_at - answer.at
+            yield f"{request.name}: sent to {attempt.host} {late_s:.3f} s after its answer"
 
 
 # No effect twice
@@ -153,7 +153,7 @@
     for attempt in earlier:
         if attempt.ended_at > later.last_byte_at + LIMIT_MARGIN_S:
             yield f"{later.name}: sent to {later.host} during its attempt at {attempt.host}"
-    executed = [attempt for attempt in earlier if attempt.may_have_run]
+    executed = [attempt for attempt in earlier if attempt.may_have_executed]
     if not executed:
         return
     first = executed[0]
@@ -184,7 +184,7 @@
     if request is None or not any(answer.kind == AnswerKind.REFUSED for answer in request.answers):
         return
     is_harmless = rules.effect == "safe" or (rules.effect == "keyed" and rules.deduplication_scope == "all")
-    if not is_harmless and any(attempt.may_have_run for attempt in attempts):
+    if not is_harmless and any(attempt.may_have_executed for attempt in attempts):
         yield f"{attempts[0].name}: refused though it may have been executed"
 
 
@@ -202,9 +202,9 @@
         history = records.host_states.get((request.gateway, attempt.host), [])
         since = _draining_since(history, attempt.first_byte_at)
         if attempt.first_byte_at > since + limits.drain_grace_s + LIMIT_MARGIN_S:
-            late = attempt.first_byte_at - since
+            late_s = attempt.first_byte_at - since
             breaches.append(
-                f"{attempt.name}: sent to {attempt.host} {late:.2f} s after its gateway learned of the drain"
+                f"{attempt.name}: sent to {attempt.host} {late_s:.2f} s after its gateway learned of the drain"
             )
     return Findings(checked, breaches)
 
--- a/apigateway/emulators/ports.py
+++ b/apigateway/emulators/ports.py
@@ -6,10 +6,8 @@
 import os
 import socket
 
-FIRST_PORT, LAST_PORT = (
-    12_000,
-    32_000,
-)  # below the ports that the system assigns for port 0 and to connections
+# Below the ports that the system assigns for port 0 and to connections.
+FIRST_PORT, LAST_PORT = 12_000, 32_000
 PORT_STEP = 8  # between returned ports, since workers with addresses of their own listen at the ports above
 
 _claims: list[socket.socket] = []
--- a/tests/emulators/test_emulated_systems.py
+++ b/tests/emulators/test_emulated_systems.py
@@ -69,7 +69,7 @@
             await host.arrivals.get()
         assert await exchange(host.port, make_command(b"more")) == b"-BUSY\r\n"
         assert await exchange(host.port, b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n") == b"$27\r\n"
-        assert host.report() == b"active=2,waiting=1,cpu=1.00"
+        assert host.load_report() == b"active=2,waiting=1,cpu=1.00"
         first[1][1].close()  # queued work is dropped with its connection
         while host.connections > 1:
             await host.arrivals.get()
