--- a/apigateway/emulators/ledger_rules.py
+++ b/apigateway/emulators/ledger_rules.py
@@ -204,7 +204,8 @@
         if attempt.first_byte_at > since + limits.drain_grace_s + LIMIT_MARGIN_S:
             late_s = attempt.first_byte_at - since
             breaches.append(
-                f"{attempt.name}: sent to {attempt.host} {late_s:.2f} s after its gateway learned of the drain"
+                f"{attempt.name}: sent to {attempt.host} {late_s:.2f} s "
+                "after its gateway learned of the drain"
             )
     return Findings(checked, breaches)
 
