--- a/apigateway/emulators/checks.py
+++ b/apigateway/emulators/checks.py
@@ -1,6 +1,6 @@
-"""Clients of a rate limit service that carry customers' checks and tell the ledger what they were granted.
+"""A client of the rate limit service that sends customers' quota checks and records granted ones in a ledger.
 
-They are those of grpcio, which shares no code with the gateway.
+It uses grpcio, which shares no code with the gateway.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 OK = pb.RateLimitResponse.OK
 
 
-class DueCheck(NamedTuple):
-    """When a customer checks next, by its number."""
+class ScheduledCheck(NamedTuple):
+    """The time of a customer's next check, with the customer's index."""
 
-    at: float  # s from the start
+    at: float  # seconds from the start
     customer: int
 
 
-class Checks:
-    """Asks gateways, by name, with a customer's id and plan as entries.
+class CheckClient:
+    """Sends checks to gateways by name, with a customer's id and plan as descriptor entries.
 
     Attributes:
-        counts: Answers by "ok", "over", and "failed" with their gRPC status.
-        failures: The details of those that failed.
-        latency: Seconds of each that was answered.
+        outcome_counts: The number of checks by outcome: "ok", "over", or "failed" with the gRPC status.
+        error_details: The error details of each failed check.
+        latencies_s: The latency of each answered check.
     """
 
     def __init__(
@@ -45,57 +45,59 @@
         self.channels = {
             name: grpc.aio.insecure_channel(f"{host}:{port}") for name, (host, port) in gateways.items()
         }
-        self.calls = {
+        self.stubs = {
             name: channel.unary_unary(
                 METHOD, pb.RateLimitRequest.SerializeToString, pb.RateLimitResponse.FromString
             )
             for name, channel in self.channels.items()
         }
-        self.counts: Counter[str] = Counter()
-        self.failures: list[str] = []
-        self.latency: list[float] = []
+        self.outcome_counts: Counter[str] = Counter()
+        self.error_details: list[str] = []
+        self.latencies_s: list[float] = []
 
-    async def ask(
-        self, gateway: str, customer: str, plan: str, hits: int = 1, timeout: float = 1.0
+    async def check(
+        self, gateway: str, customer: str, plan: str, hits: int = 1, timeout_s: float = 1.0
     ) -> pb.RateLimitResponse | None:
-        """Check so many hits of a customer; return None if nobody could say."""
+        """Check `hits` of a customer and return the response, or None if the call failed."""
         loop = asyncio.get_running_loop()
         request = pb.RateLimitRequest(domain=self.domain, hits_addend=hits)
         descriptor = request.descriptors.add()
         descriptor.entries.add(key="customer", value=customer)
         descriptor.entries.add(key="plan", value=plan)
-        began = loop.time()
+        started_at = loop.time()
         try:
-            response: pb.RateLimitResponse = await self.calls[gateway](request, timeout=timeout)
+            response: pb.RateLimitResponse = await self.stubs[gateway](request, timeout=timeout_s)
         except grpc.aio.AioRpcError as error:
-            self.counts[f"failed {error.code().name}"] += 1
-            self.failures.append(error.details() or "")
+            self.outcome_counts[f"failed {error.code().name}"] += 1
+            self.error_details.append(error.details() or "")
             return None
-        self.latency.append(loop.time() - began)
+        self.latencies_s.append(loop.time() - started_at)
         if response.overall_code == OK:
-            self.ledger.granted(customer, plan, float(hits))
-            self.counts["ok"] += 1
+            self.ledger.record_grant(customer, plan, float(hits))
+            self.outcome_counts["ok"] += 1
         else:
-            self.counts["over"] += 1
+            self.outcome_counts["over"] += 1
         return response
 
     async def run(self, customers: Sequence[Customer], seconds: float, seed: int = 1) -> None:
-        """Send checks by a schedule of their own (Poisson), each to a gateway of its customer."""
+        """Send checks on a Poisson schedule, independent of the answers, to gateways of their customers."""
         loop = asyncio.get_running_loop()
         rng = random.Random(seed)
-        gateways = list(self.calls)
+        gateways = list(self.stubs)
         schedule = sorted(
-            DueCheck(at, number)
+            ScheduledCheck(at, number)
             for number, customer in enumerate(customers)
             for at in arrival_times(rng, customer.rate, seconds)
         )
         tasks: set[asyncio.Task[object]] = set()
-        began = loop.time()
-        for due in schedule:
-            await asyncio.sleep(max(0.0, began + due.at - loop.time()))
-            customer = customers[due.customer]
-            gateway = gateways[(customer.first + rng.randrange(customer.spread)) % len(gateways)]
-            task = loop.create_task(self.ask(gateway, customer.id, customer.plan))
+        started_at = loop.time()
+        for scheduled in schedule:
+            await asyncio.sleep(max(0.0, started_at + scheduled.at - loop.time()))
+            customer = customers[scheduled.customer]
+            gateway = gateways[
+                (customer.first_gateway + rng.randrange(customer.gateway_count)) % len(gateways)
+            ]
+            task = loop.create_task(self.check(gateway, customer.id, customer.plan))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         while tasks:
@@ -108,7 +110,7 @@
 
 
 def arrival_times(rng: random.Random, rate: float, seconds: float) -> list[float]:
-    """Draw the times of a Poisson process of so many a second."""
+    """Draw the event times of a Poisson process with `rate` events a second."""
     times: list[float] = []
     at = rng.expovariate(rate) if rate > 0 else seconds
     while at < seconds:
--- a/apigateway/emulators/eureka_format.py
+++ b/apigateway/emulators/eureka_format.py
@@ -1,4 +1,4 @@
-"""Eureka's forms of an instance: as a client registers it, and as XML, with the oddities of both."""
+"""Eureka's representations of an instance: as a client registers it, and as XML, with the quirks of both."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 from xml.sax.saxutils import escape
 
-Told = dict[str, Any]  # an instance or a tree of applications, as JSON has it
+JsonObject = dict[str, Any]  # an instance or a tree of applications, as in JSON
 PORT_KEYS = ("port", "securePort")
 
 
@@ -16,11 +16,11 @@
     port: int,
     app: str = "ROSTER",
     status: str = "UP",
-    duration: int = 90,
+    duration_s: int = 90,
     ip: str = "127.0.0.1",
     **metadata: str,
-) -> Told:
-    """Return an instance as a client would register it, oddities included."""
+) -> JsonObject:
+    """Return an instance as a client would register it, with the quirks of its JSON form."""
     stamp = str(int(time.time() * 1000))
     return {
         "instanceId": id,
@@ -36,7 +36,7 @@
             "@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo",
             "name": "MyOwn",
         },
-        "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": duration},
+        "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": duration_s},
         "metadata": metadata or {"@class": "java.util.Collections$EmptyMap"},
         "vipAddress": app.lower(),
         "secureVipAddress": app.lower(),
@@ -46,12 +46,12 @@
     }
 
 
-def instance_id(told: Told) -> str:
-    """Return an instance's id; an instance without one goes by its host's name."""
-    return str(told.get("instanceId") or told.get("hostName"))
+def instance_id(instance_data: JsonObject) -> str:
+    """Return an instance's id, or its host name if it has no id."""
+    return str(instance_data.get("instanceId") or instance_data.get("hostName"))
 
 
-def to_xml(tree: Told) -> str:
+def to_xml(tree: JsonObject) -> str:
     """Return a tree of applications as XML."""
     applications = tree["applications"]
     parts = [
@@ -60,14 +60,16 @@
     ]
     for app in applications["application"]:
         instances = app["instance"] if isinstance(app["instance"], list) else [app["instance"]]
-        inner = "".join(f"<instance>{''.join(_elements(told))}</instance>" for told in instances)
+        inner = "".join(
+            f"<instance>{''.join(_elements(instance_data))}</instance>" for instance_data in instances
+        )
         parts.append(f"<application><name>{escape(app['name'])}</name>{inner}</application>")
     return "".join(parts) + "</applications>"
 
 
-def _elements(told: Told) -> Iterator[str]:
+def _elements(instance_data: JsonObject) -> Iterator[str]:
     """Yield the elements of an instance."""
-    for name, value in told.items():
+    for name, value in instance_data.items():
         if name in PORT_KEYS and isinstance(value, dict):
             yield f'<{name} enabled="{value["@enabled"]}">{value["$"]}</{name}>'
         elif isinstance(value, dict):
--- a/apigateway/emulators/fleet.py
+++ b/apigateway/emulators/fleet.py
@@ -1,6 +1,6 @@
-"""A whole installation on loopback: emulated hosts, counter and discovery, and real gateways.
+"""A complete installation on loopback: emulated hosts, counter, discovery and registry, and real gateways.
 
-Each gateway is a process of its own with a settings file as an operator would write it.
+Each gateway is a separate process with a settings file as an operator would write it.
 """
 
 from __future__ import annotations
@@ -12,84 +12,84 @@
 
 from apigateway.emulators.counter import EmulatedCounter
 from apigateway.emulators.eureka import EmulatedEureka, instance
+from apigateway.emulators.fleet_settings import ClassSettings, FleetSettings, PlanSettings
 from apigateway.emulators.gateway_process import Gateway
 from apigateway.emulators.hosts import Command, EmulatedHost, fields
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.relay import Links
-from apigateway.emulators.shape import Class, Plan, Shape
 
-__all__ = ["Class", "Fleet", "Gateway", "Plan", "Shape"]
+__all__ = ["ClassSettings", "Fleet", "Gateway", "PlanSettings", "FleetSettings"]
 
-DEFAULT_WORK_S = 0.05  # of a request whose class the shape does not know
-RENEWAL_PERIOD_S = 5.0  # of the hosts at the registry
-STARTS_AT_ONCE = 8  # gateways; each start takes a core for a while
-HOST_APP = "ROSTER"  # the hosts' name at the registry
+DEFAULT_WORK_S = 0.05  # for a class that is not in the settings
+RENEWAL_PERIOD_S = 5.0  # of the hosts' leases at the registry
+STARTS_AT_ONCE = 8  # gateways; each start keeps a core busy for a while
+HOST_APP = "ROSTER"  # the hosts' application at the registry
 HOST_KIND = "std"
 
 
 class Fleet:
-    """An installation; as a context manager it is open and its gateways listen.
+    """An installation; within the context all servers are open and all gateways listen.
 
     Attributes:
-        folder: Gets the settings files and state folders.
-        source: Where gateways have their hosts from: "discovery", or "eureka", which they ask every `poll`
-            seconds and where each host is registered and renewed for as long as its process lives.
-        links: The relays through which gateways reach hosts (named by discovery) and the counter, and which
-            can be faulty; None: there are none.
+        folder: Receives the settings files and state folders.
+        source: Where gateways read their hosts from: "discovery", or "eureka", which they poll every `poll_s`
+            and where each host is registered and renewed while the installation runs.
+        links: The relays, possibly faulty, through which gateways reach hosts (whose addresses they learn
+            from discovery) and the counter; None means direct connections.
     """
 
     def __init__(
         self,
-        shape: Shape,
+        settings: FleetSettings,
         folder: Path,
         work: Callable[[Command], float] | None = None,
         source: str = "discovery",
-        poll: float = 0.5,
+        poll_s: float = 0.5,
         links: Links | None = None,
     ) -> None:
-        self.shape = shape
+        self.settings = settings
         self.folder = folder
         self.source = source
-        self.poll = poll
+        self.poll_s = poll_s
         self.links = links
-        self.ledger = Ledger(shape.terms())
+        self.ledger = Ledger(settings.rule_limits())
         self.counter = EmulatedCounter()
         self.registry = EmulatedEureka(ledger=self.ledger)
         self._renewal: asyncio.Task[None] | None = None
-        self.hosts = [self._new_host(number, work or self.work) for number in range(shape.hosts)]
-        self.gateways = [Gateway(self, number) for number in range(shape.gateways)]
+        self.hosts = [self._new_host(number, work or self.class_work) for number in range(settings.hosts)]
+        self.gateways = [Gateway(self, number) for number in range(settings.gateways)]
 
     def _new_host(self, number: int, work: Callable[[Command], float]) -> EmulatedHost:
-        shape = self.shape
+        shape = self.settings
         zone_number = number % len(shape.zones)
         return EmulatedHost(
             name=f"h{number}",
             zone=shape.zones[zone_number],
             cell=zone_number,
             cores=shape.cores,
-            queue=shape.queue,
+            queue_capacity=shape.queue_capacity,
             work=work,
             cold_share=shape.cold_share,
             cold_time=shape.cold_time,
             ledger=self.ledger,
         )
 
-    def work(self, command: Command) -> float:
-        """Return the core seconds of a command by its class."""
-        cls = self.shape.classes.get(fields(command).get("c", ""))
-        # A class that the shape does not know is somebody's who tries by hand.
-        return cls.work if cls is not None else DEFAULT_WORK_S
+    def class_work(self, command: Command) -> float:
+        """Return the core seconds of work of a command, by its class."""
+        cls = self.settings.classes.get(fields(command).get("c", ""))
+        # A class that is not in the settings comes from requests sent by hand.
+        return cls.work_s if cls is not None else DEFAULT_WORK_S
 
     def counter_port(self, gateway: str) -> int:
-        """Return the port at which a gateway reaches the counter."""
+        """Return the port at which a gateway connects to the counter."""
         return self.links.counter[gateway].port if self.links is not None else self.counter.port
 
     # Discovery and registry
 
-    def tell(self, *changed: tuple[EmulatedHost, str]) -> None:
-        """Let discovery and registry tell of hosts that are now up, draining or removed."""
+    def announce(self, *changed: tuple[EmulatedHost, str]) -> None:
+        """Publish hosts that are now up, draining or removed, in discovery and in the registry."""
         for gateway in self.gateways:
-            gateway.discovery.change([self.entry(gateway, host, state) for host, state in changed])
+            gateway.discovery.apply_changes([self.entry(gateway, host, state) for host, state in changed])
         for host, state in changed:
             if state == "up":
                 self.registry.override(HOST_APP, host.name, "")
@@ -100,7 +100,7 @@
                 self.registry.cancel(HOST_APP, host.name)
 
     def entry(self, gateway: Gateway, host: EmulatedHost, state: str = "up") -> dict[str, Any]:
-        """Return a host as a gateway's discovery names it: at its relay, where there is one."""
+        """Return a host's entry in a gateway's discovery, with the address of its relay if there is one."""
         entry = host.entry(state)
         if self.links is not None:
             entry["addr"] = f"127.0.0.1:{self.links.hosts[gateway.zone, host.name].port}"
@@ -113,7 +113,7 @@
         )
 
     async def _renew(self) -> None:
-        """Renew each host that is there, also one that answers nothing."""
+        """Renew the leases of all registered hosts periodically, even of hosts that do not answer."""
         while True:
             await asyncio.sleep(RENEWAL_PERIOD_S)
             for host in self.hosts:
@@ -127,17 +127,17 @@
         await self.registry.__aenter__()
         for host in self.hosts:
             self.register(host)
-            self.registry.long_ago(HOST_APP, host.name)
+            self.registry.mark_warm(HOST_APP, host.name)
         self._renewal = asyncio.get_running_loop().create_task(self._renew())
         if self.links is not None:
             await self._open_links(self.links)
         for gateway in self.gateways:
             gateway.discovery.servers = [self.entry(gateway, host) for host in self.hosts]
             await gateway.discovery.__aenter__()
-            gateway.write()
+            gateway.write_settings()
         try:
             await self._start_gateways()
-        except BaseException:  # nothing is left behind by a start that fails or is interrupted
+        except BaseException:  # clean up after a start that failed or was interrupted
             await self.__aexit__()
             raise
         return self
@@ -155,7 +155,7 @@
             await asyncio.gather(*(gateway.start() for gateway in group))
 
     async def __aexit__(self, *_: object) -> None:
-        await asyncio.gather(*(gateway.end() for gateway in self.gateways))
+        await asyncio.gather(*(gateway.stop() for gateway in self.gateways))
         for gateway in self.gateways:
             await gateway.discovery.__aexit__()
         if self.links is not None:
--- a/apigateway/emulators/gateway_process.py
+++ b/apigateway/emulators/gateway_process.py
@@ -1,4 +1,4 @@
-"""A real gateway in a process of its own, with its settings file and its own discovery."""
+"""A real gateway in a separate process, with its settings file and its own discovery."""
 
 from __future__ import annotations
 
@@ -11,81 +11,81 @@
 
 from apigateway.emulators.discovery import EmulatedDiscovery
 from apigateway.emulators.eureka import EmulatedEureka
+from apigateway.emulators.fleet_settings import FleetSettings
 from apigateway.emulators.gateway_file import GatewayFile
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.ports import free_port
-from apigateway.emulators.shape import Shape
 
-READY_TIMEOUT_S = 20.0  # for a gateway to say that it listens
-READY_LOG_TEXT = " listens on "  # in the line by which it says so
-SHOWN_LOG_LINES = 5  # of a gateway that does not start
+READY_TIMEOUT_S = 20.0  # until a gateway logs that it listens
+READY_LOG_TEXT = " listens on "  # in the log line of a gateway that is ready
+SHOWN_LOG_LINES = 5  # of a gateway that failed to start
 
 
 class Installation(Protocol):
-    """What a gateway is installed in."""
+    """The installation that a gateway belongs to."""
 
-    shape: Shape
+    settings: FleetSettings
     folder: Path
     source: str
-    poll: float
+    poll_s: float
     ledger: Ledger
     registry: EmulatedEureka
 
     def counter_port(self, gateway: str) -> int:
-        """Return the port at which this gateway reaches the counter."""
+        """Return the port at which this gateway connects to the counter."""
 
 
 class Gateway:
     """One gateway's settings file and process.
 
     Attributes:
-        port: Of RESP2.
-        checks: Port of the rate limit service.
-        log: The lines that it has written.
+        port: The port for RESP2.
+        rate_limit_port: The port of the rate limit service.
+        log_lines: The lines that the process has logged.
     """
 
     def __init__(self, installation: Installation, number: int) -> None:
         self._installation = installation
-        shape = installation.shape
+        shape = installation.settings
         self.number = number
         self.name = f"g{number}"
         self.zone = shape.zones[number % len(shape.zones)]
         self.port = free_port()
-        self.checks = free_port()
+        self.rate_limit_port = free_port()
         self.discovery = EmulatedDiscovery(self.name, installation.ledger)
-        self.file = installation.folder / f"{self.name}.toml"
+        self.settings_file = installation.folder / f"{self.name}.toml"
         self.process: asyncio.subprocess.Process | None = None
-        self.log: list[str] = []
+        self.log_lines: list[str] = []
         self._log_reader: asyncio.Task[None] | None = None
         self._listens = asyncio.Event()
 
-    def write(self) -> None:
+    def write_settings(self) -> None:
         """Write the settings file; discovery, registry and counter must be open."""
         installation = self._installation
         settings = GatewayFile(
-            shape=installation.shape,
+            settings=installation.settings,
             folder=installation.folder,
             name=self.name,
             number=self.number,
             zone=self.zone,
             port=self.port,
-            checks_port=self.checks,
+            rate_limit_port=self.rate_limit_port,
             source=installation.source,
             discovery_port=self.discovery.port,
             registry_url=installation.registry.url,
-            poll=installation.poll,
+            poll_s=installation.poll_s,
             counter_port=installation.counter_port(self.name),
         )
-        self.file.write_text(settings.text())
+        self.settings_file.write_text(settings.text())
 
     async def start(self, *arguments: str) -> None:
-        """Start the process and wait until it says that it listens.
+        """Start the process and wait until it logs that it listens.
 
         Args:
-            *arguments: Further ones of the command line.
+            *arguments: Further arguments of the command line.
 
         Raises:
-            RuntimeError: With its last lines, if it does not listen in time.
+            RuntimeError: If it does not listen in time; with its last log lines.
         """
         self._listens.clear()
         self.process = await asyncio.create_subprocess_exec(
@@ -93,7 +93,7 @@
             "-m",
             "apigateway",
             "serve",
-            str(self.file),
+            str(self.settings_file),
             *arguments,
             stderr=asyncio.subprocess.PIPE,
             env=_environment(),
@@ -102,27 +102,27 @@
         try:
             async with asyncio.timeout(READY_TIMEOUT_S):
                 await self._listens.wait()
-                self._installation.ledger.listens(self.name)
+                self._installation.ledger.record_gateway_start(self.name)
         except TimeoutError as error:
-            last_lines = "\n".join(self.log[-SHOWN_LOG_LINES:])
-            raise RuntimeError(f"{self.name} does not listen:\n{last_lines}") from error
+            last_lines = "\n".join(self.log_lines[-SHOWN_LOG_LINES:])
+            raise RuntimeError(f"{self.name} did not listen in time:\n{last_lines}") from error
 
     async def _read_log(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
         while line := await process.stderr.readline():
-            self.log.append(line.decode("utf-8", "replace").rstrip())
-            if READY_LOG_TEXT in self.log[-1]:
+            self.log_lines.append(line.decode("utf-8", "replace").rstrip())
+            if READY_LOG_TEXT in self.log_lines[-1]:
                 self._listens.set()
 
     async def kill(self) -> None:
-        """Kill it as a loss of power would: what it held is for its clients to ask again."""
+        """Kill the process with SIGKILL; its open requests are lost and clients may retry them."""
         assert self.process is not None
-        self._installation.ledger.died(self.name)
+        self._installation.ledger.record_gateway_kill(self.name)
         self.process.send_signal(signal.SIGKILL)
         await self.process.wait()
 
-    async def end(self) -> int:
-        """Stop it by SIGTERM, if it runs, and return its exit code."""
+    async def stop(self) -> int:
+        """Stop the process with SIGTERM if it runs, and return its exit code."""
         if self.process is None or self.process.returncode is not None:
             return 0
         self.process.send_signal(signal.SIGTERM)
@@ -130,7 +130,7 @@
 
 
 def _environment() -> dict[str, str]:
-    """Return this process's environment without settings of a gateway, and with the program's path."""
+    """Return this process's environment without a gateway's settings, and with the path of this package."""
     environment = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
     root = Path(__file__).resolve().parents[2]
     environment["PYTHONPATH"] = os.pathsep.join([str(root), environment.get("PYTHONPATH", "")])
--- a/apigateway/emulators/hosts.py
+++ b/apigateway/emulators/hosts.py
@@ -1,4 +1,4 @@
-"""An emulated host: RESP2 commands in, values out, with work, cold starts and scripted faults."""
+"""An emulated host that answers RESP2 commands, with work, cold starts and scripted faults."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from apigateway.emulators.ledger_records import AttemptEnd
 from apigateway.emulators.listener import Listener
 from apigateway.emulators.pending_answers import PendingAnswer, PendingAnswers
-from apigateway.emulators.resp import BUSY, ERROR, PONG, SPOILT, VALUE, Command, bulk, fields
+from apigateway.emulators.resp import BUSY, ERROR, MALFORMED, PONG, VALUE, Command, bulk, fields
 from apigateway.emulators.script import Script, Step, StepKind
 
-__all__ = ["BUSY", "ERROR", "SPOILT", "VALUE", "Answer", "Command", "EmulatedHost", "bulk", "fields"]
+__all__ = ["BUSY", "ERROR", "MALFORMED", "VALUE", "Answer", "Command", "EmulatedHost", "bulk", "fields"]
 
 READ_BYTES = 65536
-HEALTH_CHECK = "probe"  # how a health check ends; the ledger does not know of it
-CUT_BYTES = 5  # that half an answer lacks
+HEALTH_CHECK = "probe"  # the end of a health check, which the ledger does not record
+TRUNCATED_BYTES = 5  # missing from a truncated answer
 
 Answer = bytes | None | Callable[[], bytes | None]
 
@@ -30,20 +30,20 @@
 class QueuedWork(NamedTuple):
     """A command that waits for a core."""
 
-    seconds: float  # of one core at full capacity
+    seconds: float  # of work, for one core at full capacity
     answer: PendingAnswer
     command: Command
 
 
 class TakenReport(NamedTuple):
-    """A load report, and when it was taken."""
+    """A load report, with the time at which it was taken."""
 
     at: float
     text: bytes
 
 
 class MadeAnswer(NamedTuple):
-    """An answer, and the value in it that no other request gets."""
+    """An answer, and the value in it, which is unique to its request."""
 
     reply: bytes
     value: bytes
@@ -52,20 +52,20 @@
 class EmulatedHost(Listener):
     """Answers each command by its script.
 
-    Where the script says `answer`, it answers with `answer` or what that returns: None is silence, b"" ends
-    the connection. With `work`, which returns a command's seconds at full capacity, it is a server of `cores`
-    at once and `queue` waiting, cold after `restart`: its answers are then made for each id, with a load
-    report, and the ledger is told of them.
+    Where the script says `answer`, it sends `answer` or what that returns: None sends nothing, and b""
+    closes the connection. With `work`, which returns a command's seconds of one core at full capacity, it
+    executes `cores` commands at once, queues up to `queue_capacity` more, and is cold after `restart`. Its
+    answers then name the request and contain a load report, and the ledger records them.
 
     Attributes:
-        commands: All that have come.
-        arrived: Each command as it comes; None at a connection's end.
-        running: Commands that have a core.
-        line: Work that waits for a core.
-        started: Unix time of the last start; 0: long ago.
+        commands: All commands so far.
+        arrivals: Each command as it arrives; None at a connection's end.
+        running: The number of commands that are being executed.
+        queued: The commands that wait for a core.
+        started_at: The Unix time of the last start; 0 means long ago.
         draining: While set, commands are rejected.
-        lies: While set, it reports that it is idle.
-        behind: Seconds that its reports are old.
+        reports_idle: While set, its load reports say that it is idle.
+        report_age_s: The age of its load reports.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         script: Script | None = None,
         work: Callable[[Command], float] | None = None,
         cores: int = 2,
-        queue: int = 32,
+        queue_capacity: int = 32,
         cold_share: float = 0.2,
         cold_time: float = 10.0,
         ledger: Ledger | None = None,
@@ -92,24 +92,24 @@
         self.script = script or Script()
         self.work = work
         self.cores = cores
-        self.queue = queue
+        self.queue_capacity = queue_capacity
         self.cold_share = cold_share
         self.cold_time = cold_time
         self.ledger = ledger
         self.commands: list[Any] = []
-        self.arrived: asyncio.Queue[Any] = asyncio.Queue()
+        self.arrivals: asyncio.Queue[Any] = asyncio.Queue()
         self.connections = 0
         self.running = 0
-        self.line: deque[QueuedWork] = deque()
-        self.started = 0.0
+        self.queued: deque[QueuedWork] = deque()
+        self.started_at = 0.0
         self.draining = False
-        self.lies = False
-        self.behind = 0.0
-        self._reports: deque[TakenReport] = deque()  # as far back as one may be told
-        self._incarnation = 0  # work of an earlier one is void
+        self.reports_idle = False
+        self.report_age_s = 0.0
+        self._reports: deque[TakenReport] = deque()  # back to `report_age_s`
+        self._incarnation = 0  # the work of earlier ones is discarded
 
     def entry(self, state: str = "up") -> dict[str, Any]:
-        """Return this host in discovery's form."""
+        """Return this host's entry in discovery."""
         return {
             "id": self.name,
             "addr": f"{self.address}:{self.port}",
@@ -118,60 +118,60 @@
             "cell": self.cell,
             "state": state,
             "weight": 1.0,
-            "started_ms": int(self.started * 1000),
+            "started_ms": int(self.started_at * 1000),
         }
 
-    def warmth(self) -> float:
-        """Return the share of its capacity that it has reached since its start."""
-        age = time.time() - self.started
-        if not self.started or age >= self.cold_time:
+    def warm_share(self) -> float:
+        """Return the share of its capacity that the host has reached since its start."""
+        age = time.time() - self.started_at
+        if not self.started_at or age >= self.cold_time:
             return 1.0
         return self.cold_share + (1 - self.cold_share) * max(0.0, age) / self.cold_time
 
-    async def restart(self, down: float = 0.0) -> None:
-        """Die, and come back cold and empty at the same address after `down` seconds."""
-        await self.die()
+    async def restart(self, down_s: float = 0.0) -> None:
+        """Stop as if killed, and start cold and empty at the same address after `down_s`."""
+        await self.kill()
         self._incarnation += 1
         self.running = 0
-        self.line.clear()
-        await asyncio.sleep(down)
-        self.started = time.time()
+        self.queued.clear()
+        await asyncio.sleep(down_s)
+        self.started_at = time.time()
         self.draining = False
         if self.ledger is not None:
-            self.ledger.started(self.name, self.cores, self.cold_share, self.cold_time)
+            self.ledger.record_cold_start(self.name, self.cores, self.cold_share, self.cold_time)
         await self.open()
 
     # Commands
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Take the commands of one connection until it ends."""
+        """Handle the commands of one connection until it ends."""
         parser = hiredis.Reader(notEnoughData=...)
         answers = PendingAnswers(writer)
         self.connections += 1
-        first_byte_at = 0.0  # of the command that is coming in; 0: none is
+        first_byte_at = 0.0  # of the command being received; 0 if there is none
         try:
             while data := await reader.read(READ_BYTES):
                 first_byte_at = first_byte_at or time.monotonic()
                 parser.feed(data)
                 while (command := parser.gets()) is not ...:
                     self.commands.append(command)
-                    self.arrived.put_nowait(command)
-                    if not self._take(command, answers, first_byte_at):
+                    self.arrivals.put_nowait(command)
+                    if not self._handle_command(command, answers, first_byte_at):
                         return
                     first_byte_at = 0.0
         finally:
             answers.connection_closed()
             self.connections -= 1
-            self.arrived.put_nowait(None)
+            self.arrivals.put_nowait(None)
 
-    def _take(self, command: Any, answers: PendingAnswers, first_byte_at: float) -> bool:
-        """Take a command; return False if the connection is to end."""
-        answer = PendingAnswer(answers, self._note_arrival(command, first_byte_at))
+    def _handle_command(self, command: Any, answers: PendingAnswers, first_byte_at: float) -> bool:
+        """Handle a command; return False if the connection must be closed."""
+        answer = PendingAnswer(answers, self._record_attempt(command, first_byte_at))
         if command == [b"PING"]:
             answer.write(PONG, HEALTH_CHECK)
             return True
         if command == [b"INFO", b"load"] and self.work is not None:
-            answer.write(bulk(self.report()), HEALTH_CHECK)
+            answer.write(bulk(self.load_report()), HEALTH_CHECK)
             return True
         step = self.script.next(time.monotonic())
         if step.kind == StepKind.SILENT:
@@ -181,11 +181,11 @@
             return False
         return self._answer(answer, command, step)
 
-    def _note_arrival(self, command: Any, first_byte_at: float) -> Callable[[str, bytes], None]:
-        """Tell the ledger of an attempt, and return what tells it of the end."""
+    def _record_attempt(self, command: Any, first_byte_at: float) -> Callable[[str, bytes], None]:
+        """Record an attempt in the ledger, and return the function that records its end."""
         if self.ledger is None or not isinstance(command, list) or not command[0].startswith(b"API."):
             return _ignore_end
-        number = self.ledger.arrived(
+        number = self.ledger.record_attempt(
             self.name,
             command[2].decode(),
             fields(command).get("c", ""),
@@ -194,10 +194,10 @@
             first_byte_at,
             self.work(command) if self.work else 0.0,
         )
-        return partial(self.ledger.ended, number)
+        return partial(self.ledger.record_attempt_end, number)
 
     def _answer(self, answer: PendingAnswer, command: Command, step: Step) -> bool:
-        """Answer a command as the script's step says; return False if the connection is to end."""
+        """Answer a command as the script's step says; return False if the connection must be closed."""
         if self.draining:
             answer.write(BUSY, AttemptEnd.BUSY)
             return True
@@ -206,47 +206,49 @@
                 answer.write(BUSY, AttemptEnd.BUSY)
             case StepKind.ERROR:
                 answer.write(ERROR, AttemptEnd.ERROR)
-            case StepKind.SPOILT:
-                answer.write(SPOILT, AttemptEnd.SPOILT)
-            case StepKind.HALF:
-                answer.write(self._make_answer(command).reply[:-CUT_BYTES], AttemptEnd.HALF, is_last=True)
+            case StepKind.MALFORMED:
+                answer.write(MALFORMED, AttemptEnd.MALFORMED)
+            case StepKind.TRUNCATED:
+                answer.write(
+                    self._make_answer(command).reply[:-TRUNCATED_BYTES], AttemptEnd.TRUNCATED, is_last=True
+                )
             case StepKind.STALL:
                 loop = asyncio.get_running_loop()
-                loop.call_later(step.delay, self._finish, answer, command, self._incarnation)
+                loop.call_later(step.delay_s, self._finish, answer, command, self._incarnation)
             case _ if self.work is not None:
-                self._enqueue(answer, command, self.work, step.factor)
+                self._enqueue(answer, command, self.work, step.work_factor)
             case _:
                 return self._answer_at_once(answer)
         return True
 
     def _answer_at_once(self, answer: PendingAnswer) -> bool:
-        """Answer without work; return False if the connection is to end."""
-        reply = self._plain_reply()
+        """Answer without work; return False if the connection must be closed."""
+        reply = self._configured_reply()
         if reply == b"":
             return False
         if reply is not None:
             answer.write(reply, AttemptEnd.ANSWERED)
         return True
 
-    def _plain_reply(self) -> bytes | None:
+    def _configured_reply(self) -> bytes | None:
         return self.answer() if callable(self.answer) else self.answer
 
     def _make_answer(self, command: Command) -> MadeAnswer:
         if self.work is None:
-            return MadeAnswer(self._plain_reply() or VALUE, b"")
+            return MadeAnswer(self._configured_reply() or VALUE, b"")
         value = b"%s:%s" % (self.name.encode(), command[2])
-        return MadeAnswer(b"*3\r\n%s$-1\r\n%s" % (bulk(value), bulk(self.report())), value)
+        return MadeAnswer(b"*3\r\n%s$-1\r\n%s" % (bulk(value), bulk(self.load_report())), value)
 
-    def report(self) -> bytes:
-        """Return the load report that it sends now."""
+    def load_report(self) -> bytes:
+        """Return the load report to send now."""
         now = time.monotonic()
-        running = 0 if self.lies else self.running
-        waiting = 0 if self.lies else len(self.line)
+        running = 0 if self.reports_idle else self.running
+        waiting = 0 if self.reports_idle else len(self.queued)
         text = b"active=%d,waiting=%d,cpu=%.2f" % (running + waiting, waiting, running / self.cores)
-        if not self.behind:
+        if not self.report_age_s:
             return text
         self._reports.append(TakenReport(now, text))
-        while len(self._reports) > 1 and self._reports[1].at <= now - self.behind:
+        while len(self._reports) > 1 and self._reports[1].at <= now - self.report_age_s:
             self._reports.popleft()
         return self._reports[0].text
 
@@ -255,27 +257,29 @@
     def _enqueue(
         self, answer: PendingAnswer, command: Command, work: Callable[[Command], float], factor: float
     ) -> None:
-        """Queue a command's work, `factor` times the usual, or reject it if the queue is full."""
-        if self.running >= self.cores and len(self.line) >= self.queue:
+        """Queue a command's work, multiplied by `factor`, or reject the command if the queue is full."""
+        if self.running >= self.cores and len(self.queued) >= self.queue_capacity:
             answer.write(BUSY, AttemptEnd.BUSY)
             return
-        self.line.append(QueuedWork(work(command) * factor, answer, command))
+        self.queued.append(QueuedWork(work(command) * factor, answer, command))
         self._start_work()
 
     def _start_work(self) -> None:
-        """Give free cores to what waits."""
-        while self.line and self.running < self.cores:
-            work = self.line.popleft()
-            if work.answer.is_over:  # its client has gone: what waits is dropped, what runs goes on
+        """Start queued work on free cores."""
+        while self.queued and self.running < self.cores:
+            work = self.queued.popleft()
+            if (
+                work.answer.is_over
+            ):  # the client has disconnected; queued work is dropped, running work continues
                 continue
             self.running += 1
-            delay = work.seconds / self.warmth()
+            delay = work.seconds / self.warm_share()
             asyncio.get_running_loop().call_later(
                 delay, self._complete, work.answer, work.command, self._incarnation
             )
 
     def _complete(self, answer: PendingAnswer, command: Command, incarnation: int) -> None:
-        """Answer, and free the core."""
+        """Answer a command, and free its core."""
         if incarnation == self._incarnation:
             self.running -= 1
             self._finish(answer, command, incarnation)
@@ -283,9 +287,9 @@
 
     def _finish(self, answer: PendingAnswer, command: Command, incarnation: int) -> None:
         if incarnation == self._incarnation and not answer.is_over:
-            made = self._make_answer(command)
-            answer.write(made.reply, AttemptEnd.ANSWERED, made.value)
+            made_answer = self._make_answer(command)
+            answer.write(made_answer.reply, AttemptEnd.ANSWERED, made_answer.value)
 
 
-def _ignore_end(how: str, value: bytes) -> None:
-    """Take the end of a command that the ledger does not know of."""
+def _ignore_end(end_kind: str, value: bytes) -> None:
+    """Ignore the end of a command that the ledger does not record."""
--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -25,27 +25,27 @@
 sys.path.insert(0, str(ROOT))
 
 from apigateway.emulators.clients import Client, Customer, Traffic  # noqa: E402
-from apigateway.emulators.fleet import Class, Fleet, Gateway, Plan, Shape  # noqa: E402
-from apigateway.emulators.ledger import report  # noqa: E402
+from apigateway.emulators.fleet import ClassSettings, Fleet, FleetSettings, Gateway, PlanSettings  # noqa: E402
+from apigateway.emulators.ledger import format_verdicts  # noqa: E402
 
-SHAPE = Shape(
+SHAPE = FleetSettings(
     classes={
-        "read": Class("safe", 1.0, 3.0, 1.0, 0.005, 0.6),
-        "note": Class("unsafe", 1.0, 3.0, 1.0, 0.005, 0.4),
+        "read": ClassSettings("safe", 1.0, 3.0, 1.0, 0.005, 0.6),
+        "note": ClassSettings("unsafe", 1.0, 3.0, 1.0, 0.005, 0.4),
     },
-    plans={"p": Plan(100_000.0, 100_000.0)},
+    plans={"p": PlanSettings(100_000.0, 100_000.0)},
     gateways=1,
     hosts=3,
     cores=4,
-    queue=200,
+    queue_capacity=200,
     zones=("a",),
-    extra={"daemon": "log_lines = 10000"},
+    extra_keys={"daemon": "log_lines = 10000"},
 )
 
 
 async def wait_for_log_lines(gateway: Gateway, text: str, count: int) -> None:
     """Wait until a gateway's log has a number of lines that contain a text."""
-    while sum(text in line for line in gateway.log) < count:
+    while sum(text in line for line in gateway.log_lines) < count:
         await asyncio.sleep(0.005)
 
 
@@ -61,10 +61,10 @@
 
 async def run_reloads(gateway: Gateway, count: int) -> None:
     """Reload changed settings a number of times."""
-    text = gateway.file.read_text()
-    earlier_reloads = sum("reload: " in line for line in gateway.log)
+    text = gateway.settings_file.read_text()
+    earlier_reloads = sum("reload: " in line for line in gateway.log_lines)
     for index in range(count):
-        gateway.file.write_text(text.replace("[limits]", f"[limits]\nmax_open = {10_000 + index}"))
+        gateway.settings_file.write_text(text.replace("[limits]", f"[limits]\nmax_open = {10_000 + index}"))
         assert gateway.process is not None
         gateway.process.send_signal(1)
         await wait_for_log_lines(gateway, "reload: took effect", earlier_reloads + index + 1)
@@ -79,9 +79,9 @@
             gateway = fleet.gateways[0]
             client = Client(fleet.ledger, {"g0": ("127.0.0.1", gateway.port)})
             customers = [Customer(f"{index + 1:016x}", "p", rate / 8, 0, 1) for index in range(8)]
-            traffic = Traffic(client, customers, SHAPE.used(), retries=0.0)
+            traffic = Traffic(client, customers, SHAPE.traffic_classes(), retry_share=0.0)
             traffic_task = asyncio.ensure_future(traffic.run(3600.0))
-            while len(traffic.latency) < 100:
+            while len(traffic.latencies_s) < 100:
                 await asyncio.sleep(0.01)
             started_at = time.monotonic()
             await action(gateway)
@@ -91,7 +91,7 @@
                 await asyncio.wait(list(traffic.tasks))
             client.close()
             answer_times = sorted(
-                request.answers[0][0] for request in fleet.ledger.tries.values() if request.answers
+                request.answers[0][0] for request in fleet.ledger.requests.values() if request.answers
             )
             longest_gap = max(
                 later - earlier for earlier, later in zip(answer_times, answer_times[1:], strict=False)
@@ -99,16 +99,16 @@
             counts: dict[str, int] = {}
             for (_, _, outcome), count in fleet.ledger.outcomes().items():
                 counts[outcome] = counts.get(outcome, 0) + count
-            verdicts = fleet.ledger.judge()
+            verdicts = fleet.ledger.check_rules()
             if not all(verdict.kept for verdict in verdicts):
-                print(report(verdicts))
-            latencies = sorted(traffic.latency)
+                print(format_verdicts(verdicts))
+            latencies = sorted(traffic.latencies_s)
             return {
                 "what": name,
                 "seconds": round(seconds, 1),
                 **counts,
                 "lost": counts.get("lost", 0),
-                "refused connections": client.refused,
+                "refused connections": client.connect_failures,
                 "longest gap ms": round(longest_gap * 1000, 1),
                 "p99 ms": round(latencies[int(len(latencies) * 0.99)] * 1000, 1),
                 "slowest ms": round(latencies[-1] * 1000, 1),
--- a/tests/external_ratelimit/test_limiter.py
+++ b/tests/external_ratelimit/test_limiter.py
@@ -79,7 +79,7 @@
             b"-BUSY 700\r\n",
         ]
         assert await send_request(harness, CUSTOMER_B) == VALUE_REPLY
-        request = service.questions[0]
+        request = service.decided_requests[0]
         assert request.domain == "roster" and request.hits_addend == 1  # a started unit counts as a hit
         assert {entry.key: entry.value for entry in request.descriptors[0].entries} == {
             "customer": CUSTOMER_A,
@@ -106,7 +106,7 @@
 
 
 FAULTS = [
-    Step("stall", delay=5.0),
+    Step("stall", delay_s=5.0),
     Step("silent"),
     Step("reset"),
     Step("error"),
@@ -125,7 +125,7 @@
         async with gateway_with_limiter(
             tmp_path, service, failure_mode=FailureMode(mode), timeout=0.05 if times_out else 2.0
         ) as harness:
-            service.script.play(fault)
+            service.script.set_steps(fault)
             replies = [await send_request(harness) for _ in range(8)]
             assert all(
                 reply == VALUE_REPLY if mode == "own" else reply.startswith(b"-BUSY") for reply in replies
@@ -134,7 +134,7 @@
                 harness.limiter.breaker.trip_count == 1
                 and harness.limiter.breaker.state is not BreakerState.CLOSED
             )
-            service.script.play()
+            service.script.set_steps()
             await send_until_state(harness, BreakerState.CLOSED)
             assert await send_request(harness) == VALUE_REPLY
 
@@ -142,7 +142,7 @@
 @run_on_uvloop
 async def test_over_limit_responses_do_not_open_the_breaker(tmp_path):
     async with EmulatedRateLimitService() as service, gateway_with_limiter(tmp_path, service) as harness:
-        service.script.play(Step("over", count=40))
+        service.script.set_steps(Step("over", count=40))
         replies = await asyncio.gather(*(send_request(harness) for _ in range(40)))
         assert all(reply.startswith(b"-BUSY") for reply in replies) and not harness.host.commands
         assert await send_request(harness) == VALUE_REPLY and harness.limiter.breaker.trip_count == 0
@@ -153,10 +153,10 @@
 async def test_check_that_the_service_did_not_process_is_retried_once(kind, tmp_path):
     async with EmulatedRateLimitService() as service, gateway_with_limiter(tmp_path, service) as harness:
         assert await send_request(harness) == VALUE_REPLY
-        service.script.play(Step(kind, count=1))
+        service.script.set_steps(Step(kind, count=1))
         assert await send_request(harness) == VALUE_REPLY
         # Each request was counted once.
-        assert len(service.questions) == 2 and harness.limiter.breaker.trip_count == 0
+        assert len(service.decided_requests) == 2 and harness.limiter.breaker.trip_count == 0
         assert service.hits[CUSTOMER_A] == 2
 
 
@@ -164,7 +164,7 @@
 async def test_goaway_among_many_checks_loses_none(tmp_path):
     async with EmulatedRateLimitService() as service, gateway_with_limiter(tmp_path, service) as harness:
         assert await send_request(harness) == VALUE_REPLY
-        service.script.play(Step("answer", count=5), Step("goaway", count=1))
+        service.script.set_steps(Step("answer", count=5), Step("goaway", count=1))
         replies = await asyncio.gather(*(send_request(harness) for _ in range(30)))
         # The capacity of the host is limited.
         assert all(reply == VALUE_REPLY or reply.startswith(b"-BUSY") for reply in replies)
@@ -175,7 +175,7 @@
 async def test_unreachable_service_is_used_once_it_comes_up(tmp_path):
     service = EmulatedRateLimitService({CUSTOMER_A: 0})
     await service.open()
-    await service.die()
+    await service.kill()
     async with gateway_with_limiter(tmp_path, service, max_consecutive_failures=2, timeout=0.05) as harness:
         assert [await send_request(harness) for _ in range(4)] == [VALUE_REPLY] * 4
         assert harness.limiter.breaker.trip_count == 1 and harness.limiter.channel.connect_failures > 0
@@ -189,16 +189,16 @@
 @run_on_uvloop
 async def test_client_disconnect_cancels_its_check(tmp_path):
     async with EmulatedRateLimitService() as service, gateway_with_limiter(tmp_path, service) as harness:
-        service.script.play(Step("stall", count=1, delay=1.0))
+        service.script.set_steps(Step("stall", count=1, delay_s=1.0))
         _, writer = await harness.connect()
         writer.write(make_command(b"left"))
-        await service.arrived.get()
+        await service.arrivals.get()
         writer.close()
         while harness.server.core.in_flight:
             await asyncio.sleep(0)
         assert await send_request(harness, CUSTOMER_B) == VALUE_REPLY
         assert (
-            service.called_off == 1
+            service.reset_streams == 1
             and len(harness.host.commands) == 1
             and harness.limiter.breaker.sample_count == 1
         )
@@ -210,7 +210,7 @@
         EmulatedRateLimitService() as service,
         gateway_with_limiter(tmp_path, service, timeout=0.05) as harness,
     ):
-        service.script.play(Step("stall", count=1, delay=0.2), Step("over", count=1))
+        service.script.set_steps(Step("stall", count=1, delay_s=0.2), Step("over", count=1))
         assert await send_request(harness) == VALUE_REPLY  # no response in time: the failure mode allows it
         assert (await send_request(harness)).startswith(b"-BUSY")
         for _ in range(20):
@@ -240,20 +240,20 @@
             replies.append(line[:1])
             if line[:1] == b"$":
                 await reader.readline()
-        assert len(service.questions) == 1 and len(service.questions[0].descriptors) == 8
+        assert len(service.decided_requests) == 1 and len(service.decided_requests[0].descriptors) == 8
         assert replies == [b"-", b"$", b"-", b"$", b"-", b"$", b"-", b"-"]
 
 
 @run_on_uvloop
 async def test_checks_wait_when_the_server_limits_concurrent_streams(tmp_path):
     async with (
-        EmulatedRateLimitService(most_streams=2) as service,
+        EmulatedRateLimitService(max_concurrent_streams=2) as service,
         gateway_with_limiter(tmp_path, service) as harness,
     ):
         assert await send_request(harness) == VALUE_REPLY  # the HTTP/2 settings of the server are known now
-        service.script.play(Step("stall", count=4, delay=0.05))
+        service.script.set_steps(Step("stall", count=4, delay_s=0.05))
         assert await asyncio.gather(*(send_request(harness) for _ in range(12))) == [VALUE_REPLY] * 12
-        assert len(service.questions) == 13
+        assert len(service.decided_requests) == 13
 
 
 @run_on_uvloop
@@ -264,10 +264,10 @@
         gateway_with_limiter(tmp_path, old_service) as harness,
     ):
         assert await send_request(harness) == VALUE_REPLY
-        old_service.script.play(Step("stall", count=1, delay=0.1))
+        old_service.script.set_steps(Step("stall", count=1, delay_s=0.1))
         pending_request = asyncio.ensure_future(send_request(harness))
-        await old_service.arrived.get()
-        await old_service.arrived.get()
+        await old_service.arrivals.get()
+        await old_service.arrivals.get()
         old_config = harness.limiter.config
         address = ("127.0.0.1", new_service.port)
         harness.limiter.update_config(
@@ -286,10 +286,12 @@
         EmulatedRateLimitService() as service,
         gateway_with_limiter(tmp_path, service, timeout=0.05) as harness,
     ):
-        service.script.play(*(Step(kind, count=1 + n % 3, delay=0.1) for n, kind in enumerate(kinds * 4)))
+        service.script.set_steps(
+            *(Step(kind, count=1 + n % 3, delay_s=0.1) for n, kind in enumerate(kinds * 4))
+        )
         for _ in range(30):
             replies = await asyncio.gather(*(send_request(harness) for _ in range(6)))
             assert all(reply == VALUE_REPLY or reply.startswith(b"-BUSY") for reply in replies)
         assert not harness.server.core.in_flight
-        service.script.play()
+        service.script.set_steps()
         await send_until_state(harness, BreakerState.CLOSED)
--- a/tests/frontends/grpc/test_rate_limit_daemon.py
+++ b/tests/frontends/grpc/test_rate_limit_daemon.py
@@ -28,7 +28,7 @@
     free_port,
 )
 
-from apigateway.emulators.checks import Checks
+from apigateway.emulators.checks import CheckClient
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.ratelimit import EmulatedRateLimitService
 
@@ -168,25 +168,25 @@
     async with GrpcDeployment(tmp_path, ledger=ledger) as site:
         first = await site.start_gateway()
         async with BackgroundTraffic(site, ledger) as load:
-            checks = Checks(ledger, {"g": ("127.0.0.1", site.grpc_port)})
+            checks = CheckClient(ledger, {"g": ("127.0.0.1", site.grpc_port)})
             is_over = False
 
             async def send_checks():
                 while not is_over:
-                    await checks.ask("g", CUSTOMER, "p", timeout=3.0)
+                    await checks.check("g", CUSTOMER, "p", timeout_s=3.0)
 
             senders = [asyncio.ensure_future(send_checks()) for _ in range(4)]
             for _ in range(2):
                 second = await site.start_gateway("--take-over")
                 assert await first.wait() == 0
                 first = second
-                before = checks.counts["ok"]
-                while checks.counts["ok"] < before + 20:
+                before = checks.outcome_counts["ok"]
+                while checks.outcome_counts["ok"] < before + 20:
                     await load.wait_for_served(1)
             is_over = True
             await asyncio.gather(*senders)
             await checks.close()
-            assert set(checks.counts) == {"ok"}, checks.failures
+            assert set(checks.outcome_counts) == {"ok"}, checks.error_details
         first.send_signal(signal.SIGTERM)
         assert await first.wait() == 0
 
--- a/tests/frontends/grpc/test_rate_limit_service.py
+++ b/tests/frontends/grpc/test_rate_limit_service.py
@@ -232,7 +232,7 @@
         GatewayHarness(host, path=tmp_path, settings=gateway_settings) as harness,
     ):
         async with RateLimitClient(harness, spread=2) as client:
-            harness.counter.script.play(Step("silent"))
+            harness.counter.script.set_steps(Step("silent"))
             overall_codes = [(await client.check(CUSTOMER_A)).overall_code for _ in range(30)]
             # A busy machine denies more at first.
             while overall_codes[-1] != OVER_LIMIT and len(overall_codes) < 120:
@@ -245,7 +245,7 @@
             )
             late_check = asyncio.ensure_future(client.check_error_code(CUSTOMER_A, timeout=0.001))
             assert await late_check in (grpc.StatusCode.DEADLINE_EXCEEDED, grpc.StatusCode.UNAVAILABLE)
-            harness.counter.script.play()
+            harness.counter.script.set_steps()
             while harness.server.core.in_flight:
                 await asyncio.sleep(0.01)
             assert (
--- a/tests/frontends/resp/test_client_connection.py
+++ b/tests/frontends/resp/test_client_connection.py
@@ -105,7 +105,7 @@
     async with EmulatedHost(answer=None) as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
         writer.write(make_command(b"slow"))
-        await host.arrived.get()
+        await host.arrivals.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n")
         host.writers[0].write(VALUE)
         assert await read_reply(reader) == VALUE_REPLY
@@ -117,10 +117,10 @@
     async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
         writer.write(make_command(b"first"))
-        await host.arrived.get()
+        await host.arrivals.get()
         harness.server.frontends[0].server.start_draining()
         writer.write(make_command(b"second"))
-        while (await host.arrived.get())[2] != b"second":
+        while (await host.arrivals.get())[2] != b"second":
             pass
         for host_writer in host.writers:
             host_writer.write(VALUE)
@@ -156,7 +156,7 @@
         reader, writer = await harness.connect()
         server = harness.server.frontends[0].server
         writer.write(make_command(b"first"))
-        await host.arrived.get()
+        await host.arrivals.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n" * MAX_PENDING_COMMANDS)  # answered after the first
         (client,) = server.connections
         while not client.is_read_paused:
@@ -209,10 +209,10 @@
     async with EmulatedHost(None) as host, GatewayHarness(host, path=tmp_path) as harness:
         reader, writer = await harness.connect()
         writer.write(make_command())
-        await host.arrived.get()
+        await host.arrivals.get()
         writer.write(b"nonsense" + b"x" * 100_000)
         # The only response to the command, although the host is silent.
         assert await read_reply(reader) == b"-ERR failed\r\n"
         assert (await read_reply(reader)).startswith(b"-ERR protocol")
         assert await reader.read() == b""  # end of file instead of a reset, despite unread input
-        assert await host.arrived.get() is None and not harness.server.core.in_flight
+        assert await host.arrivals.get() is None and not harness.server.core.in_flight
--- a/tests/frontends/resp/test_client_disconnects.py
+++ b/tests/frontends/resp/test_client_disconnects.py
@@ -23,9 +23,9 @@
     async with EmulatedHost(answer=None) as host, GatewayHarness(host, path=tmp_path) as harness:
         _, writer = await harness.connect()
         writer.write(make_command())
-        await host.arrived.get()
+        await host.arrivals.get()
         writer.close()
-        assert await host.arrived.get() is None  # the connection to the host was closed
+        assert await host.arrivals.get() is None  # the connection to the host was closed
         assert not harness.server.core.in_flight
 
 
@@ -48,7 +48,7 @@
         _, writer = await harness.connect()
         outcomes, server = record_outcomes(harness), harness.server.frontends[0].server
         writer.write(make_command(b"first", make_fields(d="60000")))
-        await host.arrived.get()
+        await host.arrivals.get()
         writer.write(b"*1\r\n$4\r\nPING\r\n" * MAX_PENDING_COMMANDS)  # answered after the first
         while not (
             server.read_paused or server.connections and next(iter(server.connections)).is_read_paused
@@ -115,7 +115,7 @@
             host.answer = None
             writer.write(make_command(b"last", make_fields(d="60000"), customer=b"%016x" % 999))
             while host.commands[-1][2] != b"last":
-                await host.arrived.get()
+                await host.arrivals.get()
             writer.write_eof()
             assert await outcomes.get() == ("last", "gone") and not harness.server.core.in_flight
 
--- a/tests/frontends/resp/test_resp_server.py
+++ b/tests/frontends/resp/test_resp_server.py
@@ -44,7 +44,7 @@
         reader, writer = await harness.connect()
         idle, _ = await harness.connect()
         writer.write(make_command())
-        await host.arrived.get()
+        await host.arrivals.get()
         assert await idle.read() == b""  # closed by a later timeout check
         host.writers[0].write(VALUE)
         assert await read_reply(reader) == VALUE_REPLY
@@ -76,7 +76,7 @@
         for n in range(2):
             reader, writer = await harness.connect()
             writer.write(make_command(b"r%d" % n))
-            await host.arrived.get()
+            await host.arrivals.get()
             busy.append(reader)
         assert await first.read() == b""
         last, _ = await harness.connect()
