--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -364,7 +364,8 @@
 class QuotaCheck(Request):
     """A check of whether a customer may use a number of units now. It spends them as a request would, is not
     forwarded, and is answered by QuotaGranted or QuotaDenied. A check of 0 units spends nothing. A check of
-    more units than the burst is always denied."""
+    more units than the burst is always denied.
+    """
 
     is_check: ClassVar[bool] = True
 
@@ -373,7 +374,8 @@
 class QuotaReservation(QuotaCheck):
     """A check whose units a PrepaidRequest may use later. The ceiling counts the units when they are granted
     and, separately, when that request is forwarded. So neither the granted nor the forwarded units exceed the
-    ceiling, however much time lies between them."""
+    ceiling, however much time lies between them.
+    """
 
     is_reservation: ClassVar[bool] = True
 
@@ -381,7 +383,8 @@
 @dataclass(frozen=True, slots=True)
 class CustomLimitCheck(QuotaCheck):
     """A check against its own limit instead of its plan's. Its `customer` is a name derived from that limit.
-    Its class and plan determine only its priority."""
+    Its class and plan determine only its priority.
+    """
 
     limit: Plan | None = None
 
@@ -406,7 +409,8 @@
 @dataclass(frozen=True, slots=True)
 class ReturnUnits:
     """Return of units that were granted to a QuotaCheck of this customer but not used, because another check
-    of the same call was denied. They can be spent again until the window in which they were spent ends."""
+    of the same call was denied. They can be spent again until the window in which they were spent ends.
+    """
 
     is_reservation: ClassVar[bool] = False
 
@@ -425,7 +429,8 @@
 @dataclass(frozen=True, slots=True)
 class RejectedByPlugin:
     """A request that a plug-in or an external service rejected before it spent any quota. The decision module
-    has not seen this request before."""
+    has not seen this request before.
+    """
 
     request_id: str
     retry_after: float  # s after which the client may retry
@@ -525,7 +530,8 @@
 class DrainGateway:
     """Start or stop draining this gateway. While it drains, another process takes the new connections under
     the same gateway index, and all tokens that the ceilings gain belong to that process. Draining stops if
-    that process fails."""
+    that process fails.
+    """
 
     is_draining: bool
 
@@ -533,7 +539,8 @@
 @dataclass(frozen=True, slots=True)
 class EvacuateZones:
     """An operator's list of zones to evacuate, which replaces the previous list. Hosts of these zones get no
-    new attempts while any other host is up. Attempts in flight continue."""
+    new attempts while any other host is up. Attempts in flight continue.
+    """
 
     zones: tuple[str, ...]
 
--- a/apigateway/policy/counter_health.py
+++ b/apigateway/policy/counter_health.py
@@ -31,6 +31,7 @@
     def call_probability(self, benefit: float) -> float:
         """Return the probability with which to make a call, given its benefit in requests.
 
-        Calls with little benefit are dropped first as the counter becomes congested."""
+        Calls with little benefit are dropped first as the counter becomes congested.
+        """
         congestion_price = CONGESTION_PRICE * max(0.0, self.congestion - RATIONING_CONGESTION)
         return min(1.0, benefit / max(1e-9, self.price + congestion_price))
--- a/apigateway/policy/customer_quota.py
+++ b/apigateway/policy/customer_quota.py
@@ -63,7 +63,8 @@
     def window_limit(self, now: float) -> float:
         """Return the units that all gateways together may have used by now.
 
-        The limit is lower for a small burst, whose overdraft is not carried over to the next window."""
+        The limit is lower for a small burst, whose overdraft is not carried over to the next window.
+        """
         elapsed = now - self.window_start
         if not self.has_subunit_share:
             return self.burst + self.rate * elapsed
@@ -80,7 +81,8 @@
     def local_allowance(self, now: float, is_counter_silent: bool) -> float:
         """Return the units that may be used without a lease.
 
-        While the counter is silent, the part of the quota's use that was here before determines the share."""
+        While the counter is silent, the part of the quota's use that was here before determines the share.
+        """
         unused = max(0.0, min(self.burst, self.window_limit(now) - self.total_units))
         local_unused = unused * max(self.local_share, 1 / self.gateway_count)
         return local_unused if is_counter_silent else unused / self.gateway_count * LOCAL_ALLOWANCE_SHARE
--- a/apigateway/policy/customers.py
+++ b/apigateway/policy/customers.py
@@ -56,7 +56,8 @@
     """Evict an old quota that is not in use, and return whether there was one.
 
     Its ceiling must be full, so that a new quota's ceiling is not fuller. The overdraft of the window is
-    lost: a customer that is evicted in every window gets up to twice its rate."""
+    lost: a customer that is evicted in every window gets up to twice its rate.
+    """
     for quota in list(itertools.islice(state.quotas.values(), QUOTAS_CHECKED_PER_REQUEST)):
         del state.quotas[quota.customer]
         tokens = quota.ceiling.available(min(state.now, state.draining_since))
--- a/apigateway/policy/endpoint_pool.py
+++ b/apigateway/policy/endpoint_pool.py
@@ -121,7 +121,8 @@
     def _has_slow_start_token(self, endpoint: EndpointState, now: float) -> bool:
         """Refill the endpoint's slow-start tokens, and return whether one is available.
 
-        An endpoint in slow start fails when all gateways together send more than it withstands."""
+        An endpoint in slow start fails when all gateways together send more than it withstands.
+        """
         rules = self.settings.rules
         factor = endpoint.slow_start_factor(now, rules)
         if factor == 1.0:
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -1,4 +1,7 @@
-"""The entry point of the decision module: it passes each event to its handler and collects the actions."""
+"""The entry point of the decision module, which does no I/O and reads no clock.
+
+It passes each event to its handler and collects the actions. Both are defined in messages.py.
+"""
 
 import math
 
@@ -21,7 +24,7 @@
 
 
 class Gateway(GatewayState):
-    """The decisions of one gateway. Events and actions are defined in messages.py."""
+    """Makes the decisions of one gateway."""
 
     def handle(self, now: float, event: messages.Event) -> list[messages.Action]:
         """Handle one event, and return the actions to carry out."""
--- a/apigateway/policy/load_shedding.py
+++ b/apigateway/policy/load_shedding.py
@@ -13,7 +13,8 @@
 class LoadShedder:
     """Sheds load on congestion of any cause, where there are many gateways.
 
-    One of many gateways has too few attempts in flight to relieve the endpoints by its limits alone."""
+    One of many gateways has too few attempts in flight to relieve the endpoints by its limits alone.
+    """
 
     def __init__(self, now: float, gateway_count: int) -> None:
         self.admitted = AdmittedShare(now, DECREASE_RATE_PER_S, RECOVERY_RATE_PER_S, MIN_ADMITTED_SHARE)
@@ -23,7 +24,8 @@
     def should_shed(self, now: float, pending: PendingRequest, is_congested: bool, draw: float) -> bool:
         """Record a request, and return whether to reject it.
 
-        `draw`, a random number from 0 to 1, decides among requests of equal priority density."""
+        `draw`, a random number from 0 to 1, decides among requests of equal priority density.
+        """
         self._densities.add(pending.priority_density)
         share = self.admitted.update(now, is_congested)
         shed_count = (1 - share) * len(self._densities) * self._has_many_gateways
--- a/apigateway/policy/overload_gate.py
+++ b/apigateway/policy/overload_gate.py
@@ -96,7 +96,8 @@
         """Return the Retry-After in seconds of a request that is shed; below 0 if the request is admitted.
 
         A Retry-After of 0 is not sent. `waited`: s since the request was read; `step`: its priority step;
-        `remaining`: s until its client gives up."""
+        `remaining`: s until its client gives up.
+        """
         self.requests_by_step.add(step)
         self.loop_lag.record_wait(waited)
         if waited <= self.max_wait and not self.is_overloaded:
--- a/apigateway/policy/quota_leasing.py
+++ b/apigateway/policy/quota_leasing.py
@@ -94,7 +94,8 @@
 def _renew_lease(state: GatewayState, quota: CustomerQuota, requests_represented: float = 1.0) -> None:
     """Report used units and ask for more if that is due.
 
-    `requests_represented`: the number of requests that each waiting request stands for."""
+    `requests_represented`: the number of requests that each waiting request stands for.
+    """
     if quota.has_call_in_flight or not state.counter.is_usable(state.now):
         return
     needed = sum(pending.request.units for pending in _waiting_requests(state, quota))
--- a/apigateway/policy/selection.py
+++ b/apigateway/policy/selection.py
@@ -49,7 +49,8 @@
 def _select_in_subset(state: GatewayState, pending: PendingRequest) -> EndpointState | None:
     """Return the least costly of a few endpoints.
 
-    If all were compared, an old load report would make all gateways choose the same endpoint."""
+    If all were compared, an old load report would make all gateways choose the same endpoint.
+    """
     pool = state.pool
     endpoints = pool.subset_with_capacity if len(pool.available) > MAX_COMPARED else pool.available
     count = max(
@@ -133,7 +134,8 @@
 def _select_outside_subset(state: GatewayState, pending: PendingRequest) -> EndpointState | None:
     """Return any eligible endpoint outside the subset.
 
-    A retry may be restricted to one cell, and all endpoints of the subset may fail."""
+    A retry may be restricted to one cell, and all endpoints of the subset may fail.
+    """
     pool = state.pool
     size = len(pool.available)
     if len(pool.subset) == size:
--- a/tests/policy/test_endpoint_pool.py
+++ b/tests/policy/test_endpoint_pool.py
@@ -108,7 +108,8 @@
 
 def test_all_hosts_in_slow_start_get_requests_from_the_first_second():
     """Hosts in slow start got a share of the current send rate. With all hosts in slow start, that rate was 0
-    and stayed 0."""
+    and stayed 0.
+    """
     harness = DecisionHarness(
         make_settings(plans=[LARGE_PLAN]),
         [make_host(f"h{n}", started_at=1000.0) for n in range(4)],
--- a/tests/policy/test_pending_queue.py
+++ b/tests/policy/test_pending_queue.py
@@ -1,5 +1,6 @@
 """The queue of requests that wait for a host: it has the order of a sorted list, and its cost per event does
-not grow with its length."""
+not grow with its length.
+"""
 
 from collections import deque
 
--- a/tests/policy/test_quota_leasing.py
+++ b/tests/policy/test_quota_leasing.py
@@ -509,7 +509,8 @@
 
 def test_request_admitted_without_a_call_is_not_scaled_up_to_all_gateways():
     """With a small burst, a request is admitted at random. It must not count as a sample of the use at other
-    gateways."""
+    gateways.
+    """
     harness = DecisionHarness(
         make_settings(gateway_count=100, plans=[make_plan(rate=0.5, burst=2.0)]),
         [make_host(f"h{n}") for n in range(9)],
@@ -534,7 +535,8 @@
 
 def test_small_burst_is_not_available_at_once_in_the_next_window():
     """In a simulated day without faults, most requests forwarded beyond quotas came right after the end of a
-    window. Their customers had just used the burst of that window at other gateways."""
+    window. Their customers had just used the burst of that window at other gateways.
+    """
     settings = make_settings(plans=[make_plan(rate=2.0, burst=8.0)])
     first, second = DecisionHarness(settings), DecisionHarness(settings, seed=2)
     first.counter_totals = second.counter_totals  # one counter
--- a/tests/policy/test_requests.py
+++ b/tests/policy/test_requests.py
@@ -278,7 +278,8 @@
 
 def test_idle_quota_is_kept_until_its_ceiling_is_full_again():
     """A new quota begins with the ceiling of a gateway of that age. If the quota was dropped too early, the
-    customer got more than its ceiling."""
+    customer got more than its ceiling.
+    """
     slow_plan = make_plan("slow", rate=0.0, ceiling_rate=0.1, ceiling_burst=20.0)
     harness = DecisionHarness(
         make_settings(plans=[slow_plan, make_plan()], gateway_count=1),
@@ -405,7 +406,8 @@
 @pytest.mark.parametrize("queue, is_cancelled", [(0.0, True), (9.0, False)])
 def test_no_attempt_is_given_up_while_all_hosts_are_slow(queue, is_cancelled):
     """In a simulated day with a third of the hosts in slow start, a sixth of the work of the other hosts was
-    given up, for attempts that waited as long elsewhere."""
+    given up, for attempts that waited as long elsewhere.
+    """
     harness = DecisionHarness(
         make_settings(plans=[LARGE_PLAN], limits=dict(can_hedge=False)),
         [make_host(f"h{n}") for n in range(8)],
--- a/tests/policy/test_reservations.py
+++ b/tests/policy/test_reservations.py
@@ -100,7 +100,8 @@
 @pytest.mark.parametrize("first_seed", range(0, 2000, 250))
 def test_neither_granted_nor_forwarded_units_exceed_the_ceiling(first_seed):
     """Several gateways share a ceiling. Checks, reservations, plain and prepaid requests come in random order
-    to any gateway, and the counter may fail."""
+    to any gateway, and the counter may fail.
+    """
     for run_seed in range(first_seed, first_seed + 250):
         rng = random.Random(run_seed)
         gateway_count = rng.choice([1, 1, 2, 3])
@@ -242,7 +243,8 @@
 )
 def test_ceiling_equals_two_separate_token_buckets(steps):
     """The ceiling stores the difference between granted and forwarded units as one number. It must equal two
-    separate buckets."""
+    separate buckets.
+    """
     harness = make_harness([make_plan(rate=100.0, burst=200.0, ceiling_rate=100.0, ceiling_burst=200.0)])
     harness.now += 10.0
     submit(harness, messages.QuotaCheck, units=0.0)
@@ -313,7 +315,8 @@
 
 def test_request_that_waits_for_the_ceiling_is_forwarded_after_the_refill():
     """With many gateways, an equal share is a few units. Of a burst of requests, those that can wait for the
-    refill within a part of the latency objective are not rejected."""
+    refill within a part of the latency objective are not rejected.
+    """
     plan = make_plan(rate=0.0, ceiling_rate=64.0, ceiling_burst=32.0, ceiling_slack=3.0)
     harness = DecisionHarness(
         make_settings(plans=[plan], gateway_count=200), [make_host(f"h{n}") for n in range(30)]
