--- a/apigateway/adapter.py
+++ b/apigateway/adapter.py
@@ -1,7 +1,7 @@
 """Adapter for the simulator's wire: batches of events on standard input, actions on standard output.
 
-It passes each event to the Gateway of its instance, and only translates. Run it as `python -m
-apigateway.adapter`.
+It only translates: each event goes to the Gateway of its instance, whose actions are written out.
+Run it as `python -m apigateway.adapter`.
 """
 
 from __future__ import annotations
--- a/apigateway/hashing.py
+++ b/apigateway/hashing.py
@@ -1,11 +1,11 @@
-"""Hashes that are equal on all gateways, and a filter that remembers recently evicted customers."""
+"""Hashes that are the same on all gateways, and a filter that remembers recently evicted customers."""
 
 from __future__ import annotations
 
 import hashlib
 import math
 
-EVICTION_MEMORY_S = 30.0  # an evicted customer is remembered for this long to twice this long
+EVICTION_MEMORY_S = 30.0  # shortest time for which an evicted customer is remembered; the longest is twice it
 BITS_PER_CUSTOMER = 64
 MIN_CUSTOMERS = 64
 HASH_COUNT = 3
@@ -19,10 +19,11 @@
 
 
 class RecentlyEvictedFilter:
-    """Remembers which customers were evicted within their quota windows.
+    """Remembers which customers were evicted recently, possibly within their current quota windows.
 
-    The filter consists of two Bloom filters, of which the older one is emptied in turn, and takes 16 bytes
-    for each customer that the gateway can hold. A false positive costs one unnecessary call to the counter.
+    It consists of two Bloom filters; the older one is replaced by an empty one in turn. Together they take 16
+    bytes for each customer that the gateway can hold. A false positive costs one unnecessary call to the
+    counter.
     """
 
     def __init__(self, max_customers: int) -> None:
--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -1,7 +1,8 @@
 """The typed contract of the decision module: settings, events in, actions out.
 
 Times are in seconds (floats), the clock reading is passed with each event, and IDs are opaque strings.
-A field of an enumeration type holds a member: the reader of a wire format or a file converts its words.
+A field of an enumeration type holds a member of it: the code that reads a wire format or a file converts the
+strings.
 """
 
 from __future__ import annotations
@@ -86,8 +87,8 @@
 _POSSIBLY_EXECUTED = frozenset(
     {AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED}
 )
-# Results that show whether the endpoint works. A timeout is not one of them: the silence has already been
-# counted by then.
+# Results that show whether the endpoint works. A timeout is not one of them: the endpoint's silence has
+# already been recorded as a failure by then.
 _HEALTH_SIGNALS = frozenset(
     {
         AttemptResult.CONNECT_FAILED,
@@ -362,9 +363,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaCheck(Request):
-    """A check of whether a customer may use a number of units now. It spends them as a request would, is not
-    forwarded, and is answered by QuotaGranted or QuotaDenied. A check of 0 units spends nothing. A check of
-    more units than the burst is always denied.
+    """A check of whether a customer may use a number of units now.
+
+    It spends them as a request would, is not forwarded, and is answered by QuotaGranted or QuotaDenied. A
+    check of 0 units spends nothing. A check of more units than the burst is always denied.
     """
 
     is_check: ClassVar[bool] = True
@@ -372,9 +374,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaReservation(QuotaCheck):
-    """A check whose units a PrepaidRequest may use later. The ceiling counts the units when they are granted
-    and, separately, when that request is forwarded. So neither the granted nor the forwarded units exceed the
-    ceiling, however much time lies between them.
+    """A check whose units a PrepaidRequest may use later.
+
+    The ceiling counts the units when they are granted and, separately, when that request is forwarded. So
+    neither the granted nor the forwarded units exceed the ceiling, however much time lies between them.
     """
 
     is_reservation: ClassVar[bool] = True
@@ -382,8 +385,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomLimitCheck(QuotaCheck):
-    """A check against its own limit instead of its plan's. Its `customer` is a name derived from that limit.
-    Its class and plan determine only its priority.
+    """A check against its own limit instead of its plan's.
+
+    Its `customer` is a name derived from that limit. Its class and plan determine only its priority.
     """
 
     limit: Plan | None = None
@@ -408,8 +412,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReturnUnits:
-    """Return of units that were granted to a QuotaCheck of this customer but not used, because another check
-    of the same call was denied. They can be spent again until the window in which they were spent ends.
+    """Return of unused units that were granted to a QuotaCheck of this customer.
+
+    They were not used because another check of the same call was denied. They can be spent again until the
+    window in which they were spent ends.
     """
 
     is_reservation: ClassVar[bool] = False
@@ -428,8 +434,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectedByPlugin:
-    """A request that a plug-in or an external service rejected before it spent any quota. The decision module
-    has not seen this request before.
+    """A request that a plug-in or an external service rejected before it spent any quota.
+
+    The decision module has not seen this request before.
     """
 
     request_id: str
@@ -528,9 +535,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainGateway:
-    """Start or stop draining this gateway. While it drains, another process takes the new connections under
-    the same gateway index, and all tokens that the ceilings gain belong to that process. Draining stops if
-    that process fails.
+    """Start or stop draining this gateway.
+
+    While it drains, another process takes the new connections under the same gateway index, and all tokens
+    that the ceilings gain belong to that process. Draining stops if that process fails.
     """
 
     is_draining: bool
@@ -538,8 +546,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuateZones:
-    """An operator's list of zones to evacuate, which replaces the previous list. Hosts of these zones get no
-    new attempts while any other host is up. Attempts in flight continue.
+    """An operator's list of zones to evacuate, which replaces the previous list.
+
+    Hosts of these zones get no new attempts while any other host is up. Attempts in flight continue.
     """
 
     zones: tuple[str, ...]
--- a/apigateway/policy/__init__.py
+++ b/apigateway/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decision module: it turns events into actions, and does no I/O and reads no clock."""
+"""The decision module: it turns events into actions, does no I/O and reads no clock."""
 
 from apigateway.policy.gateway import Gateway
 
--- a/apigateway/policy/ceiling.py
+++ b/apigateway/policy/ceiling.py
@@ -19,7 +19,10 @@
 
 
 def max_wait(state: GatewayState, pending: PendingRequest) -> float:
-    """Return the seconds that a request may wait: 0 for a check, or while another process gets the tokens."""
+    """Return the seconds that a request may wait for tokens.
+
+    A check may not wait, nor may any request while another process gets the tokens.
+    """
     is_small_share = pending.plan.ceiling_burst < SMALL_SHARE_UNITS * pending.quota.gateway_count
     may_wait = is_small_share and not pending.request.is_check and state.draining_since == math.inf
     return MAX_WAIT_SHARE * pending.service_class.latency_objective if may_wait else 0.0
--- a/apigateway/policy/counter_health.py
+++ b/apigateway/policy/counter_health.py
@@ -5,7 +5,8 @@
 
 RATIONING_CONGESTION = 0.5  # share of the timeout that calls take, above which they are rationed
 CONGESTION_PRICE = 4.0  # price of a call, in requests, per unit of congestion above RATIONING_CONGESTION
-# Gateways at which the congestion that is assumed before the first answer reaches half of its limit of 0.5.
+# Before the counter's first answer, the assumed congestion grows with the number of gateways, up to 0.5. With
+# this many gateways it is half of that.
 HALF_PRIOR_GATEWAYS = 20.0
 MAX_PAUSE_S = 1.0  # between calls to a counter that does not answer
 LATEST_CALL_WEIGHT = 0.15  # in the mean congestion: a change must show within a few calls
--- a/apigateway/policy/customer_quota.py
+++ b/apigateway/policy/customer_quota.py
@@ -8,8 +8,8 @@
 from apigateway.routing import LeaseLedger, TokenBucketShare
 
 LOCAL_ALLOWANCE_SHARE = 0.5  # of an equal share of the remaining units; usable without a lease
-# Lowest probability that a unit left unspent here is missing at another gateway. It applies when the customer
-# uses little of its quota.
+# Lower limit of the assumed probability that a unit left unspent here is missing at another gateway. It
+# applies when the customer uses little of its quota.
 MIN_STRANDED_UNIT_COST = 0.05
 # The next three apply to a customer whose burst has fewer units than the customer has gateways.
 SMALL_BURST_REFILL_SHARE = 0.1  # of the refill that is added to the limit: overdrafts are rarely carried over
@@ -39,7 +39,7 @@
         self.customer = request.customer
         self.plan = plan
         self.last_request_at = now
-        # False after an eviction in a recent window: the counter is then asked for the units used first.
+        # False after a recent eviction: the counter is then asked first how many units have been used.
         self.is_usage_known = True
         self.waiting_request_ids: list[str] = []  # requests that wait for units
         self.local_slots_used = 0
@@ -56,7 +56,7 @@
         return bool(self.has_call_in_flight or self.local_slots_used or self.waiting_request_ids)
 
     def increase_gateway_count(self, gateway_count: int) -> None:
-        """Share the quota among more gateways. Requests may name different sets, and the largest fits all."""
+        """Share the quota among more gateways. Requests may name different sets; the largest one is used."""
         self.set_gateway_count(gateway_count)
         self.ceiling.set_share_count(gateway_count)
 
@@ -81,7 +81,8 @@
     def local_allowance(self, now: float, is_counter_silent: bool) -> float:
         """Return the units that may be used without a lease.
 
-        While the counter is silent, the part of the quota's use that was here before determines the share.
+        While the counter is silent, the gateway may use as large a share as it used before, or an equal share
+        if that is more.
         """
         unused = max(0.0, min(self.burst, self.window_limit(now) - self.total_units))
         local_unused = unused * max(self.local_share, 1 / self.gateway_count)
--- a/apigateway/policy/customers.py
+++ b/apigateway/policy/customers.py
@@ -11,8 +11,8 @@
 MIN_IDLE_S = 30.0  # shortest time for which a quota is kept after its customer's last request
 # Oldest quotas that are checked at each request. A request adds at most one, so they do not pile up.
 QUOTAS_CHECKED_PER_REQUEST = 4
-# Fewest unreported units of an evicted quota that are reported. A call for each customer that comes only once
-# would flood the counter.
+# An evicted quota with fewer unreported units is dropped without a report. A call for each customer that
+# comes only once would flood the counter.
 MIN_REPORTED_UNITS = 2.0
 ROUNDING_UNITS = 1e-4  # a ceiling that lacks fewer units counts as full
 
--- a/apigateway/policy/endpoint_pool.py
+++ b/apigateway/policy/endpoint_pool.py
@@ -15,7 +15,7 @@
 GONE_RETENTION_S = 30.0
 CONGESTED_REQUESTS = 5.0  # at an endpoint; above this it holds more requests than it can process efficiently
 CONGESTION_SPAN_S = 1.5  # over which the share of answers from congested endpoints is measured
-CONGESTION_TRUST_S = 1.0  # without an answer, after which that share fades
+CONGESTION_TRUST_S = 1.0  # time without an answer after which that share decays
 MAX_CONGESTION_WEIGHT = 0.5  # of one answer after a long silence
 SHEDDING_CONGESTION = 0.5  # share of answers from congested endpoints above which load is shed
 MAX_ATTEMPTS_PER_ENDPOINT = 4.0  # in flight, over all gateways
@@ -43,7 +43,10 @@
         self.endpoints = routing.EndpointTable[EndpointState]()
         self.health = routing.EndpointHealth[EndpointState]()
         classes = settings.classes.values()
-        priors = {one.name: min(one.latency_objective / 5, one.deadline) for one in classes}
+        priors = {
+            service_class.name: min(service_class.latency_objective / 5, service_class.deadline)
+            for service_class in classes
+        }
         self.response_times = routing.ResponseTimes(priors, SMOOTHING_WEIGHT)
         self.send_rate = routing.EventRate(SEND_RATE_SPAN_S)
         self.capacity = routing.CapacityEstimator(MAX_ATTEMPTS_PER_ENDPOINT)
@@ -54,6 +57,7 @@
         self.max_attempts_in_flight = 2.0  # of this gateway, over all endpoints
         self.max_weight = 1.0
         self.next_backoff_end = 0.0  # time at which the next backoff ends, for queued requests
+        # Selections and skipped draws, by reason.
         self.choice_counts = dict.fromkeys(("report", "mean", "doubted", "busy", "barred", "outside"), 0)
 
     def update_endpoints(self, now: float, event: messages.EndpointList) -> None:
@@ -70,8 +74,13 @@
 
     def update_available(self, now: float) -> None:
         """Update the available endpoints and their limits, from the list and the evacuated zones."""
-        up = sorted((one for one in self.endpoints.values() if one.is_up), key=lambda one: one.ring_position)
-        self.available = [one for one in up if one.host.zone not in self.health.zone_health.evacuated] or up
+        up = sorted(
+            (endpoint for endpoint in self.endpoints.values() if endpoint.is_up),
+            key=lambda endpoint: endpoint.ring_position,
+        )
+        self.available = [
+            endpoint for endpoint in up if endpoint.host.zone not in self.health.zone_health.evacuated
+        ] or up
         max_held_requests = MAX_ATTEMPTS_PER_ENDPOINT * self.capacity.scale  # over all gateways
         price = self.settings.prices.get("cross_zone", 0.0)
         equal_share = max(1.0, max_held_requests / self.settings.gateway_count)
@@ -160,7 +169,7 @@
     def record_silence(
         self, now: float, endpoint_id: str, scope: Scope, key: AttemptKey | None = None
     ) -> None:
-        """Record an endpoint that does not answer as failed; `key`: an attempt to remove from its load."""
+        """Record a failure of an endpoint that does not answer; `key`: an attempt to remove from its load."""
         endpoint = self.endpoints[endpoint_id]
         if key is not None:  # the attempt no longer uses capacity
             self.remove_attempt(endpoint, key)
--- a/apigateway/policy/gateway.py
+++ b/apigateway/policy/gateway.py
@@ -114,7 +114,7 @@
         )
         headroom_units = PRIORITY_HEADROOM_SHARE * plan.burst * (1 - relative_weight)
         route = self.settings.routes.get(request.route) if request.route else None
-        kinds = route.allowed_kinds(one.host for one in self.pool.available) if route else ()
+        kinds = route.allowed_kinds(endpoint.host for endpoint in self.pool.available) if route else ()
         scope = self.fault_scopes.get(request.service_class, request.plan, plan.name)
         deadline = self.now + request.remaining
         return PendingRequest(
--- a/apigateway/policy/load_shedding.py
+++ b/apigateway/policy/load_shedding.py
@@ -5,7 +5,7 @@
 from apigateway.routing import AdmittedShare, RecentValues
 
 DECREASE_RATE_PER_S = 0.7  # exponential rate at which the admitted share falls while endpoints are congested
-RECOVERY_RATE_PER_S = 0.15  # added to the admitted share after the congestion
+RECOVERY_RATE_PER_S = 0.15  # linear rate at which the admitted share recovers after the congestion
 MIN_ADMITTED_SHARE = 0.05  # above 0, so that the end of the congestion is detected
 REQUESTS_COMPARED = 64  # latest requests whose priority densities are ranked
 
--- a/apigateway/policy/overload_gate.py
+++ b/apigateway/policy/overload_gate.py
@@ -8,7 +8,7 @@
 
 WINDOW_S = 0.05  # over which the lag is measured
 MIN_LAG_DURATION_S = 0.1  # continuous lag before load is shed: a single pause is not an overload
-# Share by which a window reduces the admitted share, for each multiple of the objective that the lag exceeds.
+# Relative decrease of the admitted share in one window, for each multiple of the objective above the first.
 DECREASE_PER_OBJECTIVE = 0.1
 MIN_DECREASE_FACTOR = 0.5  # of the admitted share in one window
 INCREASE_FACTOR = 1.02  # of the admitted share in a window within the objective
@@ -19,7 +19,7 @@
 STEPS_PER_DOUBLING = 4  # of the priority weight
 MAX_STEP = 100
 COUNT_DECAY_FACTOR = 0.8  # of the counts by priority, in each window
-MEAN_RETRY_AFTER_S = 0.25  # of a uniform distribution, when almost no requests are shed
+MEAN_RETRY_AFTER_S = 0.25  # of a uniform distribution while few requests are shed; it grows with their share
 MAX_CUSTOMERS = 10_000  # whose Retry-After is remembered
 
 
--- a/apigateway/policy/quota_leasing.py
+++ b/apigateway/policy/quota_leasing.py
@@ -16,7 +16,7 @@
 REPORT_THRESHOLD_SHARE = 0.5  # of the local allowance; more unreported units than this are reported
 CONGESTION_CALL_COST = 0.3  # cost of a call per squared congestion: it grows as the counter slows down
 MAX_REQUESTS_PER_CALL = 4.0  # requests that one call may stand for; with more, the shared count would jump
-MIN_OVERUSE_COST = 0.2  # of its priority; lowest cost of a unit beyond quota, as it loads shared endpoints
+MIN_OVERUSE_COST = 0.2  # of its priority; lowest cost of a unit beyond quota, which loads shared endpoints
 
 
 def acquire_units(state: GatewayState, pending: PendingRequest) -> None:
@@ -34,12 +34,12 @@
         priority * min(pending.grant_probability, _overuse_cost(pending))
     )
     _decide(state, pending, state.rng.random() < probability)
-    # A call also stands for the requests for which the counter is not asked.
+    # A call also stands for the requests for which no call is made.
     _renew_lease(state, quota, min(MAX_REQUESTS_PER_CALL, 1 / max(probability, 1e-9)))
 
 
 def _overuse_cost(pending: PendingRequest) -> float:
-    """Return the expected cost of admitting a request unasked, as a share of its priority."""
+    """Return the expected cost of admitting a request without a call, as a share of its priority."""
     cost = pending.plan.over_quota_cost - pending.plan.over_quota_weight
     return (1 - pending.grant_probability) * max(MIN_OVERUSE_COST, cost)
 
@@ -173,7 +173,7 @@
     """Decide on the requests that wait for a customer's units, highest priority per unit first."""
     waiting = _waiting_requests(state, quota)
     quota.waiting_request_ids = []
-    for pending in sorted(waiting, key=lambda one: -one.priority / max(one.request.units, 1e-9)):
+    for pending in sorted(waiting, key=lambda pending: -pending.priority / max(pending.request.units, 1e-9)):
         remaining = quota.remaining(state.now)
         if remaining + quota.leased_units < pending.request.units:
             quota.exhausted_until = state.now + max(0.0, 1 - remaining) / quota.rate
--- a/apigateway/policy/retries.py
+++ b/apigateway/policy/retries.py
@@ -8,7 +8,7 @@
 from apigateway.policy.pending_queue import PendingRequest
 from apigateway.policy.state import GatewayState
 
-# Retries that a retry after these results takes from the budget; after other results it takes 1.
+# What a retry after these results costs, in retries of the budget. After other results it costs 1.
 RETRY_COSTS = {AttemptResult.CONNECT_FAILED: 0.0, AttemptResult.REJECTED: 0.2}
 # Results after which a request may queue for another endpoint.
 REQUEUED_RESULTS = (AttemptResult.CONNECT_FAILED, AttemptResult.REJECTED, AttemptResult.RESET)
--- a/apigateway/policy/selection.py
+++ b/apigateway/policy/selection.py
@@ -13,7 +13,7 @@
 MIN_CANDIDATES = 2
 CANDIDATE_RATIO = 4.0  # candidates per (endpoints / gateways): about as many have fresh load reports
 MAX_DRAWS = 40  # random draws before all endpoints are checked
-SCORE_LIFETIME_S = 0.05  # for which a score that changes slowly is reused, unless an event clears it
+SCORE_LIFETIME_S = 0.05  # a score changes slowly and is reused for this time, unless an event clears it
 MIN_RESPONSE_TIME_RATIO = 0.3  # lower limit of an endpoint's response time divided by the mean of all
 FRESH_REPORT_WEIGHT = 0.5  # weight of a load report above which a choice is counted as based on it
 
@@ -60,9 +60,11 @@
     if count < len(endpoints) or len(endpoints) > MAX_COMPARED:
         candidates = _sample_candidates(state, pending, endpoints, min(count, MAX_CANDIDATES))
     if not candidates:
-        candidates = [one for one in endpoints if pool.has_capacity(one, state.now, pending.fault_scope)]
+        candidates = [
+            endpoint for endpoint in endpoints if pool.has_capacity(endpoint, state.now, pending.fault_scope)
+        ]
         if pending.tried_endpoint_ids or pending.allowed_kinds:
-            candidates = [one for one in candidates if is_eligible(state, pending, one)]
+            candidates = [endpoint for endpoint in candidates if is_eligible(state, pending, endpoint)]
     return _least_costly(state, pending.fault_scope, candidates)
 
 
--- a/apigateway/policy/state.py
+++ b/apigateway/policy/state.py
@@ -59,7 +59,9 @@
         max_retries = max(MIN_MAX_RETRY_BUDGET, MAX_RETRY_BUDGET / settings.gateway_count)
         self.retry_budget = RetryBudget(INITIAL_RETRY_BUDGET / settings.gateway_count, max_retries)
         self.load_shedder = LoadShedder(now, settings.gateway_count)
-        self.max_priority_weight = max(one.priority_weight for one in settings.classes.values())
+        self.max_priority_weight = max(
+            service_class.priority_weight for service_class in settings.classes.values()
+        )
         self.mean_priority = 0.0  # of the latest requests
         self.fault_scopes = FaultScopes()
         self.draining_since = math.inf  # since then, another process gets the tokens of the ceilings
--- a/apigateway/routing/decaying_counts.py
+++ b/apigateway/routing/decaying_counts.py
@@ -28,9 +28,10 @@
                 del self._counts[level]
 
     def top_share_threshold(self, share: float) -> tuple[int, float] | None:
-        """Return the lowest level in the top `share` (0 to 1) of all counts, and the part of it that is in.
+        """Return the lowest level in the top `share` (0 to 1) of all counts.
 
-        Return None if all levels are in.
+        The second value is the part of this level's count that belongs to the top share. Return None if all
+        levels belong to it.
         """
         remaining = share * sum(self._counts.values())
         for level in sorted(self._counts, reverse=True):
--- a/apigateway/routing/endpoint_table.py
+++ b/apigateway/routing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""A table of endpoints by id, which keeps those that are gone for a while."""
+"""A table of endpoints by id, which keeps an endpoint for some time after it is gone."""
 
 from __future__ import annotations
 
--- a/apigateway/routing/load_estimate.py
+++ b/apigateway/routing/load_estimate.py
@@ -14,7 +14,7 @@
 class LoadEstimate:
     """This gateway's attempts at an endpoint, plus the requests of other gateways by its latest report.
 
-    As the report ages, the mean of all endpoints takes over its weight.
+    As the report ages, its weight passes to the mean load of all endpoints.
     """
 
     def __init__(self, attempts_in_flight: AttemptTimes) -> None:
--- a/apigateway/routing/outlier_detection.py
+++ b/apigateway/routing/outlier_detection.py
@@ -11,7 +11,7 @@
 
 
 class OutlierDetector:
-    """Estimates how likely a host is failing, in each scope: the whole host, a class or a plan.
+    """Estimates the probability that a host is failing, by scope: the whole host, a class or a plan.
 
     Errors, timeouts, lost connections and rejections are treated alike. A failure counts in each scope,
     weighted by how much of the fleet fails in that scope. An answer to another kind of request does not clear
--- a/apigateway/routing/retry_budget.py
+++ b/apigateway/routing/retry_budget.py
@@ -1,10 +1,10 @@
-"""A retry budget: first attempts deposit a part of a retry each, up to a limit."""
+"""A retry budget: each first attempt adds a fraction of a retry, up to a limit."""
 
 from __future__ import annotations
 
 
 class RetryBudget:
-    """The number of retries that may be made, which need not be whole."""
+    """The retries that may still be made; their number may be fractional."""
 
     __slots__ = ("_limit", "retries")
 
--- a/apigateway/routing/subset.py
+++ b/apigateway/routing/subset.py
@@ -16,8 +16,8 @@
 from typing import TypeVar
 
 MIN_SUBSET_SIZE = 16  # hosts; enough for several in each zone, and for retries while several hosts fail
-REQUEST_INTERVAL_S = 5.0  # between requests to a host; keeps connections and load reports useful
-MIN_GATEWAYS_PER_HOST = 12.0  # whose subsets contain the host; evens out the load that each one sends
+REQUEST_INTERVAL_S = 5.0  # intended time between requests to a host: connections and reports stay useful
+MIN_GATEWAYS_PER_HOST = 12.0  # subsets that contain each host, so that uneven loads of gateways even out
 GOLDEN_RATIO = (math.sqrt(5) - 1) / 2  # its multiples are spread evenly over a ring
 SHRINK_RATIO = 0.5  # the subset shrinks only to this share or less: new hosts have no connections yet
 
--- a/apigateway/routing/zone_health.py
+++ b/apigateway/routing/zone_health.py
@@ -12,7 +12,7 @@
 
 from apigateway.messages import AttemptResult
 
-MIN_HOSTS = 6  # in a zone; in a smaller one the hosts are detected individually as fast
+MIN_HOSTS = 6  # in a zone; in a smaller one, failing hosts are detected as fast one by one
 TRAFFIC_SHARES = (1.0, 0.7, 0.25, 0.08)  # by the number of hosts that failed since the zone's last answer
 MIN_TRAFFIC_SHARE = 0.04  # trials; those of all gateways detect a recovery within a fraction of a second
 HALF_LIFE_S = 2.0  # of the reduction of traffic, so that a false positive ends by itself
@@ -70,7 +70,7 @@
         zone.last_failure_at = now
 
     def on_result(self, name: str, host: str, result: AttemptResult, now: float) -> None:
-        """Record the result of an attempt; a reset may come from the host or the network."""
+        """Record the result of an attempt. A reset is ignored: it may come from the host or the network."""
         if result == AttemptResult.CONNECT_FAILED:
             self.record_no_answer(name, host, now)
         elif result in (AttemptResult.ERROR, AttemptResult.REJECTED, AttemptResult.OK):
