--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A decision module under test: the harness feeds it events, keeps the time and plays the shared counter."""
+"""A harness for the decision module: it passes events, keeps the time and stands in for the counter."""
 
 from apigateway import messages
 from apigateway.policy import Gateway
@@ -78,8 +78,8 @@
         self.action_log, self.request_count = [], 0
         self.counter_totals = {}
         self.counter_mode = "answer"  # or "silent", "refuse", "hold"
-        listed = tuple(hosts if hosts is not None else [make_host("h1"), make_host("h2")])
-        self.handle(messages.EndpointList("cached", 1, listed))
+        listed_hosts = tuple(hosts if hosts is not None else [make_host("h1"), make_host("h2")])
+        self.handle(messages.EndpointList("cached", 1, listed_hosts))
 
     def handle(self, event):
         """Pass an event on, answer the counter calls as `counter_mode` says, and return all actions."""
@@ -107,7 +107,7 @@
         )
 
     def advance(self, seconds, step=0.02):
-        """Let time pass in steps, and return the actions of the timers."""
+        """Advance the clock in steps, with an expired timer at each, and return the actions."""
         actions, end = [], self.now + seconds
         while self.now < end - 1e-9:
             self.now = min(end, self.now + step)
--- a/tests/policy/test_customers.py
+++ b/tests/policy/test_customers.py
@@ -109,9 +109,8 @@
     harness = DecisionHarness(
         make_settings(plans=[make_plan(rate=100.0, burst=100.0)], max_customers=2, gateway_count=1), HOSTS
     )
-    held_actions = [
-        harness.send_request(customer, spread=1)[1] for customer in ("a", "b")
-    ]  # their requests are in flight
+    # The requests of both customers stay in flight.
+    held_actions = [harness.send_request(customer, spread=1)[1] for customer in ("a", "b")]
     harness.gateway.quotas["a"].local_slots_used = harness.gateway.quotas["b"].local_slots_used = 1
     request_id, actions = harness.send_request("c", spread=1)
     assert actions == [messages.Reject(request_id, 1.0)] and request_id not in harness.gateway.pending
--- a/tests/policy/test_endpoint_pool.py
+++ b/tests/policy/test_endpoint_pool.py
@@ -42,7 +42,7 @@
 
 
 def test_one_of_many_gateways_may_exceed_its_equal_share_and_silent_attempts_use_no_capacity():
-    """An equal share of 4 attempts per host is 1 attempt, too little for a gateway with many customers."""
+    """With 4 attempts per host, an equal share is 1 attempt: too little for a gateway with many customers."""
     harness = DecisionHarness(
         make_settings(plans=[LARGE_PLAN], gateway_count=200), [make_host(f"h{n}") for n in range(50)]
     )
--- a/tests/policy/test_overload_gate.py
+++ b/tests/policy/test_overload_gate.py
@@ -157,9 +157,11 @@
     gate.admitted_share, gate.priority_floor = 0.1, MAX_STEP + 1
     retry_afters = [gate.retry_after_if_shed(now, 0.0, LOW_PRIORITY, f"c{n}", 3.0) for n in range(200)]
     assert 0 <= min(retry_afters) < 0.5 and max(retry_afters) == 2.0 and len(set(retry_afters)) > 50
-    silent_gate, now = make_overloaded_gate(max_retry_after=0.0)
-    silent_gate.priority_floor = MAX_STEP + 1
-    assert {silent_gate.retry_after_if_shed(now, 0.0, LOW_PRIORITY, f"c{n}", 3.0) for n in range(20)} == {0.0}
+    gate_without_retry_after, now = make_overloaded_gate(max_retry_after=0.0)
+    gate_without_retry_after.priority_floor = MAX_STEP + 1
+    assert {
+        gate_without_retry_after.retry_after_if_shed(now, 0.0, LOW_PRIORITY, f"c{n}", 3.0) for n in range(20)
+    } == {0.0}
 
 
 @seed(13)
--- a/tests/policy/test_pending_queue.py
+++ b/tests/policy/test_pending_queue.py
@@ -108,7 +108,7 @@
 
 
 def make_harness_with_full_hosts(monkeypatch, request_count):
-    """Return a harness that got `request_count` requests and whose hosts are full, and the attempts there."""
+    """Return a harness that got `request_count` requests and whose hosts are full, and its attempts."""
     monkeypatch.setattr(dispatch, "MIN_QUEUE_LENGTH", request_count + 100)
     plan = messages.Plan("p", 1e6, 1e6, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0)
     harness = DecisionHarness(
@@ -137,7 +137,7 @@
     assert len(selections) <= 30
 
 
-def test_20000_queued_requests_are_all_answered_when_hosts_free_up_and_then_go(monkeypatch):
+def test_20000_queued_requests_are_all_answered_when_hosts_free_up_and_then_disappear(monkeypatch):
     request_count = 20_000
     harness, in_flight = make_harness_with_full_hosts(monkeypatch, request_count)
     waiting_count = harness.gateway.queue.waiting_count
--- a/tests/policy/test_quota_leasing.py
+++ b/tests/policy/test_quota_leasing.py
@@ -186,14 +186,14 @@
     second = DecisionHarness(make_settings(plans=[make_plan(burst=40.0, rate=10.0)], gateway_index=1), seed=2)
     second.counter_totals = first.counter_totals
     start = 0.0
-    for window_turn in range(6):
+    for window_number in range(6):
         for harness in (first, second):
             harness.now = max(first.now, second.now)
             count_forwarded(harness, 60)
         start = first.gateway.quotas["c"].window_start
         first.now = second.now = start + 4.0 + 0.001
         # The debt never exceeds the use.
-        assert max(first.counter_totals.values()) <= 40 + 10 * 4 + 3, window_turn
+        assert max(first.counter_totals.values()) <= 40 + 10 * 4 + 3, window_number
 
 
 def test_equal_share_of_the_concurrency_limit_needs_no_call():
@@ -431,7 +431,8 @@
         harness.handle(messages.CounterResult(call.counter_key, "ok", call.amount, 0.002)),
         messages.AddToCounter,
     )
-    harness.handle(messages.CounterResult(call.counter_key, "full", 0.0, 0.002))  # the overdraft
+    # The overdraft was not added.
+    harness.handle(messages.CounterResult(call.counter_key, "full", 0.0, 0.002))
     second = next_lease_call(harness)
     actions = harness.handle(
         messages.CounterResult(call.counter_key, "ok", call.amount + second.amount, 0.002)
@@ -439,7 +440,7 @@
     assert sum(correction.amount for correction in actions_of(actions, messages.AddToCounter)) < call.amount
 
 
-def test_ceiling_is_not_refilled_while_draining_and_again_if_the_successor_fails():
+def test_ceiling_is_not_refilled_while_draining_unless_the_successor_fails():
     ceiling = make_plan(rate=1000.0, burst=4000.0, ceiling_rate=1.0, ceiling_burst=4.0)
 
     def count_admitted(harness):
@@ -454,7 +455,7 @@
     harness.handle(messages.DrainGateway(True))
     harness.advance(10.0)
     assert count_admitted(harness) == 0  # the refill belongs to the successor
-    # Refilled before the drain.
+    # The ceiling of a new customer contains the refill from before the drain.
     assert not actions_of(harness.send_request(customer="other", spread=1)[1], messages.Reject)
     harness.handle(messages.DrainGateway(False))
     assert count_admitted(harness) == 4
@@ -515,7 +516,7 @@
         make_settings(gateway_count=100, plans=[make_plan(rate=0.5, burst=2.0)]),
         [make_host(f"h{n}") for n in range(9)],
     )
-    forwarded_count, max_total_units, unasked_count = 0, 0.0, 0
+    forwarded_count, max_total_units, without_call_count = 0, 0.0, 0
     for k in range(200):  # enough for some first requests to be admitted without a charge
         for _ in range(3):
             for forward in actions_of(
@@ -525,29 +526,30 @@
                 forwarded_count += 1
                 harness.end_attempt(forward)
             quota = harness.gateway.quotas[f"c{k}"]
-            max_total_units, unasked_count = (
+            max_total_units, without_call_count = (
                 max(max_total_units, quota.total_units),
-                unasked_count + (quota.unreported_units > 0),
+                without_call_count + (quota.unreported_units > 0),
             )
             harness.now += 4.0  # the next window, with half of the quota used
-    assert unasked_count and max_total_units <= 3.0 and forwarded_count > 580
+    assert without_call_count and max_total_units <= 3.0 and forwarded_count > 580
 
 
 def test_small_burst_is_not_available_at_once_in_the_next_window():
     """In a simulated day without faults, most requests forwarded beyond quotas came right after the end of a
-    window. Their customers had just used the burst of that window at other gateways.
+    window. Their customers had just used the burst of that window at other gateways, and the gateways that
+    forwarded the requests did not know it yet.
     """
     settings = make_settings(plans=[make_plan(rate=2.0, burst=8.0)])
     first, second = DecisionHarness(settings), DecisionHarness(settings, seed=2)
     first.counter_totals = second.counter_totals  # one counter
     count_forwarded(first, 1, spread=60)
     quota = first.gateway.quotas["c"]
-    window_turn = quota.window_start + quota.window_length
-    first.now = window_turn - 0.1
+    window_end = quota.window_start + quota.window_length
+    first.now = window_end - 0.1
     assert count_forwarded(first, 20, spread=60) + 1 >= 7
-    second.now = window_turn + 0.05
+    second.now = window_end + 0.05
     assert 2 <= count_forwarded(second, 20, spread=60) <= 4
-    second.now = window_turn + 0.6 * quota.window_length
+    second.now = window_end + 0.6 * quota.window_length
     assert count_forwarded(second, 20, spread=60) >= 3  # the rest is available later
 
 
--- a/tests/policy/test_requests.py
+++ b/tests/policy/test_requests.py
@@ -406,7 +406,7 @@
 @pytest.mark.parametrize("queue, is_cancelled", [(0.0, True), (9.0, False)])
 def test_no_attempt_is_given_up_while_all_hosts_are_slow(queue, is_cancelled):
     """In a simulated day with a third of the hosts in slow start, a sixth of the work of the other hosts was
-    given up, for attempts that waited as long elsewhere.
+    lost: attempts were given up for new ones that waited as long elsewhere.
     """
     harness = DecisionHarness(
         make_settings(plans=[LARGE_PLAN], limits=dict(can_hedge=False)),
--- a/tests/policy/test_reservations.py
+++ b/tests/policy/test_reservations.py
@@ -13,17 +13,18 @@
 CEILING_LIMITS = dict(rate=3.0, burst=6.0, ceiling_rate=4.0, ceiling_burst=8.0, ceiling_slack=0.0)
 
 
-def make_harness(plans=None, **kw):
+def make_harness(plans=None, **overrides):
     return DecisionHarness(
-        make_settings(plans=plans or [make_plan(rate=2.0, burst=8.0)], **{"gateway_count": 1, **kw}), HOSTS
+        make_settings(plans=plans or [make_plan(rate=2.0, burst=8.0)], **{"gateway_count": 1, **overrides}),
+        HOSTS,
     )
 
 
-def submit(harness, kind, customer="c", units=1.0, spread=1, **kw):
+def submit(harness, kind, customer="c", units=1.0, spread=1, **fields):
     """Submit a request or check, and return its answer or its forwarded attempt if that comes at once."""
     harness.request_count += 1
     actions = harness.handle(
-        kind(f"k{harness.request_count}", 3.0, customer, "p", "read", units, 0, spread, **kw)
+        kind(f"k{harness.request_count}", 3.0, customer, "p", "read", units, 0, spread, **fields)
     )
     answer = actions_of(
         actions, messages.QuotaGranted | messages.QuotaDenied | messages.ForwardRequest | messages.Reject
@@ -41,7 +42,7 @@
     assert all(
         isinstance(submit(harness, messages.PrepaidRequest), messages.ForwardRequest) for _ in range(20)
     )
-    assert isinstance(submit(harness, messages.Request), messages.Reject)  # and refund none
+    assert isinstance(submit(harness, messages.Request), messages.Reject)  # and they refund nothing
 
 
 def test_prepaid_requests_are_held_to_the_ceiling_however_many_units_were_reserved():
@@ -66,7 +67,7 @@
     ] == [True] * 4 + [False]
 
 
-def test_returned_reservations_leave_both_sides_of_the_ceiling_full():
+def test_returned_reservations_leave_both_buckets_of_the_ceiling_full():
     harness = make_harness([make_plan(**CEILING_LIMITS)])
     harness.now += 10.0
     for _ in range(3):
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -24,7 +24,7 @@
 
 
 class RuleOracle:
-    """Asserts the rules on every action, from the events and actions alone."""
+    """Asserts for every action that it keeps the rules, from the events and actions alone."""
 
     def __init__(self, settings):
         self.settings, self.up_ids, self.hosts = settings, set(), {}
@@ -49,7 +49,7 @@
         request = self.requests[action.request_id]
         service_class = self.settings.classes[request.service_class]
         assert action.endpoint_id in self.up_ids, "sent to a host that is not up"
-        assert action.request_id not in self.answered_ids, "sent after its answer"
+        assert action.request_id not in self.answered_ids, "sent after it was answered"
         assert action.endpoint_id not in self.tried_ids.get(action.request_id, ()), (
             "sent to the same host again"
         )
@@ -58,16 +58,20 @@
         )
         route = self.settings.routes.get(request.route)
         if route and not route.fallback:
-            assert self.hosts[action.endpoint_id].kind in route.endpoint_kinds, "sent past its route"
+            assert self.hosts[action.endpoint_id].kind in route.endpoint_kinds, (
+                "sent to a kind of host that its route does not allow"
+            )
         for host_id, _ in self.possible_executions.get(action.request_id, ()):
-            assert service_class.idempotency != "unsafe", "an unsafe request that may have run was sent again"
+            assert service_class.idempotency != "unsafe", (
+                "an unsafe request that may have been executed was sent again"
+            )
             if service_class.idempotency == "keyed" and service_class.deduplication_scope == "cell":
                 assert self.hosts[host_id].cell == self.hosts[action.endpoint_id].cell, (
-                    "sent out of its scope"
+                    "sent outside its deduplication scope"
                 )
             if service_class.idempotency == "keyed" and service_class.deduplication_scope == "zone":
                 assert self.hosts[host_id].zone == self.hosts[action.endpoint_id].zone, (
-                    "sent out of its scope"
+                    "sent outside its deduplication scope"
                 )
         attempt = len(self.tried_ids.setdefault(action.request_id, []))
         self.tried_ids[action.request_id].append(action.endpoint_id)
@@ -202,9 +206,9 @@
 
 def forward_requests(harness, request_count, service_class="read", remaining=3.0):
     return [
-        endpoint
+        forward
         for _ in range(request_count)
-        for endpoint in actions_of(
+        for forward in actions_of(
             harness.send_request(service_class=service_class, remaining=remaining, spread=1)[1],
             messages.ForwardRequest,
         )
@@ -245,7 +249,7 @@
         if int(endpoint.host.id[1:]) % 2 == 0
     ]
     late_forwards = [
-        endpoint for endpoint in forward_requests(harness, 200) if int(endpoint.endpoint_id[1:]) % 2
+        forward for forward in forward_requests(harness, 200) if int(forward.endpoint_id[1:]) % 2
     ]
     # The silent hosts get less than half now.
     assert served_count > 500 and sum(silent_attempts) < 4 * 500 and len(late_forwards) > 110
@@ -273,9 +277,9 @@
             harness.advance(0.05)
     # An equal share of all attempts, per host and second.
     mean_rate = sum(map(len, send_times.values())) / 2.0 / 1000
-    cold_counts = [len(times) for name, times in send_times.items() if name[0] == "c"]
+    slow_start_counts = [len(times) for name, times in send_times.items() if name[0] == "c"]
     # By the rules, a host in slow start withstands 0.2 of its capacity, and twice that for some time.
-    assert cold_counts and max(cold_counts) <= max(2 * gateway_count, 2.0 * mean_rate * 2.0)
+    assert slow_start_counts and max(slow_start_counts) <= max(2 * gateway_count, 2.0 * mean_rate * 2.0)
 
 
 def test_only_up_hosts_are_selected_after_many_lists():
@@ -291,7 +295,7 @@
             )
         )
     harness.handle(messages.EndpointList("full", 99, tuple(listed_hosts)))
-    assert {endpoint.endpoint_id for endpoint in forward_requests(harness, 30)} <= set(up_ids) and len(
+    assert {forward.endpoint_id for forward in forward_requests(harness, 30)} <= set(up_ids) and len(
         harness.gateway.pool.available
     ) == 3
 
--- a/tests/routing/test_capacity_estimator.py
+++ b/tests/routing/test_capacity_estimator.py
@@ -52,7 +52,7 @@
             harness.end_attempt(forward, load_report={"inflight": 9.0, "util": 0.56}, elapsed=0.2)
         harness.now += 0.05
     assert sent == 300
-    for n in range(300):  # an overload of these hosts still sheds load
+    for n in range(300):  # when these hosts are overloaded, load is still shed
         for forward in actions_of(
             harness.send_request(service_class=("read", "write")[n % 2])[1], messages.ForwardRequest
         ):
--- a/tests/routing/test_subset.py
+++ b/tests/routing/test_subset.py
@@ -20,24 +20,30 @@
 
 @seed(1)
 @hypothesis_settings(deadline=None, max_examples=25)
-@given(hosts=strategies.integers(1, 400), gateways=strategies.integers(1, 400), rate=strategies.floats(0, 50))
-def test_every_host_is_in_about_as_many_subsets_as_any_other(hosts, gateways, rate):
-    size = subset.subset_size(hosts, gateways, rate, 0)
+@given(
+    host_count=strategies.integers(1, 400),
+    gateway_count=strategies.integers(1, 400),
+    rate=strategies.floats(0, 50),
+)
+def test_every_host_is_in_about_as_many_subsets_as_any_other(host_count, gateway_count, rate):
+    size = subset.subset_size(host_count, gateway_count, rate, 0)
     gateways_by_host = Counter(
-        h for g in range(gateways) for h in subset.deterministic_subset(make_ring(hosts), g, gateways, size)
+        host_id
+        for gateway_index in range(gateway_count)
+        for host_id in subset.deterministic_subset(make_ring(host_count), gateway_index, gateway_count, size)
     )
-    assert len(set(subset.deterministic_subset(make_ring(hosts), 0, gateways, size))) == size
-    counts = [gateways_by_host[h] for h in make_ring(hosts)]
+    assert len(set(subset.deterministic_subset(make_ring(host_count), 0, gateway_count, size))) == size
+    counts = [gateways_by_host[host_id] for host_id in make_ring(host_count)]
     assert min(counts) >= 1
-    if size < hosts:
+    if size < host_count:
         # The positions of hosts and gateways on the ring do not match exactly: a difference of one gateway on
         # either side, and as many again as there are gateways for each host.
-        assert max(counts) - min(counts) <= 2 * (gateways // hosts + 2)
-        assert min(counts) >= 0.5 * gateways * size / hosts - 2
+        assert max(counts) - min(counts) <= 2 * (gateway_count // host_count + 2)
+        assert min(counts) >= 0.5 * gateway_count * size / host_count - 2
 
 
 @pytest.mark.parametrize(
-    "gateways, hosts, rate, min_size, max_size",
+    "gateway_count, host_count, rate, min_size, max_size",
     [
         (3, 10, 30.0, 10, 10),
         (4, 14, 40.0, 14, 14),
@@ -49,18 +55,19 @@
         (20, 50, 10.0, 50, 50),
     ],
 )
-def test_subset_size_follows_gateways_hosts_and_rate(gateways, hosts, rate, min_size, max_size):
-    assert min_size <= subset.subset_size(hosts, gateways, rate, 0) <= max_size
+def test_subset_size_follows_gateways_hosts_and_rate(gateway_count, host_count, rate, min_size, max_size):
+    assert min_size <= subset.subset_size(host_count, gateway_count, rate, 0) <= max_size
 
 
-@pytest.mark.parametrize("gateways, hosts", [(200, 50), (200, 117), (1000, 200)])
-def test_removing_a_host_changes_each_subset_by_one_host_at_most(gateways, hosts):
-    ring = make_ring(hosts)
+@pytest.mark.parametrize("gateway_count, host_count", [(200, 50), (200, 117), (1000, 200)])
+def test_removing_a_host_changes_each_subset_by_one_host_at_most(gateway_count, host_count):
+    ring = make_ring(host_count)
     for removed in ring[::7]:
-        smaller_ring = [h for h in ring if h != removed]
-        for g in range(0, gateways, 9):
+        smaller_ring = [host_id for host_id in ring if host_id != removed]
+        for gateway_index in range(0, gateway_count, 9):
             before, after = (
-                set(subset.deterministic_subset(r, g, gateways, 16)) for r in (ring, smaller_ring)
+                set(subset.deterministic_subset(candidate_ring, gateway_index, gateway_count, 16))
+                for candidate_ring in (ring, smaller_ring)
             )
             assert len(before - after - {removed}) <= 1
 
@@ -71,19 +78,19 @@
     assert subset.subset_size(200, 200, 2.0, 40) == 16
 
 
-def make_harness(hosts=50, index=3, **overrides):
-    listed = [make_host(f"h{n}", cell=n % 7) for n in range(hosts)]
+def make_harness(host_count=50, index=3, **overrides):
+    listed_hosts = [make_host(f"h{n}", cell=n % 7) for n in range(host_count)]
     return DecisionHarness(
-        make_settings(plans=[UNLIMITED], gateway_count=200, gateway_index=index, **overrides), listed
+        make_settings(plans=[UNLIMITED], gateway_count=200, gateway_index=index, **overrides), listed_hosts
     )
 
 
 def count_served(harness, request_count, **overrides):
     counts = Counter()
     for _ in range(request_count):
-        for send in actions_of(harness.send_request(plan="p", **overrides)[1], messages.ForwardRequest):
-            counts[send.endpoint_id] += 1
-            harness.end_attempt(send)
+        for forward in actions_of(harness.send_request(plan="p", **overrides)[1], messages.ForwardRequest):
+            counts[forward.endpoint_id] += 1
+            harness.end_attempt(forward)
         harness.now += 0.3
     return counts
 
@@ -97,8 +104,8 @@
 def test_subset_grows_with_the_request_rate():
     harness = make_harness()
     for _ in range(300):
-        for send in actions_of(harness.send_request(plan="p")[1], messages.ForwardRequest):
-            harness.end_attempt(send)
+        for forward in actions_of(harness.send_request(plan="p")[1], messages.ForwardRequest):
+            harness.end_attempt(forward)
         harness.now += 0.02
     assert len(harness.gateway.pool.subset) == 50
     count_served(harness, 60)
@@ -108,18 +115,18 @@
 
 def test_retry_restricted_to_its_cell_may_leave_the_subset():
     harness = make_harness()
-    subset_ids = {s.host.id for s in harness.gateway.pool.subset}
-    cells = Counter(s.host.cell for s in harness.gateway.pool.subset)
+    subset_ids = {endpoint.host.id for endpoint in harness.gateway.pool.subset}
+    cells = Counter(endpoint.host.cell for endpoint in harness.gateway.pool.subset)
     harness.gateway.pool.health.outliers.failing_shares["host"] = 0.02
     outside_count = 0
     for _ in range(60):
-        send = actions_of(
+        forward = actions_of(
             harness.send_request(plan="p", service_class="cellwrite")[1], messages.ForwardRequest
         )[0]
-        retries = actions_of(harness.end_attempt(send, "reset"), messages.ForwardRequest)
+        retries = actions_of(harness.end_attempt(forward, "reset"), messages.ForwardRequest)
         if retries:
             cell_by_id = {f"h{n}": n % 7 for n in range(50)}
-            assert cell_by_id[retries[0].endpoint_id] == cell_by_id[send.endpoint_id]
+            assert cell_by_id[retries[0].endpoint_id] == cell_by_id[forward.endpoint_id]
             outside_count += retries[0].endpoint_id not in subset_ids
             harness.end_attempt(retries[0], attempt=1)
         harness.now += 3.0
@@ -129,36 +136,42 @@
 def test_second_attempt_leaves_a_subset_in_which_all_hosts_fail():
     harness = make_harness()
     sent, rejected = [], 0
-    failing_ids = {s.host.id for s in harness.gateway.pool.subset}
+    failing_ids = {endpoint.host.id for endpoint in harness.gateway.pool.subset}
     for _ in range(30):
-        acts = harness.send_request(plan="p")[1]
-        while sends := actions_of(acts, messages.ForwardRequest):
-            sent.append(sends[0].endpoint_id)
-            fails = sends[0].endpoint_id in failing_ids
+        actions = harness.send_request(plan="p")[1]
+        while forwards := actions_of(actions, messages.ForwardRequest):
+            sent.append(forwards[0].endpoint_id)
+            fails = forwards[0].endpoint_id in failing_ids
             number = (
                 sum(
-                    s.request_id == sends[0].request_id
-                    for _, s in [e for e in harness.action_log if type(e[1]) is messages.ForwardRequest]
+                    action.request_id == forwards[0].request_id
+                    for _, action in [
+                        entry for entry in harness.action_log if type(entry[1]) is messages.ForwardRequest
+                    ]
                 )
                 - 1
             )
-            acts = harness.end_attempt(
-                sends[0], "connect_failed" if fails else "ok", attempt=number, is_final=not fails
+            actions = harness.end_attempt(
+                forwards[0], "connect_failed" if fails else "ok", attempt=number, is_final=not fails
             )
-        rejected += len(actions_of(acts, messages.Reject))
+        rejected += len(actions_of(actions, messages.Reject))
         harness.now += 0.5
-    assert any(h not in failing_ids for h in sent) and rejected < 10
+    assert any(host_id not in failing_ids for host_id in sent) and rejected < 10
 
 
-@pytest.mark.parametrize("gateways, is_suspected", [(200, True), (3, False)])
-def test_one_attempt_past_the_latency_objective_marks_a_host_in_a_large_fleet_only(gateways, is_suspected):
-    listed = [make_host(f"h{n}") for n in range(50)]
+@pytest.mark.parametrize("gateway_count, is_suspected", [(200, True), (3, False)])
+def test_one_attempt_past_the_latency_objective_marks_a_host_in_a_large_fleet_only(
+    gateway_count, is_suspected
+):
+    listed_hosts = [make_host(f"h{n}") for n in range(50)]
     limits = dict(can_hedge=False, can_cancel=False)
-    harness = DecisionHarness(make_settings(plans=[UNLIMITED], gateway_count=gateways, limits=limits), listed)
-    send = actions_of(harness.send_request(plan="p", service_class="note")[1], messages.ForwardRequest)[0]
+    harness = DecisionHarness(
+        make_settings(plans=[UNLIMITED], gateway_count=gateway_count, limits=limits), listed_hosts
+    )
+    forward = actions_of(harness.send_request(plan="p", service_class="note")[1], messages.ForwardRequest)[0]
     harness.advance(1.1)  # its latency objective is 1 s
     failure_probability = harness.gateway.pool.health.outliers.failure_probability(
-        send.endpoint_id, "host", harness.now
+        forward.endpoint_id, "host", harness.now
     )
     assert (failure_probability > 0.6) == is_suspected and failure_probability > 0.15
 
@@ -166,30 +179,35 @@
 @seed(1)
 @hypothesis_settings(deadline=None, max_examples=40)
 @given(
-    gateways=strategies.integers(60, 400),
-    hosts=strategies.integers(20, 120),
+    gateway_count=strategies.integers(60, 400),
+    host_count=strategies.integers(20, 120),
     remaining_share=strategies.floats(0.25, 0.9),
     first_lost=strategies.integers(0, 399),
     step=strategies.sampled_from([1, 2, 3]),
 )
 def test_hosts_stay_covered_when_a_range_of_gateways_is_lost(
-    gateways, hosts, remaining_share, first_lost, step
+    gateway_count, host_count, remaining_share, first_lost, step
 ):
-    """Also for every second or third gateway, such as those of a zone.
+    """This also holds when every second or third gateway is lost, such as those of a zone.
 
     When a range of 200 gateway processes was killed, the busiest host had 1.6 times the mean load and the
     least busy one half of it.
     """
-    size = max(20, subset.subset_size(hosts, gateways, 3.0, 0))
-    lost = {(first_lost + step * n) % gateways for n in range(round((1 - remaining_share) * gateways))}
-    remaining = [g for g in range(gateways) if g not in lost]
-    size = min(hosts, max(size, round(6 * hosts / len(remaining))))  # six gateways per host in the mean
+    size = max(20, subset.subset_size(host_count, gateway_count, 3.0, 0))
+    lost = {
+        (first_lost + step * n) % gateway_count for n in range(round((1 - remaining_share) * gateway_count))
+    }
+    remaining = [gateway_index for gateway_index in range(gateway_count) if gateway_index not in lost]
+    # Six gateways per host on average.
+    size = min(host_count, max(size, round(6 * host_count / len(remaining))))
     gateways_by_host = Counter(
-        h for g in remaining for h in subset.deterministic_subset(make_ring(hosts), g, gateways, size)
+        host_id
+        for gateway_index in remaining
+        for host_id in subset.deterministic_subset(make_ring(host_count), gateway_index, gateway_count, size)
     )
-    mean = len(remaining) * size / hosts
+    mean = len(remaining) * size / host_count
     assert (
-        min(gateways_by_host[h] for h in make_ring(hosts)) >= 0.4 * mean - 2
+        min(gateways_by_host[host_id] for host_id in make_ring(host_count)) >= 0.4 * mean - 2
         and max(gateways_by_host.values()) <= 1.7 * mean + 2
     )
 
@@ -201,8 +219,8 @@
         next(iter(harness.gateway.pool.subset)).host.id,
     )
     while not choice_counts["report"]:
-        for send in actions_of(harness.send_request(plan="p")[1], messages.ForwardRequest):
-            harness.end_attempt(send, load_report={"queue": 0.0})
+        for forward in actions_of(harness.send_request(plan="p")[1], messages.ForwardRequest):
+            harness.end_attempt(forward, load_report={"queue": 0.0})
     assert choice_counts["mean"] and not choice_counts["outside"] and not choice_counts["doubted"]
     harness.gateway.pool.health.outliers.record(endpoint_id, ("host",), True, harness.now)
     for endpoint in harness.gateway.pool.subset:
--- a/tests/routing/test_zone_health.py
+++ b/tests/routing/test_zone_health.py
@@ -81,8 +81,9 @@
 def test_gateway_avoids_a_lost_zone_after_three_failed_hosts_and_detects_its_recovery():
     """Guards against detecting the hosts of a lost zone one by one.
 
-    In a fleet run with a zone partition, 1,935 connection attempts failed that way. Over the six gateways of
-    this test, an equal share of the attempts would be 200 failures, and detecting each host takes 71.
+    In a fleet run with a zone partition, 1,935 connection attempts failed that way. The six gateways of this
+    test would see 200 failures if the zone kept an equal share of the attempts, and 71 if each host were
+    detected by itself.
     """
     failures = attempts_after_recovery = 0
     for seed in range(1, 7):
@@ -92,16 +93,16 @@
             seed=seed,
         )
         for n in range(150):
-            acts, attempt = harness.send_request(plan="p")[1], 0
-            while sends := actions_of(acts, messages.ForwardRequest):
-                is_lost_zone = int(sends[0].endpoint_id[1:]) % 3 == 0
+            actions, attempt = harness.send_request(plan="p")[1], 0
+            while forwards := actions_of(actions, messages.ForwardRequest):
+                is_lost_zone = int(forwards[0].endpoint_id[1:]) % 3 == 0
                 fails = is_lost_zone and n < 100
                 failures, attempts_after_recovery = (
                     failures + fails,
                     attempts_after_recovery + (is_lost_zone and n >= 125),
                 )
-                acts = harness.end_attempt(
-                    sends[0], "connect_failed" if fails else "ok", attempt=attempt, is_final=not fails
+                actions = harness.end_attempt(
+                    forwards[0], "connect_failed" if fails else "ok", attempt=attempt, is_final=not fails
                 )
                 attempt += 1
             harness.now += 0.3
@@ -114,11 +115,11 @@
     )
     lowest_share = 1.0
     for _ in range(200):
-        acts, attempt = harness.send_request(plan="p")[1], 0
-        while sends := actions_of(acts, messages.ForwardRequest):
-            fails = int(sends[0].endpoint_id[1:]) % 8 == 0  # one in eight, in all zones
-            acts = harness.end_attempt(
-                sends[0], "connect_failed" if fails else "ok", attempt=attempt, is_final=not fails
+        actions, attempt = harness.send_request(plan="p")[1], 0
+        while forwards := actions_of(actions, messages.ForwardRequest):
+            fails = int(forwards[0].endpoint_id[1:]) % 8 == 0  # one in eight, in all zones
+            actions = harness.end_attempt(
+                forwards[0], "connect_failed" if fails else "ok", attempt=attempt, is_final=not fails
             )
             attempt += 1
         lowest_share = min(
@@ -129,18 +130,18 @@
     assert lowest_share >= 0.2
 
 
-@pytest.mark.parametrize("gateways", [3, 200])
-def test_evacuated_zone_gets_no_requests_until_the_evacuation_ends(gateways):
+@pytest.mark.parametrize("gateway_count", [3, 200])
+def test_evacuated_zone_gets_no_requests_until_the_evacuation_ends(gateway_count):
     harness = DecisionHarness(
-        make_settings(plans=[UNLIMITED], gateway_count=gateways, limits=dict(can_hedge=False)), HOSTS
+        make_settings(plans=[UNLIMITED], gateway_count=gateway_count, limits=dict(can_hedge=False)), HOSTS
     )
 
     def zones_used(request_count):
         zones = set()
         for _ in range(request_count):
-            for send in actions_of(harness.send_request(plan="p")[1], messages.ForwardRequest):
-                zones.add("abc"[int(send.endpoint_id[1:]) % 3])
-                harness.end_attempt(send)
+            for forward in actions_of(harness.send_request(plan="p")[1], messages.ForwardRequest):
+                zones.add("abc"[int(forward.endpoint_id[1:]) % 3])
+                harness.end_attempt(forward)
             harness.now += 0.2
         return zones
 
@@ -163,10 +164,9 @@
     harness = DecisionHarness(
         make_settings(plans=[UNLIMITED], gateway_count=200, limits=dict(can_hedge=False)), HOSTS
     )
-    send = actions_of(harness.send_request(plan="p", service_class="write")[1], messages.ForwardRequest)[
-        0
-    ]  # keyed, within its zone
-    zone = "abc"[int(send.endpoint_id[1:]) % 3]
+    # A request of this class is keyed and may be repeated within its zone only.
+    forward = actions_of(harness.send_request(plan="p", service_class="write")[1], messages.ForwardRequest)[0]
+    zone = "abc"[int(forward.endpoint_id[1:]) % 3]
     harness.handle(messages.EvacuateZones((zone,)))
-    acts = harness.end_attempt(send, "reset")
-    assert not actions_of(acts, messages.ForwardRequest) and actions_of(acts, messages.Fail)
+    actions = harness.end_attempt(forward, "reset")
+    assert not actions_of(actions, messages.ForwardRequest) and actions_of(actions, messages.Fail)
