--- a/apigateway/messages.py
+++ b/apigateway/messages.py
@@ -226,7 +226,7 @@
         minimum = min(
             self.drain_grace, self.slow_start_duration, self.overload_multiple, self.overload_duration
         )
-        _require(minimum >= 0, "rules must not be negative")
+        _require(minimum >= 0, "rules: values must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
--- a/apigateway/policy/quota_leasing.py
+++ b/apigateway/policy/quota_leasing.py
@@ -15,7 +15,7 @@
 
 REPORT_THRESHOLD_SHARE = 0.5  # of the local allowance; more unreported units than this are reported
 CONGESTION_CALL_COST = 0.3  # cost of a call per squared congestion: it grows as the counter slows down
-MAX_REQUESTS_PER_CALL = 4.0  # requests that one call may stand for; with more, the shared count would jump
+MAX_REQUESTS_PER_CALL = 4.0  # requests that one call may represent; with more, the shared count would jump
 MIN_OVERUSE_COST = 0.2  # of its priority; lowest cost of a unit beyond quota, which loads shared endpoints
 
 
@@ -34,7 +34,7 @@
         priority * min(pending.grant_probability, _overuse_cost(pending))
     )
     _decide(state, pending, state.rng.random() < probability)
-    # A call also stands for the requests for which no call is made.
+    # A call also represents the requests for which no call is made.
     _renew_lease(state, quota, min(MAX_REQUESTS_PER_CALL, 1 / max(probability, 1e-9)))
 
 
@@ -45,6 +45,7 @@
 
 
 def _decide(state: GatewayState, pending: PendingRequest, may_call_counter: bool) -> None:
+    """Admit a request, reject it, forward it beyond its quota, or let it wait for a call to the counter."""
     quota = pending.quota
     units = pending.request.units
     remaining = quota.remaining(state.now)
@@ -94,7 +95,7 @@
 def _renew_lease(state: GatewayState, quota: CustomerQuota, requests_represented: float = 1.0) -> None:
     """Report used units and ask for more if that is due.
 
-    `requests_represented`: the number of requests that each waiting request stands for.
+    `requests_represented`: the number of requests that each waiting request represents.
     """
     if quota.has_call_in_flight or not state.counter.is_usable(state.now):
         return
--- a/apigateway/policy/retries.py
+++ b/apigateway/policy/retries.py
@@ -76,7 +76,7 @@
 def _give_up(state: GatewayState, pending: PendingRequest, silent_attempts: list[int]) -> None:
     given_up = pending.mark_given_up(silent_attempts)
     # An attempt is rarely this late at a healthy endpoint. With few gateways, each one sends to all endpoints
-    # and learns fast enough without this.
+    # and detects silent endpoints fast enough without this.
     for number in given_up if len(state.pool.subset) < len(state.pool.available) else ():
         state.pool.record_silence(state.now, pending.in_flight[number].endpoint_id, pending.fault_scope)
     limits = state.settings.limits
--- a/apigateway/routing/lease_ledger.py
+++ b/apigateway/routing/lease_ledger.py
@@ -198,7 +198,7 @@
         return entry
 
     def on_call_without_total(self, result: CounterCallResult, entry: LedgerEntry) -> None:
-        """Record that a call returned no total; `result` tells whether its units were added."""
+        """Record that a call returned no total; `result` shows whether its units were added."""
         if result == CounterCallResult.MALFORMED_REPLY:  # added, but not leased: the next call claims them
             self.reported_units += entry.amount
             self.unclaimed_units += entry.requested
