--- a/apigateway/policy/customers.py
+++ b/apigateway/policy/customers.py
@@ -11,8 +11,8 @@
 MIN_IDLE_S = 30.0  # shortest time for which a quota is kept after its customer's last request
 # Oldest quotas that are checked at each request. A request adds at most one, so they do not pile up.
 QUOTAS_CHECKED_PER_REQUEST = 4
-# Fewest unreported units of an evicted quota that are reported. A call for each customer that comes only once
-# would flood the counter.
+# An evicted quota with fewer unreported units is dropped without a report. A call for each customer that
+# comes only once would flood the counter.
 MIN_REPORTED_UNITS = 2.0
 ROUNDING_UNITS = 1e-4  # a ceiling that lacks fewer units counts as full
 
@@ -56,7 +56,8 @@
     """Evict an old quota that is not in use, and return whether there was one.
 
     Its ceiling must be full, so that a new quota's ceiling is not fuller. The overdraft of the window is
-    lost: a customer that is evicted in every window gets up to twice its rate."""
+    lost: a customer that is evicted in every window gets up to twice its rate.
+    """
     for quota in list(itertools.islice(state.quotas.values(), QUOTAS_CHECKED_PER_REQUEST)):
         del state.quotas[quota.customer]
         tokens = quota.ceiling.available(min(state.now, state.draining_since))
--- a/apigateway/policy/retries.py
+++ b/apigateway/policy/retries.py
@@ -8,7 +8,7 @@
 from apigateway.policy.pending_queue import PendingRequest
 from apigateway.policy.state import GatewayState
 
-# Retries that a retry after these results takes from the budget; after other results it takes 1.
+# What a retry after these results costs, in retries of the budget. After other results it costs 1.
 RETRY_COSTS = {AttemptResult.CONNECT_FAILED: 0.0, AttemptResult.REJECTED: 0.2}
 # Results after which a request may queue for another endpoint.
 REQUEUED_RESULTS = (AttemptResult.CONNECT_FAILED, AttemptResult.REJECTED, AttemptResult.RESET)
@@ -76,7 +76,7 @@
 def _give_up(state: GatewayState, pending: PendingRequest, silent_attempts: list[int]) -> None:
     given_up = pending.mark_given_up(silent_attempts)
     # An attempt is rarely this late at a healthy endpoint. With few gateways, each one sends to all endpoints
-    # and learns fast enough without this.
+    # and detects silent endpoints fast enough without this.
     for number in given_up if len(state.pool.subset) < len(state.pool.available) else ():
         state.pool.record_silence(state.now, pending.in_flight[number].endpoint_id, pending.fault_scope)
     limits = state.settings.limits
--- a/tests/policy/test_endpoint_pool.py
+++ b/tests/policy/test_endpoint_pool.py
@@ -42,7 +42,7 @@
 
 
 def test_one_of_many_gateways_may_exceed_its_equal_share_and_silent_attempts_use_no_capacity():
-    """An equal share of 4 attempts per host is 1 attempt, too little for a gateway with many customers."""
+    """With 4 attempts per host, an equal share is 1 attempt: too little for a gateway with many customers."""
     harness = DecisionHarness(
         make_settings(plans=[LARGE_PLAN], gateway_count=200), [make_host(f"h{n}") for n in range(50)]
     )
@@ -108,7 +108,8 @@
 
 def test_all_hosts_in_slow_start_get_requests_from_the_first_second():
     """Hosts in slow start got a share of the current send rate. With all hosts in slow start, that rate was 0
-    and stayed 0."""
+    and stayed 0.
+    """
     harness = DecisionHarness(
         make_settings(plans=[LARGE_PLAN]),
         [make_host(f"h{n}", started_at=1000.0) for n in range(4)],
