--- a/apigateway/cli/experiment.py
+++ b/apigateway/cli/experiment.py
@@ -95,7 +95,6 @@
 
 
 def _write_files(options: ExperimentOptions, experiment: Experiment, rows: list[SummaryRow]) -> None:
-
     if options.json_path:
         with open(options.json_path, "w", encoding="utf-8") as file:
             file.write(format_report(experiment, rows) + "\n")
@@ -108,7 +107,6 @@
 def _print_table(
     experiment: Experiment, rows: list[SummaryRow], older_figures: FiguresByLabel | None
 ) -> None:
-
     heading, *lines = figure_table(experiment, rows, older_figures)
     table = Table(title=f"{experiment.name}: median over seeds (least to most)")
     for index, name in enumerate(heading):
@@ -119,7 +117,6 @@
 
 
 def _print_seconds(rows: list[SummaryRow]) -> None:
-
     for row in rows:
         print(row.label)
         for line in second_table(row):
@@ -128,7 +125,6 @@
 
 def _print_broken_rules(rows: list[SummaryRow]) -> bool:
     """Print the rules that modules broke; return whether any were broken."""
-
     violations = [
         f"{row.label}: {violation}" for row in rows if row.is_module for violation in row.violations
     ]
--- a/apigateway/cli/plugin.py
+++ b/apigateway/cli/plugin.py
@@ -16,13 +16,8 @@
 from apigateway.tools.plugins.report import InvalidArgumentError, Report
 
 _MICROSECONDS_PER_SECOND = 1e6
-_COUNT_GROUPS = (
-    "allowed",
-    "denied",
-    "failed",
-    "not asked",
-    "counters",
-)  # groups of counts in a plug-in's status
+# Groups of counts in a plug-in's status.
+_COUNT_GROUPS = ("allowed", "denied", "failed", "not asked", "counters")
 
 
 def run(arguments: argparse.Namespace) -> int:
--- a/apigateway/core/interfaces.py
+++ b/apigateway/core/interfaces.py
@@ -92,7 +92,7 @@
         """Whether the last byte was written, after which the request may have run."""
 
     def elapsed(self) -> float:
-        """Return the seconds since the attempt was sent or, if it has ended, its duration."""
+        """Return the seconds since the attempt was created; called when the attempt ends."""
 
 
 class UpstreamPool(Protocol):
--- a/apigateway/counter/client.py
+++ b/apigateway/counter/client.py
@@ -14,9 +14,8 @@
 
 _LIVENESS_CHECK_INTERVAL_S = 0.25
 _MIN_REPLY_TIMEOUT_S = 0.5  # shortest time after which a connection with an overdue reply is aborted
-_REPLY_TIMEOUT_FACTOR = (
-    2  # times the call timeout, if that is longer; all overdue calls have timed out by then
-)
+# Multiple of the call timeout that is used if it is longer; all overdue calls have timed out by then.
+_REPLY_TIMEOUT_FACTOR = 2
 
 
 class QuotaCounterClient:
--- a/apigateway/daemon/config.py
+++ b/apigateway/daemon/config.py
@@ -64,7 +64,7 @@
         overload: Thresholds of load shedding; None to never shed load early.
         evacuated_zones: Zones that get no new requests, as set by the operator.
         linger: How long after SIGTERM connections are still accepted.
-        shutdown_timeout: How long after SIGTERM all requests are answered.
+        shutdown_timeout: Time after SIGTERM by which all requests are answered.
     """
 
     name: str
--- a/apigateway/daemon/endpoint_list.py
+++ b/apigateway/daemon/endpoint_list.py
@@ -48,7 +48,7 @@
         known_zones = {endpoint.zone for endpoint in self.listing.endpoint_list.endpoints}
         if known_zones and known_zones <= set(zones):
             log.warning(
-                "sites.leave lists every zone that has endpoints (%s); no zone remains",
+                "sites.leave lists every zone that has endpoints (%s); all of them stay in use",
                 " ".join(sorted(known_zones)),
             )
         else:
--- a/apigateway/daemon/notify.py
+++ b/apigateway/daemon/notify.py
@@ -90,7 +90,10 @@
 
 
 def _keepalive_interval(env: Mapping[str, str]) -> float:
-    """Return half of WATCHDOG_USEC in seconds, as sd_watchdog_enabled(3) advises; 0 for another process."""
+    """Return half of WATCHDOG_USEC in seconds, as sd_watchdog_enabled(3) advises.
+
+    Returns 0 if the variable is not set, or if WATCHDOG_PID names another process.
+    """
     timeout_us = env.get("WATCHDOG_USEC", "")
     watched_pid = env.get("WATCHDOG_PID", "")
     if not timeout_us.isdecimal() or (watched_pid and watched_pid != str(os.getpid())):
--- a/apigateway/daemon/settings_reload.py
+++ b/apigateway/daemon/settings_reload.py
@@ -1,4 +1,4 @@
-"""Compare two versions of the settings, and tell which changes take effect at a reload."""
+"""Compare two versions of the settings, and determine which changes take effect at a reload."""
 
 from __future__ import annotations
 
--- a/apigateway/membership/discovery.py
+++ b/apigateway/membership/discovery.py
@@ -134,7 +134,7 @@
         if listing.endpoint_list.version < self.version:
             if listing.endpoint_list.mode == ListMode.DELTA:  # it could bring removed endpoints back
                 raise ValueError("the delta is older than the last list")
-            if self.lists_received > lists_received_before:  # a response that was overtaken by a newer list
+            if self.lists_received > lists_received_before:  # as could one overtaken by a newer list
                 return
         self.version = listing.endpoint_list.version
         self.lists_received += 1
@@ -145,9 +145,9 @@
     async def _run(self) -> None:
         """Request the complete list, then watch for changes until cancelled.
 
-        Each answer is followed by the next watch at once: after a gap of more than 200 ms it would count as a
-        new watch. After a failure the complete list is requested again. After a rejection by a polled service
-        the same call is repeated, which may cost the service less.
+        Each answer is followed by the next watch at once, because discovery treats a call after a gap of more
+        than 200 ms as a new watch. After a failure the complete list is requested again. After a rejection by
+        a polled service the same call is repeated, which may cost the service less.
         """
         has_list = self._is_list_known
         while True:
--- a/apigateway/membership/eureka/source.py
+++ b/apigateway/membership/eureka/source.py
@@ -329,7 +329,7 @@
         return self.settings.lookup != "apps" or not name or instance.app == name
 
     async def _resolve_names(self, instances: list[EurekaInstance]) -> None:
-        """Resolve each host name once; a name that cannot be resolved keeps its last address."""
+        """Resolve the host names of a response; a name that cannot be resolved keeps its last address."""
         if self._resolve is None:
             return
         for name in {instance.host_name for instance in instances} - {""}:
--- a/apigateway/membership/reconciler.py
+++ b/apigateway/membership/reconciler.py
@@ -5,8 +5,9 @@
 A registry can stop answering, return an empty list or contradict itself. A single wrong response could take a
 gateway out of service by removing its endpoints, so these rules apply:
 
-- An endpoint that is *marked* (down, out of service, deleted) changes its state at once. The drain rule
-  counts from the moment at which the gateway received the mark.
+- An endpoint that is *marked* (down, out of service, deleted) changes its state at once. The drain rule, by
+  which no attempt may be sent to an endpoint that has been draining for longer than `drain_grace`, counts
+  from the moment at which the gateway received the mark.
 - Endpoints that are merely *missing* from a list are removed at once if they are few. If they are many, they
   are in doubt: they stay until they have been missing for `doubt_time` and from `looks` lists. The drain rule
   counts from the end of the doubt. The cost: if most endpoints really disappeared without a mark, the gateway
--- a/apigateway/upstream/attempt.py
+++ b/apigateway/upstream/attempt.py
@@ -21,7 +21,7 @@
 """The fields of a host's load report; latency in seconds."""
 
 MAX_LOAD_VALUE = 10_000.0  # of any field in a load report; a larger one would distort the means for long
-MAX_METERED_USE_PERCENT = 1_000_000  # of a customer's rate; a larger one is ignored as invalid
+MAX_METERED_USE_PERCENT = 1_000_000  # of a customer's rate; a larger value in a reply is ignored as invalid
 # The protocol's syntax of a load report; float() alone would accept more.
 _LOAD_REPORT_PATTERN = re.compile(r"(\w+=([0-9]{1,9}(\.[0-9]{1,9})?)?(,|$))+")
 _VALUE_PARTS = 3  # value, metered use, load report
@@ -71,7 +71,7 @@
         self.started_at = monotonic()
         self.is_ended = False
         self.value = b""
-        self.metered_use = 0  # percent of the customer's rate
+        self.metered_use = 0  # as the host reports it, see `messages.AttemptOutcome`; 0: not known
         self.load_report: LoadReport = {}
         self.connection: AttemptConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
--- a/apigateway/upstream/framing.py
+++ b/apigateway/upstream/framing.py
@@ -92,8 +92,8 @@
     def _take_array(self) -> list[bytes | None] | None:
         """Parse an array of strings, the usual message, in one pass and remove it from the buffer.
 
-        Returns None if the message is of another type, incomplete or malformed. `_message_end` then tells
-        which.
+        Returns None if the message is of another type, incomplete or malformed. `_message_end` then
+        determines which.
         """
         buffer = self.buffer
         match = _COMMAND_PATTERN.match(buffer)
--- a/apigateway/upstream/idle_connection_policy.py
+++ b/apigateway/upstream/idle_connection_policy.py
@@ -21,7 +21,8 @@
 
     `limit` is the idle time in seconds beyond which closing connections would have saved the most attempts,
     or infinite while there is no evidence that closing helps. The cost is that after resets by mere chance
-    new connections are opened needlessly until the half-life has passed. An improvement is noticed as late.
+    new connections are opened needlessly until the half-life has passed. An improvement of the path is
+    noticed with the same delay.
     """
 
     def __init__(self) -> None:
--- a/apigateway/upstream/upstream_connections.py
+++ b/apigateway/upstream/upstream_connections.py
@@ -31,8 +31,8 @@
     def __init__(self, connect_timeout: float, idle_close: float, max_connections: int) -> None:
         self.connect_timeout = connect_timeout
         self.max_connections = max_connections
-        self.max_idle_time = idle_close * (1 - IDLE_MARGIN_FRACTION)  # s; after it, not reused
-        self.idle_close_time = self.max_idle_time - IDLE_CHECK_INTERVAL_S  # s; after it, closed by a check
+        self.max_idle_time = idle_close * (1 - IDLE_MARGIN_FRACTION)  # s; not reused if idle for longer
+        self.idle_close_time = self.max_idle_time - IDLE_CHECK_INTERVAL_S  # s; closed if idle for longer
         # Shared by all endpoints, because the cause of dropped connections is rarely a single endpoint.
         self.idle_policy = IdleConnectionPolicy()
         self.pools: dict[str, ConnectionPool] = {}
--- a/tests/core/test_quota_checks.py
+++ b/tests/core/test_quota_checks.py
@@ -41,9 +41,8 @@
         messages.QuotaGranted("a", 5.0, 1.0, 7),
         messages.QuotaGranted("c", 5.0, 1.0, 7),
     ]
-    harness.core.submit_check(
-        "front", make_quota_check("d"), RecordingCheckSink()
-    )  # triggers the late answers
+    # The module returns the late answers with its next event.
+    harness.core.submit_check("front", make_quota_check("d"), RecordingCheckSink())
     assert not disconnected_sink.answers and failed_sink.answers == timed_out_sink.answers == ["failed"]
 
 
--- a/tests/counter/test_counter_client.py
+++ b/tests/counter/test_counter_client.py
@@ -189,9 +189,8 @@
         await wait_until_connected(harness.server.counter.connections)
         await harness.send_command(make_command())
         (quota,) = harness.server.core.module.quotas.values()
-        now = (
-            quota.window_start + quota.window_length + 1.0
-        )  # early in a window, independent of the real time
+        # Early in a window, independent of the real time.
+        now = quota.window_start + quota.window_length + 1.0
         harness.server.core.clock = lambda: now
         await harness.send_command(make_command(b"r"))
         quota.debt_units = 10 / 3  # from the last window, carried over with the first reply of the counter
--- a/tests/daemon/test_endpoint_list.py
+++ b/tests/daemon/test_endpoint_list.py
@@ -83,10 +83,14 @@
 
 @pytest.mark.parametrize(
     ("zones", "log_text"),
-    [(("east", "west"), "no zone remains"), (("east",), "evacuated zones (sites.leave): east"), ((), "none")],
+    [
+        (("east", "west"), "all of them stay in use"),
+        (("east",), "evacuated zones (sites.leave): east"),
+        ((), "none"),
+    ],
 )
 @run_on_uvloop
-async def test_evacuate_zones_then_logs_whether_any_zone_remains(zones, log_text, caplog):
+async def test_evacuate_zones_then_logs_the_zones_or_that_all_stay_in_use(zones, log_text, caplog):
     core = FakeCore()
     state = EndpointListState(
         core, make_listing("full", 1, make_endpoint("h1"), make_endpoint("h2", zone="west"))
--- a/tests/daemon/test_notify.py
+++ b/tests/daemon/test_notify.py
@@ -5,7 +5,7 @@
 from apigateway.daemon.notify import Notifier
 
 
-def test_notifier_without_a_manager_or_with_another_processs_watchdog_then_sends_no_keepalives():
+def test_notifier_without_a_manager_or_with_the_watchdog_of_another_process_then_sends_no_keepalives():
     notifier = Notifier({})
     notifier.ready("x")
     assert notifier.socket is None and notifier.keepalive_interval_s == 0.0
--- a/tests/gateway_harness.py
+++ b/tests/gateway_harness.py
@@ -92,9 +92,9 @@
 
 
 class BlockedFileRead:
-    """Block a program while it reads a file: the file is a FIFO that the test writes to.
+    """Blocks a program while it reads a file: the file is a FIFO that the test writes to.
 
-    `next_content` replaces the FIFO, and is what the program reads the next time.
+    Once the program has opened it, a file with `next_content` replaces the FIFO for the next read.
     """
 
     def __init__(self, path, next_content=""):
