--- a/apigateway/emulators/checks.py
+++ b/apigateway/emulators/checks.py
@@ -80,7 +80,7 @@
         return response
 
     async def run(self, customers: Sequence[Customer], seconds: float, seed: int = 1) -> None:
-        """Send checks on a Poisson schedule, independent of the answers, to gateways of their customers."""
+        """Send checks on a Poisson schedule (open loop), each to a gateway of its customer."""
         loop = asyncio.get_running_loop()
         rng = random.Random(seed)
         gateways = list(self.stubs)
--- a/apigateway/emulators/clients.py
+++ b/apigateway/emulators/clients.py
@@ -194,8 +194,8 @@
 class Traffic:
     """Customers' requests on a Poisson schedule that does not depend on the gateways' answers (open loop).
 
-    A refused request is retried once, after the wait that the refusal names. If a gateway cannot be reached,
-    the request goes to another gateway of its customer.
+    A share of the refused requests is retried once, after the wait that the refusal names. If a gateway
+    cannot be reached, the request goes to another gateway of its customer.
 
     Attributes:
         tasks: The tasks of the open requests.
@@ -266,7 +266,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _request(self, customer: Customer, traffic_class: TrafficClass) -> None:
-        """Send a request, and retry it once if it is refused."""
+        """Send a request; if it is refused, retry it once with probability `retry_share`."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         is_retry = False
--- a/apigateway/emulators/discovery.py
+++ b/apigateway/emulators/discovery.py
@@ -43,7 +43,7 @@
 
     Attributes:
         servers: The current list.
-        silent: While set, new calls are never answered.
+        silent: While set, new calls are never answered, not even after it is unset.
         change_delay_s: How long a change is held back from open watches.
         raw_answer: The text of the next answer, sent once in place of the right one.
         capacity: The capacity of a polled service; None means unlimited.
@@ -111,8 +111,8 @@
         if "index" in request.query:
             return await self._answer_watch(request.query)
         complete = {"version": self.version, "full": True, "servers": self.servers}
-        if (held := self.full_list_gate) is not None:
-            await held.wait()
+        if (gate := self.full_list_gate) is not None:
+            await gate.wait()
         return self.respond(complete)
 
     async def _answer_watch(self, query: Mapping[str, str]) -> web.Response:
--- a/apigateway/emulators/eureka.py
+++ b/apigateway/emulators/eureka.py
@@ -342,7 +342,7 @@
         return web.Response(body=body, headers=headers)
 
     async def send_endless(self, request: web.Request) -> web.StreamResponse:
-        """Send `endless` bytes that are never a complete answer."""
+        """Send `endless_bytes` bytes that are never a complete answer."""
         answer = web.StreamResponse(headers={"Content-Type": "application/json"})
         await answer.prepare(request)
         remaining = self.endless_bytes
--- a/apigateway/emulators/fleet.py
+++ b/apigateway/emulators/fleet.py
@@ -60,17 +60,17 @@
         self.gateways = [Gateway(self, number) for number in range(settings.gateways)]
 
     def _new_host(self, number: int, work: Callable[[Command], float]) -> EmulatedHost:
-        shape = self.settings
-        zone_number = number % len(shape.zones)
+        settings = self.settings
+        zone_number = number % len(settings.zones)
         return EmulatedHost(
             name=f"h{number}",
-            zone=shape.zones[zone_number],
+            zone=settings.zones[zone_number],
             cell=zone_number,
-            cores=shape.cores,
-            queue_capacity=shape.queue_capacity,
+            cores=settings.cores,
+            queue_capacity=settings.queue_capacity,
             work=work,
-            cold_share=shape.cold_share,
-            cold_time=shape.cold_time,
+            cold_share=settings.cold_share,
+            cold_time=settings.cold_time,
             ledger=self.ledger,
         )
 
--- a/apigateway/emulators/gateway_file.py
+++ b/apigateway/emulators/gateway_file.py
@@ -56,13 +56,13 @@
 
     def _tables(self) -> dict[str, str]:
         """Return the text of each table's keys, by the table's name."""
-        shape = self.settings
+        settings = self.settings
         tables = {
-            "gateway": f'name = "{self.name}"\nindex = {self.number}\ngateways = {shape.gateways}\n'
+            "gateway": f'name = "{self.name}"\nindex = {self.number}\ngateways = {settings.gateways}\n'
             f'zone = "{self.zone}"\nseed = {self.number + 1}',
             "limits": f"max_attempts = {MAX_ATTEMPTS}",
-            "rules": f"drain_grace = {shape.drain_grace}\ncold_share = {shape.cold_share}\n"
-            f"cold_time = {shape.cold_time}",
+            "rules": f"drain_grace = {settings.drain_grace}\ncold_share = {settings.cold_share}\n"
+            f"cold_time = {settings.cold_time}",
             "hosts": f'source = "{self.source}"\ndiscovery = "127.0.0.1:{self.discovery_port}"\n'
             'reports = ["inflight", "queue", "util"]',
             "eureka": f'urls = ["{self.registry_url}"]\nname = "{DOMAIN}"\npoll = {self.poll_s}\n'
@@ -70,10 +70,10 @@
             "counter": f'address = "127.0.0.1:{self.counter_port}"',
             "daemon": f'state = "{self.folder / self.name}"',
         }
-        for name, cls in shape.classes.items():
+        for name, cls in settings.classes.items():
             tables[f"classes.{name}"] = _class_keys(cls)
-        for name, plan in shape.plans.items():
-            tables[f"plans.{name}"] = _plan_keys(plan, shape.ceiling_slack)
+        for name, plan in settings.plans.items():
+            tables[f"plans.{name}"] = _plan_keys(plan, settings.ceiling_slack)
         return tables
 
     def _records(self) -> str:
--- a/apigateway/emulators/gateway_process.py
+++ b/apigateway/emulators/gateway_process.py
@@ -46,10 +46,10 @@
 
     def __init__(self, installation: Installation, number: int) -> None:
         self._installation = installation
-        shape = installation.settings
+        settings = installation.settings
         self.number = number
         self.name = f"g{number}"
-        self.zone = shape.zones[number % len(shape.zones)]
+        self.zone = settings.zones[number % len(settings.zones)]
         self.port = free_port()
         self.rate_limit_port = free_port()
         self.discovery = EmulatedDiscovery(self.name, installation.ledger)
--- a/apigateway/emulators/hosts.py
+++ b/apigateway/emulators/hosts.py
@@ -268,9 +268,8 @@
         """Start queued work on free cores."""
         while self.queued and self.running < self.cores:
             work = self.queued.popleft()
-            if (
-                work.answer.is_over
-            ):  # the client has disconnected; queued work is dropped, running work continues
+            # The client has disconnected. Its queued work is dropped; work that runs already continues.
+            if work.answer.is_over:
                 continue
             self.running += 1
             delay = work.seconds / self.warm_share()
--- a/apigateway/emulators/loaded_fleet.py
+++ b/apigateway/emulators/loaded_fleet.py
@@ -38,7 +38,7 @@
         rate: Requests a second of all customers together.
         count: The number of customers.
         seed: The seed of the random draws.
-        spread: The least and the most gateways of a customer.
+        spread: The minimum and maximum number of gateways of a customer.
     """
     rng = random.Random(f"customers/{seed}")
     weights = [rng.lognormvariate(0.0, TRAFFIC_SIGMA) for _ in range(count)]
--- a/apigateway/emulators/relay.py
+++ b/apigateway/emulators/relay.py
@@ -56,7 +56,7 @@
     """One side of a connection through a relay.
 
     Attributes:
-        faces_target: Whether it is the side of the target, and not of the client.
+        faces_target: Whether it is connected to the target, and not to the client.
         peer: The other side; None until it is connected.
         transport: Its own connection; None until it is connected.
     """
@@ -152,7 +152,7 @@
     Attributes:
         fault: The current fault; use `set_fault` to change it.
         ends: The sides of all open connections.
-        connections: The number of connections so target_end.
+        connections: The number of connections accepted so far.
     """
 
     def __init__(self, target: tuple[str, int], seed: int = 0) -> None:
@@ -198,14 +198,14 @@
             client_end.release()
 
     def propagates_close(self) -> bool:
-        """Return whether a close of one side is forwarded to the other, which muting faults prevent."""
+        """Return whether closes are forwarded to the other side; not while the link is silent or stalled."""
         return self.fault.kind not in MUTE_KINDS
 
     def set_fault(self, fault: LinkFault) -> None:
         """Change the fault.
 
-        Data held by a stall is forwarded. After SILENT, all connections are reset, as their senders would see
-        once the link is back.
+        Data held by a stall is forwarded. After SILENT, all connections are reset, because their senders
+        would find them broken once the link is back.
         """
         before = self.fault
         self.fault = fault
--- a/apigateway/simulation/clock.py
+++ b/apigateway/simulation/clock.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-START_TIME = 1_000_000.0  # s, Unix time; not near 0, which means "long ago"
+START_TIME = 1_000_000.0  # s, Unix time; far from 0, since a host start at 0 means "long ago"
 
 
 class SimulatedClock:
--- a/apigateway/simulation/fleet.py
+++ b/apigateway/simulation/fleet.py
@@ -168,7 +168,7 @@
         self._idle_meter.reset()
 
     def idle_share(self) -> float:
-        """Return the share of core time since then that was idle while work waited at other hosts."""
+        """Return the share of core time since `begin_measurement` that was idle while as much work waited."""
         return self._idle_meter.idle_share()
 
     def load_balance(self, idle_share: float) -> LoadBalance:
--- a/apigateway/simulation/host.py
+++ b/apigateway/simulation/host.py
@@ -72,7 +72,7 @@
             settings: Settings of all hosts.
             endpoint: The host in the endpoint list.
             hardware: Its cores and speed.
-            rules: Define its slow start and the overload that it tolerates meanwhile.
+            rules: Define its slow start and the overload that it tolerates during slow start.
             idle_meter: Receives its usage.
             rng: Draws the times and the noise of its reports.
             on_overload: Called when it fails by overload, with its id and the share of its requests that
--- a/apigateway/simulation/idle_capacity.py
+++ b/apigateway/simulation/idle_capacity.py
@@ -43,7 +43,7 @@
         self._waiting += current.waiting - previous.waiting
 
     def idle_share(self) -> float:
-        """Return the share of all core time since the reset that was idle while work waited."""
+        """Return the share of all core time since the reset that was idle while as much work waited."""
         self._accumulate()
         return self._idle_core_seconds / max(MIN_CORE_SECONDS, self._total_core_seconds)
 
--- a/apigateway/simulation/load_history.py
+++ b/apigateway/simulation/load_history.py
@@ -22,7 +22,7 @@
         self._samples: dict[str, deque[float]] = {}
 
     def start(self) -> None:
-        """Begin to sample periodically."""
+        """Take a sample now, and then one in each sample period."""
         self._take_sample()
 
     def _take_sample(self) -> None:
--- a/apigateway/simulation/metrics.py
+++ b/apigateway/simulation/metrics.py
@@ -89,7 +89,7 @@
 class LoadBalance(NamedTuple):
     """How evenly the hosts were used."""
 
-    idle_share: float  # of core time, idle while work waited at other hosts
+    idle_share: float  # of core time, idle while as much work waited at other hosts
     busiest_to_mean: float  # requests of the busiest warm host over the mean
     max_in_flight: int  # maximum over all hosts
 
--- a/apigateway/simulation/rule_checker.py
+++ b/apigateway/simulation/rule_checker.py
@@ -14,7 +14,9 @@
 CEILING_MARGIN_S = 0.15  # adds the ceiling's rate over this time to its slack, for attempts in transit
 CEILING_ROUNDING_UNITS = 1e-6
 DRAIN_MARGIN_S = 0.05  # added to the grace period of a drain
-MAX_INFORMED_SHARE = 2 / 3  # with more requests from informed gateways, an overload violates slow start
+# If more than this share of the requests to an overloaded host came from gateways that knew of its start, the
+# overload is a violation by these gateways.
+MAX_INFORMED_SHARE = 2 / 3
 
 
 class RuleChecker:
--- a/apigateway/simulation/scenario.py
+++ b/apigateway/simulation/scenario.py
@@ -155,7 +155,7 @@
     SLOW = "slow"  # part, size: hosts work at `size` of their speed
     ZONE_OUTAGE = "dark"  # zone, cold: its hosts and gateways stop silently, and restart, cold or warm
     ZONE_PARTITION = "cut"  # zone: all messages between it and other zones are lost
-    LINK = "link"  # zone, there, size, lose: a part `lose` from `there` to `zone` is lost, the rest delayed
+    LINK = "link"  # zone, there, size, lose: `there` to `zone` is delayed by `size` s and loses a part `lose`
     COUNTER_SILENT = "counter"  # the quota counter does not answer
     TRAFFIC_SHIFT = "shift"  # part: customers prefer other gateways than before
     SURGE = "surge"  # size: multiplies the load
--- a/apigateway/tools/demo/installation.py
+++ b/apigateway/tools/demo/installation.py
@@ -11,7 +11,7 @@
 from apigateway.emulators.fleet import ClassSettings, FleetSettings, PlanSettings
 from apigateway.plugins.testkit import read_plugins
 
-SHAPE = FleetSettings(
+FLEET_SETTINGS = FleetSettings(
     classes={
         "roster-read": ClassSettings("safe", 1.0, 3.0, 1.0, 0.06, 0.41),
         "shift-update": ClassSettings("keyed", 1.5, 4.0, 5.0, 0.09, 0.40, "cell", 6.0),
@@ -47,9 +47,9 @@
                 Customer(
                     f"{len(customers) + 1:016x}",
                     plan,
-                    demand_share * SHAPE.plans[plan].rate,
-                    rng.randrange(SHAPE.gateways),
-                    rng.randint(_MIN_GATEWAYS, SHAPE.gateways),
+                    demand_share * FLEET_SETTINGS.plans[plan].rate,
+                    rng.randrange(FLEET_SETTINGS.gateways),
+                    rng.randint(_MIN_GATEWAYS, FLEET_SETTINGS.gateways),
                 )
             )
     return customers
--- a/apigateway/tools/demo/main.py
+++ b/apigateway/tools/demo/main.py
@@ -15,7 +15,7 @@
 from apigateway.daemon.status_query import query_gateway
 from apigateway.emulators.fleet import Fleet
 from apigateway.exit_codes import ExitCode
-from apigateway.tools.demo.installation import GRPC_CLASS, SHAPE, read_plugin_settings
+from apigateway.tools.demo.installation import FLEET_SETTINGS, GRPC_CLASS, read_plugin_settings
 from apigateway.tools.demo.session import DemoSession
 from apigateway.tools.demo.tables import checks_table, outcomes_table, plugins_table, verdicts_table
 
@@ -58,15 +58,15 @@
 async def _run(options: DemoOptions, console: Console, folder: Path) -> int:
     source = "a Eureka registry" if options.source == "eureka" else options.source
     console.print(
-        f"{SHAPE.gateways} gateways, {SHAPE.hosts} hosts in zones {', '.join(SHAPE.zones)}, a counter, "
-        f"{source}; {options.seconds:.0f} s of traffic"
+        f"{FLEET_SETTINGS.gateways} gateways, {FLEET_SETTINGS.hosts} hosts in zones "
+        f"{', '.join(FLEET_SETTINGS.zones)}, a counter, {source}; {options.seconds:.0f} s of traffic"
     )
-    shape = SHAPE
+    settings = FLEET_SETTINGS
     if options.plugins:
-        shape = replace(shape, plugins_toml=read_plugin_settings(options.plugins))
+        settings = replace(settings, plugins_toml=read_plugin_settings(options.plugins))
     if options.use_grpc:
-        shape = replace(shape, check_class=GRPC_CLASS)
-    async with Fleet(shape, folder, source=options.source) as fleet:
+        settings = replace(settings, check_class=GRPC_CLASS)
+    async with Fleet(settings, folder, source=options.source) as fleet:
         session = DemoSession(fleet, options.seconds, options.seed, console)
         if options.use_grpc:
             session.send_half_as_checks()
--- a/apigateway/tools/demo/session.py
+++ b/apigateway/tools/demo/session.py
@@ -16,7 +16,7 @@
 from apigateway.emulators.fleet import Fleet
 from apigateway.emulators.ledger import Verdict
 from apigateway.emulators.script import Step
-from apigateway.tools.demo.installation import SHAPE, create_customers
+from apigateway.tools.demo.installation import FLEET_SETTINGS, create_customers
 from apigateway.tools.demo.tables import OUTCOMES, count_outcomes
 
 if TYPE_CHECKING:
@@ -56,7 +56,7 @@
         addresses = {gateway.name: (_LOOPBACK, gateway.port) for gateway in fleet.gateways}
         self._client = Client(fleet.ledger, addresses)
         self._outcomes_by_second: list[tuple[int, dict[str, int]]] = []
-        self.traffic = Traffic(self._client, create_customers(seed), SHAPE.traffic_classes(), seed)
+        self.traffic = Traffic(self._client, create_customers(seed), FLEET_SETTINGS.traffic_classes(), seed)
         self.checks: CheckClient | None = None
         self.checking_customers: list[Customer] = []
         self.notes: list[str] = []
@@ -66,7 +66,7 @@
         from apigateway.emulators.checks import CheckClient
 
         halved = [
-            replace(customer, rate=customer.rate / 2, first_gateway=0, gateway_count=SHAPE.gateways)
+            replace(customer, rate=customer.rate / 2, first_gateway=0, gateway_count=FLEET_SETTINGS.gateways)
             for customer in self.traffic.customers
         ]
         self.traffic.customers = halved
--- a/apigateway/tools/experiment/scenario_reader.py
+++ b/apigateway/tools/experiment/scenario_reader.py
@@ -68,7 +68,7 @@
 
 
 def _add_conversion_problem(reader: ConfigReader, error: Exception, path: KeyPath) -> None:
-    """Report an error of msgspec, which reads `reason - at `$.key``."""
+    """Report a msgspec error, whose text has the form "reason - at `$.key`"."""
     reason, _, location = str(error).partition(" - at ")
     parents, dot, field = location.strip("`$").rpartition(".")
     key = format_path(path) + parents + dot + key_of_field(field)
--- a/apigateway/tools/experiment/summary.py
+++ b/apigateway/tools/experiment/summary.py
@@ -20,7 +20,7 @@
 
 
 class SecondShares(NamedTuple):
-    """Shares of one second over all seeds, per request inside quotas whose first try was created in it."""
+    """Shares of one second over all seeds, relative to the first requests within quotas created in it."""
 
     in_aim: float  # requests that were answered within the latency objective
     refused: float  # requests that were rejected
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -70,7 +70,7 @@
 
 async def run_processes(args: argparse.Namespace, with_kill: bool) -> dict[str, Any]:
     """Run real gateway processes, and kill and restart some of them if `with_kill`."""
-    shape = FleetSettings(
+    settings = FleetSettings(
         {"read": ClassSettings("safe", LATENCY_OBJECTIVE_S, DEADLINE_S, 1.0, MEAN_WORK_S, 1.0)},
         {"p": PlanSettings(1e5, 1e6)},
         gateways=args.gateways,
@@ -84,7 +84,7 @@
     with tempfile.TemporaryDirectory() as folder:
         loaded_fleet = LoadedFleet(
             Path(folder),
-            shape,
+            settings,
             fleet_customers,
             seed=args.seed,
             work=exponential_work(MEAN_WORK_S, args.seed),
--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -28,7 +28,7 @@
 from apigateway.emulators.fleet import ClassSettings, Fleet, FleetSettings, Gateway, PlanSettings  # noqa: E402
 from apigateway.emulators.ledger import format_verdicts  # noqa: E402
 
-SHAPE = FleetSettings(
+FLEET_SETTINGS = FleetSettings(
     classes={
         "read": ClassSettings("safe", 1.0, 3.0, 1.0, 0.005, 0.6),
         "note": ClassSettings("unsafe", 1.0, 3.0, 1.0, 0.005, 0.4),
@@ -75,11 +75,11 @@
 ) -> dict[str, Any]:
     """Run an action under load; return the figures of the requests sent meanwhile."""
     with tempfile.TemporaryDirectory() as folder:
-        async with Fleet(SHAPE, Path(folder)) as fleet:
+        async with Fleet(FLEET_SETTINGS, Path(folder)) as fleet:
             gateway = fleet.gateways[0]
             client = Client(fleet.ledger, {"g0": ("127.0.0.1", gateway.port)})
             customers = [Customer(f"{index + 1:016x}", "p", rate / 8, 0, 1) for index in range(8)]
-            traffic = Traffic(client, customers, SHAPE.traffic_classes(), retry_share=0.0)
+            traffic = Traffic(client, customers, FLEET_SETTINGS.traffic_classes(), retry_share=0.0)
             traffic_task = asyncio.ensure_future(traffic.run(3600.0))
             while len(traffic.latencies_s) < 100:
                 await asyncio.sleep(0.01)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -42,7 +42,7 @@
 from apigateway.membership.eureka.source import EurekaSource, RegistrySettings  # noqa: E402
 from apigateway.membership.listing import EndpointListing  # noqa: E402
 
-SHAPE = FleetSettings(
+FLEET_SETTINGS = FleetSettings(
     classes={
         "read": ClassSettings("safe", 1.0, 3.0, 1.0, 0.01, 0.6),
         "note": ClassSettings("unsafe", 1.0, 3.0, 1.0, 0.01, 0.4),
@@ -142,14 +142,14 @@
     seed: int,
     action: Callable[[Fleet, Traffic], Awaitable[None]],
     rate: float = 120.0,
-    shape: FleetSettings = SHAPE,
+    settings: FleetSettings = FLEET_SETTINGS,
 ) -> tuple[Fleet, Traffic]:
     """Run an action while customers send requests; return the fleet with its ledger, and the traffic."""
     with tempfile.TemporaryDirectory() as folder:
-        async with Fleet(shape, Path(folder), source="eureka", poll_s=0.1) as fleet:
+        async with Fleet(settings, Path(folder), source="eureka", poll_s=0.1) as fleet:
             client = Client(fleet.ledger, {g.name: ("127.0.0.1", g.port) for g in fleet.gateways})
             customers = [Customer(f"{n + 1:016x}", "p", rate / 8, n % 2, 2) for n in range(8)]
-            traffic = Traffic(client, customers, shape.traffic_classes(), seed, retry_share=0.0)
+            traffic = Traffic(client, customers, settings.traffic_classes(), seed, retry_share=0.0)
             traffic_task = asyncio.ensure_future(traffic.run(3600.0))
             while len(traffic.latencies_s) < 50:
                 await asyncio.sleep(0.01)
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -37,7 +37,7 @@
 HOSTS, WARM_UP_REQUESTS = 9, 1000
 EXAMPLE = ROOT / "examples" / "plugins" / "districts"
 TABLE = "".join(f'{n:016x} = "d{n % 7}"\n' for n in range(1, 98))
-# Loops forever on every request except those of the self-test.
+# Loops forever on each request, except the sample requests of the validation, whose ids begin with p.
 LOOPING_MODULE = module(
     '(func (export "on_request") (param i32) (result i64) (if (i32.eq (i32.load8_u (i32.load '
     "(i32.const 4152))) (i32.const 112)) (then (return (i64.const 0))))"
--- a/benchmarks/ratelimit_mixed.py
+++ b/benchmarks/ratelimit_mixed.py
@@ -36,7 +36,7 @@
 # Units per second and units; SENT_RATE is the request rate of each customer.
 RATE, BURST, CEILING, CEILING_BURST, SENT_RATE = 8.0, 16.0, 16.0, 32.0, 48.0
 CUSTOMERS = [f"{n:016x}" for n in range(1, 5)]
-SHAPE = FleetSettings(
+FLEET_SETTINGS = FleetSettings(
     classes={"roster-read": ClassSettings("safe", 1.0, 3.0, 1.0, 0.03, 1.0)},
     plans={"enterprise": PlanSettings(RATE, BURST, 1.8, CEILING, CEILING_BURST)},
     check_class="roster-read",
@@ -54,15 +54,20 @@
 
 async def measure(resp_share: float, seconds: float, folder: Path) -> dict[str, Any]:
     """Run the load; `resp_share` is the share of requests that are sent over RESP2."""
-    async with Fleet(SHAPE, folder) as fleet:
+    async with Fleet(FLEET_SETTINGS, folder) as fleet:
         ledger = fleet.ledger
         client = Client(ledger, {g.name: ("127.0.0.1", g.port) for g in fleet.gateways})
         checks = CheckClient(ledger, {g.name: ("127.0.0.1", g.rate_limit_port) for g in fleet.gateways})
 
         def customers_with_share(share: float) -> list[Customer]:
-            return [Customer(name, "enterprise", SENT_RATE * share, 0, SHAPE.gateways) for name in CUSTOMERS]
+            return [
+                Customer(name, "enterprise", SENT_RATE * share, 0, FLEET_SETTINGS.gateways)
+                for name in CUSTOMERS
+            ]
 
-        traffic = Traffic(client, customers_with_share(resp_share), SHAPE.traffic_classes(), retry_share=0.0)
+        traffic = Traffic(
+            client, customers_with_share(resp_share), FLEET_SETTINGS.traffic_classes(), retry_share=0.0
+        )
         started_at = asyncio.get_running_loop().time()
         await asyncio.gather(
             traffic.run(seconds),
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -39,7 +39,7 @@
 
 
 class FaultyHost(FastHost):
-    """An emulated host that resets its connection on a share of 0.002 of what it receives."""
+    """An emulated host that resets its connection with probability 0.002 per received chunk of data."""
 
     def data_received(self, data: bytes) -> None:
         if rng.random() < 0.002:
--- a/tests/emulators/test_emulated_systems.py
+++ b/tests/emulators/test_emulated_systems.py
@@ -14,7 +14,7 @@
 from apigateway.emulators.listener import Listener
 from apigateway.emulators.script import Script, Step
 
-TERMS = RuleLimits({"read": ClassRules("safe"), "note": ClassRules("unsafe")})
+LIMITS = RuleLimits({"read": ClassRules("safe"), "note": ClassRules("unsafe")})
 
 
 async def exchange(port, data):
@@ -79,7 +79,7 @@
 
 @run_on_uvloop
 async def test_host_after_a_restart_is_cold_and_has_no_work():
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LIMITS)
     async with EmulatedHost(work=lambda _: 60.0, cold_share=0.2, ledger=ledger) as host:
         reader, writer = await asyncio.open_connection("127.0.0.1", host.port)
         writer.write(make_command())
@@ -120,7 +120,7 @@
 
 @run_on_uvloop
 async def test_discovery_sends_changes_to_watches_and_records_them_in_the_ledger():
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LIMITS)
     async with EmulatedDiscovery("g0", ledger) as discovery, aiohttp.ClientSession() as session:
         url = f"http://127.0.0.1:{discovery.port}/v1/endpoints"
         one = EmulatedHost(name="h1")
@@ -165,7 +165,7 @@
 @run_on_uvloop
 async def test_ledger_detects_a_gateway_that_breaks_rules(answer_count, broken_rules, monkeypatch):
     monkeypatch.setattr("apigateway.emulators.clients.TIMEOUT_MARGIN_S", 0.0)
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LIMITS)
     async with (
         EmulatedHost(name="h1", work=lambda _: 0.2, ledger=ledger) as one,
         EmulatedHost(name="h2", work=lambda _: 0.2, ledger=ledger) as two,
@@ -183,7 +183,7 @@
 
 @run_on_uvloop
 async def test_client_resends_a_request_when_the_gateway_closes_its_idle_connection():
-    ledger = Ledger(TERMS)
+    ledger = Ledger(LIMITS)
 
     class ClosingGateway(Listener):
         """A gateway that answers the first request of a connection and closes it at the second."""
--- a/tests/emulators/test_ledger.py
+++ b/tests/emulators/test_ledger.py
@@ -6,7 +6,7 @@
 
 from apigateway.emulators.ledger import RULES, Ceiling, ClassRules, Ledger, RuleLimits, format_verdicts
 
-TERMS = RuleLimits(
+LIMITS = RuleLimits(
     {"read": ClassRules("safe"), "write": ClassRules("keyed", "cell", 6.0), "note": ClassRules("unsafe")},
     {"big": Ceiling(10.0, 20.0)},
     drain_grace_s=2.0,
@@ -20,7 +20,7 @@
 
     def __init__(self):
         self.now = 100.0
-        self.ledger = Ledger(TERMS, lambda: self.now)
+        self.ledger = Ledger(LIMITS, lambda: self.now)
         self.request_count = 0
 
     def send_request(
@@ -114,7 +114,11 @@
     harness.send_request(gateway="g2")
     harness.now += 1.0
     harness.ledger.record_gateway_kill("g1")
-    assert [t.gateway for t in harness.ledger.requests.values() if not harness.ledger.is_excused(t)] == ["g2"]
+    assert [
+        request.gateway
+        for request in harness.ledger.requests.values()
+        if not harness.ledger.is_excused(request)
+    ] == ["g2"]
     assert harness.broken_rules() == [RULES[0]]  # the request at g2
 
 
@@ -207,7 +211,8 @@
 @pytest.mark.parametrize("request_count, broken", [(4, []), (12, [RULES[3]])])
 def test_overload_of_a_cold_host_is_a_breach(harness, request_count, broken):
     harness.ledger.record_cold_start("h1", cores=1, start_share=0.2, warm_up_s=10.0)
-    for _ in range(request_count):  # 0.2 to 0.36 of a core for 2 s, times 2: 1.1 s of work, and one request
+    # Allowed are 1.1 s of work (0.2 to 0.36 of a core for 2 s, times 2) and one more request.
+    for _ in range(request_count):
         harness.now += 0.1
         request_id = harness.send_request()
         harness.serve_request(request_id, harness.start_attempt(request_id, work=0.2))
@@ -216,7 +221,8 @@
 
 @pytest.mark.parametrize("request_count, broken", [(23, []), (30, [RULES[4]])])
 def test_ceiling_is_checked_over_all_gateways(harness, request_count, broken):
-    for n in range(request_count):  # at once: 20 and a slack of 2 + 1.5
+    # All arrive at once; allowed are a burst of 20 and a slack of 2 + 1.5.
+    for n in range(request_count):
         request_id = harness.send_request(plan="big", gateway=f"g{n % 3}")
         harness.serve_request(request_id, harness.start_attempt(request_id))
     assert harness.broken_rules() == broken
@@ -249,7 +255,7 @@
 @settings(max_examples=100, deadline=None, database=None)
 @given(st.lists(st.tuples(st.floats(0, 1), st.integers(1, 5)), max_size=60))
 def test_ceiling_is_a_token_bucket(steps):
-    """Against the plain definition: within any span no more than burst + rate * span + slack."""
+    """Compares with the definition: in any time span at most burst + rate * span + slack units pass."""
     harness, sent = LedgerHarness(), []
     for wait, units in steps:
         harness.now += wait
--- a/tests/faults/test_flood.py
+++ b/tests/faults/test_flood.py
@@ -25,9 +25,8 @@
 
 
 PRIORITY_CLASS = '\n[classes.dear]\neffect = "safe"\naim = 1.0\ndeadline = 3.0\nworth = 9.0\n'
-EARLY_SHEDDING = (
-    "lag = 0.005\nturn = 0.05"  # the lowest values allowed; the machine's speed decides how many are rejected
-)
+# The lowest values allowed; how many requests are rejected depends on the speed of the machine.
+EARLY_SHEDDING = "lag = 0.005\nturn = 0.05"
 
 
 @pytest.mark.parametrize("overload", [EARLY_SHEDDING, "on = false"])
--- a/tests/faults/test_fronts.py
+++ b/tests/faults/test_frontends.py
@@ -77,9 +77,8 @@
         assert await gateway.send_command(1, make_command(b"same")) == b"-ERR this id is in work\r\n"
         host.writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
         assert await first == VALUE_REPLY and len(host.commands) == 1
-        host.writers[
-            0
-        ].close()  # the test replied on this connection itself, so later commands need another one
+        # The test replied on this connection itself, so later commands need another one.
+        host.writers[0].close()
         host.answer = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
         assert await gateway.send_command(1, make_command(b"same")) == VALUE_REPLY
 
@@ -126,9 +125,8 @@
     large_reply = b"*3\r\n$60000\r\n%s\r\n$-1\r\n$-1\r\n" % (b"v" * 60000)
     async with EmulatedHost(large_reply) as host, TwoFrontendGateway(tmp_path, host) as gateway:
         gateway.server.core.module = ForwardingModule()  # it never retries
-        gateway.server.upstream.connect_timeout = (
-            60.0  # for hundreds of connections at once on a busy machine
-        )
+        # The default is too short for hundreds of connections at once on a busy machine.
+        gateway.server.upstream.connect_timeout = 60.0
         _, writer = await gateway.connect(0)
         writer.transport.pause_reading()
         for n in range(300):
@@ -152,10 +150,11 @@
         response = asyncio.ensure_future(gateway.send_command(1, make_command(b"quiet")))
         while "quiet" not in gateway.server.core.in_flight and not response.done():
             await asyncio.sleep(0)
+        # A quarter of the 40 is left for the other frontend.
         assert (
             not response.done()
             and gateway.server.core.request_budget.used_by_frontend[gateway.server.frontends[0]] == 30
-        )  # a quarter of the 40 is left for the other frontend
+        )
         host.answer = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
         for host_writer in host.writers:
             host_writer.write(host.answer)
--- a/tests/faults/test_links.py
+++ b/tests/faults/test_links.py
@@ -81,7 +81,7 @@
 async def test_load_stays_even_when_two_thirds_of_the_gateways_are_killed_and_restarted(tmp_path):
     """The load must be even over all requests from the kill on, and over those after the restart."""
     async with RuleCheckingFleet(tmp_path, BUSY_SETTINGS) as loaded_fleet:
-        task = loaded_fleet.start_traffic(60.0)  # at most; it is stopped below
+        task = loaded_fleet.start_traffic(60.0)  # upper bound; stopped below
         await loaded_fleet.wait_for_served(200, task)
         killed_gateways = loaded_fleet.fleet.gateways[:8]
         await loaded_fleet.kill_gateways(killed_gateways)
@@ -132,7 +132,11 @@
 async def test_host_with_wrong_load_reports_does_not_attract_traffic(
     apply_fault, host_count, max_ratio, tmp_path
 ):
-    """A host reports no load, one fails at once and so is always idle, or a zone sends old reports."""
+    """Traffic must not concentrate on hosts that seem idle.
+
+    One host reports no load, or one fails all requests at once and so is always idle, or the hosts of a zone
+    send old reports.
+    """
     async with RuleCheckingFleet(tmp_path) as loaded_fleet:
         for host in loaded_fleet.fleet.hosts[:: len(loaded_fleet.fleet.hosts) // host_count][:host_count]:
             apply_fault(host)
@@ -183,7 +187,7 @@
 async def test_silent_zone_gets_only_trials_and_is_used_again_after_it_recovers(tmp_path):
     """Six of 18 hosts are in the zone, so an even share of the other zones' attempts would be a third."""
     async with RuleCheckingFleet(tmp_path, replace(SETTINGS, hosts=18, cores=2)) as loaded_fleet:
-        task = loaded_fleet.start_traffic(60.0)  # at most; it is stopped below
+        task = loaded_fleet.start_traffic(60.0)  # upper bound; stopped below
         zone_hosts = {host.name for host in loaded_fleet.fleet.hosts if host.zone == "c"}
         relays = [
             relay
@@ -196,12 +200,12 @@
 
         await loaded_fleet.wait_for_served(150, task)
         loaded_fleet.links.set_host_fault(LinkFault("silent"), {"a", "b"}, zone_hosts)
-        await loaded_fleet.wait_for_served(150, task)  # by now the gateways have noticed
+        await loaded_fleet.wait_for_served(150, task)  # time for the gateways to notice
         before = connection_count()
         await loaded_fleet.wait_for_served(450, task)
-        # Trials only: 1 to 21 in ten runs; it is 38 to 64 if a failed zone gets its share.
+        # Trials only: 1 to 21 connections in ten runs; 38 to 64 if a failed zone gets its full share.
         assert connection_count() - before < 30
-        # A gateway notices by its own attempts, and this one may not have had any there yet.
+        # A gateway detects the failure by its own attempts, and this one may not have made any there yet.
         while b"site c: " not in await hosts_command_output(loaded_fleet.fleet.gateways[0]):
             assert not task.done()
             await loaded_fleet.wait_for_served(10, task)
--- a/tests/faults/test_plugins.py
+++ b/tests/faults/test_plugins.py
@@ -59,7 +59,7 @@
         return await self.wait_for_log_line(process, word)
 
 
-# Loops forever, except for ids that begin with p, as those of the self-test do.
+# Loops forever, except for ids that begin with p, as those of the validation's sample requests do.
 LOOPING_MODULE = on_request_module(
     "(if (i32.eq (i32.load8_u (i32.load (i32.const 4152))) (i32.const 112)) "
     "(then (return (i64.const 0)))) (loop $l (br $l)) (i64.const 0)"
@@ -223,7 +223,7 @@
 
 @run_on_uvloop
 async def test_plugin_that_traps_at_its_first_call_with_hundreds_of_requests_in_flight(tmp_path):
-    """The module passes its self-test, and traps from the first client request on."""
+    """The module passes validation, and traps from the first client request on."""
     async with PluginDeployment(tmp_path, hosts=2, answer=lambda: None) as deployment:
         file = tmp_path / "a.wat"
         file.write_text(module(says("tag v 0")))
@@ -245,7 +245,7 @@
             file,
             on_request_module(
                 "(if (i32.eq (i32.load8_u (i32.load (i32.const 4152))) (i32.const 113)) "
-                # for ids that begin with q, which those of the self-test do not
+                # for ids that begin with q, which those of the validation do not
                 "(then unreachable)) (i64.const 0)"
             ),
         )
--- a/tests/faults/test_registry.py
+++ b/tests/faults/test_registry.py
@@ -106,7 +106,7 @@
 
 
 @run_on_uvloop
-async def test_registry_that_is_silent_for_longer_than_all_leases(tmp_path):
+async def test_registry_silent_for_longer_than_all_leases_leaves_the_hosts_in_use(tmp_path):
     ledger = Ledger(LEDGER_TERMS)
     async with RegistryDeployment(tmp_path, hosts=3, ledger=ledger) as deployment:
         third_host = deployment.hosts[2]
@@ -162,7 +162,7 @@
             count_before, served_before = len(silent_host.commands), len(traffic.traffic.latencies_s)
             await traffic.wait_for_served(200)
             attempt_count = len(silent_host.commands) - count_before
-            # It would be a third if the gateway ignored the failures.
+            # The host would get a third if the gateway ignored its failures.
             assert attempt_count < (len(traffic.traffic.latencies_s) - served_before) / 6
             silent_host.script.set_steps()
             count_before = len(silent_host.commands)
@@ -215,11 +215,11 @@
         registrations = []
         original_register = deployment.registry.register
 
-        def register_down(entries, replicated=False):
-            registrations.append((entries["status"], entries["instanceId"]))
-            original_register(entries, replicated)
+        def record_and_register(instance_data, replicated=False):
+            registrations.append((instance_data["status"], instance_data["instanceId"]))
+            original_register(instance_data, replicated)
 
-        deployment.registry.register = register_down
+        deployment.registry.register = record_and_register
         process.send_signal(signal.SIGTERM)
         assert (await read_reply(reader)).startswith(b"$")
         assert await process.wait() == 0
@@ -258,11 +258,11 @@
         assert {h["id"]: h["state"] for h in entries["hosts"]} == {"h0": "up", "h1": "draining"} and entries[
             "age"
         ] < 60
-        up, count_before = (
+        up, draining = (
             next(h["choice"] for h in entries["hosts"] if h["id"] == name) for name in ("h0", "h1")
         )
         assert up["near"] and up["out"] == 0 and up["sound"] > 0.9 and up["age"] is None and not up["rests"]
-        assert not count_before["near"]
+        assert not draining["near"]
         assert (await deployment.send_request(make_command(b"counted"))).startswith(b"$")
         output = (await run())[1]
         assert "choices: 0 by a fresh report, 1 by the mean of all" in output
--- a/tests/faults/test_reload.py
+++ b/tests/faults/test_reload.py
@@ -61,18 +61,16 @@
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", deployment.port)
         deployment.hosts[0].writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-        assert (
-            await read_reply(reader) == VALUE_REPLY
-        )  # requests accepted on the closed listener are answered
+        # Requests accepted on the closed listener are answered.
+        assert await read_reply(reader) == VALUE_REPLY
         # The test replied on this connection itself, so later commands need another one.
         deployment.hosts[0].writers[0].close()
         assert await read_reply(reader) == b""
         deployment.hosts[0].answer = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
         assert await deployment.send_request(make_command(b"after"), added_port) == VALUE_REPLY
         process.send_signal(signal.SIGHUP)
-        assert b"max_attempts" in await deployment.wait_for_log_line(
-            process, b"reload: "
-        )  # reported at each reload
+        # A setting that needs a restart is reported at each reload.
+        assert b"max_attempts" in await deployment.wait_for_log_line(process, b"reload: ")
         writer.close()
 
 
--- a/tests/simulation/test_baselines.py
+++ b/tests/simulation/test_baselines.py
@@ -15,7 +15,7 @@
         for policy in ("random", "robin", "two", "two:1", "best")
     }
     assert idle_shares["best"] < idle_shares["two"] < 0.3 * idle_shares["random"]
-    assert idle_shares["two"] < 0.5 * idle_shares["two:1"]  # load that is 1 s old is a poor guide
+    assert idle_shares["two"] < 0.5 * idle_shares["two:1"]  # a load that is 1 s old is mostly outdated
     assert is_baseline("best:0.5") and not is_baseline("two:x") and not is_baseline("worst")
 
 
--- a/tests/tools/test_demo.py
+++ b/tests/tools/test_demo.py
@@ -8,7 +8,7 @@
 from rich.console import Console
 
 from apigateway.emulators.ledger import Verdict
-from apigateway.tools.demo.installation import SHAPE, create_customers
+from apigateway.tools.demo.installation import FLEET_SETTINGS, create_customers
 from apigateway.tools.demo.tables import verdicts_table
 
 
@@ -67,5 +67,5 @@
 def test_customers_send_under_near_and_over_their_quotas_by_seed():
     customers, others = create_customers(1), create_customers(2)
     assert customers == create_customers(1) != others
-    shares = {customer.rate / SHAPE.plans[customer.plan].rate for customer in customers}
+    shares = {customer.rate / FLEET_SETTINGS.plans[customer.plan].rate for customer in customers}
     assert min(shares) < 0.5 and max(shares) > 2 and any(0.9 < share < 1 for share in shares)
