--- a/apigateway/emulators/loaded_fleet.py
+++ b/apigateway/emulators/loaded_fleet.py
@@ -60,7 +60,7 @@
 
     Attributes:
         max_held_requests: The most requests that each host held at the same time.
-        idle_core_samples: Sum over all samples of idle cores for which a request waited at another host.
+        idle_core_samples: Sum over all samples of the idle cores, at most as many as requests waited.
         core_samples: Sum over all samples of all cores, idle or not.
     """
 
@@ -128,8 +128,8 @@
 
     async def wait_for_served(self, request_count: int, traffic_task: asyncio.Task[None]) -> None:
         """Wait until `request_count` more requests have been served, or the traffic has ended."""
-        until = len(self.traffic.latencies_s) + request_count
-        while len(self.traffic.latencies_s) < until and not traffic_task.done():
+        target_count = len(self.traffic.latencies_s) + request_count
+        while len(self.traffic.latencies_s) < target_count and not traffic_task.done():
             await asyncio.sleep(POLL_PERIOD_S)
 
     async def stop_traffic(self, traffic_task: asyncio.Task[None]) -> None:
@@ -142,12 +142,12 @@
         """Return the number of commands that each host has received so far."""
         return Counter({host.name: len(host.commands) for host in self.fleet.hosts})
 
-    async def replace_host(self, old: EmulatedHost, grace: float) -> None:
+    async def replace_host(self, host: EmulatedHost, grace: float) -> None:
         """Drain a host, restart it after the grace time, cold and at its address, and announce it as up."""
-        self.fleet.announce((old, "draining"))
+        self.fleet.announce((host, "draining"))
         await asyncio.sleep(grace)
-        await old.restart()
-        self.fleet.announce((old, "up"))
+        await host.restart()
+        self.fleet.announce((host, "up"))
 
     async def kill_gateways(self, gateways: Sequence[Gateway]) -> None:
         """Kill gateways at the same time."""
--- a/apigateway/emulators/ratelimit.py
+++ b/apigateway/emulators/ratelimit.py
@@ -76,8 +76,8 @@
         """Count a request's hits and return the answer."""
         response = pb.RateLimitResponse(overall_code=OK)
         for descriptor in request.descriptors:
-            own = descriptor.HasField("hits_addend")
-            count = descriptor.hits_addend.value if own else request.hits_addend or 1
+            has_own_hits = descriptor.HasField("hits_addend")
+            count = descriptor.hits_addend.value if has_own_hits else request.hits_addend or 1
             name = next((entry.value for entry in descriptor.entries if entry.key == self.key), "")
             over = step.kind == StepKind.OVER_LIMIT or self.limits.get(name, count) < count
             if not over and name in self.limits:
--- a/apigateway/tools/load/arrivals.py
+++ b/apigateway/tools/load/arrivals.py
@@ -40,7 +40,8 @@
     """Yield evenly spaced times, in seconds from the start."""
     if shape.max_rate() <= 0:
         return
-    next_arrival = 0.0  # value of the integral; the first arrival is at 0, as soon as the rate is above 0
+    # Value of the integral at the next arrival; the first one comes as soon as the rate is above 0.
+    next_arrival = 0.0
     integral = 0.0
     step_length = max(_MIN_STEP_S, seconds / _MAX_STEPS)
     for step in range(math.ceil(seconds / step_length)):
--- a/apigateway/tools/load/recorder.py
+++ b/apigateway/tools/load/recorder.py
@@ -27,7 +27,7 @@
     SERVED = "served"
     REFUSED = "refused"  # the gateway rejected it without running it, so a retry is safe
     FAILED = "failed"  # the gateway answered with an error; a host may have run it
-    LOST = "lost"  # no answer within the client's timeout
+    LOST = "lost"  # the client's timeout expired or the connection ended without an answer
     UNSENT = "unsent"  # no connection could be made
 
 
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -128,7 +128,7 @@
     """Simulate the same fleet.
 
     `downtime_s` is the time until the last killed gateway was back; the others came back one after another
-    from DOWNTIME_S on. 0: no gateway was killed.
+    from DOWNTIME_S on. 0 means that no gateway was killed.
     """
     read = messages.ServiceClass(
         "read", LATENCY_OBJECTIVE_S, DEADLINE_S, "safe", "all", 0.0, 1.0, 0.0, False, 0.0
