--- a/apigateway/emulators/counter.py
+++ b/apigateway/emulators/counter.py
@@ -12,7 +12,7 @@
 MAX_LIFETIME_S = 60.0
 ADD_VERB = b"incr"
 ADD_WORDS = 4  # verb, name, amount, lifetime in ms
-TRUNCATED_BYTES = 2  # sent of a truncated answer
+TRUNCATED_BYTES = 2  # length of a truncated answer
 
 
 class HeldAnswer(NamedTuple):
@@ -25,9 +25,9 @@
 class EmulatedCounter(Listener):
     """Adds amounts and answers with the total.
 
-    The script's steps act as follows. SILENT and STALL add, and answer never or late. BUSY and ERROR add
-    nothing. RESET adds and resets the connection. MALFORMED adds and answers with something that is no total.
-    TRUNCATED adds and closes the connection within the answer.
+    The script's steps act as follows. SILENT adds and holds the answer back until `send_held_answers`. STALL and
+    SLOW add and answer late. BUSY and ERROR add nothing. RESET adds and resets the connection. MALFORMED adds
+    and answers with an invalid total. TRUNCATED adds and closes the connection within the answer.
 
     Attributes:
         calls: The words of all calls.
--- a/apigateway/emulators/eureka.py
+++ b/apigateway/emulators/eureka.py
@@ -24,7 +24,7 @@
 __all__ = ["Lease", "EmulatedEureka", "JsonObject", "instance"]
 
 DEFAULT_LEASE_S = 90
-CHUNK_BYTES = 65536  # written at a time of an endless answer
+CHUNK_BYTES = 65536  # per write of an endless answer
 
 
 class Lease:
--- a/apigateway/emulators/hosts.py
+++ b/apigateway/emulators/hosts.py
@@ -22,7 +22,7 @@
 
 READ_BYTES = 65536
 HEALTH_CHECK = "probe"  # the end of a health check, which the ledger does not record
-TRUNCATED_BYTES = 5  # missing from a truncated answer
+TRUNCATED_BYTES = 5  # missing at the end of a truncated answer
 
 Answer = bytes | None | Callable[[], bytes | None]
 
@@ -105,8 +105,8 @@
         self.draining = False
         self.reports_idle = False
         self.report_age_s = 0.0
-        self._reports: deque[TakenReport] = deque()  # back to `report_age_s`
-        self._incarnation = 0  # the work of earlier ones is discarded
+        self._reports: deque[TakenReport] = deque()  # the reports of the last `report_age_s`
+        self._incarnation = 0  # work of earlier incarnations is discarded
 
     def entry(self, state: str = "up") -> dict[str, Any]:
         """Return this host's entry in discovery."""
--- a/apigateway/simulation/decision_module.py
+++ b/apigateway/simulation/decision_module.py
@@ -9,7 +9,7 @@
 
 
 class DecisionModule(Protocol):
-    """The decisions of one gateway: maps events to actions."""
+    """The decision module of one gateway, which maps events to actions."""
 
     def handle(self, now: float, event: messages.Event) -> Sequence[messages.Action]:
         """Return the actions that an event leads to."""
--- a/apigateway/simulation/demand.py
+++ b/apigateway/simulation/demand.py
@@ -15,7 +15,7 @@
 
 GATEWAYS_PER_BUSY_ONE = 50  # one gateway in 50 gets the traffic of `CustomerSettings.busiest`
 MIN_GATEWAYS_FOR_BUSY_ONE = 11  # a smaller fleet has no busy gateway
-CALM_USE_FACTORS = (0.5, 1.5)  # min and max demand of a customer that is not heavy, times `calm`
+CALM_USE_FACTORS = (0.5, 1.5)  # min and max demand of a customer that is not heavy, as multiples of `calm`
 
 
 class Customer:
--- a/apigateway/simulation/gateway_context.py
+++ b/apigateway/simulation/gateway_context.py
@@ -53,7 +53,7 @@
 
     Attributes:
         dispatch: Passes an event to the decision module and executes its actions.
-        incarnation: Number of starts of the gateway; callbacks of earlier ones are ignored.
+        incarnation: Number of starts of the gateway; callbacks of earlier incarnations are ignored.
         known_endpoints: The endpoint list that this gateway knows; kept when it restarts.
         draining_since: By endpoint id, when the gateway learned that the host drains or is down.
         in_flight: Its accepted requests by id.
--- a/apigateway/simulation/in_flight.py
+++ b/apigateway/simulation/in_flight.py
@@ -17,7 +17,7 @@
         """Handle that the last byte of an attempt has reached its host."""
 
     def on_response(self, outcome: ResponseOutcome, retry_after: float) -> None:
-        """Handle the only answer; `retry_after` is the Retry-After of a rejection in seconds, or 0."""
+        """Handle the answer, called once; `retry_after` is a rejection's Retry-After in seconds, or 0."""
 
 
 class InFlightRequest:
--- a/apigateway/tools/experiment/runner.py
+++ b/apigateway/tools/experiment/runner.py
@@ -17,8 +17,8 @@
 
 MAX_SHOWN_VIOLATIONS = 3  # broken rules reported per run
 MODULE_NAME = "apigateway_other_policy"  # Python module name of a decision module loaded from a file
-# Duration of a run whose policy has no argument, relative to one whose policy has an argument: that is mostly
-# a baseline that sees past state.
+# Estimated duration of a run whose policy has no argument, relative to a run whose policy has one. The latter
+# is mostly a baseline that sees past state.
 FULL_RUN_COST_RATIO = 3
 
 
