--- a/apigateway/emulators/counter.py
+++ b/apigateway/emulators/counter.py
@@ -25,9 +25,9 @@
 class EmulatedCounter(Listener):
     """Adds amounts and answers with the total.
 
-    The script's steps act as follows. SILENT adds and holds the answer back until `send_held_answers`. STALL and
-    SLOW add and answer late. BUSY and ERROR add nothing. RESET adds and resets the connection. MALFORMED adds
-    and answers with an invalid total. TRUNCATED adds and closes the connection within the answer.
+    The script's steps act as follows. SILENT adds and holds the answer back until `send_held_answers`. STALL
+    and SLOW add and answer late. BUSY and ERROR add nothing. RESET adds and resets the connection. MALFORMED
+    adds and answers with an invalid total. TRUNCATED adds and closes the connection within the answer.
 
     Attributes:
         calls: The words of all calls.
