--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -50,7 +50,7 @@
         while (await harness.discovery.calls.get()).get("index") != "2":
             pass
         assert await harness.send_command(make_command(b"b")) == VALUE_REPLY
-        assert [c[2] for c in new.commands] == [b"b"]
+        assert [command[2] for command in new.commands] == [b"b"]
 
 
 @pytest.mark.parametrize(
--- a/tests/membership/test_reconciler.py
+++ b/tests/membership/test_reconciler.py
@@ -48,19 +48,19 @@
     changed = reconciler_of_ten.apply(
         1.0, make_reports(9, state="leaving") + [make_report("h9")], is_complete=True
     )
-    assert [h.state for h in changed.endpoint_list.endpoints] == ["leaving"] * 9
+    assert [endpoint.state for endpoint in changed.endpoint_list.endpoints] == ["leaving"] * 9
 
 
 def test_endpoints_that_a_report_deletes_are_removed_at_once(reconciler_of_ten):
     changed = reconciler_of_ten.apply(1.0, [], deleted={f"h{n}" for n in range(8)})
     assert len(changed.endpoint_list.endpoints) == 8 and {
-        h.state for h in changed.endpoint_list.endpoints
+        endpoint.state for endpoint in changed.endpoint_list.endpoints
     } == {"down"}
 
 
 def test_few_missing_endpoints_are_removed_at_once(reconciler_of_ten):
     changed = reconciler_of_ten.apply(1.0, make_reports(7), is_complete=True)
-    assert {h.id for h in changed.endpoint_list.endpoints} == {"h7", "h8", "h9"}
+    assert {endpoint.id for endpoint in changed.endpoint_list.endpoints} == {"h7", "h8", "h9"}
 
 
 def test_many_missing_endpoints_stay_until_missing_for_doubt_time_and_from_two_lists(reconciler_of_ten):
@@ -68,7 +68,7 @@
     assert reconciler_of_ten.records["h9"].doubt == "missing"
     assert reconciler_of_ten.advance(40.0) is None  # missing for long enough, but from only one list
     changed = reconciler_of_ten.apply(41.0, make_reports(5), is_complete=True)
-    assert {h.id for h in changed.endpoint_list.endpoints} == {f"h{n}" for n in range(5, 10)}
+    assert {endpoint.id for endpoint in changed.endpoint_list.endpoints} == {f"h{n}" for n in range(5, 10)}
 
 
 def test_doubt_ends_by_time_alone_after_a_second_list_that_came_too_early(reconciler_of_ten):
@@ -102,7 +102,7 @@
         1.0, [make_report(f"h{n + 50}", port=1000 + n) for n in range(10)], is_complete=True
     )
     assert set(accepted_states(reconciler_of_ten)) == {f"h{n + 50}" for n in range(10)}
-    assert sum(h.state == "down" for h in changed.endpoint_list.endpoints) == 10
+    assert sum(endpoint.state == "down" for endpoint in changed.endpoint_list.endpoints) == 10
 
 
 def test_of_two_ids_at_one_address_the_latest_report_is_accepted():
--- a/tests/membership/test_reconciler_driver.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -30,7 +30,7 @@
     driver.apply_listing(make_listing())
     assert len(changes) == 1 and set(driver.reconciler.records) == {"a", "b", "c"}
     driver.apply_listing(make_listing("a", full=False, state="removed"))
-    assert [h.state for h in changes[-1].endpoint_list.endpoints] == ["down"]
+    assert [endpoint.state for endpoint in changes[-1].endpoint_list.endpoints] == ["down"]
     assert set(driver.reconciler.records) == {"b", "c"}
 
 
@@ -55,16 +55,16 @@
 
 @run_on_uvloop
 async def test_gateway_keeps_serving_when_discovery_returns_an_empty_list(tmp_path):
-    async with LocalDeployment(tmp_path, hosts=2) as site, EmulatedDiscovery() as discovery:
-        discovery.servers = [h.entry() for h in site.hosts]
-        site.write_settings(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
-        program = await site.start_gateway()
+    async with LocalDeployment(tmp_path, hosts=2) as deployment, EmulatedDiscovery() as discovery:
+        discovery.servers = [host.entry() for host in deployment.hosts]
+        deployment.write_settings(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
+        process = await deployment.start_gateway()
         discovery.raw = "{"  # makes the watch fail, so that the complete list is requested
         discovery.change([])
         discovery.servers = []
-        await site.wait_for_log_line(program, b"keeping the last list")
+        await deployment.wait_for_log_line(process, b"keeping the last list")
         while "index" not in await discovery.calls.get():
             pass  # the next watch shows that the gateway has read the empty list
         for n in range(20):
-            assert (await site.send_request(make_command(b"r%d" % n))).startswith(b"$")
-        assert sum(len(h.commands) for h in site.hosts) == 20
+            assert (await deployment.send_request(make_command(b"r%d" % n))).startswith(b"$")
+        assert sum(len(host.commands) for host in deployment.hosts) == 20
