--- a/apigateway/emulators/client_messages.py
+++ b/apigateway/emulators/client_messages.py
@@ -1,4 +1,4 @@
-"""What clients send to gateways and what comes back."""
+"""The requests that clients send to gateways, and their results."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 
 from apigateway.emulators.resp import bulk
 
-REJECTION = "BUSY"  # the first word of an error that rejects a request; the second is a wait in ms
+REJECTION = "BUSY"  # first word of the error for a rejected request; the second is a wait in ms
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """One request.
+class ClientRequest:
+    """One request of a client.
 
     Attributes:
-        customer: 16 hex digits.
+        customer: The customer's id, 16 hex digits.
         effect: "safe", "keyed" or "unsafe".
-        wait: Seconds that its client waits.
-        spread: So many gateways in a row from `first` on may get it.
-        again: Whether it is a retry.
+        timeout_s: How long the client waits for the answer.
+        gateway_count: How many consecutive gateways, from `first_gateway` on, may receive it.
+        is_retry: Whether it is a retry.
     """
 
     id: str
     customer: str
     plan: str
-    cls: str
+    service_class: str
     effect: str
-    wait: float
+    timeout_s: float
     units: float = 1.0
-    spread: int = 1
-    first: int = 0
-    again: bool = False
+    gateway_count: int = 1
+    first_gateway: int = 0
+    is_retry: bool = False
 
-    def message(self) -> bytes:
-        """Return the command."""
+    def encode(self) -> bytes:
+        """Return the request as a RESP command."""
         is_write = self.effect != "safe"
         parts = [
             b"API.WRITE" if is_write else b"API.READ",
@@ -51,37 +51,37 @@
 
     def _fields(self) -> str:
         text = (
-            f"c={self.cls},t={self.plan},d={int(self.wait * 1000)},units={self.units:g},"
-            f"spread={self.spread},first={self.first}"
+            f"c={self.service_class},t={self.plan},d={int(self.timeout_s * 1000)},units={self.units:g},"
+            f"spread={self.gateway_count},first={self.first_gateway}"
         )
         if self.effect == "keyed":
             text += f",k={self.id}"
-        if self.again:
+        if self.is_retry:
             text += ",r=1"
         return text
 
 
 class ResultKind(StrEnum):
-    """How a request ended for its client."""
+    """The result of a request for its client."""
 
     SERVED = "served"
-    REFUSED = "refused"  # it was not executed; trying again is harmless
+    REFUSED = "refused"  # not executed, so a retry is safe
     FAILED = "failed"
-    LOST = "lost"  # the connection ended or nothing came
-    UNREACHABLE = "unreachable"  # it was never sent
+    LOST = "lost"  # the connection ended, or no answer came in time
+    UNREACHABLE = "unreachable"  # never sent
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """How a request ended for its client, a `ResultKind`, and what came back."""
+    """The result of a request for its client: a `ResultKind`, and the value if it was served."""
 
     kind: str
     value: bytes = b""
-    come_again: float = 0.0  # s, with a refusal
+    retry_after_s: float = 0.0  # only set for refused requests
 
 
-def read_answer(reply: Any) -> Answer:
-    """Return what a reply, as hiredis gives it, says."""
+def parse_answer(reply: Any) -> Answer:
+    """Return the answer that a reply parsed by hiredis represents."""
     if isinstance(reply, bytes):
         return Answer(ResultKind.SERVED, reply)
     words = str(reply).split()
--- a/apigateway/emulators/eureka.py
+++ b/apigateway/emulators/eureka.py
@@ -1,7 +1,7 @@
-"""An emulated Eureka registry after Netflix's REST operations.
+"""An emulated Eureka registry with Netflix's REST operations.
 
-It has registrations, leases, overrides, deltas, two replicas with lag, JSON and XML. By script it is silent,
-fails, lies, cuts its answers and comes back empty.
+It has registrations, leases, overrides, deltas, two replicas with a replication lag, JSON and XML. A test can
+make it silent, failing, wrong, truncating its answers, or empty after a restart.
 """
 
 from __future__ import annotations
@@ -17,119 +17,120 @@
 
 from aiohttp import web
 
-from apigateway.emulators.eureka_format import Told, instance, instance_id, to_xml
+from apigateway.emulators.eureka_format import JsonObject, instance, instance_id, to_xml
 from apigateway.emulators.ledger import Ledger
 from apigateway.emulators.script import Script, Step, StepKind
 
-__all__ = ["Lease", "EmulatedEureka", "Told", "instance"]
+__all__ = ["Lease", "EmulatedEureka", "JsonObject", "instance"]
 
 DEFAULT_LEASE_S = 90
-CHUNK_BYTES = 65536  # of an answer without end
+CHUNK_BYTES = 65536  # written at a time of an endless answer
 
 
 class Lease:
-    """One instance and when it is to be renewed."""
-
-    def __init__(self, told: Told, now: float) -> None:
-        lease = told.get("leaseInfo") or {}
-        self.told = told
-        self.duration = float(lease.get("durationInSecs", DEFAULT_LEASE_S))
-        self.registered = now
-        self.renewed = now
+    """A registered instance and its lease."""
+
+    def __init__(self, instance: JsonObject, now: float) -> None:
+        lease = instance.get("leaseInfo") or {}
+        self.instance = instance
+        self.duration_s = float(lease.get("durationInSecs", DEFAULT_LEASE_S))
+        self.registered_at = now
+        self.renewed_at = now
         self.up_at = 0.0
         self.override = ""
 
     @property
     def status(self) -> str:
-        """The status that callers are told."""
-        return self.override or str(self.told.get("status", "UNKNOWN"))
+        """The status that callers see."""
+        return self.override or str(self.instance.get("status", "UNKNOWN"))
 
 
 class EmulatedEureka:
-    """A registry; leases that are not renewed in time are dropped at each request.
+    """A registry that drops expired leases at each request.
 
-    Script, for each read: silent; error (500); half (a cut answer); spoilt (no JSON); stall; slow is stall.
+    The script's steps act on reads: SILENT, ERROR (status 500), TRUNCATED, MALFORMED (invalid JSON), STALL,
+    and SLOW, which acts as STALL.
 
     Attributes:
-        base: Its path.
-        retention: Seconds that deltas go back.
-        protect: Whether leases are kept that are not renewed (self-preservation).
-        lag: Seconds until `peer`, if there is one, hears of changes here.
-        log: What changed when, for deltas.
-        hashcode: Told in place of the right one.
-        lost: Deltas that are told empty, in place of what they hold.
-        endless: Bytes of an answer that does not end as it should.
-        clock_off: Seconds that its clock is ahead.
-        raw: Told in place of any read.
-        auth: The value of Authorization that is wanted.
-        calls: By method and kind of path.
-        asked: The kind of path of each read, as it comes.
+        base_path: The path of the REST API.
+        delta_retention_s: How far back deltas go.
+        self_preservation: Whether expired leases are kept (Eureka's self-preservation mode).
+        replication_lag_s: The time until changes reach `peer`, if there is one.
+        changes: The time, action and instance of each change, for deltas.
+        hashcode: If not None, sent in place of the right hash code.
+        empty_deltas: The number of deltas still to be sent empty.
+        endless_bytes: If positive, reads get an answer of this size that is never complete.
+        clock_offset_s: How far its clock is ahead.
+        raw_body: If not None, the body of every answer to a read.
+        expected_authorization: The required value of the Authorization header; None means no check.
+        call_counts: The number of calls by method and kind of path.
+        reads: The kind of path of each read, as it arrives.
     """
 
     def __init__(
         self,
-        base: str = "/eureka/v2",
+        base_path: str = "/eureka/v2",
         script: Script | None = None,
-        retention: float = 180.0,
-        protect: bool = False,
-        lag: float = 0.0,
+        delta_retention_s: float = 180.0,
+        self_preservation: bool = False,
+        replication_lag_s: float = 0.0,
         gateway: str = "",
         ledger: Ledger | None = None,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        self.base = base
+        self.base_path = base_path
         self.script = script or Script()
-        self.retention = retention
-        self.protect = protect
-        self.lag = lag
+        self.delta_retention_s = delta_retention_s
+        self.self_preservation = self_preservation
+        self.replication_lag_s = replication_lag_s
         self.gateway = gateway
         self.ledger = ledger
         self._clock = clock
         self.leases: dict[tuple[str, str], Lease] = {}
-        self.log: list[tuple[float, str, Told]] = []
+        self.changes: list[tuple[float, str, JsonObject]] = []
         self.peer: EmulatedEureka | None = None
         self.hashcode: str | None = None
-        self.lost = 0
-        self.endless = 0
-        self.clock_off = 0.0
-        self.raw: bytes | None = None
-        self.etags = True
-        self.deltas = True
-        self.auth: str | None = None
-        self.calls: Counter[str] = Counter()
-        self.asked: asyncio.Queue[str] = asyncio.Queue()
-        self.ending = asyncio.Event()
+        self.empty_deltas = 0
+        self.endless_bytes = 0
+        self.clock_offset_s = 0.0
+        self.raw_body: bytes | None = None
+        self.sends_etags = True
+        self.serves_deltas = True
+        self.expected_authorization: str | None = None
+        self.call_counts: Counter[str] = Counter()
+        self.reads: asyncio.Queue[str] = asyncio.Queue()
+        self.closing = asyncio.Event()
         self.port = 0
 
     def now(self) -> float:
-        """Return the time by its own clock."""
-        return self._clock() + self.clock_off
+        """Return the time of its own clock."""
+        return self._clock() + self.clock_offset_s
 
     @property
     def url(self) -> str:
-        """The address that clients are given."""
-        return f"http://127.0.0.1:{self.port}{self.base}"
+        """The service URL for clients."""
+        return f"http://127.0.0.1:{self.port}{self.base_path}"
 
-    # What it holds
+    # Registrations
 
-    def register(self, told: Told, replicated: bool = False) -> None:
-        """Register an instance, for the first time or again."""
-        key = (str(told["app"]).upper(), instance_id(told))
+    def register(self, instance_data: JsonObject, replicated: bool = False) -> None:
+        """Register an instance, or replace its registration."""
+        key = (str(instance_data["app"]).upper(), instance_id(instance_data))
         old = self.leases.get(key)
-        lease = Lease(told, self.now())
+        lease = Lease(instance_data, self.now())
         if old is not None:
             lease.override = old.override
             lease.up_at = old.up_at
         if lease.status == "UP" and (old is None or old.status != "UP"):
             lease.up_at = self.now()
         self.leases[key] = lease
-        self.note("ADDED" if old is None else "MODIFIED", key)
-        self.replicate(replicated, "register", told)
+        self.record_change("ADDED" if old is None else "MODIFIED", key)
+        self.replicate(replicated, "register", instance_data)
 
-    def long_ago(self, app: str, id: str) -> None:
-        """Let an instance have been there for long: it is not cold."""
+    def mark_warm(self, app: str, id: str) -> None:
+        """Move an instance's registration far into the past, so that gateways do not treat it as cold."""
         lease = self.leases[app.upper(), id]
-        lease.registered = 0.0
+        lease.registered_at = 0.0
         lease.up_at = 0.0
 
     def renew(self, app: str, id: str, replicated: bool = False) -> bool:
@@ -137,7 +138,7 @@
         lease = self.leases.get((app.upper(), id))
         if lease is None:
             return False
-        lease.renewed = self.now()
+        lease.renewed_at = self.now()
         self.replicate(replicated, "renew", app, id)
         return True
 
@@ -146,13 +147,13 @@
         key = (app.upper(), id)
         if key not in self.leases:
             return False
-        self.note("DELETED", key)
+        self.record_change("DELETED", key)
         del self.leases[key]
         self.replicate(replicated, "cancel", app, id)
         return True
 
     def override(self, app: str, id: str, status: str, replicated: bool = False) -> bool:
-        """Override a status, or take the override off by an empty one; return False if there is no lease."""
+        """Set the override of a status, or remove it if empty; return False if there is no lease."""
         lease = self.leases.get((app.upper(), id))
         if lease is None:
             return False
@@ -160,101 +161,105 @@
         lease.override = status
         if lease.status == "UP" and before != "UP":
             lease.up_at = self.now()
-        self.note("MODIFIED", (app.upper(), id))
+        self.record_change("MODIFIED", (app.upper(), id))
         self.replicate(replicated, "override", app, id, status)
         return True
 
     def restart(self) -> None:
         """Forget all leases and deltas."""
         self.leases = {}
-        self.log = []
+        self.changes = []
 
     def expire(self) -> None:
         """Drop the leases that were not renewed in time."""
         now = self.now()
-        for key in [key for key, lease in self.leases.items() if now - lease.renewed > lease.duration]:
-            if not self.protect:
-                self.note("DELETED", key)
+        for key in [key for key, lease in self.leases.items() if now - lease.renewed_at > lease.duration_s]:
+            if not self.self_preservation:
+                self.record_change("DELETED", key)
                 del self.leases[key]
 
-    def note(self, action: str, key: tuple[str, str]) -> None:
-        """Log a change, for deltas."""
-        self.log.append((self.now(), action, self.written(key, action)))
+    def record_change(self, action: str, key: tuple[str, str]) -> None:
+        """Record a change, for deltas."""
+        self.changes.append((self.now(), action, self.render_instance(key, action)))
 
-    def replicate(self, replicated: bool, what: str, *told: Any) -> None:
-        """Let the peer do as was done here, after the lag, unless it was done by replication."""
+    def replicate(self, replicated: bool, operation: str, *arguments: Any) -> None:
+        """Repeat an operation at the peer after the lag, unless it was itself a replication."""
         if self.peer is not None and not replicated:
             asyncio.get_running_loop().call_later(
-                self.lag, lambda: getattr(self.peer, what)(*told, replicated=True)
+                self.replication_lag_s, lambda: getattr(self.peer, operation)(*arguments, replicated=True)
             )
 
-    # As it is written
+    # Representations
 
-    def written(self, key: tuple[str, str], action: str = "") -> Told:
-        """Return an instance as callers are told of it."""
+    def render_instance(self, key: tuple[str, str], action: str = "") -> JsonObject:
+        """Return an instance as callers see it."""
         lease = self.leases[key]
-        told = {
-            **lease.told,
+        instance_data = {
+            **lease.instance,
             "app": key[0],
             "status": lease.status,
             "overriddenstatus": lease.override or "UNKNOWN",
             "leaseInfo": {
                 "renewalIntervalInSecs": 30,
-                "durationInSecs": int(lease.duration),
-                "registrationTimestamp": int(lease.registered * 1000),
-                "lastRenewalTimestamp": int(lease.renewed * 1000),
+                "durationInSecs": int(lease.duration_s),
+                "registrationTimestamp": int(lease.registered_at * 1000),
+                "lastRenewalTimestamp": int(lease.renewed_at * 1000),
                 "evictionTimestamp": 0,
                 "serviceUpTimestamp": int(lease.up_at * 1000),
             },
         }
-        return {**told, "actionType": action} if action else told
+        return {**instance_data, "actionType": action} if action else instance_data
 
-    def hash(self) -> str:
-        """Return the hash of all statuses, by which clients check their deltas."""
+    def status_hash(self) -> str:
+        """Return the hash code of all statuses, with which clients check their deltas."""
         if self.hashcode is not None:
             return self.hashcode
         counts = Counter(lease.status for lease in self.leases.values())
         return "".join(f"{status}_{count}_" for status, count in sorted(counts.items()))
 
-    def applications(self, instances: list[Told]) -> Told:
-        """Return instances by application; a single one is an object, several are a list (an oddity)."""
-        apps: dict[str, list[Told]] = {}
-        for told in instances:
-            apps.setdefault(str(told["app"]), []).append(told)
+    def applications(self, instances: list[JsonObject]) -> JsonObject:
+        """Return instances by application. As in Eureka, a single one is an object and several are a list."""
+        apps: dict[str, list[JsonObject]] = {}
+        for instance_data in instances:
+            apps.setdefault(str(instance_data["app"]), []).append(instance_data)
         return {
             "applications": {
                 "versions__delta": "1",
-                "apps__hashcode": self.hash(),
+                "apps__hashcode": self.status_hash(),
                 "application": [
-                    {"name": name, "instance": told[0] if len(told) == 1 else told}
-                    for name, told in apps.items()
+                    {"name": name, "instance": members[0] if len(members) == 1 else members}
+                    for name, members in apps.items()
                 ],
             }
         }
 
-    def whole(self, wanted: Callable[[Told], bool] = lambda _: True) -> list[Told]:
-        """Return all instances that are wanted."""
-        return [told for key in self.leases if wanted(told := self.written(key))]
+    def select_instances(self, wanted: Callable[[JsonObject], bool] = lambda _: True) -> list[JsonObject]:
+        """Return all instances for which `wanted` is true."""
+        return [instance_data for key in self.leases if wanted(instance_data := self.render_instance(key))]
 
-    def delta(self) -> list[Told]:
-        """Return what has changed within the retention, each instance once."""
-        since = self.now() - self.retention
-        latest: dict[tuple[str, str], Told] = {}
-        for at, action, told in self.log:
+    def delta(self) -> list[JsonObject]:
+        """Return the instances that changed within the retention time, each once."""
+        since = self.now() - self.delta_retention_s
+        latest: dict[tuple[str, str], JsonObject] = {}
+        for at, action, instance_data in self.changes:
             if at >= since:
-                key = (str(told["app"]), instance_id(told))
-                now = self.written(key, action) if key in self.leases and action != "DELETED" else told
-                latest[key] = {**now, "actionType": action}
+                key = (str(instance_data["app"]), instance_id(instance_data))
+                latest_data = (
+                    self.render_instance(key, action)
+                    if key in self.leases and action != "DELETED"
+                    else instance_data
+                )
+                latest[key] = {**latest_data, "actionType": action}
         return list(latest.values())
 
     # Reads
 
-    async def read(self, request: web.Request) -> web.StreamResponse:
-        """Answer a read as the script says."""
+    async def handle_read(self, request: web.Request) -> web.StreamResponse:
+        """Answer a read as the script's step says."""
         path = request.match_info["path"].strip("/")
         kind = "delta" if path == "apps/delta" else path.split("/")[0]
-        self.calls[f"GET {kind}"] += 1
-        self.asked.put_nowait(kind)
+        self.call_counts[f"GET {kind}"] += 1
+        self.reads.put_nowait(kind)
         if not self._is_authorized(request):
             return web.Response(status=401)
         self.expire()
@@ -262,66 +267,69 @@
         failure = await self._fail_or_wait(step)
         if failure is not None:
             return failure
-        if self.endless:
-            return await self.without_end(request)
+        if self.endless_bytes:
+            return await self.send_endless(request)
         instances = self._select(kind, path)
         if instances is None:
             return web.Response(status=404)
-        xml = "json" not in request.headers.get("Accept", "")  # XML is a registry's own choice
-        body = self._body(instances, xml, step)
-        is_complete = step.kind not in (StepKind.HALF, StepKind.SPOILT) and self.raw is None
+        as_xml = "json" not in request.headers.get("Accept", "")  # a registry sends XML by default
+        body = self._body(instances, as_xml, step)
+        is_complete = step.kind not in (StepKind.TRUNCATED, StepKind.MALFORMED) and self.raw_body is None
         if is_complete:
-            self.tell_ledger(instances, asked_by(request) or self.gateway)
-        return await self.send(request, body, xml, kind, step.kind == StepKind.HALF)
+            self.record_in_ledger(instances, basic_auth_user(request) or self.gateway)
+        return await self.send(request, body, as_xml, kind, step.kind == StepKind.TRUNCATED)
 
     def _is_authorized(self, request: web.Request) -> bool:
-        return self.auth is None or request.headers.get("Authorization") == self.auth
+        return (
+            self.expected_authorization is None
+            or request.headers.get("Authorization") == self.expected_authorization
+        )
 
     async def _fail_or_wait(self, step: Step) -> web.Response | None:
-        """Return the answer of a read that fails; else wait as the script says, and return None."""
+        """Return the response of a read that fails; otherwise wait as the step says, and return None."""
         match step.kind:
             case StepKind.SILENT:
-                await self.ending.wait()
+                await self.closing.wait()
                 return web.Response(status=503)
             case StepKind.ERROR:
                 return web.Response(status=500)
             case StepKind.STALL | StepKind.SLOW:
-                await asyncio.sleep(step.delay)
+                await asyncio.sleep(step.delay_s)
         return None
 
-    def _select(self, kind: str, path: str) -> list[Told] | None:
-        """Return the instances that a read is told; None: it is not found."""
+    def _select(self, kind: str, path: str) -> list[JsonObject] | None:
+        """Return the instances for a read, or None if the path is not found."""
         if kind != "delta":
             return self.instances(path)
-        if not self.deltas:
+        if not self.serves_deltas:
             return None
-        if self.lost:
-            self.lost -= 1
+        if self.empty_deltas:
+            self.empty_deltas -= 1
             return []
         return self.delta()
 
-    def _body(self, instances: list[Told], xml: bool, step: Step) -> bytes:
-        if step.kind == StepKind.SPOILT:
+    def _body(self, instances: list[JsonObject], as_xml: bool, step: Step) -> bytes:
+        if step.kind == StepKind.MALFORMED:
             return b"{what"
-        if self.raw is not None:
-            return self.raw
+        if self.raw_body is not None:
+            return self.raw_body
         tree = self.applications(instances)
-        return self.xml(tree).encode() if xml else json.dumps(tree).encode()
+        return self.xml(tree).encode() if as_xml else json.dumps(tree).encode()
 
-    def xml(self, tree: Told) -> str:
+    def xml(self, tree: JsonObject) -> str:
         """Return a tree of applications as XML."""
         return to_xml(tree)
 
     async def send(
-        self, request: web.Request, body: bytes, xml: bool, kind: str, half: bool
+        self, request: web.Request, body: bytes, as_xml: bool, kind: str, truncated: bool
     ) -> web.StreamResponse:
-        """Send an answer, or `half` of it."""
-        headers = {"Content-Type": "application/xml" if xml else "application/json"}
-        if self.etags and kind != "delta":
+        """Send an answer, or only half of it if `truncated`."""
+        headers = {"Content-Type": "application/xml" if as_xml else "application/json"}
+        if self.sends_etags and kind != "delta":
             headers["ETag"] = f'"{hash(body) & 0xFFFFFFFF:x}"'
             if request.headers.get("If-None-Match") == headers["ETag"]:
                 return web.Response(status=304)
-        if half:
+        if truncated:
             answer = web.StreamResponse(headers=headers | {"Content-Length": str(len(body))})
             await answer.prepare(request)
             await answer.write(body[: len(body) // 2])
@@ -333,51 +341,57 @@
             headers["Content-Encoding"] = "gzip"
         return web.Response(body=body, headers=headers)
 
-    async def without_end(self, request: web.Request) -> web.StreamResponse:
+    async def send_endless(self, request: web.Request) -> web.StreamResponse:
         """Send `endless` bytes that are never a complete answer."""
         answer = web.StreamResponse(headers={"Content-Type": "application/json"})
         await answer.prepare(request)
-        remaining = self.endless
+        remaining = self.endless_bytes
         while remaining > 0:
             await answer.write(b"[" * CHUNK_BYTES)
             remaining -= CHUNK_BYTES
         return answer
 
-    def instances(self, path: str) -> list[Told] | None:
-        """Return what a path names; None: nothing is known by it."""
+    def instances(self, path: str) -> list[JsonObject] | None:
+        """Return the instances that a path names, or None if there are none."""
         if path == "apps":
-            return self.whole()
+            return self.select_instances()
         if path == "apps/delta":
             return self.delta()
         kind, _, name = path.partition("/")
         if kind == "apps":
-            found = self.whole(lambda told: str(told["app"]) == name.upper())
+            found = self.select_instances(lambda instance_data: str(instance_data["app"]) == name.upper())
         else:
             key = {"vips": "vipAddress", "svips": "secureVipAddress"}[kind]
-            found = self.whole(lambda told: name in str(told.get(key, "")).split(","))
+            found = self.select_instances(
+                lambda instance_data: name in str(instance_data.get(key, "")).split(",")
+            )
         return found or None
 
-    def tell_ledger(self, instances: list[Told], gateway: str) -> None:
-        """Tell the ledger what a gateway was told, for the drain rule."""
+    def record_in_ledger(self, instances: list[JsonObject], gateway: str) -> None:
+        """Record the states sent to a gateway in the ledger, for the drain rule."""
         if self.ledger is not None:
-            for told in instances:
-                state = "up" if told["status"] == "UP" and told.get("actionType") != "DELETED" else "draining"
-                self.ledger.told(gateway, instance_id(told), state)
+            for instance_data in instances:
+                state = (
+                    "up"
+                    if instance_data["status"] == "UP" and instance_data.get("actionType") != "DELETED"
+                    else "draining"
+                )
+                self.ledger.record_host_state(gateway, instance_id(instance_data), state)
 
     # Writes
 
-    async def write(self, request: web.Request) -> web.Response:
-        """Carry out POST apps/APP; PUT, DELETE apps/APP/ID; PUT, DELETE apps/APP/ID/status."""
+    async def handle_write(self, request: web.Request) -> web.Response:
+        """Handle POST apps/APP; PUT and DELETE apps/APP/ID; PUT and DELETE apps/APP/ID/status."""
         parts = request.match_info["path"].strip("/").split("/")
-        self.calls[f"{request.method} {parts[0]}{' status' if parts[-1] == 'status' else ''}"] += 1
+        self.call_counts[f"{request.method} {parts[0]}{' status' if parts[-1] == 'status' else ''}"] += 1
         if not self._is_authorized(request):
             return web.Response(status=401)
         if self.script.next(time.monotonic()).kind == StepKind.ERROR:
             return web.Response(status=500)
         self.expire()
         if request.method == "POST" and len(parts) == 2:
-            told = json.loads(await request.read())["instance"]
-            self.register({**told, "app": parts[1]})
+            instance_data = json.loads(await request.read())["instance"]
+            self.register({**instance_data, "app": parts[1]})
             return web.Response(status=204)
         if len(parts) < 3:
             return web.Response(status=400)
@@ -390,9 +404,9 @@
 
     async def __aenter__(self) -> Self:
         app = web.Application()
-        app.router.add_get(self.base + "/{path:.*}", self.read)
+        app.router.add_get(self.base_path + "/{path:.*}", self.handle_read)
         for method in ("POST", "PUT", "DELETE"):
-            app.router.add_route(method, self.base + "/{path:.*}", self.write)
+            app.router.add_route(method, self.base_path + "/{path:.*}", self.handle_write)
         self.runner = web.AppRunner(app, shutdown_timeout=0.1)
         await self.runner.setup()
         await web.TCPSite(self.runner, "127.0.0.1", self.port).start()
@@ -400,14 +414,14 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.ending.set()
+        self.closing.set()
         await self.runner.cleanup()
 
 
-def asked_by(request: web.Request) -> str:
-    """Return the user of basic credentials, by which one registry tells several gateways apart."""
+def basic_auth_user(request: web.Request) -> str:
+    """Return the user of the basic credentials, by which a registry distinguishes its gateways."""
     try:
-        told = request.headers["Authorization"].removeprefix("Basic ")
-        return base64.b64decode(told).decode().split(":")[0]
+        encoded = request.headers["Authorization"].removeprefix("Basic ")
+        return base64.b64decode(encoded).decode().split(":")[0]
     except (KeyError, ValueError):
         return ""
--- a/apigateway/emulators/ledger.py
+++ b/apigateway/emulators/ledger.py
@@ -1,7 +1,7 @@
-"""What really passed on the sockets, written down at clients and hosts, and the rules judged from that alone.
+"""A ledger of the traffic on the sockets of clients and hosts, and the check of the rules against it.
 
-It knows nothing of the gateway's code. Times are seconds of one monotonic clock: all emulators and clients of
-a ledger run in one process.
+It uses none of the gateway's code. Times are seconds of one monotonic clock, since all emulators and clients
+of a ledger run in one process.
 """
 
 from __future__ import annotations
@@ -15,122 +15,152 @@
     Attempt,
     AttemptsById,
     Ceiling,
+    ClassRules,
     ColdStart,
     Grant,
-    Kind,
+    HostState,
     Outcome,
     RecordedAnswer,
+    RecordedRequest,
     Records,
-    SurplusAnswer,
-    Terms,
-    ToldState,
-    Try,
+    RuleLimits,
+    UnsolicitedAnswer,
 )
-from apigateway.emulators.ledger_rules import RULES, CeilingUse, Verdict, ceiling_uses, judge
+from apigateway.emulators.ledger_rules import RULES, CeilingUse, Verdict, ceiling_uses, check_rules
 
-__all__ = ["RULES", "Attempt", "Ceiling", "Kind", "Ledger", "Terms", "Try", "Verdict", "report"]
+__all__ = [
+    "RULES",
+    "Attempt",
+    "Ceiling",
+    "ClassRules",
+    "Ledger",
+    "RuleLimits",
+    "RecordedRequest",
+    "Verdict",
+    "format_verdicts",
+]
 
-MAX_SHOWN_BREACHES = 5  # of a rule, in a report
+MAX_SHOWN_BREACHES = 5  # per rule, in formatted verdicts
 
 
 class Ledger(Records):
-    """Takes notes for clients, hosts and discovery, and judges them once all is over."""
+    """Records the events that clients, hosts and discovery report, and checks the rules at the end."""
 
-    def __init__(self, terms: Terms, clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(self, limits: RuleLimits, clock: Callable[[], float] = time.monotonic) -> None:
         super().__init__()
-        self.terms = terms
+        self.limits = limits
         self.clock = clock
 
     # Clients
 
-    def asked(
-        self, id: str, gateway: str, wait: float, customer: str, plan: str, cls: str, units: float
+    def record_request(
+        self,
+        id: str,
+        gateway: str,
+        timeout_s: float,
+        customer: str,
+        plan: str,
+        service_class: str,
+        units: float,
     ) -> None:
-        """Note that a request's last byte is written. Sent again on a new connection it stays one request."""
-        if id in self.tries:
-            self.tries[id].broken = math.nan
+        """Record that a request's last byte was written; a resent request remains one request."""
+        if id in self.requests:
+            self.requests[id].disconnected_at = math.nan
         else:
-            self.tries[id] = Try(id, gateway, self.clock(), wait, customer, plan, cls, units)
+            self.requests[id] = RecordedRequest(
+                id, gateway, self.clock(), timeout_s, customer, plan, service_class, units
+            )
 
-    def answered(self, id: str, kind: str, value: bytes = b"") -> None:
-        """Note a request's answer; `kind` is one of `AnswerKind`."""
-        self.tries[id].answers.append(RecordedAnswer(self.clock(), kind, value))
+    def record_answer(self, id: str, kind: str, value: bytes = b"") -> None:
+        """Record a request's answer; `kind` is an `AnswerKind`."""
+        self.requests[id].answers.append(RecordedAnswer(self.clock(), kind, value))
 
-    def broke_off(self, id: str) -> None:
-        """Note that a request's connection ended without an answer."""
-        self.tries[id].broken = self.clock()
+    def record_disconnect(self, id: str) -> None:
+        """Record that a request's connection ended without an answer."""
+        self.requests[id].disconnected_at = self.clock()
 
-    def unasked(self, gateway: str) -> None:
-        """Note an answer that nobody had asked for."""
-        self.surplus.append(SurplusAnswer(self.clock(), gateway))
+    def record_unsolicited_answer(self, gateway: str) -> None:
+        """Record an answer on a connection without an open request."""
+        self.unsolicited_answers.append(UnsolicitedAnswer(self.clock(), gateway))
 
-    def granted(self, customer: str, plan: str, units: float) -> None:
-        """Note that a check was granted."""
+    def record_grant(self, customer: str, plan: str, units: float) -> None:
+        """Record that a quota check was granted."""
         self.grants.append(Grant(self.clock(), customer, plan, units))
 
     # Gateways, hosts, discovery
 
-    def died(self, gateway: str) -> None:
-        """Note that a gateway was killed outright: what it held is for its clients to ask again."""
-        self.deaths[gateway].append(self.clock())
-
-    def listens(self, gateway: str) -> None:
-        """Note that a gateway is there, for the first time or again."""
-        self.births[gateway].append(self.clock())
-
-    def arrived(self, host: str, id: str, cls: str, cell: int, zone: str, first: float, work: float) -> int:
-        """Note that an attempt's last byte is there; its first one came at `first`.
+    def record_gateway_kill(self, gateway: str) -> None:
+        """Record that a gateway was killed; its open requests need no answer, and clients may retry them."""
+        self.gateway_kills[gateway].append(self.clock())
+
+    def record_gateway_start(self, gateway: str) -> None:
+        """Record that a gateway began to listen, also after a kill."""
+        self.gateway_starts[gateway].append(self.clock())
+
+    def record_attempt(
+        self,
+        host: str,
+        id: str,
+        service_class: str,
+        cell: int,
+        zone: str,
+        first_byte_at: float,
+        work_s: float,
+    ) -> int:
+        """Record that an attempt's last byte arrived; its first byte arrived at `first_byte_at`.
 
         Returns:
-            The attempt's number, for `ended`.
+            The attempt's number, for `record_attempt_end`.
         """
-        self.attempts.append(Attempt(id, host, cls, cell, zone, first, self.clock(), work))
+        self.attempts.append(
+            Attempt(id, host, service_class, cell, zone, first_byte_at, self.clock(), work_s)
+        )
         return len(self.attempts) - 1
 
-    def ended(self, number: int, how: str, value: bytes = b"") -> None:
-        """Note the end of an attempt; `how` is one of `AttemptEnd`."""
+    def record_attempt_end(self, number: int, end_kind: str, value: bytes = b"") -> None:
+        """Record the end of an attempt; `end_kind` is an `AttemptEnd`."""
         attempt = self.attempts[number]
-        attempt.end = self.clock()
-        attempt.how = how
+        attempt.ended_at = self.clock()
+        attempt.end_kind = end_kind
         attempt.value = value
 
-    def told(self, gateway: str, host: str, state: str) -> None:
-        """Note that discovery has written a host's state to a gateway: up, draining or removed."""
-        history = self.tellings[gateway, host]
+    def record_host_state(self, gateway: str, host: str, state: str) -> None:
+        """Record that discovery sent a host's state to a gateway: up, draining or removed."""
+        history = self.host_states[gateway, host]
         if not history or history[-1].state != state:
-            history.append(ToldState(self.clock(), state))
+            history.append(HostState(self.clock(), state))
 
-    def started(self, host: str, cores: int, share: float, seconds: float) -> None:
-        """Note a cold start: `share` of its `cores` now, all of them evenly within `seconds`."""
-        self.starts.append(ColdStart(self.clock(), host, cores, share, seconds))
+    def record_cold_start(self, host: str, cores: int, start_share: float, warm_up_s: float) -> None:
+        """Record a cold start, from `start_share` of the cores to all of them within `warm_up_s`."""
+        self.cold_starts.append(ColdStart(self.clock(), host, cores, start_share, warm_up_s))
 
-    # Judgement
+    # Rules
 
-    def judge(self) -> tuple[Verdict, ...]:
-        """Return one verdict for each rule, in the order of `RULES`; due once all is over."""
-        return judge(self, self.terms)
+    def check_rules(self) -> tuple[Verdict, ...]:
+        """Return one verdict for each rule, in the order of `RULES`; call it once all traffic has ended."""
+        return check_rules(self, self.limits)
 
-    def stores(self, by_id: AttemptsById) -> dict[str, CeilingUse]:
-        """Return what each customer under a ceiling left of it."""
-        return ceiling_uses(self, self.terms, by_id)
+    def ceiling_uses(self, by_id: AttemptsById) -> dict[str, CeilingUse]:
+        """Return how much of its ceiling each customer left unused."""
+        return ceiling_uses(self, self.limits, by_id)
 
     def outcomes(self) -> dict[tuple[str, str, str], int]:
-        """Return how many requests had each outcome, by plan, class and outcome.
+        """Return the number of requests by plan, class and outcome.
 
-        An outcome is an `AnswerKind`, or an `Outcome` for requests without an answer.
+        An outcome is an `AnswerKind`, or an `Outcome` for a request without an answer.
         """
         counts: dict[tuple[str, str, str], int] = defaultdict(int)
-        for request in self.tries.values():
+        for request in self.requests.values():
             if request.answers:
                 outcome = request.answers[0].kind
             else:
-                outcome = Outcome.WITH_GATEWAY if self.excused(request) else Outcome.LOST
-            counts[request.plan, request.cls, outcome] += 1
+                outcome = Outcome.WITH_GATEWAY if self.is_excused(request) else Outcome.LOST
+            counts[request.plan, request.service_class, outcome] += 1
         return dict(counts)
 
 
-def report(verdicts: Iterable[Verdict]) -> str:
-    """Return verdicts as text, each with its first breaches."""
+def format_verdicts(verdicts: Iterable[Verdict]) -> str:
+    """Return verdicts as text, each with its first `MAX_SHOWN_BREACHES` breaches."""
     lines = []
     for verdict in verdicts:
         lines.append(str(verdict))
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -28,9 +28,9 @@
 sys.path.insert(0, str(ROOT))
 
 from apigateway import messages  # noqa: E402
-from apigateway.emulators.fleet import Class, Plan, Shape  # noqa: E402
-from apigateway.emulators.ledger import report  # noqa: E402
-from apigateway.emulators.loaded_fleet import LoadedFleet, customers, exponential  # noqa: E402
+from apigateway.emulators.fleet import ClassSettings, FleetSettings, PlanSettings  # noqa: E402
+from apigateway.emulators.ledger import format_verdicts  # noqa: E402
+from apigateway.emulators.loaded_fleet import LoadedFleet, draw_customers, exponential_work  # noqa: E402
 from apigateway.policy import Gateway  # noqa: E402
 from apigateway.simulation.scenario import (  # noqa: E402
     FREE,
@@ -70,49 +70,57 @@
 
 async def run_processes(args: argparse.Namespace, with_kill: bool) -> dict[str, Any]:
     """Run real gateway processes, and kill and restart some of them if `with_kill`."""
-    shape = Shape(
-        {"read": Class("safe", LATENCY_OBJECTIVE_S, DEADLINE_S, 1.0, MEAN_WORK_S, 1.0)},
-        {"p": Plan(1e5, 1e6)},
+    shape = FleetSettings(
+        {"read": ClassSettings("safe", LATENCY_OBJECTIVE_S, DEADLINE_S, 1.0, MEAN_WORK_S, 1.0)},
+        {"p": PlanSettings(1e5, 1e6)},
         gateways=args.gateways,
         hosts=args.hosts,
         cores=CORES,
-        queue=QUEUE,
-        extra={"overload": "on = false"},
+        queue_capacity=QUEUE,
+        extra_keys={"overload": "on = false"},
     )
     rate = args.load * args.hosts * CORES / MEAN_WORK_S
-    fleet_customers = customers(args.gateways, ["p"], rate, 400, args.seed, SPREAD)
+    fleet_customers = draw_customers(args.gateways, ["p"], rate, 400, args.seed, SPREAD)
     with tempfile.TemporaryDirectory() as folder:
         loaded_fleet = LoadedFleet(
-            Path(folder), shape, fleet_customers, seed=args.seed, work=exponential(MEAN_WORK_S, args.seed)
+            Path(folder),
+            shape,
+            fleet_customers,
+            seed=args.seed,
+            work=exponential_work(MEAN_WORK_S, args.seed),
         )
         started_at, downtime_s = time.monotonic(), 0.0
         async with loaded_fleet:
             start_s = time.monotonic() - started_at
-            load_task = loaded_fleet.begin(args.warm_up + args.seconds)
+            load_task = loaded_fleet.start_traffic(args.warm_up + args.seconds)
             await asyncio.sleep(args.warm_up)
-            accepted_before, loaded_fleet.idle, loaded_fleet.looks = loaded_fleet.taken(), 0.0, 0.0
-            loaded_fleet.longest.clear()
-            loaded_fleet.traffic.latency.clear()
+            accepted_before, loaded_fleet.idle_core_samples, loaded_fleet.core_samples = (
+                loaded_fleet.received_counts(),
+                0.0,
+                0.0,
+            )
+            loaded_fleet.max_held_requests.clear()
+            loaded_fleet.traffic.latencies_s.clear()
             if with_kill:
                 killed_at = time.monotonic()
                 killed = loaded_fleet.fleet.gateways[: int(KILLED_SHARE * args.gateways)]
-                await loaded_fleet.kill(killed)
+                await loaded_fleet.kill_gateways(killed)
                 await asyncio.sleep(DOWNTIME_S)
-                await loaded_fleet.revive(killed, MAX_PARALLEL_STARTS)
+                await loaded_fleet.restart_gateways(killed, MAX_PARALLEL_STARTS)
                 downtime_s = time.monotonic() - killed_at
             await load_task
-            accepted = loaded_fleet.taken() - accepted_before
+            accepted = loaded_fleet.received_counts() - accepted_before
             verdicts = loaded_fleet.verdicts()
-            idle = loaded_fleet.idle / max(1.0, loaded_fleet.looks)
+            idle = loaded_fleet.idle_core_samples / max(1.0, loaded_fleet.core_samples)
             figures = summarize(
                 [accepted[host.name] for host in loaded_fleet.fleet.hosts],
-                loaded_fleet.traffic.latency,
-                max(loaded_fleet.longest.values()),
+                loaded_fleet.traffic.latencies_s,
+                max(loaded_fleet.max_held_requests.values()),
                 idle,
-                loaded_fleet.part_served(),
+                loaded_fleet.served_share(),
             )
     figures["start_s"], figures["away_s"] = start_s, downtime_s
-    figures["broken"] = 0 if all(verdict.kept for verdict in verdicts) else report(verdicts)
+    figures["broken"] = 0 if all(verdict.kept for verdict in verdicts) else format_verdicts(verdicts)
     return figures
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -36,25 +36,25 @@
 from apigateway import messages  # noqa: E402
 from apigateway.emulators.clients import Client, Customer, Traffic  # noqa: E402
 from apigateway.emulators.eureka import EmulatedEureka, instance  # noqa: E402
-from apigateway.emulators.fleet import Class, Fleet, Plan, Shape  # noqa: E402
-from apigateway.emulators.ledger import report  # noqa: E402
+from apigateway.emulators.fleet import ClassSettings, Fleet, FleetSettings, PlanSettings  # noqa: E402
+from apigateway.emulators.ledger import format_verdicts  # noqa: E402
 from apigateway.emulators.script import Step  # noqa: E402
 from apigateway.membership.eureka.source import EurekaSource, RegistrySettings  # noqa: E402
 from apigateway.membership.listing import EndpointListing  # noqa: E402
 
-SHAPE = Shape(
+SHAPE = FleetSettings(
     classes={
-        "read": Class("safe", 1.0, 3.0, 1.0, 0.01, 0.6),
-        "note": Class("unsafe", 1.0, 3.0, 1.0, 0.01, 0.4),
+        "read": ClassSettings("safe", 1.0, 3.0, 1.0, 0.01, 0.6),
+        "note": ClassSettings("unsafe", 1.0, 3.0, 1.0, 0.01, 0.4),
     },
-    plans={"p": Plan(100_000.0, 100_000.0)},
+    plans={"p": PlanSettings(100_000.0, 100_000.0)},
     gateways=2,
     hosts=6,
     cores=4,
-    queue=100,
+    queue_capacity=100,
     zones=("a", "b"),
     cold_time=0.0,
-    extra={"trust": "calm_time = 0.0", "daemon": "log_lines = 10000"},
+    extra_keys={"trust": "calm_time = 0.0", "daemon": "log_lines = 10000"},
 )
 
 
@@ -116,8 +116,8 @@
 
     change_count = 0
 
-    async def write(self, request: web.Request) -> web.Response:
-        self.change_count, self.log = self.change_count + 1, []
+    async def handle_write(self, request: web.Request) -> web.Response:
+        self.change_count, self.changes = self.change_count + 1, []
         for n in range(10):
             self.override("ROSTER", f"node{n}", "OUT_OF_SERVICE" if self.change_count % 2 else "")
         return web.Response()
@@ -125,11 +125,11 @@
 
 async def run_registry(args: argparse.Namespace) -> None:
     """Run the registry process of `cost`."""
-    emulated = ChangingRegistry(base="/eureka")
+    emulated = ChangingRegistry(base_path="/eureka")
     for n in range(int(args.sizes)):
         ip = f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}"
         emulated.register(instance(f"node{n}", 8000, ip=ip, zone="a", cell="1"))
-    emulated.log = []
+    emulated.changes = []
     async with emulated:
         print(emulated.url, flush=True)
         await asyncio.sleep(600.0)
@@ -139,16 +139,19 @@
 
 
 async def run_under_load(
-    seed: int, action: Callable[[Fleet, Traffic], Awaitable[None]], rate: float = 120.0, shape: Shape = SHAPE
+    seed: int,
+    action: Callable[[Fleet, Traffic], Awaitable[None]],
+    rate: float = 120.0,
+    shape: FleetSettings = SHAPE,
 ) -> tuple[Fleet, Traffic]:
     """Run an action while customers send requests; return the fleet with its ledger, and the traffic."""
     with tempfile.TemporaryDirectory() as folder:
-        async with Fleet(shape, Path(folder), source="eureka", poll=0.1) as fleet:
+        async with Fleet(shape, Path(folder), source="eureka", poll_s=0.1) as fleet:
             client = Client(fleet.ledger, {g.name: ("127.0.0.1", g.port) for g in fleet.gateways})
             customers = [Customer(f"{n + 1:016x}", "p", rate / 8, n % 2, 2) for n in range(8)]
-            traffic = Traffic(client, customers, shape.used(), seed, retries=0.0)
+            traffic = Traffic(client, customers, shape.traffic_classes(), seed, retry_share=0.0)
             traffic_task = asyncio.ensure_future(traffic.run(3600.0))
-            while len(traffic.latency) < 50:
+            while len(traffic.latencies_s) < 50:
                 await asyncio.sleep(0.01)
             await action(fleet, traffic)
             traffic_task.cancel()
@@ -160,10 +163,10 @@
 
 def check_rules(fleet: Fleet) -> bool:
     """Return whether all rules were kept; otherwise print the breaches."""
-    verdicts = fleet.ledger.judge()
+    verdicts = fleet.ledger.check_rules()
     kept = all(verdict.kept for verdict in verdicts)
     if not kept:
-        print(report(verdicts))
+        print(format_verdicts(verdicts))
     return kept
 
 
@@ -180,11 +183,11 @@
 
     fleet, _ = await run_under_load(args.seed, action)
     delays_ms, drain_count = [], 0
-    for (gateway, host), changes in fleet.ledger.tellings.items():
+    for (gateway, host), changes in fleet.ledger.host_states.items():
         send_times = [
-            attempt.first
+            attempt.first_byte_at
             for attempt in fleet.ledger.attempts
-            if attempt.host == host and fleet.ledger.tries[attempt.id].gateway == gateway
+            if attempt.host == host and fleet.ledger.requests[attempt.id].gateway == gateway
         ]
         for n, (at, state) in enumerate(changes):
             if state == "up":
@@ -198,7 +201,7 @@
         {
             "flips": args.flips,
             "drains told": drain_count,
-            "requests": len(fleet.ledger.tries),
+            "requests": len(fleet.ledger.requests),
             "told to last send ms, median": round(delays_ms[len(delays_ms) // 2], 2),
             "99th": round(delays_ms[int(len(delays_ms) * 0.99)], 2),
             "most": round(delays_ms[-1], 2),
@@ -222,15 +225,15 @@
                 )
                 faults.append(fault)
                 if fault in ("silent", "error", "half", "spoilt"):
-                    registry.script.play(Step(fault, count=rng.randint(1, 8)))
+                    registry.script.set_steps(Step(fault, count=rng.randint(1, 8)))
                 elif fault == "restart":
                     registry.restart()
                 elif fault == "hash":
                     registry.hashcode = rng.choice([None, "UP_99_"])
                 elif fault == "lost":
-                    registry.lost = rng.randint(1, 5)
+                    registry.empty_deltas = rng.randint(1, 5)
                 elif fault == "clock":
-                    registry.clock_off = rng.uniform(-100.0, 100.0)
+                    registry.clock_offset_s = rng.uniform(-100.0, 100.0)
                 elif fault == "flip":
                     host = rng.choice(fleet.hosts)
                     registry.override("ROSTER", host.name, rng.choice(["OUT_OF_SERVICE", "DOWN", ""]))
@@ -238,7 +241,7 @@
                     for host in fleet.hosts:
                         fleet.register(host)
                 await asyncio.sleep(rng.uniform(0.0, 0.4))
-            registry.script.play()
+            registry.script.set_steps()
             for host in fleet.hosts:
                 registry.override("ROSTER", host.name, "")
                 fleet.register(host)
@@ -258,7 +261,7 @@
 
         async def action(fleet: Fleet, traffic: Traffic, name: str = name) -> None:
             if name == "silent":
-                fleet.registry.script.play(Step("silent"))
+                fleet.registry.script.set_steps(Step("silent"))
             elif name == "empty restart":
                 fleet.registry.restart()
             for _turn in range(round(args.seconds)):
@@ -268,7 +271,7 @@
         served = sum(
             count for (_, _, outcome), count in fleet.ledger.outcomes().items() if outcome == "served"
         )
-        total = len(fleet.ledger.tries)
+        total = len(fleet.ledger.requests)
         rows.append(
             {
                 "registry": name,
--- a/benchmarks/ratelimit_mixed.py
+++ b/benchmarks/ratelimit_mixed.py
@@ -27,19 +27,19 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from apigateway.emulators.checks import Checks  # noqa: E402
+from apigateway.emulators.checks import CheckClient  # noqa: E402
 from apigateway.emulators.clients import Client, Customer, Traffic  # noqa: E402
-from apigateway.emulators.fleet import Class, Fleet, Plan, Shape  # noqa: E402
+from apigateway.emulators.fleet import ClassSettings, Fleet, FleetSettings, PlanSettings  # noqa: E402
 from apigateway.emulators.ledger import Attempt  # noqa: E402
 from apigateway.emulators.script import Step  # noqa: E402
 
 # Units per second and units; SENT_RATE is the request rate of each customer.
 RATE, BURST, CEILING, CEILING_BURST, SENT_RATE = 8.0, 16.0, 16.0, 32.0, 48.0
 CUSTOMERS = [f"{n:016x}" for n in range(1, 5)]
-SHAPE = Shape(
-    classes={"roster-read": Class("safe", 1.0, 3.0, 1.0, 0.03, 1.0)},
-    plans={"enterprise": Plan(RATE, BURST, 1.8, CEILING, CEILING_BURST)},
-    grpc="roster-read",
+SHAPE = FleetSettings(
+    classes={"roster-read": ClassSettings("safe", 1.0, 3.0, 1.0, 0.03, 1.0)},
+    plans={"enterprise": PlanSettings(RATE, BURST, 1.8, CEILING, CEILING_BURST)},
+    check_class="roster-read",
 )
 
 
@@ -47,9 +47,9 @@
     """Silence the counter for the last 2 s of every 6 s."""
     for _ in range(int(seconds / 6)):
         await asyncio.sleep(4.0)
-        fleet.counter.script.play(Step("silent", seconds=2.0))
+        fleet.counter.script.set_steps(Step("silent", duration_s=2.0))
         await asyncio.sleep(2.0)
-        fleet.counter.script.play()
+        fleet.counter.script.set_steps()
 
 
 async def measure(resp_share: float, seconds: float, folder: Path) -> dict[str, Any]:
@@ -57,12 +57,12 @@
     async with Fleet(SHAPE, folder) as fleet:
         ledger = fleet.ledger
         client = Client(ledger, {g.name: ("127.0.0.1", g.port) for g in fleet.gateways})
-        checks = Checks(ledger, {g.name: ("127.0.0.1", g.checks) for g in fleet.gateways})
+        checks = CheckClient(ledger, {g.name: ("127.0.0.1", g.rate_limit_port) for g in fleet.gateways})
 
         def customers_with_share(share: float) -> list[Customer]:
             return [Customer(name, "enterprise", SENT_RATE * share, 0, SHAPE.gateways) for name in CUSTOMERS]
 
-        traffic = Traffic(client, customers_with_share(resp_share), SHAPE.used(), retries=0.0)
+        traffic = Traffic(client, customers_with_share(resp_share), SHAPE.traffic_classes(), retry_share=0.0)
         started_at = asyncio.get_running_loop().time()
         await asyncio.gather(
             traffic.run(seconds),
@@ -72,25 +72,25 @@
         elapsed = asyncio.get_running_loop().time() - started_at
         client.close()
         await checks.close()
-        verdicts = ledger.judge()
+        verdicts = ledger.check_rules()
         attempts_by_id: dict[str, list[Attempt]] = defaultdict(list)
-        for attempt in sorted(ledger.attempts, key=lambda attempt: attempt.last):
+        for attempt in sorted(ledger.attempts, key=lambda attempt: attempt.last_byte_at):
             attempts_by_id[attempt.id].append(attempt)
-        ceiling_uses = ledger.stores(attempts_by_id)
-        resp_sent = sum(1 for request_id in attempts_by_id if request_id in ledger.tries)
+        ceiling_uses = ledger.ceiling_uses(attempts_by_id)
+        resp_sent = sum(1 for request_id in attempts_by_id if request_id in ledger.requests)
         granted = sum(units for *_, units in ledger.grants)
     customer_count = len(CUSTOMERS)
     return {
         "resp_sent": resp_sent,
         "checks_granted": granted,
         "passed": resp_sent + granted,
-        "asked": len(ledger.tries) + sum(checks.counts.values()),
+        "asked": len(ledger.requests) + sum(checks.outcome_counts.values()),
         "span_s": elapsed,
         "quota": customer_count * (BURST + RATE * seconds),
         "ceiling": customer_count * (CEILING_BURST + CEILING * seconds),
         "least_left": min(least for least, _ in ceiling_uses.values()),
         "slack": min(slack for _, slack in ceiling_uses.values()),
-        "checks": dict(checks.counts),
+        "checks": dict(checks.outcome_counts),
         "broken": [breach for verdict in verdicts for breach in verdict.breaches],
     }
 
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -37,7 +37,7 @@
 from apigateway.emulators.counter import EmulatedCounter  # noqa: E402
 from apigateway.emulators.discovery import EmulatedDiscovery  # noqa: E402
 from apigateway.emulators.hosts import VALUE  # noqa: E402
-from apigateway.emulators.platform import SETTINGS, configuration, entry  # noqa: E402
+from apigateway.emulators.platform import SETTINGS, make_configuration, make_discovery_entry  # noqa: E402
 from apigateway.emulators.ports import free_port  # noqa: E402
 
 CONNECTIONS, WARM_UP_REQUESTS = 24, 2000
@@ -239,7 +239,7 @@
     loop = asyncio.get_running_loop()
     hosts = [await loop.create_server(FastHost, "127.0.0.1", 0) for _ in range(host_count)]
     ports = [host.sockets[0].getsockname()[1] for host in hosts]
-    entries = [entry(f"h{n}", port) for n, port in enumerate(ports)]
+    entries = [make_discovery_entry(f"h{n}", port) for n, port in enumerate(ports)]
     folder = Path(tempfile.mkdtemp(prefix="request-cost-"))
     programs: list[Program] = []
     async with EmulatedCounter() as counter, EmulatedDiscovery() as discovery:
@@ -253,7 +253,7 @@
             subprocess.run(["tar", "-x"], cwd=old_tree, input=archive, check=True)
             for name, tree in (("now", ROOT), ("before", old_tree)):
                 port = free_port()
-                config = configuration(entries, discovery.port, counter.port, gateway_settings()) | {
+                config = make_configuration(entries, discovery.port, counter.port, gateway_settings()) | {
                     "listen": f"127.0.0.1:{port}",
                     "limits": {"cores": 1.0, "memory_mb": 2000, "sockets": 1024 + 4 * host_count},
                 }
--- a/tests/load/test_sender.py
+++ b/tests/load/test_sender.py
@@ -142,7 +142,7 @@
 @run_on_uvloop
 async def test_reply_of_each_kind_has_its_outcome(step, outcome):
     async with EmulatedHost() as host:
-        host.script.play(step)
+        host.script.set_steps(step)
         record = await send_all(evenly_spaced(100, 0.3), host.port, wait=0.4)
         assert record.counts() == dict.fromkeys(Outcome, 0) | {outcome: 30}
         latencies = record.latency_of(outcome)
@@ -176,14 +176,14 @@
 async def test_target_when_killed_then_only_some_requests_are_lost():
     host = EmulatedHost()
     await host.open()
-    host.script.play(Step("stall", delay=0.1))
+    host.script.set_steps(Step("stall", delay_s=0.1))
     killed = []
 
     def kill(sender):
         async def kill_after_20_requests():
             for _ in range(20):
-                await host.arrived.get()
-            await host.die()
+                await host.arrivals.get()
+            await host.kill()
             killed.append(True)
             await host.open()
 
@@ -302,10 +302,10 @@
             )
             if seconds > 10:
                 for _ in range(50):
-                    await deployment.hosts[0].arrived.get()
-                while deployment.hosts[0].arrived.qsize():
-                    deployment.hosts[0].arrived.get_nowait()
-                await deployment.hosts[0].arrived.get()  # the run is in progress
+                    await deployment.hosts[0].arrivals.get()
+                while deployment.hosts[0].arrivals.qsize():
+                    deployment.hosts[0].arrivals.get_nowait()
+                await deployment.hosts[0].arrivals.get()  # the run is in progress
                 program.send_signal(signal.SIGINT)
             out, err = await program.communicate()
             assert program.returncode == 0, err
--- a/tests/membership/test_reconciler_driver.py
+++ b/tests/membership/test_reconciler_driver.py
@@ -59,8 +59,8 @@
         discovery.servers = [host.entry() for host in deployment.hosts]
         deployment.write_settings(hosts=f'source = "discovery"\ndiscovery = "127.0.0.1:{discovery.port}"')
         process = await deployment.start_gateway()
-        discovery.raw = "{"  # makes the watch fail, so that the complete list is requested
-        discovery.change([])
+        discovery.raw_answer = "{"  # makes the watch fail, so that the complete list is requested
+        discovery.apply_changes([])
         discovery.servers = []
         await deployment.wait_for_log_line(process, b"keeping the last list")
         while "index" not in await discovery.calls.get():
--- a/tests/policy/test_reservations.py
+++ b/tests/policy/test_reservations.py
@@ -13,17 +13,18 @@
 CEILING_LIMITS = dict(rate=3.0, burst=6.0, ceiling_rate=4.0, ceiling_burst=8.0, ceiling_slack=0.0)
 
 
-def make_harness(plans=None, **kw):
+def make_harness(plans=None, **overrides):
     return DecisionHarness(
-        make_settings(plans=plans or [make_plan(rate=2.0, burst=8.0)], **{"gateway_count": 1, **kw}), HOSTS
+        make_settings(plans=plans or [make_plan(rate=2.0, burst=8.0)], **{"gateway_count": 1, **overrides}),
+        HOSTS,
     )
 
 
-def submit(harness, kind, customer="c", units=1.0, spread=1, **kw):
+def submit(harness, kind, customer="c", units=1.0, spread=1, **fields):
     """Submit a request or check, and return its answer or its forwarded attempt if that comes at once."""
     harness.request_count += 1
     actions = harness.handle(
-        kind(f"k{harness.request_count}", 3.0, customer, "p", "read", units, 0, spread, **kw)
+        kind(f"k{harness.request_count}", 3.0, customer, "p", "read", units, 0, spread, **fields)
     )
     answer = actions_of(
         actions, messages.QuotaGranted | messages.QuotaDenied | messages.ForwardRequest | messages.Reject
@@ -41,7 +42,7 @@
     assert all(
         isinstance(submit(harness, messages.PrepaidRequest), messages.ForwardRequest) for _ in range(20)
     )
-    assert isinstance(submit(harness, messages.Request), messages.Reject)  # and refund none
+    assert isinstance(submit(harness, messages.Request), messages.Reject)  # and they refund nothing
 
 
 def test_prepaid_requests_are_held_to_the_ceiling_however_many_units_were_reserved():
@@ -66,7 +67,7 @@
     ] == [True] * 4 + [False]
 
 
-def test_returned_reservations_leave_both_sides_of_the_ceiling_full():
+def test_returned_reservations_leave_both_buckets_of_the_ceiling_full():
     harness = make_harness([make_plan(**CEILING_LIMITS)])
     harness.now += 10.0
     for _ in range(3):
@@ -100,7 +101,8 @@
 @pytest.mark.parametrize("first_seed", range(0, 2000, 250))
 def test_neither_granted_nor_forwarded_units_exceed_the_ceiling(first_seed):
     """Several gateways share a ceiling. Checks, reservations, plain and prepaid requests come in random order
-    to any gateway, and the counter may fail."""
+    to any gateway, and the counter may fail.
+    """
     for run_seed in range(first_seed, first_seed + 250):
         rng = random.Random(run_seed)
         gateway_count = rng.choice([1, 1, 2, 3])
@@ -242,7 +244,8 @@
 )
 def test_ceiling_equals_two_separate_token_buckets(steps):
     """The ceiling stores the difference between granted and forwarded units as one number. It must equal two
-    separate buckets."""
+    separate buckets.
+    """
     harness = make_harness([make_plan(rate=100.0, burst=200.0, ceiling_rate=100.0, ceiling_burst=200.0)])
     harness.now += 10.0
     submit(harness, messages.QuotaCheck, units=0.0)
@@ -313,7 +316,8 @@
 
 def test_request_that_waits_for_the_ceiling_is_forwarded_after_the_refill():
     """With many gateways, an equal share is a few units. Of a burst of requests, those that can wait for the
-    refill within a part of the latency objective are not rejected."""
+    refill within a part of the latency objective are not rejected.
+    """
     plan = make_plan(rate=0.0, ceiling_rate=64.0, ceiling_burst=32.0, ceiling_slack=3.0)
     harness = DecisionHarness(
         make_settings(plans=[plan], gateway_count=200), [make_host(f"h{n}") for n in range(30)]
