--- a/apigateway/external_ratelimit/circuit_breaker.py
+++ b/apigateway/external_ratelimit/circuit_breaker.py
@@ -16,8 +16,8 @@
 MIN_TIMEOUT_S = 0.005  # a shorter timeout leaves too little time for a round trip
 
 _FAILURE_RATIO_GAIN = 0.05  # weight of a new sample in the exponential moving average
-_MAX_FAILURE_RATIO = 0.5  # opens the breaker even if successes occur between failures
-_MIN_FAILURE_RATIO_SAMPLES = 20  # below this the ratio is ignored
+_MAX_FAILURE_RATIO = 0.5  # a higher ratio opens the breaker, even if successes occur between failures
+_MIN_FAILURE_RATIO_SAMPLES = 20  # with fewer samples the ratio is ignored
 _SUCCESS_SAMPLE = 0.0
 _FAILURE_SAMPLE = 1.0
 
@@ -146,7 +146,7 @@
         return self.fallback(now)
 
     def fallback(self, now: float) -> Fallback:
-        """Return the decision of the failure mode for a request without a decision of the service."""
+        """Return the decision of the failure mode for a request that the service has not decided."""
         if self.settings.failure_mode == FailureMode.FAIL_OPEN:
             return Fallback(is_rejected=False, retry_after=0.0)
         remaining_backoff = self.open_until - now if self.state is BreakerState.OPEN else 0.0
--- a/apigateway/external_ratelimit/client_session.py
+++ b/apigateway/external_ratelimit/client_session.py
@@ -32,7 +32,7 @@
 _HTTP_OK = b"200"
 _MAX_STATUS_DIGITS = 3  # of grpc-status; known codes have at most two digits
 _MAX_CONCURRENT_STREAMS = 2**31  # used if the server announces more or no limit
-_LAST_USED_STREAM_ID = 2**30  # a new connection replaces this one after it; ids end at 2^31 - 1
+_LAST_USED_STREAM_ID = 2**30  # later calls use a new connection; ids end at 2^31 - 1
 _STREAM_CLOSED_ERRORS = (
     h2.exceptions.NoSuchStreamError,
     h2.exceptions.StreamClosedError,
--- a/apigateway/external_ratelimit/connection.py
+++ b/apigateway/external_ratelimit/connection.py
@@ -83,9 +83,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the HTTP/2 connection preface."""
-        self.transport = cast(
-            asyncio.Transport, transport
-        )  # uvloop's transports share no base class with asyncio's
+        # A cast, because uvloop's transports share no base class with asyncio's.
+        self.transport = cast(asyncio.Transport, transport)
         self.is_connected = True
         self._owner.on_connected(self)
         self.flush()
--- a/apigateway/external_ratelimit/rls_codec.py
+++ b/apigateway/external_ratelimit/rls_codec.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckFailure:
-    """A missing or unusable response. `reason` is the name of its count; `detail` is logged."""
+    """A missing or unusable response. `reason` is part of the name of its count; `detail` is logged."""
 
     reason: str
     detail: str
@@ -94,9 +94,9 @@
 
 
 def _read_allowed(response: Any, request_count: int) -> list[bool]:
-    """Return which requests an OVER_LIMIT response allows.
+    """Return for each request whether an OVER_LIMIT response allows it.
 
-    None, unless it has a status for each request.
+    All are rejected, unless there are several requests and the response has a status for each of them.
     """
     if request_count > 1 and len(response.statuses) == request_count:
         allowed = [status.code == _CODE_OK for status in response.statuses]
--- a/apigateway/frontends/grpc/limits.py
+++ b/apigateway/frontends/grpc/limits.py
@@ -24,7 +24,8 @@
 # Time units of limits in descriptors (envoy/type/v3/ratelimit_unit.proto), with their seconds. Longer units
 # are not supported, because counts are not kept for that long.
 _DESCRIPTOR_UNITS_S = {1: 1, 2: 60, 3: 3600, 4: 86400}
-# The counter keeps a window of up to this length for as long as it is needed.
+# Longest window of a limit in a descriptor. The counter keeps the totals of such a window until they are no
+# longer needed.
 _MAX_CUSTOM_WINDOW_S = 20.0
 # Burst in units, and rate in units per second, of a limit that grants nothing.
 _ZERO_LIMIT_UNITS = 1e-9
--- a/apigateway/frontends/grpc/mapping.py
+++ b/apigateway/frontends/grpc/mapping.py
@@ -129,7 +129,7 @@
             return None
         values: dict[str, str] = {}
         for key, value in entries:
-            values.setdefault(key, value)  # the first of repeated keys counts
+            values.setdefault(key, value)  # of repeated keys the first one is used
         for name in (domain, ANY_DOMAIN):
             for rule in self._rules_by_domain.get(name, ()):
                 owner = rule.find_owner(domain, values)
@@ -148,9 +148,8 @@
     def __init__(self, rule: MappingRule, index: int, plans: frozenset[str]) -> None:
         self._rule = rule
         self._plans = plans
-        self._patterns: list[
-            tuple[str, re.Pattern[str] | None]
-        ] = []  # key and pattern; None matches any value
+        # Keys and patterns; None matches any value.
+        self._patterns: list[tuple[str, re.Pattern[str] | None]] = []
         literal_count = 0
         for entry in rule.entries:
             key, separator, value = entry.partition("=")
--- a/apigateway/frontends/grpc/server_session.py
+++ b/apigateway/frontends/grpc/server_session.py
@@ -96,7 +96,7 @@
         self.incoming_calls: dict[int, _IncomingCall] = {}
         self._open_calls: set[int] = set()  # reported by an event, without a status yet
         self._started_streams: set[int] = set()  # the open calls whose response headers are sent
-        self._raw_frames: list[bytes] = []  # frames that h2 cannot create
+        self._raw_frames: list[bytes] = []  # frames to send that h2 cannot create
         self._last_stream_id = 0  # the highest accepted one
         self._is_draining = False  # the client was asked to open no more calls
         self._rejects_new_calls = False
@@ -122,7 +122,7 @@
         """Parse received bytes and return their events."""
         events: list[SessionEvent] = []
         data, last_stream_id = self._goaway_filter.feed(data)
-        # The client opens no more streams, but expects responses to its open calls.
+        # A client that sent GOAWAY opens no more streams, but expects responses to its open calls.
         if last_stream_id is not None:
             self._rejects_new_calls = True
         try:
@@ -311,7 +311,7 @@
 
     def _write(self, stream_id: int, data: bytes, trailers: Headers | None) -> None:
         self.responses.write(stream_id, data, trailers)
-        # The client does not open its flow control window but keeps sending calls.
+        # Exceeded if a client sends more calls without opening its flow control window.
         if self.responses.unsent_bytes > MAX_UNSENT_BYTES:
             self._connection.close_connection(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
             self.must_close = True
--- a/apigateway/frontends/grpc/service.py
+++ b/apigateway/frontends/grpc/service.py
@@ -60,7 +60,7 @@
         self.counts: Counter[str] = Counter()  # by CallCount
         self._ids = _numbered_ids(f"check-{time.monotonic_ns():x}-")
 
-    # rate_limit_call.CallContext
+    # Properties of rate_limit_call.CallContext
 
     @property
     def unmapped_code(self) -> Code:
@@ -72,7 +72,7 @@
         """Issues tokens for granted checks; None if tokens are off."""
         return self.settings.tokens
 
-    # The method
+    # The gRPC method
 
     def should_rate_limit(
         self, message: bytes, timeout: float | None, responder: UnaryResponder
--- a/apigateway/frontends/grpc/tokens.py
+++ b/apigateway/frontends/grpc/tokens.py
@@ -2,9 +2,9 @@
 
 A client sends a token with the request that it checked before, so that the request is not counted twice.
 
-Without I/O: keys, times and random bytes are passed in. A token does not contain its purpose. The purpose is
-authenticated by the token's MAC (HMAC-SHA256, RFC 2104, truncated to 16 bytes) and is taken from the request
-when the token is verified.
+This module performs no I/O: keys, times and random bytes are passed in. A token does not contain its purpose.
+The purpose is authenticated by the token's MAC (HMAC-SHA256, RFC 2104, truncated to 16 bytes) and is taken
+from the request when the token is verified.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class TokenPurpose(NamedTuple):
-    """The properties of the request that a token is issued for. It is invalid for any other."""
+    """The properties of the request that a token is issued for. It is invalid for any other properties."""
 
     customer: str
     plan: str
@@ -44,7 +44,7 @@
 
     @classmethod
     def of(cls, request: messages.Request) -> TokenPurpose:
-        """Return the purpose that a token must have to pay for a request."""
+        """Return the purpose of a token for `request`."""
         return cls(request.customer, request.plan, request.service_class, request.units)
 
 
@@ -145,8 +145,8 @@
     Args:
         gateway_index: The index of this gateway.
         group_size: The number of gateways in the group, including this one.
-        max_tokens: The maximum number of remembered tokens. Beyond it no token is redeemed, and requests are
-            counted as if they had none.
+        max_tokens: The maximum number of remembered tokens. While it is reached no token is redeemed, and
+            requests are counted as if they had none.
     """
 
     def __init__(self, gateway_index: int, group_size: int, max_tokens: int) -> None:
@@ -208,7 +208,7 @@
         return self.keys.sign(TokenPurpose.of(check), self.redeemed.gateway_index, expires_at, nonce)
 
     def redeem(self, text: str, request: messages.Request) -> Token | None:
-        """Redeem the token of a request; return None if it is not redeemable and the request must pay."""
+        """Redeem the token of a request; return None if the request must spend units."""
         token = self.keys.verify(text, TokenPurpose.of(request))
         if token is None:
             self.counts[TokenCount.UNKNOWN] += 1
--- a/apigateway/frontends/resp/__init__.py
+++ b/apigateway/frontends/resp/__init__.py
@@ -1,1 +1,1 @@
-"""The RESP2 frontend for the platform's client protocol."""
+"""The RESP2 frontend, which serves the client protocol of the platform."""
--- a/apigateway/frontends/resp/client_connection.py
+++ b/apigateway/frontends/resp/client_connection.py
@@ -146,7 +146,7 @@
         self.cancel_pending()
 
     def eof_received(self) -> None:
-        """Cancel the pending commands: the client is gone.
+        """Cancel the pending commands: the client has disconnected.
 
         Unread responses may keep the connection open for longer.
         """
--- a/apigateway/frontends/resp/command.py
+++ b/apigateway/frontends/resp/command.py
@@ -1,8 +1,8 @@
 """Parse a client command into a request for the core and a command for hosts.
 
 A command is `API.READ CUSTOMER ID FIELDS` or `API.WRITE CUSTOMER ID FIELDS BODY` (see the protocol
-description of the platform). FIELDS is a comma-separated list of `NAME=VALUE`. Hosts receive
-the same command, with the timeout `d` set for each attempt.
+description of the platform). FIELDS is a comma-separated list of `NAME=VALUE`. Hosts receive the same
+command, with the timeout `d` set for each attempt.
 """
 
 from __future__ import annotations
@@ -36,7 +36,8 @@
 # Longer fields are not cached, which limits the memory of the cache.
 MAX_CACHED_FIELDS_BYTES = 256
 
-# Bound once, because every command is checked against them.
+# Module globals, because every command is checked against them and an enum member is slower to look up on its
+# class.
 _KEYED = messages.Idempotency.KEYED
 _SAFE = messages.Idempotency.SAFE
 _MAX_CUSTOMERS = 2**33  # customer numbers are below this
@@ -77,7 +78,7 @@
 
     def __init__(self, parts: list[bytes]) -> None:
         self.parts = parts
-        self.body_size = len(parts[-1])  # size of the last part, which for a read is its fields
+        self.body_size = len(parts[-1])  # size of the last part: the body of a write, the fields of a read
 
     def encode(self, remaining: float) -> bytes:
         """Encode the command for an attempt with a timeout of `remaining` seconds."""
@@ -220,7 +221,10 @@
 def _check_idempotency(
     service_class: messages.ServiceClass, fields: dict[bytes, bytes], is_write: bool
 ) -> None:
-    """Check that a class matches the verb, and that an idempotency key is given if required."""
+    """Check that a class matches the verb, and that it has its idempotency key if it requires one.
+
+    Raises InvalidCommandError.
+    """
     is_key_missing = service_class.idempotency == _KEYED and not _IDENTIFIER.fullmatch(
         fields.get(IDEMPOTENCY_KEY_FIELD, b"")
     )
--- a/apigateway/frontends/resp/frontend.py
+++ b/apigateway/frontends/resp/frontend.py
@@ -70,11 +70,11 @@
     # Settings
 
     def update_admission(self) -> None:
-        """Use the core's current admission controller, which was set or removed."""
+        """Use the core's admission controller. Call this after it was set or removed."""
         self.server.admission = self.core.admission
 
     def set_tokens(self, tokens: QuotaTokens | None) -> None:
-        """Use these tokens to redeem tokens of quota checks; None disables redemption."""
+        """Redeem the tokens of quota checks with `tokens`; None disables redemption."""
         self._tokens = tokens
 
     def set_limits(self, max_connections: int, max_partial_bytes: int) -> None:
@@ -105,7 +105,7 @@
         self.server.start_draining()
 
     async def wait_settled(self, timeout: float) -> None:
-        """Wait until all partial commands are complete, for at most `timeout` seconds."""
+        """Wait until all partial commands are complete and accepted, for at most `timeout` seconds."""
         deadline = monotonic() + timeout
         while self.server.partial_bytes and monotonic() < deadline:
             await asyncio.sleep(PARTIAL_COMMAND_CHECK_INTERVAL_S)
--- a/apigateway/frontends/resp/server.py
+++ b/apigateway/frontends/resp/server.py
@@ -26,8 +26,8 @@
 WRITE_BLOCKED_TIMEOUT_S = 5.0
 # Interval of timeout checks.
 SWEEP_INTERVAL_S = 0.25
-# Polling interval for disconnects of clients that are not read. Nothing must be forwarded for a client that
-# is gone.
+# Polling interval for disconnects on connections that are not read. No request may be forwarded for a client
+# that has disconnected.
 DISCONNECT_CHECK_INTERVAL_S = 0.1
 # Idle connections that are considered when one must be evicted.
 MAX_EVICTION_CANDIDATES = 8
--- a/apigateway/plugins/abi.py
+++ b/apigateway/plugins/abi.py
@@ -16,7 +16,7 @@
 INPUT_ADDRESS_GLOBAL = "calicomast_input"
 INPUT_SIZE_GLOBAL = "calicomast_input_size"
 
-MIN_INPUT_BYTES = 2048  # that a module must reserve for its input
+MIN_INPUT_BYTES = 2048  # of the memory that a module reserves for its input
 MAX_OUTPUT_BYTES = 65_536  # of the text that a call returns
 MAX_STATE_BYTES = 1024 * 1024  # of the state that a module saves
 MAX_OUTPUT_LINES = 1000
--- a/apigateway/plugins/manager.py
+++ b/apigateway/plugins/manager.py
@@ -179,7 +179,7 @@
     # A swap changes nothing until all steps that can fail have succeeded.
 
     def swap(self, version: ChainVersion, tick_interval: float | None = None) -> None:
-        """Start new requests with `version` from now on. Raises StateTransferError."""
+        """Replace the current version with `version` for new requests. Raises StateTransferError."""
         replaced = self.version
         _transfer_states(replaced, version)
         self.version = version
--- a/apigateway/plugins/plugin_state.py
+++ b/apigateway/plugins/plugin_state.py
@@ -1,4 +1,4 @@
-"""State of a plug-in between calls, of limited size: key-value store, counters, log rate; without I/O."""
+"""State that a plug-in keeps between calls, limited in size: key-value store, counters, log rate; no I/O."""
 
 from __future__ import annotations
 
--- a/apigateway/tools/plugins/loading.py
+++ b/apigateway/tools/plugins/loading.py
@@ -31,7 +31,7 @@
     Args:
         path: Path of the file or folder.
         module_settings: Classes, plans and limits; None for those of the gateway's settings, or else of the
-                test kit.
+            test kit.
 
     Raises:
         InvalidArgumentError: The file contains no plug-in.
--- a/tests/frontends/resp/test_client_connection.py
+++ b/tests/frontends/resp/test_client_connection.py
@@ -55,9 +55,8 @@
         make_command(fields=make_fields(d="9" * 400)),
         make_command(fields=make_fields(d="9" * 12)),
         make_command(fields=make_fields(units="1e999")),
-        make_command(
-            fields=make_fields(c="write"), verb=b"API.WRITE", body=b"x"
-        ),  # a class that requires an idempotency key
+        # The class requires an idempotency key.
+        make_command(fields=make_fields(c="write"), verb=b"API.WRITE", body=b"x"),
         make_command(fields=make_fields(c="note"), verb=b"API.WRITE", body=b"x" * 65537),
     ],
 )
--- a/tests/membership/test_polled_discovery.py
+++ b/tests/membership/test_polled_discovery.py
@@ -102,7 +102,9 @@
         service, hosts = await start_service(stack)
         service.capacity = None
         harnesses = await start_fleet(stack, service, hosts, tmp_path, 0.5)
-        service.change_delay_s = 1.0  # s; longer than overdue_after, and within the late_answer_time that follows
+        service.change_delay_s = (
+            1.0  # s; longer than overdue_after, and within the late_answer_time that follows
+        )
         schedule = harnesses[0].server.endpoint_source.schedule
         assert (
             schedule.overdue_after
--- a/tests/plugins/language/test_expressions.py
+++ b/tests/plugins/language/test_expressions.py
@@ -16,7 +16,7 @@
     "on": True,
     "names": ["x", "y"],
     "sizes": [1, 2],
-    "odd": {"a": 1, "b": "x"},
+    "mixed": {"a": 1, "b": "x"},
     "empty": {},
 }
 
@@ -60,7 +60,7 @@
         ("tags.x", "1"),
         ("tags.y", ""),
         ("has(tags.x)", True),
-        ("has(settings.nix)", False),
+        ("has(settings.missing)", False),
         ('"x" in tags', True),
         ('"y" in settings.names', True),
         ("units in settings.sizes", True),
@@ -88,7 +88,7 @@
     [
         ('units + "a"', "both must be of one type"),
         ("foo", "no field 'foo'"),
-        ("settings.nix", "no setting 'nix'"),
+        ("settings.missing", "no setting 'missing'"),
         ("1 +", "expected a value"),
         ('host == "a"', "no field 'host' in this phase"),
         ("matches(id)", "no function"),
@@ -106,7 +106,7 @@
         ('date("soon")', "is not a date"),
         ("$", "unexpected character"),
         ("1 2", "after the expression"),
-        ("settings.odd[customer]", "one type"),
+        ("settings.mixed[customer]", "one type"),
         ("has(id)", "has takes a member"),
         ("id.size", "no member"),
         ("true < false", "cannot be applied to"),
--- a/tests/plugins/test_plugin_loader.py
+++ b/tests/plugins/test_plugin_loader.py
@@ -77,14 +77,15 @@
         ),
         (
             lambda folder: (
-                (folder / "r.toml").write_text("[[rules]]\nwhen = 'nix'") and plugin_section(file="r.toml")
+                (folder / "r.toml").write_text("[[rules]]\nwhen = 'missing'")
+                and plugin_section(file="r.toml")
             ),
             "rules[0].when",
-            "no field 'nix'",
+            "no field 'missing'",
         ),
         (
             lambda folder: (
-                (folder / "r.toml").write_text("[[rules]]\nwhn = 'nix'") and plugin_section(file="r.toml")
+                (folder / "r.toml").write_text("[[rules]]\nwhn = 'missing'") and plugin_section(file="r.toml")
             ),
             "rules[0].whn",
             "unknown key",
@@ -121,7 +122,7 @@
             tmp_path,
             plugin_section(rules=[RuleSection()]),
             plugin_section(rules=[RuleSection()]),
-            plugin_section("q", file="nix.wat"),
+            plugin_section("q", file="missing.wat"),
         )
     assert [problem.key for problem in caught.value.problems] == ["plugins[1].name", "plugins[2].file"]
 
--- a/tests/plugins/test_plugin_manager.py
+++ b/tests/plugins/test_plugin_manager.py
@@ -210,7 +210,7 @@
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["take", "end", "gone", "swap", "tick", "late"]),
+        st.sampled_from(["submit", "end_attempt", "disconnect", "swap", "tick", "expire"]),
         st.integers(0, 50),
         st.sampled_from(["ok", "reset", "full", "timeout"]),
     ),
@@ -266,7 +266,7 @@
     try:
         for action, choice, result in steps:
             pending_attempts = [attempt for attempt in harness.upstream.sent if not attempt.result]
-            if action == "take":
+            if action == "submit":
                 request_id = str(len(sinks))
                 sinks[request_id] = RecordingSink()
                 harness.core.submit(
@@ -276,15 +276,15 @@
                 harness.manager.swap(make_next_version())
             elif action == "tick":
                 harness.manager.tick()
-            elif action == "gone" and sinks:
+            elif action == "disconnect" and sinks:
                 request_id = str(choice % len(sinks))
                 disconnected.add(request_id) if not sinks[request_id].answers else None
                 harness.core.on_client_disconnected(sinks[request_id])
-            elif action == "late" and harness.core.in_flight:
+            elif action == "expire" and harness.core.in_flight:
                 harness.core.deadline_guard.on_deadline(
                     list(harness.core.in_flight.values())[choice % len(harness.core.in_flight)]
                 )
-            elif action == "end" and pending_attempts:
+            elif action == "end_attempt" and pending_attempts:
                 pending_attempts[choice % len(pending_attempts)].end(result)
         for attempt in harness.upstream.sent:
             attempt.end("reset")
--- a/tests/plugins/wasm/test_wasm_plugin.py
+++ b/tests/plugins/wasm/test_wasm_plugin.py
@@ -10,7 +10,7 @@
 from apigateway.plugins.wasm import InvalidModuleError, WasmPlugin, assemble_module
 
 # With this budget, the fuel runs out before the time.
-SLOW_BUDGET = Budget(fuel=50_000, memory_bytes=1024 * 1024, call_time=5.0)
+LONG_TIME_BUDGET = Budget(fuel=50_000, memory_bytes=1024 * 1024, call_time=5.0)
 
 
 FAILING_BODIES = {
@@ -58,7 +58,8 @@
     )
     # The long time budget lets the fuel run out first, even on a busy machine.
     plugin = make_plugin(
-        '(data (i32.const 40960) "tag")\n' + export_phase("request", success_body + body), budget=SLOW_BUDGET
+        '(data (i32.const 40960) "tag")\n' + export_phase("request", success_body + body),
+        budget=LONG_TIME_BUDGET,
     )
     for _ in range(3):
         with pytest.raises(PluginError) as caught:
