--- a/apigateway/plugins/isolated_validation.py
+++ b/apigateway/plugins/isolated_validation.py
@@ -19,7 +19,7 @@
 from apigateway import messages
 from apigateway.plugins.interfaces import Budget, PluginError
 
-DEFAULT_TIMEOUT_S = 20.0  # for all modules of one load
+DEFAULT_TIMEOUT_S = 20.0  # of a process, which validates all modules of a load unless one ends it
 PROCESS_ENDED_REASON = "ended the process that validated it"
 
 _VALID = "good"  # output line for a valid module; otherwise the line is the reason
--- a/apigateway/plugins/wasm/engine.py
+++ b/apigateway/plugins/wasm/engine.py
@@ -43,7 +43,7 @@
             self._thread.start()
 
     def _count_epochs(self) -> None:
-        never_set = threading.Event()  # its wait releases the GIL
+        never_set = threading.Event()  # its wait() serves as a sleep that releases the GIL
         while True:
             self._wake_up.wait()
             self._wake_up.clear()
@@ -51,7 +51,7 @@
                 self._idle_epochs += 1
                 never_set.wait(EPOCH_LENGTH_S)
                 self.engine.increment_epoch()
-            self.is_clock_running = False  # a concurrent start_clock() sets it again, and `_wake_up`
+            self.is_clock_running = False  # a concurrent start_clock() sets it and `_wake_up` again
             if self._idle_epochs < MAX_IDLE_EPOCHS:
                 self._wake_up.set()
 
--- a/apigateway/plugins/wasm/host_functions.py
+++ b/apigateway/plugins/wasm/host_functions.py
@@ -2,7 +2,7 @@
 
 A host function never raises, because wasmtime's Python binding stores the exceptions of host functions in a
 variable that all threads share, and modules are validated on another thread than the one that serves
-requests. Instead, it records a violation and sets the fuel to 0.
+requests. Instead, it records a violation and sets the fuel to 0, which ends the call.
 """
 
 from __future__ import annotations
--- a/tests/frontends/grpc/test_rate_limit_daemon.py
+++ b/tests/frontends/grpc/test_rate_limit_daemon.py
@@ -248,7 +248,7 @@
     certificates = Certificates(tmp_path)
     trusted_client, untrusted_client = (
         certificates.issue("client", "client.test"),
-        certificates.issue("odd", "client.test", certificates.other),
+        certificates.issue("untrusted", "client.test", certificates.other),
     )
     async with GrpcDeployment(tmp_path, rules=TLS + 'client_ca = "ca.pem"\n' + RULE) as deployment:
         await deployment.start_gateway()
--- a/tests/plugins/test_plugin_command.py
+++ b/tests/plugins/test_plugin_command.py
@@ -97,8 +97,8 @@
     assert main(["plugin", "run", str(EXAMPLES / "calendar"), file, "--each"]) == 0
     output = capsys.readouterr().out
     assert "1 r0: refused, back in 1.5 s\n2 r1: nothing\n" in output and "refused: shift-update 5" in output
-    (tmp_path / "odd").write_text('{"id": 1}\n')
-    assert main(["plugin", "run", str(EXAMPLES / "calendar"), str(tmp_path / "odd")]) == 2
+    (tmp_path / "invalid-records").write_text('{"id": 1}\n')
+    assert main(["plugin", "run", str(EXAMPLES / "calendar"), str(tmp_path / "invalid-records")]) == 2
 
 
 def test_run_with_a_gateways_settings_uses_its_routes(tmp_path, capsys):
--- a/tests/plugins/test_plugin_manager.py
+++ b/tests/plugins/test_plugin_manager.py
@@ -93,21 +93,21 @@
         assert sink.answers == ["refused"]
     status = harness.manager.status()["plugins"][0]
     assert status["failed"] == {"fuel": 2} and status["not asked"] == {"out": 2} and status["state"] == "out"
-    # clamped to the longest retry time that is allowed
+    # The retry time is clamped to the longest one that is allowed.
     event = harness.module.events[-1]
     assert isinstance(event, messages.RejectedByPlugin) and event.retry_after == 2.0
 
 
 RULE_BREAKING_PROPOSALS = [
-    ("no request lost", [("hold", "5"), ("serve", "")]),
+    ("no request is lost", [("hold", "5"), ("serve", "")]),
     (
-        "no effect twice",
+        "no effect happens twice",
         [("send", "h1"), ("send", "h2"), ("retry", "9"), ("effect", "safe"), ("class", "read")],
     ),
-    ("drains kept", [("host", "h1"), ("drain", "h1 no")]),
+    ("drains are respected", [("host", "h1"), ("drain", "h1 no")]),
     ("cold hosts", [("host", "h2"), ("send", "h2")]),
-    ("ceilings kept", [("plan", "enterprise"), ("customer", "x"), ("units", "0")]),
-    ("the client's time", [("deadline", "99"), ("left", "99")]),
+    ("ceilings are respected", [("plan", "enterprise"), ("customer", "x"), ("units", "0")]),
+    ("client deadlines are respected", [("deadline", "99"), ("left", "99")]),
 ]
 
 
