--- a/apigateway/frontends/grpc/limits.py
+++ b/apigateway/frontends/grpc/limits.py
@@ -24,8 +24,8 @@
 # Time units of limits in descriptors (envoy/type/v3/ratelimit_unit.proto), with their seconds. Longer units
 # are not supported, because counts are not kept for that long.
 _DESCRIPTOR_UNITS_S = {1: 1, 2: 60, 3: 3600, 4: 86400}
-# Longest window of a limit in a descriptor. The counter keeps the totals of such a window until they are no
-# longer needed.
+# Longest window of a limit in a descriptor, unless its burst would be less than 1. A total is needed for
+# three windows, and the counter keeps it for at most 60 s.
 _MAX_CUSTOM_WINDOW_S = 20.0
 # Burst in units, and rate in units per second, of a limit that grants nothing.
 _ZERO_LIMIT_UNITS = 1e-9
@@ -58,8 +58,8 @@
 def custom_limit_plan(plan: messages.Plan, hits: int, seconds: float) -> messages.Plan:
     """Return a plan for a limit in a descriptor, of `hits` per `seconds`.
 
-    For a long time unit the burst is reduced, so that the counter keeps the window until it ends. A limit of
-    0 becomes a plan too small for any request.
+    For a long time unit the burst is reduced, which shortens the window, so that the counter keeps its total
+    for as long as it is needed. A limit of 0 becomes a plan too small for any request.
     """
     rate = hits / seconds if hits else _ZERO_LIMIT_UNITS
     burst = max(1.0, min(hits, rate * _MAX_CUSTOM_WINDOW_S)) if hits else _ZERO_LIMIT_UNITS
