--- a/apigateway/emulators/eureka.py
+++ b/apigateway/emulators/eureka.py
@@ -24,7 +24,7 @@
 __all__ = ["Lease", "EmulatedEureka", "JsonObject", "instance"]
 
 DEFAULT_LEASE_S = 90
-CHUNK_BYTES = 65536  # written at a time of an endless answer
+CHUNK_BYTES = 65536  # per write of an endless answer
 
 
 class Lease:
@@ -342,7 +342,7 @@
         return web.Response(body=body, headers=headers)
 
     async def send_endless(self, request: web.Request) -> web.StreamResponse:
-        """Send `endless` bytes that are never a complete answer."""
+        """Send `endless_bytes` bytes that are never a complete answer."""
         answer = web.StreamResponse(headers={"Content-Type": "application/json"})
         await answer.prepare(request)
         remaining = self.endless_bytes
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -70,7 +70,7 @@
 
 async def run_processes(args: argparse.Namespace, with_kill: bool) -> dict[str, Any]:
     """Run real gateway processes, and kill and restart some of them if `with_kill`."""
-    shape = FleetSettings(
+    settings = FleetSettings(
         {"read": ClassSettings("safe", LATENCY_OBJECTIVE_S, DEADLINE_S, 1.0, MEAN_WORK_S, 1.0)},
         {"p": PlanSettings(1e5, 1e6)},
         gateways=args.gateways,
@@ -84,7 +84,7 @@
     with tempfile.TemporaryDirectory() as folder:
         loaded_fleet = LoadedFleet(
             Path(folder),
-            shape,
+            settings,
             fleet_customers,
             seed=args.seed,
             work=exponential_work(MEAN_WORK_S, args.seed),
@@ -128,7 +128,7 @@
     """Simulate the same fleet.
 
     `downtime_s` is the time until the last killed gateway was back; the others came back one after another
-    from DOWNTIME_S on. 0: no gateway was killed.
+    from DOWNTIME_S on. 0 means that no gateway was killed.
     """
     read = messages.ServiceClass(
         "read", LATENCY_OBJECTIVE_S, DEADLINE_S, "safe", "all", 0.0, 1.0, 0.0, False, 0.0
