--- a/tests/daemon/test_platform.py
+++ b/tests/daemon/test_platform.py
@@ -1,6 +1,7 @@
 """Test the program that the platform runs: configuration, start, signals."""
 
 import asyncio
+import copy
 import json
 import os
 import signal
@@ -69,7 +70,8 @@
 def test_shutdown_with_any_deadlines_then_completes_before_the_platforms_kill(
     longest_deadline, timeout, tmp_path
 ):
-    configuration = make_configuration([make_host_entry(None, port=1)], 1, 2)
+    # A copy, since all configurations share one table of settings.
+    configuration = copy.deepcopy(make_configuration([make_host_entry(None, port=1)], 1, 2))
     for service in configuration["settings"]["services"]:
         service["deadline"], service["slo"] = int(longest_deadline * 1e9), int(longest_deadline * 5e8)
     config_file = tmp_path / "config.json"
