--- a/apigateway/simulation/rule_checker.py
+++ b/apigateway/simulation/rule_checker.py
@@ -47,7 +47,7 @@
         if draining_since is not None:
             seconds = self._clock.now - draining_since
             if seconds > self._rules.drain_grace + DRAIN_MARGIN_S:
-                detail = f"{gateway} to {attempt.endpoint_id}, {seconds:.2f} s after the drain began"
+                detail = f"{gateway} to {attempt.endpoint_id}, {seconds:.2f} s after"
                 self._metrics.add_violation(Rule.DRAIN, detail)
         request = attempt.request
         if len(request.active_attempts) > 1:
@@ -111,9 +111,7 @@
             ceiling.level
             < -plan.ceiling_slack - CEILING_MARGIN_S * plan.ceiling_rate - CEILING_ROUNDING_UNITS
         ):
-            self._metrics.add_violation(
-                Rule.CEILING, f"{customer.name}, {-ceiling.level:.2f} units above the ceiling"
-            )
+            self._metrics.add_violation(Rule.CEILING, f"{customer.name}, {-ceiling.level:.2f} units beyond")
 
     def has_quota(self, customer: str, plan: str, age: float) -> bool:
         """Return whether a customer's quota had a unit left `age` seconds ago."""
@@ -131,7 +129,7 @@
         """
         self._metrics.count(Metric.OVERLOADED_HOSTS)
         if informed_share > MAX_INFORMED_SHARE:
-            self._metrics.add_violation(Rule.SLOW_START, f"{endpoint_id}, in slow start")
+            self._metrics.add_violation(Rule.SLOW_START, f"{endpoint_id}, cold")
 
     def on_unanswered(self, request_id: str) -> None:
         """Record a request without an answer."""
